--- /dev/null
+++ b/crates/cairncrank/tests/pinned_settings.rs
@@ -0,0 +1,359 @@
+//! Every key of the two settings files and every variable of the environment, with an example file that sets each to
+//! a value of its own. Renaming a key or a variable has to show here.
+
+use std::collections::BTreeMap;
+
+use cairncrank::api::{
+    Class, Group, Load, Member, Repeat, Reports, RoomSettings, Scope, Tenant, WorkerState,
+};
+use cairncrank::config::{self, Config};
+use cairncrank::engine::Listed;
+use cairncrank::own::{Fleet, Own};
+use cairncrank_core::settings::worker_id;
+use cairncrank_duty::Times;
+use cairncrank_fleet::cold::Dealing;
+use cairncrank_fleet::watch::Watching;
+use serde_json::{json, Value};
+
+const EVERY_KEY: &str = include_str!("fixtures/every_key.json");
+const EVERY_KEY_HCL: &str = include_str!("fixtures/every_key.hcl");
+
+fn every_key() -> Value {
+    serde_json::from_str(EVERY_KEY).expect("the example is JSON")
+}
+
+fn read(root: &Value) -> Result<Config, String> {
+    Config::read(&root.to_string(), |_| None).map_err(|error| error.to_string())
+}
+
+fn address(port: u16) -> std::net::SocketAddr {
+    std::net::SocketAddr::from(([127, 0, 0, 1], port))
+}
+
+#[test]
+fn keys_outside_the_settings_have_their_values() {
+    let config = read(&every_key()).expect("the example is good");
+    assert_eq!(config.name, "every-key");
+    assert_eq!(config.listen, address(7071));
+    assert_eq!(config.discovery, address(8501));
+    assert_eq!(config.console, Some(address(9901)));
+    assert_eq!(config.seed, 0x2a);
+    assert_eq!(config.client_sockets, 300);
+    assert_eq!(config.worker_sockets, 200);
+    assert_eq!(config.dial_timeout, 300_000);
+    assert_eq!(config.idle, 4_800_000);
+    assert_eq!(config.drain_grace, 750_000);
+    assert!(config.pushed);
+    assert_eq!(config.longest, 12_000_000);
+    assert_eq!(config.fleet, None);
+    assert_eq!(config.names.tenants, ["web", "till"]);
+    assert_eq!(config.names.zones, ["north", "south"]);
+    assert_eq!(config.names.kinds, ["small", "large"]);
+    let classes: Vec<_> =
+        config.names.classes.iter().map(|c| (c.name.as_str(), c.patience, c.keyed)).collect();
+    assert_eq!(
+        classes,
+        [("lookup", 4_000_000, false), ("order", 9_000_000, true), ("refund", 12_000_000, true)]
+    );
+}
+
+#[test]
+fn the_known_list_has_its_values() {
+    let (revision, known) = read(&every_key()).expect("the example is good").known;
+    assert_eq!(revision, Some(9));
+    let found: Vec<_> = known.iter().map(|Listed { member, address }| (*member, *address)).collect();
+    let member = |name: &str, kind, zone, cell, since, state| Member {
+        worker: worker_id(name),
+        kind,
+        zone,
+        cell,
+        since,
+        state,
+    };
+    let expected = [
+        (member("w-1", 1, 1, 3, 1.5, WorkerState::Serving), Some(address(9101))),
+        (member("w-2", 1, 2, 4, 2.5, WorkerState::Draining), Some(address(9102))),
+        (member("w-3", 2, 1, 5, 3.5, WorkerState::Gone), Some(address(9103))),
+    ];
+    assert_eq!(format!("{found:?}"), format!("{:?}", Vec::from(expected)));
+}
+
+#[test]
+fn settings_of_the_decisions_have_their_values() {
+    let settings = read(&every_key()).expect("the example is good").settings;
+    assert_eq!(settings.instance, 3);
+    assert_eq!(settings.instances, 7);
+    assert_eq!(settings.zone, 1);
+    let class = |repeat, window, aim, stretch, late_worth, kind| Class {
+        repeat,
+        window,
+        aim,
+        stretch,
+        late_worth,
+        kind: Some(kind),
+    };
+    let classes = vec![
+        class(Repeat::Safe, Class::default().window, 0.6, 1.25, 0.3, 1),
+        class(Repeat::Keyed(Group::Cell), 14.0, 1.1, 2.5, 0.4, 0),
+        class(Repeat::Keyed(Group::Zone), 13.0, 1.2, 3.0, 0.6, 1),
+    ];
+    assert_eq!(format!("{:?}", settings.classes), format!("{classes:?}"));
+    let tenants = vec![Tenant { share: 0.7, quota: 14.0 }, Tenant { share: 0.3, quota: 6.0 }];
+    assert_eq!(format!("{:?}", settings.tenants), format!("{tenants:?}"));
+    assert!(!settings.ask_for_list);
+    assert_eq!(settings.ask_within, 3.5);
+    assert_eq!(settings.reports, Reports::Probes);
+    assert!(settings.marks_retry);
+    assert!(settings.may_probe);
+    assert_eq!(settings.probe_price, 0.045);
+    assert!(settings.may_cancel);
+    assert_eq!(settings.max_attempts, 4);
+    assert_eq!(settings.max_retry_after, 2.5);
+    assert!(settings.tells_start);
+    assert_eq!(settings.progress, 0.35);
+    assert!(settings.second_copies);
+    assert_eq!(settings.cold_share, 0.14);
+    assert_eq!(settings.warm_within, 24.5);
+    assert_eq!(settings.fall_multiple, 3.25);
+    assert_eq!(settings.fall_span, 1.75);
+    assert_eq!(settings.cross_zone_price, 0.025);
+    assert_eq!(settings.handshake_price, 0.035);
+    assert_eq!(settings.keep_alive, 6.0);
+    assert_eq!(settings.resolution, 0.007);
+    assert_eq!(settings.room, None);
+}
+
+#[test]
+fn load_reports_have_the_figures_that_the_settings_name() {
+    let form = read(&every_key()).expect("the example is good").settings.report;
+    let load = Load { free_slots: Some(3.0), queue: Some(4.0), latency: Some(0.5), ..Load::default() };
+    assert_eq!(form.of_json(r#"{"x0":3,"queue":4,"x1":500}"#).load, Some(load));
+    assert_eq!(form.of_text("TEXT x0=3, queue=4, x1=500").load, Some(load));
+}
+
+#[test]
+fn words_of_a_key_with_a_choice_are_told_apart() {
+    let with = |path: [&str; 3], word: &str| {
+        let mut root = every_key();
+        match path {
+            [outer, "", ""] => root["settings"][outer] = json!(word),
+            [outer, inner, ""] => root["settings"][outer][inner] = json!(word),
+            [outer, _, inner] => root["settings"][outer][0][inner] = json!(word),
+        }
+        read(&root).expect("a good file")
+    };
+    let asked = with(["discovery", "", ""], "ask");
+    assert!(asked.settings.ask_for_list && !asked.pushed);
+    let watched = with(["discovery", "", ""], "watch");
+    assert!(!watched.settings.ask_for_list && !watched.pushed);
+    assert_eq!(with(["report", "how", ""], "answers").settings.reports, Reports::Answers);
+    assert_eq!(with(["report", "how", ""], "none").settings.reports, Reports::None);
+    let first = |word| with(["profiles", "0", "idempotency"], word).settings.classes[0].repeat;
+    assert_eq!(first("free"), Repeat::Safe);
+    assert_eq!(first("guarded"), Repeat::Keyed(Group::All));
+    assert_eq!(first("no"), Repeat::Unsafe);
+}
+
+/// The paths of all values in a tree of JSON; a list of plain values is one value.
+fn leaves(value: &Value, path: Vec<String>, found: &mut Vec<Vec<String>>) {
+    let under = |key: String| path.iter().cloned().chain([key]).collect();
+    match value {
+        Value::Object(map) => map.iter().for_each(|(key, v)| leaves(v, under(key.clone()), found)),
+        Value::Array(items) if items.iter().any(Value::is_object) => {
+            items.iter().enumerate().for_each(|(i, v)| leaves(v, under(i.to_string()), found));
+        }
+        _ => found.push(path),
+    }
+}
+
+fn rename_key(root: &mut Value, path: &[String]) {
+    let (last, parents) = path.split_last().expect("a key");
+    let parent = parents.iter().fold(root, |at, key| match key.parse::<usize>() {
+        Ok(index) => &mut at[index],
+        Err(_) => &mut at[key],
+    });
+    let map = parent.as_object_mut().expect("a value with a key");
+    let value = map.remove(last).expect("the key is there");
+    map.insert(format!("{last}-renamed"), value);
+}
+
+/// A name that the settings do not list counts as none, so that its key makes no difference in these two places.
+const UNLISTED_NAMES: [&str; 2] = ["known.members.1.locality", "known.members.2.flavor"];
+
+/// Each key of the example file is read under its name: under another name the outcome is another.
+#[test]
+fn each_key_of_the_file_counts_by_its_name() {
+    let outcome = |root: &Value| read(root).map(|config| format!("{config:?}"));
+    let mut paths = Vec::new();
+    leaves(&every_key(), Vec::new(), &mut paths);
+    assert_eq!(paths.len(), 87);
+    let as_it_stands = outcome(&every_key());
+    for path in paths {
+        let mut root = every_key();
+        rename_key(&mut root, &path);
+        let path = path.join(".");
+        let differs = outcome(&root) != as_it_stands;
+        assert_eq!(differs, !UNLISTED_NAMES.contains(&path.as_str()), "{path}");
+    }
+}
+
+#[test]
+fn a_list_of_discovery_says_whether_it_is_complete() {
+    let names = read(&every_key()).expect("the example is good").names;
+    let list = |complete: Value| {
+        let value = json!({"revision": 12, "complete": complete, "members": every_key()["known"]["members"]});
+        config::list(&value, &names).expect("a good list")
+    };
+    let whole = list(json!(true));
+    assert_eq!((whole.revision, whole.scope, whole.members.len()), (12, Scope::Full, 3));
+    assert_eq!(list(json!(false)).scope, Scope::Changes);
+    assert_eq!(list(Value::Null).scope, Scope::Changes);
+}
+
+#[test]
+fn variables_of_the_environment_win_over_the_file() {
+    let variables = [
+        ("BALANCER_NAME", "from-variable"),
+        ("BALANCER_LISTEN", "127.0.0.1:1"),
+        ("BALANCER_DISCOVERY", "127.0.0.1:2"),
+        ("BALANCER_CONSOLE", "127.0.0.1:3"),
+    ];
+    let variable = |name: &str| variables.iter().find(|(n, _)| *n == name).map(|(_, v)| (*v).to_owned());
+    let config = Config::read(EVERY_KEY, variable).expect("good variables");
+    assert_eq!(config.name, "from-variable");
+    assert_eq!((config.listen, config.discovery, config.console), (address(1), address(2), Some(address(3))));
+    let mut unnamed = every_key();
+    unnamed.as_object_mut().expect("an object").remove("name");
+    assert_eq!(read(&unnamed).map(|config| config.name), Ok("cairncrank".to_owned()));
+    for name in ["BALANCER_LISTEN", "BALANCER_DISCOVERY", "BALANCER_CONSOLE"] {
+        let fault = Config::read(EVERY_KEY, |asked| Some("nowhere".to_owned()).filter(|_| asked == name));
+        let fault = fault.expect_err("a fault").to_string();
+        assert_eq!(fault, format!("{name}: expected an address such as 127.0.0.1:7070, found 'nowhere'"));
+    }
+}
+
+#[test]
+fn two_variables_name_the_files() {
+    let json = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/every_key.json");
+    let hcl = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/every_key.hcl");
+    let variable = |name: &str| match name {
+        "BALANCER_CONFIG" => Some(json.to_owned()),
+        "CAIRNCRANK_SETTINGS" => Some(hcl.to_owned()),
+        _ => None,
+    };
+    let config = Config::from_environment(variable).expect("good files");
+    assert_eq!(config.settings.room, Some(RoomSettings { from: 8.0, price: 3.5 }));
+    assert_eq!(config.fleet, Some(expected_fleet()));
+    let fault = Config::from_environment(|_| None).expect_err("no file").to_string();
+    assert_eq!(fault, "BALANCER_CONFIG: not set; it names the configuration file");
+}
+
+/// Without a variable that names it, the file beside the configuration is read by its name.
+#[test]
+fn the_file_beside_the_configuration_is_found_by_its_name() {
+    let folder = std::env::temp_dir().join(format!("beside-the-configuration-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    let json = folder.join("config.json");
+    std::fs::write(&json, EVERY_KEY).expect("a file");
+    let variable = |name: &str| (name == "BALANCER_CONFIG").then(|| json.display().to_string());
+    let room = || Config::from_environment(variable).expect("good files").settings.room;
+    assert_eq!(room(), None);
+    std::fs::write(folder.join("cairncrank.hcl"), "room {\n}\n").expect("a file");
+    assert_eq!(room(), Some(RoomSettings { from: 4.0, price: 16.0 }));
+    let _ = std::fs::remove_dir_all(&folder);
+}
+
+fn expected_fleet() -> Fleet {
+    Fleet {
+        installation: "north".to_owned(),
+        listen: address(7301),
+        address: Some(address(7302)),
+        bind: Some("127.0.0.2".parse().expect("an address")),
+        keepers: BTreeMap::from([(1, address(7101)), (2, address(7102)), (5, address(7105))]),
+        times: Times {
+            lease: 1_700_000,
+            renew: 410_000,
+            call: 420_000,
+            stay: 1_100_000,
+            short: 11_000_000,
+            skew_ppm: 1_200,
+            election: 430_000,
+            heartbeat: 90_000,
+        },
+        list: false,
+        source: Some("catalogue".to_owned()),
+        silence: 4_500_000,
+        fallback_per_s: 12.5,
+        record: Some("/var/log/fleet.jsonl".into()),
+        watch: Some(Watching {
+            sets: 9,
+            zones: 1,
+            period: 1_500_000,
+            fails: 3,
+            holds: 7_000_000,
+            flaw: None,
+        }),
+        account: Some(1_300_000),
+        cold: Some(Dealing { slots: 2.5, part: 0.25, expiry: 600_000, written: 0, skew_ppm: 1_200 }),
+    }
+}
+
+#[test]
+fn our_own_settings_have_their_values() {
+    let expected = Own { room: Some(RoomSettings { from: 8.0, price: 3.5 }), fleet: Some(expected_fleet()) };
+    assert_eq!(Own::read("every_key.hcl", EVERY_KEY_HCL).map_err(|fault| fault.to_string()), Ok(expected));
+    let not_held = EVERY_KEY_HCL.replace("hold       = true", "hold = false");
+    assert_eq!(Own::read("every_key.hcl", &not_held).map(|own| own.room).ok(), Some(None));
+}
+
+#[test]
+fn our_own_settings_have_their_defaults() {
+    let text = "room {\n}\nfleet {\n  installation = \"n\"\n  listen = \"127.0.0.1:1\"\n  keeper \"1\" {\n    \
+                address = \"127.0.0.1:1\"\n  }\n  keeper \"2\" {\n    address = \"127.0.0.1:2\"\n  }\n  keeper \
+                \"3\" {\n    address = \"127.0.0.1:3\"\n  }\n  account {\n  }\n  cold {\n    slots = 1\n  }\n  \
+                watch {\n  }\n}\n";
+    let own = Own::read("defaults.hcl", text).expect("good settings");
+    assert_eq!(own.room, Some(RoomSettings { from: 4.0, price: 16.0 }));
+    let expected = Fleet {
+        installation: "n".to_owned(),
+        listen: address(1),
+        address: None,
+        bind: None,
+        keepers: BTreeMap::from([(1, address(1)), (2, address(2)), (3, address(3))]),
+        times: Times::default(),
+        list: true,
+        source: None,
+        silence: 3_000_000,
+        fallback_per_s: 20.0,
+        record: None,
+        watch: Some(Watching {
+            sets: 8,
+            zones: 1,
+            period: 1_000_000,
+            fails: 2,
+            holds: 4_000_000,
+            flaw: None,
+        }),
+        account: Some(1_000_000),
+        cold: Some(Dealing { slots: 1.0, part: 0.5, expiry: 500_000, written: 0, skew_ppm: 1_000 }),
+    };
+    assert_eq!(own.fleet, Some(expected));
+}
+
+/// Each key and block of the example file is known by its name only, and the fault names file, line and key.
+#[test]
+fn each_key_of_our_own_settings_counts_by_its_name() {
+    let mut faults = Vec::new();
+    for (index, line) in EVERY_KEY_HCL.lines().enumerate() {
+        let name =
+            line.split_whitespace().next().filter(|word| word.starts_with(|c: char| c.is_alphabetic()));
+        let Some(name) = name else { continue };
+        let renamed = line.replacen(name, &format!("{name}_renamed"), 1);
+        let mut lines: Vec<&str> = EVERY_KEY_HCL.lines().collect();
+        lines[index] = &renamed;
+        let fault = Own::read("every_key.hcl", &(lines.join("\n") + "\n"));
+        faults.push(fault.expect_err("a fault").to_string());
+    }
+    assert_eq!(faults.len(), 40);
+    insta::assert_snapshot!("faults_of_renamed_keys", faults.join("\n"));
+}
