--- /dev/null
+++ b/crates/cairncrank-fleet/tests/format.rs
@@ -0,0 +1,363 @@
+//! Bytes and texts that other processes, files and operators rely on: they stay as they are from version to version.
+
+mod support;
+
+use cairncrank_duty::{DutyId, Owner, Reason, Refusal, Scope, Seat, SessionId, Token, View};
+use cairncrank_fleet::cold::{Grant, Grants, Use, COLD};
+use cairncrank_fleet::list::{Ledger, News, LIST};
+use cairncrank_fleet::record::Recorder;
+use cairncrank_fleet::watch::{Failing, Report, Watching, ZoneSeen};
+use cairncrank_fleet::wire::{
+    pack, Answer, Ask, Disk, Effect, EffectAnswer, FromKeeper, Hello, Peer, Request, Status, Turned,
+    TurnedAway, Welcome, Who, LONGEST_FRAME, OLDEST_SCHEMA, PATIENCE, SCHEMA,
+};
+use cairncrank_release::{
+    Account, Amount, Budget, Change, Cover, Kind, Outcome, Refusal as ReleaseRefusal, State, Target,
+};
+use serde_json::json;
+use support::{assert_pinned, encoded, hex};
+
+fn peer() -> Peer {
+    Peer {
+        name: "d1".to_owned(),
+        incarnation: 300,
+        zone: "north".to_owned(),
+        address: "127.0.0.1:7201".to_owned(),
+    }
+}
+
+fn view() -> View {
+    View {
+        revision: 1_000,
+        seats: vec![
+            Seat {
+                duty: DutyId::fleet("list"),
+                floor: Token(6),
+                owner: Some(Owner { session: SessionId(512), token: Token(7) }),
+            },
+            Seat { duty: DutyId::zone("probe", "north"), floor: Token(2), owner: None },
+            Seat { duty: DutyId::set("watch-of-8-in-3", 5), floor: Token(0), owner: None },
+        ],
+    }
+}
+
+/// What `status --json` prints, key for key.
+const STATUS: &str = concat!(
+    r#"{"keeper":2,"leads":true,"leader":3,"term":4,"applied":500,"committed":501,"first":6,"boots":7,"#,
+    r#""elections":8,"commit_us":[900,1000,1100],"members":[{"session":12,"peer":{"name":"d1","#,
+    r#""incarnation":300,"zone":"north","address":"127.0.0.1:7201"},"settled":true,"superseded":false,"#,
+    r#""short_lives":13}],"duties":[{"duty":{"name":"list","scope":"Fleet"},"owner":["d1",14],"#,
+    r#""floor":15,"fenced":16},{"duty":{"name":"watch","scope":{"Set":2}},"owner":null,"floor":17,"#,
+    r#""fenced":18}],"keepers":[[1,19],[2,20]],"voters":[1,2],"learners":[21],"replacing":[22,23]}"#,
+);
+
+fn status() -> Status {
+    serde_json::from_str(STATUS).unwrap()
+}
+
+fn disruption_state() -> Account {
+    let mut account = Account::default();
+    let budget = Budget {
+        name: "zone".to_owned(),
+        kind: Kind::Dispatcher,
+        cover: Cover::EachZone,
+        most_out: Some(Amount::Count(1)),
+        least_in: Some(Amount::Percent(50)),
+    };
+    let budgets = Change::Budgets { seen: 0, budgets: vec![budget] };
+    assert_eq!(account.apply(5, &budgets), Outcome::Done);
+    account
+}
+
+fn reject_reasons() -> Vec<(&'static str, Reason)> {
+    vec![
+        ("no session", Reason::NoSession),
+        ("superseded", Reason::Superseded { incarnation: 4 }),
+        ("not free", Reason::NotFree),
+        ("not the holder", Reason::NotTheOwner),
+        ("full", Reason::Full("sessions".to_owned())),
+        ("old store", Reason::OldDisk { boots: 5 }),
+        ("coordinators", Reason::Keepers("no".to_owned())),
+    ]
+}
+
+fn effect_rejections() -> Vec<(&'static str, Refusal)> {
+    vec![
+        ("no session", Refusal::NoSession),
+        ("old token", Refusal::OldToken { floor: Token(7) }),
+        ("unknown lease", Refusal::Unknown),
+    ]
+}
+
+fn handshake_rejections() -> Vec<(&'static str, Turned)> {
+    vec![
+        ("schema version", Turned::Schema { ours: 2 }),
+        ("installation", Turned::Installation { ours: "south".to_owned() }),
+        ("unknown coordinator", Turned::Stranger),
+        ("other store", Turned::WrongDisk),
+        ("stale store", Turned::OldDisk { boots: 9, term: 300 }),
+        ("full", Turned::Full),
+        ("other service", Turned::WrongDoor),
+    ]
+}
+
+#[test]
+fn versions_and_bounds() {
+    assert_eq!((OLDEST_SCHEMA, SCHEMA), (2, 3));
+    assert_eq!(LONGEST_FRAME, 4_194_304);
+    assert_eq!(PATIENCE.as_millis(), 2_000);
+    let error = pack(&"x".repeat(LONGEST_FRAME)).unwrap_err();
+    assert_eq!(error.to_string(), "a message of 4194308 bytes, over 4194304");
+    assert!(pack(&"x".repeat(LONGEST_FRAME - 4)).is_ok());
+}
+
+#[test]
+fn client_hello() {
+    let identities = [
+        ("coordinator", Who::Keeper(Disk { keeper: 1, disk: 0x0102_0304_0506_0708, boots: 3, term: 400 })),
+        ("member", Who::Member { name: "d1".to_owned() }),
+        ("operator", Who::Operator),
+        ("lease holder", Who::Owner { name: "d2".to_owned(), incarnation: 200 }),
+    ];
+    let mut text = String::new();
+    for schema in OLDEST_SCHEMA..=SCHEMA {
+        for (label, who) in &identities {
+            let hello = Hello { schema, installation: "north".to_owned(), who: who.clone() };
+            text += &encoded(&format!("schema {schema}, {label}"), &hello);
+        }
+    }
+    assert_pinned("client_hello", &text);
+}
+
+#[test]
+fn server_hello() {
+    let mut text = encoded("accepted", &Welcome::Fine { name: "coordinator 1".to_owned() });
+    for (label, turned) in handshake_rejections() {
+        text += &encoded(&format!("rejected, {label}"), &Welcome::Turned(turned));
+    }
+    assert_pinned("server_hello", &text);
+}
+
+#[test]
+fn requests() {
+    let target = Target { kind: Kind::Dispatcher, name: "d1".to_owned() };
+    let offers = vec![DutyId::fleet("list"), DutyId::set("watch", 1), DutyId::zone("probe", "north")];
+    let operations = [
+        (
+            "join",
+            Ask::Join {
+                name: "d1".to_owned(),
+                boot: 0x0102_0304_0506_0708,
+                zone: "north".to_owned(),
+                address: "127.0.0.1:7201".to_owned(),
+                offers,
+            },
+        ),
+        ("renew", Ask::Renew { session: SessionId(512), seen: 1_000, roster: None }),
+        ("renew with members", Ask::Renew { session: SessionId(512), seen: 1_000, roster: Some(900) }),
+        ("leave", Ask::Leave { session: SessionId(512) }),
+        ("release", Ask::Release { duty: DutyId::fleet("list"), token: Some(Token(7)) }),
+        ("release by an operator", Ask::Release { duty: DutyId::fleet("list"), token: None }),
+        ("status", Ask::Status),
+        ("replace", Ask::Replace { old: 1, new: 4, address: "127.0.0.1:7104".to_owned() }),
+        ("disruption state, since schema 3", Ask::Account { known: 700 }),
+        (
+            "change of the disruption state, since schema 3",
+            Ask::Change(Change::Ask {
+                target,
+                reason: "kernel".to_owned(),
+                asker: "dispatcher/d1".to_owned(),
+                force: true,
+            }),
+        ),
+    ];
+    let mut text = String::new();
+    for (label, ask) in operations {
+        text += &encoded(label, &Request { id: 300, ask });
+    }
+    assert_pinned("requests", &text);
+}
+
+#[test]
+fn coordinator_messages() {
+    let mut responses = vec![
+        ("joined".to_owned(), Answer::Joined { session: SessionId(512), incarnation: 300, view: view() }),
+        ("renewed".to_owned(), Answer::Renewed { view: None, roster: None }),
+        (
+            "renewed with news".to_owned(),
+            Answer::Renewed { view: Some(view()), roster: Some((900, vec![peer()])) },
+        ),
+        ("done".to_owned(), Answer::Done),
+        ("not the leader".to_owned(), Answer::NotLeading { leader: None, address: None }),
+        (
+            "not the leader, which is known".to_owned(),
+            Answer::NotLeading { leader: Some(4), address: Some("127.0.0.1:7104".to_owned()) },
+        ),
+        ("busy".to_owned(), Answer::Busy),
+    ];
+    for (label, reason) in reject_reasons() {
+        responses.push((format!("rejected, {label}"), Answer::Refused(reason)));
+    }
+    responses.extend([
+        ("status".to_owned(), Answer::Status(Box::new(status()))),
+        ("status of a new coordinator".to_owned(), Answer::Status(Box::default())),
+        ("disruption state is known, since schema 3".to_owned(), Answer::Account(700, None)),
+        (
+            "disruption state, since schema 3".to_owned(),
+            Answer::Account(701, Some(Box::new(disruption_state()))),
+        ),
+        (
+            "disruption state changed, since schema 3".to_owned(),
+            Answer::Changed(Outcome::Asked(800, State::Granted)),
+        ),
+        (
+            "disruption state not changed, since schema 3".to_owned(),
+            Answer::Changed(Outcome::Refused(ReleaseRefusal::Conflict { version: 5 })),
+        ),
+    ]);
+    let mut text = String::new();
+    for (label, answer) in responses {
+        text += &encoded(&label, &FromKeeper::Answer(300, answer));
+    }
+    text += &encoded("the view has changed", &FromKeeper::News(SessionId(512), view()));
+    assert_pinned("coordinator_messages", &text);
+}
+
+#[test]
+fn effects() {
+    let effect = Effect {
+        duty: DutyId { name: "list".to_owned(), scope: Scope::Fleet },
+        token: Token(700),
+        version: 300,
+        body: vec![1, 2, 255],
+    };
+    let mut text = encoded("effect", &effect);
+    text += &encoded("accepted", &EffectAnswer::Taken(vec![3, 4]));
+    for (label, refusal) in effect_rejections() {
+        text += &encoded(&format!("rejected, {label}"), &EffectAnswer::Refused(refusal));
+    }
+    assert_pinned("effects", &text);
+}
+
+#[test]
+fn health_reports() {
+    let report = Report {
+        zone: "north".to_owned(),
+        sent: 1_000_000,
+        sees: true,
+        zones: vec![
+            ZoneSeen { name: "north".to_owned(), lit: true, failing: 1 },
+            ZoneSeen { name: "south".to_owned(), lit: false, failing: 300 },
+        ],
+        failing: vec![Failing { worker: 70_000, zone: 1, failures: 400, ago: 500, alone: true }],
+    };
+    assert_eq!(Report::unpack(&report.pack()).as_ref(), Some(&report));
+    let mut of_no_zone = report.clone();
+    of_no_zone.failing[0].zone = 2;
+    assert_eq!(Report::unpack(&of_no_zone.pack()), None);
+    assert_pinned("health_reports", &hex(&report.pack()));
+}
+
+#[test]
+fn slow_start_grants_and_usage() {
+    let grant = |work| Grant { to: 300, asked: 1_000_000, worker: 70_000, work };
+    let grants = Grants(vec![grant(0.25), grant(2.0)]);
+    assert_eq!(Grants::unpack(&grants.pack()).as_ref(), Some(&grants));
+    assert_eq!(Grants::unpack(&Grants(vec![grant(0.0)]).pack()), None);
+    let most = |count| Grants(vec![grant(1.0); count]).pack();
+    assert!(Grants::unpack(&most(512)).is_some() && Grants::unpack(&most(513)).is_none());
+    let usage = Use { process: 300, asked: 1_000_000, jobs_per_s: 12.5, usual: 0.125 };
+    assert_eq!(Use::unpack(&usage.pack()), Some(usage));
+    for wrong in [f64::NAN, f64::INFINITY, -1.0, 1e9] {
+        assert_eq!(Use::unpack(&Use { jobs_per_s: wrong, ..usage }.pack()), None);
+        assert_eq!(Use::unpack(&Use { usual: wrong, ..usage }.pack()), None);
+    }
+    let text = format!("grants: {}\nusage: {}\n", hex(&grants.pack()), hex(&usage.pack()));
+    assert_pinned("slow_start_grants_and_usage", &text);
+}
+
+#[test]
+fn endpoint_list_events() {
+    let mut ledger = Ledger::default();
+    let member = |id: &str, phase: &str| json!({"id": id, "phase": phase, "locality": "north", "more": [1]});
+    ledger.take(&json!({"revision": 4, "complete": true, "members": [member("b", "in_service"), member("a", "in_service")]}));
+    ledger.take(
+        &json!({"revision": 5, "complete": false, "members": [member("b", "terminated"), member("c", "starting")]}),
+    );
+    let whole = News { source: "127.0.0.1:7000".to_owned(), members: 3, list: ledger.list().unwrap() };
+    let unchanged = News {
+        source: "127.0.0.1:7000".to_owned(),
+        members: 3,
+        list: json!({"revision": ledger.revision()}),
+    };
+    assert!(whole.is_whole() && !unchanged.is_whole());
+    assert_eq!((whole.revision(), unchanged.revision()), (5, 5));
+    let mut text = String::new();
+    for event in [whole, unchanged] {
+        let line = serde_json::to_string(&event).unwrap();
+        assert_eq!(serde_json::from_str::<News>(&line).unwrap(), event);
+        text += &format!("{line}\n");
+    }
+    assert_pinned("endpoint_list_events", &text);
+}
+
+#[test]
+fn leases_and_the_sets_of_workers() {
+    let watching = Watching { sets: 8, zones: 3, period: 1_000_000, fails: 2, holds: 4_000_000, flaw: None };
+    let mut text = format!("list: {LIST}\nslow start: {COLD}\nhealth checks:");
+    for duty in watching.duties() {
+        text += &format!(" {duty}={:?}", watching.set(&duty));
+    }
+    text += "\n";
+    for (sets, zones) in [(8, 3), (8, 1), (2, 5), (100, 7)] {
+        let watching = Watching { sets, zones, ..watching };
+        text += &format!("{}:", watching.name());
+        for worker in [0, 1, 70_000, u64::MAX] {
+            for zone in 0..3 {
+                text += &format!(" {}", watching.set_of(worker, zone));
+            }
+        }
+        text += "\n";
+    }
+    assert_pinned("leases_and_the_sets_of_workers", &text);
+}
+
+/// What `status --json`, `members --json` and `duties --json` print.
+#[test]
+fn status_json() {
+    assert_eq!(serde_json::to_string(&status()).unwrap(), STATUS);
+    let new = serde_json::to_string(&Status::default()).unwrap();
+    let with = |scope| serde_json::to_string(&DutyId { name: "probe".to_owned(), scope }).unwrap();
+    let scopes = [with(Scope::Zone("north".to_owned())), with(Scope::Set(3)), with(Scope::Fleet)].join("\n");
+    assert_pinned("status_json", &format!("{new}\n{scopes}\n"));
+}
+
+/// Texts that stand in logs and on the console.
+#[test]
+fn display_texts() {
+    let mut text = String::new();
+    for (label, turned) in handshake_rejections() {
+        text += &format!("{label}: {turned}\n{label}, as an error: {}\n", TurnedAway(turned.clone()));
+    }
+    for (label, reason) in reject_reasons() {
+        text += &format!("request rejected, {label}: {reason}\n");
+    }
+    for (label, refusal) in effect_rejections() {
+        text += &format!("effect rejected, {label}: {refusal}\n");
+    }
+    assert_pinned("display_texts", &text);
+}
+
+#[test]
+fn records() {
+    let folder = tempfile::tempdir().unwrap();
+    let file = folder.path().join("records.jsonl");
+    std::fs::write(&file, "{\"t\":1,\"kind\":\"earlier\"}\n").unwrap();
+    let record = Recorder::to(&file).unwrap();
+    assert!(record.records() && !Recorder::default().records());
+    record.put(1_000_000, "taken", json!({"token": 7, "duty": "list"}));
+    record.clone().put(1_000_001, "started", json!({}));
+    Recorder::default().put(1_000_002, "nowhere", json!({}));
+    assert_pinned("records", &std::fs::read_to_string(&file).unwrap());
+    assert!(Recorder::to(folder.path()).is_err());
+}
--- /dev/null
+++ b/crates/cairncrank-fleet/tests/sessions.rs
@@ -0,0 +1,254 @@
+//! A member's session with a coordinator that the test plays: the requests in their order, and the records of all that
+//! is done.
+
+mod support;
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::rc::Rc;
+use std::time::Duration;
+
+use cairncrank_duty::{DutyId, Holder, Owner, Reason, Seat, SessionId, Times, Token, View};
+use cairncrank_fleet::effects::{receive, Publisher};
+use cairncrank_fleet::keepers::Keepers;
+use cairncrank_fleet::member::{Ended, Member, Settings};
+use cairncrank_fleet::record::Recorder;
+use cairncrank_fleet::wire::{Answer, Ask, Effect, EffectAnswer, Hello, Link, Peer, Request, Who, SCHEMA};
+use support::{assert_pinned, play_coordinator};
+use tokio::net::TcpListener;
+use tokio::task::{spawn_local, LocalSet};
+use tokio::time::{sleep, timeout, Instant};
+
+/// No step of a test takes longer.
+const LIMIT: Duration = Duration::from_secs(10);
+
+async fn listen() -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
+    (listener, address)
+}
+
+fn member(name: &str, address: SocketAddr, coordinator: SocketAddr, record: &Path) -> Member {
+    let times = Times::default();
+    let settings = Settings {
+        installation: "north".to_owned(),
+        name: name.to_owned(),
+        zone: "z1".to_owned(),
+        address: address.to_string(),
+        keepers: BTreeMap::from([(1, coordinator)]),
+        bind: None,
+        times,
+        offers: vec![DutyId::fleet("list")],
+        seed: 7,
+    };
+    Member::new(settings, Holder::new(times), Recorder::to(record).unwrap())
+}
+
+/// The duty "list" is held by session 5 with token 7.
+fn view() -> View {
+    let owner = Some(Owner { session: SessionId(5), token: Token(7) });
+    View { revision: 9, seats: vec![Seat { duty: DutyId::fleet("list"), floor: Token(6), owner }] }
+}
+
+async fn until(what: &str, holds: impl Fn() -> bool) {
+    let step = async {
+        while !holds() {
+            sleep(Duration::from_millis(5)).await;
+        }
+    };
+    timeout(LIMIT, step).await.unwrap_or_else(|_| panic!("{what}"));
+}
+
+/// The lines of a file of records, without their times and ports.
+fn records(path: &Path) -> String {
+    let text = std::fs::read_to_string(path).unwrap();
+    let line = |line: &str| {
+        let (time, rest) = line.strip_prefix("{\"t\":").unwrap().split_once(',').unwrap();
+        assert!(time.parse::<u64>().is_ok(), "{line}");
+        format!("{{\"t\":TIME,{rest}\n")
+    };
+    text.lines().map(line).collect()
+}
+
+#[tokio::test]
+async fn a_lease_holder_publishes_and_a_receiver_checks_tokens() {
+    let folder = tempfile::tempdir().unwrap();
+    let (holder_file, receiver_file) = (folder.path().join("holder"), folder.path().join("receiver"));
+    let (coordinator, coordinator_address) = listen().await;
+    let (receiver_coordinator, receiver_coordinator_address) = listen().await;
+    let (effects, effects_address) = listen().await;
+    let asked: Rc<RefCell<Vec<Ask>>> = Rc::default();
+    let seen = asked.clone();
+    let test = async {
+        let peer = Peer {
+            name: "receiver".to_owned(),
+            incarnation: 1,
+            zone: "z1".to_owned(),
+            address: effects_address.to_string(),
+        };
+        spawn_local(play_coordinator(coordinator, move |request: &Request| {
+            seen.borrow_mut().push(request.ask.clone());
+            Some(match &request.ask {
+                Ask::Join { .. } => Answer::Joined { session: SessionId(5), incarnation: 2, view: view() },
+                Ask::Renew { roster: Some(0), .. } => {
+                    Answer::Renewed { view: None, roster: Some((4, vec![peer.clone()])) }
+                }
+                Ask::Renew { .. } => Answer::Renewed { view: None, roster: None },
+                _ => Answer::Done,
+            })
+        }));
+        spawn_local(play_coordinator(receiver_coordinator, |request| {
+            Some(match &request.ask {
+                Ask::Join { .. } => Answer::Joined { session: SessionId(8), incarnation: 1, view: view() },
+                Ask::Renew { .. } => Answer::Renewed { view: None, roster: None },
+                _ => Answer::Done,
+            })
+        }));
+        let receiver = member("receiver", effects_address, receiver_coordinator_address, &receiver_file);
+        let holder = member("holder", coordinator_address, coordinator_address, &holder_file);
+        let runs =
+            [holder.clone(), receiver.clone()].map(|member| spawn_local(async move { member.run().await }));
+        spawn_local(receive(receiver.clone(), effects, |effect| [b"seen ", &effect.body[..]].concat()));
+        until("the holder knows the receiver", || !holder.roster().is_empty()).await;
+        until("the receiver has a session", || records(&receiver_file).contains("session")).await;
+        assert_eq!(holder.owned(), [(DutyId::fleet("list"), Token(7))]);
+        assert!(holder.may_act(&DutyId::fleet("list"), Token(7)) && receiver.owned().is_empty());
+
+        let said: Rc<RefCell<Vec<Vec<u8>>>> = Rc::default();
+        let hears = said.clone();
+        let mut publisher = Publisher::hearing(&holder, DutyId::fleet("list"), Token(7), move |answer| {
+            hears.borrow_mut().push(answer.to_vec());
+        });
+        assert_eq!((publisher.say(b"one".to_vec()), publisher.token()), (1, Token(7)));
+        until("the receiver has answered", || !said.borrow().is_empty()).await;
+        assert_eq!(*said.borrow(), [b"seen one".to_vec()]);
+        drop(publisher);
+
+        // A holder of an earlier term, and one of a duty that nobody knows.
+        let who = Who::Owner { name: "late".to_owned(), incarnation: 1 };
+        let hello = Hello { schema: SCHEMA, installation: "north".to_owned(), who };
+        let (mut link, name) = Link::connect(effects_address, None, &hello).await.unwrap();
+        assert_eq!(name, "receiver");
+        let mut texts = Vec::new();
+        for (duty, token) in [("list", 5), ("other", 5)] {
+            let effect =
+                Effect { duty: DutyId::fleet(duty), token: Token(token), version: 3, body: Vec::new() };
+            link.send(&effect).await.unwrap();
+            match link.next().await.unwrap() {
+                EffectAnswer::Refused(why) => texts.push(why.to_string()),
+                EffectAnswer::Taken(_) => panic!("{duty} with token {token} was taken"),
+            }
+        }
+        assert_eq!(
+            texts,
+            ["the term is over: tokens below 7 are refused", "the receiver knows no such duty"]
+        );
+        let operator = Hello { who: Who::Operator, ..hello };
+        let error = Link::connect(effects_address, None, &operator).await.unwrap_err();
+        assert_eq!(
+            error.to_string(),
+            "turned away: it does not speak with the likes of this at that address"
+        );
+
+        holder.release(DutyId::fleet("list"), Token(7));
+        until("the term is given back", || {
+            asked.borrow().iter().any(|ask| matches!(ask, Ask::Release { .. }))
+        })
+        .await;
+        holder.leave();
+        receiver.leave();
+        for run in runs {
+            assert_eq!(timeout(LIMIT, run).await.unwrap().unwrap(), Ended::Left);
+        }
+    };
+    timeout(LIMIT, LocalSet::new().run_until(test)).await.unwrap();
+
+    let mut asked = asked.take();
+    assert!(matches!(&mut asked[0], Ask::Join { name, zone, .. } if name == "holder" && zone == "z1"));
+    assert_eq!(asked[1], Ask::Renew { session: SessionId(5), seen: 9, roster: Some(0) });
+    let renewals = |ask: &Ask| matches!(ask, Ask::Renew { .. });
+    asked.retain(|ask| !renewals(ask));
+    assert_eq!(
+        asked[1..],
+        [
+            Ask::Release { duty: DutyId::fleet("list"), token: Some(Token(7)) },
+            Ask::Leave { session: SessionId(5) }
+        ]
+    );
+    let text = format!("holder\n{}receiver\n{}", records(&holder_file), records(&receiver_file));
+    assert_pinned("session_records", &text);
+}
+
+/// What ends a membership, or lets it go on.
+#[tokio::test]
+async fn a_membership_ends_where_the_coordinators_say_so() {
+    let folder = tempfile::tempdir().unwrap();
+    for (reason, end) in [
+        (Reason::Superseded { incarnation: 9 }, Ended::Superseded { incarnation: 9 }),
+        (Reason::Full("sessions".to_owned()), Ended::Refused("no room: sessions".to_owned())),
+    ] {
+        let (coordinator, address) = listen().await;
+        let member = member("d1", address, address, &folder.path().join("records"));
+        let test = async {
+            spawn_local(play_coordinator(coordinator, move |_| Some(Answer::Refused(reason.clone()))));
+            member.run().await
+        };
+        assert_eq!(timeout(LIMIT, LocalSet::new().run_until(test)).await.unwrap(), end);
+    }
+    let (_, address) = listen().await;
+    let mut alone = member("d1", address, address, &folder.path().join("records")).settings().clone();
+    alone.keepers.clear();
+    let alone = Member::new(alone, Holder::new(Times::default()), Recorder::default());
+    assert_eq!(alone.run().await, Ended::Refused("no keeper is named".to_owned()));
+}
+
+/// What a call of the coordinators says where it fails: operators read it on the console.
+#[tokio::test]
+async fn a_call_that_fails_says_why() {
+    let call = |respond: fn(&Request) -> Option<Answer>, milliseconds: u64| async move {
+        let (coordinator, address) = listen().await;
+        let mut keepers = Keepers::new("north", Who::Operator, BTreeMap::from([(1, address)]), None);
+        let by = Instant::now() + Duration::from_millis(milliseconds);
+        let test = async {
+            spawn_local(play_coordinator(coordinator, respond));
+            keepers.ask(&Ask::Status, by).await.map_err(|error| error.to_string())
+        };
+        LocalSet::new().run_until(test).await
+    };
+    assert_eq!(call(|_| Some(Answer::Done), 2_000).await, Ok(Answer::Done));
+    let rejected = Answer::Refused(Reason::NoSession);
+    assert_eq!(call(|_| Some(Answer::Refused(Reason::NoSession)), 2_000).await, Ok(rejected));
+    let not_leading = |_: &Request| Some(Answer::NotLeading { leader: None, address: None });
+    assert_eq!(call(not_leading, 100).await, Err("no keeper leads".to_owned()));
+    assert_eq!(call(|_| Some(Answer::Busy), 100).await, Err("the keeper that leads is busy".to_owned()));
+    assert_eq!(call(|_| None, 100).await, Err("keeper 1: no answer".to_owned()));
+    assert_eq!(call(|_| None, 0).await, Err("no time was left".to_owned()));
+
+    let (listener, address) = listen().await;
+    drop(listener);
+    let mut nobody = Keepers::new("north", Who::Operator, BTreeMap::from([(3, address)]), None);
+    let by = Instant::now() + Duration::from_millis(100);
+    let error = nobody.ask(&Ask::Status, by).await.unwrap_err().to_string();
+    assert_eq!(error, "keeper 3: Connection refused (os error 111)");
+}
+
+/// A call follows the leader that is named, also to one that was not configured.
+#[tokio::test]
+async fn a_call_follows_the_leader() {
+    let (first, first_address) = listen().await;
+    let (second, second_address) = listen().await;
+    let test = async {
+        spawn_local(play_coordinator(first, move |_| {
+            Some(Answer::NotLeading { leader: Some(7), address: Some(second_address.to_string()) })
+        }));
+        spawn_local(play_coordinator(second, |_| Some(Answer::Done)));
+        let who = Who::Member { name: "d1".to_owned() };
+        let mut keepers = Keepers::new("north", who, BTreeMap::from([(1, first_address)]), None);
+        let by = Instant::now() + LIMIT;
+        assert_eq!(keepers.ask(&Ask::Status, by).await, Ok(Answer::Done));
+        assert_eq!(keepers.ask(&Ask::Status, by).await, Ok(Answer::Done));
+    };
+    LocalSet::new().run_until(test).await;
+}
--- /dev/null
+++ b/crates/cairncrank-fleet/tests/settings.rs
@@ -0,0 +1,185 @@
+//! The keys of settings that members and coordinators share, and what faults say of them.
+
+mod support;
+
+use cairncrank_fleet::settings;
+use cairncrank_hcl::{Fault, Section};
+use support::assert_pinned;
+
+/// Every key with a value that is not its default.
+const EVERY_KEY: &str = r#"
+installation = "north"
+listen = "127.0.0.1:7201"
+keeper "1" {
+  address = "127.0.0.1:7101"
+}
+keeper "2" {
+  address = "[::1]:7102"
+}
+keeper "1000000" {
+  address = "127.0.0.1:7103"
+}
+times {
+  lease_ms = 3000
+  renew_ms = 500
+  call_ms = 600
+  stay_ms = 2000
+  short_ms = 20000
+  election_ms = 800
+  heartbeat_ms = 100
+  skew_ppm = 2000
+}
+watch {
+  every_ms = 2000
+  sets = 9
+  fails = 3
+  holds_ms = 9000
+}
+cold {
+  slots = 4.5
+  part = 0.25
+  expiry_ms = 700
+}
+"#;
+
+/// Only what has to be there.
+const SHORTEST: &str = r#"
+installation = "north"
+listen = "127.0.0.1:7201"
+keeper "1" {
+  address = "127.0.0.1:7101"
+}
+keeper "2" {
+  address = "127.0.0.1:7102"
+}
+keeper "3" {
+  address = "127.0.0.1:7103"
+}
+watch {
+}
+cold {
+  slots = 8
+}
+"#;
+
+/// What is read from a text, one value a line.
+fn values(text: &str) -> Result<String, Fault> {
+    let top = Section::parse("member.hcl", text)?;
+    let mut lines = vec![
+        format!("installation: {}", settings::wanted(&top, "installation")?),
+        format!("listen: {}", settings::address(&top, "listen")?),
+    ];
+    for (number, address) in settings::keepers(&top)? {
+        lines.push(format!("coordinator {number}: {address}"));
+    }
+    let times = settings::times(&top)?;
+    lines.extend([
+        format!("lease: {} us", times.lease),
+        format!("renew: {} us", times.renew),
+        format!("call: {} us", times.call),
+        format!("stay: {} us", times.stay),
+        format!("short: {} us", times.short),
+        format!("election: {} us", times.election),
+        format!("heartbeat: {} us", times.heartbeat),
+        format!("skew: {} ppm", times.skew_ppm),
+    ]);
+    if let Some(section) = top.section("watch")? {
+        let watching = settings::watching(section)?;
+        lines.extend([
+            format!("sets: {}, zones: {}", watching.sets, watching.zones),
+            format!("period: {} us", watching.period),
+            format!("failures: {}", watching.fails),
+            format!("holds: {} us", watching.holds),
+            format!("bug: {}", watching.flaw.is_some()),
+        ]);
+    }
+    if let Some(section) = top.section("cold")? {
+        let dealing = settings::dealing(section, &times)?;
+        lines.extend([
+            format!("slots: {}", dealing.slots),
+            format!("part: {}", dealing.part),
+            format!("expiry: {} us, written: {} us", dealing.expiry, dealing.written),
+            format!("skew: {} ppm", dealing.skew_ppm),
+        ]);
+    }
+    top.finish()?;
+    Ok(lines.join("\n") + "\n")
+}
+
+#[test]
+fn every_key_is_read() {
+    assert_pinned("settings_every_key", &values(EVERY_KEY).unwrap());
+}
+
+#[test]
+fn defaults_hold_where_a_key_is_missing() {
+    assert_pinned("settings_defaults", &values(SHORTEST).unwrap());
+}
+
+#[test]
+fn faults_name_the_key_and_its_bounds() {
+    let changes = [
+        ("installation = \"north\"\n", ""),
+        ("installation = \"north\"", "installation = \"\""),
+        ("installation = \"north\"", "installation = 7"),
+        ("listen = \"127.0.0.1:7201\"", "listen = \"localhost:7201\""),
+        ("keeper \"1\"", "keeper \"0\""),
+        ("keeper \"1\"", "keeper \"one\""),
+        ("keeper \"2\"", "keeper \"1\""),
+        ("keeper \"1000000\" {\n  address = \"127.0.0.1:7103\"\n}\n", ""),
+        ("  address = \"127.0.0.1:7103\"\n", ""),
+        ("lease_ms = 3000", "lease_ms = 600001"),
+        ("lease_ms = 3000", "lease_ms = 0"),
+        ("lease_ms = 3000", "lease_ms = 1400"),
+        ("renew_ms = 500", "renew_ms = 0"),
+        ("call_ms = 600", "call_ms = 1501"),
+        ("stay_ms = 2000", "stay_ms = 499"),
+        ("short_ms = 20000", "short_ms = 1999"),
+        ("election_ms = 800", "election_ms = 1501"),
+        ("heartbeat_ms = 100", "heartbeat_ms = 201"),
+        ("skew_ppm = 2000", "skew_ppm = 100001"),
+        ("every_ms = 2000", "every_ms = 99"),
+        ("sets = 9", "sets = 101"),
+        ("fails = 3", "fails = 0"),
+        ("holds_ms = 9000", "holds_ms = 199"),
+        ("holds_ms = 9000", "holds_ms = 3999"),
+        ("slots = 4.5", "slots = 0"),
+        ("  slots = 4.5\n", ""),
+        ("part = 0.25", "part = 0.6"),
+        ("expiry_ms = 700", "expiry_ms = 199"),
+        ("lease_ms = 3000", "lease_ms = 3000\n  lesae_ms = 1"),
+    ];
+    let mut text = String::new();
+    for (from, to) in changes {
+        let changed = EVERY_KEY.replacen(from, to, 1);
+        assert_ne!(changed, EVERY_KEY, "{from}");
+        let fault = values(&changed).expect_err(to);
+        text += &format!("{} -> {}\n    {fault}\n", from.trim(), to.trim());
+    }
+    let long = EVERY_KEY.replacen("north", &"n".repeat(129), 1);
+    text += &format!("129 bytes\n    {}\n", values(&long).unwrap_err());
+    assert!(values(&EVERY_KEY.replacen("north", &"n".repeat(128), 1)).is_ok());
+    assert_pinned("settings_faults", &text.replace("\n\n", "\n"));
+}
+
+/// A build for experiments knows bugs by name; any other build knows no such key.
+#[test]
+fn injected_bugs_are_known_by_name_in_builds_for_experiments() {
+    let with = |name: &str| values(&EVERY_KEY.replace("sets = 9", &format!("sets = 9\n  flaw = {name:?}")));
+    for name in ["no-wait", "trusting", "no-look"] {
+        if cfg!(feature = "seeded-bugs") {
+            assert!(with(name).unwrap().contains("bug: true"));
+        } else {
+            assert_eq!(
+                with(name).unwrap_err().to_string(),
+                "member.hcl:26: watch.flaw: there is no such key here"
+            );
+        }
+    }
+    if cfg!(feature = "seeded-bugs") {
+        assert_eq!(
+            with("other").unwrap_err().to_string(),
+            "member.hcl:26: watch.flaw: there is no flaw \"other\""
+        );
+    }
+}
--- /dev/null
+++ b/crates/cairncrank-fleet/tests/support/mod.rs
@@ -0,0 +1,50 @@
+//! What the tests of formats share: hexadecimal text of messages, snapshots, a coordinator played by the test.
+
+#![allow(dead_code)]
+
+use std::fmt::Debug;
+
+use cairncrank_fleet::wire::{pack, unpack, Answer, FromKeeper, Link, Request, Welcome};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use tokio::net::TcpListener;
+
+/// Compares a text with the snapshot of this name. The snapshot holds no Rust expression, so that a renamed item changes
+/// nothing in it.
+pub fn assert_pinned(name: &str, text: &str) {
+    let mut settings = insta::Settings::clone_current();
+    settings.set_omit_expression(true);
+    settings.set_prepend_module_to_snapshot(false);
+    settings.set_snapshot_path("../snapshots");
+    settings.bind(|| insta::assert_snapshot!(name, text));
+}
+
+/// Bytes as hexadecimal digits.
+pub fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// One line with the bytes of a message, after seeing that they are read as the same message.
+pub fn encoded<T>(label: &str, message: &T) -> String
+where
+    T: Serialize + DeserializeOwned + PartialEq + Debug,
+{
+    let bytes = pack(message).unwrap();
+    assert_eq!(unpack::<T>(&bytes).unwrap(), *message, "{label}");
+    format!("{label}: {}\n", hex(&bytes))
+}
+
+/// Plays a coordinator that accepts whoever connects and responds to what `respond` has a response for.
+pub async fn play_coordinator(listener: TcpListener, mut respond: impl FnMut(&Request) -> Option<Answer>) {
+    loop {
+        let (stream, _) = listener.accept().await.unwrap();
+        let (mut link, _) = Link::accept(stream).await.unwrap();
+        link.welcome(&Welcome::Fine { name: "coordinator 1".to_owned() }).await.unwrap();
+        while let Ok(request) = link.next::<Request>().await {
+            let Some(response) = respond(&request) else { continue };
+            if link.send(&FromKeeper::Answer(request.id, response)).await.is_err() {
+                break;
+            }
+        }
+    }
+}
