--- /dev/null
+++ b/crates/cairncrank-core/tests/decisions.rs
@@ -0,0 +1,503 @@
+//! Every action of a dispatcher over long pseudo-random event streams, as digests: code that decides anything
+//! differently has another digest.
+//!
+//! The streams come from a small model of a fleet that answers what the dispatcher does (queues, cold starts, outages,
+//! workers that hang, list changes, reloads). All of it follows from the seed; there is no clock.
+
+mod common;
+
+use std::collections::{BTreeMap, BinaryHeap};
+use std::fmt::Write as _;
+
+use cairncrank_core::api::*;
+use cairncrank_core::Dispatcher;
+use common::{class, settings};
+use fastrand::Rng;
+
+const SEEDS: std::ops::Range<u64> = 0..4;
+const START: f64 = 100.0;
+const DURATION: f64 = 60.0;
+const WORKERS: u64 = 24;
+const ZONES: u64 = 3;
+const STANDARD_RUN: f64 = 0.2;
+const ROUND_TRIP: f64 = 0.004;
+
+/// What the jobs of a stream carry beside their class.
+#[derive(Clone, Copy)]
+struct Traffic {
+    requests_per_second: f64,
+    hints: bool,
+    keys: bool,
+    largest_slots: u64,
+}
+
+/// Something that the model has planned, by the microsecond at which it happens and the order of planning.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Planned {
+    Arrival,
+    Timer(u64),
+    Started(u64, u32),
+    Progress(u64, u32),
+    Ended(u64, u32, u8),
+    ClientGone(u64),
+    Probed(u64),
+    FleetChange,
+    WatchAnswered,
+    WordOfOthers,
+    Reload,
+}
+
+const OUTCOMES: [Outcome; 10] = [
+    Outcome::Ok,
+    Outcome::Error,
+    Outcome::Full,
+    Outcome::Timeout,
+    Outcome::ConnectFailed,
+    Outcome::Reset,
+    Outcome::Cancelled,
+    Outcome::Moot,
+    Outcome::Stale,
+    Outcome::Rejected,
+];
+
+fn outcome_code(outcome: Outcome) -> u8 {
+    OUTCOMES.iter().position(|known| *known == outcome).expect("a known outcome") as u8
+}
+
+#[derive(Clone, Copy)]
+struct ModelWorker {
+    member: Member,
+    slots: f64,
+    busy: f64,
+}
+
+struct OpenRequest {
+    request: Request,
+    deadline: f64,
+    answered: bool,
+    /// For each attempt: its worker, and whether it is still running.
+    attempts: Vec<(u64, bool)>,
+}
+
+struct Model {
+    dispatcher: Dispatcher,
+    cfg: Settings,
+    traffic: Traffic,
+    rng: Rng,
+    now: f64,
+    planned: BinaryHeap<std::cmp::Reverse<(u64, u64, Planned)>>,
+    sequence: u64,
+    workers: BTreeMap<u64, ModelWorker>,
+    requests: BTreeMap<u64, OpenRequest>,
+    digest: u64,
+    counts: BTreeMap<&'static str, u32>,
+}
+
+fn micros(seconds: f64) -> i64 {
+    (seconds * 1e6).round() as i64
+}
+
+impl Model {
+    fn new(cfg: Settings, traffic: Traffic, seed: u64) -> Model {
+        let mut model = Model {
+            dispatcher: Dispatcher::new(cfg.clone(), seed),
+            cfg,
+            traffic,
+            rng: Rng::with_seed(!seed),
+            now: START,
+            planned: BinaryHeap::new(),
+            sequence: 0,
+            workers: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            digest: 0xcbf2_9ce4_8422_2325,
+            counts: BTreeMap::new(),
+        };
+        for number in 1..=WORKERS {
+            let since = if number % 5 == 0 { START - 2.0 } else { 0.0 };
+            model.workers.insert(number, model_worker(number, since));
+        }
+        let mut actions = Vec::new();
+        model.dispatcher.start(START, &mut actions);
+        model.carry_out(actions);
+        model.send_list(Scope::Saved, None);
+        model.plan(0.0, Planned::Arrival);
+        model.plan(1.0, Planned::FleetChange);
+        model.plan(0.5, Planned::WordOfOthers);
+        model.plan(DURATION / 2.0, Planned::Reload);
+        model
+    }
+
+    fn plan(&mut self, after: f64, what: Planned) {
+        self.sequence += 1;
+        let at = micros(self.now + after.max(0.0)) as u64;
+        self.planned.push(std::cmp::Reverse((at, self.sequence, what)));
+    }
+
+    /// Plays the stream to its end.
+    fn play(mut self) -> String {
+        while let Some(std::cmp::Reverse((at, _, what))) = self.planned.pop() {
+            self.now = self.now.max(at as f64 / 1e6);
+            if self.now > START + DURATION {
+                break;
+            }
+            self.happen(what);
+        }
+        let mut text = String::new();
+        for (kind, count) in &self.counts {
+            let _ = write!(text, "{kind} {count}, ");
+        }
+        text + &format!("digest {:016x}", self.digest)
+    }
+
+    fn happen(&mut self, what: Planned) {
+        match what {
+            Planned::Arrival => self.arrival(),
+            Planned::Timer(token) => self.event(Event::Timer(token)),
+            Planned::Started(id, attempt) => {
+                if self.is_running(id, attempt) {
+                    let request = RequestId(id);
+                    let started = if self.rng.u32(..40) == 0 {
+                        Event::StreamStarted { request, attempt }
+                    } else {
+                        Event::JobStarted { request, attempt }
+                    };
+                    self.event(started);
+                }
+            }
+            Planned::Progress(id, attempt) => {
+                if self.is_running(id, attempt) {
+                    self.event(Event::Progress { request: RequestId(id), attempt, done: 0.5 });
+                    self.plan(1.0, Planned::Progress(id, attempt));
+                }
+            }
+            Planned::Ended(id, attempt, code) => self.end_attempt(id, attempt, OUTCOMES[code as usize]),
+            Planned::ClientGone(id) => {
+                if let Some(open) = self.requests.get_mut(&id).filter(|open| !open.answered) {
+                    open.answered = true;
+                    self.event(Event::ClientGone(RequestId(id)));
+                }
+            }
+            Planned::Probed(worker) => {
+                let ok = self.rng.u32(..10) > 0;
+                let load = Some(self.load_of(worker));
+                self.event(Event::Probed { worker: WorkerId(worker), ok, load });
+            }
+            Planned::FleetChange => self.fleet_change(),
+            Planned::WatchAnswered => match self.rng.u32(..3) {
+                0 => self.event(Event::List { scope: Scope::Failed, members: &[] }),
+                _ => self.send_list(Scope::Full, None),
+            },
+            Planned::WordOfOthers => self.word_of_others(),
+            Planned::Reload => self.reload(),
+        }
+    }
+
+    fn arrival(&mut self) {
+        let id = self.sequence;
+        let run = STANDARD_RUN * [0.25, 0.5, 1.0, 1.0, 2.0, 4.0][self.rng.usize(..6)];
+        let patience = [0.3, 1.0, 2.0, 5.0][self.rng.usize(..4)];
+        let request = Request {
+            id: RequestId(id),
+            class: self.rng.u32(..5),
+            tenant: self.rng.u32(..3),
+            slots: (1 + self.rng.u64(..self.traffic.largest_slots)) as f64,
+            memory: f64::from(self.rng.u32(..3)),
+            patience,
+            retry: self.rng.u32(..8) == 0,
+            expected: Some(run).filter(|_| self.traffic.hints),
+            key: self.traffic.keys.then(|| self.rng.u64(..12)).filter(|key| *key < 8),
+        };
+        let open =
+            OpenRequest { request, deadline: self.now + patience, answered: false, attempts: Vec::new() };
+        self.requests.insert(id, open);
+        self.event(Event::Request(request));
+        if self.rng.u32(..50) == 0 {
+            let after = 0.1 + patience * self.rng.f64() / 2.0;
+            self.plan(after, Planned::ClientGone(id));
+        }
+        // Bursts: every tenth second carries four times the usual traffic.
+        let burst = if (self.now as u64) % 10 == 7 { 4.0 } else { 1.0 };
+        let pause = 2.0 * self.rng.f64() / (self.traffic.requests_per_second * burst);
+        self.plan(pause, Planned::Arrival);
+    }
+
+    fn is_running(&self, id: u64, attempt: u32) -> bool {
+        self.requests.get(&id).is_some_and(|open| open.attempts[attempt as usize].1)
+    }
+
+    fn end_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome) {
+        if !self.is_running(id, attempt) {
+            return;
+        }
+        let open = self.requests.get_mut(&id).expect("a known request");
+        let worker = open.attempts[attempt as usize].0;
+        open.attempts[attempt as usize].1 = false;
+        let late = self.now >= open.deadline;
+        let complete = outcome == Outcome::Ok || open.answered || late;
+        open.answered |= complete;
+        let slots = open.request.slots;
+        if let Some(worker) = self.workers.get_mut(&worker) {
+            worker.busy = (worker.busy - slots).max(0.0);
+        }
+        let load =
+            (self.cfg.reports == Reports::Answers && self.rng.u32(..8) > 0).then(|| self.load_of(worker));
+        self.event(Event::Ended { request: RequestId(id), attempt, outcome, complete, load });
+        self.event(Event::Ended { request: RequestId(id), attempt, outcome, complete, load: None });
+    }
+
+    /// A report of a worker's load; now and then it leaves figures out.
+    fn load_of(&mut self, worker: u64) -> Load {
+        let Some(known) = self.workers.get(&worker) else { return Load::default() };
+        let free = (known.slots - known.busy).max(0.0);
+        let queue = (known.busy - known.slots).max(0.0);
+        let with_queue = self.rng.u32(..2) == 0;
+        Load {
+            free_slots: Some(free).filter(|_| self.rng.u32(..10) > 0),
+            free_memory: Some(free + 1.0).filter(|_| self.rng.u32(..3) == 0),
+            queue: Some(queue).filter(|_| with_queue),
+            in_flight: Some(known.busy),
+            ..Load::default()
+        }
+    }
+
+    /// Workers drain, leave, start again, and discovery fails or sends all of the list.
+    fn fleet_change(&mut self) {
+        let number = 1 + self.rng.u64(..WORKERS + 2);
+        let since = self.now - 0.5;
+        let worker = self.workers.entry(number).or_insert_with(|| model_worker(number, since));
+        match self.rng.u32(..6) {
+            0 => worker.member.state = WorkerState::Draining,
+            1 => worker.member.state = WorkerState::Gone,
+            2 | 3 => {
+                (worker.member.state, worker.member.since, worker.busy) = (WorkerState::Serving, since, 0.0)
+            }
+            _ => worker.member.state = WorkerState::Serving,
+        }
+        match self.rng.u32(..8) {
+            0 => self.event(Event::List { scope: Scope::Failed, members: &[] }),
+            1 => self.send_list(Scope::Full, None),
+            2 => self.send_list(Scope::Saved, None),
+            _ => self.send_list(Scope::Changes, Some(number)),
+        }
+        let pause = 0.2 + self.rng.f64();
+        self.plan(pause, Planned::FleetChange);
+    }
+
+    /// Verdicts of watchers, grants for cold workers and messages of peers.
+    fn word_of_others(&mut self) {
+        let number = 1 + self.rng.u64(..WORKERS + 2);
+        let worker = WorkerId(number);
+        match self.rng.u32(..4) {
+            0 => self.event(Event::Sighted { worker, ago: 0.5, holds: 2.0 }),
+            1 => self.event(Event::Sighted { worker, ago: 0.5, holds: 0.0 }),
+            2 => {
+                let cold = 5 * (number % 5);
+                let until = self.now + 3.0;
+                self.event(Event::Granted { worker: WorkerId(cold), work: 2.0, until });
+            }
+            _ => self.event(Event::Peer { from: 1, data: b"load" }),
+        }
+        let pause = 0.5 * self.rng.f64();
+        self.plan(pause, Planned::WordOfOthers);
+    }
+
+    /// Other settings: the shares are swapped and one more class and tenant appear.
+    fn reload(&mut self) {
+        if let Some(tenant) = self.cfg.tenants.first_mut() {
+            tenant.share *= 3.0;
+        }
+        self.cfg.tenants.push(Tenant { share: 0.2, quota: 5.0 });
+        self.cfg.classes.push(class(Repeat::Safe));
+        self.cfg.max_retry_after = 1.0;
+        let cfg = self.cfg.clone();
+        self.event(Event::Settings(&cfg));
+    }
+
+    fn send_list(&mut self, scope: Scope, only: Option<u64>) {
+        let named = |number: &u64| only.is_none_or(|only| only == *number);
+        let lines = self.workers.iter().filter(|(number, _)| named(number)).map(|(_, worker)| worker.member);
+        let members: Vec<Member> = lines.collect();
+        self.event(Event::List { scope, members: &members });
+    }
+
+    fn event(&mut self, event: Event<'_>) {
+        let mut actions = Vec::new();
+        self.dispatcher.on_event(self.now, event, &mut actions);
+        self.carry_out(actions);
+    }
+
+    fn carry_out(&mut self, actions: Vec<Action>) {
+        for action in actions {
+            let (kind, text) = describe(&action);
+            *self.counts.entry(kind).or_insert(0) += 1;
+            self.mix_in(&format!("{} {kind} {text}\n", micros(self.now)));
+            match action {
+                Action::Send { request, worker, .. } => self.attempt(request.0, worker.0),
+                Action::Refuse { request, .. } | Action::Fail { request } => {
+                    self.requests.get_mut(&request.0).expect("a known request").answered = true;
+                }
+                Action::Cancel { request, attempt } => {
+                    self.plan(0.001, Planned::Ended(request.0, attempt, outcome_code(Outcome::Cancelled)));
+                }
+                Action::Probe(worker) => self.plan(ROUND_TRIP, Planned::Probed(worker.0)),
+                Action::SetTimer { after, token } => self.plan(after, Planned::Timer(token)),
+                Action::Watch(_) => self.plan(0.05, Planned::WatchAnswered),
+                Action::FetchList | Action::CloseIdle(_) | Action::Tell { .. } | Action::Log(_) => {}
+            }
+        }
+    }
+
+    /// FNV-1a, 64 bits.
+    fn mix_in(&mut self, text: &str) {
+        for byte in text.bytes() {
+            self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+        }
+    }
+
+    /// An attempt arrives at a worker, which takes it, queues it, turns it away, fails or hangs.
+    fn attempt(&mut self, id: u64, number: u64) {
+        let now = self.now;
+        let open = self.requests.get_mut(&id).expect("a known request");
+        let attempt = open.attempts.len() as u32;
+        open.attempts.push((number, true));
+        let (slots, expected, deadline) = (open.request.slots, open.request.expected, open.deadline);
+        let worker = self.workers.get_mut(&number).expect("a known worker");
+        let full = worker.busy >= 2.0 * worker.slots;
+        let queued = (worker.busy + slots - worker.slots).max(0.0) / worker.slots;
+        worker.busy += slots;
+        let second = (now - START) as u64;
+        let zone_lost = worker.member.zone == 1 && (20..26).contains(&second);
+        let hangs = number == 7 && (10..18).contains(&second) || number == 14 && (40..44).contains(&second);
+        let sick = number == 9 && second < 30;
+        let slow = if number == 4 { 6.0 } else { 1.0 + 2.0 * f64::from(worker.member.kind) };
+        let run = expected.unwrap_or(STANDARD_RUN) * slow * (0.8 + 0.4 * self.rng.f64());
+        let (outcome, after) = if zone_lost {
+            (Outcome::ConnectFailed, 0.25)
+        } else if sick {
+            (if self.rng.u32(..2) == 0 { Outcome::Error } else { Outcome::Reset }, 0.02)
+        } else if full {
+            (Outcome::Full, ROUND_TRIP)
+        } else if hangs {
+            (Outcome::Timeout, f64::INFINITY)
+        } else {
+            let start = ROUND_TRIP + queued * STANDARD_RUN * slow;
+            if self.cfg.tells_start && now + start < deadline {
+                self.plan(start, Planned::Started(id, attempt));
+            }
+            if self.cfg.progress > 0.0 {
+                self.plan(start + 0.3, Planned::Progress(id, attempt));
+            }
+            let odd = OUTCOMES[self.rng.usize(..OUTCOMES.len())];
+            (if self.rng.u32(..25) == 0 { odd } else { Outcome::Ok }, start + run)
+        };
+        let left = deadline - now;
+        let (outcome, after) = if after < left { (outcome, after) } else { (Outcome::Timeout, left) };
+        self.plan(after, Planned::Ended(id, attempt, outcome_code(outcome)));
+    }
+}
+
+fn model_worker(number: u64, since: f64) -> ModelWorker {
+    let kind = u32::from(number % 4 == 1);
+    let member = Member {
+        worker: WorkerId(number),
+        kind,
+        zone: (number % ZONES) as u32,
+        cell: (number % 6) as u32,
+        since,
+        state: WorkerState::Serving,
+    };
+    ModelWorker { member, slots: if kind == 1 { 8.0 } else { 4.0 }, busy: 0.0 }
+}
+
+/// An action as a kind and its values; times by the microsecond.
+fn describe(action: &Action) -> (&'static str, String) {
+    let span = |seconds: &Option<f64>| seconds.map_or(-1, micros);
+    match action {
+        Action::Send { request, worker, timeout } => {
+            ("send", format!("{} {} {}", request.0, worker.0, span(timeout)))
+        }
+        Action::Refuse { request, retry_after } => ("refuse", format!("{} {}", request.0, span(retry_after))),
+        Action::Fail { request } => ("fail", request.0.to_string()),
+        Action::Cancel { request, attempt } => ("cancel", format!("{} {attempt}", request.0)),
+        Action::Probe(worker) => ("probe", worker.0.to_string()),
+        Action::SetTimer { after, token } => ("timer", format!("{} {token}", micros(*after))),
+        Action::Watch(on) => ("watch", on.to_string()),
+        Action::FetchList => ("fetch", String::new()),
+        Action::CloseIdle(worker) => ("close", worker.0.to_string()),
+        Action::Tell { to, data } => ("tell", format!("{to:?} {data:?}")),
+        Action::Log(line) => ("log", line.clone()),
+    }
+}
+
+fn digests(cfg: &Settings, traffic: Traffic) -> String {
+    let line = |seed| format!("seed {seed}: {}\n", Model::new(cfg.clone(), traffic, seed).play());
+    SEEDS.map(line).collect()
+}
+
+const PLAIN: Traffic = Traffic { requests_per_second: 60.0, hints: false, keys: false, largest_slots: 2 };
+
+#[test]
+fn load_with_answers() {
+    insta::assert_snapshot!("load_with_answers", digests(&settings(), PLAIN));
+}
+
+/// Hints, keys, probes, an asked list, second copies, prices and workers that are kept for large jobs.
+#[test]
+fn everything_that_settings_allow() {
+    let classes = settings().classes;
+    let cfg = Settings {
+        classes: vec![
+            Class { late_worth: 0.4, ..classes[0].clone() },
+            classes[1].clone(),
+            classes[2].clone(),
+            classes[3].clone(),
+        ],
+        instances: 3,
+        instance: 1,
+        ask_for_list: true,
+        ask_within: 4.0,
+        marks_retry: true,
+        may_probe: true,
+        probe_price: 0.002,
+        progress: 1.0,
+        second_copies: true,
+        cross_zone_price: 0.01,
+        handshake_price: 0.02,
+        keep_alive: 5.0,
+        room: Some(RoomSettings { from: 3.0, price: 1.0 }),
+        ..settings()
+    };
+    let traffic = Traffic { requests_per_second: 70.0, hints: true, keys: true, largest_slots: 4 };
+    insta::assert_snapshot!("everything_that_settings_allow", digests(&cfg, traffic));
+}
+
+#[test]
+fn load_by_probes_alone() {
+    let cfg = Settings { reports: Reports::Probes, may_probe: true, tells_start: false, ..settings() };
+    insta::assert_snapshot!("load_by_probes_alone", digests(&cfg, Traffic { keys: true, ..PLAIN }));
+}
+
+/// Hundreds of dispatchers, no load reports; a class with a kind of machine of its own; nothing may be called off.
+#[test]
+fn many_dispatchers_without_load_reports() {
+    let classes = vec![
+        class(Repeat::Safe),
+        Class { kind: Some(1), ..class(Repeat::Keyed(Group::Cell)) },
+        class(Repeat::Unsafe),
+    ];
+    let cfg = Settings {
+        classes,
+        instances: 40,
+        instance: 7,
+        tenants: vec![Tenant { share: 1.0, quota: 900.0 }],
+        reports: Reports::None,
+        progress: 1.0,
+        second_copies: true,
+        may_cancel: false,
+        max_retry_after: 0.0,
+        max_attempts: 2,
+        ..settings()
+    };
+    let traffic = Traffic { requests_per_second: 25.0, hints: true, ..PLAIN };
+    insta::assert_snapshot!("many_dispatchers_without_load_reports", digests(&cfg, traffic));
+}
--- /dev/null
+++ b/crates/cairncrank-core/tests/settings_keys.rs
@@ -0,0 +1,284 @@
+//! Every key of the settings: an example, the value that is read from it, and how both forms of the same settings,
+//! path=value pairs and nested JSON, give the same.
+
+use cairncrank_core::api::{Group, Load, Repeat, Reports, Settings};
+use cairncrank_core::settings::{settings, Pairs};
+
+/// A key, an example, and what is read from it, as text.
+struct Key {
+    path: &'static str,
+    example: &'static str,
+    value: &'static str,
+    read: fn(&Settings) -> String,
+}
+
+/// What must stand beside a key for it to be read at all.
+const CONTEXT: &str = "profiles.count=2 projects.count=2 caps.retry-after=true report.names=x0,x1,eps";
+
+fn first_repeat(settings: &Settings) -> String {
+    match settings.classes[0].repeat {
+        Repeat::Safe => "any time",
+        Repeat::Keyed(Group::All) => "by key, everywhere",
+        Repeat::Keyed(Group::Zone) => "by key, within a zone",
+        Repeat::Keyed(Group::Cell) => "by key, within a cell",
+        Repeat::Unsafe => "never",
+    }
+    .to_owned()
+}
+
+fn reports(settings: &Settings) -> String {
+    match settings.reports {
+        Reports::None => "none",
+        Reports::Answers => "with answers",
+        Reports::Probes => "with probes",
+    }
+    .to_owned()
+}
+
+/// What a report of three figures is read as.
+fn report_of_three(settings: &Settings) -> String {
+    let load = settings.report.by_place("3,40,0.5").expect("a report");
+    let Load { free_slots, free_memory, queue, in_flight, latency, errors } = load;
+    format!("{free_slots:?} {free_memory:?} {queue:?} {in_flight:?} {latency:?} {errors:?}")
+}
+
+const KEYS: [Key; 45] = [
+    Key { path: "slot-no", example: "3", value: "3", read: |s| s.instance.to_string() },
+    Key { path: "balancers", example: "7", value: "7", read: |s| s.instances.to_string() },
+    Key { path: "zone", example: "2", value: "2", read: |s| s.zone.to_string() },
+    Key { path: "profiles.count", example: "3", value: "3", read: |s| s.classes.len().to_string() },
+    Key { path: "profiles.0.idempotency", example: "free", value: "any time", read: first_repeat },
+    Key {
+        path: "profiles.0.idempotency",
+        example: "guarded",
+        value: "by key, everywhere",
+        read: first_repeat,
+    },
+    Key {
+        path: "profiles.0.window-s",
+        example: "12.5",
+        value: "12.5",
+        read: |s| s.classes[0].window.to_string(),
+    },
+    Key {
+        path: "profiles.1.promise-s",
+        example: "0.4",
+        value: "0.4",
+        read: |s| s.classes[1].aim.to_string(),
+    },
+    Key {
+        path: "profiles.1.aim-stretch",
+        example: "2.5",
+        value: "2.5",
+        read: |s| s.classes[1].stretch.to_string(),
+    },
+    Key {
+        path: "profiles.1.late-worth",
+        example: "0.3",
+        value: "0.3",
+        read: |s| s.classes[1].late_worth.to_string(),
+    },
+    Key {
+        path: "family-info.class-stretch",
+        example: "1.5,3",
+        value: "3",
+        read: |s| s.classes[1].stretch.to_string(),
+    },
+    Key {
+        path: "family-info.class-kind",
+        example: "-1,4",
+        value: "None Some(4)",
+        read: |s| format!("{:?} {:?}", s.classes[0].kind, s.classes[1].kind),
+    },
+    Key { path: "projects.count", example: "4", value: "4", read: |s| s.tenants.len().to_string() },
+    Key {
+        path: "projects.1.share",
+        example: "0.25",
+        value: "0.25",
+        read: |s| s.tenants[1].share.to_string(),
+    },
+    Key {
+        path: "projects.1.quota-per-s",
+        example: "40",
+        value: "40",
+        read: |s| s.tenants[1].quota.to_string(),
+    },
+    Key { path: "discovery", example: "ask", value: "true", read: |s| s.ask_for_list.to_string() },
+    Key { path: "obligations.ask-within-s", example: "9", value: "9", read: |s| s.ask_within.to_string() },
+    Key { path: "obligations.cold-share", example: "0.3", value: "0.3", read: |s| s.cold_share.to_string() },
+    Key {
+        path: "obligations.warm-within-s",
+        example: "20",
+        value: "20",
+        read: |s| s.warm_within.to_string(),
+    },
+    Key {
+        path: "obligations.fall-multiple",
+        example: "3",
+        value: "3",
+        read: |s| s.fall_multiple.to_string(),
+    },
+    Key { path: "obligations.tip-after-s", example: "1.5", value: "1.5", read: |s| s.fall_span.to_string() },
+    Key { path: "report.how", example: "answers", value: "with answers", read: reports },
+    Key { path: "report.how", example: "probe", value: "with probes", read: reports },
+    Key {
+        path: "report.names",
+        example: "inflight,queue,latency_ms",
+        value: "None None Some(40.0) Some(3.0) Some(0.0005) None",
+        read: report_of_three,
+    },
+    Key {
+        path: "report.names",
+        example: "free_slots,free_memory,eps",
+        value: "Some(3.0) Some(40.0) None None None Some(0.5)",
+        read: report_of_three,
+    },
+    Key {
+        path: "family-info.report-x0",
+        example: "free_slots",
+        value: "Some(3.0) None None None None Some(0.5)",
+        read: report_of_three,
+    },
+    Key {
+        path: "family-info.report-x1",
+        example: "free_memory",
+        value: "None Some(40.0) None None None Some(0.5)",
+        read: report_of_three,
+    },
+    Key { path: "clients.marks-retry", example: "true", value: "true", read: |s| s.marks_retry.to_string() },
+    Key { path: "caps.probes", example: "true", value: "true", read: |s| s.may_probe.to_string() },
+    Key { path: "caps.cancel", example: "true", value: "true", read: |s| s.may_cancel.to_string() },
+    Key { path: "caps.send-cap", example: "4", value: "4", read: |s| s.max_attempts.to_string() },
+    Key {
+        path: "caps.max-retry-after-s",
+        example: "2.5",
+        value: "2.5",
+        read: |s| s.max_retry_after.to_string(),
+    },
+    Key {
+        path: "caps.parallel-tries",
+        example: "true",
+        value: "true",
+        read: |s| s.second_copies.to_string(),
+    },
+    Key { path: "caps.keepalive-s", example: "6", value: "6", read: |s| s.keep_alive.to_string() },
+    Key { path: "charges.probe", example: "0.002", value: "0.002", read: |s| s.probe_price.to_string() },
+    Key {
+        path: "charges.handshake",
+        example: "0.03",
+        value: "0.03",
+        read: |s| s.handshake_price.to_string(),
+    },
+    Key {
+        path: "charges.cross-zone",
+        example: "0.01",
+        value: "0.01",
+        read: |s| s.cross_zone_price.to_string(),
+    },
+    Key { path: "family-info.progress-s", example: "1.25", value: "1.25", read: |s| s.progress.to_string() },
+    Key {
+        path: "family-info.tells-start",
+        example: "true",
+        value: "true",
+        read: |s| s.tells_start.to_string(),
+    },
+    Key { path: "resolution-s", example: "0.004", value: "0.004", read: |s| s.resolution.to_string() },
+    Key { path: "profiles.1.window-s", example: "8", value: "8", read: |s| s.classes[1].window.to_string() },
+    Key {
+        path: "profiles.0.promise-s",
+        example: "0.7",
+        value: "0.7",
+        read: |s| s.classes[0].aim.to_string(),
+    },
+    Key {
+        path: "profiles.0.late-worth",
+        example: "0.9",
+        value: "0.9",
+        read: |s| s.classes[0].late_worth.to_string(),
+    },
+    Key {
+        path: "projects.0.share",
+        example: "0.75",
+        value: "0.75",
+        read: |s| s.tenants[0].share.to_string(),
+    },
+    Key {
+        path: "projects.0.quota-per-s",
+        example: "60",
+        value: "60",
+        read: |s| s.tenants[0].quota.to_string(),
+    },
+];
+
+fn read(text: &str) -> Settings {
+    settings(&Pairs::read(text.split_whitespace()).expect("pairs")).expect("settings")
+}
+
+#[test]
+fn every_key_alone_sets_its_value() {
+    for Key { path, example, value, read: field } in &KEYS {
+        let without = field(&read(CONTEXT));
+        assert_ne!(&without, value, "{path}: the example must differ from the default");
+        assert_eq!(field(&read(&format!("{CONTEXT} {path}={example}"))), *value, "{path}={example}");
+    }
+}
+
+#[test]
+fn a_key_scope_narrows_what_a_key_covers() {
+    for (scope, value) in [
+        ("zone", "by key, within a zone"),
+        ("cell", "by key, within a cell"),
+        ("anything", "by key, everywhere"),
+    ] {
+        let text = format!("profiles.count=1 profiles.0.idempotency=guarded profiles.0.key-scope={scope}");
+        assert_eq!(first_repeat(&read(&text)), value);
+    }
+}
+
+#[test]
+fn a_retry_after_needs_its_switch() {
+    assert_eq!(read("caps.max-retry-after-s=2.5").max_retry_after, 0.0);
+    assert_eq!(read("caps.max-retry-after-s=2.5 caps.retry-after=true").max_retry_after, 2.5);
+}
+
+/// The keys of lists, which name others.
+#[test]
+fn lists_give_names_and_counts() {
+    let pairs = Pairs::read("projects.count=2 projects.0.name=web projects.1.name=batch azs=a,b".split(' '));
+    let pairs = pairs.expect("pairs");
+    assert_eq!(pairs.names("projects"), Ok(vec!["web".to_owned(), "batch".to_owned()]));
+    assert_eq!(pairs.list("azs").collect::<Vec<_>>(), ["a", "b"]);
+    assert_eq!(pairs.count("profiles"), Ok(0));
+}
+
+/// The same settings as nested JSON, key by key.
+#[test]
+fn nested_json_reads_like_pairs() {
+    let json: serde_json::Value =
+        serde_json::from_str(include_str!("fixtures/settings.json")).expect("the example is JSON");
+    let nested = settings(&Pairs::flatten(&json)).expect("settings");
+    let pairs = read(include_str!("fixtures/settings.pairs"));
+    for Key { path, read: field, .. } in &KEYS {
+        assert_eq!(field(&nested), field(&pairs), "{path}");
+    }
+    let values: Vec<String> =
+        KEYS.iter().map(|key| format!("{} -> {}", key.path, (key.read)(&nested))).collect();
+    insta::assert_snapshot!("settings_of_the_example", values.join("\n"));
+}
+
+/// A fault names the path of the settings.
+#[test]
+fn faults_name_the_path() {
+    for (text, path) in [
+        ("slot-no=x", "slot-no"),
+        ("zone=-1", "zone"),
+        ("resolution-s=nan", "resolution-s"),
+        ("caps.probes=perhaps", "caps.probes"),
+        ("profiles.count=1 profiles.0.window-s=-3", "profiles.0.window-s"),
+        ("profiles.count=1 family-info.class-stretch=wide", "family-info.class-stretch"),
+        ("projects.count=1 projects.0.quota-per-s=many", "projects.0.quota-per-s"),
+    ] {
+        let fault = settings(&Pairs::read(text.split(' ')).expect("pairs")).expect_err(text);
+        assert_eq!(fault.expected, path, "{text}");
+    }
+}
