--- /dev/null
+++ b/crates/cairncrank-duty/tests/decisions.rs
@@ -0,0 +1,220 @@
+//! Decisions over long random histories: the same events give the same proposals, states and verdicts.
+//!
+//! A summary in figures and a digest of every step are kept; they change only with the rules themselves.
+
+use std::collections::BTreeMap;
+
+use cairncrank_duty::{
+    Command, DutyId, Holder, Outcome, Refusal, Revision, SessionId, State, Times, Token, Warden,
+};
+
+const MEMBERS: u64 = 5;
+const STEPS: u64 = 4_000;
+const STEP: u64 = 100_000;
+
+/// A linear congruential generator, so that a history depends on its seed alone.
+struct Random(u64);
+
+impl Random {
+    fn below(&mut self, bound: u64) -> u64 {
+        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (self.0 >> 33) % bound
+    }
+
+    fn one_in(&mut self, many: u64) -> bool {
+        self.below(many) == 0
+    }
+}
+
+/// FNV-1a over all that is noted, and how often each kind was.
+struct Trace {
+    digest: u64,
+    counts: BTreeMap<&'static str, u64>,
+}
+
+impl Trace {
+    fn note(&mut self, kind: &'static str, bytes: &[u8]) {
+        *self.counts.entry(kind).or_default() += 1;
+        for byte in kind.bytes().chain(bytes.iter().copied()) {
+            self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+}
+
+struct Member {
+    name: String,
+    process: u64,
+    holder: Holder,
+    session: Option<SessionId>,
+    silent_until: u64,
+}
+
+struct Fleet {
+    state: State,
+    warden: Warden,
+    index: Revision,
+    members: Vec<Member>,
+    random: Random,
+    trace: Trace,
+}
+
+fn offers() -> Vec<DutyId> {
+    let mut offers = vec![DutyId::fleet("list"), DutyId::zone("cold", "z0"), DutyId::zone("cold", "z1")];
+    offers.extend((0..6).map(|set| DutyId::set("watch", set)));
+    offers
+}
+
+impl Fleet {
+    fn new(seed: u64) -> Fleet {
+        let state = State::new(1);
+        let member = |number: u64| Member {
+            name: format!("member-{number}"),
+            process: 0,
+            holder: Holder::new(Times::default()),
+            session: None,
+            silent_until: 0,
+        };
+        Fleet {
+            warden: Warden::new(Times::default(), 0, &state),
+            state,
+            index: 0,
+            members: (0..MEMBERS).map(member).collect(),
+            random: Random(seed),
+            trace: Trace { digest: 0xcbf2_9ce4_8422_2325, counts: BTreeMap::new() },
+        }
+    }
+
+    fn apply(&mut self, now: u64, command: &Command) -> Outcome {
+        self.index += 1;
+        self.trace.note("command", &command.encode());
+        let outcome = self.state.apply(self.index, command);
+        self.warden.applied(now, &self.state);
+        if let Outcome::Refused(reason) = &outcome {
+            self.trace.note("refused", reason.to_string().as_bytes());
+            self.warden.dropped(command);
+        }
+        self.trace.note("state", &self.state.digest().to_le_bytes());
+        outcome
+    }
+
+    fn join(&mut self, now: u64, at: usize) {
+        let member = &self.members[at];
+        let command = Command::Join {
+            name: member.name.clone(),
+            boot: at as u64 * 1_000 + member.process,
+            zone: format!("z{}", at % 2),
+            address: format!("10.0.0.{at}:7000"),
+            offers: offers(),
+            short: self.warden.short(&member.name, now, &self.state),
+        };
+        if let Outcome::Joined(session, incarnation) = self.apply(now, &command) {
+            let member = &mut self.members[at];
+            member.session = Some(session);
+            member.holder.joined(session, incarnation, now, now, self.state.view());
+        }
+    }
+
+    fn renew(&mut self, now: u64, at: usize, session: SessionId) {
+        let seen = self.members[at].holder.seen();
+        match self.warden.renewed(session, seen, now, &self.state) {
+            Ok(()) => {
+                let asked = now - self.random.below(STEP).min(now);
+                let view = self.random.one_in(2).then(|| self.state.view());
+                self.members[at].holder.renewed(session, asked, now, view);
+            }
+            Err(reason) => {
+                self.trace.note("not renewed", reason.to_string().as_bytes());
+                self.members[at].holder.gone();
+                self.members[at].session = None;
+            }
+        }
+    }
+
+    fn step_of_member(&mut self, now: u64, at: usize) {
+        if now < self.members[at].silent_until {
+            return;
+        }
+        if self.random.one_in(150) {
+            self.members[at].silent_until = now + self.random.below(40) * STEP;
+        }
+        if self.random.one_in(200) {
+            let member = &mut self.members[at];
+            (member.process, member.session) = (member.process + 1, None);
+            member.holder = Holder::new(Times::default());
+        }
+        match self.members[at].session {
+            None => self.join(now, at),
+            Some(session) if self.random.one_in(300) => {
+                let short = self.warden.short(&self.members[at].name, now, &self.state);
+                self.apply(now, &Command::Leave { session, short });
+                self.members[at].holder.gone();
+                self.members[at].session = None;
+            }
+            Some(session) => self.renew(now, at, session),
+        }
+    }
+
+    fn step_of_leader(&mut self, now: u64) {
+        if self.random.one_in(400) {
+            self.warden = Warden::new(Times::default(), now, &self.state);
+        }
+        for command in self.warden.due(now, &self.state) {
+            if self.random.one_in(20) {
+                self.trace.note("lost", &command.encode());
+                self.warden.dropped(&command);
+            } else {
+                self.apply(now, &command);
+            }
+        }
+        let owned = self.state.duties().iter().filter_map(|(id, duty)| Some((id.clone(), duty.owner?.token)));
+        let owned: Vec<(DutyId, Token)> = owned.collect();
+        if !owned.is_empty() && self.random.one_in(50) {
+            let (duty, token) = owned[self.random.below(owned.len() as u64) as usize].clone();
+            let unsettle = self.random.one_in(2);
+            self.apply(now, &Command::Release { duty, token, unsettle });
+        }
+    }
+
+    /// Every owner that may act does so at every member, also with the token before its own.
+    fn effects(&mut self, now: u64) {
+        for at in 0..self.members.len() {
+            for (duty, token) in self.members[at].holder.owned(now) {
+                assert!(self.members[at].holder.may_act(&duty, token, now));
+                assert!(!self.members[at].holder.may_act(&duty, Token(token.0 + 1), now));
+                for to in 0..self.members.len() {
+                    let token = Token(token.0 - self.random.below(2));
+                    let verdict = self.members[to].holder.take(&duty, token, now);
+                    let kind = match verdict {
+                        Ok(()) => "taken",
+                        Err(Refusal::NoSession) => "without session",
+                        Err(Refusal::OldToken { .. }) => "old token",
+                        Err(Refusal::Unknown) => "unknown",
+                    };
+                    self.trace.note(kind, duty.to_string().as_bytes());
+                }
+            }
+        }
+    }
+
+    fn play(mut self) -> Trace {
+        for step in 1..=STEPS {
+            let now = step * STEP;
+            for at in 0..self.members.len() {
+                self.step_of_member(now, at);
+            }
+            self.step_of_leader(now);
+            self.effects(now);
+        }
+        self.trace
+    }
+}
+
+#[test]
+fn the_same_history_gives_the_same_decisions() {
+    let mut text = String::new();
+    for seed in 1..=4 {
+        let trace = Fleet::new(seed).play();
+        text += &format!("seed {seed}: digest {:016x} {:?}\n", trace.digest, trace.counts);
+    }
+    insta::assert_snapshot!("decisions", text);
+}
