--- a/crates/cairncrank-lab/tests/stable_text.rs
+++ b/crates/cairncrank-lab/tests/stable_text.rs
@@ -20,7 +20,7 @@
 use serde::Serialize;
 
 /// The program.
-const PROGRAM: &str = env!("CARGO_BIN_EXE_cairncrank-lab");
+const PROGRAM: &str = env!(concat!("CARGO_BIN_EXE_", env!("CARGO_PKG_NAME")));
 
 const EVERY_KEY: &str = include_str!("stable/every_key.hcl");
 const EVERY_KEY_OF_A_FLEET: &str = include_str!("stable/every_key_of_a_fleet.hcl");
