--- /dev/null
+++ b/crates/cairncrank-keeper/tests/compatibility/main.rs
@@ -0,0 +1,7 @@
+//! What may not change from one version to the next: the store's bytes, the settings, the command line, the exit codes.
+
+mod command_line;
+mod exit_codes;
+mod settings;
+mod store;
+mod support;
--- /dev/null
+++ b/crates/cairncrank-keeper/tests/compatibility/settings.rs
@@ -0,0 +1,176 @@
+//! Every key of the settings file and of a file of budgets, with an example, and what is said where one is wrong.
+
+use std::fmt::Write as _;
+use std::net::IpAddr;
+use std::path::Path;
+
+use cairncrank_duty::Times;
+use cairncrank_keeper::config::{budgets, parse, read, read_budgets};
+use cairncrank_release::{Amount, Budget, Cover, Kind};
+
+const MEMBERS: &str = r#"installation = "north"
+keeper "1" {
+  address = "192.0.2.11:7100"
+}
+keeper "2" {
+  address = "192.0.2.12:7100"
+}
+keeper "3" {
+  address = "192.0.2.13:7100"
+}
+"#;
+const SERVE: &str = "serve {\n  keeper = 1\n  store = \"/var/lib/keeper\"\n}\n";
+
+fn example(name: &str) -> std::path::PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/compatibility/fixtures").join(name)
+}
+
+#[test]
+fn every_key_has_its_effect() {
+    let config = read(&example("every-key.hcl")).unwrap();
+    assert_eq!(config.installation, "north");
+    let addresses: Vec<(u64, String)> =
+        config.keepers.iter().map(|(number, address)| (*number, address.to_string())).collect();
+    let expected = [(1, "192.0.2.11:7100"), (2, "192.0.2.12:7100"), (7, "[2001:db8::13]:7100")];
+    assert_eq!(addresses, expected.map(|(number, address)| (number, address.to_owned())));
+    assert_eq!(config.first_token, 5_000);
+    let times = Times {
+        lease: 2_000_000,
+        renew: 500_000,
+        call: 600_000,
+        stay: 1_100_000,
+        short: 11_000_000,
+        skew_ppm: 2_000,
+        election: 480_000,
+        heartbeat: 90_000,
+    };
+    assert_eq!(config.times, times);
+    let serve = config.serve.unwrap();
+    assert_eq!(serve.keeper, 7);
+    assert_eq!(serve.listen.to_string(), "0.0.0.0:7101");
+    assert_eq!(serve.store, Path::new("/var/lib/keeper"));
+    assert_eq!(serve.bind, Some("192.0.2.13".parse::<IpAddr>().unwrap()));
+    assert_eq!(serve.connections, 4_000);
+    assert_eq!(serve.speaks, 2);
+    assert_eq!(serve.flaw, None);
+}
+
+#[test]
+fn keys_that_are_left_out_have_their_defaults() {
+    let config = parse("keeper.hcl", &format!("{MEMBERS}{SERVE}")).unwrap();
+    assert_eq!((config.first_token, config.times), (1, Times::default()));
+    let serve = config.serve.unwrap();
+    assert_eq!(serve.listen.to_string(), "192.0.2.11:7100");
+    assert_eq!((serve.bind, serve.connections, serve.speaks, serve.flaw), (None, 1_024, 3, None));
+    assert!(parse("keeper.hcl", MEMBERS).unwrap().serve.is_none());
+}
+
+#[test]
+fn every_key_of_a_budget_has_its_effect() {
+    let budget = |name: &str, kind, cover, most_out, least_in| Budget {
+        name: name.to_owned(),
+        kind,
+        cover,
+        most_out,
+        least_in,
+    };
+    let (count, percent) = (|count| Some(Amount::Count(count)), |part| Some(Amount::Percent(part)));
+    let (east, large) = (Cover::Zone("east".to_owned()), Cover::Pool("large".to_owned()));
+    let expected = [
+        budget("all", Kind::Worker, Cover::Fleet, count(3), None),
+        budget("fleet", Kind::Dispatcher, Cover::Fleet, percent(25), count(2)),
+        budget("zones", Kind::Worker, Cover::EachZone, None, percent(50)),
+        budget("pools", Kind::Worker, Cover::EachPool, count(1), None),
+        budget("east", Kind::Dispatcher, east, count(1), None),
+        budget("large", Kind::Worker, large, None, count(4)),
+    ];
+    assert_eq!(read_budgets(&example("every-budget-key.hcl")).unwrap(), expected);
+}
+
+#[test]
+fn faults_name_file_line_and_key() {
+    let members = |text: &str| format!("{MEMBERS}{text}");
+    let serve = |text: &str| format!("{MEMBERS}{}", SERVE.replace("}\n", &format!("{text}\n}}\n")));
+    let cases = [
+        String::new(),
+        members("sevre {\n}\n"),
+        members("installation = \"south\"\n"),
+        members("first_token = 0\n"),
+        members("times {\n  lease_ms = 1000\n}\n"),
+        members("times {\n  lease = 1000\n}\n"),
+        members("keeper \"3\" {\n  address = \"192.0.2.1:1\"\n}\n"),
+        members("keeper \"x\" {\n  address = \"192.0.2.1:1\"\n}\n"),
+        members("keeper \"4\" {\n  address = \"192.0.2.1:1\"\n}\n"),
+        members("keeper \"4\" {\n  address = \"here\"\n}\n"),
+        members("serve {\n  store = \"x\"\n}\n"),
+        members("serve {\n  keeper = 4\n  store = \"x\"\n}\n"),
+        members("serve {\n  keeper = 1\n}\n"),
+        serve("  listen = \"here\""),
+        serve("  bind = \"here\""),
+        serve("  connections = 7"),
+        serve("  speaks = 1"),
+        serve("  speaks = 4"),
+        serve("  speeks = 2"),
+        "installation = ".to_owned(),
+    ];
+    let mut all = String::new();
+    for text in cases {
+        let _ = writeln!(all, "{}", parse("keeper.hcl", &text).unwrap_err());
+    }
+    let _ = writeln!(all, "{}", read(Path::new("nowhere/keeper.hcl")).unwrap_err());
+    insta::assert_snapshot!("faults", all);
+}
+
+#[test]
+fn faults_of_budgets_name_file_line_and_key() {
+    let budget = |text: &str| format!("budget \"b\" {{\n  targets = \"workers\"\n{text}\n}}\n");
+    let cases = [
+        "budget {\n}\n".to_owned(),
+        "budget \"b\" {\n}\n".to_owned(),
+        "budget \"b\" {\n  targets = \"servers\"\n}\n".to_owned(),
+        format!("{}{}", budget("  most_out = 1"), budget("  most_out = 1")),
+        budget(""),
+        budget("  of = \"zone/\"\n  most_out = 1"),
+        budget("  most_out = 0"),
+        budget("  most_out = \"101%\""),
+        budget("  most_out = \"some\""),
+        budget("  least_in = \"100%\""),
+        budget("  least_in = 0"),
+        budget("  most_in = 1"),
+        "budgets {\n}\n".to_owned(),
+    ];
+    let mut all = String::new();
+    for text in cases {
+        let _ = writeln!(all, "{}", budgets("budgets.hcl", &text).unwrap_err());
+    }
+    let _ = writeln!(all, "{}", read_budgets(Path::new("nowhere/budgets.hcl")).unwrap_err());
+    insta::assert_snapshot!("budget_faults", all);
+}
+
+fn with_injected_bug(name: &str) -> String {
+    format!("{MEMBERS}{}", SERVE.replace("}\n", &format!("  flaw = \"{name}\"\n}}\n")))
+}
+
+#[cfg(feature = "seeded-bugs")]
+#[test]
+fn every_injected_bug_has_its_name() {
+    use cairncrank_release::Flaw;
+    for (name, bug) in [
+        ("any-process", Flaw::AnyProcess),
+        ("planned-only", Flaw::PlannedOnly),
+        ("old-observation", Flaw::OldObservation),
+        ("begin-unasked", Flaw::BeginUnasked),
+    ] {
+        let config = parse("keeper.hcl", &with_injected_bug(name)).unwrap();
+        assert_eq!(config.serve.unwrap().flaw, Some(bug));
+    }
+    let fault = parse("keeper.hcl", &with_injected_bug("unknown")).unwrap_err().to_string();
+    assert_eq!(fault, "keeper.hcl:14: serve.flaw: there is no flaw \"unknown\"");
+}
+
+#[cfg(not(feature = "seeded-bugs"))]
+#[test]
+fn injected_bugs_are_unknown_to_a_build_without_them() {
+    let fault = parse("keeper.hcl", &with_injected_bug("any-process")).unwrap_err().to_string();
+    assert!(fault.starts_with("keeper.hcl:14: ") && fault.contains("flaw"), "{fault}");
+}
--- /dev/null
+++ b/crates/cairncrank-keeper/tests/compatibility/store.rs
@@ -0,0 +1,347 @@
+//! The store's bytes: files written by the version that first had each format are opened with all values compared, and what
+//! is written today is the same, table by table and key by key.
+//!
+//! With `WRITE_STORE_FIXTURES` set the files are written anew; that is for a new format, never for an old one.
+
+use std::collections::BTreeMap;
+use std::fmt::Write as _;
+use std::path::Path;
+
+use cairncrank_duty::{Command, DutyId, Revision, SessionId, State, Times, Token};
+use cairncrank_fleet::wire::Disk as Identity;
+use cairncrank_keeper::disk::{self, Batch, Disk};
+use cairncrank_keeper::node::Node;
+use cairncrank_release::{Amount, Budget, Change, Condition, Cover, Kind, Observed, Target};
+use protobuf::Message as _;
+use raft::eraftpb::{
+    ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType, HardState, Snapshot,
+};
+use redb::{Database, ReadableTable, TableDefinition, TableHandle};
+
+use crate::support::{hex, no_process_starts, pack_fixture, unpack_fixture, write_snapshot};
+
+const COORDINATOR: u64 = 2;
+const DISK: u64 = 0x1122_3344;
+const FIRST_TOKEN: u64 = 50;
+const TICK: u64 = 40_000;
+
+/// One file: its snapshot is of this version, and its entries up to it.
+struct Example {
+    fixture: &'static str,
+    state: State,
+    configuration: ConfState,
+    commands: Vec<Command>,
+}
+
+fn lease() -> DutyId {
+    DutyId::fleet("list")
+}
+
+fn target(kind: Kind, name: &str) -> Target {
+    Target { kind, name: name.to_owned() }
+}
+
+fn first_commands() -> Vec<Command> {
+    vec![
+        Command::KeeperStarted { keeper: 2, boots: 1 },
+        Command::Join {
+            name: "berlin".to_owned(),
+            boot: 7,
+            zone: "east".to_owned(),
+            address: "192.0.2.41:7200".to_owned(),
+            offers: vec![
+                lease(),
+                DutyId::fleet("account"),
+                DutyId::zone("watch", "east"),
+                DutyId::set("watch", 3),
+            ],
+            short: false,
+        },
+        Command::Settle { session: SessionId(3) },
+        Command::Grant { duty: lease(), session: SessionId(3), fenced: 3 },
+    ]
+}
+
+/// Those of a later entry, once the ones above were applied from entry 2 on.
+fn later_commands() -> Vec<Command> {
+    vec![
+        Command::Release { duty: lease(), token: Token(50), unsettle: true },
+        Command::End { session: SessionId(3), short: true },
+        Command::Leave { session: SessionId(3), short: false },
+    ]
+}
+
+fn replacement() -> Vec<Command> {
+    vec![
+        Command::ReplaceKeeper { old: 3, new: 4, address: "192.0.2.14:7100".to_owned() },
+        Command::KeeperReplaced { old: 3 },
+        Command::ReplaceKeeper { old: 1, new: 5, address: "192.0.2.15:7100".to_owned() },
+    ]
+}
+
+fn observed(kind: Kind, name: &str, condition: Condition) -> Observed {
+    let (zone, pool) = ("east".to_owned(), "large".to_owned());
+    Observed { target: target(kind, name), zone, pool, condition, incarnation: 4 }
+}
+
+fn budgets() -> Vec<Budget> {
+    vec![
+        Budget {
+            name: "workers".to_owned(),
+            kind: Kind::Worker,
+            cover: Cover::EachZone,
+            most_out: Some(Amount::Percent(40)),
+            least_in: None,
+        },
+        Budget {
+            name: "dispatchers".to_owned(),
+            kind: Kind::Dispatcher,
+            cover: Cover::Fleet,
+            most_out: None,
+            least_in: Some(Amount::Count(2)),
+        },
+    ]
+}
+
+/// Changes of budgets and permits, the first of them at this entry.
+fn permits(first: Revision) -> Vec<Command> {
+    let targets = vec![
+        observed(Kind::Worker, "w1", Condition::In),
+        observed(Kind::Worker, "w2", Condition::Out),
+        observed(Kind::Worker, "w3", Condition::In),
+        observed(Kind::Dispatcher, "d1", Condition::Warming(250)),
+    ];
+    let gone = vec![target(Kind::Worker, "w9")];
+    let (reason, asker) = ("release 7".to_owned(), "shop a".to_owned());
+    let forced = first + 2;
+    let changes = [
+        Change::Budgets { seen: 0, budgets: budgets() },
+        Change::Observe { token: 51, seen: 5, targets, gone },
+        Change::Ask { target: target(Kind::Worker, "w1"), reason, asker: asker.clone(), force: true },
+        Change::Begin { permit: forced, incarnation: 4 },
+        Change::Done { permit: forced },
+        Change::Ask { target: target(Kind::Dispatcher, "d1"), reason: String::new(), asker, force: false },
+        Change::Strike { target: target(Kind::Worker, "w2"), by: "an operator".to_owned() },
+    ];
+    changes.into_iter().map(Command::Account).collect()
+}
+
+/// The state after these commands, the first of them at entry 2.
+fn state_after(commands: &[Command]) -> State {
+    let mut state = State::new(FIRST_TOKEN);
+    state.skip(1);
+    for (index, command) in (2..).zip(commands) {
+        state.apply(index, command);
+    }
+    state
+}
+
+fn example(fixture: &'static str, applied: Vec<Command>, commands: Vec<Command>) -> Example {
+    let state = state_after(&applied);
+    let configuration = ConfState::from((vec![1, 2, 3], Vec::new()));
+    Example { fixture, state, configuration, commands }
+}
+
+fn examples() -> [Example; 3] {
+    let joint = ConfState {
+        voters: vec![1, 2, 4],
+        voters_outgoing: vec![1, 2, 3],
+        learners: vec![5],
+        ..ConfState::default()
+    };
+    let second = [first_commands(), replacement()].concat();
+    let observer = Command::Grant { duty: DutyId::fleet("account"), session: SessionId(3), fenced: 3 };
+    let third = [first_commands(), vec![observer], permits(7)].concat();
+    let further = [permits(14), vec![Command::Account(Change::Void { permit: 12 })]].concat();
+    [
+        example("store-version-1.hex", first_commands(), later_commands()),
+        Example { configuration: joint, ..example("store-version-2.hex", second, replacement()) },
+        example("store-version-3.hex", third, further),
+    ]
+}
+
+impl Example {
+    fn snapshot(&self) -> Snapshot {
+        let mut snapshot = Snapshot::default();
+        snapshot.mut_metadata().index = self.state.revision();
+        snapshot.mut_metadata().term = 3;
+        snapshot.mut_metadata().set_conf_state(self.configuration.clone());
+        snapshot.set_data(self.state.snapshot().into());
+        snapshot
+    }
+
+    /// The commands, then an empty entry as a new leader proposes, then a change of the configuration.
+    fn entries(&self) -> Vec<Entry> {
+        let first = self.state.revision() + 1;
+        let mut change = ConfChangeV2::default();
+        let mut learner = ConfChangeSingle::default();
+        learner.set_change_type(ConfChangeType::AddLearnerNode);
+        learner.node_id = 9;
+        change.set_changes(vec![learner].into());
+        let data = self.commands.iter().map(Command::encode).chain([Vec::new()]);
+        let mut entries: Vec<Entry> = (first..)
+            .zip(data)
+            .map(|(index, data)| Entry {
+                index,
+                term: 3,
+                data: data.into(),
+                context: vec![1, 2, 3].into(),
+                ..Entry::default()
+            })
+            .collect();
+        let mut last = Entry { index: first + entries.len() as u64, term: 4, ..Entry::default() };
+        last.set_entry_type(EntryType::EntryConfChangeV2);
+        last.data = change.write_to_bytes().unwrap().into();
+        entries.push(last);
+        entries
+    }
+
+    fn hard_state(&self) -> HardState {
+        let commit = self.state.revision() + self.commands.len() as u64;
+        HardState { term: 4, vote: 3, commit, ..HardState::default() }
+    }
+
+    fn peers(&self) -> [Identity; 2] {
+        [
+            Identity { keeper: 1, disk: 0x5566, boots: 3, term: 4 },
+            Identity { keeper: 3, disk: 0x7788, boots: 1, term: 2 },
+        ]
+    }
+
+    /// Writes the store by the code of today.
+    fn write(&self, folder: &Path) {
+        disk::bootstrap(folder, "north", COORDINATOR, &[1, 2, 3], FIRST_TOKEN, DISK).unwrap();
+        let (store, _) = Disk::open(folder, "north", COORDINATOR).unwrap();
+        let snapshot = self.snapshot();
+        write_snapshot(&store, &snapshot);
+        let (entries, hard_state) = (self.entries(), self.hard_state());
+        store.write(&Batch { entries: &entries, hard: Some(&hard_state), ..Batch::default() }).unwrap();
+        store.write(&Batch { peers: &self.peers(), ..Batch::default() }).unwrap();
+    }
+}
+
+/// All tables of a store with their keys and bytes.
+fn dump(file: &Path) -> String {
+    const BY_NAME: [&str; 1] = ["meta"];
+    let database = Database::open(file).unwrap();
+    let read = database.begin_read().unwrap();
+    let mut names: Vec<String> = read.list_tables().unwrap().map(|table| table.name().to_owned()).collect();
+    names.sort();
+    let mut text = String::new();
+    for name in names {
+        let _ = writeln!(text, "table {name}");
+        if BY_NAME.contains(&name.as_str()) {
+            let table = read.open_table(TableDefinition::<&str, &[u8]>::new(&name)).unwrap();
+            for row in table.iter().unwrap() {
+                let (key, bytes) = row.unwrap();
+                let _ = writeln!(text, "  {}: {}", key.value(), hex(bytes.value()));
+            }
+        } else {
+            let table = read.open_table(TableDefinition::<u64, &[u8]>::new(&name)).unwrap();
+            for row in table.iter().unwrap() {
+                let (key, bytes) = row.unwrap();
+                let _ = writeln!(text, "  {}: {}", key.value(), hex(bytes.value()));
+            }
+        }
+    }
+    text
+}
+
+#[test]
+fn writes_the_same_tables_keys_and_bytes_as_the_version_of_the_fixtures() {
+    let _guard = no_process_starts();
+    let mut all = String::new();
+    for example in examples() {
+        let folder = tempfile::tempdir().unwrap();
+        let store = folder.path().join("store");
+        example.write(&store);
+        let file = store.join("keeper.redb");
+        if std::env::var_os("WRITE_STORE_FIXTURES").is_some() {
+            pack_fixture(example.fixture, &file);
+        }
+        let written = dump(&file);
+        let kept = folder.path().join("kept.redb");
+        unpack_fixture(example.fixture, &kept);
+        assert_eq!(written, dump(&kept), "{}", example.fixture);
+        let _ = writeln!(all, "{}\n{written}", example.fixture);
+    }
+    insta::assert_snapshot!("tables", all);
+}
+
+#[test]
+fn an_empty_store_has_the_same_tables_keys_and_bytes_as_ever() {
+    let _guard = no_process_starts();
+    let folder = tempfile::tempdir().unwrap();
+    let (first, joining) = (folder.path().join("first"), folder.path().join("joining"));
+    disk::bootstrap(&first, "north", COORDINATOR, &[1, 2, 3], FIRST_TOKEN, DISK).unwrap();
+    disk::bootstrap_joining(&joining, "north", 4, DISK).unwrap();
+    let all = format!(
+        "bootstrap\n{}\nbootstrap of one that joins\n{}",
+        dump(&first.join("keeper.redb")),
+        dump(&joining.join("keeper.redb"))
+    );
+    insta::assert_snapshot!("empty", all);
+    let mut files: Vec<String> = std::fs::read_dir(&first)
+        .unwrap()
+        .map(|entry| entry.unwrap().file_name().into_string().unwrap())
+        .collect();
+    files.sort();
+    assert_eq!(files, ["keeper.redb"]);
+}
+
+#[test]
+fn opens_the_store_of_each_version_with_all_its_values() {
+    let _guard = no_process_starts();
+    for example in examples() {
+        let folder = tempfile::tempdir().unwrap();
+        unpack_fixture(example.fixture, &folder.path().join("keeper.redb"));
+        let (_, found) = Disk::open(folder.path(), "north", COORDINATOR).unwrap();
+        let version = example.fixture;
+        // The fixture was started once, and this start counts.
+        let identity = Identity { keeper: COORDINATOR, disk: DISK, boots: 2, term: 4 };
+        assert_eq!(found.identity, identity, "{version}");
+        assert_eq!(found.hard, example.hard_state(), "{version}");
+        assert_eq!(found.snapshot, example.snapshot(), "{version}");
+        assert_eq!(State::restore(found.snapshot.get_data()).unwrap(), example.state, "{version}");
+        assert_eq!(found.entries, example.entries(), "{version}");
+        for (entry, command) in found.entries.iter().zip(&example.commands) {
+            assert_eq!(Command::decode(&entry.data).unwrap(), *command, "{version}");
+        }
+        let peers: BTreeMap<u64, Identity> =
+            example.peers().into_iter().map(|peer| (peer.keeper, peer)).collect();
+        assert_eq!(found.peers, peers, "{version}");
+    }
+}
+
+#[test]
+fn applies_the_entries_of_each_version_after_a_start() {
+    let _guard = no_process_starts();
+    for example in examples() {
+        let folder = tempfile::tempdir().unwrap();
+        unpack_fixture(example.fixture, &folder.path().join("keeper.redb"));
+        let (store, found) = Disk::open(folder.path(), "north", COORDINATOR).unwrap();
+        let mut node = Node::new(store, found, Times::default(), TICK, 1).unwrap();
+        node.tick(TICK).unwrap();
+        let mut expected = example.state.clone();
+        for (index, command) in (example.state.revision() + 1..).zip(&example.commands) {
+            expected.apply(index, command);
+        }
+        let status = node.status();
+        let version = example.fixture;
+        assert_eq!(status.applied, expected.revision(), "{version}");
+        assert_eq!(status.committed, example.hard_state().commit, "{version}");
+        assert_eq!((status.keeper, status.term, status.boots), (COORDINATOR, 4, 2), "{version}");
+        assert_eq!(node.next_token(), expected.next_token(), "{version}");
+        assert_eq!(status.members.len(), expected.sessions().len(), "{version}");
+        assert_eq!(status.duties.len(), expected.duties().len(), "{version}");
+        for (status, (id, lease)) in status.duties.iter().zip(expected.duties()) {
+            let owner: Option<(Token, Revision)> =
+                status.owner.as_ref().map(|(_, token)| (*token, status.fenced));
+            assert_eq!(status.duty, *id, "{version}");
+            assert_eq!(owner, lease.owner.map(|owner| (owner.token, lease.fenced)), "{version}");
+            assert_eq!(status.floor, lease.floor, "{version}");
+        }
+        let replaced = expected.replacing().map(|replacing| (replacing.old, replacing.new));
+        assert_eq!(status.replacing, replaced, "{version}");
+    }
+}
