--- a/crates/cairncrank-fleet/src/clock.rs
+++ b/crates/cluster-member/src/clock.rs
@@ -2,7 +2,7 @@
 
 use std::hash::{BuildHasher, Hasher, RandomState};
 
-use cairncrank_duty::Micros;
+use coordination::Micros;
 use rustix::time::{clock_gettime, ClockId};
 
 /// Microseconds since the machine started.
--- a/crates/cairncrank-fleet/src/cold.rs
+++ b/crates/cluster-member/src/cold.rs
@@ -20,7 +20,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use cairncrank_duty::{Micros, Token};
+use coordination::{Micros, Token};
 use serde::{Deserialize, Serialize};
 
 /// The name of the duty.
--- a/crates/cairncrank-fleet/src/effects.rs
+++ b/crates/cluster-member/src/effects.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cairncrank_duty::{DutyId, Flaw, Token};
+use coordination::{DutyId, Flaw, Token};
 use tokio::net::TcpListener;
 use tokio::sync::{watch, Semaphore};
 use tokio::task::JoinHandle;
--- a/crates/cairncrank-fleet/src/list.rs
+++ b/crates/cluster-member/src/list.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use cairncrank_duty::Micros;
+use coordination::Micros;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
--- a/crates/cairncrank-fleet/src/member.rs
+++ b/crates/cluster-member/src/member.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cairncrank_duty::{DutyId, Holder, Reason, Revision, SessionId, Times, Token};
+use coordination::{DutyId, Holder, Reason, Revision, SessionId, Times, Token};
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
@@ -301,7 +301,7 @@
         }
     }
 
-    fn hear(&self, of: SessionId, view: cairncrank_duty::View) -> bool {
+    fn hear(&self, of: SessionId, view: coordination::View) -> bool {
         let heard = self.holder.borrow_mut().told(of, view);
         if heard {
             self.changed.send_modify(|count| *count += 1);
--- a/crates/cairncrank-fleet/src/settings.rs
+++ b/crates/cluster-member/src/settings.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use cairncrank_duty::Times;
-use cairncrank_hcl::{Read, Section};
+use coordination::Times;
+use hcl_config::{Read, Section};
 
 use crate::cold::Dealing;
 use crate::watch::{Flaw, Watching};
--- a/crates/cairncrank-fleet/src/watch.rs
+++ b/crates/cluster-member/src/watch.rs
@@ -13,7 +13,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use cairncrank_duty::{DutyId, Micros, Scope, Token};
+use coordination::{DutyId, Micros, Scope, Token};
 use serde::{Deserialize, Serialize};
 
 /// Between two reports of one owner there is at least this.
--- a/crates/cairncrank-fleet/src/wire.rs
+++ b/crates/cluster-member/src/wire.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use cairncrank_duty::{DutyId, Reason, Refusal, Revision, SessionId, Token, View};
-use cairncrank_release::{Account, Change, Outcome};
+use coordination::{DutyId, Reason, Refusal, Revision, SessionId, Token, View};
+use disruption_budget::{Account, Change, Outcome};
 use futures_util::{SinkExt, StreamExt};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
--- a/crates/cairncrank-fleet/tests/connection.rs
+++ b/crates/cluster-member/tests/connection.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use cairncrank_fleet::wire::{
+use cluster_member::wire::{
     check_hello, check_hello_of, pack, turned_away, Ask, Hello, Link, Request, Turned, Welcome, Who, SCHEMA,
 };
 use support::{assert_pinned, hex};
--- a/crates/cairncrank-fleet/tests/format.rs
+++ b/crates/cluster-member/tests/format.rs
@@ -2,16 +2,16 @@
 
 mod support;
 
-use cairncrank_duty::{DutyId, Owner, Reason, Refusal, Scope, Seat, SessionId, Token, View};
-use cairncrank_fleet::cold::{Grant, Grants, Use, COLD};
-use cairncrank_fleet::list::{Ledger, News, LIST};
-use cairncrank_fleet::record::Recorder;
-use cairncrank_fleet::watch::{Failing, Report, Watching, ZoneSeen};
-use cairncrank_fleet::wire::{
+use cluster_member::cold::{Grant, Grants, Use, COLD};
+use cluster_member::list::{Ledger, News, LIST};
+use cluster_member::record::Recorder;
+use cluster_member::watch::{Failing, Report, Watching, ZoneSeen};
+use cluster_member::wire::{
     pack, Answer, Ask, Disk, Effect, EffectAnswer, FromKeeper, Hello, Peer, Request, Status, Turned,
     TurnedAway, Welcome, Who, LONGEST_FRAME, OLDEST_SCHEMA, PATIENCE, SCHEMA,
 };
-use cairncrank_release::{
+use coordination::{DutyId, Owner, Reason, Refusal, Scope, Seat, SessionId, Token, View};
+use disruption_budget::{
     Account, Amount, Budget, Change, Cover, Kind, Outcome, Refusal as ReleaseRefusal, State, Target,
 };
 use serde_json::json;
--- a/crates/cairncrank-fleet/tests/sessions.rs
+++ b/crates/cluster-member/tests/sessions.rs
@@ -10,12 +10,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cairncrank_duty::{DutyId, Holder, Owner, Reason, Seat, SessionId, Times, Token, View};
-use cairncrank_fleet::effects::{receive, Publisher};
-use cairncrank_fleet::keepers::Keepers;
-use cairncrank_fleet::member::{Ended, Member, Settings};
-use cairncrank_fleet::record::Recorder;
-use cairncrank_fleet::wire::{Answer, Ask, Effect, EffectAnswer, Hello, Link, Peer, Request, Who, SCHEMA};
+use cluster_member::effects::{receive, Publisher};
+use cluster_member::keepers::Keepers;
+use cluster_member::member::{Ended, Member, Settings};
+use cluster_member::record::Recorder;
+use cluster_member::wire::{Answer, Ask, Effect, EffectAnswer, Hello, Link, Peer, Request, Who, SCHEMA};
+use coordination::{DutyId, Holder, Owner, Reason, Seat, SessionId, Times, Token, View};
 use support::{assert_pinned, play_coordinator};
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, LocalSet};
--- a/crates/cairncrank-fleet/tests/settings.rs
+++ b/crates/cluster-member/tests/settings.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use cairncrank_fleet::settings;
-use cairncrank_hcl::{Fault, Section};
+use cluster_member::settings;
+use hcl_config::{Fault, Section};
 use support::assert_pinned;
 
 /// Every key with a value that is not its default.
--- a/crates/cairncrank-fleet/tests/support/mod.rs
+++ b/crates/cluster-member/tests/support/mod.rs
@@ -4,7 +4,7 @@
 
 use std::fmt::Debug;
 
-use cairncrank_fleet::wire::{pack, unpack, Answer, FromKeeper, Link, Request, Welcome};
+use cluster_member::wire::{pack, unpack, Answer, FromKeeper, Link, Request, Welcome};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use tokio::net::TcpListener;
--- a/crates/cairncrank-duty/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -84,7 +84,7 @@
         old: u64,
     },
     /// The account of who may be out changes. Since version 3.
-    Account(cairncrank_release::Change),
+    Account(disruption_budget::Change),
 }
 
 /// An entry that this program cannot apply.
--- a/crates/cairncrank-duty/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use cairncrank_release::census::ACCOUNT;
-use cairncrank_release::{Account, Change};
+use disruption_budget::census::ACCOUNT;
+use disruption_budget::{Account, Change};
 use serde::{Deserialize, Serialize};
 
 use crate::{Command, DutyId, Revision, Scope, SessionId, Token};
@@ -124,7 +124,7 @@
     /// The term is over.
     Released(DutyId, Token),
     /// What became of a change of the account.
-    Account(cairncrank_release::Outcome),
+    Account(disruption_budget::Outcome),
     /// Noted.
     Noted,
     /// Not done, and nothing was changed.
@@ -274,7 +274,7 @@
 
     /// The same with a flaw in the account, in builds for tests.
     #[must_use]
-    pub fn with_account_flaw(self, flaw: Option<cairncrank_release::Flaw>) -> State {
+    pub fn with_account_flaw(self, flaw: Option<disruption_budget::Flaw>) -> State {
         State { account: self.account.with_flaw(flaw), ..self }
     }
 
--- a/crates/cairncrank-duty/tests/agreement.rs
+++ b/crates/coordination/tests/agreement.rs
@@ -1,6 +1,6 @@
 //! The state machine, the leading keeper's account and a member's side, each by themselves.
 
-use cairncrank_duty::{
+use coordination::{
     Command, CommandFault, DutyId, Holder, Outcome, Reason, Refusal, Revision, Scope, SessionId, State,
     Times, Token, Warden,
 };
@@ -295,8 +295,8 @@
     assert!(matches!(fleet.apply(SECOND, &back), Outcome::Refused(Reason::Keepers(_))), "a number of old");
     assert_eq!(fleet.state.snapshot()[0], 2);
     assert_eq!(State::restore(&fleet.state.snapshot()), Ok(fleet.state.clone()));
-    let target = cairncrank_release::Target { kind: cairncrank_release::Kind::Worker, name: "w".into() };
-    let ask = cairncrank_release::Change::Ask { target, reason: "r".into(), asker: "a".into(), force: false };
+    let target = disruption_budget::Target { kind: disruption_budget::Kind::Worker, name: "w".into() };
+    let ask = disruption_budget::Change::Ask { target, reason: "r".into(), asker: "a".into(), force: false };
     let ask = Command::Account(ask);
     assert_eq!(ask.encode()[0], 3);
     assert_eq!(Command::decode_up_to(2, &ask.encode()), Err(CommandFault::Later(3, 2)));
@@ -312,7 +312,7 @@
 /// The account takes the word of whoever observes in the running term, and of nobody else.
 #[test]
 fn an_observation_of_another_term_is_refused() {
-    use cairncrank_release::{census::ACCOUNT, Change};
+    use disruption_budget::{census::ACCOUNT, Change};
     let mut fleet = Fleet::new();
     let observe = |token| Command::Account(Change::Observe { token, seen: 0, targets: vec![], gone: vec![] });
     assert_eq!(fleet.apply(SECOND, &observe(1)), Outcome::Refused(Reason::NotTheOwner), "nobody owns it");
--- a/crates/cairncrank-duty/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use cairncrank_duty::{
+use coordination::{
     Command, DutyId, Holder, Outcome, Refusal, Revision, SessionId, State, Times, Token, Warden,
 };
 
--- a/crates/cairncrank-duty/tests/format.rs
+++ b/crates/coordination/tests/format.rs
@@ -4,11 +4,11 @@
 
 use std::fmt::{Display, Write as _};
 
-use cairncrank_duty::{
+use coordination::{
     Command, DutyId, HolderCounts, Outcome, Owner, Reason, Refusal, Revision, Scope, Seat, SessionId, State,
     Times, Token, View, COMMAND_VERSION,
 };
-use cairncrank_release::{Amount, Budget, Change, Condition, Cover, Kind, Observed, Target};
+use disruption_budget::{Amount, Budget, Change, Condition, Cover, Kind, Observed, Target};
 use serde::Serialize;
 
 fn hex(bytes: &[u8]) -> String {
@@ -199,7 +199,7 @@
     ];
     let seen = 1_000;
     change(Change::Observe { token, seen, targets, gone: vec![] });
-    let cairncrank_release::Outcome::Asked(permit, _) = change(ask("w1", true)) else { panic!("no permit") };
+    let disruption_budget::Outcome::Asked(permit, _) = change(ask("w1", true)) else { panic!("no permit") };
     change(Change::Begin { permit, incarnation: 1 });
     change(Change::Done { permit });
     change(ask("w2", true));
--- a/crates/cairncrank-keeper/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -4,11 +4,11 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
 
-use cairncrank_duty::Times;
-use cairncrank_fleet::settings;
-use cairncrank_fleet::wire::{OLDEST_SCHEMA, SCHEMA};
-use cairncrank_hcl::{Fault, Section, Value};
-use cairncrank_release::{Amount, Budget, Cover, Kind};
+use cluster_member::settings;
+use cluster_member::wire::{OLDEST_SCHEMA, SCHEMA};
+use coordination::Times;
+use disruption_budget::{Amount, Budget, Cover, Kind};
+use hcl_config::{Fault, Section, Value};
 
 /// A keeper's configuration.
 #[derive(Debug, Clone)]
@@ -39,7 +39,7 @@
     /// The most connections at once.
     pub connections: usize,
     /// A flaw put in on purpose, in a build for such tests.
-    pub flaw: Option<cairncrank_release::Flaw>,
+    pub flaw: Option<disruption_budget::Flaw>,
     /// The version of the messages that it speaks, and of the entries that it knows.
     pub speaks: u16,
 }
@@ -96,16 +96,16 @@
 
 /// A flaw put in on purpose. Only a build for such tests knows the key.
 #[cfg(feature = "seeded-bugs")]
-fn flaw(section: &Section) -> Result<Option<cairncrank_release::Flaw>, Fault> {
+fn flaw(section: &Section) -> Result<Option<disruption_budget::Flaw>, Fault> {
     let Some(name) = section.text("flaw")? else { return Ok(None) };
-    let known = cairncrank_release::Flaw::names().iter().find(|(known, _)| *known == name);
+    let known = disruption_budget::Flaw::names().iter().find(|(known, _)| *known == name);
     known
         .map(|(_, flaw)| Some(*flaw))
         .ok_or_else(|| section.fault("flaw", format!("there is no flaw {name:?}")))
 }
 
 #[cfg(not(feature = "seeded-bugs"))]
-fn flaw(_: &Section) -> Result<Option<cairncrank_release::Flaw>, Fault> {
+fn flaw(_: &Section) -> Result<Option<disruption_budget::Flaw>, Fault> {
     Ok(None)
 }
 
--- a/crates/cairncrank-keeper/src/ctl.rs
+++ b/crates/coordinator/src/ctl.rs
@@ -3,10 +3,10 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-use cairncrank_duty::{DutyId, Token};
-use cairncrank_fleet::keepers::Keepers;
-use cairncrank_fleet::wire::{Answer, Ask, FromKeeper, Hello, Link, Request, Status, Who, SCHEMA};
-use cairncrank_release::{Account, Change, Condition, Outcome};
+use cluster_member::keepers::Keepers;
+use cluster_member::wire::{Answer, Ask, FromKeeper, Hello, Link, Request, Status, Who, SCHEMA};
+use coordination::{DutyId, Token};
+use disruption_budget::{Account, Change, Condition, Outcome};
 use tokio::time::timeout;
 
 use crate::config::Config;
--- a/crates/cairncrank-keeper/src/disk.rs
+++ b/crates/coordinator/src/disk.rs
@@ -4,8 +4,8 @@
 use std::fs::File;
 use std::path::Path;
 
-use cairncrank_duty::State;
-use cairncrank_fleet::wire::Disk as Identity;
+use cluster_member::wire::Disk as Identity;
+use coordination::State;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use redb::{Database, ReadableTable, TableDefinition};
@@ -146,7 +146,7 @@
         if !file.exists() {
             return Err(Stop::Disk(format!(
                 "{}: there is no store. A keeper does not start without its memory, since it could vote twice. For a \
-                 new installation run `cairncrank-keeper bootstrap`; a keeper that lost its disk is replaced by a new \
+                 new installation run `coordinator bootstrap`; a keeper that lost its disk is replaced by a new \
                  one (docs/operate/keepers.md)",
                 file.display()
             )));
--- a/crates/cairncrank-keeper/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -4,15 +4,15 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use cairncrank_duty::{DutyId, Token};
-use cairncrank_fleet::record::Recorder;
-use cairncrank_keeper::config::{self, Config};
-use cairncrank_keeper::{ctl, disk, serve, Stop};
-use cairncrank_release::{Change, Outcome, State, Target};
+use cluster_member::record::Recorder;
+use coordination::{DutyId, Token};
+use coordinator::config::{self, Config};
+use coordinator::{ctl, disk, serve, Stop};
+use disruption_budget::{Change, Outcome, State, Target};
 use lexopt::prelude::*;
 
 const HELP: &str = "\
-cairncrank-keeper COMMAND --config FILE [options]
+coordinator COMMAND --config FILE [options]
 
   bootstrap       sets up the empty store of this keeper, once in the life of an installation
   serve           keeps; ends on SIGTERM
@@ -120,7 +120,7 @@
     let args = match args() {
         Ok(args) => args,
         Err(error) => {
-            eprintln!("cairncrank-keeper: {error}\n\n{HELP}");
+            eprintln!("coordinator: {error}\n\n{HELP}");
             return ExitCode::from(2);
         }
     };
@@ -130,24 +130,24 @@
             return ExitCode::SUCCESS;
         }
         "version" => {
-            println!("cairncrank-keeper {}", env!("CARGO_PKG_VERSION"));
+            println!("coordinator {}", env!("CARGO_PKG_VERSION"));
             return ExitCode::SUCCESS;
         }
         "bootstrap" | "serve" | "status" | "members" | "duties" | "release-duty" | "replace" | "metrics"
         | "check-config" | "account" | "budgets" | "permit" | "strike-off" => {}
         other => {
-            eprintln!("cairncrank-keeper: {other:?} is no command\n\n{HELP}");
+            eprintln!("coordinator: {other:?} is no command\n\n{HELP}");
             return ExitCode::from(2);
         }
     }
     let Some(path) = &args.config else {
-        eprintln!("cairncrank-keeper: --config FILE is missing");
+        eprintln!("coordinator: --config FILE is missing");
         return ExitCode::from(2);
     };
     let config = match config::read(path) {
         Ok(config) => config,
         Err(fault) => {
-            eprintln!("cairncrank-keeper: {fault}");
+            eprintln!("coordinator: {fault}");
             return ExitCode::FAILURE;
         }
     };
@@ -155,7 +155,7 @@
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("cairncrank-keeper: {error}");
+            eprintln!("coordinator: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -165,7 +165,7 @@
             ExitCode::SUCCESS
         }
         Err(stop) => {
-            eprintln!("cairncrank-keeper: {stop}");
+            eprintln!("coordinator: {stop}");
             ExitCode::from(stop.code())
         }
     }
@@ -210,7 +210,7 @@
         "bootstrap" => {
             let here = here(config)?;
             let voters: Vec<u64> = config.keepers.keys().copied().collect();
-            let disk = cairncrank_fleet::clock::unique();
+            let disk = cluster_member::clock::unique();
             if args.joining {
                 disk::bootstrap_joining(&here.store, &config.installation, here.keeper, disk)?;
                 return Ok(format!(
@@ -263,7 +263,7 @@
             if args.json {
                 return Ok(serde_json::to_string(&status.members).unwrap_or_default() + "\n");
             }
-            let line = |member: &cairncrank_fleet::wire::MemberStatus| {
+            let line = |member: &cluster_member::wire::MemberStatus| {
                 let (peer, settled) = (&member.peer, if member.settled { "settled" } else { "new" });
                 let state = if member.superseded { "superseded" } else { settled };
                 format!(
@@ -278,7 +278,7 @@
             if args.json {
                 return Ok(serde_json::to_string(&status.duties).unwrap_or_default() + "\n");
             }
-            let line = |duty: &cairncrank_fleet::wire::DutyStatus| match &duty.owner {
+            let line = |duty: &cluster_member::wire::DutyStatus| match &duty.owner {
                 Some((name, token)) => format!("{}: {name}, token {}\n", duty.duty, token.0),
                 None => format!("{}: nobody, tokens below {} are over\n", duty.duty, duty.floor.0),
             };
--- a/crates/cairncrank-keeper/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -5,14 +5,14 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use cairncrank_duty::{
+use cluster_member::wire::{
+    Answer, Ask, Disk as Identity, DutyStatus, FromKeeper, MemberStatus, Peer, Request, Status, Turned,
+};
+use coordination::{
     Command, Micros, Outcome, Reason, Replacing, Revision, SessionId, State, Times, Token, Warden,
     COMMAND_VERSION,
 };
-use cairncrank_fleet::wire::{
-    Answer, Ask, Disk as Identity, DutyStatus, FromKeeper, MemberStatus, Peer, Request, Status, Turned,
-};
-use cairncrank_release::desk::Desk;
+use disruption_budget::desk::Desk;
 use hdrhistogram::Histogram;
 use protobuf::Message as _;
 use raft::eraftpb::{
@@ -44,7 +44,7 @@
     /// Something to a member or an operator.
     Say(Conn, FromKeeper),
     /// The view has changed, for all connections of members.
-    News(cairncrank_duty::View),
+    News(coordination::View),
     /// Something was applied, for the records.
     Applied {
         /// Where in the log.
@@ -140,7 +140,7 @@
     conf_proposed: Option<Micros>,
     times: Times,
     warden: Option<Warden>,
-    flaw: Option<cairncrank_release::Flaw>,
+    flaw: Option<disruption_budget::Flaw>,
     desk: Desk,
     voided: Micros,
     /// The latest entries that this keeper knows, and the latest messages that others speak, of those that greeted it.
@@ -262,7 +262,7 @@
     }
 
     /// The account gets a flaw, in builds for tests.
-    pub fn account_flaw(&mut self, flaw: Option<cairncrank_release::Flaw>) {
+    pub fn account_flaw(&mut self, flaw: Option<disruption_budget::Flaw>) {
         self.flaw = flaw;
         self.state = std::mem::replace(&mut self.state, State::new(1)).with_account_flaw(flaw);
     }
@@ -782,7 +782,7 @@
             (Outcome::Joined(..), None) => self.not_leading(),
             (Outcome::Refused(reason), _) => Answer::Refused(reason.clone()),
             (Outcome::Account(outcome), _) => {
-                if let cairncrank_release::Outcome::Asked(id, _) = outcome {
+                if let disruption_budget::Outcome::Asked(id, _) = outcome {
                     self.desk.asked(*id, now);
                 }
                 Answer::Changed(outcome.clone())
@@ -885,7 +885,7 @@
             superseded: session.superseded,
             short_lives: state.short_lives(&session.name),
         });
-        let owner = |owner: cairncrank_duty::Owner| {
+        let owner = |owner: coordination::Owner| {
             let name = state.sessions().get(&owner.session).map(|session| session.name.clone());
             (name.unwrap_or_default(), owner.token)
         };
@@ -925,7 +925,7 @@
     }
 }
 
-fn peer(session: &cairncrank_duty::Session) -> Peer {
+fn peer(session: &coordination::Session) -> Peer {
     Peer {
         name: session.name.clone(),
         incarnation: session.incarnation,
--- a/crates/cairncrank-keeper/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cairncrank_duty::{Command, Outcome, COMMAND_VERSION};
-use cairncrank_fleet::clock;
-use cairncrank_fleet::record::Recorder;
-use cairncrank_fleet::wire::{
+use cluster_member::clock;
+use cluster_member::record::Recorder;
+use cluster_member::wire::{
     check_hello_of, pack, turned_away, Disk as Identity, FromKeeper, Hello, Link, Request, Turned, Welcome,
     Who, PATIENCE,
 };
+use coordination::{Command, Outcome, COMMAND_VERSION};
 use futures_util::SinkExt;
 use raft::eraftpb::{Message, MessageType};
 use tokio::net::{TcpListener, TcpStream};
@@ -203,7 +203,7 @@
                 }
                 Out::Say(conn, message) => self.say(conn, &message),
                 Out::News(view) => {
-                    let told: Vec<(Conn, cairncrank_duty::SessionId)> =
+                    let told: Vec<(Conn, coordination::SessionId)> =
                         self.conns.keys().filter_map(|conn| Some((*conn, node.session_of(*conn)?))).collect();
                     for (conn, session) in told {
                         self.say(conn, &FromKeeper::News(session, view.clone()));
@@ -226,7 +226,7 @@
                                 what["name"] = name.as_str().into();
                             }
                         }
-                        Outcome::Account(cairncrank_release::Outcome::Observed { granted, .. })
+                        Outcome::Account(disruption_budget::Outcome::Observed { granted, .. })
                             if !granted.is_empty() =>
                         {
                             what["permits"] = granted.clone().into();
@@ -279,8 +279,8 @@
 }
 
 /// Who asked, forced, struck off, and what an observation led to; that nothing changed is said to nobody.
-fn log_account(command: &Command, outcome: &cairncrank_release::Outcome) {
-    use cairncrank_release::{Change, Outcome, State};
+fn log_account(command: &Command, outcome: &disruption_budget::Outcome) {
+    use disruption_budget::{Change, Outcome, State};
     let Command::Account(change) = command else { return };
     match (change, outcome) {
         (Change::Ask { target, reason, asker, force: true }, Outcome::Asked(permit, _)) => {
--- a/crates/cairncrank-keeper/tests/cluster.rs
+++ b/crates/coordinator/tests/cluster.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use cairncrank_duty::{DutyId, Outcome, Reason, SessionId, Times, Token};
-use cairncrank_fleet::wire::{Answer, Ask, Disk as Identity, FromKeeper, Request, Turned, SCHEMA};
-use cairncrank_keeper::disk::{self, Disk};
-use cairncrank_keeper::node::{Node, Out};
-use cairncrank_keeper::Stop;
+use cluster_member::wire::{Answer, Ask, Disk as Identity, FromKeeper, Request, Turned, SCHEMA};
+use coordination::{DutyId, Outcome, Reason, SessionId, Times, Token};
+use coordinator::disk::{self, Disk};
+use coordinator::node::{Node, Out};
+use coordinator::Stop;
 
 const TICK: u64 = 40_000;
 
--- a/crates/cairncrank-keeper/tests/compatibility/command_line.rs
+++ b/crates/coordinator/tests/compatibility/command_line.rs
@@ -1,8 +1,8 @@
 //! The command line: usage, and what each command prints for fixed answers of the coordinators.
 
-use cairncrank_duty::{DutyId, Reason, Revision, SessionId, Token};
-use cairncrank_fleet::wire::{Answer, Ask, DutyStatus, MemberStatus, Peer, Status, Turned};
-use cairncrank_release::{
+use cluster_member::wire::{Answer, Ask, DutyStatus, MemberStatus, Peer, Status, Turned};
+use coordination::{DutyId, Reason, Revision, SessionId, Token};
+use disruption_budget::{
     Account, Amount, Budget, Change, Condition, Cover, Kind, Observed, Outcome, Refusal, State, Target,
 };
 
--- a/crates/cairncrank-keeper/tests/compatibility/exit_codes.rs
+++ b/crates/coordinator/tests/compatibility/exit_codes.rs
@@ -2,9 +2,9 @@
 
 use std::path::Path;
 
-use cairncrank_duty::{Command, State};
-use cairncrank_fleet::wire::Turned;
-use cairncrank_keeper::disk::{self, Batch, Disk};
+use cluster_member::wire::Turned;
+use coordination::{Command, State};
+use coordinator::disk::{self, Batch, Disk};
 use protobuf::Message as _;
 use raft::eraftpb::{
     ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType, HardState, Snapshot,
--- a/crates/cairncrank-keeper/tests/compatibility/settings.rs
+++ b/crates/coordinator/tests/compatibility/settings.rs
@@ -4,9 +4,9 @@
 use std::net::IpAddr;
 use std::path::Path;
 
-use cairncrank_duty::Times;
-use cairncrank_keeper::config::{budgets, parse, read, read_budgets};
-use cairncrank_release::{Amount, Budget, Cover, Kind};
+use coordination::Times;
+use coordinator::config::{budgets, parse, read, read_budgets};
+use disruption_budget::{Amount, Budget, Cover, Kind};
 
 const MEMBERS: &str = r#"installation = "north"
 keeper "1" {
@@ -154,7 +154,7 @@
 #[cfg(feature = "seeded-bugs")]
 #[test]
 fn every_injected_bug_has_its_name() {
-    use cairncrank_release::Flaw;
+    use disruption_budget::Flaw;
     for (name, bug) in [
         ("any-process", Flaw::AnyProcess),
         ("planned-only", Flaw::PlannedOnly),
--- a/crates/cairncrank-keeper/tests/compatibility/store.rs
+++ b/crates/coordinator/tests/compatibility/store.rs
@@ -7,11 +7,11 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-use cairncrank_duty::{Command, DutyId, Revision, SessionId, State, Times, Token};
-use cairncrank_fleet::wire::Disk as Identity;
-use cairncrank_keeper::disk::{self, Batch, Disk};
-use cairncrank_keeper::node::Node;
-use cairncrank_release::{Amount, Budget, Change, Condition, Cover, Kind, Observed, Target};
+use cluster_member::wire::Disk as Identity;
+use coordination::{Command, DutyId, Revision, SessionId, State, Times, Token};
+use coordinator::disk::{self, Batch, Disk};
+use coordinator::node::Node;
+use disruption_budget::{Amount, Budget, Change, Condition, Cover, Kind, Observed, Target};
 use protobuf::Message as _;
 use raft::eraftpb::{
     ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType, HardState, Snapshot,
--- a/crates/cairncrank-keeper/tests/compatibility/support.rs
+++ b/crates/coordinator/tests/compatibility/support.rs
@@ -7,11 +7,11 @@
 use std::process::{Command as Process, Output, Stdio};
 use std::sync::{Arc, Mutex, RwLock, RwLockReadGuard};
 
-use cairncrank_fleet::wire::{Answer, Ask, FromKeeper, Link, Request, Turned, Welcome, Who};
-use cairncrank_keeper::disk::{Batch, Disk};
+use cluster_member::wire::{Answer, Ask, FromKeeper, Link, Request, Turned, Welcome, Who};
+use coordinator::disk::{Batch, Disk};
 use raft::eraftpb::Snapshot;
 
-const PROGRAM_PATH: &str = env!("CARGO_BIN_EXE_cairncrank-keeper");
+const PROGRAM_PATH: &str = env!("CARGO_BIN_EXE_coordinator");
 const PROGRAM_NAME: &str = env!("CARGO_PKG_NAME");
 const FIXTURE_ROW: usize = 32;
 static PROCESS_START: RwLock<()> = RwLock::new(());
--- a/crates/cairncrank-keeper/tests/config.rs
+++ b/crates/coordinator/tests/config.rs
@@ -1,6 +1,6 @@
 //! What a keeper is told, and what it says where that is wrong.
 
-use cairncrank_keeper::config::parse;
+use coordinator::config::parse;
 
 const KEEPERS: &str = r#"
 installation = "north"
--- a/crates/cairncrank-keeper/tests/full_disk.rs
+++ b/crates/coordinator/tests/full_disk.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::process::Command;
 
-use cairncrank_keeper::disk::{bootstrap, Batch, Disk};
+use coordinator::disk::{bootstrap, Batch, Disk};
 use raft::eraftpb::{Entry, HardState};
 
 const STORE: &str = "CAIRNCRANK_TEST_STORE";
--- a/crates/cairncrank-core/tests/backoff.rs
+++ b/crates/dispatch-core/tests/backoff.rs
@@ -1,6 +1,6 @@
 //! Pauses between calls: capped exponential backoff with full jitter.
 
-use cairncrank_core::backoff::{Backoff, Micros};
+use dispatch_core::backoff::{Backoff, Micros};
 
 const FIRST: Micros = 100_000;
 const CAP: Micros = 2_000_000;
--- a/crates/cairncrank-core/tests/common/mod.rs
+++ b/crates/dispatch-core/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use cairncrank_core::api::*;
-use cairncrank_core::Dispatcher;
+use dispatch_core::api::*;
+use dispatch_core::Dispatcher;
 
 /// How long after the word a worker that drains may still get new work.
 pub const DRAIN_GRACE: f64 = 0.5;
--- a/crates/cairncrank-core/tests/decisions.rs
+++ b/crates/dispatch-core/tests/decisions.rs
@@ -9,9 +9,9 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::fmt::Write as _;
 
-use cairncrank_core::api::*;
-use cairncrank_core::Dispatcher;
 use common::{class, settings};
+use dispatch_core::api::*;
+use dispatch_core::Dispatcher;
 use fastrand::Rng;
 
 const SEEDS: std::ops::Range<u64> = 0..4;
--- a/crates/cairncrank-core/tests/failures.rs
+++ b/crates/dispatch-core/tests/failures.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use cairncrank_core::api::*;
 use common::*;
+use dispatch_core::api::*;
 
 /// A dispatcher that may ask its twelve workers at this price.
 fn asking(probe_price: f64) -> Driver {
--- a/crates/cairncrank-core/tests/news.rs
+++ b/crates/dispatch-core/tests/news.rs
@@ -1,8 +1,8 @@
 //! Discovery is called again early enough for what changes to be known when it counts as told.
 
-use cairncrank_core::backoff::Micros;
-use cairncrank_core::news::{beside, Calls, TOLD_WITHIN};
-use cairncrank_core::Settings;
+use dispatch_core::backoff::Micros;
+use dispatch_core::news::{beside, Calls, TOLD_WITHIN};
+use dispatch_core::Settings;
 
 const GRACE: Micros = 500_000;
 
--- a/crates/cairncrank-core/tests/odd.rs
+++ b/crates/dispatch-core/tests/odd.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use cairncrank_core::api::*;
 use common::*;
+use dispatch_core::api::*;
 
 /// Sends requests at a steady pace and answers each attempt after a tenth of a second as told.
 fn play(d: &mut Driver, from: u64, count: u64, answer: impl Fn(WorkerId) -> Outcome) -> usize {
--- a/crates/cairncrank-core/tests/rules.rs
+++ b/crates/dispatch-core/tests/rules.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use cairncrank_core::api::*;
 use common::*;
+use dispatch_core::api::*;
 use fastrand::Rng;
 
 const OUTCOMES: [Outcome; 8] = [
--- a/crates/cairncrank-core/tests/settings_keys.rs
+++ b/crates/dispatch-core/tests/settings_keys.rs
@@ -1,8 +1,8 @@
 //! Every key of the settings: an example, the value that is read from it, and how both forms of the same settings,
 //! path=value pairs and nested JSON, give the same.
 
-use cairncrank_core::api::{Group, Load, Repeat, Reports, Settings};
-use cairncrank_core::settings::{settings, Pairs};
+use dispatch_core::api::{Group, Load, Repeat, Reports, Settings};
+use dispatch_core::settings::{settings, Pairs};
 
 /// A key, an example, and what is read from it, as text.
 struct Key {
--- a/crates/cairncrank-core/tests/shared_numbers.rs
+++ b/crates/dispatch-core/tests/shared_numbers.rs
@@ -2,10 +2,10 @@
 
 use std::fmt::Write as _;
 
-use cairncrank_core::backoff::Backoff;
-use cairncrank_core::news::{beside, Calls};
-use cairncrank_core::settings::{hash, worker_id};
-use cairncrank_core::Settings;
+use dispatch_core::backoff::Backoff;
+use dispatch_core::news::{beside, Calls};
+use dispatch_core::settings::{hash, worker_id};
+use dispatch_core::Settings;
 
 #[test]
 fn names_of_workers_and_keys_hash_to_the_same_numbers() {
--- a/crates/cairncrank-core/tests/size.rs
+++ b/crates/dispatch-core/tests/size.rs
@@ -28,7 +28,7 @@
     let named: Vec<String> = policy().into_iter().map(|(file, _)| file).collect();
     for entry in std::fs::read_dir(folder).expect("the folder of the module") {
         let file = entry.expect("a file").file_name().into_string().expect("a plain name");
-        let path = format!("crates/cairncrank-core/src/policy/{file}");
+        let path = format!("crates/dispatch-core/src/policy/{file}");
         assert!(named.contains(&path), "{path} is missing in deploy/balancer.toml");
     }
 }
--- a/crates/cairncrank-core/tests/throttle.rs
+++ b/crates/dispatch-core/tests/throttle.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use cairncrank_core::api::*;
 use common::*;
+use dispatch_core::api::*;
 use fastrand::Rng;
 
 /// One tenant whose R stays at 1.5 times its quota, as no attempt ends; nothing gates, as no load is told.
--- a/crates/cairncrank/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -13,8 +13,8 @@
 
 use crate::engine::{micros, Listed, Micros};
 use crate::own::{Fleet, Own};
-use cairncrank_core::api::{Member, Repeat, Scope, Settings, WorkerState};
-use cairncrank_core::settings::{settings, worker_id, Bad, Pairs};
+use dispatch_core::api::{Member, Repeat, Scope, Settings, WorkerState};
+use dispatch_core::settings::{settings, worker_id, Bad, Pairs};
 
 /// Descriptors where no limit is told.
 const SOCKETS: usize = 1024;
--- a/crates/cairncrank/src/engine.rs
+++ b/crates/dispatcher/src/engine.rs
@@ -16,11 +16,11 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use tokio::sync::{mpsc, oneshot};
 
-use cairncrank_core::api::{
+use dispatch_core::api::{
     Action, Event, Load, Member, Outcome, Request, RequestId, Scope, Seconds, Settings, WorkerId, WorkerState,
 };
 
-use cairncrank_core::Dispatcher;
+use dispatch_core::Dispatcher;
 
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
@@ -610,7 +610,7 @@
                 Action::CloseIdle(worker) => {
                     let _ = self.commands.send(Command::CloseIdle(worker));
                 }
-                Action::Log(words) => tracing::info!(target: "cairncrank::policy", "{words}"),
+                Action::Log(words) => tracing::info!(target: "dispatcher::policy", "{words}"),
                 Action::Probe(worker) => {
                     let _ = self.commands.send(Command::Probe(worker));
                 }
--- a/crates/cairncrank/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -6,4 +6,4 @@
 pub mod net;
 pub mod own;
 
-pub use cairncrank_core::{api, Action, Dispatcher, Event, Settings};
+pub use dispatch_core::{api, Action, Dispatcher, Event, Settings};
--- a/crates/cairncrank/src/log.rs
+++ b/crates/dispatcher/src/log.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Reads levels by target, such as `info` or `warn,cairncrank::net=debug`.
+/// Reads levels by target, such as `info` or `warn,dispatcher::net=debug`.
 ///
 /// # Errors
 /// What is no level and no target, in words.
--- a/crates/cairncrank/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -2,26 +2,26 @@
 
 use std::process::ExitCode;
 
-use cairncrank::config::{Config, ConfigError};
-use cairncrank::log;
-use cairncrank::net::{self, inherit, signal};
-use cairncrank::own;
+use dispatcher::config::{Config, ConfigError};
+use dispatcher::log;
+use dispatcher::net::{self, inherit, signal};
+use dispatcher::own;
 use lexopt::prelude::{Long, Short, Value};
 use lexopt::ValueExt as _;
 use tracing_subscriber::filter::Targets;
 
 const USAGE: &str = "\
-cairncrank: a job dispatcher
+dispatcher: a job dispatcher
 
-usage: cairncrank [serve] [--config FILE] [--settings FILE] [--log LEVELS] [--log-format text|json]    serve jobs
-       cairncrank check-config [--config FILE] [--settings FILE]    read the configuration, say what is wrong with it
-       cairncrank version    print the version
+usage: dispatcher [serve] [--config FILE] [--settings FILE] [--log LEVELS] [--log-format text|json]    serve jobs
+       dispatcher check-config [--config FILE] [--settings FILE]    read the configuration, say what is wrong with it
+       dispatcher version    print the version
 
 The configuration is the file that --config names, or else BALANCER_CONFIG. BALANCER_NAME, BALANCER_LISTEN and
 BALANCER_DISCOVERY win over what it says of them. On SIGHUP the file is read again; there its discovery wins.
 Our own settings are the HCL file that --settings or CAIRNCRANK_SETTINGS names, else cairncrank.hcl beside the
 configuration, else their defaults.
-LEVELS is a level, or levels by target: info (the default), or warn,cairncrank::net=debug.
+LEVELS is a level, or levels by target: info (the default), or warn,dispatcher::net=debug.
 ";
 
 /// The exit code of bad usage.
@@ -74,7 +74,7 @@
     let Arguments { command, config: file, settings, levels, format } = match arguments() {
         Ok(arguments) => arguments,
         Err(error) => {
-            eprint!("cairncrank: {error}\n\n{USAGE}");
+            eprint!("dispatcher: {error}\n\n{USAGE}");
             return ExitCode::from(BAD_USAGE);
         }
     };
@@ -106,7 +106,7 @@
                     None => None,
                     Some(Ok(listener)) => Some(listener),
                     Some(Err(error)) => {
-                        eprintln!("cairncrank: {error}");
+                        eprintln!("dispatcher: {error}");
                         return ExitCode::FAILURE;
                     }
                 };
@@ -120,7 +120,7 @@
 }
 
 fn misconfigured(error: &ConfigError) -> ExitCode {
-    eprintln!("cairncrank: configuration: {error}");
+    eprintln!("dispatcher: configuration: {error}");
     ExitCode::FAILURE
 }
 
--- a/crates/cairncrank/src/net/client.rs
+++ b/crates/dispatcher/src/net/client.rs
@@ -16,9 +16,9 @@
 use super::signal::Phase;
 use super::{read_more, waiting, write_whole, Configs};
 use crate::engine::{micros, Answer, Fault, Handle, Input, Job, Micros, Payload};
-use cairncrank_core::api::{Request, RequestId};
+use dispatch_core::api::{Request, RequestId};
 
-use cairncrank_core::settings::hash;
+use dispatch_core::settings::hash;
 
 /// From this part of the connections on, in hundredths, idle ones are closed and new ones refused: a
 /// dispatcher without descriptors could neither accept nor reach a worker.
--- a/crates/cairncrank/src/net/cold.rs
+++ b/crates/dispatcher/src/net/cold.rs
@@ -4,19 +4,19 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use cairncrank_duty::{DutyId, Micros, Token};
-use cairncrank_fleet::clock;
-use cairncrank_fleet::cold::{Ages, Dealer, Dealing, Grants, Purse, Use, Warming, COLD};
-use cairncrank_fleet::effects::Publisher;
-use cairncrank_fleet::member::Member;
-use cairncrank_fleet::wire::Effect;
+use cluster_member::clock;
+use cluster_member::cold::{Ages, Dealer, Dealing, Grants, Purse, Use, Warming, COLD};
+use cluster_member::effects::Publisher;
+use cluster_member::member::Member;
+use cluster_member::wire::Effect;
+use coordination::{DutyId, Micros, Token};
 use tokio::time::{interval, MissedTickBehavior};
 
 use super::console::FleetMetrics;
 use super::fleet::ROUND;
 use super::worker::Pool;
 use crate::engine::Input;
-use cairncrank_core::api::WorkerId;
+use dispatch_core::api::WorkerId;
 
 /// Grants are made every so many rounds.
 const DEALS: u32 = 2;
--- a/crates/cairncrank/src/net/discovery.rs
+++ b/crates/dispatcher/src/net/discovery.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use cairncrank_fleet::list::News;
+use cluster_member::list::News;
 use rustc_hash::FxHashMap;
 use serde_json::Value;
 use tokio::net::TcpStream;
@@ -23,8 +23,8 @@
 use super::{read_more, waiting, write_whole, Configs};
 use crate::config::{self, Config, Names};
 use crate::engine::{micros, Handle, Input, Listed, Micros};
-use cairncrank_core::api::{Seconds, WorkerId, WorkerState};
-use cairncrank_core::news::{beside, Calls};
+use dispatch_core::api::{Seconds, WorkerId, WorkerState};
+use dispatch_core::news::{beside, Calls};
 
 /// An empty line comes every 2 s; a watch that is silent for longer is dead, whatever its connection says.
 const SILENCE: Duration = Duration::from_millis(2800);
--- a/crates/cairncrank/src/net/leave.rs
+++ b/crates/dispatcher/src/net/leave.rs
@@ -7,14 +7,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cairncrank_duty::{DutyId, Micros, Token};
-use cairncrank_fleet::clock;
-use cairncrank_fleet::effects::Publisher;
-use cairncrank_fleet::keepers::Keepers;
-use cairncrank_fleet::member::Member;
-use cairncrank_fleet::wire::{Answer, Ask, Who};
-use cairncrank_release::census::{Census, Listed, Standing, Warmth, ACCOUNT};
-use cairncrank_release::{Account, Change, Kind, Observed, Outcome, Refusal, State, Target, Wants};
+use cluster_member::clock;
+use cluster_member::effects::Publisher;
+use cluster_member::keepers::Keepers;
+use cluster_member::member::Member;
+use cluster_member::wire::{Answer, Ask, Who};
+use coordination::{DutyId, Micros, Token};
+use disruption_budget::census::{Census, Listed, Standing, Warmth, ACCOUNT};
+use disruption_budget::{Account, Change, Kind, Observed, Outcome, Refusal, State, Target, Wants};
 use tokio::sync::{watch, Mutex};
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
--- a/crates/cairncrank/src/net/probe.rs
+++ b/crates/dispatcher/src/net/probe.rs
@@ -15,7 +15,7 @@
 use super::worker::{dial, Peer, Pool};
 use super::{read_more, read_response_head, write_whole};
 use crate::engine::Input;
-use cairncrank_core::api::{Load, Reports, WorkerId};
+use dispatch_core::api::{Load, Reports, WorkerId};
 
 /// A probe is given up after this many times what a connection may take to come up: the settings tell no time for
 /// it, and an answer that needs longer is no news any more.
--- a/crates/cairncrank/src/net/watchers.rs
+++ b/crates/dispatcher/src/net/watchers.rs
@@ -5,12 +5,12 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use cairncrank_duty::{Micros, Token};
-use cairncrank_fleet::clock;
-use cairncrank_fleet::effects::Publisher;
-use cairncrank_fleet::member::Member;
-use cairncrank_fleet::watch::{Against, Flaw, Report, Rounds, Sightings, Watching, Zones};
-use cairncrank_fleet::wire::Effect;
+use cluster_member::clock;
+use cluster_member::effects::Publisher;
+use cluster_member::member::Member;
+use cluster_member::watch::{Against, Flaw, Report, Rounds, Sightings, Watching, Zones};
+use cluster_member::wire::Effect;
+use coordination::{Micros, Token};
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{interval, MissedTickBehavior};
 
@@ -19,7 +19,7 @@
 use super::probe;
 use super::worker::Pool;
 use crate::engine::Input;
-use cairncrank_core::api::WorkerId;
+use dispatch_core::api::WorkerId;
 
 /// One set in one term of ours.
 struct Term {
@@ -109,7 +109,7 @@
         for (set, token) in owned {
             terms.entry(set).or_insert_with(|| {
                 tracing::info!(set, token = token.0, "watches workers for the fleet");
-                let duty = cairncrank_duty::DutyId::set(&self.how.name(), set);
+                let duty = coordination::DutyId::set(&self.how.name(), set);
                 Term {
                     token,
                     rounds: Rounds::new(self.how, &self.zone),
@@ -145,7 +145,7 @@
     }
 
     async fn look(self: Rc<Self>, set: u16, token: Token, worker: u64) {
-        let duty = cairncrank_duty::DutyId::set(&self.how.name(), set);
+        let duty = coordination::DutyId::set(&self.how.name(), set);
         let may = || {
             // The last thing before the write: a look at the lease by the clock, and the time for the next one.
             let now = clock::now();
--- a/crates/cairncrank/src/net/worker.rs
+++ b/crates/dispatcher/src/net/worker.rs
@@ -22,9 +22,9 @@
 use super::probe;
 use super::{read_more, read_response_head, write_whole, Configs};
 use crate::engine::{Clock, Command, Handle, Input, Micros, Payload, Reach};
-use cairncrank_core::api::{Load, Outcome, RequestId, Scope, WorkerId, WorkerState};
-use cairncrank_core::report::{Form, Read};
-use cairncrank_core::settings::worker_id;
+use dispatch_core::api::{Load, Outcome, RequestId, Scope, WorkerId, WorkerState};
+use dispatch_core::report::{Form, Read};
+use dispatch_core::settings::worker_id;
 
 /// A line of a worker may be this long: a result as large as a body, with room for escapes.
 const LONGEST_LINE: usize = 2 * MAX_BODY + 1024;
--- a/crates/cairncrank/src/own.rs
+++ b/crates/dispatcher/src/own.rs
@@ -9,12 +9,12 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
-use cairncrank_core::api::RoomSettings;
-use cairncrank_duty::{Micros, Times};
-use cairncrank_fleet::cold::Dealing;
-use cairncrank_fleet::settings;
-use cairncrank_fleet::watch::Watching;
-use cairncrank_hcl::{Read, Section};
+use cluster_member::cold::Dealing;
+use cluster_member::settings;
+use cluster_member::watch::Watching;
+use coordination::{Micros, Times};
+use dispatch_core::api::RoomSettings;
+use hcl_config::{Read, Section};
 
 use crate::config::ConfigError;
 
--- a/crates/cairncrank/tests/config.rs
+++ b/crates/dispatcher/tests/config.rs
@@ -2,7 +2,7 @@
 
 use std::process::{Command, Stdio};
 
-use cairncrank::config::Config;
+use dispatcher::config::Config;
 use serde_json::{json, Value};
 
 fn good() -> Value {
@@ -48,7 +48,7 @@
 }
 
 fn cairncrank(arguments: &[&str]) -> (Option<i32>, String, String) {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_cairncrank"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_dispatcher"));
     for variable in ["CONFIG", "LISTEN", "DISCOVERY", "NAME"] {
         command.env_remove(format!("BALANCER_{variable}"));
     }
@@ -92,7 +92,7 @@
         listener.local_addr().expect("an address")
     };
     let (address, nobody) = (free(), free());
-    let mut child = Command::new(env!("CARGO_BIN_EXE_cairncrank"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_dispatcher"))
         .args(["serve", "--config", concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/config.json")])
         .env("BALANCER_LISTEN", address.to_string())
         .env("BALANCER_DISCOVERY", nobody.to_string())
@@ -151,7 +151,7 @@
     };
     let address = |l: &std::net::TcpListener| l.local_addr().expect("an address").to_string();
     write(&json!("127.0.0.1:1"));
-    let mut program = Command::new(env!("CARGO_BIN_EXE_cairncrank"))
+    let mut program = Command::new(env!("CARGO_BIN_EXE_dispatcher"))
         .arg("--config")
         .arg(&file)
         .env("BALANCER_DISCOVERY", address(&first))
--- a/crates/cairncrank/tests/console.rs
+++ b/crates/dispatcher/tests/console.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use cairncrank::net::console::{self, answer, Console, Metrics, Mode, Outcome};
+use dispatcher::net::console::{self, answer, Console, Metrics, Mode, Outcome};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
 
--- a/crates/cairncrank/tests/engine.rs
+++ b/crates/dispatcher/tests/engine.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use cairncrank::api::{
+use dispatcher::api::{
     Class, Member, Outcome, Repeat, Request, RequestId, Scope, Settings, Tenant, WorkerId, WorkerState,
 };
-use cairncrank::engine::{
+use dispatcher::engine::{
     Answer, Clock, Command, Engine, Fault, Handle, Input, Job, Listed, Payload, Reach, Ticket,
 };
 use tokio::sync::mpsc;
--- a/crates/cairncrank/tests/inherit.rs
+++ b/crates/dispatcher/tests/inherit.rs
@@ -6,7 +6,7 @@
 use std::io::{Read, Write};
 use std::os::fd::{AsRawFd, IntoRawFd};
 
-use cairncrank::net::inherit::{number, take, Inherit};
+use dispatcher::net::inherit::{number, take, Inherit};
 
 #[test]
 fn a_listening_socket_is_taken_and_anything_else_is_refused_by_number() {
--- a/crates/cairncrank/tests/pinned_command_line.rs
+++ b/crates/dispatcher/tests/pinned_command_line.rs
@@ -8,7 +8,7 @@
 
 /// Exit code, standard output and standard error of a call.
 fn call_unmasked(arguments: &[&str], variables: &[(&str, &str)]) -> String {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_cairncrank"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_dispatcher"));
     for variable in ["CONFIG", "LISTEN", "DISCOVERY", "NAME", "CONSOLE", "ACCEPT_FD"] {
         command.env_remove(format!("BALANCER_{variable}"));
     }
--- a/crates/cairncrank/tests/pinned_console.rs
+++ b/crates/dispatcher/tests/pinned_console.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use cairncrank::net::console::{self, answer, Console, Metrics, Mode, Outcome};
+use dispatcher::net::console::{self, answer, Console, Metrics, Mode, Outcome};
 use tokio::sync::watch;
 
 /// Metrics of a member of a fleet, each with a value of its own.
--- a/crates/cairncrank/tests/pinned_settings.rs
+++ b/crates/dispatcher/tests/pinned_settings.rs
@@ -3,16 +3,16 @@
 
 use std::collections::BTreeMap;
 
-use cairncrank::api::{
+use cluster_member::cold::Dealing;
+use cluster_member::watch::Watching;
+use coordination::Times;
+use dispatch_core::settings::worker_id;
+use dispatcher::api::{
     Class, Group, Load, Member, Repeat, Reports, RoomSettings, Scope, Tenant, WorkerState,
 };
-use cairncrank::config::{self, Config};
-use cairncrank::engine::Listed;
-use cairncrank::own::{Fleet, Own};
-use cairncrank_core::settings::worker_id;
-use cairncrank_duty::Times;
-use cairncrank_fleet::cold::Dealing;
-use cairncrank_fleet::watch::Watching;
+use dispatcher::config::{self, Config};
+use dispatcher::engine::Listed;
+use dispatcher::own::{Fleet, Own};
 use serde_json::{json, Value};
 
 const EVERY_KEY: &str = include_str!("fixtures/every_key.json");
--- a/crates/cairncrank/tests/scenario/mod.rs
+++ b/crates/dispatcher/tests/scenario/mod.rs
@@ -38,9 +38,9 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use cairncrank::config::Config;
-use cairncrank::net::http::{Decoder, Head, Piece, Start};
-use cairncrank::net::{self, signal};
+use dispatcher::config::Config;
+use dispatcher::net::http::{Decoder, Head, Piece, Start};
+use dispatcher::net::{self, signal};
 use serde_json::{json, Value};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/cairncrank/tests/values.rs
+++ b/crates/dispatcher/tests/values.rs
@@ -1,6 +1,6 @@
 //! Values are found in a stream however they are laid out and in whatever pieces they come.
 
-use cairncrank::net::values::{Token, Values};
+use dispatcher::net::values::{Token, Values};
 
 /// All tokens of the text when it comes in pieces of this size, and what is left.
 fn tokens(text: &str, size: usize) -> (Vec<String>, String) {
--- a/crates/cairncrank-release/tests/account.rs
+++ b/crates/disruption-budget/tests/account.rs
@@ -1,6 +1,6 @@
 //! The account of who is out, change by change.
 
-use cairncrank_release::{
+use disruption_budget::{
     Account, Amount, Budget, Change, Condition, Cover, Kind, Observed, Outcome, Refusal, State, Target,
 };
 
--- a/crates/cairncrank-release/tests/format.rs
+++ b/crates/disruption-budget/tests/format.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
 
-use cairncrank_release::census::{Standing, ACCOUNT};
-use cairncrank_release::{
+use disruption_budget::census::{Standing, ACCOUNT};
+use disruption_budget::{
     Account, Amount, Budget, BudgetFault, Change, Condition, Cover, Flaw, Kind, Observed, Outcome, Target,
 };
 
--- a/crates/cairncrank-release/tests/judge.rs
+++ b/crates/disruption-budget/tests/judge.rs
@@ -1,6 +1,6 @@
 //! The judge's error rates, by seeded releases: how often one that is no worse is halted, and how soon one that is.
 
-use cairncrank_release::judge::{Counts, Judge, Judging, Measure, Verdict};
+use disruption_budget::judge::{Counts, Judge, Judging, Measure, Verdict};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
--- a/crates/cairncrank-release/tests/model.rs
+++ b/crates/disruption-budget/tests/model.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use cairncrank_release::{
+use disruption_budget::{
     Account, Amount, Budget, Change, Condition, Cover, Flaw, Kind, Observed, Outcome, PermitId, State, Target,
 };
 use stateright::{Checker, HasDiscoveries, Model, Property};
--- a/crates/cairncrank-lab/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -1,7 +1,7 @@
 //! Holds dispatchers to the four rules, by what the stand-ins saw: clients their answers, workers the jobs that
 //! reached them, discovery what it told. A dispatcher's own word counts for nothing here.
 
-use cairncrank_core::api::{Group, Repeat};
+use dispatch_core::api::{Group, Repeat};
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
--- a/crates/cairncrank-lab/src/fleet/drains.rs
+++ b/crates/emulator/src/fleet/drains.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cairncrank_fleet::clock;
+use cluster_member::clock;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use rustix::process::Signal;
--- a/crates/cairncrank-lab/src/fleet/hours.rs
+++ b/crates/emulator/src/fleet/hours.rs
@@ -7,7 +7,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use cairncrank_duty::{
+use coordination::{
     Command, DutyId, Flaw, Holder, Outcome, Reason, SessionId, State, Times, Token, View, Warden,
 };
 use rand::{Rng, SeedableRng};
--- a/crates/cairncrank-lab/src/fleet/light.rs
+++ b/crates/emulator/src/fleet/light.rs
@@ -5,10 +5,10 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use cairncrank_duty::{DutyId, Flaw, Holder, Times};
-use cairncrank_fleet::effects::{receive, Publisher};
-use cairncrank_fleet::member::{Ended, Member, Settings};
-use cairncrank_fleet::record::Recorder;
+use cluster_member::effects::{receive, Publisher};
+use cluster_member::member::{Ended, Member, Settings};
+use cluster_member::record::Recorder;
+use coordination::{DutyId, Flaw, Holder, Times};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
@@ -81,7 +81,7 @@
         seed: light.seed,
     };
     let member = Member::new(settings, Holder::new(light.times).with_flaw(flaw), record);
-    member.record().put(cairncrank_fleet::clock::now(), "started", serde_json::json!({}));
+    member.record().put(cluster_member::clock::now(), "started", serde_json::json!({}));
     tokio::task::spawn_local(receive(member.clone(), listener, |_| Vec::new()));
     tokio::task::spawn_local(own(member.clone()));
     let mut terminate = signal(SignalKind::terminate()).map_err(|error| error.to_string())?;
--- a/crates/cairncrank-lab/src/fleet/model.rs
+++ b/crates/emulator/src/fleet/model.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use cairncrank_duty::{Command, DutyId, Flaw, Holder, Outcome, SessionId, State, Times, Token, View, Warden};
+use coordination::{Command, DutyId, Flaw, Holder, Outcome, SessionId, State, Times, Token, View, Warden};
 use stateright::{Checker, Model, Property};
 
 /// Bounds of the search.
@@ -101,8 +101,8 @@
 }
 
 fn view((revision, floor, owner): Told) -> View {
-    let owner = owner.map(|(session, token)| cairncrank_duty::Owner { session, token });
-    View { revision, seats: vec![cairncrank_duty::Seat { duty: duty(), floor, owner }] }
+    let owner = owner.map(|(session, token)| coordination::Owner { session, token });
+    View { revision, seats: vec![coordination::Seat { duty: duty(), floor, owner }] }
 }
 
 impl Fleet {
--- a/crates/cairncrank-lab/src/fleet/plan.rs
+++ b/crates/emulator/src/fleet/plan.rs
@@ -1,7 +1,7 @@
 //! What an experiment of the drive `fleet` says, and the schedules of faults that a seed draws from it.
 
-use cairncrank_duty::Times;
-use cairncrank_hcl::{Fault as HclFault, Section};
+use coordination::Times;
+use hcl_config::{Fault as HclFault, Section};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -158,7 +158,7 @@
             calm: head.number("calm_s", 3.0..=60.0)?.unwrap_or(5.0),
             between: head.number("between_s", 0.2..=600.0)?.unwrap_or(4.0),
             arms: arms?,
-            times: cairncrank_fleet::settings::times(head)?,
+            times: cluster_member::settings::times(head)?,
         };
         head.word("drive", &[("fleet", ())])?;
         if plan.arms.is_empty() {
--- a/crates/cairncrank-lab/src/fleet/results.rs
+++ b/crates/emulator/src/fleet/results.rs
@@ -194,7 +194,7 @@
     }
     let bug = bug.map_or(String::new(), |bug| format!(" --seeded-bug {bug}"));
     eprintln!(
-        "  to play it again: cairncrank-lab run experiments/{}.hcl --seed {} --seeds 1 --arm {} --out again{bug}",
+        "  to play it again: emulator run experiments/{}.hcl --seed {} --seeds 1 --arm {} --out again{bug}",
         plan.name, played.seed, arm.name
     );
 }
--- a/crates/cairncrank-lab/src/fleet/rig.rs
+++ b/crates/emulator/src/fleet/rig.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Duration;
 
-use cairncrank_fleet::clock;
+use cluster_member::clock;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use rustix::process::{kill_process, Pid, Signal};
@@ -25,7 +25,7 @@
 /// The programs.
 #[derive(Debug, Clone)]
 pub struct Programs {
-    /// `cairncrank-keeper`.
+    /// `coordinator`.
     pub keeper: PathBuf,
     /// This tool, which also is the light member.
     pub lab: PathBuf,
--- a/crates/cairncrank-lab/src/fleet/together.rs
+++ b/crates/emulator/src/fleet/together.rs
@@ -21,9 +21,9 @@
 /// The programs.
 #[derive(Debug, Clone)]
 pub struct Binaries {
-    /// `cairncrank`.
+    /// `dispatcher`.
     pub dispatcher: PathBuf,
-    /// `cairncrank-keeper`.
+    /// `coordinator`.
     pub keeper: PathBuf,
 }
 
@@ -40,7 +40,7 @@
             let missing = format!("{} is missing: run the tests of the whole workspace", program.display());
             program.is_file().then_some(program).ok_or(missing)
         };
-        Ok(Binaries { dispatcher: built("cairncrank")?, keeper: built("cairncrank-keeper")? })
+        Ok(Binaries { dispatcher: built("dispatcher")?, keeper: built("coordinator")? })
     }
 }
 
@@ -344,7 +344,7 @@
         self.consoles[n]
     }
 
-    /// Runs `cairncrank-keeper` with the configuration of keeper `n`, from one, and returns what it says, or why it
+    /// Runs `coordinator` with the configuration of keeper `n`, from one, and returns what it says, or why it
     /// failed.
     ///
     /// # Errors
--- a/crates/cairncrank-lab/src/fleet/watching.rs
+++ b/crates/emulator/src/fleet/watching.rs
@@ -22,9 +22,9 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use cairncrank_core::api::Repeat;
-use cairncrank_core::settings::worker_id;
-use cairncrank_fleet::clock;
+use cluster_member::clock;
+use dispatch_core::api::Repeat;
+use dispatch_core::settings::worker_id;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use rustix::process::Signal;
--- a/crates/cairncrank-lab/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -5,22 +5,22 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use cairncrank_duty::Flaw;
-use cairncrank_lab::fleet::drains;
-use cairncrank_lab::fleet::hours::live;
-use cairncrank_lab::fleet::joining;
-use cairncrank_lab::fleet::light;
-use cairncrank_lab::fleet::model::{search, Bounds};
-use cairncrank_lab::fleet::plan::Plan;
-use cairncrank_lab::fleet::results::run as fleet_run;
-use cairncrank_lab::fleet::rig::Programs;
-use cairncrank_lab::fleet::together::Binaries;
-use cairncrank_lab::fleet::watching;
-use cairncrank_lab::fleet::worth;
-use cairncrank_lab::report::{compare, Results};
-use cairncrank_lab::run::{socket_runs, virtual_runs};
-use cairncrank_lab::spec::{self, Experiment};
 use clap::{Parser, Subcommand, ValueEnum};
+use coordination::Flaw;
+use emulator::fleet::drains;
+use emulator::fleet::hours::live;
+use emulator::fleet::joining;
+use emulator::fleet::light;
+use emulator::fleet::model::{search, Bounds};
+use emulator::fleet::plan::Plan;
+use emulator::fleet::results::run as fleet_run;
+use emulator::fleet::rig::Programs;
+use emulator::fleet::together::Binaries;
+use emulator::fleet::watching;
+use emulator::fleet::worth;
+use emulator::report::{compare, Results};
+use emulator::run::{socket_runs, virtual_runs};
+use emulator::spec::{self, Experiment};
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
 
@@ -287,7 +287,7 @@
     }
     let seeds: Vec<u64> = (first..first.saturating_add(count)).collect();
     let lab = std::env::current_exe().map_err(|error| error.to_string())?;
-    let programs = Programs { keeper: beside("cairncrank-keeper")?, lab };
+    let programs = Programs { keeper: beside("coordinator")?, lab };
     let bar = ProgressBar::new((seeds.len() * plan.arms.len()) as u64);
     if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} schedules, {eta} left") {
         bar.set_style(style);
@@ -303,8 +303,8 @@
 }
 
 fn waits(length: u64, out: &Path) -> Result<(), String> {
-    let binaries = Binaries { dispatcher: beside("cairncrank")?, keeper: beside("cairncrank-keeper")? };
-    let arms = cairncrank_lab::fleet::waits::play(out, &binaries, std::time::Duration::from_secs(length))?;
+    let binaries = Binaries { dispatcher: beside("dispatcher")?, keeper: beside("coordinator")? };
+    let arms = emulator::fleet::waits::play(out, &binaries, std::time::Duration::from_secs(length))?;
     let text = serde_json::to_string_pretty(&arms).map_err(|error| error.to_string())?;
     std::fs::write(out.join("waits.json"), &text).map_err(|error| format!("{}: {error}", out.display()))?;
     println!("{text}");
@@ -312,7 +312,7 @@
 }
 
 fn worth(members: &[u16], length: Duration, list_only: bool, out: &Path) -> Result<(), String> {
-    let binaries = Binaries { dispatcher: beside("cairncrank")?, keeper: beside("cairncrank-keeper")? };
+    let binaries = Binaries { dispatcher: beside("dispatcher")?, keeper: beside("coordinator")? };
     let block = if list_only { "" } else { "watch {\n  sets = 6\n}\n" };
     let mut sides: BTreeMap<String, worth::Side> = BTreeMap::new();
     for count in members {
@@ -329,7 +329,7 @@
 }
 
 fn drains(args: &DrainsArgs) -> Result<(), String> {
-    let known: Vec<&str> = cairncrank_release::Flaw::names().iter().map(|(name, _)| *name).collect();
+    let known: Vec<&str> = disruption_budget::Flaw::names().iter().map(|(name, _)| *name).collect();
     match args.seeded_bug.as_deref() {
         Some("list") => {
             known.iter().for_each(|name| println!("{name}"));
@@ -340,7 +340,7 @@
         }
         _ => {}
     }
-    let binaries = Binaries { dispatcher: beside("cairncrank")?, keeper: beside("cairncrank-keeper")? };
+    let binaries = Binaries { dispatcher: beside("dispatcher")?, keeper: beside("coordinator")? };
     let base = drains::Plan {
         dispatchers: args.dispatchers.into(),
         length: Duration::from_secs(args.length_s),
@@ -396,7 +396,7 @@
 }
 
 fn watching(args: &WatchingArgs) -> Result<(), String> {
-    let binaries = Binaries { dispatcher: beside("cairncrank")?, keeper: beside("cairncrank-keeper")? };
+    let binaries = Binaries { dispatcher: beside("dispatcher")?, keeper: beside("coordinator")? };
     let base = watching::Plan {
         dispatchers: args.dispatchers.into(),
         workers: args.workers.into(),
@@ -418,7 +418,7 @@
 }
 
 fn joining((first, seeds): (u64, u64), plan: &joining::Plan, out: &Path) -> Result<(), String> {
-    let binaries = Binaries { dispatcher: beside("cairncrank")?, keeper: beside("cairncrank-keeper")? };
+    let binaries = Binaries { dispatcher: beside("dispatcher")?, keeper: beside("coordinator")? };
     let mut days: BTreeMap<String, joining::Joined> = BTreeMap::new();
     for seed in first..first.saturating_add(seeds) {
         // Both arms at once, so that what else the machine does meets both.
@@ -497,7 +497,7 @@
     let (runs, drive) = match drive {
         Drive::Virtual => (virtual_runs(&experiment, &seeds, &bar), "virtual"),
         Drive::Sockets => {
-            let program = program.map_or_else(|| beside("cairncrank"), Ok)?;
+            let program = program.map_or_else(|| beside("dispatcher"), Ok)?;
             let played = socket_runs(&mut experiment, &seeds, &program, at_once.into(), &bar);
             let (runs, left_out) = played.map_err(|error| error.to_string())?;
             if !left_out.is_empty() {
@@ -595,7 +595,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("cairncrank-lab: {problem}");
+            eprintln!("emulator: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/crates/cairncrank-lab/src/router.rs
+++ b/crates/emulator/src/router.rs
@@ -2,11 +2,11 @@
 //!
 //! All of them are told the same events and answer with the same actions, so the drives know one kind of router.
 
-use cairncrank_core::api::{
+use dispatch_core::api::{
     Action, Event, Member, Outcome, Repeat, Request, RequestId, Scope, Seconds, Settings, WorkerId,
     WorkerState,
 };
-use cairncrank_core::Dispatcher;
+use dispatch_core::Dispatcher;
 use rand::Rng as _;
 use rand_pcg::Pcg64Mcg;
 use rustc_hash::FxHashMap;
--- a/crates/cairncrank-lab/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::path::Path;
 
-use cairncrank_core::api::Settings;
+use dispatch_core::api::Settings;
 use indicatif::ProgressBar;
 use rayon::prelude::*;
 
--- a/crates/cairncrank-lab/src/sockets/client.rs
+++ b/crates/emulator/src/sockets/client.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 use bytes::BytesMut;
-use cairncrank_core::api::Repeat;
+use dispatch_core::api::Repeat;
 use tokio::io::AsyncWriteExt as _;
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
--- a/crates/cairncrank-lab/src/sockets/program.rs
+++ b/crates/emulator/src/sockets/program.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::BytesMut;
-use cairncrank_core::api::{Group, Repeat};
+use dispatch_core::api::{Group, Repeat};
 use serde_json::{json, Value};
 use tokio::io::AsyncWriteExt as _;
 use tokio::net::{TcpListener, TcpStream};
@@ -47,7 +47,7 @@
         // The port is free now and stays so, unless somebody else is given it in this moment.
         let listen = Probe::bind("127.0.0.1:0")?.local_addr()?.port();
         world.borrow_mut().listen.push(listen);
-        let file = format!("cairncrank-lab-{}-{listen}.json", std::process::id());
+        let file = format!("emulator-{}-{listen}.json", std::process::id());
         let config = std::env::temp_dir().join(file);
         let settings = settings(world, arm, host);
         let own = config.with_extension("hcl");
--- a/crates/cairncrank-lab/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -4,8 +4,8 @@
 //! labelled blocks (kinds, classes, tenants) is taken from there whole. What still is a span of figures is drawn for
 //! each day by [`crate::day`].
 
-use cairncrank_core::api::{Group, Repeat, RoomSettings};
-use cairncrank_hcl::{Read, Section, Value};
+use dispatch_core::api::{Group, Repeat, RoomSettings};
+use hcl_config::{Read, Section, Value};
 
 /// The figures that hold where an experiment says nothing.
 const BASE: &str = include_str!("base.hcl");
@@ -149,7 +149,7 @@
 /// Who decides in an arm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouterKind {
-    /// The decision module of `cairncrank-core`.
+    /// The decision module of `dispatch-core`.
     Cairncrank,
     /// Any worker.
     Random,
--- a/crates/cairncrank-lab/src/virtual_time/mod.rs
+++ b/crates/emulator/src/virtual_time/mod.rs
@@ -12,7 +12,7 @@
     experiment: &Experiment,
     arm: &Arm,
     day: &Day,
-    make: &dyn Fn(cairncrank_core::Settings, u64) -> Box<dyn Router>,
+    make: &dyn Fn(dispatch_core::Settings, u64) -> Box<dyn Router>,
 ) -> Record {
     world::World::new(experiment, arm, day, make).run()
 }
--- a/crates/cairncrank-lab/src/virtual_time/world.rs
+++ b/crates/emulator/src/virtual_time/world.rs
@@ -3,11 +3,11 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BinaryHeap};
 
-use cairncrank_core::api::{
+use dispatch_core::api::{
     Action, Class, Event, Member, Outcome, Repeat, Request, RequestId, Scope, Seconds, Settings, Tenant,
     WorkerId, WorkerState,
 };
-use cairncrank_core::settings::worker_id;
+use dispatch_core::settings::worker_id;
 use rand::Rng as _;
 use rand_distr::{Distribution as _, LogNormal};
 use rand_pcg::Pcg64Mcg;
--- a/crates/cairncrank-lab/tests/drains.rs
+++ b/crates/emulator/tests/drains.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use cairncrank_lab::fleet::drains::{play, start, Drained, Plan, RULES};
-use cairncrank_lab::fleet::together::{Binaries, Together};
+use emulator::fleet::drains::{play, start, Drained, Plan, RULES};
+use emulator::fleet::together::{Binaries, Together};
 use rustix::process::Signal;
 use tokio::task::LocalSet;
 use tokio::time::{sleep, Instant};
--- a/crates/cairncrank-lab/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use cairncrank_lab::fleet::checker::{check, takeovers, Done, Line, Records, RULES};
-use cairncrank_lab::fleet::plan::{Kind, Plan};
-use cairncrank_lab::fleet::results::run;
-use cairncrank_lab::fleet::rig::Programs;
+use emulator::fleet::checker::{check, takeovers, Done, Line, Records, RULES};
+use emulator::fleet::plan::{Kind, Plan};
+use emulator::fleet::results::run;
+use emulator::fleet::rig::Programs;
 use indicatif::ProgressBar;
 
 const SHORT: &str = r#"
@@ -42,7 +42,7 @@
 #[test]
 fn schedules_with_processes_keep_the_rules() {
     let plan = Plan::read("short.hcl", SHORT).unwrap();
-    let programs = Programs { keeper: built("cairncrank-keeper"), lab: built("cairncrank-lab") };
+    let programs = Programs { keeper: built("coordinator"), lab: built("emulator") };
     let out = tempfile::tempdir().unwrap();
     let seeds: Vec<u64> = (1..=6).collect();
     let results = run(&plan, &seeds, &programs, out.path(), None, 6, &ProgressBar::hidden()).unwrap();
--- a/crates/cairncrank-lab/tests/list_duty.rs
+++ b/crates/emulator/tests/list_duty.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use cairncrank_lab::fleet::standin_discovery::Discovery;
-use cairncrank_lab::fleet::together::{Binaries, Setup, Together};
+use emulator::fleet::standin_discovery::Discovery;
+use emulator::fleet::together::{Binaries, Setup, Together};
 use tokio::task::LocalSet;
 use tokio::time::{sleep, Instant};
 
@@ -197,9 +197,9 @@
 /// Found when a rig was ended in the middle: members whose keepers refused at once never ended at SIGTERM.
 #[test]
 fn a_member_without_keepers_ends_when_it_is_told_to() {
-    use cairncrank_duty::{Holder, Times};
-    use cairncrank_fleet::member::{Ended, Member, Settings};
-    use cairncrank_fleet::record::Recorder;
+    use cluster_member::member::{Ended, Member, Settings};
+    use cluster_member::record::Recorder;
+    use coordination::{Holder, Times};
     play(async {
         let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let settings = Settings {
--- a/crates/cairncrank-lab/tests/ownership_model.rs
+++ b/crates/emulator/tests/ownership_model.rs
@@ -1,8 +1,8 @@
 //! The ownership protocol in every order of events, as it is and with each flaw.
 
-use cairncrank_duty::Flaw;
-use cairncrank_lab::fleet::hours::live;
-use cairncrank_lab::fleet::model::{search, Bounds};
+use coordination::Flaw;
+use emulator::fleet::hours::live;
+use emulator::fleet::model::{search, Bounds};
 
 #[test]
 fn the_protocol_holds_and_each_flaw_is_found() {
--- a/crates/cairncrank-lab/tests/sockets.rs
+++ b/crates/emulator/tests/sockets.rs
@@ -2,10 +2,10 @@
 
 use std::path::PathBuf;
 
-use cairncrank_lab::day::Day;
-use cairncrank_lab::figures::Figures;
-use cairncrank_lab::sockets;
-use cairncrank_lab::spec::{self, Experiment};
+use emulator::day::Day;
+use emulator::figures::Figures;
+use emulator::sockets;
+use emulator::spec::{self, Experiment};
 
 /// A light day with a drain in it, so short that a busy machine does not matter: patience is longer than the day.
 const DAY: &str = r#"
--- a/crates/cairncrank-lab/tests/stable_results.rs
+++ b/crates/emulator/tests/stable_results.rs
@@ -4,17 +4,17 @@
 use std::fmt::Write as _;
 use std::sync::{Arc, Mutex};
 
-use cairncrank_core::api::{Action, Event, Outcome, Scope, Seconds, WorkerState};
-use cairncrank_core::Settings;
-use cairncrank_duty::Flaw;
-use cairncrank_lab::day::Day;
-use cairncrank_lab::fleet::hours::live;
-use cairncrank_lab::fleet::model::{search, Bounds};
-use cairncrank_lab::report::{compare, Results};
-use cairncrank_lab::router::{router, Router, Sight};
-use cairncrank_lab::run::virtual_runs;
-use cairncrank_lab::spec::{self, Experiment, RouterKind};
-use cairncrank_lab::virtual_time;
+use coordination::Flaw;
+use dispatch_core::api::{Action, Event, Outcome, Scope, Seconds, WorkerState};
+use dispatch_core::Settings;
+use emulator::day::Day;
+use emulator::fleet::hours::live;
+use emulator::fleet::model::{search, Bounds};
+use emulator::report::{compare, Results};
+use emulator::router::{router, Router, Sight};
+use emulator::run::virtual_runs;
+use emulator::spec::{self, Experiment, RouterKind};
+use emulator::virtual_time;
 use indicatif::ProgressBar;
 
 const EVERY_KEY: &str = include_str!("stable/every_key.hcl");
--- a/crates/cairncrank-lab/tests/stable_text.rs
+++ b/crates/emulator/tests/stable_text.rs
@@ -7,16 +7,16 @@
 use std::process::Command;
 use std::time::Duration;
 
-use cairncrank_lab::fleet::checker::{self, Line, Records};
-use cairncrank_lab::fleet::drains::{self, Drained};
-use cairncrank_lab::fleet::joining::Joined;
-use cairncrank_lab::fleet::light::Light;
-use cairncrank_lab::fleet::plan::{Kind, Plan, KINDS};
-use cairncrank_lab::fleet::results::{ArmResult, Quantiles, Results};
-use cairncrank_lab::fleet::waits::Waits;
-use cairncrank_lab::fleet::watching::{self, Watched};
-use cairncrank_lab::fleet::worth::Side;
-use cairncrank_lab::spec;
+use emulator::fleet::checker::{self, Line, Records};
+use emulator::fleet::drains::{self, Drained};
+use emulator::fleet::joining::Joined;
+use emulator::fleet::light::Light;
+use emulator::fleet::plan::{Kind, Plan, KINDS};
+use emulator::fleet::results::{ArmResult, Quantiles, Results};
+use emulator::fleet::waits::Waits;
+use emulator::fleet::watching::{self, Watched};
+use emulator::fleet::worth::Side;
+use emulator::spec;
 use serde::Serialize;
 
 /// The program.
@@ -361,7 +361,7 @@
 #[test]
 fn defaults_of_plans() {
     let (watching, drains) = (watching::Plan::default(), drains::Plan::default());
-    let joining = cairncrank_lab::fleet::joining::Plan::default();
+    let joining = emulator::fleet::joining::Plan::default();
     let ms = |time: Duration| time.as_millis();
     insta::assert_snapshot!(format!(
         "watching: {} {} {} {} {} {} {} {} {} {} {:?} {} {}\ndrains: {} {} {} {} {} {:?} {}\njoining: {} {:?} {} {} {} {} {}\n",
--- a/crates/cairncrank-lab/tests/versions.rs
+++ b/crates/emulator/tests/versions.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-use cairncrank_lab::fleet::standin_discovery::Discovery;
-use cairncrank_lab::fleet::together::{Binaries, Setup, Together};
+use emulator::fleet::standin_discovery::Discovery;
+use emulator::fleet::together::{Binaries, Setup, Together};
 use tokio::task::LocalSet;
 use tokio::time::{sleep, Instant};
 
--- a/crates/cairncrank-lab/tests/virtual_time.rs
+++ b/crates/emulator/tests/virtual_time.rs
@@ -1,16 +1,16 @@
 //! The drive in virtual time: the same seed gives the same bytes, the module keeps the rules, and routers with a
 //! seeded bug are caught by the stand-ins' records.
 
-use cairncrank_core::api::{Action, Event, Seconds, WorkerId, WorkerState};
-use cairncrank_core::Settings;
-use cairncrank_lab::checker::Breaches;
-use cairncrank_lab::day::Day;
-use cairncrank_lab::figures::Figures;
-use cairncrank_lab::report::{compare, Results};
-use cairncrank_lab::router::{router, Router, Sight};
-use cairncrank_lab::run::virtual_runs;
-use cairncrank_lab::spec::{self, Experiment, RouterKind};
-use cairncrank_lab::virtual_time;
+use dispatch_core::api::{Action, Event, Seconds, WorkerId, WorkerState};
+use dispatch_core::Settings;
+use emulator::checker::Breaches;
+use emulator::day::Day;
+use emulator::figures::Figures;
+use emulator::report::{compare, Results};
+use emulator::router::{router, Router, Sight};
+use emulator::run::virtual_runs;
+use emulator::spec::{self, Experiment, RouterKind};
+use emulator::virtual_time;
 use indicatif::ProgressBar;
 
 const DAYS: &str = include_str!("../../../experiments/days.hcl");
--- a/crates/cairncrank-lab/tests/watching.rs
+++ b/crates/emulator/tests/watching.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use cairncrank_lab::fleet::joining;
-use cairncrank_lab::fleet::together::Binaries;
-use cairncrank_lab::fleet::watching::{play, Fault, Plan, Watched, RULES};
+use emulator::fleet::joining;
+use emulator::fleet::together::Binaries;
+use emulator::fleet::watching::{play, Fault, Plan, Watched, RULES};
 
 fn played(plan: &Plan) -> Watched {
     let dir = tempfile::tempdir().unwrap();
--- a/crates/cairncrank-hcl/tests/error_text.rs
+++ b/crates/hcl-config/tests/error_text.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use cairncrank_hcl::{Fault, Section};
+use hcl_config::{Fault, Section};
 
 const SETTINGS: &str = "\
 name = \"here\"
--- a/crates/cairncrank-simhost/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -12,13 +12,13 @@
 use base64::Engine as _;
 use rustc_hash::FxHashMap;
 
-use cairncrank_core::api::{
+use dispatch_core::api::{
     Action, Event, Load, Member, Outcome, Request, RequestId, Scope, Seconds, WorkerId, WorkerState,
 };
-use cairncrank_core::report::Form;
-pub use cairncrank_core::settings::worker_id;
-use cairncrank_core::settings::{bad, settings, Bad, Pairs, Parsed};
-use cairncrank_core::Dispatcher;
+use dispatch_core::report::Form;
+pub use dispatch_core::settings::worker_id;
+use dispatch_core::settings::{bad, settings, Bad, Pairs, Parsed};
+use dispatch_core::Dispatcher;
 
 /// How many numbered worker lists the wire keeps.
 const LISTS: usize = 16;
--- a/crates/cairncrank-simhost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::process::ExitCode;
 
-use cairncrank_simhost::Host;
+use simulator_adapter::Host;
 
 /// Batches may be large; reading in big pieces saves system calls.
 const BUFFER: usize = 1 << 18;
@@ -13,7 +13,7 @@
     match Host::default().serve(input, io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("cairncrank-simhost: {error}");
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/cairncrank-simhost/tests/recorded_batch.rs
+++ b/crates/simulator-adapter/tests/recorded_batch.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
 
-use cairncrank_simhost::Host;
 use fastrand::Rng;
+use simulator_adapter::Host;
 
 const SEED: u64 = 20_26;
 const STEPS: u32 = 400;
--- a/crates/cairncrank-simhost/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -3,7 +3,7 @@
 use std::io::Write as _;
 use std::process::{Command, Stdio};
 
-use cairncrank_simhost::{Host, HostError};
+use simulator_adapter::{Host, HostError};
 
 const INIT: &str = "INIT 7 azs=a,b balancers=1 zone=0 slot-no=0 discovery=push unknown.key=x \
     profiles.count=1 profiles.0.deadline-s=5.0 profiles.0.promise-s=0.5 profiles.0.idempotency=free \
@@ -102,7 +102,7 @@
 /// The adapter starts, answers an empty batch and ends with its input.
 #[test]
 fn the_adapter_answers() {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_cairncrank-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
--- a/examples/scheduler.rs
+++ b/examples/scheduler.rs
@@ -5,10 +5,10 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use cairncrank::api::{
+use dispatcher::api::{
     Class, Member, Outcome, Repeat, Request, RequestId, Scope, Tenant, WorkerId, WorkerState,
 };
-use cairncrank::{Action, Dispatcher, Event, Settings};
+use dispatcher::{Action, Dispatcher, Event, Settings};
 
 fn main() {
     let settings = Settings {
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,7 +1,7 @@
 //! A toy fleet to try the dispatcher with: two workers and the discovery that lists them, all in one process.
 //!
 //! Run it with `cargo run --example toy_server`, and beside it
-//! `cargo run --bin cairncrank -- serve --config examples/config.json`. Then hand in a job:
+//! `cargo run --bin dispatcher -- serve --config examples/config.json`. Then hand in a job:
 //!
 //! ```sh
 //! curl -i http://127.0.0.1:7070/lookup -H 'Request-Id: 1' -H 'Tenant: web' -d 'which sofas?'
--- a/experiments/one-owner-slow.hcl
+++ b/experiments/one-owner-slow.hcl
@@ -1,5 +1,5 @@
 # The same as one-owner on a network of 200 ms each way, with times that fit to it.
-#   cairncrank-lab run experiments/one-owner-slow.hcl --seed 1 --seeds 6 --at-once 6 --out results
+#   emulator run experiments/one-owner-slow.hcl --seed 1 --seeds 6 --at-once 6 --out results
 experiment "one-owner-slow" {
   about     = "Every link late by 200 ms each way, one connection in twenty reset, owners killed meanwhile."
   drive     = "fleet"
--- a/experiments/one-owner.hcl
+++ b/experiments/one-owner.hcl
@@ -1,5 +1,5 @@
 # Who owns a duty, with processes and faults between them. Played with real keepers and light members:
-#   cairncrank-lab run experiments/one-owner.hcl --seed 1 --seeds 20 --at-once 3 --out results
+#   emulator run experiments/one-owner.hcl --seed 1 --seeds 20 --at-once 3 --out results
 experiment "one-owner" {
   about     = "At most one owner at a time, whatever fails; the next owner within seconds."
   drive     = "fleet"
--- a/experiments/wrong-clocks.hcl
+++ b/experiments/wrong-clocks.hcl
@@ -1,5 +1,5 @@
 # What it does where the clocks of half of the machines are wrong: cold turns and the age of workers rest on Unix time.
-#   cairncrank-lab run experiments/wrong-clocks.hcl --seed 1 --seeds 40 --out results
+#   emulator run experiments/wrong-clocks.hcl --seed 1 --seeds 40 --out results
 experiment "wrong-clocks" {
   about = "Every second dispatcher's clock is ahead by 2 s, and by an hour, on days with cold workers"
 
