--- a/crates/emulator/src/fleet/together.rs
+++ b/crates/emulator/src/cluster/cluster_harness.rs
@@ -14,9 +14,9 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout, Instant};
 
-use super::checker::{self, Records};
-use super::proxy::{stand_before, Name, Net, Shared};
-use super::standin_discovery::Discovery;
+use super::record_checker::{self, Records};
+use super::fault_proxy::{stand_before, Name, Net, Shared};
+use super::emulated_discovery::Discovery;
 
 /// The programs.
 #[derive(Debug, Clone)]
@@ -108,10 +108,10 @@
 pub fn records(dir: &Path, keepers: usize, dispatchers: usize) -> Result<Records, String> {
     let mut records = Records::default();
     for keeper in 1..=keepers as u64 {
-        records.keepers.insert(keeper, checker::read(&dir.join(format!("k{keeper}.jsonl")))?);
+        records.keepers.insert(keeper, record_checker::read(&dir.join(format!("k{keeper}.jsonl")))?);
     }
     for n in 0..dispatchers {
-        records.members.insert(format!("d{n}"), checker::read(&dir.join(format!("d{n}.jsonl")))?);
+        records.members.insert(format!("d{n}"), record_checker::read(&dir.join(format!("d{n}.jsonl")))?);
     }
     Ok(records)
 }
--- a/crates/emulator/src/fleet/waits.rs
+++ b/crates/emulator/src/cluster/dispatch_latency.rs
@@ -17,8 +17,8 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
 
-use super::standin_discovery::Discovery;
-use super::together::{Binaries, Setup, Together};
+use super::emulated_discovery::Discovery;
+use super::cluster_harness::{Binaries, Setup, Together};
 use crate::sockets::http::{self, chunk, CHUNKED, LAST_CHUNK};
 
 const DISPATCHERS: usize = 2;
--- a/crates/emulator/src/fleet/rig.rs
+++ b/crates/emulator/src/cluster/lease_harness.rs
@@ -17,10 +17,10 @@
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use super::checker::{self, Done, Records, Violations, RULES};
-use super::light::Light;
-use super::plan::{Arm, Fault, Kind, Plan};
-use super::proxy::{self, Name, Net, Shared};
+use super::record_checker::{self, Done, Records, Violations, RULES};
+use super::lightweight_member::Light;
+use super::schedule::{Arm, Fault, Kind, Plan};
+use super::fault_proxy::{self, Name, Net, Shared};
 
 /// The programs.
 #[derive(Debug, Clone)]
@@ -157,7 +157,7 @@
             let door = TcpListener::bind((ip(101 + name), 0)).await.map_err(io("a proxy"))?;
             doors.push(door.local_addr().map_err(io("a proxy"))?);
             targets.push(target);
-            tasks.push(spawn_local(proxy::stand_before(net.clone(), door, name, target)));
+            tasks.push(spawn_local(fault_proxy::stand_before(net.clone(), door, name, target)));
         }
         let keepers: BTreeMap<u64, SocketAddr> =
             (0..arm.keepers).map(|name| (name as u64 + 1, doors[name])).collect();
@@ -330,7 +330,7 @@
     }
 
     fn keeper_records(&self) -> Result<Records, String> {
-        let read = |number: u64| Ok((number, checker::read(&self.dir.join(format!("k{number}.jsonl")))?));
+        let read = |number: u64| Ok((number, record_checker::read(&self.dir.join(format!("k{number}.jsonl")))?));
         let keepers: Result<_, String> = (1..=self.arm.keepers as u64).map(read).collect();
         Ok(Records { keepers: keepers?, members: BTreeMap::new() })
     }
@@ -338,14 +338,14 @@
     /// Who owned the duty last, by the keepers' records, and in which term.
     fn owner(&self) -> Result<Option<(Name, u64)>, String> {
         let records = self.keeper_records()?;
-        let Some((token, session)) = checker::newest(&records) else { return Ok(None) };
-        let Some(member) = checker::member_of(&records, session) else { return Ok(None) };
+        let Some((token, session)) = record_checker::newest(&records) else { return Ok(None) };
+        let Some(member) = record_checker::member_of(&records, session) else { return Ok(None) };
         let number = member.strip_prefix('m').and_then(|number| number.parse::<usize>().ok());
         Ok(number.map(|number| (number + self.arm.keepers, token)))
     }
 
     fn leader(&self) -> Result<Name, String> {
-        Ok(checker::leader(&self.keeper_records()?).map_or(0, |number| number as usize - 1))
+        Ok(record_checker::leader(&self.keeper_records()?).map_or(0, |number| number as usize - 1))
     }
 
     async fn schedule(&mut self, seed: u64) -> Result<(), String> {
@@ -380,7 +380,7 @@
         let calm = Duration::from_secs_f64(self.plan.calm);
         sleep(calm).await;
         let records = self.records()?;
-        if !checker::alive_after(&records, clock::now().saturating_sub(1_000_000)) {
+        if !record_checker::alive_after(&records, clock::now().saturating_sub(1_000_000)) {
             let text = format!("nothing was done in the last of {} s after all was healed", self.plan.calm);
             self.violations.entry(RULES[6]).or_default().push(text);
         }
@@ -455,7 +455,7 @@
             }
             Later::Hasten(pairs) => {
                 let mut net = self.net.borrow_mut();
-                let quick = |trouble: &mut proxy::Trouble| trouble.delay = Duration::ZERO;
+                let quick = |trouble: &mut fault_proxy::Trouble| trouble.delay = Duration::ZERO;
                 pairs.into_iter().for_each(|(from, to)| net.set(from, to, quick));
             }
             Later::Stop(name, lasts) => {
@@ -677,7 +677,7 @@
             let path = entry.map_err(io(self.dir.display()))?.path();
             let stem = path.file_stem().and_then(|stem| stem.to_str()).unwrap_or_default().to_owned();
             if path.extension().is_some_and(|ending| ending == "jsonl") && stem.starts_with('m') {
-                records.members.insert(stem, checker::read(&path)?);
+                records.members.insert(stem, record_checker::read(&path)?);
             }
         }
         Ok(records)
@@ -697,7 +697,7 @@
 
     fn judge(mut self, seed: u64) -> Result<Played, String> {
         let records = self.records()?;
-        let mut violations = checker::check(&records);
+        let mut violations = record_checker::check(&records);
         for (rule, texts) in std::mem::take(&mut self.violations) {
             violations.entry(rule).or_default().extend(texts);
         }
@@ -708,10 +708,10 @@
             faults,
             resets: self.net.borrow().resets,
             doubles: self.net.borrow().doubles,
-            takeovers: checker::takeovers(&records, &self.done, self.plan.times.lease),
-            taken: checker::taken(&records),
-            refused: checker::refused(&records),
-            terms: checker::terms(&records),
+            takeovers: record_checker::takeovers(&records, &self.done, self.plan.times.lease),
+            taken: record_checker::taken(&records),
+            refused: record_checker::refused(&records),
+            terms: record_checker::terms(&records),
             violations,
         };
         let slow = played.takeovers.values().flatten().any(|takeover| *takeover > 3_000_000);
--- a/crates/emulator/src/fleet/drains.rs
+++ b/crates/emulator/src/cluster/planned_drains.rs
@@ -24,9 +24,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 
-use super::checker::{self, Line, Records};
-use super::standin_discovery::Discovery;
-use super::together::{call, member, play_below, records, Binaries, Setup, Together};
+use super::record_checker::{self, Line, Records};
+use super::emulated_discovery::Discovery;
+use super::cluster_harness::{call, member, play_below, records, Binaries, Setup, Together};
 
 /// The rules, in the order of the module's text.
 pub const RULES: [&str; 5] = [
@@ -484,10 +484,10 @@
             found.entry(RULES[2]).or_default().push(text);
         }
     }
-    for (rule, texts) in checker::check(records) {
+    for (rule, texts) in record_checker::check(records) {
         found.entry(RULES[4]).or_default().extend(texts.iter().map(|text| format!("{rule}: {text}")));
     }
-    drained.terms = checker::terms(records);
+    drained.terms = record_checker::terms(records);
     drained.rules = found.into_iter().map(|(rule, texts)| (rule.to_owned(), texts)).collect();
     drained
 }
--- a/crates/emulator/src/fleet/checker.rs
+++ b/crates/emulator/src/cluster/record_checker.rs
@@ -12,7 +12,7 @@
 use stateright::semantics::register::{Register, RegisterOp, RegisterRet};
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester};
 
-use super::plan::Kind;
+use super::schedule::Kind;
 
 /// A line of a record.
 #[derive(Debug, Clone, Deserialize)]
--- a/crates/emulator/src/fleet/results.rs
+++ b/crates/emulator/src/cluster/results.rs
@@ -9,8 +9,8 @@
 use rayon::prelude::*;
 use serde::Serialize;
 
-use super::plan::{Arm, Plan};
-use super::rig::{play, Played, Programs};
+use super::schedule::{Arm, Plan};
+use super::lease_harness::{play, Played, Programs};
 
 /// Seconds at half, 99 of 100, and the longest.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
--- a/crates/emulator/src/fleet/worth.rs
+++ b/crates/emulator/src/cluster/scaling_cost.rs
@@ -14,8 +14,8 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::standin_discovery::Discovery;
-use super::together::{play_below, Binaries, Setup, Together};
+use super::emulated_discovery::Discovery;
+use super::cluster_harness::{play_below, Binaries, Setup, Together};
 use crate::sockets::http;
 
 /// Workers.
--- a/crates/emulator/src/fleet/watching.rs
+++ b/crates/emulator/src/cluster/shared_health_checks.rs
@@ -35,12 +35,12 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep, sleep_until, timeout, Instant, MissedTickBehavior};
 
-use super::bearing::{Worker, MULTIPLE, SHARE, SPAN, WARM};
-use super::checker::{self, Records};
-use super::proxy::{stand_before, Net, Shared};
-use super::standin_discovery::Discovery;
-use super::together::{member, play_below, records, Binaries, Setup, Together};
-use super::waits::ask;
+use super::worker_model::{Worker, MULTIPLE, SHARE, SPAN, WARM};
+use super::record_checker::{self, Records};
+use super::fault_proxy::{stand_before, Net, Shared};
+use super::emulated_discovery::Discovery;
+use super::cluster_harness::{member, play_below, records, Binaries, Setup, Together};
+use super::dispatch_latency::ask;
 use crate::checker::{Checker, Limits};
 use crate::sockets::http::{self, chunk, CHUNKED, LAST_CHUNK};
 
@@ -612,10 +612,10 @@
         let late = notes.jobs[fault.at].iter().filter(|job| (fault.from..fault.until).contains(&job.0));
         played.jobs_at_hung += late.count() as u64;
     }
-    for (rule, texts) in checker::check(records) {
+    for (rule, texts) in record_checker::check(records) {
         found.entry(RULES[5]).or_default().extend(texts.iter().map(|text| format!("{rule}: {text}")));
     }
-    played.terms = checker::terms(records);
+    played.terms = record_checker::terms(records);
     played.rules = found.into_iter().map(|(rule, texts)| (rule.to_owned(), texts)).collect();
     played
 }
--- a/crates/emulator/src/fleet/joining.rs
+++ b/crates/emulator/src/cluster/slow_start.rs
@@ -21,11 +21,11 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use super::bearing::{Worker, MULTIPLE, SHARE, SPAN, WARM};
-use super::checker::{self, Records};
-use super::standin_discovery::Discovery;
-use super::together::{play_below, records, Binaries, Setup, Together};
-use super::waits::ask;
+use super::worker_model::{Worker, MULTIPLE, SHARE, SPAN, WARM};
+use super::record_checker::{self, Records};
+use super::emulated_discovery::Discovery;
+use super::cluster_harness::{play_below, records, Binaries, Setup, Together};
+use super::dispatch_latency::ask;
 use crate::sockets::http::{self, chunk, CHUNKED, LAST_CHUNK};
 
 /// Slots of each worker, and how long a job runs at a warm one.
@@ -185,7 +185,7 @@
     jobs.iter().for_each(|job| *joined.answers.entry(job.2).or_default() += 1);
     let granted = records.members.values().flatten().filter(|line| line.kind == "granted");
     joined.granted = granted.filter_map(|line| line.rest.get("work")?.as_f64()).sum();
-    let broken = checker::check(records).into_iter();
+    let broken = record_checker::check(records).into_iter();
     joined.broken = broken
         .flat_map(|(rule, texts)| texts.into_iter().map(move |text| format!("{rule}: {text}")))
         .collect();
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -7,17 +7,17 @@
 
 use clap::{Parser, Subcommand, ValueEnum};
 use coordination::Flaw;
-use emulator::fleet::drains;
-use emulator::fleet::hours::live;
-use emulator::fleet::joining;
-use emulator::fleet::light;
-use emulator::fleet::model::{search, Bounds};
-use emulator::fleet::plan::Plan;
-use emulator::fleet::results::run as fleet_run;
-use emulator::fleet::rig::Programs;
-use emulator::fleet::together::Binaries;
-use emulator::fleet::watching;
-use emulator::fleet::worth;
+use emulator::cluster::planned_drains;
+use emulator::cluster::virtual_time_soak::live;
+use emulator::cluster::slow_start;
+use emulator::cluster::lightweight_member;
+use emulator::cluster::lease_model::{search, Bounds};
+use emulator::cluster::schedule::Plan;
+use emulator::cluster::results::run as fleet_run;
+use emulator::cluster::lease_harness::Programs;
+use emulator::cluster::cluster_harness::Binaries;
+use emulator::cluster::shared_health_checks;
+use emulator::cluster::scaling_cost;
 use emulator::report::{compare, Results};
 use emulator::run::{socket_runs, virtual_runs};
 use emulator::spec::{self, Experiment};
@@ -304,7 +304,7 @@
 
 fn waits(length: u64, out: &Path) -> Result<(), String> {
     let binaries = Binaries { dispatcher: beside("dispatcher")?, keeper: beside("coordinator")? };
-    let arms = emulator::fleet::waits::play(out, &binaries, std::time::Duration::from_secs(length))?;
+    let arms = emulator::cluster::dispatch_latency::play(out, &binaries, std::time::Duration::from_secs(length))?;
     let text = serde_json::to_string_pretty(&arms).map_err(|error| error.to_string())?;
     std::fs::write(out.join("waits.json"), &text).map_err(|error| format!("{}: {error}", out.display()))?;
     println!("{text}");
@@ -314,11 +314,11 @@
 fn worth(members: &[u16], length: Duration, list_only: bool, out: &Path) -> Result<(), String> {
     let binaries = Binaries { dispatcher: beside("dispatcher")?, keeper: beside("coordinator")? };
     let block = if list_only { "" } else { "watch {\n  sets = 6\n}\n" };
-    let mut sides: BTreeMap<String, worth::Side> = BTreeMap::new();
+    let mut sides: BTreeMap<String, scaling_cost::Side> = BTreeMap::new();
     for count in members {
         for (name, fleet) in [("nothing shared", None), ("members", Some(block))] {
             let dir = out.join(format!("{count}-{}", fleet.map_or("off", |_| "on")));
-            let side = worth::play(&dir, &binaries, (*count).into(), fleet, length)?;
+            let side = scaling_cost::play(&dir, &binaries, (*count).into(), fleet, length)?;
             println!("{count} {name}: {side:?}");
             sides.insert(format!("{count} {name}"), side);
         }
@@ -341,18 +341,18 @@
         _ => {}
     }
     let binaries = Binaries { dispatcher: beside("dispatcher")?, keeper: beside("coordinator")? };
-    let base = drains::Plan {
+    let base = planned_drains::Plan {
         dispatchers: args.dispatchers.into(),
         length: Duration::from_secs(args.length_s),
         flaw: args.seeded_bug.clone(),
-        ..drains::Plan::default()
+        ..planned_drains::Plan::default()
     };
     let played = lanes(args.at_once, args.seed, args.seeds, |seed| {
         let dir = args.out.join(format!("seed-{seed}"));
         let keepers = keepers_of(args.keepers, seed);
-        drains::play(&dir, &binaries, &drains::Plan { seed, keepers, ..base.clone() })
+        planned_drains::play(&dir, &binaries, &planned_drains::Plan { seed, keepers, ..base.clone() })
     })?;
-    print!("{}", drains::table(&played));
+    print!("{}", planned_drains::table(&played));
     left(&args.out.join("drains.json"), &played, |one| one.rules.is_empty())
 }
 
@@ -397,7 +397,7 @@
 
 fn watching(args: &WatchingArgs) -> Result<(), String> {
     let binaries = Binaries { dispatcher: beside("dispatcher")?, keeper: beside("coordinator")? };
-    let base = watching::Plan {
+    let base = shared_health_checks::Plan {
         dispatchers: args.dispatchers.into(),
         workers: args.workers.into(),
         length: Duration::from_secs(args.length_s),
@@ -406,27 +406,27 @@
         watch: !args.off,
         rate: args.rate.clamp(0.1, 1_000.0),
         flaw: args.seeded_bug.clone(),
-        ..watching::Plan::default()
+        ..shared_health_checks::Plan::default()
     };
     let played = lanes(args.at_once, args.seed, args.seeds, |seed| {
         let dir = args.out.join(format!("seed-{seed}"));
         let keepers = keepers_of(args.keepers, seed);
-        watching::play(&dir, &binaries, &watching::Plan { seed, keepers, ..base.clone() })
+        shared_health_checks::play(&dir, &binaries, &shared_health_checks::Plan { seed, keepers, ..base.clone() })
     })?;
-    print!("{}", watching::table(&played));
+    print!("{}", shared_health_checks::table(&played));
     left(&args.out.join("watching.json"), &played, |one| one.rules.is_empty())
 }
 
-fn joining((first, seeds): (u64, u64), plan: &joining::Plan, out: &Path) -> Result<(), String> {
+fn joining((first, seeds): (u64, u64), plan: &slow_start::Plan, out: &Path) -> Result<(), String> {
     let binaries = Binaries { dispatcher: beside("dispatcher")?, keeper: beside("coordinator")? };
-    let mut days: BTreeMap<String, joining::Joined> = BTreeMap::new();
+    let mut days: BTreeMap<String, slow_start::Joined> = BTreeMap::new();
     for seed in first..first.saturating_add(seeds) {
         // Both arms at once, so that what else the machine does meets both.
         let arm = |grants: bool| {
             let (name, plan) = (if grants { "granted" } else { "planned" }, plan.clone());
             let (dir, binaries) = (out.join(format!("seed-{seed}-{name}")), binaries.clone());
             std::thread::spawn(move || {
-                joining::play(&dir, &binaries, &joining::Plan { grants, seed, ..plan })
+                slow_start::play(&dir, &binaries, &slow_start::Plan { grants, seed, ..plan })
                     .map(|day| (format!("{seed} {name}"), day))
             })
         };
@@ -555,7 +555,7 @@
         Command::Waits { length_s, out } => waits(length_s, &out),
         Command::Joining { seed, seeds, dispatchers, rate, kill, out } => {
             let plan =
-                joining::Plan { dispatchers: dispatchers.into(), rate, kill, ..joining::Plan::default() };
+                slow_start::Plan { dispatchers: dispatchers.into(), rate, kill, ..slow_start::Plan::default() };
             joining((seed, seeds), &plan, &out)
         }
         Command::Worth { members, length_s, list_only, out } => {
@@ -563,7 +563,7 @@
         }
         Command::Drains(args) => drains(&args),
         Command::Watching(args) => watching(&args),
-        Command::LightMember { file } => light::run(&file),
+        Command::LightMember { file } => lightweight_member::run(&file),
         Command::Hours { hours, seed, skew_ppm, seeded_bug } => {
             flaw(seeded_bug.as_deref()).and_then(|flaw| {
                 let hours = live(hours, seed, skew_ppm, flaw);
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -10,7 +10,7 @@
 use statrs::distribution::{ContinuousCDF as _, StudentsT};
 
 use crate::checker::Breaches;
-use crate::figures::{Figures, Lost};
+use crate::metrics::{Figures, Lost};
 use crate::run::Run;
 use crate::spec::Experiment;
 
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -9,7 +9,7 @@
 use rayon::prelude::*;
 
 use crate::day::Day;
-use crate::figures::Figures;
+use crate::metrics::Figures;
 use crate::router::{ahead_by, router};
 use crate::sockets;
 use crate::spec::{Arm, Experiment, RouterKind};
--- a/crates/emulator/src/sockets/client.rs
+++ b/crates/emulator/src/sockets/client.rs
@@ -11,7 +11,7 @@
 use super::http;
 use super::{Shared, World};
 use crate::day::{micros, Micros};
-use crate::figures::End;
+use crate::metrics::End;
 
 /// A client gives a request up this long after its deadline: an answer may come with a little slack.
 const GIVE_UP: Micros = 60_000;
--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -22,9 +22,9 @@
 
 use crate::checker::{Checker, Limits};
 use crate::day::{micros, seconds, stream, Day, Micros, Mishap, DAWN};
-use crate::figures::{End, Ran, Record};
+use crate::metrics::{End, Ran, Record};
 use crate::spec::{Arm, Experiment};
-use crate::standin::worker::{progress, Note, Phase, Worker};
+use crate::worker::{progress, Note, Phase, Worker};
 
 /// What is not over this long after the last client came is not waited for.
 const TAIL: Duration = Duration::from_secs(12);
--- a/crates/emulator/src/sockets/program.rs
+++ b/crates/emulator/src/sockets/program.rs
@@ -16,7 +16,7 @@
 use super::{discovery, http, World};
 use crate::day::seconds;
 use crate::spec::Arm;
-use crate::standin::worker::progress;
+use crate::worker::progress;
 
 /// What a dispatcher may use, as on the smallest machines of the platform.
 const MEMORY_MB: u64 = 48;
--- a/crates/emulator/src/sockets/worker.rs
+++ b/crates/emulator/src/sockets/worker.rs
@@ -1,4 +1,4 @@
-//! Workers on sockets: the model of [`crate::standin::worker`] behind listeners.
+//! Workers on sockets: the model of [`crate::worker`] behind listeners.
 
 use std::io;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use super::http::{self, chunk, CHUNKED, LAST_CHUNK};
 use super::{Attempt, World};
 use crate::day::{micros, Micros};
-use crate::standin::worker::{Fall, Note, Phase, Task};
+use crate::worker::{Fall, Note, Phase, Task};
 
 /// Opens a worker's listeners, one for each dispatcher, and drives its model until its process ends.
 pub(super) async fn serve(world: &World, w: usize) -> io::Result<()> {
--- a/crates/emulator/src/virtual_time/mod.rs
+++ b/crates/emulator/src/virtual_time/mod.rs
@@ -1,9 +1,9 @@
 //! The drive in virtual time: one queue of events, no clock, no threads. The same day and router give the same run.
 
-mod world;
+mod simulation;
 
 use crate::day::Day;
-use crate::figures::Record;
+use crate::metrics::Record;
 use crate::router::Router;
 use crate::spec::{Arm, Experiment};
 
@@ -14,5 +14,5 @@
     day: &Day,
     make: &dyn Fn(dispatch_core::Settings, u64) -> Box<dyn Router>,
 ) -> Record {
-    world::World::new(experiment, arm, day, make).run()
+    simulation::World::new(experiment, arm, day, make).run()
 }
--- a/crates/emulator/src/virtual_time/world.rs
+++ b/crates/emulator/src/virtual_time/simulation.rs
@@ -15,10 +15,10 @@
 
 use crate::checker::{Checker, Limits};
 use crate::day::{micros, seconds, stream, Day, Micros, Mishap, DAWN};
-use crate::figures::{End, Ran, Record};
+use crate::metrics::{End, Ran, Record};
 use crate::router::{Router, Sight};
 use crate::spec::{Arm, Experiment};
-use crate::standin::worker::{progress, Fall, Note, Phase, Task, Worker};
+use crate::worker::{progress, Fall, Note, Phase, Task, Worker};
 
 /// A dispatcher handles what came in this often at the finest, in seconds; it is told so.
 const RESOLUTION: Seconds = 0.005;
@@ -952,7 +952,7 @@
 
     fn left(&self, request: RequestId) -> Seconds {
         let n = self.tries[(request.0 - 1) as usize].job as usize;
-        let wanted = self.day.jobs[n].at + crate::figures::wanted(self.experiment, self.day, n);
+        let wanted = self.day.jobs[n].at + crate::metrics::wanted(self.experiment, self.day, n);
         (wanted as f64 - self.now as f64) / 1e6
     }
 }
--- a/crates/emulator/tests/ownership_model.rs
+++ b/crates/emulator/tests/lease_protocol.rs
@@ -1,8 +1,8 @@
 //! The ownership protocol in every order of events, as it is and with each flaw.
 
 use coordination::Flaw;
-use emulator::fleet::hours::live;
-use emulator::fleet::model::{search, Bounds};
+use emulator::cluster::virtual_time_soak::live;
+use emulator::cluster::lease_model::{search, Bounds};
 
 #[test]
 fn the_protocol_holds_and_each_flaw_is_found() {
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/lease_schedules.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use emulator::fleet::checker::{check, takeovers, Done, Line, Records, RULES};
-use emulator::fleet::plan::{Kind, Plan};
-use emulator::fleet::results::run;
-use emulator::fleet::rig::Programs;
+use emulator::cluster::record_checker::{check, takeovers, Done, Line, Records, RULES};
+use emulator::cluster::schedule::{Kind, Plan};
+use emulator::cluster::results::run;
+use emulator::cluster::lease_harness::Programs;
 use indicatif::ProgressBar;
 
 const SHORT: &str = r#"
--- a/crates/emulator/tests/versions.rs
+++ b/crates/emulator/tests/mixed_versions.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-use emulator::fleet::standin_discovery::Discovery;
-use emulator::fleet::together::{Binaries, Setup, Together};
+use emulator::cluster::emulated_discovery::Discovery;
+use emulator::cluster::cluster_harness::{Binaries, Setup, Together};
 use tokio::task::LocalSet;
 use tokio::time::{sleep, Instant};
 
--- a/crates/emulator/tests/drains.rs
+++ b/crates/emulator/tests/planned_drains.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use emulator::fleet::drains::{play, start, Drained, Plan, RULES};
-use emulator::fleet::together::{Binaries, Together};
+use emulator::cluster::planned_drains::{play, start, Drained, Plan, RULES};
+use emulator::cluster::cluster_harness::{Binaries, Together};
 use rustix::process::Signal;
 use tokio::task::LocalSet;
 use tokio::time::{sleep, Instant};
--- a/crates/emulator/tests/watching.rs
+++ b/crates/emulator/tests/shared_health_checks.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use emulator::fleet::joining;
-use emulator::fleet::together::Binaries;
-use emulator::fleet::watching::{play, Fault, Plan, Watched, RULES};
+use emulator::cluster::slow_start;
+use emulator::cluster::cluster_harness::Binaries;
+use emulator::cluster::shared_health_checks::{play, Fault, Plan, Watched, RULES};
 
 fn played(plan: &Plan) -> Watched {
     let dir = tempfile::tempdir().unwrap();
@@ -64,8 +64,8 @@
             let dir = tempfile::tempdir().unwrap();
             let binaries = Binaries::beside_tests().unwrap();
             let plan =
-                joining::Plan { dispatchers: 12, rate: 90.0, grants, kill: grants, ..Default::default() };
-            joining::play(dir.path(), &binaries, &plan).unwrap()
+                slow_start::Plan { dispatchers: 12, rate: 90.0, grants, kill: grants, ..Default::default() };
+            slow_start::play(dir.path(), &binaries, &plan).unwrap()
         })
     };
     let (planned, granted) = (day(false), day(true));
--- a/crates/emulator/tests/sockets.rs
+++ b/crates/emulator/tests/sockets.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use emulator::day::Day;
-use emulator::figures::Figures;
+use emulator::metrics::Figures;
 use emulator::sockets;
 use emulator::spec::{self, Experiment};
 
--- a/crates/emulator/tests/stable_text.rs
+++ b/crates/emulator/tests/stable_text.rs
@@ -7,15 +7,15 @@
 use std::process::Command;
 use std::time::Duration;
 
-use emulator::fleet::checker::{self, Line, Records};
-use emulator::fleet::drains::{self, Drained};
-use emulator::fleet::joining::Joined;
-use emulator::fleet::light::Light;
-use emulator::fleet::plan::{Kind, Plan, KINDS};
-use emulator::fleet::results::{ArmResult, Quantiles, Results};
-use emulator::fleet::waits::Waits;
-use emulator::fleet::watching::{self, Watched};
-use emulator::fleet::worth::Side;
+use emulator::cluster::record_checker::{self, Line, Records};
+use emulator::cluster::planned_drains::{self, Drained};
+use emulator::cluster::slow_start::Joined;
+use emulator::cluster::lightweight_member::Light;
+use emulator::cluster::schedule::{Kind, Plan, KINDS};
+use emulator::cluster::results::{ArmResult, Quantiles, Results};
+use emulator::cluster::dispatch_latency::Waits;
+use emulator::cluster::shared_health_checks::{self, Watched};
+use emulator::cluster::scaling_cost::Side;
 use emulator::spec;
 use serde::Serialize;
 
@@ -194,7 +194,7 @@
 
 fn watched() -> Watched {
     Watched {
-        rules: watching::RULES.iter().map(|rule| ((*rule).to_owned(), vec!["once".to_owned()])).collect(),
+        rules: shared_health_checks::RULES.iter().map(|rule| ((*rule).to_owned(), vec!["once".to_owned()])).collect(),
         faults: BTreeMap::from([("kill".to_owned(), 2)]),
         probes: 3,
         probes_per_s: 0.5,
@@ -212,7 +212,7 @@
 
 fn drained() -> Drained {
     Drained {
-        rules: drains::RULES.iter().map(|rule| ((*rule).to_owned(), vec!["once".to_owned()])).collect(),
+        rules: planned_drains::RULES.iter().map(|rule| ((*rule).to_owned(), vec!["once".to_owned()])).collect(),
         faults: BTreeMap::from([("lose".to_owned(), 2)]),
         budget: (2, 1),
         out_by_plan_max: (1, 1),
@@ -226,7 +226,7 @@
 fn fleet_results() -> Results {
     let quantiles = Quantiles { count: 2, p50: 0.5, p99: 0.99, max: 1.0 };
     let arm = ArmResult {
-        rules: checker::RULES.iter().map(|rule| ((*rule).to_owned(), 1)).collect(),
+        rules: record_checker::RULES.iter().map(|rule| ((*rule).to_owned(), 1)).collect(),
         schedules: 3,
         faults: KINDS.iter().map(|(name, _)| (*name, 1)).collect(),
         taken: 4,
@@ -253,15 +253,15 @@
     text += &(json(&side) + &json(&waits) + &json(&joined));
     let _ = writeln!(text, "{side:?}\n{:?}\n", joined.answers);
     text += &(fleet_results().table() + "\n");
-    text += &(watching::table(&BTreeMap::from([(1, watched()), (2, Watched::default())])) + "\n");
-    text += &drains::table(&BTreeMap::from([(1, drained()), (2, Drained::default())]));
+    text += &(shared_health_checks::table(&BTreeMap::from([(1, watched()), (2, Watched::default())])) + "\n");
+    text += &planned_drains::table(&BTreeMap::from([(1, drained()), (2, Drained::default())]));
     insta::assert_snapshot!(text);
 }
 
 #[test]
 fn names_of_faults() {
-    use drains::Fault as DrainFault;
-    use watching::Fault as WatchFault;
+    use planned_drains::Fault as DrainFault;
+    use shared_health_checks::Fault as WatchFault;
     let watching = [
         WatchFault::Kill,
         WatchFault::Stop,
@@ -344,15 +344,15 @@
     };
     let text = format!(
         "{:#?}\nnewest {:?} of {:?}, leader {:?}, {} terms, {} taken, {} refused, alive {}\nrules {:#?}\n",
-        checker::check(&records),
-        checker::newest(&records),
-        checker::member_of(&records, 2),
-        checker::leader(&records),
-        checker::terms(&records),
-        checker::taken(&records),
-        checker::refused(&records),
-        checker::alive_after(&records, 501),
-        [&checker::RULES[..], &watching::RULES, &drains::RULES].concat()
+        record_checker::check(&records),
+        record_checker::newest(&records),
+        record_checker::member_of(&records, 2),
+        record_checker::leader(&records),
+        record_checker::terms(&records),
+        record_checker::taken(&records),
+        record_checker::refused(&records),
+        record_checker::alive_after(&records, 501),
+        [&record_checker::RULES[..], &shared_health_checks::RULES, &planned_drains::RULES].concat()
     );
     insta::assert_snapshot!(text);
 }
@@ -360,8 +360,8 @@
 /// Defaults of the experiments with processes: they say what a call without options plays.
 #[test]
 fn defaults_of_plans() {
-    let (watching, drains) = (watching::Plan::default(), drains::Plan::default());
-    let joining = emulator::fleet::joining::Plan::default();
+    let (watching, drains) = (shared_health_checks::Plan::default(), planned_drains::Plan::default());
+    let joining = emulator::cluster::slow_start::Plan::default();
     let ms = |time: Duration| time.as_millis();
     insta::assert_snapshot!(format!(
         "watching: {} {} {} {} {} {} {} {} {} {} {:?} {} {}\ndrains: {} {} {} {} {} {:?} {}\njoining: {} {:?} {} {} {} {} {}\n",
--- a/crates/emulator/tests/virtual_time.rs
+++ b/crates/emulator/tests/virtual_time.rs
@@ -5,7 +5,7 @@
 use dispatch_core::Settings;
 use emulator::checker::Breaches;
 use emulator::day::Day;
-use emulator::figures::Figures;
+use emulator::metrics::Figures;
 use emulator::report::{compare, Results};
 use emulator::router::{router, Router, Sight};
 use emulator::run::virtual_runs;
