--- a/crates/emulator/src/cluster/cluster_harness.rs
+++ b/crates/emulator/src/cluster/cluster_harness.rs
@@ -14,9 +14,9 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout, Instant};
 
+use super::emulated_discovery::EmulatedDiscovery;
+use super::fault_proxy::{run_proxy, FaultyNetwork, NodeId, SharedNetwork};
 use super::record_checker::{self, Records};
-use super::fault_proxy::{stand_before, Name, Net, Shared};
-use super::emulated_discovery::Discovery;
 
 /// The programs.
 #[derive(Debug, Clone)]
@@ -24,7 +24,7 @@
     /// `dispatcher`.
     pub dispatcher: PathBuf,
     /// `coordinator`.
-    pub keeper: PathBuf,
+    pub coordinator: PathBuf,
 }
 
 impl Binaries {
@@ -40,7 +40,7 @@
             let missing = format!("{} is missing: run the tests of the whole workspace", program.display());
             program.is_file().then_some(program).ok_or(missing)
         };
-        Ok(Binaries { dispatcher: built("dispatcher")?, keeper: built("coordinator")? })
+        Ok(Binaries { dispatcher: built("dispatcher")?, coordinator: built("coordinator")? })
     }
 }
 
@@ -57,58 +57,58 @@
 
 /// A fleet. Its processes end with this value.
 #[derive(Debug)]
-pub struct Together {
+pub struct ClusterHarness {
     dir: PathBuf,
     binaries: Binaries,
     /// The discovery that all ask.
-    pub discovery: Discovery,
-    keepers: Vec<Option<Process>>,
+    pub discovery: EmulatedDiscovery,
+    coordinators: Vec<Option<Process>>,
     dispatchers: Vec<Option<Process>>,
     consoles: Vec<SocketAddr>,
     /// The links between keepers and members, where they pass a proxy: keepers by their number, dispatchers as
     /// [`member`].
-    pub net: Option<Shared>,
+    pub network: Option<SharedNetwork>,
     /// Where clients reach the dispatchers.
     pub listen: Vec<SocketAddr>,
 }
 
-fn fault(what: impl std::fmt::Display) -> impl FnOnce(std::io::Error) -> String {
+fn with_context(what: impl std::fmt::Display) -> impl FnOnce(std::io::Error) -> String {
     move |error| format!("{what}: {error}")
 }
 
 /// What a fleet is made of.
 #[derive(Debug, Clone, Copy)]
-pub struct Setup<'a> {
+pub struct ClusterSpec<'a> {
     /// Three or five.
-    pub keepers: usize,
+    pub coordinators: usize,
     /// Dispatchers.
     pub dispatchers: usize,
     /// What is added to their block `fleet`; none where they are members of none.
-    pub fleet: Option<&'a str>,
+    pub cluster_settings: Option<&'a str>,
     /// One discovery for all, or one for each.
-    pub discoveries: &'a [Discovery],
+    pub discoveries: &'a [EmulatedDiscovery],
     /// Whether every link between keepers and members passes a proxy, drawn by this seed.
-    pub proxied: Option<u64>,
+    pub proxy_seed: Option<u64>,
 }
 
 /// Plays something of processes and stand-ins below this folder, on a thread of its own runtime.
 ///
 /// # Errors
 /// The folder or the runtime cannot be made, or what is played says so.
-pub fn play_below<T>(dir: &Path, play: impl Future<Output = Result<T, String>>) -> Result<T, String> {
-    std::fs::create_dir_all(dir).map_err(fault(dir.display()))?;
+pub fn run_in_folder<T>(dir: &Path, play: impl Future<Output = Result<T, String>>) -> Result<T, String> {
+    std::fs::create_dir_all(dir).map_err(with_context(dir.display()))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    LocalSet::new().block_on(&runtime.map_err(fault("a runtime"))?, play)
+    LocalSet::new().block_on(&runtime.map_err(with_context("a runtime"))?, play)
 }
 
 /// What so many keepers and dispatchers recorded below a folder.
 ///
 /// # Errors
 /// A record cannot be read.
-pub fn records(dir: &Path, keepers: usize, dispatchers: usize) -> Result<Records, String> {
+pub fn read_records(dir: &Path, keepers: usize, dispatchers: usize) -> Result<Records, String> {
     let mut records = Records::default();
     for keeper in 1..=keepers as u64 {
-        records.keepers.insert(keeper, record_checker::read(&dir.join(format!("k{keeper}.jsonl")))?);
+        records.coordinators.insert(keeper, record_checker::read(&dir.join(format!("k{keeper}.jsonl")))?);
     }
     for n in 0..dispatchers {
         records.members.insert(format!("d{n}"), record_checker::read(&dir.join(format!("d{n}.jsonl")))?);
@@ -118,29 +118,29 @@
 
 /// Addresses for one fleet: a host of this machine that nobody else uses, and its ports one after another. A port that
 /// was found free may be given to somebody else before it is used.
-struct Addresses(Ipv4Addr, u16);
+struct AddressAllocator(Ipv4Addr, u16);
 
-impl Addresses {
-    fn new() -> Addresses {
+impl AddressAllocator {
+    fn new() -> AddressAllocator {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let next = NEXT.fetch_add(1, Ordering::Relaxed) % 250;
-        Addresses(Ipv4Addr::new(127, 100 + (std::process::id() % 150) as u8, next as u8, 1), 20_000)
+        AddressAllocator(Ipv4Addr::new(127, 100 + (std::process::id() % 150) as u8, next as u8, 1), 20_000)
     }
 
     /// The host that connections of this process come from.
-    fn from(&self, name: Name) -> Ipv4Addr {
+    fn source_address(&self, name: NodeId) -> Ipv4Addr {
         let [a, b, c, _] = self.0.octets();
         Ipv4Addr::new(a, b, c, 10 + (name % 240) as u8)
     }
 
-    fn next(&mut self) -> SocketAddr {
+    fn next_address(&mut self) -> SocketAddr {
         self.1 += 1;
         SocketAddr::from((self.0, self.1))
     }
 }
 
 /// A call of a console: the status, when to come again, and the text; none where nobody answers within 2 s.
-pub async fn call(at: SocketAddr, method: &str, path: &str) -> Option<(u16, Option<u32>, String)> {
+pub async fn call_console(at: SocketAddr, method: &str, path: &str) -> Option<(u16, Option<u32>, String)> {
     let mut stream = TcpStream::connect(at).await.ok()?;
     let text = format!("{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     stream.write_all(text.as_bytes()).await.ok()?;
@@ -154,32 +154,32 @@
 
 /// The name of a dispatcher to the proxies, after those of the keepers.
 #[must_use]
-pub fn member(dispatcher: usize) -> Name {
+pub fn member_node(dispatcher: usize) -> NodeId {
     10 + dispatcher
 }
 
 /// A proxy before this address, where there are any, and where it is.
-fn before(net: Option<&Shared>, name: Name, at: SocketAddr) -> Result<SocketAddr, String> {
+fn proxy_before(net: Option<&SharedNetwork>, name: NodeId, at: SocketAddr) -> Result<SocketAddr, String> {
     let Some(net) = net else { return Ok(at) };
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").map_err(fault("a proxy"))?;
-    listener.set_nonblocking(true).map_err(fault("a proxy"))?;
-    let door = listener.local_addr().map_err(fault("a proxy"))?;
-    let listener = TcpListener::from_std(listener).map_err(fault("a proxy"))?;
-    spawn_local(stand_before(net.clone(), listener, name, at));
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").map_err(with_context("a proxy"))?;
+    listener.set_nonblocking(true).map_err(with_context("a proxy"))?;
+    let door = listener.local_addr().map_err(with_context("a proxy"))?;
+    let listener = TcpListener::from_std(listener).map_err(with_context("a proxy"))?;
+    spawn_local(run_proxy(net.clone(), listener, name, at));
     Ok(door)
 }
 
-fn send(process: &Option<Process>, signal: Signal) -> Result<(), String> {
+fn send_signal(process: &Option<Process>, signal: Signal) -> Result<(), String> {
     let id = process.as_ref().and_then(|process| i32::try_from(process.0.id()).ok());
     let pid = id.and_then(Pid::from_raw).ok_or("it does not run")?;
     kill_process(pid, signal).map_err(|error| error.to_string())
 }
 
 fn write(path: &Path, text: String) -> Result<(), String> {
-    std::fs::write(path, text).map_err(fault(path.display()))
+    std::fs::write(path, text).map_err(with_context(path.display()))
 }
 
-impl Together {
+impl ClusterHarness {
     /// Sets keepers and dispatchers up below a folder and starts them. `config` is a dispatcher's, without
     /// name and addresses.
     ///
@@ -189,25 +189,31 @@
         dir: &Path,
         binaries: Binaries,
         mut config: Value,
-        setup: Setup<'_>,
-    ) -> Result<Together, String> {
-        let Setup { keepers: count, dispatchers, fleet: together, discoveries, proxied } = setup;
-        let (mut addresses, mut at) = (Addresses::new(), Vec::new());
+        setup: ClusterSpec<'_>,
+    ) -> Result<ClusterHarness, String> {
+        let ClusterSpec {
+            coordinators: count,
+            dispatchers,
+            cluster_settings: together,
+            discoveries,
+            proxy_seed: proxied,
+        } = setup;
+        let (mut addresses, mut at) = (AddressAllocator::new(), Vec::new());
         for discovery in discoveries {
-            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(fault("discovery"))?;
-            at.push(listener.local_addr().map_err(fault("discovery"))?);
+            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(with_context("discovery"))?;
+            at.push(listener.local_addr().map_err(with_context("discovery"))?);
             spawn_local(discovery.clone().serve(listener));
         }
         let discovery = discoveries.first().cloned().ok_or("no discovery")?;
-        let doors: Vec<SocketAddr> = (0..count).map(|_| addresses.next()).collect();
+        let doors: Vec<SocketAddr> = (0..count).map(|_| addresses.next_address()).collect();
         let block =
             |(n, at): (usize, &SocketAddr)| format!("keeper \"{}\" {{\n  address = \"{at}\"\n}}\n", n + 1);
-        let names = (1..=count).chain((0..dispatchers).map(member));
-        let names = names.map(|name| (addresses.from(name).into(), name)).collect();
-        let net = proxied.map(|seed| Net::new(names, seed));
+        let names = (1..=count).chain((0..dispatchers).map(member_node));
+        let names = names.map(|name| (addresses.source_address(name).into(), name)).collect();
+        let net = proxied.map(|seed| FaultyNetwork::new(names, seed));
         // What others are told of an address: the proxy before it, where there is one.
         let seen: Result<Vec<SocketAddr>, String> =
-            (1..).zip(&doors).map(|(name, at)| before(net.as_ref(), name, *at)).collect();
+            (1..).zip(&doors).map(|(name, at)| proxy_before(net.as_ref(), name, *at)).collect();
         let seen = seen?;
         let keepers: String = seen.iter().enumerate().map(block).collect();
         for n in 1..=count {
@@ -215,12 +221,13 @@
                 "serve {{\n  keeper = {n}\n  store = \"{}\"\n  listen = \"{}\"\n  bind = \"{}\"\n}}\n",
                 dir.join(format!("k{n}")).display(),
                 doors[n - 1],
-                addresses.from(n),
+                addresses.source_address(n),
             );
             let file = dir.join(format!("k{n}.hcl"));
             write(&file, format!("installation = \"test\"\n{keepers}{serve}"))?;
-            let made = Command::new(&binaries.keeper).args(["bootstrap", "--config"]).arg(&file).output();
-            let made = made.map_err(fault(binaries.keeper.display()))?;
+            let made =
+                Command::new(&binaries.coordinator).args(["bootstrap", "--config"]).arg(&file).output();
+            let made = made.map_err(with_context(binaries.coordinator.display()))?;
             if !made.status.success() {
                 return Err(String::from_utf8_lossy(&made.stderr).into_owned());
             }
@@ -228,8 +235,8 @@
         config["known"] = json!({"revision": 0, "complete": true, "members": []});
         let (mut consoles, mut listen) = (Vec::new(), Vec::new());
         for n in 0..dispatchers {
-            consoles.push(addresses.next());
-            listen.push(addresses.next());
+            consoles.push(addresses.next_address());
+            listen.push(addresses.next_address());
             config["name"] = format!("d{n}").into();
             config["listen"] = listen[n].to_string().into();
             config["console"] = consoles[n].to_string().into();
@@ -240,29 +247,29 @@
             config["settings"]["zone"] = (n % zones).into();
             config["seed"] = format!("{:016x}", n + 1).into();
             write(&dir.join(format!("d{n}.json")), config.to_string())?;
-            let at = addresses.next();
+            let at = addresses.next_address();
             let fleet = format!(
                 "fleet {{\ninstallation = \"test\"\nlisten = \"{at}\"\naddress = \"{}\"\nbind = \"{}\"\n\
                  record = \"{}\"\n{keepers}{}}}\n",
-                before(net.as_ref(), member(n), at)?,
-                addresses.from(member(n)),
+                proxy_before(net.as_ref(), member_node(n), at)?,
+                addresses.source_address(member_node(n)),
                 dir.join(format!("d{n}.jsonl")).display(),
                 together.unwrap_or_default(),
             );
             write(&dir.join(format!("d{n}.hcl")), if together.is_some() { fleet } else { String::new() })?;
         }
-        let mut fleet = Together {
+        let mut fleet = ClusterHarness {
             dir: dir.to_owned(),
             binaries,
             discovery,
-            keepers: (0..count).map(|_| None).collect(),
+            coordinators: (0..count).map(|_| None).collect(),
             dispatchers: (0..dispatchers).map(|_| None).collect(),
             consoles,
-            net,
+            network: net,
             listen,
         };
         if together.is_some() {
-            (1..=count).try_for_each(|n| fleet.start_keeper(n))?;
+            (1..=count).try_for_each(|n| fleet.start_coordinator(n))?;
         }
         (0..dispatchers).try_for_each(|n| fleet.start_dispatcher(n))?;
         Ok(fleet)
@@ -275,19 +282,20 @@
             .args(arguments)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(log.map_err(fault("a log"))?)
+            .stderr(log.map_err(with_context("a log"))?)
             .spawn();
-        child.map(Process).map_err(fault(program.display()))
+        child.map(Process).map_err(with_context(program.display()))
     }
 
     /// Starts keeper `n`, from one.
     ///
     /// # Errors
     /// It cannot be started.
-    pub fn start_keeper(&mut self, n: usize) -> Result<(), String> {
+    pub fn start_coordinator(&mut self, n: usize) -> Result<(), String> {
         let file = |ending: &str| self.dir.join(format!("k{n}.{ending}"));
         let arguments = ["serve".into(), "--config".into(), file("hcl"), "--record".into(), file("jsonl")];
-        self.keepers[n - 1] = Some(self.spawn(&self.binaries.keeper, &format!("k{n}"), &arguments)?);
+        self.coordinators[n - 1] =
+            Some(self.spawn(&self.binaries.coordinator, &format!("k{n}"), &arguments)?);
         Ok(())
     }
 
@@ -306,9 +314,9 @@
     ///
     /// # Errors
     /// The file cannot be changed.
-    pub fn tell_keeper(&self, n: usize, key: &str, value: &str) -> Result<(), String> {
+    pub fn set_coordinator_setting(&self, n: usize, key: &str, value: &str) -> Result<(), String> {
         let file = self.dir.join(format!("k{n}.hcl"));
-        let text = std::fs::read_to_string(&file).map_err(fault(file.display()))?;
+        let text = std::fs::read_to_string(&file).map_err(with_context(file.display()))?;
         let others = text.lines().filter(|line| !line.trim_start().starts_with(&format!("{key} =")));
         let text: String = others.map(|line| format!("{line}\n")).collect();
         write(&file, text.replacen("serve {\n", &format!("serve {{\n  {key} = {value}\n"), 1))
@@ -319,28 +327,28 @@
     /// # Errors
     /// It cannot be removed.
     pub fn lose_disk(&mut self, n: usize) -> Result<(), String> {
-        self.kill_keeper(n);
+        self.kill_coordinator(n);
         let store = self.dir.join(format!("k{n}"));
-        std::fs::remove_dir_all(&store).map_err(fault(store.display()))
+        std::fs::remove_dir_all(&store).map_err(with_context(store.display()))
     }
 
     /// The exit code of keeper `n`, from one, where it ended by itself.
-    pub fn keeper_ended(&mut self, n: usize) -> Option<i32> {
-        self.keepers[n - 1].as_mut()?.0.try_wait().ok()?.and_then(|status| status.code())
+    pub fn coordinator_exit_code(&mut self, n: usize) -> Option<i32> {
+        self.coordinators[n - 1].as_mut()?.0.try_wait().ok()?.and_then(|status| status.code())
     }
 
     /// The log of keeper `n`, from one.
-    pub fn keeper_log(&self, n: usize) -> String {
+    pub fn coordinator_log(&self, n: usize) -> String {
         std::fs::read_to_string(self.dir.join(format!("k{n}.log"))).unwrap_or_default()
     }
 
     /// A call of a dispatcher's console, from nought: the status, when to come again, and the text.
     pub async fn console(&self, n: usize, method: &str, path: &str) -> Option<(u16, Option<u32>, String)> {
-        call(self.consoles[n], method, path).await
+        call_console(self.consoles[n], method, path).await
     }
 
     /// Where a dispatcher's console is, from nought.
-    pub fn console_at(&self, n: usize) -> SocketAddr {
+    pub fn console_address(&self, n: usize) -> SocketAddr {
         self.consoles[n]
     }
 
@@ -349,15 +357,15 @@
     ///
     /// # Errors
     /// It failed.
-    pub async fn keeper_tool(&self, n: usize, arguments: &[&str]) -> Result<String, String> {
+    pub async fn run_coordinator_command(&self, n: usize, arguments: &[&str]) -> Result<String, String> {
         // Without blocking: the proxies that it passes run here.
-        let made = tokio::process::Command::new(&self.binaries.keeper)
+        let made = tokio::process::Command::new(&self.binaries.coordinator)
             .args(arguments)
             .arg("--config")
             .arg(self.dir.join(format!("k{n}.hcl")))
             .output()
             .await
-            .map_err(fault(self.binaries.keeper.display()))?;
+            .map_err(with_context(self.binaries.coordinator.display()))?;
         match made.status.success() {
             true => Ok(String::from_utf8_lossy(&made.stdout).into_owned()),
             false => Err(String::from_utf8_lossy(&made.stderr).into_owned()),
@@ -369,11 +377,11 @@
     ///
     /// # Errors
     /// Something cannot be set up.
-    pub async fn lose_keeper(&mut self, lost: usize, new: usize) -> Result<SocketAddr, String> {
+    pub async fn replace_coordinator(&mut self, lost: usize, new: usize) -> Result<SocketAddr, String> {
         self.lose_disk(lost)?;
         let store = self.dir.join(format!("k{lost}"));
         let file = self.dir.join(format!("k{lost}.hcl"));
-        let text = std::fs::read_to_string(&file).map_err(fault(file.display()))?;
+        let text = std::fs::read_to_string(&file).map_err(with_context(file.display()))?;
         let at = SocketAddr::from((self.listen[0].ip(), 30_000 + new as u16));
         // The block of the lost one, and its `serve`, become the new one's.
         let block = text.split("keeper \"").find(|block| block.starts_with(&format!("{lost}\"")));
@@ -384,15 +392,15 @@
             .replace(&format!("keeper = {lost}\n"), &format!("keeper = {new}\n"))
             .replace(&store.display().to_string(), &self.dir.join(format!("k{new}")).display().to_string());
         write(&self.dir.join(format!("k{new}.hcl")), text)?;
-        self.keeper_tool(new, &["bootstrap", "--joining"]).await?;
-        self.keepers.resize_with(new.max(self.keepers.len()), || None);
-        self.start_keeper(new)?;
+        self.run_coordinator_command(new, &["bootstrap", "--joining"]).await?;
+        self.coordinators.resize_with(new.max(self.coordinators.len()), || None);
+        self.start_coordinator(new)?;
         Ok(at)
     }
 
     /// Kills keeper `n`, from one.
-    pub fn kill_keeper(&mut self, n: usize) {
-        self.keepers[n - 1] = None;
+    pub fn kill_coordinator(&mut self, n: usize) {
+        self.coordinators[n - 1] = None;
     }
 
     /// Kills dispatcher `n`, from nought.
@@ -402,7 +410,7 @@
 
     /// Whether dispatcher `n` was not killed.
     #[must_use]
-    pub fn runs(&self, n: usize) -> bool {
+    pub fn is_running(&self, n: usize) -> bool {
         self.dispatchers[n].is_some()
     }
 
@@ -410,35 +418,35 @@
     ///
     /// # Errors
     /// It does not run.
-    pub fn signal(&self, n: usize, signal: Signal) -> Result<(), String> {
-        send(&self.dispatchers[n], signal)
+    pub fn signal_dispatcher(&self, n: usize, signal: Signal) -> Result<(), String> {
+        send_signal(&self.dispatchers[n], signal)
     }
 
     /// Sends a signal to keeper `n`, from one.
     ///
     /// # Errors
     /// It does not run.
-    pub fn signal_keeper(&self, n: usize, signal: Signal) -> Result<(), String> {
-        send(&self.keepers[n - 1], signal)
+    pub fn signal_coordinator(&self, n: usize, signal: Signal) -> Result<(), String> {
+        send_signal(&self.coordinators[n - 1], signal)
     }
 
     /// The numbers of the processes that run, of keepers and of dispatchers.
-    pub fn ids(&self) -> (Vec<u32>, Vec<u32>) {
+    pub fn process_ids(&self) -> (Vec<u32>, Vec<u32>) {
         let ids = |all: &[Option<Process>]| all.iter().flatten().map(|process| process.0.id()).collect();
-        (ids(&self.keepers), ids(&self.dispatchers))
+        (ids(&self.coordinators), ids(&self.dispatchers))
     }
 
     /// Names another discovery in the configuration of dispatcher `n` and tells it to read that again.
     ///
     /// # Errors
     /// The file cannot be changed.
-    pub fn move_discovery(&self, n: usize, to: SocketAddr) -> Result<(), String> {
+    pub fn change_discovery_address(&self, n: usize, to: SocketAddr) -> Result<(), String> {
         let file = self.dir.join(format!("d{n}.json"));
-        let text = std::fs::read(&file).map_err(fault(file.display()))?;
+        let text = std::fs::read(&file).map_err(with_context(file.display()))?;
         let mut config: Value = serde_json::from_slice(&text).map_err(|error| error.to_string())?;
         config["discovery"] = to.to_string().into();
         write(&file, config.to_string())?;
-        self.signal(n, Signal::HUP)
+        self.signal_dispatcher(n, Signal::HUP)
     }
 
     /// The keeper that said last that it leads, from one.
@@ -448,16 +456,16 @@
             let line = log.lines().rfind(|line| line.contains("leads term=Some"))?.to_owned();
             line.rsplit_once("Some(")?.1.split(')').next()?.parse::<u64>().ok()
         };
-        (1..=self.keepers.len()).max_by_key(|n| term(n)).unwrap_or(1)
+        (1..=self.coordinators.len()).max_by_key(|n| term(n)).unwrap_or(1)
     }
 
     /// The dispatcher that said last that it asks for the fleet, from nought.
-    pub fn owner(&self) -> Option<usize> {
-        self.said("asks discovery for the fleet")
+    pub fn discovery_leader(&self) -> Option<usize> {
+        self.last_logged_by("asks discovery for the fleet")
     }
 
     /// The dispatcher whose log has these words with the highest token, from nought.
-    pub fn said(&self, words: &str) -> Option<usize> {
+    pub fn last_logged_by(&self, words: &str) -> Option<usize> {
         let token = |n: usize| {
             let log = std::fs::read_to_string(self.dir.join(format!("d{n}.log"))).unwrap_or_default();
             let line = log.lines().rfind(|line| line.contains(words))?.to_owned();
@@ -473,7 +481,7 @@
     }
 
     /// How many workers a dispatcher knows, by its console.
-    pub async fn known(&self, n: usize) -> Option<usize> {
+    pub async fn known_workers(&self, n: usize) -> Option<usize> {
         let (_, _, text) = self.console(n, "GET", "/status/metrics").await?;
         let line = text.lines().find(|line| line.starts_with("balancer_shop_workers_known "))?;
         line.rsplit_once(' ')?.1.parse().ok()
@@ -483,10 +491,10 @@
     ///
     /// # Errors
     /// It takes longer than 20 s.
-    pub async fn all_know(&self, workers: usize) -> Result<Duration, String> {
+    pub async fn wait_for_workers(&self, workers: usize) -> Result<Duration, String> {
         let start = Instant::now();
         for n in (0..self.dispatchers.len()).filter(|n| self.dispatchers[*n].is_some()) {
-            while self.known(n).await != Some(workers) {
+            while self.known_workers(n).await != Some(workers) {
                 if start.elapsed() > Duration::from_secs(20) {
                     return Err(format!("d{n} does not know {workers}\n{}", self.logs()));
                 }
@@ -500,11 +508,15 @@
     ///
     /// # Errors
     /// It takes longer than 20 s.
-    pub async fn watches(&self, wanted: u64) -> Result<Duration, String> {
+    pub async fn wait_for_watches(&self, wanted: u64) -> Result<Duration, String> {
         let start = Instant::now();
-        while self.discovery.asked().1 != wanted {
+        while self.discovery.connection_counts().1 != wanted {
             if start.elapsed() > Duration::from_secs(20) {
-                return Err(format!("{} watches, not {wanted}\n{}", self.discovery.asked().1, self.logs()));
+                return Err(format!(
+                    "{} watches, not {wanted}\n{}",
+                    self.discovery.connection_counts().1,
+                    self.logs()
+                ));
             }
             sleep(Duration::from_millis(10)).await;
         }
--- a/crates/emulator/src/cluster/dispatch_latency.rs
+++ b/crates/emulator/src/cluster/dispatch_latency.rs
@@ -17,8 +17,8 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
 
-use super::emulated_discovery::Discovery;
-use super::cluster_harness::{Binaries, Setup, Together};
+use super::cluster_harness::{Binaries, ClusterHarness, ClusterSpec};
+use super::emulated_discovery::EmulatedDiscovery;
 use crate::sockets::http::{self, chunk, CHUNKED, LAST_CHUNK};
 
 const DISPATCHERS: usize = 2;
@@ -27,11 +27,11 @@
 const RATE: u64 = 100;
 const CONNECTIONS: u64 = 8;
 /// How long a stand-in worker runs a job.
-const RUN: Duration = Duration::from_millis(5);
+const RUN_TIME: Duration = Duration::from_millis(5);
 /// How often the keepers' leader is killed, and after how long it is started again.
 const KILL: (Duration, Duration) = (Duration::from_secs(5), Duration::from_secs(1));
 /// A client gives up after this.
-const PATIENCE: Duration = Duration::from_secs(8);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// What is done to the keepers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,19 +39,19 @@
     Off,
     On,
     LeaderKilled,
-    NoKeepers,
+    NoCoordinators,
 }
 
 const ARMS: [(&str, Arm); 4] = [
     ("off", Arm::Off),
     ("on", Arm::On),
     ("on, leader killed every 5 s", Arm::LeaderKilled),
-    ("on, all keepers stopped", Arm::NoKeepers),
+    ("on, all keepers stopped", Arm::NoCoordinators),
 ];
 
 /// What one arm gave.
 #[derive(Debug, Default, Clone, Serialize)]
-pub struct Waits {
+pub struct LatencyResult {
     /// Jobs handed in.
     pub jobs: u64,
     /// Answers by status; 0 where there was none.
@@ -86,7 +86,7 @@
     dir: &Path,
     binaries: &Binaries,
     length: Duration,
-) -> Result<BTreeMap<&'static str, Waits>, String> {
+) -> Result<BTreeMap<&'static str, LatencyResult>, String> {
     let lanes: Vec<_> = ARMS
         .into_iter()
         .enumerate()
@@ -96,7 +96,7 @@
                 std::fs::create_dir_all(&dir).map_err(|error| format!("{}: {error}", dir.display()))?;
                 let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
                 let runtime = runtime.map_err(|error| error.to_string())?;
-                let played = LocalSet::new().block_on(&runtime, lane(&dir, binaries, arm, length));
+                let played = LocalSet::new().block_on(&runtime, run_arm(&dir, binaries, arm, length));
                 played.map(|waits| (name, waits))
             })
         })
@@ -107,25 +107,30 @@
     lanes.into_iter().map(join).collect()
 }
 
-async fn lane(dir: &Path, binaries: Binaries, arm: Arm, length: Duration) -> Result<Waits, String> {
+async fn run_arm(
+    dir: &Path,
+    binaries: Binaries,
+    arm: Arm,
+    length: Duration,
+) -> Result<LatencyResult, String> {
     let io = |error: std::io::Error| error.to_string();
-    let discovery = Discovery::new(0);
+    let discovery = EmulatedDiscovery::new(0);
     for worker in 0..WORKERS {
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io)?;
         discovery.add(worker, listener.local_addr().map_err(io)?);
-        spawn_local(work(listener));
+        spawn_local(serve_worker(listener));
     }
-    let setup = Setup {
-        keepers: 3,
+    let setup = ClusterSpec {
+        coordinators: 3,
         dispatchers: DISPATCHERS,
-        fleet: (arm != Arm::Off).then_some(""),
+        cluster_settings: (arm != Arm::Off).then_some(""),
         discoveries: &[discovery],
-        proxied: None,
+        proxy_seed: None,
     };
-    let mut fleet = Together::start(dir, binaries, settings(), setup).await?;
-    fleet.all_know(WORKERS).await?;
+    let mut fleet = ClusterHarness::start(dir, binaries, settings(), setup).await?;
+    fleet.wait_for_workers(WORKERS).await?;
     if arm != Arm::Off {
-        fleet.watches(1).await?;
+        fleet.wait_for_watches(1).await?;
     }
     let now = Instant::now();
     let times = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(|error| error.to_string())?;
@@ -136,29 +141,29 @@
     let end = warm + length;
     for (dispatcher, address) in fleet.listen.iter().enumerate() {
         for connection in 0..CONNECTIONS {
-            spawn_local(client(tally.clone(), (dispatcher, connection), *address, (warm, end)));
+            spawn_local(run_client(tally.clone(), (dispatcher, connection), *address, (warm, end)));
         }
     }
     let mut killed = 0;
     tokio::time::sleep_until(warm).await;
     match arm {
         Arm::Off | Arm::On => {}
-        Arm::NoKeepers => (1..=3).for_each(|n| fleet.kill_keeper(n)),
+        Arm::NoCoordinators => (1..=3).for_each(|n| fleet.kill_coordinator(n)),
         Arm::LeaderKilled => {
             while Instant::now() + KILL.0 < end {
                 sleep(KILL.0 - KILL.1).await;
                 let leader = fleet.leader();
-                fleet.kill_keeper(leader);
+                fleet.kill_coordinator(leader);
                 killed += 1;
                 sleep(KILL.1).await;
-                fleet.start_keeper(leader)?;
+                fleet.start_coordinator(leader)?;
             }
         }
     }
     tokio::time::sleep_until(end + Duration::from_millis(500)).await;
     let tally = tally.borrow();
     let ms = |quantile| tally.times.value_at_quantile(quantile) as f64 / 1e3;
-    Ok(Waits {
+    Ok(LatencyResult {
         jobs: tally.jobs,
         answers: tally.answers.clone(),
         p50_ms: ms(0.5),
@@ -166,7 +171,7 @@
         max_ms: tally.times.max() as f64 / 1e3,
         worst_gap_ms: tally.gap.as_secs_f64() * 1e3,
         killed,
-        watches: fleet.discovery.asked().1,
+        watches: fleet.discovery.connection_counts().1,
     })
 }
 
@@ -189,16 +194,16 @@
 }
 
 /// A stand-in worker: says that it starts, runs, says that it is done.
-async fn work(listener: TcpListener) {
+async fn serve_worker(listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         spawn_local(async move {
             // A connection that breaks is the other side's matter.
-            let _ = jobs(stream).await;
+            let _ = serve_connection(stream).await;
         });
     }
 }
 
-async fn jobs(mut stream: TcpStream) -> std::io::Result<()> {
+async fn serve_connection(mut stream: TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut buffer = BytesMut::new();
     while let Some(head) = http::head(&mut stream, &mut buffer, true, || {}).await? {
@@ -206,13 +211,13 @@
         let id = head.get("request-id").unwrap_or_default().to_owned();
         let line = |state: &str| json!({"id": id, "state": state, "result": "ok"}).to_string();
         stream.write_all(&[CHUNKED, chunk(&line("started")).as_slice()].concat()).await?;
-        sleep(RUN).await;
+        sleep(RUN_TIME).await;
         stream.write_all(&[chunk(&line("done")).as_slice(), LAST_CHUNK].concat()).await?;
     }
     Ok(())
 }
 
-async fn client(
+async fn run_client(
     tally: Rc<RefCell<Tally>>,
     (dispatcher, connection): (usize, u64),
     address: SocketAddr,
@@ -228,7 +233,9 @@
         beats.tick().await;
         count += 1;
         let start = Instant::now();
-        let status = timeout(PATIENCE, ask(&mut kept, address, ("lookup", connection << 32 | count))).await;
+        let status =
+            timeout(CLIENT_TIMEOUT, submit_job(&mut kept, address, ("lookup", connection << 32 | count)))
+                .await;
         let status = status.ok().and_then(Result::ok);
         if status.is_none() {
             kept = None;
@@ -247,7 +254,7 @@
 }
 
 /// Hands in a job of a class on a connection that was kept, or a new one, and returns the answer's status.
-pub(super) async fn ask(
+pub(super) async fn submit_job(
     kept: &mut Option<TcpStream>,
     address: SocketAddr,
     (class, id): (&str, u64),
--- a/crates/emulator/src/cluster/emulated_discovery.rs
+++ b/crates/emulator/src/cluster/emulated_discovery.rs
@@ -17,11 +17,11 @@
 use crate::sockets::http::{self, chunk, CHUNKED};
 
 /// An empty line comes this often while nothing changes.
-const QUIET: Duration = Duration::from_secs(2);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The service. Clones are the same one.
 #[derive(Debug, Clone)]
-pub struct Discovery {
+pub struct EmulatedDiscovery {
     shared: Rc<RefCell<Shared>>,
     changed: watch::Sender<u64>,
 }
@@ -32,27 +32,27 @@
     /// By worker: the revision of its last change, and its entry.
     workers: BTreeMap<String, (u64, Value)>,
     /// When those started that did not start long ago, in Unix milliseconds.
-    since: BTreeMap<usize, u64>,
-    asked: u64,
+    started_at: BTreeMap<usize, u64>,
+    connections: u64,
     watches: u64,
-    calls: u64,
-    told: u64,
+    requests: u64,
+    messages: u64,
     silent: bool,
 }
 
-struct Open(Rc<RefCell<Shared>>);
+struct OpenWatch(Rc<RefCell<Shared>>);
 
-impl Drop for Open {
+impl Drop for OpenWatch {
     fn drop(&mut self) {
         self.0.borrow_mut().watches -= 1;
     }
 }
 
-impl Discovery {
+impl EmulatedDiscovery {
     /// A list of so many workers in service, none of which is there.
-    pub fn new(workers: usize) -> Discovery {
-        let discovery = Discovery { shared: Rc::default(), changed: watch::Sender::new(0) };
-        (0..workers).for_each(|worker| discovery.change(worker, "in_service"));
+    pub fn new(workers: usize) -> EmulatedDiscovery {
+        let discovery = EmulatedDiscovery { shared: Rc::default(), changed: watch::Sender::new(0) };
+        (0..workers).for_each(|worker| discovery.set_unreachable(worker, "in_service"));
         discovery
     }
 
@@ -68,36 +68,36 @@
 
     /// Adds a worker that has just started.
     pub fn add_cold(&self, zone: &str, worker: usize, address: SocketAddr) {
-        self.started(worker);
+        self.record_start(worker);
         self.put(zone, worker, "in_service", &address.to_string());
     }
 
     /// Changes the phase of a worker that is not there.
-    pub fn change(&self, worker: usize, phase: &str) {
+    pub fn set_unreachable(&self, worker: usize, phase: &str) {
         self.put("north", worker, phase, &format!("127.0.0.1:{}", 9 + worker));
     }
 
     /// Lets a worker that was added drain, end, or come back as one that has just started, by its phase.
-    pub fn turn(&self, worker: usize, phase: &str) {
+    pub fn set_phase(&self, worker: usize, phase: &str) {
         let entry = self.shared.borrow().workers.get(&format!("w-{worker:04}")).cloned();
         let Some((_, entry)) = entry else { return };
         if phase == "in_service" {
-            self.started(worker);
+            self.record_start(worker);
         }
         let text = |key: &str| entry[key].as_str().unwrap_or_default().to_owned();
         self.put(&text("locality"), worker, phase, &text("host_port"));
     }
 
-    fn started(&self, worker: usize) {
+    fn record_start(&self, worker: usize) {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        self.shared.borrow_mut().since.insert(worker, unix.as_millis() as u64);
+        self.shared.borrow_mut().started_at.insert(worker, unix.as_millis() as u64);
     }
 
     fn put(&self, zone: &str, worker: usize, phase: &str, address: &str) {
         let mut shared = self.shared.borrow_mut();
         shared.revision += 1;
         let id = format!("w-{worker:04}");
-        let since = shared.since.get(&worker).copied().unwrap_or(0);
+        let since = shared.started_at.get(&worker).copied().unwrap_or(0);
         let entry = json!({
             "id": id, "host_port": address, "locality": zone, "flavor": "small",
             "cell": 0, "phase": phase, "size": 1.0, "up_since_ms": since,
@@ -108,19 +108,19 @@
     }
 
     /// Connections that were opened so far, and watches that are open now.
-    pub fn asked(&self) -> (u64, u64) {
+    pub fn connection_counts(&self) -> (u64, u64) {
         let shared = self.shared.borrow();
-        (shared.asked, shared.watches)
+        (shared.connections, shared.watches)
     }
 
     /// Requests so far, and messages sent in answer to them.
-    pub fn calls(&self) -> (u64, u64) {
+    pub fn message_counts(&self) -> (u64, u64) {
         let shared = self.shared.borrow();
-        (shared.calls, shared.told)
+        (shared.requests, shared.messages)
     }
 
     /// From now on it says nothing on open watches and answers no new ones, or speaks again.
-    pub fn silent(&self, silent: bool) {
+    pub fn set_silent(&self, silent: bool) {
         self.shared.borrow_mut().silent = silent;
     }
 
@@ -135,7 +135,7 @@
     /// Serves whoever connects.
     pub async fn serve(self, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
-            self.shared.borrow_mut().asked += 1;
+            self.shared.borrow_mut().connections += 1;
             let discovery = self.clone();
             spawn_local(async move {
                 // A connection that breaks is the other side's matter.
@@ -144,7 +144,7 @@
         }
     }
 
-    async fn spoken(&self) {
+    async fn wait_while_silent(&self) {
         while self.shared.borrow().silent {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -156,37 +156,37 @@
         loop {
             let Some(head) = http::head(&mut stream, &mut buffer, true, || {}).await? else { return Ok(()) };
             let _ = http::body(&mut stream, &mut buffer, &head).await?;
-            self.shared.borrow_mut().calls += 1;
-            self.spoken().await;
+            self.shared.borrow_mut().requests += 1;
+            self.wait_while_silent().await;
             if head.path.contains("stream=1") {
                 let index = head.path.rsplit_once("index=").and_then(|(_, index)| index.parse().ok());
                 return self.watch(stream, index.unwrap_or(0)).await;
             }
             let whole = self.list(0).to_string();
             let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{whole}", whole.len());
-            self.shared.borrow_mut().told += 1;
+            self.shared.borrow_mut().messages += 1;
             stream.write_all(answer.as_bytes()).await?;
         }
     }
 
     async fn watch(&self, mut stream: TcpStream, mut revision: u64) -> io::Result<()> {
         self.shared.borrow_mut().watches += 1;
-        let _open = Open(self.shared.clone());
+        let _open = OpenWatch(self.shared.clone());
         let mut changed = self.changed.subscribe();
         stream.write_all(CHUNKED).await?;
         let mut byte = [0];
         loop {
-            self.spoken().await;
+            self.wait_while_silent().await;
             if self.shared.borrow().revision > revision {
                 let line = self.list(revision).to_string();
                 revision = self.shared.borrow().revision;
-                self.shared.borrow_mut().told += 1;
+                self.shared.borrow_mut().messages += 1;
                 stream.write_all(&chunk(&line)).await?;
             }
             tokio::select! {
                 _ = changed.wait_for(|now| *now > revision) => {}
-                () = tokio::time::sleep(QUIET) => {
-                    self.shared.borrow_mut().told += 1;
+                () = tokio::time::sleep(KEEPALIVE_INTERVAL) => {
+                    self.shared.borrow_mut().messages += 1;
                     stream.write_all(&chunk("")).await?;
                 }
                 // Whoever watches says nothing more: this is its end.
--- a/crates/emulator/src/cluster/fault_proxy.rs
+++ b/crates/emulator/src/cluster/fault_proxy.rs
@@ -20,96 +20,97 @@
 
 /// What is wrong with one direction between two processes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Trouble {
+pub struct LinkFault {
     /// Nothing passes; what was sent waits.
-    pub cut: bool,
+    pub partitioned: bool,
     /// Everything is later by this.
     pub delay: Duration,
     /// Bytes a second, or 0 for as many as there are.
-    pub rate: u64,
+    pub bytes_per_second: u64,
     /// The part of new connections that are reset after a few bytes, in the middle of a frame.
-    pub resets: f64,
+    pub reset_probability: f64,
     /// The part of new connections whose bytes arrive a second time on a connection of their own.
-    pub doubles: f64,
+    pub duplicate_probability: f64,
 }
 
 /// Who a process is to the proxies of a rig.
-pub type Name = usize;
+pub type NodeId = usize;
 
 /// The directions that are in trouble.
 #[derive(Debug)]
-pub struct Net {
-    troubles: BTreeMap<(Name, Name), Trouble>,
-    names: BTreeMap<IpAddr, Name>,
+pub struct FaultyNetwork {
+    link_faults: BTreeMap<(NodeId, NodeId), LinkFault>,
+    nodes: BTreeMap<IpAddr, NodeId>,
     random: Pcg64,
     /// Connections that were reset, and that were doubled.
     pub resets: u64,
     /// See [`Net::resets`].
-    pub doubles: u64,
+    pub duplicates: u64,
     /// Bytes that were carried, both ways.
     pub bytes: u64,
 }
 
 /// All proxies of a rig share it.
-pub type Shared = Rc<RefCell<Net>>;
+pub type SharedNetwork = Rc<RefCell<FaultyNetwork>>;
 
-impl Net {
+impl FaultyNetwork {
     /// A net without troubles, where connections from these addresses are known.
-    pub fn new(names: BTreeMap<IpAddr, Name>, seed: u64) -> Shared {
+    pub fn new(names: BTreeMap<IpAddr, NodeId>, seed: u64) -> SharedNetwork {
         let random = Pcg64::seed_from_u64(seed);
-        Rc::new(RefCell::new(Net {
-            troubles: BTreeMap::new(),
-            names,
+        Rc::new(RefCell::new(FaultyNetwork {
+            link_faults: BTreeMap::new(),
+            nodes: names,
             random,
             resets: 0,
-            doubles: 0,
+            duplicates: 0,
             bytes: 0,
         }))
     }
 
     /// Changes one direction.
-    pub fn set(&mut self, from: Name, to: Name, change: impl FnOnce(&mut Trouble)) {
-        change(self.troubles.entry((from, to)).or_default());
+    pub fn update_link(&mut self, from: NodeId, to: NodeId, change: impl FnOnce(&mut LinkFault)) {
+        change(self.link_faults.entry((from, to)).or_default());
     }
 
     /// Ends all troubles but cuts.
-    pub fn mend(&mut self) {
-        for trouble in self.troubles.values_mut() {
-            *trouble = Trouble { cut: trouble.cut, ..Trouble::default() };
+    pub fn clear_all_but_partitions(&mut self) {
+        for trouble in self.link_faults.values_mut() {
+            *trouble = LinkFault { partitioned: trouble.partitioned, ..LinkFault::default() };
         }
     }
 
     /// Ends all troubles.
-    pub fn heal(&mut self) {
-        self.troubles.clear();
+    pub fn clear_faults(&mut self) {
+        self.link_faults.clear();
     }
 
-    fn get(&self, from: Name, to: Name) -> Trouble {
-        self.troubles.get(&(from, to)).copied().unwrap_or_default()
+    fn link(&self, from: NodeId, to: NodeId) -> LinkFault {
+        self.link_faults.get(&(from, to)).copied().unwrap_or_default()
     }
 }
 
 /// Stands before a process for as long as the listener lasts.
-pub async fn stand_before(net: Shared, listener: TcpListener, name: Name, target: SocketAddr) {
+pub async fn run_proxy(net: SharedNetwork, listener: TcpListener, name: NodeId, target: SocketAddr) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
             sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let from = net.borrow().names.get(&from.ip()).copied();
+        let from = net.borrow().nodes.get(&from.ip()).copied();
         // A stranger, such as an operator's tool, passes untouched, as from itself.
-        spawn_local(carry(net.clone(), stream, from.unwrap_or(name), name, target));
+        spawn_local(relay(net.clone(), stream, from.unwrap_or(name), name, target));
     }
 }
 
-async fn carry(net: Shared, stream: TcpStream, from: Name, to: Name, target: SocketAddr) {
+async fn relay(net: SharedNetwork, stream: TcpStream, from: NodeId, to: NodeId, target: SocketAddr) {
     let (reset, double) = {
         let mut net = net.borrow_mut();
-        let trouble = net.get(from, to);
-        let reset = net.random.random_bool(trouble.resets).then(|| net.random.random_range(1..200usize));
-        let double = net.random.random_bool(trouble.doubles);
+        let trouble = net.link(from, to);
+        let reset =
+            net.random.random_bool(trouble.reset_probability).then(|| net.random.random_range(1..200usize));
+        let double = net.random.random_bool(trouble.duplicate_probability);
         net.resets += u64::from(reset.is_some());
-        net.doubles += u64::from(double);
+        net.duplicates += u64::from(double);
         (reset, double)
     };
     let Ok(other) = TcpStream::connect(target).await else { return };
@@ -128,8 +129,8 @@
             while matches!(read.read(&mut sink).await, Ok(n) if n > 0) {}
         });
     }
-    let there = pump(net.clone(), (from, to), near_read, far_write, second_write, reset);
-    let back = pump(net.clone(), (to, from), far_read, near_write, None, None);
+    let there = copy_one_way(net.clone(), (from, to), near_read, far_write, second_write, reset);
+    let back = copy_one_way(net.clone(), (to, from), far_read, near_write, None, None);
     // Either end closing ends both, as does the reset.
     tokio::select! {
         () = there => {}
@@ -137,9 +138,9 @@
     }
 }
 
-async fn pump(
-    net: Shared,
-    (from, to): (Name, Name),
+async fn copy_one_way(
+    net: SharedNetwork,
+    (from, to): (NodeId, NodeId),
     mut read: OwnedReadHalf,
     mut write: OwnedWriteHalf,
     mut second: Option<OwnedWriteHalf>,
@@ -155,7 +156,7 @@
             if n == 0 {
                 return;
             }
-            let due = Instant::now() + delays.borrow().get(from, to).delay;
+            let due = Instant::now() + delays.borrow().link(from, to).delay;
             if sender.send((due, buffer[..n].to_vec())).await.is_err() {
                 return;
             }
@@ -165,7 +166,7 @@
     let writer = async {
         while let Some((due, mut chunk)) = chunks.recv().await {
             sleep_until(due).await;
-            while net.borrow().get(from, to).cut {
+            while net.borrow().link(from, to).partitioned {
                 sleep(Duration::from_millis(5)).await;
             }
             if let Some(left) = &mut left {
@@ -176,7 +177,7 @@
                 }
                 *left -= chunk.len();
             }
-            let rate = net.borrow().get(from, to).rate;
+            let rate = net.borrow().link(from, to).bytes_per_second;
             net.borrow_mut().bytes += chunk.len() as u64;
             let piece = if rate == 0 { chunk.len() } else { (rate / 50).max(1) as usize };
             for piece in chunk.chunks(piece) {
@@ -215,7 +216,12 @@
                 TcpListener::bind("127.0.0.1:0").await.unwrap(),
             );
             let at = door.local_addr().unwrap();
-            spawn_local(stand_before(Net::new(BTreeMap::new(), 1), door, 0, target.local_addr().unwrap()));
+            spawn_local(run_proxy(
+                FaultyNetwork::new(BTreeMap::new(), 1),
+                door,
+                0,
+                target.local_addr().unwrap(),
+            ));
             let mut near = TcpStream::connect(at).await.unwrap();
             let (mut far, _) = target.accept().await.unwrap();
             near.write_all(b"the last word").await.unwrap();
--- a/crates/emulator/src/cluster/lease_model.rs
+++ b/crates/emulator/src/cluster/lease_model.rs
@@ -30,9 +30,9 @@
 
 /// The protocol with a flaw or without.
 #[derive(Debug, Clone)]
-pub struct Ownership {
+pub struct LeaseProtocol {
     /// The flaw put in.
-    pub flaw: Option<Flaw>,
+    pub injected_bug: Option<Flaw>,
     /// How far to look.
     pub bounds: Bounds,
 }
@@ -41,12 +41,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
     /// The keepers' answer to what was asked then, with the revision and the floor and owner that it shows.
-    Answer(usize, u64, Option<Told>),
+    RenewalReply(usize, u64, Option<ViewSummary>),
     /// An effect of a term, to a receiver.
     Effect(usize, Token),
 }
 
-type Told = (u64, Token, Option<(SessionId, Token)>);
+type ViewSummary = (u64, Token, Option<(SessionId, Token)>);
 
 /// All there is.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -57,9 +57,9 @@
     warden: Warden,
     leaders: u8,
     members: Vec<Member>,
-    net: BTreeSet<Message>,
-    late: bool,
-    doubly_owned: bool,
+    in_transit: BTreeSet<Message>,
+    late_effect_accepted: bool,
+    overlapping_holders: bool,
     handed_over: bool,
 }
 
@@ -67,8 +67,8 @@
 struct Member {
     id: SessionId,
     holder: Holder,
-    asked: Option<u64>,
-    looked: Option<Token>,
+    last_renewal: Option<u64>,
+    checked_token: Option<Token>,
 }
 
 /// What may happen next.
@@ -78,7 +78,7 @@
     Tick,
     /// A member asks for its renewal, and the keepers confirm it. (If it were long on its way to them, they would
     /// count from later: that is on the safe side, so it is left out.)
-    Ask(usize),
+    Renew(usize),
     /// A message arrives.
     Deliver(Message),
     /// The leading keeper does what is due.
@@ -86,23 +86,23 @@
     /// Another keeper leads.
     NewLeader,
     /// An owner looks whether it may act.
-    Look(usize),
+    CheckLease(usize),
     /// An owner that has looked acts, towards a receiver.
     Act(usize, usize),
 }
 
-fn duty() -> DutyId {
+fn lease() -> DutyId {
     DutyId::fleet("list")
 }
 
-fn told(view: &View) -> Told {
+fn summarize(view: &View) -> ViewSummary {
     let seat = &view.seats[0];
     (view.revision, seat.floor, seat.owner.map(|owner| (owner.session, owner.token)))
 }
 
-fn view((revision, floor, owner): Told) -> View {
+fn view((revision, floor, owner): ViewSummary) -> View {
     let owner = owner.map(|(session, token)| coordination::Owner { session, token });
-    View { revision, seats: vec![coordination::Seat { duty: duty(), floor, owner }] }
+    View { revision, seats: vec![coordination::Seat { duty: lease(), floor, owner }] }
 }
 
 impl Fleet {
@@ -125,13 +125,13 @@
     }
 
     fn send(&mut self, message: Message, bounds: Bounds) -> Option<()> {
-        (self.net.len() < bounds.messages).then(|| {
-            self.net.insert(message);
+        (self.in_transit.len() < bounds.messages).then(|| {
+            self.in_transit.insert(message);
         })
     }
 }
 
-impl Model for Ownership {
+impl Model for LeaseProtocol {
     type State = Fleet;
     type Action = Event;
 
@@ -148,14 +148,14 @@
             warden,
             leaders: 0,
             members: Vec::new(),
-            net: BTreeSet::new(),
-            late: false,
-            doubly_owned: false,
+            in_transit: BTreeSet::new(),
+            late_effect_accepted: false,
+            overlapping_holders: false,
             handed_over: false,
         };
         for boot in 0..self.bounds.members {
             let name = format!("m{boot}");
-            let offers = vec![duty()];
+            let offers = vec![lease()];
             let join = Command::Join {
                 name,
                 boot,
@@ -165,9 +165,9 @@
                 short: false,
             };
             let Outcome::Joined(id, incarnation) = fleet.apply(&join) else { return Vec::new() };
-            let mut holder = Holder::new(times).with_flaw(self.flaw);
+            let mut holder = Holder::new(times).with_flaw(self.injected_bug);
             holder.joined(id, incarnation, 0, 0, fleet.state.view());
-            fleet.members.push(Member { id, holder, asked: None, looked: None });
+            fleet.members.push(Member { id, holder, last_renewal: None, checked_token: None });
         }
         for _ in 0..2 {
             for command in fleet.warden.due(0, &fleet.state) {
@@ -191,20 +191,20 @@
         if !fleet.warden.clone().due(fleet.now, &fleet.state).is_empty() {
             actions.push(Event::Decide);
         }
-        actions.extend(fleet.net.iter().cloned().map(Event::Deliver));
+        actions.extend(fleet.in_transit.iter().cloned().map(Event::Deliver));
         for (at, member) in fleet.members.iter().enumerate() {
-            if member.asked.is_none_or(|asked| asked < fleet.now) {
-                actions.push(Event::Ask(at));
+            if member.last_renewal.is_none_or(|asked| asked < fleet.now) {
+                actions.push(Event::Renew(at));
             }
             let owner = member
                 .holder
                 .owned(fleet.now)
                 .first()
-                .is_some_and(|(_, token)| member.looked != Some(*token));
+                .is_some_and(|(_, token)| member.checked_token != Some(*token));
             if owner {
-                actions.push(Event::Look(at));
+                actions.push(Event::CheckLease(at));
             }
-            if member.looked.is_some() {
+            if member.checked_token.is_some() {
                 actions.extend((0..fleet.members.len()).filter(|to| *to != at).map(|to| Event::Act(at, to)));
             }
         }
@@ -226,40 +226,40 @@
                     fleet.apply(&command);
                 }
             }
-            Event::Ask(at) => {
+            Event::Renew(at) => {
                 let member = &mut fleet.members[at];
-                member.asked = Some(now);
+                member.last_renewal = Some(now);
                 let (id, seen) = (member.id, member.holder.seen());
                 fleet.warden.renewed(id, seen, now, &fleet.state).ok()?;
-                let news = (fleet.state.seats_revision() > seen).then(|| told(&fleet.state.view()));
-                fleet.send(Message::Answer(at, now, news), self.bounds)?;
+                let news = (fleet.state.seats_revision() > seen).then(|| summarize(&fleet.state.view()));
+                fleet.send(Message::RenewalReply(at, now, news), self.bounds)?;
             }
-            Event::Look(at) => {
+            Event::CheckLease(at) => {
                 let (_, token) = fleet.members[at].holder.owned(now).into_iter().next()?;
-                if fleet.members[at].holder.may_act(&duty(), token, now) {
-                    fleet.members[at].looked = Some(token);
-                    fleet.doubly_owned |= token < fleet.newest();
+                if fleet.members[at].holder.may_act(&lease(), token, now) {
+                    fleet.members[at].checked_token = Some(token);
+                    fleet.overlapping_holders |= token < fleet.newest();
                 }
             }
             Event::Act(at, to) => {
-                let token = fleet.members[at].looked?;
-                if self.flaw == Some(Flaw::NoLookAtTheClock) {
-                    fleet.doubly_owned |= token < fleet.newest();
+                let token = fleet.members[at].checked_token?;
+                if self.injected_bug == Some(Flaw::NoLookAtTheClock) {
+                    fleet.overlapping_holders |= token < fleet.newest();
                 } else {
-                    fleet.members[at].looked = None;
+                    fleet.members[at].checked_token = None;
                 }
                 fleet.send(Message::Effect(to, token), self.bounds)?;
             }
             Event::Deliver(message) => {
-                fleet.net.remove(&message);
+                fleet.in_transit.remove(&message);
                 match message {
-                    Message::Answer(at, asked, news) => {
+                    Message::RenewalReply(at, asked, news) => {
                         let member = &mut fleet.members[at];
                         member.holder.renewed(member.id, asked, now, news.map(view));
                     }
                     Message::Effect(at, token) => {
-                        if fleet.members[at].holder.take(&duty(), token, now).is_ok() {
-                            fleet.late |= token < fleet.newest();
+                        if fleet.members[at].holder.take(&lease(), token, now).is_ok() {
+                            fleet.late_effect_accepted |= token < fleet.newest();
                         }
                         fleet.members[at].holder.forget_counts();
                     }
@@ -271,9 +271,11 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no effect of an ended term is taken", |_, fleet: &Fleet| !fleet.late),
+            Property::always("no effect of an ended term is taken", |_, fleet: &Fleet| {
+                !fleet.late_effect_accepted
+            }),
             Property::always("no owner acts when a later term was granted", |_, fleet: &Fleet| {
-                !fleet.doubly_owned
+                !fleet.overlapping_holders
             }),
             Property::sometimes("a duty is handed over", |_, fleet: &Fleet| fleet.handed_over),
         ]
@@ -282,27 +284,27 @@
 
 /// What a search found.
 #[derive(Debug, Clone)]
-pub struct Searched {
+pub struct SearchResult {
     /// Different states.
     pub states: usize,
     /// The longest row of events.
     pub depth: usize,
     /// A property that does not hold, and how many events lead there.
-    pub broken: Option<(&'static str, usize)>,
+    pub violated: Option<(&'static str, usize)>,
     /// Whether a hand-over was reached at all.
     pub handed_over: bool,
 }
 
 /// Searches all orders of events within the bounds.
-pub fn search(flaw: Option<Flaw>, bounds: Bounds, threads: usize) -> Searched {
-    let model = Ownership { flaw, bounds };
+pub fn search(flaw: Option<Flaw>, bounds: Bounds, threads: usize) -> SearchResult {
+    let model = LeaseProtocol { injected_bug: flaw, bounds };
     let checker = model.checker().threads(threads).spawn_bfs().join();
     let broken = ["no effect of an ended term is taken", "no owner acts when a later term was granted"];
     let found = |name: &'static str| checker.discovery(name).map(|path| (name, path.into_actions().len()));
-    Searched {
+    SearchResult {
         states: checker.unique_state_count(),
         depth: checker.max_depth(),
-        broken: broken.into_iter().find_map(found),
+        violated: broken.into_iter().find_map(found),
         handed_over: checker.discovery("a duty is handed over").is_some(),
     }
 }
--- a/crates/emulator/src/cluster/lightweight_member.rs
+++ b/crates/emulator/src/cluster/lightweight_member.rs
@@ -15,13 +15,13 @@
 use tokio::time::sleep;
 
 /// How often an owner has something to say, and in how many pieces with how much time between them.
-const ROUND: Duration = Duration::from_millis(50);
-const PIECES: u32 = 5;
-const PIECE: Duration = Duration::from_millis(4);
+const ROUND_PAUSE: Duration = Duration::from_millis(50);
+const EFFECTS_PER_ROUND: u32 = 5;
+const EFFECT_INTERVAL: Duration = Duration::from_millis(4);
 
 /// What a light member is told, as JSON.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Light {
+pub struct MemberConfig {
     /// The installation.
     pub installation: String,
     /// Its name.
@@ -33,15 +33,18 @@
     /// The address that its connections come from.
     pub bind: Option<IpAddr>,
     /// The keepers.
-    pub keepers: BTreeMap<u64, SocketAddr>,
+    #[serde(rename = "keepers")]
+    pub coordinators: BTreeMap<u64, SocketAddr>,
     /// The duties that it offers.
-    pub duties: Vec<String>,
+    #[serde(rename = "duties")]
+    pub leases: Vec<String>,
     /// The times, as the keepers have them.
     pub times: Times,
     /// Where it records.
     pub record: Option<PathBuf>,
     /// A flaw put in, by name.
-    pub bug: Option<String>,
+    #[serde(rename = "bug")]
+    pub injected_bug: Option<String>,
     /// Its seed.
     pub seed: u64,
 }
@@ -52,21 +55,22 @@
 /// It cannot start.
 pub fn run(file: &Path) -> Result<(), String> {
     let text = std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
-    let light: Light = serde_json::from_str(&text).map_err(|error| format!("{}: {error}", file.display()))?;
+    let light: MemberConfig =
+        serde_json::from_str(&text).map_err(|error| format!("{}: {error}", file.display()))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|error| error.to_string())?;
-    tokio::task::LocalSet::new().block_on(&runtime, live(light))
+    tokio::task::LocalSet::new().block_on(&runtime, run_member(light))
 }
 
-async fn live(light: Light) -> Result<(), String> {
-    let bug = light.bug.as_deref();
+async fn run_member(light: MemberConfig) -> Result<(), String> {
+    let bug = light.injected_bug.as_deref();
     let flaw: Option<Flaw> =
         bug.and_then(|name| Flaw::names().iter().find(|(known, _)| *known == name)).map(|(_, f)| *f);
     let record = match &light.record {
         Some(path) => Recorder::to(path).map_err(|error| format!("{}: {error}", path.display()))?,
         None => Recorder::default(),
     };
-    let offers: Result<Vec<DutyId>, String> = light.duties.iter().map(|duty| duty.parse()).collect();
+    let offers: Result<Vec<DutyId>, String> = light.leases.iter().map(|duty| duty.parse()).collect();
     let listener =
         TcpListener::bind(light.listen).await.map_err(|error| format!("{}: {error}", light.listen))?;
     let settings = Settings {
@@ -74,7 +78,7 @@
         name: light.name,
         zone: String::new(),
         address: light.address.to_string(),
-        keepers: light.keepers,
+        keepers: light.coordinators,
         bind: light.bind,
         times: light.times,
         offers: offers?,
@@ -83,7 +87,7 @@
     let member = Member::new(settings, Holder::new(light.times).with_flaw(flaw), record);
     member.record().put(cluster_member::clock::now(), "started", serde_json::json!({}));
     tokio::task::spawn_local(receive(member.clone(), listener, |_| Vec::new()));
-    tokio::task::spawn_local(own(member.clone()));
+    tokio::task::spawn_local(publish_effects(member.clone()));
     let mut terminate = signal(SignalKind::terminate()).map_err(|error| error.to_string())?;
     let leaver = member.clone();
     tokio::task::spawn_local(async move {
@@ -101,7 +105,7 @@
 }
 
 /// Does the rounds of every duty that this member owns.
-async fn own(member: Member) {
+async fn publish_effects(member: Member) {
     let mut terms: BTreeMap<DutyId, Publisher> = BTreeMap::new();
     loop {
         let owned = member.owned();
@@ -109,12 +113,12 @@
         for (duty, token) in owned {
             terms.entry(duty.clone()).or_insert_with(|| Publisher::new(&member, duty, token));
         }
-        for _ in 0..PIECES {
+        for _ in 0..EFFECTS_PER_ROUND {
             terms.values_mut().for_each(|term| {
                 term.say(Vec::new());
             });
-            sleep(PIECE).await;
+            sleep(EFFECT_INTERVAL).await;
         }
-        sleep(ROUND).await;
+        sleep(ROUND_PAUSE).await;
     }
 }
--- a/crates/emulator/src/cluster/mod.rs
+++ b/crates/emulator/src/cluster/mod.rs
@@ -8,19 +8,19 @@
 //! what a fleet saves and costs by its size. [`lease_model`] checks the protocol
 //! in every order of events, [`virtual_time_soak`] in virtual time.
 
-pub mod worker_model;
-pub mod record_checker;
-pub mod planned_drains;
-pub mod virtual_time_soak;
-pub mod slow_start;
-pub mod lightweight_member;
-pub mod lease_model;
-pub mod schedule;
-pub mod fault_proxy;
-pub mod results;
-pub mod lease_harness;
-pub mod emulated_discovery;
 pub mod cluster_harness;
 pub mod dispatch_latency;
-pub mod shared_health_checks;
+pub mod emulated_discovery;
+pub mod fault_proxy;
+pub mod lease_harness;
+pub mod lease_model;
+pub mod lightweight_member;
+pub mod planned_drains;
+pub mod record_checker;
+pub mod results;
 pub mod scaling_cost;
+pub mod schedule;
+pub mod shared_health_checks;
+pub mod slow_start;
+pub mod virtual_time_soak;
+pub mod worker_model;
--- a/crates/emulator/src/cluster/planned_drains.rs
+++ b/crates/emulator/src/cluster/planned_drains.rs
@@ -24,9 +24,11 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 
-use super::record_checker::{self, Line, Records};
-use super::emulated_discovery::Discovery;
-use super::cluster_harness::{call, member, play_below, records, Binaries, Setup, Together};
+use super::cluster_harness::{
+    call_console, member_node, read_records, run_in_folder, Binaries, ClusterHarness, ClusterSpec,
+};
+use super::emulated_discovery::EmulatedDiscovery;
+use super::record_checker::{self, RecordLine, Records};
 
 /// The rules, in the order of the module's text.
 pub const RULES: [&str; 5] = [
@@ -41,25 +43,25 @@
 /// The most that may be out at once, of all and of each zone.
 const MOST: (usize, usize) = (2, 1);
 /// A call is decided within 0.8 s; the rest is the machine's.
-const DECIDED: u64 = 1_500_000;
+const DECISION_TIMEOUT: u64 = 1_500_000;
 /// A loss that lasts this long is known to the account: what a dispatcher said last holds 1 s, an owner may change.
-const KNOWN: u64 = 6_000_000;
+const LOSS_KNOWN_AFTER: u64 = 6_000_000;
 
 /// What is played.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Keepers, three or five.
-    pub keepers: usize,
+    pub coordinators: usize,
     /// Dispatchers, in three zones in turn.
     pub dispatchers: usize,
     /// How long faults go on.
     pub length: Duration,
     /// How often a fault begins, on the mean.
-    pub every: Duration,
+    pub fault_interval: Duration,
     /// After how long a worker is warm, in seconds.
-    pub warm_s: f64,
+    pub warm_up_s: f64,
     /// A flaw in the keepers' account.
-    pub flaw: Option<String>,
+    pub injected_bug: Option<String>,
     /// Draws the faults and the operators' calls.
     pub seed: u64,
 }
@@ -67,12 +69,12 @@
 impl Default for Plan {
     fn default() -> Plan {
         Plan {
-            keepers: 3,
+            coordinators: 3,
             dispatchers: 6,
             length: Duration::from_secs(20),
-            every: Duration::from_secs(3),
-            warm_s: 24.0,
-            flaw: None,
+            fault_interval: Duration::from_secs(3),
+            warm_up_s: 24.0,
+            injected_bug: None,
             seed: 1,
         }
     }
@@ -85,44 +87,53 @@
     /// SIGKILL to the observer, started again later.
     KillObserver,
     /// SIGSTOP to the observer, SIGCONT later.
-    StopObserver,
+    #[serde(rename = "stop-observer")]
+    PauseObserver,
     /// SIGSTOP to a dispatcher right after its operator called, SIGCONT later.
-    StopAsker,
+    #[serde(rename = "stop-asker")]
+    PauseRequester,
     /// What keepers say to a dispatcher is late by 0.3 s, and it is called meanwhile.
-    SlowAsker,
+    #[serde(rename = "slow-asker")]
+    SlowRequester,
     /// SIGKILL to a dispatcher that stays away for long.
-    Lose,
+    #[serde(rename = "lose")]
+    LoseDispatcher,
     /// A dispatcher reaches no keeper and is not reached.
-    CutKeepers,
+    #[serde(rename = "cut-keepers")]
+    PartitionFromCoordinators,
     /// A dispatcher and the others do not reach each other.
-    CutMembers,
+    #[serde(rename = "cut-members")]
+    PartitionFromMembers,
     /// The keepers' leader is killed, and comes back.
     KillLeader,
     /// The keepers' leader is stopped, and goes on.
-    StopLeader,
+    #[serde(rename = "stop-leader")]
+    PauseLeader,
     /// All keepers are killed at once, and come back.
-    KillAllKeepers,
+    #[serde(rename = "kill-all-keepers")]
+    KillAllCoordinators,
     /// Every link is 50 ms slower each way, and one connection in twenty is reset.
-    SlowNet,
+    #[serde(rename = "slow-net")]
+    SlowNetwork,
 }
 
-const KINDS: [Fault; 11] = [
+const FAULT_KINDS: [Fault; 11] = [
     Fault::KillObserver,
-    Fault::StopObserver,
-    Fault::StopAsker,
-    Fault::SlowAsker,
-    Fault::Lose,
-    Fault::CutKeepers,
-    Fault::CutMembers,
+    Fault::PauseObserver,
+    Fault::PauseRequester,
+    Fault::SlowRequester,
+    Fault::LoseDispatcher,
+    Fault::PartitionFromCoordinators,
+    Fault::PartitionFromMembers,
     Fault::KillLeader,
-    Fault::StopLeader,
-    Fault::KillAllKeepers,
-    Fault::SlowNet,
+    Fault::PauseLeader,
+    Fault::KillAllCoordinators,
+    Fault::SlowNetwork,
 ];
 
 /// What a schedule gave.
 #[derive(Debug, Default, Serialize)]
-pub struct Drained {
+pub struct ScheduleResult {
     /// Violations by rule.
     pub rules: BTreeMap<String, Vec<String>>,
     /// Faults by kind.
@@ -130,7 +141,8 @@
     /// The budgets, of all and of a zone, and the most that were out by plan at once.
     pub budget: (usize, usize),
     /// See [`Drained::budget`].
-    pub out_by_plan_max: (usize, usize),
+    #[serde(rename = "out_by_plan_max")]
+    pub max_planned_unavailable: (usize, usize),
     /// Calls for standby by answer: 200, 503, or 0 for none.
     pub calls: BTreeMap<u16, u64>,
     /// Drains that were done by permit.
@@ -138,67 +150,73 @@
     /// The longest that an answered call took, in ms, of dispatchers that ran.
     pub longest_call_ms: f64,
     /// Terms granted.
-    pub terms: u64,
+    #[serde(rename = "terms")]
+    pub lease_terms: u64,
 }
 
 /// What the rig did and saw.
 #[derive(Debug, Default)]
-struct Notes {
+struct Observations {
     /// By dispatcher: from when to when it was killed, stopped, or cut off.
     killed: Vec<(usize, u64, u64)>,
-    stopped: Vec<(usize, u64, u64)>,
+    paused: Vec<(usize, u64, u64)>,
     /// Calls for standby: the dispatcher, from when to when, the status.
     calls: Vec<(usize, u64, u64, u16)>,
     /// Dispatchers that had their turn since this was emptied.
-    turns: Vec<bool>,
+    had_turn: Vec<bool>,
     /// Dispatchers whose operators are to call now.
-    hurry: Vec<bool>,
+    call_now: Vec<bool>,
     /// Since when nobody is to ask any more.
-    over: Option<u64>,
+    ended_at: Option<u64>,
 }
 
-type Shared = Rc<RefCell<Notes>>;
+type SharedObservations = Rc<RefCell<Observations>>;
 
 /// Plays one schedule below this folder.
 ///
 /// # Errors
 /// Something could not be set up.
-pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<Drained, String> {
-    play_below(dir, schedule(dir, binaries.clone(), plan))
+pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<ScheduleResult, String> {
+    run_in_folder(dir, run_schedule(dir, binaries.clone(), plan))
 }
 
 /// A fleet of dispatchers whose drains are agreed on, with these budgets, HCL.
 ///
 /// # Errors
 /// Something cannot be set up.
-pub async fn start(dir: &Path, binaries: Binaries, plan: &Plan, budgets: &str) -> Result<Together, String> {
-    let setup = Setup {
-        keepers: plan.keepers,
+pub async fn start_cluster(
+    dir: &Path,
+    binaries: Binaries,
+    plan: &Plan,
+    budgets: &str,
+) -> Result<ClusterHarness, String> {
+    let setup = ClusterSpec {
+        coordinators: plan.coordinators,
         dispatchers: plan.dispatchers,
-        fleet: Some("account {\n}\n"),
-        discoveries: &[Discovery::new(4)],
-        proxied: Some(plan.seed),
+        cluster_settings: Some("account {\n}\n"),
+        discoveries: &[EmulatedDiscovery::new(4)],
+        proxy_seed: Some(plan.seed),
     };
-    let mut fleet = Together::start(dir, binaries, settings(plan), setup).await?;
-    if let Some(flaw) = &plan.flaw {
-        for keeper in 1..=plan.keepers {
-            fleet.tell_keeper(keeper, "flaw", &format!("\"{flaw}\""))?;
-            fleet.kill_keeper(keeper);
-            fleet.start_keeper(keeper)?;
+    let mut fleet = ClusterHarness::start(dir, binaries, settings(plan), setup).await?;
+    if let Some(flaw) = &plan.injected_bug {
+        for keeper in 1..=plan.coordinators {
+            fleet.set_coordinator_setting(keeper, "flaw", &format!("\"{flaw}\""))?;
+            fleet.kill_coordinator(keeper);
+            fleet.start_coordinator(keeper)?;
         }
     }
-    fleet.all_know(4).await?;
+    fleet.wait_for_workers(4).await?;
     let file = dir.join("budgets.hcl");
     std::fs::write(&file, budgets).map_err(|error| format!("{}: {error}", file.display()))?;
     let path = file.display().to_string();
     let until = Instant::now() + Duration::from_secs(10);
-    while let Err(why) = fleet.keeper_tool(1, &["budgets", "--set", &path]).await {
+    while let Err(why) = fleet.run_coordinator_command(1, &["budgets", "--set", &path]).await {
         if Instant::now() > until {
             return Err(why);
         }
         sleep(Duration::from_millis(100)).await;
     }
-    while inside(&fleet).await != plan.dispatchers {
+    while available_dispatchers(&fleet).await != plan.dispatchers {
         if Instant::now() > until {
             return Err(format!("not all are in\n{}", fleet.logs()));
         }
@@ -208,8 +226,8 @@
 }
 
 /// How many dispatchers the account has as in.
-async fn inside(fleet: &Together) -> usize {
-    let said = fleet.keeper_tool(1, &["account", "--json"]).await.unwrap_or_default();
+async fn available_dispatchers(fleet: &ClusterHarness) -> usize {
+    let said = fleet.run_coordinator_command(1, &["account", "--json"]).await.unwrap_or_default();
     let all: serde_json::Value = serde_json::from_str(&said).unwrap_or_default();
     let targets = all["account"]["targets"].as_array();
     let inside = |target: &&serde_json::Value| {
@@ -230,43 +248,43 @@
                      "parallel-tries": true, "probes": false, "retry-after": true, "send-cap": 4},
             "family-info": {"tells-start": true, "class-stretch": [2.0], "class-kind": [-1]},
             "obligations": {"cold-share": 0.14, "drain-grace-s": 0.5, "fall-multiple": 3.0, "tip-after-s": 1.5,
-                            "warm-within-s": plan.warm_s},
+                            "warm-within-s": plan.warm_up_s},
             "charges": {"cross-zone": 0.025}
         }
     })
 }
 
-async fn schedule(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<Drained, String> {
+async fn run_schedule(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<ScheduleResult, String> {
     let budgets = format!(
         "budget \"all\" {{\n  targets = \"dispatchers\"\n  most_out = {}\n}}\n\
          budget \"zones\" {{\n  targets = \"dispatchers\"\n  of = \"each-zone\"\n  most_out = {}\n}}\n",
         MOST.0, MOST.1
     );
-    let mut fleet = start(dir, binaries, plan, &budgets).await?;
-    let notes = Shared::default();
+    let mut fleet = start_cluster(dir, binaries, plan, &budgets).await?;
+    let notes = SharedObservations::default();
     {
         let mut notes = notes.borrow_mut();
-        (notes.turns, notes.hurry) = (vec![false; plan.dispatchers], vec![false; plan.dispatchers]);
+        (notes.had_turn, notes.call_now) = (vec![false; plan.dispatchers], vec![false; plan.dispatchers]);
     }
     for n in 0..plan.dispatchers {
-        spawn_local(operator(notes.clone(), n, fleet.console_at(n), plan.seed));
+        spawn_local(run_operator(notes.clone(), n, fleet.console_address(n), plan.seed));
     }
     let mut found: BTreeMap<&str, Vec<String>> = BTreeMap::new();
-    let faults = faults(&mut fleet, &notes, plan).await?;
+    let faults = inject_faults(&mut fleet, &notes, plan).await?;
     // All is healed: everybody gets its turn.
-    notes.borrow_mut().turns.fill(false);
+    notes.borrow_mut().had_turn.fill(false);
     let until = Instant::now() + Duration::from_secs(30);
-    while Instant::now() < until && notes.borrow().turns.contains(&false) {
+    while Instant::now() < until && notes.borrow().had_turn.contains(&false) {
         sleep(Duration::from_millis(100)).await;
     }
-    for (n, _) in notes.borrow().turns.iter().enumerate().filter(|(_, turn)| !**turn) {
+    for (n, _) in notes.borrow().had_turn.iter().enumerate().filter(|(_, turn)| !**turn) {
         found.entry(RULES[3]).or_default().push(format!("d{n} did not within 30 s"));
     }
-    notes.borrow_mut().over = Some(clock::now());
+    notes.borrow_mut().ended_at = Some(clock::now());
     drop(fleet);
-    let records = records(dir, plan.keepers, plan.dispatchers)?;
+    let records = read_records(dir, plan.coordinators, plan.dispatchers)?;
     let notes = notes.borrow();
-    let mut drained = check(&records, &notes, found);
+    let mut drained = evaluate(&records, &notes, found);
     for fault in faults {
         let name = serde_json::to_value(fault).ok();
         let name = name.as_ref().and_then(|name| name.as_str()).unwrap_or_default().to_owned();
@@ -276,18 +294,18 @@
 }
 
 /// Empties a dispatcher now and then: asks for standby until it is granted, waits, and makes it active again.
-async fn operator(notes: Shared, n: usize, console: std::net::SocketAddr, seed: u64) {
+async fn run_operator(notes: SharedObservations, n: usize, console: std::net::SocketAddr, seed: u64) {
     let mut random = Pcg64::seed_from_u64(seed ^ (n as u64) << 24);
-    let over = || notes.borrow().over.is_some();
+    let over = || notes.borrow().ended_at.is_some();
     while !over() {
         let pause = Duration::from_millis(random.random_range(200..1_500));
         let until = Instant::now() + pause;
-        while Instant::now() < until && !notes.borrow().hurry[n] {
+        while Instant::now() < until && !notes.borrow().call_now[n] {
             sleep(Duration::from_millis(20)).await;
         }
         loop {
             let from = clock::now();
-            let answer = call(console, "POST", "/standby").await;
+            let answer = call_console(console, "POST", "/standby").await;
             let status = answer.as_ref().map_or(0, |(status, ..)| *status);
             notes.borrow_mut().calls.push((n, from, clock::now(), status));
             if status == 200 || over() {
@@ -298,78 +316,84 @@
         }
         sleep(Duration::from_millis(random.random_range(200..1_500))).await;
         // Until it is active again, or another process.
-        while !over() && call(console, "POST", "/active").await.is_none_or(|(s, ..)| s != 200) {
+        while !over() && call_console(console, "POST", "/active").await.is_none_or(|(s, ..)| s != 200) {
             sleep(Duration::from_millis(100)).await;
         }
-        notes.borrow_mut().turns[n] = true;
+        notes.borrow_mut().had_turn[n] = true;
     }
 }
 
-async fn faults(fleet: &mut Together, notes: &Shared, plan: &Plan) -> Result<Vec<Fault>, String> {
+async fn inject_faults(
+    fleet: &mut ClusterHarness,
+    notes: &SharedObservations,
+    plan: &Plan,
+) -> Result<Vec<Fault>, String> {
     let mut random = Pcg64::seed_from_u64(plan.seed);
     let mut done = Vec::new();
     let end = Instant::now() + plan.length;
     while Instant::now() < end {
-        let next = Instant::now() + plan.every.mul_f64(random.random_range(0.5..1.5));
-        let fault = KINDS[random.random_range(0..KINDS.len())];
+        let next = Instant::now() + plan.fault_interval.mul_f64(random.random_range(0.5..1.5));
+        let fault = FAULT_KINDS[random.random_range(0..FAULT_KINDS.len())];
         let some = random.random_range(0..plan.dispatchers);
-        let observer = fleet.said("observes the fleet").unwrap_or(0);
+        let observer = fleet.last_logged_by("observes the fleet").unwrap_or(0);
         let lasts = Duration::from_secs_f64(match fault {
-            Fault::StopObserver | Fault::StopAsker | Fault::StopLeader => random.random_range(0.2..6.0),
-            Fault::Lose => random.random_range(7.0..9.0),
-            Fault::KillAllKeepers | Fault::KillLeader => random.random_range(0.1..2.0),
+            Fault::PauseObserver | Fault::PauseRequester | Fault::PauseLeader => {
+                random.random_range(0.2..6.0)
+            }
+            Fault::LoseDispatcher => random.random_range(7.0..9.0),
+            Fault::KillAllCoordinators | Fault::KillLeader => random.random_range(0.1..2.0),
             _ => random.random_range(1.0..4.0),
         });
         let from = clock::now();
         done.push(fault);
         match fault {
-            Fault::KillObserver | Fault::Lose => {
-                let whom = if fault == Fault::Lose { some } else { observer };
+            Fault::KillObserver | Fault::LoseDispatcher => {
+                let whom = if fault == Fault::LoseDispatcher { some } else { observer };
                 fleet.kill_dispatcher(whom);
                 sleep(lasts).await;
                 fleet.start_dispatcher(whom)?;
                 notes.borrow_mut().killed.push((whom, from, clock::now()));
             }
-            Fault::StopObserver | Fault::StopAsker => {
-                let whom = if fault == Fault::StopAsker { some } else { observer };
-                if fault == Fault::StopAsker {
-                    notes.borrow_mut().hurry[whom] = true;
+            Fault::PauseObserver | Fault::PauseRequester => {
+                let whom = if fault == Fault::PauseRequester { some } else { observer };
+                if fault == Fault::PauseRequester {
+                    notes.borrow_mut().call_now[whom] = true;
                     sleep(Duration::from_millis(random.random_range(20..60))).await;
-                    notes.borrow_mut().hurry[whom] = false;
+                    notes.borrow_mut().call_now[whom] = false;
                 }
-                fleet.signal(whom, Signal::STOP)?;
+                fleet.signal_dispatcher(whom, Signal::STOP)?;
                 sleep(lasts).await;
-                fleet.signal(whom, Signal::CONT)?;
-                notes.borrow_mut().stopped.push((whom, from, clock::now()));
+                fleet.signal_dispatcher(whom, Signal::CONT)?;
+                notes.borrow_mut().paused.push((whom, from, clock::now()));
             }
-            Fault::SlowAsker => {
-                delays(fleet, plan, some);
-                notes.borrow_mut().hurry[some] = true;
+            Fault::SlowRequester => {
+                delay_replies(fleet, plan, some);
+                notes.borrow_mut().call_now[some] = true;
                 sleep(lasts).await;
-                notes.borrow_mut().hurry[some] = false;
-                heal(fleet);
+                notes.borrow_mut().call_now[some] = false;
+                clear_link_faults(fleet);
             }
-            Fault::CutKeepers | Fault::CutMembers | Fault::SlowNet => {
-                trouble(fleet, plan, fault, some);
+            Fault::PartitionFromCoordinators | Fault::PartitionFromMembers | Fault::SlowNetwork => {
+                apply_link_fault(fleet, plan, fault, some);
                 sleep(lasts).await;
-                heal(fleet);
+                clear_link_faults(fleet);
             }
             Fault::KillLeader => {
                 let leader = fleet.leader();
-                fleet.kill_keeper(leader);
+                fleet.kill_coordinator(leader);
                 sleep(lasts).await;
-                fleet.start_keeper(leader)?;
+                fleet.start_coordinator(leader)?;
             }
-            Fault::StopLeader => {
+            Fault::PauseLeader => {
                 let leader = fleet.leader();
-                fleet.signal_keeper(leader, Signal::STOP)?;
+                fleet.signal_coordinator(leader, Signal::STOP)?;
                 sleep(lasts).await;
-                fleet.signal_keeper(leader, Signal::CONT)?;
+                fleet.signal_coordinator(leader, Signal::CONT)?;
             }
-            Fault::KillAllKeepers => {
-                (1..=plan.keepers).for_each(|n| fleet.kill_keeper(n));
+            Fault::KillAllCoordinators => {
+                (1..=plan.coordinators).for_each(|n| fleet.kill_coordinator(n));
                 sleep(lasts).await;
-                (1..=plan.keepers).try_for_each(|n| fleet.start_keeper(n))?;
+                (1..=plan.coordinators).try_for_each(|n| fleet.start_coordinator(n))?;
             }
         }
         sleep_until(next).await;
@@ -377,29 +401,34 @@
     Ok(done)
 }
 
-fn heal(fleet: &Together) {
-    fleet.net.iter().for_each(|net| net.borrow_mut().heal());
+fn clear_link_faults(fleet: &ClusterHarness) {
+    fleet.network.iter().for_each(|net| net.borrow_mut().clear_faults());
 }
 
-fn delays(fleet: &Together, plan: &Plan, of: usize) {
-    let Some(net) = &fleet.net else { return };
-    for keeper in 1..=plan.keepers {
-        net.borrow_mut().set(keeper, member(of), |trouble| trouble.delay = Duration::from_millis(300));
+fn delay_replies(fleet: &ClusterHarness, plan: &Plan, of: usize) {
+    let Some(net) = &fleet.network else { return };
+    for keeper in 1..=plan.coordinators {
+        net.borrow_mut()
+            .update_link(keeper, member_node(of), |trouble| trouble.delay = Duration::from_millis(300));
     }
 }
 
-fn trouble(fleet: &Together, plan: &Plan, fault: Fault, at: usize) {
-    let Some(net) = &fleet.net else { return };
+fn apply_link_fault(fleet: &ClusterHarness, plan: &Plan, fault: Fault, at: usize) {
+    let Some(net) = &fleet.network else { return };
     let mut net = net.borrow_mut();
-    let all: Vec<usize> = (1..=plan.keepers).chain((0..plan.dispatchers).map(member)).collect();
+    let all: Vec<usize> = (1..=plan.coordinators).chain((0..plan.dispatchers).map(member_node)).collect();
     for (from, to) in all.iter().flat_map(|from| all.iter().map(move |to| (*from, *to))) {
-        let of_it = from == member(at) || to == member(at);
-        let with_keeper = from <= plan.keepers || to <= plan.keepers;
+        let of_it = from == member_node(at) || to == member_node(at);
+        let with_keeper = from <= plan.coordinators || to <= plan.coordinators;
         match fault {
-            Fault::CutKeepers if of_it && with_keeper => net.set(from, to, |trouble| trouble.cut = true),
-            Fault::CutMembers if of_it && !with_keeper => net.set(from, to, |trouble| trouble.cut = true),
-            Fault::SlowNet => net.set(from, to, |trouble| {
-                (trouble.delay, trouble.resets) = (Duration::from_millis(50), 0.05);
+            Fault::PartitionFromCoordinators if of_it && with_keeper => {
+                net.update_link(from, to, |trouble| trouble.partitioned = true)
+            }
+            Fault::PartitionFromMembers if of_it && !with_keeper => {
+                net.update_link(from, to, |trouble| trouble.partitioned = true)
+            }
+            Fault::SlowNetwork => net.update_link(from, to, |trouble| {
+                (trouble.delay, trouble.reset_probability) = (Duration::from_millis(50), 0.05);
             }),
             _ => {}
         }
@@ -407,7 +436,7 @@
 }
 
 /// From when to when dispatchers were in standby by permit, by their records: until they were active, or killed.
-fn standbys(records: &Records, notes: &Notes) -> Vec<(usize, u64, u64)> {
+fn planned_standbys(records: &Records, notes: &Observations) -> Vec<(usize, u64, u64)> {
     let mut standbys = Vec::new();
     for (name, lines) in &records.members {
         let Some(n) = name.strip_prefix('d').and_then(|n| n.parse::<usize>().ok()) else { continue };
@@ -421,10 +450,11 @@
             }
         };
         for line in lines {
-            let by_permit = |line: &Line| line.rest.get("permit").is_some_and(|permit| !permit.is_null());
+            let by_permit =
+                |line: &RecordLine| line.fields.get("permit").is_some_and(|permit| !permit.is_null());
             match line.kind.as_str() {
-                "standby" if by_permit(line) => began = Some(line.t),
-                "active" | "started" => end(&mut began, line.t),
+                "standby" if by_permit(line) => began = Some(line.time),
+                "active" | "started" => end(&mut began, line.time),
                 _ => {}
             }
         }
@@ -433,15 +463,20 @@
     standbys
 }
 
-fn check(records: &Records, notes: &Notes, mut found: BTreeMap<&'static str, Vec<String>>) -> Drained {
-    let mut drained = Drained { budget: MOST, ..Drained::default() };
-    let standbys = standbys(records, notes);
+fn evaluate(
+    records: &Records,
+    notes: &Observations,
+    mut found: BTreeMap<&'static str, Vec<String>>,
+) -> ScheduleResult {
+    let mut drained = ScheduleResult { budget: MOST, ..ScheduleResult::default() };
+    let standbys = planned_standbys(records, notes);
     drained.drains = standbys.len() as u64;
     for (n, from, _) in &standbys {
         let at_once = standbys.iter().filter(|(_, start, end)| (*start..*end).contains(from));
         let in_zone = at_once.clone().filter(|(m, ..)| m % ZONES.len() == n % ZONES.len());
         let (all, zone) = (at_once.clone().count(), in_zone.count());
-        drained.out_by_plan_max = (drained.out_by_plan_max.0.max(all), drained.out_by_plan_max.1.max(zone));
+        drained.max_planned_unavailable =
+            (drained.max_planned_unavailable.0.max(all), drained.max_planned_unavailable.1.max(zone));
         if all > MOST.0 || zone > MOST.1 {
             let who: Vec<String> = at_once.map(|(n, ..)| format!("d{n}")).collect();
             found.entry(RULES[0]).or_default().push(format!("{} at {from}", who.join(", ")));
@@ -449,16 +484,16 @@
     }
     // A permit, once, by the first keeper that recorded it.
     let mut granted: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
-    for line in records.keepers.values().flatten().filter(|line| line.kind == "applied") {
-        let Some(index) = line.rest.get("index").and_then(serde_json::Value::as_u64) else { continue };
-        if let Some(permits) = line.rest.get("permits").and_then(|permits| permits.as_array()) {
-            let entry = granted.entry(index).or_insert((line.t, permits.len() as u64));
-            entry.0 = entry.0.min(line.t);
+    for line in records.coordinators.values().flatten().filter(|line| line.kind == "applied") {
+        let Some(index) = line.fields.get("index").and_then(serde_json::Value::as_u64) else { continue };
+        if let Some(permits) = line.fields.get("permits").and_then(|permits| permits.as_array()) {
+            let entry = granted.entry(index).or_insert((line.time, permits.len() as u64));
+            entry.0 = entry.0.min(line.time);
         }
     }
     for (at, count) in granted.values() {
         // Lost for so long that the account knows, and still.
-        let lost = notes.killed.iter().filter(|(_, from, until)| from + KNOWN < *at && at < until);
+        let lost = notes.killed.iter().filter(|(_, from, until)| from + LOSS_KNOWN_AFTER < *at && at < until);
         let lost: Vec<usize> = lost.map(|(n, ..)| *n).collect();
         let out =
             standbys.iter().filter(|(n, from, until)| (*from..*until).contains(at) && !lost.contains(n));
@@ -471,15 +506,15 @@
     for (n, from, at, status) in &notes.calls {
         *drained.calls.entry(*status).or_default() += 1;
         let hurt =
-            notes.killed.iter().chain(&notes.stopped).any(|(whom, start, end)| {
+            notes.killed.iter().chain(&notes.paused).any(|(whom, start, end)| {
                 whom == n && *start <= *at && *from <= end.saturating_add(2_000_000)
             });
         // What was under way when all was ended is nobody's.
-        if hurt || notes.over.is_some_and(|over| *at >= over) {
+        if hurt || notes.ended_at.is_some_and(|over| *at >= over) {
             continue;
         }
         drained.longest_call_ms = drained.longest_call_ms.max((at - from) as f64 / 1e3);
-        if *status == 0 || at - from > DECIDED {
+        if *status == 0 || at - from > DECISION_TIMEOUT {
             let text = format!("d{n}: status {status} after {} us at {from}", at - from);
             found.entry(RULES[2]).or_default().push(text);
         }
@@ -487,22 +522,22 @@
     for (rule, texts) in record_checker::check(records) {
         found.entry(RULES[4]).or_default().extend(texts.iter().map(|text| format!("{rule}: {text}")));
     }
-    drained.terms = record_checker::terms(records);
+    drained.lease_terms = record_checker::lease_terms(records);
     drained.rules = found.into_iter().map(|(rule, texts)| (rule.to_owned(), texts)).collect();
     drained
 }
 
 /// The sums over all schedules, as text.
 #[must_use]
-pub fn table(played: &BTreeMap<u64, Drained>) -> String {
+pub fn table(played: &BTreeMap<u64, ScheduleResult>) -> String {
     let mut text = String::new();
     let mut line = |words: String| text.push_str(&(words + "\n"));
-    let sum = |of: fn(&Drained) -> u64| played.values().map(of).sum::<u64>();
+    let sum = |of: fn(&ScheduleResult) -> u64| played.values().map(of).sum::<u64>();
     line(format!(
         "{} schedules, {} drains, {} terms",
         played.len(),
         sum(|one| one.drains),
-        sum(|one| one.terms)
+        sum(|one| one.lease_terms)
     ));
     let (mut faults, mut calls) = (BTreeMap::<&str, u64>::new(), BTreeMap::<u16, u64>::new());
     for one in played.values() {
@@ -511,12 +546,12 @@
     }
     line(format!("faults: {faults:?}"));
     line(format!("calls: {calls:?}"));
-    let most = |of: fn(&Drained) -> usize| played.values().map(of).max().unwrap_or(0);
+    let most = |of: fn(&ScheduleResult) -> usize| played.values().map(of).max().unwrap_or(0);
     line(format!(
         "out by plan at most: {} of {} in the fleet, {} of {} in a zone",
-        most(|one| one.out_by_plan_max.0),
+        most(|one| one.max_planned_unavailable.0),
         MOST.0,
-        most(|one| one.out_by_plan_max.1),
+        most(|one| one.max_planned_unavailable.1),
         MOST.1
     ));
     let longest = played.values().map(|one| one.longest_call_ms).fold(0.0, f64::max);
@@ -533,13 +568,13 @@
 mod tests {
     use super::*;
 
-    fn rules(notes: &Notes, keeper: &str, members: &[(&str, &str)]) -> Vec<String> {
+    fn rules(notes: &Observations, keeper: &str, members: &[(&str, &str)]) -> Vec<String> {
         let lines = |text: &str| text.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
         let records = Records {
-            keepers: [(1, lines(keeper))].into(),
+            coordinators: [(1, lines(keeper))].into(),
             members: members.iter().map(|(name, text)| ((*name).to_owned(), lines(text))).collect(),
         };
-        check(&records, notes, BTreeMap::new()).rules.into_keys().collect()
+        evaluate(&records, notes, BTreeMap::new()).rules.into_keys().collect()
     }
 
     /// d0 and d3 are of one zone.
@@ -547,39 +582,43 @@
     fn two_of_a_zone_by_permit_are_found_and_one_after_another_or_by_force_are_not() {
         let out = r#"{"t":100,"kind":"standby","permit":5}
 {"t":900,"kind":"active","number":1}"#;
-        let found = |of: &str, other: &str, notes: &Notes| rules(notes, "", &[("d0", out), (of, other)]);
+        let found =
+            |of: &str, other: &str, notes: &Observations| rules(notes, "", &[("d0", out), (of, other)]);
         let during = r#"{"t":500,"kind":"standby","permit":7}"#;
-        assert_eq!(found("d3", during, &Notes::default()), [RULES[0]]);
-        assert!(found("d1", during, &Notes::default()).is_empty(), "another zone, and two in all");
-        assert!(found("d3", &during.replace("500", "901"), &Notes::default()).is_empty());
-        assert!(found("d3", &during.replace('7', "null"), &Notes::default()).is_empty());
-        let killed = Notes { killed: vec![(0, 400, 2_000)], ..Notes::default() };
+        assert_eq!(found("d3", during, &Observations::default()), [RULES[0]]);
+        assert!(found("d1", during, &Observations::default()).is_empty(), "another zone, and two in all");
+        assert!(found("d3", &during.replace("500", "901"), &Observations::default()).is_empty());
+        assert!(found("d3", &during.replace('7', "null"), &Observations::default()).is_empty());
+        let killed = Observations { killed: vec![(0, 400, 2_000)], ..Observations::default() };
         assert!(found("d3", during, &killed).is_empty(), "out, but not by plan any more");
     }
 
     #[test]
     fn a_permit_beside_known_losses_is_found() {
-        let granted = format!(r#"{{"t":{},"kind":"applied","index":9,"digest":1,"permits":[4]}}"#, 2 * KNOWN);
-        let lost = |from: u64| Notes {
-            killed: vec![(1, from, 3 * KNOWN), (2, from, 3 * KNOWN)],
-            ..Notes::default()
+        let granted = format!(
+            r#"{{"t":{},"kind":"applied","index":9,"digest":1,"permits":[4]}}"#,
+            2 * LOSS_KNOWN_AFTER
+        );
+        let lost = |from: u64| Observations {
+            killed: vec![(1, from, 3 * LOSS_KNOWN_AFTER), (2, from, 3 * LOSS_KNOWN_AFTER)],
+            ..Observations::default()
         };
         assert_eq!(rules(&lost(10), &granted, &[]), [RULES[1]]);
-        assert!(rules(&lost(2 * KNOWN - 10), &granted, &[]).is_empty(), "nobody could know yet");
+        assert!(rules(&lost(2 * LOSS_KNOWN_AFTER - 10), &granted, &[]).is_empty(), "nobody could know yet");
     }
 
     /// Every call without an answer was excused once, since the schedule was over when it was checked.
     #[test]
     fn a_call_that_is_not_answered_or_late_is_found() {
-        let calls = |status: u16, took: u64, at: u64| Notes {
+        let calls = |status: u16, took: u64, at: u64| Observations {
             calls: vec![(0, at, at + took, status)],
-            stopped: vec![(0, 10_000_000, 11_000_000)],
-            over: Some(90_000_000),
-            ..Notes::default()
+            paused: vec![(0, 10_000_000, 11_000_000)],
+            ended_at: Some(90_000_000),
+            ..Observations::default()
         };
         assert!(rules(&calls(503, 900_000, 1_000_000), "", &[]).is_empty());
         assert_eq!(rules(&calls(0, 900_000, 1_000_000), "", &[]), [RULES[2]]);
-        assert_eq!(rules(&calls(503, DECIDED + 1, 1_000_000), "", &[]), [RULES[2]]);
+        assert_eq!(rules(&calls(503, DECISION_TIMEOUT + 1, 1_000_000), "", &[]), [RULES[2]]);
         assert!(rules(&calls(0, 900_000, 10_500_000), "", &[]).is_empty(), "it was stopped");
         assert!(rules(&calls(0, 900_000, 89_900_000), "", &[]).is_empty(), "all was ended");
     }
--- a/crates/emulator/src/cluster/record_checker.rs
+++ b/crates/emulator/src/cluster/record_checker.rs
@@ -12,50 +12,51 @@
 use stateright::semantics::register::{Register, RegisterOp, RegisterRet};
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester};
 
-use super::schedule::Kind;
+use super::schedule::FaultKind;
 
 /// A line of a record.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Line {
+pub struct RecordLine {
     /// The reading of the clock, in microseconds.
-    pub t: u64,
+    #[serde(rename = "t")]
+    pub time: u64,
     /// What kind of line.
     pub kind: String,
     /// The rest.
     #[serde(flatten)]
-    pub rest: BTreeMap<String, Value>,
+    pub fields: BTreeMap<String, Value>,
 }
 
-impl Line {
+impl RecordLine {
     fn number(&self, key: &str) -> Option<u64> {
-        self.rest.get(key)?.as_u64()
+        self.fields.get(key)?.as_u64()
     }
 
     fn text(&self, key: &str) -> Option<&str> {
-        self.rest.get(key)?.as_str()
+        self.fields.get(key)?.as_str()
     }
 }
 
 /// What the rig did, by the same clock.
 #[derive(Debug, Clone)]
-pub struct Done {
+pub struct InjectedFault {
     /// When.
-    pub t: u64,
+    pub time: u64,
     /// What.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Until when.
     pub until: u64,
     /// The term that the owner had whom it was done to, where it was done to an owner.
-    pub token: Option<u64>,
+    pub holder_token: Option<u64>,
 }
 
 /// Records by process.
 #[derive(Debug, Default)]
 pub struct Records {
     /// Keepers, by number.
-    pub keepers: BTreeMap<u64, Vec<Line>>,
+    pub coordinators: BTreeMap<u64, Vec<RecordLine>>,
     /// Members, by name.
-    pub members: BTreeMap<String, Vec<Line>>,
+    pub members: BTreeMap<String, Vec<RecordLine>>,
 }
 
 /// What a checker found, by rule.
@@ -79,7 +80,7 @@
 ///
 /// # Errors
 /// The file is there and cannot be read, or a line in its middle is none.
-pub fn read(path: &Path) -> Result<Vec<Line>, String> {
+pub fn read(path: &Path) -> Result<Vec<RecordLine>, String> {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(Vec::new()),
@@ -96,22 +97,22 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Grant {
     index: u64,
-    duty: String,
+    lease: String,
     token: u64,
-    t: u64,
+    time: u64,
 }
 
 fn grants(records: &Records) -> Vec<Grant> {
     let mut grants: BTreeMap<u64, Grant> = BTreeMap::new();
-    for line in records.keepers.values().flatten().filter(|line| line.kind == "applied") {
+    for line in records.coordinators.values().flatten().filter(|line| line.kind == "applied") {
         let (Some(index), Some(duty), Some(token)) =
             (line.number("index"), line.text("granted"), line.number("token"))
         else {
             continue;
         };
-        let new = Grant { index, duty: duty.to_owned(), token, t: line.t };
+        let new = Grant { index, lease: duty.to_owned(), token, time: line.time };
         let known = grants.entry(index).or_insert_with(|| new.clone());
-        known.t = known.t.min(line.t);
+        known.time = known.time.min(line.time);
     }
     grants.into_values().collect()
 }
@@ -120,7 +121,7 @@
 pub fn check(records: &Records) -> Violations {
     let mut found = Violations::new();
     let mut digests: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
-    for (keeper, lines) in &records.keepers {
+    for (keeper, lines) in &records.coordinators {
         for line in lines.iter().filter(|line| line.kind == "applied") {
             let (Some(index), Some(digest)) = (line.number("index"), line.number("digest")) else { continue };
             let (first, known) = *digests.entry(index).or_insert((*keeper, digest));
@@ -135,17 +136,17 @@
         let text = format!("entry {} granted {} after {}", pair[1].index, pair[1].token, pair[0].token);
         found.entry(RULES[1]).or_default().push(text);
     }
-    for duty in not_linearizable(records, &grants) {
+    for duty in non_linearizable_leases(records, &grants) {
         found.entry(RULES[9]).or_default().push(duty);
     }
     let known: BTreeSet<(&str, u64)> =
-        grants.iter().map(|grant| (grant.duty.as_str(), grant.token)).collect();
+        grants.iter().map(|grant| (grant.lease.as_str(), grant.token)).collect();
     // The moment at which each term was over for good: the next grant of the same duty.
     let mut ended: BTreeMap<(&str, u64), u64> = BTreeMap::new();
     for grant in &grants {
-        for older in grants.iter().filter(|older| older.duty == grant.duty && older.token < grant.token) {
-            let at = ended.entry((&older.duty, older.token)).or_insert(grant.t);
-            *at = (*at).min(grant.t);
+        for older in grants.iter().filter(|older| older.lease == grant.lease && older.token < grant.token) {
+            let at = ended.entry((&older.lease, older.token)).or_insert(grant.time);
+            *at = (*at).min(grant.time);
         }
     }
     for (member, lines) in &records.members {
@@ -165,7 +166,8 @@
                 }
             }
             let (Some(duty), Some(token)) = (line.text("duty"), line.number("token")) else { continue };
-            let late = ended.get(&(duty, token)).filter(|ended| line.t > **ended).map(|ended| line.t - ended);
+            let late =
+                ended.get(&(duty, token)).filter(|ended| line.time > **ended).map(|ended| line.time - ended);
             let rule = match line.kind.as_str() {
                 "taken" => RULES[2],
                 "acted" => RULES[3],
@@ -196,7 +198,7 @@
 /// after the grant before and before a keeper recorded it; an effect that is taken reads it, at that moment. Of what one
 /// process took in one term the first and the last count. By the tester of `stateright`, as a second opinion: it knows
 /// nothing of tokens that only grow.
-fn not_linearizable(records: &Records, grants: &[Grant]) -> Vec<String> {
+fn non_linearizable_leases(records: &Records, grants: &[Grant]) -> Vec<String> {
     /// Order of what has one reading of the clock: whatever can be sound is.
     #[derive(PartialEq, Eq, PartialOrd, Ord)]
     enum Step {
@@ -204,23 +206,23 @@
         Granted,
         Begins(u64),
     }
-    let duties: BTreeSet<&str> = grants.iter().map(|grant| grant.duty.as_str()).collect();
+    let duties: BTreeSet<&str> = grants.iter().map(|grant| grant.lease.as_str()).collect();
     let broken = duties.into_iter().filter(|duty| {
         let mut steps: Vec<(u64, Step)> = Vec::new();
         let mut before = 0;
-        for grant in grants.iter().filter(|grant| grant.duty == *duty) {
+        for grant in grants.iter().filter(|grant| grant.lease == *duty) {
             // One that was recorded before the grant that it followed is the matter of another rule.
-            steps.push((before.min(grant.t), Step::Begins(grant.token)));
-            steps.push((grant.t, Step::Granted));
-            before = grant.t;
+            steps.push((before.min(grant.time), Step::Begins(grant.token)));
+            steps.push((grant.time, Step::Granted));
+            before = grant.time;
         }
         for (thread, lines) in (1..).zip(records.members.values()) {
             let mut ends: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
-            let of_duty = |line: &&Line| line.kind == "taken" && line.text("duty") == Some(duty);
+            let of_duty = |line: &&RecordLine| line.kind == "taken" && line.text("duty") == Some(duty);
             for line in lines.iter().filter(of_duty) {
                 let Some(token) = line.number("token") else { continue };
-                let (first, last) = ends.entry(token).or_insert((line.t, line.t));
-                (*first, *last) = ((*first).min(line.t), (*last).max(line.t));
+                let (first, last) = ends.entry(token).or_insert((line.time, line.time));
+                (*first, *last) = ((*first).min(line.time), (*last).max(line.time));
             }
             for (token, (first, last)) in ends {
                 steps.extend([first, last].map(|t| (t, Step::Read(thread, token))));
@@ -249,69 +251,71 @@
 ///
 /// Only the first fault of a term counts, and only one that has to end it: a stop or a cut that is shorter than the
 /// lease may go by unnoticed, and so may not hearing members.
-pub fn takeovers(records: &Records, done: &[Done], lease: u64) -> BTreeMap<Kind, Vec<u64>> {
+pub fn takeovers(records: &Records, done: &[InjectedFault], lease: u64) -> BTreeMap<FaultKind, Vec<u64>> {
     let mut taken: BTreeMap<u64, u64> = BTreeMap::new();
     for line in records.members.values().flatten().filter(|line| line.kind == "taken") {
         if let Some(token) = line.number("token") {
-            let first = taken.entry(token).or_insert(line.t);
-            *first = (*first).min(line.t);
+            let first = taken.entry(token).or_insert(line.time);
+            *first = (*first).min(line.time);
         }
     }
     let mut counted = BTreeSet::new();
-    let mut takeovers: BTreeMap<Kind, Vec<u64>> = BTreeMap::new();
+    let mut takeovers: BTreeMap<FaultKind, Vec<u64>> = BTreeMap::new();
     for fault in done {
-        let Some(token) = fault.token.filter(|token| counted.insert(*token)) else { continue };
+        let Some(token) = fault.holder_token.filter(|token| counted.insert(*token)) else { continue };
         let ends = match fault.kind {
-            Kind::KillOwner | Kind::EndOwner => true,
-            Kind::StopOwner | Kind::StopAsking | Kind::CutOwnerKeepers | Kind::OneWayOwner => {
-                fault.until >= fault.t + 2 * lease
-            }
+            FaultKind::KillHolder | FaultKind::TerminateHolder => true,
+            FaultKind::PauseHolder
+            | FaultKind::PauseHolderDuringRenewal
+            | FaultKind::PartitionHolderFromCoordinators
+            | FaultKind::HolderHearsNoCoordinator => fault.until >= fault.time + 2 * lease,
             _ => false,
         };
-        let next = taken.range(token + 1..).map(|(_, t)| *t).filter(|t| *t > fault.t).min();
+        let next = taken.range(token + 1..).map(|(_, t)| *t).filter(|t| *t > fault.time).min();
         if let Some(next) = next.filter(|_| ends) {
-            takeovers.entry(fault.kind).or_default().push(next - fault.t);
+            takeovers.entry(fault.kind).or_default().push(next - fault.time);
         }
     }
     takeovers
 }
 
 /// Effects that were refused, over all members.
-pub fn refused(records: &Records) -> u64 {
+pub fn effects_rejected(records: &Records) -> u64 {
     records.members.values().flatten().filter(|line| line.kind == "refused").count() as u64
 }
 
 /// Effects that were taken, over all members.
-pub fn taken(records: &Records) -> u64 {
+pub fn effects_accepted(records: &Records) -> u64 {
     records.members.values().flatten().filter(|line| line.kind == "taken").count() as u64
 }
 
 /// Whether somebody took an effect after this time.
-pub fn alive_after(records: &Records, t: u64) -> bool {
-    records.members.values().flatten().any(|line| line.kind == "taken" && line.t > t)
+pub fn accepted_effect_after(records: &Records, t: u64) -> bool {
+    records.members.values().flatten().any(|line| line.kind == "taken" && line.time > t)
 }
 
 /// The highest token that a keeper has recorded as granted.
-pub fn newest(records: &Records) -> Option<(u64, u64)> {
-    let lines = records.keepers.values().flatten().filter(|line| line.kind == "applied");
+pub fn newest_grant(records: &Records) -> Option<(u64, u64)> {
+    let lines = records.coordinators.values().flatten().filter(|line| line.kind == "applied");
     lines.filter_map(|line| Some((line.number("token")?, line.number("session")?))).max()
 }
 
 /// The member of a session, by the keepers' records.
-pub fn member_of(records: &Records, session: u64) -> Option<String> {
-    let lines = records.keepers.values().flatten().filter(|line| line.number("joined") == Some(session));
+pub fn member_of_session(records: &Records, session: u64) -> Option<String> {
+    let lines = records.coordinators.values().flatten().filter(|line| line.number("joined") == Some(session));
     lines.filter_map(|line| line.text("name")).next().map(str::to_owned)
 }
 
 /// The keeper that recorded last that it leads.
 pub fn leader(records: &Records) -> Option<u64> {
-    let leads = |line: &&Line| line.kind == "leads" && line.number("term").is_some();
-    let last =
-        |(keeper, lines): (&u64, &Vec<Line>)| Some((lines.iter().rfind(leads)?.number("term")?, *keeper));
-    records.keepers.iter().filter_map(last).max().map(|(_, keeper)| keeper)
+    let leads = |line: &&RecordLine| line.kind == "leads" && line.number("term").is_some();
+    let last = |(keeper, lines): (&u64, &Vec<RecordLine>)| {
+        Some((lines.iter().rfind(leads)?.number("term")?, *keeper))
+    };
+    records.coordinators.iter().filter_map(last).max().map(|(_, keeper)| keeper)
 }
 
 /// How many terms were granted.
-pub fn terms(records: &Records) -> u64 {
+pub fn lease_terms(records: &Records) -> u64 {
     grants(records).len() as u64
 }
--- a/crates/emulator/src/cluster/results.rs
+++ b/crates/emulator/src/cluster/results.rs
@@ -9,8 +9,8 @@
 use rayon::prelude::*;
 use serde::Serialize;
 
-use super::schedule::{Arm, Plan};
-use super::lease_harness::{play, Played, Programs};
+use super::lease_harness::{play, Programs, ScheduleResult};
+use super::schedule::{Arm, ClusterExperiment};
 
 /// Seconds at half, 99 of 100, and the longest.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
@@ -127,7 +127,7 @@
 /// # Errors
 /// The rig could not do its work.
 pub fn run(
-    plan: &Plan,
+    plan: &ClusterExperiment,
     seeds: &[u64],
     programs: &Programs,
     out: &Path,
@@ -140,7 +140,7 @@
     let pool =
         rayon::ThreadPoolBuilder::new().num_threads(lanes).build().map_err(|error| error.to_string())?;
     let said = Mutex::new(());
-    let played: Result<Vec<(&Arm, Played)>, String> = pool.install(|| {
+    let played: Result<Vec<(&Arm, ScheduleResult)>, String> = pool.install(|| {
         let one = |(arm, seed): &(&'_ Arm, u64)| {
             let played = play(plan, arm, *seed, programs, out, bug);
             bar.inc(1);
@@ -159,14 +159,14 @@
     for (arm, played) in played? {
         let result = arms.entry(arm.name.clone()).or_default();
         result.schedules += 1;
-        result.taken += played.taken;
-        result.refused_tokens += played.refused;
-        result.terms += played.terms;
+        result.taken += played.effects_accepted;
+        result.refused_tokens += played.effects_rejected;
+        result.terms += played.lease_terms;
         for (kind, count) in &played.faults {
             *result.faults.entry(kind.name()).or_default() += count;
         }
         *result.faults.entry("connections reset").or_default() += played.resets;
-        *result.faults.entry("connections doubled").or_default() += played.doubles;
+        *result.faults.entry("connections doubled").or_default() += played.duplicates;
         for (rule, texts) in &played.violations {
             *result.rules.entry((*rule).to_owned()).or_default() += texts.len() as u64;
         }
@@ -187,7 +187,7 @@
     Ok(Results { experiment: plan.name.clone(), drive: "fleet", seeded_bug: bug.map(str::to_owned), arms })
 }
 
-fn report(plan: &Plan, arm: &Arm, played: &Played, bug: Option<&str>) {
+fn report(plan: &ClusterExperiment, arm: &Arm, played: &ScheduleResult, bug: Option<&str>) {
     for (rule, texts) in &played.violations {
         let first = texts.first().map_or("", String::as_str);
         eprintln!("{} seed {}: {rule}: {} times, first: {first}", arm.name, played.seed, texts.len());
--- a/crates/emulator/src/cluster/scaling_cost.rs
+++ b/crates/emulator/src/cluster/scaling_cost.rs
@@ -14,14 +14,14 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::emulated_discovery::Discovery;
-use super::cluster_harness::{play_below, Binaries, Setup, Together};
+use super::cluster_harness::{run_in_folder, Binaries, ClusterHarness, ClusterSpec};
+use super::emulated_discovery::EmulatedDiscovery;
 use crate::sockets::http;
 
 /// Workers.
 const WORKERS: usize = 20;
 /// A worker changes this often while it is measured.
-const CHANGE: Duration = Duration::from_secs(2);
+const CHANGE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// What one side gave, a second where it says so.
 #[derive(Debug, Clone, Default, Serialize)]
@@ -61,44 +61,51 @@
     fleet: Option<&str>,
     length: Duration,
 ) -> Result<Side, String> {
-    play_below(dir, side(dir, binaries.clone(), members, fleet, length))
+    run_in_folder(dir, measure(dir, binaries.clone(), members, fleet, length))
 }
 
-async fn side(
+async fn measure(
     dir: &Path,
     binaries: Binaries,
     members: usize,
     fleet: Option<&str>,
     length: Duration,
 ) -> Result<Side, String> {
-    let (discovery, probes) = (Discovery::new(0), Rc::new(Cell::new(0u64)));
+    let (discovery, probes) = (EmulatedDiscovery::new(0), Rc::new(Cell::new(0u64)));
     for worker in 0..WORKERS {
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|error| error.to_string())?;
         discovery.add(worker, listener.local_addr().map_err(|error| error.to_string())?);
-        spawn_local(work(probes.clone(), listener));
+        spawn_local(serve_worker(probes.clone(), listener));
     }
     let discoveries = std::slice::from_ref(&discovery);
-    let setup = Setup { keepers: 3, dispatchers: members, fleet, discoveries, proxied: Some(1) };
-    let together = Together::start(dir, binaries, settings(members, fleet.is_none()), setup).await?;
-    together.all_know(WORKERS).await?;
+    let setup = ClusterSpec {
+        coordinators: 3,
+        dispatchers: members,
+        cluster_settings: fleet,
+        discoveries,
+        proxy_seed: Some(1),
+    };
+    let together = ClusterHarness::start(dir, binaries, settings(members, fleet.is_none()), setup).await?;
+    together.wait_for_workers(WORKERS).await?;
     if fleet.is_some() {
-        together.watches(1).await?;
+        together.wait_for_watches(1).await?;
     }
     // Members settle and sets are evened out before anything counts.
     sleep(Duration::from_secs(10)).await;
-    let (keepers, dispatchers) = together.ids();
+    let (keepers, dispatchers) = together.process_ids();
     let used = |ids: &[u32]| -> Vec<f64> { ids.iter().map(|id| cpu(*id)).collect() };
-    let before = (used(&keepers), used(&dispatchers), discovery.calls(), probes.get(), bytes(&together));
-    let changes = (length.as_secs_f64() / CHANGE.as_secs_f64()) as usize;
+    let before =
+        (used(&keepers), used(&dispatchers), discovery.message_counts(), probes.get(), bytes(&together));
+    let changes = (length.as_secs_f64() / CHANGE_INTERVAL.as_secs_f64()) as usize;
     let mut known = Duration::ZERO;
     for change in 0..changes {
         // One drains and comes back, in turn, so that there is news.
         let phase = if change % 2 == 0 { "terminated" } else { "in_service" };
-        discovery.turn(0, phase);
-        known = together.all_know(WORKERS - usize::from(change % 2 == 0)).await?;
-        sleep(CHANGE.saturating_sub(known)).await;
+        discovery.set_phase(0, phase);
+        known = together.wait_for_workers(WORKERS - usize::from(change % 2 == 0)).await?;
+        sleep(CHANGE_INTERVAL.saturating_sub(known)).await;
     }
-    let seconds = CHANGE.as_secs_f64() * changes as f64;
+    let seconds = CHANGE_INTERVAL.as_secs_f64() * changes as f64;
     let part = |now: Vec<f64>, then: &[f64]| -> Vec<f64> {
         now.iter().zip(then).map(|(now, then)| (now - then) / seconds).collect()
     };
@@ -108,9 +115,9 @@
     let largest = |ids: &[u32]| ids.iter().map(|id| resident_mb(*id)).fold(0.0, f64::max);
     Ok(Side {
         calls_to_begin: before.2 .0,
-        calls_per_s: per_s(discovery.calls().0, before.2 .0),
-        watches: discovery.asked().1,
-        told_per_s: per_s(discovery.calls().1, before.2 .1),
+        calls_per_s: per_s(discovery.message_counts().0, before.2 .0),
+        watches: discovery.connection_counts().1,
+        told_per_s: per_s(discovery.message_counts().1, before.2 .1),
         probes_per_s: per_s(probes.get(), before.3),
         bytes_per_s: per_s(bytes(&together), before.4),
         keeper_cpu: most(&of_keepers),
@@ -121,8 +128,8 @@
     })
 }
 
-fn bytes(together: &Together) -> u64 {
-    together.net.as_ref().map_or(0, |net| net.borrow().bytes)
+fn bytes(together: &ClusterHarness) -> u64 {
+    together.network.as_ref().map_or(0, |net| net.borrow().bytes)
 }
 
 /// Seconds of processor time that a process has used.
@@ -162,17 +169,17 @@
 }
 
 /// A stand-in worker that is asked how it is, and nothing else.
-async fn work(probes: Rc<Cell<u64>>, listener: TcpListener) {
+async fn serve_worker(probes: Rc<Cell<u64>>, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         let probes = probes.clone();
         spawn_local(async move {
             // A connection that breaks is the other side's matter.
-            let _ = answer(&probes, stream).await;
+            let _ = answer_probes(&probes, stream).await;
         });
     }
 }
 
-async fn answer(probes: &Cell<u64>, mut stream: TcpStream) -> std::io::Result<()> {
+async fn answer_probes(probes: &Cell<u64>, mut stream: TcpStream) -> std::io::Result<()> {
     let mut buffer = BytesMut::new();
     while let Some(head) = http::head(&mut stream, &mut buffer, true, || {}).await? {
         let _ = http::body(&mut stream, &mut buffer, &head).await?;
--- a/crates/emulator/src/cluster/schedule.rs
+++ b/crates/emulator/src/cluster/schedule.rs
@@ -8,7 +8,7 @@
 
 /// An experiment with processes.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct ClusterExperiment {
     /// Its name.
     pub name: String,
     /// What it is about.
@@ -16,9 +16,9 @@
     /// How long a schedule lasts, in seconds, before everything is healed.
     pub length: f64,
     /// How long the fleet then has to be well again, in seconds.
-    pub calm: f64,
+    pub recovery_time: f64,
     /// Seconds between two faults, on the mean.
-    pub between: f64,
+    pub fault_interval: f64,
     /// The arms.
     pub arms: Vec<Arm>,
     /// The times of the agreement.
@@ -31,132 +31,132 @@
     /// Its name.
     pub name: String,
     /// Three or five.
-    pub keepers: usize,
+    pub coordinators: usize,
     /// How many.
     pub members: usize,
     /// The kinds of fault that it draws from.
-    pub kinds: Vec<Kind>,
+    pub fault_kinds: Vec<FaultKind>,
 }
 
 /// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum FaultKind {
     /// An owner is killed, and started again later.
-    KillOwner,
+    KillHolder,
     /// An owner is stopped for so long, then continued.
-    StopOwner,
+    PauseHolder,
     /// What keepers answer an owner is late by 300 ms, and while it waits the owner is stopped, then continued.
-    StopAsking,
+    PauseHolderDuringRenewal,
     /// An owner ends in good order, and is started again.
-    EndOwner,
+    TerminateHolder,
     /// An owner reaches no keeper, but members.
-    CutOwnerKeepers,
+    PartitionHolderFromCoordinators,
     /// An owner reaches no member, but keepers.
-    CutOwnerMembers,
+    PartitionHolderFromMembers,
     /// An owner reaches keepers, but hears nothing of them.
-    OneWayOwner,
+    HolderHearsNoCoordinator,
     /// Some member is killed and started again.
     KillMember,
     /// Some member is stopped, then continued.
-    StopMember,
+    PauseMember,
     /// Half of the members are started anew within 2 s.
-    HalfAnew,
+    RestartHalfOfMembers,
     /// A second process of a member's name is started, for a while.
-    Twin,
+    DuplicateMember,
     /// The leading keeper is killed and started again.
     KillLeader,
     /// The leading keeper is stopped, then continued.
-    StopLeader,
+    PauseLeader,
     /// Some keeper is cut off from the others.
-    CutKeeper,
+    PartitionCoordinator,
     /// A keeper is not heard by the others, but hears them.
-    OneWayKeeper,
+    CoordinatorNotHeard,
     /// All keepers are killed at once and come back.
-    KillAllKeepers,
+    KillAllCoordinators,
     /// Every link is late by 200 ms each way and one connection in twenty is reset.
-    SlowNet,
+    SlowNetwork,
     /// One connection in four is doubled.
-    Doubles,
+    DuplicateConnections,
     /// Every line to and from one keeper is narrow.
-    Narrow,
+    NarrowBandwidth,
     /// The leading keeper's disk is full, for a while.
     FullDisk,
     /// The leading keeper has hardly any descriptors, for a while.
     FewDescriptors,
     /// A keeper comes back with a copy of its disk that is some starts old.
-    OldDisk,
+    RestoreOldDisk,
     /// A keeper comes back without its disk.
-    LostDisk,
+    LoseDisk,
 }
 
 /// The kinds by name, as experiments and results have them.
-pub const KINDS: [(&str, Kind); 23] = [
-    ("kill-owner", Kind::KillOwner),
-    ("stop-owner", Kind::StopOwner),
-    ("stop-owner-asking", Kind::StopAsking),
-    ("end-owner", Kind::EndOwner),
-    ("cut-owner-from-keepers", Kind::CutOwnerKeepers),
-    ("cut-owner-from-members", Kind::CutOwnerMembers),
-    ("owner-hears-no-keeper", Kind::OneWayOwner),
-    ("kill-member", Kind::KillMember),
-    ("stop-member", Kind::StopMember),
-    ("half-anew", Kind::HalfAnew),
-    ("twin", Kind::Twin),
-    ("kill-leader", Kind::KillLeader),
-    ("stop-leader", Kind::StopLeader),
-    ("cut-keeper", Kind::CutKeeper),
-    ("keeper-not-heard", Kind::OneWayKeeper),
-    ("kill-all-keepers", Kind::KillAllKeepers),
-    ("slow-net", Kind::SlowNet),
-    ("doubles", Kind::Doubles),
-    ("narrow", Kind::Narrow),
-    ("full-disk", Kind::FullDisk),
-    ("few-descriptors", Kind::FewDescriptors),
-    ("old-disk", Kind::OldDisk),
-    ("lost-disk", Kind::LostDisk),
+pub const FAULT_KINDS: [(&str, FaultKind); 23] = [
+    ("kill-owner", FaultKind::KillHolder),
+    ("stop-owner", FaultKind::PauseHolder),
+    ("stop-owner-asking", FaultKind::PauseHolderDuringRenewal),
+    ("end-owner", FaultKind::TerminateHolder),
+    ("cut-owner-from-keepers", FaultKind::PartitionHolderFromCoordinators),
+    ("cut-owner-from-members", FaultKind::PartitionHolderFromMembers),
+    ("owner-hears-no-keeper", FaultKind::HolderHearsNoCoordinator),
+    ("kill-member", FaultKind::KillMember),
+    ("stop-member", FaultKind::PauseMember),
+    ("half-anew", FaultKind::RestartHalfOfMembers),
+    ("twin", FaultKind::DuplicateMember),
+    ("kill-leader", FaultKind::KillLeader),
+    ("stop-leader", FaultKind::PauseLeader),
+    ("cut-keeper", FaultKind::PartitionCoordinator),
+    ("keeper-not-heard", FaultKind::CoordinatorNotHeard),
+    ("kill-all-keepers", FaultKind::KillAllCoordinators),
+    ("slow-net", FaultKind::SlowNetwork),
+    ("doubles", FaultKind::DuplicateConnections),
+    ("narrow", FaultKind::NarrowBandwidth),
+    ("full-disk", FaultKind::FullDisk),
+    ("few-descriptors", FaultKind::FewDescriptors),
+    ("old-disk", FaultKind::RestoreOldDisk),
+    ("lost-disk", FaultKind::LoseDisk),
 ];
 
-impl Kind {
+impl FaultKind {
     /// Its name.
     pub fn name(self) -> &'static str {
-        KINDS.iter().find(|(_, kind)| *kind == self).map_or("", |(name, _)| name)
+        FAULT_KINDS.iter().find(|(_, kind)| *kind == self).map_or("", |(name, _)| name)
     }
 
     /// Whether it can only be once in a schedule, since a keeper does not come back from it.
-    fn once(self) -> bool {
-        matches!(self, Kind::OldDisk | Kind::LostDisk)
+    fn only_once(self) -> bool {
+        matches!(self, FaultKind::RestoreOldDisk | FaultKind::LoseDisk)
     }
 }
 
 /// A fault of a schedule.
 #[derive(Debug, Clone, Copy)]
-pub struct Fault {
+pub struct ScheduledFault {
     /// When it begins, in seconds.
     pub at: f64,
     /// What it is.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// How long it lasts, in seconds.
-    pub lasts: f64,
+    pub duration: f64,
     /// Which process, where the kind leaves a choice.
-    pub pick: usize,
+    pub target_choice: usize,
 }
 
-impl Plan {
+impl ClusterExperiment {
     /// Reads an experiment with `drive = "fleet"`.
     ///
     /// # Errors
     /// Something in it is wrong.
-    pub fn read(file: &str, text: &str) -> Result<Plan, HclFault> {
+    pub fn read(file: &str, text: &str) -> Result<ClusterExperiment, HclFault> {
         let top = Section::parse(file, text)?;
         let head =
             top.section("experiment")?.ok_or_else(|| top.fault("experiment", "the block is missing"))?;
         let arms: Result<Vec<Arm>, HclFault> = head.sections("arm").map(arm).collect();
-        let plan = Plan {
+        let plan = ClusterExperiment {
             name: head.label().to_owned(),
             about: head.text("about")?.unwrap_or_default(),
             length: head.number("length_s", 1.0..=3_600.0)?.unwrap_or(20.0),
-            calm: head.number("calm_s", 3.0..=60.0)?.unwrap_or(5.0),
-            between: head.number("between_s", 0.2..=600.0)?.unwrap_or(4.0),
+            recovery_time: head.number("calm_s", 3.0..=60.0)?.unwrap_or(5.0),
+            fault_interval: head.number("between_s", 0.2..=600.0)?.unwrap_or(4.0),
             arms: arms?,
             times: cluster_member::settings::times(head)?,
         };
@@ -169,7 +169,7 @@
     }
 
     /// Whether an experiment's text is one of this drive.
-    pub fn is_one(file: &str, text: &str) -> bool {
+    pub fn is_cluster_experiment(file: &str, text: &str) -> bool {
         let top = Section::parse(file, text).ok();
         let drive = top.and_then(|top| {
             top.section("experiment").ok().flatten().map(|head| head.text("drive").ok().flatten())
@@ -178,33 +178,43 @@
     }
 
     /// The faults of a schedule.
-    pub fn draw(&self, arm: &Arm, seed: u64) -> Vec<Fault> {
+    pub fn draw(&self, arm: &Arm, seed: u64) -> Vec<ScheduledFault> {
         let mut random = Pcg64::seed_from_u64(seed);
-        let mut kinds = arm.kinds.clone();
+        let mut kinds = arm.fault_kinds.clone();
         let mut faults = Vec::new();
         // Members settle first: a fleet without an owner has nothing to lose.
         let mut at = 3.0;
         while at < self.length {
             let Some(&kind) = kinds.choose(&mut random) else { break };
-            if kind.once() {
-                kinds.retain(|other| !other.once());
+            if kind.only_once() {
+                kinds.retain(|other| !other.only_once());
             }
             let lasts: f64 = match kind {
                 // Both shorter and longer than a lease; a few very long.
-                Kind::StopOwner | Kind::StopMember | Kind::StopLeader => match random.random_range(0..10) {
-                    0..=3 => random.random_range(0.1..1.5),
-                    4..=8 => random.random_range(1.5..5.0),
-                    _ => random.random_range(5.0..30.0),
-                },
-                Kind::StopAsking => random.random_range(2.5..5.0),
-                Kind::KillOwner | Kind::KillMember | Kind::EndOwner | Kind::KillLeader => {
-                    random.random_range(0.0..5.0)
+                FaultKind::PauseHolder | FaultKind::PauseMember | FaultKind::PauseLeader => {
+                    match random.random_range(0..10) {
+                        0..=3 => random.random_range(0.1..1.5),
+                        4..=8 => random.random_range(1.5..5.0),
+                        _ => random.random_range(5.0..30.0),
+                    }
+                }
+                FaultKind::PauseHolderDuringRenewal => random.random_range(2.5..5.0),
+                FaultKind::KillHolder
+                | FaultKind::KillMember
+                | FaultKind::TerminateHolder
+                | FaultKind::KillLeader => random.random_range(0.0..5.0),
+                FaultKind::KillAllCoordinators | FaultKind::RestoreOldDisk | FaultKind::LoseDisk => {
+                    random.random_range(0.1..3.0)
                 }
-                Kind::KillAllKeepers | Kind::OldDisk | Kind::LostDisk => random.random_range(0.1..3.0),
                 _ => random.random_range(1.0..8.0),
             };
-            faults.push(Fault { at, kind, lasts, pick: random.random_range(0..1_000) });
-            at += random.random_range(0.3..1.7) * self.between;
+            faults.push(ScheduledFault {
+                at,
+                kind,
+                duration: lasts,
+                target_choice: random.random_range(0..1_000),
+            });
+            at += random.random_range(0.3..1.7) * self.fault_interval;
         }
         faults
     }
@@ -217,8 +227,8 @@
     }
     let mut kinds = Vec::new();
     for word in section.text("faults")?.unwrap_or_else(|| "all".to_owned()).split_whitespace() {
-        match (word, KINDS.iter().find(|(name, _)| *name == word)) {
-            ("all", _) => kinds.extend(KINDS.iter().map(|(_, kind)| *kind)),
+        match (word, FAULT_KINDS.iter().find(|(name, _)| *name == word)) {
+            ("all", _) => kinds.extend(FAULT_KINDS.iter().map(|(_, kind)| *kind)),
             ("none", _) => kinds.clear(),
             (_, Some((_, kind))) => kinds.push(*kind),
             _ => return Err(section.fault("faults", format!("{word:?} is no kind of fault"))),
@@ -226,8 +236,8 @@
     }
     Ok(Arm {
         name: section.label().to_owned(),
-        keepers,
+        coordinators: keepers,
         members: section.whole("members", 2..=100)?.unwrap_or(8) as usize,
-        kinds,
+        fault_kinds: kinds,
     })
 }
--- a/crates/emulator/src/cluster/shared_health_checks.rs
+++ b/crates/emulator/src/cluster/shared_health_checks.rs
@@ -35,13 +35,15 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep, sleep_until, timeout, Instant, MissedTickBehavior};
 
-use super::worker_model::{Worker, MULTIPLE, SHARE, SPAN, WARM};
+use super::cluster_harness::{
+    member_node, read_records, run_in_folder, Binaries, ClusterHarness, ClusterSpec,
+};
+use super::dispatch_latency::submit_job;
+use super::emulated_discovery::EmulatedDiscovery;
+use super::fault_proxy::{run_proxy, FaultyNetwork, SharedNetwork};
 use super::record_checker::{self, Records};
-use super::fault_proxy::{stand_before, Net, Shared};
-use super::emulated_discovery::Discovery;
-use super::cluster_harness::{member, play_below, records, Binaries, Setup, Together};
-use super::dispatch_latency::ask;
-use crate::checker::{Checker, Limits};
+use super::worker_model::{WorkerModel, INITIAL_CAPACITY, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, WARM_UP};
+use crate::checker::{RuleChecker, RuleLimits};
 use crate::sockets::http::{self, chunk, CHUNKED, LAST_CHUNK};
 
 /// The rules, in the order of the module's text.
@@ -60,23 +62,23 @@
 const ZONES: [&str; 3] = ["north", "south", "west"];
 /// The clients' patience, and by how much an answer may be later.
 const DEADLINE: Duration = Duration::from_secs(3);
-const LATE: Duration = Duration::from_millis(50);
+const ANSWER_SLACK: Duration = Duration::from_millis(50);
 /// How long a stand-in worker runs a job.
-const RUN: Duration = Duration::from_millis(100);
+const RUN_TIME: Duration = Duration::from_millis(100);
 /// Slots of each worker.
 const SLOTS: usize = 4;
 /// New work at a worker that drains ends this long after the drain was told.
-const GRACE: Duration = Duration::from_millis(500);
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
 /// The classes of jobs, in turn: one that may run as often as it likes, and one that may run once only.
 const CLASSES: [(&str, Repeat); 2] = [("lookup", Repeat::Safe), ("book", Repeat::Unsafe)];
 /// An arrival is recorded by a busy process: two of them may seem to be closer by this, in microseconds.
-const JITTER: u64 = 100_000;
+const ARRIVAL_JITTER: u64 = 100_000;
 
 /// What is played.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Keepers, three or five.
-    pub keepers: usize,
+    pub coordinators: usize,
     /// Dispatchers, in three zones in turn.
     pub dispatchers: usize,
     /// Workers, in three zones in turn.
@@ -84,19 +86,19 @@
     /// How long.
     pub length: Duration,
     /// How often a fault begins.
-    pub every: Duration,
+    pub fault_interval: Duration,
     /// Only SIGKILL of dispatchers, one after another, or all kinds.
     pub only_kills: bool,
     /// How often a worker is probed.
-    pub period: Duration,
+    pub probe_period: Duration,
     /// The longest that a worker may go unprobed.
-    pub unwatched: Duration,
+    pub max_unprobed: Duration,
     /// Jobs a second at each dispatcher.
     pub rate: f64,
     /// Whether workers are watched; without, the same faults for comparison.
-    pub watch: bool,
+    pub share_health_checks: bool,
     /// A flaw to put in.
-    pub flaw: Option<String>,
+    pub injected_bug: Option<String>,
     /// Draws the faults.
     pub seed: u64,
     /// Instead of drawing them: these, each with the dispatcher or worker and the zone. Named cases have them.
@@ -106,17 +108,17 @@
 impl Default for Plan {
     fn default() -> Plan {
         Plan {
-            keepers: 3,
+            coordinators: 3,
             dispatchers: 4,
             workers: 20,
             length: Duration::from_secs(30),
-            every: Duration::from_secs(5),
+            fault_interval: Duration::from_secs(5),
             only_kills: false,
-            period: Duration::from_secs(1),
-            unwatched: Duration::from_secs(5),
+            probe_period: Duration::from_secs(1),
+            max_unprobed: Duration::from_secs(5),
             rate: 40.0,
-            watch: true,
-            flaw: None,
+            share_health_checks: true,
+            injected_bug: None,
             seed: 1,
             script: &[],
         }
@@ -128,52 +130,66 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
     /// SIGKILL to a dispatcher, started again later.
-    Kill,
+    #[serde(rename = "kill")]
+    KillDispatcher,
     /// SIGSTOP to a dispatcher, SIGCONT later.
-    Stop,
+    #[serde(rename = "stop")]
+    PauseDispatcher,
     /// SIGTERM to a dispatcher, started again later.
-    End,
+    #[serde(rename = "end")]
+    TerminateDispatcher,
     /// A dispatcher reaches no worker of one zone.
-    CutZone,
+    #[serde(rename = "cut-zone")]
+    PartitionZone,
     /// A worker takes connections and says nothing.
-    Hang,
+    #[serde(rename = "hang")]
+    HangWorker,
     /// The keepers' leader is killed and started again.
     KillLeader,
     /// A dispatcher reaches no keeper, and is not reached by them.
-    CutKeepers,
+    #[serde(rename = "cut-keepers")]
+    PartitionFromCoordinators,
     /// A dispatcher reaches the keepers and hears nothing of them.
-    HearsNoKeeper,
+    #[serde(rename = "hears-no-keeper")]
+    HearsNoCoordinator,
     /// A dispatcher and the others do not reach each other; the keepers they do.
-    CutMembers,
+    #[serde(rename = "cut-members")]
+    PartitionFromMembers,
     /// Every link between members and keepers is 50 ms slower each way, and one connection in twenty is reset.
-    SlowNet,
+    #[serde(rename = "slow-net")]
+    SlowNetwork,
     /// The keepers' leader is stopped, and goes on later with what it had in mind.
-    StopLeader,
+    #[serde(rename = "stop-leader")]
+    PauseLeader,
     /// A keeper and the others do not reach each other; members reach all of them.
-    CutKeeper,
+    #[serde(rename = "cut-keeper")]
+    PartitionCoordinator,
     /// All keepers are killed at once and come back.
-    KillAllKeepers,
+    #[serde(rename = "kill-all-keepers")]
+    KillAllCoordinators,
     /// A worker drains, ends, and comes back cold.
-    Drain,
+    #[serde(rename = "drain")]
+    DrainWorker,
     /// All dispatchers and keepers are started anew, one after another.
-    Roll,
+    #[serde(rename = "roll")]
+    RollingRestart,
 }
 
 /// One fault as it was done, by the clock of the records.
 #[derive(Debug, Clone, Serialize)]
-pub struct Done {
+pub struct InjectedFault {
     fault: Fault,
     /// The dispatcher or the worker.
-    at: usize,
+    target: usize,
     /// The zone that was cut off.
     zone: usize,
-    from: u64,
-    until: u64,
+    began_at: u64,
+    ended_at: u64,
 }
 
 /// What a schedule gave.
 #[derive(Debug, Default, Serialize)]
-pub struct Watched {
+pub struct ScheduleResult {
     /// Violations by rule.
     pub rules: BTreeMap<String, Vec<String>>,
     /// Faults by kind.
@@ -183,11 +199,14 @@
     /// See [`Watched::probes`].
     pub probes_per_s: f64,
     /// The smallest and the largest time between two probes of a worker that was listed and reachable, in ms.
-    pub closest_ms: f64,
+    #[serde(rename = "closest_ms")]
+    pub min_probe_gap_ms: f64,
     /// See [`Watched::closest_ms`].
-    pub longest_ms: f64,
+    #[serde(rename = "longest_ms")]
+    pub max_probe_gap_ms: f64,
     /// From a worker's first silence to its being held against it at each dispatcher, in ms, sorted.
-    pub known_after_ms: Vec<f64>,
+    #[serde(rename = "known_after_ms")]
+    pub detected_after_ms: Vec<f64>,
     /// Jobs handed in, and answers by status: 0 none at all, 1 from a dispatcher that was killed or stopped meanwhile.
     pub jobs: u64,
     /// See [`Watched::jobs`].
@@ -195,16 +214,18 @@
     /// Jobs that came to cold workers, and the most in a span as a part of what was borne.
     pub jobs_at_cold: u64,
     /// See [`Watched::jobs_at_cold`].
-    pub fullest: f64,
+    #[serde(rename = "fullest")]
+    pub peak_cold_load: f64,
     /// Jobs that were sent to workers while these hung.
     pub jobs_at_hung: u64,
     /// Terms granted.
-    pub terms: u64,
+    #[serde(rename = "terms")]
+    pub lease_terms: u64,
 }
 
 /// What stand-ins and clients recorded.
 #[derive(Debug, Default)]
-struct Notes {
+struct Observations {
     /// By worker: when a probe came, and of which dispatcher.
     probes: Vec<Vec<(u64, usize)>>,
     /// By worker: when a job came, of which dispatcher, and which.
@@ -213,79 +234,79 @@
     answers: Vec<(usize, u64, u64, u16, u64)>,
     hung: Vec<bool>,
     /// The worker as it runs now; those before it are in `earlier`.
-    workers: Vec<Rc<Worker>>,
-    earlier: Vec<Rc<Worker>>,
+    workers: Vec<Rc<WorkerModel>>,
+    replaced_workers: Vec<Rc<WorkerModel>>,
 }
 
-type Record = Rc<RefCell<Notes>>;
+type SharedObservations = Rc<RefCell<Observations>>;
 
 /// Plays one schedule below this folder.
 ///
 /// # Errors
 /// Something could not be set up.
-pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<Watched, String> {
-    play_below(dir, schedule(dir, binaries.clone(), plan))
+pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<ScheduleResult, String> {
+    run_in_folder(dir, run_schedule(dir, binaries.clone(), plan))
 }
 
-async fn schedule(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<Watched, String> {
+async fn run_schedule(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<ScheduleResult, String> {
     let io = |error: std::io::Error| error.to_string();
-    let notes = Record::default();
+    let notes = SharedObservations::default();
     {
         let mut notes = notes.borrow_mut();
         notes.probes = vec![Vec::new(); plan.workers];
         notes.jobs = vec![Vec::new(); plan.workers];
         notes.hung = vec![false; plan.workers];
-        let worker = |n: usize| Worker::new((SLOTS, RUN), false, plan.seed ^ n as u64);
+        let worker = |n: usize| WorkerModel::new((SLOTS, RUN_TIME), false, plan.seed ^ n as u64);
         notes.workers = (0..plan.workers).map(worker).collect();
     }
     // A discovery for each dispatcher that names the same workers, each behind a proxy of that dispatcher's own.
     let mut discoveries = Vec::new();
-    let mut nets: Vec<Shared> = Vec::new();
+    let mut nets: Vec<SharedNetwork> = Vec::new();
     for dispatcher in 0..plan.dispatchers {
-        let (discovery, net) = (Discovery::new(0), Net::new(BTreeMap::new(), plan.seed));
+        let (discovery, net) = (EmulatedDiscovery::new(0), FaultyNetwork::new(BTreeMap::new(), plan.seed));
         for worker in 0..plan.workers {
             let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io)?;
             let target = listener.local_addr().map_err(io)?;
-            spawn_local(work(notes.clone(), worker, dispatcher, listener));
+            spawn_local(serve_worker(notes.clone(), worker, dispatcher, listener));
             let door = TcpListener::bind("127.0.0.1:0").await.map_err(io)?;
             discovery.add_in(ZONES[worker % ZONES.len()], worker, door.local_addr().map_err(io)?);
-            spawn_local(stand_before(net.clone(), door, worker, target));
+            spawn_local(run_proxy(net.clone(), door, worker, target));
         }
         discoveries.push(discovery);
         nets.push(net);
     }
     let block = format!(
         "list = false\ncold {{\nslots = {SLOTS}\n}}\nwatch {{\nevery_ms = {}\nsets = 6\n{}}}\n",
-        plan.period.as_millis(),
-        plan.flaw.as_ref().map_or(String::new(), |flaw| format!("flaw = \"{flaw}\"\n"))
+        plan.probe_period.as_millis(),
+        plan.injected_bug.as_ref().map_or(String::new(), |flaw| format!("flaw = \"{flaw}\"\n"))
     );
-    let block = if plan.watch { block } else { "list = false\n".to_owned() };
-    let setup = Setup {
-        keepers: plan.keepers,
+    let block = if plan.share_health_checks { block } else { "list = false\n".to_owned() };
+    let setup = ClusterSpec {
+        coordinators: plan.coordinators,
         dispatchers: plan.dispatchers,
-        fleet: Some(&block),
+        cluster_settings: Some(&block),
         discoveries: &discoveries,
-        proxied: Some(plan.seed),
+        proxy_seed: Some(plan.seed),
     };
-    let mut fleet = Together::start(dir, binaries, settings(plan), setup).await?;
-    fleet.all_know(plan.workers).await?;
+    let mut fleet = ClusterHarness::start(dir, binaries, settings(plan), setup).await?;
+    fleet.wait_for_workers(plan.workers).await?;
     let start = Instant::now();
     let end = start + plan.length;
     // Members settle, and sets are evened out, before anything counts.
     let begun = clock::now() + 5_000_000;
     for (dispatcher, address) in fleet.listen.iter().enumerate() {
-        spawn_local(clients(notes.clone(), dispatcher, *address, plan.rate, end));
+        spawn_local(run_clients(notes.clone(), dispatcher, *address, plan.rate, end));
     }
     sleep(Duration::from_secs(5)).await;
-    let done = faults(&mut fleet, (&nets, &discoveries), &notes, plan, end).await?;
+    let done = inject_faults(&mut fleet, (&nets, &discoveries), &notes, plan, end).await?;
     sleep_until(end).await;
     let until = clock::now();
-    sleep(DEADLINE + LATE + Duration::from_millis(200)).await;
+    sleep(DEADLINE + ANSWER_SLACK + Duration::from_millis(200)).await;
     // Ended in good order, so that nothing is cut in the middle of a record.
     drop(fleet);
-    let records = records(dir, plan.keepers, plan.dispatchers)?;
+    let records = read_records(dir, plan.coordinators, plan.dispatchers)?;
     let notes = notes.borrow();
-    Ok(check(plan, &notes, &records, &done, (begun, until)))
+    Ok(evaluate(plan, &notes, &records, &done, (begun, until)))
 }
 
 fn settings(plan: &Plan) -> serde_json::Value {
@@ -302,46 +323,47 @@
             "caps": {"cancel": true, "dial-timeout-s": 0.25, "keepalive-s": 5.0, "max-retry-after-s": 2.0,
                      "parallel-tries": true, "probes": false, "retry-after": true, "send-cap": 4},
             "family-info": {"tells-start": true, "class-stretch": [2.0, 2.0], "class-kind": [-1, -1]},
-            "obligations": {"cold-share": SHARE, "drain-grace-s": GRACE.as_secs_f64(),
-                            "fall-multiple": MULTIPLE, "tip-after-s": SPAN.as_secs_f64(),
-                            "warm-within-s": WARM.as_secs_f64()},
+            "obligations": {"cold-share": INITIAL_CAPACITY, "drain-grace-s": DRAIN_GRACE.as_secs_f64(),
+                            "fall-multiple": OVERLOAD_MULTIPLE, "tip-after-s": OVERLOAD_WINDOW.as_secs_f64(),
+                            "warm-within-s": WARM_UP.as_secs_f64()},
             "charges": {"cross-zone": 0.025}
         }
     })
 }
 
 /// Draws faults until shortly before the end and does them. At most one dispatcher and one worker are in trouble.
-async fn faults(
-    fleet: &mut Together,
-    (nets, discoveries): (&[Shared], &[Discovery]),
-    notes: &Record,
+async fn inject_faults(
+    fleet: &mut ClusterHarness,
+    (nets, discoveries): (&[SharedNetwork], &[EmulatedDiscovery]),
+    notes: &SharedObservations,
     plan: &Plan,
     end: Instant,
-) -> Result<Vec<Done>, String> {
+) -> Result<Vec<InjectedFault>, String> {
     let mut random = Pcg64::seed_from_u64(plan.seed);
     let mut done = Vec::new();
     let kinds = [
-        Fault::Kill,
-        Fault::Stop,
-        Fault::End,
-        Fault::CutZone,
-        Fault::Hang,
+        Fault::KillDispatcher,
+        Fault::PauseDispatcher,
+        Fault::TerminateDispatcher,
+        Fault::PartitionZone,
+        Fault::HangWorker,
         Fault::KillLeader,
-        Fault::CutKeepers,
-        Fault::HearsNoKeeper,
-        Fault::CutMembers,
-        Fault::SlowNet,
-        Fault::StopLeader,
-        Fault::CutKeeper,
-        Fault::KillAllKeepers,
-        Fault::Drain,
-        Fault::Drain,
-        Fault::Roll,
+        Fault::PartitionFromCoordinators,
+        Fault::HearsNoCoordinator,
+        Fault::PartitionFromMembers,
+        Fault::SlowNetwork,
+        Fault::PauseLeader,
+        Fault::PartitionCoordinator,
+        Fault::KillAllCoordinators,
+        Fault::DrainWorker,
+        Fault::DrainWorker,
+        Fault::RollingRestart,
     ];
     // What is healed takes effect before the end.
-    while Instant::now() + plan.every.max(Duration::from_secs(8)) < end {
-        let next = Instant::now() + plan.every;
-        let fault = if plan.only_kills { Fault::Kill } else { kinds[random.random_range(0..kinds.len())] };
+    while Instant::now() + plan.fault_interval.max(Duration::from_secs(8)) < end {
+        let next = Instant::now() + plan.fault_interval;
+        let fault =
+            if plan.only_kills { Fault::KillDispatcher } else { kinds[random.random_range(0..kinds.len())] };
         let zone = random.random_range(0..ZONES.len());
         let told = match plan.script {
             [] => None,
@@ -354,145 +376,153 @@
         let at = match fault {
             _ if told.is_some() => told.map_or(0, |(_, at, _)| at),
             // One that is in use: dispatchers keep to few workers while these suffice.
-            Fault::Hang | Fault::Drain => busiest(&notes.borrow(), random.random_range(0..plan.workers)),
+            Fault::HangWorker | Fault::DrainWorker => {
+                busiest_worker(&notes.borrow(), random.random_range(0..plan.workers))
+            }
             _ => random.random_range(0..plan.dispatchers),
         };
-        let longest = plan.every.as_secs_f64() * 0.9;
+        let longest = plan.fault_interval.as_secs_f64() * 0.9;
         let lasts = Duration::from_secs_f64(match fault {
-            Fault::Kill | Fault::End => random.random_range(0.1..longest.min(4.0)),
-            Fault::Hang | Fault::CutZone | Fault::SlowNet => longest,
-            Fault::CutKeepers | Fault::HearsNoKeeper | Fault::CutMembers => longest,
-            Fault::Stop => random.random_range(0.2..longest),
+            Fault::KillDispatcher | Fault::TerminateDispatcher => random.random_range(0.1..longest.min(4.0)),
+            Fault::HangWorker | Fault::PartitionZone | Fault::SlowNetwork => longest,
+            Fault::PartitionFromCoordinators | Fault::HearsNoCoordinator | Fault::PartitionFromMembers => {
+                longest
+            }
+            Fault::PauseDispatcher => random.random_range(0.2..longest),
             Fault::KillLeader => 1.0,
-            Fault::StopLeader | Fault::CutKeeper => random.random_range(0.2..longest),
-            Fault::KillAllKeepers => random.random_range(0.1..1.0),
-            Fault::Drain => random.random_range(1.0..longest.min(2.0)),
+            Fault::PauseLeader | Fault::PartitionCoordinator => random.random_range(0.2..longest),
+            Fault::KillAllCoordinators => random.random_range(0.1..1.0),
+            Fault::DrainWorker => random.random_range(1.0..longest.min(2.0)),
             // The time that the restarts take.
-            Fault::Roll => 0.0,
+            Fault::RollingRestart => 0.0,
         });
         let from = clock::now();
         let mut hurt = at;
         match fault {
-            Fault::Kill => fleet.kill_dispatcher(at),
-            Fault::End => fleet.signal(at, Signal::TERM)?,
-            Fault::Stop => fleet.signal(at, Signal::STOP)?,
-            Fault::Hang => notes.borrow_mut().hung[at] = true,
-            Fault::CutZone => cut(&nets[at], plan.workers, zone, true),
+            Fault::KillDispatcher => fleet.kill_dispatcher(at),
+            Fault::TerminateDispatcher => fleet.signal_dispatcher(at, Signal::TERM)?,
+            Fault::PauseDispatcher => fleet.signal_dispatcher(at, Signal::STOP)?,
+            Fault::HangWorker => notes.borrow_mut().hung[at] = true,
+            Fault::PartitionZone => set_zone_partition(&nets[at], plan.workers, zone, true),
             Fault::KillLeader => {
                 hurt = fleet.leader();
-                fleet.kill_keeper(hurt);
+                fleet.kill_coordinator(hurt);
             }
-            Fault::StopLeader => {
+            Fault::PauseLeader => {
                 hurt = fleet.leader();
-                fleet.signal_keeper(hurt, Signal::STOP)?;
+                fleet.signal_coordinator(hurt, Signal::STOP)?;
             }
-            Fault::KillAllKeepers => (1..=plan.keepers).for_each(|n| fleet.kill_keeper(n)),
-            Fault::Drain => discoveries.iter().for_each(|discovery| discovery.turn(at, "terminating")),
-            Fault::Roll => {
+            Fault::KillAllCoordinators => (1..=plan.coordinators).for_each(|n| fleet.kill_coordinator(n)),
+            Fault::DrainWorker => {
+                discoveries.iter().for_each(|discovery| discovery.set_phase(at, "terminating"))
+            }
+            Fault::RollingRestart => {
                 for n in 0..plan.dispatchers {
-                    fleet.signal(n, Signal::TERM)?;
+                    fleet.signal_dispatcher(n, Signal::TERM)?;
                     sleep(Duration::from_millis(150)).await;
                     fleet.kill_dispatcher(n);
                     fleet.start_dispatcher(n)?;
                     let keeper = 1 + n;
-                    if keeper <= plan.keepers {
-                        fleet.kill_keeper(keeper);
-                        fleet.start_keeper(keeper)?;
+                    if keeper <= plan.coordinators {
+                        fleet.kill_coordinator(keeper);
+                        fleet.start_coordinator(keeper)?;
                     }
                     sleep(Duration::from_millis(150)).await;
                 }
             }
-            Fault::CutKeeper
-            | Fault::CutKeepers
-            | Fault::HearsNoKeeper
-            | Fault::CutMembers
-            | Fault::SlowNet => {
-                trouble(fleet, plan, fault, at);
+            Fault::PartitionCoordinator
+            | Fault::PartitionFromCoordinators
+            | Fault::HearsNoCoordinator
+            | Fault::PartitionFromMembers
+            | Fault::SlowNetwork => {
+                apply_link_fault(fleet, plan, fault, at);
             }
         }
         sleep(lasts).await;
         match fault {
-            Fault::Kill => fleet.start_dispatcher(at)?,
-            Fault::End => {
+            Fault::KillDispatcher => fleet.start_dispatcher(at)?,
+            Fault::TerminateDispatcher => {
                 fleet.kill_dispatcher(at);
                 fleet.start_dispatcher(at)?;
             }
-            Fault::Stop => fleet.signal(at, Signal::CONT)?,
-            Fault::Hang => notes.borrow_mut().hung[at] = false,
-            Fault::CutZone => cut(&nets[at], plan.workers, zone, false),
-            Fault::KillLeader => fleet.start_keeper(hurt)?,
-            Fault::StopLeader => fleet.signal_keeper(hurt, Signal::CONT)?,
-            Fault::KillAllKeepers => (1..=plan.keepers).try_for_each(|n| fleet.start_keeper(n))?,
-            Fault::Drain => {
-                discoveries.iter().for_each(|discovery| discovery.turn(at, "terminated"));
+            Fault::PauseDispatcher => fleet.signal_dispatcher(at, Signal::CONT)?,
+            Fault::HangWorker => notes.borrow_mut().hung[at] = false,
+            Fault::PartitionZone => set_zone_partition(&nets[at], plan.workers, zone, false),
+            Fault::KillLeader => fleet.start_coordinator(hurt)?,
+            Fault::PauseLeader => fleet.signal_coordinator(hurt, Signal::CONT)?,
+            Fault::KillAllCoordinators => {
+                (1..=plan.coordinators).try_for_each(|n| fleet.start_coordinator(n))?
+            }
+            Fault::DrainWorker => {
+                discoveries.iter().for_each(|discovery| discovery.set_phase(at, "terminated"));
                 sleep(Duration::from_millis(500)).await;
                 {
                     let mut notes = notes.borrow_mut();
-                    let cold = Worker::new((SLOTS, RUN), true, plan.seed ^ clock::now());
+                    let cold = WorkerModel::new((SLOTS, RUN_TIME), true, plan.seed ^ clock::now());
                     let old = std::mem::replace(&mut notes.workers[at], cold);
-                    notes.earlier.push(old);
+                    notes.replaced_workers.push(old);
                 }
-                discoveries.iter().for_each(|discovery| discovery.turn(at, "in_service"));
+                discoveries.iter().for_each(|discovery| discovery.set_phase(at, "in_service"));
             }
-            Fault::Roll => {}
-            Fault::CutKeeper
-            | Fault::CutKeepers
-            | Fault::HearsNoKeeper
-            | Fault::CutMembers
-            | Fault::SlowNet => {
-                fleet.net.iter().for_each(|net| net.borrow_mut().heal());
+            Fault::RollingRestart => {}
+            Fault::PartitionCoordinator
+            | Fault::PartitionFromCoordinators
+            | Fault::HearsNoCoordinator
+            | Fault::PartitionFromMembers
+            | Fault::SlowNetwork => {
+                fleet.network.iter().for_each(|net| net.borrow_mut().clear_faults());
             }
         }
-        done.push(Done { fault, at: hurt, zone, from, until: clock::now() });
+        done.push(InjectedFault { fault, target: hurt, zone, began_at: from, ended_at: clock::now() });
         sleep_until(next).await;
     }
     Ok(done)
 }
 
 /// Begins a trouble of the links between members and keepers.
-fn trouble(fleet: &Together, plan: &Plan, fault: Fault, at: usize) {
-    let Some(net) = &fleet.net else { return };
+fn apply_link_fault(fleet: &ClusterHarness, plan: &Plan, fault: Fault, at: usize) {
+    let Some(net) = &fleet.network else { return };
     let mut net = net.borrow_mut();
-    let members = (0..plan.dispatchers).map(member);
-    let all: Vec<usize> = (1..=plan.keepers).chain(members).collect();
+    let members = (0..plan.dispatchers).map(member_node);
+    let all: Vec<usize> = (1..=plan.coordinators).chain(members).collect();
     for (from, to) in all.iter().flat_map(|from| all.iter().map(move |to| (*from, *to))) {
-        let (of, other) = (from == member(at), to == member(at));
-        let keeper = |name: usize| name <= plan.keepers;
-        let one = 1 + at % plan.keepers;
+        let (of, other) = (from == member_node(at), to == member_node(at));
+        let keeper = |name: usize| name <= plan.coordinators;
+        let one = 1 + at % plan.coordinators;
         let hit = match fault {
-            Fault::CutKeepers => (of && keeper(to)) || (other && keeper(from)),
-            Fault::HearsNoKeeper => other && keeper(from),
-            Fault::CutKeeper => (from == one && keeper(to)) || (to == one && keeper(from)),
-            Fault::CutMembers => (of && !keeper(to)) || (other && !keeper(from)),
+            Fault::PartitionFromCoordinators => (of && keeper(to)) || (other && keeper(from)),
+            Fault::HearsNoCoordinator => other && keeper(from),
+            Fault::PartitionCoordinator => (from == one && keeper(to)) || (to == one && keeper(from)),
+            Fault::PartitionFromMembers => (of && !keeper(to)) || (other && !keeper(from)),
             _ => false,
         };
         if hit {
-            net.set(from, to, |trouble| trouble.cut = true);
+            net.update_link(from, to, |trouble| trouble.partitioned = true);
         }
-        if fault == Fault::SlowNet {
-            net.set(from, to, |trouble| {
-                (trouble.delay, trouble.resets) = (Duration::from_millis(50), 0.05);
+        if fault == Fault::SlowNetwork {
+            net.update_link(from, to, |trouble| {
+                (trouble.delay, trouble.reset_probability) = (Duration::from_millis(50), 0.05);
             });
         }
     }
 }
 
 /// The worker that got the most jobs in the last two seconds, or this one where none got any.
-fn busiest(notes: &Notes, else_this: usize) -> usize {
+fn busiest_worker(notes: &Observations, else_this: usize) -> usize {
     let since = clock::now().saturating_sub(2_000_000);
     let lately = |at: &Vec<(u64, usize, u64)>| at.iter().rev().take_while(|at| at.0 > since).count();
     let most = notes.jobs.iter().map(lately).enumerate().map(|(worker, jobs)| (jobs, worker)).max();
     most.filter(|(jobs, _)| *jobs > 0).map_or(else_this, |(_, worker)| worker)
 }
 
-fn cut(net: &Shared, workers: usize, zone: usize, cut: bool) {
+fn set_zone_partition(net: &SharedNetwork, workers: usize, zone: usize, cut: bool) {
     for worker in (0..workers).filter(|worker| worker % ZONES.len() == zone) {
-        net.borrow_mut().set(worker, worker, |trouble| trouble.cut = cut);
+        net.borrow_mut().update_link(worker, worker, |trouble| trouble.partitioned = cut);
     }
 }
 
 /// A stand-in worker's door for one dispatcher.
-async fn work(notes: Record, worker: usize, dispatcher: usize, listener: TcpListener) {
+async fn serve_worker(notes: SharedObservations, worker: usize, dispatcher: usize, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         let notes = notes.clone();
         spawn_local(async move {
@@ -503,7 +533,7 @@
 }
 
 async fn serve(
-    notes: &Record,
+    notes: &SharedObservations,
     worker: usize,
     dispatcher: usize,
     mut stream: TcpStream,
@@ -524,7 +554,7 @@
             notes.workers[worker].clone()
         };
         // One that was pushed over closes what comes.
-        if !probe && !runs.comes(Instant::now()) {
+        if !probe && !runs.accept_job(Instant::now()) {
             return Ok(());
         }
         // One that hangs takes what comes and says nothing until the other side gives up.
@@ -538,14 +568,20 @@
         let line = |state: &str| json!({"id": id, "state": state, "result": "ok"}).to_string();
         let Some(_slot) = runs.slot().await else { return Ok(()) };
         stream.write_all(&[CHUNKED, chunk(&line("started")).as_slice()].concat()).await?;
-        sleep(runs.takes(Instant::now())).await;
+        sleep(runs.sample_run_time(Instant::now())).await;
         stream.write_all(&[chunk(&line("done")).as_slice(), LAST_CHUNK].concat()).await?;
     }
     Ok(())
 }
 
 /// Hands jobs to a dispatcher, each on a connection of its own, and notes what comes of them.
-async fn clients(notes: Record, dispatcher: usize, address: SocketAddr, rate: f64, end: Instant) {
+async fn run_clients(
+    notes: SharedObservations,
+    dispatcher: usize,
+    address: SocketAddr,
+    rate: f64,
+    end: Instant,
+) {
     let mut beats = interval(Duration::from_secs_f64(1.0 / rate));
     beats.set_missed_tick_behavior(MissedTickBehavior::Skip);
     let mut count = 0u64;
@@ -555,7 +591,9 @@
         let (notes, id) = (notes.clone(), (dispatcher as u64) << 32 | count);
         spawn_local(async move {
             let from = clock::now();
-            let answer = timeout(DEADLINE + 10 * LATE, ask(&mut None, address, (class_of(id), id))).await;
+            let answer =
+                timeout(DEADLINE + 10 * ANSWER_SLACK, submit_job(&mut None, address, (class_of(id), id)))
+                    .await;
             let status = answer.ok().and_then(Result::ok).unwrap_or(0);
             notes.borrow_mut().answers.push((dispatcher, from, clock::now(), status, id));
         });
@@ -567,18 +605,18 @@
     CLASSES[id as usize % CLASSES.len()].0
 }
 
-fn overlaps(done: &Done, from: u64, until: u64) -> bool {
-    done.from <= until && from <= done.until
+fn overlaps(done: &InjectedFault, from: u64, until: u64) -> bool {
+    done.began_at <= until && from <= done.ended_at
 }
 
-fn check(
+fn evaluate(
     plan: &Plan,
-    notes: &Notes,
+    notes: &Observations,
     records: &Records,
-    done: &[Done],
+    done: &[InjectedFault],
     (begun, until): (u64, u64),
-) -> Watched {
-    let mut played = Watched::default();
+) -> ScheduleResult {
+    let mut played = ScheduleResult::default();
     let mut found: BTreeMap<&str, Vec<String>> = BTreeMap::new();
     let micros = |time: Duration| time.as_micros() as u64;
     for fault in done {
@@ -586,50 +624,58 @@
         let name = name.as_ref().and_then(|name| name.as_str()).unwrap_or_default().to_owned();
         *played.faults.entry(name).or_default() += 1;
     }
-    if plan.watch {
-        probes(plan, notes, done, (begun, until), &mut played, &mut found);
-        against(plan, records, done, &mut played, &mut found);
+    if plan.share_health_checks {
+        check_probes(plan, notes, done, (begun, until), &mut played, &mut found);
+        check_verdicts(plan, records, done, &mut played, &mut found);
     }
-    drains(notes, done, &mut found);
-    cold(notes, &mut played, &mut found);
-    once(notes, &mut found);
+    check_drains(notes, done, &mut found);
+    check_cold_workers(notes, &mut played, &mut found);
+    check_idempotency(notes, &mut found);
     for (dispatcher, from, at, status, _) in &notes.answers {
         played.jobs += 1;
         // A dispatcher that was not running or stopped owes nothing; one that begins takes a moment.
         let hurt = done.iter().any(|done| {
-            (matches!(done.fault, Fault::Kill | Fault::Stop | Fault::End) && done.at == *dispatcher
-                || done.fault == Fault::Roll)
-                && overlaps(&Done { until: done.until + 1_500_000, ..done.clone() }, *from, *at)
+            (matches!(
+                done.fault,
+                Fault::KillDispatcher | Fault::PauseDispatcher | Fault::TerminateDispatcher
+            ) && done.target == *dispatcher
+                || done.fault == Fault::RollingRestart)
+                && overlaps(
+                    &InjectedFault { ended_at: done.ended_at + 1_500_000, ..done.clone() },
+                    *from,
+                    *at,
+                )
         });
         *played.answers.entry(if hurt && *status == 0 { 1 } else { *status }).or_default() += 1;
         let took = at - from;
-        if !hurt && (*status == 0 || took > micros(DEADLINE + LATE)) {
+        if !hurt && (*status == 0 || took > micros(DEADLINE + ANSWER_SLACK)) {
             let text = format!("d{dispatcher}: status {status} after {took} us");
             found.entry(RULES[4]).or_default().push(text);
         }
     }
-    for fault in done.iter().filter(|done| done.fault == Fault::Hang) {
-        let late = notes.jobs[fault.at].iter().filter(|job| (fault.from..fault.until).contains(&job.0));
+    for fault in done.iter().filter(|done| done.fault == Fault::HangWorker) {
+        let late =
+            notes.jobs[fault.target].iter().filter(|job| (fault.began_at..fault.ended_at).contains(&job.0));
         played.jobs_at_hung += late.count() as u64;
     }
     for (rule, texts) in record_checker::check(records) {
         found.entry(RULES[5]).or_default().extend(texts.iter().map(|text| format!("{rule}: {text}")));
     }
-    played.terms = record_checker::terms(records);
+    played.lease_terms = record_checker::lease_terms(records);
     played.rules = found.into_iter().map(|(rule, texts)| (rule.to_owned(), texts)).collect();
     played
 }
 
 /// Rules 1 and 2.
-fn probes(
+fn check_probes(
     plan: &Plan,
-    notes: &Notes,
-    done: &[Done],
+    notes: &Observations,
+    done: &[InjectedFault],
     (begun, until): (u64, u64),
-    played: &mut Watched,
+    played: &mut ScheduleResult,
     found: &mut BTreeMap<&str, Vec<String>>,
 ) {
-    let (period, longest) = (plan.period.as_micros() as u64, plan.unwatched.as_micros() as u64);
+    let (period, longest) = (plan.probe_period.as_micros() as u64, plan.max_unprobed.as_micros() as u64);
     let (mut closest, mut widest) = (u64::MAX, 0);
     for (worker, at) in notes.probes.iter().enumerate() {
         played.probes += at.len() as u64;
@@ -638,15 +684,19 @@
             // What waited in a cut link arrives when that is healed, and what a stopped process had written when it
             // goes on; neither was written then.
             let held = done.iter().any(|done| {
-                matches!(done.fault, Fault::CutZone | Fault::Stop)
-                    && (pair[0].1 == done.at || pair[1].1 == done.at)
-                    && overlaps(&Done { until: done.until + period, ..done.clone() }, pair[0].0, pair[1].0)
+                matches!(done.fault, Fault::PartitionZone | Fault::PauseDispatcher)
+                    && (pair[0].1 == done.target || pair[1].1 == done.target)
+                    && overlaps(
+                        &InjectedFault { ended_at: done.ended_at + period, ..done.clone() },
+                        pair[0].0,
+                        pair[1].0,
+                    )
             });
             if held {
                 continue;
             }
             closest = closest.min(apart);
-            if apart + JITTER < period {
+            if apart + ARRIVAL_JITTER < period {
                 let text = format!("worker {worker}: d{} and d{} {apart} us apart", pair[0].1, pair[1].1);
                 found.entry(RULES[0]).or_default().push(text);
             }
@@ -660,11 +710,11 @@
             // Of a zone that its watcher cannot reach nobody is asked to say anything.
             let cut = done.iter().any(|done| {
                 let of_it = match done.fault {
-                    Fault::CutZone => done.zone == worker % ZONES.len(),
+                    Fault::PartitionZone => done.zone == worker % ZONES.len(),
                     // It is not there for a while.
-                    Fault::Drain => done.at == worker,
+                    Fault::DrainWorker => done.target == worker,
                     // Nobody can be given a duty until the keepers are back, and then sessions begin anew.
-                    Fault::KillAllKeepers | Fault::Roll => true,
+                    Fault::KillAllCoordinators | Fault::RollingRestart => true,
                     _ => false,
                 };
                 of_it && overlaps(done, pair[0], pair[1])
@@ -680,25 +730,33 @@
         }
     }
     played.probes_per_s = played.probes as f64 / ((until - begun) as f64 / 1e6 + 5.0);
-    (played.closest_ms, played.longest_ms) = (closest as f64 / 1e3, widest as f64 / 1e3);
+    (played.min_probe_gap_ms, played.max_probe_gap_ms) = (closest as f64 / 1e3, widest as f64 / 1e3);
 }
 
 /// Rule 7.
-fn drains(notes: &Notes, done: &[Done], found: &mut BTreeMap<&str, Vec<String>>) {
-    let grace = GRACE.as_micros() as u64 + JITTER;
-    for drain in done.iter().filter(|done| done.fault == Fault::Drain) {
-        let late =
-            notes.jobs[drain.at].iter().filter(|job| (drain.from + grace..drain.until).contains(&job.0));
+fn check_drains(notes: &Observations, done: &[InjectedFault], found: &mut BTreeMap<&str, Vec<String>>) {
+    let grace = DRAIN_GRACE.as_micros() as u64 + ARRIVAL_JITTER;
+    for drain in done.iter().filter(|done| done.fault == Fault::DrainWorker) {
+        let late = notes.jobs[drain.target]
+            .iter()
+            .filter(|job| (drain.began_at + grace..drain.ended_at).contains(&job.0));
         for (at, dispatcher, _) in late {
             // One that was stopped had not heard of it, and what waits in a cut link was written before.
             let held = done.iter().any(|done| {
-                matches!(done.fault, Fault::Stop | Fault::CutZone)
-                    && done.at == *dispatcher
-                    && overlaps(&Done { until: done.until + grace, ..done.clone() }, drain.from, *at)
+                matches!(done.fault, Fault::PauseDispatcher | Fault::PartitionZone)
+                    && done.target == *dispatcher
+                    && overlaps(
+                        &InjectedFault { ended_at: done.ended_at + grace, ..done.clone() },
+                        drain.began_at,
+                        *at,
+                    )
             });
             if !held {
-                let text =
-                    format!("worker {}: a job of d{dispatcher} {} us after", drain.at, at - drain.from);
+                let text = format!(
+                    "worker {}: a job of d{dispatcher} {} us after",
+                    drain.target,
+                    at - drain.began_at
+                );
                 found.entry(RULES[6]).or_default().push(text);
             }
         }
@@ -706,43 +764,49 @@
 }
 
 /// Rule 8.
-fn cold(notes: &Notes, played: &mut Watched, found: &mut BTreeMap<&str, Vec<String>>) {
-    for (at, worker) in notes.workers.iter().chain(&notes.earlier).enumerate() {
-        if worker.since().is_none() {
+fn check_cold_workers(
+    notes: &Observations,
+    played: &mut ScheduleResult,
+    found: &mut BTreeMap<&str, Vec<String>>,
+) {
+    for (at, worker) in notes.workers.iter().chain(&notes.replaced_workers).enumerate() {
+        if worker.started_at().is_none() {
             continue;
         }
-        let sent = worker.sent();
+        let sent = worker.arrivals();
         played.jobs_at_cold += sent.len() as u64;
         for n in 0..sent.len() {
-            played.fullest = played.fullest.max(Worker::in_span(&sent[..=n]) / worker.bears(sent[n]));
+            played.peak_cold_load = played
+                .peak_cold_load
+                .max(WorkerModel::arrivals_in_window(&sent[..=n]) / worker.capacity_in_window(sent[n]));
         }
-        if worker.falls() > 0 {
-            let text = format!("worker {at} fell {} times", worker.falls());
+        if worker.overloads() > 0 {
+            let text = format!("worker {at} fell {} times", worker.overloads());
             found.entry(RULES[7]).or_default().push(text);
         }
     }
 }
 
 /// Rule 9, by the checker that the other drives have. What a worker heard whole may have run.
-fn once(notes: &Notes, found: &mut BTreeMap<&str, Vec<String>>) {
+fn check_idempotency(notes: &Observations, found: &mut BTreeMap<&str, Vec<String>>) {
     let jobs = notes.jobs.iter().enumerate();
     let mut events: Vec<(u64, u64, Option<usize>, u16)> = jobs
         .flat_map(|(worker, jobs)| jobs.iter().map(move |(at, _, id)| (*at, *id, Some(worker), 0)))
         .chain(notes.answers.iter().map(|(_, _, at, status, id)| (*at, *id, None, *status)))
         .collect();
     events.sort_unstable();
-    let mut checker = Checker::new(Limits { drain_grace: u64::MAX, answer_slack: u64::MAX / 2 });
+    let mut checker = RuleChecker::new(RuleLimits { drain_grace: u64::MAX, answer_slack: u64::MAX / 2 });
     for (_, from, _, _, id) in &notes.answers {
         let repeat = CLASSES[*id as usize % CLASSES.len()].1;
-        checker.took(*id, repeat, u64::MAX / 2, *from);
+        checker.record_accepted(*id, repeat, u64::MAX / 2, *from);
     }
     for (at, id, worker, status) in events {
         match worker {
             Some(worker) => {
-                checker.sent(0, id, worker as u64, (0, 0), at);
+                checker.record_attempt(0, id, worker as u64, (0, 0), at);
             }
-            None if status != 0 => checker.answered(id, matches!(status, 429 | 503), at),
-            None => checker.excuse(id),
+            None if status != 0 => checker.record_answer(id, matches!(status, 429 | 503), at),
+            None => checker.waive_answer(id),
         }
     }
     let dup = checker.finish().dup;
@@ -752,32 +816,31 @@
 }
 
 /// Rules 3 and 4.
-fn against(
+fn check_verdicts(
     plan: &Plan,
     records: &Records,
-    done: &[Done],
-    played: &mut Watched,
+    done: &[InjectedFault],
+    played: &mut ScheduleResult,
     found: &mut BTreeMap<&str, Vec<String>>,
 ) {
     let names: BTreeMap<u64, usize> =
         (0..plan.workers).map(|worker| (worker_id(&format!("w-{worker:04}")).0, worker)).collect();
-    let hangs: Vec<&Done> = done.iter().filter(|done| done.fault == Fault::Hang).collect();
+    let hangs: Vec<&InjectedFault> = done.iter().filter(|done| done.fault == Fault::HangWorker).collect();
     let mut known: BTreeSet<(usize, &str)> = BTreeSet::new();
     for (member, lines) in &records.members {
         for line in lines.iter().filter(|line| line.kind == "against") {
-            let number = |key: &str| line.rest.get(key).and_then(serde_json::Value::as_u64);
+            let number = |key: &str| line.fields.get(key).and_then(serde_json::Value::as_u64);
             let (Some(id), Some(holds)) = (number("worker"), number("holds")) else { continue };
             let Some(worker) = names.get(&id).copied().filter(|_| holds > 0) else { continue };
             // What it did may be told for as long as word of it holds.
-            let longest = 6 * plan.period.as_micros() as u64;
-            let hang = hangs
-                .iter()
-                .enumerate()
-                .find(|(_, hang)| hang.at == worker && (hang.from..hang.until + longest).contains(&line.t));
+            let longest = 6 * plan.probe_period.as_micros() as u64;
+            let hang = hangs.iter().enumerate().find(|(_, hang)| {
+                hang.target == worker && (hang.began_at..hang.ended_at + longest).contains(&line.time)
+            });
             match hang {
                 Some((n, hang)) => {
                     if known.insert((n, member)) {
-                        played.known_after_ms.push((line.t - hang.from) as f64 / 1e3);
+                        played.detected_after_ms.push((line.time - hang.began_at) as f64 / 1e3);
                     }
                 }
                 None => {
@@ -789,35 +852,35 @@
     }
     for (n, hang) in hangs.iter().enumerate() {
         // Long enough for the probes and for a takeover in between.
-        if hang.until - hang.from < 4 * plan.period.as_micros() as u64 {
+        if hang.ended_at - hang.began_at < 4 * plan.probe_period.as_micros() as u64 {
             continue;
         }
         let missing = (0..plan.dispatchers).map(|n| format!("d{n}")).filter(|member| {
             !known.contains(&(n, member.as_str()))
                 && !done.iter().any(|done| {
-                    done.fault != Fault::Hang
-                        && overlaps(done, hang.from.saturating_sub(8_000_000), hang.until)
+                    done.fault != Fault::HangWorker
+                        && overlaps(done, hang.began_at.saturating_sub(8_000_000), hang.ended_at)
                 })
         });
         let missing: Vec<String> = missing.collect();
         if !missing.is_empty() {
-            let text = format!("worker {} hung and {} did not hear of it", hang.at, missing.join(", "));
+            let text = format!("worker {} hung and {} did not hear of it", hang.target, missing.join(", "));
             found.entry(RULES[3]).or_default().push(text);
         }
     }
-    played.known_after_ms.sort_by(f64::total_cmp);
+    played.detected_after_ms.sort_by(f64::total_cmp);
 }
 
 /// The sums over all schedules, as text.
 #[must_use]
-pub fn table(played: &BTreeMap<u64, Watched>) -> String {
+pub fn table(played: &BTreeMap<u64, ScheduleResult>) -> String {
     let mut text = String::new();
     let mut line = |words: String| text.push_str(&(words + "\n"));
-    let sum = |of: fn(&Watched) -> u64| played.values().map(of).sum::<u64>();
+    let sum = |of: fn(&ScheduleResult) -> u64| played.values().map(of).sum::<u64>();
     line(format!(
         "{} schedules, {} terms, {} probes, {:.1} a second each",
         played.len(),
-        sum(|one| one.terms),
+        sum(|one| one.lease_terms),
         sum(|one| one.probes),
         played.values().map(|one| one.probes_per_s).sum::<f64>() / played.len().max(1) as f64
     ));
@@ -828,10 +891,10 @@
         one.answers.iter().for_each(|(status, count)| *answers.entry(*status).or_default() += count);
     }
     line(format!("faults: {faults:?}"));
-    let closest = played.values().map(|one| one.closest_ms).fold(f64::INFINITY, f64::min);
-    let longest = played.values().map(|one| one.longest_ms).fold(0.0, f64::max);
+    let closest = played.values().map(|one| one.min_probe_gap_ms).fold(f64::INFINITY, f64::min);
+    let longest = played.values().map(|one| one.max_probe_gap_ms).fold(0.0, f64::max);
     line(format!("between two probes of a worker: {closest:.0} to {longest:.0} ms"));
-    let mut known: Vec<f64> = played.values().flat_map(|one| one.known_after_ms.iter().copied()).collect();
+    let mut known: Vec<f64> = played.values().flat_map(|one| one.detected_after_ms.iter().copied()).collect();
     known.sort_by(f64::total_cmp);
     if let (Some(half), Some(last)) = (known.get(known.len() / 2), known.last()) {
         let count = known.len();
@@ -842,7 +905,7 @@
         sum(|one| one.jobs),
         sum(|one| one.jobs_at_hung)
     ));
-    let fullest = played.values().map(|one| one.fullest).fold(0.0, f64::max);
+    let fullest = played.values().map(|one| one.peak_cold_load).fold(0.0, f64::max);
     line(format!("jobs at cold workers {}, fullest span {fullest:.2}", sum(|one| one.jobs_at_cold)));
     for (seed, one) in played {
         for (rule, texts) in &one.rules {
@@ -856,22 +919,34 @@
 mod tests {
     use super::*;
 
-    const DRAIN: Done = Done { fault: Fault::Drain, at: 0, zone: 0, from: 1_000_000, until: 4_000_000 };
+    const DRAIN: InjectedFault = InjectedFault {
+        fault: Fault::DrainWorker,
+        target: 0,
+        zone: 0,
+        began_at: 1_000_000,
+        ended_at: 4_000_000,
+    };
 
-    fn notes(jobs: &[(u64, usize, u64)]) -> Notes {
-        Notes { jobs: vec![jobs.to_vec()], ..Notes::default() }
+    fn notes(jobs: &[(u64, usize, u64)]) -> Observations {
+        Observations { jobs: vec![jobs.to_vec()], ..Observations::default() }
     }
 
     #[test]
     fn a_job_at_a_worker_that_drains_is_found_unless_its_sender_was_held() {
-        let found = |jobs: &[(u64, usize, u64)], others: &[Done]| {
+        let found = |jobs: &[(u64, usize, u64)], others: &[InjectedFault]| {
             let (mut found, done) = (BTreeMap::new(), [&[DRAIN], others].concat());
-            drains(&notes(jobs), &done, &mut found);
+            check_drains(&notes(jobs), &done, &mut found);
             found.contains_key(RULES[6])
         };
         assert!(!found(&[(1_590_000, 1, 1), (4_100_000, 1, 2)], &[]));
         assert!(found(&[(1_610_000, 1, 1)], &[]));
-        let stop = Done { fault: Fault::Stop, at: 1, zone: 0, from: 900_000, until: 1_500_000 };
+        let stop = InjectedFault {
+            fault: Fault::PauseDispatcher,
+            target: 1,
+            zone: 0,
+            began_at: 900_000,
+            ended_at: 1_500_000,
+        };
         assert!(!found(&[(1_610_000, 1, 1)], std::slice::from_ref(&stop)));
         assert!(found(&[(1_610_000, 2, 1)], &[stop]), "another one was stopped");
     }
@@ -879,14 +954,14 @@
     #[test]
     fn a_cold_worker_that_falls_is_found_and_a_warm_one_is_not_counted() {
         for (since, sends, broken) in [(true, 60, true), (true, 20, false), (false, 60, false)] {
-            let worker = Worker::new((SLOTS, RUN), since, 1);
+            let worker = WorkerModel::new((SLOTS, RUN_TIME), since, 1);
             let now = Instant::now();
             (0..sends).for_each(|_| {
-                worker.comes(now);
+                worker.accept_job(now);
             });
-            let (mut found, mut played) = (BTreeMap::new(), Watched::default());
-            let notes = Notes { workers: vec![worker], ..Notes::default() };
-            cold(&notes, &mut played, &mut found);
+            let (mut found, mut played) = (BTreeMap::new(), ScheduleResult::default());
+            let notes = Observations { workers: vec![worker], ..Observations::default() };
+            check_cold_workers(&notes, &mut played, &mut found);
             assert_eq!(found.contains_key(RULES[7]), broken, "{since} {sends}");
         }
     }
@@ -894,13 +969,13 @@
     #[test]
     fn a_job_that_may_run_once_at_two_workers_or_refused_after_one_is_found() {
         let found = |id: u64, sends: &[u64], status: u16| {
-            let mut notes = Notes { jobs: vec![Vec::new(); 2], ..Notes::default() };
+            let mut notes = Observations { jobs: vec![Vec::new(); 2], ..Observations::default() };
             for (worker, at) in sends.iter().enumerate() {
                 notes.jobs[worker].push((*at, 0, id));
             }
             notes.answers.push((0, 1, 900, status, id));
             let mut found = BTreeMap::new();
-            once(&notes, &mut found);
+            check_idempotency(&notes, &mut found);
             found.contains_key(RULES[8])
         };
         assert!(!found(1, &[100], 200) && !found(1, &[100], 502) && !found(1, &[], 503));
