--- a/crates/emulator/src/cluster/virtual_time_soak.rs
+++ b/crates/emulator/src/cluster/virtual_time_soak.rs
@@ -18,60 +18,83 @@
 const SECOND: u64 = 1_000_000;
 const MEMBERS: usize = 8;
 /// How often an owner acts, towards every other member.
-const ROUND: u64 = SECOND / 5;
+const ACT_INTERVAL: u64 = SECOND / 5;
 /// How often the leading keeper looks at what is due.
-const TICK: u64 = 40_000;
+const TICK_INTERVAL: u64 = 40_000;
 
 /// What many hours gave.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Hours {
+pub struct SoakResult {
     /// Virtual hours.
     pub hours: f64,
     /// Events.
     pub events: u64,
     /// Terms granted.
-    pub terms: u64,
+    #[serde(rename = "terms")]
+    pub lease_terms: u64,
     /// Effects taken.
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub effects_accepted: u64,
     /// Effects refused.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub effects_rejected: u64,
     /// Faults: members stopped, killed and cut off, and leaders changed.
     pub faults: u64,
     /// Effects of an ended term that were taken.
-    pub late: u64,
+    #[serde(rename = "late")]
+    pub late_effects: u64,
     /// Looks that let an owner act when a later term was granted.
-    pub doubly_owned: u64,
+    #[serde(rename = "doubly_owned")]
+    pub overlapping_holders: u64,
     /// Tokens that went back at a receiver.
-    pub backwards: u64,
+    #[serde(rename = "backwards")]
+    pub decreasing_tokens: u64,
 }
 
-impl Hours {
+/// As the command line prints it; the words are those of the JSON form.
+impl std::fmt::Display for SoakResult {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.debug_struct("Hours")
+            .field("hours", &self.hours)
+            .field("events", &self.events)
+            .field("terms", &self.lease_terms)
+            .field("taken", &self.effects_accepted)
+            .field("refused", &self.effects_rejected)
+            .field("faults", &self.faults)
+            .field("late", &self.late_effects)
+            .field("doubly_owned", &self.overlapping_holders)
+            .field("backwards", &self.decreasing_tokens)
+            .finish()
+    }
+}
+
+impl SoakResult {
     /// Whether a rule was broken.
     pub fn broken(&self) -> bool {
-        self.late + self.doubly_owned + self.backwards > 0
+        self.late_effects + self.overlapping_holders + self.decreasing_tokens > 0
     }
 
-    fn and(self, other: Hours) -> Hours {
-        Hours {
+    fn merge(self, other: SoakResult) -> SoakResult {
+        SoakResult {
             hours: self.hours + other.hours,
             events: self.events + other.events,
-            terms: self.terms + other.terms,
-            taken: self.taken + other.taken,
-            refused: self.refused + other.refused,
+            lease_terms: self.lease_terms + other.lease_terms,
+            effects_accepted: self.effects_accepted + other.effects_accepted,
+            effects_rejected: self.effects_rejected + other.effects_rejected,
             faults: self.faults + other.faults,
-            late: self.late + other.late,
-            doubly_owned: self.doubly_owned + other.doubly_owned,
-            backwards: self.backwards + other.backwards,
+            late_effects: self.late_effects + other.late_effects,
+            overlapping_holders: self.overlapping_holders + other.overlapping_holders,
+            decreasing_tokens: self.decreasing_tokens + other.decreasing_tokens,
         }
     }
 }
 
 /// Lets fleets live for so many hours, an hour for each seed. `skew_ppm` is by how much clocks really differ.
-pub fn live(hours: u64, seed: u64, skew_ppm: u64, flaw: Option<Flaw>) -> Hours {
+pub fn run_soak(hours: u64, seed: u64, skew_ppm: u64, flaw: Option<Flaw>) -> SoakResult {
     let one = |hour: u64| {
-        World::new(seed ^ hour.wrapping_mul(0x9e37_79b9_7f4a_7c15), skew_ppm, flaw).run(3_600 * SECOND)
+        Simulation::new(seed ^ hour.wrapping_mul(0x9e37_79b9_7f4a_7c15), skew_ppm, flaw).run(3_600 * SECOND)
     };
-    (0..hours).into_par_iter().map(one).reduce(Hours::default, Hours::and)
+    (0..hours).into_par_iter().map(one).reduce(SoakResult::default, SoakResult::merge)
 }
 
 /// A clock with a start and a rate of its own.
@@ -92,37 +115,37 @@
     holder: Holder,
     boot: u64,
     /// It runs from here on; what reaches it before waits.
-    resumes: u64,
+    resumes_at: u64,
     /// Messages to and from keepers before this are lost.
-    cut: u64,
+    disconnected_until: u64,
     /// Counts processes of this member: what was meant for an earlier one is lost.
-    life: u64,
+    incarnation: u64,
     /// The highest token taken in this life.
-    highest: Token,
-    asked: u64,
+    highest_token: Token,
+    last_renewal: u64,
 }
 
-enum What {
-    Ask(usize),
-    Keepers { from: usize, asked: u64, life: u64, session: Option<SessionId>, seen: u64 },
-    Answer { to: usize, asked: u64, life: u64, said: Said },
-    News { to: usize, life: u64, session: SessionId, view: View },
-    Round(usize),
-    Effect { to: usize, token: Token },
+enum EventKind {
+    SendRenewal(usize),
+    RenewalArrives { from: usize, asked: u64, life: u64, session: Option<SessionId>, seen: u64 },
+    ReplyArrives { to: usize, asked: u64, life: u64, said: Reply },
+    ViewArrives { to: usize, life: u64, session: SessionId, view: View },
+    Act(usize),
+    EffectArrives { to: usize, token: Token },
     Tick,
     Fault,
 }
 
-enum Said {
+enum Reply {
     Joined(SessionId, u64, View),
     Renewed(SessionId, Option<View>),
-    Gone,
+    SessionExpired,
 }
 
 struct Event {
     at: u64,
     order: u64,
-    what: What,
+    kind: EventKind,
 }
 
 impl PartialEq for Event {
@@ -142,7 +165,7 @@
     }
 }
 
-struct World {
+struct Simulation {
     random: Pcg64,
     times: Times,
     skew: f64,
@@ -152,17 +175,17 @@
     queue: BinaryHeap<Reverse<Event>>,
     state: State,
     warden: Warden,
-    keeper: Clock,
+    leader_clock: Clock,
     /// No keeper leads before this.
-    leads: u64,
+    leader_since: u64,
     index: u64,
     members: Vec<Member>,
     duty: DutyId,
-    sums: Hours,
+    result: SoakResult,
 }
 
-impl World {
-    fn new(seed: u64, skew_ppm: u64, flaw: Option<Flaw>) -> World {
+impl Simulation {
+    fn new(seed: u64, skew_ppm: u64, flaw: Option<Flaw>) -> Simulation {
         let mut random = Pcg64::seed_from_u64(seed);
         let times = Times { short: 3 * SECOND, ..Times::default() };
         let skew = skew_ppm as f64 / 1e6;
@@ -176,15 +199,15 @@
             clock: Clock { start: 0, rate: 1.0 },
             holder: Holder::new(times).with_flaw(flaw),
             boot: at as u64,
-            resumes: 0,
-            cut: 0,
-            life: 0,
-            highest: Token(0),
-            asked: 0,
+            resumes_at: 0,
+            disconnected_until: 0,
+            incarnation: 0,
+            highest_token: Token(0),
+            last_renewal: 0,
         };
         let members: Vec<Member> = (0..MEMBERS).map(|at| Member { clock: clock(), ..member(at) }).collect();
         let warden = Warden::new(times, keeper.at(0), &state);
-        let mut world = World {
+        let mut world = Simulation {
             random,
             times,
             skew,
@@ -194,30 +217,30 @@
             queue: BinaryHeap::new(),
             state,
             warden,
-            keeper,
-            leads: 0,
+            leader_clock: keeper,
+            leader_since: 0,
             index: 0,
             members,
             duty: DutyId::fleet("pulse"),
-            sums: Hours::default(),
+            result: SoakResult::default(),
         };
         for at in 0..MEMBERS {
             let start = world.random.random_range(0..SECOND / 2);
-            world.put(start, What::Ask(at));
-            world.put(start + 1_000, What::Round(at));
+            world.schedule(start, EventKind::SendRenewal(at));
+            world.schedule(start + 1_000, EventKind::Act(at));
         }
-        world.put(TICK, What::Tick);
-        world.put(3 * SECOND, What::Fault);
+        world.schedule(TICK_INTERVAL, EventKind::Tick);
+        world.schedule(3 * SECOND, EventKind::Fault);
         world
     }
 
-    fn put(&mut self, after: u64, what: What) {
+    fn schedule(&mut self, after: u64, what: EventKind) {
         self.order += 1;
-        self.queue.push(Reverse(Event { at: self.now + after, order: self.order, what }));
+        self.queue.push(Reverse(Event { at: self.now + after, order: self.order, kind: what }));
     }
 
     /// How long a message is on its way: mostly short, now and then very long.
-    fn way(&mut self) -> u64 {
+    fn network_delay(&mut self) -> u64 {
         match self.random.random_range(0..1_000) {
             0..=2 => self.random.random_range(SECOND..5 * SECOND),
             3..=30 => self.random.random_range(20_000..SECOND),
@@ -225,35 +248,36 @@
         }
     }
 
-    fn run(mut self, until: u64) -> Hours {
+    fn run(mut self, until: u64) -> SoakResult {
         while let Some(Reverse(event)) = self.queue.pop() {
             if event.at > until {
                 break;
             }
             self.now = event.at;
-            self.sums.events += 1;
-            self.happen(event.what);
+            self.result.events += 1;
+            self.handle(event.kind);
         }
-        self.sums.hours = until as f64 / (3_600 * SECOND) as f64;
-        self.sums
+        self.result.hours = until as f64 / (3_600 * SECOND) as f64;
+        self.result
     }
 
     fn apply(&mut self, command: &Command) -> Outcome {
         self.index += 1;
         let before = self.state.seats_revision();
         let outcome = self.state.apply(self.index, command);
-        let now = self.keeper.at(self.now);
+        let now = self.leader_clock.at(self.now);
         self.warden.applied(now, &self.state);
         if matches!(outcome, Outcome::Refused(_)) {
             self.warden.dropped(command);
         }
-        self.sums.terms += u64::from(matches!(outcome, Outcome::Granted(..)));
+        self.result.lease_terms += u64::from(matches!(outcome, Outcome::Granted(..)));
         if self.state.seats_revision() != before {
             for to in 0..MEMBERS {
                 let Some(session) = self.members[to].holder.last_session() else { continue };
-                if self.now >= self.members[to].cut {
-                    let (life, view, way) = (self.members[to].life, self.state.view(), self.way());
-                    self.put(way, What::News { to, life, session: session.id, view });
+                if self.now >= self.members[to].disconnected_until {
+                    let (life, view, way) =
+                        (self.members[to].incarnation, self.state.view(), self.network_delay());
+                    self.schedule(way, EventKind::ViewArrives { to, life, session: session.id, view });
                 }
             }
         }
@@ -264,146 +288,154 @@
         Token(self.state.next_token().0 - 1)
     }
 
-    fn happen(&mut self, what: What) {
+    fn handle(&mut self, what: EventKind) {
         // Whoever is stopped gets to it when it goes on; what a keeper does goes on without it.
         let whom = match &what {
-            What::Ask(at) | What::Round(at) => Some(*at),
-            What::Answer { to, .. } | What::News { to, .. } | What::Effect { to, .. } => Some(*to),
-            What::Keepers { .. } | What::Tick | What::Fault => None,
+            EventKind::SendRenewal(at) | EventKind::Act(at) => Some(*at),
+            EventKind::ReplyArrives { to, .. }
+            | EventKind::ViewArrives { to, .. }
+            | EventKind::EffectArrives { to, .. } => Some(*to),
+            EventKind::RenewalArrives { .. } | EventKind::Tick | EventKind::Fault => None,
         };
         if let Some(wait) =
-            whom.map(|at| self.members[at].resumes.saturating_sub(self.now)).filter(|wait| *wait > 0)
+            whom.map(|at| self.members[at].resumes_at.saturating_sub(self.now)).filter(|wait| *wait > 0)
         {
             // All that waited comes at once, in any order.
             let wait = wait + self.random.random_range(0..1_000);
-            return self.put(wait, what);
+            return self.schedule(wait, what);
         }
         match what {
-            What::Ask(at) => {
-                self.ask(at);
-                self.put(self.times.renew, What::Ask(at));
+            EventKind::SendRenewal(at) => {
+                self.send_renewal(at);
+                self.schedule(self.times.renew, EventKind::SendRenewal(at));
             }
-            What::Keepers { from, asked, life, session, seen } => {
-                self.keepers((from, asked, life), session, seen)
+            EventKind::RenewalArrives { from, asked, life, session, seen } => {
+                self.handle_renewal((from, asked, life), session, seen)
             }
-            What::Answer { to, asked, life, said } => {
+            EventKind::ReplyArrives { to, asked, life, said } => {
                 let member = &mut self.members[to];
                 let now = member.clock.at(self.now);
                 // An answer that took longer than a call may was given up, as was one of an earlier process.
-                let late = asked != member.asked || now.saturating_sub(asked) > self.times.call;
+                let late = asked != member.last_renewal || now.saturating_sub(asked) > self.times.call;
                 let given_up = late && self.flaw != Some(Flaw::LeaseFromAnswer);
-                if life != member.life || given_up {
+                if life != member.incarnation || given_up {
                     return;
                 }
                 match said {
-                    Said::Joined(id, incarnation, view) => {
+                    Reply::Joined(id, incarnation, view) => {
                         member.holder.joined(id, incarnation, asked, now, view)
                     }
-                    Said::Renewed(id, view) => member.holder.renewed(id, asked, now, view),
-                    Said::Gone => member.holder.gone(),
+                    Reply::Renewed(id, view) => member.holder.renewed(id, asked, now, view),
+                    Reply::SessionExpired => member.holder.gone(),
                 }
             }
-            What::News { to, life, session, view } => {
-                if life == self.members[to].life && self.members[to].holder.told(session, view) {
-                    self.ask(to);
+            EventKind::ViewArrives { to, life, session, view } => {
+                if life == self.members[to].incarnation && self.members[to].holder.told(session, view) {
+                    self.send_renewal(to);
                 }
             }
-            What::Round(at) => {
-                self.round(at);
-                self.put(ROUND, What::Round(at));
+            EventKind::Act(at) => {
+                self.act(at);
+                self.schedule(ACT_INTERVAL, EventKind::Act(at));
             }
-            What::Effect { to, token } => {
+            EventKind::EffectArrives { to, token } => {
                 let newest = self.newest();
                 let member = &mut self.members[to];
                 let now = member.clock.at(self.now);
                 if member.holder.take(&self.duty, token, now).is_ok() {
-                    self.sums.taken += 1;
-                    self.sums.late += u64::from(token < newest);
-                    self.sums.backwards += u64::from(token < member.highest);
-                    member.highest = member.highest.max(token);
+                    self.result.effects_accepted += 1;
+                    self.result.late_effects += u64::from(token < newest);
+                    self.result.decreasing_tokens += u64::from(token < member.highest_token);
+                    member.highest_token = member.highest_token.max(token);
                 } else {
-                    self.sums.refused += 1;
+                    self.result.effects_rejected += 1;
                 }
             }
-            What::Tick => {
-                self.put(TICK, What::Tick);
-                if self.now >= self.leads {
-                    for command in self.warden.due(self.keeper.at(self.now), &self.state) {
+            EventKind::Tick => {
+                self.schedule(TICK_INTERVAL, EventKind::Tick);
+                if self.now >= self.leader_since {
+                    for command in self.warden.due(self.leader_clock.at(self.now), &self.state) {
                         self.apply(&command);
                     }
                 }
             }
-            What::Fault => self.fault(),
+            EventKind::Fault => self.inject_fault(),
         }
     }
 
-    fn ask(&mut self, from: usize) {
+    fn send_renewal(&mut self, from: usize) {
         let member = &mut self.members[from];
         let asked = member.clock.at(self.now);
-        member.asked = asked;
+        member.last_renewal = asked;
         let session = member.holder.session(asked).map(|session| session.id);
-        let (life, seen, lost) = (member.life, member.holder.seen(), self.now < member.cut);
+        let (life, seen, lost) =
+            (member.incarnation, member.holder.seen(), self.now < member.disconnected_until);
         if !lost && self.random.random_range(0..100) != 0 {
-            let way = self.way();
-            self.put(way, What::Keepers { from, asked, life, session, seen });
+            let way = self.network_delay();
+            self.schedule(way, EventKind::RenewalArrives { from, asked, life, session, seen });
         }
     }
 
-    fn keepers(&mut self, (from, asked, life): (usize, u64, u64), session: Option<SessionId>, seen: u64) {
-        if self.now < self.leads {
+    fn handle_renewal(
+        &mut self,
+        (from, asked, life): (usize, u64, u64),
+        session: Option<SessionId>,
+        seen: u64,
+    ) {
+        if self.now < self.leader_since {
             return;
         }
-        let now = self.keeper.at(self.now);
+        let now = self.leader_clock.at(self.now);
         let said = match session {
             Some(id) => match self.warden.renewed(id, seen, now, &self.state) {
-                Ok(()) => Said::Renewed(id, (self.state.seats_revision() > seen).then(|| self.state.view())),
-                Err(_) => Said::Gone,
+                Ok(()) => Reply::Renewed(id, (self.state.seats_revision() > seen).then(|| self.state.view())),
+                Err(_) => Reply::SessionExpired,
             },
             None => {
                 let name = format!("m{from}");
                 let short = self.warden.short(&name, now, &self.state);
                 // The process that asked may be gone by now; its question still arrives.
-                let boot = self.members[from].boot - (self.members[from].life - life) * MEMBERS as u64;
+                let boot = self.members[from].boot - (self.members[from].incarnation - life) * MEMBERS as u64;
                 let offers = vec![self.duty.clone()];
                 let (zone, address) = (String::new(), String::new());
                 match self.apply(&Command::Join { name, boot, zone, address, offers, short }) {
                     Outcome::Joined(id, incarnation) => {
-                        let now = self.keeper.at(self.now);
+                        let now = self.leader_clock.at(self.now);
                         match self.warden.renewed(id, 0, now, &self.state) {
-                            Ok(()) => Said::Joined(id, incarnation, self.state.view()),
+                            Ok(()) => Reply::Joined(id, incarnation, self.state.view()),
                             Err(_) => return,
                         }
                     }
-                    Outcome::Refused(Reason::Superseded { .. }) => Said::Gone,
+                    Outcome::Refused(Reason::Superseded { .. }) => Reply::SessionExpired,
                     _ => return,
                 }
             }
         };
-        if self.now >= self.members[from].cut && self.random.random_range(0..100) != 0 {
-            let way = self.way();
-            self.put(way, What::Answer { to: from, asked, life, said });
+        if self.now >= self.members[from].disconnected_until && self.random.random_range(0..100) != 0 {
+            let way = self.network_delay();
+            self.schedule(way, EventKind::ReplyArrives { to: from, asked, life, said });
         }
     }
 
-    fn round(&mut self, at: usize) {
+    fn act(&mut self, at: usize) {
         let newest = self.newest();
         let member = &self.members[at];
         let now = member.clock.at(self.now);
         let Some((duty, token)) = member.holder.owned(now).into_iter().next() else { return };
         for to in (0..MEMBERS).filter(|to| *to != at) {
             if self.members[at].holder.may_act(&duty, token, now) {
-                self.sums.doubly_owned += u64::from(token < newest);
+                self.result.overlapping_holders += u64::from(token < newest);
                 // It may stop between the look and the write, and the way may be long.
-                let way = self.way();
-                self.put(way, What::Effect { to, token });
+                let way = self.network_delay();
+                self.schedule(way, EventKind::EffectArrives { to, token });
             }
         }
     }
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         let next = self.random.random_range(SECOND / 2..8 * SECOND);
-        self.put(next, What::Fault);
-        self.sums.faults += 1;
+        self.schedule(next, EventKind::Fault);
+        self.result.faults += 1;
         let owner = self.state.duties().get(&self.duty).and_then(|duty| duty.owner);
         let name = owner
             .and_then(|owner| self.state.sessions().get(&owner.session))
@@ -418,22 +450,22 @@
             _ => self.random.random_range(4 * SECOND..30 * SECOND),
         };
         match self.random.random_range(0..4) {
-            0 => self.members[whom].resumes = self.now + long,
-            1 => self.members[whom].cut = self.now + long,
+            0 => self.members[whom].resumes_at = self.now + long,
+            1 => self.members[whom].disconnected_until = self.now + long,
             2 => {
                 let member = &mut self.members[whom];
-                member.life += 1;
+                member.incarnation += 1;
                 member.boot += MEMBERS as u64;
                 member.holder = Holder::new(self.times).with_flaw(self.flaw);
-                member.highest = Token(0);
-                member.resumes = self.now + long;
+                member.highest_token = Token(0);
+                member.resumes_at = self.now + long;
             }
             _ => {
                 // Another keeper leads after a while, with a clock of its own.
-                self.leads = self.now + long.min(3 * SECOND);
+                self.leader_since = self.now + long.min(3 * SECOND);
                 let rate = 1.0 + self.random.random_range(-self.skew..=self.skew);
-                self.keeper = Clock { start: self.random.random_range(0..1 << 40), rate };
-                self.warden = Warden::new(self.times, self.keeper.at(self.leads), &self.state);
+                self.leader_clock = Clock { start: self.random.random_range(0..1 << 40), rate };
+                self.warden = Warden::new(self.times, self.leader_clock.at(self.leader_since), &self.state);
             }
         }
     }
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -6,7 +6,7 @@
 use rand_distr::{Distribution as _, Exp1, Gamma, LogNormal, Normal, Pareto};
 use rand_pcg::Pcg64Mcg;
 
-use crate::spec::{Case, Dist, Experiment, KindSpec, Span, TroubleKind, TroubleSpec};
+use crate::spec::{Case, Experiment, FaultKind, FaultSpec, KindSpec, Span, WorkShape};
 
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
@@ -22,23 +22,23 @@
 }
 
 /// The day starts here: dispatchers know times before it, and 0 is "long ago" in the worker list.
-pub const DAWN: Micros = 1_000_000_000;
+pub const DAY_START: Micros = 1_000_000_000;
 /// Nothing can go wrong before this part of the day.
-const CALM: f64 = 0.1;
+const FAULT_FREE_SHARE: f64 = 0.1;
 /// A job's work at speed 1 stays within these, in seconds.
 const WORK: (f64, f64) = (0.001, 200.0);
 /// Swings of the rate over a day.
-const SWINGS: f64 = 1.5;
+const RATE_CYCLES_PER_DAY: f64 = 1.5;
 
 /// Draws for one purpose; a stream of its own keeps the others the same when one draws more.
-pub fn stream(seed: u64, purpose: u64) -> Pcg64Mcg {
+pub fn random_stream(seed: u64, purpose: u64) -> Pcg64Mcg {
     Pcg64Mcg::seed_from_u64(
         seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ purpose.wrapping_mul(0xd1b5_4a32_d192_ed03),
     )
 }
 
 /// A figure out of a span.
-pub fn pick(span: Span, rng: &mut impl Rng) -> f64 {
+pub fn sample(span: Span, rng: &mut impl Rng) -> f64 {
     if span.0 < span.1 {
         rng.random_range(span.0..=span.1)
     } else {
@@ -46,8 +46,8 @@
     }
 }
 
-fn pick_whole(span: Span, rng: &mut impl Rng) -> usize {
-    pick((span.0, span.1 + 0.999), rng) as usize
+fn sample_whole(span: Span, rng: &mut impl Rng) -> usize {
+    sample((span.0, span.1 + 0.999), rng) as usize
 }
 
 /// A worker process as it starts.
@@ -64,19 +64,19 @@
     /// Slots.
     pub slots: u32,
     /// Waiting jobs.
-    pub queue: usize,
+    pub queue_capacity: usize,
     /// Work done by a core in a second.
     pub speed: f64,
     /// The part of its capacity that it starts with after a restart.
-    pub cold_share: f64,
+    pub initial_capacity: f64,
     /// Seconds until it is warm then.
-    pub warm: f64,
+    pub warm_up: f64,
     /// The part of jobs that ends in an error.
-    pub errors: f64,
+    pub error_rate: f64,
     /// Jobs that wait are dropped when their attempt is called off.
     pub drops_cancelled: bool,
     /// Connections that it holds.
-    pub connections: u32,
+    pub max_connections: u32,
 }
 
 /// A dispatcher.
@@ -85,14 +85,14 @@
     /// Its zone.
     pub zone: u32,
     /// How much later than others it hears of the worker list.
-    pub spread: Micros,
+    pub list_delay: Micros,
 }
 
 /// A job, as its client first hands it in.
 #[derive(Clone, Debug)]
 pub struct JobPlan {
     /// When.
-    pub at: Micros,
+    pub arrival: Micros,
     /// Where.
     pub dispatcher: u32,
     /// Its class.
@@ -104,28 +104,28 @@
     /// Work in seconds at speed 1.
     pub work: f64,
     /// Its worth if served in time.
-    pub worth: f64,
+    pub value: f64,
     /// When the client leaves, where it does not wait for its time to be up.
-    pub leaves: Option<Micros>,
+    pub client_leaves_at: Option<Micros>,
     /// How long it waits before a retry, where it retries.
-    pub retries: Option<Micros>,
+    pub retry_backoff: Option<Micros>,
     /// It waits for as long as a refusal says.
-    pub honours: bool,
+    pub honours_retry_after: bool,
 }
 
 /// Something that goes wrong, or stops.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Mishap {
+pub enum Fault {
     /// A worker takes jobs and answers nothing, or is well again.
-    Hang(usize, bool),
+    HangWorker(usize, bool),
     /// Another program takes this part of a worker's machine.
-    Neighbour(usize, f64),
+    NoisyNeighbour(usize, f64),
     /// A worker drains; its successor starts when it has ended, after this long.
-    Replace(usize, Micros),
+    ReplaceWorker(usize, Micros),
     /// A worker dies and starts again cold after this long.
-    Crash(usize, Micros),
+    CrashWorker(usize, Micros),
     /// A dispatcher is killed and is back after this long.
-    Restart(usize, Micros),
+    RestartDispatcher(usize, Micros),
 }
 
 /// How long each part of the network takes.
@@ -149,15 +149,15 @@
 
 /// How the worker list travels.
 #[derive(Clone, Debug)]
-pub struct Discovery {
+pub struct DiscoveryDelays {
     /// Until a drain or an end is known.
-    pub notice: Micros,
+    pub drain_notice: Micros,
     /// Until a death is.
-    pub silent: Micros,
+    pub death_notice: Micros,
     /// Until a start is.
-    pub add: Micros,
+    pub start_notice: Micros,
     /// Changes go out together, so often.
-    pub period: Micros,
+    pub publish_period: Micros,
 }
 
 /// A day.
@@ -166,7 +166,7 @@
     /// The seed it was drawn by.
     pub seed: u64,
     /// When the last client comes.
-    pub end: Micros,
+    pub last_arrival: Micros,
     /// The workers that run at dawn.
     pub workers: Vec<WorkerPlan>,
     /// The dispatchers.
@@ -174,15 +174,15 @@
     /// The jobs, in the order of their time.
     pub jobs: Vec<JobPlan>,
     /// What goes wrong, in the order of its time.
-    pub mishaps: Vec<(Micros, Mishap)>,
+    pub faults: Vec<(Micros, Fault)>,
     /// The network.
     pub network: Network,
     /// The worker list.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryDelays,
     /// How far attempts differ, by class.
-    pub noise: Vec<f64>,
+    pub work_noise: Vec<f64>,
     /// The mean work of a job's slot at speed 1 in seconds, by class.
-    pub means: Vec<f64>,
+    pub mean_work: Vec<f64>,
     /// What each tenant was promised, in jobs a second over all dispatchers.
     pub quotas: Vec<f64>,
     /// What the warm fleet can do, in slot-seconds of work a second.
@@ -192,54 +192,54 @@
 impl Day {
     /// Draws a day.
     pub fn draw(experiment: &Experiment, case: &Case, seed: u64) -> Day {
-        let mut rng = stream(seed, 1);
-        let workers = fleet(experiment, &mut rng);
-        let count = pick_whole(experiment.dispatchers, &mut rng).max(1);
+        let mut rng = random_stream(seed, 1);
+        let workers = draw_workers(experiment, &mut rng);
+        let count = sample_whole(experiment.dispatchers, &mut rng).max(1);
         let dispatchers = (0..count)
             .map(|i| DispatcherPlan {
                 zone: i as u32 % experiment.zones,
-                spread: micros(pick(experiment.discovery.spread, &mut rng)),
+                list_delay: micros(sample(experiment.discovery.list_delay, &mut rng)),
             })
             .collect();
-        let net = &experiment.net;
+        let net = &experiment.network;
         let network = Network {
-            same_zone: pick(net.same_zone, &mut rng),
-            cross_zone: pick(net.cross_zone, &mut rng),
-            jitter: pick(net.jitter, &mut rng),
-            handshake_rtts: pick(net.handshake_rtts, &mut rng),
-            handshake: pick(net.handshake, &mut rng),
+            same_zone: sample(net.same_zone, &mut rng),
+            cross_zone: sample(net.cross_zone, &mut rng),
+            jitter: sample(net.jitter, &mut rng),
+            handshake_rtts: sample(net.handshake_rtts, &mut rng),
+            handshake: sample(net.handshake, &mut rng),
             idle: micros(net.idle),
             connect_timeout: micros(net.connect_timeout),
         };
         let told = &experiment.discovery;
-        let discovery = Discovery {
-            notice: micros(pick(told.notice, &mut rng)),
-            silent: micros(pick(told.silent, &mut rng)),
-            add: micros(pick(told.add, &mut rng)),
-            period: micros(pick(told.period, &mut rng)),
+        let discovery = DiscoveryDelays {
+            drain_notice: micros(sample(told.drain_notice, &mut rng)),
+            death_notice: micros(sample(told.death_notice, &mut rng)),
+            start_notice: micros(sample(told.start_notice, &mut rng)),
+            publish_period: micros(sample(told.publish_period, &mut rng)),
         };
         let capacity = workers.iter().map(|w| w.speed * w.cores.min(f64::from(w.slots))).sum();
         let mut day = Day {
             seed,
-            end: DAWN + micros(experiment.length),
+            last_arrival: DAY_START + micros(experiment.length),
             workers,
             dispatchers,
             jobs: Vec::new(),
-            mishaps: Vec::new(),
+            faults: Vec::new(),
             network,
             discovery,
-            noise: Vec::new(),
-            means: Vec::new(),
+            work_noise: Vec::new(),
+            mean_work: Vec::new(),
             quotas: Vec::new(),
             capacity,
         };
-        let bursts = day.draw_troubles(experiment, case, &mut stream(seed, 2));
-        day.draw_jobs(experiment, case, &bursts, &mut stream(seed, 3));
+        let bursts = day.draw_faults(experiment, case, &mut random_stream(seed, 2));
+        day.draw_jobs(experiment, case, &bursts, &mut random_stream(seed, 3));
         day
     }
 
     /// Draws what goes wrong; what it does to the traffic is returned as (from, to, factor).
-    fn draw_troubles(
+    fn draw_faults(
         &mut self,
         experiment: &Experiment,
         case: &Case,
@@ -247,53 +247,53 @@
     ) -> Vec<(f64, f64, f64)> {
         let mut bursts = Vec::new();
         let day = experiment.length;
-        for trouble in &case.troubles {
-            let length = pick(trouble.length, rng).min(day * (1.0 - CALM));
-            let start = rng.random_range(day * CALM..=(day - length).max(day * CALM));
-            let part = pick(trouble.part, rng);
-            let size = pick(trouble.size, rng);
+        for trouble in &case.faults {
+            let length = sample(trouble.length, rng).min(day * (1.0 - FAULT_FREE_SHARE));
+            let start = rng.random_range(day * FAULT_FREE_SHARE..=(day - length).max(day * FAULT_FREE_SHARE));
+            let part = sample(trouble.affected_share, rng);
+            let size = sample(trouble.magnitude, rng);
             let mut met: Vec<usize> = match trouble.kind {
-                TroubleKind::Restarts => (0..self.dispatchers.len()).collect(),
+                FaultKind::RestartDispatchers => (0..self.dispatchers.len()).collect(),
                 _ => (0..self.workers.len()).collect(),
             };
             let all = met.len();
             met.shuffle(rng);
             met.truncate(((all as f64 * part).round() as usize).max(1));
-            let at = |seconds: f64| DAWN + micros(seconds);
+            let at = |seconds: f64| DAY_START + micros(seconds);
             match trouble.kind {
-                TroubleKind::Burst => bursts.push((start, start + length, size)),
-                TroubleKind::Hang => {
+                FaultKind::Burst => bursts.push((start, start + length, size)),
+                FaultKind::Hang => {
                     for worker in met {
-                        self.mishaps.push((at(start), Mishap::Hang(worker, true)));
-                        self.mishaps.push((at(start + length), Mishap::Hang(worker, false)));
+                        self.faults.push((at(start), Fault::HangWorker(worker, true)));
+                        self.faults.push((at(start + length), Fault::HangWorker(worker, false)));
                     }
                 }
-                TroubleKind::Neighbour => {
+                FaultKind::NoisyNeighbour => {
                     for worker in met {
                         let (mut now, mut on) =
-                            (start + rng.random_range(0.0..=trouble.extra.1.max(0.001)), true);
+                            (start + rng.random_range(0.0..=trouble.interval.1.max(0.001)), true);
                         while now < start + length {
                             let taken = if on { size } else { 0.0 };
-                            self.mishaps.push((at(now), Mishap::Neighbour(worker, taken)));
-                            now += pick(trouble.extra, rng).max(0.05);
+                            self.faults.push((at(now), Fault::NoisyNeighbour(worker, taken)));
+                            now += sample(trouble.interval, rng).max(0.05);
                             on = !on;
                         }
-                        self.mishaps.push((at(start + length), Mishap::Neighbour(worker, 0.0)));
+                        self.faults.push((at(start + length), Fault::NoisyNeighbour(worker, 0.0)));
                     }
                 }
-                TroubleKind::Deploy | TroubleKind::Crash | TroubleKind::Restarts => {
-                    self.draw_roll(trouble, &met, all, (start, length, size), rng);
+                FaultKind::Deploy | FaultKind::Crash | FaultKind::RestartDispatchers => {
+                    self.draw_rolling_fault(trouble, &met, all, (start, length, size), rng);
                 }
             }
         }
-        self.mishaps.sort_by_key(|(at, _)| *at);
+        self.faults.sort_by_key(|(at, _)| *at);
         bursts
     }
 
     /// Draws mishaps that go through the fleet batch by batch, the batches evenly over the time.
-    fn draw_roll(
+    fn draw_rolling_fault(
         &mut self,
-        trouble: &TroubleSpec,
+        trouble: &FaultSpec,
         met: &[usize],
         all: usize,
         (start, length, size): (f64, f64, f64),
@@ -302,15 +302,15 @@
         let batch = ((all as f64 * size).round() as usize).max(1);
         let batches = met.len().div_ceil(batch);
         for (n, workers) in met.chunks(batch).enumerate() {
-            let begin = DAWN + micros(start + length * n as f64 / batches as f64);
-            let lasts = micros(pick(trouble.extra, rng));
+            let begin = DAY_START + micros(start + length * n as f64 / batches as f64);
+            let lasts = micros(sample(trouble.interval, rng));
             for &one in workers {
                 let mishap = match trouble.kind {
-                    TroubleKind::Deploy => Mishap::Replace(one, lasts),
-                    TroubleKind::Crash => Mishap::Crash(one, lasts),
-                    _ => Mishap::Restart(one, lasts),
+                    FaultKind::Deploy => Fault::ReplaceWorker(one, lasts),
+                    FaultKind::Crash => Fault::CrashWorker(one, lasts),
+                    _ => Fault::RestartDispatcher(one, lasts),
                 };
-                self.mishaps.push((begin, mishap));
+                self.faults.push((begin, mishap));
             }
         }
     }
@@ -326,18 +326,18 @@
         let drawn: Vec<(f64, f64, f64)> = traffic
             .classes
             .iter()
-            .map(|c| (pick(c.share, rng), pick(c.work, rng), pick(c.cv, rng)))
+            .map(|c| (sample(c.share, rng), sample(c.work, rng), sample(c.cv, rng)))
             .collect();
-        self.means = drawn.iter().map(|(_, work, _)| *work).collect();
-        self.noise = traffic.classes.iter().map(|c| pick(c.noise, rng)).collect();
+        self.mean_work = drawn.iter().map(|(_, work, _)| *work).collect();
+        self.work_noise = traffic.classes.iter().map(|c| sample(c.noise, rng)).collect();
         let class_weights: Vec<f64> = drawn.iter().map(|(share, _, _)| *share).collect();
-        let usage: Vec<f64> = traffic.tenants.iter().map(|t| t.share * pick(t.usage, rng)).collect();
+        let usage: Vec<f64> = traffic.tenants.iter().map(|t| t.share * sample(t.usage, rng)).collect();
         let weights: Vec<f64> = self
             .dispatchers
             .iter()
             .map(|_| {
                 let normal: f64 = Normal::new(0.0, 1.0).map_or(0.0, |n| n.sample(rng));
-                (pick(traffic.skew, rng) * normal).exp()
+                (sample(traffic.skew, rng) * normal).exp()
             })
             .collect();
         let slots_mean = |n: usize| -> f64 {
@@ -348,14 +348,14 @@
         let whole: f64 = class_weights.iter().sum::<f64>().max(1e-9);
         let asked: f64 =
             drawn.iter().enumerate().map(|(n, (share, work, _))| share / whole * work * slots_mean(n)).sum();
-        let load = pick(case.load, rng);
+        let load = sample(case.load, rng);
         let rate = load * self.capacity / asked.max(1e-9);
-        let sold = pick(traffic.quota, rng) * self.capacity / asked.max(1e-9);
+        let sold = sample(traffic.quota, rng) * self.capacity / asked.max(1e-9);
         let shares: f64 = traffic.tenants.iter().map(|t| t.share).sum::<f64>().max(1e-9);
         self.quotas = traffic.tenants.iter().map(|t| sold * t.share / shares).collect();
 
         // The rate over the day, in steps, and how much of it has passed by each step.
-        let swing = pick(traffic.swing, rng);
+        let swing = sample(traffic.swing, rng);
         let phase = rng.random_range(0.0..std::f64::consts::TAU);
         let step = 0.05_f64.min(experiment.length / 100.0);
         let steps = (experiment.length / step).ceil() as usize;
@@ -364,7 +364,7 @@
         for n in 0..steps {
             passed.push(sum);
             let now = n as f64 * step;
-            let wave = (phase + SWINGS * std::f64::consts::TAU * now / experiment.length).sin();
+            let wave = (phase + RATE_CYCLES_PER_DAY * std::f64::consts::TAU * now / experiment.length).sin();
             let burst: f64 = bursts
                 .iter()
                 .filter(|(from, to, _)| (*from..*to).contains(&now))
@@ -374,16 +374,16 @@
         }
         passed.push(sum);
 
-        let works: Vec<Work> = traffic
+        let works: Vec<WorkDistribution> = traffic
             .classes
             .iter()
             .zip(&drawn)
-            .map(|(class, (_, mean, cv))| Work::new(class.dist, *mean, *cv))
+            .map(|(class, (_, mean, cv))| WorkDistribution::new(class.work_shape, *mean, *cv))
             .collect();
         let clients = &experiment.clients;
-        let (retry, honour) = (pick(clients.retry, rng), pick(clients.honour, rng));
-        let (backoff, impatient) = (pick(clients.backoff, rng), pick(clients.impatient, rng));
-        let cv = pick(traffic.stream_cv, rng);
+        let (retry, honour) = (sample(clients.retry, rng), sample(clients.honour_retry_after, rng));
+        let (backoff, impatient) = (sample(clients.backoff, rng), sample(clients.impatient_share, rng));
+        let cv = sample(traffic.stream_cv, rng);
         let gaps = Gamma::new(1.0 / (cv * cv), cv * cv);
         let total: f64 = weights.iter().sum::<f64>().max(1e-9);
         for (dispatcher, weight) in weights.iter().enumerate() {
@@ -400,54 +400,54 @@
                 }
                 let at = passed.partition_point(|p| *p <= now).saturating_sub(1);
                 let into = (now - passed[at]) / (passed[at + 1] - passed[at]).max(1e-12);
-                let class = weighted(&class_weights, rng);
+                let class = weighted_index(&class_weights, rng);
                 let spec = &traffic.classes[class];
                 let parts: Vec<f64> = spec.slots.iter().map(|(_, part)| *part).collect();
-                let slots = spec.slots[weighted(&parts, rng)].0;
+                let slots = spec.slots[weighted_index(&parts, rng)].0;
                 let work = works[class].draw(rng).clamp(WORK.0, WORK.1);
-                let at = DAWN + micros((at as f64 + into) * step);
+                let at = DAY_START + micros((at as f64 + into) * step);
                 let leaves = rng.random_bool(impatient);
-                let leaves = leaves.then(|| at + micros(rng.random_range(0.0..spec.patience)));
+                let leaves = leaves.then(|| at + micros(rng.random_range(0.0..spec.timeout)));
                 let retries = rng.random_bool(retry);
                 let wait = micros(backoff * rng.random_range(0.5..1.5));
                 self.jobs.push(JobPlan {
-                    at,
+                    arrival: at,
                     dispatcher: dispatcher as u32,
                     class: class as u32,
-                    tenant: weighted(&usage, rng) as u32,
+                    tenant: weighted_index(&usage, rng) as u32,
                     slots,
                     work,
-                    worth: spec.worth * work * f64::from(slots),
-                    leaves,
-                    retries: retries.then_some(wait),
-                    honours: rng.random_bool(honour),
+                    value: spec.priority_weight * work * f64::from(slots),
+                    client_leaves_at: leaves,
+                    retry_backoff: retries.then_some(wait),
+                    honours_retry_after: rng.random_bool(honour),
                 });
             }
         }
-        self.jobs.sort_by_key(|job| (job.at, job.dispatcher));
-        self.discount(traffic.over_share_worth);
+        self.jobs.sort_by_key(|job| (job.arrival, job.dispatcher));
+        self.discount_over_quota(traffic.over_quota_weight);
     }
 
     /// Traffic of a tenant beyond its quota is worth less.
-    fn discount(&mut self, part: f64) {
-        let mut meters: Vec<(f64, Micros)> = self.quotas.iter().map(|quota| (*quota, DAWN)).collect();
+    fn discount_over_quota(&mut self, part: f64) {
+        let mut meters: Vec<(f64, Micros)> = self.quotas.iter().map(|quota| (*quota, DAY_START)).collect();
         for job in &mut self.jobs {
             let quota = self.quotas.get(job.tenant as usize).copied().unwrap_or_default();
             let Some((left, since)) = meters.get_mut(job.tenant as usize) else { continue };
             // A second's quota may be saved up.
-            *left = (*left + quota * seconds(job.at - *since)).min(quota.max(1.0));
-            *since = job.at;
+            *left = (*left + quota * seconds(job.arrival - *since)).min(quota.max(1.0));
+            *since = job.arrival;
             if *left >= 1.0 {
                 *left -= 1.0;
             } else {
-                job.worth *= part;
+                job.value *= part;
             }
         }
     }
 }
 
 /// A position, by weight.
-fn weighted(weights: &[f64], rng: &mut impl Rng) -> usize {
+fn weighted_index(weights: &[f64], rng: &mut impl Rng) -> usize {
     let total: f64 = weights.iter().sum();
     let mut left = rng.random_range(0.0..1.0) * total;
     for (n, weight) in weights.iter().enumerate() {
@@ -460,46 +460,46 @@
 }
 
 /// A distribution of work by mean and coefficient of variation.
-enum Work {
+enum WorkDistribution {
     Pareto(Pareto<f64>),
     Lognormal(LogNormal<f64>),
     Exponential(f64),
 }
 
-impl Work {
-    fn new(dist: Dist, mean: f64, cv: f64) -> Work {
-        let exponential = Work::Exponential(mean);
+impl WorkDistribution {
+    fn new(dist: WorkShape, mean: f64, cv: f64) -> WorkDistribution {
+        let exponential = WorkDistribution::Exponential(mean);
         match dist {
-            Dist::Pareto => {
+            WorkShape::Pareto => {
                 let shape = 1.0 + (1.0 + 1.0 / (cv * cv)).sqrt();
-                Pareto::new(mean * (shape - 1.0) / shape, shape).map_or(exponential, Work::Pareto)
+                Pareto::new(mean * (shape - 1.0) / shape, shape).map_or(exponential, WorkDistribution::Pareto)
             }
-            Dist::Lognormal => {
+            WorkShape::Lognormal => {
                 let variance = (1.0 + cv * cv).ln();
                 LogNormal::new(mean.ln() - variance / 2.0, variance.sqrt())
-                    .map_or(exponential, Work::Lognormal)
+                    .map_or(exponential, WorkDistribution::Lognormal)
             }
-            Dist::Exponential => exponential,
+            WorkShape::Exponential => exponential,
         }
     }
 
     fn draw(&self, rng: &mut impl Rng) -> f64 {
         match self {
-            Work::Pareto(pareto) => pareto.sample(rng),
-            Work::Lognormal(lognormal) => lognormal.sample(rng),
-            Work::Exponential(mean) => mean * rng.sample::<f64, _>(Exp1),
+            WorkDistribution::Pareto(pareto) => pareto.sample(rng),
+            WorkDistribution::Lognormal(lognormal) => lognormal.sample(rng),
+            WorkDistribution::Exponential(mean) => mean * rng.sample::<f64, _>(Exp1),
         }
     }
 }
 
-fn fleet(experiment: &Experiment, rng: &mut Pcg64Mcg) -> Vec<WorkerPlan> {
-    let count = pick_whole(experiment.workers, rng).max(1);
-    let rack = pick_whole(experiment.rack, rng).max(1);
+fn draw_workers(experiment: &Experiment, rng: &mut Pcg64Mcg) -> Vec<WorkerPlan> {
+    let count = sample_whole(experiment.workers, rng).max(1);
+    let rack = sample_whole(experiment.rack_size, rng).max(1);
     // Speeds of a kind differ about one figure that holds for the day.
     let speeds: Vec<(f64, f64, f64)> = experiment
         .kinds
         .iter()
-        .map(|k| (pick(k.speed, rng), pick(k.speed_cv, rng), pick(k.slots_per_core, rng)))
+        .map(|k| (sample(k.speed, rng), sample(k.speed_cv, rng), sample(k.slots_per_core, rng)))
         .collect();
     let kinds = apportion(&experiment.kinds, count, rng);
     // Racks stand within a zone.
@@ -518,13 +518,14 @@
                 rack: rack as u32,
                 cores: spec.cores,
                 slots: (spec.cores * slots).floor().max(1.0) as u32,
-                queue: (spec.cores * pick(spec.queue_per_core, rng)) as usize,
+                queue_capacity: (spec.cores * sample(spec.queue_per_core, rng)) as usize,
                 speed: speed * spread,
-                cold_share: pick(spec.cold_share, rng),
-                warm: pick(spec.warm, rng),
-                errors: pick(spec.errors, rng),
+                initial_capacity: sample(spec.initial_capacity, rng),
+                warm_up: sample(spec.warm_up, rng),
+                error_rate: sample(spec.error_rate, rng),
                 drops_cancelled: rng.random_bool(0.5),
-                connections: (spec.cores * pick(experiment.net.most_per_core, rng)) as u32,
+                max_connections: (spec.cores * sample(experiment.network.max_connections_per_core, rng))
+                    as u32,
             }
         })
         .collect()
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -6,13 +6,13 @@
 //! records, never from a dispatcher's word ([`checker`]).
 
 pub mod checker;
+pub mod cluster;
 pub mod day;
 pub mod metrics;
-pub mod cluster;
 pub mod report;
 pub mod router;
 pub mod run;
 pub mod sockets;
 pub mod spec;
-pub mod worker;
 pub mod virtual_time;
+pub mod worker;
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -7,19 +7,19 @@
 
 use clap::{Parser, Subcommand, ValueEnum};
 use coordination::Flaw;
-use emulator::cluster::planned_drains;
-use emulator::cluster::virtual_time_soak::live;
-use emulator::cluster::slow_start;
-use emulator::cluster::lightweight_member;
+use emulator::cluster::cluster_harness::Binaries;
+use emulator::cluster::lease_harness::Programs;
 use emulator::cluster::lease_model::{search, Bounds};
-use emulator::cluster::schedule::Plan;
+use emulator::cluster::lightweight_member;
+use emulator::cluster::planned_drains;
 use emulator::cluster::results::run as fleet_run;
-use emulator::cluster::lease_harness::Programs;
-use emulator::cluster::cluster_harness::Binaries;
-use emulator::cluster::shared_health_checks;
 use emulator::cluster::scaling_cost;
+use emulator::cluster::schedule::ClusterExperiment;
+use emulator::cluster::shared_health_checks;
+use emulator::cluster::slow_start;
+use emulator::cluster::virtual_time_soak::run_soak;
 use emulator::report::{compare, Results};
-use emulator::run::{socket_runs, virtual_runs};
+use emulator::run::{run_over_sockets, run_virtual};
 use emulator::spec::{self, Experiment};
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
@@ -48,8 +48,8 @@
         #[arg(long)]
         out: PathBuf,
         /// What plays it.
-        #[arg(long, value_enum, default_value_t = Drive::Virtual)]
-        drive: Drive,
+        #[arg(long, value_enum, default_value_t = ExecutionMode::Virtual)]
+        drive: ExecutionMode,
         /// With the drive over sockets: the program; else the one beside this tool.
         #[arg(long)]
         program: Option<PathBuf>,
@@ -241,7 +241,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-enum Drive {
+enum ExecutionMode {
     /// Discrete events, no clock.
     Virtual,
     /// The real program on loopback, in real time.
@@ -249,7 +249,7 @@
 }
 
 /// The flaw of this name; `list` names them.
-fn flaw(name: Option<&str>) -> Result<Option<Flaw>, String> {
+fn injected_bug(name: Option<&str>) -> Result<Option<Flaw>, String> {
     let names: Vec<&str> = Flaw::names().iter().map(|(name, _)| *name).collect();
     let Some(name) = name else { return Ok(None) };
     match Flaw::names().iter().find(|(known, _)| *known == name) {
@@ -258,13 +258,13 @@
     }
 }
 
-fn list_flaws() {
+fn list_injected_bugs() {
     Flaw::names().iter().for_each(|(name, _)| println!("{name}"));
 }
 
 /// Whether an experiment is one with processes of a fleet. What cannot be read is complained of later.
 fn is_fleet(file: &Path) -> bool {
-    std::fs::read_to_string(file).is_ok_and(|text| Plan::is_one("", &text))
+    std::fs::read_to_string(file).is_ok_and(|text| ClusterExperiment::is_cluster_experiment("", &text))
 }
 
 fn run_fleet(
@@ -276,8 +276,9 @@
     (arm, length): (Option<&str>, Option<f64>),
 ) -> Result<(), String> {
     let text = std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
-    let mut plan = Plan::read(&file.display().to_string(), &text).map_err(|fault| fault.to_string())?;
-    flaw(bug)?;
+    let mut plan =
+        ClusterExperiment::read(&file.display().to_string(), &text).map_err(|fault| fault.to_string())?;
+    injected_bug(bug)?;
     plan.length = length.filter(|length| *length >= 1.0).unwrap_or(plan.length);
     if let Some(arm) = arm {
         plan.arms.retain(|known| known.name == arm);
@@ -287,7 +288,7 @@
     }
     let seeds: Vec<u64> = (first..first.saturating_add(count)).collect();
     let lab = std::env::current_exe().map_err(|error| error.to_string())?;
-    let programs = Programs { keeper: beside("coordinator")?, lab };
+    let programs = Programs { coordinator: beside("coordinator")?, emulator: lab };
     let bar = ProgressBar::new((seeds.len() * plan.arms.len()) as u64);
     if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} schedules, {eta} left") {
         bar.set_style(style);
@@ -302,17 +303,18 @@
     }
 }
 
-fn waits(length: u64, out: &Path) -> Result<(), String> {
-    let binaries = Binaries { dispatcher: beside("dispatcher")?, keeper: beside("coordinator")? };
-    let arms = emulator::cluster::dispatch_latency::play(out, &binaries, std::time::Duration::from_secs(length))?;
+fn dispatch_latency(length: u64, out: &Path) -> Result<(), String> {
+    let binaries = Binaries { dispatcher: beside("dispatcher")?, coordinator: beside("coordinator")? };
+    let arms =
+        emulator::cluster::dispatch_latency::play(out, &binaries, std::time::Duration::from_secs(length))?;
     let text = serde_json::to_string_pretty(&arms).map_err(|error| error.to_string())?;
     std::fs::write(out.join("waits.json"), &text).map_err(|error| format!("{}: {error}", out.display()))?;
     println!("{text}");
     Ok(())
 }
 
-fn worth(members: &[u16], length: Duration, list_only: bool, out: &Path) -> Result<(), String> {
-    let binaries = Binaries { dispatcher: beside("dispatcher")?, keeper: beside("coordinator")? };
+fn scaling_cost(members: &[u16], length: Duration, list_only: bool, out: &Path) -> Result<(), String> {
+    let binaries = Binaries { dispatcher: beside("dispatcher")?, coordinator: beside("coordinator")? };
     let block = if list_only { "" } else { "watch {\n  sets = 6\n}\n" };
     let mut sides: BTreeMap<String, scaling_cost::Side> = BTreeMap::new();
     for count in members {
@@ -328,7 +330,7 @@
     std::fs::write(&file, text).map_err(|error| format!("{}: {error}", file.display()))
 }
 
-fn drains(args: &DrainsArgs) -> Result<(), String> {
+fn planned_drains(args: &DrainsArgs) -> Result<(), String> {
     let known: Vec<&str> = disruption_budget::Flaw::names().iter().map(|(name, _)| *name).collect();
     match args.seeded_bug.as_deref() {
         Some("list") => {
@@ -340,24 +342,28 @@
         }
         _ => {}
     }
-    let binaries = Binaries { dispatcher: beside("dispatcher")?, keeper: beside("coordinator")? };
+    let binaries = Binaries { dispatcher: beside("dispatcher")?, coordinator: beside("coordinator")? };
     let base = planned_drains::Plan {
         dispatchers: args.dispatchers.into(),
         length: Duration::from_secs(args.length_s),
-        flaw: args.seeded_bug.clone(),
+        injected_bug: args.seeded_bug.clone(),
         ..planned_drains::Plan::default()
     };
-    let played = lanes(args.at_once, args.seed, args.seeds, |seed| {
+    let played = run_schedules(args.at_once, args.seed, args.seeds, |seed| {
         let dir = args.out.join(format!("seed-{seed}"));
-        let keepers = keepers_of(args.keepers, seed);
-        planned_drains::play(&dir, &binaries, &planned_drains::Plan { seed, keepers, ..base.clone() })
+        let keepers = coordinator_count(args.keepers, seed);
+        planned_drains::play(
+            &dir,
+            &binaries,
+            &planned_drains::Plan { seed, coordinators: keepers, ..base.clone() },
+        )
     })?;
     print!("{}", planned_drains::table(&played));
-    left(&args.out.join("drains.json"), &played, |one| one.rules.is_empty())
+    write_results(&args.out.join("drains.json"), &played, |one| one.rules.is_empty())
 }
 
 /// So many keepers, or 3 and 5 in turn.
-fn keepers_of(asked: u16, seed: u64) -> usize {
+fn coordinator_count(asked: u16, seed: u64) -> usize {
     match asked {
         0 if seed % 2 == 0 => 3,
         0 => 5,
@@ -366,7 +372,7 @@
 }
 
 /// Plays schedules by seed, so many side by side.
-fn lanes<T: Send>(
+fn run_schedules<T: Send>(
     at_once: u16,
     first: u64,
     seeds: u64,
@@ -380,7 +386,7 @@
 }
 
 /// Writes what schedules gave, and complains of the first that broke a rule.
-fn left<T: serde::Serialize>(
+fn write_results<T: serde::Serialize>(
     file: &Path,
     played: &BTreeMap<u64, T>,
     sound: impl Fn(&T) -> bool,
@@ -395,31 +401,35 @@
     }
 }
 
-fn watching(args: &WatchingArgs) -> Result<(), String> {
-    let binaries = Binaries { dispatcher: beside("dispatcher")?, keeper: beside("coordinator")? };
+fn shared_health_checks(args: &WatchingArgs) -> Result<(), String> {
+    let binaries = Binaries { dispatcher: beside("dispatcher")?, coordinator: beside("coordinator")? };
     let base = shared_health_checks::Plan {
         dispatchers: args.dispatchers.into(),
         workers: args.workers.into(),
         length: Duration::from_secs(args.length_s),
-        every: Duration::from_secs_f64(args.every_s.max(0.5)),
+        fault_interval: Duration::from_secs_f64(args.every_s.max(0.5)),
         only_kills: args.only_kills,
-        watch: !args.off,
+        share_health_checks: !args.off,
         rate: args.rate.clamp(0.1, 1_000.0),
-        flaw: args.seeded_bug.clone(),
+        injected_bug: args.seeded_bug.clone(),
         ..shared_health_checks::Plan::default()
     };
-    let played = lanes(args.at_once, args.seed, args.seeds, |seed| {
+    let played = run_schedules(args.at_once, args.seed, args.seeds, |seed| {
         let dir = args.out.join(format!("seed-{seed}"));
-        let keepers = keepers_of(args.keepers, seed);
-        shared_health_checks::play(&dir, &binaries, &shared_health_checks::Plan { seed, keepers, ..base.clone() })
+        let keepers = coordinator_count(args.keepers, seed);
+        shared_health_checks::play(
+            &dir,
+            &binaries,
+            &shared_health_checks::Plan { seed, coordinators: keepers, ..base.clone() },
+        )
     })?;
     print!("{}", shared_health_checks::table(&played));
-    left(&args.out.join("watching.json"), &played, |one| one.rules.is_empty())
+    write_results(&args.out.join("watching.json"), &played, |one| one.rules.is_empty())
 }
 
-fn joining((first, seeds): (u64, u64), plan: &slow_start::Plan, out: &Path) -> Result<(), String> {
-    let binaries = Binaries { dispatcher: beside("dispatcher")?, keeper: beside("coordinator")? };
-    let mut days: BTreeMap<String, slow_start::Joined> = BTreeMap::new();
+fn slow_start((first, seeds): (u64, u64), plan: &slow_start::Plan, out: &Path) -> Result<(), String> {
+    let binaries = Binaries { dispatcher: beside("dispatcher")?, coordinator: beside("coordinator")? };
+    let mut days: BTreeMap<String, slow_start::DayResult> = BTreeMap::new();
     for seed in first..first.saturating_add(seeds) {
         // Both arms at once, so that what else the machine does meets both.
         let arm = |grants: bool| {
@@ -434,7 +444,7 @@
             let (name, day) = lane.join().map_err(|_| "a lane panicked".to_owned())??;
             println!(
                 "{name}: used {:.3}, fullest {:.3}, fallen {}, in time {:.3}, served {:.3}, granted {:.1}, answers {:?}",
-                day.used, day.fullest, day.fallen, day.in_time, day.served, day.granted, day.answers
+                day.used_share, day.peak_load, day.overloads, day.in_time, day.served, day.granted_work, day.answers
             );
             days.insert(name, day);
         }
@@ -442,18 +452,18 @@
     let text = serde_json::to_string_pretty(&days).map_err(|error| error.to_string())?;
     let file = out.join("joining.json");
     std::fs::write(&file, text).map_err(|error| format!("{}: {error}", file.display()))?;
-    match days.iter().find(|(_, day)| day.fallen > 0 || !day.broken.is_empty()) {
-        Some((name, day)) => Err(format!("{name}: {} fallen, {:?}", day.fallen, day.broken)),
+    match days.iter().find(|(_, day)| day.overloads > 0 || !day.violations.is_empty()) {
+        Some((name, day)) => Err(format!("{name}: {} fallen, {:?}", day.overloads, day.violations)),
         None => Ok(()),
     }
 }
 
-fn model(bounds: Bounds, bug: Option<&str>, threads: usize) -> Result<(), String> {
+fn lease_model(bounds: Bounds, bug: Option<&str>, threads: usize) -> Result<(), String> {
     let start = Instant::now();
-    let found = search(flaw(bug)?, bounds, threads);
+    let found = search(injected_bug(bug)?, bounds, threads);
     let took = start.elapsed().as_secs_f64();
     println!("{} states, {} events deep, {took:.1} s", found.states, found.depth);
-    match (found.broken, found.handed_over) {
+    match (found.violated, found.handed_over) {
         (Some((property, events)), _) => Err(format!("does not hold after {events} events: {property}")),
         (None, false) => {
             Err("no duty was handed over within these bounds, so nothing was checked".to_owned())
@@ -481,7 +491,7 @@
     file: &Path,
     (first, count): (u64, u64),
     out: &Path,
-    drive: Drive,
+    drive: ExecutionMode,
     program: Option<PathBuf>,
     at_once: u16,
 ) -> Result<(), String> {
@@ -495,10 +505,10 @@
     }
     let start = Instant::now();
     let (runs, drive) = match drive {
-        Drive::Virtual => (virtual_runs(&experiment, &seeds, &bar), "virtual"),
-        Drive::Sockets => {
+        ExecutionMode::Virtual => (run_virtual(&experiment, &seeds, &bar), "virtual"),
+        ExecutionMode::Sockets => {
             let program = program.map_or_else(|| beside("dispatcher"), Ok)?;
-            let played = socket_runs(&mut experiment, &seeds, &program, at_once.into(), &bar);
+            let played = run_over_sockets(&mut experiment, &seeds, &program, at_once.into(), &bar);
             let (runs, left_out) = played.map_err(|error| error.to_string())?;
             if !left_out.is_empty() {
                 eprintln!("left out, for they are not the program's: {}", left_out.join(", "));
@@ -507,11 +517,11 @@
         }
     };
     bar.finish_and_clear();
-    let results = Results::of(&experiment, drive, &seeds, &runs);
+    let results = Results::summarize(&experiment, drive, &seeds, &runs);
     results.write(out).map_err(|error| format!("{}: {error}", out.display()))?;
     print!("{}", results.table());
-    let events: u64 = runs.iter().map(|run| run.figures.events).sum();
-    let jobs: u64 = runs.iter().map(|run| run.figures.jobs).sum();
+    let events: u64 = runs.iter().map(|run| run.metrics.events).sum();
+    let jobs: u64 = runs.iter().map(|run| run.metrics.jobs).sum();
     let took = start.elapsed().as_secs_f64();
     eprintln!(
         "{} runs, {jobs} jobs, {events} events in {took:.1} s: {:.0} events a second",
@@ -544,7 +554,7 @@
 fn main() -> ExitCode {
     let done = match Cli::parse().command {
         Command::Run { seeded_bug, .. } if seeded_bug.as_deref() == Some("list") => {
-            list_flaws();
+            list_injected_bugs();
             Ok(())
         }
         Command::Run { file, seed, seeds, out, at_once, seeded_bug, arm, length_s, .. }
@@ -552,22 +562,26 @@
         {
             run_fleet(&file, (seed, seeds), &out, at_once, seeded_bug.as_deref(), (arm.as_deref(), length_s))
         }
-        Command::Waits { length_s, out } => waits(length_s, &out),
+        Command::Waits { length_s, out } => dispatch_latency(length_s, &out),
         Command::Joining { seed, seeds, dispatchers, rate, kill, out } => {
-            let plan =
-                slow_start::Plan { dispatchers: dispatchers.into(), rate, kill, ..slow_start::Plan::default() };
-            joining((seed, seeds), &plan, &out)
+            let plan = slow_start::Plan {
+                dispatchers: dispatchers.into(),
+                rate,
+                kill,
+                ..slow_start::Plan::default()
+            };
+            slow_start((seed, seeds), &plan, &out)
         }
         Command::Worth { members, length_s, list_only, out } => {
-            worth(&members, Duration::from_secs(length_s), list_only, &out)
+            scaling_cost(&members, Duration::from_secs(length_s), list_only, &out)
         }
-        Command::Drains(args) => drains(&args),
-        Command::Watching(args) => watching(&args),
+        Command::Drains(args) => planned_drains(&args),
+        Command::Watching(args) => shared_health_checks(&args),
         Command::LightMember { file } => lightweight_member::run(&file),
         Command::Hours { hours, seed, skew_ppm, seeded_bug } => {
-            flaw(seeded_bug.as_deref()).and_then(|flaw| {
-                let hours = live(hours, seed, skew_ppm, flaw);
-                println!("{hours:#?}");
+            injected_bug(seeded_bug.as_deref()).and_then(|flaw| {
+                let hours = run_soak(hours, seed, skew_ppm, flaw);
+                println!("{hours:#}");
                 if hours.broken() {
                     Err("a rule was broken".to_owned())
                 } else {
@@ -585,10 +599,10 @@
         }),
         Command::Model { members, time, messages, seeded_bug, threads } => match seeded_bug.as_deref() {
             Some("list") => {
-                list_flaws();
+                list_injected_bugs();
                 Ok(())
             }
-            bug => model(Bounds { members, time, messages, ..Bounds::default() }, bug, threads),
+            bug => lease_model(Bounds { members, time, messages, ..Bounds::default() }, bug, threads),
         },
         Command::List { folder } => list(&folder),
     };
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -9,15 +9,15 @@
 use serde::{Deserialize, Serialize};
 use statrs::distribution::{ContinuousCDF as _, StudentsT};
 
-use crate::checker::Breaches;
-use crate::metrics::{Figures, Lost};
+use crate::checker::RuleViolations;
+use crate::metrics::{LostValue, RunMetrics};
 use crate::run::Run;
 use crate::spec::Experiment;
 
 /// The name of the file that other tools read.
-pub const RESULTS: &str = "results.json";
+pub const RESULTS_FILE: &str = "results.json";
 /// How sure an interval is.
-const CONFIDENCE: f64 = 0.95;
+const CONFIDENCE_LEVEL: f64 = 0.95;
 
 /// The mean of a figure over seeds, and half the width of its interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
 
 impl Mean {
     /// Of some figures, after Student.
-    pub fn of(figures: &[f64]) -> Mean {
+    pub fn from_samples(figures: &[f64]) -> Mean {
         let n = figures.len() as f64;
         if figures.is_empty() {
             return Mean::default();
@@ -40,7 +40,8 @@
             return Mean { mean, within: 0.0 };
         }
         let variance = figures.iter().map(|f| (f - mean).powi(2)).sum::<f64>() / (n - 1.0);
-        let t = StudentsT::new(0.0, 1.0, n - 1.0).map_or(1.96, |t| t.inverse_cdf(0.5 + CONFIDENCE / 2.0));
+        let t =
+            StudentsT::new(0.0, 1.0, n - 1.0).map_or(1.96, |t| t.inverse_cdf(0.5 + CONFIDENCE_LEVEL / 2.0));
         Mean { mean, within: t * (variance / n).sqrt() }
     }
 }
@@ -82,11 +83,11 @@
     /// Sends for each job.
     pub sends: Mean,
     /// Why worth was lost, in parts of the worth asked for: means over the runs.
-    pub lost: Lost,
+    pub lost: LostValue,
     /// Large jobs that were let in and starved.
     pub large_starved: u64,
     /// Breaches of the rules.
-    pub rules: Breaches,
+    pub rules: RuleViolations,
     /// The goal and service by seed, in the order of the seeds, for comparisons in pairs.
     pub goal_by_seed: Vec<f64>,
     /// See there.
@@ -111,7 +112,7 @@
     /// See there.
     pub large_late: u64,
     /// Breaches of the rules, over all runs.
-    pub rules: Breaches,
+    pub rules: RuleViolations,
     /// The operators' goal.
     pub goal: f64,
     /// By case.
@@ -133,26 +134,26 @@
     pub arms: Vec<ArmResult>,
 }
 
-fn mean(runs: &[&Run], figure: impl Fn(&Figures) -> f64) -> Mean {
-    let figures: Vec<f64> = runs.iter().map(|run| figure(&run.figures)).collect();
-    Mean::of(&figures)
+fn mean(runs: &[&Run], figure: impl Fn(&RunMetrics) -> f64) -> Mean {
+    let figures: Vec<f64> = runs.iter().map(|run| figure(&run.metrics)).collect();
+    Mean::from_samples(&figures)
 }
 
-fn breaches(runs: &[&Run]) -> Breaches {
-    let mut all = Breaches::default();
-    runs.iter().for_each(|run| all.add(run.figures.rules));
+fn total_violations(runs: &[&Run]) -> RuleViolations {
+    let mut all = RuleViolations::default();
+    runs.iter().for_each(|run| all.add(run.metrics.rules));
     all
 }
 
 impl Results {
     /// Sums runs up.
-    pub fn of(experiment: &Experiment, drive: &str, seeds: &[u64], runs: &[Run]) -> Results {
+    pub fn summarize(experiment: &Experiment, drive: &str, seeds: &[u64], runs: &[Run]) -> Results {
         let arms = experiment.arms.iter().enumerate().map(|(n, arm)| {
             let of_arm: Vec<&Run> = runs.iter().filter(|run| run.arm == n).collect();
-            let sum = |count: &dyn Fn(&Figures) -> u64| of_arm.iter().map(|run| count(&run.figures)).sum();
+            let sum = |count: &dyn Fn(&RunMetrics) -> u64| of_arm.iter().map(|run| count(&run.metrics)).sum();
             let tenants = experiment.traffic.tenants.iter().map(|tenant| {
                 let service =
-                    |f: &Figures| f.tenants.get(&tenant.name).copied().unwrap_or_default().service();
+                    |f: &RunMetrics| f.tenants.get(&tenant.name).copied().unwrap_or_default().service();
                 (tenant.name.clone(), mean(&of_arm, service).mean)
             });
             let cases = experiment.cases.iter().enumerate().map(|(c, case)| {
@@ -168,17 +169,17 @@
                     failed: mean(&runs, |f| f.failed),
                     late_p99_ms: mean(&runs, |f| f.late_p99_ms),
                     sends: mean(&runs, |f| f.sends as f64 / (f.jobs as f64).max(1.0)),
-                    lost: Lost {
+                    lost: LostValue {
                         refused: mean(&runs, |f| f.lost.refused).mean,
                         failed: mean(&runs, |f| f.lost.failed).mean,
                         held: mean(&runs, |f| f.lost.held).mean,
                         queued: mean(&runs, |f| f.lost.queued).mean,
                         slow: mean(&runs, |f| f.lost.slow).mean,
                     },
-                    large_starved: runs.iter().map(|run| run.figures.large_starved).sum(),
-                    rules: breaches(&runs),
-                    goal_by_seed: runs.iter().map(|run| run.figures.goal).collect(),
-                    service_by_seed: runs.iter().map(|run| run.figures.all.service()).collect(),
+                    large_starved: runs.iter().map(|run| run.metrics.large_starved).sum(),
+                    rules: total_violations(&runs),
+                    goal_by_seed: runs.iter().map(|run| run.metrics.goal).collect(),
+                    service_by_seed: runs.iter().map(|run| run.metrics.all.service()).collect(),
                 }
             });
             ArmResult {
@@ -194,7 +195,7 @@
                 large_jobs: sum(&|f| f.large_jobs),
                 large_admitted: sum(&|f| f.large_admitted),
                 large_late: sum(&|f| f.large_late),
-                rules: breaches(&of_arm),
+                rules: total_violations(&of_arm),
                 goal: mean(&of_arm, |f| f.goal).mean,
                 cases: cases.collect(),
             }
@@ -213,7 +214,7 @@
     /// # Errors
     /// There is none, or it is of another form.
     pub fn read(folder: &Path) -> io::Result<Results> {
-        let text = std::fs::read(folder.join(RESULTS))?;
+        let text = std::fs::read(folder.join(RESULTS_FILE))?;
         serde_json::from_slice(&text).map_err(io::Error::other)
     }
 
@@ -225,7 +226,7 @@
         std::fs::create_dir_all(folder)?;
         let mut json = serde_json::to_string_pretty(self).map_err(io::Error::other)?;
         json.push('\n');
-        std::fs::write(folder.join(RESULTS), json)?;
+        std::fs::write(folder.join(RESULTS_FILE), json)?;
         std::fs::write(folder.join("table.md"), self.table())?;
         type Figure = fn(&CaseResult) -> Mean;
         let charts: [(&str, &str, Figure); 5] = [
@@ -285,7 +286,7 @@
             text.push_str("or at a worker (queued), late by the run alone (slow).\n\n");
             text.push_str("| arm | refused | failed | held | queued | slow |\n|---|---|---|---|---|---|\n");
             for arm in &self.arms {
-                let Lost { refused, failed, held, queued, slow } = arm.cases[n].lost;
+                let LostValue { refused, failed, held, queued, slow } = arm.cases[n].lost;
                 let name = &arm.name;
                 let _ = writeln!(
                     text,
@@ -382,7 +383,7 @@
             let difference = |old: &[f64], new: &[f64], means: (Mean, Mean)| {
                 if paired && old.len() == new.len() {
                     let each: Vec<f64> = new.iter().zip(old).map(|(new, old)| new - old).collect();
-                    return Mean::of(&each);
+                    return Mean::from_samples(&each);
                 }
                 Mean { mean: means.1.mean - means.0.mean, within: means.0.within.hypot(means.1.within) }
             };
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -9,8 +9,8 @@
 use rayon::prelude::*;
 
 use crate::day::Day;
-use crate::metrics::Figures;
-use crate::router::{ahead_by, router};
+use crate::metrics::RunMetrics;
+use crate::router::{router, with_clock_ahead};
 use crate::sockets;
 use crate::spec::{Arm, Experiment, RouterKind};
 use crate::virtual_time;
@@ -25,11 +25,11 @@
     /// The seed of the day.
     pub seed: u64,
     /// What came of it.
-    pub figures: Figures,
+    pub metrics: RunMetrics,
 }
 
 /// Plays all of an experiment in virtual time; `done` is moved by one for each run.
-pub fn virtual_runs(experiment: &Experiment, seeds: &[u64], done: &ProgressBar) -> Vec<Run> {
+pub fn run_virtual(experiment: &Experiment, seeds: &[u64], done: &ProgressBar) -> Vec<Run> {
     let days: Vec<(usize, u64)> =
         (0..experiment.cases.len()).flat_map(|case| seeds.iter().map(move |seed| (case, *seed))).collect();
     let runs: Vec<Vec<Run>> = days
@@ -41,11 +41,11 @@
             arms.map(|(arm, spec)| {
                 let make = |settings: Settings, seed| {
                     let ahead = if settings.instance % 2 == 1 { spec.clock_error } else { 0.0 };
-                    ahead_by(ahead, router(spec.router, settings, seed))
+                    with_clock_ahead(ahead, router(spec.router, settings, seed))
                 };
                 let record = virtual_time::play(experiment, spec, &day, &make);
                 done.inc(1);
-                Run { arm, case, seed, figures: Figures::judge(experiment, &day, &record) }
+                Run { arm, case, seed, metrics: RunMetrics::evaluate(experiment, &day, &record) }
             })
             .collect()
         })
@@ -58,7 +58,7 @@
 ///
 /// # Errors
 /// The program does not start, or a socket cannot be opened.
-pub fn socket_runs(
+pub fn run_over_sockets(
     experiment: &mut Experiment,
     seeds: &[u64],
     program: &Path,
@@ -66,7 +66,7 @@
     done: &ProgressBar,
 ) -> io::Result<(Vec<Run>, Vec<String>)> {
     let (own, others): (Vec<Arm>, Vec<Arm>) =
-        experiment.arms.drain(..).partition(|arm| arm.router == RouterKind::Cairncrank);
+        experiment.arms.drain(..).partition(|arm| arm.router == RouterKind::DecisionModule);
     experiment.arms = own;
     let left_out = others.into_iter().map(|arm| arm.name).collect();
     let mut all = Vec::new();
@@ -85,7 +85,7 @@
                 let day = Day::draw(experiment, &experiment.cases[case], seed);
                 let record = sockets::play(experiment, &experiment.arms[arm], &day, program)?;
                 done.inc(1);
-                Ok(Run { arm, case, seed, figures: Figures::judge(experiment, &day, &record) })
+                Ok(Run { arm, case, seed, metrics: RunMetrics::evaluate(experiment, &day, &record) })
             })
             .collect()
     });
--- a/crates/emulator/src/sockets/client.rs
+++ b/crates/emulator/src/sockets/client.rs
@@ -9,20 +9,20 @@
 use tokio::task::JoinSet;
 
 use super::http;
-use super::{Shared, World};
+use super::{Environment, SharedEnvironment};
 use crate::day::{micros, Micros};
-use crate::metrics::End;
+use crate::metrics::JobOutcome;
 
 /// A client gives a request up this long after its deadline: an answer may come with a little slack.
-const GIVE_UP: Micros = 60_000;
+const GIVE_UP_AFTER: Micros = 60_000;
 /// A retry with less time than this is not worth a client's while.
-const SHORTEST_RETRY: Micros = 100_000;
+const MIN_RETRY_TIME: Micros = 100_000;
 
 /// Connections that clients of a dispatcher keep, each with the life it was opened in.
 type Pool = std::rc::Rc<std::cell::RefCell<Vec<Vec<(u32, TcpStream)>>>>;
 
 /// Hands in all jobs of the day and waits for their ends.
-pub(super) async fn play(world: World) {
+pub(super) async fn play(world: SharedEnvironment) {
     let hosts = world.borrow().agents.len();
     let pool: Pool = std::rc::Rc::new(std::cell::RefCell::new((0..hosts).map(|_| Vec::new()).collect()));
     let mut open = JoinSet::new();
@@ -30,56 +30,62 @@
     for job in 0..jobs {
         let due = {
             let shared = world.borrow();
-            shared.instant(shared.day.jobs[job].at)
+            shared.instant(shared.day.jobs[job].arrival)
         };
         tokio::time::sleep_until(due).await;
-        open.spawn_local(one(world.clone(), pool.clone(), job as u32));
+        open.spawn_local(run_job(world.clone(), pool.clone(), job as u32));
         while open.try_join_next().is_some() {}
     }
     while open.join_next().await.is_some() {}
 }
 
 /// How a try ended for its client.
-enum Ended {
+enum SubmissionOutcome {
     Served,
-    Refused(Option<f64>),
+    Rejected(Option<f64>),
     Failed,
     /// Nobody took it.
-    Unreached,
+    Unreachable,
     /// The dispatcher was killed.
-    Killed,
+    DispatcherKilled,
     /// The client left.
-    Left,
+    ClientLeft,
     /// Its time was up and no answer had come.
-    Nothing,
+    NoAnswer,
 }
 
 /// One client with its job, and its retry.
-async fn one(world: World, pool: Pool, job: u32) {
+async fn run_job(world: SharedEnvironment, pool: Pool, job: u32) {
     let (deadline, leaves, retries, honours, safe) = {
         let shared = world.borrow();
         let plan = &shared.day.jobs[job as usize];
         let class = &shared.experiment.traffic.classes[plan.class as usize];
-        let deadline = plan.at + shared.patience(job);
-        (deadline, plan.leaves, plan.retries, plan.honours, class.repeat == Repeat::Safe)
+        let deadline = plan.arrival + shared.timeout(job);
+        (
+            deadline,
+            plan.client_leaves_at,
+            plan.retry_backoff,
+            plan.honours_retry_after,
+            class.idempotency == Repeat::Safe,
+        )
     };
     let mut second = false;
     loop {
-        let ended = attempt(&world, &pool, job, deadline, leaves).await;
+        let ended = submit(&world, &pool, job, deadline, leaves).await;
         let now = world.borrow().now();
         let (end, again, after) = match ended {
-            Ended::Served => (End::Served(now), false, None),
-            Ended::Refused(after) => (End::Refused(now), true, after),
-            Ended::Failed => (End::Failed(now), safe, None),
-            Ended::Unreached => (End::Failed(now), true, None),
-            Ended::Killed => (End::Failed(now), safe, None),
-            Ended::Left => (End::Left, false, None),
-            Ended::Nothing => (End::Failed(now), false, None),
+            SubmissionOutcome::Served => (JobOutcome::Served(now), false, None),
+            SubmissionOutcome::Rejected(after) => (JobOutcome::Rejected(now), true, after),
+            SubmissionOutcome::Failed => (JobOutcome::Failed(now), safe, None),
+            SubmissionOutcome::Unreachable => (JobOutcome::Failed(now), true, None),
+            SubmissionOutcome::DispatcherKilled => (JobOutcome::Failed(now), safe, None),
+            SubmissionOutcome::ClientLeft => (JobOutcome::ClientLeft, false, None),
+            SubmissionOutcome::NoAnswer => (JobOutcome::Failed(now), false, None),
         };
         let wait = retries.filter(|_| again && !second);
         let asked = after.filter(|_| honours).map_or(0, micros);
-        let at = wait.map(|wait| now + wait.max(asked)).filter(|at| at + SHORTEST_RETRY <= deadline);
-        let Some(at) = at else { return world.borrow_mut().conclude(job, end) };
+        let at = wait.map(|wait| now + wait.max(asked)).filter(|at| at + MIN_RETRY_TIME <= deadline);
+        let Some(at) = at else { return world.borrow_mut().record_outcome(job, end) };
         let due = world.borrow().instant(at);
         tokio::time::sleep_until(due).await;
         second = true;
@@ -87,46 +93,58 @@
 }
 
 /// One try: on a kept connection, or once more on a new one where the dispatcher had closed the kept one.
-async fn attempt(world: &World, pool: &Pool, job: u32, deadline: Micros, leaves: Option<Micros>) -> Ended {
+async fn submit(
+    world: &SharedEnvironment,
+    pool: &Pool,
+    job: u32,
+    deadline: Micros,
+    leaves: Option<Micros>,
+) -> SubmissionOutcome {
     let host = world.borrow().day.jobs[job as usize].dispatcher as usize;
     let id = {
         let mut shared = world.borrow_mut();
-        shared.tries.push(job);
-        shared.tries.len() as u64
+        shared.submissions.push(job);
+        shared.submissions.len() as u64
     };
-    let until = leaves.unwrap_or(Micros::MAX).min(deadline + GIVE_UP);
+    let until = leaves.unwrap_or(Micros::MAX).min(deadline + GIVE_UP_AFTER);
     let due = world.borrow().instant(until);
     let mut taken = None;
     let tried = tokio::time::timeout_at(due, async {
-        let kept = pool.borrow_mut()[host].pop().filter(|(life, _)| *life == world.borrow().lives[host].0);
+        let kept =
+            pool.borrow_mut()[host].pop().filter(|(life, _)| *life == world.borrow().incarnations[host].0);
         if let Some((life, stream)) = kept {
             match exchange(world, pool, host, job, id, deadline, (life, stream), &mut taken).await {
                 Ok(ended) => return ended,
                 // Closed between two requests: sent once more, on a new connection.
-                Err(_) if world.borrow().lives[host] == (life, true) => {}
-                Err(_) => return Ended::Killed,
+                Err(_) if world.borrow().incarnations[host] == (life, true) => {}
+                Err(_) => return SubmissionOutcome::DispatcherKilled,
             }
         }
         let (life, port) = {
             let shared = world.borrow();
-            (shared.lives[host].0, shared.listen[host])
+            (shared.incarnations[host].0, shared.listen[host])
+        };
+        let Ok(stream) = TcpStream::connect(("127.0.0.1", port)).await else {
+            return SubmissionOutcome::Unreachable;
         };
-        let Ok(stream) = TcpStream::connect(("127.0.0.1", port)).await else { return Ended::Unreached };
         match exchange(world, pool, host, job, id, deadline, (life, stream), &mut taken).await {
             Ok(ended) => ended,
-            Err(_) if world.borrow().lives[host] == (life, true) => Ended::Failed,
-            Err(_) => Ended::Killed,
+            Err(_) if world.borrow().incarnations[host] == (life, true) => SubmissionOutcome::Failed,
+            Err(_) => SubmissionOutcome::DispatcherKilled,
         }
     })
     .await;
     let mut shared = world.borrow_mut();
-    let ended =
-        tried.unwrap_or(if leaves.is_some_and(|at| at < deadline) { Ended::Left } else { Ended::Nothing });
-    if matches!(ended, Ended::Left | Ended::Killed) {
-        shared.checker.excuse(id);
+    let ended = tried.unwrap_or(if leaves.is_some_and(|at| at < deadline) {
+        SubmissionOutcome::ClientLeft
+    } else {
+        SubmissionOutcome::NoAnswer
+    });
+    if matches!(ended, SubmissionOutcome::ClientLeft | SubmissionOutcome::DispatcherKilled) {
+        shared.checker.waive_answer(id);
     }
     if taken.is_some() {
-        shared.checker.close(id);
+        shared.checker.close_request(id);
     }
     ended
 }
@@ -134,7 +152,7 @@
 /// Writes a request and reads its answer.
 #[allow(clippy::too_many_arguments, reason = "all of it is one request")]
 async fn exchange(
-    world: &World,
+    world: &SharedEnvironment,
     pool: &Pool,
     host: usize,
     job: u32,
@@ -142,15 +160,15 @@
     deadline: Micros,
     (life, mut stream): (u32, TcpStream),
     taken: &mut Option<u64>,
-) -> io::Result<Ended> {
+) -> io::Result<SubmissionOutcome> {
     stream.set_nodelay(true)?;
     let message = request(&world.borrow(), job, id, deadline);
     stream.write_all(message.as_bytes()).await?;
     if taken.replace(id).is_none() {
         let mut shared = world.borrow_mut();
         let class = &shared.experiment.traffic.classes[shared.day.jobs[job as usize].class as usize];
-        let (repeat, window) = (class.repeat, micros(class.window));
-        shared.checker.took(id, repeat, window, deadline);
+        let (repeat, window) = (class.idempotency, micros(class.retry_window));
+        shared.checker.record_accepted(id, repeat, window, deadline);
     }
     let mut buffer = BytesMut::with_capacity(512);
     let Some(head) = http::head(&mut stream, &mut buffer, false, || {}).await? else {
@@ -160,29 +178,29 @@
     let refused = matches!(head.status, 429 | 503);
     let mut shared = world.borrow_mut();
     let now = shared.now();
-    shared.checker.answered(id, refused, now);
+    shared.checker.record_answer(id, refused, now);
     let after = head.get("retry-after").and_then(|v| v.parse().ok());
     if head.get("connection").is_none_or(|v| !v.eq_ignore_ascii_case("close")) {
         pool.borrow_mut()[host].push((life, stream));
     }
     Ok(match head.status {
         // Served with what no worker made for it is as good as lost.
-        200 if body.starts_with(format!("{id:016x} by ").as_bytes()) => Ended::Served,
+        200 if body.starts_with(format!("{id:016x} by ").as_bytes()) => SubmissionOutcome::Served,
         200 => {
-            shared.checker.answered(id, false, now);
-            Ended::Failed
+            shared.checker.record_answer(id, false, now);
+            SubmissionOutcome::Failed
         }
-        _ if refused => Ended::Refused(after),
-        _ => Ended::Failed,
+        _ if refused => SubmissionOutcome::Rejected(after),
+        _ => SubmissionOutcome::Failed,
     })
 }
 
-fn request(shared: &Shared, job: u32, id: u64, deadline: Micros) -> String {
+fn request(shared: &Environment, job: u32, id: u64, deadline: Micros) -> String {
     let plan = &shared.day.jobs[job as usize];
     let class = &shared.experiment.traffic.classes[plan.class as usize];
     let tenant = shared.experiment.traffic.tenants.get(plan.tenant as usize).map_or("", |t| &t.name);
     let left = (shared.seconds_left(deadline) * 1e3) as u64;
-    let key = match class.repeat {
+    let key = match class.idempotency {
         Repeat::Keyed(_) => format!("Idempotency-Key: {:032x}\r\n", u128::from(job) + 1),
         _ => String::new(),
     };
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -10,13 +10,13 @@
 use tokio::task::spawn_local;
 
 use super::http::{self, chunk, CHUNKED};
-use super::{Shared, World};
+use super::{Environment, SharedEnvironment};
 
 /// An empty line comes this often while nothing changes.
-const QUIET: Duration = Duration::from_secs(2);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Serves a dispatcher's agent.
-pub(super) async fn serve(world: World, host: usize, listener: TcpListener) {
+pub(super) async fn serve(world: SharedEnvironment, host: usize, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         let world = world.clone();
         spawn_local(async move {
@@ -27,9 +27,9 @@
 }
 
 /// The lines newer than a revision, as discovery words them; what drains counts as told once this is written.
-pub(super) fn list(shared: &Shared, host: usize, after: u64) -> Value {
+pub(super) fn list(shared: &Environment, host: usize, after: u64) -> Value {
     let agent = &shared.agents[host];
-    let lines = agent.lines.iter().filter(|(_, line)| line.revision > after);
+    let lines = agent.entries.iter().filter(|(_, line)| line.revision > after);
     let members: Vec<Value> = lines
         .map(|(w, line)| {
             let plan = &shared.workers[*w].plan;
@@ -41,7 +41,7 @@
                 "cell": plan.rack,
                 "phase": line.phase,
                 "size": 1.0,
-                "up_since_ms": line.since.map_or(0, |since| shared.unix_ms(since)),
+                "up_since_ms": line.started_at.map_or(0, |since| shared.unix_ms(since)),
             })
         })
         // What is gone stands among changes only.
@@ -50,30 +50,30 @@
     json!({"revision": agent.revision, "complete": after == 0, "members": members})
 }
 
-fn told(shared: &mut Shared, host: usize, after: u64) {
-    let (life, now) = (shared.life(host), shared.now());
+fn record_drain_notices(shared: &mut Environment, host: usize, after: u64) {
+    let (life, now) = (shared.incarnation_id(host), shared.now());
     let agent = &shared.agents[host];
-    let drained = agent.lines.iter().filter(|(_, l)| l.revision > after && l.phase != "in_service");
+    let drained = agent.entries.iter().filter(|(_, l)| l.revision > after && l.phase != "in_service");
     let drained: Vec<usize> = drained.map(|(w, _)| *w).collect();
     for w in drained {
-        shared.checker.told_drain(life, w as u64, now);
+        shared.checker.record_drain_notice(life, w as u64, now);
     }
 }
 
-async fn connection(world: &World, host: usize, mut stream: TcpStream) -> io::Result<()> {
+async fn connection(world: &SharedEnvironment, host: usize, mut stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut buffer = BytesMut::new();
     let Some(head) = http::head(&mut stream, &mut buffer, true, || {}).await? else { return Ok(()) };
     let _ = http::body(&mut stream, &mut buffer, &head).await?;
     let whole = list(&world.borrow(), host, 0).to_string();
     if !head.path.contains("stream=1") {
-        told(&mut world.borrow_mut(), host, 0);
+        record_drain_notices(&mut world.borrow_mut(), host, 0);
         let length = whole.len();
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{whole}");
         return stream.write_all(answer.as_bytes()).await;
     }
     let mut revision = world.borrow().agents[host].revision;
-    told(&mut world.borrow_mut(), host, 0);
+    record_drain_notices(&mut world.borrow_mut(), host, 0);
     stream.write_all(&[CHUNKED, chunk(&whole).as_slice()].concat()).await?;
     loop {
         let changed = world.borrow().agents[host].changed.clone();
@@ -81,7 +81,7 @@
         tokio::pin!(news);
         news.as_mut().enable();
         if world.borrow().agents[host].revision == revision {
-            let quiet = tokio::time::timeout(QUIET, news).await.is_err();
+            let quiet = tokio::time::timeout(KEEPALIVE_INTERVAL, news).await.is_err();
             if quiet {
                 stream.write_all(&chunk("")).await?;
                 continue;
@@ -89,7 +89,7 @@
         }
         let line = list(&world.borrow(), host, revision).to_string();
         let before = std::mem::replace(&mut revision, world.borrow().agents[host].revision);
-        told(&mut world.borrow_mut(), host, before);
+        record_drain_notices(&mut world.borrow_mut(), host, before);
         stream.write_all(&chunk(&line)).await?;
     }
 }
--- a/crates/emulator/src/sockets/http.rs
+++ b/crates/emulator/src/sockets/http.rs
@@ -7,8 +7,8 @@
 use tokio::net::TcpStream;
 
 /// The largest head and the largest body that a stand-in reads.
-const MOST: usize = 1 << 20;
-const HEADERS: usize = 64;
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+const MAX_HEADERS: usize = 64;
 
 /// The head of a message, whichever way it goes.
 #[derive(Debug, Default)]
@@ -37,7 +37,7 @@
     }
 }
 
-fn broken(what: &'static str) -> io::Error {
+fn invalid_data(what: &'static str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what)
 }
 
@@ -47,15 +47,15 @@
 }
 
 fn parse(buffer: &[u8], request: bool) -> io::Result<Option<Head>> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let status = if request {
         let mut parsed = httparse::Request::new(&mut headers);
-        let status = parsed.parse(buffer).map_err(|_| broken("no request"))?;
+        let status = parsed.parse(buffer).map_err(|_| invalid_data("no request"))?;
         let path = parsed.path.unwrap_or_default().to_owned();
         (status, path, 0, owned(parsed.headers))
     } else {
         let mut parsed = httparse::Response::new(&mut headers);
-        let status = parsed.parse(buffer).map_err(|_| broken("no answer"))?;
+        let status = parsed.parse(buffer).map_err(|_| invalid_data("no answer"))?;
         (status, String::new(), parsed.code.unwrap_or_default(), owned(parsed.headers))
     };
     Ok(match status {
@@ -67,9 +67,9 @@
 }
 
 /// Reads some more; false at the end.
-async fn more(stream: &mut TcpStream, buffer: &mut BytesMut) -> io::Result<bool> {
-    if buffer.len() > MOST {
-        return Err(broken("too long"));
+async fn read_more(stream: &mut TcpStream, buffer: &mut BytesMut) -> io::Result<bool> {
+    if buffer.len() > MAX_MESSAGE_BYTES {
+        return Err(invalid_data("too long"));
     }
     Ok(stream.read_buf(buffer).await? > 0)
 }
@@ -90,7 +90,7 @@
             buffer.advance(head.length);
             return Ok(Some(head));
         }
-        if !more(stream, buffer).await? {
+        if !read_more(stream, buffer).await? {
             return if begun { Err(io::ErrorKind::UnexpectedEof.into()) } else { Ok(None) };
         }
         if !std::mem::replace(&mut begun, true) {
@@ -105,7 +105,7 @@
     if !head.chunked() {
         let length = head.content_length();
         while buffer.len() < length {
-            if !more(stream, buffer).await? {
+            if !read_more(stream, buffer).await? {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
@@ -113,12 +113,12 @@
         return Ok(body);
     }
     loop {
-        match httparse::parse_chunk_size(buffer).map_err(|_| broken("no chunk"))? {
+        match httparse::parse_chunk_size(buffer).map_err(|_| invalid_data("no chunk"))? {
             httparse::Status::Complete((at, length)) => {
                 let length = length as usize;
                 let whole = at.saturating_add(length).saturating_add(2);
                 while buffer.len() < whole {
-                    if !more(stream, buffer).await? {
+                    if !read_more(stream, buffer).await? {
                         return Err(io::ErrorKind::UnexpectedEof.into());
                     }
                 }
@@ -129,7 +129,7 @@
                 }
             }
             httparse::Status::Partial => {
-                if !more(stream, buffer).await? {
+                if !read_more(stream, buffer).await? {
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
             }
--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -20,134 +20,135 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::task::{spawn_local, LocalSet};
 
-use crate::checker::{Checker, Limits};
-use crate::day::{micros, seconds, stream, Day, Micros, Mishap, DAWN};
-use crate::metrics::{End, Ran, Record};
+use crate::checker::{RuleChecker, RuleLimits};
+use crate::day::{micros, random_stream, seconds, Day, Fault, Micros, DAY_START};
+use crate::metrics::{JobOutcome, JobRun, RunRecord};
 use crate::spec::{Arm, Experiment};
-use crate::worker::{progress, Note, Phase, Worker};
+use crate::worker::{progress_interval, JobEvent, Phase, Worker};
 
 /// What is not over this long after the last client came is not waited for.
-const TAIL: Duration = Duration::from_secs(12);
+const MAX_TAIL: Duration = Duration::from_secs(12);
 /// The day begins this long after all dispatchers are ready.
-const SETTLE: Duration = Duration::from_millis(500);
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 /// Dispatchers are ready within this, or the run fails.
-const READY_WITHIN: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A line of the worker list, as discovery tells it.
 #[derive(Clone, Debug)]
-struct Line {
+struct ListEntry {
     revision: u64,
     phase: &'static str,
-    since: Option<Micros>,
+    started_at: Option<Micros>,
 }
 
 /// The list as the agent beside one dispatcher has it.
 #[derive(Debug, Default)]
-struct Agent {
+struct DiscoveryAgent {
     revision: u64,
-    lines: BTreeMap<usize, Line>,
+    entries: BTreeMap<usize, ListEntry>,
     changed: Rc<Notify>,
 }
 
 /// An attempt as its worker sees it.
 #[derive(Debug)]
 struct Attempt {
-    notes: mpsc::UnboundedSender<Note>,
+    events: mpsc::UnboundedSender<JobEvent>,
     request: u64,
     job: u32,
-    send: usize,
+    checker_send: usize,
     run: Option<u32>,
 }
 
 /// What all stand-ins share.
-struct Shared {
+struct Environment {
     experiment: Experiment,
     day: Day,
     start: Instant,
     /// Unix time at dawn.
-    unix: Micros,
+    unix_start: Micros,
     workers: Vec<Worker>,
     /// Counted up when a process ends.
     processes: Vec<u32>,
     ended: Vec<Rc<Notify>>,
-    due: Vec<Rc<Notify>>,
+    wake: Vec<Rc<Notify>>,
     /// Where each worker listens, by dispatcher.
     ports: Vec<Vec<u16>>,
     connections: Vec<u32>,
-    agents: Vec<Agent>,
+    agents: Vec<DiscoveryAgent>,
     /// The life of each dispatcher, and whether it runs.
-    lives: Vec<(u32, bool)>,
+    incarnations: Vec<(u32, bool)>,
     listen: Vec<u16>,
     attempts: Vec<Attempt>,
     /// The job of each try, by the number in its id.
-    tries: Vec<u32>,
-    checker: Checker,
-    record: Record,
+    submissions: Vec<u32>,
+    checker: RuleChecker,
+    record: RunRecord,
     rng: Pcg64Mcg,
-    notes: Vec<Note>,
+    job_events: Vec<JobEvent>,
 }
 
-type World = Rc<RefCell<Shared>>;
+type SharedEnvironment = Rc<RefCell<Environment>>;
 
-impl Shared {
+impl Environment {
     fn now(&self) -> Micros {
-        DAWN + self.start.elapsed().as_micros() as Micros
+        DAY_START + self.start.elapsed().as_micros() as Micros
     }
 
     fn instant(&self, at: Micros) -> tokio::time::Instant {
-        (self.start + Duration::from_micros(at.saturating_sub(DAWN))).into()
+        (self.start + Duration::from_micros(at.saturating_sub(DAY_START))).into()
     }
 
-    fn life(&self, host: usize) -> u32 {
-        self.lives[host].0 * self.lives.len() as u32 + host as u32
+    fn incarnation_id(&self, host: usize) -> u32 {
+        self.incarnations[host].0 * self.incarnations.len() as u32 + host as u32
     }
 
     /// One way between a dispatcher and a worker, beyond what loopback takes.
-    fn way(&self, host: usize, worker: usize) -> Duration {
+    fn network_delay(&self, host: usize, worker: usize) -> Duration {
         let net = &self.day.network;
         let near = self.day.dispatchers[host].zone == self.workers[worker].plan.zone;
         Duration::from_micros(micros(if near { net.same_zone } else { net.cross_zone }))
     }
 
     /// Passes on what a worker said, and wakes its driver.
-    fn said(&mut self, w: usize) {
+    fn process_job_events(&mut self, w: usize) {
         let now = self.now();
-        let mut notes = std::mem::take(&mut self.notes);
+        let mut notes = std::mem::take(&mut self.job_events);
         for note in notes.drain(..) {
             let n = match note {
-                Note::Started(n)
-                | Note::Running(n, _)
-                | Note::Done(n)
-                | Note::Failed(n)
-                | Note::Returned(n)
-                | Note::Lost(n) => n,
+                JobEvent::Started(n)
+                | JobEvent::Progress(n, _)
+                | JobEvent::Done(n)
+                | JobEvent::Failed(n)
+                | JobEvent::Rejected(n)
+                | JobEvent::Lost(n) => n,
             };
             let attempt = &mut self.attempts[n];
             match note {
-                Note::Started(_) => {
-                    attempt.run = Some(self.record.ran.len() as u32);
-                    let ran = Ran { job: attempt.job, worker: w as u32, from: now, to: Micros::MAX };
-                    self.record.ran.push(ran);
+                JobEvent::Started(_) => {
+                    attempt.run = Some(self.record.runs.len() as u32);
+                    let ran =
+                        JobRun { job: attempt.job, worker: w as u32, started_at: now, ended_at: Micros::MAX };
+                    self.record.runs.push(ran);
                 }
-                Note::Done(_) | Note::Failed(_) | Note::Lost(_) => {
+                JobEvent::Done(_) | JobEvent::Failed(_) | JobEvent::Lost(_) => {
                     if let Some(run) = attempt.run.take() {
-                        self.record.ran[run as usize].to = now;
+                        self.record.runs[run as usize].ended_at = now;
                     }
                 }
-                Note::Running(..) | Note::Returned(_) => {}
+                JobEvent::Progress(..) | JobEvent::Rejected(_) => {}
             }
             // A connection that is closed needs no word.
-            let _ = attempt.notes.send(note);
+            let _ = attempt.events.send(note);
         }
-        self.notes = notes;
-        self.due[w].notify_one();
+        self.job_events = notes;
+        self.wake[w].notify_one();
     }
 
-    fn with_worker(&mut self, w: usize, change: impl FnOnce(&mut Worker, Micros, &mut Vec<Note>)) {
-        let (now, mut notes) = (self.now(), std::mem::take(&mut self.notes));
+    fn with_worker(&mut self, w: usize, change: impl FnOnce(&mut Worker, Micros, &mut Vec<JobEvent>)) {
+        let (now, mut notes) = (self.now(), std::mem::take(&mut self.job_events));
         change(&mut self.workers[w], now, &mut notes);
-        self.notes = notes;
-        self.said(w);
+        self.job_events = notes;
+        self.process_job_events(w);
     }
 
     /// A process ends: what it has is lost, and its connections break.
@@ -158,14 +159,14 @@
         self.ended[w].notify_waiters();
     }
 
-    fn enlist(&mut self, worker: Worker) -> usize {
+    fn add_worker(&mut self, worker: Worker) -> usize {
         let w = self.workers.len();
-        let warm_from = worker.since.map_or(0, |since| since + micros(worker.plan.warm));
+        let warm_from = worker.started_at.map_or(0, |since| since + micros(worker.plan.warm_up));
         self.record.workers.push((worker.plan.speed, worker.plan.slots, warm_from, Micros::MAX));
         self.workers.push(worker);
         self.processes.push(0);
         self.ended.push(Rc::default());
-        self.due.push(Rc::default());
+        self.wake.push(Rc::default());
         self.ports.push(Vec::new());
         self.connections.push(0);
         w
@@ -173,20 +174,20 @@
 }
 
 /// A change of the list goes out with the others of its period, to each dispatcher by its own delay.
-fn publish(world: &World, w: usize, phase: &'static str, after: Micros) {
+fn publish(world: &SharedEnvironment, w: usize, phase: &'static str, after: Micros) {
     let shared = world.borrow();
-    let period = shared.day.discovery.period.max(1);
+    let period = shared.day.discovery.publish_period.max(1);
     let at = (shared.now() + after).div_ceil(period) * period;
-    let since = shared.workers[w].since;
+    let since = shared.workers[w].started_at;
     for host in 0..shared.agents.len() {
-        let due = shared.instant(at + shared.day.dispatchers[host].spread);
+        let due = shared.instant(at + shared.day.dispatchers[host].list_delay);
         let world = world.clone();
         spawn_local(async move {
             tokio::time::sleep_until(due).await;
             let agent = &mut world.borrow_mut().agents[host];
             agent.revision += 1;
             let revision = agent.revision;
-            agent.lines.insert(w, Line { revision, phase, since });
+            agent.entries.insert(w, ListEntry { revision, phase, started_at: since });
             agent.changed.notify_waiters();
         });
     }
@@ -196,85 +197,86 @@
 ///
 /// # Errors
 /// The program does not start, or a socket cannot be opened.
-pub fn play(experiment: &Experiment, arm: &Arm, day: &Day, program: &Path) -> io::Result<Record> {
+pub fn play(experiment: &Experiment, arm: &Arm, day: &Day, program: &Path) -> io::Result<RunRecord> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, run(experiment.clone(), arm.clone(), day.clone(), program))
 }
 
-async fn run(experiment: Experiment, arm: Arm, day: Day, program: &Path) -> io::Result<Record> {
+async fn run(experiment: Experiment, arm: Arm, day: Day, program: &Path) -> io::Result<RunRecord> {
     let rules = &experiment.rules;
-    let limits = Limits { drain_grace: micros(rules.drain_grace), answer_slack: micros(rules.answer_slack) };
+    let limits =
+        RuleLimits { drain_grace: micros(rules.drain_grace), answer_slack: micros(rules.answer_slack) };
     let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let (jobs, hosts) = (day.jobs.len(), day.dispatchers.len());
-    let mut shared = Shared {
+    let mut shared = Environment {
         start: Instant::now(),
-        unix: unix.as_micros() as Micros,
+        unix_start: unix.as_micros() as Micros,
         workers: Vec::new(),
         processes: Vec::new(),
         ended: Vec::new(),
-        due: Vec::new(),
+        wake: Vec::new(),
         ports: Vec::new(),
         connections: Vec::new(),
-        agents: (0..hosts).map(|_| Agent::default()).collect(),
-        lives: vec![(0, false); hosts],
+        agents: (0..hosts).map(|_| DiscoveryAgent::default()).collect(),
+        incarnations: vec![(0, false); hosts],
         listen: Vec::new(),
         attempts: Vec::new(),
-        tries: Vec::new(),
-        checker: Checker::new(limits),
-        record: Record {
-            ends: vec![None; jobs],
+        submissions: Vec::new(),
+        checker: RuleChecker::new(limits),
+        record: RunRecord {
+            outcomes: vec![None; jobs],
             admitted: vec![false; jobs],
-            sent: vec![None; jobs],
-            ..Record::default()
+            first_sent: vec![None; jobs],
+            ..RunRecord::default()
         },
-        rng: stream(day.seed, 5),
-        notes: Vec::new(),
+        rng: random_stream(day.seed, 5),
+        job_events: Vec::new(),
         experiment,
         day,
     };
     for plan in shared.day.workers.clone() {
-        shared.enlist(Worker::new(plan, None, DAWN, progress()));
+        shared.add_worker(Worker::new(plan, None, DAY_START, progress_interval()));
     }
     for agent in &mut shared.agents {
         agent.revision = 1;
-        let line = Line { revision: 1, phase: "in_service", since: None };
-        agent.lines = (0..shared.workers.len()).map(|w| (w, line.clone())).collect();
+        let line = ListEntry { revision: 1, phase: "in_service", started_at: None };
+        agent.entries = (0..shared.workers.len()).map(|w| (w, line.clone())).collect();
     }
-    let world: World = Rc::new(RefCell::new(shared));
+    let world: SharedEnvironment = Rc::new(RefCell::new(shared));
     let workers = world.borrow().workers.len();
     for w in 0..workers {
         worker::serve(&world, w).await?;
     }
     let mut programs = Vec::new();
     for host in 0..hosts {
-        programs.push(program::Program::prepare(&world, &arm, host, program).await?);
+        programs.push(program::DispatcherProcess::prepare(&world, &arm, host, program).await?);
     }
     for program in &mut programs {
         program.start(&world)?;
     }
     for program in &programs {
-        program.ready(&world, READY_WITHIN).await?;
+        program.wait_until_ready(&world, READY_TIMEOUT).await?;
     }
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     {
         // The day's clock starts now; dispatchers reckon in Unix time.
         let mut shared = world.borrow_mut();
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        (shared.start, shared.unix) = (Instant::now(), unix.as_micros() as Micros);
+        (shared.start, shared.unix_start) = (Instant::now(), unix.as_micros() as Micros);
         for w in 0..workers {
             let plan = shared.workers[w].plan.clone();
-            shared.workers[w] = Worker::new(plan, None, DAWN, progress());
+            shared.workers[w] = Worker::new(plan, None, DAY_START, progress_interval());
         }
     }
     let clients = spawn_local(client::play(world.clone()));
-    let mishaps = world.borrow().day.mishaps.clone();
+    let mishaps = world.borrow().day.faults.clone();
     let mut returns = tokio::task::JoinSet::new();
-    let end = world.borrow().instant(world.borrow().day.end);
+    let end = world.borrow().instant(world.borrow().day.last_arrival);
     for (at, mishap) in mishaps {
         let due = world.borrow().instant(at);
         tokio::time::sleep_until(due).await;
         match mishap {
-            Mishap::Restart(host, lasts) => {
+            Fault::RestartDispatcher(host, lasts) => {
                 programs[host].kill(&world);
                 // It is started again below, in the order of time.
                 returns.spawn_local(async move {
@@ -282,7 +284,7 @@
                     host
                 });
             }
-            other => mishap_at(&world, other),
+            other => inject_fault(&world, other),
         }
         while let Some(Ok(host)) = returns.try_join_next() {
             programs[host].start(&world)?;
@@ -294,16 +296,16 @@
         }
     }
     tokio::time::sleep_until(end).await;
-    let _ = tokio::time::timeout(TAIL, clients).await;
+    let _ = tokio::time::timeout(MAX_TAIL, clients).await;
     for program in &mut programs {
         program.kill(&world);
     }
     drop(programs);
     let mut shared = world.borrow_mut();
-    let checker = std::mem::replace(&mut shared.checker, Checker::new(limits));
+    let checker = std::mem::replace(&mut shared.checker, RuleChecker::new(limits));
     let mut record = std::mem::take(&mut shared.record);
-    record.rules = checker.finish();
-    record.tries = shared.tries.len() as u64;
+    record.violations = checker.finish();
+    record.submissions = shared.submissions.len() as u64;
     for (w, worker) in shared.workers.iter().enumerate() {
         if worker.phase == Phase::Serving {
             record.workers[w].3 = Micros::MAX;
@@ -312,28 +314,28 @@
     Ok(record)
 }
 
-fn mishap_at(world: &World, mishap: Mishap) {
+fn inject_fault(world: &SharedEnvironment, mishap: Fault) {
     match mishap {
-        Mishap::Hang(w, hung) => {
-            world.borrow_mut().with_worker(w, |worker, now, notes| worker.hang(hung, now, notes));
+        Fault::HangWorker(w, hung) => {
+            world.borrow_mut().with_worker(w, |worker, now, notes| worker.set_hung(hung, now, notes));
         }
-        Mishap::Neighbour(w, part) => {
-            world.borrow_mut().with_worker(w, |worker, now, _| worker.take_away(part, now));
+        Fault::NoisyNeighbour(w, part) => {
+            world.borrow_mut().with_worker(w, |worker, now, _| worker.set_stolen_share(part, now));
         }
-        Mishap::Replace(w, lasts) => {
+        Fault::ReplaceWorker(w, lasts) => {
             if world.borrow().workers[w].phase != Phase::Serving {
                 return;
             }
-            let notice = world.borrow().day.discovery.notice;
+            let notice = world.borrow().day.discovery.drain_notice;
             let next = {
                 let mut shared = world.borrow_mut();
                 shared.record.workers[w].3 = shared.now();
                 shared.with_worker(w, |worker, now, notes| worker.drain(now, notes));
                 let plan = shared.workers[w].plan.clone();
                 let since = shared.now() + lasts;
-                let mut successor = Worker::new(plan, Some(since), since, progress());
+                let mut successor = Worker::new(plan, Some(since), since, progress_interval());
                 successor.phase = Phase::Ended;
-                shared.enlist(successor)
+                shared.add_worker(successor)
             };
             publish(world, w, "terminating", notice);
             let world = world.clone();
@@ -344,7 +346,7 @@
                 start_worker(&world, next).await;
             });
         }
-        Mishap::Crash(w, lasts) => {
+        Fault::CrashWorker(w, lasts) => {
             world.borrow_mut().kill_worker(w);
             let world = world.clone();
             spawn_local(async move {
@@ -352,38 +354,38 @@
                 start_worker(&world, w).await;
             });
         }
-        Mishap::Restart(..) => {}
+        Fault::RestartDispatcher(..) => {}
     }
 }
 
-async fn start_worker(world: &World, w: usize) {
+async fn start_worker(world: &SharedEnvironment, w: usize) {
     {
         let mut shared = world.borrow_mut();
         let now = shared.now();
         let plan = shared.workers[w].plan.clone();
-        let warm = micros(plan.warm);
-        shared.workers[w] = Worker::new(plan, Some(now), now, progress());
+        let warm = micros(plan.warm_up);
+        shared.workers[w] = Worker::new(plan, Some(now), now, progress_interval());
         (shared.record.workers[w].2, shared.record.workers[w].3) = (now + warm, Micros::MAX);
     }
     if worker::serve(world, w).await.is_ok() {
-        let add = world.borrow().day.discovery.add;
+        let add = world.borrow().day.discovery.start_notice;
         publish(world, w, "in_service", add);
     }
 }
 
-impl Shared {
+impl Environment {
     /// A client's job is over.
-    fn conclude(&mut self, job: u32, end: End) {
-        self.record.ends[job as usize] = Some(end);
+    fn record_outcome(&mut self, job: u32, end: JobOutcome) {
+        self.record.outcomes[job as usize] = Some(end);
     }
 
     fn unix_ms(&self, at: Micros) -> u64 {
-        (self.unix + at.saturating_sub(DAWN)) / 1000
+        (self.unix_start + at.saturating_sub(DAY_START)) / 1000
     }
 
-    fn patience(&self, job: u32) -> Micros {
+    fn timeout(&self, job: u32) -> Micros {
         let class = self.day.jobs[job as usize].class as usize;
-        micros(self.experiment.traffic.classes[class].patience)
+        micros(self.experiment.traffic.classes[class].timeout)
     }
 
     fn seconds_left(&self, until: Micros) -> f64 {
--- a/crates/emulator/src/sockets/program.rs
+++ b/crates/emulator/src/sockets/program.rs
@@ -13,34 +13,39 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-use super::{discovery, http, World};
+use super::{discovery, http, SharedEnvironment};
 use crate::day::seconds;
 use crate::spec::Arm;
-use crate::worker::progress;
+use crate::worker::progress_interval;
 
 /// What a dispatcher may use, as on the smallest machines of the platform.
 const MEMORY_MB: u64 = 48;
 const SOCKETS: u64 = 384;
 
 /// A health call is answered within this, or asked again.
-const ANSWER_WITHIN: Duration = Duration::from_millis(500);
+const HEALTH_CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A dispatcher's process. It ends with this value.
-pub(super) struct Program {
+pub(super) struct DispatcherProcess {
     path: PathBuf,
     config: PathBuf,
     /// Our own settings, and what stands in them.
-    own: PathBuf,
-    own_text: String,
+    settings_file: PathBuf,
+    settings_text: String,
     host: usize,
     settings: Value,
     discovery: u16,
     child: Option<Child>,
 }
 
-impl Program {
+impl DispatcherProcess {
     /// Opens the agent's listener and picks the address of the dispatcher.
-    pub(super) async fn prepare(world: &World, arm: &Arm, host: usize, path: &Path) -> io::Result<Program> {
+    pub(super) async fn prepare(
+        world: &SharedEnvironment,
+        arm: &Arm,
+        host: usize,
+        path: &Path,
+    ) -> io::Result<DispatcherProcess> {
         let agent = TcpListener::bind("127.0.0.1:0").await?;
         let discovery = agent.local_addr()?.port();
         spawn_local(discovery::serve(world.clone(), host, agent));
@@ -51,18 +56,28 @@
         let config = std::env::temp_dir().join(file);
         let settings = settings(world, arm, host);
         let own = config.with_extension("hcl");
-        let own_text = match arm.room {
+        let own_text = match arm.capacity_reservation {
             Some(room) => format!("room {{\n  from_slots = {}\n  price = {}\n}}\n", room.from, room.price),
             None => "room {\n  hold = false\n}\n".to_owned(),
         };
-        Ok(Program { path: path.to_owned(), config, own, own_text, host, settings, discovery, child: None })
+        Ok(DispatcherProcess {
+            path: path.to_owned(),
+            config,
+            settings_file: own,
+            settings_text: own_text,
+            host,
+            settings,
+            discovery,
+            child: None,
+        })
     }
 
     /// Starts the process with the list as its agent has it.
-    pub(super) fn start(&mut self, world: &World) -> io::Result<()> {
+    pub(super) fn start(&mut self, world: &SharedEnvironment) -> io::Result<()> {
         let mut shared = world.borrow_mut();
         let listen = format!("127.0.0.1:{}", shared.listen[self.host]);
-        let seed = shared.day.seed ^ (self.host as u64) << 32 ^ u64::from(shared.lives[self.host].0) << 48;
+        let seed =
+            shared.day.seed ^ (self.host as u64) << 32 ^ u64::from(shared.incarnations[self.host].0) << 48;
         let config = json!({
             "name": format!("d-{}", self.host),
             "listen": listen,
@@ -73,13 +88,13 @@
             "settings": self.settings,
         });
         std::fs::write(&self.config, config.to_string())?;
-        std::fs::write(&self.own, &self.own_text)?;
+        std::fs::write(&self.settings_file, &self.settings_text)?;
         let child = Command::new(&self.path)
             .arg("serve")
             .arg("--config")
             .arg(&self.config)
             .arg("--settings")
-            .arg(&self.own)
+            .arg(&self.settings_file)
             .env_remove("BALANCER_NAME")
             .env_remove("BALANCER_LISTEN")
             .env_remove("BALANCER_DISCOVERY")
@@ -89,12 +104,16 @@
             .spawn()
             .map_err(|error| io::Error::new(error.kind(), format!("{}: {error}", self.path.display())))?;
         self.child = Some(child);
-        shared.lives[self.host].1 = true;
+        shared.incarnations[self.host].1 = true;
         Ok(())
     }
 
     /// Waits until it says that it is ready.
-    pub(super) async fn ready(&self, world: &World, within: Duration) -> io::Result<()> {
+    pub(super) async fn wait_until_ready(
+        &self,
+        world: &SharedEnvironment,
+        within: Duration,
+    ) -> io::Result<()> {
         let address = ("127.0.0.1", world.borrow().listen[self.host]);
         let until = Instant::now() + within;
         while Instant::now() < until {
@@ -102,7 +121,7 @@
                 stream.write_all(b"GET /healthz HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n").await?;
                 let (mut buffer, mut status) = (BytesMut::new(), None);
                 let answer = http::head(&mut stream, &mut buffer, false, || {});
-                if let Ok(Ok(Some(head))) = tokio::time::timeout(ANSWER_WITHIN, answer).await {
+                if let Ok(Ok(Some(head))) = tokio::time::timeout(HEALTH_CALL_TIMEOUT, answer).await {
                     status = Some(head.status);
                 }
                 if status == Some(200) {
@@ -115,29 +134,29 @@
     }
 
     /// Kills the process outright; what it had taken is excused.
-    pub(super) fn kill(&mut self, world: &World) {
+    pub(super) fn kill(&mut self, world: &SharedEnvironment) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
             let _ = child.wait();
-            let life = &mut world.borrow_mut().lives[self.host];
+            let life = &mut world.borrow_mut().incarnations[self.host];
             *life = (life.0 + 1, false);
         }
     }
 }
 
-impl Drop for Program {
+impl Drop for DispatcherProcess {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
             let _ = child.wait();
         }
         let _ = std::fs::remove_file(&self.config);
-        let _ = std::fs::remove_file(&self.own);
+        let _ = std::fs::remove_file(&self.settings_file);
     }
 }
 
 /// The settings as the platform would tell them.
-fn settings(world: &World, arm: &Arm, host: usize) -> Value {
+fn settings(world: &SharedEnvironment, arm: &Arm, host: usize) -> Value {
     let shared = world.borrow();
     let (experiment, day) = (&shared.experiment, &shared.day);
     let rules = &experiment.rules;
@@ -150,10 +169,10 @@
     };
     let classes = &experiment.traffic.classes;
     let profiles = classes.iter().map(|c| {
-        let (idempotency, scope) = repeat(c.repeat);
+        let (idempotency, scope) = repeat(c.idempotency);
         json!({
-            "name": c.name, "idempotency": idempotency, "key-scope": scope, "window-s": c.window,
-            "promise-s": c.aim, "deadline-s": c.patience, "late-worth": c.late_worth,
+            "name": c.name, "idempotency": idempotency, "key-scope": scope, "window-s": c.retry_window,
+            "promise-s": c.latency_objective, "deadline-s": c.timeout, "late-worth": c.late_weight,
         })
     });
     let tenants = experiment.traffic.tenants.iter().zip(&day.quotas);
@@ -171,18 +190,18 @@
         "projects": projects.collect::<Vec<_>>(),
         "caps": {
             "cancel": true, "dial-timeout-s": seconds(day.network.connect_timeout),
-            "keepalive-s": seconds(day.network.idle), "max-retry-after-s": experiment.clients.retry_after,
-            "parallel-tries": arm.copies, "probes": false, "retry-after": true,
-            "send-cap": arm.attempts.unwrap_or(rules.attempts),
+            "keepalive-s": seconds(day.network.idle), "max-retry-after-s": experiment.clients.max_retry_after,
+            "parallel-tries": arm.hedging, "probes": false, "retry-after": true,
+            "send-cap": arm.attempts.unwrap_or(rules.max_attempts),
         },
         "family-info": {
-            "tells-start": true, "progress-s": seconds(progress()),
+            "tells-start": true, "progress-s": seconds(progress_interval()),
             "class-stretch": classes.iter().map(|c| c.stretch).collect::<Vec<_>>(),
             "class-kind": classes.iter().map(|_| -1).collect::<Vec<_>>(),
         },
         "obligations": {
             "cold-share": rules.cold_share, "drain-grace-s": rules.drain_grace,
-            "fall-multiple": rules.fall_multiple, "tip-after-s": rules.fall, "warm-within-s": rules.warm,
+            "fall-multiple": rules.overload_multiple, "tip-after-s": rules.overload_window, "warm-within-s": rules.warm_up,
         },
         "charges": {"cross-zone": rules.cross_zone_price},
     })
--- a/crates/emulator/src/sockets/worker.rs
+++ b/crates/emulator/src/sockets/worker.rs
@@ -12,12 +12,12 @@
 use tokio::task::spawn_local;
 
 use super::http::{self, chunk, CHUNKED, LAST_CHUNK};
-use super::{Attempt, World};
+use super::{Attempt, SharedEnvironment};
 use crate::day::{micros, Micros};
-use crate::worker::{Fall, Note, Phase, Task};
+use crate::worker::{AssignedJob, JobEvent, OverloadLimit, Phase};
 
 /// Opens a worker's listeners, one for each dispatcher, and drives its model until its process ends.
-pub(super) async fn serve(world: &World, w: usize) -> io::Result<()> {
+pub(super) async fn serve(world: &SharedEnvironment, w: usize) -> io::Result<()> {
     let hosts = world.borrow().agents.len();
     let mut ports = Vec::new();
     for host in 0..hosts {
@@ -26,18 +26,18 @@
         spawn_local(listen(world.clone(), w, host, listener));
     }
     world.borrow_mut().ports[w] = ports;
-    spawn_local(drive(world.clone(), w));
+    spawn_local(run_model(world.clone(), w));
     Ok(())
 }
 
 /// Wakes the model when it is due.
-async fn drive(world: World, w: usize) {
+async fn run_model(world: SharedEnvironment, w: usize) {
     let process = world.borrow().processes[w];
-    let due = world.borrow().due[w].clone();
+    let due = world.borrow().wake[w].clone();
     while world.borrow().processes[w] == process {
         let next = {
             let shared = world.borrow();
-            shared.workers[w].next().map(|at| shared.instant(at))
+            shared.workers[w].next_event().map(|at| shared.instant(at))
         };
         let sleep = async {
             match next {
@@ -56,7 +56,7 @@
     }
 }
 
-async fn listen(world: World, w: usize, host: usize, listener: TcpListener) {
+async fn listen(world: SharedEnvironment, w: usize, host: usize, listener: TcpListener) {
     let process = world.borrow().processes[w];
     let ended = world.borrow().ended[w].clone();
     loop {
@@ -72,11 +72,11 @@
         }
         {
             let mut shared = world.borrow_mut();
-            if shared.connections[w] >= shared.workers[w].plan.connections {
+            if shared.connections[w] >= shared.workers[w].plan.max_connections {
                 continue;
             }
             shared.connections[w] += 1;
-            shared.record.connects += 1;
+            shared.record.new_connections += 1;
         }
         let (world, ended) = (world.clone(), ended.clone());
         spawn_local(async move {
@@ -92,12 +92,17 @@
 }
 
 /// Serves the requests of a connection, one at a time.
-async fn connection(world: &World, w: usize, host: usize, mut stream: TcpStream) -> io::Result<()> {
+async fn connection(
+    world: &SharedEnvironment,
+    w: usize,
+    host: usize,
+    mut stream: TcpStream,
+) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let (way, shake, idle) = {
         let shared = world.borrow();
         let net = &shared.day.network;
-        let way = shared.way(host, w);
+        let way = shared.network_delay(host, w);
         (way, 2 * way.mul_f64(net.handshake_rtts) + Duration::from_micros(micros(net.handshake)), net.idle)
     };
     tokio::time::sleep(shake).await;
@@ -111,31 +116,31 @@
         // The last byte has come: from here on it counts.
         let begun = first.unwrap_or_else(|| world.borrow().now());
         let id = head.get("request-id").and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or(0);
-        let Some((n, mut notes)) = sent(world, w, host, id, begun) else {
+        let Some((n, mut notes)) = record_attempt(world, w, host, id, begun) else {
             stream.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await?;
             continue;
         };
         tokio::time::sleep(way).await;
-        reach(world, w, host, n);
-        let mut called_off = CallOff { world, w, n, over: false };
-        if !answer(world, w, &mut stream, &mut buffer, id, way, &mut notes).await? {
+        offer_job(world, w, host, n);
+        let mut called_off = CancelOnDrop { world, w, n, complete: false };
+        if !write_events(world, w, &mut stream, &mut buffer, id, way, &mut notes).await? {
             return Ok(());
         }
-        called_off.over = true;
+        called_off.complete = true;
     }
 }
 
 /// An attempt whose connection is closed is given up.
-struct CallOff<'a> {
-    world: &'a World,
+struct CancelOnDrop<'a> {
+    world: &'a SharedEnvironment,
     w: usize,
     n: usize,
-    over: bool,
+    complete: bool,
 }
 
-impl Drop for CallOff<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.complete {
             let n = self.n;
             self.world.borrow_mut().with_worker(self.w, |worker, now, notes| {
                 worker.cancel(n, now, notes);
@@ -145,71 +150,71 @@
 }
 
 /// Notes a request that came whole, for the checker.
-fn sent(
-    world: &World,
+fn record_attempt(
+    world: &SharedEnvironment,
     w: usize,
     host: usize,
     id: u64,
     begun: Micros,
-) -> Option<(usize, mpsc::UnboundedReceiver<Note>)> {
+) -> Option<(usize, mpsc::UnboundedReceiver<JobEvent>)> {
     let mut shared = world.borrow_mut();
-    let job = *shared.tries.get(usize::try_from(id.checked_sub(1)?).ok()?)?;
+    let job = *shared.submissions.get(usize::try_from(id.checked_sub(1)?).ok()?)?;
     let place = (shared.workers[w].plan.zone, shared.workers[w].plan.rack);
-    let life = shared.life(host);
-    let send = shared.checker.sent(life, id, w as u64, place, begun);
+    let life = shared.incarnation_id(host);
+    let send = shared.checker.record_attempt(life, id, w as u64, place, begun);
     shared.record.sends += 1;
-    shared.record.crossings += u64::from(place.0 != shared.day.dispatchers[host].zone);
+    shared.record.cross_zone_sends += u64::from(place.0 != shared.day.dispatchers[host].zone);
     shared.record.admitted[job as usize] = true;
-    let first = &mut shared.record.sent[job as usize];
+    let first = &mut shared.record.first_sent[job as usize];
     *first = first.or(Some(begun));
     let (sender, notes) = mpsc::unbounded_channel();
-    shared.attempts.push(Attempt { notes: sender, request: id, job, send, run: None });
+    shared.attempts.push(Attempt { events: sender, request: id, job, checker_send: send, run: None });
     Some((shared.attempts.len() - 1, notes))
 }
 
 /// The request reaches the model.
-fn reach(world: &World, w: usize, host: usize, n: usize) {
+fn offer_job(world: &SharedEnvironment, w: usize, host: usize, n: usize) {
     let mut guard = world.borrow_mut();
     let shared = &mut *guard;
     if shared.workers[w].phase == Phase::Ended {
         return;
     }
     let job = &shared.day.jobs[shared.attempts[n].job as usize];
-    let cv = shared.day.noise[job.class as usize];
+    let cv = shared.day.work_noise[job.class as usize];
     let noise = LogNormal::new(-cv * cv / 2.0, cv).map_or(1.0, |noise| noise.sample(&mut shared.rng));
-    let fails = shared.rng.random_bool(shared.workers[w].plan.errors);
-    let since = shared.workers[w].since;
-    let informed = shared.agents[host].lines.get(&w).is_some_and(|line| line.since >= since);
-    let task = Task {
+    let fails = shared.rng.random_bool(shared.workers[w].plan.error_rate);
+    let since = shared.workers[w].started_at;
+    let informed = shared.agents[host].entries.get(&w).is_some_and(|line| line.started_at >= since);
+    let task = AssignedJob {
         attempt: n,
         slots: job.slots,
         work: job.work * noise,
-        usual: shared.day.means[job.class as usize] * f64::from(job.slots),
+        expected_work: shared.day.mean_work[job.class as usize] * f64::from(job.slots),
         fails,
-        informed,
+        sender_knew_start: informed,
     };
     let rules = &shared.experiment.rules;
-    let fall = Fall { multiple: rules.fall_multiple, span: micros(rules.fall) };
+    let fall = OverloadLimit { multiple: rules.overload_multiple, window: micros(rules.overload_window) };
     let mut fallen = None;
-    shared.with_worker(w, |worker, now, notes| fallen = worker.take(task, now, fall, notes));
+    shared.with_worker(w, |worker, now, notes| fallen = worker.offer(task, now, fall, notes));
     if let Some(fallen) = fallen {
-        shared.checker.fell_over(fallen.by_informed);
+        shared.checker.record_cold_overload(fallen.by_informed_senders);
         shared.kill_worker(w);
-        let silent = shared.day.discovery.silent;
+        let silent = shared.day.discovery.death_notice;
         drop(guard);
         super::publish(world, w, "terminated", silent);
     }
 }
 
 /// Writes what the worker says of an attempt; false where the connection is of no more use.
-async fn answer(
-    world: &World,
+async fn write_events(
+    world: &SharedEnvironment,
     w: usize,
     stream: &mut TcpStream,
     buffer: &mut BytesMut,
     id: u64,
     way: Duration,
-    notes: &mut mpsc::UnboundedReceiver<Note>,
+    notes: &mut mpsc::UnboundedReceiver<JobEvent>,
 ) -> io::Result<bool> {
     let mut begun = false;
     loop {
@@ -224,17 +229,17 @@
             format!("{{\"id\":\"{id:016x}\",\"from\":\"w-{w}\",\"state\":\"{state}\"{more}}}")
         };
         let (line, last) = match note {
-            Note::Started(_) => (line("started", ""), false),
-            Note::Running(_, share) => (line("running", &format!(",\"share\":{share:.3}")), false),
-            Note::Done(_) => (line("done", &format!(",\"result\":\"{id:016x} by w-{w}\"")), true),
-            Note::Failed(_) => (line("failed", ""), true),
-            Note::Returned(n) => {
+            JobEvent::Started(_) => (line("started", ""), false),
+            JobEvent::Progress(_, share) => (line("running", &format!(",\"share\":{share:.3}")), false),
+            JobEvent::Done(_) => (line("done", &format!(",\"result\":\"{id:016x} by w-{w}\"")), true),
+            JobEvent::Failed(_) => (line("failed", ""), true),
+            JobEvent::Rejected(n) => {
                 let mut shared = world.borrow_mut();
-                let (request, send) = (shared.attempts[n].request, shared.attempts[n].send);
-                shared.checker.never_ran(request, send);
+                let (request, send) = (shared.attempts[n].request, shared.attempts[n].checker_send);
+                shared.checker.record_never_ran(request, send);
                 (line("returned", ""), true)
             }
-            Note::Lost(_) => return Ok(false),
+            JobEvent::Lost(_) => return Ok(false),
         };
         let mut message = Vec::new();
         if !std::mem::replace(&mut begun, true) {
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -15,7 +15,7 @@
 
 /// How work is spread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dist {
+pub enum WorkShape {
     /// A power law: few jobs hold much of the work.
     Pareto,
     /// The logarithm is normal.
@@ -42,11 +42,11 @@
     /// Waiting jobs for each core.
     pub queue_per_core: Span,
     /// The part of its capacity that a worker starts with.
-    pub cold_share: Span,
+    pub initial_capacity: Span,
     /// Seconds until it is warm.
-    pub warm: Span,
+    pub warm_up: Span,
     /// The part of jobs that ends in an error.
-    pub errors: Span,
+    pub error_rate: Span,
 }
 
 /// A class of request.
@@ -59,7 +59,7 @@
     /// Its mean work, in seconds at speed 1.
     pub work: Span,
     /// How work is spread, and how widely.
-    pub dist: Dist,
+    pub work_shape: WorkShape,
     /// See there.
     pub cv: Span,
     /// How far one attempt's work differs from another's.
@@ -67,19 +67,19 @@
     /// Slots, with the part of the class's jobs that need so many.
     pub slots: Vec<(u32, f64)>,
     /// Wanted within this many seconds ...
-    pub aim: f64,
+    pub latency_objective: f64,
     /// ... and so many times its work.
     pub stretch: f64,
     /// Given up after so many seconds.
-    pub patience: f64,
+    pub timeout: f64,
     /// Worth of a unit of work.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The part of it that a late answer earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// What a repeat does.
-    pub repeat: Repeat,
+    pub idempotency: Repeat,
     /// How long a rack drops repeats, in seconds.
-    pub window: f64,
+    pub retry_window: f64,
 }
 
 /// A tenant.
@@ -95,44 +95,44 @@
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TroubleKind {
+pub enum FaultKind {
     /// Workers take jobs and answer nothing.
     Hang,
     /// Another program takes a part of machines, on and off.
-    Neighbour,
+    NoisyNeighbour,
     /// Traffic jumps.
     Burst,
     /// Workers are replaced, batch by batch; successors start cold.
     Deploy,
     /// Dispatchers are killed and come back, batch by batch.
-    Restarts,
+    RestartDispatchers,
     /// Workers die and start again cold.
     Crash,
 }
 
 /// The names of troubles in experiments.
-const TROUBLES: [(&str, TroubleKind); 6] = [
-    ("hang", TroubleKind::Hang),
-    ("neighbour", TroubleKind::Neighbour),
-    ("burst", TroubleKind::Burst),
-    ("deploy", TroubleKind::Deploy),
-    ("restarts", TroubleKind::Restarts),
-    ("crash", TroubleKind::Crash),
+const FAULT_KINDS: [(&str, FaultKind); 6] = [
+    ("hang", FaultKind::Hang),
+    ("neighbour", FaultKind::NoisyNeighbour),
+    ("burst", FaultKind::Burst),
+    ("deploy", FaultKind::Deploy),
+    ("restarts", FaultKind::RestartDispatchers),
+    ("crash", FaultKind::Crash),
 ];
 
 /// A trouble with its figures; what each means goes by the kind.
 #[derive(Clone, Debug)]
-pub struct TroubleSpec {
+pub struct FaultSpec {
     /// Which.
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
     /// How long it goes on, in seconds.
     pub length: Span,
     /// The part of workers or dispatchers that it meets.
-    pub part: Span,
+    pub affected_share: Span,
     /// The share taken, the factor of the rate, or the part replaced at a time.
-    pub size: Span,
+    pub magnitude: Span,
     /// Seconds on and off, of draining, or down.
-    pub extra: Span,
+    pub interval: Span,
 }
 
 /// One kind of day of an experiment.
@@ -143,14 +143,14 @@
     /// Work asked for, in parts of what the fleet can do.
     pub load: Span,
     /// What goes wrong.
-    pub troubles: Vec<TroubleSpec>,
+    pub faults: Vec<FaultSpec>,
 }
 
 /// Who decides in an arm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouterKind {
     /// The decision module of `dispatch-core`.
-    Cairncrank,
+    DecisionModule,
     /// Any worker.
     Random,
     /// One after the other.
@@ -177,9 +177,9 @@
     /// Every second dispatcher is told a time that is later by this, in seconds, as if its machine's clock were wrong.
     pub clock_error: f64,
     /// Second copies are allowed.
-    pub copies: bool,
+    pub hedging: bool,
     /// Room for large jobs.
-    pub room: Option<RoomSettings>,
+    pub capacity_reservation: Option<RoomSettings>,
 }
 
 /// An experiment.
@@ -200,11 +200,11 @@
     /// Data centres.
     pub zones: u32,
     /// Workers of a rack.
-    pub rack: Span,
+    pub rack_size: Span,
     /// Kinds of machine.
     pub kinds: Vec<KindSpec>,
     /// The network.
-    pub net: NetSpec,
+    pub network: NetworkSpec,
     /// What clients ask for.
     pub traffic: TrafficSpec,
     /// How clients behave.
@@ -221,7 +221,7 @@
 
 /// The network and connections.
 #[derive(Clone, Debug)]
-pub struct NetSpec {
+pub struct NetworkSpec {
     /// One way, in seconds.
     pub same_zone: Span,
     /// One way, in seconds.
@@ -237,7 +237,7 @@
     /// Dials end after this, in seconds.
     pub connect_timeout: f64,
     /// Connections that a worker holds for each core.
-    pub most_per_core: Span,
+    pub max_connections_per_core: Span,
 }
 
 /// What clients ask for.
@@ -252,7 +252,7 @@
     /// What is sold of the fleet.
     pub quota: Span,
     /// The part of the worth that traffic beyond a share has.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Classes.
     pub classes: Vec<ClassSpec>,
     /// Tenants.
@@ -265,28 +265,28 @@
     /// The part of clients that retry once.
     pub retry: Span,
     /// The part of them that wait for as long as a refusal says.
-    pub honour: Span,
+    pub honour_retry_after: Span,
     /// What they wait otherwise, in seconds.
     pub backoff: Span,
     /// The longest wait that a refusal may ask for, in seconds.
-    pub retry_after: f64,
+    pub max_retry_after: f64,
     /// The part of clients that leave before their time is up.
-    pub impatient: Span,
+    pub impatient_share: Span,
 }
 
 /// How the worker list travels, in seconds.
 #[derive(Clone, Debug)]
 pub struct DiscoverySpec {
     /// Until a drain or an end is known.
-    pub notice: Span,
+    pub drain_notice: Span,
     /// Until a death is.
-    pub silent: Span,
+    pub death_notice: Span,
     /// Until a start is.
-    pub add: Span,
+    pub start_notice: Span,
     /// Changes go out together, so often.
-    pub period: Span,
+    pub publish_period: Span,
     /// To one dispatcher later than to another by this at the most.
-    pub spread: Span,
+    pub list_delay: Span,
 }
 
 /// The figures of the rules; times in seconds.
@@ -299,13 +299,13 @@
     /// What dispatchers are told of cold workers.
     pub cold_share: f64,
     /// See there.
-    pub warm: f64,
+    pub warm_up: f64,
     /// A cold worker sent more than this many times what it can do ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... within this span falls over.
-    pub fall: f64,
+    pub overload_window: f64,
     /// The most attempts of a request.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// The price of crossing zones once a request.
     pub cross_zone_price: f64,
 }
@@ -313,25 +313,25 @@
 /// A block of the experiment over the same block of the base.
 #[derive(Clone, Copy)]
 struct Layer<'a> {
-    own: Option<&'a Section>,
+    overrides: Option<&'a Section>,
     base: &'a Section,
 }
 
 impl<'a> Layer<'a> {
     fn block(self, kind: &str) -> Read<Layer<'a>> {
-        let own = match self.own {
+        let own = match self.overrides {
             Some(own) => own.section(kind)?,
             None => None,
         };
         match self.base.section(kind)? {
-            Some(base) => Ok(Layer { own, base }),
+            Some(base) => Ok(Layer { overrides: own, base }),
             None => Err(self.base.fault(kind, "the base lacks this block")),
         }
     }
 
     /// The labelled blocks: the experiment's own, or else those of the base.
     fn blocks(self, kind: &'a str) -> Vec<&'a Section> {
-        let own: Vec<&Section> = self.own.map(|own| own.sections(kind).collect()).unwrap_or_default();
+        let own: Vec<&Section> = self.overrides.map(|own| own.sections(kind).collect()).unwrap_or_default();
         if own.is_empty() {
             self.base.sections(kind).collect()
         } else {
@@ -340,44 +340,44 @@
     }
 
     fn span(self, key: &str, low: f64, high: f64) -> Read<Span> {
-        let own = match self.own {
+        let own = match self.overrides {
             Some(own) => own.span(key, low..=high)?,
             None => None,
         };
         match own {
             Some(span) => Ok(span),
-            None => need(self.base, key, self.base.span(key, low..=high)?),
+            None => required(self.base, key, self.base.span(key, low..=high)?),
         }
     }
 
     fn number(self, key: &str, low: f64, high: f64) -> Read<f64> {
-        let own = match self.own {
+        let own = match self.overrides {
             Some(own) => own.number(key, low..=high)?,
             None => None,
         };
         match own {
             Some(number) => Ok(number),
-            None => need(self.base, key, self.base.number(key, low..=high)?),
+            None => required(self.base, key, self.base.number(key, low..=high)?),
         }
     }
 
     fn whole(self, key: &str, low: u64, high: u64) -> Read<u64> {
-        let own = match self.own {
+        let own = match self.overrides {
             Some(own) => own.whole(key, low..=high)?,
             None => None,
         };
         match own {
             Some(number) => Ok(number),
-            None => need(self.base, key, self.base.whole(key, low..=high)?),
+            None => required(self.base, key, self.base.whole(key, low..=high)?),
         }
     }
 }
 
-fn need<T>(section: &Section, key: &str, value: Option<T>) -> Read<T> {
+fn required<T>(section: &Section, key: &str, value: Option<T>) -> Read<T> {
     value.ok_or_else(|| section.fault(key, "missing"))
 }
 
-fn milli(span: Span) -> Span {
+fn milliseconds(span: Span) -> Span {
     (span.0 / 1e3, span.1 / 1e3)
 }
 
@@ -388,11 +388,11 @@
 pub fn read(file: &str, text: &str) -> Read<Experiment> {
     let own = Section::parse(file, text)?;
     let base = Section::parse("base.hcl", BASE)?;
-    let head = need(&own, "experiment", own.section("experiment")?)?;
+    let head = required(&own, "experiment", own.section("experiment")?)?;
     if head.label().is_empty() {
         return Err(head.fault("", "expected a name, as in experiment \"large-jobs\""));
     }
-    let top = Layer { own: Some(head), base: &base };
+    let top = Layer { overrides: Some(head), base: &base };
     let fleet = top.block("fleet")?;
     let experiment = Experiment {
         name: head.label().to_owned(),
@@ -402,13 +402,13 @@
         workers: fleet.span("workers", 1.0, 100_000.0)?,
         dispatchers: fleet.span("dispatchers", 1.0, 10_000.0)?,
         zones: fleet.whole("zones", 1, 250)? as u32,
-        rack: fleet.span("rack", 1.0, 100_000.0)?,
-        kinds: fleet.blocks("kind").into_iter().map(kind).collect::<Read<_>>()?,
-        net: net(top.block("connections")?)?,
-        traffic: traffic(top.block("traffic")?)?,
-        clients: clients(top.block("clients")?)?,
-        discovery: discovery(top.block("discovery")?)?,
-        rules: rules(top.block("rules")?)?,
+        rack_size: fleet.span("rack", 1.0, 100_000.0)?,
+        kinds: fleet.blocks("kind").into_iter().map(kind_spec).collect::<Read<_>>()?,
+        network: network_spec(top.block("connections")?)?,
+        traffic: traffic_spec(top.block("traffic")?)?,
+        clients: client_spec(top.block("clients")?)?,
+        discovery: discovery_spec(top.block("discovery")?)?,
+        rules: rule_spec(top.block("rules")?)?,
         cases: cases(top)?,
         arms: head.sections("arm").map(arm).collect::<Read<_>>()?,
     };
@@ -426,47 +426,47 @@
     Ok(experiment)
 }
 
-fn kind(s: &Section) -> Read<KindSpec> {
+fn kind_spec(s: &Section) -> Read<KindSpec> {
     Ok(KindSpec {
         name: s.label().to_owned(),
-        share: need(s, "share", s.number("share", 0.0..=1000.0)?)?,
-        cores: need(s, "cores", s.number("cores", 0.25..=1024.0)?)?,
-        speed: need(s, "speed", s.span("speed", 0.01..=100.0)?)?,
+        share: required(s, "share", s.number("share", 0.0..=1000.0)?)?,
+        cores: required(s, "cores", s.number("cores", 0.25..=1024.0)?)?,
+        speed: required(s, "speed", s.span("speed", 0.01..=100.0)?)?,
         speed_cv: s.span("speed_cv", 0.0..=2.0)?.unwrap_or_default(),
         slots_per_core: s.span("slots_per_core", 0.25..=64.0)?.unwrap_or((1.0, 1.0)),
         queue_per_core: s.span("queue_per_core", 0.0..=10_000.0)?.unwrap_or((6.0, 6.0)),
-        cold_share: s.span("cold_share", 0.01..=1.0)?.unwrap_or((1.0, 1.0)),
-        warm: s.span("warm_s", 0.0..=3600.0)?.unwrap_or_default(),
-        errors: s.span("errors", 0.0..=1.0)?.unwrap_or_default(),
+        initial_capacity: s.span("cold_share", 0.01..=1.0)?.unwrap_or((1.0, 1.0)),
+        warm_up: s.span("warm_s", 0.0..=3600.0)?.unwrap_or_default(),
+        error_rate: s.span("errors", 0.0..=1.0)?.unwrap_or_default(),
     })
 }
 
-fn net(l: Layer<'_>) -> Read<NetSpec> {
-    Ok(NetSpec {
-        same_zone: milli(l.span("same_zone_ms", 0.0, 1000.0)?),
-        cross_zone: milli(l.span("cross_zone_ms", 0.0, 10_000.0)?),
+fn network_spec(l: Layer<'_>) -> Read<NetworkSpec> {
+    Ok(NetworkSpec {
+        same_zone: milliseconds(l.span("same_zone_ms", 0.0, 1000.0)?),
+        cross_zone: milliseconds(l.span("cross_zone_ms", 0.0, 10_000.0)?),
         jitter: l.span("jitter", 0.0, 10.0)?,
         handshake_rtts: l.span("handshake_rtts", 0.0, 10.0)?,
-        handshake: milli(l.span("handshake_ms", 0.0, 1000.0)?),
+        handshake: milliseconds(l.span("handshake_ms", 0.0, 1000.0)?),
         idle: l.number("idle_s", 0.0, 86_400.0)?,
         connect_timeout: l.number("connect_timeout_ms", 1.0, 60_000.0)? / 1e3,
-        most_per_core: l.span("most_per_core", 1.0, 1e6)?,
+        max_connections_per_core: l.span("most_per_core", 1.0, 1e6)?,
     })
 }
 
-fn traffic(l: Layer<'_>) -> Read<TrafficSpec> {
+fn traffic_spec(l: Layer<'_>) -> Read<TrafficSpec> {
     Ok(TrafficSpec {
         swing: l.span("swing", 0.0, 0.95)?,
         stream_cv: l.span("stream_cv", 0.1, 10.0)?,
         skew: l.span("skew", 0.0, 5.0)?,
         quota: l.span("quota", 0.0, 100.0)?,
-        over_share_worth: l.number("over_share_worth", 0.0, 1.0)?,
-        classes: l.blocks("class").into_iter().map(class).collect::<Read<_>>()?,
-        tenants: l.blocks("tenant").into_iter().map(tenant).collect::<Read<_>>()?,
+        over_quota_weight: l.number("over_share_worth", 0.0, 1.0)?,
+        classes: l.blocks("class").into_iter().map(class_spec).collect::<Read<_>>()?,
+        tenants: l.blocks("tenant").into_iter().map(tenant_spec).collect::<Read<_>>()?,
     })
 }
 
-fn class(s: &Section) -> Read<ClassSpec> {
+fn class_spec(s: &Section) -> Read<ClassSpec> {
     let repeats = [
         ("safe", Repeat::Safe),
         ("rack", Repeat::Keyed(Group::Cell)),
@@ -474,8 +474,11 @@
         ("all", Repeat::Keyed(Group::All)),
         ("unsafe", Repeat::Unsafe),
     ];
-    let dists =
-        [("pareto", Dist::Pareto), ("lognormal", Dist::Lognormal), ("exponential", Dist::Exponential)];
+    let dists = [
+        ("pareto", WorkShape::Pareto),
+        ("lognormal", WorkShape::Lognormal),
+        ("exponential", WorkShape::Exponential),
+    ];
     let slots = match s.value("slots") {
         None => vec![(1, 1.0)],
         Some(Value::Map(parts)) => {
@@ -496,85 +499,85 @@
     }
     Ok(ClassSpec {
         name: s.label().to_owned(),
-        share: need(s, "share", s.span("share", 0.0..=1000.0)?)?,
-        work: milli(need(s, "work_ms", s.span("work_ms", 0.01..=1e9)?)?),
-        dist: s.word("dist", &dists)?.unwrap_or(Dist::Exponential),
+        share: required(s, "share", s.span("share", 0.0..=1000.0)?)?,
+        work: milliseconds(required(s, "work_ms", s.span("work_ms", 0.01..=1e9)?)?),
+        work_shape: s.word("dist", &dists)?.unwrap_or(WorkShape::Exponential),
         cv: s.span("cv", 0.05..=20.0)?.unwrap_or((1.0, 1.0)),
         noise: s.span("noise", 0.0..=3.0)?.unwrap_or_default(),
         slots,
-        aim: need(s, "aim_ms", s.number("aim_ms", 1.0..=1e9)?)? / 1e3,
+        latency_objective: required(s, "aim_ms", s.number("aim_ms", 1.0..=1e9)?)? / 1e3,
         stretch: s.number("stretch", 0.0..=1000.0)?.unwrap_or(0.0),
-        patience: need(s, "patience_s", s.number("patience_s", 0.001..=1e6)?)?,
-        worth: s.number("worth", 0.0..=1e6)?.unwrap_or(1.0),
-        late_worth: s.number("late_worth", 0.0..=1.0)?.unwrap_or(0.0),
-        repeat: s.word("repeat", &repeats)?.unwrap_or(Repeat::Safe),
-        window: s.number("window_s", 0.0..=86_400.0)?.unwrap_or(0.0),
+        timeout: required(s, "patience_s", s.number("patience_s", 0.001..=1e6)?)?,
+        priority_weight: s.number("worth", 0.0..=1e6)?.unwrap_or(1.0),
+        late_weight: s.number("late_worth", 0.0..=1.0)?.unwrap_or(0.0),
+        idempotency: s.word("repeat", &repeats)?.unwrap_or(Repeat::Safe),
+        retry_window: s.number("window_s", 0.0..=86_400.0)?.unwrap_or(0.0),
     })
 }
 
-fn tenant(s: &Section) -> Read<TenantSpec> {
+fn tenant_spec(s: &Section) -> Read<TenantSpec> {
     Ok(TenantSpec {
         name: s.label().to_owned(),
-        share: need(s, "share", s.number("share", 0.0..=1000.0)?)?,
+        share: required(s, "share", s.number("share", 0.0..=1000.0)?)?,
         usage: s.span("usage", 0.0..=1000.0)?.unwrap_or((1.0, 1.0)),
     })
 }
 
-fn clients(l: Layer<'_>) -> Read<ClientSpec> {
+fn client_spec(l: Layer<'_>) -> Read<ClientSpec> {
     Ok(ClientSpec {
         retry: l.span("retry", 0.0, 1.0)?,
-        honour: l.span("honour", 0.0, 1.0)?,
-        backoff: milli(l.span("backoff_ms", 0.0, 1e6)?),
-        retry_after: l.number("retry_after_s", 0.0, 3600.0)?,
-        impatient: l.span("impatient", 0.0, 1.0)?,
+        honour_retry_after: l.span("honour", 0.0, 1.0)?,
+        backoff: milliseconds(l.span("backoff_ms", 0.0, 1e6)?),
+        max_retry_after: l.number("retry_after_s", 0.0, 3600.0)?,
+        impatient_share: l.span("impatient", 0.0, 1.0)?,
     })
 }
 
-fn discovery(l: Layer<'_>) -> Read<DiscoverySpec> {
+fn discovery_spec(l: Layer<'_>) -> Read<DiscoverySpec> {
     Ok(DiscoverySpec {
-        notice: l.span("notice_s", 0.0, 3600.0)?,
-        silent: l.span("silent_s", 0.0, 3600.0)?,
-        add: l.span("add_s", 0.0, 3600.0)?,
-        period: l.span("period_s", 0.001, 3600.0)?,
-        spread: l.span("spread_s", 0.0, 3600.0)?,
+        drain_notice: l.span("notice_s", 0.0, 3600.0)?,
+        death_notice: l.span("silent_s", 0.0, 3600.0)?,
+        start_notice: l.span("add_s", 0.0, 3600.0)?,
+        publish_period: l.span("period_s", 0.001, 3600.0)?,
+        list_delay: l.span("spread_s", 0.0, 3600.0)?,
     })
 }
 
-fn rules(l: Layer<'_>) -> Read<RuleSpec> {
+fn rule_spec(l: Layer<'_>) -> Read<RuleSpec> {
     Ok(RuleSpec {
         drain_grace: l.number("drain_grace_s", 0.0, 3600.0)?,
         answer_slack: l.number("answer_slack_s", 0.0, 3600.0)?,
         cold_share: l.number("cold_share", 0.001, 1.0)?,
-        warm: l.number("warm_s", 0.0, 3600.0)?,
-        fall_multiple: l.number("fall_multiple", 0.1, 1000.0)?,
-        fall: l.number("fall_s", 0.01, 3600.0)?,
-        attempts: l.whole("attempts", 1, 100)? as u32,
+        warm_up: l.number("warm_s", 0.0, 3600.0)?,
+        overload_multiple: l.number("fall_multiple", 0.1, 1000.0)?,
+        overload_window: l.number("fall_s", 0.01, 3600.0)?,
+        max_attempts: l.whole("attempts", 1, 100)? as u32,
         cross_zone_price: l.number("cross_zone_price", 0.0, 1.0)?,
     })
 }
 
-fn trouble(s: &Section, kind: TroubleKind) -> Read<TroubleSpec> {
-    Ok(TroubleSpec {
+fn fault_spec(s: &Section, kind: FaultKind) -> Read<FaultSpec> {
+    Ok(FaultSpec {
         kind,
-        length: need(s, "length_s", s.span("length_s", 0.0..=1e7)?)?,
-        part: s.span("part", 0.0..=1.0)?.unwrap_or((1.0, 1.0)),
-        size: s.span("size", 0.0..=100.0)?.unwrap_or((0.2, 0.2)),
-        extra: s.span("extra_s", 0.0..=1e6)?.unwrap_or((1.0, 1.0)),
+        length: required(s, "length_s", s.span("length_s", 0.0..=1e7)?)?,
+        affected_share: s.span("part", 0.0..=1.0)?.unwrap_or((1.0, 1.0)),
+        magnitude: s.span("size", 0.0..=100.0)?.unwrap_or((0.2, 0.2)),
+        interval: s.span("extra_s", 0.0..=1e6)?.unwrap_or((1.0, 1.0)),
     })
 }
 
 /// The cases: those named, or one of the usual load.
 fn cases(top: Layer<'_>) -> Read<Vec<Case>> {
-    let own = top.own.into_iter().flat_map(|own| own.sections("trouble"));
+    let own = top.overrides.into_iter().flat_map(|own| own.sections("trouble"));
     let known: Vec<&Section> = own.chain(top.base.sections("trouble")).collect();
     for section in &known {
-        if !TROUBLES.iter().any(|(name, _)| *name == section.label()) {
-            let names: Vec<&str> = TROUBLES.iter().map(|(name, _)| *name).collect();
+        if !FAULT_KINDS.iter().any(|(name, _)| *name == section.label()) {
+            let names: Vec<&str> = FAULT_KINDS.iter().map(|(name, _)| *name).collect();
             return Err(section.fault("", format!("expected one of {}", names.join(", "))));
         }
     }
     let usual = top.block("traffic")?.span("load", 0.0, 100.0)?;
-    let named: Vec<&Section> = top.own.map(|own| own.sections("case").collect()).unwrap_or_default();
+    let named: Vec<&Section> = top.overrides.map(|own| own.sections("case").collect()).unwrap_or_default();
     let mut cases = Vec::new();
     for s in named {
         let mut troubles = Vec::new();
@@ -585,10 +588,10 @@
                     let Value::Text(name) = name else {
                         return Err(s.fault("troubles", format!("expected names, found {name}")));
                     };
-                    let kind = TROUBLES.iter().find(|(known, _)| known == name).map(|(_, kind)| *kind);
+                    let kind = FAULT_KINDS.iter().find(|(known, _)| known == name).map(|(_, kind)| *kind);
                     let figures = known.iter().find(|section| section.label() == name);
                     match (kind, figures) {
-                        (Some(kind), Some(figures)) => troubles.push(trouble(figures, kind)?),
+                        (Some(kind), Some(figures)) => troubles.push(fault_spec(figures, kind)?),
                         (Some(_), None) => {
                             let problem =
                                 format!("\"{name}\" needs a block trouble \"{name}\" with its figures");
@@ -603,17 +606,17 @@
             }
         }
         let load = s.span("load", 0.0..=100.0)?.unwrap_or(usual);
-        cases.push(Case { name: s.label().to_owned(), load, troubles });
+        cases.push(Case { name: s.label().to_owned(), load, faults: troubles });
     }
     if cases.is_empty() {
-        cases.push(Case { name: "usual".to_owned(), load: usual, troubles: Vec::new() });
+        cases.push(Case { name: "usual".to_owned(), load: usual, faults: Vec::new() });
     }
     Ok(cases)
 }
 
 fn arm(s: &Section) -> Read<Arm> {
     let routers = [
-        ("cairncrank", RouterKind::Cairncrank),
+        ("cairncrank", RouterKind::DecisionModule),
         ("random", RouterKind::Random),
         ("round-robin", RouterKind::RoundRobin),
         ("least-outstanding", RouterKind::LeastOutstanding),
@@ -622,12 +625,12 @@
     ];
     Ok(Arm {
         name: s.label().to_owned(),
-        router: need(s, "router", s.word("router", &routers)?)?,
+        router: required(s, "router", s.word("router", &routers)?)?,
         quota: s.number("quota", 0.0..=100.0)?.unwrap_or(1.0),
         attempts: s.whole("attempts", 1..=100)?.map(|attempts| attempts as u32),
         clock_error: s.number("clock_error_s", 0.0..=1e6)?.unwrap_or(0.0),
-        copies: s.flag("copies")?.unwrap_or(true),
-        room: match s.section("room")? {
+        hedging: s.flag("copies")?.unwrap_or(true),
+        capacity_reservation: match s.section("room")? {
             None => None,
             Some(room) => Some(RoomSettings {
                 from: room.number("from_slots", 2.0..=1024.0)?.unwrap_or(4.0),
--- a/crates/emulator/src/virtual_time/mod.rs
+++ b/crates/emulator/src/virtual_time/mod.rs
@@ -3,7 +3,7 @@
 mod simulation;
 
 use crate::day::Day;
-use crate::metrics::Record;
+use crate::metrics::RunRecord;
 use crate::router::Router;
 use crate::spec::{Arm, Experiment};
 
@@ -13,6 +13,6 @@
     arm: &Arm,
     day: &Day,
     make: &dyn Fn(dispatch_core::Settings, u64) -> Box<dyn Router>,
-) -> Record {
-    simulation::World::new(experiment, arm, day, make).run()
+) -> RunRecord {
+    simulation::Simulation::new(experiment, arm, day, make).run()
 }
--- a/crates/emulator/tests/discovery_leader.rs
+++ b/crates/emulator/tests/discovery_leader.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use emulator::cluster::emulated_discovery::Discovery;
-use emulator::cluster::cluster_harness::{Binaries, Setup, Together};
+use emulator::cluster::cluster_harness::{Binaries, ClusterHarness, ClusterSpec};
+use emulator::cluster::emulated_discovery::EmulatedDiscovery;
 use tokio::task::LocalSet;
 use tokio::time::{sleep, Instant};
 
@@ -12,22 +12,22 @@
 const WORKERS: usize = 12;
 
 /// A fleet in a folder that goes with it.
-async fn start(together: bool) -> (tempfile::TempDir, Together) {
+async fn start(together: bool) -> (tempfile::TempDir, ClusterHarness) {
     let dir = tempfile::tempdir().unwrap();
     let toy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/config.json");
     let config = serde_json::from_slice(&std::fs::read(toy).unwrap()).unwrap();
     let binaries = Binaries::beside_tests().unwrap();
-    let discovery = Discovery::new(WORKERS);
-    let setup = Setup {
-        keepers: 3,
+    let discovery = EmulatedDiscovery::new(WORKERS);
+    let setup = ClusterSpec {
+        coordinators: 3,
         dispatchers: DISPATCHERS,
-        fleet: together.then_some(""),
+        cluster_settings: together.then_some(""),
         discoveries: &[discovery],
-        proxied: None,
+        proxy_seed: None,
     };
-    let fleet = Together::start(dir.path(), binaries, config, setup).await.unwrap();
-    fleet.all_know(WORKERS).await.unwrap();
-    fleet.watches(if together { 1 } else { DISPATCHERS as u64 }).await.unwrap();
+    let fleet = ClusterHarness::start(dir.path(), binaries, config, setup).await.unwrap();
+    fleet.wait_for_workers(WORKERS).await.unwrap();
+    fleet.wait_for_watches(if together { 1 } else { DISPATCHERS as u64 }).await.unwrap();
     (dir, fleet)
 }
 
@@ -40,24 +40,24 @@
 fn one_dispatcher_asks_for_all_and_its_place_is_taken_when_it_dies() {
     play(async {
         let (_dir, mut fleet) = start(true).await;
-        fleet.discovery.change(0, "terminated");
-        let told = fleet.all_know(WORKERS - 1).await.unwrap();
+        fleet.discovery.set_unreachable(0, "terminated");
+        let told = fleet.wait_for_workers(WORKERS - 1).await.unwrap();
         println!("a change told by the owner is known everywhere after {told:?}");
-        let owner = fleet.owner().expect("an owner");
+        let owner = fleet.discovery_leader().expect("an owner");
         fleet.kill_dispatcher(owner);
         let start = Instant::now();
-        while fleet.owner() == Some(owner) {
+        while fleet.discovery_leader() == Some(owner) {
             assert!(start.elapsed() < Duration::from_secs(10), "nobody took over\n{}", fleet.logs());
             sleep(Duration::from_millis(10)).await;
         }
-        fleet.watches(1).await.unwrap();
+        fleet.wait_for_watches(1).await.unwrap();
         println!("another one asks {:?} after the owner was killed", start.elapsed());
-        fleet.discovery.change(1, "terminated");
-        fleet.all_know(WORKERS - 2).await.unwrap();
+        fleet.discovery.set_unreachable(1, "terminated");
+        fleet.wait_for_workers(WORKERS - 2).await.unwrap();
         // Back again, it relies on the new owner.
         fleet.start_dispatcher(owner).unwrap();
-        fleet.all_know(WORKERS - 2).await.unwrap();
-        fleet.watches(1).await.unwrap();
+        fleet.wait_for_workers(WORKERS - 2).await.unwrap();
+        fleet.wait_for_watches(1).await.unwrap();
     });
 }
 
@@ -65,16 +65,16 @@
 fn without_keepers_each_asks_for_itself_again() {
     play(async {
         let (_dir, mut fleet) = start(true).await;
-        (1..=3).for_each(|n| fleet.kill_keeper(n));
-        let alone = fleet.watches(DISPATCHERS as u64).await.unwrap();
+        (1..=3).for_each(|n| fleet.kill_coordinator(n));
+        let alone = fleet.wait_for_watches(DISPATCHERS as u64).await.unwrap();
         println!("each asks for itself {alone:?} after the last keeper was killed");
-        fleet.discovery.change(3, "terminated");
-        fleet.all_know(WORKERS - 1).await.unwrap();
-        (1..=3).for_each(|n| fleet.start_keeper(n).unwrap());
-        let again = fleet.watches(1).await.unwrap();
+        fleet.discovery.set_unreachable(3, "terminated");
+        fleet.wait_for_workers(WORKERS - 1).await.unwrap();
+        (1..=3).for_each(|n| fleet.start_coordinator(n).unwrap());
+        let again = fleet.wait_for_watches(1).await.unwrap();
         println!("one asks for all {again:?} after the keepers were started");
-        fleet.discovery.change(4, "terminated");
-        fleet.all_know(WORKERS - 2).await.unwrap();
+        fleet.discovery.set_unreachable(4, "terminated");
+        fleet.wait_for_workers(WORKERS - 2).await.unwrap();
     });
 }
 
@@ -82,18 +82,18 @@
 fn a_silent_discovery_is_noticed_by_those_who_rely_on_the_owner() {
     play(async {
         let (_dir, fleet) = start(true).await;
-        let before = fleet.discovery.asked().0;
-        fleet.discovery.silent(true);
+        let before = fleet.discovery.connection_counts().0;
+        fleet.discovery.set_silent(true);
         let start = Instant::now();
-        while fleet.discovery.asked().0 < before + DISPATCHERS as u64 {
+        while fleet.discovery.connection_counts().0 < before + DISPATCHERS as u64 {
             assert!(start.elapsed() < Duration::from_secs(10), "not everybody asks\n{}", fleet.logs());
             sleep(Duration::from_millis(10)).await;
         }
         println!("each asks for itself {:?} after discovery fell silent", start.elapsed());
-        fleet.discovery.silent(false);
-        fleet.discovery.change(5, "terminated");
-        fleet.all_know(WORKERS - 1).await.unwrap();
-        fleet.watches(1).await.unwrap();
+        fleet.discovery.set_silent(false);
+        fleet.discovery.set_unreachable(5, "terminated");
+        fleet.wait_for_workers(WORKERS - 1).await.unwrap();
+        fleet.wait_for_watches(1).await.unwrap();
     });
 }
 
@@ -102,22 +102,22 @@
     play(async {
         let (_dir, fleet) = start(true).await;
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (other, at) = (Discovery::new(5), listener.local_addr().unwrap());
+        let (other, at) = (EmulatedDiscovery::new(5), listener.local_addr().unwrap());
         tokio::task::spawn_local(other.clone().serve(listener));
-        let owner = fleet.owner().expect("an owner");
+        let owner = fleet.discovery_leader().expect("an owner");
         let moved = (owner + 1) % DISPATCHERS;
-        fleet.move_discovery(moved, at).unwrap();
+        fleet.change_discovery_address(moved, at).unwrap();
         let start = Instant::now();
-        while fleet.known(moved).await != Some(5) {
+        while fleet.known_workers(moved).await != Some(5) {
             assert!(start.elapsed() < Duration::from_secs(10), "{}", fleet.logs());
             sleep(Duration::from_millis(20)).await;
         }
         // The list of the other source says nothing to it.
-        fleet.discovery.change(0, "terminated");
+        fleet.discovery.set_unreachable(0, "terminated");
         sleep(Duration::from_millis(500)).await;
-        assert_eq!(fleet.known(moved).await, Some(5));
-        assert_eq!(fleet.known(owner).await, Some(WORKERS - 1));
-        assert_eq!(other.asked().1, 1);
+        assert_eq!(fleet.known_workers(moved).await, Some(5));
+        assert_eq!(fleet.known_workers(owner).await, Some(WORKERS - 1));
+        assert_eq!(other.connection_counts().1, 1);
     });
 }
 
@@ -129,29 +129,30 @@
         let (_dir, mut fleet) = start(true).await;
         let leader = fleet.leader();
         let lost = (1..=3).find(|keeper| *keeper != leader).unwrap();
-        let at = fleet.lose_keeper(lost, 4).await.unwrap().to_string();
-        let refused =
-            fleet.keeper_tool(4, &["replace", "--keeper", "9", "--with", "4", "--address", &at]).await;
+        let at = fleet.replace_coordinator(lost, 4).await.unwrap().to_string();
+        let refused = fleet
+            .run_coordinator_command(4, &["replace", "--keeper", "9", "--with", "4", "--address", &at])
+            .await;
         assert!(refused.unwrap_err().contains("there is no keeper 9"));
         let lost = lost.to_string();
         let replace = ["replace", "--keeper", &lost, "--with", "4", "--address", &at];
-        let said = fleet.keeper_tool(4, &replace).await.unwrap();
+        let said = fleet.run_coordinator_command(4, &replace).await.unwrap();
         assert!(said.contains("has taken the place"), "{said}");
-        fleet.keeper_tool(4, &replace).await.expect("asked again it says that it is done");
-        fleet.watches(1).await.unwrap();
+        fleet.run_coordinator_command(4, &replace).await.expect("asked again it says that it is done");
+        fleet.wait_for_watches(1).await.unwrap();
         // Now the new one and one other are the majority, and one of them leads.
-        fleet.kill_keeper(leader);
-        let owner = fleet.owner().expect("an owner");
+        fleet.kill_coordinator(leader);
+        let owner = fleet.discovery_leader().expect("an owner");
         fleet.kill_dispatcher(owner);
         let start = Instant::now();
-        while fleet.owner() == Some(owner) {
+        while fleet.discovery_leader() == Some(owner) {
             assert!(start.elapsed() < Duration::from_secs(12), "nobody took over\n{}", fleet.logs());
             sleep(Duration::from_millis(10)).await;
         }
         println!("another one asks {:?} after owner and leader were killed", start.elapsed());
-        fleet.watches(1).await.unwrap();
-        fleet.discovery.change(1, "terminated");
-        fleet.all_know(WORKERS - 1).await.unwrap();
+        fleet.wait_for_watches(1).await.unwrap();
+        fleet.discovery.set_unreachable(1, "terminated");
+        fleet.wait_for_workers(WORKERS - 1).await.unwrap();
     });
 }
 
@@ -163,25 +164,25 @@
         let (_dir, mut fleet) = start(true).await;
         for lost in [1, 2] {
             fleet.lose_disk(lost).unwrap();
-            fleet.start_keeper(lost).unwrap();
+            fleet.start_coordinator(lost).unwrap();
         }
         for lost in [1, 2] {
             let start = Instant::now();
             let code = loop {
-                if let Some(code) = fleet.keeper_ended(lost) {
+                if let Some(code) = fleet.coordinator_exit_code(lost) {
                     break code;
                 }
                 assert!(start.elapsed() < Duration::from_secs(10), "keeper {lost} goes on without its store");
                 sleep(Duration::from_millis(20)).await;
             };
-            assert_eq!(code, 4, "{}", fleet.keeper_log(lost));
-            assert!(fleet.keeper_log(lost).contains("bootstrap"), "{}", fleet.keeper_log(lost));
+            assert_eq!(code, 4, "{}", fleet.coordinator_log(lost));
+            assert!(fleet.coordinator_log(lost).contains("bootstrap"), "{}", fleet.coordinator_log(lost));
         }
-        fleet.watches(DISPATCHERS as u64).await.unwrap();
-        let said = fleet.keeper_tool(3, &["members"]).await.unwrap_err();
+        fleet.wait_for_watches(DISPATCHERS as u64).await.unwrap();
+        let said = fleet.run_coordinator_command(3, &["members"]).await.unwrap_err();
         assert!(said.contains("no keeper leads"), "{said}");
-        fleet.discovery.change(0, "terminated");
-        fleet.all_know(WORKERS - 1).await.unwrap();
+        fleet.discovery.set_unreachable(0, "terminated");
+        fleet.wait_for_workers(WORKERS - 1).await.unwrap();
     });
 }
 
@@ -190,7 +191,7 @@
     play(async {
         let (_dir, fleet) = start(false).await;
         sleep(Duration::from_secs(4)).await;
-        assert_eq!(fleet.discovery.asked().1, DISPATCHERS as u64);
+        assert_eq!(fleet.discovery.connection_counts().1, DISPATCHERS as u64);
     });
 }
 
--- a/crates/emulator/tests/lease_protocol.rs
+++ b/crates/emulator/tests/lease_protocol.rs
@@ -1,31 +1,31 @@
 //! The ownership protocol in every order of events, as it is and with each flaw.
 
 use coordination::Flaw;
-use emulator::cluster::virtual_time_soak::live;
 use emulator::cluster::lease_model::{search, Bounds};
+use emulator::cluster::virtual_time_soak::run_soak;
 
 #[test]
 fn the_protocol_holds_and_each_flaw_is_found() {
     let bounds = Bounds { messages: 2, ..Bounds::default() };
     let sound = search(None, bounds, 2);
-    assert_eq!(sound.broken, None);
+    assert_eq!(sound.violated, None);
     assert!(sound.handed_over, "no hand-over within the bounds would mean that nothing was checked");
     assert_eq!(Flaw::names().len(), 4);
     for (name, flaw) in Flaw::names() {
-        assert!(search(Some(*flaw), bounds, 2).broken.is_some(), "{name} was not found");
+        assert!(search(Some(*flaw), bounds, 2).violated.is_some(), "{name} was not found");
     }
 }
 
 #[test]
 fn hours_of_a_fleet_keep_the_rules_with_clocks_inside_the_bound_and_flaws_are_found() {
-    let sound = live(4, 1, 1_000, None);
+    let sound = run_soak(4, 1, 1_000, None);
     assert!(!sound.broken(), "{sound:#?}");
-    assert!(sound.terms > 100 && sound.refused > 100, "{sound:#?}");
+    assert!(sound.lease_terms > 100 && sound.effects_rejected > 100, "{sound:#?}");
     for name in ["receiver-without-check", "lease-from-answer", "token-not-stored"] {
         let flaw = Flaw::names().iter().find(|(known, _)| *known == name).map(|(_, flaw)| *flaw);
-        assert!(live(4, 1, 1_000, flaw).broken(), "{name} was not found");
+        assert!(run_soak(4, 1, 1_000, flaw).broken(), "{name} was not found");
     }
     // Clocks far beyond the bound: two owners may act, and a receiver still never goes back to an older one.
-    let beyond = live(4, 1, 300_000, None);
-    assert!(beyond.doubly_owned > 0 && beyond.backwards == 0, "{beyond:#?}");
+    let beyond = run_soak(4, 1, 300_000, None);
+    assert!(beyond.overlapping_holders > 0 && beyond.decreasing_tokens == 0, "{beyond:#?}");
 }
--- a/crates/emulator/tests/lease_schedules.rs
+++ b/crates/emulator/tests/lease_schedules.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use emulator::cluster::record_checker::{check, takeovers, Done, Line, Records, RULES};
-use emulator::cluster::schedule::{Kind, Plan};
-use emulator::cluster::results::run;
 use emulator::cluster::lease_harness::Programs;
+use emulator::cluster::record_checker::{check, takeovers, InjectedFault, RecordLine, Records, RULES};
+use emulator::cluster::results::run;
+use emulator::cluster::schedule::{ClusterExperiment, FaultKind};
 use indicatif::ProgressBar;
 
 const SHORT: &str = r#"
@@ -41,8 +41,8 @@
 
 #[test]
 fn schedules_with_processes_keep_the_rules() {
-    let plan = Plan::read("short.hcl", SHORT).unwrap();
-    let programs = Programs { keeper: built("coordinator"), lab: built("emulator") };
+    let plan = ClusterExperiment::read("short.hcl", SHORT).unwrap();
+    let programs = Programs { coordinator: built("coordinator"), emulator: built("emulator") };
     let out = tempfile::tempdir().unwrap();
     let seeds: Vec<u64> = (1..=6).collect();
     let results = run(&plan, &seeds, &programs, out.path(), None, 6, &ProgressBar::hidden()).unwrap();
@@ -56,7 +56,7 @@
     );
 }
 
-fn lines(text: &str) -> Vec<Line> {
+fn lines(text: &str) -> Vec<RecordLine> {
     text.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
 }
 
@@ -67,7 +67,7 @@
 fn rules_broken(keeper2: &str, member: &str) -> Vec<&'static str> {
     let keepers = BTreeMap::from([(1, lines(KEEPER)), (2, lines(keeper2))]);
     let members = BTreeMap::from([("m0".to_owned(), lines(member))]);
-    check(&Records { keepers, members }).into_keys().collect()
+    check(&Records { coordinators: keepers, members }).into_keys().collect()
 }
 
 #[test]
@@ -110,25 +110,25 @@
     let member = r#"{"t":200,"kind":"taken","duty":"d","token":7}
 {"t":700,"kind":"taken","duty":"d","token":8}"#;
     let records = Records {
-        keepers: BTreeMap::from([(1, lines(KEEPER))]),
+        coordinators: BTreeMap::from([(1, lines(KEEPER))]),
         members: BTreeMap::from([("m0".to_owned(), lines(member))]),
     };
-    let done = |t, kind, until| Done { t, kind, until, token: Some(7) };
-    let both = [done(300, Kind::KillOwner, 400), done(350, Kind::KillOwner, 400)];
-    assert_eq!(takeovers(&records, &both, 100), BTreeMap::from([(Kind::KillOwner, vec![400])]));
-    let short = [done(300, Kind::StopOwner, 310)];
+    let done = |t, kind, until| InjectedFault { time: t, kind, until, holder_token: Some(7) };
+    let both = [done(300, FaultKind::KillHolder, 400), done(350, FaultKind::KillHolder, 400)];
+    assert_eq!(takeovers(&records, &both, 100), BTreeMap::from([(FaultKind::KillHolder, vec![400])]));
+    let short = [done(300, FaultKind::PauseHolder, 310)];
     assert!(takeovers(&records, &short, 100).is_empty());
 }
 
 #[test]
 fn schedules_are_drawn_by_their_seed_and_faults_of_a_plan_name_the_key() {
-    let plan = Plan::read("short.hcl", SHORT).unwrap();
+    let plan = ClusterExperiment::read("short.hcl", SHORT).unwrap();
     let drawn = |seed| format!("{:?}", plan.draw(&plan.arms[0], seed));
     assert_eq!(drawn(3), drawn(3));
     assert_ne!(drawn(3), drawn(4));
     let wrong = SHORT.replace("kill-owner", "kill-everybody");
-    let fault = Plan::read("short.hcl", &wrong).unwrap_err().to_string();
+    let fault = ClusterExperiment::read("short.hcl", &wrong).unwrap_err().to_string();
     assert!(fault.contains("faults") && fault.contains("kill-everybody"), "{fault}");
     let four = SHORT.replacen("keepers = 3", "keepers = 4", 1);
-    assert!(Plan::read("short.hcl", &four).unwrap_err().to_string().contains("wanted 3 or 5"));
+    assert!(ClusterExperiment::read("short.hcl", &four).unwrap_err().to_string().contains("wanted 3 or 5"));
 }
--- a/crates/emulator/tests/planned_drains.rs
+++ b/crates/emulator/tests/planned_drains.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use emulator::cluster::planned_drains::{play, start, Drained, Plan, RULES};
-use emulator::cluster::cluster_harness::{Binaries, Together};
+use emulator::cluster::cluster_harness::{Binaries, ClusterHarness};
+use emulator::cluster::planned_drains::{play, start_cluster, Plan, ScheduleResult, RULES};
 use rustix::process::Signal;
 use tokio::task::LocalSet;
 use tokio::time::{sleep, Instant};
@@ -20,17 +20,17 @@
 }
 "#;
 
-fn fleet<F: std::future::Future<Output = ()>>(test: impl FnOnce(Together) -> F) {
+fn fleet<F: std::future::Future<Output = ()>>(test: impl FnOnce(ClusterHarness) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let dir = tempfile::tempdir().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let binaries = Binaries::beside_tests().unwrap();
-        test(start(dir.path(), binaries, &Plan::default(), BUDGETS).await.unwrap()).await;
+        test(start_cluster(dir.path(), binaries, &Plan::default(), BUDGETS).await.unwrap()).await;
     });
 }
 
 /// Asks until it is granted; the text of the last refusal.
-async fn granted(fleet: &Together, n: usize) -> String {
+async fn granted(fleet: &ClusterHarness, n: usize) -> String {
     let (start, mut last) = (Instant::now(), String::new());
     loop {
         let (status, _, text) = fleet.console(n, "POST", "/standby").await.unwrap();
@@ -43,14 +43,14 @@
     }
 }
 
-async fn refused(fleet: &Together, n: usize) -> String {
+async fn refused(fleet: &ClusterHarness, n: usize) -> String {
     let (status, after, text) = fleet.console(n, "POST", "/standby").await.unwrap();
     assert_eq!(status, 503, "{text}");
     assert!(after.is_some_and(|after| after > 0), "no word of when to come again: {text}");
     text
 }
 
-async fn is(fleet: &Together, n: usize, mode: &str) -> bool {
+async fn is(fleet: &ClusterHarness, n: usize, mode: &str) -> bool {
     let (_, _, text) = fleet.console(n, "GET", "/status").await.unwrap();
     text.contains(&format!("\"mode\":\"{mode}\""))
 }
@@ -69,7 +69,7 @@
         sleep(Duration::from_millis(600)).await;
         let why = refused(&fleet, 2).await;
         assert!(why.contains("all"), "{why}");
-        let account = fleet.keeper_tool(1, &["account"]).await.unwrap();
+        let account = fleet.run_coordinator_command(1, &["account"]).await.unwrap();
         assert!(account.contains("all: 2 out by plan, 0 otherwise, of 6"), "{account}");
         assert_eq!(fleet.console(0, "POST", "/active").await.unwrap().0, 200);
         // First asked, first served: d3 of the zone that is free again.
@@ -84,7 +84,7 @@
         fleet.kill_dispatcher(4);
         granted(&fleet, 0).await;
         let start = Instant::now();
-        while !fleet.keeper_tool(1, &["account"]).await.unwrap().contains("1 otherwise") {
+        while !fleet.run_coordinator_command(1, &["account"]).await.unwrap().contains("1 otherwise") {
             assert!(start.elapsed() < Duration::from_secs(10), "the loss is not counted");
             sleep(Duration::from_millis(100)).await;
         }
@@ -93,9 +93,12 @@
         let why = refused(&fleet, 2).await;
         assert!(why.contains("all"), "one by plan and one lost are two: {why}");
         // Of five, 40 % are two still.
-        fleet.keeper_tool(1, &["strike-off", "--target", "dispatcher/d4", "--by", "test"]).await.unwrap();
+        fleet
+            .run_coordinator_command(1, &["strike-off", "--target", "dispatcher/d4", "--by", "test"])
+            .await
+            .unwrap();
         granted(&fleet, 2).await;
-        let unknown = fleet.keeper_tool(1, &["strike-off", "--target", "dispatcher/d9"]).await;
+        let unknown = fleet.run_coordinator_command(1, &["strike-off", "--target", "dispatcher/d9"]).await;
         assert!(unknown.unwrap_err().contains("no such target"));
     });
 }
@@ -104,8 +107,8 @@
 fn without_a_majority_a_planned_drain_is_refused_unless_it_is_forced_and_a_term_signal_is_obeyed() {
     fleet(|mut fleet| async move {
         granted(&fleet, 0).await;
-        fleet.kill_keeper(1);
-        fleet.kill_keeper(2);
+        fleet.kill_coordinator(1);
+        fleet.kill_coordinator(2);
         let began = Instant::now();
         let why = refused(&fleet, 1).await;
         assert!(began.elapsed() < Duration::from_millis(1_500), "{:?}", began.elapsed());
@@ -119,14 +122,14 @@
             assert!(figures.contains(figure), "{figures}");
         }
         // It was out, and is; what it did alone is counted as a loss when the keepers are back.
-        (1..=2).try_for_each(|n| fleet.start_keeper(n)).unwrap();
+        (1..=2).try_for_each(|n| fleet.start_coordinator(n)).unwrap();
         let start = Instant::now();
         let counted = "all: 1 out by plan, 1 otherwise";
-        while !fleet.keeper_tool(1, &["account"]).await.is_ok_and(|text| text.contains(counted)) {
+        while !fleet.run_coordinator_command(1, &["account"]).await.is_ok_and(|text| text.contains(counted)) {
             assert!(start.elapsed() < Duration::from_secs(15), "not counted");
             sleep(Duration::from_millis(100)).await;
         }
-        fleet.signal(2, Signal::TERM).unwrap();
+        fleet.signal_dispatcher(2, Signal::TERM).unwrap();
         let start = Instant::now();
         while fleet.console(2, "GET", "/status").await.is_some() {
             assert!(start.elapsed() < Duration::from_secs(10), "it does not end");
@@ -142,12 +145,13 @@
         let path = wrong.display().to_string();
         std::fs::write(&wrong, "budget \"b\" {\n  targets = \"workers\"\n  most_out = \"100%\"\n}\n")
             .unwrap();
-        let fault = fleet.keeper_tool(1, &["budgets", "--set", &path]).await.unwrap_err();
+        let fault = fleet.run_coordinator_command(1, &["budgets", "--set", &path]).await.unwrap_err();
         assert!(fault.contains(&path) && fault.contains("most_out") && fault.contains("last one"), "{fault}");
         std::fs::write(&wrong, BUDGETS).unwrap();
-        let stale = fleet.keeper_tool(1, &["budgets", "--set", &path, "--seen", "0"]).await.unwrap_err();
+        let stale =
+            fleet.run_coordinator_command(1, &["budgets", "--set", &path, "--seen", "0"]).await.unwrap_err();
         assert!(stale.contains("changed meanwhile"), "{stale}");
-        fleet.keeper_tool(1, &["budgets", "--set", &path]).await.unwrap();
+        fleet.run_coordinator_command(1, &["budgets", "--set", &path]).await.unwrap();
         std::fs::remove_file(&wrong).unwrap();
     });
 }
@@ -162,13 +166,14 @@
     let dir = tempfile::tempdir().unwrap();
     LocalSet::new().block_on(&runtime, async {
         // Workers are warm within 2 s here.
-        let plan = Plan { dispatchers: 3, warm_s: 2.0, ..Plan::default() };
-        let fleet = start(dir.path(), Binaries::beside_tests().unwrap(), &plan, &budgets).await.unwrap();
+        let plan = Plan { dispatchers: 3, warm_up_s: 2.0, ..Plan::default() };
+        let fleet =
+            start_cluster(dir.path(), Binaries::beside_tests().unwrap(), &plan, &budgets).await.unwrap();
         let ask = |worker: usize| {
             let (fleet, target) = (&fleet, format!("worker/w-{worker:04}"));
             async move {
                 let by = ["permit", "ask", "--target", &target, "--by", "the shop", "--reason", "release"];
-                fleet.keeper_tool(1, &by).await
+                fleet.run_coordinator_command(1, &by).await
             }
         };
         let until_granted = |worker: usize| {
@@ -185,34 +190,35 @@
             }
         };
         let first = until_granted(0).await;
-        fleet.keeper_tool(1, &["permit", "begin", "--permit", &first]).await.unwrap();
+        fleet.run_coordinator_command(1, &["permit", "begin", "--permit", &first]).await.unwrap();
         ask(1).await.unwrap_err();
         sleep(Duration::from_millis(800)).await;
         let why = ask(1).await.unwrap_err();
         assert!(why.contains("waits for its turn") && why.contains("pools"), "{why}");
         // It drains, ends, and is back: cold, so that the next one waits until it is warm.
         for phase in ["terminating", "terminated", "in_service"] {
-            fleet.discovery.turn(0, phase);
+            fleet.discovery.set_phase(0, phase);
             sleep(Duration::from_millis(400)).await;
         }
-        fleet.keeper_tool(1, &["permit", "done", "--permit", &first]).await.unwrap();
+        fleet.run_coordinator_command(1, &["permit", "done", "--permit", &first]).await.unwrap();
         let back = Instant::now();
-        let second = until_granted(1).await;
-        assert!(second != first && back.elapsed() > Duration::from_millis(500), "{:?}", back.elapsed());
-        fleet.keeper_tool(1, &["permit", "void", "--permit", &second]).await.unwrap();
-        let late = fleet.keeper_tool(1, &["permit", "begin", "--permit", &second]).await.unwrap_err();
+        let is_retry = until_granted(1).await;
+        assert!(is_retry != first && back.elapsed() > Duration::from_millis(500), "{:?}", back.elapsed());
+        fleet.run_coordinator_command(1, &["permit", "void", "--permit", &is_retry]).await.unwrap();
+        let late =
+            fleet.run_coordinator_command(1, &["permit", "begin", "--permit", &is_retry]).await.unwrap_err();
         assert!(late.contains("no such permit is open"), "{late}");
     });
 }
 
-fn played(plan: &Plan) -> Drained {
+fn played(plan: &Plan) -> ScheduleResult {
     let dir = tempfile::tempdir().unwrap();
     play(dir.path(), &Binaries::beside_tests().unwrap(), plan).unwrap()
 }
 
 #[test]
 fn drains_stay_within_their_budgets_while_processes_and_links_fail() {
-    let played: Vec<Drained> = std::thread::scope(|scope| {
+    let played: Vec<ScheduleResult> = std::thread::scope(|scope| {
         let lanes: Vec<_> =
             (1..=3).map(|seed| scope.spawn(move || played(&Plan { seed, ..Plan::default() }))).collect();
         lanes.into_iter().map(|lane| lane.join().unwrap()).collect()
@@ -225,6 +231,6 @@
 #[test]
 fn a_permit_that_any_sight_of_its_target_ends_is_found_by_the_checker() {
     let flaw = Some("any-process".to_owned());
-    let played = played(&Plan { flaw, ..Plan::default() });
+    let played = played(&Plan { injected_bug: flaw, ..Plan::default() });
     assert!(played.rules.contains_key(RULES[0]) || played.rules.contains_key(RULES[1]), "{played:#?}");
 }
--- a/crates/emulator/tests/shared_health_checks.rs
+++ b/crates/emulator/tests/shared_health_checks.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use emulator::cluster::slow_start;
 use emulator::cluster::cluster_harness::Binaries;
-use emulator::cluster::shared_health_checks::{play, Fault, Plan, Watched, RULES};
+use emulator::cluster::shared_health_checks::{play, Fault, Plan, ScheduleResult, RULES};
+use emulator::cluster::slow_start;
 
-fn played(plan: &Plan) -> Watched {
+fn played(plan: &Plan) -> ScheduleResult {
     let dir = tempfile::tempdir().unwrap();
     let binaries = Binaries::beside_tests().unwrap();
     play(dir.path(), &binaries, plan).unwrap()
@@ -24,12 +24,12 @@
 /// could not tell a worker that hung from the way to its zone.
 #[test]
 fn a_worker_that_hangs_is_known_everywhere_whichever_set_it_is_in() {
-    let script = &[(Fault::Hang, 3, 0)];
+    let script = &[(Fault::HangWorker, 3, 0)];
     let plan =
         Plan { dispatchers: 8, rate: 20.0, length: Duration::from_secs(18), script, ..Plan::default() };
     let played = played(&plan);
     assert!(played.rules.is_empty(), "{:#?}", played.rules);
-    assert_eq!((played.faults["hang"], played.known_after_ms.len()), (1, 8), "{played:#?}");
+    assert_eq!((played.faults["hang"], played.detected_after_ms.len()), (1, 8), "{played:#?}");
 }
 
 /// Five keepers, and what they and the workers go through at once: a worker that drains and comes back cold, a leader
@@ -37,12 +37,12 @@
 #[test]
 fn jobs_and_workers_keep_their_rules_while_keepers_and_dispatchers_are_started_anew() {
     let script = &[
-        (Fault::Drain, 0, 0),
-        (Fault::StopLeader, 0, 0),
-        (Fault::KillAllKeepers, 0, 0),
-        (Fault::Roll, 0, 0),
+        (Fault::DrainWorker, 0, 0),
+        (Fault::PauseLeader, 0, 0),
+        (Fault::KillAllCoordinators, 0, 0),
+        (Fault::RollingRestart, 0, 0),
     ];
-    let plan = Plan { keepers: 5, length: Duration::from_secs(34), script, ..Plan::default() };
+    let plan = Plan { coordinators: 5, length: Duration::from_secs(34), script, ..Plan::default() };
     let played = played(&plan);
     assert!(played.rules.is_empty(), "{:#?}", played.rules);
     assert!(played.faults.len() == 4 && played.jobs_at_cold > 0, "{played:#?}");
@@ -51,7 +51,8 @@
 #[test]
 fn an_owner_that_does_not_wait_is_found_by_the_checker() {
     let flaw = Some("no-wait".to_owned());
-    let plan = Plan { only_kills: true, length: Duration::from_secs(24), flaw, ..Plan::default() };
+    let plan =
+        Plan { only_kills: true, length: Duration::from_secs(24), injected_bug: flaw, ..Plan::default() };
     let played = played(&plan);
     assert!(played.rules.contains_key(RULES[0]), "{played:#?}");
 }
@@ -71,10 +72,15 @@
     let (planned, granted) = (day(false), day(true));
     let (planned, granted) = (planned.join().unwrap(), granted.join().unwrap());
     println!("planned {planned:?}\ngranted {granted:?}");
-    assert!(granted.broken.is_empty(), "{:?}", granted.broken);
-    assert_eq!((planned.fallen, granted.fallen), (0, 0));
-    assert!(planned.granted == 0.0 && granted.granted > 10.0);
+    assert!(granted.violations.is_empty(), "{:?}", granted.violations);
+    assert_eq!((planned.overloads, granted.overloads), (0, 0));
+    assert!(planned.granted_work == 0.0 && granted.granted_work > 10.0);
     // Though the owner and the keepers' leader are killed on the way.
-    assert!(granted.used > 1.2 * planned.used, "{} and {}", granted.used, planned.used);
-    assert!(granted.fullest <= 1.0, "{}", granted.fullest);
+    assert!(
+        granted.used_share > 1.2 * planned.used_share,
+        "{} and {}",
+        granted.used_share,
+        planned.used_share
+    );
+    assert!(granted.peak_load <= 1.0, "{}", granted.peak_load);
 }
--- a/crates/emulator/tests/sockets.rs
+++ b/crates/emulator/tests/sockets.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use emulator::day::Day;
-use emulator::metrics::Figures;
+use emulator::metrics::RunMetrics;
 use emulator::sockets;
 use emulator::spec::{self, Experiment};
 
@@ -50,11 +50,11 @@
     program
 }
 
-fn play(program: &str) -> Figures {
+fn play(program: &str) -> RunMetrics {
     let experiment = experiment();
     let day = Day::draw(&experiment, &experiment.cases[0], 5);
     let record = sockets::play(&experiment, &experiment.arms[0], &day, &built(program)).expect("a day");
-    Figures::judge(&experiment, &day, &record)
+    RunMetrics::evaluate(&experiment, &day, &record)
 }
 
 #[test]
--- a/crates/emulator/tests/stable_results.rs
+++ b/crates/emulator/tests/stable_results.rs
@@ -7,12 +7,12 @@
 use coordination::Flaw;
 use dispatch_core::api::{Action, Event, Outcome, Scope, Seconds, WorkerState};
 use dispatch_core::Settings;
-use emulator::day::Day;
-use emulator::cluster::virtual_time_soak::live;
 use emulator::cluster::lease_model::{search, Bounds};
+use emulator::cluster::virtual_time_soak::run_soak;
+use emulator::day::Day;
 use emulator::report::{compare, Results};
-use emulator::router::{router, Router, Sight};
-use emulator::run::virtual_runs;
+use emulator::router::{router, OracleView, Router};
+use emulator::run::run_virtual;
 use emulator::spec::{self, Experiment, RouterKind};
 use emulator::virtual_time;
 use indicatif::ProgressBar;
@@ -32,18 +32,18 @@
 fn days() -> Experiment {
     let mut experiment = spec::read("days.hcl", DAYS).expect("the experiment reads");
     experiment.length = DAYS_LENGTH_S;
-    experiment.arms.retain(|arm| matches!(arm.router, RouterKind::Cairncrank | RouterKind::PowerOfTwo));
+    experiment.arms.retain(|arm| matches!(arm.router, RouterKind::DecisionModule | RouterKind::PowerOfTwo));
     experiment
 }
 
 /// All results as they are written, then the figures of each run, one a line.
 fn results(experiment: &Experiment) -> String {
-    let runs = virtual_runs(experiment, &SEEDS, &ProgressBar::hidden());
-    let results = Results::of(experiment, "virtual", &SEEDS, &runs);
+    let runs = run_virtual(experiment, &SEEDS, &ProgressBar::hidden());
+    let results = Results::summarize(experiment, "virtual", &SEEDS, &runs);
     let mut text = serde_json::to_string_pretty(&results).expect("JSON");
     text.push_str("\n\n");
     for run in &runs {
-        let figures = serde_json::to_string(&run.figures).expect("JSON");
+        let figures = serde_json::to_string(&run.metrics).expect("JSON");
         let _ = writeln!(text, "arm {} case {} seed {}: {figures}", run.arm, run.case, run.seed);
     }
     text + "\n" + &results.table()
@@ -63,8 +63,8 @@
 fn comparison_of_two_results() {
     let experiment = every_key();
     let of = |seeds: &[u64]| {
-        let runs = virtual_runs(&experiment, seeds, &ProgressBar::hidden());
-        Results::of(&experiment, "virtual", seeds, &runs)
+        let runs = run_virtual(&experiment, seeds, &ProgressBar::hidden());
+        Results::summarize(&experiment, "virtual", seeds, &runs)
     };
     let mut other = of(&[1, 2]);
     other.arms.truncate(2);
@@ -135,7 +135,13 @@
         self.record(now, &actions[before..]);
     }
 
-    fn on_event(&mut self, now: Seconds, event: Event<'_>, actions: &mut Vec<Action>, sight: &dyn Sight) {
+    fn on_event(
+        &mut self,
+        now: Seconds,
+        event: Event<'_>,
+        actions: &mut Vec<Action>,
+        sight: &dyn OracleView,
+    ) {
         {
             let mut transcript = self.transcript.lock().expect("one thread");
             transcript.events += 1;
@@ -230,7 +236,7 @@
         let make = |settings: Settings, seed| -> Box<dyn Router> {
             let transcript = Arc::new(Mutex::new(Transcript::new(settings.instance)));
             transcripts.lock().expect("one thread").push(transcript.clone());
-            Box::new(Recording { inner: router(RouterKind::Cairncrank, settings, seed), transcript })
+            Box::new(Recording { inner: router(RouterKind::DecisionModule, settings, seed), transcript })
         };
         let record = virtual_time::play(experiment, &experiment.arms[arm], &day, &make);
         let _ = writeln!(
@@ -240,10 +246,10 @@
             day.workers.len(),
             day.jobs.len(),
             record.events,
-            record.tries,
+            record.submissions,
             record.sends,
-            record.connects,
-            record.ran.len()
+            record.new_connections,
+            record.runs.len()
         );
         for transcript in transcripts.lock().expect("one thread").iter() {
             let transcript = transcript.lock().expect("one thread");
@@ -282,7 +288,7 @@
     let mut text = String::new();
     for (skew_ppm, flaw) in [(1_000, None), (300_000, None), (1_000, Some("lease-from-answer"))] {
         let known = Flaw::names().iter().find(|(name, _)| Some(*name) == flaw).map(|(_, flaw)| *flaw);
-        let hours = live(2, 7, skew_ppm, known);
+        let hours = run_soak(2, 7, skew_ppm, known);
         let json = serde_json::to_string_pretty(&hours).expect("JSON");
         let _ = writeln!(text, "{skew_ppm} ppm, {flaw:?}: broken {}\n{json}", hours.broken());
     }
@@ -299,7 +305,7 @@
         let _ = writeln!(
             text,
             "{name}: {} states, depth {}, broken {:?}, handed over {}",
-            found.states, found.depth, found.broken, found.handed_over
+            found.states, found.depth, found.violated, found.handed_over
         );
     }
     insta::assert_snapshot!(text);
