--- a/crates/emulator/tests/stable_text.rs
+++ b/crates/emulator/tests/stable_text.rs
@@ -7,15 +7,15 @@
 use std::process::Command;
 use std::time::Duration;
 
-use emulator::cluster::record_checker::{self, Line, Records};
-use emulator::cluster::planned_drains::{self, Drained};
-use emulator::cluster::slow_start::Joined;
-use emulator::cluster::lightweight_member::Light;
-use emulator::cluster::schedule::{Kind, Plan, KINDS};
+use emulator::cluster::dispatch_latency::LatencyResult;
+use emulator::cluster::lightweight_member::MemberConfig;
+use emulator::cluster::planned_drains;
+use emulator::cluster::record_checker::{self, RecordLine, Records};
 use emulator::cluster::results::{ArmResult, Quantiles, Results};
-use emulator::cluster::dispatch_latency::Waits;
-use emulator::cluster::shared_health_checks::{self, Watched};
 use emulator::cluster::scaling_cost::Side;
+use emulator::cluster::schedule::{ClusterExperiment, FaultKind, FAULT_KINDS};
+use emulator::cluster::shared_health_checks;
+use emulator::cluster::slow_start::DayResult;
 use emulator::spec;
 use serde::Serialize;
 
@@ -150,21 +150,22 @@
         spec::read("e.hcl", text).map(drop).map_err(|fault| fault.to_string())
     });
     every_key_counts(EVERY_KEY_OF_A_FLEET, |text| {
-        Plan::read("e.hcl", text).map(drop).map_err(|fault| fault.to_string())
+        ClusterExperiment::read("e.hcl", text).map(drop).map_err(|fault| fault.to_string())
     });
 }
 
 #[test]
 fn schedules_of_a_fleet() {
-    let plan = Plan::read("every_key_of_a_fleet.hcl", EVERY_KEY_OF_A_FLEET).expect("the experiment reads");
+    let plan = ClusterExperiment::read("every_key_of_a_fleet.hcl", EVERY_KEY_OF_A_FLEET)
+        .expect("the experiment reads");
     let times = &plan.times;
     let mut text = format!(
         "{}: {}\nlength {} calm {} between {}\nlease {} renew {} call {} stay {} short {} election {} heartbeat {} skew {}\n",
         plan.name,
         plan.about,
         plan.length,
-        plan.calm,
-        plan.between,
+        plan.recovery_time,
+        plan.fault_interval,
         times.lease,
         times.renew,
         times.call,
@@ -175,13 +176,13 @@
         times.skew_ppm
     );
     for arm in &plan.arms {
-        let kinds: Vec<&str> = arm.kinds.iter().map(|kind| kind.name()).collect();
-        let _ = writeln!(text, "{}: {} and {}: {kinds:?}", arm.name, arm.keepers, arm.members);
+        let kinds: Vec<&str> = arm.fault_kinds.iter().map(|kind| kind.name()).collect();
+        let _ = writeln!(text, "{}: {} and {}: {kinds:?}", arm.name, arm.coordinators, arm.members);
         for seed in 1..=4 {
             let _ = writeln!(text, "seed {seed}");
             for fault in plan.draw(arm, seed) {
-                let (kind, pick) = (fault.kind.name(), fault.pick);
-                let _ = writeln!(text, "  {:.6} {kind} for {:.6} pick {pick}", fault.at, fault.lasts);
+                let (kind, pick) = (fault.kind.name(), fault.target_choice);
+                let _ = writeln!(text, "  {:.6} {kind} for {:.6} pick {pick}", fault.at, fault.duration);
             }
         }
     }
@@ -192,34 +193,40 @@
     serde_json::to_string_pretty(value).expect("JSON") + "\n"
 }
 
-fn watched() -> Watched {
-    Watched {
-        rules: shared_health_checks::RULES.iter().map(|rule| ((*rule).to_owned(), vec!["once".to_owned()])).collect(),
+fn watched() -> shared_health_checks::ScheduleResult {
+    shared_health_checks::ScheduleResult {
+        rules: shared_health_checks::RULES
+            .iter()
+            .map(|rule| ((*rule).to_owned(), vec!["once".to_owned()]))
+            .collect(),
         faults: BTreeMap::from([("kill".to_owned(), 2)]),
         probes: 3,
         probes_per_s: 0.5,
-        closest_ms: 1.5,
-        longest_ms: 2.5,
-        known_after_ms: vec![3.5, 4.5],
+        min_probe_gap_ms: 1.5,
+        max_probe_gap_ms: 2.5,
+        detected_after_ms: vec![3.5, 4.5],
         jobs: 5,
         answers: BTreeMap::from([(200, 4), (0, 1)]),
         jobs_at_cold: 6,
-        fullest: 0.25,
+        peak_cold_load: 0.25,
         jobs_at_hung: 7,
-        terms: 8,
+        lease_terms: 8,
     }
 }
 
-fn drained() -> Drained {
-    Drained {
-        rules: planned_drains::RULES.iter().map(|rule| ((*rule).to_owned(), vec!["once".to_owned()])).collect(),
+fn drained() -> planned_drains::ScheduleResult {
+    planned_drains::ScheduleResult {
+        rules: planned_drains::RULES
+            .iter()
+            .map(|rule| ((*rule).to_owned(), vec!["once".to_owned()]))
+            .collect(),
         faults: BTreeMap::from([("lose".to_owned(), 2)]),
         budget: (2, 1),
-        out_by_plan_max: (1, 1),
+        max_planned_unavailable: (1, 1),
         calls: BTreeMap::from([(200, 3), (503, 4)]),
         drains: 5,
         longest_call_ms: 6.5,
-        terms: 7,
+        lease_terms: 7,
     }
 }
 
@@ -228,12 +235,12 @@
     let arm = ArmResult {
         rules: record_checker::RULES.iter().map(|rule| ((*rule).to_owned(), 1)).collect(),
         schedules: 3,
-        faults: KINDS.iter().map(|(name, _)| (*name, 1)).collect(),
+        faults: FAULT_KINDS.iter().map(|(name, _)| (*name, 1)).collect(),
         taken: 4,
         refused_tokens: 5,
         terms: 6,
         takeover_s: quantiles,
-        takeover_by_cause_s: BTreeMap::from([(Kind::KillOwner.name(), quantiles)]),
+        takeover_by_cause_s: BTreeMap::from([(FaultKind::KillHolder.name(), quantiles)]),
         broken: vec![9],
     };
     Results {
@@ -247,14 +254,20 @@
 #[test]
 fn results_of_processes() {
     let side = Side { calls_per_s: 1.5, member_cpu: (0.1, 0.2), memory_mb: (3.0, 4.0), ..Side::default() };
-    let waits = Waits { answers: BTreeMap::from([(200, 1)]), ..Waits::default() };
-    let joined = Joined { answers: BTreeMap::from([(200, 1)]), ..Joined::default() };
+    let waits = LatencyResult { answers: BTreeMap::from([(200, 1)]), ..LatencyResult::default() };
+    let joined = DayResult { answers: BTreeMap::from([(200, 1)]), ..DayResult::default() };
     let mut text = json(&watched()) + &json(&drained()) + &json(&fleet_results());
     text += &(json(&side) + &json(&waits) + &json(&joined));
     let _ = writeln!(text, "{side:?}\n{:?}\n", joined.answers);
     text += &(fleet_results().table() + "\n");
-    text += &(shared_health_checks::table(&BTreeMap::from([(1, watched()), (2, Watched::default())])) + "\n");
-    text += &planned_drains::table(&BTreeMap::from([(1, drained()), (2, Drained::default())]));
+    text += &(shared_health_checks::table(&BTreeMap::from([
+        (1, watched()),
+        (2, shared_health_checks::ScheduleResult::default()),
+    ])) + "\n");
+    text += &planned_drains::table(&BTreeMap::from([
+        (1, drained()),
+        (2, planned_drains::ScheduleResult::default()),
+    ]));
     insta::assert_snapshot!(text);
 }
 
@@ -263,34 +276,34 @@
     use planned_drains::Fault as DrainFault;
     use shared_health_checks::Fault as WatchFault;
     let watching = [
-        WatchFault::Kill,
-        WatchFault::Stop,
-        WatchFault::End,
-        WatchFault::CutZone,
-        WatchFault::Hang,
+        WatchFault::KillDispatcher,
+        WatchFault::PauseDispatcher,
+        WatchFault::TerminateDispatcher,
+        WatchFault::PartitionZone,
+        WatchFault::HangWorker,
         WatchFault::KillLeader,
-        WatchFault::CutKeepers,
-        WatchFault::HearsNoKeeper,
-        WatchFault::CutMembers,
-        WatchFault::SlowNet,
-        WatchFault::StopLeader,
-        WatchFault::CutKeeper,
-        WatchFault::KillAllKeepers,
-        WatchFault::Drain,
-        WatchFault::Roll,
+        WatchFault::PartitionFromCoordinators,
+        WatchFault::HearsNoCoordinator,
+        WatchFault::PartitionFromMembers,
+        WatchFault::SlowNetwork,
+        WatchFault::PauseLeader,
+        WatchFault::PartitionCoordinator,
+        WatchFault::KillAllCoordinators,
+        WatchFault::DrainWorker,
+        WatchFault::RollingRestart,
     ];
     let drains = [
         DrainFault::KillObserver,
-        DrainFault::StopObserver,
-        DrainFault::StopAsker,
-        DrainFault::SlowAsker,
-        DrainFault::Lose,
-        DrainFault::CutKeepers,
-        DrainFault::CutMembers,
+        DrainFault::PauseObserver,
+        DrainFault::PauseRequester,
+        DrainFault::SlowRequester,
+        DrainFault::LoseDispatcher,
+        DrainFault::PartitionFromCoordinators,
+        DrainFault::PartitionFromMembers,
         DrainFault::KillLeader,
-        DrainFault::StopLeader,
-        DrainFault::KillAllKeepers,
-        DrainFault::SlowNet,
+        DrainFault::PauseLeader,
+        DrainFault::KillAllCoordinators,
+        DrainFault::SlowNetwork,
     ];
     insta::assert_snapshot!(json(&watching) + &json(&drains));
 }
@@ -298,17 +311,17 @@
 /// The keys of the file that a member without jobs is started with.
 #[test]
 fn keys_of_a_light_member() {
-    let light = Light {
+    let light = MemberConfig {
         installation: "here".to_owned(),
         name: "m0".to_owned(),
         listen: ([127, 0, 0, 1], 1).into(),
         address: ([127, 0, 0, 1], 2).into(),
         bind: Some([127, 0, 0, 1].into()),
-        keepers: BTreeMap::from([(1, ([127, 0, 0, 1], 3).into())]),
-        duties: vec!["pulse".to_owned()],
+        coordinators: BTreeMap::from([(1, ([127, 0, 0, 1], 3).into())]),
+        leases: vec!["pulse".to_owned()],
         times: Default::default(),
         record: Some("m0.jsonl".into()),
-        bug: Some("a bug".to_owned()),
+        injected_bug: Some("a bug".to_owned()),
         seed: 1,
     };
     let mut value = serde_json::to_value(&light).expect("JSON");
@@ -319,7 +332,7 @@
 /// What the checker of records says of each rule.
 #[test]
 fn findings_in_records() {
-    let lines = |text: &str| -> Vec<Line> {
+    let lines = |text: &str| -> Vec<RecordLine> {
         text.lines().map(|line| serde_json::from_str(line).expect("a line")).collect()
     };
     let first = r#"{"t":100,"kind":"applied","index":5,"digest":1,"granted":"d","token":7,"session":2}
@@ -339,19 +352,19 @@
 {"t":600,"kind":"started"}
 {"t":610,"kind":"session","session":2,"incarnation":1}"#;
     let records = Records {
-        keepers: BTreeMap::from([(1, lines(first)), (2, lines(second))]),
+        coordinators: BTreeMap::from([(1, lines(first)), (2, lines(second))]),
         members: BTreeMap::from([("m0".to_owned(), lines(member))]),
     };
     let text = format!(
         "{:#?}\nnewest {:?} of {:?}, leader {:?}, {} terms, {} taken, {} refused, alive {}\nrules {:#?}\n",
         record_checker::check(&records),
-        record_checker::newest(&records),
-        record_checker::member_of(&records, 2),
+        record_checker::newest_grant(&records),
+        record_checker::member_of_session(&records, 2),
         record_checker::leader(&records),
-        record_checker::terms(&records),
-        record_checker::taken(&records),
-        record_checker::refused(&records),
-        record_checker::alive_after(&records, 501),
+        record_checker::lease_terms(&records),
+        record_checker::effects_accepted(&records),
+        record_checker::effects_rejected(&records),
+        record_checker::accepted_effect_after(&records, 501),
         [&record_checker::RULES[..], &shared_health_checks::RULES, &planned_drains::RULES].concat()
     );
     insta::assert_snapshot!(text);
@@ -365,25 +378,25 @@
     let ms = |time: Duration| time.as_millis();
     insta::assert_snapshot!(format!(
         "watching: {} {} {} {} {} {} {} {} {} {} {:?} {} {}\ndrains: {} {} {} {} {} {:?} {}\njoining: {} {:?} {} {} {} {} {}\n",
-        watching.keepers,
+        watching.coordinators,
         watching.dispatchers,
         watching.workers,
         ms(watching.length),
-        ms(watching.every),
+        ms(watching.fault_interval),
         watching.only_kills,
-        ms(watching.period),
-        ms(watching.unwatched),
+        ms(watching.probe_period),
+        ms(watching.max_unprobed),
         watching.rate,
-        watching.watch,
-        watching.flaw,
+        watching.share_health_checks,
+        watching.injected_bug,
         watching.seed,
         watching.script.len(),
-        drains.keepers,
+        drains.coordinators,
         drains.dispatchers,
         ms(drains.length),
-        ms(drains.every),
-        drains.warm_s,
-        drains.flaw,
+        ms(drains.fault_interval),
+        drains.warm_up_s,
+        drains.injected_bug,
         drains.seed,
         joining.dispatchers,
         joining.workers,
--- a/crates/emulator/tests/virtual_time.rs
+++ b/crates/emulator/tests/virtual_time.rs
@@ -3,12 +3,12 @@
 
 use dispatch_core::api::{Action, Event, Seconds, WorkerId, WorkerState};
 use dispatch_core::Settings;
-use emulator::checker::Breaches;
+use emulator::checker::RuleViolations;
 use emulator::day::Day;
-use emulator::metrics::Figures;
+use emulator::metrics::RunMetrics;
 use emulator::report::{compare, Results};
-use emulator::router::{router, Router, Sight};
-use emulator::run::virtual_runs;
+use emulator::router::{router, OracleView, Router};
+use emulator::run::run_virtual;
 use emulator::spec::{self, Experiment, RouterKind};
 use emulator::virtual_time;
 use indicatif::ProgressBar;
@@ -18,7 +18,7 @@
 fn days() -> Experiment {
     let mut experiment = spec::read("days.hcl", DAYS).expect("the experiment reads");
     experiment.length = 30.0;
-    experiment.arms.retain(|arm| matches!(arm.router, RouterKind::Cairncrank | RouterKind::Random));
+    experiment.arms.retain(|arm| matches!(arm.router, RouterKind::DecisionModule | RouterKind::Random));
     experiment
 }
 
@@ -27,8 +27,8 @@
     let experiment = days();
     let play = |threads| {
         let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("threads");
-        let runs = pool.install(|| virtual_runs(&experiment, &[3, 4], &ProgressBar::hidden()));
-        Results::of(&experiment, "virtual", &[3, 4], &runs)
+        let runs = pool.install(|| run_virtual(&experiment, &[3, 4], &ProgressBar::hidden()));
+        Results::summarize(&experiment, "virtual", &[3, 4], &runs)
     };
     let (one, many) = (play(1), play(4));
     let bytes = |results: &Results| serde_json::to_string(results).expect("JSON");
@@ -41,10 +41,10 @@
 fn the_module_keeps_the_rules_and_beats_chance() {
     let experiment = days();
     let seeds = [11, 12, 13, 14];
-    let runs = virtual_runs(&experiment, &seeds, &ProgressBar::hidden());
-    let results = Results::of(&experiment, "virtual", &seeds, &runs);
+    let runs = run_virtual(&experiment, &seeds, &ProgressBar::hidden());
+    let results = Results::summarize(&experiment, "virtual", &seeds, &runs);
     let (module, random) = (&results.arms[0], &results.arms[1]);
-    assert_eq!(module.rules, Breaches::default(), "{}", results.table());
+    assert_eq!(module.rules, RuleViolations::default(), "{}", results.table());
     assert!(module.service.all > random.service.all + 0.05, "{}", results.table());
 }
 
@@ -63,7 +63,13 @@
         self.good.start(now, actions);
     }
 
-    fn on_event(&mut self, now: Seconds, event: Event<'_>, actions: &mut Vec<Action>, sight: &dyn Sight) {
+    fn on_event(
+        &mut self,
+        now: Seconds,
+        event: Event<'_>,
+        actions: &mut Vec<Action>,
+        sight: &dyn OracleView,
+    ) {
         if let Event::List { members, .. } = event {
             for member in members {
                 if member.state == WorkerState::Serving {
@@ -76,25 +82,25 @@
     }
 }
 
-fn breaches(case: &str, bug: Bug) -> Breaches {
+fn breaches(case: &str, bug: Bug) -> RuleViolations {
     let experiment = days();
     let case = experiment.cases.iter().find(|c| c.name == case).expect("the case");
-    let mut all = Breaches::default();
+    let mut all = RuleViolations::default();
     for seed in 1..=4 {
         let day = Day::draw(&experiment, case, seed);
         let make = |settings: Settings, seed| -> Box<dyn Router> {
-            let good = router(RouterKind::Cairncrank, settings, seed);
+            let good = router(RouterKind::DecisionModule, settings, seed);
             Box::new(Buggy { good, bug, workers: Vec::new() })
         };
         let record = virtual_time::play(&experiment, &experiment.arms[0], &day, &make);
-        all.add(Figures::judge(&experiment, &day, &record).rules);
+        all.add(RunMetrics::evaluate(&experiment, &day, &record).rules);
     }
     all
 }
 
 #[test]
 fn a_router_without_a_bug_is_not_accused() {
-    assert_eq!(breaches("deploy", |_, _, _| {}), Breaches::default());
+    assert_eq!(breaches("deploy", |_, _, _| {}), RuleViolations::default());
 }
 
 /// It sends what may have run to any worker once more.
