--- a/crates/cluster-member/src/effects.rs
+++ b/crates/cluster-member/src/effects.rs
@@ -14,7 +14,10 @@
 
 use crate::clock;
 use crate::member::Member;
-use crate::wire::{check_hello, Effect, EffectAnswer, Hello, Link, Peer, Turned, Welcome, Who, SCHEMA};
+use crate::wire::{
+    validate_client_hello, ClientHello, ClientIdentity, Connection, Effect, EffectResponse,
+    HandshakeRejection, Peer, ServerHello, SCHEMA_VERSION,
+};
 
 /// The most connections of owners that a receiver has.
 const MOST_OWNERS: usize = 256;
@@ -47,29 +50,31 @@
     stream: tokio::net::TcpStream,
     apply: &impl Fn(Effect) -> Vec<u8>,
 ) -> io::Result<()> {
-    let (mut link, hello) = Link::accept(stream).await?;
-    let owner = match (check_hello(&hello, &member.settings().installation), hello.who) {
-        (Ok(()), Who::Owner { name, .. }) => name,
-        (Err(why), _) => return link.welcome(&Welcome::Turned(why)).await,
-        (Ok(()), _) => return link.welcome(&Welcome::Turned(Turned::WrongDoor)).await,
+    let (mut link, hello) = Connection::accept(stream).await?;
+    let owner = match (validate_client_hello(&hello, &member.settings().installation), hello.identity) {
+        (Ok(()), ClientIdentity::LeaseHolder { name, .. }) => name,
+        (Err(why), _) => return link.send_server_hello(&ServerHello::Rejected(why)).await,
+        (Ok(()), _) => {
+            return link.send_server_hello(&ServerHello::Rejected(HandshakeRejection::WrongService)).await
+        }
     };
-    link.welcome(&Welcome::Fine { name: member.settings().name.clone() }).await?;
+    link.send_server_hello(&ServerHello::Accepted { name: member.settings().name.clone() }).await?;
     loop {
-        let effect: Effect = link.next().await?;
+        let effect: Effect = link.receive().await?;
         let now = clock::now();
-        let verdict = member.holder().borrow_mut().take(&effect.duty, effect.token, now);
+        let verdict = member.holder().borrow_mut().take(&effect.lease, effect.token, now);
         let what = serde_json::json!({
-            "duty": effect.duty.to_string(), "token": effect.token.0, "version": effect.version, "from": owner,
+            "duty": effect.lease.to_string(), "token": effect.token.0, "version": effect.sequence, "from": owner,
         });
         let answer = match verdict {
             Ok(()) => {
                 member.record().put(now, "taken", what);
-                EffectAnswer::Taken(apply(effect))
+                EffectResponse::Accepted(apply(effect))
             }
             Err(refusal) => {
                 member.record().put(now, "refused", what);
-                tracing::info!(from = owner, duty = %effect.duty, token = effect.token.0, %refusal, "effect refused");
-                EffectAnswer::Refused(refusal)
+                tracing::info!(from = owner, duty = %effect.lease, token = effect.token.0, %refusal, "effect refused");
+                EffectResponse::Rejected(refusal)
             }
         };
         link.send(&answer).await?;
@@ -194,16 +199,20 @@
 ) -> io::Result<()> {
     let (settings, token) = (member.settings(), *token);
     let incarnation = member.holder().borrow().last_session().map_or(0, |session| session.incarnation);
-    let who = Who::Owner { name: settings.name.clone(), incarnation };
-    let hello = Hello { schema: SCHEMA, installation: settings.installation.clone(), who };
-    let (mut link, _) = Link::connect(address, settings.bind, &hello).await?;
+    let who = ClientIdentity::LeaseHolder { name: settings.name.clone(), incarnation };
+    let hello = ClientHello {
+        schema_version: SCHEMA_VERSION,
+        installation: settings.installation.clone(),
+        identity: who,
+    };
+    let (mut link, _) = Connection::connect(address, settings.bind, &hello).await?;
     let once = member.holder().borrow().flaw() == Some(Flaw::NoLookAtTheClock);
     let mut looked = false;
     loop {
         said.changed().await.map_err(|_| io::Error::from(io::ErrorKind::BrokenPipe))?;
         let Said { version, body } = said.borrow_and_update().clone();
-        let effect = Effect { duty: duty.clone(), token, version, body: body.to_vec() };
-        let packed = crate::wire::pack(&effect)?;
+        let effect = Effect { lease: duty.clone(), token, sequence: version, body: body.to_vec() };
+        let packed = crate::wire::encode(&effect)?;
         // The look at the clock is the last thing before the write.
         let now = clock::now();
         let skip_look = once && looked;
@@ -212,10 +221,10 @@
         }
         looked = true;
         member.record().put(now, "acted", serde_json::json!({"duty": duty.to_string(), "token": token.0}));
-        link.send_packed(packed).await?;
-        match timeout(ANSWER, link.next::<EffectAnswer>()).await?? {
-            EffectAnswer::Taken(back) => hears(&back),
-            EffectAnswer::Refused(why) => {
+        link.send_encoded(packed).await?;
+        match timeout(ANSWER, link.receive::<EffectResponse>()).await?? {
+            EffectResponse::Accepted(back) => hears(&back),
+            EffectResponse::Rejected(why) => {
                 tracing::warn!(duty = %duty, token = token.0, %why, "an effect of this process was refused");
             }
         }
--- a/crates/cluster-member/src/keepers.rs
+++ b/crates/cluster-member/src/keepers.rs
@@ -7,7 +7,9 @@
 
 use tokio::time::{sleep, timeout_at, Instant};
 
-use crate::wire::{Answer, Ask, FromKeeper, Hello, Link, Request, Who, SCHEMA};
+use crate::wire::{
+    ClientHello, ClientIdentity, Connection, CoordinatorMessage, Operation, Request, Response, SCHEMA_VERSION,
+};
 
 /// One keeper gets so long for an answer before another one is asked.
 const CALL: Duration = Duration::from_millis(400);
@@ -18,10 +20,10 @@
 #[derive(Debug)]
 pub struct Keepers {
     installation: String,
-    who: Who,
+    who: ClientIdentity,
     bind: Option<IpAddr>,
     keepers: BTreeMap<u64, SocketAddr>,
-    link: Option<Link>,
+    link: Option<Connection>,
     at: u64,
     next: u64,
 }
@@ -30,7 +32,7 @@
     /// Asked by whom, and from which address.
     pub fn new(
         installation: &str,
-        who: Who,
+        who: ClientIdentity,
         keepers: BTreeMap<u64, SocketAddr>,
         bind: Option<IpAddr>,
     ) -> Keepers {
@@ -42,12 +44,12 @@
     ///
     /// # Errors
     /// No keeper that leads answers by then: a majority is not there, or not reached.
-    pub async fn ask(&mut self, ask: &Ask, by: Instant) -> Result<Answer, String> {
+    pub async fn ask(&mut self, ask: &Operation, by: Instant) -> Result<Response, String> {
         let mut why = String::from("no time was left");
         while Instant::now() < by {
             let call = by.min(Instant::now() + CALL);
             match timeout_at(call, self.once(ask)).await {
-                Ok(Ok(Answer::NotLeading { leader, address })) => {
+                Ok(Ok(Response::NotLeader { leader, address })) => {
                     why = "no keeper leads".to_owned();
                     self.link = None;
                     match leader.filter(|leader| *leader != self.at) {
@@ -61,7 +63,7 @@
                         None => self.other(),
                     }
                 }
-                Ok(Ok(Answer::Busy)) => why = "the keeper that leads is busy".to_owned(),
+                Ok(Ok(Response::Busy)) => why = "the keeper that leads is busy".to_owned(),
                 Ok(Ok(answer)) => return Ok(answer),
                 Ok(Err(error)) => {
                     why = format!("keeper {}: {error}", self.at);
@@ -84,19 +86,25 @@
         self.at = next.map_or(0, |(number, _)| *number);
     }
 
-    async fn once(&mut self, ask: &Ask) -> io::Result<Answer> {
+    async fn once(&mut self, ask: &Operation) -> io::Result<Response> {
         let mut link = match self.link.take() {
             Some(link) => link,
             None => {
                 let address = self.keepers.get(&self.at).copied().ok_or(io::ErrorKind::NotFound)?;
                 let (installation, who) = (self.installation.clone(), self.who.clone());
-                Link::connect(address, self.bind, &Hello { schema: SCHEMA, installation, who }).await?.0
+                Connection::connect(
+                    address,
+                    self.bind,
+                    &ClientHello { schema_version: SCHEMA_VERSION, installation, identity: who },
+                )
+                .await?
+                .0
             }
         };
         self.next += 1;
-        link.send(&Request { id: self.next, ask: ask.clone() }).await?;
+        link.send(&Request { id: self.next, operation: ask.clone() }).await?;
         loop {
-            if let FromKeeper::Answer(id, answer) = link.next().await? {
+            if let CoordinatorMessage::Response(id, answer) = link.receive().await? {
                 if id == self.next {
                     self.link = Some(link);
                     return Ok(answer);
--- a/crates/cluster-member/src/member.rs
+++ b/crates/cluster-member/src/member.rs
@@ -13,7 +13,10 @@
 
 use crate::clock;
 use crate::record::Recorder;
-use crate::wire::{turned_away, Answer, Ask, FromKeeper, Hello, Link, Peer, Request, Who, SCHEMA};
+use crate::wire::{
+    handshake_rejection, ClientHello, ClientIdentity, Connection, CoordinatorMessage, Operation, Peer,
+    Request, Response, SCHEMA_VERSION,
+};
 
 /// The most keepers that a member knows of: those that it is told of and those that came later.
 const MOST_KEEPERS: usize = 32;
@@ -205,9 +208,13 @@
         }
     }
 
-    fn hello(&self) -> Hello {
-        let who = Who::Member { name: self.settings.name.clone() };
-        Hello { schema: SCHEMA, installation: self.settings.installation.clone(), who }
+    fn hello(&self) -> ClientHello {
+        let who = ClientIdentity::Member { name: self.settings.name.clone() };
+        ClientHello {
+            schema_version: SCHEMA_VERSION,
+            installation: self.settings.installation.clone(),
+            identity: who,
+        }
     }
 
     async fn with_keeper(&self, (keeper, address): (u64, Option<SocketAddr>), boot: u64) -> io::Result<Next> {
@@ -215,10 +222,10 @@
         let Some(address) = address else { return Ok(Next::Elsewhere(None)) };
         let call = Duration::from_micros(settings.times.call);
         let hello = self.hello();
-        let connecting = tokio::time::timeout(call, Link::connect(address, settings.bind, &hello));
+        let connecting = tokio::time::timeout(call, Connection::connect(address, settings.bind, &hello));
         let mut link = match connecting.await? {
             Ok((link, _)) => link,
-            Err(error) => match turned_away(&error) {
+            Err(error) => match handshake_rejection(&error) {
                 Some(why) => {
                     tracing::warn!(keeper, %why, "a keeper turned this member away");
                     return Ok(Next::Elsewhere(None));
@@ -235,41 +242,41 @@
             let leaving = *self.leaving.borrow();
             let ask = match session {
                 None if leaving => return Ok(Next::End(Ended::Left)),
-                Some(session) if leaving => Ask::Leave { session },
+                Some(session) if leaving => Operation::CloseSession { session },
                 Some(_) if !self.releases.borrow().is_empty() => {
                     let (duty, token) = self.releases.borrow()[0].clone();
-                    Ask::Release { duty, token: Some(token) }
+                    Operation::ReleaseLease { lease: duty, token: Some(token) }
                 }
-                Some(session) => Ask::Renew {
+                Some(session) => Operation::RenewSession {
                     session,
-                    seen: self.holder.borrow().seen(),
-                    roster: self.holder.borrow().owned(now).first().map(|_| self.roster.borrow().0),
+                    known_view: self.holder.borrow().seen(),
+                    known_members: self.holder.borrow().owned(now).first().map(|_| self.roster.borrow().0),
                 },
-                None => Ask::Join {
+                None => Operation::OpenSession {
                     name: settings.name.clone(),
-                    boot,
+                    boot_id: boot,
                     zone: settings.zone.clone(),
                     address: settings.address.clone(),
-                    offers: settings.offers.clone(),
+                    eligible_leases: settings.offers.clone(),
                 },
             };
             id += 1;
-            let releasing = matches!(ask, Ask::Release { .. });
+            let releasing = matches!(ask, Operation::ReleaseLease { .. });
             let asked = clock::now();
-            link.send(&Request { id, ask }).await?;
+            link.send(&Request { id, operation: ask }).await?;
             let mut news = false;
             let deadline = Instant::now() + call;
             let answer = loop {
-                match timeout_at(deadline, link.next()).await?? {
-                    FromKeeper::Answer(of, answer) if of == id => break answer,
-                    FromKeeper::Answer(..) => {}
-                    FromKeeper::News(of, view) => news |= self.hear(of, view),
+                match timeout_at(deadline, link.receive()).await?? {
+                    CoordinatorMessage::Response(of, answer) if of == id => break answer,
+                    CoordinatorMessage::Response(..) => {}
+                    CoordinatorMessage::ViewChanged(of, view) => news |= self.hear(of, view),
                 }
             };
-            if leaving && matches!(answer, Answer::Done | Answer::Refused(_)) {
+            if leaving && matches!(answer, Response::Done | Response::Rejected(_)) {
                 return Ok(Next::End(Ended::Left));
             }
-            if releasing && matches!(answer, Answer::Done | Answer::Refused(_)) {
+            if releasing && matches!(answer, Response::Done | Response::Rejected(_)) {
                 // Done, or the term was over already.
                 self.releases.send_modify(|releases| drop(releases.remove(0)));
                 continue;
@@ -285,13 +292,13 @@
                 + Duration::from_micros((asked + settings.times.renew).saturating_sub(clock::now()));
             loop {
                 tokio::select! {
-                    message = link.next() => match message? {
-                        FromKeeper::News(of, view) => {
+                    message = link.receive() => match message? {
+                        CoordinatorMessage::ViewChanged(of, view) => {
                             if self.hear(of, view) {
                                 break;
                             }
                         }
-                        FromKeeper::Answer(..) => {}
+                        CoordinatorMessage::Response(..) => {}
                     },
                     () = sleep_until(due) => break,
                     _ = told.wait_for(|leaving| *leaving) => break,
@@ -310,10 +317,10 @@
     }
 
     /// Takes an answer in; what to do next, unless it is to go on here.
-    fn learn(&self, renewed: Option<SessionId>, asked: u64, answer: Answer) -> Option<Next> {
+    fn learn(&self, renewed: Option<SessionId>, asked: u64, answer: Response) -> Option<Next> {
         let now = clock::now();
         match answer {
-            Answer::Joined { session, incarnation, view } => {
+            Response::SessionOpened { session, incarnation, view } => {
                 self.holder.borrow_mut().joined(session, incarnation, asked, now, view);
                 *self.roster.borrow_mut() = (0, Vec::new());
                 let name = &self.settings.name;
@@ -324,7 +331,7 @@
                     serde_json::json!({"session": session.0, "incarnation": incarnation}),
                 );
             }
-            Answer::Renewed { view, roster } => {
+            Response::SessionRenewed { view, members: roster } => {
                 if let Some(session) = renewed {
                     self.holder.borrow_mut().renewed(session, asked, now, view);
                 }
@@ -332,22 +339,24 @@
                     *self.roster.borrow_mut() = roster;
                 }
             }
-            Answer::NotLeading { leader, address } => {
+            Response::NotLeader { leader, address } => {
                 let address = address.and_then(|address| address.parse().ok());
                 return Some(Next::Elsewhere(leader.map(|leader| (leader, address))));
             }
-            Answer::Refused(Reason::Superseded { incarnation }) => {
+            Response::Rejected(Reason::Superseded { incarnation }) => {
                 tracing::error!(
                     incarnation,
                     "another process of the same name is there; this one is no member any more"
                 );
                 return Some(Next::End(Ended::Superseded { incarnation }));
             }
-            Answer::Refused(Reason::NoSession) => self.holder.borrow_mut().gone(),
-            Answer::Refused(reason) => return Some(Next::End(Ended::Refused(reason.to_string()))),
-            Answer::Busy | Answer::Done | Answer::Status(_) | Answer::Account(..) | Answer::Changed(_) => {
-                return Some(Next::Elsewhere(None))
-            }
+            Response::Rejected(Reason::NoSession) => self.holder.borrow_mut().gone(),
+            Response::Rejected(reason) => return Some(Next::End(Ended::Refused(reason.to_string()))),
+            Response::Busy
+            | Response::Done
+            | Response::Status(_)
+            | Response::DisruptionState(..)
+            | Response::DisruptionStateChanged(_) => return Some(Next::Elsewhere(None)),
         }
         self.changed.send_modify(|count| *count += 1);
         None
--- a/crates/cluster-member/src/wire.rs
+++ b/crates/cluster-member/src/wire.rs
@@ -15,32 +15,32 @@
 
 /// The version of these messages, and the oldest that is still spoken with whoever knows no later one. What a later
 /// version adds is not said to an end of an older one, which would not have asked for it.
-pub const SCHEMA: u16 = 3;
+pub const SCHEMA_VERSION: u16 = 3;
 /// See [`SCHEMA`].
-pub const OLDEST_SCHEMA: u16 = 2;
+pub const OLDEST_SCHEMA_VERSION: u16 = 2;
 /// The longest frame, in bytes.
-pub const LONGEST_FRAME: usize = 4 << 20;
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 /// The longest frame before the other end is known, in bytes.
-const LONGEST_HELLO: usize = 4 << 10;
+const MAX_HANDSHAKE_FRAME_BYTES: usize = 4 << 10;
 /// How long the other end may take to say who it is, or to take a frame.
-pub const PATIENCE: Duration = Duration::from_secs(2);
+pub const IO_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The first frame of whoever connects.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hello {
+pub struct ClientHello {
     /// [`SCHEMA`].
-    pub schema: u16,
+    pub schema_version: u16,
     /// The installation, as both ends are configured.
     pub installation: String,
     /// Who connects.
-    pub who: Who,
+    pub identity: ClientIdentity,
 }
 
 /// Who connects.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Who {
+pub enum ClientIdentity {
     /// A keeper, to another.
-    Keeper(Disk),
+    Replica(StoreIdentity),
     /// A member, to a keeper.
     Member {
         /// Its name.
@@ -49,7 +49,7 @@
     /// An operator, to a keeper.
     Operator,
     /// An owner, to a receiver of its effects.
-    Owner {
+    LeaseHolder {
         /// Its name.
         name: String,
         /// Which process of that name.
@@ -59,73 +59,73 @@
 
 /// What a keeper's disk says of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Disk {
+pub struct StoreIdentity {
     /// The keeper's number.
-    pub keeper: u64,
+    pub replica_id: u64,
     /// A number drawn when the disk was set up.
-    pub disk: u64,
+    pub store_id: u64,
     /// How often it was started.
-    pub boots: u64,
+    pub start_count: u64,
     /// The last term of Raft that it knew at this start.
-    pub term: u64,
+    pub raft_term: u64,
 }
 
 /// The answer to [`Hello`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Welcome {
+pub enum ServerHello {
     /// Come in; this keeper or member is the other end.
-    Fine {
+    Accepted {
         /// Its name.
         name: String,
     },
     /// Not here.
-    Turned(Turned),
+    Rejected(HandshakeRejection),
 }
 
 /// Why somebody is turned away.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Turned {
+pub enum HandshakeRejection {
     /// A later version of the messages.
-    Schema {
+    UnsupportedSchema {
         /// The latest that is spoken here.
-        ours: u16,
+        latest_supported: u16,
     },
     /// Another installation.
-    Installation {
+    WrongInstallation {
         /// The one here.
-        ours: String,
+        expected: String,
     },
     /// A keeper that is not one of these.
-    Stranger,
+    UnknownReplica,
     /// This keeper was known with another disk.
-    WrongDisk,
+    StoreMismatch,
     /// This disk was known with more starts or a later term: it is an old copy.
-    OldDisk {
+    StaleStore {
         /// The starts that were seen.
-        boots: u64,
+        start_count: u64,
         /// The term that was seen.
-        term: u64,
+        raft_term: u64,
     },
     /// Too many connections.
-    Full,
+    TooManyConnections,
     /// Not what is spoken at this address.
-    WrongDoor,
+    WrongService,
 }
 
-impl std::fmt::Display for Turned {
+impl std::fmt::Display for HandshakeRejection {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Turned::Schema { ours } => write!(f, "it speaks version {ours} of the messages, this program {OLDEST_SCHEMA} to {SCHEMA}"),
-            Turned::Installation { ours } => write!(f, "it belongs to installation {ours:?}"),
-            Turned::Stranger => write!(f, "it knows no keeper of this number"),
-            Turned::WrongDisk => write!(f, "it knows this keeper with another disk; set the keeper up as a new one"),
-            Turned::OldDisk { boots, term } => write!(
+            HandshakeRejection::UnsupportedSchema { latest_supported: ours } => write!(f, "it speaks version {ours} of the messages, this program {OLDEST_SCHEMA_VERSION} to {SCHEMA_VERSION}"),
+            HandshakeRejection::WrongInstallation { expected: ours } => write!(f, "it belongs to installation {ours:?}"),
+            HandshakeRejection::UnknownReplica => write!(f, "it knows no keeper of this number"),
+            HandshakeRejection::StoreMismatch => write!(f, "it knows this keeper with another disk; set the keeper up as a new one"),
+            HandshakeRejection::StaleStore { start_count: boots, raft_term: term } => write!(
                 f,
                 "it saw this disk with {boots} starts and term {term}: what is on it now is an old copy, which may not \
                  vote; set the keeper up as a new one"
             ),
-            Turned::Full => write!(f, "it has no room for another connection"),
-            Turned::WrongDoor => write!(f, "it does not speak with the likes of this at that address"),
+            HandshakeRejection::TooManyConnections => write!(f, "it has no room for another connection"),
+            HandshakeRejection::WrongService => write!(f, "it does not speak with the likes of this at that address"),
         }
     }
 }
@@ -136,50 +136,50 @@
     /// A number of the asker's; the answer has the same.
     pub id: u64,
     /// What is asked.
-    pub ask: Ask,
+    pub operation: Operation,
 }
 
 /// What may be asked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum Operation {
     /// A session.
-    Join {
+    OpenSession {
         /// The member's name.
         name: String,
         /// The number that its process drew.
-        boot: u64,
+        boot_id: u64,
         /// Its zone.
         zone: String,
         /// Where it is reached.
         address: String,
         /// What it may be given.
-        offers: Vec<DutyId>,
+        eligible_leases: Vec<DutyId>,
     },
     /// The session is to go on.
-    Renew {
+    RenewSession {
         /// Which.
         session: SessionId,
         /// The last view that was applied.
-        seen: Revision,
+        known_view: Revision,
         /// The last list of members that is known, of those who need one.
-        roster: Option<Revision>,
+        known_members: Option<Revision>,
     },
     /// The session is over.
-    Leave {
+    CloseSession {
         /// Which.
         session: SessionId,
     },
     /// A term is over.
-    Release {
+    ReleaseLease {
         /// The duty.
-        duty: DutyId,
+        lease: DutyId,
         /// Which term; an operator leaves it out.
         token: Option<Token>,
     },
     /// How things are.
     Status,
     /// A keeper is to be replaced by a new one.
-    Replace {
+    ReplaceReplica {
         /// The one that goes.
         old: u64,
         /// The one that comes.
@@ -188,28 +188,28 @@
         address: String,
     },
     /// Who may be out, where that has changed since. Since version 3.
-    Account {
+    DisruptionState {
         /// The entry up to which the asker knows it.
-        known: Revision,
+        known_revision: Revision,
     },
     /// The account is to change. Since version 3.
-    Change(Change),
+    ChangeDisruptionState(Change),
 }
 
 /// What a keeper says.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum FromKeeper {
+pub enum CoordinatorMessage {
     /// The answer to a request.
-    Answer(u64, Answer),
+    Response(u64, Response),
     /// Who owns what has changed, told to the member of this session.
-    News(SessionId, View),
+    ViewChanged(SessionId, View),
 }
 
 /// An answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum Response {
     /// A session was given.
-    Joined {
+    SessionOpened {
         /// Which.
         session: SessionId,
         /// Which process of that name.
@@ -218,16 +218,16 @@
         view: View,
     },
     /// The session goes on.
-    Renewed {
+    SessionRenewed {
         /// Who owns what, if that is later than what was seen.
         view: Option<View>,
         /// The members, if asked for and changed.
-        roster: Option<(Revision, Vec<Peer>)>,
+        members: Option<(Revision, Vec<Peer>)>,
     },
     /// It was done.
     Done,
     /// Another keeper leads, this one if it is known.
-    NotLeading {
+    NotLeader {
         /// Its number.
         leader: Option<u64>,
         /// Where it is reached, if it came after the installation was set up: a member may not know of it.
@@ -236,13 +236,13 @@
     /// Not now: ask again.
     Busy,
     /// It was not done.
-    Refused(Reason),
+    Rejected(Reason),
     /// How things are.
-    Status(Box<Status>),
+    Status(Box<ReplicaStatus>),
     /// Who may be out, as of this entry; nothing where the asker knows it.
-    Account(Revision, Option<Box<Account>>),
+    DisruptionState(Revision, Option<Box<Account>>),
     /// What became of a change of the account.
-    Changed(Outcome),
+    DisruptionStateChanged(Outcome),
 }
 
 /// A member as others reach it.
@@ -260,39 +260,52 @@
 
 /// How things are at a keeper.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Status {
+pub struct ReplicaStatus {
     /// The keeper.
-    pub keeper: u64,
+    #[serde(rename = "keeper")]
+    pub replica_id: u64,
     /// Whether it leads.
-    pub leads: bool,
+    #[serde(rename = "leads")]
+    pub is_leader: bool,
     /// Who leads, as far as it knows.
-    pub leader: Option<u64>,
+    #[serde(rename = "leader")]
+    pub leader_id: Option<u64>,
     /// The term of Raft.
-    pub term: u64,
+    #[serde(rename = "term")]
+    pub raft_term: u64,
     /// The last entry that it applied.
-    pub applied: u64,
+    #[serde(rename = "applied")]
+    pub applied_index: u64,
     /// The last entry that it knows to be agreed.
-    pub committed: u64,
+    #[serde(rename = "committed")]
+    pub committed_index: u64,
     /// The first entry of the log that it still has.
-    pub first: u64,
+    #[serde(rename = "first")]
+    pub first_log_index: u64,
     /// How often its disk was started.
-    pub boots: u64,
+    #[serde(rename = "boots")]
+    pub start_count: u64,
     /// Elections that it has seen since it started.
-    pub elections: u64,
+    #[serde(rename = "elections")]
+    pub election_count: u64,
     /// From a proposal to its being applied, in microseconds: half of them, 99 of 100, the longest.
-    pub commit_us: (u64, u64, u64),
+    #[serde(rename = "commit_us")]
+    pub commit_latency: (u64, u64, u64),
     /// The members.
     pub members: Vec<MemberStatus>,
     /// The duties.
-    pub duties: Vec<DutyStatus>,
+    #[serde(rename = "duties")]
+    pub leases: Vec<LeaseStatus>,
     /// The keepers, and how often each one's disk was started.
-    pub keepers: Vec<(u64, u64)>,
+    #[serde(rename = "keepers")]
+    pub replicas: Vec<(u64, u64)>,
     /// Those that vote; while one is replaced, of both configurations.
     pub voters: Vec<u64>,
     /// Those that learn and do not vote yet.
     pub learners: Vec<u64>,
     /// Who is being replaced by whom.
-    pub replacing: Option<(u64, u64)>,
+    #[serde(rename = "replacing")]
+    pub replacement: Option<(u64, u64)>,
 }
 
 /// A member as a keeper sees it.
@@ -303,53 +316,59 @@
     /// Who.
     pub peer: Peer,
     /// Whether it has stayed long enough to be given duties.
-    pub settled: bool,
+    #[serde(rename = "settled")]
+    pub stable: bool,
     /// Whether a later process of the same name is there.
     pub superseded: bool,
     /// Short lives in a row.
-    pub short_lives: u8,
+    #[serde(rename = "short_lives")]
+    pub consecutive_short_sessions: u8,
 }
 
 /// A duty as a keeper sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DutyStatus {
+pub struct LeaseStatus {
     /// Which.
-    pub duty: DutyId,
+    #[serde(rename = "duty")]
+    pub lease: DutyId,
     /// Whose, and with which token.
-    pub owner: Option<(String, Token)>,
+    #[serde(rename = "owner")]
+    pub holder: Option<(String, Token)>,
     /// Tokens below are of ended terms.
-    pub floor: Token,
+    #[serde(rename = "floor")]
+    pub minimum_token: Token,
     /// The entry that ended the last term.
-    pub fenced: Revision,
+    #[serde(rename = "fenced")]
+    pub fencing_revision: Revision,
 }
 
 /// Something that an owner does at a receiver.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Effect {
     /// On behalf of which duty.
-    pub duty: DutyId,
+    pub lease: DutyId,
     /// In which term.
     pub token: Token,
     /// Counted within the term.
-    pub version: u64,
+    pub sequence: u64,
     /// What the duty says.
     pub body: Vec<u8>,
 }
 
 /// What becomes of an effect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum EffectAnswer {
+pub enum EffectResponse {
     /// It was taken; what the duty has the receiver say back.
-    Taken(Vec<u8>),
+    Accepted(Vec<u8>),
     /// It was not.
-    Refused(Refusal),
+    Rejected(Refusal),
 }
 
 /// A connection that carries messages.
 #[derive(Debug)]
-pub struct Link(Framed<TcpStream, LengthDelimitedCodec>);
+pub struct Connection(Framed<TcpStream, LengthDelimitedCodec>);
 
-fn unreadable(error: impl std::fmt::Display) -> io::Error {
+fn invalid_data(error: impl std::fmt::Display) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, error.to_string())
 }
 
@@ -357,11 +376,11 @@
 ///
 /// # Errors
 /// The message is longer than a frame may be.
-pub fn pack<T: Serialize>(message: &T) -> io::Result<Bytes> {
-    let packed = postcard::to_stdvec(message).map_err(unreadable)?;
-    match packed.len() <= LONGEST_FRAME {
+pub fn encode<T: Serialize>(message: &T) -> io::Result<Bytes> {
+    let packed = postcard::to_stdvec(message).map_err(invalid_data)?;
+    match packed.len() <= MAX_FRAME_BYTES {
         true => Ok(packed.into()),
-        false => Err(unreadable(format!("a message of {} bytes, over {LONGEST_FRAME}", packed.len()))),
+        false => Err(invalid_data(format!("a message of {} bytes, over {MAX_FRAME_BYTES}", packed.len()))),
     }
 }
 
@@ -369,49 +388,61 @@
 ///
 /// # Errors
 /// They are not one.
-pub fn unpack<T: DeserializeOwned>(frame: &[u8]) -> io::Result<T> {
-    postcard::from_bytes(frame).map_err(unreadable)
+pub fn decode<T: DeserializeOwned>(frame: &[u8]) -> io::Result<T> {
+    postcard::from_bytes(frame).map_err(invalid_data)
 }
 
-impl Link {
-    fn over(stream: TcpStream) -> Link {
+impl Connection {
+    fn from_stream(stream: TcpStream) -> Connection {
         // Small messages are answered by small messages; waiting to fill packets would only add delay.
         let _ = stream.set_nodelay(true);
-        Link(Framed::new(stream, LengthDelimitedCodec::builder().max_frame_length(LONGEST_HELLO).new_codec()))
+        Connection(Framed::new(
+            stream,
+            LengthDelimitedCodec::builder().max_frame_length(MAX_HANDSHAKE_FRAME_BYTES).new_codec(),
+        ))
     }
 
     /// Connects from this address and is let in, or says why not.
     ///
     /// # Errors
     /// Nobody is there, it takes too long, or the other end turned this one away (`PermissionDenied`).
-    pub async fn connect(to: SocketAddr, from: Option<IpAddr>, hello: &Hello) -> io::Result<(Link, String)> {
+    pub async fn connect(
+        to: SocketAddr,
+        from: Option<IpAddr>,
+        hello: &ClientHello,
+    ) -> io::Result<(Connection, String)> {
         let mut hello = hello.clone();
         loop {
-            match tokio::time::timeout(PATIENCE, Link::enter(to, from, &hello)).await? {
-                Ok((link, Welcome::Fine { name })) => return Ok((link, name)),
+            match tokio::time::timeout(IO_TIMEOUT, Connection::handshake(to, from, &hello)).await? {
+                Ok((link, ServerHello::Accepted { name })) => return Ok((link, name)),
                 // One of an older version: spoken with in its own, where that is still known here.
-                Ok((_, Welcome::Turned(Turned::Schema { ours })))
-                    if (OLDEST_SCHEMA..hello.schema).contains(&ours) =>
-                {
-                    hello.schema = ours;
+                Ok((
+                    _,
+                    ServerHello::Rejected(HandshakeRejection::UnsupportedSchema { latest_supported: ours }),
+                )) if (OLDEST_SCHEMA_VERSION..hello.schema_version).contains(&ours) => {
+                    hello.schema_version = ours;
                 }
-                Ok((_, Welcome::Turned(why))) => {
-                    return Err(io::Error::new(io::ErrorKind::PermissionDenied, TurnedAway(why)));
+                Ok((_, ServerHello::Rejected(why))) => {
+                    return Err(io::Error::new(io::ErrorKind::PermissionDenied, HandshakeRejected(why)));
                 }
                 Err(error) => return Err(error),
             }
         }
     }
 
-    async fn enter(to: SocketAddr, from: Option<IpAddr>, hello: &Hello) -> io::Result<(Link, Welcome)> {
+    async fn handshake(
+        to: SocketAddr,
+        from: Option<IpAddr>,
+        hello: &ClientHello,
+    ) -> io::Result<(Connection, ServerHello)> {
         let socket = if to.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         if let Some(from) = from {
             socket.bind(SocketAddr::new(from, 0))?;
         }
-        let mut link = Link::over(socket.connect(to).await?);
+        let mut link = Connection::from_stream(socket.connect(to).await?);
         link.send(hello).await?;
-        let welcome = link.next().await?;
-        link.known();
+        let welcome = link.receive().await?;
+        link.raise_frame_limit();
         Ok((link, welcome))
     }
 
@@ -419,9 +450,9 @@
     ///
     /// # Errors
     /// It does not say so in time, or not in a way that can be read.
-    pub async fn accept(stream: TcpStream) -> io::Result<(Link, Hello)> {
-        let mut link = Link::over(stream);
-        let hello = tokio::time::timeout(PATIENCE, link.next()).await??;
+    pub async fn accept(stream: TcpStream) -> io::Result<(Connection, ClientHello)> {
+        let mut link = Connection::from_stream(stream);
+        let hello = tokio::time::timeout(IO_TIMEOUT, link.receive()).await??;
         Ok((link, hello))
     }
 
@@ -429,14 +460,14 @@
     ///
     /// # Errors
     /// The connection is gone.
-    pub async fn welcome(&mut self, welcome: &Welcome) -> io::Result<()> {
+    pub async fn send_server_hello(&mut self, welcome: &ServerHello) -> io::Result<()> {
         self.send(welcome).await?;
-        self.known();
+        self.raise_frame_limit();
         Ok(())
     }
 
-    fn known(&mut self) {
-        self.0.codec_mut().set_max_frame_length(LONGEST_FRAME);
+    fn raise_frame_limit(&mut self) {
+        self.0.codec_mut().set_max_frame_length(MAX_FRAME_BYTES);
     }
 
     /// Sends a message.
@@ -444,22 +475,22 @@
     /// # Errors
     /// The connection is gone, or takes nothing for [`PATIENCE`].
     pub async fn send<T: Serialize>(&mut self, message: &T) -> io::Result<()> {
-        self.send_packed(pack(message)?).await
+        self.send_encoded(encode(message)?).await
     }
 
     /// Sends a message that was packed before.
     ///
     /// # Errors
     /// The connection is gone, or takes nothing for [`PATIENCE`].
-    pub async fn send_packed(&mut self, packed: Bytes) -> io::Result<()> {
-        tokio::time::timeout(PATIENCE, self.0.send(packed)).await?
+    pub async fn send_encoded(&mut self, packed: Bytes) -> io::Result<()> {
+        tokio::time::timeout(IO_TIMEOUT, self.0.send(packed)).await?
     }
 
     /// The next message, as it came. Whoever stops waiting for it loses nothing.
     ///
     /// # Errors
     /// The connection is gone.
-    pub async fn next_packed(&mut self) -> io::Result<BytesMut> {
+    pub async fn receive_encoded(&mut self) -> io::Result<BytesMut> {
         self.0.next().await.unwrap_or_else(|| Err(io::ErrorKind::UnexpectedEof.into()))
     }
 
@@ -467,62 +498,67 @@
     ///
     /// # Errors
     /// The connection is gone, or what came cannot be read.
-    pub async fn next<T: DeserializeOwned>(&mut self) -> io::Result<T> {
-        unpack(&self.next_packed().await?)
+    pub async fn receive<T: DeserializeOwned>(&mut self) -> io::Result<T> {
+        decode(&self.receive_encoded().await?)
     }
 
     /// The two halves, for tasks of their own.
     pub fn split(
         self,
-    ) -> (futures_util::stream::SplitSink<Framed<TcpStream, LengthDelimitedCodec>, Bytes>, Frames) {
+    ) -> (futures_util::stream::SplitSink<Framed<TcpStream, LengthDelimitedCodec>, Bytes>, ConnectionReader)
+    {
         let (sink, stream) = self.0.split();
-        (sink, Frames(stream))
+        (sink, ConnectionReader(stream))
     }
 }
 
 /// The incoming half of a connection.
 #[derive(Debug)]
-pub struct Frames(futures_util::stream::SplitStream<Framed<TcpStream, LengthDelimitedCodec>>);
+pub struct ConnectionReader(futures_util::stream::SplitStream<Framed<TcpStream, LengthDelimitedCodec>>);
 
-impl Frames {
+impl ConnectionReader {
     /// The next message.
     ///
     /// # Errors
     /// The connection is gone, or what came cannot be read.
-    pub async fn next<T: DeserializeOwned>(&mut self) -> io::Result<T> {
-        unpack(&self.0.next().await.unwrap_or_else(|| Err(io::ErrorKind::UnexpectedEof.into()))?)
+    pub async fn receive<T: DeserializeOwned>(&mut self) -> io::Result<T> {
+        decode(&self.0.next().await.unwrap_or_else(|| Err(io::ErrorKind::UnexpectedEof.into()))?)
     }
 }
 
 /// That the other end turned this one away, as the cause of an [`io::Error`].
 #[derive(Debug)]
-pub struct TurnedAway(pub Turned);
+pub struct HandshakeRejected(pub HandshakeRejection);
 
-impl std::fmt::Display for TurnedAway {
+impl std::fmt::Display for HandshakeRejected {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "turned away: {}", self.0)
     }
 }
 
-impl std::error::Error for TurnedAway {}
+impl std::error::Error for HandshakeRejected {}
 
 /// Why the other end turned this one away, if that is what the error says.
-pub fn turned_away(error: &io::Error) -> Option<&Turned> {
-    error.get_ref()?.downcast_ref::<TurnedAway>().map(|turned| &turned.0)
+pub fn handshake_rejection(error: &io::Error) -> Option<&HandshakeRejection> {
+    error.get_ref()?.downcast_ref::<HandshakeRejected>().map(|turned| &turned.0)
 }
 
 /// What is wrong with a greeting, if anything.
-pub fn check_hello(hello: &Hello, installation: &str) -> Result<(), Turned> {
-    check_hello_of(SCHEMA, hello, installation)
+pub fn validate_client_hello(hello: &ClientHello, installation: &str) -> Result<(), HandshakeRejection> {
+    validate_client_hello_for_version(SCHEMA_VERSION, hello, installation)
 }
 
 /// The same at an end that speaks no later version than this.
-pub fn check_hello_of(ours: u16, hello: &Hello, installation: &str) -> Result<(), Turned> {
-    if !(OLDEST_SCHEMA..=ours).contains(&hello.schema) {
-        return Err(Turned::Schema { ours });
+pub fn validate_client_hello_for_version(
+    ours: u16,
+    hello: &ClientHello,
+    installation: &str,
+) -> Result<(), HandshakeRejection> {
+    if !(OLDEST_SCHEMA_VERSION..=ours).contains(&hello.schema_version) {
+        return Err(HandshakeRejection::UnsupportedSchema { latest_supported: ours });
     }
     match hello.installation == installation {
         true => Ok(()),
-        false => Err(Turned::Installation { ours: installation.to_owned() }),
+        false => Err(HandshakeRejection::WrongInstallation { expected: installation.to_owned() }),
     }
 }
--- a/crates/cluster-member/tests/connection.rs
+++ b/crates/cluster-member/tests/connection.rs
@@ -5,14 +5,19 @@
 use std::net::SocketAddr;
 
 use cluster_member::wire::{
-    check_hello, check_hello_of, pack, turned_away, Ask, Hello, Link, Request, Turned, Welcome, Who, SCHEMA,
+    encode, handshake_rejection, validate_client_hello, validate_client_hello_for_version, ClientHello,
+    ClientIdentity, Connection, HandshakeRejection, Operation, Request, ServerHello, SCHEMA_VERSION,
 };
 use support::{assert_pinned, hex};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-fn hello(schema: u16) -> Hello {
-    Hello { schema, installation: "north".to_owned(), who: Who::Member { name: "d1".to_owned() } }
+fn hello(schema: u16) -> ClientHello {
+    ClientHello {
+        schema_version: schema,
+        installation: "north".to_owned(),
+        identity: ClientIdentity::Member { name: "d1".to_owned() },
+    }
 }
 
 async fn listen() -> (TcpListener, SocketAddr) {
@@ -49,11 +54,11 @@
         text += &format!("encoded before: {}\n", hex(&read_frame(&mut stream).await));
         text
     });
-    let (mut link, name) = Link::connect(address, None, &hello(SCHEMA)).await.unwrap();
+    let (mut link, name) = Connection::connect(address, None, &hello(SCHEMA_VERSION)).await.unwrap();
     assert_eq!(name, "k");
-    let request = Request { id: 300, ask: Ask::Status };
+    let request = Request { id: 300, operation: Operation::Status };
     link.send(&request).await.unwrap();
-    link.send_packed(pack(&request).unwrap()).await.unwrap();
+    link.send_encoded(encode(&request).unwrap()).await.unwrap();
     assert_pinned("frames", &server.await.unwrap());
 }
 
@@ -62,39 +67,48 @@
     let (listener, address) = listen().await;
     let server = tokio::spawn(async move {
         let mut schemas = Vec::new();
-        for welcome in [Welcome::Turned(Turned::Schema { ours: 2 }), Welcome::Fine { name: "k".to_owned() }] {
+        for welcome in [
+            ServerHello::Rejected(HandshakeRejection::UnsupportedSchema { latest_supported: 2 }),
+            ServerHello::Accepted { name: "k".to_owned() },
+        ] {
             let (mut stream, _) = listener.accept().await.unwrap();
             // The first part of the body is the schema.
             schemas.push(read_frame(&mut stream).await[4]);
-            write_frame(&mut stream, &pack(&welcome).unwrap()).await;
+            write_frame(&mut stream, &encode(&welcome).unwrap()).await;
         }
         schemas
     });
-    Link::connect(address, None, &hello(SCHEMA)).await.unwrap();
+    Connection::connect(address, None, &hello(SCHEMA_VERSION)).await.unwrap();
     assert_eq!(server.await.unwrap(), [3, 2]);
 }
 
 #[tokio::test]
 async fn a_rejected_client_is_told_why() {
     for (why, text) in [
-        (Turned::Full, "turned away: it has no room for another connection"),
-        (Turned::Schema { ours: 1 }, "turned away: it speaks version 1 of the messages, this program 2 to 3"),
-        (Turned::Schema { ours: 9 }, "turned away: it speaks version 9 of the messages, this program 2 to 3"),
+        (HandshakeRejection::TooManyConnections, "turned away: it has no room for another connection"),
+        (
+            HandshakeRejection::UnsupportedSchema { latest_supported: 1 },
+            "turned away: it speaks version 1 of the messages, this program 2 to 3",
+        ),
+        (
+            HandshakeRejection::UnsupportedSchema { latest_supported: 9 },
+            "turned away: it speaks version 9 of the messages, this program 2 to 3",
+        ),
         (
-            Turned::Installation { ours: "south".to_owned() },
+            HandshakeRejection::WrongInstallation { expected: "south".to_owned() },
             "turned away: it belongs to installation \"south\"",
         ),
     ] {
         let (listener, address) = listen().await;
-        let welcome = Welcome::Turned(why.clone());
+        let welcome = ServerHello::Rejected(why.clone());
         tokio::spawn(async move {
             let (stream, _) = listener.accept().await.unwrap();
-            let (mut link, heard) = Link::accept(stream).await.unwrap();
-            assert_eq!(heard, hello(SCHEMA));
-            link.welcome(&welcome).await.unwrap();
+            let (mut link, heard) = Connection::accept(stream).await.unwrap();
+            assert_eq!(heard, hello(SCHEMA_VERSION));
+            link.send_server_hello(&welcome).await.unwrap();
         });
-        let error = Link::connect(address, None, &hello(SCHEMA)).await.unwrap_err();
-        assert_eq!(turned_away(&error), Some(&why));
+        let error = Connection::connect(address, None, &hello(SCHEMA_VERSION)).await.unwrap_err();
+        assert_eq!(handshake_rejection(&error), Some(&why));
         assert_eq!(error.to_string(), text);
     }
 }
@@ -103,13 +117,13 @@
 async fn other_errors_are_no_rejections() {
     let (listener, address) = listen().await;
     drop(listener);
-    let error = Link::connect(address, None, &hello(SCHEMA)).await.unwrap_err();
-    assert_eq!(turned_away(&error), None);
+    let error = Connection::connect(address, None, &hello(SCHEMA_VERSION)).await.unwrap_err();
+    assert_eq!(handshake_rejection(&error), None);
     assert_eq!(error.to_string(), "Connection refused (os error 111)");
     let (listener, address) = listen().await;
     tokio::spawn(async move { drop(listener.accept().await.unwrap()) });
-    let error = Link::connect(address, None, &hello(SCHEMA)).await.unwrap_err();
-    assert_eq!(turned_away(&error), None);
+    let error = Connection::connect(address, None, &hello(SCHEMA_VERSION)).await.unwrap_err();
+    assert_eq!(handshake_rejection(&error), None);
     let (listener, address) = listen().await;
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
@@ -117,42 +131,51 @@
         write_frame(&mut stream, &[9]).await;
         let _ = stream.read_u8().await;
     });
-    let error = Link::connect(address, None, &hello(SCHEMA)).await.unwrap_err();
-    assert_eq!(turned_away(&error), None);
+    let error = Connection::connect(address, None, &hello(SCHEMA_VERSION)).await.unwrap_err();
+    assert_eq!(handshake_rejection(&error), None);
     assert_eq!(error.to_string(), "Serde Deserialization Error");
 }
 
 #[tokio::test]
 async fn a_client_hello_is_short_and_later_frames_may_be_long() {
-    let mut longest = hello(SCHEMA);
-    longest.installation = "n".repeat(4_096 - pack(&longest).unwrap().len() + 4);
-    assert_eq!(pack(&longest).unwrap().len(), 4_096);
-    let longer = Hello { installation: format!("n{}", longest.installation), ..longest.clone() };
+    let mut longest = hello(SCHEMA_VERSION);
+    longest.installation = "n".repeat(4_096 - encode(&longest).unwrap().len() + 4);
+    assert_eq!(encode(&longest).unwrap().len(), 4_096);
+    let longer = ClientHello { installation: format!("n{}", longest.installation), ..longest.clone() };
     for (hello, fits) in [(longest, true), (longer, false)] {
         let (listener, address) = listen().await;
         let mut stream = TcpStream::connect(address).await.unwrap();
-        write_frame(&mut stream, &pack(&hello).unwrap()).await;
-        let accepted = Link::accept(listener.accept().await.unwrap().0).await;
+        write_frame(&mut stream, &encode(&hello).unwrap()).await;
+        let accepted = Connection::accept(listener.accept().await.unwrap().0).await;
         assert_eq!(accepted.is_ok(), fits);
         let Ok((mut link, _)) = accepted else { continue };
-        link.welcome(&Welcome::Fine { name: "k".to_owned() }).await.unwrap();
+        link.send_server_hello(&ServerHello::Accepted { name: "k".to_owned() }).await.unwrap();
         let long = "x".repeat(100_000);
-        write_frame(&mut stream, &pack(&long).unwrap()).await;
-        assert_eq!(link.next::<String>().await.unwrap(), long);
+        write_frame(&mut stream, &encode(&long).unwrap()).await;
+        assert_eq!(link.receive::<String>().await.unwrap(), long);
     }
 }
 
 #[test]
 fn a_client_hello_is_checked() {
-    let check = |schema, installation: &str| check_hello(&hello(schema), installation);
+    let check = |schema, installation: &str| validate_client_hello(&hello(schema), installation);
     assert_eq!([check(2, "north"), check(3, "north")], [Ok(()), Ok(())]);
     assert_eq!(
         [check(1, "north"), check(4, "north")],
-        [Err(Turned::Schema { ours: 3 }), Err(Turned::Schema { ours: 3 })]
+        [
+            Err(HandshakeRejection::UnsupportedSchema { latest_supported: 3 }),
+            Err(HandshakeRejection::UnsupportedSchema { latest_supported: 3 })
+        ]
     );
-    assert_eq!(check(3, "south"), Err(Turned::Installation { ours: "south".to_owned() }));
-    assert_eq!(check(4, "south"), Err(Turned::Schema { ours: 3 }));
+    assert_eq!(
+        check(3, "south"),
+        Err(HandshakeRejection::WrongInstallation { expected: "south".to_owned() })
+    );
+    assert_eq!(check(4, "south"), Err(HandshakeRejection::UnsupportedSchema { latest_supported: 3 }));
     // An end that speaks no later schema than 2.
-    assert_eq!(check_hello_of(2, &hello(2), "north"), Ok(()));
-    assert_eq!(check_hello_of(2, &hello(3), "north"), Err(Turned::Schema { ours: 2 }));
+    assert_eq!(validate_client_hello_for_version(2, &hello(2), "north"), Ok(()));
+    assert_eq!(
+        validate_client_hello_for_version(2, &hello(3), "north"),
+        Err(HandshakeRejection::UnsupportedSchema { latest_supported: 2 })
+    );
 }
--- a/crates/cluster-member/tests/format.rs
+++ b/crates/cluster-member/tests/format.rs
@@ -7,8 +7,9 @@
 use cluster_member::record::Recorder;
 use cluster_member::watch::{Failing, Report, Watching, ZoneSeen};
 use cluster_member::wire::{
-    pack, Answer, Ask, Disk, Effect, EffectAnswer, FromKeeper, Hello, Peer, Request, Status, Turned,
-    TurnedAway, Welcome, Who, LONGEST_FRAME, OLDEST_SCHEMA, PATIENCE, SCHEMA,
+    encode, ClientHello, ClientIdentity, CoordinatorMessage, Effect, EffectResponse, HandshakeRejected,
+    HandshakeRejection, Operation, Peer, ReplicaStatus, Request, Response, ServerHello, StoreIdentity,
+    IO_TIMEOUT, MAX_FRAME_BYTES, OLDEST_SCHEMA_VERSION, SCHEMA_VERSION,
 };
 use coordination::{DutyId, Owner, Reason, Refusal, Scope, Seat, SessionId, Token, View};
 use disruption_budget::{
@@ -51,7 +52,7 @@
     r#""fenced":18}],"keepers":[[1,19],[2,20]],"voters":[1,2],"learners":[21],"replacing":[22,23]}"#,
 );
 
-fn status() -> Status {
+fn status() -> ReplicaStatus {
     serde_json::from_str(STATUS).unwrap()
 }
 
@@ -89,40 +90,52 @@
     ]
 }
 
-fn handshake_rejections() -> Vec<(&'static str, Turned)> {
+fn handshake_rejections() -> Vec<(&'static str, HandshakeRejection)> {
     vec![
-        ("schema version", Turned::Schema { ours: 2 }),
-        ("installation", Turned::Installation { ours: "south".to_owned() }),
-        ("unknown coordinator", Turned::Stranger),
-        ("other store", Turned::WrongDisk),
-        ("stale store", Turned::OldDisk { boots: 9, term: 300 }),
-        ("full", Turned::Full),
-        ("other service", Turned::WrongDoor),
+        ("schema version", HandshakeRejection::UnsupportedSchema { latest_supported: 2 }),
+        ("installation", HandshakeRejection::WrongInstallation { expected: "south".to_owned() }),
+        ("unknown coordinator", HandshakeRejection::UnknownReplica),
+        ("other store", HandshakeRejection::StoreMismatch),
+        ("stale store", HandshakeRejection::StaleStore { start_count: 9, raft_term: 300 }),
+        ("full", HandshakeRejection::TooManyConnections),
+        ("other service", HandshakeRejection::WrongService),
     ]
 }
 
 #[test]
 fn versions_and_bounds() {
-    assert_eq!((OLDEST_SCHEMA, SCHEMA), (2, 3));
-    assert_eq!(LONGEST_FRAME, 4_194_304);
-    assert_eq!(PATIENCE.as_millis(), 2_000);
-    let error = pack(&"x".repeat(LONGEST_FRAME)).unwrap_err();
+    assert_eq!((OLDEST_SCHEMA_VERSION, SCHEMA_VERSION), (2, 3));
+    assert_eq!(MAX_FRAME_BYTES, 4_194_304);
+    assert_eq!(IO_TIMEOUT.as_millis(), 2_000);
+    let error = encode(&"x".repeat(MAX_FRAME_BYTES)).unwrap_err();
     assert_eq!(error.to_string(), "a message of 4194308 bytes, over 4194304");
-    assert!(pack(&"x".repeat(LONGEST_FRAME - 4)).is_ok());
+    assert!(encode(&"x".repeat(MAX_FRAME_BYTES - 4)).is_ok());
 }
 
 #[test]
 fn client_hello() {
     let identities = [
-        ("coordinator", Who::Keeper(Disk { keeper: 1, disk: 0x0102_0304_0506_0708, boots: 3, term: 400 })),
-        ("member", Who::Member { name: "d1".to_owned() }),
-        ("operator", Who::Operator),
-        ("lease holder", Who::Owner { name: "d2".to_owned(), incarnation: 200 }),
+        (
+            "coordinator",
+            ClientIdentity::Replica(StoreIdentity {
+                replica_id: 1,
+                store_id: 0x0102_0304_0506_0708,
+                start_count: 3,
+                raft_term: 400,
+            }),
+        ),
+        ("member", ClientIdentity::Member { name: "d1".to_owned() }),
+        ("operator", ClientIdentity::Operator),
+        ("lease holder", ClientIdentity::LeaseHolder { name: "d2".to_owned(), incarnation: 200 }),
     ];
     let mut text = String::new();
-    for schema in OLDEST_SCHEMA..=SCHEMA {
+    for schema in OLDEST_SCHEMA_VERSION..=SCHEMA_VERSION {
         for (label, who) in &identities {
-            let hello = Hello { schema, installation: "north".to_owned(), who: who.clone() };
+            let hello = ClientHello {
+                schema_version: schema,
+                installation: "north".to_owned(),
+                identity: who.clone(),
+            };
             text += &encoded(&format!("schema {schema}, {label}"), &hello);
         }
     }
@@ -131,9 +144,9 @@
 
 #[test]
 fn server_hello() {
-    let mut text = encoded("accepted", &Welcome::Fine { name: "coordinator 1".to_owned() });
+    let mut text = encoded("accepted", &ServerHello::Accepted { name: "coordinator 1".to_owned() });
     for (label, turned) in handshake_rejections() {
-        text += &encoded(&format!("rejected, {label}"), &Welcome::Turned(turned));
+        text += &encoded(&format!("rejected, {label}"), &ServerHello::Rejected(turned));
     }
     assert_pinned("server_hello", &text);
 }
@@ -145,25 +158,31 @@
     let operations = [
         (
             "join",
-            Ask::Join {
+            Operation::OpenSession {
                 name: "d1".to_owned(),
-                boot: 0x0102_0304_0506_0708,
+                boot_id: 0x0102_0304_0506_0708,
                 zone: "north".to_owned(),
                 address: "127.0.0.1:7201".to_owned(),
-                offers,
+                eligible_leases: offers,
             },
         ),
-        ("renew", Ask::Renew { session: SessionId(512), seen: 1_000, roster: None }),
-        ("renew with members", Ask::Renew { session: SessionId(512), seen: 1_000, roster: Some(900) }),
-        ("leave", Ask::Leave { session: SessionId(512) }),
-        ("release", Ask::Release { duty: DutyId::fleet("list"), token: Some(Token(7)) }),
-        ("release by an operator", Ask::Release { duty: DutyId::fleet("list"), token: None }),
-        ("status", Ask::Status),
-        ("replace", Ask::Replace { old: 1, new: 4, address: "127.0.0.1:7104".to_owned() }),
-        ("disruption state, since schema 3", Ask::Account { known: 700 }),
+        (
+            "renew",
+            Operation::RenewSession { session: SessionId(512), known_view: 1_000, known_members: None },
+        ),
+        (
+            "renew with members",
+            Operation::RenewSession { session: SessionId(512), known_view: 1_000, known_members: Some(900) },
+        ),
+        ("leave", Operation::CloseSession { session: SessionId(512) }),
+        ("release", Operation::ReleaseLease { lease: DutyId::fleet("list"), token: Some(Token(7)) }),
+        ("release by an operator", Operation::ReleaseLease { lease: DutyId::fleet("list"), token: None }),
+        ("status", Operation::Status),
+        ("replace", Operation::ReplaceReplica { old: 1, new: 4, address: "127.0.0.1:7104".to_owned() }),
+        ("disruption state, since schema 3", Operation::DisruptionState { known_revision: 700 }),
         (
             "change of the disruption state, since schema 3",
-            Ask::Change(Change::Ask {
+            Operation::ChangeDisruptionState(Change::Ask {
                 target,
                 reason: "kernel".to_owned(),
                 asker: "dispatcher/d1".to_owned(),
@@ -173,7 +192,7 @@
     ];
     let mut text = String::new();
     for (label, ask) in operations {
-        text += &encoded(label, &Request { id: 300, ask });
+        text += &encoded(label, &Request { id: 300, operation: ask });
     }
     assert_pinned("requests", &text);
 }
@@ -181,60 +200,63 @@
 #[test]
 fn coordinator_messages() {
     let mut responses = vec![
-        ("joined".to_owned(), Answer::Joined { session: SessionId(512), incarnation: 300, view: view() }),
-        ("renewed".to_owned(), Answer::Renewed { view: None, roster: None }),
+        (
+            "joined".to_owned(),
+            Response::SessionOpened { session: SessionId(512), incarnation: 300, view: view() },
+        ),
+        ("renewed".to_owned(), Response::SessionRenewed { view: None, members: None }),
         (
             "renewed with news".to_owned(),
-            Answer::Renewed { view: Some(view()), roster: Some((900, vec![peer()])) },
+            Response::SessionRenewed { view: Some(view()), members: Some((900, vec![peer()])) },
         ),
-        ("done".to_owned(), Answer::Done),
-        ("not the leader".to_owned(), Answer::NotLeading { leader: None, address: None }),
+        ("done".to_owned(), Response::Done),
+        ("not the leader".to_owned(), Response::NotLeader { leader: None, address: None }),
         (
             "not the leader, which is known".to_owned(),
-            Answer::NotLeading { leader: Some(4), address: Some("127.0.0.1:7104".to_owned()) },
+            Response::NotLeader { leader: Some(4), address: Some("127.0.0.1:7104".to_owned()) },
         ),
-        ("busy".to_owned(), Answer::Busy),
+        ("busy".to_owned(), Response::Busy),
     ];
     for (label, reason) in reject_reasons() {
-        responses.push((format!("rejected, {label}"), Answer::Refused(reason)));
+        responses.push((format!("rejected, {label}"), Response::Rejected(reason)));
     }
     responses.extend([
-        ("status".to_owned(), Answer::Status(Box::new(status()))),
-        ("status of a new coordinator".to_owned(), Answer::Status(Box::default())),
-        ("disruption state is known, since schema 3".to_owned(), Answer::Account(700, None)),
+        ("status".to_owned(), Response::Status(Box::new(status()))),
+        ("status of a new coordinator".to_owned(), Response::Status(Box::default())),
+        ("disruption state is known, since schema 3".to_owned(), Response::DisruptionState(700, None)),
         (
             "disruption state, since schema 3".to_owned(),
-            Answer::Account(701, Some(Box::new(disruption_state()))),
+            Response::DisruptionState(701, Some(Box::new(disruption_state()))),
         ),
         (
             "disruption state changed, since schema 3".to_owned(),
-            Answer::Changed(Outcome::Asked(800, State::Granted)),
+            Response::DisruptionStateChanged(Outcome::Asked(800, State::Granted)),
         ),
         (
             "disruption state not changed, since schema 3".to_owned(),
-            Answer::Changed(Outcome::Refused(ReleaseRefusal::Conflict { version: 5 })),
+            Response::DisruptionStateChanged(Outcome::Refused(ReleaseRefusal::Conflict { version: 5 })),
         ),
     ]);
     let mut text = String::new();
     for (label, answer) in responses {
-        text += &encoded(&label, &FromKeeper::Answer(300, answer));
+        text += &encoded(&label, &CoordinatorMessage::Response(300, answer));
     }
-    text += &encoded("the view has changed", &FromKeeper::News(SessionId(512), view()));
+    text += &encoded("the view has changed", &CoordinatorMessage::ViewChanged(SessionId(512), view()));
     assert_pinned("coordinator_messages", &text);
 }
 
 #[test]
 fn effects() {
     let effect = Effect {
-        duty: DutyId { name: "list".to_owned(), scope: Scope::Fleet },
+        lease: DutyId { name: "list".to_owned(), scope: Scope::Fleet },
         token: Token(700),
-        version: 300,
+        sequence: 300,
         body: vec![1, 2, 255],
     };
     let mut text = encoded("effect", &effect);
-    text += &encoded("accepted", &EffectAnswer::Taken(vec![3, 4]));
+    text += &encoded("accepted", &EffectResponse::Accepted(vec![3, 4]));
     for (label, refusal) in effect_rejections() {
-        text += &encoded(&format!("rejected, {label}"), &EffectAnswer::Refused(refusal));
+        text += &encoded(&format!("rejected, {label}"), &EffectResponse::Rejected(refusal));
     }
     assert_pinned("effects", &text);
 }
@@ -326,7 +348,7 @@
 #[test]
 fn status_json() {
     assert_eq!(serde_json::to_string(&status()).unwrap(), STATUS);
-    let new = serde_json::to_string(&Status::default()).unwrap();
+    let new = serde_json::to_string(&ReplicaStatus::default()).unwrap();
     let with = |scope| serde_json::to_string(&DutyId { name: "probe".to_owned(), scope }).unwrap();
     let scopes = [with(Scope::Zone("north".to_owned())), with(Scope::Set(3)), with(Scope::Fleet)].join("\n");
     assert_pinned("status_json", &format!("{new}\n{scopes}\n"));
@@ -337,7 +359,7 @@
 fn display_texts() {
     let mut text = String::new();
     for (label, turned) in handshake_rejections() {
-        text += &format!("{label}: {turned}\n{label}, as an error: {}\n", TurnedAway(turned.clone()));
+        text += &format!("{label}: {turned}\n{label}, as an error: {}\n", HandshakeRejected(turned.clone()));
     }
     for (label, reason) in reject_reasons() {
         text += &format!("request rejected, {label}: {reason}\n");
--- a/crates/cluster-member/tests/sessions.rs
+++ b/crates/cluster-member/tests/sessions.rs
@@ -14,7 +14,10 @@
 use cluster_member::keepers::Keepers;
 use cluster_member::member::{Ended, Member, Settings};
 use cluster_member::record::Recorder;
-use cluster_member::wire::{Answer, Ask, Effect, EffectAnswer, Hello, Link, Peer, Request, Who, SCHEMA};
+use cluster_member::wire::{
+    ClientHello, ClientIdentity, Connection, Effect, EffectResponse, Operation, Peer, Request, Response,
+    SCHEMA_VERSION,
+};
 use coordination::{DutyId, Holder, Owner, Reason, Seat, SessionId, Times, Token, View};
 use support::{assert_pinned, play_coordinator};
 use tokio::net::TcpListener;
@@ -79,7 +82,7 @@
     let (coordinator, coordinator_address) = listen().await;
     let (receiver_coordinator, receiver_coordinator_address) = listen().await;
     let (effects, effects_address) = listen().await;
-    let asked: Rc<RefCell<Vec<Ask>>> = Rc::default();
+    let asked: Rc<RefCell<Vec<Operation>>> = Rc::default();
     let seen = asked.clone();
     let test = async {
         let peer = Peer {
@@ -89,21 +92,25 @@
             address: effects_address.to_string(),
         };
         spawn_local(play_coordinator(coordinator, move |request: &Request| {
-            seen.borrow_mut().push(request.ask.clone());
-            Some(match &request.ask {
-                Ask::Join { .. } => Answer::Joined { session: SessionId(5), incarnation: 2, view: view() },
-                Ask::Renew { roster: Some(0), .. } => {
-                    Answer::Renewed { view: None, roster: Some((4, vec![peer.clone()])) }
+            seen.borrow_mut().push(request.operation.clone());
+            Some(match &request.operation {
+                Operation::OpenSession { .. } => {
+                    Response::SessionOpened { session: SessionId(5), incarnation: 2, view: view() }
                 }
-                Ask::Renew { .. } => Answer::Renewed { view: None, roster: None },
-                _ => Answer::Done,
+                Operation::RenewSession { known_members: Some(0), .. } => {
+                    Response::SessionRenewed { view: None, members: Some((4, vec![peer.clone()])) }
+                }
+                Operation::RenewSession { .. } => Response::SessionRenewed { view: None, members: None },
+                _ => Response::Done,
             })
         }));
         spawn_local(play_coordinator(receiver_coordinator, |request| {
-            Some(match &request.ask {
-                Ask::Join { .. } => Answer::Joined { session: SessionId(8), incarnation: 1, view: view() },
-                Ask::Renew { .. } => Answer::Renewed { view: None, roster: None },
-                _ => Answer::Done,
+            Some(match &request.operation {
+                Operation::OpenSession { .. } => {
+                    Response::SessionOpened { session: SessionId(8), incarnation: 1, view: view() }
+                }
+                Operation::RenewSession { .. } => Response::SessionRenewed { view: None, members: None },
+                _ => Response::Done,
             })
         }));
         let receiver = member("receiver", effects_address, receiver_coordinator_address, &receiver_file);
@@ -127,26 +134,27 @@
         drop(publisher);
 
         // A holder of an earlier term, and one of a duty that nobody knows.
-        let who = Who::Owner { name: "late".to_owned(), incarnation: 1 };
-        let hello = Hello { schema: SCHEMA, installation: "north".to_owned(), who };
-        let (mut link, name) = Link::connect(effects_address, None, &hello).await.unwrap();
+        let who = ClientIdentity::LeaseHolder { name: "late".to_owned(), incarnation: 1 };
+        let hello =
+            ClientHello { schema_version: SCHEMA_VERSION, installation: "north".to_owned(), identity: who };
+        let (mut link, name) = Connection::connect(effects_address, None, &hello).await.unwrap();
         assert_eq!(name, "receiver");
         let mut texts = Vec::new();
         for (duty, token) in [("list", 5), ("other", 5)] {
             let effect =
-                Effect { duty: DutyId::fleet(duty), token: Token(token), version: 3, body: Vec::new() };
+                Effect { lease: DutyId::fleet(duty), token: Token(token), sequence: 3, body: Vec::new() };
             link.send(&effect).await.unwrap();
-            match link.next().await.unwrap() {
-                EffectAnswer::Refused(why) => texts.push(why.to_string()),
-                EffectAnswer::Taken(_) => panic!("{duty} with token {token} was taken"),
+            match link.receive().await.unwrap() {
+                EffectResponse::Rejected(why) => texts.push(why.to_string()),
+                EffectResponse::Accepted(_) => panic!("{duty} with token {token} was taken"),
             }
         }
         assert_eq!(
             texts,
             ["the term is over: tokens below 7 are refused", "the receiver knows no such duty"]
         );
-        let operator = Hello { who: Who::Operator, ..hello };
-        let error = Link::connect(effects_address, None, &operator).await.unwrap_err();
+        let operator = ClientHello { identity: ClientIdentity::Operator, ..hello };
+        let error = Connection::connect(effects_address, None, &operator).await.unwrap_err();
         assert_eq!(
             error.to_string(),
             "turned away: it does not speak with the likes of this at that address"
@@ -154,7 +162,7 @@
 
         holder.release(DutyId::fleet("list"), Token(7));
         until("the term is given back", || {
-            asked.borrow().iter().any(|ask| matches!(ask, Ask::Release { .. }))
+            asked.borrow().iter().any(|ask| matches!(ask, Operation::ReleaseLease { .. }))
         })
         .await;
         holder.leave();
@@ -166,15 +174,20 @@
     timeout(LIMIT, LocalSet::new().run_until(test)).await.unwrap();
 
     let mut asked = asked.take();
-    assert!(matches!(&mut asked[0], Ask::Join { name, zone, .. } if name == "holder" && zone == "z1"));
-    assert_eq!(asked[1], Ask::Renew { session: SessionId(5), seen: 9, roster: Some(0) });
-    let renewals = |ask: &Ask| matches!(ask, Ask::Renew { .. });
+    assert!(
+        matches!(&mut asked[0], Operation::OpenSession { name, zone, .. } if name == "holder" && zone == "z1")
+    );
+    assert_eq!(
+        asked[1],
+        Operation::RenewSession { session: SessionId(5), known_view: 9, known_members: Some(0) }
+    );
+    let renewals = |ask: &Operation| matches!(ask, Operation::RenewSession { .. });
     asked.retain(|ask| !renewals(ask));
     assert_eq!(
         asked[1..],
         [
-            Ask::Release { duty: DutyId::fleet("list"), token: Some(Token(7)) },
-            Ask::Leave { session: SessionId(5) }
+            Operation::ReleaseLease { lease: DutyId::fleet("list"), token: Some(Token(7)) },
+            Operation::CloseSession { session: SessionId(5) }
         ]
     );
     let text = format!("holder\n{}receiver\n{}", records(&holder_file), records(&receiver_file));
@@ -192,7 +205,7 @@
         let (coordinator, address) = listen().await;
         let member = member("d1", address, address, &folder.path().join("records"));
         let test = async {
-            spawn_local(play_coordinator(coordinator, move |_| Some(Answer::Refused(reason.clone()))));
+            spawn_local(play_coordinator(coordinator, move |_| Some(Response::Rejected(reason.clone()))));
             member.run().await
         };
         assert_eq!(timeout(LIMIT, LocalSet::new().run_until(test)).await.unwrap(), end);
@@ -207,30 +220,31 @@
 /// What a call of the coordinators says where it fails: operators read it on the console.
 #[tokio::test]
 async fn a_call_that_fails_says_why() {
-    let call = |respond: fn(&Request) -> Option<Answer>, milliseconds: u64| async move {
+    let call = |respond: fn(&Request) -> Option<Response>, milliseconds: u64| async move {
         let (coordinator, address) = listen().await;
-        let mut keepers = Keepers::new("north", Who::Operator, BTreeMap::from([(1, address)]), None);
+        let mut keepers =
+            Keepers::new("north", ClientIdentity::Operator, BTreeMap::from([(1, address)]), None);
         let by = Instant::now() + Duration::from_millis(milliseconds);
         let test = async {
             spawn_local(play_coordinator(coordinator, respond));
-            keepers.ask(&Ask::Status, by).await.map_err(|error| error.to_string())
+            keepers.ask(&Operation::Status, by).await.map_err(|error| error.to_string())
         };
         LocalSet::new().run_until(test).await
     };
-    assert_eq!(call(|_| Some(Answer::Done), 2_000).await, Ok(Answer::Done));
-    let rejected = Answer::Refused(Reason::NoSession);
-    assert_eq!(call(|_| Some(Answer::Refused(Reason::NoSession)), 2_000).await, Ok(rejected));
-    let not_leading = |_: &Request| Some(Answer::NotLeading { leader: None, address: None });
+    assert_eq!(call(|_| Some(Response::Done), 2_000).await, Ok(Response::Done));
+    let rejected = Response::Rejected(Reason::NoSession);
+    assert_eq!(call(|_| Some(Response::Rejected(Reason::NoSession)), 2_000).await, Ok(rejected));
+    let not_leading = |_: &Request| Some(Response::NotLeader { leader: None, address: None });
     assert_eq!(call(not_leading, 100).await, Err("no keeper leads".to_owned()));
-    assert_eq!(call(|_| Some(Answer::Busy), 100).await, Err("the keeper that leads is busy".to_owned()));
+    assert_eq!(call(|_| Some(Response::Busy), 100).await, Err("the keeper that leads is busy".to_owned()));
     assert_eq!(call(|_| None, 100).await, Err("keeper 1: no answer".to_owned()));
     assert_eq!(call(|_| None, 0).await, Err("no time was left".to_owned()));
 
     let (listener, address) = listen().await;
     drop(listener);
-    let mut nobody = Keepers::new("north", Who::Operator, BTreeMap::from([(3, address)]), None);
+    let mut nobody = Keepers::new("north", ClientIdentity::Operator, BTreeMap::from([(3, address)]), None);
     let by = Instant::now() + Duration::from_millis(100);
-    let error = nobody.ask(&Ask::Status, by).await.unwrap_err().to_string();
+    let error = nobody.ask(&Operation::Status, by).await.unwrap_err().to_string();
     assert_eq!(error, "keeper 3: Connection refused (os error 111)");
 }
 
@@ -241,14 +255,14 @@
     let (second, second_address) = listen().await;
     let test = async {
         spawn_local(play_coordinator(first, move |_| {
-            Some(Answer::NotLeading { leader: Some(7), address: Some(second_address.to_string()) })
+            Some(Response::NotLeader { leader: Some(7), address: Some(second_address.to_string()) })
         }));
-        spawn_local(play_coordinator(second, |_| Some(Answer::Done)));
-        let who = Who::Member { name: "d1".to_owned() };
+        spawn_local(play_coordinator(second, |_| Some(Response::Done)));
+        let who = ClientIdentity::Member { name: "d1".to_owned() };
         let mut keepers = Keepers::new("north", who, BTreeMap::from([(1, first_address)]), None);
         let by = Instant::now() + LIMIT;
-        assert_eq!(keepers.ask(&Ask::Status, by).await, Ok(Answer::Done));
-        assert_eq!(keepers.ask(&Ask::Status, by).await, Ok(Answer::Done));
+        assert_eq!(keepers.ask(&Operation::Status, by).await, Ok(Response::Done));
+        assert_eq!(keepers.ask(&Operation::Status, by).await, Ok(Response::Done));
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/cluster-member/tests/support/mod.rs
+++ b/crates/cluster-member/tests/support/mod.rs
@@ -4,7 +4,7 @@
 
 use std::fmt::Debug;
 
-use cluster_member::wire::{pack, unpack, Answer, FromKeeper, Link, Request, Welcome};
+use cluster_member::wire::{decode, encode, Connection, CoordinatorMessage, Request, Response, ServerHello};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use tokio::net::TcpListener;
@@ -29,20 +29,20 @@
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
-    let bytes = pack(message).unwrap();
-    assert_eq!(unpack::<T>(&bytes).unwrap(), *message, "{label}");
+    let bytes = encode(message).unwrap();
+    assert_eq!(decode::<T>(&bytes).unwrap(), *message, "{label}");
     format!("{label}: {}\n", hex(&bytes))
 }
 
 /// Plays a coordinator that accepts whoever connects and responds to what `respond` has a response for.
-pub async fn play_coordinator(listener: TcpListener, mut respond: impl FnMut(&Request) -> Option<Answer>) {
+pub async fn play_coordinator(listener: TcpListener, mut respond: impl FnMut(&Request) -> Option<Response>) {
     loop {
         let (stream, _) = listener.accept().await.unwrap();
-        let (mut link, _) = Link::accept(stream).await.unwrap();
-        link.welcome(&Welcome::Fine { name: "coordinator 1".to_owned() }).await.unwrap();
-        while let Ok(request) = link.next::<Request>().await {
+        let (mut link, _) = Connection::accept(stream).await.unwrap();
+        link.send_server_hello(&ServerHello::Accepted { name: "coordinator 1".to_owned() }).await.unwrap();
+        while let Ok(request) = link.receive::<Request>().await {
             let Some(response) = respond(&request) else { continue };
-            if link.send(&FromKeeper::Answer(request.id, response)).await.is_err() {
+            if link.send(&CoordinatorMessage::Response(request.id, response)).await.is_err() {
                 break;
             }
         }
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use cluster_member::settings;
-use cluster_member::wire::{OLDEST_SCHEMA, SCHEMA};
+use cluster_member::wire::{OLDEST_SCHEMA_VERSION, SCHEMA_VERSION};
 use coordination::Times;
 use disruption_budget::{Amount, Budget, Cover, Kind};
 use hcl_config::{Fault, Section, Value};
@@ -88,8 +88,8 @@
         bind: bind.transpose()?,
         flaw: flaw(section)?,
         speaks: section
-            .whole("speaks", u64::from(OLDEST_SCHEMA)..=u64::from(SCHEMA))?
-            .map_or(SCHEMA, |speaks| speaks as u16),
+            .whole("speaks", u64::from(OLDEST_SCHEMA_VERSION)..=u64::from(SCHEMA_VERSION))?
+            .map_or(SCHEMA_VERSION, |speaks| speaks as u16),
         connections: section.whole("connections", 8..=65_536)?.unwrap_or(1_024) as usize,
     })
 }
--- a/crates/coordinator/src/ctl.rs
+++ b/crates/coordinator/src/ctl.rs
@@ -4,7 +4,10 @@
 use std::time::Duration;
 
 use cluster_member::keepers::Keepers;
-use cluster_member::wire::{Answer, Ask, FromKeeper, Hello, Link, Request, Status, Who, SCHEMA};
+use cluster_member::wire::{
+    ClientHello, ClientIdentity, Connection, CoordinatorMessage, Operation, ReplicaStatus, Request, Response,
+    SCHEMA_VERSION,
+};
 use coordination::{DutyId, Token};
 use disruption_budget::{Account, Change, Condition, Outcome};
 use tokio::time::timeout;
@@ -14,14 +17,18 @@
 /// How long a keeper has for an answer.
 const CALL: Duration = Duration::from_secs(3);
 
-async fn ask(config: &Config, keeper: u64, ask: Ask) -> Result<Answer, String> {
+async fn ask(config: &Config, keeper: u64, ask: Operation) -> Result<Response, String> {
     let address = config.keepers.get(&keeper).ok_or_else(|| format!("there is no keeper {keeper}"))?;
-    let hello = Hello { schema: SCHEMA, installation: config.installation.clone(), who: Who::Operator };
+    let hello = ClientHello {
+        schema_version: SCHEMA_VERSION,
+        installation: config.installation.clone(),
+        identity: ClientIdentity::Operator,
+    };
     let call = async {
-        let (mut link, _) = Link::connect(*address, None, &hello).await?;
-        link.send(&Request { id: 1, ask }).await?;
+        let (mut link, _) = Connection::connect(*address, None, &hello).await?;
+        link.send(&Request { id: 1, operation: ask }).await?;
         loop {
-            if let FromKeeper::Answer(1, answer) = link.next().await? {
+            if let CoordinatorMessage::Response(1, answer) = link.receive().await? {
                 return Ok::<_, std::io::Error>(answer);
             }
         }
@@ -36,15 +43,15 @@
 ///
 /// # Errors
 /// It is not reached.
-pub async fn status(config: &Config, keeper: u64) -> Result<Status, String> {
-    match ask(config, keeper, Ask::Status).await? {
-        Answer::Status(status) => Ok(*status),
+pub async fn status(config: &Config, keeper: u64) -> Result<ReplicaStatus, String> {
+    match ask(config, keeper, Operation::Status).await? {
+        Response::Status(status) => Ok(*status),
         other => Err(format!("keeper {keeper}: an answer that was not asked for: {other:?}")),
     }
 }
 
 /// How things are at each keeper, or why it cannot be told.
-pub async fn statuses(config: &Config) -> Vec<(u64, Result<Status, String>)> {
+pub async fn statuses(config: &Config) -> Vec<(u64, Result<ReplicaStatus, String>)> {
     let mut all = Vec::new();
     for keeper in config.keepers.keys() {
         all.push((*keeper, status(config, *keeper).await));
@@ -56,13 +63,13 @@
 ///
 /// # Errors
 /// No keeper leads.
-pub async fn leading(config: &Config) -> Result<Status, String> {
+pub async fn leading(config: &Config) -> Result<ReplicaStatus, String> {
     let mut statuses = statuses(config).await;
-    statuses.retain(|(_, status)| !matches!(status, Ok(status) if !status.leads));
+    statuses.retain(|(_, status)| !matches!(status, Ok(status) if !status.is_leader));
     let best = statuses
         .iter()
         .filter_map(|(_, status)| status.as_ref().ok())
-        .max_by_key(|status| status.term)
+        .max_by_key(|status| status.raft_term)
         .cloned();
     best.ok_or_else(|| {
         let mut text = "no keeper leads: a majority has to be there and reach each other".to_owned();
@@ -90,10 +97,10 @@
                 why = format!("it goes on: {:?} vote, {:?} learn", leader.voters, leader.learners)
             }
             Ok(leader) => {
-                let wanted = Ask::Replace { old, new, address: address.clone() };
-                match ask(config, leader.keeper, wanted).await? {
-                    Answer::Done => asked = true,
-                    Answer::Refused(reason) => return Err(reason.to_string()),
+                let wanted = Operation::ReplaceReplica { old, new, address: address.clone() };
+                match ask(config, leader.replica_id, wanted).await? {
+                    Response::Done => asked = true,
+                    Response::Rejected(reason) => return Err(reason.to_string()),
                     other => why = format!("{other:?}"),
                 }
             }
@@ -105,8 +112,9 @@
 }
 
 /// Asks the keeper that leads.
-async fn ask_leader(config: &Config, ask: Ask) -> Result<Answer, String> {
-    let mut keepers = Keepers::new(&config.installation, Who::Operator, config.keepers.clone(), None);
+async fn ask_leader(config: &Config, ask: Operation) -> Result<Response, String> {
+    let mut keepers =
+        Keepers::new(&config.installation, ClientIdentity::Operator, config.keepers.clone(), None);
     let answer = keepers.ask(&ask, tokio::time::Instant::now() + CALL).await;
     answer.map_err(|why| format!("{why}: a majority of the keepers has to be there and reach each other"))
 }
@@ -117,8 +125,8 @@
 /// Nobody leads.
 pub async fn account(config: &Config) -> Result<(u64, Account), String> {
     // Nothing is known yet: an account that never changed is an empty one.
-    match ask_leader(config, Ask::Account { known: 0 }).await? {
-        Answer::Account(revision, account) => {
+    match ask_leader(config, Operation::DisruptionState { known_revision: 0 }).await? {
+        Response::DisruptionState(revision, account) => {
             Ok((revision, account.map_or_else(Account::default, |all| *all)))
         }
         other => Err(format!("an answer that was not asked for: {other:?}")),
@@ -130,10 +138,10 @@
 /// # Errors
 /// Nobody leads, or it is refused.
 pub async fn change(config: &Config, change: Change) -> Result<Outcome, String> {
-    match ask_leader(config, Ask::Change(change)).await? {
-        Answer::Changed(Outcome::Refused(why)) => Err(why.to_string()),
-        Answer::Changed(outcome) => Ok(outcome),
-        Answer::Refused(reason) => Err(reason.to_string()),
+    match ask_leader(config, Operation::ChangeDisruptionState(change)).await? {
+        Response::DisruptionStateChanged(Outcome::Refused(why)) => Err(why.to_string()),
+        Response::DisruptionStateChanged(outcome) => Ok(outcome),
+        Response::Rejected(reason) => Err(reason.to_string()),
         other => Err(format!("an answer that was not asked for: {other:?}")),
     }
 }
@@ -216,15 +224,15 @@
 /// Nobody leads, or the duty has no such term.
 pub async fn release(config: &Config, duty: DutyId, token: Option<Token>) -> Result<(), String> {
     let leader = leading(config).await?;
-    match ask(config, leader.keeper, Ask::Release { duty: duty.clone(), token }).await? {
-        Answer::Done => Ok(()),
-        Answer::Refused(reason) => Err(format!("{duty}: {reason}")),
+    match ask(config, leader.replica_id, Operation::ReleaseLease { lease: duty.clone(), token }).await? {
+        Response::Done => Ok(()),
+        Response::Rejected(reason) => Err(format!("{duty}: {reason}")),
         other => Err(format!("{duty}: not done: {other:?}; ask again")),
     }
 }
 
 /// The figures of a keeper for Prometheus, in its text form.
-pub fn figures(status: &Status) -> String {
+pub fn figures(status: &ReplicaStatus) -> String {
     let mut text = String::new();
     let mut figure = |name: &str, kind: &str, help: &str, rows: &[(String, u64)]| {
         let _ =
@@ -234,13 +242,14 @@
         }
     };
     let one = |value: u64| vec![(String::new(), value)];
-    figure("leads", "gauge", "Whether this keeper leads.", &one(status.leads.into()));
-    figure("term", "gauge", "The term of Raft.", &one(status.term));
-    figure("applied_entries", "counter", "The last entry applied.", &one(status.applied));
-    figure("elections_total", "counter", "Leaders seen since the start.", &one(status.elections));
-    figure("starts_total", "counter", "How often this disk was started.", &one(status.boots));
+    figure("leads", "gauge", "Whether this keeper leads.", &one(status.is_leader.into()));
+    figure("term", "gauge", "The term of Raft.", &one(status.raft_term));
+    figure("applied_entries", "counter", "The last entry applied.", &one(status.applied_index));
+    figure("elections_total", "counter", "Leaders seen since the start.", &one(status.election_count));
+    figure("starts_total", "counter", "How often this disk was started.", &one(status.start_count));
     figure("members", "gauge", "Sessions of members.", &one(status.members.len() as u64));
-    let quantiles = [("0.5", status.commit_us.0), ("0.99", status.commit_us.1), ("1", status.commit_us.2)];
+    let quantiles =
+        [("0.5", status.commit_latency.0), ("0.99", status.commit_latency.1), ("1", status.commit_latency.2)];
     let quantiles: Vec<_> = quantiles.map(|(q, us)| (format!("{{quantile=\"{q}\"}}"), us)).into();
     figure(
         "commit_microseconds",
@@ -248,9 +257,9 @@
         "From a proposal to its being applied, since the start.",
         &quantiles,
     );
-    let owners = status.duties.iter().map(|duty| {
-        let (owner, token) = duty.owner.clone().unwrap_or((String::new(), Token(0)));
-        (format!("{{duty={:?},owner={owner:?}}}", duty.duty.to_string()), token.0)
+    let owners = status.leases.iter().map(|duty| {
+        let (owner, token) = duty.holder.clone().unwrap_or((String::new(), Token(0)));
+        (format!("{{duty={:?},owner={owner:?}}}", duty.lease.to_string()), token.0)
     });
     figure(
         "duty_token",
--- a/crates/coordinator/src/disk.rs
+++ b/crates/coordinator/src/disk.rs
@@ -4,7 +4,7 @@
 use std::fs::File;
 use std::path::Path;
 
-use cluster_member::wire::Disk as Identity;
+use cluster_member::wire::StoreIdentity;
 use coordination::State;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub struct Found {
     /// Whose disk it is.
-    pub identity: Identity,
+    pub identity: StoreIdentity,
     /// Raft's vote and term.
     pub hard: HardState,
     /// The last snapshot.
@@ -43,7 +43,7 @@
     /// The entries after it.
     pub entries: Vec<Entry>,
     /// What is known of other keepers' disks.
-    pub peers: BTreeMap<u64, Identity>,
+    pub peers: BTreeMap<u64, StoreIdentity>,
 }
 
 /// The store of a keeper.
@@ -66,7 +66,7 @@
     /// Whether no entry is to be left, since the snapshot came from elsewhere.
     pub clear: bool,
     /// What is known of other keepers' disks.
-    pub peers: &'a [Identity],
+    pub peers: &'a [StoreIdentity],
 }
 
 fn fault(what: impl std::fmt::Display) -> Stop {
@@ -238,7 +238,12 @@
             peers.insert(keeper.value(), fault_from!(postcard::from_bytes(bytes.value())));
         }
         let term = hard.term.max(snapshot.get_metadata().term);
-        let identity = Identity { keeper: label.keeper, disk: label.disk, boots: label.boots, term };
+        let identity = StoreIdentity {
+            replica_id: label.keeper,
+            store_id: label.disk,
+            start_count: label.boots,
+            raft_term: term,
+        };
         Ok(Found { identity, hard, snapshot, entries, peers })
     }
 
@@ -270,7 +275,7 @@
             }
             for peer in batch.peers {
                 let bytes = fault_from!(postcard::to_stdvec(peer));
-                fault_from!(peers.insert(peer.keeper, bytes.as_slice()));
+                fault_from!(peers.insert(peer.replica_id, bytes.as_slice()));
             }
         }
         fault_from!(write.commit());
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -245,13 +245,13 @@
                     Ok(status) if args.json => serde_json::to_string(status).unwrap_or_default() + "\n",
                     Ok(status) => format!(
                         "keeper {keeper}: {}, term {}, applied {} of {}, {} members, commit p50 {} us p99 {} us\n",
-                        if status.leads { "leads" } else { "follows" },
-                        status.term,
-                        status.applied,
-                        status.committed,
+                        if status.is_leader { "leads" } else { "follows" },
+                        status.raft_term,
+                        status.applied_index,
+                        status.committed_index,
                         status.members.len(),
-                        status.commit_us.0,
-                        status.commit_us.1
+                        status.commit_latency.0,
+                        status.commit_latency.1
                     ),
                     Err(error) => format!("{error}\n"),
                 };
@@ -264,7 +264,7 @@
                 return Ok(serde_json::to_string(&status.members).unwrap_or_default() + "\n");
             }
             let line = |member: &cluster_member::wire::MemberStatus| {
-                let (peer, settled) = (&member.peer, if member.settled { "settled" } else { "new" });
+                let (peer, settled) = (&member.peer, if member.stable { "settled" } else { "new" });
                 let state = if member.superseded { "superseded" } else { settled };
                 format!(
                     "{} process {} session {} at {} {state}\n",
@@ -276,13 +276,13 @@
         "duties" => {
             let status = ctl::leading(config).await.map_err(Stop::Start)?;
             if args.json {
-                return Ok(serde_json::to_string(&status.duties).unwrap_or_default() + "\n");
+                return Ok(serde_json::to_string(&status.leases).unwrap_or_default() + "\n");
             }
-            let line = |duty: &cluster_member::wire::DutyStatus| match &duty.owner {
-                Some((name, token)) => format!("{}: {name}, token {}\n", duty.duty, token.0),
-                None => format!("{}: nobody, tokens below {} are over\n", duty.duty, duty.floor.0),
+            let line = |duty: &cluster_member::wire::LeaseStatus| match &duty.holder {
+                Some((name, token)) => format!("{}: {name}, token {}\n", duty.lease, token.0),
+                None => format!("{}: nobody, tokens below {} are over\n", duty.lease, duty.minimum_token.0),
             };
-            Ok(status.duties.iter().map(line).collect())
+            Ok(status.leases.iter().map(line).collect())
         }
         "release-duty" => {
             let duty = args.duty.clone().ok_or_else(|| Stop::Start("--duty is missing".to_owned()))?;
--- a/crates/coordinator/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -6,7 +6,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use cluster_member::wire::{
-    Answer, Ask, Disk as Identity, DutyStatus, FromKeeper, MemberStatus, Peer, Request, Status, Turned,
+    CoordinatorMessage, HandshakeRejection, LeaseStatus, MemberStatus, Operation, Peer, ReplicaStatus,
+    Request, Response, StoreIdentity,
 };
 use coordination::{
     Command, Micros, Outcome, Reason, Replacing, Revision, SessionId, State, Times, Token, Warden,
@@ -42,7 +43,7 @@
     /// A message of Raft to a keeper.
     Raft(Message),
     /// Something to a member or an operator.
-    Say(Conn, FromKeeper),
+    Say(Conn, CoordinatorMessage),
     /// The view has changed, for all connections of members.
     News(coordination::View),
     /// Something was applied, for the records.
@@ -130,7 +131,7 @@
 pub struct Node {
     raw: RawNode<Store>,
     disk: Disk,
-    identity: Identity,
+    identity: StoreIdentity,
     state: State,
     /// Who votes and who learns, as applied.
     conf: ConfState,
@@ -146,8 +147,8 @@
     /// The latest entries that this keeper knows, and the latest messages that others speak, of those that greeted it.
     knows: u16,
     schemas: BTreeMap<u64, u16>,
-    peers: BTreeMap<u64, Identity>,
-    peers_changed: Vec<Identity>,
+    peers: BTreeMap<u64, StoreIdentity>,
+    peers_changed: Vec<StoreIdentity>,
     /// Which proposals are this process's: a number drawn at its start, and one counted.
     nonce: u64,
     next: u64,
@@ -207,7 +208,7 @@
             log.set_hardstate(HardState { commit: commit.min(last), term, ..hard });
         }
         let config = Config {
-            id: identity.keeper,
+            id: identity.replica_id,
             election_tick: times.election.div_ceil(tick).max(4) as usize,
             heartbeat_tick: (times.heartbeat / tick).max(1) as usize,
             applied: snapshot.get_metadata().index,
@@ -257,8 +258,8 @@
     }
 
     /// What this keeper says of its disk.
-    pub fn identity(&self) -> Identity {
-        Identity { term: self.raw.raft.term, ..self.identity }
+    pub fn identity(&self) -> StoreIdentity {
+        StoreIdentity { raft_term: self.raw.raft.term, ..self.identity }
     }
 
     /// The account gets a flaw, in builds for tests.
@@ -286,28 +287,39 @@
     ///
     /// # Errors
     /// Its disk is not the one that was known, or an old copy of it.
-    pub fn greeted(&mut self, by: Identity, schema: u16) -> Result<Result<(), Turned>, Stop> {
+    pub fn greeted(
+        &mut self,
+        by: StoreIdentity,
+        schema: u16,
+    ) -> Result<Result<(), HandshakeRejection>, Stop> {
         // One that joins knows nobody yet; those that take it in know it as soon as that is agreed on.
         let joins = self.conf == ConfState::default();
-        let known = self.raw.raft.prs().iter().any(|(id, _)| *id == by.keeper)
-            || self.state.added().contains_key(&by.keeper);
-        if by.keeper == self.identity.keeper || !(known || joins) {
-            return Ok(Err(Turned::Stranger));
-        }
-        let agreed = self.state.keepers().get(&by.keeper).copied().unwrap_or(0);
-        let known = self.peers.get(&by.keeper).copied().unwrap_or(Identity { boots: 0, term: 0, ..by });
-        if known.disk != by.disk {
-            return Ok(Err(Turned::WrongDisk));
+        let known = self.raw.raft.prs().iter().any(|(id, _)| *id == by.replica_id)
+            || self.state.added().contains_key(&by.replica_id);
+        if by.replica_id == self.identity.replica_id || !(known || joins) {
+            return Ok(Err(HandshakeRejection::UnknownReplica));
+        }
+        let agreed = self.state.keepers().get(&by.replica_id).copied().unwrap_or(0);
+        let known = self.peers.get(&by.replica_id).copied().unwrap_or(StoreIdentity {
+            start_count: 0,
+            raft_term: 0,
+            ..by
+        });
+        if known.store_id != by.store_id {
+            return Ok(Err(HandshakeRejection::StoreMismatch));
         }
-        let boots = known.boots.max(agreed);
-        if by.boots < boots || by.term < known.term {
-            return Ok(Err(Turned::OldDisk { boots, term: known.term }));
+        let boots = known.start_count.max(agreed);
+        if by.start_count < boots || by.raft_term < known.raft_term {
+            return Ok(Err(HandshakeRejection::StaleStore {
+                start_count: boots,
+                raft_term: known.raft_term,
+            }));
         }
         if known != by {
             self.disk.write(&Batch { peers: &[by], ..Batch::default() })?;
-            self.peers.insert(by.keeper, by);
+            self.peers.insert(by.replica_id, by);
         }
-        self.schemas.insert(by.keeper, schema);
+        self.schemas.insert(by.replica_id, schema);
         self.propose_boots();
         Ok(Ok(()))
     }
@@ -317,8 +329,8 @@
         if self.warden.is_none() {
             return;
         }
-        let known = self.peers.values().map(|peer| (peer.keeper, peer.boots));
-        let known = known.chain([(self.identity.keeper, self.identity.boots)]);
+        let known = self.peers.values().map(|peer| (peer.replica_id, peer.start_count));
+        let known = known.chain([(self.identity.replica_id, self.identity.start_count)]);
         let news: Vec<(u64, u64)> = known
             .filter(|(keeper, boots)| self.state.keepers().get(keeper).is_none_or(|seen| seen < boots))
             .collect();
@@ -333,7 +345,7 @@
     /// # Errors
     /// The keeper stops.
     pub fn message(&mut self, from: u64, message: Message, now: Micros) -> Result<(), Stop> {
-        if message.from != from || message.to != self.identity.keeper {
+        if message.from != from || message.to != self.identity.replica_id {
             return Ok(());
         }
         // What another keeper has said of its term is written down with the next thing that is: one that forgets it
@@ -343,11 +355,11 @@
                 message.get_msg_type(),
                 MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse
             );
-            message.term > peer.term && !votes
+            message.term > peer.raft_term && !votes
         }) {
-            peer.term = message.term;
+            peer.raft_term = message.term;
             let peer = *peer;
-            self.peers_changed.retain(|changed| changed.keeper != from);
+            self.peers_changed.retain(|changed| changed.replica_id != from);
             self.peers_changed.push(peer);
         }
         // A message that does not fit is dropped, as if it were lost.
@@ -389,7 +401,7 @@
 
     fn give_lead(&mut self, not_to: u64) {
         if self.raw.raft.state == StateRole::Leader {
-            let own = self.identity.keeper;
+            let own = self.identity.replica_id;
             let others = self
                 .raw
                 .raft
@@ -457,7 +469,7 @@
             return;
         } else if !voters.contains(&new) && !learners.contains(&new) {
             change.set_changes(vec![single(ConfChangeType::AddLearnerNode, new)].into());
-        } else if old == self.identity.keeper {
+        } else if old == self.identity.replica_id {
             // It does not end its own lead by a change; another one goes on.
             self.give_lead(new);
             return;
@@ -492,7 +504,10 @@
         };
         let conf = conf.map_err(raft_fault)?;
         let votes = |conf: &ConfState| {
-            conf.get_voters().iter().chain(conf.get_voters_outgoing()).any(|id| *id == self.identity.keeper)
+            conf.get_voters()
+                .iter()
+                .chain(conf.get_voters_outgoing())
+                .any(|id| *id == self.identity.replica_id)
         };
         let out = votes(&self.conf) && !votes(&conf);
         self.raw.mut_store().log.wl().set_conf_state(conf.clone());
@@ -501,7 +516,7 @@
         match out {
             true => Err(Stop::Replaced(format!(
                 "another keeper has taken the place of keeper {}: this one is not needed any more",
-                self.identity.keeper
+                self.identity.replica_id
             ))),
             false => Ok(()),
         }
@@ -509,21 +524,21 @@
 
     fn give_up_round(&mut self) {
         for renewal in self.round.take().into_iter().flat_map(|round| round.renewals) {
-            self.say(renewal.conn, renewal.request, Answer::Busy);
+            self.say(renewal.conn, renewal.request, Response::Busy);
         }
     }
 
-    fn say(&mut self, conn: Conn, request: u64, answer: Answer) {
-        self.out.push(Out::Say(conn, FromKeeper::Answer(request, answer)));
+    fn say(&mut self, conn: Conn, request: u64, answer: Response) {
+        self.out.push(Out::Say(conn, CoordinatorMessage::Response(request, answer)));
     }
 
-    fn not_leading(&self) -> Answer {
-        match Some(self.leader).filter(|leader| *leader != 0 && *leader != self.identity.keeper) {
+    fn not_leading(&self) -> Response {
+        match Some(self.leader).filter(|leader| *leader != 0 && *leader != self.identity.replica_id) {
             Some(leader) => {
                 let address = self.state.added().get(&leader).cloned();
-                Answer::NotLeading { leader: Some(leader), address }
+                Response::NotLeader { leader: Some(leader), address }
             }
-            None => Answer::Busy,
+            None => Response::Busy,
         }
     }
 
@@ -531,10 +546,15 @@
     ///
     /// # Errors
     /// The keeper stops.
-    pub fn ask(&mut self, conn: Conn, Request { id, ask }: Request, now: Micros) -> Result<(), Stop> {
-        if let Ask::Status = ask {
+    pub fn ask(
+        &mut self,
+        conn: Conn,
+        Request { id, operation: ask }: Request,
+        now: Micros,
+    ) -> Result<(), Stop> {
+        if let Operation::Status = ask {
             let status = self.status();
-            self.say(conn, id, Answer::Status(Box::new(status)));
+            self.say(conn, id, Response::Status(Box::new(status)));
             return Ok(());
         }
         let Some(warden) = &self.warden else {
@@ -543,19 +563,19 @@
             return Ok(());
         };
         if self.waiting.len() + self.queued.len() >= MOST_WAITING {
-            self.say(conn, id, Answer::Busy);
+            self.say(conn, id, Response::Busy);
             return Ok(());
         }
         match ask {
-            Ask::Join { name, boot, zone, address, offers } => {
+            Operation::OpenSession { name, boot_id: boot, zone, address, eligible_leases: offers } => {
                 let short = warden.short(&name, now, &self.state);
                 self.propose(conn, id, Command::Join { name, boot, zone, address, offers, short }, now);
             }
-            Ask::Renew { session, seen, roster } => {
+            Operation::RenewSession { session, known_view: seen, known_members: roster } => {
                 self.sessions.insert(conn, session);
                 self.queued.push(Renewal { conn, request: id, session, seen, roster });
             }
-            Ask::Leave { session } => {
+            Operation::CloseSession { session } => {
                 let name = self
                     .state
                     .sessions()
@@ -565,17 +585,17 @@
                 let short = warden.short(&name, now, &self.state);
                 self.propose(conn, id, Command::Leave { session, short }, now);
             }
-            Ask::Release { duty, token } => {
+            Operation::ReleaseLease { lease: duty, token } => {
                 let held =
                     self.state.duties().get(&duty).and_then(|duty| duty.owner).map(|owner| owner.token);
                 match token.or(held) {
                     Some(token) => {
                         self.propose(conn, id, Command::Release { duty, token, unsettle: true }, now)
                     }
-                    None => self.say(conn, id, Answer::Refused(Reason::NotTheOwner)),
+                    None => self.say(conn, id, Response::Rejected(Reason::NotTheOwner)),
                 }
             }
-            Ask::Replace { old, new, address } => {
+            Operation::ReplaceReplica { old, new, address } => {
                 let why = match self.conf.get_voters() {
                     voters if !voters.contains(&old) && self.state.replacing().is_none() => {
                         Some(format!("there is no keeper {old}; those that vote are {voters:?}"))
@@ -584,23 +604,23 @@
                     _ => None,
                 };
                 match why {
-                    Some(why) => self.say(conn, id, Answer::Refused(Reason::Keepers(why))),
+                    Some(why) => self.say(conn, id, Response::Rejected(Reason::Keepers(why))),
                     None => self.propose(conn, id, Command::ReplaceKeeper { old, new, address }, now),
                 }
             }
-            Ask::Change(change) => match self.older_voter() {
+            Operation::ChangeDisruptionState(change) => match self.older_voter() {
                 Some(keeper) => {
                     let why = format!("keeper {keeper} is of a version that knows no permits yet");
-                    self.say(conn, id, Answer::Refused(Reason::Keepers(why)));
+                    self.say(conn, id, Response::Rejected(Reason::Keepers(why)));
                 }
                 None => self.propose(conn, id, Command::Account(change), now),
             },
-            Ask::Account { known } => {
+            Operation::DisruptionState { known_revision: known } => {
                 let revision = self.state.account_revision();
                 let account = (revision > known).then(|| Box::new(self.state.account().clone()));
-                self.say(conn, id, Answer::Account(revision, account));
+                self.say(conn, id, Response::DisruptionState(revision, account));
             }
-            Ask::Status => {}
+            Operation::Status => {}
         }
         self.work(now)
     }
@@ -609,7 +629,7 @@
     /// is not put into the log, which would stop it.
     fn older_voter(&self) -> Option<u64> {
         if self.knows < 3 {
-            return Some(self.identity.keeper);
+            return Some(self.identity.replica_id);
         }
         let voters = self.conf.get_voters().iter().chain(self.conf.get_voters_outgoing());
         voters.copied().find(|voter| self.schemas.get(voter).is_some_and(|schema| *schema < 3))
@@ -622,7 +642,7 @@
             Ok(()) => {
                 self.waiting.insert(self.next, Waiter { conn, request, since: now });
             }
-            Err(_) => self.say(conn, request, Answer::Busy),
+            Err(_) => self.say(conn, request, Response::Busy),
         }
     }
 
@@ -770,24 +790,24 @@
                 match warden.renewed(*session, 0, now, &self.state) {
                     Ok(()) => {
                         self.sessions.insert(waiter.conn, *session);
-                        Answer::Joined {
+                        Response::SessionOpened {
                             session: *session,
                             incarnation: *incarnation,
                             view: self.state.view(),
                         }
                     }
-                    Err(_) => Answer::Busy,
+                    Err(_) => Response::Busy,
                 }
             }
             (Outcome::Joined(..), None) => self.not_leading(),
-            (Outcome::Refused(reason), _) => Answer::Refused(reason.clone()),
+            (Outcome::Refused(reason), _) => Response::Rejected(reason.clone()),
             (Outcome::Account(outcome), _) => {
                 if let disruption_budget::Outcome::Asked(id, _) = outcome {
                     self.desk.asked(*id, now);
                 }
-                Answer::Changed(outcome.clone())
+                Response::DisruptionStateChanged(outcome.clone())
             }
-            _ => Answer::Done,
+            _ => Response::Done,
         };
         self.say(waiter.conn, waiter.request, answer);
     }
@@ -831,14 +851,14 @@
             for renewal in renewals {
                 let Some(warden) = &mut self.warden else { return };
                 let answer = match warden.renewed(renewal.session, renewal.seen, now, &self.state) {
-                    Ok(()) => Answer::Renewed {
+                    Ok(()) => Response::SessionRenewed {
                         view: (self.state.seats_revision() > renewal.seen).then(|| self.state.view()),
-                        roster: renewal
+                        members: renewal
                             .roster
                             .filter(|known| *known < self.state.roster_revision())
                             .map(|_| self.roster()),
                     },
-                    Err(reason) => Answer::Refused(reason),
+                    Err(reason) => Response::Rejected(reason),
                 };
                 self.say(renewal.conn, renewal.request, answer);
             }
@@ -875,47 +895,47 @@
     }
 
     /// How things are.
-    pub fn status(&self) -> Status {
+    pub fn status(&self) -> ReplicaStatus {
         let raft = &self.raw.raft;
         let state = &self.state;
         let members = state.sessions().iter().map(|(id, session)| MemberStatus {
             session: *id,
             peer: peer(session),
-            settled: session.settled,
+            stable: session.settled,
             superseded: session.superseded,
-            short_lives: state.short_lives(&session.name),
+            consecutive_short_sessions: state.short_lives(&session.name),
         });
         let owner = |owner: coordination::Owner| {
             let name = state.sessions().get(&owner.session).map(|session| session.name.clone());
             (name.unwrap_or_default(), owner.token)
         };
-        let duties = state.duties().iter().map(|(id, duty)| DutyStatus {
-            duty: id.clone(),
-            owner: duty.owner.map(owner),
-            floor: duty.floor,
-            fenced: duty.fenced,
+        let duties = state.duties().iter().map(|(id, duty)| LeaseStatus {
+            lease: id.clone(),
+            holder: duty.owner.map(owner),
+            minimum_token: duty.floor,
+            fencing_revision: duty.fenced,
         });
         let quantile = |q| self.commits.value_at_quantile(q);
-        Status {
-            keeper: self.identity.keeper,
-            leads: self.warden.is_some(),
-            leader: Some(self.leader).filter(|leader| *leader != 0),
-            term: raft.term,
-            applied: state.revision(),
-            committed: raft.raft_log.committed,
-            first: self.raw.store().first_index().unwrap_or(0),
-            boots: self.identity.boots,
-            elections: self.elections,
-            commit_us: (quantile(0.5), quantile(0.99), self.commits.max()),
+        ReplicaStatus {
+            replica_id: self.identity.replica_id,
+            is_leader: self.warden.is_some(),
+            leader_id: Some(self.leader).filter(|leader| *leader != 0),
+            raft_term: raft.term,
+            applied_index: state.revision(),
+            committed_index: raft.raft_log.committed,
+            first_log_index: self.raw.store().first_index().unwrap_or(0),
+            start_count: self.identity.start_count,
+            election_count: self.elections,
+            commit_latency: (quantile(0.5), quantile(0.99), self.commits.max()),
             members: members.collect(),
-            duties: duties.collect(),
-            keepers: state.keepers().iter().map(|(keeper, boots)| (*keeper, *boots)).collect(),
+            leases: duties.collect(),
+            replicas: state.keepers().iter().map(|(keeper, boots)| (*keeper, *boots)).collect(),
             voters: {
                 let both = self.conf.get_voters().iter().chain(self.conf.get_voters_outgoing());
                 both.copied().collect::<std::collections::BTreeSet<u64>>().into_iter().collect()
             },
             learners: self.conf.get_learners().to_vec(),
-            replacing: state.replacing().map(|Replacing { old, new }| (old, new)),
+            replacement: state.replacing().map(|Replacing { old, new }| (old, new)),
         }
     }
 
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -10,8 +10,8 @@
 use cluster_member::clock;
 use cluster_member::record::Recorder;
 use cluster_member::wire::{
-    check_hello_of, pack, turned_away, Disk as Identity, FromKeeper, Hello, Link, Request, Turned, Welcome,
-    Who, PATIENCE,
+    encode, handshake_rejection, validate_client_hello_for_version, ClientHello, ClientIdentity, Connection,
+    CoordinatorMessage, HandshakeRejection, Request, ServerHello, StoreIdentity, IO_TIMEOUT,
 };
 use coordination::{Command, Outcome, COMMAND_VERSION};
 use futures_util::SinkExt;
@@ -34,12 +34,12 @@
 const TOLD_FULL: usize = 32;
 
 enum Event {
-    Greeted(Identity, u16, oneshot::Sender<Welcome>),
+    Greeted(StoreIdentity, u16, oneshot::Sender<ServerHello>),
     Raft(u64, Message),
     Opened(Conn, mpsc::Sender<Bytes>),
     Closed(Conn),
     Ask(Conn, Request),
-    TurnedAway(u64, Turned),
+    TurnedAway(u64, HandshakeRejection),
     Unreachable(u64, bool),
 }
 
@@ -62,8 +62,12 @@
         listener.map_err(|error| Stop::Start(format!("serve.listen: {}: {error}", serve.listen)))?;
     let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .map_err(|error| Stop::Start(error.to_string()))?;
-    tracing::info!(keeper = serve.keeper, boots = identity.boots, term = identity.term, listen = %serve.listen, "keeps");
-    record.put(clock::now(), "started", serde_json::json!({"keeper": serve.keeper, "boots": identity.boots}));
+    tracing::info!(keeper = serve.keeper, boots = identity.start_count, term = identity.raft_term, listen = %serve.listen, "keeps");
+    record.put(
+        clock::now(),
+        "started",
+        serde_json::json!({"keeper": serve.keeper, "boots": identity.start_count}),
+    );
     let (events, mut queue) = mpsc::channel(QUEUE);
     let (said, term) = watch::channel(node.identity());
     let name = format!("keeper {}", serve.keeper);
@@ -130,13 +134,13 @@
     events: mpsc::Sender<Event>,
     /// What the link to a keeper that comes later is made of.
     outgoing: Outgoing,
-    term: watch::Receiver<Identity>,
+    term: watch::Receiver<StoreIdentity>,
 }
 
 impl Driver {
     /// Links to keepers that were agreed on since the installation was set up.
     fn link_added(&mut self, node: &Node) {
-        let own = node.identity().keeper;
+        let own = node.identity().replica_id;
         for (number, address) in node.added().iter().filter(|(number, _)| **number != own) {
             if self.keepers.contains_key(number) {
                 continue;
@@ -155,16 +159,18 @@
         match event {
             Event::Greeted(by, schema, answer) => {
                 let welcome = match node.greeted(by, schema)? {
-                    Ok(()) => Welcome::Fine { name: format!("keeper {}", node.identity().keeper) },
+                    Ok(()) => {
+                        ServerHello::Accepted { name: format!("keeper {}", node.identity().replica_id) }
+                    }
                     Err(why) => {
                         tracing::warn!(
-                            keeper = by.keeper,
-                            boots = by.boots,
-                            term = by.term,
+                            keeper = by.replica_id,
+                            boots = by.start_count,
+                            term = by.raft_term,
                             ?why,
                             "a keeper is turned away"
                         );
-                        Welcome::Turned(why)
+                        ServerHello::Rejected(why)
                     }
                 };
                 let _ = answer.send(welcome);
@@ -178,7 +184,10 @@
                 node.closed(conn);
             }
             Event::Ask(conn, request) => node.ask(conn, request, now)?,
-            Event::TurnedAway(by, why @ (Turned::OldDisk { .. } | Turned::WrongDisk)) => {
+            Event::TurnedAway(
+                by,
+                why @ (HandshakeRejection::StaleStore { .. } | HandshakeRejection::StoreMismatch),
+            ) => {
                 return Err(Stop::OldDisk(format!("keeper {by} turned this one away: {why}")));
             }
             Event::TurnedAway(by, why) => tracing::error!(keeper = by, %why, "a keeper turned this one away"),
@@ -206,7 +215,7 @@
                     let told: Vec<(Conn, coordination::SessionId)> =
                         self.conns.keys().filter_map(|conn| Some((*conn, node.session_of(*conn)?))).collect();
                     for (conn, session) in told {
-                        self.say(conn, &FromKeeper::News(session, view.clone()));
+                        self.say(conn, &CoordinatorMessage::ViewChanged(session, view.clone()));
                     }
                 }
                 Out::Applied { index, command, outcome, digest } => {
@@ -243,9 +252,9 @@
         }
     }
 
-    fn say(&mut self, conn: Conn, message: &FromKeeper) {
+    fn say(&mut self, conn: Conn, message: &CoordinatorMessage) {
         let Some(sender) = self.conns.get(&conn) else { return };
-        let packed = match pack(message) {
+        let packed = match encode(message) {
             Ok(packed) => packed,
             Err(error) => return tracing::error!(%error, "an answer is too long"),
         };
@@ -343,38 +352,38 @@
     full: bool,
     events: &mpsc::Sender<Event>,
 ) -> std::io::Result<()> {
-    let (mut link, hello) = Link::accept(stream).await?;
-    let verdict = check_hello_of(speaks, &hello, installation);
-    let verdict = if full { Err(Turned::Full) } else { verdict };
+    let (mut link, hello) = Connection::accept(stream).await?;
+    let verdict = validate_client_hello_for_version(speaks, &hello, installation);
+    let verdict = if full { Err(HandshakeRejection::TooManyConnections) } else { verdict };
     if let Err(why) = verdict {
         tracing::warn!(?hello, ?why, "turned away");
-        return link.welcome(&Welcome::Turned(why)).await;
+        return link.send_server_hello(&ServerHello::Rejected(why)).await;
     }
-    match hello.who {
-        Who::Keeper(identity) => {
+    match hello.identity {
+        ClientIdentity::Replica(identity) => {
             let (answer, welcome) = oneshot::channel();
-            let _ = events.send(Event::Greeted(identity, hello.schema, answer)).await;
+            let _ = events.send(Event::Greeted(identity, hello.schema_version, answer)).await;
             let Ok(welcome) = welcome.await else { return Ok(()) };
-            link.welcome(&welcome).await?;
-            if matches!(welcome, Welcome::Turned(_)) {
+            link.send_server_hello(&welcome).await?;
+            if matches!(welcome, ServerHello::Rejected(_)) {
                 return Ok(());
             }
             loop {
-                let frame = link.next_packed().await?;
+                let frame = link.receive_encoded().await?;
                 let Some(message) = node::unpack(&frame) else { return Ok(()) };
-                if events.send(Event::Raft(identity.keeper, message)).await.is_err() {
+                if events.send(Event::Raft(identity.replica_id, message)).await.is_err() {
                     return Ok(());
                 }
             }
         }
-        Who::Member { .. } | Who::Operator => {
-            link.welcome(&Welcome::Fine { name: name.to_owned() }).await?;
+        ClientIdentity::Member { .. } | ClientIdentity::Operator => {
+            link.send_server_hello(&ServerHello::Accepted { name: name.to_owned() }).await?;
             let (sender, mut outgoing) = mpsc::channel::<Bytes>(TO_MEMBER);
             let (mut sink, mut frames) = link.split();
             let _ = events.send(Event::Opened(conn, sender)).await;
             let reads = async {
                 loop {
-                    let Ok(request) = frames.next::<Request>().await else { return };
+                    let Ok(request) = frames.receive::<Request>().await else { return };
                     if events.send(Event::Ask(conn, request)).await.is_err() {
                         return;
                     }
@@ -382,7 +391,7 @@
             };
             let writes = async {
                 while let Some(message) = outgoing.recv().await {
-                    if !matches!(timeout(PATIENCE, sink.send(message)).await, Ok(Ok(()))) {
+                    if !matches!(timeout(IO_TIMEOUT, sink.send(message)).await, Ok(Ok(()))) {
                         return;
                     }
                 }
@@ -393,7 +402,9 @@
             }
             Ok(())
         }
-        Who::Owner { .. } => link.welcome(&Welcome::Turned(Turned::WrongDoor)).await,
+        ClientIdentity::LeaseHolder { .. } => {
+            link.send_server_hello(&ServerHello::Rejected(HandshakeRejection::WrongService)).await
+        }
     }
 }
 
@@ -410,21 +421,25 @@
 impl Outgoing {
     async fn run(
         self,
-        identity: watch::Receiver<Identity>,
+        identity: watch::Receiver<StoreIdentity>,
         mut messages: mpsc::Receiver<Bytes>,
         events: mpsc::Sender<Event>,
     ) {
         loop {
-            let who = Who::Keeper(*identity.borrow());
-            let hello = Hello { schema: self.speaks, installation: (*self.installation).clone(), who };
-            match Link::connect(self.address, self.bind, &hello).await {
+            let who = ClientIdentity::Replica(*identity.borrow());
+            let hello = ClientHello {
+                schema_version: self.speaks,
+                installation: (*self.installation).clone(),
+                identity: who,
+            };
+            match Connection::connect(self.address, self.bind, &hello).await {
                 Ok((link, _)) => {
                     // What waited while there was no connection is of yesterday; Raft sends again what is needed.
                     while messages.try_recv().is_ok() {}
                     self.carry(link, &mut messages).await;
                     let _ = events.send(Event::Unreachable(self.to, true)).await;
                 }
-                Err(error) => match turned_away(&error) {
+                Err(error) => match handshake_rejection(&error) {
                     Some(why) => {
                         let _ = events.send(Event::TurnedAway(self.to, why.clone())).await;
                         sleep(Duration::from_secs(1)).await;
@@ -436,18 +451,18 @@
         }
     }
 
-    async fn carry(&self, link: Link, messages: &mut mpsc::Receiver<Bytes>) {
+    async fn carry(&self, link: Connection, messages: &mut mpsc::Receiver<Bytes>) {
         let (mut sink, mut frames) = link.split();
         loop {
             tokio::select! {
                 message = messages.recv() => {
                     let Some(message) = message else { return };
-                    if !matches!(timeout(PATIENCE, sink.send(message)).await, Ok(Ok(()))) {
+                    if !matches!(timeout(IO_TIMEOUT, sink.send(message)).await, Ok(Ok(()))) {
                         return;
                     }
                 }
                 // Nothing is said back here: the other end only closes it.
-                _ = frames.next::<()>() => return,
+                _ = frames.receive::<()>() => return,
             }
         }
     }
--- a/crates/coordinator/tests/cluster.rs
+++ b/crates/coordinator/tests/cluster.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use cluster_member::wire::{Answer, Ask, Disk as Identity, FromKeeper, Request, Turned, SCHEMA};
+use cluster_member::wire::{
+    CoordinatorMessage, HandshakeRejection, Operation, Request, Response, StoreIdentity, SCHEMA_VERSION,
+};
 use coordination::{DutyId, Outcome, Reason, SessionId, Times, Token};
 use coordinator::disk::{self, Disk};
 use coordinator::node::{Node, Out};
@@ -15,7 +17,7 @@
     folder: tempfile::TempDir,
     nodes: BTreeMap<u64, Node>,
     now: u64,
-    answers: Vec<Answer>,
+    answers: Vec<Response>,
     granted: Vec<(SessionId, Token)>,
     digests: BTreeMap<u64, u64>,
     next: u64,
@@ -76,7 +78,7 @@
                 for out in node.take() {
                     match out {
                         Out::Raft(message) => messages.push((*keeper, message)),
-                        Out::Say(_, FromKeeper::Answer(_, answer)) => self.answers.push(answer),
+                        Out::Say(_, CoordinatorMessage::Response(_, answer)) => self.answers.push(answer),
                         Out::Applied { index, outcome, digest, .. } => {
                             let known = self.digests.entry(index).or_insert(digest);
                             assert_eq!(*known, digest, "entry {index} at keeper {keeper}");
@@ -116,11 +118,11 @@
         panic!("nobody leads after 4 s");
     }
 
-    fn ask(&mut self, ask: Ask) -> Answer {
+    fn ask(&mut self, ask: Operation) -> Response {
         let leader = self.leader();
         self.next += 1;
         self.answers.clear();
-        let request = Request { id: self.next, ask };
+        let request = Request { id: self.next, operation: ask };
         self.nodes.get_mut(&leader).unwrap().ask(7, request, self.now).unwrap();
         for _ in 0..20 {
             self.deliver();
@@ -135,15 +137,21 @@
     fn join(&mut self, name: &str, boot: u64) -> SessionId {
         let offers = vec![DutyId::fleet("list")];
         let (zone, address) = (String::new(), String::new());
-        match self.ask(Ask::Join { name: name.to_owned(), boot, zone, address, offers }) {
-            Answer::Joined { session, .. } => session,
+        match self.ask(Operation::OpenSession {
+            name: name.to_owned(),
+            boot_id: boot,
+            zone,
+            address,
+            eligible_leases: offers,
+        }) {
+            Response::SessionOpened { session, .. } => session,
             other => panic!("{other:?}"),
         }
     }
 
     /// Renews a session, as of a member that has seen all that there is.
-    fn renew(&mut self, session: SessionId) -> Answer {
-        self.ask(Ask::Renew { session, seen: u64::MAX, roster: Some(0) })
+    fn renew(&mut self, session: SessionId) -> Response {
+        self.ask(Operation::RenewSession { session, known_view: u64::MAX, known_members: Some(0) })
     }
 
     fn live(&mut self, sessions: &[SessionId], micros: u64) {
@@ -183,7 +191,7 @@
     cluster.start(leader);
     cluster.live(&[other], 1_000_000);
     let now = cluster.leader();
-    assert_eq!(cluster.nodes[&leader].status().duties, cluster.nodes[&now].status().duties);
+    assert_eq!(cluster.nodes[&leader].status().leases, cluster.nodes[&now].status().leases);
 }
 
 #[test]
@@ -194,12 +202,15 @@
     let (_, token) = cluster.last_grant();
     cluster.nodes.clear();
     (1..=3).for_each(|keeper| cluster.start(keeper));
-    assert!(matches!(cluster.renew(a), Answer::Renewed { .. }), "the session has its full time again");
-    cluster.ask(Ask::Release { duty: DutyId::fleet("list"), token: Some(token) });
+    assert!(
+        matches!(cluster.renew(a), Response::SessionRenewed { .. }),
+        "the session has its full time again"
+    );
+    cluster.ask(Operation::ReleaseLease { lease: DutyId::fleet("list"), token: Some(token) });
     cluster.live(&[a], 2_000_000);
     assert!(cluster.last_grant().1 > token);
-    let stale = cluster.ask(Ask::Release { duty: DutyId::fleet("list"), token: Some(token) });
-    assert_eq!(stale, Answer::Refused(Reason::NotTheOwner));
+    let stale = cluster.ask(Operation::ReleaseLease { lease: DutyId::fleet("list"), token: Some(token) });
+    assert_eq!(stale, Response::Rejected(Reason::NotTheOwner));
 }
 
 #[test]
@@ -208,20 +219,23 @@
     let a = cluster.join("a", 1);
     let leader = cluster.leader();
     let mut cut = cluster.nodes.remove(&leader).unwrap();
-    let request = Request { id: 1, ask: Ask::Renew { session: a, seen: 0, roster: None } };
+    let request = Request {
+        id: 1,
+        operation: Operation::RenewSession { session: a, known_view: 0, known_members: None },
+    };
     cut.ask(7, request, cluster.now).unwrap();
     for tick in 1..100 {
         cut.tick(cluster.now + tick * TICK).unwrap();
-        let said: Vec<Answer> = cut
+        let said: Vec<Response> = cut
             .take()
             .into_iter()
             .filter_map(|out| match out {
-                Out::Say(_, FromKeeper::Answer(_, answer)) => Some(answer),
+                Out::Say(_, CoordinatorMessage::Response(_, answer)) => Some(answer),
                 _ => None,
             })
             .collect();
         assert!(
-            said.iter().all(|answer| matches!(answer, Answer::Busy | Answer::NotLeading { .. })),
+            said.iter().all(|answer| matches!(answer, Response::Busy | Response::NotLeader { .. })),
             "{said:?}"
         );
         if !said.is_empty() {
@@ -239,42 +253,56 @@
     cluster.nodes.remove(&away);
     for round in 0..2_200u64 {
         let session = cluster.join("a", round);
-        cluster.ask(Ask::Leave { session });
+        cluster.ask(Operation::CloseSession { session });
     }
     let leader = cluster.leader();
     let status = cluster.nodes[&leader].status();
-    assert!(status.first > 3_000, "the log begins at {} of {}", status.first, status.applied);
+    assert!(
+        status.first_log_index > 3_000,
+        "the log begins at {} of {}",
+        status.first_log_index,
+        status.applied_index
+    );
     cluster.start(away);
     cluster.pass(2_000_000);
     let leader = cluster.leader();
-    assert_eq!(cluster.nodes[&away].status().applied, cluster.nodes[&leader].status().applied);
+    assert_eq!(cluster.nodes[&away].status().applied_index, cluster.nodes[&leader].status().applied_index);
     assert_eq!(cluster.nodes[&away].next_token(), cluster.nodes[&leader].next_token());
     // And from its own disk, after another start.
     cluster.nodes.remove(&away);
     cluster.start(away);
-    assert!(cluster.nodes[&away].status().applied > 3_000);
+    assert!(cluster.nodes[&away].status().applied_index > 3_000);
 }
 
 #[test]
 fn a_disk_that_forgot_something_is_known_by_the_others() {
     let mut cluster = Cluster::new();
     let node = cluster.nodes.get_mut(&1).unwrap();
-    let fresh = Identity { keeper: 2, disk: 102, boots: 5, term: 3 };
-    assert_eq!(node.greeted(fresh, SCHEMA).unwrap(), Ok(()));
-    let old = Identity { boots: 4, ..fresh };
-    assert_eq!(node.greeted(old, SCHEMA).unwrap(), Err(Turned::OldDisk { boots: 5, term: 3 }));
-    let older_term = Identity { boots: 6, term: 2, ..fresh };
-    assert_eq!(node.greeted(older_term, SCHEMA).unwrap(), Err(Turned::OldDisk { boots: 5, term: 3 }));
+    let fresh = StoreIdentity { replica_id: 2, store_id: 102, start_count: 5, raft_term: 3 };
+    assert_eq!(node.greeted(fresh, SCHEMA_VERSION).unwrap(), Ok(()));
+    let old = StoreIdentity { start_count: 4, ..fresh };
+    assert_eq!(
+        node.greeted(old, SCHEMA_VERSION).unwrap(),
+        Err(HandshakeRejection::StaleStore { start_count: 5, raft_term: 3 })
+    );
+    let older_term = StoreIdentity { start_count: 6, raft_term: 2, ..fresh };
+    assert_eq!(
+        node.greeted(older_term, SCHEMA_VERSION).unwrap(),
+        Err(HandshakeRejection::StaleStore { start_count: 5, raft_term: 3 })
+    );
     assert_eq!(
-        node.greeted(Identity { disk: 999, boots: 9, ..fresh }, SCHEMA).unwrap(),
-        Err(Turned::WrongDisk)
+        node.greeted(StoreIdentity { store_id: 999, start_count: 9, ..fresh }, SCHEMA_VERSION).unwrap(),
+        Err(HandshakeRejection::StoreMismatch)
+    );
+    assert_eq!(
+        node.greeted(StoreIdentity { replica_id: 9, ..fresh }, SCHEMA_VERSION).unwrap(),
+        Err(HandshakeRejection::UnknownReplica)
     );
-    assert_eq!(node.greeted(Identity { keeper: 9, ..fresh }, SCHEMA).unwrap(), Err(Turned::Stranger));
     // It knows so after a start, too.
     cluster.nodes.remove(&1);
     cluster.start(1);
-    let again = cluster.nodes.get_mut(&1).unwrap().greeted(old, SCHEMA).unwrap();
-    assert_eq!(again, Err(Turned::OldDisk { boots: 5, term: 3 }));
+    let again = cluster.nodes.get_mut(&1).unwrap().greeted(old, SCHEMA_VERSION).unwrap();
+    assert_eq!(again, Err(HandshakeRejection::StaleStore { start_count: 5, raft_term: 3 }));
 }
 
 #[test]
@@ -291,7 +319,11 @@
     let stranger = Disk::open(&store, "elsewhere", 1).unwrap_err();
     assert!(stranger.to_string().contains("elsewhere"), "{stranger}");
     let (_, found) = Disk::open(&store, "test", 1).unwrap();
-    assert_eq!((found.identity.boots, found.identity.disk), (1, 5), "starts that failed do not count");
+    assert_eq!(
+        (found.identity.start_count, found.identity.store_id),
+        (1, 5),
+        "starts that failed do not count"
+    );
 }
 
 impl Cluster {
@@ -300,8 +332,8 @@
         self.nodes[&leader].status().voters
     }
 
-    fn replace(&mut self, old: u64, new: u64) -> Answer {
-        self.ask(Ask::Replace { old, new, address: "127.0.0.1:7104".into() })
+    fn replace(&mut self, old: u64, new: u64) -> Response {
+        self.ask(Operation::ReplaceReplica { old, new, address: "127.0.0.1:7104".into() })
     }
 
     /// Lets time pass until these vote, and nobody is being replaced.
@@ -309,7 +341,7 @@
         for _ in 0..500 {
             let leader = self.leader();
             let status = self.nodes[&leader].status();
-            if status.voters == wanted && status.replacing.is_none() && status.learners.is_empty() {
+            if status.voters == wanted && status.replacement.is_none() && status.learners.is_empty() {
                 return;
             }
             self.pass(TICK);
@@ -333,19 +365,22 @@
     disk::bootstrap_joining(&cluster.store(4), "test", 4, 104).unwrap();
     cluster.start(4);
     cluster.pass(2_000_000);
-    assert_eq!(cluster.nodes[&4].status().applied, 0, "nobody speaks to it before it is agreed on");
+    assert_eq!(cluster.nodes[&4].status().applied_index, 0, "nobody speaks to it before it is agreed on");
     // Found by processes: one that joins has to let those in that will tell it all.
     let others = cluster.nodes[&leader].identity();
-    assert_eq!(cluster.nodes.get_mut(&4).unwrap().greeted(others, SCHEMA).unwrap(), Ok(()));
+    assert_eq!(cluster.nodes.get_mut(&4).unwrap().greeted(others, SCHEMA_VERSION).unwrap(), Ok(()));
     let new = cluster.nodes[&4].identity();
-    assert_eq!(cluster.nodes.get_mut(&leader).unwrap().greeted(new, SCHEMA).unwrap(), Err(Turned::Stranger));
-    assert_eq!(cluster.replace(lost, 4), Answer::Done);
+    assert_eq!(
+        cluster.nodes.get_mut(&leader).unwrap().greeted(new, SCHEMA_VERSION).unwrap(),
+        Err(HandshakeRejection::UnknownReplica)
+    );
+    assert_eq!(cluster.replace(lost, 4), Response::Done);
     let new = cluster.nodes[&4].identity();
-    assert_eq!(cluster.nodes.get_mut(&leader).unwrap().greeted(new, SCHEMA).unwrap(), Ok(()));
+    assert_eq!(cluster.nodes.get_mut(&leader).unwrap().greeted(new, SCHEMA_VERSION).unwrap(), Ok(()));
     let mut wanted: Vec<u64> = (1..=4).filter(|keeper| *keeper != lost).collect();
     cluster.until_voters(&wanted);
-    assert!(matches!(cluster.replace(lost, 5), Answer::Refused(Reason::Keepers(_))), "it is gone already");
-    assert!(matches!(cluster.replace(leader, lost), Answer::Refused(Reason::Keepers(_))), "a used number");
+    assert!(matches!(cluster.replace(lost, 5), Response::Rejected(Reason::Keepers(_))), "it is gone already");
+    assert!(matches!(cluster.replace(leader, lost), Response::Rejected(Reason::Keepers(_))), "a used number");
     // The new one and one of the old are a majority; what was agreed is known to both.
     cluster.nodes.remove(&leader);
     wanted.retain(|keeper| *keeper != leader);
@@ -372,7 +407,7 @@
     let old = cluster.leader();
     disk::bootstrap_joining(&cluster.store(4), "test", 4, 104).unwrap();
     cluster.start(4);
-    assert_eq!(cluster.replace(old, 4), Answer::Done);
+    assert_eq!(cluster.replace(old, 4), Response::Done);
     let end = cluster.now + 10_000_000;
     while cluster.nodes.contains_key(&old) && cluster.now < end {
         cluster.now += TICK;
@@ -406,7 +441,7 @@
         cluster.nodes.remove(&old);
         disk::bootstrap_joining(&cluster.store(4), "test", 4, 104).unwrap();
         cluster.start(4);
-        assert_eq!(cluster.replace(old, 4), Answer::Done);
+        assert_eq!(cluster.replace(old, 4), Response::Done);
         cluster.pass(steps * TICK);
         // Killed and started again: with the one that lost its disk away, it is needed for a majority.
         cluster.nodes.remove(&leader);
--- a/crates/coordinator/tests/compatibility/command_line.rs
+++ b/crates/coordinator/tests/compatibility/command_line.rs
@@ -1,6 +1,8 @@
 //! The command line: usage, and what each command prints for fixed answers of the coordinators.
 
-use cluster_member::wire::{Answer, Ask, DutyStatus, MemberStatus, Peer, Status, Turned};
+use cluster_member::wire::{
+    HandshakeRejection, LeaseStatus, MemberStatus, Operation, Peer, ReplicaStatus, Response,
+};
 use coordination::{DutyId, Reason, Revision, SessionId, Token};
 use disruption_budget::{
     Account, Amount, Budget, Change, Condition, Cover, Kind, Observed, Outcome, Refusal, State, Target,
@@ -17,52 +19,70 @@
         zone: "east".to_owned(),
         address: format!("192.0.2.{session}:7200"),
     };
-    MemberStatus { session: SessionId(session), peer, settled, superseded, short_lives: 2 }
+    MemberStatus {
+        session: SessionId(session),
+        peer,
+        stable: settled,
+        superseded,
+        consecutive_short_sessions: 2,
+    }
 }
 
 /// A status in which no two values are the same.
-fn leading() -> Status {
-    Status {
-        keeper: 1,
-        leads: true,
-        leader: Some(1),
-        term: 7,
-        applied: 1_200,
-        committed: 1_201,
-        first: 900,
-        boots: 5,
-        elections: 6,
-        commit_us: (310, 4_200, 9_900),
+fn leading() -> ReplicaStatus {
+    ReplicaStatus {
+        replica_id: 1,
+        is_leader: true,
+        leader_id: Some(1),
+        raft_term: 7,
+        applied_index: 1_200,
+        committed_index: 1_201,
+        first_log_index: 900,
+        start_count: 5,
+        election_count: 6,
+        commit_latency: (310, 4_200, 9_900),
         members: vec![
             member(41, "berlin", true, false),
             member(42, "cairo", false, false),
             member(43, "delhi", true, true),
         ],
-        duties: vec![
-            DutyStatus {
-                duty: DutyId::fleet("list"),
-                owner: Some(("berlin".to_owned(), Token(61))),
-                floor: Token(61),
-                fenced: 1_100,
+        leases: vec![
+            LeaseStatus {
+                lease: DutyId::fleet("list"),
+                holder: Some(("berlin".to_owned(), Token(61))),
+                minimum_token: Token(61),
+                fencing_revision: 1_100,
             },
-            DutyStatus { duty: DutyId::zone("watch", "east"), owner: None, floor: Token(57), fenced: 1_101 },
-            DutyStatus {
-                duty: DutyId::set("watch", 3),
-                owner: Some((String::new(), Token(58))),
-                floor: Token(58),
-                fenced: 1_102,
+            LeaseStatus {
+                lease: DutyId::zone("watch", "east"),
+                holder: None,
+                minimum_token: Token(57),
+                fencing_revision: 1_101,
+            },
+            LeaseStatus {
+                lease: DutyId::set("watch", 3),
+                holder: Some((String::new(), Token(58))),
+                minimum_token: Token(58),
+                fencing_revision: 1_102,
             },
         ],
-        keepers: vec![(1, 5), (2, 8), (3, 9)],
+        replicas: vec![(1, 5), (2, 8), (3, 9)],
         voters: vec![1, 2, 3],
         learners: vec![4],
-        replacing: Some((3, 4)),
+        replacement: Some((3, 4)),
     }
 }
 
-fn following() -> Status {
+fn following() -> ReplicaStatus {
     let (members, duties) = (Vec::new(), Vec::new());
-    Status { keeper: 2, leads: false, applied: 1_190, members, duties, ..leading() }
+    ReplicaStatus {
+        replica_id: 2,
+        is_leader: false,
+        applied_index: 1_190,
+        members,
+        leases: duties,
+        ..leading()
+    }
 }
 
 fn target(kind: Kind, name: &str) -> Target {
@@ -123,10 +143,12 @@
 }
 
 /// The first leads and is asked for its status and the account; other operations get this answer.
-fn installation(answer: Answer) -> Installation {
+fn installation(answer: Response) -> Installation {
     Installation::answered_by(move |operation| match operation {
-        Ask::Status => Answer::Status(Box::new(leading())),
-        Ask::Account { .. } => Answer::Account(ACCOUNT_REVISION, Some(Box::new(account()))),
+        Operation::Status => Response::Status(Box::new(leading())),
+        Operation::DisruptionState { .. } => {
+            Response::DisruptionState(ACCOUNT_REVISION, Some(Box::new(account())))
+        }
         _ => answer.clone(),
     })
 }
@@ -159,8 +181,8 @@
 #[test]
 fn status_members_and_duties() {
     let scripts = [
-        Script::Answers(Box::new(|_| Answer::Status(Box::new(leading())))),
-        Script::Answers(Box::new(|_| Answer::Status(Box::new(following())))),
+        Script::Answers(Box::new(|_| Response::Status(Box::new(leading())))),
+        Script::Answers(Box::new(|_| Response::Status(Box::new(following())))),
         Script::Unreachable,
     ];
     let installation = Installation::new(scripts);
@@ -174,10 +196,10 @@
 
 #[test]
 fn account_as_text_and_as_json() {
-    let installation = installation(Answer::Busy);
+    let installation = installation(Response::Busy);
     let all = format!("{}\n{}", installation.run(&["account"]), installation.run(&["account", "--json"]));
     insta::assert_snapshot!("account", all);
-    let empty = Installation::answered_by(|_| Answer::Account(3, None));
+    let empty = Installation::answered_by(|_| Response::DisruptionState(3, None));
     let all = format!("{}\n{}", empty.run(&["account"]), empty.run(&["account", "--json"]));
     insta::assert_snapshot!("empty_account", all);
 }
@@ -187,7 +209,7 @@
     // The settings file is that of the second.
     let scripts = [
         Script::Unreachable,
-        Script::Answers(Box::new(|_| Answer::Status(Box::new(leading())))),
+        Script::Answers(Box::new(|_| Response::Status(Box::new(leading())))),
         Script::Unreachable,
     ];
     insta::assert_snapshot!("metrics", Installation::new(scripts).run(&["metrics"]));
@@ -219,11 +241,11 @@
     ];
     let mut all = String::new();
     for outcome in answers {
-        let installation = installation(Answer::Changed(outcome.clone()));
+        let installation = installation(Response::DisruptionStateChanged(outcome.clone()));
         all += &format!("asked: {}\n", installation.run(&[&["permit", "ask"][..], &full].concat()));
     }
     insta::assert_snapshot!("permit_ask", all);
-    let installation = installation(Answer::Changed(Outcome::Begun(3)));
+    let installation = installation(Response::DisruptionStateChanged(Outcome::Begun(3)));
     let mut all = String::new();
     for verb in ["ask", "begin", "done", "void"] {
         all += &format!("{verb}: {}\n", installation.run(&[&["permit", verb][..], &full].concat()));
@@ -242,13 +264,14 @@
         Change::Ask { target: plain, reason, asker, force: false },
         Change::Begin { permit: 3, incarnation: 0 },
     ];
-    let expected: Vec<(u64, Ask)> = changes.map(|change| (1, Ask::Change(change))).into();
+    let expected: Vec<(u64, Operation)> =
+        changes.map(|change| (1, Operation::ChangeDisruptionState(change))).into();
     assert_eq!(installation.requests(), expected);
 }
 
 #[test]
 fn budgets_and_strike_off_and_what_they_ask_for() {
-    let installation = installation(Answer::Changed(Outcome::Done));
+    let installation = installation(Response::DisruptionStateChanged(Outcome::Done));
     let file = installation.path("budgets.hcl");
     std::fs::write(&file, "budget \"workers\" {\n  targets = \"workers\"\n  most_out = 1\n}\n").unwrap();
     let file = file.to_str().unwrap();
@@ -267,18 +290,19 @@
         strike("an operator"),
         strike("shop a"),
     ];
-    let mut expected: Vec<(u64, Ask)> = changes.map(|change| (1, Ask::Change(change))).into();
-    expected.insert(0, (1, Ask::Account { known: 0 }));
+    let mut expected: Vec<(u64, Operation)> =
+        changes.map(|change| (1, Operation::ChangeDisruptionState(change))).into();
+    expected.insert(0, (1, Operation::DisruptionState { known_revision: 0 }));
     assert_eq!(installation.requests(), expected);
 }
 
 #[test]
 fn release_duty_and_what_it_asks_for() {
     let answers = [
-        Answer::Done,
-        Answer::Busy,
-        Answer::Refused(Reason::NotTheOwner),
-        Answer::NotLeading { leader: Some(2), address: None },
+        Response::Done,
+        Response::Busy,
+        Response::Rejected(Reason::NotTheOwner),
+        Response::NotLeader { leader: Some(2), address: None },
     ];
     let mut all = String::new();
     for answer in answers {
@@ -286,8 +310,8 @@
         all += &installation.run(&["release-duty", "--duty", "list"]);
         all += &installation.run(&["release-duty", "--duty", "watch@set/3", "--token", "58"]);
         let expected = [
-            (1, Ask::Release { duty: DutyId::fleet("list"), token: None }),
-            (1, Ask::Release { duty: DutyId::set("watch", 3), token: Some(Token(58)) }),
+            (1, Operation::ReleaseLease { lease: DutyId::fleet("list"), token: None }),
+            (1, Operation::ReleaseLease { lease: DutyId::set("watch", 3), token: Some(Token(58)) }),
         ];
         assert_eq!(installation.requests(), expected);
     }
@@ -297,12 +321,12 @@
 #[test]
 fn replace_and_what_it_asks_for() {
     let full = ["replace", "--keeper", "3", "--with", "4", "--address", "192.0.2.14:7100"];
-    let refused = installation(Answer::Refused(Reason::Keepers("there is no keeper 3".to_owned())));
+    let refused = installation(Response::Rejected(Reason::Keepers("there is no keeper 3".to_owned())));
     let mut all = refused.run(&full);
-    let expected = Ask::Replace { old: 3, new: 4, address: "192.0.2.14:7100".to_owned() };
+    let expected = Operation::ReplaceReplica { old: 3, new: 4, address: "192.0.2.14:7100".to_owned() };
     assert_eq!(refused.requests(), [(1, expected)]);
     let done = Installation::answered_by(|_| {
-        Answer::Status(Box::new(Status { voters: vec![1, 2, 4], learners: Vec::new(), ..leading() }))
+        Response::Status(Box::new(ReplicaStatus { voters: vec![1, 2, 4], learners: Vec::new(), ..leading() }))
     });
     all += &done.run(&full);
     insta::assert_snapshot!("replace", all);
@@ -310,7 +334,7 @@
 
 #[test]
 fn missing_arguments() {
-    let installation = installation(Answer::Busy);
+    let installation = installation(Response::Busy);
     let cases: [&[&str]; 13] = [
         &["replace"],
         &["replace", "--keeper", "3"],
@@ -335,10 +359,11 @@
 
 #[test]
 fn no_leader_is_found() {
-    let rejecting = || Script::Rejects(Turned::Installation { ours: "south".to_owned() });
+    let rejecting =
+        || Script::Rejects(HandshakeRejection::WrongInstallation { expected: "south".to_owned() });
     let follows = Script::Answers(Box::new(|operation| match operation {
-        Ask::Status => Answer::Status(Box::new(following())),
-        _ => Answer::NotLeading { leader: None, address: None },
+        Operation::Status => Response::Status(Box::new(following())),
+        _ => Response::NotLeader { leader: None, address: None },
     }));
     let installation = Installation::new([rejecting(), follows, Script::Unreachable]);
     let mut all = String::new();
--- a/crates/coordinator/tests/compatibility/exit_codes.rs
+++ b/crates/coordinator/tests/compatibility/exit_codes.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use cluster_member::wire::Turned;
+use cluster_member::wire::HandshakeRejection;
 use coordination::{Command, State};
 use coordinator::disk::{self, Batch, Disk};
 use protobuf::Message as _;
@@ -74,9 +74,10 @@
 
 #[test]
 fn a_disk_that_others_know_better_ends_with_3() {
-    for (name, why) in
-        [("old_disk", Turned::OldDisk { boots: 9, term: 4 }), ("wrong_disk", Turned::WrongDisk)]
-    {
+    for (name, why) in [
+        ("old_disk", HandshakeRejection::StaleStore { start_count: 9, raft_term: 4 }),
+        ("wrong_disk", HandshakeRejection::StoreMismatch),
+    ] {
         let installation =
             Installation::new([Script::Rejects(why), Script::Unreachable, Script::Unreachable]);
         empty_store(&installation.store(), "north", 2);
@@ -185,5 +186,5 @@
     disk::bootstrap_joining(folder.path(), "north", 4, 9).unwrap();
     let (_, found) = Disk::open(folder.path(), "north", 4).unwrap();
     assert_eq!(*found.snapshot.get_metadata().get_conf_state(), ConfState::default());
-    assert_eq!((found.identity.keeper, found.identity.boots, found.entries.len()), (4, 1, 0));
+    assert_eq!((found.identity.replica_id, found.identity.start_count, found.entries.len()), (4, 1, 0));
 }
--- a/crates/coordinator/tests/compatibility/store.rs
+++ b/crates/coordinator/tests/compatibility/store.rs
@@ -7,7 +7,7 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-use cluster_member::wire::Disk as Identity;
+use cluster_member::wire::StoreIdentity;
 use coordination::{Command, DutyId, Revision, SessionId, State, Times, Token};
 use coordinator::disk::{self, Batch, Disk};
 use coordinator::node::Node;
@@ -201,10 +201,10 @@
         HardState { term: 4, vote: 3, commit, ..HardState::default() }
     }
 
-    fn peers(&self) -> [Identity; 2] {
+    fn peers(&self) -> [StoreIdentity; 2] {
         [
-            Identity { keeper: 1, disk: 0x5566, boots: 3, term: 4 },
-            Identity { keeper: 3, disk: 0x7788, boots: 1, term: 2 },
+            StoreIdentity { replica_id: 1, store_id: 0x5566, start_count: 3, raft_term: 4 },
+            StoreIdentity { replica_id: 3, store_id: 0x7788, start_count: 1, raft_term: 2 },
         ]
     }
 
@@ -298,7 +298,8 @@
         let (_, found) = Disk::open(folder.path(), "north", COORDINATOR).unwrap();
         let version = example.fixture;
         // The fixture was started once, and this start counts.
-        let identity = Identity { keeper: COORDINATOR, disk: DISK, boots: 2, term: 4 };
+        let identity =
+            StoreIdentity { replica_id: COORDINATOR, store_id: DISK, start_count: 2, raft_term: 4 };
         assert_eq!(found.identity, identity, "{version}");
         assert_eq!(found.hard, example.hard_state(), "{version}");
         assert_eq!(found.snapshot, example.snapshot(), "{version}");
@@ -307,8 +308,8 @@
         for (entry, command) in found.entries.iter().zip(&example.commands) {
             assert_eq!(Command::decode(&entry.data).unwrap(), *command, "{version}");
         }
-        let peers: BTreeMap<u64, Identity> =
-            example.peers().into_iter().map(|peer| (peer.keeper, peer)).collect();
+        let peers: BTreeMap<u64, StoreIdentity> =
+            example.peers().into_iter().map(|peer| (peer.replica_id, peer)).collect();
         assert_eq!(found.peers, peers, "{version}");
     }
 }
@@ -328,20 +329,24 @@
         }
         let status = node.status();
         let version = example.fixture;
-        assert_eq!(status.applied, expected.revision(), "{version}");
-        assert_eq!(status.committed, example.hard_state().commit, "{version}");
-        assert_eq!((status.keeper, status.term, status.boots), (COORDINATOR, 4, 2), "{version}");
+        assert_eq!(status.applied_index, expected.revision(), "{version}");
+        assert_eq!(status.committed_index, example.hard_state().commit, "{version}");
+        assert_eq!(
+            (status.replica_id, status.raft_term, status.start_count),
+            (COORDINATOR, 4, 2),
+            "{version}"
+        );
         assert_eq!(node.next_token(), expected.next_token(), "{version}");
         assert_eq!(status.members.len(), expected.sessions().len(), "{version}");
-        assert_eq!(status.duties.len(), expected.duties().len(), "{version}");
-        for (status, (id, lease)) in status.duties.iter().zip(expected.duties()) {
+        assert_eq!(status.leases.len(), expected.duties().len(), "{version}");
+        for (status, (id, lease)) in status.leases.iter().zip(expected.duties()) {
             let owner: Option<(Token, Revision)> =
-                status.owner.as_ref().map(|(_, token)| (*token, status.fenced));
-            assert_eq!(status.duty, *id, "{version}");
+                status.holder.as_ref().map(|(_, token)| (*token, status.fencing_revision));
+            assert_eq!(status.lease, *id, "{version}");
             assert_eq!(owner, lease.owner.map(|owner| (owner.token, lease.fenced)), "{version}");
-            assert_eq!(status.floor, lease.floor, "{version}");
+            assert_eq!(status.minimum_token, lease.floor, "{version}");
         }
         let replaced = expected.replacing().map(|replacing| (replacing.old, replacing.new));
-        assert_eq!(status.replacing, replaced, "{version}");
+        assert_eq!(status.replacement, replaced, "{version}");
     }
 }
--- a/crates/coordinator/tests/compatibility/support.rs
+++ b/crates/coordinator/tests/compatibility/support.rs
@@ -7,7 +7,10 @@
 use std::process::{Command as Process, Output, Stdio};
 use std::sync::{Arc, Mutex, RwLock, RwLockReadGuard};
 
-use cluster_member::wire::{Answer, Ask, FromKeeper, Link, Request, Turned, Welcome, Who};
+use cluster_member::wire::{
+    ClientIdentity, Connection, CoordinatorMessage, HandshakeRejection, Operation, Request, Response,
+    ServerHello,
+};
 use coordinator::disk::{Batch, Disk};
 use raft::eraftpb::Snapshot;
 
@@ -19,9 +22,9 @@
 /// How a scripted coordinator behaves.
 pub enum Script {
     /// It accepts operators and answers by this function.
-    Answers(Box<dyn Fn(&Ask) -> Answer + Send>),
+    Answers(Box<dyn Fn(&Operation) -> Response + Send>),
     /// It rejects whoever connects.
-    Rejects(Turned),
+    Rejects(HandshakeRejection),
     /// Nobody listens at its address.
     Unreachable,
 }
@@ -30,7 +33,7 @@
 pub struct Installation {
     folder: tempfile::TempDir,
     addresses: BTreeMap<u64, SocketAddr>,
-    requests: Arc<Mutex<Vec<(u64, Ask)>>>,
+    requests: Arc<Mutex<Vec<(u64, Operation)>>>,
 }
 
 impl Installation {
@@ -51,7 +54,7 @@
     }
 
     /// The first leads and answers by this function; the others are not reached.
-    pub fn answered_by(answers: impl Fn(&Ask) -> Answer + Send + 'static) -> Installation {
+    pub fn answered_by(answers: impl Fn(&Operation) -> Response + Send + 'static) -> Installation {
         Installation::new([Script::Answers(Box::new(answers)), Script::Unreachable, Script::Unreachable])
     }
 
@@ -96,9 +99,9 @@
     }
 
     /// What was asked of the scripted coordinators so far, but for their status.
-    pub fn requests(&self) -> Vec<(u64, Ask)> {
+    pub fn requests(&self) -> Vec<(u64, Operation)> {
         let requests = self.requests.lock().unwrap();
-        requests.iter().filter(|(_, operation)| *operation != Ask::Status).cloned().collect()
+        requests.iter().filter(|(_, operation)| *operation != Operation::Status).cloned().collect()
     }
 }
 
@@ -129,7 +132,7 @@
 }
 
 /// The address at which the coordinator answers from now on.
-fn spawn_scripted(number: u8, script: Script, requests: Arc<Mutex<Vec<(u64, Ask)>>>) -> SocketAddr {
+fn spawn_scripted(number: u8, script: Script, requests: Arc<Mutex<Vec<(u64, Operation)>>>) -> SocketAddr {
     if matches!(script, Script::Unreachable) {
         // Nobody listens at port 1.
         return SocketAddr::from(([127, 0, 0, number], 1));
@@ -155,20 +158,20 @@
     number: u64,
     stream: tokio::net::TcpStream,
     script: &Script,
-    requests: &Mutex<Vec<(u64, Ask)>>,
+    requests: &Mutex<Vec<(u64, Operation)>>,
 ) -> std::io::Result<()> {
-    let (mut link, hello) = Link::accept(stream).await?;
+    let (mut link, hello) = Connection::accept(stream).await?;
     let answers = match script {
         Script::Answers(answers) => answers,
-        Script::Rejects(why) => return link.welcome(&Welcome::Turned(why.clone())).await,
+        Script::Rejects(why) => return link.send_server_hello(&ServerHello::Rejected(why.clone())).await,
         Script::Unreachable => return Ok(()),
     };
-    assert_eq!((hello.installation.as_str(), &hello.who), ("north", &Who::Operator));
-    link.welcome(&Welcome::Fine { name: format!("keeper {number}") }).await?;
+    assert_eq!((hello.installation.as_str(), &hello.identity), ("north", &ClientIdentity::Operator));
+    link.send_server_hello(&ServerHello::Accepted { name: format!("keeper {number}") }).await?;
     loop {
-        let request: Request = link.next().await?;
-        requests.lock().unwrap().push((number, request.ask.clone()));
-        link.send(&FromKeeper::Answer(request.id, answers(&request.ask))).await?;
+        let request: Request = link.receive().await?;
+        requests.lock().unwrap().push((number, request.operation.clone()));
+        link.send(&CoordinatorMessage::Response(request.id, answers(&request.operation))).await?;
     }
 }
 
--- a/crates/coordinator/tests/full_disk.rs
+++ b/crates/coordinator/tests/full_disk.rs
@@ -27,7 +27,7 @@
     }
     assert_eq!(found.hard.commit, found.entries.last().map_or(0, |entry| entry.index));
     drop(disk);
-    (found.hard.commit, found.identity.boots)
+    (found.hard.commit, found.identity.start_count)
 }
 
 /// Not a test of its own: the process that writes so many entries, says of each that it is on the disk, and is killed; or
@@ -37,7 +37,7 @@
     let Ok(store) = std::env::var(STORE) else { return };
     let count: u64 = std::env::var(COUNT).unwrap().parse().unwrap();
     let Ok((disk, found)) = Disk::open(Path::new(&store), "test", 1) else { return };
-    println!("boots {}", found.identity.boots);
+    println!("boots {}", found.identity.start_count);
     let next = found.entries.last().map_or(2, |entry| entry.index + 1);
     for index in next..next + count {
         if !write(&disk, index) {
--- a/crates/dispatcher/src/net/cold.rs
+++ b/crates/dispatcher/src/net/cold.rs
@@ -80,7 +80,7 @@
     /// The owner says what it grants, its token was found good; the answer says what is used here.
     pub(super) fn heard(&self, effect: &Effect) -> Vec<u8> {
         match Grants::unpack(&effect.body) {
-            Some(grants) => self.granted(effect.token, effect.version, &grants),
+            Some(grants) => self.granted(effect.token, effect.sequence, &grants),
             None => tracing::warn!("what is granted of cold workers cannot be read"),
         }
         self.used().pack()
--- a/crates/dispatcher/src/net/fleet.rs
+++ b/crates/dispatcher/src/net/fleet.rs
@@ -118,7 +118,7 @@
     });
     leave.iter().for_each(|leave| drop(spawn_local(leave.clone().rounds())));
     let (leaver, watches) = (leave.clone(), watchers.clone());
-    spawn_local(receive(member.clone(), listener, move |effect| match effect.duty.name.as_str() {
+    spawn_local(receive(member.clone(), listener, move |effect| match effect.lease.name.as_str() {
         LIST => {
             if let Ok(news) = serde_json::from_slice::<News>(&effect.body) {
                 // The latest counts; where the queue is full, the next one says more than this.
--- a/crates/dispatcher/src/net/leave.rs
+++ b/crates/dispatcher/src/net/leave.rs
@@ -11,7 +11,7 @@
 use cluster_member::effects::Publisher;
 use cluster_member::keepers::Keepers;
 use cluster_member::member::Member;
-use cluster_member::wire::{Answer, Ask, Who};
+use cluster_member::wire::{ClientIdentity, Operation, Response};
 use coordination::{DutyId, Micros, Token};
 use disruption_budget::census::{Census, Listed, Standing, Warmth, ACCOUNT};
 use disruption_budget::{Account, Change, Kind, Observed, Outcome, Refusal, State, Target, Wants};
@@ -100,7 +100,7 @@
 
     fn keepers(&self) -> Keepers {
         let settings = self.member.settings();
-        let who = Who::Member { name: settings.name.clone() };
+        let who = ClientIdentity::Member { name: settings.name.clone() };
         Keepers::new(&settings.installation, who, settings.keepers.clone(), settings.bind)
     }
 
@@ -155,10 +155,10 @@
         let target = Target { kind: Kind::Dispatcher, name: name.clone() };
         let ask =
             Change::Ask { target, reason: reason.to_owned(), asker: format!("dispatcher/{name}"), force };
-        let permit = match keepers.ask(&Ask::Change(ask), by).await {
-            Ok(Answer::Changed(Outcome::Asked(permit, State::Waiting))) => {
-                let held = match keepers.ask(&Ask::Account { known: 0 }, by).await {
-                    Ok(Answer::Account(_, Some(account))) => {
+        let permit = match keepers.ask(&Operation::ChangeDisruptionState(ask), by).await {
+            Ok(Response::DisruptionStateChanged(Outcome::Asked(permit, State::Waiting))) => {
+                let held = match keepers.ask(&Operation::DisruptionState { known_revision: 0 }, by).await {
+                    Ok(Response::DisruptionState(_, Some(account))) => {
                         account.held_by(permit).map(|budget| format!(": budget {:?} is used up", budget.name))
                     }
                     _ => None,
@@ -166,9 +166,11 @@
                 let held = held.unwrap_or_default();
                 return denied(format!("permit {permit} waits for its turn{held}"), AGAIN.0);
             }
-            Ok(Answer::Changed(Outcome::Asked(permit, _))) => permit,
-            Ok(Answer::Changed(Outcome::Refused(why))) => return denied(why.to_string(), AGAIN.1),
-            Ok(Answer::Refused(reason)) => return denied(reason.to_string(), AGAIN.1),
+            Ok(Response::DisruptionStateChanged(Outcome::Asked(permit, _))) => permit,
+            Ok(Response::DisruptionStateChanged(Outcome::Refused(why))) => {
+                return denied(why.to_string(), AGAIN.1)
+            }
+            Ok(Response::Rejected(reason)) => return denied(reason.to_string(), AGAIN.1),
             Ok(other) => return denied(format!("an answer that was not asked for: {other:?}"), AGAIN.1),
             Err(why) if force => {
                 tracing::warn!(why, "standby is forced without the keepers");
@@ -184,12 +186,14 @@
             }
         };
         let begin = Change::Begin { permit, incarnation: number };
-        match keepers.ask(&Ask::Change(begin), by).await {
-            Ok(Answer::Changed(Outcome::Begun(_))) => {}
-            Ok(Answer::Changed(Outcome::Refused(Refusal::NoPermit))) => {
+        match keepers.ask(&Operation::ChangeDisruptionState(begin), by).await {
+            Ok(Response::DisruptionStateChanged(Outcome::Begun(_))) => {}
+            Ok(Response::DisruptionStateChanged(Outcome::Refused(Refusal::NoPermit))) => {
                 return denied("the permit before this one is not over yet", AGAIN.0)
             }
-            Ok(Answer::Changed(Outcome::Refused(why))) => return denied(why.to_string(), AGAIN.0),
+            Ok(Response::DisruptionStateChanged(Outcome::Refused(why))) => {
+                return denied(why.to_string(), AGAIN.0)
+            }
             other => return denied(format!("the permit could not be begun: {other:?}"), AGAIN.0),
         }
         // Whoever was stopped meanwhile may have been seen as another life: then the permit may be over.
@@ -230,9 +234,9 @@
             }
             count = count.wrapping_add(1);
             let by = Instant::now() + DECIDED;
-            match keepers.ask(&Ask::Account { known }, by).await {
-                Ok(Answer::Account(revision, Some(new))) => (known, account) = (revision, *new),
-                Ok(Answer::Account(..)) => {}
+            match keepers.ask(&Operation::DisruptionState { known_revision: known }, by).await {
+                Ok(Response::DisruptionState(revision, Some(new))) => (known, account) = (revision, *new),
+                Ok(Response::DisruptionState(..)) => {}
                 _ => continue,
             }
             let Some((token, targets, gone)) = self.look(&account) else { continue };
@@ -251,7 +255,7 @@
             let observe = Change::Observe { token: token.0, seen: known, targets, gone };
             let what = serde_json::json!({"duty": ACCOUNT, "token": token.0});
             self.member.record().put(clock::now(), "acted", what);
-            let _ = keepers.ask(&Ask::Change(observe), by).await;
+            let _ = keepers.ask(&Operation::ChangeDisruptionState(observe), by).await;
         }
     }
 
--- a/crates/dispatcher/src/net/watchers.rs
+++ b/crates/dispatcher/src/net/watchers.rs
@@ -67,13 +67,13 @@
 
     /// Another member says what it sees; its token was found good.
     pub(super) fn heard(&self, effect: &Effect) {
-        let Some(set) = self.how.set(&effect.duty) else { return };
+        let Some(set) = self.how.set(&effect.lease) else { return };
         match Report::unpack(&effect.body) {
             Some(report) => {
                 self.sightings.borrow_mut().take(set, effect.token, report, clock::now());
                 self.tell_engine();
             }
-            None => tracing::warn!(duty = %effect.duty, "what a watcher says cannot be read"),
+            None => tracing::warn!(duty = %effect.lease, "what a watcher says cannot be read"),
         }
     }
 
