--- a/crates/cluster-member/src/wire.rs
+++ b/crates/cluster-member/src/wire.rs
@@ -6,7 +6,7 @@
 
 use bytes::{Bytes, BytesMut};
 use coordination::{DutyId, Reason, Refusal, Revision, SessionId, Token, View};
-use disruption_budget::{Account, Change, Outcome};
+use disruption_budget::{DisruptionCommand, DisruptionOutcome, DisruptionState};
 use futures_util::{SinkExt, StreamExt};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -193,7 +193,7 @@
         known: Revision,
     },
     /// The account is to change. Since version 3.
-    Change(Change),
+    Change(DisruptionCommand),
 }
 
 /// What a keeper says.
@@ -240,9 +240,9 @@
     /// How things are.
     Status(Box<Status>),
     /// Who may be out, as of this entry; nothing where the asker knows it.
-    Account(Revision, Option<Box<Account>>),
+    Account(Revision, Option<Box<DisruptionState>>),
     /// What became of a change of the account.
-    Changed(Outcome),
+    Changed(DisruptionOutcome),
 }
 
 /// A member as others reach it.
--- a/crates/cluster-member/tests/format.rs
+++ b/crates/cluster-member/tests/format.rs
@@ -12,7 +12,8 @@
 };
 use coordination::{DutyId, Owner, Reason, Refusal, Scope, Seat, SessionId, Token, View};
 use disruption_budget::{
-    Account, Amount, Budget, Change, Cover, Kind, Outcome, Refusal as ReleaseRefusal, State, Target,
+    Amount, Budget, BudgetScope, DisruptionCommand, DisruptionOutcome, DisruptionState, PermitState,
+    Rejection, Target, TargetKind,
 };
 use serde_json::json;
 use support::{assert_pinned, encoded, hex};
@@ -55,17 +56,17 @@
     serde_json::from_str(STATUS).unwrap()
 }
 
-fn disruption_state() -> Account {
-    let mut account = Account::default();
+fn disruption_state() -> DisruptionState {
+    let mut account = DisruptionState::default();
     let budget = Budget {
         name: "zone".to_owned(),
-        kind: Kind::Dispatcher,
-        cover: Cover::EachZone,
-        most_out: Some(Amount::Count(1)),
-        least_in: Some(Amount::Percent(50)),
+        kind: TargetKind::Dispatcher,
+        scope: BudgetScope::EachZone,
+        max_unavailable: Some(Amount::Count(1)),
+        min_available: Some(Amount::Percent(50)),
     };
-    let budgets = Change::Budgets { seen: 0, budgets: vec![budget] };
-    assert_eq!(account.apply(5, &budgets), Outcome::Done);
+    let budgets = DisruptionCommand::SetBudgets { expected_version: 0, budgets: vec![budget] };
+    assert_eq!(account.apply(5, &budgets), DisruptionOutcome::Applied);
     account
 }
 
@@ -140,7 +141,7 @@
 
 #[test]
 fn requests() {
-    let target = Target { kind: Kind::Dispatcher, name: "d1".to_owned() };
+    let target = Target { kind: TargetKind::Dispatcher, name: "d1".to_owned() };
     let offers = vec![DutyId::fleet("list"), DutyId::set("watch", 1), DutyId::zone("probe", "north")];
     let operations = [
         (
@@ -163,10 +164,10 @@
         ("disruption state, since schema 3", Ask::Account { known: 700 }),
         (
             "change of the disruption state, since schema 3",
-            Ask::Change(Change::Ask {
+            Ask::Change(DisruptionCommand::RequestPermit {
                 target,
                 reason: "kernel".to_owned(),
-                asker: "dispatcher/d1".to_owned(),
+                requester: "dispatcher/d1".to_owned(),
                 force: true,
             }),
         ),
@@ -208,11 +209,11 @@
         ),
         (
             "disruption state changed, since schema 3".to_owned(),
-            Answer::Changed(Outcome::Asked(800, State::Granted)),
+            Answer::Changed(DisruptionOutcome::PermitRequested(800, PermitState::Granted)),
         ),
         (
             "disruption state not changed, since schema 3".to_owned(),
-            Answer::Changed(Outcome::Refused(ReleaseRefusal::Conflict { version: 5 })),
+            Answer::Changed(DisruptionOutcome::Rejected(Rejection::VersionConflict { version: 5 })),
         ),
     ]);
     let mut text = String::new();
--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -84,7 +84,7 @@
         old: u64,
     },
     /// The account of who may be out changes. Since version 3.
-    Account(disruption_budget::Change),
+    Account(disruption_budget::DisruptionCommand),
 }
 
 /// An entry that this program cannot apply.
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use disruption_budget::census::ACCOUNT;
-use disruption_budget::{Account, Change};
+use disruption_budget::availability_observer::OBSERVER_LEASE;
+use disruption_budget::{DisruptionCommand, DisruptionState};
 use serde::{Deserialize, Serialize};
 
 use crate::{Command, DutyId, Revision, Scope, SessionId, Token};
@@ -85,7 +85,7 @@
     changes: Changes,
     /// Who may be out, since version 3. Stands behind the rest in the same way.
     #[serde(skip)]
-    account: Account,
+    account: DisruptionState,
     /// The last entry that changed it; after a restart, the snapshot's.
     #[serde(skip)]
     account_revision: Revision,
@@ -124,7 +124,7 @@
     /// The term is over.
     Released(DutyId, Token),
     /// What became of a change of the account.
-    Account(disruption_budget::Outcome),
+    Account(disruption_budget::DisruptionOutcome),
     /// Noted.
     Noted,
     /// Not done, and nothing was changed.
@@ -217,7 +217,7 @@
             duties: BTreeMap::new(),
             keepers: BTreeMap::new(),
             changes: Changes::default(),
-            account: Account::default(),
+            account: DisruptionState::default(),
             account_revision: 0,
         }
     }
@@ -268,14 +268,14 @@
     }
 
     /// Who may be out.
-    pub fn account(&self) -> &Account {
+    pub fn account(&self) -> &DisruptionState {
         &self.account
     }
 
     /// The same with a flaw in the account, in builds for tests.
     #[must_use]
-    pub fn with_account_flaw(self, flaw: Option<disruption_budget::Flaw>) -> State {
-        State { account: self.account.with_flaw(flaw), ..self }
+    pub fn with_account_flaw(self, injected_bug: Option<disruption_budget::InjectedBug>) -> State {
+        State { account: self.account.with_injected_bug(injected_bug), ..self }
     }
 
     /// The last entry that changed who may be out.
@@ -354,9 +354,9 @@
             }
             Command::Account(change) => {
                 // An observation counts while its term is the running one, and at no other time.
-                if let Change::Observe { token, .. } = change {
-                    let owner = self.duties.get(&DutyId::fleet(ACCOUNT)).and_then(|duty| duty.owner);
-                    if owner.is_none_or(|owner| owner.token != Token(*token)) {
+                if let DisruptionCommand::RecordObservation { fencing_token, .. } = change {
+                    let owner = self.duties.get(&DutyId::fleet(OBSERVER_LEASE)).and_then(|duty| duty.owner);
+                    if owner.is_none_or(|owner| owner.token != Token(*fencing_token)) {
                         return Outcome::Refused(Reason::NotTheOwner);
                     }
                 }
@@ -534,7 +534,7 @@
     pub fn snapshot(&self) -> Vec<u8> {
         // Each part as the first version that knew it wrote it, so that keepers of an older one read on.
         let (changes, account) = (&self.changes, &self.account);
-        let packed = if *account != Account::default() {
+        let packed = if *account != DisruptionState::default() {
             postcard::to_stdvec(&(SNAPSHOT_VERSION, self, changes, account))
         } else if *changes != Changes::default() {
             postcard::to_stdvec(&(2u16, self, changes))
@@ -555,7 +555,7 @@
                 Ok(State { changes, ..state })
             }
             SNAPSHOT_VERSION => {
-                let (state, changes, account): (State, Changes, Account) =
+                let (state, changes, account): (State, Changes, DisruptionState) =
                     postcard::from_bytes(rest).map_err(fault)?;
                 let account_revision = state.revision;
                 Ok(State { changes, account, account_revision, ..state })
--- a/crates/coordination/tests/agreement.rs
+++ b/crates/coordination/tests/agreement.rs
@@ -295,8 +295,13 @@
     assert!(matches!(fleet.apply(SECOND, &back), Outcome::Refused(Reason::Keepers(_))), "a number of old");
     assert_eq!(fleet.state.snapshot()[0], 2);
     assert_eq!(State::restore(&fleet.state.snapshot()), Ok(fleet.state.clone()));
-    let target = disruption_budget::Target { kind: disruption_budget::Kind::Worker, name: "w".into() };
-    let ask = disruption_budget::Change::Ask { target, reason: "r".into(), asker: "a".into(), force: false };
+    let target = disruption_budget::Target { kind: disruption_budget::TargetKind::Worker, name: "w".into() };
+    let ask = disruption_budget::DisruptionCommand::RequestPermit {
+        target,
+        reason: "r".into(),
+        requester: "a".into(),
+        force: false,
+    };
     let ask = Command::Account(ask);
     assert_eq!(ask.encode()[0], 3);
     assert_eq!(Command::decode_up_to(2, &ask.encode()), Err(CommandFault::Later(3, 2)));
@@ -312,22 +317,29 @@
 /// The account takes the word of whoever observes in the running term, and of nobody else.
 #[test]
 fn an_observation_of_another_term_is_refused() {
-    use disruption_budget::{census::ACCOUNT, Change};
+    use disruption_budget::{availability_observer::OBSERVER_LEASE, DisruptionCommand};
     let mut fleet = Fleet::new();
-    let observe = |token| Command::Account(Change::Observe { token, seen: 0, targets: vec![], gone: vec![] });
+    let observe = |token| {
+        Command::Account(DisruptionCommand::RecordObservation {
+            fencing_token: token,
+            known_revision: 0,
+            changed: vec![],
+            removed: vec![],
+        })
+    };
     assert_eq!(fleet.apply(SECOND, &observe(1)), Outcome::Refused(Reason::NotTheOwner), "nobody owns it");
     let join = Command::Join {
         name: "a".into(),
         boot: 1,
         zone: String::new(),
         address: String::new(),
-        offers: vec![DutyId::fleet(ACCOUNT)],
+        offers: vec![DutyId::fleet(OBSERVER_LEASE)],
         short: false,
     };
     let Outcome::Joined(session, _) = fleet.apply(SECOND, &join) else { panic!("no session") };
     fleet.apply(SECOND, &Command::Settle { session });
-    let fenced = fleet.state.duties()[&DutyId::fleet(ACCOUNT)].fenced;
-    let grant = Command::Grant { duty: DutyId::fleet(ACCOUNT), session, fenced };
+    let fenced = fleet.state.duties()[&DutyId::fleet(OBSERVER_LEASE)].fenced;
+    let grant = Command::Grant { duty: DutyId::fleet(OBSERVER_LEASE), session, fenced };
     let Outcome::Granted(_, owner) = fleet.apply(SECOND, &grant) else { panic!("not granted") };
     assert!(matches!(fleet.apply(SECOND, &observe(owner.token.0)), Outcome::Account(_)));
     let late = fleet.apply(SECOND, &observe(owner.token.0 - 1));
--- a/crates/coordination/tests/format.rs
+++ b/crates/coordination/tests/format.rs
@@ -8,7 +8,9 @@
     Command, DutyId, HolderCounts, Outcome, Owner, Reason, Refusal, Revision, Scope, Seat, SessionId, State,
     Times, Token, View, COMMAND_VERSION,
 };
-use disruption_budget::{Amount, Budget, Change, Condition, Cover, Kind, Observed, Target};
+use disruption_budget::{
+    Amount, Availability, Budget, BudgetScope, DisruptionCommand, Target, TargetKind, TargetStatus,
+};
 use serde::Serialize;
 
 fn hex(bytes: &[u8]) -> String {
@@ -27,7 +29,7 @@
 }
 
 fn worker(name: &str) -> Target {
-    Target { kind: Kind::Worker, name: name.to_owned() }
+    Target { kind: TargetKind::Worker, name: name.to_owned() }
 }
 
 fn join(name: &str, boot: u64, zone: &str, offers: Vec<DutyId>, short: bool) -> Command {
@@ -59,48 +61,85 @@
 }
 
 fn budgets() -> Vec<Budget> {
-    let budget = |name: &str, kind, cover, most_out, least_in| Budget {
+    let budget = |name: &str, kind, scope, max_unavailable, min_available| Budget {
         name: name.to_owned(),
         kind,
-        cover,
-        most_out,
-        least_in,
+        scope,
+        max_unavailable,
+        min_available,
     };
     vec![
-        budget("whole", Kind::Dispatcher, Cover::Fleet, Some(Amount::Count(1)), None),
-        budget("zones", Kind::Worker, Cover::EachZone, Some(Amount::Percent(25)), Some(Amount::Count(2))),
-        budget("north", Kind::Worker, Cover::Zone("north".to_owned()), Some(Amount::Count(3)), None),
-        budget("pools", Kind::Worker, Cover::EachPool, None, Some(Amount::Percent(50))),
-        budget("batch", Kind::Worker, Cover::Pool("batch".to_owned()), Some(Amount::Count(4)), None),
+        budget("whole", TargetKind::Dispatcher, BudgetScope::Fleet, Some(Amount::Count(1)), None),
+        budget(
+            "zones",
+            TargetKind::Worker,
+            BudgetScope::EachZone,
+            Some(Amount::Percent(25)),
+            Some(Amount::Count(2)),
+        ),
+        budget(
+            "north",
+            TargetKind::Worker,
+            BudgetScope::Zone("north".to_owned()),
+            Some(Amount::Count(3)),
+            None,
+        ),
+        budget("pools", TargetKind::Worker, BudgetScope::EachPool, None, Some(Amount::Percent(50))),
+        budget(
+            "batch",
+            TargetKind::Worker,
+            BudgetScope::Pool("batch".to_owned()),
+            Some(Amount::Count(4)),
+            None,
+        ),
     ]
 }
 
-fn observed(target: Target, condition: Condition, incarnation: u64) -> Observed {
-    Observed { target, zone: "north".to_owned(), pool: "batch".to_owned(), condition, incarnation }
+fn observed(target: Target, availability: Availability, incarnation: u64) -> TargetStatus {
+    TargetStatus { target, zone: "north".to_owned(), pool: "batch".to_owned(), availability, incarnation }
 }
 
-fn ask(name: &str, force: bool) -> Change {
-    Change::Ask { target: worker(name), reason: "kernel".to_owned(), asker: "ops".to_owned(), force }
+fn ask(name: &str, force: bool) -> DisruptionCommand {
+    DisruptionCommand::RequestPermit {
+        target: worker(name),
+        reason: "kernel".to_owned(),
+        requester: "ops".to_owned(),
+        force,
+    }
 }
 
 fn version_3_commands() -> Vec<(&'static str, Command)> {
-    let dispatcher = Target { kind: Kind::Dispatcher, name: "d".to_owned() };
+    let dispatcher = Target { kind: TargetKind::Dispatcher, name: "d".to_owned() };
     let targets = vec![
-        observed(worker("w1"), Condition::In, 1),
-        observed(worker("w2"), Condition::Warming(250), 2),
-        observed(dispatcher.clone(), Condition::Out, 300),
+        observed(worker("w1"), Availability::Available, 1),
+        observed(worker("w2"), Availability::WarmingUp(250), 2),
+        observed(dispatcher.clone(), Availability::Unavailable, 300),
     ];
     vec![
-        ("9.0 budgets", Command::Account(Change::Budgets { seen: 300, budgets: budgets() })),
+        (
+            "9.0 budgets",
+            Command::Account(DisruptionCommand::SetBudgets { expected_version: 300, budgets: budgets() }),
+        ),
         ("9.1 ask", Command::Account(ask("w1", true))),
-        ("9.2 begin", Command::Account(Change::Begin { permit: 6, incarnation: 2 })),
-        ("9.3 done", Command::Account(Change::Done { permit: 6 })),
-        ("9.4 void", Command::Account(Change::Void { permit: 7 })),
+        ("9.2 begin", Command::Account(DisruptionCommand::BeginPermit { permit: 6, incarnation: 2 })),
+        ("9.3 done", Command::Account(DisruptionCommand::CompletePermit { permit: 6 })),
+        ("9.4 void", Command::Account(DisruptionCommand::CancelPermit { permit: 7 })),
         (
             "9.5 observe",
-            Command::Account(Change::Observe { token: 4, seen: 5, targets, gone: vec![worker("w3")] }),
+            Command::Account(DisruptionCommand::RecordObservation {
+                fencing_token: 4,
+                known_revision: 5,
+                changed: targets,
+                removed: vec![worker("w3")],
+            }),
+        ),
+        (
+            "9.6 strike",
+            Command::Account(DisruptionCommand::DeregisterTarget {
+                target: dispatcher,
+                operator: "ops".to_owned(),
+            }),
         ),
-        ("9.6 strike", Command::Account(Change::Strike { target: dispatcher, by: "ops".to_owned() })),
     ]
 }
 
@@ -187,21 +226,28 @@
 fn version_3_log() -> Log {
     let mut log = version_2_log();
     let token = log.state.duties()[&DutyId::fleet("account")].owner.unwrap().token.0;
-    let mut change = |change: Change| match log.apply(&Command::Account(change)) {
+    let mut change = |change: DisruptionCommand| match log.apply(&Command::Account(change)) {
         Outcome::Account(outcome) => outcome,
         other => panic!("{other:?}"),
     };
-    change(Change::Budgets { seen: 0, budgets: budgets() });
+    change(DisruptionCommand::SetBudgets { expected_version: 0, budgets: budgets() });
     let targets = vec![
-        observed(worker("w1"), Condition::In, 1),
-        observed(worker("w2"), Condition::Warming(250), 2),
-        observed(worker("w3"), Condition::Out, 3),
+        observed(worker("w1"), Availability::Available, 1),
+        observed(worker("w2"), Availability::WarmingUp(250), 2),
+        observed(worker("w3"), Availability::Unavailable, 3),
     ];
     let seen = 1_000;
-    change(Change::Observe { token, seen, targets, gone: vec![] });
-    let disruption_budget::Outcome::Asked(permit, _) = change(ask("w1", true)) else { panic!("no permit") };
-    change(Change::Begin { permit, incarnation: 1 });
-    change(Change::Done { permit });
+    change(DisruptionCommand::RecordObservation {
+        fencing_token: token,
+        known_revision: seen,
+        changed: targets,
+        removed: vec![],
+    });
+    let disruption_budget::DisruptionOutcome::PermitRequested(permit, _) = change(ask("w1", true)) else {
+        panic!("no permit")
+    };
+    change(DisruptionCommand::BeginPermit { permit, incarnation: 1 });
+    change(DisruptionCommand::CompletePermit { permit });
     change(ask("w2", true));
     change(ask("w3", false));
     log
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -7,7 +7,7 @@
 use cluster_member::settings;
 use cluster_member::wire::{OLDEST_SCHEMA, SCHEMA};
 use coordination::Times;
-use disruption_budget::{Amount, Budget, Cover, Kind};
+use disruption_budget::{Amount, Budget, BudgetScope, TargetKind};
 use hcl_config::{Fault, Section, Value};
 
 /// A keeper's configuration.
@@ -39,7 +39,7 @@
     /// The most connections at once.
     pub connections: usize,
     /// A flaw put in on purpose, in a build for such tests.
-    pub flaw: Option<disruption_budget::Flaw>,
+    pub flaw: Option<disruption_budget::InjectedBug>,
     /// The version of the messages that it speaks, and of the entries that it knows.
     pub speaks: u16,
 }
@@ -96,16 +96,16 @@
 
 /// A flaw put in on purpose. Only a build for such tests knows the key.
 #[cfg(feature = "seeded-bugs")]
-fn flaw(section: &Section) -> Result<Option<disruption_budget::Flaw>, Fault> {
+fn flaw(section: &Section) -> Result<Option<disruption_budget::InjectedBug>, Fault> {
     let Some(name) = section.text("flaw")? else { return Ok(None) };
-    let known = disruption_budget::Flaw::names().iter().find(|(known, _)| *known == name);
+    let known = disruption_budget::InjectedBug::names().iter().find(|(known, _)| *known == name);
     known
         .map(|(_, flaw)| Some(*flaw))
         .ok_or_else(|| section.fault("flaw", format!("there is no flaw {name:?}")))
 }
 
 #[cfg(not(feature = "seeded-bugs"))]
-fn flaw(_: &Section) -> Result<Option<disruption_budget::Flaw>, Fault> {
+fn flaw(_: &Section) -> Result<Option<disruption_budget::InjectedBug>, Fault> {
     Ok(None)
 }
 
@@ -130,25 +130,25 @@
         if name.is_empty() || name.len() > 128 || budgets.iter().any(|budget| budget.name == name) {
             return Err(section.fault("", "wanted a label of 1 to 128 bytes that no other budget has"));
         }
-        let kind =
-            section.word("targets", &[("dispatchers", Kind::Dispatcher), ("workers", Kind::Worker)])?;
+        let kind = section
+            .word("targets", &[("dispatchers", TargetKind::Dispatcher), ("workers", TargetKind::Worker)])?;
         let kind = kind.ok_or_else(|| section.fault("targets", "is missing: dispatchers or workers"))?;
-        let cover = match section.text("of")?.as_deref() {
-            None | Some("fleet") => Cover::Fleet,
-            Some("each-zone") => Cover::EachZone,
-            Some("each-pool") => Cover::EachPool,
+        let scope = match section.text("of")?.as_deref() {
+            None | Some("fleet") => BudgetScope::Fleet,
+            Some("each-zone") => BudgetScope::EachZone,
+            Some("each-pool") => BudgetScope::EachPool,
             Some(other) => match other.split_once('/') {
-                Some(("zone", zone)) if !zone.is_empty() => Cover::Zone(zone.to_owned()),
-                Some(("pool", pool)) if !pool.is_empty() => Cover::Pool(pool.to_owned()),
+                Some(("zone", zone)) if !zone.is_empty() => BudgetScope::Zone(zone.to_owned()),
+                Some(("pool", pool)) if !pool.is_empty() => BudgetScope::Pool(pool.to_owned()),
                 _ => {
                     let wanted = "wanted fleet, each-zone, zone/NAME, each-pool or pool/NAME";
                     return Err(section.fault("of", format!("{other:?}: {wanted}")));
                 }
             },
         };
-        let (most_out, least_in) = (amount(section, "most_out")?, amount(section, "least_in")?);
-        let budget = Budget { name, kind, cover, most_out, least_in };
-        budget.check().map_err(|fault| section.fault(fault.key, fault.why))?;
+        let (max_unavailable, min_available) = (amount(section, "most_out")?, amount(section, "least_in")?);
+        let budget = Budget { name, kind, scope, max_unavailable, min_available };
+        budget.validate().map_err(|fault| section.fault(fault.key, fault.reason))?;
         budgets.push(budget);
     }
     top.finish()?;
--- a/crates/coordinator/src/ctl.rs
+++ b/crates/coordinator/src/ctl.rs
@@ -6,7 +6,7 @@
 use cluster_member::keepers::Keepers;
 use cluster_member::wire::{Answer, Ask, FromKeeper, Hello, Link, Request, Status, Who, SCHEMA};
 use coordination::{DutyId, Token};
-use disruption_budget::{Account, Change, Condition, Outcome};
+use disruption_budget::{Availability, DisruptionCommand, DisruptionOutcome, DisruptionState};
 use tokio::time::timeout;
 
 use crate::config::Config;
@@ -115,11 +115,11 @@
 ///
 /// # Errors
 /// Nobody leads.
-pub async fn account(config: &Config) -> Result<(u64, Account), String> {
+pub async fn account(config: &Config) -> Result<(u64, DisruptionState), String> {
     // Nothing is known yet: an account that never changed is an empty one.
     match ask_leader(config, Ask::Account { known: 0 }).await? {
         Answer::Account(revision, account) => {
-            Ok((revision, account.map_or_else(Account::default, |all| *all)))
+            Ok((revision, account.map_or_else(DisruptionState::default, |all| *all)))
         }
         other => Err(format!("an answer that was not asked for: {other:?}")),
     }
@@ -129,9 +129,9 @@
 ///
 /// # Errors
 /// Nobody leads, or it is refused.
-pub async fn change(config: &Config, change: Change) -> Result<Outcome, String> {
-    match ask_leader(config, Ask::Change(change)).await? {
-        Answer::Changed(Outcome::Refused(why)) => Err(why.to_string()),
+pub async fn change(config: &Config, command: DisruptionCommand) -> Result<DisruptionOutcome, String> {
+    match ask_leader(config, Ask::Change(command)).await? {
+        Answer::Changed(DisruptionOutcome::Rejected(why)) => Err(why.to_string()),
         Answer::Changed(outcome) => Ok(outcome),
         Answer::Refused(reason) => Err(reason.to_string()),
         other => Err(format!("an answer that was not asked for: {other:?}")),
@@ -139,74 +139,75 @@
 }
 
 /// The account for programs.
-pub fn account_json(account: &Account) -> serde_json::Value {
-    let (version, _) = account.budgets();
-    let budgets = account.sums().into_iter().map(|(budget, place, sum)| {
+pub fn account_json(state: &DisruptionState) -> serde_json::Value {
+    let (version, _) = state.budgets();
+    let budgets = state.budget_usage().into_iter().map(|(budget, place, sum)| {
         serde_json::json!({
             "budget": budget.name, "place": place, "targets": sum.targets,
-            "out_by_plan": sum.by_plan as f64 / 1e3, "out_otherwise": sum.unplanned as f64 / 1e3,
+            "out_by_plan": sum.planned as f64 / 1e3, "out_otherwise": sum.unplanned as f64 / 1e3,
         })
     });
-    let permits = account.permits().iter().map(|(id, permit)| {
+    let permits = state.permits().iter().map(|(id, permit)| {
         serde_json::json!({
             "permit": id, "target": permit.target.to_string(), "state": format!("{:?}", permit.state).to_lowercase(),
-            "asker": permit.asker, "reason": permit.reason, "done": permit.done.is_some(), "forced": permit.forced,
-            "held_by": account.held_by(*id).map(|budget| budget.name.clone()),
+            "asker": permit.requester, "reason": permit.reason, "done": permit.completed_at.is_some(), "forced": permit.forced,
+            "held_by": state.blocking_budget(*id).map(|budget| budget.name.clone()),
         })
     });
-    let targets = account.targets().map(|seen| {
+    let targets = state.targets().map(|seen| {
         serde_json::json!({
             "target": seen.target.to_string(), "zone": seen.zone, "pool": seen.pool, "number": seen.incarnation,
-            "in": match seen.condition {
-                Condition::In => 1.0,
-                Condition::Out => 0.0,
-                Condition::Warming(part) => f64::from(part) / 1e3,
+            "in": match seen.availability {
+                Availability::Available => 1.0,
+                Availability::Unavailable => 0.0,
+                Availability::WarmingUp(part) => f64::from(part) / 1e3,
             },
         })
     });
     serde_json::json!({
-        "version": version, "forced": account.forced().count, "budgets": budgets.collect::<Vec<_>>(),
+        "version": version, "forced": state.forced().count, "budgets": budgets.collect::<Vec<_>>(),
         "permits": permits.collect::<Vec<_>>(), "targets": targets.collect::<Vec<_>>(),
     })
 }
 
 /// The account for people.
-pub fn account_text(account: &Account) -> String {
+pub fn account_text(state: &DisruptionState) -> String {
     let mut text = String::new();
-    let (version, budgets) = account.budgets();
+    let (version, budgets) = state.budgets();
     let _ = writeln!(text, "budgets, version {version}:");
     let part = |thousandths: u64| thousandths as f64 / 1e3;
-    for (budget, place, sum) in account.sums() {
+    for (budget, place, sum) in state.budget_usage() {
         let place = if place.is_empty() { String::new() } else { format!(" {place}") };
-        let (out, unplanned) = (part(sum.by_plan), part(sum.unplanned));
+        let (out, unplanned) = (part(sum.planned), part(sum.unplanned));
         let _ = writeln!(
             text,
             "  {}{place}: {out} out by plan, {unplanned} otherwise, of {}{}",
             budget.name,
             sum.targets,
-            budget.fits(sum.targets).map_or_else(|fault| format!("; {fault}"), |()| String::new())
+            budget.validate_for(sum.targets).map_or_else(|fault| format!("; {fault}"), |()| String::new())
         );
     }
     if budgets.is_empty() {
         let _ = writeln!(text, "  none: every permit is granted while one other target is in");
     }
-    for (id, permit) in account.permits() {
-        let held =
-            account.held_by(*id).map_or(String::new(), |budget| format!(", held by budget {}", budget.name));
-        let done = if permit.done.is_some() { ", done" } else { "" };
+    for (id, permit) in state.permits() {
+        let held = state
+            .blocking_budget(*id)
+            .map_or(String::new(), |budget| format!(", held by budget {}", budget.name));
+        let done = if permit.completed_at.is_some() { ", done" } else { "" };
         let forced = if permit.forced { ", forced" } else { "" };
         let state = format!("{:?}", permit.state).to_lowercase();
-        let (target, asker, reason) = (&permit.target, &permit.asker, &permit.reason);
-        let _ = writeln!(text, "permit {id}: {target}, {state}{done}{forced}{held}; {asker}: {reason}");
+        let (target, requester, reason) = (&permit.target, &permit.requester, &permit.reason);
+        let _ = writeln!(text, "permit {id}: {target}, {state}{done}{forced}{held}; {requester}: {reason}");
     }
-    for seen in account.targets().filter(|seen| seen.condition != Condition::In) {
-        let condition = match seen.condition {
-            Condition::Warming(part) => format!("warming, {} %", f64::from(part) / 10.0),
+    for seen in state.targets().filter(|seen| seen.availability != Availability::Available) {
+        let availability = match seen.availability {
+            Availability::WarmingUp(part) => format!("warming, {} %", f64::from(part) / 10.0),
             _ => "out".to_owned(),
         };
-        let _ = writeln!(text, "{}: {condition}", seen.target);
+        let _ = writeln!(text, "{}: {availability}", seen.target);
     }
-    let _ = writeln!(text, "forced so far: {}", account.forced().count);
+    let _ = writeln!(text, "forced so far: {}", state.forced().count);
     text
 }
 
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -8,7 +8,7 @@
 use coordination::{DutyId, Token};
 use coordinator::config::{self, Config};
 use coordinator::{ctl, disk, serve, Stop};
-use disruption_budget::{Change, Outcome, State, Target};
+use disruption_budget::{DisruptionCommand, DisruptionOutcome, PermitState, Target};
 use lexopt::prelude::*;
 
 const HELP: &str = "\
@@ -179,28 +179,30 @@
 async fn permit(args: &Args, config: &Config) -> Result<String, Stop> {
     let missing = |key: &str| Stop::Start(format!("--{key} is missing"));
     let number = || args.permit.ok_or_else(|| missing("permit"));
-    let change = match args.verb.as_str() {
-        "ask" => Change::Ask {
+    let command = match args.verb.as_str() {
+        "ask" => DisruptionCommand::RequestPermit {
             target: args.target.clone().ok_or_else(|| missing("target"))?,
             reason: args.reason.clone().unwrap_or_default(),
-            asker: args.by.clone().ok_or_else(|| missing("by"))?,
+            requester: args.by.clone().ok_or_else(|| missing("by"))?,
             force: args.force,
         },
-        "begin" => Change::Begin { permit: number()?, incarnation: args.number },
-        "done" => Change::Done { permit: number()? },
-        "void" => Change::Void { permit: number()? },
+        "begin" => DisruptionCommand::BeginPermit { permit: number()?, incarnation: args.number },
+        "done" => DisruptionCommand::CompletePermit { permit: number()? },
+        "void" => DisruptionCommand::CancelPermit { permit: number()? },
         other => return Err(Stop::Start(format!("permit {other:?}: wanted ask, begin, done or void"))),
     };
-    match ctl::change(config, change).await.map_err(Stop::Start)? {
-        Outcome::Asked(permit, State::Waiting) => {
+    match ctl::change(config, command).await.map_err(Stop::Start)? {
+        DisruptionOutcome::PermitRequested(permit, PermitState::Waiting) => {
             let (_, account) = ctl::account(config).await.map_err(Stop::Start)?;
             let held = account
-                .held_by(permit)
+                .blocking_budget(permit)
                 .map_or(String::new(), |held| format!(", held by budget {:?}", held.name));
             Err(Stop::NotNow(format!("permit {permit} waits for its turn{held}; ask again within a minute")))
         }
-        Outcome::Asked(permit, state) => Ok(format!("{permit} {}\n", format!("{state:?}").to_lowercase())),
-        Outcome::Begun(permit) => Ok(format!("{permit} begun\n")),
+        DisruptionOutcome::PermitRequested(permit, state) => {
+            Ok(format!("{permit} {}\n", format!("{state:?}").to_lowercase()))
+        }
+        DisruptionOutcome::PermitBegun(permit) => Ok(format!("{permit} begun\n")),
         _ => Ok(String::new()),
     }
 }
@@ -317,14 +319,18 @@
                 None => ctl::account(config).await.map_err(Stop::Start)?.1.budgets().0,
             };
             let count = budgets.len();
-            ctl::change(config, Change::Budgets { seen, budgets }).await.map_err(Stop::Start)?;
+            ctl::change(config, DisruptionCommand::SetBudgets { expected_version: seen, budgets })
+                .await
+                .map_err(Stop::Start)?;
             Ok(format!("{count} budgets hold from now on\n"))
         }
         "permit" => permit(args, config).await,
         "strike-off" => {
             let target = args.target.clone().ok_or_else(|| Stop::Start("--target is missing".to_owned()))?;
             let by = args.by.clone().unwrap_or_else(|| "an operator".to_owned());
-            ctl::change(config, Change::Strike { target, by }).await.map_err(Stop::Start)?;
+            ctl::change(config, DisruptionCommand::DeregisterTarget { target, operator: by })
+                .await
+                .map_err(Stop::Start)?;
             Ok(String::new())
         }
         "metrics" => {
--- a/crates/coordinator/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -12,7 +12,7 @@
     Command, Micros, Outcome, Reason, Replacing, Revision, SessionId, State, Times, Token, Warden,
     COMMAND_VERSION,
 };
-use disruption_budget::desk::Desk;
+use disruption_budget::permit_timeouts::PermitTimeouts;
 use hdrhistogram::Histogram;
 use protobuf::Message as _;
 use raft::eraftpb::{
@@ -140,8 +140,8 @@
     conf_proposed: Option<Micros>,
     times: Times,
     warden: Option<Warden>,
-    flaw: Option<disruption_budget::Flaw>,
-    desk: Desk,
+    flaw: Option<disruption_budget::InjectedBug>,
+    permit_timeouts: PermitTimeouts,
     voided: Micros,
     /// The latest entries that this keeper knows, and the latest messages that others speak, of those that greeted it.
     knows: u16,
@@ -234,7 +234,7 @@
             times,
             warden: None,
             flaw: None,
-            desk: Desk::default(),
+            permit_timeouts: PermitTimeouts::default(),
             voided: 0,
             knows: COMMAND_VERSION,
             schemas: BTreeMap::new(),
@@ -262,7 +262,7 @@
     }
 
     /// The account gets a flaw, in builds for tests.
-    pub fn account_flaw(&mut self, flaw: Option<disruption_budget::Flaw>) {
+    pub fn account_flaw(&mut self, flaw: Option<disruption_budget::InjectedBug>) {
         self.flaw = flaw;
         self.state = std::mem::replace(&mut self.state, State::new(1)).with_account_flaw(flaw);
     }
@@ -665,9 +665,9 @@
         let Some(warden) = &mut self.warden else { return };
         // What is due of permits is proposed at most so often: the agreement takes a moment.
         if now.saturating_sub(self.voided) > self.times.heartbeat {
-            for change in self.desk.due(now) {
+            for command in self.permit_timeouts.expired(now) {
                 self.voided = now;
-                let _ = self.raw.propose(Vec::new(), Command::Account(change).encode());
+                let _ = self.raw.propose(Vec::new(), Command::Account(command).encode());
             }
         }
         for command in warden.due(now, &self.state) {
@@ -741,7 +741,7 @@
                 .map_err(|fault| Stop::Later(format!("at entry {}: {fault}", entry.index)))?;
             let outcome = self.state.apply(entry.index, &command);
             if let Outcome::Account(_) = outcome {
-                self.desk.applied(now, self.state.account());
+                self.permit_timeouts.update(now, self.state.account());
             }
             if let Some(warden) = &mut self.warden {
                 warden.applied(now, &self.state);
@@ -782,8 +782,8 @@
             (Outcome::Joined(..), None) => self.not_leading(),
             (Outcome::Refused(reason), _) => Answer::Refused(reason.clone()),
             (Outcome::Account(outcome), _) => {
-                if let disruption_budget::Outcome::Asked(id, _) = outcome {
-                    self.desk.asked(*id, now);
+                if let disruption_budget::DisruptionOutcome::PermitRequested(id, _) = outcome {
+                    self.permit_timeouts.renew(*id, now);
                 }
                 Answer::Changed(outcome.clone())
             }
@@ -807,8 +807,8 @@
         self.leads = leads;
         self.out.push(Out::Leads(leads));
         self.warden = leads.map(|_| Warden::new(self.times, now, &self.state));
-        self.desk = Desk::default();
-        self.desk.applied(now, self.state.account());
+        self.permit_timeouts = PermitTimeouts::default();
+        self.permit_timeouts.update(now, self.state.account());
         self.propose_boots();
         // Whoever waits asks the next leader; what was proposed may still be agreed on, and asking twice does no harm.
         let answer = self.not_leading();
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -226,9 +226,10 @@
                                 what["name"] = name.as_str().into();
                             }
                         }
-                        Outcome::Account(disruption_budget::Outcome::Observed { granted, .. })
-                            if !granted.is_empty() =>
-                        {
+                        Outcome::Account(disruption_budget::DisruptionOutcome::ObservationRecorded {
+                            granted,
+                            ..
+                        }) if !granted.is_empty() => {
                             what["permits"] = granted.clone().into();
                         }
                         _ => {}
@@ -279,28 +280,41 @@
 }
 
 /// Who asked, forced, struck off, and what an observation led to; that nothing changed is said to nobody.
-fn log_account(command: &Command, outcome: &disruption_budget::Outcome) {
-    use disruption_budget::{Change, Outcome, State};
+fn log_account(command: &Command, outcome: &disruption_budget::DisruptionOutcome) {
+    use disruption_budget::{DisruptionCommand, DisruptionOutcome, PermitState};
     let Command::Account(change) = command else { return };
     match (change, outcome) {
-        (Change::Ask { target, reason, asker, force: true }, Outcome::Asked(permit, _)) => {
-            tracing::warn!(%target, reason, asker, permit, "a permit was forced, beyond what budgets allow");
+        (
+            DisruptionCommand::RequestPermit { target, reason, requester, force: true },
+            DisruptionOutcome::PermitRequested(permit, _),
+        ) => {
+            tracing::warn!(%target, reason, requester, permit, "a permit was forced, beyond what budgets allow");
         }
-        (Change::Ask { target, reason, asker, .. }, Outcome::Asked(permit, State::Waiting)) => {
-            tracing::debug!(%target, reason, asker, permit, "a permit is asked for");
+        (
+            DisruptionCommand::RequestPermit { target, reason, requester, .. },
+            DisruptionOutcome::PermitRequested(permit, PermitState::Waiting),
+        ) => {
+            tracing::debug!(%target, reason, requester, permit, "a permit is asked for");
         }
-        (Change::Begin { .. }, Outcome::Begun(permit)) => tracing::info!(permit, "a permit was begun"),
-        (Change::Void { permit }, Outcome::Done) => tracing::info!(permit, "a permit is void"),
-        (Change::Strike { target, by }, Outcome::Done) => tracing::warn!(%target, by, "struck off"),
-        (Change::Budgets { budgets, .. }, Outcome::Done) => {
+        (DisruptionCommand::BeginPermit { .. }, DisruptionOutcome::PermitBegun(permit)) => {
+            tracing::info!(permit, "a permit was begun")
+        }
+        (DisruptionCommand::CancelPermit { permit }, DisruptionOutcome::Applied) => {
+            tracing::info!(permit, "a permit is void")
+        }
+        (DisruptionCommand::DeregisterTarget { target, operator }, DisruptionOutcome::Applied) => {
+            tracing::warn!(%target, operator, "struck off")
+        }
+        (DisruptionCommand::SetBudgets { budgets, .. }, DisruptionOutcome::Applied) => {
             tracing::info!(budgets = budgets.len(), "other budgets");
         }
-        (Change::Observe { .. }, Outcome::Observed { granted, called_back, proven })
-            if !(granted.is_empty() && called_back.is_empty() && proven.is_empty()) =>
-        {
-            tracing::info!(?granted, ?called_back, ?proven, "permits");
+        (
+            DisruptionCommand::RecordObservation { .. },
+            DisruptionOutcome::ObservationRecorded { granted, revoked, closed },
+        ) if !(granted.is_empty() && revoked.is_empty() && closed.is_empty()) => {
+            tracing::info!(?granted, ?revoked, ?closed, "permits");
         }
-        (_, Outcome::Refused(why)) => tracing::info!(%why, ?change, "the account refuses"),
+        (_, DisruptionOutcome::Rejected(why)) => tracing::info!(%why, ?change, "the account refuses"),
         _ => {}
     }
 }
--- a/crates/coordinator/tests/compatibility/command_line.rs
+++ b/crates/coordinator/tests/compatibility/command_line.rs
@@ -3,7 +3,8 @@
 use cluster_member::wire::{Answer, Ask, DutyStatus, MemberStatus, Peer, Status, Turned};
 use coordination::{DutyId, Reason, Revision, SessionId, Token};
 use disruption_budget::{
-    Account, Amount, Budget, Change, Condition, Cover, Kind, Observed, Outcome, Refusal, State, Target,
+    Amount, Availability, Budget, BudgetScope, DisruptionCommand, DisruptionOutcome, DisruptionState,
+    PermitState, Rejection, Target, TargetKind, TargetStatus,
 };
 
 use crate::support::{report, run_program, Installation, Script};
@@ -65,59 +66,70 @@
     Status { keeper: 2, leads: false, applied: 1_190, members, duties, ..leading() }
 }
 
-fn target(kind: Kind, name: &str) -> Target {
+fn target(kind: TargetKind, name: &str) -> Target {
     Target { kind, name: name.to_owned() }
 }
 
-fn observed(kind: Kind, name: &str, condition: Condition) -> Observed {
+fn observed(kind: TargetKind, name: &str, availability: Availability) -> TargetStatus {
     let (zone, pool) = ("east".to_owned(), "large".to_owned());
-    Observed { target: target(kind, name), zone, pool, condition, incarnation: 4 }
+    TargetStatus { target: target(kind, name), zone, pool, availability, incarnation: 4 }
 }
 
 fn budget(
     name: &str,
-    kind: Kind,
-    cover: Cover,
-    most_out: Option<Amount>,
-    least_in: Option<Amount>,
+    kind: TargetKind,
+    scope: BudgetScope,
+    max_unavailable: Option<Amount>,
+    min_available: Option<Amount>,
 ) -> Budget {
-    Budget { name: name.to_owned(), kind, cover, most_out, least_in }
+    Budget { name: name.to_owned(), kind, scope, max_unavailable, min_available }
 }
 
 /// One permit of each state, budgets of each kind, targets of each condition.
-fn account() -> Account {
-    let ask = |name: &str, force| Change::Ask {
-        target: target(Kind::Worker, name),
+fn account() -> DisruptionState {
+    let ask = |name: &str, force| DisruptionCommand::RequestPermit {
+        target: target(TargetKind::Worker, name),
         reason: "release 7".to_owned(),
-        asker: "shop a".to_owned(),
+        requester: "shop a".to_owned(),
         force,
     };
     let budgets = vec![
-        budget("workers", Kind::Worker, Cover::EachZone, Some(Amount::Count(1)), None),
-        budget("dispatchers", Kind::Dispatcher, Cover::Fleet, None, Some(Amount::Count(2))),
-        budget("large", Kind::Worker, Cover::Pool("large".to_owned()), None, Some(Amount::Percent(10))),
+        budget("workers", TargetKind::Worker, BudgetScope::EachZone, Some(Amount::Count(1)), None),
+        budget("dispatchers", TargetKind::Dispatcher, BudgetScope::Fleet, None, Some(Amount::Count(2))),
+        budget(
+            "large",
+            TargetKind::Worker,
+            BudgetScope::Pool("large".to_owned()),
+            None,
+            Some(Amount::Percent(10)),
+        ),
     ];
     let targets = vec![
-        observed(Kind::Worker, "w1", Condition::In),
-        observed(Kind::Worker, "w2", Condition::Out),
-        observed(Kind::Worker, "w3", Condition::In),
-        observed(Kind::Worker, "w4", Condition::Warming(250)),
-        observed(Kind::Worker, "w5", Condition::In),
-        observed(Kind::Dispatcher, "d1", Condition::In),
+        observed(TargetKind::Worker, "w1", Availability::Available),
+        observed(TargetKind::Worker, "w2", Availability::Unavailable),
+        observed(TargetKind::Worker, "w3", Availability::Available),
+        observed(TargetKind::Worker, "w4", Availability::WarmingUp(250)),
+        observed(TargetKind::Worker, "w5", Availability::Available),
+        observed(TargetKind::Dispatcher, "d1", Availability::Available),
     ];
     let changes = [
-        Change::Budgets { seen: 0, budgets },
-        Change::Observe { token: 51, seen: 1, targets, gone: Vec::new() },
+        DisruptionCommand::SetBudgets { expected_version: 0, budgets },
+        DisruptionCommand::RecordObservation {
+            fencing_token: 51,
+            known_revision: 1,
+            changed: targets,
+            removed: Vec::new(),
+        },
         ask("w1", true),
-        Change::Begin { permit: 3, incarnation: 4 },
-        Change::Done { permit: 3 },
+        DisruptionCommand::BeginPermit { permit: 3, incarnation: 4 },
+        DisruptionCommand::CompletePermit { permit: 3 },
         ask("w3", true),
         ask("w5", false),
     ];
-    let mut account = Account::default();
+    let mut account = DisruptionState::default();
     for (index, change) in (1..).zip(&changes) {
         let outcome = account.apply(index, change);
-        assert!(!matches!(outcome, Outcome::Refused(_)), "{change:?}: {outcome:?}");
+        assert!(!matches!(outcome, DisruptionOutcome::Rejected(_)), "{change:?}: {outcome:?}");
     }
     account
 }
@@ -209,13 +221,13 @@
         "4",
     ];
     let answers = [
-        Outcome::Asked(7, State::Waiting),
-        Outcome::Asked(8, State::Waiting),
-        Outcome::Asked(3, State::Granted),
-        Outcome::Asked(3, State::Begun),
-        Outcome::Begun(3),
-        Outcome::Done,
-        Outcome::Refused(Refusal::NotGranted),
+        DisruptionOutcome::PermitRequested(7, PermitState::Waiting),
+        DisruptionOutcome::PermitRequested(8, PermitState::Waiting),
+        DisruptionOutcome::PermitRequested(3, PermitState::Granted),
+        DisruptionOutcome::PermitRequested(3, PermitState::Begun),
+        DisruptionOutcome::PermitBegun(3),
+        DisruptionOutcome::Applied,
+        DisruptionOutcome::Rejected(Rejection::NotGranted),
     ];
     let mut all = String::new();
     for outcome in answers {
@@ -223,7 +235,7 @@
         all += &format!("asked: {}\n", installation.run(&[&["permit", "ask"][..], &full].concat()));
     }
     insta::assert_snapshot!("permit_ask", all);
-    let installation = installation(Answer::Changed(Outcome::Begun(3)));
+    let installation = installation(Answer::Changed(DisruptionOutcome::PermitBegun(3)));
     let mut all = String::new();
     for verb in ["ask", "begin", "done", "void"] {
         all += &format!("{verb}: {}\n", installation.run(&[&["permit", verb][..], &full].concat()));
@@ -231,16 +243,21 @@
     all += &installation.run(&["permit", "ask", "--target", "dispatcher/d1", "--by", "shop a"]);
     all += &installation.run(&["permit", "begin", "--permit", "3"]);
     insta::assert_snapshot!("permit_verbs", all);
-    let (reason, asker) = ("release 7".to_owned(), "shop a".to_owned());
-    let ask = Change::Ask { target: target(Kind::Worker, "w1"), reason, asker: asker.clone(), force: true };
-    let (plain, reason) = (target(Kind::Dispatcher, "d1"), String::new());
+    let (reason, requester) = ("release 7".to_owned(), "shop a".to_owned());
+    let ask = DisruptionCommand::RequestPermit {
+        target: target(TargetKind::Worker, "w1"),
+        reason,
+        requester: requester.clone(),
+        force: true,
+    };
+    let (plain, reason) = (target(TargetKind::Dispatcher, "d1"), String::new());
     let changes = [
         ask,
-        Change::Begin { permit: 3, incarnation: 4 },
-        Change::Done { permit: 3 },
-        Change::Void { permit: 3 },
-        Change::Ask { target: plain, reason, asker, force: false },
-        Change::Begin { permit: 3, incarnation: 0 },
+        DisruptionCommand::BeginPermit { permit: 3, incarnation: 4 },
+        DisruptionCommand::CompletePermit { permit: 3 },
+        DisruptionCommand::CancelPermit { permit: 3 },
+        DisruptionCommand::RequestPermit { target: plain, reason, requester, force: false },
+        DisruptionCommand::BeginPermit { permit: 3, incarnation: 0 },
     ];
     let expected: Vec<(u64, Ask)> = changes.map(|change| (1, Ask::Change(change))).into();
     assert_eq!(installation.requests(), expected);
@@ -248,7 +265,7 @@
 
 #[test]
 fn budgets_and_strike_off_and_what_they_ask_for() {
-    let installation = installation(Answer::Changed(Outcome::Done));
+    let installation = installation(Answer::Changed(DisruptionOutcome::Applied));
     let file = installation.path("budgets.hcl");
     std::fs::write(&file, "budget \"workers\" {\n  targets = \"workers\"\n  most_out = 1\n}\n").unwrap();
     let file = file.to_str().unwrap();
@@ -258,12 +275,14 @@
     all += &installation.run(&["strike-off", "--target", "worker/w1"]);
     all += &installation.run(&["strike-off", "--target", "worker/w1", "--by", "shop a"]);
     insta::assert_snapshot!("budgets_and_strike_off", all);
-    let budgets = vec![budget("workers", Kind::Worker, Cover::Fleet, Some(Amount::Count(1)), None)];
-    let target = target(Kind::Worker, "w1");
-    let strike = |by: &str| Change::Strike { target: target.clone(), by: by.to_owned() };
+    let budgets =
+        vec![budget("workers", TargetKind::Worker, BudgetScope::Fleet, Some(Amount::Count(1)), None)];
+    let target = target(TargetKind::Worker, "w1");
+    let strike =
+        |by: &str| DisruptionCommand::DeregisterTarget { target: target.clone(), operator: by.to_owned() };
     let changes = [
-        Change::Budgets { seen: 1, budgets: budgets.clone() },
-        Change::Budgets { seen: 9, budgets },
+        DisruptionCommand::SetBudgets { expected_version: 1, budgets: budgets.clone() },
+        DisruptionCommand::SetBudgets { expected_version: 9, budgets },
         strike("an operator"),
         strike("shop a"),
     ];
--- a/crates/coordinator/tests/compatibility/settings.rs
+++ b/crates/coordinator/tests/compatibility/settings.rs
@@ -6,7 +6,7 @@
 
 use coordination::Times;
 use coordinator::config::{budgets, parse, read, read_budgets};
-use disruption_budget::{Amount, Budget, Cover, Kind};
+use disruption_budget::{Amount, Budget, BudgetScope, TargetKind};
 
 const MEMBERS: &str = r#"installation = "north"
 keeper "1" {
@@ -67,22 +67,22 @@
 
 #[test]
 fn every_key_of_a_budget_has_its_effect() {
-    let budget = |name: &str, kind, cover, most_out, least_in| Budget {
+    let budget = |name: &str, kind, scope, max_unavailable, min_available| Budget {
         name: name.to_owned(),
         kind,
-        cover,
-        most_out,
-        least_in,
+        scope,
+        max_unavailable,
+        min_available,
     };
     let (count, percent) = (|count| Some(Amount::Count(count)), |part| Some(Amount::Percent(part)));
-    let (east, large) = (Cover::Zone("east".to_owned()), Cover::Pool("large".to_owned()));
+    let (east, large) = (BudgetScope::Zone("east".to_owned()), BudgetScope::Pool("large".to_owned()));
     let expected = [
-        budget("all", Kind::Worker, Cover::Fleet, count(3), None),
-        budget("fleet", Kind::Dispatcher, Cover::Fleet, percent(25), count(2)),
-        budget("zones", Kind::Worker, Cover::EachZone, None, percent(50)),
-        budget("pools", Kind::Worker, Cover::EachPool, count(1), None),
-        budget("east", Kind::Dispatcher, east, count(1), None),
-        budget("large", Kind::Worker, large, None, count(4)),
+        budget("all", TargetKind::Worker, BudgetScope::Fleet, count(3), None),
+        budget("fleet", TargetKind::Dispatcher, BudgetScope::Fleet, percent(25), count(2)),
+        budget("zones", TargetKind::Worker, BudgetScope::EachZone, None, percent(50)),
+        budget("pools", TargetKind::Worker, BudgetScope::EachPool, count(1), None),
+        budget("east", TargetKind::Dispatcher, east, count(1), None),
+        budget("large", TargetKind::Worker, large, None, count(4)),
     ];
     assert_eq!(read_budgets(&example("every-budget-key.hcl")).unwrap(), expected);
 }
@@ -154,12 +154,12 @@
 #[cfg(feature = "seeded-bugs")]
 #[test]
 fn every_injected_bug_has_its_name() {
-    use disruption_budget::Flaw;
+    use disruption_budget::InjectedBug;
     for (name, bug) in [
-        ("any-process", Flaw::AnyProcess),
-        ("planned-only", Flaw::PlannedOnly),
-        ("old-observation", Flaw::OldObservation),
-        ("begin-unasked", Flaw::BeginUnasked),
+        ("any-process", InjectedBug::AnyIncarnation),
+        ("planned-only", InjectedBug::PlannedOnly),
+        ("old-observation", InjectedBug::StaleObservation),
+        ("begin-unasked", InjectedBug::BeginUnknownPermit),
     ] {
         let config = parse("keeper.hcl", &with_injected_bug(name)).unwrap();
         assert_eq!(config.serve.unwrap().flaw, Some(bug));
--- a/crates/coordinator/tests/compatibility/store.rs
+++ b/crates/coordinator/tests/compatibility/store.rs
@@ -11,7 +11,9 @@
 use coordination::{Command, DutyId, Revision, SessionId, State, Times, Token};
 use coordinator::disk::{self, Batch, Disk};
 use coordinator::node::Node;
-use disruption_budget::{Amount, Budget, Change, Condition, Cover, Kind, Observed, Target};
+use disruption_budget::{
+    Amount, Availability, Budget, BudgetScope, DisruptionCommand, Target, TargetKind, TargetStatus,
+};
 use protobuf::Message as _;
 use raft::eraftpb::{
     ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType, HardState, Snapshot,
@@ -37,7 +39,7 @@
     DutyId::fleet("list")
 }
 
-fn target(kind: Kind, name: &str) -> Target {
+fn target(kind: TargetKind, name: &str) -> Target {
     Target { kind, name: name.to_owned() }
 }
 
@@ -79,26 +81,26 @@
     ]
 }
 
-fn observed(kind: Kind, name: &str, condition: Condition) -> Observed {
+fn observed(kind: TargetKind, name: &str, availability: Availability) -> TargetStatus {
     let (zone, pool) = ("east".to_owned(), "large".to_owned());
-    Observed { target: target(kind, name), zone, pool, condition, incarnation: 4 }
+    TargetStatus { target: target(kind, name), zone, pool, availability, incarnation: 4 }
 }
 
 fn budgets() -> Vec<Budget> {
     vec![
         Budget {
             name: "workers".to_owned(),
-            kind: Kind::Worker,
-            cover: Cover::EachZone,
-            most_out: Some(Amount::Percent(40)),
-            least_in: None,
+            kind: TargetKind::Worker,
+            scope: BudgetScope::EachZone,
+            max_unavailable: Some(Amount::Percent(40)),
+            min_available: None,
         },
         Budget {
             name: "dispatchers".to_owned(),
-            kind: Kind::Dispatcher,
-            cover: Cover::Fleet,
-            most_out: None,
-            least_in: Some(Amount::Count(2)),
+            kind: TargetKind::Dispatcher,
+            scope: BudgetScope::Fleet,
+            max_unavailable: None,
+            min_available: Some(Amount::Count(2)),
         },
     ]
 }
@@ -106,22 +108,40 @@
 /// Changes of budgets and permits, the first of them at this entry.
 fn permits(first: Revision) -> Vec<Command> {
     let targets = vec![
-        observed(Kind::Worker, "w1", Condition::In),
-        observed(Kind::Worker, "w2", Condition::Out),
-        observed(Kind::Worker, "w3", Condition::In),
-        observed(Kind::Dispatcher, "d1", Condition::Warming(250)),
+        observed(TargetKind::Worker, "w1", Availability::Available),
+        observed(TargetKind::Worker, "w2", Availability::Unavailable),
+        observed(TargetKind::Worker, "w3", Availability::Available),
+        observed(TargetKind::Dispatcher, "d1", Availability::WarmingUp(250)),
     ];
-    let gone = vec![target(Kind::Worker, "w9")];
-    let (reason, asker) = ("release 7".to_owned(), "shop a".to_owned());
+    let gone = vec![target(TargetKind::Worker, "w9")];
+    let (reason, requester) = ("release 7".to_owned(), "shop a".to_owned());
     let forced = first + 2;
     let changes = [
-        Change::Budgets { seen: 0, budgets: budgets() },
-        Change::Observe { token: 51, seen: 5, targets, gone },
-        Change::Ask { target: target(Kind::Worker, "w1"), reason, asker: asker.clone(), force: true },
-        Change::Begin { permit: forced, incarnation: 4 },
-        Change::Done { permit: forced },
-        Change::Ask { target: target(Kind::Dispatcher, "d1"), reason: String::new(), asker, force: false },
-        Change::Strike { target: target(Kind::Worker, "w2"), by: "an operator".to_owned() },
+        DisruptionCommand::SetBudgets { expected_version: 0, budgets: budgets() },
+        DisruptionCommand::RecordObservation {
+            fencing_token: 51,
+            known_revision: 5,
+            changed: targets,
+            removed: gone,
+        },
+        DisruptionCommand::RequestPermit {
+            target: target(TargetKind::Worker, "w1"),
+            reason,
+            requester: requester.clone(),
+            force: true,
+        },
+        DisruptionCommand::BeginPermit { permit: forced, incarnation: 4 },
+        DisruptionCommand::CompletePermit { permit: forced },
+        DisruptionCommand::RequestPermit {
+            target: target(TargetKind::Dispatcher, "d1"),
+            reason: String::new(),
+            requester,
+            force: false,
+        },
+        DisruptionCommand::DeregisterTarget {
+            target: target(TargetKind::Worker, "w2"),
+            operator: "an operator".to_owned(),
+        },
     ];
     changes.into_iter().map(Command::Account).collect()
 }
@@ -152,7 +172,8 @@
     let second = [first_commands(), replacement()].concat();
     let observer = Command::Grant { duty: DutyId::fleet("account"), session: SessionId(3), fenced: 3 };
     let third = [first_commands(), vec![observer], permits(7)].concat();
-    let further = [permits(14), vec![Command::Account(Change::Void { permit: 12 })]].concat();
+    let further =
+        [permits(14), vec![Command::Account(DisruptionCommand::CancelPermit { permit: 12 })]].concat();
     [
         example("store-version-1.hex", first_commands(), later_commands()),
         Example { configuration: joint, ..example("store-version-2.hex", second, replacement()) },
--- a/crates/dispatcher/src/net/fleet.rs
+++ b/crates/dispatcher/src/net/fleet.rs
@@ -18,7 +18,7 @@
 use cluster_member::watch::Watching;
 use coordination::{DutyId, Holder, Micros};
 use dispatch_core::settings::worker_id;
-use disruption_budget::census::{Listed, Warmth, ACCOUNT};
+use disruption_budget::availability_observer::{ListedWorker, WarmupTracker, OBSERVER_LEASE};
 use serde_json::Value;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
@@ -84,7 +84,7 @@
     let watch = settings.watch.map(|how| Watching { zones, ..how });
     let mut offers: Vec<DutyId> = settings.list.then(|| DutyId::fleet(LIST)).into_iter().collect();
     offers.extend(settings.cold.map(|_| DutyId::fleet(COLD)));
-    offers.extend(settings.account.map(|_| DutyId::fleet(ACCOUNT)));
+    offers.extend(settings.account.map(|_| DutyId::fleet(OBSERVER_LEASE)));
     offers.extend(watch.iter().flat_map(|how| how.duties()));
     let zone = config.names.zones.get(config.settings.zone as usize).cloned().unwrap_or_default();
     let member = Settings {
@@ -113,8 +113,8 @@
     colds.iter().for_each(|colds| drop(spawn_local(colds.clone().rounds())));
     let leave = settings.account.map(|holds| {
         let cold = warming(config);
-        let warmth = Warmth::new(cold.share, cold.within);
-        Rc::new(Leave::new(holds, member.clone(), own, metrics.clone(), warmth))
+        let warmup = WarmupTracker::new(cold.share, cold.within);
+        Rc::new(Leave::new(holds, member.clone(), own, metrics.clone(), warmup))
     });
     leave.iter().for_each(|leave| drop(spawn_local(leave.clone().rounds())));
     let (leaver, watches) = (leave.clone(), watchers.clone());
@@ -126,7 +126,7 @@
             }
             Vec::new()
         }
-        ACCOUNT => leaver.as_ref().map_or_else(Vec::new, |leave| leave.heard()),
+        OBSERVER_LEASE => leaver.as_ref().map_or_else(Vec::new, |leave| leave.heard()),
         COLD => colds.as_ref().map_or_else(Vec::new, |colds| colds.heard(&effect)),
         _ => {
             watchers.iter().for_each(|watchers| watchers.heard(&effect));
@@ -200,17 +200,17 @@
 
 impl Lists {
     /// The workers of the list, as watchers see them.
-    fn workers(&self, watchers: Option<&Watchers>) -> Vec<Listed> {
+    fn workers(&self, watchers: Option<&Watchers>) -> Vec<ListedWorker> {
         let ledger = self.ledger.borrow();
         let listed = |entry: &Value| {
             let text = |key: &str| entry[key].as_str().unwrap_or_default().to_owned();
             let name = text("id");
-            Listed {
+            ListedWorker {
                 zone: text("locality"),
                 pool: text("flavor"),
-                serves: entry["phase"] == "in_service",
-                start: entry["up_since_ms"].as_u64().unwrap_or(0),
-                fails: watchers.is_some_and(|watchers| watchers.against(worker_id(&name))),
+                in_service: entry["phase"] == "in_service",
+                start_id: entry["up_since_ms"].as_u64().unwrap_or(0),
+                unhealthy: watchers.is_some_and(|watchers| watchers.against(worker_id(&name))),
                 name,
             }
         };
--- a/crates/dispatcher/src/net/leave.rs
+++ b/crates/dispatcher/src/net/leave.rs
@@ -13,8 +13,13 @@
 use cluster_member::member::Member;
 use cluster_member::wire::{Answer, Ask, Who};
 use coordination::{DutyId, Micros, Token};
-use disruption_budget::census::{Census, Listed, Standing, Warmth, ACCOUNT};
-use disruption_budget::{Account, Change, Kind, Observed, Outcome, Refusal, State, Target, Wants};
+use disruption_budget::availability_observer::{
+    AvailabilityObserver, ListedWorker, ReadinessReport, WarmupTracker, OBSERVER_LEASE,
+};
+use disruption_budget::{
+    DisruptionCommand, DisruptionOutcome, DisruptionState, ObservationUrgency, PermitState, Rejection,
+    Target, TargetKind, TargetStatus,
+};
 use tokio::sync::{watch, Mutex};
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
@@ -47,11 +52,11 @@
 }
 
 /// The workers as they are listed and watched.
-pub(super) type Workers = Box<dyn Fn() -> Vec<Listed>>;
+pub(super) type Workers = Box<dyn Fn() -> Vec<ListedWorker>>;
 
 struct Term {
     token: Token,
-    census: Rc<RefCell<Census>>,
+    observer: Rc<RefCell<AvailabilityObserver>>,
     publisher: Publisher,
 }
 
@@ -67,7 +72,7 @@
     /// One standby is decided on at a time.
     deciding: Mutex<()>,
     workers: RefCell<Option<Workers>>,
-    warmth: RefCell<Warmth>,
+    warmup: RefCell<WarmupTracker>,
 }
 
 impl std::fmt::Debug for Leave {
@@ -86,11 +91,11 @@
         member: Member,
         own: Own,
         metrics: FleetMetrics,
-        warmth: Warmth,
+        warmup: WarmupTracker,
     ) -> Leave {
         let (returns, term, deciding) = (Cell::default(), RefCell::default(), Mutex::default());
-        let (workers, warmth) = (RefCell::default(), RefCell::new(warmth));
-        Leave { holds, member, own, metrics, returns, term, deciding, workers, warmth }
+        let (workers, warmup) = (RefCell::default(), RefCell::new(warmup));
+        Leave { holds, member, own, metrics, returns, term, deciding, workers, warmup }
     }
 
     /// Where the workers are known from.
@@ -110,20 +115,20 @@
         session << 20 | self.returns.get()
     }
 
-    fn standing(&self) -> Standing {
+    fn readiness_report(&self) -> ReadinessReport {
         let serving = *self.own.phase.borrow() == Phase::Serving && *self.own.mode.borrow() == Mode::Active;
         let settings = self.member.settings();
-        Standing {
+        ReadinessReport {
             name: settings.name.clone(),
             zone: settings.zone.clone(),
-            number: self.number(),
-            serves: serving && *self.own.ready.borrow(),
+            incarnation: self.number(),
+            ready: serving && *self.own.ready.borrow(),
         }
     }
 
     /// The owner of the account asks how this dispatcher is; its token was found good.
     pub(super) fn heard(&self) -> Vec<u8> {
-        self.standing().pack()
+        self.readiness_report().encode()
     }
 
     /// Goes to standby if the fleet allows it, or somebody insists.
@@ -152,22 +157,26 @@
         let by = Instant::now() + DECIDED;
         let (mut keepers, name) = (self.keepers(), &self.member.settings().name);
         let number = self.number();
-        let target = Target { kind: Kind::Dispatcher, name: name.clone() };
-        let ask =
-            Change::Ask { target, reason: reason.to_owned(), asker: format!("dispatcher/{name}"), force };
-        let permit = match keepers.ask(&Ask::Change(ask), by).await {
-            Ok(Answer::Changed(Outcome::Asked(permit, State::Waiting))) => {
+        let target = Target { kind: TargetKind::Dispatcher, name: name.clone() };
+        let request = DisruptionCommand::RequestPermit {
+            target,
+            reason: reason.to_owned(),
+            requester: format!("dispatcher/{name}"),
+            force,
+        };
+        let permit = match keepers.ask(&Ask::Change(request), by).await {
+            Ok(Answer::Changed(DisruptionOutcome::PermitRequested(permit, PermitState::Waiting))) => {
                 let held = match keepers.ask(&Ask::Account { known: 0 }, by).await {
-                    Ok(Answer::Account(_, Some(account))) => {
-                        account.held_by(permit).map(|budget| format!(": budget {:?} is used up", budget.name))
-                    }
+                    Ok(Answer::Account(_, Some(account))) => account
+                        .blocking_budget(permit)
+                        .map(|budget| format!(": budget {:?} is used up", budget.name)),
                     _ => None,
                 };
                 let held = held.unwrap_or_default();
                 return denied(format!("permit {permit} waits for its turn{held}"), AGAIN.0);
             }
-            Ok(Answer::Changed(Outcome::Asked(permit, _))) => permit,
-            Ok(Answer::Changed(Outcome::Refused(why))) => return denied(why.to_string(), AGAIN.1),
+            Ok(Answer::Changed(DisruptionOutcome::PermitRequested(permit, _))) => permit,
+            Ok(Answer::Changed(DisruptionOutcome::Rejected(why))) => return denied(why.to_string(), AGAIN.1),
             Ok(Answer::Refused(reason)) => return denied(reason.to_string(), AGAIN.1),
             Ok(other) => return denied(format!("an answer that was not asked for: {other:?}"), AGAIN.1),
             Err(why) if force => {
@@ -183,13 +192,13 @@
                 )
             }
         };
-        let begin = Change::Begin { permit, incarnation: number };
+        let begin = DisruptionCommand::BeginPermit { permit, incarnation: number };
         match keepers.ask(&Ask::Change(begin), by).await {
-            Ok(Answer::Changed(Outcome::Begun(_))) => {}
-            Ok(Answer::Changed(Outcome::Refused(Refusal::NoPermit))) => {
+            Ok(Answer::Changed(DisruptionOutcome::PermitBegun(_))) => {}
+            Ok(Answer::Changed(DisruptionOutcome::Rejected(Rejection::UnknownPermit))) => {
                 return denied("the permit before this one is not over yet", AGAIN.0)
             }
-            Ok(Answer::Changed(Outcome::Refused(why))) => return denied(why.to_string(), AGAIN.0),
+            Ok(Answer::Changed(DisruptionOutcome::Rejected(why))) => return denied(why.to_string(), AGAIN.0),
             other => return denied(format!("the permit could not be begun: {other:?}"), AGAIN.0),
         }
         // Whoever was stopped meanwhile may have been seen as another life: then the permit may be over.
@@ -220,12 +229,12 @@
         let mut rounds = interval(ROUND);
         rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut keepers = self.keepers();
-        let (mut known, mut account, mut count) = (0, Account::default(), 0u32);
+        let (mut known, mut account, mut count) = (0, DisruptionState::default(), 0u32);
         loop {
             rounds.tick().await;
             self.own_term();
             if self.term.borrow().is_none() {
-                (known, account) = (0, Account::default());
+                (known, account) = (0, DisruptionState::default());
                 continue;
             }
             count = count.wrapping_add(1);
@@ -236,70 +245,75 @@
                 _ => continue,
             }
             let Some((token, targets, gone)) = self.look(&account) else { continue };
-            let wanted = match account.waits() {
-                Some(Wants::Now) => true,
-                Some(Wants::Seldom) => count % SELDOM == 0,
+            let wanted = match account.observation_urgency() {
+                Some(ObservationUrgency::Immediate) => true,
+                Some(ObservationUrgency::Periodic) => count % SELDOM == 0,
                 None => false,
             };
             if targets.is_empty() && gone.is_empty() && !wanted {
                 continue;
             }
             // The look at the lease comes right before the word; the keepers look at the token besides.
-            if !self.member.may_act(&DutyId::fleet(ACCOUNT), token) {
+            if !self.member.may_act(&DutyId::fleet(OBSERVER_LEASE), token) {
                 continue;
             }
-            let observe = Change::Observe { token: token.0, seen: known, targets, gone };
-            let what = serde_json::json!({"duty": ACCOUNT, "token": token.0});
+            let observe = DisruptionCommand::RecordObservation {
+                fencing_token: token.0,
+                known_revision: known,
+                changed: targets,
+                removed: gone,
+            };
+            let what = serde_json::json!({"duty": OBSERVER_LEASE, "token": token.0});
             self.member.record().put(clock::now(), "acted", what);
             let _ = keepers.ask(&Ask::Change(observe), by).await;
         }
     }
 
-    fn listed(&self) -> Vec<Listed> {
+    fn listed(&self) -> Vec<ListedWorker> {
         self.workers.borrow().as_ref().map_or_else(Vec::new, |workers| workers())
     }
 
     fn own_term(&self) {
         let now = clock::now();
-        self.warmth.borrow_mut().list(now, &self.listed());
-        let duty = DutyId::fleet(ACCOUNT);
+        self.warmup.borrow_mut().update_list(now, &self.listed());
+        let duty = DutyId::fleet(OBSERVER_LEASE);
         let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
             Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
             Some((duty, token)) => {
                 tracing::info!(token = token.0, "observes the fleet for the account of who may be out");
-                let census = Rc::new(RefCell::new(Census::new(self.holds, now)));
-                let hears = census.clone();
+                let observer = Rc::new(RefCell::new(AvailabilityObserver::new(self.holds, now)));
+                let received = observer.clone();
                 let publisher = Publisher::hearing(&self.member, duty, token, move |said| {
-                    if let Some(standing) = Standing::unpack(said) {
-                        hears.borrow_mut().heard(standing, clock::now());
+                    if let Some(report) = ReadinessReport::decode(said) {
+                        received.borrow_mut().record_report(report, clock::now());
                     }
                 });
-                *term = Some(Term { token, census, publisher });
+                *term = Some(Term { token, observer, publisher });
             }
             None => *term = None,
         }
         if let Some(term) = term.as_mut() {
             term.publisher.say(Vec::new());
-            term.census.borrow_mut().heard(self.standing(), now);
+            term.observer.borrow_mut().record_report(self.readiness_report(), now);
         }
     }
 
     /// Who is not as the account has them.
-    fn look(&self, account: &Account) -> Option<(Token, Vec<Observed>, Vec<Target>)> {
+    fn look(&self, account: &DisruptionState) -> Option<(Token, Vec<TargetStatus>, Vec<Target>)> {
         let term = self.term.borrow();
         let term = term.as_ref()?;
         let roster = self.member.roster();
         let members: Vec<(&str, &str)> =
             roster.iter().map(|peer| (peer.name.as_str(), peer.zone.as_str())).collect();
         let now = clock::now();
-        let mut seen = term.census.borrow().look(now, &members, account)?;
+        let mut seen = term.observer.borrow().status_changes(now, &members, account)?;
         let workers = self.listed();
         // Before a list was heard nothing is known of workers, which is not that they are gone.
         let (changed, gone) = match workers.is_empty() {
             true => (Vec::new(), Vec::new()),
-            false => self.warmth.borrow().look(now, &workers, account),
+            false => self.warmup.borrow().status_changes(now, &workers, account),
         };
         seen.extend(changed);
         Some((term.token, seen, gone))
--- a/crates/disruption-budget/src/judge.rs
+++ b/crates/disruption-budget/src/canary_analysis.rs
@@ -14,15 +14,15 @@
 use statrs::function::factorial::ln_binomial;
 
 /// Odds of going wrong on the new side, against the old one's, that are looked for.
-const ODDS: [f64; 4] = [1.5, 2.0, 4.0, 16.0];
+const TESTED_ODDS_RATIOS: [f64; 4] = [1.5, 2.0, 4.0, 16.0];
 /// A side that does as well as this part of what is tolerated is quickly called good.
-const WELL: f64 = 0.25;
+const CLEARLY_GOOD_FRACTION: f64 = 0.25;
 
 /// What is judged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Measure {
+pub enum FailureKind {
     /// Jobs that were refused.
-    Refused,
+    Rejected,
     /// Jobs that failed, or were lost.
     Failed,
     /// Jobs that were served later than was promised.
@@ -31,44 +31,50 @@
 
 /// Error rates and bounds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Judging {
+pub struct AnalysisSettings {
     /// The probability that a version that is no worse is ever called bad.
-    pub false_halt: f64,
+    pub false_positive_rate: f64,
     /// The probability that a version that is as bad as this is ever called good.
-    pub missed: f64,
+    pub false_negative_rate: f64,
     /// So bad is one whose odds of going wrong are so many times the old one's.
-    pub worse: f64,
+    pub harmful_odds_ratio: f64,
     /// So good is one of whose jobs no larger share goes wrong, whatever the old one's does.
-    pub tolerated: f64,
+    pub acceptable_failure_share: f64,
     /// A release pauses while more than this share goes wrong on the old side.
     pub pause_above: f64,
 }
 
-impl Default for Judging {
-    fn default() -> Judging {
-        Judging { false_halt: 0.02, missed: 0.02, worse: 2.0, tolerated: 0.05, pause_above: 0.2 }
+impl Default for AnalysisSettings {
+    fn default() -> AnalysisSettings {
+        AnalysisSettings {
+            false_positive_rate: 0.02,
+            false_negative_rate: 0.02,
+            harmful_odds_ratio: 2.0,
+            acceptable_failure_share: 0.05,
+            pause_above: 0.2,
+        }
     }
 }
 
 /// The jobs of one side, of one class, in one window and zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct JobCounts {
     /// All of them.
     pub jobs: u64,
     /// Those that were refused.
-    pub refused: u64,
+    pub rejected: u64,
     /// Those that failed.
     pub failed: u64,
     /// Those that were served late.
     pub late: u64,
 }
 
-impl Counts {
-    fn wrong(&self, measure: Measure) -> u64 {
-        let wrong = match measure {
-            Measure::Refused => self.refused,
-            Measure::Failed => self.failed,
-            Measure::Late => self.late,
+impl JobCounts {
+    fn failures(&self, failure_kind: FailureKind) -> u64 {
+        let wrong = match failure_kind {
+            FailureKind::Rejected => self.rejected,
+            FailureKind::Failed => self.failed,
+            FailureKind::Late => self.late,
         };
         wrong.min(self.jobs)
     }
@@ -78,30 +84,30 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
     /// There was too little to tell.
-    NotYet,
+    Inconclusive,
     /// No class does worse.
-    Good,
+    Passed,
     /// This class does worse, by this measure.
-    Bad(String, Measure),
+    Regressed(String, FailureKind),
 }
 
 /// Logarithms of products of likelihood ratios.
 #[derive(Debug, Clone, Default)]
 struct Evidence {
-    /// That the new side is worse, for each of [`ODDS`].
-    bad: [f64; ODDS.len()],
+    /// That the new side is worse, for each of [`TESTED_ODDS_RATIOS`].
+    regression: [f64; TESTED_ODDS_RATIOS.len()],
     /// That it is not, given what the old side did; and by its own share.
-    good: f64,
-    within: f64,
+    no_regression: f64,
+    acceptable: f64,
 }
 
 /// The judge of one wave.
 #[derive(Debug, Clone)]
-pub struct Judge {
-    how: Judging,
-    evidence: BTreeMap<(String, Measure), Evidence>,
+pub struct CanaryAnalysis {
+    settings: AnalysisSettings,
+    evidence: BTreeMap<(String, FailureKind), Evidence>,
     /// Jobs of the old side in the last window of each zone and class, and those that went wrong.
-    shared: BTreeMap<(String, String), (u64, u64)>,
+    baseline: BTreeMap<(String, String), (u64, u64)>,
 }
 
 /// The logarithm of a mean of values that are given by theirs.
@@ -113,37 +119,43 @@
 
 /// The logarithm of how probable it is that `k` of `wrong` jobs that went wrong are of the `new` side's, with `old` on
 /// the other, where its odds are so many times the other's.
-fn ln_share(k: u64, wrong: u64, (new, old): (u64, u64), odds: f64) -> f64 {
-    let weight = |k: u64| ln_binomial(new, k) + ln_binomial(old, wrong - k) + k as f64 * odds.ln();
-    let all: Vec<f64> = (wrong.saturating_sub(old)..=wrong.min(new)).map(weight).collect();
+fn ln_probability(k: u64, wrong: u64, (canary, baseline): (u64, u64), odds: f64) -> f64 {
+    let weight = |k: u64| ln_binomial(canary, k) + ln_binomial(baseline, wrong - k) + k as f64 * odds.ln();
+    let all: Vec<f64> = (wrong.saturating_sub(baseline)..=wrong.min(canary)).map(weight).collect();
     weight(k) - (ln_mean(&all) + (all.len() as f64).ln())
 }
 
-impl Judge {
+impl CanaryAnalysis {
     /// Nothing was seen yet.
-    pub fn new(how: Judging) -> Judge {
-        Judge { how, evidence: BTreeMap::new(), shared: BTreeMap::new() }
+    pub fn new(settings: AnalysisSettings) -> CanaryAnalysis {
+        CanaryAnalysis { settings, evidence: BTreeMap::new(), baseline: BTreeMap::new() }
     }
 
     /// What both sides did in one window, in one zone, of one class.
-    pub fn window(&mut self, zone: &str, class: &str, new: Counts, old: Counts) {
-        let wrong = old.refused + old.failed + old.late;
-        self.shared.insert((zone.to_owned(), class.to_owned()), (old.jobs, wrong.min(old.jobs)));
-        if new.jobs == 0 {
+    pub fn record_window(&mut self, zone: &str, class: &str, canary: JobCounts, baseline: JobCounts) {
+        let wrong = baseline.rejected + baseline.failed + baseline.late;
+        self.baseline.insert((zone.to_owned(), class.to_owned()), (baseline.jobs, wrong.min(baseline.jobs)));
+        if canary.jobs == 0 {
             return;
         }
-        for measure in [Measure::Refused, Measure::Failed, Measure::Late] {
-            let evidence = self.evidence.entry((class.to_owned(), measure)).or_default();
-            let (k, both) = (new.wrong(measure), new.wrong(measure) + old.wrong(measure));
-            let share = |odds| ln_share(k, both, (new.jobs, old.jobs), odds);
+        for failure_kind in [FailureKind::Rejected, FailureKind::Failed, FailureKind::Late] {
+            let evidence = self.evidence.entry((class.to_owned(), failure_kind)).or_default();
+            let (k, both) = (
+                canary.failures(failure_kind),
+                canary.failures(failure_kind) + baseline.failures(failure_kind),
+            );
+            let share = |odds| ln_probability(k, both, (canary.jobs, baseline.jobs), odds);
             let equal = share(1.0);
-            for (bad, odds) in evidence.bad.iter_mut().zip(ODDS) {
+            for (bad, odds) in evidence.regression.iter_mut().zip(TESTED_ODDS_RATIOS) {
                 *bad += share(odds) - equal;
             }
-            evidence.good += equal - share(self.how.worse);
-            let (most, well) = (self.how.tolerated, self.how.tolerated * WELL);
-            let right = (new.jobs - k) as f64;
-            evidence.within += k as f64 * (well / most).ln() + right * ((1.0 - well) / (1.0 - most)).ln();
+            evidence.no_regression += equal - share(self.settings.harmful_odds_ratio);
+            let (most, well) = (
+                self.settings.acceptable_failure_share,
+                self.settings.acceptable_failure_share * CLEARLY_GOOD_FRACTION,
+            );
+            let right = (canary.jobs - k) as f64;
+            evidence.acceptable += k as f64 * (well / most).ln() + right * ((1.0 - well) / (1.0 - most)).ln();
         }
     }
 
@@ -151,22 +163,26 @@
     /// error rate is shared out over classes and measures.
     pub fn verdict(&self) -> Verdict {
         let parts = self.evidence.len().max(1) as f64;
-        let bad = |evidence: &Evidence| ln_mean(&evidence.bad) > (parts / self.how.false_halt).ln();
-        if let Some(((class, measure), _)) = self.evidence.iter().find(|(_, evidence)| bad(evidence)) {
-            return Verdict::Bad(class.clone(), *measure);
+        let bad = |evidence: &Evidence| {
+            ln_mean(&evidence.regression) > (parts / self.settings.false_positive_rate).ln()
+        };
+        if let Some(((class, failure_kind), _)) = self.evidence.iter().find(|(_, evidence)| bad(evidence)) {
+            return Verdict::Regressed(class.clone(), *failure_kind);
         }
         // Each class has to be good, so that one that is bad gets by no more often than it alone would.
-        let good =
-            |evidence: &Evidence| ln_mean(&[evidence.good, evidence.within]) > (1.0 / self.how.missed).ln();
+        let good = |evidence: &Evidence| {
+            ln_mean(&[evidence.no_regression, evidence.acceptable])
+                > (1.0 / self.settings.false_negative_rate).ln()
+        };
         match !self.evidence.is_empty() && self.evidence.values().all(good) {
-            true => Verdict::Good,
-            false => Verdict::NotYet,
+            true => Verdict::Passed,
+            false => Verdict::Inconclusive,
         }
     }
 
     /// Whether so much goes wrong on the old side that no step is to be taken now, whoever is to blame.
-    pub fn pauses(&self) -> bool {
-        let (jobs, wrong) = self.shared.values().fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-        jobs > 0 && wrong as f64 > self.how.pause_above * jobs as f64
+    pub fn should_pause(&self) -> bool {
+        let (jobs, wrong) = self.baseline.values().fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
+        jobs > 0 && wrong as f64 > self.settings.pause_above * jobs as f64
     }
 }
--- a/crates/disruption-budget/src/lib.rs
+++ b/crates/disruption-budget/src/lib.rs
@@ -14,27 +14,28 @@
 //! 4. **An observation is the word of the observer's running term**: who observed for an earlier one changes nothing.
 //! 5. **Nothing is granted but by an observation that was made after the permit was asked for.**
 //!
-//! [`Budget`] says how many, [`Account`] keeps the account, [`Change`] is what changes it. [`desk`] is what the leading
-//! keeper knows of time, [`census`] what an observer makes of the dispatchers' word;
-//! [`judge`] says whether a new version does worse than the old one beside it.
+//! [`Budget`] says how many, [`DisruptionState`] keeps the account, [`DisruptionCommand`] is what changes it. [`permit_timeouts`] is what the leading
+//! keeper knows of time, [`availability_observer`] what an observer makes of the dispatchers' word;
+//! [`canary_analysis`] says whether a new version does worse than the old one beside it.
 
-mod account;
+pub mod availability_observer;
 mod budget;
-pub mod census;
-pub mod desk;
-pub mod judge;
+pub mod canary_analysis;
+pub mod permit_timeouts;
+mod state;
 
-pub use account::{
-    Account, Change, Condition, Flaw, Forced, Observed, Outcome, Permit, PermitId, Refusal, State, Sum,
-    Wants, LIMITS,
+pub use budget::{Amount, Budget, BudgetError, BudgetScope};
+pub use state::{
+    Availability, DisruptionCommand, DisruptionOutcome, DisruptionState, DisruptionTotals, ForcedPermits,
+    InjectedBug, ObservationUrgency, Permit, PermitId, PermitState, Rejection, TargetStatus, MAX_BUDGETS,
+    MAX_OPEN_PERMITS, MAX_TARGETS, MAX_TEXT_BYTES,
 };
-pub use budget::{Amount, Budget, BudgetFault, Cover};
 
 use serde::{Deserialize, Serialize};
 
 /// What kind of process a target is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum TargetKind {
     /// A dispatcher.
     Dispatcher,
     /// A shop's worker.
@@ -45,7 +46,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Target {
     /// Its kind.
-    pub kind: Kind,
+    pub kind: TargetKind,
     /// Its name, the only one of its kind.
     pub name: String,
 }
@@ -53,8 +54,8 @@
 impl std::fmt::Display for Target {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.kind {
-            Kind::Dispatcher => write!(f, "dispatcher/{}", self.name),
-            Kind::Worker => write!(f, "worker/{}", self.name),
+            TargetKind::Dispatcher => write!(f, "dispatcher/{}", self.name),
+            TargetKind::Worker => write!(f, "worker/{}", self.name),
         }
     }
 }
@@ -65,8 +66,8 @@
     fn from_str(text: &str) -> Result<Target, String> {
         let (kind, name) = text.split_once('/').unwrap_or(("", ""));
         let kind = match kind {
-            "dispatcher" => Kind::Dispatcher,
-            "worker" => Kind::Worker,
+            "dispatcher" => TargetKind::Dispatcher,
+            "worker" => TargetKind::Worker,
             _ => return Err(format!("{text:?} is no target; wanted dispatcher/NAME or worker/NAME")),
         };
         match name.is_empty() {
--- a/crates/disruption-budget/tests/model.rs
+++ b/crates/disruption-budget/tests/model.rs
@@ -4,22 +4,23 @@
 use std::collections::BTreeSet;
 
 use disruption_budget::{
-    Account, Amount, Budget, Change, Condition, Cover, Flaw, Kind, Observed, Outcome, PermitId, State, Target,
+    Amount, Availability, Budget, BudgetScope, DisruptionCommand, DisruptionOutcome, DisruptionState,
+    InjectedBug, PermitId, PermitState, Target, TargetKind, TargetStatus,
 };
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 #[derive(Clone, Debug)]
 struct Permits {
-    flaw: Option<Flaw>,
+    injected_bug: Option<InjectedBug>,
     targets: usize,
     /// How often targets fail by themselves, observers change, and askers begin anew, together.
-    troubles: u8,
+    faults: u8,
     /// How many changes there may be in the log.
     entries: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Asker {
+enum Requester {
     Idle,
     Asked(PermitId),
     /// It was told that it may do the step now at the target with this number, and has not done it.
@@ -34,7 +35,7 @@
     out_by_plan: bool,
     /// Failed by itself when the log was so long.
     lost: Option<u64>,
-    asker: Asker,
+    requester: Requester,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -48,15 +49,15 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    account: Account,
+    state: DisruptionState,
     index: u64,
     processes: Vec<Process>,
     net: BTreeSet<Message>,
     token: u64,
-    troubles: u8,
+    faults: u8,
     /// A permit was granted although what was lost before it was asked for had used the budget up.
     over: bool,
-    proven: bool,
+    closed: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -80,13 +81,13 @@
 const MOST: usize = 1;
 
 fn target(n: usize) -> Target {
-    Target { kind: Kind::Worker, name: n.to_string() }
+    Target { kind: TargetKind::Worker, name: n.to_string() }
 }
 
 impl World {
-    fn apply(&mut self, change: &Change) -> Outcome {
+    fn apply(&mut self, change: &DisruptionCommand) -> DisruptionOutcome {
         self.index += 1;
-        self.account.apply(self.index, change)
+        self.state.apply(self.index, change)
     }
 }
 
@@ -97,23 +98,23 @@
     fn init_states(&self) -> Vec<World> {
         let budget = Budget {
             name: "one".into(),
-            kind: Kind::Worker,
-            cover: Cover::Fleet,
-            most_out: Some(Amount::Count(MOST as u32)),
-            least_in: None,
+            kind: TargetKind::Worker,
+            scope: BudgetScope::Fleet,
+            max_unavailable: Some(Amount::Count(MOST as u32)),
+            min_available: None,
         };
-        let process = Process { incarnation: 1, out_by_plan: false, lost: None, asker: Asker::Idle };
+        let process = Process { incarnation: 1, out_by_plan: false, lost: None, requester: Requester::Idle };
         let mut world = World {
-            account: Account::default().with_flaw(self.flaw),
+            state: DisruptionState::default().with_injected_bug(self.injected_bug),
             index: 0,
             processes: vec![process; self.targets],
             net: BTreeSet::new(),
             token: 1,
-            troubles: 0,
+            faults: 0,
             over: false,
-            proven: false,
+            closed: false,
         };
-        world.apply(&Change::Budgets { seen: 0, budgets: vec![budget] });
+        world.apply(&DisruptionCommand::SetBudgets { expected_version: 0, budgets: vec![budget] });
         vec![world]
     }
 
@@ -125,21 +126,24 @@
         }
         for (n, process) in world.processes.iter().enumerate() {
             let there = !process.out_by_plan && process.lost.is_none();
-            match process.asker {
-                Asker::Idle if room => actions.push(Event::Ask(n)),
-                Asker::Asked(id) => {
-                    let granted = world.account.permits().get(&id).is_some_and(|p| p.state != State::Waiting);
+            match process.requester {
+                Requester::Idle if room => actions.push(Event::Ask(n)),
+                Requester::Asked(id) => {
+                    let granted =
+                        world.state.permits().get(&id).is_some_and(|p| p.state != PermitState::Waiting);
                     if granted && world.net.len() < 2 {
                         actions.push(Event::Begin(n));
                     }
                 }
-                Asker::May(_, incarnation) if there && incarnation == process.incarnation => {
+                Requester::May(_, incarnation) if there && incarnation == process.incarnation => {
                     actions.push(Event::Act(n))
                 }
-                Asker::Did(_) if room => actions.extend([Event::Return(n, true), Event::Return(n, false)]),
+                Requester::Did(_) if room => {
+                    actions.extend([Event::Return(n, true), Event::Return(n, false)])
+                }
                 _ => {}
             }
-            if world.troubles < self.troubles {
+            if world.faults < self.faults {
                 actions.push(Event::Forget(n));
                 if there {
                     actions.push(Event::Fail(n));
@@ -149,11 +153,12 @@
                 actions.push(Event::Recover(n));
             }
         }
-        if world.troubles < self.troubles {
+        if world.faults < self.faults {
             actions.push(Event::NewObserver);
         }
         if room {
-            let granted = world.account.permits().iter().filter(|(_, permit)| permit.state == State::Granted);
+            let granted =
+                world.state.permits().iter().filter(|(_, permit)| permit.state == PermitState::Granted);
             actions.extend(granted.map(|(id, _)| Event::Void(*id)));
         }
     }
@@ -162,32 +167,33 @@
         let mut world = world.clone();
         match event {
             Event::Ask(n) => {
-                let (reason, asker) = (String::new(), n.to_string());
-                let ask = Change::Ask { target: target(n), reason, asker, force: false };
-                if let Outcome::Asked(id, _) = world.apply(&ask) {
-                    world.processes[n].asker = Asker::Asked(id);
+                let (reason, requester) = (String::new(), n.to_string());
+                let ask =
+                    DisruptionCommand::RequestPermit { target: target(n), reason, requester, force: false };
+                if let DisruptionOutcome::PermitRequested(id, _) = world.apply(&ask) {
+                    world.processes[n].requester = Requester::Asked(id);
                 }
             }
             Event::Begin(n) => {
-                let Asker::Asked(id) = world.processes[n].asker else { return None };
+                let Requester::Asked(id) = world.processes[n].requester else { return None };
                 let incarnation = world.processes[n].incarnation;
                 world.net.insert(Message::Begin(id, incarnation));
             }
             Event::Act(n) => {
-                let Asker::May(id, _) = world.processes[n].asker else { return None };
-                (world.processes[n].out_by_plan, world.processes[n].asker) = (true, Asker::Did(id));
+                let Requester::May(id, _) = world.processes[n].requester else { return None };
+                (world.processes[n].out_by_plan, world.processes[n].requester) = (true, Requester::Did(id));
             }
             Event::Return(n, said) => {
-                let Asker::Did(id) = world.processes[n].asker else { return None };
+                let Requester::Did(id) = world.processes[n].requester else { return None };
                 let process = &mut world.processes[n];
-                (process.out_by_plan, process.asker) = (false, Asker::Idle);
+                (process.out_by_plan, process.requester) = (false, Requester::Idle);
                 process.incarnation += 1;
                 if said {
-                    world.apply(&Change::Done { permit: id });
+                    world.apply(&DisruptionCommand::CompletePermit { permit: id });
                 }
             }
             Event::Void(id) => {
-                world.apply(&Change::Void { permit: id });
+                world.apply(&DisruptionCommand::CancelPermit { permit: id });
             }
             Event::Look => {
                 let there = |p: &Process| (!p.out_by_plan && p.lost.is_none(), p.incarnation);
@@ -195,7 +201,7 @@
                 world.net.insert(Message::Look(world.token, world.index, seen));
             }
             Event::Fail(n) => {
-                world.troubles += 1;
+                world.faults += 1;
                 world.processes[n].lost = Some(world.index);
             }
             Event::Recover(n) => {
@@ -203,48 +209,61 @@
                 world.processes[n].incarnation += 1;
             }
             Event::NewObserver => {
-                world.troubles += 1;
+                world.faults += 1;
                 world.token += 1;
             }
             Event::Forget(n) => {
-                world.troubles += 1;
+                world.faults += 1;
                 // What it did is done; the target comes back without anybody saying so.
                 if world.processes[n].out_by_plan {
                     world.processes[n].out_by_plan = false;
                     world.processes[n].incarnation += 1;
                 }
-                world.processes[n].asker = Asker::Idle;
+                world.processes[n].requester = Requester::Idle;
             }
             Event::Deliver(message) => {
                 world.net.remove(&message);
                 match message {
                     Message::Begin(permit, incarnation) => {
-                        if let Outcome::Begun(id) = world.apply(&Change::Begin { permit, incarnation }) {
+                        if let DisruptionOutcome::PermitBegun(id) =
+                            world.apply(&DisruptionCommand::BeginPermit { permit, incarnation })
+                        {
                             world.net.insert(Message::Begun(id, incarnation));
                         }
                     }
                     Message::Begun(id, incarnation) => {
-                        let waits = world.processes.iter_mut().find(|p| p.asker == Asker::Asked(id));
-                        waits?.asker = Asker::May(id, incarnation);
+                        let waits = world.processes.iter_mut().find(|p| p.requester == Requester::Asked(id));
+                        waits?.requester = Requester::May(id, incarnation);
                     }
                     Message::Look(token, seen, targets) => {
-                        let one = |(n, (there, incarnation)): (usize, &(bool, u64))| Observed {
+                        let one = |(n, (there, incarnation)): (usize, &(bool, u64))| TargetStatus {
                             target: target(n),
                             zone: String::new(),
                             pool: String::new(),
-                            condition: if *there { Condition::In } else { Condition::Out },
+                            availability: if *there {
+                                Availability::Available
+                            } else {
+                                Availability::Unavailable
+                            },
                             incarnation: *incarnation,
                         };
                         let targets = targets.iter().enumerate().map(one).collect();
-                        let change = Change::Observe { token, seen, targets, gone: Vec::new() };
-                        if let Outcome::Observed { granted, proven, .. } = world.apply(&change) {
-                            world.proven |= !proven.is_empty();
-                            let planned = world.account.granted().count();
+                        let change = DisruptionCommand::RecordObservation {
+                            fencing_token: token,
+                            known_revision: seen,
+                            changed: targets,
+                            removed: Vec::new(),
+                        };
+                        if let DisruptionOutcome::ObservationRecorded { granted, closed, .. } =
+                            world.apply(&change)
+                        {
+                            world.closed |= !closed.is_empty();
+                            let planned = world.state.active_permits().count();
                             for id in granted {
-                                let by_plan =
-                                    |n: usize| world.account.granted().any(|g| g.target == target(n));
+                                let has_permit =
+                                    |n: usize| world.state.active_permits().any(|g| g.target == target(n));
                                 let lost = |(n, p): &(usize, &Process)| {
-                                    p.lost.is_some_and(|at| at < id) && !by_plan(*n)
+                                    p.lost.is_some_and(|at| at < id) && !has_permit(*n)
                                 };
                                 let lost = world.processes.iter().enumerate().filter(lost).count();
                                 world.over |= planned + lost > MOST;
@@ -265,7 +284,7 @@
             Property::always("no permit while losses have used the budget up", |_, world: &World| {
                 !world.over
             }),
-            Property::sometimes("a target is proven in again", |_, world: &World| world.proven),
+            Property::sometimes("a target is proven in again", |_, world: &World| world.closed),
         ]
     }
 }
@@ -282,7 +301,7 @@
     (checker.unique_state_count(), found)
 }
 
-const BASE: Permits = Permits { flaw: None, targets: 2, troubles: 1, entries: 7 };
+const BASE: Permits = Permits { injected_bug: None, targets: 2, faults: 1, entries: 7 };
 
 #[test]
 fn permits_hold_in_every_order_of_events() {
@@ -292,9 +311,9 @@
 }
 
 #[test]
-fn every_flaw_is_found() {
-    for (name, flaw) in Flaw::names() {
-        let (_, found) = search(Permits { flaw: Some(*flaw), ..BASE });
+fn every_injected_bug_is_found() {
+    for (name, injected_bug) in InjectedBug::names() {
+        let (_, found) = search(Permits { injected_bug: Some(*injected_bug), ..BASE });
         let broken: Vec<_> = found.into_iter().filter(|found| !found.starts_with("a target")).collect();
         assert!(!broken.is_empty(), "{name}");
     }
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -329,7 +329,7 @@
 }
 
 fn drains(args: &DrainsArgs) -> Result<(), String> {
-    let known: Vec<&str> = disruption_budget::Flaw::names().iter().map(|(name, _)| *name).collect();
+    let known: Vec<&str> = disruption_budget::InjectedBug::names().iter().map(|(name, _)| *name).collect();
     match args.seeded_bug.as_deref() {
         Some("list") => {
             known.iter().for_each(|name| println!("{name}"));
