--- a/crates/dispatcher/src/log.rs
+++ b/crates/dispatcher/src/log.rs
@@ -46,7 +46,17 @@
     }
 }
 
-/// Reads levels by target, such as `info` or `warn,dispatcher::net=debug`.
+/// Targets under the names that the packages had before, and the packages that each stands for now.
+const FORMER_TARGETS: [(&str, &[&str]); 5] = [
+    ("cairncrank", &["dispatcher", "dispatch_core", "coordination", "disruption_budget", "cluster_member"]),
+    ("cairncrank_core", &["dispatch_core"]),
+    ("cairncrank_duty", &["coordination"]),
+    ("cairncrank_release", &["disruption_budget"]),
+    ("cairncrank_fleet", &["cluster_member"]),
+];
+
+/// Reads levels by target, such as `info` or `warn,dispatcher::net=debug`. Targets under former names count for the
+/// present ones, which win where both are given.
 ///
 /// # Errors
 /// What is no level and no target, in words.
@@ -55,7 +65,28 @@
     if words.trim().is_empty() {
         return Err("expected a level such as info, or target=level".to_owned());
     }
-    Ok(targets)
+    let former = targets
+        .iter()
+        .flat_map(|(target, level)| present_targets(target).into_iter().map(move |present| (present, level)));
+    let present: Vec<_> = targets.iter().map(|(target, level)| (target.to_owned(), level)).collect();
+    let translated = former.collect::<Targets>().with_targets(present);
+    Ok(match targets.default_level() {
+        Some(level) => translated.with_default(level),
+        None => translated,
+    })
+}
+
+/// What a target under a former name stands for now; nothing where it is none.
+fn present_targets(target: &str) -> Vec<String> {
+    let (package, path) = match target.split_once("::") {
+        Some((package, path)) => (package, format!("::{path}")),
+        None => (target, String::new()),
+    };
+    let former = FORMER_TARGETS.iter().find(|(former, _)| *former == package);
+    let present = former.map_or(&[][..], |(_, present)| present);
+    // A module is one of the first package; only the bare name stands for all.
+    let count = if path.is_empty() { present.len() } else { 1 };
+    present.iter().take(count).map(|package| format!("{package}{path}")).collect()
 }
 
 /// The levels where none are given: all that tells an operator something.
