--- a/crates/cluster-member/src/wire.rs
+++ b/crates/cluster-member/src/wire.rs
@@ -6,7 +6,7 @@
 
 use bytes::{Bytes, BytesMut};
 use coordination::{DutyId, Reason, Refusal, Revision, SessionId, Token, View};
-use disruption_budget::{Account, Change, Outcome};
+use disruption_budget::{DisruptionCommand, DisruptionOutcome, DisruptionState};
 use futures_util::{SinkExt, StreamExt};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -193,7 +193,7 @@
         known_revision: Revision,
     },
     /// The account is to change. Since version 3.
-    ChangeDisruptionState(Change),
+    ChangeDisruptionState(DisruptionCommand),
 }
 
 /// What a keeper says.
@@ -240,9 +240,9 @@
     /// How things are.
     Status(Box<ReplicaStatus>),
     /// Who may be out, as of this entry; nothing where the asker knows it.
-    DisruptionState(Revision, Option<Box<Account>>),
+    DisruptionState(Revision, Option<Box<DisruptionState>>),
     /// What became of a change of the account.
-    DisruptionStateChanged(Outcome),
+    DisruptionStateChanged(DisruptionOutcome),
 }
 
 /// A member as others reach it.
@@ -419,7 +419,9 @@
                 Ok((
                     _,
                     ServerHello::Rejected(HandshakeRejection::UnsupportedSchema { latest_supported: ours }),
-                )) if (OLDEST_SCHEMA_VERSION..hello.schema_version).contains(&ours) => {
+                ))
+                    if (OLDEST_SCHEMA_VERSION..hello.schema_version).contains(&ours) =>
+                {
                     hello.schema_version = ours;
                 }
                 Ok((_, ServerHello::Rejected(why))) => {
