--- a/crates/dispatch-core/src/policy/list.rs
+++ b/crates/dispatch-core/src/policy/list.rs
@@ -27,13 +27,7 @@
             }
         }
         if scope != Scope::Changes {
-            let mut named: Vec<WorkerId> = members.iter().map(|m| m.worker).collect();
-            named.sort_unstable();
-            for w in &mut self.fleet.workers {
-                if named.binary_search(&w.id).is_err() {
-                    w.state = WorkerState::Gone;
-                }
-            }
+            self.fleet.remove_absent(members);
         }
         for m in members {
             let kind = (m.kind as usize).min(MAX_KIND);
--- a/crates/dispatch-core/src/policy/throttle.rs
+++ b/crates/dispatch-core/src/policy/throttle.rs
@@ -27,20 +27,7 @@
         if dt <= 0.0 {
             return;
         }
-        let mut over = 0.0;
-        let tokens = self.rate.slots_per_s * dt;
-        for b in &mut self.banks {
-            over += b.add(tokens * b.share);
-        }
-        // The paper's O_T: what overflows full banks is offered to the others by share.
-        let open: f64 = self.banks.iter().filter(|b| b.room() > 0).map(|b| b.share).sum();
-        if over > 0.0 && open > 0.0 {
-            for b in &mut self.banks {
-                if b.room() > 0 {
-                    b.add(over * b.share / open);
-                }
-            }
-        }
+        accrue_all(&mut self.banks, self.rate.slots_per_s * dt);
     }
 
     pub(super) fn on_request(&mut self, req: Request, actions: &mut Vec<Action>) {
--- a/crates/dispatch-core/src/state.rs
+++ b/crates/dispatch-core/src/state.rs
@@ -157,6 +157,20 @@
     }
 }
 
+/// Adds tokens to all banks by share. What overflows full banks, the paper's O_T, is offered to the others by share.
+pub(crate) fn accrue_all(banks: &mut [Bank], tokens: f64) {
+    let mut over = 0.0;
+    for b in banks.iter_mut() {
+        over += b.add(tokens * b.share);
+    }
+    let open: f64 = banks.iter().filter(|b| b.room() > 0).map(|b| b.share).sum();
+    if over > 0.0 && open > 0.0 {
+        for b in banks.iter_mut().filter(|b| b.room() > 0) {
+            b.add(over * b.share / open);
+        }
+    }
+}
+
 /// The rate R, and what was seen of it in this window.
 #[derive(Debug, Default)]
 pub(crate) struct Rate {
@@ -440,6 +454,17 @@
         }
     }
 
+    /// A whole list came: workers that it does not name are gone.
+    pub(crate) fn remove_absent(&mut self, members: &[Member]) {
+        let mut named: Vec<WorkerId> = members.iter().map(|m| m.worker).collect();
+        named.sort_unstable();
+        for w in &mut self.workers {
+            if named.binary_search(&w.id).is_err() {
+                w.state = WorkerState::Gone;
+            }
+        }
+    }
+
     /// The workers on the ring from a key on, each once.
     pub(crate) fn homes(&self, key: u64, count: usize) -> Vec<usize> {
         let start = self.ring.partition_point(|&(p, _)| p < mix(key));
