--- a/crates/dispatch-core/src/api.rs
+++ b/crates/dispatch-core/src/api.rs
@@ -3,7 +3,7 @@
 //! Times are seconds on the caller's clock, which may start anywhere and only moves forward. Ids are opaque:
 //! the module compares and hashes them, nothing else.
 
-use crate::report::Form;
+use crate::load_report::LoadReportFormat;
 
 /// A point in time or a span, in seconds.
 pub type Seconds = f64;
@@ -19,18 +19,18 @@
 
 /// How often a class of request may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Running it again is harmless.
-    Safe,
-    /// Workers of one group drop repeats within [`Class::window`].
-    Keyed(Group),
+    Idempotent,
+    /// Workers of one group drop repeats within [`Class::key_window`].
+    WithKey(KeyScope),
     /// It must not run twice.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// The workers that know each other's keyed requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum KeyScope {
     /// All workers.
     All,
     /// Those of one zone.
@@ -43,36 +43,43 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// What a repeat does.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// How long a keyed repeat is dropped, counted from the first send that may have run.
-    pub window: Seconds,
-    /// An answer within this time, plus [`Class::stretch`] times the job's own running time, is in time.
-    pub aim: Seconds,
-    /// See [`Class::aim`].
-    pub stretch: f64,
+    pub key_window: Seconds,
+    /// An answer within this time, plus [`Class::run_time_allowance`] times the job's own running time, is in time.
+    pub latency_objective: Seconds,
+    /// See [`Class::latency_objective`].
+    pub run_time_allowance: f64,
     /// The part of its worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// The one kind of worker that runs it, where there is one.
-    pub kind: Option<u32>,
+    pub required_kind: Option<u32>,
 }
 
 /// A keyed job is sent again within this part of its window: the clocks of worker and dispatcher may differ.
-const KEYED_WINDOW: f64 = 0.9;
+const USABLE_KEY_WINDOW: f64 = 0.9;
 
 impl Class {
     /// For how long after a send that may have run a job of it may be sent again.
-    pub fn repeat_within(&self) -> Seconds {
-        match self.repeat {
-            Repeat::Safe => f64::INFINITY,
-            Repeat::Keyed(_) => self.window * KEYED_WINDOW,
-            Repeat::Unsafe => 0.0,
+    pub fn retry_window(&self) -> Seconds {
+        match self.idempotency {
+            Idempotency::Idempotent => f64::INFINITY,
+            Idempotency::WithKey(_) => self.key_window * USABLE_KEY_WINDOW,
+            Idempotency::NotIdempotent => 0.0,
         }
     }
 }
 
 impl Default for Class {
     fn default() -> Self {
-        Class { repeat: Repeat::Unsafe, window: 0.0, aim: 1.0, stretch: 0.0, late_worth: 0.0, kind: None }
+        Class {
+            idempotency: Idempotency::NotIdempotent,
+            key_window: 0.0,
+            latency_objective: 1.0,
+            run_time_allowance: 0.0,
+            late_weight: 0.0,
+            required_kind: None,
+        }
     }
 }
 
@@ -87,20 +94,20 @@
 
 /// How load reports reach a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReports {
     /// Never.
     None,
     /// With answers, and with probe results where probes are allowed.
-    Answers,
+    WithResponses,
     /// With probe results only.
-    Probes,
+    WithProbes,
 }
 
 /// How room is held for large jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RoomSettings {
+pub struct CapacityReservation {
     /// Jobs of so many slots and more are large.
-    pub from: f64,
+    pub min_slots: f64,
     /// The price of a worker that is kept for jobs of the other size, in waits as long as a job's own run.
     pub price: f64,
 }
@@ -119,39 +126,39 @@
     /// The tenants; empty where there are none.
     pub tenants: Vec<Tenant>,
     /// The worker list must be asked for; otherwise changes arrive unprompted.
-    pub ask_for_list: bool,
+    pub polls_endpoint_list: bool,
     /// With [`Settings::ask_for_list`]: ask at least this often while no subscription stands; 0 if unstated.
-    pub ask_within: Seconds,
+    pub max_poll_interval: Seconds,
     /// How load reports arrive.
-    pub reports: Reports,
+    pub load_reports: LoadReports,
     /// What they hold.
-    pub report: Form,
+    pub load_report_format: LoadReportFormat,
     /// Clients mark their retries; else one shows by its shorter patience alone.
-    pub marks_retry: bool,
+    pub clients_mark_retries: bool,
     /// Probes are allowed.
-    pub may_probe: bool,
+    pub probes_allowed: bool,
     /// The price of one probe a request, in parts of the service.
     pub probe_price: f64,
     /// Attempts may be called off.
-    pub may_cancel: bool,
+    pub cancellation_allowed: bool,
     /// Most attempts a request may have.
     pub max_attempts: u32,
     /// The longest wait that a client honours on a refusal; 0 where refusals carry none.
     pub max_retry_after: Seconds,
     /// Workers tell when a job starts.
-    pub tells_start: bool,
+    pub reports_job_start: bool,
     /// They tell of a running job's progress this often; 0 where they do not.
-    pub progress: Seconds,
+    pub progress_interval: Seconds,
     /// A second attempt may be out while the first is.
-    pub second_copies: bool,
+    pub hedging_allowed: bool,
     /// A worker starts with at least this part of its capacity ...
-    pub cold_share: f64,
+    pub slow_start_min_capacity: f64,
     /// ... and has all of it after this long, growing no slower than evenly.
-    pub warm_within: Seconds,
+    pub slow_start_duration: Seconds,
     /// A cold worker falls over when sent more than this many times what it can do ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... over this span, by all dispatchers together.
-    pub fall_span: Seconds,
+    pub overload_window: Seconds,
     /// The price of crossing zones once a request, in parts of the service.
     pub cross_zone_price: f64,
     /// The price of a new connection for each request, in parts of the service.
@@ -159,9 +166,9 @@
     /// A connection that has been idle for this long is closed; 0 where none is kept.
     pub keep_alive: Seconds,
     /// The finest step of the caller's clock.
-    pub resolution: Seconds,
+    pub clock_resolution: Seconds,
     /// Room for large jobs; none where it is not held.
-    pub room: Option<RoomSettings>,
+    pub capacity_reservation: Option<CapacityReservation>,
 }
 
 impl Default for Settings {
@@ -172,35 +179,35 @@
             zone: 0,
             classes: Vec::new(),
             tenants: Vec::new(),
-            ask_for_list: false,
-            ask_within: 0.0,
-            reports: Reports::None,
-            report: Form::default(),
-            marks_retry: false,
-            may_probe: false,
+            polls_endpoint_list: false,
+            max_poll_interval: 0.0,
+            load_reports: LoadReports::None,
+            load_report_format: LoadReportFormat::default(),
+            clients_mark_retries: false,
+            probes_allowed: false,
             probe_price: 0.0,
-            may_cancel: false,
+            cancellation_allowed: false,
             max_attempts: 1,
             max_retry_after: 0.0,
-            tells_start: false,
-            progress: 0.0,
-            second_copies: false,
-            cold_share: 0.1,
-            warm_within: 0.0,
-            fall_multiple: 1.0,
-            fall_span: 1.0,
+            reports_job_start: false,
+            progress_interval: 0.0,
+            hedging_allowed: false,
+            slow_start_min_capacity: 0.1,
+            slow_start_duration: 0.0,
+            overload_multiple: 1.0,
+            overload_window: 1.0,
             cross_zone_price: 0.0,
             handshake_price: 0.0,
             keep_alive: 0.0,
-            resolution: 0.001,
-            room: None,
+            clock_resolution: 0.001,
+            capacity_reservation: None,
         }
     }
 }
 
 impl Settings {
     /// What all tenants were promised together, in requests a second.
-    pub fn promised(&self) -> f64 {
+    pub fn total_quota(&self) -> f64 {
         self.tenants.iter().map(|t| t.quota.max(0.0)).sum()
     }
 }
@@ -219,30 +226,30 @@
     /// Memory it needs, in units; 0 where memory is not counted.
     pub memory: f64,
     /// How long the client waits from now.
-    pub patience: Seconds,
+    pub timeout: Seconds,
     /// It is a client's retry, where clients mark them.
-    pub retry: bool,
+    pub is_retry: bool,
     /// Its expected running time on a standard core, where told.
-    pub expected: Option<Seconds>,
+    pub expected_run_time: Option<Seconds>,
     /// The data that it needs; a worker may still hold it from an earlier job of that key.
-    pub key: Option<u64>,
+    pub affinity_key: Option<u64>,
 }
 
 /// What a worker says of its load. Absent fields were not told.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// Slots with nothing in them.
     pub free_slots: Option<f64>,
     /// Memory units not in use.
     pub free_memory: Option<f64>,
     /// Requests waiting.
-    pub queue: Option<f64>,
+    pub queue_length: Option<f64>,
     /// Requests held.
     pub in_flight: Option<f64>,
     /// The service time of late, without waiting.
     pub latency: Option<Seconds>,
     /// Errors a second.
-    pub errors: Option<f64>,
+    pub error_rate: Option<f64>,
 }
 
 /// How an attempt ended.
@@ -253,7 +260,7 @@
     /// The worker answered with an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Overloaded,
     /// No answer in time; it may have run or be running.
     Timeout,
     /// No connection; it never ran.
@@ -263,18 +270,21 @@
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// A connection that was kept broke as soon as it was used again: the worker had closed it. Only the request
     /// was written whole, so it may have run; of the worker it says nothing.
-    Stale,
+    StaleConnection,
     /// The worker cannot use the request, and no other could; it never ran and the worker is not at fault.
-    Rejected,
+    InvalidRequest,
 }
 
 impl Outcome {
     /// Whether the attempt is known not to have run.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Rejected)
+        matches!(
+            self,
+            Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent | Outcome::InvalidRequest
+        )
     }
 }
 
@@ -287,12 +297,12 @@
     /// Finishes what it has and takes no more.
     Draining,
     /// Withdrawn.
-    Gone,
+    Removed,
 }
 
 /// One line of the worker list.
 #[derive(Clone, Copy, Debug)]
-pub struct Member {
+pub struct Endpoint {
     /// The worker.
     pub worker: WorkerId,
     /// Its kind of machine.
@@ -302,20 +312,20 @@
     /// Its cell.
     pub cell: u32,
     /// When it last started; 0 for long ago.
-    pub since: Seconds,
+    pub started_at: Seconds,
     /// Its state.
     pub state: WorkerState,
 }
 
 /// What part of the list an event brings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum ListScope {
     /// All of it; a worker that is absent is gone.
     Full,
     /// All of it as last held before a restart, possibly out of date.
-    Saved,
+    Cached,
     /// Changed lines only.
-    Changes,
+    Incremental,
     /// Nothing: a call failed or the subscription broke.
     Failed,
 }
@@ -351,7 +361,7 @@
         done: f64,
     },
     /// An attempt ended; exactly one for each [`Action::Send`].
-    Ended {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// The number of the attempt.
@@ -361,48 +371,48 @@
         /// The request has its final answer, by this outcome or earlier.
         complete: bool,
         /// What the worker said of its load.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// The client left; no answer is owed.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// The timer set with [`Action::SetTimer`] fell due.
     Timer(u64),
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// The worker.
         worker: WorkerId,
         /// It answered.
         ok: bool,
         /// What it said.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// Somebody who watches workers for all dispatchers saw this one fail, or takes that back.
-    Sighted {
+    UnhealthyVerdict {
         /// The worker.
         worker: WorkerId,
         /// How long ago it was seen failing; what it did for us since then counts for more.
-        ago: Seconds,
+        observed_ago: Seconds,
         /// How long this may be held against it from now on; 0 where nothing is any more.
-        holds: Seconds,
+        valid_for: Seconds,
     },
     /// One who hands the cold budgets out for all dispatchers granted more than the planned share.
-    Granted {
+    SlowStartGrant {
         /// The cold worker.
         worker: WorkerId,
         /// How much may be sent there, in slots by seconds on a standard core.
         work: f64,
         /// Until when.
-        until: Seconds,
+        expires_at: Seconds,
     },
     /// The worker list, or a part of it.
-    List {
+    EndpointList {
         /// Which part.
-        scope: Scope,
+        scope: ListScope,
         /// Its lines.
-        members: &'a [Member],
+        endpoints: &'a [Endpoint],
     },
     /// A message from another dispatcher.
-    Peer {
+    PeerMessage {
         /// Its number.
         from: u32,
         /// The bytes.
@@ -423,7 +433,7 @@
         timeout: Option<Seconds>,
     },
     /// Final answer: declined, trying again does no harm.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// When coming back makes sense.
@@ -453,11 +463,11 @@
     /// Subscribe to the worker list, or end that.
     Watch(bool),
     /// Ask for the whole worker list once.
-    FetchList,
+    FetchEndpointList,
     /// Close the idle connections to a worker.
     CloseIdle(WorkerId),
     /// Send a short message to one dispatcher, or to all.
-    Tell {
+    SendToPeer {
         /// Its number; `None` for all.
         to: Option<u32>,
         /// The bytes.
--- a/crates/dispatch-core/src/backoff.rs
+++ b/crates/dispatch-core/src/backoff.rs
@@ -27,14 +27,14 @@
 
     /// The pause after one more failure, in microseconds. `wanted` is what the other side asked for, where it did: no
     /// pause is shorter, as far as the cap allows, and the jitter comes on top.
-    pub fn failed(&mut self, wanted: Option<Micros>) -> Micros {
+    pub fn next_delay(&mut self, wanted: Option<Micros>) -> Micros {
         let longest = self.first.saturating_mul(1 << self.failures.min(32)).min(self.cap);
         self.failures = self.failures.saturating_add(1);
         wanted.unwrap_or(0).min(self.cap).saturating_add(self.rng.u64(0..=longest))
     }
 
     /// It went well: the next failure is a first one.
-    pub fn succeeded(&mut self) {
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 }
--- a/crates/dispatch-core/src/load.rs
+++ b/crates/dispatch-core/src/load.rs
@@ -5,7 +5,7 @@
 //! usual among the workers of its kind in its zone. Spans are in windows, a window being about a running time: within
 //! a few of them all that a worker holds has changed.
 
-use crate::api::{Load, Seconds};
+use crate::api::{LoadReport, Seconds};
 use crate::estimate::LEARN_CLASS;
 use crate::state::{Fleet, Worker};
 
@@ -114,7 +114,7 @@
 
     /// Takes a load report, where it tells of free slots; `job` is the slots of a usual job. Returns the slots that
     /// wait there.
-    pub(crate) fn reported(&mut self, i: usize, load: &Load, job: f64, at: Present) -> Option<f64> {
+    pub(crate) fn reported(&mut self, i: usize, load: &LoadReport, job: f64, at: Present) -> Option<f64> {
         let free = load.free_slots?;
         let room = load.free_memory.map_or(free, |m| free.min(m));
         self.hold(i, 0.0, at);
@@ -123,7 +123,7 @@
         let slots = self.slots_of(&self.workers[i]);
         // What it holds beyond its slots waits; while it has room, nothing does.
         let held = load.in_flight.filter(|_| room < 1.0).map_or(0.0, |held| (held * job - slots).max(0.0));
-        let queue = load.queue.unwrap_or(held);
+        let queue = load.queue_length.unwrap_or(held);
         let seen = slots - room + queue - self.workers[i].ours_late;
         // Half of it: a report is a sample, late and noisy.
         let others = 0.5 * (seen.max(0.0) + self.others(&self.workers[i], at));
@@ -166,25 +166,28 @@
     #[test]
     fn what_a_worker_holds_beyond_its_slots_waits() {
         let mut fleet = Fleet::new(&crate::api::Settings::default());
-        let member = crate::api::Member {
+        let member = crate::api::Endpoint {
             worker: crate::api::WorkerId(1),
             kind: 0,
             zone: 0,
             cell: 0,
-            since: 0.0,
+            started_at: 0.0,
             state: crate::api::WorkerState::Serving,
         };
         fleet.kinds.push(crate::state::Kind::default());
         fleet.enlist(&member, 0, 0.0);
         fleet.rebuild(0, None);
         let at = Present { now: 1.0, window: 0.3 };
-        let told =
-            |free: f64, held: f64| Load { free_slots: Some(free), in_flight: Some(held), ..Load::default() };
+        let told = |free: f64, held: f64| LoadReport {
+            free_slots: Some(free),
+            in_flight: Some(held),
+            ..LoadReport::default()
+        };
         assert_eq!(fleet.reported(0, &told(4.0, 0.0), 1.0, at), Some(0.0));
         assert_eq!(fleet.reported(0, &told(2.0, 9.0), 1.0, at), Some(0.0), "it has room");
         assert_eq!(fleet.reported(0, &told(0.0, 7.0), 1.0, at), Some(3.0), "seven in four slots");
         assert!(fleet.others(&fleet.workers[0], at) > 3.0);
-        assert_eq!(fleet.reported(0, &Load::default(), 1.0, at), None);
+        assert_eq!(fleet.reported(0, &LoadReport::default(), 1.0, at), None);
     }
 
     /// Found by experiments/wrong-clocks.hcl: a clock that is an hour ahead made every cold worker look warm, and one that
@@ -193,12 +196,12 @@
     fn how_warm_a_worker_is_does_not_rest_on_the_clocks_of_others() {
         let mut fleet = Fleet::default();
         (fleet.cold_share, fleet.warm_within) = (0.2, 20.0);
-        let member = |worker, since| crate::api::Member {
+        let member = |worker, since| crate::api::Endpoint {
             worker: crate::api::WorkerId(worker),
             kind: 0,
             zone: 0,
             cell: 0,
-            since,
+            started_at: since,
             state: crate::api::WorkerState::Serving,
         };
         fleet.kinds.push(crate::state::Kind::default());
--- a/crates/dispatch-core/src/report.rs
+++ b/crates/dispatch-core/src/load_report.rs
@@ -9,11 +9,11 @@
 use serde::de::{Deserialize, Deserializer, MapAccess, Visitor};
 use serde_json::Value;
 
-use crate::api::Load;
-use crate::settings::{bad, Pairs, Parsed};
+use crate::api::LoadReport;
+use crate::settings::{invalid, Parsed, SettingsPairs};
 
 /// Figures of one report that are looked at; the settings tell of four at the most.
-const MOST: usize = 16;
+const MAX_FIGURES: usize = 16;
 
 /// The meaning of one figure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,21 +30,21 @@
 
 /// The figures of a deployment's reports, in their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Form(Vec<(Box<str>, Figure)>);
+pub struct LoadReportFormat(Vec<(Box<str>, Figure)>);
 
 /// A report that came by name.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Read {
+pub struct ParsedLoadReport {
     /// What could be used of it; none where nothing could.
-    pub load: Option<Load>,
+    pub load: Option<LoadReport>,
     /// Some of it was malformed, and was left out.
     pub malformed: bool,
 }
 
-impl Form {
+impl LoadReportFormat {
     /// As the settings tell: `report.names`, and for x0 and x1 what `family-info` says of them.
-    pub fn of(pairs: &Pairs<'_>) -> Form {
-        let told = |name: &str| pairs.word(&format!("family-info.report-{name}")).replace(' ', "_");
+    pub fn from_settings(pairs: &SettingsPairs<'_>) -> LoadReportFormat {
+        let told = |name: &str| pairs.text(&format!("family-info.report-{name}")).replace(' ', "_");
         let meaning = |name: &str| match name {
             "free_slots" => Figure::FreeSlots,
             "free_memory" => Figure::FreeMemory,
@@ -58,20 +58,22 @@
             "x0" | "x1" => meaning(&told(name)),
             name => meaning(name),
         };
-        Form(pairs.list("report.names").take(MOST).map(|name| (name.into(), figure(name))).collect())
+        LoadReportFormat(
+            pairs.list("report.names").take(MAX_FIGURES).map(|name| (name.into(), figure(name))).collect(),
+        )
     }
 
     /// Reads a report that gives its figures by place, separated by commas; `-` or nothing where one was not told.
     ///
     /// # Errors
     /// Something that is no number stands where one must.
-    pub fn by_place(&self, text: &str) -> Parsed<Load> {
-        let mut load = Load::default();
+    pub fn parse_positional(&self, text: &str) -> Parsed<LoadReport> {
+        let mut load = LoadReport::default();
         for ((_, figure), value) in self.0.iter().zip(text.split(',')) {
             if value.is_empty() || value == "-" {
                 continue;
             }
-            let value: f64 = value.parse().or_else(|_| bad("a load report of numbers", text))?;
+            let value: f64 = value.parse().or_else(|_| invalid("a load report of numbers", text))?;
             if value.is_finite() && value >= 0.0 {
                 set(&mut load, *figure, Some(value));
             }
@@ -81,9 +83,9 @@
 
     /// Takes a report that gives its figures by name. Names that the settings do not tell of are passed over. What is
     /// no number, negative, infinite, or told twice is left out: of two figures neither is known to be the right one.
-    pub fn by_name<'a>(&self, figures: impl Iterator<Item = (&'a str, Option<f64>)>) -> Read {
-        let (mut load, mut malformed) = (Load::default(), false);
-        let mut told = [false; MOST];
+    pub fn parse_named<'a>(&self, figures: impl Iterator<Item = (&'a str, Option<f64>)>) -> ParsedLoadReport {
+        let (mut load, mut malformed) = (LoadReport::default(), false);
+        let mut told = [false; MAX_FIGURES];
         for (name, value) in figures {
             let Some(place) = self.0.iter().position(|(known, _)| **known == *name) else { continue };
             let twice = std::mem::replace(&mut told[place], true);
@@ -91,24 +93,24 @@
             malformed |= value.is_none();
             set(&mut load, self.0[place].1, value);
         }
-        Read { load: Some(load).filter(|load| *load != Load::default()), malformed }
+        ParsedLoadReport { load: Some(load).filter(|load| *load != LoadReport::default()), malformed }
     }
 
     /// Reads a report as an object of JSON: `{"inflight":7,"queue":2}`.
-    pub fn of_json(&self, text: &str) -> Read {
+    pub fn parse_json(&self, text: &str) -> ParsedLoadReport {
         match serde_json::from_str::<Object<'_>>(text) {
-            Ok(Object(figures)) => self.by_name(figures.iter().map(|(name, value)| (&**name, *value))),
-            Err(_) => Read { load: None, malformed: true },
+            Ok(Object(figures)) => self.parse_named(figures.iter().map(|(name, value)| (&**name, *value))),
+            Err(_) => ParsedLoadReport { load: None, malformed: true },
         }
     }
 
     /// Reads a report as a header holds it: the word TEXT, then `name=value` separated by commas.
-    pub fn of_text(&self, text: &str) -> Read {
+    pub fn parse_text(&self, text: &str) -> ParsedLoadReport {
         let Some(rest) = text.trim().strip_prefix("TEXT") else {
-            return Read { load: None, malformed: true };
+            return ParsedLoadReport { load: None, malformed: true };
         };
         let pairs = rest.split(',').map(str::trim).filter(|pair| !pair.is_empty());
-        self.by_name(pairs.map(|pair| match pair.split_once('=') {
+        self.parse_named(pairs.map(|pair| match pair.split_once('=') {
             Some((name, value)) => (name.trim(), value.trim().parse().ok()),
             None => (pair, None),
         }))
@@ -131,7 +133,7 @@
             fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Object<'de>, A::Error> {
                 let mut figures = Vec::new();
                 while let Some((name, value)) = map.next_entry::<Cow<'de, str>, Value>()? {
-                    if figures.len() < 4 * MOST {
+                    if figures.len() < 4 * MAX_FIGURES {
                         figures.push((name, value.as_f64()));
                     }
                 }
@@ -142,14 +144,14 @@
     }
 }
 
-fn set(load: &mut Load, figure: Figure, value: Option<f64>) {
+fn set(load: &mut LoadReport, figure: Figure, value: Option<f64>) {
     match figure {
         Figure::FreeSlots => load.free_slots = value,
         Figure::FreeMemory => load.free_memory = value,
-        Figure::Queue => load.queue = value,
+        Figure::Queue => load.queue_length = value,
         Figure::InFlight => load.in_flight = value,
         Figure::Latency => load.latency = value.map(|ms| ms / 1e3),
-        Figure::Errors => load.errors = value,
+        Figure::Errors => load.error_rate = value,
         Figure::Other => {}
     }
 }
@@ -158,52 +160,61 @@
 mod tests {
     use super::*;
 
-    fn form() -> Form {
+    fn form() -> LoadReportFormat {
         let told = "report.names=eps,latency_ms,inflight,x0 family-info.report-x0=free_slots";
-        Form::of(&Pairs::read(told.split(' ')).expect("settings"))
+        LoadReportFormat::from_settings(&SettingsPairs::parse(told.split(' ')).expect("settings"))
     }
 
     #[test]
     fn the_same_report_means_the_same_by_place_and_by_name() {
-        let load = Load {
-            errors: Some(0.5),
+        let load = LoadReport {
+            error_rate: Some(0.5),
             latency: Some(0.12),
             in_flight: Some(7.0),
             free_slots: Some(0.0),
-            ..Load::default()
+            ..LoadReport::default()
         };
-        assert_eq!(form().by_place("0.5,120,7,0"), Ok(load));
-        let read = form().of_text("TEXT x0=0, inflight=7,eps=0.5 , latency_ms=120, cpu=0.3");
-        assert_eq!(read, Read { load: Some(load), malformed: false }, "an unknown name is passed over");
+        assert_eq!(form().parse_positional("0.5,120,7,0"), Ok(load));
+        let read = form().parse_text("TEXT x0=0, inflight=7,eps=0.5 , latency_ms=120, cpu=0.3");
+        assert_eq!(
+            read,
+            ParsedLoadReport { load: Some(load), malformed: false },
+            "an unknown name is passed over"
+        );
         let json = r#"{"x0":0,"inflight":7,"eps":0.5,"latency_ms":120,"cpu":[0.3]}"#;
-        assert_eq!(form().of_json(json), Read { load: Some(load), malformed: false });
-        assert!(form().by_place("0.5,much").is_err());
+        assert_eq!(form().parse_json(json), ParsedLoadReport { load: Some(load), malformed: false });
+        assert!(form().parse_positional("0.5,much").is_err());
     }
 
     #[test]
     fn what_is_malformed_is_left_out_and_the_rest_is_used() {
         for text in ["x0=-1", "x0=inf", "x0=NaN", "x0=", "x0", "x0=3,x0=4"] {
-            let read = form().of_text(&format!("TEXT inflight=2,{text}"));
-            let load = Load { in_flight: Some(2.0), ..Load::default() };
-            assert_eq!(read, Read { load: Some(load), malformed: true }, "{text}");
+            let read = form().parse_text(&format!("TEXT inflight=2,{text}"));
+            let load = LoadReport { in_flight: Some(2.0), ..LoadReport::default() };
+            assert_eq!(read, ParsedLoadReport { load: Some(load), malformed: true }, "{text}");
         }
         for json in
             [r#"{"x0":-1,"inflight":2}"#, r#"{"x0":3,"inflight":2,"x0":3}"#, r#"{"x0":"3","inflight":2}"#]
         {
-            let load = Load { in_flight: Some(2.0), ..Load::default() };
-            assert_eq!(form().of_json(json), Read { load: Some(load), malformed: true }, "{json}");
+            let load = LoadReport { in_flight: Some(2.0), ..LoadReport::default() };
+            assert_eq!(
+                form().parse_json(json),
+                ParsedLoadReport { load: Some(load), malformed: true },
+                "{json}"
+            );
         }
         for json in ["", "[]", "null", r#"{"x0":1e999}"#] {
-            assert_eq!(form().of_json(json), Read { load: None, malformed: true }, "{json}");
+            assert_eq!(form().parse_json(json), ParsedLoadReport { load: None, malformed: true }, "{json}");
         }
-        assert_eq!(form().of_text("TEXT"), Read { load: None, malformed: false });
-        assert_eq!(form().of_text("JSON {}"), Read { load: None, malformed: true });
+        assert_eq!(form().parse_text("TEXT"), ParsedLoadReport { load: None, malformed: false });
+        assert_eq!(form().parse_text("JSON {}"), ParsedLoadReport { load: None, malformed: true });
     }
 
     #[test]
     fn settings_without_reports_take_none() {
-        let none = Form::of(&Pairs::read(std::iter::empty()).expect("settings"));
-        assert_eq!(none.of_text("TEXT x0=3"), Read { load: None, malformed: false });
-        assert_eq!(none.by_place("1,2"), Ok(Load::default()));
+        let none =
+            LoadReportFormat::from_settings(&SettingsPairs::parse(std::iter::empty()).expect("settings"));
+        assert_eq!(none.parse_text("TEXT x0=3"), ParsedLoadReport { load: None, malformed: false });
+        assert_eq!(none.parse_positional("1,2"), Ok(LoadReport::default()));
     }
 }
--- a/crates/dispatch-core/src/policy/attempts.rs
+++ b/crates/dispatch-core/src/policy/attempts.rs
@@ -17,14 +17,14 @@
     /// Whether a keyed job that may have run may go to this worker.
     pub(super) fn group_allows(&self, w: &Worker, job: &Job) -> bool {
         let class = &self.cfg.classes[job.req.class as usize];
-        let Repeat::Keyed(group) = class.repeat else { return true };
+        let Idempotency::WithKey(group) = class.idempotency else { return true };
         job.attempts.iter().filter(|a| !a.ended.is_some_and(Outcome::never_ran)).all(|a| {
             let first = &self.fleet.workers[a.worker];
-            self.now - a.sent < class.repeat_within()
+            self.now - a.sent < class.retry_window()
                 && match group {
-                    Group::All => true,
-                    Group::Zone => w.zone == first.zone,
-                    Group::Cell => w.cell == first.cell,
+                    KeyScope::All => true,
+                    KeyScope::Zone => w.zone == first.zone,
+                    KeyScope::Cell => w.cell == first.cell,
                 }
         })
     }
@@ -58,12 +58,12 @@
         let Some(job) = self.jobs.remove(&id) else { return false };
         let tries_left = job.attempts.len() < self.cfg.max_attempts.max(1) as usize;
         let choice = if tries_left { self.choose(&job) } else { None };
-        let told = self.cfg.reports != Reports::None;
+        let told = self.cfg.load_reports != LoadReports::None;
         let early = self.now + 1e-6 < job.give_way(GATE);
         let waits = told && early && tries_left && choice.is_none_or(|c| !c.free);
         let (tried, k) = (job.attempts.len(), job.size());
         let class = job.req.class as usize;
-        let worthless = self.cfg.classes[class].late_worth == 0.0 && job.never_ran();
+        let worthless = self.cfg.classes[class].late_weight == 0.0 && job.never_ran();
         let hopeless = |c: &Choice| worthless && self.runs[class].hopeless(c.late);
         self.jobs.insert(id, job);
         match choice {
@@ -89,7 +89,7 @@
         (w.out, w.kept) = (w.out + 1, 0.0);
         w.cold.spend(work, slice, self.now);
         self.copies = (self.copies + COPIES).min(COPIES_SAVED);
-        if self.cfg.tells_start {
+        if self.cfg.reports_job_start {
             self.wake(2.0 * PROMPT, Wake::Quiet(id));
         }
         actions.push(Action::Send { request: id, worker: self.fleet.workers[i].id, timeout: None });
@@ -101,9 +101,11 @@
         let class = &self.cfg.classes[job.req.class as usize];
         let wait = (job.slots as f64 / self.rate.slots_per_s.max(1e-3)).min(self.cfg.max_retry_after);
         // A client that comes back as it is told must come back within the window.
-        let known = |a: &Attempt| self.now + wait - a.sent < class.repeat_within();
-        let again =
-            |a: &Attempt| known(a) && matches!(class.repeat, Repeat::Safe | Repeat::Keyed(Group::All));
+        let known = |a: &Attempt| self.now + wait - a.sent < class.retry_window();
+        let again = |a: &Attempt| {
+            known(a)
+                && matches!(class.idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All))
+        };
         let ran = job.attempts.iter().find(|a| !a.ended.is_some_and(Outcome::never_ran));
         let harmless = ran.is_none_or(again);
         actions.push(if harmless { self.refusal(id, wait) } else { Action::Fail { request: id } });
@@ -128,7 +130,7 @@
             self.fleet.workers[i].running.push(Running { since: self.now, work, spread });
             self.sign(i);
             self.waits += LEARN_WORKER * (delay - self.waits);
-            if self.cfg.reports != Reports::Answers {
+            if self.cfg.load_reports != LoadReports::WithResponses {
                 self.fleet.waited(i, delay, self.present());
             }
         }
@@ -140,7 +142,7 @@
         attempt: u32,
         outcome: Outcome,
         complete: bool,
-        load: Option<Load>,
+        load: Option<LoadReport>,
         actions: &mut Vec<Action>,
     ) {
         let now = self.now;
@@ -148,17 +150,17 @@
         let Some(a) = job.attempts.get_mut(attempt as usize).filter(|a| a.ended.is_none()) else { return };
         a.ended = Some(outcome);
         let (i, a, k, class, work) = (a.worker, *a, job.size(), job.req.class as usize, job.work_log);
-        let (expected, tenant) = (job.req.expected, job.req.tenant as usize);
+        let (expected, tenant) = (job.req.expected_run_time, job.req.tenant as usize);
         let ended = |a: &Attempt| matches!(a.ended, Some(Outcome::Reset | Outcome::Error));
         let failed_before = job.attempts[..attempt as usize].iter().any(ended);
         let already = job.state == State::Ended;
-        let expired = now - job.arrived >= job.req.patience - self.cfg.resolution;
+        let expired = now - job.arrived >= job.req.timeout - self.cfg.clock_resolution;
         self.fleet.hold(i, -k, self.present());
         self.fleet.workers[i].stopped(a.started, work);
-        if outcome != Outcome::Full {
+        if outcome != Outcome::Overloaded {
             self.report(i, load);
         }
-        if matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Error | Outcome::Rejected) {
+        if matches!(outcome, Outcome::Ok | Outcome::Overloaded | Outcome::Error | Outcome::InvalidRequest) {
             self.sign(i);
         }
         match outcome {
@@ -167,7 +169,7 @@
                 let clear = a.started.is_some() || a.free;
                 let run = now - a.started.unwrap_or(a.sent);
                 // A long wait there is congestion; a long run is the job's or the worker's own matter.
-                let likely = self.runs[class].mean * self.cfg.classes[class].stretch.max(1.0);
+                let likely = self.runs[class].mean * self.cfg.classes[class].run_time_allowance.max(1.0);
                 let waited = now - a.sent - if a.started.is_some() { run } else { run.min(likely) };
                 if waited <= WAITED * self.slack(class, expected) {
                     self.rate.taken += k;
@@ -186,7 +188,7 @@
                     self.paces.learn(run, expected, class, kind, &mut w.pace, now);
                 }
             }
-            Outcome::Full => {
+            Outcome::Overloaded => {
                 if attempt > 0 {
                     self.rate.bounce(i, k);
                 }
@@ -204,16 +206,16 @@
             // What fails at one worker after another is at fault itself, and must not bar them all.
             Outcome::Reset | Outcome::Error if failed_before => {}
             Outcome::Reset | Outcome::Error => self.failed(i),
-            Outcome::Rejected => {
+            Outcome::InvalidRequest => {
                 // It was no job: what it took of its tenant's part is given back.
                 let slots = k.ceil() as i64;
                 self.banks[tenant].refund(slots);
             }
-            Outcome::Cancelled | Outcome::Moot | Outcome::Stale => {}
+            Outcome::Cancelled | Outcome::NotSent | Outcome::StaleConnection => {}
         }
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if complete || already {
-            actions.extend(job.cancels().filter(|_| self.cfg.may_cancel && !already));
+            actions.extend(job.cancels().filter(|_| self.cfg.cancellation_allowed && !already));
             job.state = State::Ended;
             self.forget(id);
             return self.dispatch(actions);
@@ -221,12 +223,12 @@
         if job.is_out() {
             return;
         }
-        if outcome == Outcome::Rejected {
+        if outcome == Outcome::InvalidRequest {
             job.state = State::Ended;
             actions.push(Action::Fail { request: id });
             return self.forget(id);
         }
-        let again = job.never_ran() || self.cfg.classes[class].repeat != Repeat::Unsafe;
+        let again = job.never_ran() || self.cfg.classes[class].idempotency != Idempotency::NotIdempotent;
         if again && !expired && job.until > now {
             self.pay(id, actions);
         } else {
@@ -239,7 +241,7 @@
         match std::mem::replace(&mut job.state, State::Ended) {
             State::Held => self.banks[job.req.tenant as usize].give_back(id, job.slots),
             State::Paid => self.paid.retain(|&p| p != id),
-            State::Out if self.cfg.may_cancel => actions.extend(job.cancels()),
+            State::Out if self.cfg.cancellation_allowed => actions.extend(job.cancels()),
             _ => {}
         }
         self.forget(id);
--- a/crates/dispatch-core/src/policy/cold.rs
+++ b/crates/dispatch-core/src/policy/cold.rs
@@ -8,7 +8,7 @@
 impl Dispatcher {
     /// A span in which each grant has one owner, by the clock that all dispatchers share.
     pub(super) fn slice(&self) -> u64 {
-        (self.now / self.cfg.fall_span.max(0.1)) as u64
+        (self.now / self.cfg.overload_window.max(0.1)) as u64
     }
 
     fn cold(&self, w: &Worker) -> bool {
@@ -19,8 +19,8 @@
     /// for about a job and with an owner of its own: of many dispatchers none has the traffic to use up more.
     fn planned(&self, w: &Worker) -> (f64, f64) {
         let capacity = self.fleet.warmth(w, self.now) * self.fleet.slots_of(w);
-        let budget = self.cfg.fall_multiple * capacity * self.cfg.fall_span * COLD_PLANNED;
-        let grants = (budget / self.usual_job()).clamp(1.0, 64.0) as u64;
+        let budget = self.cfg.overload_multiple * capacity * self.cfg.overload_window * COLD_PLANNED;
+        let grants = (budget / self.mean_job_work()).clamp(1.0, 64.0) as u64;
         let owner = |n: &u64| mix(w.id.0 ^ mix(self.slice() * 64 + n)) % u64::from(self.cfg.instances);
         let ours = (0..grants).filter(|n| owner(n) == u64::from(self.cfg.instance)).count();
         (budget, budget * ours as f64 / grants as f64)
--- a/crates/dispatch-core/src/policy/list.rs
+++ b/crates/dispatch-core/src/policy/list.rs
@@ -11,22 +11,23 @@
         actions.push(Action::Watch(true));
     }
 
-    pub(super) fn on_list(&mut self, scope: Scope, members: &[Member]) {
+    pub(super) fn on_list(&mut self, scope: ListScope, members: &[Endpoint]) {
         match scope {
-            Scope::Failed => {
+            ListScope::Failed => {
                 (self.list.waiting, self.list.watching) = (false, false);
-                let longest = if self.cfg.ask_within > 0.0 { self.cfg.ask_within / 4.0 } else { RETRY.1 };
+                let longest =
+                    if self.cfg.max_poll_interval > 0.0 { self.cfg.max_poll_interval / 4.0 } else { RETRY.1 };
                 self.list.retry = (self.list.retry * 2.0).clamp(RETRY.0.min(longest), longest);
                 let jitter = 0.5 + self.rng.f64();
                 self.wake(self.list.retry * jitter, Wake::List);
                 return;
             }
-            Scope::Saved => {}
-            Scope::Full | Scope::Changes => {
+            ListScope::Cached => {}
+            ListScope::Full | ListScope::Incremental => {
                 (self.list.waiting, self.list.watching, self.list.retry) = (false, true, 0.0)
             }
         }
-        if scope != Scope::Changes {
+        if scope != ListScope::Incremental {
             self.fleet.remove_absent(members);
         }
         for m in members {
@@ -34,7 +35,7 @@
             self.fleet.kinds.resize(self.fleet.kinds.len().max(kind + 1), Kind::default());
             self.fleet.enlist(m, kind, self.now);
         }
-        self.fleet.rebuild(self.cfg.zone, (scope != Scope::Saved).then_some(self.now));
+        self.fleet.rebuild(self.cfg.zone, (scope != ListScope::Cached).then_some(self.now));
         self.room.divide(&self.fleet.workers);
     }
 }
--- a/crates/dispatch-core/src/policy/mod.rs
+++ b/crates/dispatch-core/src/policy/mod.rs
@@ -77,7 +77,7 @@
         cfg.instances = cfg.instances.max(1);
         let banks = Bank::of_tenants(&cfg.tenants, &mut rng);
         let runs = vec![Runs::default(); cfg.classes.len()];
-        let first = cfg.promised() / f64::from(cfg.instances);
+        let first = cfg.total_quota() / f64::from(cfg.instances);
         Dispatcher {
             rng,
             now: 0.0,
@@ -90,7 +90,7 @@
             copies: COPIES_SAVED,
             waits: 0.0,
             fleet: Fleet::new(&cfg),
-            room: Room::new(cfg.room),
+            room: Room::new(cfg.capacity_reservation),
             keys: Keys::default(),
             jobs: FxHashMap::default(),
             paid: VecDeque::new(),
@@ -105,16 +105,16 @@
     /// Begins work: subscribes to the list and arms the timer.
     pub fn start(&mut self, now: Seconds, actions: &mut Vec<Action>) {
         (self.now, self.accrued) = (now, now);
-        if self.cfg.ask_for_list {
+        if self.cfg.polls_endpoint_list {
             self.ask(actions);
         }
         let phase = self.rng.f64();
         self.wake(self.window() * phase, Wake::Window);
-        if self.cfg.may_probe && self.cfg.reports == Reports::Probes {
+        if self.cfg.probes_allowed && self.cfg.load_reports == LoadReports::WithProbes {
             self.wake(0.1 * phase, Wake::Probe);
         }
         self.size_banks();
-        actions.extend(self.wakes.arm(self.now, self.cfg.resolution));
+        actions.extend(self.wakes.arm(self.now, self.cfg.clock_resolution));
     }
 
     /// Takes one event and appends what is to be done.
@@ -126,27 +126,29 @@
             Event::StreamStarted { request, attempt } | Event::JobStarted { request, attempt } => {
                 self.on_started(request, attempt)
             }
-            Event::Ended { request, attempt, outcome, complete, load } => {
+            Event::AttemptEnded { request, attempt, outcome, complete, load } => {
                 self.on_ended(request, attempt, outcome, complete, load, actions)
             }
-            Event::ClientGone(id) => self.on_gone(id, actions),
+            Event::ClientDisconnected(id) => self.on_gone(id, actions),
             Event::Timer(token) => self.wakes.fired(token),
-            Event::Probed { worker, ok, load } => self.on_probed(worker, load.filter(|_| ok), actions),
-            Event::Sighted { worker, ago, holds } => self.fleet.sighted(worker, self.now, ago, holds),
-            Event::Granted { worker, work, until } => {
+            Event::ProbeEnded { worker, ok, load } => self.on_probed(worker, load.filter(|_| ok), actions),
+            Event::UnhealthyVerdict { worker, observed_ago: ago, valid_for: holds } => {
+                self.fleet.sighted(worker, self.now, ago, holds)
+            }
+            Event::SlowStartGrant { worker, work, expires_at: until } => {
                 self.fleet.granted(worker, work, until, self.now);
                 self.turns.0 = u64::MAX;
             }
-            Event::List { scope, members } => self.on_list(scope, members),
+            Event::EndpointList { scope, endpoints: members } => self.on_list(scope, members),
             Event::Progress { request, attempt, .. } => {
                 if let Some(a) = self.jobs.get(&request).and_then(|j| j.attempts.get(attempt as usize)) {
                     self.sign(a.worker);
                 }
             }
-            Event::Peer { .. } => {}
+            Event::PeerMessage { .. } => {}
         }
         self.on_wakes(actions);
-        actions.extend(self.wakes.arm(self.now, self.cfg.resolution));
+        actions.extend(self.wakes.arm(self.now, self.cfg.clock_resolution));
     }
 
     /// Other settings: what was learned stays, banks follow their tenants' new shares.
@@ -162,7 +164,7 @@
                 None => self.banks.push(new),
             }
         }
-        self.room.configure(cfg.room);
+        self.room.configure(cfg.capacity_reservation);
         self.fleet.configure(&cfg);
         self.cfg = cfg;
         self.size_banks();
--- a/crates/dispatch-core/src/policy/rate.rs
+++ b/crates/dispatch-core/src/policy/rate.rs
@@ -16,7 +16,7 @@
 
 impl Dispatcher {
     /// What a usual job asks of a worker, in slots by seconds.
-    pub fn usual_job(&self) -> f64 {
+    pub fn mean_job_work(&self) -> f64 {
         self.slots * self.window()
     }
 
@@ -40,7 +40,7 @@
             part = part.min(if quota > 0.0 { b.asked / quota } else { 1.0 });
         }
         let part = part.max(1.0 / f64::from(self.cfg.instances));
-        let promise = self.cfg.promised() * part * slots;
+        let promise = self.cfg.total_quota() * part * slots;
         let r = &mut self.rate;
         r.served += LEARN_SERVED * (r.taken / window - r.served);
         let sent = r.taken + r.bounced;
--- a/crates/dispatch-core/src/policy/throttle.rs
+++ b/crates/dispatch-core/src/policy/throttle.rs
@@ -14,7 +14,7 @@
 
 impl Dispatcher {
     pub(super) fn size_banks(&mut self) {
-        let aim = self.cfg.classes.iter().map(|c| c.aim).fold(f64::INFINITY, f64::min);
+        let aim = self.cfg.classes.iter().map(|c| c.latency_objective).fold(f64::INFINITY, f64::min);
         for b in &mut self.banks {
             let rate = b.share * self.rate.slots_per_s;
             let buffer = ((rate * aim) as i64).max(self.fleet.largest);
@@ -50,32 +50,33 @@
         self.accrue();
         self.slots += LEARN_CLASS * (k as f64 - self.slots);
         self.room.asked(k as f64, k as f64 * self.runs[class].mean, &self.fleet.workers);
-        if let Some(key) = req.key {
+        if let Some(key) = req.affinity_key {
             self.keys.ask(key, self.now);
         }
-        let slack = self.slack(class, req.expected);
-        let longest = self.runs[class].longest_patience(req.patience);
+        let slack = self.slack(class, req.expected_run_time);
+        let longest = self.runs[class].longest_patience(req.timeout);
         // A first try that is to be answered sooner than others is no older than they.
-        let age = longest - req.patience;
-        let first = if self.cfg.marks_retry { !req.retry } else { age < self.cfg.resolution };
+        let age = longest - req.timeout;
+        let first =
+            if self.cfg.clients_mark_retries { !req.is_retry } else { age < self.cfg.clock_resolution };
         let age = if first { 0.0 } else { age };
         self.banks[tenant].asking += f64::from(first);
-        let until = self.now + (slack - age).min(req.patience - 4.0 * self.cfg.resolution);
-        let late = until <= self.now && self.cfg.classes[class].late_worth == 0.0;
+        let until = self.now + (slack - age).min(req.timeout - 4.0 * self.cfg.clock_resolution);
+        let late = until <= self.now && self.cfg.classes[class].late_weight == 0.0;
         let bank = &mut self.banks[tenant];
-        if late || bank.u < k || req.patience <= 0.0 {
+        if late || bank.u < k || req.timeout <= 0.0 {
             let wait = (k - bank.u).max(1) as f64 / self.rate_of(tenant);
             self.rate.limiting |= !late;
             return actions.push(self.refusal(req.id, wait));
         }
-        let until = until.max(self.now + 0.01_f64.min(req.patience / 2.0));
+        let until = until.max(self.now + 0.01_f64.min(req.timeout / 2.0));
         let now_pay = bank.u - bank.buffer >= k;
         bank.u -= k;
         let state = if now_pay { State::Paid } else { State::Held };
-        let run = self.runs[class].mean.max(req.expected.unwrap_or(0.0));
-        let work_log = self.runs[class].work(req.expected);
+        let run = self.runs[class].mean.max(req.expected_run_time.unwrap_or(0.0));
+        let work_log = self.runs[class].work(req.expected_run_time);
         let c = &self.cfg.classes[class];
-        let due = self.now - age + c.aim + c.stretch * work_log.exp();
+        let due = self.now - age + c.latency_objective + c.run_time_allowance * work_log.exp();
         let (arrived, attempts) = (self.now, Vec::new());
         let job = Job { req, run, work_log, due, slots: k, arrived, until, state, attempts };
         self.jobs.insert(req.id, job);
@@ -93,7 +94,7 @@
     /// How long a job of the class may wait and still be in time, by its running time as told or as usual.
     pub(super) fn slack(&self, class: usize, expected: Option<Seconds>) -> Seconds {
         let c = &self.cfg.classes[class];
-        c.aim + (c.stretch - 1.0).max(0.0) * self.runs[class].work(expected).exp()
+        c.latency_objective + (c.run_time_allowance - 1.0).max(0.0) * self.runs[class].work(expected).exp()
     }
 
     /// Tokens a second of a tenant; never quite none, to divide by.
@@ -104,7 +105,7 @@
     pub(super) fn refusal(&self, request: RequestId, wait: Seconds) -> Action {
         let longest = self.cfg.max_retry_after;
         let retry_after = (longest > 0.0).then(|| wait.clamp(0.001, longest));
-        Action::Refuse { request, retry_after }
+        Action::Reject { request, retry_after }
     }
 
     pub(super) fn release(&mut self, tenant: usize, actions: &mut Vec<Action>) {
--- a/crates/dispatch-core/src/policy/workers.rs
+++ b/crates/dispatch-core/src/policy/workers.rs
@@ -39,7 +39,7 @@
         let wait = self.fleet.wait(w, filled) * self.window() * pace;
         let class = job.req.class as usize;
         let late = self.runs[class].late(job.due - self.now, run, wait);
-        let lost_late = LATE * late * (1.0 - self.cfg.classes[class].late_worth) * self.runs[class].sure();
+        let lost_late = LATE * late * (1.0 - self.cfg.classes[class].late_weight) * self.runs[class].sure();
         let cost = run * (1.0 + waits + self.room.price(i, job.slots as f64))
             + (PRICED * (crossing + handshake) + lost_late) * work
             + if lost { LOST } else { 0.0 };
@@ -50,9 +50,9 @@
         let w = &self.fleet.workers[i];
         let c = &self.cfg.classes[job.req.class as usize];
         w.state == WorkerState::Serving
-            && c.kind.is_none_or(|k| k as usize == w.kind)
+            && c.required_kind.is_none_or(|k| k as usize == w.kind)
             && (!w.health.is_ejected(self.now, w.out > 0) || 2 * self.fleet.shut > self.fleet.index.len())
-            && !job.attempts.iter().any(|a| a.worker == i && a.ended != Some(Outcome::Stale))
+            && !job.attempts.iter().any(|a| a.worker == i && a.ended != Some(Outcome::StaleConnection))
             && self.cold_room(w, job)
             && self.group_allows(w, job)
     }
@@ -74,7 +74,7 @@
         if self.may_look() {
             self.consider_looked(job, &mut best);
         }
-        if let Some(key) = job.req.key.filter(|_| !known(&best)) {
+        if let Some(key) = job.req.affinity_key.filter(|_| !known(&best)) {
             self.consider_homes(key, job, &mut best);
         }
         if !known(&best) {
@@ -82,7 +82,7 @@
         }
         for step in 0..self.fleet.zones.len() {
             let z = (self.cfg.zone as usize + step) % self.fleet.zones.len();
-            if best.is_none() || (job.req.key.is_none() && !known(&best)) {
+            if best.is_none() || (job.req.affinity_key.is_none() && !known(&best)) {
                 self.consider_some(z, job, &mut best);
                 if !self.may_look() {
                     self.consider_looked(job, &mut best);
@@ -102,7 +102,7 @@
         let n = self.fleet.zones[z].len();
         let offset = self.rng.usize(..n.max(1));
         let all: usize = self.fleet.zones.iter().map(Vec::len).sum();
-        let none = if self.cfg.reports == Reports::None { SAMPLE } else { 0 };
+        let none = if self.cfg.load_reports == LoadReports::None { SAMPLE } else { 0 };
         let looks = (2 * all / self.cfg.instances as usize).clamp(LEAST_SAMPLE.max(none), SAMPLE);
         for j in 0..looks.min(n) {
             // A stride that spreads the looks walks the zone without repeats.
@@ -126,17 +126,17 @@
         Present { now: self.now, window: self.window() }
     }
 
-    pub(super) fn report(&mut self, i: usize, load: Option<Load>) {
+    pub(super) fn report(&mut self, i: usize, load: Option<LoadReport>) {
         let Some(load) = load else { return };
         let waiting = self.fleet.reported(i, &load, self.slots, self.present());
-        if let Some(waiting) = waiting.filter(|w| *w > 0.0 && !self.cfg.tells_start) {
+        if let Some(waiting) = waiting.filter(|w| *w > 0.0 && !self.cfg.reports_job_start) {
             // Nobody says when a job starts, but a queue says that some did not.
             self.rate.bounce(i, waiting);
         }
     }
 
     pub(super) fn may_look(&self) -> bool {
-        self.cfg.may_probe && self.cfg.reports == Reports::Answers
+        self.cfg.probes_allowed && self.cfg.load_reports == LoadReports::WithResponses
     }
 
     /// Asks a few workers while a paid job waits for a free one: where traffic is thin, news is old.
@@ -173,7 +173,7 @@
         self.wake(after, Wake::Probe);
     }
 
-    pub(super) fn on_probed(&mut self, id: WorkerId, load: Option<Load>, actions: &mut Vec<Action>) {
+    pub(super) fn on_probed(&mut self, id: WorkerId, load: Option<LoadReport>, actions: &mut Vec<Action>) {
         let Some(&i) = self.fleet.index.get(&id) else { return };
         self.fleet.workers[i].probing = false;
         self.report(i, load);
--- a/crates/dispatch-core/src/news.rs
+++ b/crates/dispatch-core/src/poll_schedule.rs
@@ -8,7 +8,7 @@
 use crate::backoff::{Backoff, Micros};
 
 /// A change counts as told this long after discovery had it and could be reached.
-pub const TOLD_WITHIN: Micros = 6_000_000;
+pub const NOTIFIED_WITHIN: Micros = 6_000_000;
 /// Of that, what a call may take to be answered: it waits its turn for up to 2 s where discovery is one service for all.
 const ANSWERED_WITHIN: Micros = 2_000_000;
 
@@ -28,39 +28,39 @@
 const FIRST: (Micros, Micros) = (500_000, 2_000_000);
 
 /// How long an agent may take to begin its answer before another connection is opened beside it.
-pub fn beside(grace: Micros) -> Micros {
+pub fn standby_watch_delay(grace: Micros) -> Micros {
     grace.clamp(GRACE.0, GRACE.1) * BESIDE / 100
 }
 
 /// The pauses between calls.
 #[derive(Clone, Debug)]
-pub struct Calls {
+pub struct PollSchedule {
     backoff: Backoff,
     latest: Micros,
 }
 
-impl Calls {
+impl PollSchedule {
     /// As the settings tell; `grace` is for how long a worker that drains may still get work. The seed should differ
     /// between dispatchers.
-    pub fn new(settings: &Settings, grace: Micros, seed: u64) -> Calls {
-        let latest = TOLD_WITHIN - ANSWERED_WITHIN;
-        let (first, longest) = if settings.ask_for_list {
+    pub fn new(settings: &Settings, grace: Micros, seed: u64) -> PollSchedule {
+        let latest = NOTIFIED_WITHIN - ANSWERED_WITHIN;
+        let (first, longest) = if settings.polls_endpoint_list {
             ((SPREAD * Micros::from(settings.instances)).clamp(FIRST.0, FIRST.1), latest)
         } else {
             let grace = grace.clamp(GRACE.0, GRACE.1);
             (grace / AGENT.0, grace / AGENT.1)
         };
-        Calls { backoff: Backoff::new(first, longest, seed), latest }
+        PollSchedule { backoff: Backoff::new(first, longest, seed), latest }
     }
 
     /// A call was answered.
-    pub fn answered(&mut self) {
-        self.backoff.succeeded();
+    pub fn record_success(&mut self) {
+        self.backoff.reset();
     }
 
     /// The pause before the next call, where nothing may have been heard for so long already. `wanted` is what
     /// discovery asked for; it is heeded as far as the time within which a change counts as told allows.
-    pub fn pause(&mut self, deaf: Micros, wanted: Option<Micros>) -> Micros {
-        self.backoff.failed(wanted).min(self.latest.saturating_sub(deaf))
+    pub fn next_delay(&mut self, deaf: Micros, wanted: Option<Micros>) -> Micros {
+        self.backoff.next_delay(wanted).min(self.latest.saturating_sub(deaf))
     }
 }
--- a/crates/dispatch-core/src/room.rs
+++ b/crates/dispatch-core/src/room.rs
@@ -9,7 +9,7 @@
 //! It is a preference with a price and no wall: a small job still goes to a kept worker when the others would keep it
 //! waiting for longer than the price, and a large job to any worker that seems empty.
 
-use crate::api::{RoomSettings, WorkerState};
+use crate::api::{CapacityReservation, WorkerState};
 use crate::state::{mix, Worker};
 
 /// How quickly the parts of the work are learnt, by jobs.
@@ -20,7 +20,7 @@
 /// Which workers are kept for large jobs.
 #[derive(Debug, Default)]
 pub(crate) struct Room {
-    settings: Option<RoomSettings>,
+    settings: Option<CapacityReservation>,
     /// Work asked for by jobs of either size, fading.
     small: f64,
     large: f64,
@@ -31,13 +31,13 @@
 }
 
 impl Room {
-    pub(crate) fn new(settings: Option<RoomSettings>) -> Room {
+    pub(crate) fn new(settings: Option<CapacityReservation>) -> Room {
         Room { settings, ..Room::default() }
     }
 
     /// Other settings hold; what was learnt of the traffic stays only if they mean the same by large.
-    pub(crate) fn configure(&mut self, settings: Option<RoomSettings>) {
-        let from = |settings: Option<RoomSettings>| settings.map(|s| s.from);
+    pub(crate) fn configure(&mut self, settings: Option<CapacityReservation>) {
+        let from = |settings: Option<CapacityReservation>| settings.map(|s| s.min_slots);
         if from(settings) != from(self.settings) {
             *self = Room::new(settings);
         }
@@ -45,7 +45,7 @@
     }
 
     pub(crate) fn is_large(&self, slots: f64) -> bool {
-        self.settings.is_some_and(|s| slots >= s.from)
+        self.settings.is_some_and(|s| slots >= s.min_slots)
     }
 
     /// A job was asked for; the workers are divided anew where its work has moved the parts by much.
@@ -105,14 +105,14 @@
     use super::*;
     use crate::api::WorkerId;
 
-    const ON: Option<RoomSettings> = Some(RoomSettings { from: 4.0, price: 1.0 });
+    const ON: Option<CapacityReservation> = Some(CapacityReservation { min_slots: 4.0, price: 1.0 });
 
     fn workers(count: u64) -> Vec<Worker> {
         let worker = |n: u64| Worker { id: WorkerId(n + 7), kind: (n % 3) as usize, ..Worker::default() };
         (0..count).map(worker).collect()
     }
 
-    fn with_share(settings: Option<RoomSettings>, large: usize, small: usize) -> Room {
+    fn with_share(settings: Option<CapacityReservation>, large: usize, small: usize) -> Room {
         let mut room = Room::new(settings);
         for n in 0..4000 {
             room.asked(if n % (large + small) < large { 4.0 } else { 1.0 }, 1.0, &[]);
@@ -155,9 +155,9 @@
     fn a_reload_that_means_another_size_forgets_what_was_learnt() {
         let mut room = with_share(ON, 1, 1);
         room.divide(&workers(12));
-        room.configure(Some(RoomSettings { from: 4.0, price: 2.0 }));
+        room.configure(Some(CapacityReservation { min_slots: 4.0, price: 2.0 }));
         assert!(room.share() > 0.4, "the same size, another price");
-        room.configure(Some(RoomSettings { from: 2.0, price: 2.0 }));
+        room.configure(Some(CapacityReservation { min_slots: 2.0, price: 2.0 }));
         assert_eq!((room.share(), room.kept.len()), (0.0, 0));
     }
 }
--- a/crates/dispatch-core/src/settings.rs
+++ b/crates/dispatch-core/src/settings.rs
@@ -8,15 +8,15 @@
 use rustc_hash::{FxHashMap, FxHasher};
 use serde_json::Value;
 
-use crate::api::{Class, Group, Repeat, Reports, Settings, Tenant, WorkerId};
-use crate::report::Form;
+use crate::api::{Class, Idempotency, KeyScope, LoadReports, Settings, Tenant, WorkerId};
+use crate::load_report::LoadReportFormat;
 
 /// The most classes or tenants that are read.
-const MOST: usize = 4096;
+const MAX_LIST_LENGTH: usize = 4096;
 
 /// A value that is not as it should be.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Bad {
+pub struct InvalidValue {
     /// What was expected: a path of the settings, or a description.
     pub expected: String,
     /// What stood there.
@@ -24,23 +24,23 @@
 }
 
 /// A value, or what was wrong with it.
-pub type Parsed<T> = Result<T, Bad>;
+pub type Parsed<T> = Result<T, InvalidValue>;
 
 /// A fault: what was expected, and the first letters of what stood there.
 ///
 /// # Errors
 /// Always.
-pub fn bad<T>(expected: &str, found: &str) -> Parsed<T> {
-    Err(Bad { expected: expected.to_owned(), found: found.chars().take(80).collect() })
+pub fn invalid<T>(expected: &str, found: &str) -> Parsed<T> {
+    Err(InvalidValue { expected: expected.to_owned(), found: found.chars().take(80).collect() })
 }
 
 /// The number by which the module knows a worker.
 pub fn worker_id(name: &str) -> WorkerId {
-    WorkerId(hash(name.as_bytes()))
+    WorkerId(hash_bytes(name.as_bytes()))
 }
 
 /// The number by which the module knows a key that is no number.
-pub fn hash(text: &[u8]) -> u64 {
+pub fn hash_bytes(text: &[u8]) -> u64 {
     let mut hasher = FxHasher::default();
     hasher.write(text);
     // FxHash leaves the low bits of like names alike; one more round spreads them over all bits.
@@ -51,36 +51,36 @@
 
 /// The settings as path=value pairs.
 #[derive(Debug)]
-pub struct Pairs<'a>(FxHashMap<Cow<'a, str>, Cow<'a, str>>);
+pub struct SettingsPairs<'a>(FxHashMap<Cow<'a, str>, Cow<'a, str>>);
 
-impl<'a> Pairs<'a> {
+impl<'a> SettingsPairs<'a> {
     /// Of a line of the wire.
-    pub fn read(fields: impl Iterator<Item = &'a str>) -> Parsed<Self> {
+    pub fn parse(fields: impl Iterator<Item = &'a str>) -> Parsed<Self> {
         let mut pairs = FxHashMap::default();
         for pair in fields.filter(|p| !p.is_empty() && *p != "-") {
             match pair.split_once('=') {
                 Some((path, value)) => pairs.insert(path.into(), value.into()),
-                None => return bad("settings as path=value", pair),
+                None => return invalid("settings as path=value", pair),
             };
         }
-        Ok(Pairs(pairs))
+        Ok(SettingsPairs(pairs))
     }
 
     /// Of nested JSON.
-    pub fn flatten(value: &'a Value) -> Self {
-        let mut pairs = Pairs(FxHashMap::default());
-        pairs.put(String::new(), value);
+    pub fn from_json(value: &'a Value) -> Self {
+        let mut pairs = SettingsPairs(FxHashMap::default());
+        pairs.insert(String::new(), value);
         pairs
     }
 
-    fn put(&mut self, path: String, value: &'a Value) {
+    fn insert(&mut self, path: String, value: &'a Value) {
         let under = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
         match value {
             Value::Null => {}
-            Value::Object(map) => map.iter().for_each(|(key, v)| self.put(under(key), v)),
+            Value::Object(map) => map.iter().for_each(|(key, v)| self.insert(under(key), v)),
             Value::Array(items) if items.iter().any(Value::is_object) => {
                 self.0.insert(under("count").into(), items.len().to_string().into());
-                items.iter().enumerate().for_each(|(i, v)| self.put(under(&i.to_string()), v));
+                items.iter().enumerate().for_each(|(i, v)| self.insert(under(&i.to_string()), v));
             }
             Value::Array(items) => {
                 let items: Vec<Cow<'_, str>> = items.iter().map(scalar).collect();
@@ -96,43 +96,43 @@
     pub fn get<T: FromStr>(&self, path: &str, default: T) -> Parsed<T> {
         match self.0.get(path) {
             None => Ok(default),
-            Some(v) => v.parse().or_else(|_| bad(path, v)),
+            Some(v) => v.parse().or_else(|_| invalid(path, v)),
         }
     }
 
     /// A finite number that is not negative.
-    pub fn size(&self, path: &str, default: f64) -> Parsed<f64> {
+    pub fn non_negative(&self, path: &str, default: f64) -> Parsed<f64> {
         match self.get(path, default)? {
             v if v.is_finite() && v >= 0.0 => Ok(v),
-            v => bad(path, &v.to_string()),
+            v => invalid(path, &v.to_string()),
         }
     }
 
     /// The value at a path as it stands; empty where there is none.
-    pub fn word(&self, path: &str) -> &str {
+    pub fn text(&self, path: &str) -> &str {
         self.0.get(path).map_or("", |v| v)
     }
 
     /// The values of a list of plain values.
     pub fn list(&self, path: &str) -> impl Iterator<Item = &str> {
-        self.word(path).split(',').filter(|v| !v.is_empty())
+        self.text(path).split(',').filter(|v| !v.is_empty())
     }
 
     /// The names of a list of objects, in order.
     pub fn names(&self, list: &str) -> Parsed<Vec<String>> {
-        Ok((0..self.count(list)?).map(|i| self.word(&format!("{list}.{i}.name")).to_owned()).collect())
+        Ok((0..self.count(list)?).map(|i| self.text(&format!("{list}.{i}.name")).to_owned()).collect())
     }
 
     /// How many objects a list of objects has.
     pub fn count(&self, list: &str) -> Parsed<usize> {
-        Ok(self.get::<usize>(&format!("{list}.count"), 0)?.min(MOST))
+        Ok(self.get::<usize>(&format!("{list}.count"), 0)?.min(MAX_LIST_LENGTH))
     }
 
     /// The value at a class's place in a list.
     fn nth<T: FromStr>(&self, path: &str, n: usize) -> Parsed<Option<T>> {
         match self.list(path).nth(n) {
             None => Ok(None),
-            Some(v) => v.parse().map(Some).or_else(|_| bad(path, v)),
+            Some(v) => v.parse().map(Some).or_else(|_| invalid(path, v)),
         }
     }
 }
@@ -145,34 +145,34 @@
 }
 
 /// The settings of the module.
-pub fn settings(pairs: &Pairs<'_>) -> Parsed<Settings> {
+pub fn parse_settings(pairs: &SettingsPairs<'_>) -> Parsed<Settings> {
     let d = Settings::default();
     let mut classes = Vec::new();
     for i in 0..pairs.count("profiles")? {
         let at = |key: &str| format!("profiles.{i}.{key}");
         let c = Class::default();
-        let repeat = match (pairs.word(&at("idempotency")), pairs.word(&at("key-scope"))) {
-            ("free", _) => Repeat::Safe,
-            ("guarded", "zone") => Repeat::Keyed(Group::Zone),
-            ("guarded", "cell") => Repeat::Keyed(Group::Cell),
-            ("guarded", _) => Repeat::Keyed(Group::All),
-            _ => Repeat::Unsafe,
+        let repeat = match (pairs.text(&at("idempotency")), pairs.text(&at("key-scope"))) {
+            ("free", _) => Idempotency::Idempotent,
+            ("guarded", "zone") => Idempotency::WithKey(KeyScope::Zone),
+            ("guarded", "cell") => Idempotency::WithKey(KeyScope::Cell),
+            ("guarded", _) => Idempotency::WithKey(KeyScope::All),
+            _ => Idempotency::NotIdempotent,
         };
-        let stretch = pairs.nth("family-info.class-stretch", i)?.unwrap_or(c.stretch);
+        let stretch = pairs.nth("family-info.class-stretch", i)?.unwrap_or(c.run_time_allowance);
         classes.push(Class {
-            repeat,
-            window: pairs.size(&at("window-s"), c.window)?,
-            aim: pairs.size(&at("promise-s"), c.aim)?,
-            stretch: pairs.size(&at("aim-stretch"), stretch)?,
-            late_worth: pairs.size(&at("late-worth"), c.late_worth)?,
-            kind: pairs.nth::<i64>("family-info.class-kind", i)?.and_then(|k| u32::try_from(k).ok()),
+            idempotency: repeat,
+            key_window: pairs.non_negative(&at("window-s"), c.key_window)?,
+            latency_objective: pairs.non_negative(&at("promise-s"), c.latency_objective)?,
+            run_time_allowance: pairs.non_negative(&at("aim-stretch"), stretch)?,
+            late_weight: pairs.non_negative(&at("late-worth"), c.late_weight)?,
+            required_kind: pairs.nth::<i64>("family-info.class-kind", i)?.and_then(|k| u32::try_from(k).ok()),
         });
     }
     let mut tenants = Vec::new();
     for i in 0..pairs.count("projects")? {
         tenants.push(Tenant {
-            share: pairs.size(&format!("projects.{i}.share"), 1.0)?,
-            quota: pairs.size(&format!("projects.{i}.quota-per-s"), 0.0)?,
+            share: pairs.non_negative(&format!("projects.{i}.share"), 1.0)?,
+            quota: pairs.non_negative(&format!("projects.{i}.quota-per-s"), 0.0)?,
         });
     }
     Ok(Settings {
@@ -181,35 +181,35 @@
         zone: pairs.get("zone", d.zone)?,
         classes,
         tenants,
-        ask_for_list: pairs.word("discovery") == "ask",
-        ask_within: pairs.size("obligations.ask-within-s", d.ask_within)?,
-        reports: match pairs.word("report.how") {
-            "answers" => Reports::Answers,
-            "probe" => Reports::Probes,
-            _ => Reports::None,
+        polls_endpoint_list: pairs.text("discovery") == "ask",
+        max_poll_interval: pairs.non_negative("obligations.ask-within-s", d.max_poll_interval)?,
+        load_reports: match pairs.text("report.how") {
+            "answers" => LoadReports::WithResponses,
+            "probe" => LoadReports::WithProbes,
+            _ => LoadReports::None,
         },
-        report: Form::of(pairs),
-        marks_retry: pairs.get("clients.marks-retry", d.marks_retry)?,
-        may_probe: pairs.get("caps.probes", d.may_probe)?,
-        probe_price: pairs.size("charges.probe", d.probe_price)?,
-        may_cancel: pairs.get("caps.cancel", d.may_cancel)?,
+        load_report_format: LoadReportFormat::from_settings(pairs),
+        clients_mark_retries: pairs.get("clients.marks-retry", d.clients_mark_retries)?,
+        probes_allowed: pairs.get("caps.probes", d.probes_allowed)?,
+        probe_price: pairs.non_negative("charges.probe", d.probe_price)?,
+        cancellation_allowed: pairs.get("caps.cancel", d.cancellation_allowed)?,
         max_attempts: pairs.get("caps.send-cap", d.max_attempts)?,
         max_retry_after: if pairs.get("caps.retry-after", false)? {
-            pairs.size("caps.max-retry-after-s", d.max_retry_after)?
+            pairs.non_negative("caps.max-retry-after-s", d.max_retry_after)?
         } else {
             0.0
         },
-        progress: pairs.size("family-info.progress-s", d.progress)?,
-        second_copies: pairs.get("caps.parallel-tries", d.second_copies)?,
-        tells_start: pairs.get("family-info.tells-start", d.tells_start)?,
-        cold_share: pairs.size("obligations.cold-share", d.cold_share)?,
-        warm_within: pairs.size("obligations.warm-within-s", d.warm_within)?,
-        fall_multiple: pairs.size("obligations.fall-multiple", d.fall_multiple)?,
-        fall_span: pairs.size("obligations.tip-after-s", d.fall_span)?,
-        handshake_price: pairs.size("charges.handshake", d.handshake_price)?,
-        keep_alive: pairs.size("caps.keepalive-s", d.keep_alive)?,
-        cross_zone_price: pairs.size("charges.cross-zone", d.cross_zone_price)?,
-        resolution: pairs.size("resolution-s", d.resolution)?,
-        room: d.room,
+        progress_interval: pairs.non_negative("family-info.progress-s", d.progress_interval)?,
+        hedging_allowed: pairs.get("caps.parallel-tries", d.hedging_allowed)?,
+        reports_job_start: pairs.get("family-info.tells-start", d.reports_job_start)?,
+        slow_start_min_capacity: pairs.non_negative("obligations.cold-share", d.slow_start_min_capacity)?,
+        slow_start_duration: pairs.non_negative("obligations.warm-within-s", d.slow_start_duration)?,
+        overload_multiple: pairs.non_negative("obligations.fall-multiple", d.overload_multiple)?,
+        overload_window: pairs.non_negative("obligations.tip-after-s", d.overload_window)?,
+        handshake_price: pairs.non_negative("charges.handshake", d.handshake_price)?,
+        keep_alive: pairs.non_negative("caps.keepalive-s", d.keep_alive)?,
+        cross_zone_price: pairs.non_negative("charges.cross-zone", d.cross_zone_price)?,
+        clock_resolution: pairs.non_negative("resolution-s", d.clock_resolution)?,
+        capacity_reservation: d.capacity_reservation,
     })
 }
--- a/crates/dispatch-core/src/state.rs
+++ b/crates/dispatch-core/src/state.rs
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::api::{
-    Action, Member, Outcome, Request, RequestId, Seconds, Settings, Tenant, WorkerId, WorkerState,
+    Action, Endpoint, Outcome, Request, RequestId, Seconds, Settings, Tenant, WorkerId, WorkerState,
 };
 use crate::cold::Spending;
 use crate::estimate::{Pace, Running};
@@ -390,7 +390,7 @@
 
     /// Other settings hold.
     pub(crate) fn configure(&mut self, cfg: &Settings) {
-        (self.cold_share, self.warm_within) = (cfg.cold_share, cfg.warm_within);
+        (self.cold_share, self.warm_within) = (cfg.slow_start_min_capacity, cfg.slow_start_duration);
     }
 
     /// Brings the zones and the ring in line with the workers; `zone` exists even if it has none. `heard` where it was
@@ -421,8 +421,8 @@
     }
 
     /// Takes a line of the list.
-    pub(crate) fn enlist(&mut self, m: &Member, kind: usize, now: Seconds) {
-        let (id, since) = (m.worker, m.since);
+    pub(crate) fn enlist(&mut self, m: &Endpoint, kind: usize, now: Seconds) {
+        let (id, since) = (m.worker, m.started_at);
         // Clocks may be wrong by much: no start is in the future, and one that discovery did not name when it was heard
         // last was not long before that.
         let born = since.min(now).max(self.heard.map_or(0.0, |heard| heard - LISTED_WITHIN));
@@ -455,12 +455,12 @@
     }
 
     /// A whole list came: workers that it does not name are gone.
-    pub(crate) fn remove_absent(&mut self, members: &[Member]) {
+    pub(crate) fn remove_absent(&mut self, members: &[Endpoint]) {
         let mut named: Vec<WorkerId> = members.iter().map(|m| m.worker).collect();
         named.sort_unstable();
         for w in &mut self.workers {
             if named.binary_search(&w.id).is_err() {
-                w.state = WorkerState::Gone;
+                w.state = WorkerState::Removed;
             }
         }
     }
--- a/crates/dispatch-core/tests/backoff.rs
+++ b/crates/dispatch-core/tests/backoff.rs
@@ -10,12 +10,12 @@
     let pause = |seed| {
         let mut backoff = Backoff::new(FIRST, CAP, seed);
         (0..failures).for_each(|_| {
-            backoff.failed(None);
+            backoff.next_delay(None);
         });
         if succeeded {
-            backoff.succeeded();
+            backoff.reset();
         }
-        backoff.failed(None)
+        backoff.next_delay(None)
     };
     (0..500).map(pause).max().expect("a pause")
 }
@@ -34,8 +34,8 @@
 #[test]
 fn what_the_other_side_asks_for_is_waited_for_up_to_the_cap() {
     let mut backoff = Backoff::new(FIRST, CAP, 7);
-    assert!((1_000_000..=1_000_000 + FIRST).contains(&backoff.failed(Some(1_000_000))));
-    assert!(backoff.failed(Some(Micros::MAX)) <= 2 * CAP);
+    assert!((1_000_000..=1_000_000 + FIRST).contains(&backoff.next_delay(Some(1_000_000))));
+    assert!(backoff.next_delay(Some(Micros::MAX)) <= 2 * CAP);
 }
 
 /// How many of 100 dispatchers, whose watches broke at one moment, are answered within 30 s by a service as it was
@@ -60,6 +60,6 @@
 /// With the fixed pause of 0.1 s that was there before, only those that the first queue took were ever answered.
 #[test]
 fn a_herd_thins_out_until_all_are_served() {
-    let (fixed, jittered) = (answered(|_| 100_000), answered(|backoff| backoff.failed(None)));
+    let (fixed, jittered) = (answered(|_| 100_000), answered(|backoff| backoff.next_delay(None)));
     assert!(jittered >= 95 && fixed < 50, "{jittered} of 100 with the backoff, {fixed} with a fixed pause");
 }
--- a/crates/dispatch-core/tests/common/mod.rs
+++ b/crates/dispatch-core/tests/common/mod.rs
@@ -9,40 +9,46 @@
 /// How long after the word a worker that drains may still get new work.
 pub const DRAIN_GRACE: f64 = 0.5;
 
-pub fn class(repeat: Repeat) -> Class {
-    Class { repeat, window: 5.0, aim: 0.3, stretch: 2.0, ..Class::default() }
+pub fn class(repeat: Idempotency) -> Class {
+    Class {
+        idempotency: repeat,
+        key_window: 5.0,
+        latency_objective: 0.3,
+        run_time_allowance: 2.0,
+        ..Class::default()
+    }
 }
 
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
-            class(Repeat::Safe),
-            class(Repeat::Unsafe),
-            class(Repeat::Keyed(Group::Zone)),
-            class(Repeat::Keyed(Group::All)),
+            class(Idempotency::Idempotent),
+            class(Idempotency::NotIdempotent),
+            class(Idempotency::WithKey(KeyScope::Zone)),
+            class(Idempotency::WithKey(KeyScope::All)),
         ],
         tenants: vec![Tenant { share: 0.5, quota: 40.0 }, Tenant { share: 0.5, quota: 40.0 }],
-        reports: Reports::Answers,
-        may_cancel: true,
+        load_reports: LoadReports::WithResponses,
+        cancellation_allowed: true,
         max_attempts: 4,
         max_retry_after: 2.0,
-        tells_start: true,
-        cold_share: 0.2,
-        warm_within: 20.0,
-        fall_multiple: 3.0,
-        fall_span: 2.0,
-        resolution: 0.004,
+        reports_job_start: true,
+        slow_start_min_capacity: 0.2,
+        slow_start_duration: 20.0,
+        overload_multiple: 3.0,
+        overload_window: 2.0,
+        clock_resolution: 0.004,
         ..Settings::default()
     }
 }
 
-pub fn member(worker: u64, state: WorkerState) -> Member {
+pub fn member(worker: u64, state: WorkerState) -> Endpoint {
     let zone = (worker % 2) as u32;
-    Member { worker: WorkerId(worker), kind: 0, zone, cell: zone, since: 0.0, state }
+    Endpoint { worker: WorkerId(worker), kind: 0, zone, cell: zone, started_at: 0.0, state }
 }
 
 /// Workers 1 to n, all serving; the even ones are in zone 0.
-pub fn fleet(n: u64) -> Vec<Member> {
+pub fn fleet(n: u64) -> Vec<Endpoint> {
     (1..=n).map(|w| member(w, WorkerState::Serving)).collect()
 }
 
@@ -53,10 +59,10 @@
         tenant: 0,
         slots: 1.0,
         memory: 0.0,
-        patience: 5.0,
-        retry: false,
-        expected: None,
-        key: None,
+        timeout: 5.0,
+        is_retry: false,
+        expected_run_time: None,
+        affinity_key: None,
     }
 }
 
@@ -85,7 +91,7 @@
 }
 
 impl Driver {
-    pub fn new(cfg: Settings, seed: u64, workers: &[Member]) -> Self {
+    pub fn new(cfg: Settings, seed: u64, workers: &[Endpoint]) -> Self {
         let mut d = Driver {
             dispatcher: Dispatcher::new(cfg.clone(), seed),
             cfg,
@@ -100,12 +106,12 @@
         let mut actions = Vec::new();
         d.dispatcher.start(d.now, &mut actions);
         d.take(actions);
-        d.list(Scope::Saved, workers);
+        d.list(ListScope::Cached, workers);
         d
     }
 
-    pub fn list(&mut self, scope: Scope, members: &[Member]) -> Vec<Action> {
-        if matches!(scope, Scope::Full | Scope::Saved) {
+    pub fn list(&mut self, scope: ListScope, members: &[Endpoint]) -> Vec<Action> {
+        if matches!(scope, ListScope::Full | ListScope::Cached) {
             let gone: Vec<u64> = self.zones.keys().copied().collect();
             for w in gone.into_iter().filter(|w| !members.iter().any(|m| m.worker.0 == *w)) {
                 self.barred.entry(w).or_insert(self.now);
@@ -119,11 +125,11 @@
                 self.barred.entry(m.worker.0).or_insert(self.now);
             }
         }
-        self.event(Event::List { scope, members })
+        self.event(Event::EndpointList { scope, endpoints: members })
     }
 
     pub fn request(&mut self, req: Request) -> Vec<Action> {
-        let due = self.now + req.patience;
+        let due = self.now + req.timeout;
         let class = req.class as usize;
         self.seen.insert(req.id.0, Seen { class, due, ..Seen::default() });
         self.event(Event::Request(req))
@@ -137,7 +143,7 @@
         if outcome == Outcome::Ok && seen.ends == 0 {
             seen.ends = 1;
         }
-        self.event(Event::Ended { request: RequestId(id), attempt, outcome, complete, load: None })
+        self.event(Event::AttemptEnded { request: RequestId(id), attempt, outcome, complete, load: None })
     }
 
     /// Moves the clock on, firing the timers that fall due and the time-outs of clients that give up.
@@ -167,8 +173,8 @@
 
     /// A worker answers a probe and says how many slots it has free.
     pub fn probed(&mut self, worker: WorkerId, free: f64) -> Vec<Action> {
-        let load = Some(Load { free_slots: Some(free), ..Load::default() });
-        self.event(Event::Probed { worker, ok: true, load })
+        let load = Some(LoadReport { free_slots: Some(free), ..LoadReport::default() });
+        self.event(Event::ProbeEnded { worker, ok: true, load })
     }
 
     pub fn event(&mut self, event: Event<'_>) -> Vec<Action> {
@@ -183,7 +189,7 @@
             match action {
                 Action::SetTimer { after, token } => self.timers.push((self.now + after, *token)),
                 Action::Send { request, worker, .. } => self.sent(request.0, *worker),
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     self.refusable(request.0);
                     self.final_answer(request.0);
                 }
@@ -213,17 +219,17 @@
         assert_eq!(seen.ends, 0, "rule 1: request {id} sent after its end");
         assert!(seen.sends.len() < cfg.max_attempts as usize, "request {id}: too many attempts");
         let open = seen.sends.iter().any(|s| s.2.is_none());
-        assert!(!open || cfg.second_copies, "request {id}: two attempts out");
+        assert!(!open || cfg.hedging_allowed, "request {id}: two attempts out");
         let ran = |s: &&(f64, WorkerId, Option<Outcome>)| !s.2.is_some_and(Outcome::never_ran);
         for (at, first, _) in seen.sends.iter().filter(ran) {
-            match cfg.classes[seen.class].repeat {
-                Repeat::Safe => {}
-                Repeat::Unsafe => panic!("rule 2: unsafe request {id} sent again"),
-                Repeat::Keyed(group) => {
-                    assert!(now - at <= cfg.classes[seen.class].window, "rule 2: window of {id}");
+            match cfg.classes[seen.class].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NotIdempotent => panic!("rule 2: unsafe request {id} sent again"),
+                Idempotency::WithKey(group) => {
+                    assert!(now - at <= cfg.classes[seen.class].key_window, "rule 2: window of {id}");
                     let (was, is) = (zones[&first.0], zones[&worker.0]);
-                    let same = if group == Group::Cell { was.1 == is.1 } else { was.0 == is.0 };
-                    assert!(group == Group::All || same, "rule 2: group of {id}");
+                    let same = if group == KeyScope::Cell { was.1 == is.1 } else { was.0 == is.0 };
+                    assert!(group == KeyScope::All || same, "rule 2: group of {id}");
                 }
             }
         }
@@ -234,9 +240,9 @@
     fn refusable(&self, id: u64) {
         let seen = &self.seen[&id];
         let clean = seen.sends.iter().all(|s| s.2.is_some_and(Outcome::never_ran));
-        let repeat = self.cfg.classes[seen.class].repeat;
+        let repeat = self.cfg.classes[seen.class].idempotency;
         assert!(
-            clean || matches!(repeat, Repeat::Safe | Repeat::Keyed(Group::All)),
+            clean || matches!(repeat, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All)),
             "rule 2: request {id} refused though it may have run"
         );
     }
--- a/crates/dispatch-core/tests/decisions.rs
+++ b/crates/dispatch-core/tests/decisions.rs
@@ -50,14 +50,14 @@
 const OUTCOMES: [Outcome; 10] = [
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Overloaded,
     Outcome::Timeout,
     Outcome::ConnectFailed,
     Outcome::Reset,
     Outcome::Cancelled,
-    Outcome::Moot,
-    Outcome::Stale,
-    Outcome::Rejected,
+    Outcome::NotSent,
+    Outcome::StaleConnection,
+    Outcome::InvalidRequest,
 ];
 
 fn outcome_code(outcome: Outcome) -> u8 {
@@ -66,7 +66,7 @@
 
 #[derive(Clone, Copy)]
 struct ModelWorker {
-    member: Member,
+    member: Endpoint,
     slots: f64,
     busy: f64,
 }
@@ -119,7 +119,7 @@
         let mut actions = Vec::new();
         model.dispatcher.start(START, &mut actions);
         model.carry_out(actions);
-        model.send_list(Scope::Saved, None);
+        model.send_list(ListScope::Cached, None);
         model.plan(0.0, Planned::Arrival);
         model.plan(1.0, Planned::FleetChange);
         model.plan(0.5, Planned::WordOfOthers);
@@ -174,18 +174,18 @@
             Planned::ClientGone(id) => {
                 if let Some(open) = self.requests.get_mut(&id).filter(|open| !open.answered) {
                     open.answered = true;
-                    self.event(Event::ClientGone(RequestId(id)));
+                    self.event(Event::ClientDisconnected(RequestId(id)));
                 }
             }
             Planned::Probed(worker) => {
                 let ok = self.rng.u32(..10) > 0;
                 let load = Some(self.load_of(worker));
-                self.event(Event::Probed { worker: WorkerId(worker), ok, load });
+                self.event(Event::ProbeEnded { worker: WorkerId(worker), ok, load });
             }
             Planned::FleetChange => self.fleet_change(),
             Planned::WatchAnswered => match self.rng.u32(..3) {
-                0 => self.event(Event::List { scope: Scope::Failed, members: &[] }),
-                _ => self.send_list(Scope::Full, None),
+                0 => self.event(Event::EndpointList { scope: ListScope::Failed, endpoints: &[] }),
+                _ => self.send_list(ListScope::Full, None),
             },
             Planned::WordOfOthers => self.word_of_others(),
             Planned::Reload => self.reload(),
@@ -202,10 +202,10 @@
             tenant: self.rng.u32(..3),
             slots: (1 + self.rng.u64(..self.traffic.largest_slots)) as f64,
             memory: f64::from(self.rng.u32(..3)),
-            patience,
-            retry: self.rng.u32(..8) == 0,
-            expected: Some(run).filter(|_| self.traffic.hints),
-            key: self.traffic.keys.then(|| self.rng.u64(..12)).filter(|key| *key < 8),
+            timeout: patience,
+            is_retry: self.rng.u32(..8) == 0,
+            expected_run_time: Some(run).filter(|_| self.traffic.hints),
+            affinity_key: self.traffic.keys.then(|| self.rng.u64(..12)).filter(|key| *key < 8),
         };
         let open =
             OpenRequest { request, deadline: self.now + patience, answered: false, attempts: Vec::new() };
@@ -239,24 +239,24 @@
         if let Some(worker) = self.workers.get_mut(&worker) {
             worker.busy = (worker.busy - slots).max(0.0);
         }
-        let load =
-            (self.cfg.reports == Reports::Answers && self.rng.u32(..8) > 0).then(|| self.load_of(worker));
-        self.event(Event::Ended { request: RequestId(id), attempt, outcome, complete, load });
-        self.event(Event::Ended { request: RequestId(id), attempt, outcome, complete, load: None });
+        let load = (self.cfg.load_reports == LoadReports::WithResponses && self.rng.u32(..8) > 0)
+            .then(|| self.load_of(worker));
+        self.event(Event::AttemptEnded { request: RequestId(id), attempt, outcome, complete, load });
+        self.event(Event::AttemptEnded { request: RequestId(id), attempt, outcome, complete, load: None });
     }
 
     /// A report of a worker's load; now and then it leaves figures out.
-    fn load_of(&mut self, worker: u64) -> Load {
-        let Some(known) = self.workers.get(&worker) else { return Load::default() };
+    fn load_of(&mut self, worker: u64) -> LoadReport {
+        let Some(known) = self.workers.get(&worker) else { return LoadReport::default() };
         let free = (known.slots - known.busy).max(0.0);
         let queue = (known.busy - known.slots).max(0.0);
         let with_queue = self.rng.u32(..2) == 0;
-        Load {
+        LoadReport {
             free_slots: Some(free).filter(|_| self.rng.u32(..10) > 0),
             free_memory: Some(free + 1.0).filter(|_| self.rng.u32(..3) == 0),
-            queue: Some(queue).filter(|_| with_queue),
+            queue_length: Some(queue).filter(|_| with_queue),
             in_flight: Some(known.busy),
-            ..Load::default()
+            ..LoadReport::default()
         }
     }
 
@@ -267,17 +267,18 @@
         let worker = self.workers.entry(number).or_insert_with(|| model_worker(number, since));
         match self.rng.u32(..6) {
             0 => worker.member.state = WorkerState::Draining,
-            1 => worker.member.state = WorkerState::Gone,
+            1 => worker.member.state = WorkerState::Removed,
             2 | 3 => {
-                (worker.member.state, worker.member.since, worker.busy) = (WorkerState::Serving, since, 0.0)
+                (worker.member.state, worker.member.started_at, worker.busy) =
+                    (WorkerState::Serving, since, 0.0)
             }
             _ => worker.member.state = WorkerState::Serving,
         }
         match self.rng.u32(..8) {
-            0 => self.event(Event::List { scope: Scope::Failed, members: &[] }),
-            1 => self.send_list(Scope::Full, None),
-            2 => self.send_list(Scope::Saved, None),
-            _ => self.send_list(Scope::Changes, Some(number)),
+            0 => self.event(Event::EndpointList { scope: ListScope::Failed, endpoints: &[] }),
+            1 => self.send_list(ListScope::Full, None),
+            2 => self.send_list(ListScope::Cached, None),
+            _ => self.send_list(ListScope::Incremental, Some(number)),
         }
         let pause = 0.2 + self.rng.f64();
         self.plan(pause, Planned::FleetChange);
@@ -288,14 +289,14 @@
         let number = 1 + self.rng.u64(..WORKERS + 2);
         let worker = WorkerId(number);
         match self.rng.u32(..4) {
-            0 => self.event(Event::Sighted { worker, ago: 0.5, holds: 2.0 }),
-            1 => self.event(Event::Sighted { worker, ago: 0.5, holds: 0.0 }),
+            0 => self.event(Event::UnhealthyVerdict { worker, observed_ago: 0.5, valid_for: 2.0 }),
+            1 => self.event(Event::UnhealthyVerdict { worker, observed_ago: 0.5, valid_for: 0.0 }),
             2 => {
                 let cold = 5 * (number % 5);
                 let until = self.now + 3.0;
-                self.event(Event::Granted { worker: WorkerId(cold), work: 2.0, until });
+                self.event(Event::SlowStartGrant { worker: WorkerId(cold), work: 2.0, expires_at: until });
             }
-            _ => self.event(Event::Peer { from: 1, data: b"load" }),
+            _ => self.event(Event::PeerMessage { from: 1, data: b"load" }),
         }
         let pause = 0.5 * self.rng.f64();
         self.plan(pause, Planned::WordOfOthers);
@@ -307,17 +308,17 @@
             tenant.share *= 3.0;
         }
         self.cfg.tenants.push(Tenant { share: 0.2, quota: 5.0 });
-        self.cfg.classes.push(class(Repeat::Safe));
+        self.cfg.classes.push(class(Idempotency::Idempotent));
         self.cfg.max_retry_after = 1.0;
         let cfg = self.cfg.clone();
         self.event(Event::Settings(&cfg));
     }
 
-    fn send_list(&mut self, scope: Scope, only: Option<u64>) {
+    fn send_list(&mut self, scope: ListScope, only: Option<u64>) {
         let named = |number: &u64| only.is_none_or(|only| only == *number);
         let lines = self.workers.iter().filter(|(number, _)| named(number)).map(|(_, worker)| worker.member);
-        let members: Vec<Member> = lines.collect();
-        self.event(Event::List { scope, members: &members });
+        let members: Vec<Endpoint> = lines.collect();
+        self.event(Event::EndpointList { scope, endpoints: &members });
     }
 
     fn event(&mut self, event: Event<'_>) {
@@ -333,7 +334,7 @@
             self.mix_in(&format!("{} {kind} {text}\n", micros(self.now)));
             match action {
                 Action::Send { request, worker, .. } => self.attempt(request.0, worker.0),
-                Action::Refuse { request, .. } | Action::Fail { request } => {
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     self.requests.get_mut(&request.0).expect("a known request").answered = true;
                 }
                 Action::Cancel { request, attempt } => {
@@ -342,7 +343,10 @@
                 Action::Probe(worker) => self.plan(ROUND_TRIP, Planned::Probed(worker.0)),
                 Action::SetTimer { after, token } => self.plan(after, Planned::Timer(token)),
                 Action::Watch(_) => self.plan(0.05, Planned::WatchAnswered),
-                Action::FetchList | Action::CloseIdle(_) | Action::Tell { .. } | Action::Log(_) => {}
+                Action::FetchEndpointList
+                | Action::CloseIdle(_)
+                | Action::SendToPeer { .. }
+                | Action::Log(_) => {}
             }
         }
     }
@@ -360,7 +364,7 @@
         let open = self.requests.get_mut(&id).expect("a known request");
         let attempt = open.attempts.len() as u32;
         open.attempts.push((number, true));
-        let (slots, expected, deadline) = (open.request.slots, open.request.expected, open.deadline);
+        let (slots, expected, deadline) = (open.request.slots, open.request.expected_run_time, open.deadline);
         let worker = self.workers.get_mut(&number).expect("a known worker");
         let full = worker.busy >= 2.0 * worker.slots;
         let queued = (worker.busy + slots - worker.slots).max(0.0) / worker.slots;
@@ -376,15 +380,15 @@
         } else if sick {
             (if self.rng.u32(..2) == 0 { Outcome::Error } else { Outcome::Reset }, 0.02)
         } else if full {
-            (Outcome::Full, ROUND_TRIP)
+            (Outcome::Overloaded, ROUND_TRIP)
         } else if hangs {
             (Outcome::Timeout, f64::INFINITY)
         } else {
             let start = ROUND_TRIP + queued * STANDARD_RUN * slow;
-            if self.cfg.tells_start && now + start < deadline {
+            if self.cfg.reports_job_start && now + start < deadline {
                 self.plan(start, Planned::Started(id, attempt));
             }
-            if self.cfg.progress > 0.0 {
+            if self.cfg.progress_interval > 0.0 {
                 self.plan(start + 0.3, Planned::Progress(id, attempt));
             }
             let odd = OUTCOMES[self.rng.usize(..OUTCOMES.len())];
@@ -398,12 +402,12 @@
 
 fn model_worker(number: u64, since: f64) -> ModelWorker {
     let kind = u32::from(number % 4 == 1);
-    let member = Member {
+    let member = Endpoint {
         worker: WorkerId(number),
         kind,
         zone: (number % ZONES) as u32,
         cell: (number % 6) as u32,
-        since,
+        started_at: since,
         state: WorkerState::Serving,
     };
     ModelWorker { member, slots: if kind == 1 { 8.0 } else { 4.0 }, busy: 0.0 }
@@ -416,15 +420,15 @@
         Action::Send { request, worker, timeout } => {
             ("send", format!("{} {} {}", request.0, worker.0, span(timeout)))
         }
-        Action::Refuse { request, retry_after } => ("refuse", format!("{} {}", request.0, span(retry_after))),
+        Action::Reject { request, retry_after } => ("refuse", format!("{} {}", request.0, span(retry_after))),
         Action::Fail { request } => ("fail", request.0.to_string()),
         Action::Cancel { request, attempt } => ("cancel", format!("{} {attempt}", request.0)),
         Action::Probe(worker) => ("probe", worker.0.to_string()),
         Action::SetTimer { after, token } => ("timer", format!("{} {token}", micros(*after))),
         Action::Watch(on) => ("watch", on.to_string()),
-        Action::FetchList => ("fetch", String::new()),
+        Action::FetchEndpointList => ("fetch", String::new()),
         Action::CloseIdle(worker) => ("close", worker.0.to_string()),
-        Action::Tell { to, data } => ("tell", format!("{to:?} {data:?}")),
+        Action::SendToPeer { to, data } => ("tell", format!("{to:?} {data:?}")),
         Action::Log(line) => ("log", line.clone()),
     }
 }
@@ -447,24 +451,24 @@
     let classes = settings().classes;
     let cfg = Settings {
         classes: vec![
-            Class { late_worth: 0.4, ..classes[0].clone() },
+            Class { late_weight: 0.4, ..classes[0].clone() },
             classes[1].clone(),
             classes[2].clone(),
             classes[3].clone(),
         ],
         instances: 3,
         instance: 1,
-        ask_for_list: true,
-        ask_within: 4.0,
-        marks_retry: true,
-        may_probe: true,
+        polls_endpoint_list: true,
+        max_poll_interval: 4.0,
+        clients_mark_retries: true,
+        probes_allowed: true,
         probe_price: 0.002,
-        progress: 1.0,
-        second_copies: true,
+        progress_interval: 1.0,
+        hedging_allowed: true,
         cross_zone_price: 0.01,
         handshake_price: 0.02,
         keep_alive: 5.0,
-        room: Some(RoomSettings { from: 3.0, price: 1.0 }),
+        capacity_reservation: Some(CapacityReservation { min_slots: 3.0, price: 1.0 }),
         ..settings()
     };
     let traffic = Traffic { requests_per_second: 70.0, hints: true, keys: true, largest_slots: 4 };
@@ -473,7 +477,12 @@
 
 #[test]
 fn load_by_probes_alone() {
-    let cfg = Settings { reports: Reports::Probes, may_probe: true, tells_start: false, ..settings() };
+    let cfg = Settings {
+        load_reports: LoadReports::WithProbes,
+        probes_allowed: true,
+        reports_job_start: false,
+        ..settings()
+    };
     insta::assert_snapshot!("load_by_probes_alone", digests(&cfg, Traffic { keys: true, ..PLAIN }));
 }
 
@@ -481,19 +490,19 @@
 #[test]
 fn many_dispatchers_without_load_reports() {
     let classes = vec![
-        class(Repeat::Safe),
-        Class { kind: Some(1), ..class(Repeat::Keyed(Group::Cell)) },
-        class(Repeat::Unsafe),
+        class(Idempotency::Idempotent),
+        Class { required_kind: Some(1), ..class(Idempotency::WithKey(KeyScope::Cell)) },
+        class(Idempotency::NotIdempotent),
     ];
     let cfg = Settings {
         classes,
         instances: 40,
         instance: 7,
         tenants: vec![Tenant { share: 1.0, quota: 900.0 }],
-        reports: Reports::None,
-        progress: 1.0,
-        second_copies: true,
-        may_cancel: false,
+        load_reports: LoadReports::None,
+        progress_interval: 1.0,
+        hedging_allowed: true,
+        cancellation_allowed: false,
         max_retry_after: 0.0,
         max_attempts: 2,
         ..settings()
--- a/crates/dispatch-core/tests/failures.rs
+++ b/crates/dispatch-core/tests/failures.rs
@@ -7,7 +7,7 @@
 
 /// A dispatcher that may ask its twelve workers at this price.
 fn asking(probe_price: f64) -> Driver {
-    let mut d = Driver::new(Settings { may_probe: true, probe_price, ..settings() }, 7, &fleet(12));
+    let mut d = Driver::new(Settings { probes_allowed: true, probe_price, ..settings() }, 7, &fleet(12));
     d.pass(1.0);
     d
 }
@@ -74,8 +74,8 @@
 fn cold_workers_whose_turn_is_ours_are_met() {
     let instances = 20;
     let mut list = fleet(40);
-    list.extend((41..=120).map(|w| Member { since: 100.0, ..member(w, WorkerState::Serving) }));
-    let mut d = Driver::new(Settings { instances, cold_share: 0.5, ..settings() }, 7, &list);
+    list.extend((41..=120).map(|w| Endpoint { started_at: 100.0, ..member(w, WorkerState::Serving) }));
+    let mut d = Driver::new(Settings { instances, slow_start_min_capacity: 0.5, ..settings() }, 7, &list);
     d.pass(1.0);
     for id in 0..120 {
         d.pass(0.05);
@@ -96,7 +96,7 @@
         d.request(request(id));
         d.pass(0.2);
         while let Some(&(id, n, _)) = d.open.iter().find(|o| o.0 == id) {
-            d.ended(id, n, Outcome::Full);
+            d.ended(id, n, Outcome::Overloaded);
             d.pass(0.01);
         }
     }
@@ -116,7 +116,7 @@
             d.pass(0.01);
             d.request(Request { tenant: (n % 2) as u32, ..request(id) });
             while let Some(&(id, n, _)) = d.open.first() {
-                d.ended(id, n, Outcome::Full);
+                d.ended(id, n, Outcome::Overloaded);
             }
         }
         let served = |n: &u64| !d.seen[&(second * 100 + n)].sends.is_empty();
@@ -129,7 +129,7 @@
 /// fresher. One worker's start notes say that it is busy: the next jobs go elsewhere (customer 2).
 #[test]
 fn a_late_start_tells_that_a_worker_is_busy() {
-    let cfg = Settings { reports: Reports::Probes, ..settings() };
+    let cfg = Settings { load_reports: LoadReports::WithProbes, ..settings() };
     let mut d = Driver::new(cfg, 7, &fleet(2));
     d.pass(1.0);
     let mut busy = 0;
@@ -152,7 +152,7 @@
 /// it: the worker looked busy, the run short (noord 0.73 to 0.68 once such notes were read).
 #[test]
 fn a_progress_note_is_no_start() {
-    let cfg = Settings { reports: Reports::Probes, tells_start: false, ..settings() };
+    let cfg = Settings { load_reports: LoadReports::WithProbes, reports_job_start: false, ..settings() };
     let mut d = Driver::new(cfg, 7, &fleet(2));
     d.pass(1.0);
     for id in 0..10 {
@@ -175,7 +175,7 @@
 fn many_dispatchers_do_not_all_choose_the_same_workers() {
     let mut pushes = std::collections::BTreeMap::new();
     for instance in 0..120 {
-        let cfg = Settings { instance, instances: 120, reports: Reports::Probes, ..settings() };
+        let cfg = Settings { instance, instances: 120, load_reports: LoadReports::WithProbes, ..settings() };
         let mut d = Driver::new(cfg, u64::from(instance), &fleet(60));
         d.pass(1.0);
         // The news that all have: most are full, six of the own zone are free.
@@ -196,17 +196,18 @@
 /// and more were sent. Now such a job is copied elsewhere, and the worker is left out until it speaks.
 #[test]
 fn a_quiet_worker_is_left_out_and_its_job_copied() {
-    let told = Settings { tells_start: true, progress: 1.0, second_copies: true, ..settings() };
-    let mut d = Driver::new(Settings { reports: Reports::None, ..told }, 7, &fleet(6));
+    let told =
+        Settings { reports_job_start: true, progress_interval: 1.0, hedging_allowed: true, ..settings() };
+    let mut d = Driver::new(Settings { load_reports: LoadReports::None, ..told }, 7, &fleet(6));
     d.pass(1.0);
-    d.request(Request { patience: 30.0, ..request(1) });
+    d.request(Request { timeout: 30.0, ..request(1) });
     let quiet = d.seen[&1].sends[0].1;
     d.pass(2.0);
     assert_eq!(d.seen[&1].sends.len(), 2, "a copy is out");
     // Jobs served one by one; how many of them by the quiet worker.
     let serve = |d: &mut Driver, ids: std::ops::Range<u64>| {
         ids.filter(|&id| {
-            d.request(Request { patience: 30.0, ..request(id) });
+            d.request(Request { timeout: 30.0, ..request(id) });
             d.pass(0.3);
             let worker = d.seen[&id].sends.first().map(|s| s.1);
             worker.inspect(|_| drop(d.ended(id, 0, Outcome::Ok))) == Some(quiet)
@@ -227,18 +228,19 @@
 /// Where jobs wait because all workers are busy, none is taken for one that hangs.
 #[test]
 fn a_queue_is_not_taken_for_a_hang() {
-    let told = Settings { tells_start: true, progress: 1.0, second_copies: true, ..settings() };
-    let mut d = Driver::new(Settings { reports: Reports::None, ..told }, 7, &fleet(6));
+    let told =
+        Settings { reports_job_start: true, progress_interval: 1.0, hedging_allowed: true, ..settings() };
+    let mut d = Driver::new(Settings { load_reports: LoadReports::None, ..told }, 7, &fleet(6));
     d.pass(1.0);
     for id in 0..60 {
-        d.request(Request { patience: 60.0, ..request(id) });
+        d.request(Request { timeout: 60.0, ..request(id) });
         d.pass(0.5);
         if !d.seen[&id].sends.is_empty() {
             d.event(Event::JobStarted { request: RequestId(id), attempt: 0 });
             d.ended(id, 0, Outcome::Ok);
         }
     }
-    d.request(Request { patience: 60.0, ..request(100) });
+    d.request(Request { timeout: 60.0, ..request(100) });
     d.pass(3.0);
     assert_eq!(d.seen[&100].sends.len(), 1, "half a second is the usual wait: three are none to act on");
 }
@@ -249,7 +251,7 @@
 fn a_dispatcher_with_little_traffic_soon_prefers_the_quick_kind() {
     let mut list = fleet(60);
     list.iter_mut().for_each(|m| m.kind = u32::from(m.worker.0 % 6 > 0));
-    let cfg = Settings { instances: 100, reports: Reports::None, ..settings() };
+    let cfg = Settings { instances: 100, load_reports: LoadReports::None, ..settings() };
     let mut quick = 0;
     for seed in 0..20 {
         let mut d = Driver::new(cfg.clone(), seed, &list);
@@ -272,7 +274,7 @@
 /// 200 connections a second ran into the void for six seconds, and jobs were given up after two or three of them.
 #[test]
 fn a_lost_zone_is_found_out_after_a_few_failures() {
-    let cfg = Settings { instances: 100, reports: Reports::None, ..settings() };
+    let cfg = Settings { instances: 100, load_reports: LoadReports::None, ..settings() };
     let mut d = Driver::new(cfg, 7, &fleet(40));
     d.pass(10.0);
     let mut lost = 0;
@@ -301,7 +303,8 @@
 fn jobs_that_wait_tell_that_their_group_is_full() {
     let mut list = fleet(40);
     list.iter_mut().for_each(|m| m.kind = u32::from(m.worker.0 % 4 >= 2));
-    let cfg = Settings { instances: 100, reports: Reports::None, tells_start: true, ..settings() };
+    let cfg =
+        Settings { instances: 100, load_reports: LoadReports::None, reports_job_start: true, ..settings() };
     let mut d = Driver::new(cfg, 7, &list);
     d.pass(30.0);
     let full = |w: u64| w % 4 == 0;
@@ -328,7 +331,7 @@
     let reuse = |handshake_price: f64| {
         let cfg = Settings {
             instances: 100,
-            reports: Reports::None,
+            load_reports: LoadReports::None,
             handshake_price,
             keep_alive: 5.0,
             ..settings()
@@ -362,18 +365,23 @@
 #[test]
 fn what_cannot_be_in_time_is_declined_at_once() {
     for (late_worth, least, most) in [(0.0, 1, 15), (0.5, 40, 100)] {
-        let classes = vec![Class { aim: 0.5, stretch: 1.5, late_worth, ..class(Repeat::Safe) }];
+        let classes = vec![Class {
+            latency_objective: 0.5,
+            run_time_allowance: 1.5,
+            late_weight: late_worth,
+            ..class(Idempotency::Idempotent)
+        }];
         let mut d = Driver::new(Settings { classes, ..settings() }, 8, &fleet(4));
         d.pass(0.5);
-        let full = Load { free_slots: Some(0.0), in_flight: Some(60.0), ..Load::default() };
+        let full = LoadReport { free_slots: Some(0.0), in_flight: Some(60.0), ..LoadReport::default() };
         for worker in 1..=4 {
             d.probed(WorkerId(worker), 4.0);
         }
         for id in 0..100 {
             for worker in 1..=4 {
-                d.event(Event::Probed { worker: WorkerId(worker), ok: true, load: Some(full) });
+                d.event(Event::ProbeEnded { worker: WorkerId(worker), ok: true, load: Some(full) });
             }
-            d.request(Request { expected: Some(0.3), ..request(id) });
+            d.request(Request { expected_run_time: Some(0.3), ..request(id) });
             d.pass(0.1);
         }
         let sent = d.seen.values().filter(|s| !s.sends.is_empty()).count();
@@ -388,11 +396,11 @@
 #[test]
 fn a_first_try_with_little_patience_is_no_retry() {
     let declined = |marks_retry: bool, retry: bool| {
-        let mut d = Driver::new(Settings { marks_retry, ..settings() }, 4, &fleet(4));
+        let mut d = Driver::new(Settings { clients_mark_retries: marks_retry, ..settings() }, 4, &fleet(4));
         d.pass(1.0);
-        d.request(Request { patience: 5.0, ..request(1) });
-        let actions = d.request(Request { patience: 2.0, retry, ..request(2) });
-        actions.iter().any(|a| matches!(a, Action::Refuse { request: RequestId(2), .. }))
+        d.request(Request { timeout: 5.0, ..request(1) });
+        let actions = d.request(Request { timeout: 2.0, is_retry: retry, ..request(2) });
+        actions.iter().any(|a| matches!(a, Action::Reject { request: RequestId(2), .. }))
     };
     assert!(!declined(true, false), "an unmarked one is a first try");
     assert!(declined(true, true), "three seconds old: too late for its aim");
--- a/crates/dispatch-core/tests/odd.rs
+++ b/crates/dispatch-core/tests/odd.rs
@@ -37,12 +37,18 @@
         },
         Settings { tenants: vec![Tenant { share: f64::NAN, quota: f64::NAN }], ..settings() },
         // Shorter than the least wait between two calls: bounds the wrong way round were a panic.
-        Settings { ask_for_list: true, ask_within: 0.3, ..settings() },
-        Settings { max_attempts: 0, resolution: 0.0, fall_span: 0.0, cold_share: 0.0, ..settings() },
+        Settings { polls_endpoint_list: true, max_poll_interval: 0.3, ..settings() },
+        Settings {
+            max_attempts: 0,
+            clock_resolution: 0.0,
+            overload_window: 0.0,
+            slow_start_min_capacity: 0.0,
+            ..settings()
+        },
     ] {
         let mut d = Driver::new(Settings { max_attempts: cfg.max_attempts.max(1), ..cfg }, 1, &fleet(3));
         d.pass(2.0);
-        d.list(Scope::Failed, &[]);
+        d.list(ListScope::Failed, &[]);
         let served = play(&mut d, 0, 60, |_| Outcome::Ok);
         d.pass(10.0);
         assert!(d.seen.values().all(|s| s.ends == 1));
@@ -84,8 +90,9 @@
     d.pass(2.0);
     d.request(Request { slots: f64::NAN, memory: f64::NAN, ..request(1) });
     d.request(Request { slots: -3.0, memory: -1.0, class: 3, tenant: 1, ..request(2) });
-    let load = Some(Load { free_slots: Some(f64::NAN), free_memory: Some(-7.0), ..Load::default() });
-    d.event(Event::Probed { worker: WorkerId(1), ok: true, load });
+    let load =
+        Some(LoadReport { free_slots: Some(f64::NAN), free_memory: Some(-7.0), ..LoadReport::default() });
+    d.event(Event::ProbeEnded { worker: WorkerId(1), ok: true, load });
     assert!(play(&mut d, 10, 20, |_| Outcome::Ok) > 10);
 }
 
@@ -113,7 +120,7 @@
     d.pass(2.0);
     for id in 0..100 {
         d.probed(WorkerId(2), 9.0);
-        play(&mut d, id, 1, |w| if w.0 == 2 { Outcome::Full } else { Outcome::Ok });
+        play(&mut d, id, 1, |w| if w.0 == 2 { Outcome::Overloaded } else { Outcome::Ok });
     }
     let at_liar = pushed_to(&d, 2);
     assert!(at_liar < 40, "{at_liar} of 100 jobs were pushed to the worker that says it is free and is full");
@@ -157,12 +164,12 @@
 fn a_list_that_jumps_back_keeps_the_rules() {
     let mut d = Driver::new(settings(), 1, &fleet(6));
     d.pass(2.0);
-    let young = Member { since: d.now, ..member(2, WorkerState::Serving) };
-    d.list(Scope::Changes, &[young, member(4, WorkerState::Draining)]);
+    let young = Endpoint { started_at: d.now, ..member(2, WorkerState::Serving) };
+    d.list(ListScope::Incremental, &[young, member(4, WorkerState::Draining)]);
     let old = fleet(6);
-    d.list(Scope::Saved, &old);
+    d.list(ListScope::Cached, &old);
     play(&mut d, 0, 40, |_| Outcome::Ok);
-    d.list(Scope::Full, &[young, member(1, WorkerState::Serving)]);
+    d.list(ListScope::Full, &[young, member(1, WorkerState::Serving)]);
     let before = d.seen.len() as u64;
     play(&mut d, before, 40, |_| Outcome::Ok);
     let ok = |w: &WorkerId| w.0 == 1 || w.0 == 2;
@@ -182,7 +189,7 @@
 fn requests_that_workers_reject_bar_no_worker() {
     let mut d = Driver::new(settings(), 1, &fleet(6));
     d.pass(2.0);
-    play(&mut d, 0, 30, |_| Outcome::Rejected);
+    play(&mut d, 0, 30, |_| Outcome::InvalidRequest);
     assert!(d.seen.values().all(|s| s.sends.len() <= 1), "what one rejects is not tried elsewhere");
     assert!(d.seen.values().filter(|s| s.ends == 1).count() >= 28, "it is answered at once");
     let served = play(&mut d, 1000, 40, |_| Outcome::Ok);
--- a/crates/dispatch-core/tests/news.rs
+++ b/crates/dispatch-core/tests/poll_schedule.rs
@@ -1,13 +1,13 @@
 //! Discovery is called again early enough for what changes to be known when it counts as told.
 
 use dispatch_core::backoff::Micros;
-use dispatch_core::news::{beside, Calls, TOLD_WITHIN};
+use dispatch_core::poll_schedule::{standby_watch_delay, PollSchedule, NOTIFIED_WITHIN};
 use dispatch_core::Settings;
 
 const GRACE: Micros = 500_000;
 
 fn settings(instances: u32, ask_for_list: bool) -> Settings {
-    Settings { instances, ask_for_list, ask_within: 10.0, ..Settings::default() }
+    Settings { instances, polls_endpoint_list: ask_for_list, max_poll_interval: 10.0, ..Settings::default() }
 }
 
 /// Whatever a call cost and however many failed before: from the moment since when nothing may have been heard, the
@@ -16,12 +16,12 @@
 fn the_next_call_fits_into_the_time_within_which_a_change_counts_as_told() {
     for instances in [1, 6, 30, 300] {
         for seed in 0..50 {
-            let mut calls = Calls::new(&settings(instances, true), GRACE, seed);
+            let mut calls = PollSchedule::new(&settings(instances, true), GRACE, seed);
             for failure in 0..20 {
                 let deaf = [0, 500_000, 2_800_000, 5_000_000][failure % 4];
                 let wanted = [None, Some(30_000_000)][failure / 4 % 2];
-                let pause = calls.pause(deaf, wanted);
-                let left = (TOLD_WITHIN - 2_000_000).saturating_sub(deaf);
+                let pause = calls.next_delay(deaf, wanted);
+                let left = (NOTIFIED_WITHIN - 2_000_000).saturating_sub(deaf);
                 assert!(pause <= left, "{pause} after {deaf}");
             }
         }
@@ -33,8 +33,8 @@
 #[test]
 fn an_agent_is_asked_again_within_a_fraction_of_the_grace() {
     for seed in 0..50 {
-        let mut calls = Calls::new(&settings(300, false), GRACE, seed);
-        assert!((0..20).all(|_| calls.pause(0, None) <= 100_000));
+        let mut calls = PollSchedule::new(&settings(300, false), GRACE, seed);
+        assert!((0..20).all(|_| calls.next_delay(0, None) <= 100_000));
     }
 }
 
@@ -42,18 +42,23 @@
 #[test]
 fn a_grace_of_nothing_or_of_for_ever_leaves_pauses() {
     for grace in [0, Micros::MAX] {
-        let mut calls = Calls::new(&settings(1, false), grace, 1);
-        assert!((0..20).map(|_| calls.pause(0, None)).max() > Some(5_000));
-        assert!((20_000..=24_000_000).contains(&beside(grace)));
+        let mut calls = PollSchedule::new(&settings(1, false), grace, 1);
+        assert!((0..20).map(|_| calls.next_delay(0, None)).max() > Some(5_000));
+        assert!((20_000..=24_000_000).contains(&standby_watch_delay(grace)));
     }
 }
 
 /// How many of these dispatchers, whose watches ended at one moment, are answered within so long by a service as it was
 /// measured: it takes so much for a call, also for one that is turned away since it would wait for 2 s.
-fn answered(instances: u32, call: Micros, within: Micros, pause: impl Fn(&mut Calls) -> Micros) -> usize {
+fn answered(
+    instances: u32,
+    call: Micros,
+    within: Micros,
+    pause: impl Fn(&mut PollSchedule) -> Micros,
+) -> usize {
     let set = settings(instances, true);
-    let mut herd: Vec<(Micros, Calls)> = (0..instances)
-        .map(|seed| Calls::new(&set, GRACE, seed.into()))
+    let mut herd: Vec<(Micros, PollSchedule)> = (0..instances)
+        .map(|seed| PollSchedule::new(&set, GRACE, seed.into()))
         .map(|mut calls| (pause(&mut calls), calls))
         .collect();
     let mut free_at = 0;
@@ -75,7 +80,10 @@
 #[test]
 fn a_herd_thins_out_until_all_are_answered() {
     for (instances, call) in [(6, 227_000), (6, 333_000), (32, 60_000), (300, 12_000)] {
-        assert_eq!(answered(instances, call, 12_000_000, |calls| calls.pause(0, None)), instances as usize);
+        assert_eq!(
+            answered(instances, call, 12_000_000, |calls| calls.next_delay(0, None)),
+            instances as usize
+        );
     }
     let fixed = answered(300, 12_000, 12_000_000, |_| 100_000);
     assert!(fixed < 200, "{fixed} of 300 with a fixed pause");
--- a/crates/dispatch-core/tests/rules.rs
+++ b/crates/dispatch-core/tests/rules.rs
@@ -9,12 +9,12 @@
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Overloaded,
     Outcome::Timeout,
     Outcome::ConnectFailed,
     Outcome::Reset,
     Outcome::Cancelled,
-    Outcome::Moot,
+    Outcome::NotSent,
 ];
 
 /// Plays a random stream of requests, outcomes, notes, list changes and odd events; the driver checks every
@@ -33,8 +33,8 @@
                     class: rng.u32(..5),
                     tenant: rng.u32(..3),
                     slots: f64::from(1 + rng.u32(..4)),
-                    patience: 0.05 + rng.f64() * 4.0,
-                    key: (rng.u32(..2) == 0).then(|| rng.u64(..20)),
+                    timeout: 0.05 + rng.f64() * 4.0,
+                    affinity_key: (rng.u32(..2) == 0).then(|| rng.u64(..20)),
                     ..request(next)
                 };
                 let class = req.class.min(3);
@@ -49,22 +49,23 @@
             }
             8 => {
                 let w = rng.u64(1..=10);
-                let state = [WorkerState::Serving, WorkerState::Draining, WorkerState::Gone][rng.usize(..3)];
+                let state =
+                    [WorkerState::Serving, WorkerState::Draining, WorkerState::Removed][rng.usize(..3)];
                 let since = if rng.u32(..4) == 0 { d.now - 1.0 } else { 0.0 };
-                d.list(Scope::Changes, &[Member { since, ..member(w, state) }]);
+                d.list(ListScope::Incremental, &[Endpoint { started_at: since, ..member(w, state) }]);
             }
             _ => {
                 d.event(Event::JobStarted { request: RequestId(rng.u64(..next + 3)), attempt: rng.u32(..3) });
                 d.event(Event::Timer(rng.u64(..)));
-                d.event(Event::Ended {
+                d.event(Event::AttemptEnded {
                     request: RequestId(next + 7),
                     attempt: 0,
-                    outcome: Outcome::Full,
+                    outcome: Outcome::Overloaded,
                     complete: false,
                     load: None,
                 });
                 if rng.u32(..5) == 0 {
-                    d.event(Event::List { scope: Scope::Failed, members: &[] });
+                    d.event(Event::EndpointList { scope: ListScope::Failed, endpoints: &[] });
                 }
             }
         }
@@ -81,7 +82,15 @@
     for seed in 0..60 {
         stream(seed, settings());
         stream(seed, Settings { max_attempts: 2, ..settings() });
-        stream(seed, Settings { reports: Reports::None, tells_start: false, tenants: vec![], ..settings() });
+        stream(
+            seed,
+            Settings {
+                load_reports: LoadReports::None,
+                reports_job_start: false,
+                tenants: vec![],
+                ..settings()
+            },
+        );
     }
 }
 
@@ -96,10 +105,10 @@
 #[test]
 fn resends_and_refusals_follow_the_class() {
     for (class, outcome, again) in [
-        (0, Outcome::Full, true),
+        (0, Outcome::Overloaded, true),
         (0, Outcome::Reset, true),
         (0, Outcome::Error, true),
-        (1, Outcome::Full, true),
+        (1, Outcome::Overloaded, true),
         (1, Outcome::ConnectFailed, true),
         (1, Outcome::Reset, false),
         (1, Outcome::Error, false),
@@ -125,24 +134,24 @@
 #[test]
 fn keyed_repeats_stay_in_their_group_and_window() {
     for (group, wait, again) in [
-        (Group::All, 0.1, true),
-        (Group::Zone, 0.1, true),
-        (Group::Cell, 0.1, true),
-        (Group::Zone, 6.0, false),
-        (Group::All, 6.0, false),
+        (KeyScope::All, 0.1, true),
+        (KeyScope::Zone, 0.1, true),
+        (KeyScope::Cell, 0.1, true),
+        (KeyScope::Zone, 6.0, false),
+        (KeyScope::All, 6.0, false),
     ] {
-        let classes = vec![Class { aim: 20.0, ..class(Repeat::Keyed(group)) }];
-        let workers: Vec<Member> =
-            (1..=6).map(|w| Member { cell: (w % 3) as u32, ..member(w, WorkerState::Serving) }).collect();
+        let classes = vec![Class { latency_objective: 20.0, ..class(Idempotency::WithKey(group)) }];
+        let workers: Vec<Endpoint> =
+            (1..=6).map(|w| Endpoint { cell: (w % 3) as u32, ..member(w, WorkerState::Serving) }).collect();
         let mut d = Driver::new(Settings { classes, ..settings() }, 3, &workers);
         d.pass(1.0);
-        d.request(Request { patience: 30.0, ..request(1) });
+        d.request(Request { timeout: 30.0, ..request(1) });
         d.pass(wait);
         d.ended(1, 0, Outcome::Reset);
         d.pass(3.0);
         let sends = &d.seen[&1].sends;
         assert_eq!(sends.len() > 1, again, "{group:?} after {wait} s: {sends:?}");
-        if let (Group::Cell, Some(second)) = (group, sends.get(1)) {
+        if let (KeyScope::Cell, Some(second)) = (group, sends.get(1)) {
             assert_eq!(second.1 .0 % 3, sends[0].1 .0 % 3, "the same cell");
         }
         assert!(again || d.seen[&1].ends == 1, "{group:?} after {wait} s is answered");
@@ -153,7 +162,7 @@
 fn a_timeout_at_the_deadline_is_answered_at_once() {
     let mut d = Driver::new(settings(), 3, &[member(1, WorkerState::Serving)]);
     d.pass(1.0);
-    d.request(Request { class: 1, patience: 0.5, ..request(1) });
+    d.request(Request { class: 1, timeout: 0.5, ..request(1) });
     assert!(d.pass(0.5).contains(&Action::Fail { request: RequestId(1) }));
 }
 
@@ -162,8 +171,8 @@
     let all = fleet(4);
     let mut d = Driver::new(settings(), 5, &all);
     d.pass(1.0);
-    d.list(Scope::Changes, &[member(1, WorkerState::Draining), member(2, WorkerState::Gone)]);
-    d.list(Scope::Full, &[member(1, WorkerState::Draining), member(4, WorkerState::Serving)]);
+    d.list(ListScope::Incremental, &[member(1, WorkerState::Draining), member(2, WorkerState::Removed)]);
+    d.list(ListScope::Full, &[member(1, WorkerState::Draining), member(4, WorkerState::Serving)]);
     for id in 0..20 {
         d.pass(0.05);
         d.request(request(id));
@@ -178,7 +187,7 @@
 fn all_dispatchers_together_spare_a_cold_worker() {
     for instances in [1_u32, 3, 40, 230] {
         let start = 100.0;
-        let worker = Member { since: start, ..member(1, WorkerState::Serving) };
+        let worker = Endpoint { started_at: start, ..member(1, WorkerState::Serving) };
         let mut all: Vec<Driver> = (0..instances)
             .map(|instance| {
                 let cfg = Settings { instance, instances, ..settings() };
@@ -215,9 +224,14 @@
     for seed in 0..3 {
         let (start, instances) = (100.0, 100_u32);
         let mut list = fleet(60);
-        list.iter_mut().filter(|m| m.worker.0 > 24).for_each(|m| m.since = start);
-        let cfg =
-            |instance| Settings { instance, instances, fall_span: 1.5, warm_within: 24.0, ..settings() };
+        list.iter_mut().filter(|m| m.worker.0 > 24).for_each(|m| m.started_at = start);
+        let cfg = |instance| Settings {
+            instance,
+            instances,
+            overload_window: 1.5,
+            slow_start_duration: 24.0,
+            ..settings()
+        };
         let named = |n: u32| if n % 7 == 3 { &list[..24] } else { &list[..] };
         let drivers = (0..instances).map(|n| Driver::new(cfg(n), seed * 1000 + u64::from(n), named(n)));
         let mut all: Vec<Driver> = drivers.collect();
@@ -228,7 +242,7 @@
             if step == 300 {
                 all.iter_mut()
                     .filter(|d| d.cfg.instance % 7 == 3)
-                    .for_each(|d| drop(d.list(Scope::Full, &list)));
+                    .for_each(|d| drop(d.list(ListScope::Full, &list)));
             }
             for d in all[60..90].iter_mut().filter(|_| step == 500) {
                 // What it has out counts on; the rest it forgets.
@@ -276,7 +290,7 @@
     }
     let waiting = d.seen.values().filter(|s| s.sends.is_empty()).count();
     let before = d.log.len();
-    d.list(Scope::Changes, &[member(1, WorkerState::Draining)]);
+    d.list(ListScope::Incremental, &[member(1, WorkerState::Draining)]);
     d.pass(5.0);
     let sends = d.log[before..].iter().filter(|a| matches!(a, Action::Send { .. })).count();
     assert!(waiting > 0 && sends == 0, "{waiting} waited, {sends} went there after the word");
@@ -290,7 +304,7 @@
         let workers = [member(1, WorkerState::Serving), member(3, WorkerState::Serving)];
         let mut d = Driver::new(settings(), 3, &workers);
         d.pass(1.0);
-        d.request(Request { class, patience: 1.0, ..request(1) });
+        d.request(Request { class, timeout: 1.0, ..request(1) });
         d
     }
 
@@ -336,14 +350,14 @@
     fn an_unsafe_refusal() {
         let mut d = driver(1);
         d.seen.get_mut(&1).expect("request 1").sends[0].2 = Some(Outcome::Reset);
-        d.take(vec![Action::Refuse { request: RequestId(1), retry_after: None }]);
+        d.take(vec![Action::Reject { request: RequestId(1), retry_after: None }]);
     }
 
     #[test]
     #[should_panic(expected = "rule 3")]
     fn a_send_past_the_grace() {
         let mut d = driver(0);
-        d.list(Scope::Changes, &[member(3, WorkerState::Draining)]);
+        d.list(ListScope::Incremental, &[member(3, WorkerState::Draining)]);
         d.pass(DRAIN_GRACE + 0.001);
         d.take(send(3));
     }
--- a/crates/dispatch-core/tests/settings_keys.rs
+++ b/crates/dispatch-core/tests/settings_keys.rs
@@ -1,8 +1,8 @@
 //! Every key of the settings: an example, the value that is read from it, and how both forms of the same settings,
 //! path=value pairs and nested JSON, give the same.
 
-use dispatch_core::api::{Group, Load, Repeat, Reports, Settings};
-use dispatch_core::settings::{settings, Pairs};
+use dispatch_core::api::{Idempotency, KeyScope, LoadReport, LoadReports, Settings};
+use dispatch_core::settings::{parse_settings, SettingsPairs};
 
 /// A key, an example, and what is read from it, as text.
 struct Key {
@@ -16,29 +16,30 @@
 const CONTEXT: &str = "profiles.count=2 projects.count=2 caps.retry-after=true report.names=x0,x1,eps";
 
 fn first_repeat(settings: &Settings) -> String {
-    match settings.classes[0].repeat {
-        Repeat::Safe => "any time",
-        Repeat::Keyed(Group::All) => "by key, everywhere",
-        Repeat::Keyed(Group::Zone) => "by key, within a zone",
-        Repeat::Keyed(Group::Cell) => "by key, within a cell",
-        Repeat::Unsafe => "never",
+    match settings.classes[0].idempotency {
+        Idempotency::Idempotent => "any time",
+        Idempotency::WithKey(KeyScope::All) => "by key, everywhere",
+        Idempotency::WithKey(KeyScope::Zone) => "by key, within a zone",
+        Idempotency::WithKey(KeyScope::Cell) => "by key, within a cell",
+        Idempotency::NotIdempotent => "never",
     }
     .to_owned()
 }
 
 fn reports(settings: &Settings) -> String {
-    match settings.reports {
-        Reports::None => "none",
-        Reports::Answers => "with answers",
-        Reports::Probes => "with probes",
+    match settings.load_reports {
+        LoadReports::None => "none",
+        LoadReports::WithResponses => "with answers",
+        LoadReports::WithProbes => "with probes",
     }
     .to_owned()
 }
 
 /// What a report of three figures is read as.
 fn report_of_three(settings: &Settings) -> String {
-    let load = settings.report.by_place("3,40,0.5").expect("a report");
-    let Load { free_slots, free_memory, queue, in_flight, latency, errors } = load;
+    let load = settings.load_report_format.parse_positional("3,40,0.5").expect("a report");
+    let LoadReport { free_slots, free_memory, queue_length: queue, in_flight, latency, error_rate: errors } =
+        load;
     format!("{free_slots:?} {free_memory:?} {queue:?} {in_flight:?} {latency:?} {errors:?}")
 }
 
@@ -58,37 +59,37 @@
         path: "profiles.0.window-s",
         example: "12.5",
         value: "12.5",
-        read: |s| s.classes[0].window.to_string(),
+        read: |s| s.classes[0].key_window.to_string(),
     },
     Key {
         path: "profiles.1.promise-s",
         example: "0.4",
         value: "0.4",
-        read: |s| s.classes[1].aim.to_string(),
+        read: |s| s.classes[1].latency_objective.to_string(),
     },
     Key {
         path: "profiles.1.aim-stretch",
         example: "2.5",
         value: "2.5",
-        read: |s| s.classes[1].stretch.to_string(),
+        read: |s| s.classes[1].run_time_allowance.to_string(),
     },
     Key {
         path: "profiles.1.late-worth",
         example: "0.3",
         value: "0.3",
-        read: |s| s.classes[1].late_worth.to_string(),
+        read: |s| s.classes[1].late_weight.to_string(),
     },
     Key {
         path: "family-info.class-stretch",
         example: "1.5,3",
         value: "3",
-        read: |s| s.classes[1].stretch.to_string(),
+        read: |s| s.classes[1].run_time_allowance.to_string(),
     },
     Key {
         path: "family-info.class-kind",
         example: "-1,4",
         value: "None Some(4)",
-        read: |s| format!("{:?} {:?}", s.classes[0].kind, s.classes[1].kind),
+        read: |s| format!("{:?} {:?}", s.classes[0].required_kind, s.classes[1].required_kind),
     },
     Key { path: "projects.count", example: "4", value: "4", read: |s| s.tenants.len().to_string() },
     Key {
@@ -103,22 +104,37 @@
         value: "40",
         read: |s| s.tenants[1].quota.to_string(),
     },
-    Key { path: "discovery", example: "ask", value: "true", read: |s| s.ask_for_list.to_string() },
-    Key { path: "obligations.ask-within-s", example: "9", value: "9", read: |s| s.ask_within.to_string() },
-    Key { path: "obligations.cold-share", example: "0.3", value: "0.3", read: |s| s.cold_share.to_string() },
+    Key { path: "discovery", example: "ask", value: "true", read: |s| s.polls_endpoint_list.to_string() },
+    Key {
+        path: "obligations.ask-within-s",
+        example: "9",
+        value: "9",
+        read: |s| s.max_poll_interval.to_string(),
+    },
+    Key {
+        path: "obligations.cold-share",
+        example: "0.3",
+        value: "0.3",
+        read: |s| s.slow_start_min_capacity.to_string(),
+    },
     Key {
         path: "obligations.warm-within-s",
         example: "20",
         value: "20",
-        read: |s| s.warm_within.to_string(),
+        read: |s| s.slow_start_duration.to_string(),
     },
     Key {
         path: "obligations.fall-multiple",
         example: "3",
         value: "3",
-        read: |s| s.fall_multiple.to_string(),
+        read: |s| s.overload_multiple.to_string(),
+    },
+    Key {
+        path: "obligations.tip-after-s",
+        example: "1.5",
+        value: "1.5",
+        read: |s| s.overload_window.to_string(),
     },
-    Key { path: "obligations.tip-after-s", example: "1.5", value: "1.5", read: |s| s.fall_span.to_string() },
     Key { path: "report.how", example: "answers", value: "with answers", read: reports },
     Key { path: "report.how", example: "probe", value: "with probes", read: reports },
     Key {
@@ -145,9 +161,14 @@
         value: "None Some(40.0) None None None Some(0.5)",
         read: report_of_three,
     },
-    Key { path: "clients.marks-retry", example: "true", value: "true", read: |s| s.marks_retry.to_string() },
-    Key { path: "caps.probes", example: "true", value: "true", read: |s| s.may_probe.to_string() },
-    Key { path: "caps.cancel", example: "true", value: "true", read: |s| s.may_cancel.to_string() },
+    Key {
+        path: "clients.marks-retry",
+        example: "true",
+        value: "true",
+        read: |s| s.clients_mark_retries.to_string(),
+    },
+    Key { path: "caps.probes", example: "true", value: "true", read: |s| s.probes_allowed.to_string() },
+    Key { path: "caps.cancel", example: "true", value: "true", read: |s| s.cancellation_allowed.to_string() },
     Key { path: "caps.send-cap", example: "4", value: "4", read: |s| s.max_attempts.to_string() },
     Key {
         path: "caps.max-retry-after-s",
@@ -159,7 +180,7 @@
         path: "caps.parallel-tries",
         example: "true",
         value: "true",
-        read: |s| s.second_copies.to_string(),
+        read: |s| s.hedging_allowed.to_string(),
     },
     Key { path: "caps.keepalive-s", example: "6", value: "6", read: |s| s.keep_alive.to_string() },
     Key { path: "charges.probe", example: "0.002", value: "0.002", read: |s| s.probe_price.to_string() },
@@ -175,26 +196,36 @@
         value: "0.01",
         read: |s| s.cross_zone_price.to_string(),
     },
-    Key { path: "family-info.progress-s", example: "1.25", value: "1.25", read: |s| s.progress.to_string() },
+    Key {
+        path: "family-info.progress-s",
+        example: "1.25",
+        value: "1.25",
+        read: |s| s.progress_interval.to_string(),
+    },
     Key {
         path: "family-info.tells-start",
         example: "true",
         value: "true",
-        read: |s| s.tells_start.to_string(),
+        read: |s| s.reports_job_start.to_string(),
+    },
+    Key { path: "resolution-s", example: "0.004", value: "0.004", read: |s| s.clock_resolution.to_string() },
+    Key {
+        path: "profiles.1.window-s",
+        example: "8",
+        value: "8",
+        read: |s| s.classes[1].key_window.to_string(),
     },
-    Key { path: "resolution-s", example: "0.004", value: "0.004", read: |s| s.resolution.to_string() },
-    Key { path: "profiles.1.window-s", example: "8", value: "8", read: |s| s.classes[1].window.to_string() },
     Key {
         path: "profiles.0.promise-s",
         example: "0.7",
         value: "0.7",
-        read: |s| s.classes[0].aim.to_string(),
+        read: |s| s.classes[0].latency_objective.to_string(),
     },
     Key {
         path: "profiles.0.late-worth",
         example: "0.9",
         value: "0.9",
-        read: |s| s.classes[0].late_worth.to_string(),
+        read: |s| s.classes[0].late_weight.to_string(),
     },
     Key {
         path: "projects.0.share",
@@ -211,7 +242,7 @@
 ];
 
 fn read(text: &str) -> Settings {
-    settings(&Pairs::read(text.split_whitespace()).expect("pairs")).expect("settings")
+    parse_settings(&SettingsPairs::parse(text.split_whitespace()).expect("pairs")).expect("settings")
 }
 
 #[test]
@@ -244,7 +275,8 @@
 /// The keys of lists, which name others.
 #[test]
 fn lists_give_names_and_counts() {
-    let pairs = Pairs::read("projects.count=2 projects.0.name=web projects.1.name=batch azs=a,b".split(' '));
+    let pairs =
+        SettingsPairs::parse("projects.count=2 projects.0.name=web projects.1.name=batch azs=a,b".split(' '));
     let pairs = pairs.expect("pairs");
     assert_eq!(pairs.names("projects"), Ok(vec!["web".to_owned(), "batch".to_owned()]));
     assert_eq!(pairs.list("azs").collect::<Vec<_>>(), ["a", "b"]);
@@ -256,7 +288,7 @@
 fn nested_json_reads_like_pairs() {
     let json: serde_json::Value =
         serde_json::from_str(include_str!("fixtures/settings.json")).expect("the example is JSON");
-    let nested = settings(&Pairs::flatten(&json)).expect("settings");
+    let nested = parse_settings(&SettingsPairs::from_json(&json)).expect("settings");
     let pairs = read(include_str!("fixtures/settings.pairs"));
     for Key { path, read: field, .. } in &KEYS {
         assert_eq!(field(&nested), field(&pairs), "{path}");
@@ -278,7 +310,7 @@
         ("profiles.count=1 family-info.class-stretch=wide", "family-info.class-stretch"),
         ("projects.count=1 projects.0.quota-per-s=many", "projects.0.quota-per-s"),
     ] {
-        let fault = settings(&Pairs::read(text.split(' ')).expect("pairs")).expect_err(text);
+        let fault = parse_settings(&SettingsPairs::parse(text.split(' ')).expect("pairs")).expect_err(text);
         assert_eq!(fault.expected, path, "{text}");
     }
 }
--- a/crates/dispatch-core/tests/shared_numbers.rs
+++ b/crates/dispatch-core/tests/shared_numbers.rs
@@ -3,15 +3,15 @@
 use std::fmt::Write as _;
 
 use dispatch_core::backoff::Backoff;
-use dispatch_core::news::{beside, Calls};
-use dispatch_core::settings::{hash, worker_id};
+use dispatch_core::poll_schedule::{standby_watch_delay, PollSchedule};
+use dispatch_core::settings::{hash_bytes, worker_id};
 use dispatch_core::Settings;
 
 #[test]
 fn names_of_workers_and_keys_hash_to_the_same_numbers() {
     let mut text = String::new();
     for name in ["", "w", "worker.a", "worker.b", "10.0.0.7:8080", "a name that is longer than eight bytes"] {
-        let _ = writeln!(text, "{name:?}: {} {}", worker_id(name).0, hash(name.as_bytes()));
+        let _ = writeln!(text, "{name:?}: {} {}", worker_id(name).0, hash_bytes(name.as_bytes()));
     }
     insta::assert_snapshot!("numbers_of_names", text);
 }
@@ -22,18 +22,18 @@
     for seed in 0..3 {
         let mut backoff = Backoff::new(100_000, 2_000_000, seed);
         let pauses: Vec<u64> =
-            [None, None, Some(500_000), None, Some(9_000_000)].map(|w| backoff.failed(w)).to_vec();
+            [None, None, Some(500_000), None, Some(9_000_000)].map(|w| backoff.next_delay(w)).to_vec();
         let _ = writeln!(text, "backoff, seed {seed}: {pauses:?}");
         for (instances, ask_for_list) in [(1, false), (6, true), (300, true)] {
-            let settings = Settings { instances, ask_for_list, ..Settings::default() };
-            let mut calls = Calls::new(&settings, 500_000, seed);
-            let mut pauses: Vec<u64> = (0..6).map(|n| calls.pause(n * 700_000, None)).collect();
-            calls.answered();
-            pauses.push(calls.pause(0, Some(1_000_000)));
+            let settings = Settings { instances, polls_endpoint_list: ask_for_list, ..Settings::default() };
+            let mut calls = PollSchedule::new(&settings, 500_000, seed);
+            let mut pauses: Vec<u64> = (0..6).map(|n| calls.next_delay(n * 700_000, None)).collect();
+            calls.record_success();
+            pauses.push(calls.next_delay(0, Some(1_000_000)));
             let _ = writeln!(text, "polls of {instances}, asked {ask_for_list}, seed {seed}: {pauses:?}");
         }
     }
-    let limits = [0, 50_000, 500_000, u64::MAX].map(beside);
+    let limits = [0, 50_000, 500_000, u64::MAX].map(standby_watch_delay);
     let _ = writeln!(text, "a second connection to an agent after: {limits:?}");
     insta::assert_snapshot!("pauses_by_seed", text);
 }
--- a/crates/dispatch-core/tests/throttle.rs
+++ b/crates/dispatch-core/tests/throttle.rs
@@ -8,9 +8,20 @@
 
 /// One tenant whose R stays at 1.5 times its quota, as no attempt ends; nothing gates, as no load is told.
 fn plain(quota: f64) -> Settings {
-    let classes = vec![Class { repeat: Repeat::Safe, aim: 0.5, stretch: 9.0, ..Class::default() }];
+    let classes = vec![Class {
+        idempotency: Idempotency::Idempotent,
+        latency_objective: 0.5,
+        run_time_allowance: 9.0,
+        ..Class::default()
+    }];
     let tenants = vec![Tenant { share: 1.0, quota }];
-    Settings { classes, tenants, reports: Reports::None, resolution: 0.001, ..Settings::default() }
+    Settings {
+        classes,
+        tenants,
+        load_reports: LoadReports::None,
+        clock_resolution: 0.001,
+        ..Settings::default()
+    }
 }
 
 /// The paper's (2.8) for jobs of several slots: U falls by an accepted job, rises by the tokens between two jobs
@@ -24,7 +35,7 @@
         let rate = 1.5 * quota;
         let mut d = Driver::new(plain(quota), seed, &fleet(1));
         // The largest job first: the capacities are set by it, and it is refused while the banks are empty.
-        d.request(Request { slots: 4.0, patience: 50.0, ..request(0) });
+        d.request(Request { slots: 4.0, timeout: 50.0, ..request(0) });
         let (bank, buffer) = ((rate as i64).max(8), ((rate * 0.5) as i64).max(4));
         let mut u = buffer;
         if d.seen[&0].ends == 0 {
@@ -36,8 +47,8 @@
             d.pass(tokens as f64 / rate);
             u = (u + tokens).min(bank + buffer);
             let k = rng.i64(1..5);
-            let actions = d.request(Request { slots: k as f64, patience: 50.0, ..request(id) });
-            let refuse = actions.iter().any(|a| matches!(a, Action::Refuse { .. }));
+            let actions = d.request(Request { slots: k as f64, timeout: 50.0, ..request(id) });
+            let refuse = actions.iter().any(|a| matches!(a, Action::Reject { .. }));
             let push = actions.iter().any(|a| matches!(a, Action::Send { request, .. } if request.0 == id));
             assert_eq!(refuse, u < k, "seed {seed}, job {id} of {k} slots at U = {u}");
             assert_eq!(
@@ -58,7 +69,7 @@
 fn tokens_pay_the_head_slot_by_slot() {
     let mut d = Driver::new(plain(20.0), 3, &fleet(1));
     for (id, slots) in [(1, 3.0), (2, 1.0), (3, 2.0)] {
-        d.request(Request { slots, patience: 50.0, ..request(id) });
+        d.request(Request { slots, timeout: 50.0, ..request(id) });
     }
     d.pass(1.0);
     let at = |id: u64| (d.seen[&id].sends[0].0 - 100.0) * 30.0;
@@ -88,7 +99,7 @@
     let mut waits = Vec::new();
     for id in 0..40 {
         for a in d.request(Request { slots: 4.0, ..request(id) }) {
-            if let Action::Refuse { retry_after, .. } = a {
+            if let Action::Reject { retry_after, .. } = a {
                 waits.push(retry_after);
             }
         }
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -13,8 +13,8 @@
 
 use crate::engine::{micros, Listed, Micros};
 use crate::own::{Fleet, Own};
-use dispatch_core::api::{Member, Repeat, Scope, Settings, WorkerState};
-use dispatch_core::settings::{settings, worker_id, Bad, Pairs};
+use dispatch_core::api::{Endpoint, Idempotency, ListScope, Settings, WorkerState};
+use dispatch_core::settings::{parse_settings, worker_id, InvalidValue, SettingsPairs};
 
 /// Descriptors where no limit is told.
 const SOCKETS: usize = 1024;
@@ -123,7 +123,7 @@
     pub fn from_environment(var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let mut config = Config::read(&Config::text(&var)?, &var)?;
         let own = Own::find(var)?;
-        config.settings.room = own.room;
+        config.settings.capacity_reservation = own.room;
         config.fleet = own.fleet;
         Ok(config)
     }
@@ -138,7 +138,7 @@
         if own.fleet != self.fleet {
             return wrong("fleet", "cannot change while the program runs");
         }
-        config.settings.room = own.room;
+        config.settings.capacity_reservation = own.room;
         config.fleet = own.fleet;
         Ok(config)
     }
@@ -215,11 +215,11 @@
             },
         };
         let pairs = match &root["settings"] {
-            all @ Value::Object(_) => Pairs::flatten(all),
+            all @ Value::Object(_) => SettingsPairs::from_json(all),
             Value::Null => return wrong("settings", "missing"),
             _ => return wrong("settings", "expected an object"),
         };
-        let module = settings(&pairs)?;
+        let module = parse_settings(&pairs)?;
         let names = names(&pairs, &module)?;
         if module.zone as usize >= names.zones.len().max(1) {
             return wrong("settings.zone", format!("there is no zone number {}", module.zone));
@@ -239,7 +239,7 @@
                 Err(error) => return wrong(&format!("known.{}", error.key), error.problem),
             },
         };
-        let keepalive = pairs.size("caps.keepalive-s", KEEPALIVE)?;
+        let keepalive = pairs.non_negative("caps.keepalive-s", KEEPALIVE)?;
         Ok(Config {
             name: told("BALANCER_NAME", "name").map_or_else(|| "cairncrank".to_owned(), |(_, v)| v),
             listen: address("BALANCER_LISTEN", "listen")?,
@@ -252,10 +252,10 @@
             client_sockets,
             worker_sockets: sockets - SOCKETS_KEPT - client_sockets,
             settings: module,
-            dial_timeout: micros(pairs.size("caps.dial-timeout-s", DIAL_TIMEOUT)?.max(0.001)),
+            dial_timeout: micros(pairs.non_negative("caps.dial-timeout-s", DIAL_TIMEOUT)?.max(0.001)),
             idle: micros(keepalive * KEEPALIVE_USED),
-            drain_grace: micros(pairs.size("obligations.drain-grace-s", DRAIN_GRACE)?),
-            pushed: pairs.word("discovery") == "push",
+            drain_grace: micros(pairs.non_negative("obligations.drain-grace-s", DRAIN_GRACE)?),
+            pushed: pairs.text("discovery") == "push",
             longest: names.classes.iter().map(|c| c.patience).max().unwrap_or(micros(PATIENCE)),
             names,
             known,
@@ -264,8 +264,8 @@
     }
 }
 
-impl From<Bad> for ConfigError {
-    fn from(bad: Bad) -> Self {
+impl From<InvalidValue> for ConfigError {
+    fn from(bad: InvalidValue) -> Self {
         ConfigError {
             key: format!("settings.{}", bad.expected),
             problem: format!("'{}' is no value that it can have", bad.found),
@@ -283,11 +283,11 @@
     }
 }
 
-fn names(pairs: &Pairs<'_>, module: &Settings) -> Result<Names, ConfigError> {
+fn names(pairs: &SettingsPairs<'_>, module: &Settings) -> Result<Names, ConfigError> {
     let mut classes = Vec::new();
     for (i, name) in pairs.names("profiles")?.into_iter().enumerate() {
-        let patience = micros(pairs.size(&format!("profiles.{i}.deadline-s"), PATIENCE)?);
-        let keyed = matches!(module.classes[i].repeat, Repeat::Keyed(_));
+        let patience = micros(pairs.non_negative(&format!("profiles.{i}.deadline-s"), PATIENCE)?);
+        let keyed = matches!(module.classes[i].idempotency, Idempotency::WithKey(_));
         classes.push(ClassInfo { name, patience, keyed });
     }
     let tenants = pairs.names("projects")?;
@@ -312,7 +312,7 @@
     /// The version.
     pub revision: u64,
     /// What part of the list it is.
-    pub scope: Scope,
+    pub scope: ListScope,
     /// The entries.
     pub members: Vec<Listed>,
 }
@@ -328,9 +328,10 @@
     let Some(members) = value["members"].as_array() else {
         return wrong("members", "expected a list");
     };
-    let mut list = List { revision, scope: Scope::Changes, members: Vec::with_capacity(members.len()) };
+    let mut list =
+        List { revision, scope: ListScope::Incremental, members: Vec::with_capacity(members.len()) };
     if value["complete"].as_bool().unwrap_or(false) {
-        list.scope = Scope::Full;
+        list.scope = ListScope::Full;
     }
     let place: FxHashMap<&str, u32> = names.zones.iter().map(String::as_str).zip(0..).collect();
     let kinds: FxHashMap<&str, u32> = names.kinds.iter().map(String::as_str).zip(0..).collect();
@@ -340,7 +341,7 @@
         let state = match entry["phase"].as_str() {
             Some("in_service") => WorkerState::Serving,
             Some("terminating") => WorkerState::Draining,
-            Some("terminated") => WorkerState::Gone,
+            Some("terminated") => WorkerState::Removed,
             _ => {
                 let problem = "expected in_service, terminating or terminated, found ";
                 return wrong(&at("phase"), format!("{problem}{}", entry["phase"]));
@@ -355,12 +356,12 @@
             let unknown = names.len() as u32;
             entry[key].as_str().map_or(unknown, |name| names.get(name).copied().unwrap_or(unknown))
         };
-        let member = Member {
+        let member = Endpoint {
             worker: worker_id(id),
             kind: number(&kinds, "flavor"),
             zone: number(&place, "locality"),
             cell: entry["cell"].as_u64().unwrap_or(0) as u32,
-            since: entry["up_since_ms"].as_f64().unwrap_or(0.0) / 1e3,
+            started_at: entry["up_since_ms"].as_f64().unwrap_or(0.0) / 1e3,
             state,
         };
         list.members.push(Listed { member, address });
--- a/crates/dispatcher/src/engine.rs
+++ b/crates/dispatcher/src/engine.rs
@@ -17,7 +17,8 @@
 use tokio::sync::{mpsc, oneshot};
 
 use dispatch_core::api::{
-    Action, Event, Load, Member, Outcome, Request, RequestId, Scope, Seconds, Settings, WorkerId, WorkerState,
+    Action, Endpoint, Event, ListScope, LoadReport, Outcome, Request, RequestId, Seconds, Settings, WorkerId,
+    WorkerState,
 };
 
 use dispatch_core::Dispatcher;
@@ -145,7 +146,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Listed {
     /// What the module is told.
-    pub member: Member,
+    pub member: Endpoint,
     /// Its address, where it has one.
     pub address: Option<SocketAddr>,
 }
@@ -162,16 +163,16 @@
     /// A job is done to this part.
     Progress(RequestId, u32, f64),
     /// An attempt ended; the bytes are the result of one that was served.
-    Ended(RequestId, u32, Outcome, Bytes, Option<Load>),
+    Ended(RequestId, u32, Outcome, Bytes, Option<LoadReport>),
     /// A probe ended: whether the worker answered that it is well, and what it said of its load. Each
     /// [`Command::Probe`] is followed by one; where a probe was out already, its end answers both.
-    Probed(WorkerId, bool, Option<Load>),
+    Probed(WorkerId, bool, Option<LoadReport>),
     /// One who watches workers for all saw this one fail so long ago, which may be held against it for so long.
     Sighted(WorkerId, Micros, Micros),
     /// One who hands cold budgets out for all granted so much work at this worker until then.
     Granted(WorkerId, f64, Micros),
     /// The worker list, or a part of it.
-    List(Scope, Vec<Listed>),
+    List(ListScope, Vec<Listed>),
     /// Other settings hold from here on.
     Configure(Box<Settings>),
     /// The program ends: answer what is open.
@@ -203,7 +204,7 @@
     /// Close the idle connections to a worker.
     CloseIdle(WorkerId),
     /// Where workers listen, and whether they take work; with [`Scope::Full`] all others are gone.
-    List(Scope, Vec<Listed>),
+    List(ListScope, Vec<Listed>),
 }
 
 /// The way to the engine's queue.
@@ -359,7 +360,7 @@
         };
         engine.dispatcher.start(seconds(engine.now), &mut engine.actions);
         engine.act();
-        engine.take(Input::List(Scope::Saved, known));
+        engine.take(Input::List(ListScope::Cached, known));
         engine
     }
 
@@ -373,7 +374,7 @@
     /// What a usual job asks of a worker, in slots by seconds; kept up to date from now on.
     pub fn usual_job(&mut self) -> Rc<Cell<f64>> {
         let usual = self.usual.get_or_insert_with(Rc::default);
-        usual.set(self.dispatcher.usual_job());
+        usual.set(self.dispatcher.mean_job_work());
         usual.clone()
     }
 
@@ -399,7 +400,7 @@
             }
             self.fire();
             if let Some(usual) = &self.usual {
-                usual.set(self.dispatcher.usual_job());
+                usual.set(self.dispatcher.mean_job_work());
             }
         }
     }
@@ -436,7 +437,7 @@
                 if let Some(open) = self.open.get_mut(&id) {
                     // The module may have answered while the client left.
                     if open.conclude().is_some() {
-                        self.tell(Event::ClientGone(id));
+                        self.tell(Event::ClientDisconnected(id));
                     }
                     self.tidy(id);
                 }
@@ -452,23 +453,27 @@
                 }
             }
             Input::Granted(worker, work, until) => {
-                self.tell(Event::Granted { worker, work, until: seconds(until) });
+                self.tell(Event::SlowStartGrant { worker, work, expires_at: seconds(until) });
             }
             Input::Sighted(worker, ago, holds) => {
-                self.tell(Event::Sighted { worker, ago: seconds(ago), holds: seconds(holds) });
+                self.tell(Event::UnhealthyVerdict {
+                    worker,
+                    observed_ago: seconds(ago),
+                    valid_for: seconds(holds),
+                });
             }
-            Input::Probed(worker, ok, load) => self.tell(Event::Probed { worker, ok, load }),
+            Input::Probed(worker, ok, load) => self.tell(Event::ProbeEnded { worker, ok, load }),
             Input::Ended(request, attempt, outcome, result, load) => {
                 if self.is_out(request, attempt) {
                     self.end(request, attempt, outcome, result, load);
                 }
             }
             Input::List(scope, members) => {
-                let lines: Vec<Member> = members.iter().map(|l| l.member).collect();
+                let lines: Vec<Endpoint> = members.iter().map(|l| l.member).collect();
                 // The way to a worker must be known before the module can choose it, and barred before it asks.
                 let _ = self.commands.send(Command::List(scope, members));
-                self.tell(Event::List { scope, members: &lines });
-                if scope != Scope::Saved {
+                self.tell(Event::EndpointList { scope, endpoints: &lines });
+                if scope != ListScope::Cached {
                     self.heard();
                 }
             }
@@ -507,7 +512,7 @@
         };
         self.open.insert(id, open);
         self.due.push(Reverse((deadline, Due::Deadline(id))));
-        let request = Request { id, patience: seconds(job.patience), ..job.request };
+        let request = Request { id, timeout: seconds(job.patience), ..job.request };
         match &mut self.unheard {
             Some(held) => held.push(request),
             None => self.tell(Event::Request(request)),
@@ -519,7 +524,7 @@
         for request in self.unheard.take().unwrap_or_default() {
             if let Some(open) = self.open.get(&request.id).filter(|open| open.answer.is_some()) {
                 let patience = seconds(open.deadline.saturating_sub(self.now));
-                self.tell(Event::Request(Request { patience, ..request }));
+                self.tell(Event::Request(Request { timeout: patience, ..request }));
             }
         }
     }
@@ -546,7 +551,14 @@
         }
     }
 
-    fn end(&mut self, request: RequestId, attempt: u32, outcome: Outcome, result: Bytes, load: Option<Load>) {
+    fn end(
+        &mut self,
+        request: RequestId,
+        attempt: u32,
+        outcome: Outcome,
+        result: Bytes,
+        load: Option<LoadReport>,
+    ) {
         let Some(open) = self.open.get_mut(&request) else { return };
         let ended = &mut open.attempts[attempt as usize];
         (ended.out, ended.may_have_run) = (false, !outcome.never_ran());
@@ -554,13 +566,13 @@
             if let Some(answer) = open.conclude() {
                 let _ = answer.send(Answer::Served(result));
             }
-        } else if outcome == Outcome::Rejected {
+        } else if outcome == Outcome::InvalidRequest {
             if let Some(answer) = open.conclude() {
                 let _ = answer.send(Answer::Rejected(Fault::Unusable));
             }
         }
         let complete = open.answer.is_none();
-        self.tell(Event::Ended { request, attempt, outcome, complete, load });
+        self.tell(Event::AttemptEnded { request, attempt, outcome, complete, load });
         self.tidy(request);
     }
 
@@ -570,7 +582,7 @@
         let harmless = !open.attempts.iter().any(|attempt| attempt.may_have_run);
         if let Some(answer) = open.conclude() {
             let _ = answer.send(if harmless { Answer::Refused(None) } else { Answer::Failed });
-            self.tell(Event::ClientGone(request));
+            self.tell(Event::ClientDisconnected(request));
         }
         let attempts = self.open.get(&request).map_or(0, |open| open.attempts.len() as u32);
         (0..attempts).for_each(|attempt| self.give_up(request, attempt, Outcome::Cancelled));
@@ -601,7 +613,7 @@
         for action in actions.drain(..) {
             match action {
                 Action::Send { request, worker, timeout } => self.send(request, worker, timeout),
-                Action::Refuse { request, retry_after } => self.answer(request, Answer::Refused(retry_after)),
+                Action::Reject { request, retry_after } => self.answer(request, Answer::Refused(retry_after)),
                 Action::Fail { request } => self.answer(request, Answer::Failed),
                 Action::Cancel { request, attempt } => self.give_up(request, attempt, Outcome::Cancelled),
                 Action::SetTimer { after, token } => {
@@ -615,7 +627,7 @@
                     let _ = self.commands.send(Command::Probe(worker));
                 }
                 // Discovery is always watched; messages between dispatchers have no form on sockets.
-                Action::Watch(_) | Action::FetchList | Action::Tell { .. } => {}
+                Action::Watch(_) | Action::FetchEndpointList | Action::SendToPeer { .. } => {}
             }
         }
         self.actions = actions;
@@ -628,7 +640,7 @@
             open.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.sent);
         open.attempts.push(Attempt { sent: self.now, out: true, may_have_run: true });
         if open.answer.is_none() || self.now >= open.deadline || open.attempts.len() > self.max_attempts {
-            return self.ended.push_back((request, attempt, Outcome::Moot));
+            return self.ended.push_back((request, attempt, Outcome::NotSent));
         }
         let wanted = timeout.filter(|t| *t != 0.0).map_or(Micros::MAX, |t| self.now + micros(t));
         let deadline = wanted.min(open.deadline);
@@ -651,7 +663,7 @@
 
 /// For each class, how long after an attempt that may have run another may be written.
 fn repeat_within(settings: &Settings) -> Vec<Micros> {
-    settings.classes.iter().map(|class| micros(class.repeat_within())).collect()
+    settings.classes.iter().map(|class| micros(class.retry_window())).collect()
 }
 
 impl Listed {
--- a/crates/dispatcher/src/net/client.rs
+++ b/crates/dispatcher/src/net/client.rs
@@ -18,7 +18,7 @@
 use crate::engine::{micros, Answer, Fault, Handle, Input, Job, Micros, Payload};
 use dispatch_core::api::{Request, RequestId};
 
-use dispatch_core::settings::hash;
+use dispatch_core::settings::hash_bytes;
 
 /// From this part of the connections on, in hundredths, idle ones are closed and new ones refused: a
 /// dispatcher without descriptors could neither accept nor reach a worker.
@@ -507,17 +507,21 @@
             tenant: tenant as u32,
             slots: 1.0,
             memory: 0.0,
-            patience: 0.0,
-            retry: head.header_text("Client-Retry") == Some("1"),
-            expected: hint.map(|micros| micros as f64 / 1e6),
-            key: query.split('&').find_map(|p| p.strip_prefix("sid=")).filter(|k| !k.is_empty()).map(key),
+            timeout: 0.0,
+            is_retry: head.header_text("Client-Retry") == Some("1"),
+            expected_run_time: hint.map(|micros| micros as f64 / 1e6),
+            affinity_key: query
+                .split('&')
+                .find_map(|p| p.strip_prefix("sid="))
+                .filter(|k| !k.is_empty())
+                .map(key),
         };
         for (name, value) in head.header_text("Request-Info").unwrap_or("").split(',').filter_map(pair) {
             let figure = || number::<f64>(value, "Request-Info").map(|v| v.clamp(0.0, 1e9));
             match name {
                 "slots" | "cores-needed" => request.slots = figure()?,
                 "memory" | "ram-units" => request.memory = figure()?,
-                "hint" | "expected-s" => request.expected = Some(figure()?).filter(|v| *v > 0.0),
+                "hint" | "expected-s" => request.expected_run_time = Some(figure()?).filter(|v| *v > 0.0),
                 _ => {}
             }
         }
@@ -553,7 +557,7 @@
 
 /// A key as the module knows it: the same at every dispatcher.
 fn key(text: &str) -> u64 {
-    u64::from_str_radix(text, 16).unwrap_or_else(|_| hash(text.as_bytes()))
+    u64::from_str_radix(text, 16).unwrap_or_else(|_| hash_bytes(text.as_bytes()))
 }
 
 /// A response, as its head and its body.
--- a/crates/dispatcher/src/net/discovery.rs
+++ b/crates/dispatcher/src/net/discovery.rs
@@ -24,7 +24,7 @@
 use crate::config::{self, Config, Names};
 use crate::engine::{micros, Handle, Input, Listed, Micros};
 use dispatch_core::api::{Seconds, WorkerId, WorkerState};
-use dispatch_core::news::{beside, Calls};
+use dispatch_core::poll_schedule::{standby_watch_delay, PollSchedule};
 
 /// An empty line comes every 2 s; a watch that is silent for longer is dead, whatever its connection says.
 const SILENCE: Duration = Duration::from_millis(2800);
@@ -56,11 +56,11 @@
         self.newest.set(self.newest.get().max(revision));
         let mut states = self.states.borrow_mut();
         for Listed { member, .. } in members {
-            let (since, state) = states.entry(member.worker).or_insert((member.since, member.state));
-            if older && member.since <= *since && member.state == WorkerState::Serving {
+            let (since, state) = states.entry(member.worker).or_insert((member.started_at, member.state));
+            if older && member.started_at <= *since && member.state == WorkerState::Serving {
                 member.state = *state;
             }
-            (*since, *state) = (since.max(member.since), member.state);
+            (*since, *state) = (since.max(member.started_at), member.state);
         }
     }
 }
@@ -87,7 +87,7 @@
     // Without a fleet the sender is gone, and it stays at asking.
     let mut asks = lists.as_ref().map_or_else(|| watch::channel(true).1, |lists| lists.asks());
     let mut failing = false;
-    let calls = |config: &Config| Calls::new(&config.settings, config.drain_grace, config.seed);
+    let calls = |config: &Config| PollSchedule::new(&config.settings, config.drain_grace, config.seed);
     let mut pauses = calls(&configs.borrow());
     loop {
         if !*asks.borrow() {
@@ -131,10 +131,10 @@
         }
         failing = told.revision.get() == before;
         if answered {
-            pauses.answered();
+            pauses.record_success();
         }
         let deaf = deaf_since.elapsed().as_micros() as Micros;
-        let pause = Duration::from_micros(pauses.pause(deaf, wanted));
+        let pause = Duration::from_micros(pauses.next_delay(deaf, wanted));
         let _ = timeout(pause, configs.wait_for(|now| moved(&config, now))).await;
     }
 }
@@ -263,10 +263,10 @@
     /// Opens a watch, or asks for the whole list where all must be asked for. An agent has begun to answer then.
     async fn begin(&self) -> Result<Talk, String> {
         let (host, query) = (self.config.discovery, self.query());
-        if self.config.settings.ask_for_list {
+        if self.config.settings.polls_endpoint_list {
             return Talk::open(host, &query).await;
         }
-        let beside = Duration::from_micros(beside(self.config.drain_grace));
+        let beside = Duration::from_micros(standby_watch_delay(self.config.drain_grace));
         let mut tries = JoinSet::new();
         let mut order = VecDeque::new();
         loop {
--- a/crates/dispatcher/src/net/fleet.rs
+++ b/crates/dispatcher/src/net/fleet.rs
@@ -162,10 +162,10 @@
 fn warming(config: &Config) -> Warming {
     let settings = &config.settings;
     Warming {
-        share: settings.cold_share,
-        within: micros(settings.warm_within),
-        multiple: settings.fall_multiple,
-        span: micros(settings.fall_span),
+        share: settings.slow_start_min_capacity,
+        within: micros(settings.slow_start_duration),
+        multiple: settings.overload_multiple,
+        span: micros(settings.overload_window),
     }
 }
 
--- a/crates/dispatcher/src/net/probe.rs
+++ b/crates/dispatcher/src/net/probe.rs
@@ -15,7 +15,7 @@
 use super::worker::{dial, Peer, Pool};
 use super::{read_more, read_response_head, write_whole};
 use crate::engine::Input;
-use dispatch_core::api::{Load, Reports, WorkerId};
+use dispatch_core::api::{LoadReport, LoadReports, WorkerId};
 
 /// A probe is given up after this many times what a connection may take to come up: the settings tell no time for
 /// it, and an answer that needs longer is no news any more.
@@ -26,7 +26,7 @@
     pool: Rc<Pool>,
     worker: WorkerId,
     ok: bool,
-    load: Option<Load>,
+    load: Option<LoadReport>,
 }
 
 impl Drop for End {
@@ -53,9 +53,9 @@
 }
 
 /// Whether the worker says that it is well, and what it says of its load; none where no answer came.
-async fn ask(pool: &Rc<Pool>, worker: WorkerId) -> Option<(bool, Option<Load>)> {
+async fn ask(pool: &Rc<Pool>, worker: WorkerId) -> Option<(bool, Option<LoadReport>)> {
     let peer = pool.peers.borrow().get(&worker).cloned()?;
-    let reports = pool.configs.borrow().settings.reports != Reports::None;
+    let reports = pool.configs.borrow().settings.load_reports != LoadReports::None;
     let (mut stream, counted, _) = match pool.reuse(&peer) {
         Some(kept) => kept,
         None if !pool.make_room() => return None,
@@ -68,7 +68,7 @@
     let load = std::str::from_utf8(&body).ok().filter(|text| reports && !text.trim().is_empty());
     let load = load.and_then(|text| {
         let text = text.trim();
-        pool.read(|form| if text.starts_with('{') { form.of_json(text) } else { form.of_text(text) })
+        pool.read(|form| if text.starts_with('{') { form.parse_json(text) } else { form.parse_text(text) })
     });
     if reusable {
         pool.keep(&peer, stream, counted);
--- a/crates/dispatcher/src/net/worker.rs
+++ b/crates/dispatcher/src/net/worker.rs
@@ -22,8 +22,8 @@
 use super::probe;
 use super::{read_more, read_response_head, write_whole, Configs};
 use crate::engine::{Clock, Command, Handle, Input, Micros, Payload, Reach};
-use dispatch_core::api::{Load, Outcome, RequestId, Scope, WorkerId, WorkerState};
-use dispatch_core::report::{Form, Read};
+use dispatch_core::api::{ListScope, LoadReport, Outcome, RequestId, WorkerId, WorkerState};
+use dispatch_core::load_report::{LoadReportFormat, ParsedLoadReport};
 use dispatch_core::settings::worker_id;
 
 /// A line of a worker may be this long: a result as large as a body, with room for escapes.
@@ -154,9 +154,9 @@
         }
     }
 
-    fn list(&self, scope: Scope, members: &[crate::engine::Listed]) {
+    fn list(&self, scope: ListScope, members: &[crate::engine::Listed]) {
         let mut peers = self.peers.borrow_mut();
-        if scope != Scope::Changes {
+        if scope != ListScope::Incremental {
             // Those that the whole list does not name are gone.
             peers.values().for_each(|peer| {
                 peer.serves.set(false);
@@ -179,9 +179,9 @@
                 self.drop_idle(peer, |_| false);
             }
             peer.zone.set(listed.member.zone);
-            peer.since.set(listed.member.since);
+            peer.since.set(listed.member.started_at);
             peer.serves.set(listed.serves());
-            peer.listed.set(listed.member.state != WorkerState::Gone);
+            peer.listed.set(listed.member.state != WorkerState::Removed);
         }
         for (worker, peer) in peers.iter().filter(|(_, peer)| !peer.serves.get()) {
             self.drop_idle(peer, |_| false);
@@ -239,8 +239,11 @@
     }
 
     /// Reads a load report by the form that the settings tell; what is malformed is counted and left out.
-    pub(super) fn read(&self, read: impl FnOnce(&Form) -> Read) -> Option<Load> {
-        let Read { load, malformed } = read(&self.configs.borrow().settings.report);
+    pub(super) fn read(
+        &self,
+        read: impl FnOnce(&LoadReportFormat) -> ParsedLoadReport,
+    ) -> Option<LoadReport> {
+        let ParsedLoadReport { load, malformed } = read(&self.configs.borrow().settings.load_report_format);
         if malformed {
             self.metrics.malformed_reports.inc();
         }
@@ -265,7 +268,7 @@
     reach: Reach,
     told: bool,
     /// What the worker said of its load with its last word.
-    load: Option<Load>,
+    load: Option<LoadReport>,
 }
 
 impl End {
@@ -296,7 +299,7 @@
     let (mut stream, counted, kept) = match pool.reuse(&peer) {
         Some(kept) => kept,
         // Without a descriptor to spare nothing is sent, which is no fault of the worker's.
-        None if !pool.make_room() => return end.tell(Outcome::Moot, Bytes::new()),
+        None if !pool.make_room() => return end.tell(Outcome::NotSent, Bytes::new()),
         None => match dial(&pool, &peer).await {
             Some(new) => new,
             None => return,
@@ -310,7 +313,7 @@
     // Likewise: the client may have left meanwhile, another attempt may have served it, and what an attempt before
     // this one may have done is no longer known to the worker once the window for repeats is over.
     if payload.concluded.get() || pool.clock.now() >= latest {
-        return end.tell(Outcome::Moot, Bytes::new());
+        return end.tell(Outcome::NotSent, Bytes::new());
     }
     let head = request_head(&peer, &payload, deadline.saturating_sub(pool.clock.now()));
     let mut message = head.chain(payload.body.clone());
@@ -324,14 +327,14 @@
     if written.is_err() {
         // A kept connection that takes no write is no fault of the worker's, and nothing was sent.
         return if kept && end.reach < Reach::Written {
-            end.tell(Outcome::Moot, Bytes::new())
+            end.tell(Outcome::NotSent, Bytes::new())
         };
     }
     let reusable = answer(&mut stream, &payload, &mut end).await == Some(true);
     if kept && !end.told && end.reach == Reach::Written && pool.clock.now() < begun + STALE {
         // The others that are idle there are closed by now as well.
         pool.drop_idle(&peer, |_| false);
-        end.tell(Outcome::Stale, Bytes::new());
+        end.tell(Outcome::StaleConnection, Bytes::new());
     }
     if reusable {
         pool.keep(&peer, stream, counted);
@@ -399,13 +402,14 @@
     } else {
         let unstarted = head.header_text("Not-Started") == Some("1");
         let outcome = match status {
-            503 | 504 if unstarted => Outcome::Full,
+            503 | 504 if unstarted => Outcome::Overloaded,
             // These say something of the worker; all others from 400 on say that the request is at fault.
             408 | 429 => Outcome::Error,
-            400..=499 => Outcome::Rejected,
+            400..=499 => Outcome::InvalidRequest,
             _ => Outcome::Error,
         };
-        end.load = head.header_text("Server-Load").and_then(|text| end.pool.read(|form| form.of_text(text)));
+        end.load =
+            head.header_text("Server-Load").and_then(|text| end.pool.read(|form| form.parse_text(text)));
         end.tell(outcome, Bytes::new());
     }
     let mut body = Decoder::new(head.framing);
@@ -454,14 +458,14 @@
     }
     let (request, attempt) = (end.request, end.attempt);
     if let Some(load) = told.load {
-        end.load = end.pool.read(|form| form.of_json(load.get()));
+        end.load = end.pool.read(|form| form.parse_json(load.get()));
     }
     match &*told.state {
         "started" => end.pool.handle.tell(Input::Started(request, attempt)),
         "running" => end.pool.handle.tell(Input::Progress(request, attempt, told.share)),
         "done" => end.tell(Outcome::Ok, result(line, told.result)?),
         "failed" => end.tell(Outcome::Error, Bytes::new()),
-        "returned" => end.tell(Outcome::Full, Bytes::new()),
+        "returned" => end.tell(Outcome::Overloaded, Bytes::new()),
         "lost" => end.tell(Outcome::Reset, Bytes::new()),
         _ => {}
     }
--- a/crates/dispatcher/src/own.rs
+++ b/crates/dispatcher/src/own.rs
@@ -13,7 +13,7 @@
 use cluster_member::settings;
 use cluster_member::watch::Watching;
 use coordination::{Micros, Times};
-use dispatch_core::api::RoomSettings;
+use dispatch_core::api::CapacityReservation;
 use hcl_config::{Read, Section};
 
 use crate::config::ConfigError;
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Own {
     /// Room for large jobs; none where it is not held.
-    pub room: Option<RoomSettings>,
+    pub room: Option<CapacityReservation>,
     /// The fleet that this dispatcher is a member of, if it is of one.
     pub fleet: Option<Fleet>,
 }
@@ -119,9 +119,9 @@
     }
 }
 
-fn room(section: &Section) -> Read<Option<RoomSettings>> {
-    let settings = RoomSettings {
-        from: section.number("from_slots", 2.0..=1024.0)?.unwrap_or(FROM_SLOTS),
+fn room(section: &Section) -> Read<Option<CapacityReservation>> {
+    let settings = CapacityReservation {
+        min_slots: section.number("from_slots", 2.0..=1024.0)?.unwrap_or(FROM_SLOTS),
         price: section.number("price", 0.0..=1000.0)?.unwrap_or(PRICE),
     };
     Ok(section.flag("hold")?.unwrap_or(true).then_some(settings))
@@ -164,7 +164,10 @@
     fn room_is_held_where_the_file_asks_for_it() {
         let read = |text| Own::read("own.hcl", text).map(|own| own.room).map_err(|fault| fault.to_string());
         assert_eq!(read(""), Ok(None));
-        assert_eq!(read("room {\n}\n"), Ok(Some(RoomSettings { from: FROM_SLOTS, price: PRICE })));
+        assert_eq!(
+            read("room {\n}\n"),
+            Ok(Some(CapacityReservation { min_slots: FROM_SLOTS, price: PRICE }))
+        );
         assert_eq!(read("room {\n  hold = false\n  from_slots = 2\n}\n"), Ok(None));
         let from = "own.hcl:2: room.from_slots: expected a number from 2 to 1024, found 1".to_owned();
         assert_eq!(read("room {\n  from_slots = 1\n}\n"), Err(from));
--- a/crates/dispatcher/tests/config.rs
+++ b/crates/dispatcher/tests/config.rs
@@ -193,11 +193,11 @@
     };
     write("room {\n  price = 3\n}\n");
     let config = Config::from_environment(variable).expect("no fault");
-    assert_eq!(config.settings.room.map(|room| room.price), Some(3.0));
+    assert_eq!(config.settings.capacity_reservation.map(|room| room.price), Some(3.0));
     write("room {\n  price = -3\n}\n");
     let fault = config.again(variable).expect_err("a fault").to_string();
     assert!(fault.contains(".hcl:2: room.price: expected a number from 0"), "{fault}");
     write("room {\n  hold = false\n}\n");
-    assert_eq!(config.again(variable).expect("no fault").settings.room, None);
+    assert_eq!(config.again(variable).expect("no fault").settings.capacity_reservation, None);
     let _ = std::fs::remove_file(&file);
 }
--- a/crates/dispatcher/tests/engine.rs
+++ b/crates/dispatcher/tests/engine.rs
@@ -4,7 +4,8 @@
 
 use bytes::Bytes;
 use dispatcher::api::{
-    Class, Member, Outcome, Repeat, Request, RequestId, Scope, Settings, Tenant, WorkerId, WorkerState,
+    Class, Endpoint, Idempotency, ListScope, Outcome, Request, RequestId, Settings, Tenant, WorkerId,
+    WorkerState,
 };
 use dispatcher::engine::{
     Answer, Clock, Command, Engine, Fault, Handle, Input, Job, Listed, Payload, Reach, Ticket,
@@ -30,20 +31,24 @@
 
     fn start_with(quota: f64, prepare: impl FnOnce(&mut Engine)) -> Bench {
         let settings = Settings {
-            classes: vec![Class { repeat: Repeat::Safe, aim: 0.2, ..Class::default() }],
+            classes: vec![Class {
+                idempotency: Idempotency::Idempotent,
+                latency_objective: 0.2,
+                ..Class::default()
+            }],
             tenants: vec![Tenant { share: 1.0, quota }],
-            may_cancel: true,
+            cancellation_allowed: true,
             max_attempts: 3,
             max_retry_after: 2.0,
             ..Settings::default()
         };
         let address = Some(SocketAddr::from(([127, 0, 0, 1], 9)));
-        let member = Member {
+        let member = Endpoint {
             worker: WorkerId(7),
             kind: 0,
             zone: 0,
             cell: 0,
-            since: 0.0,
+            started_at: 0.0,
             state: WorkerState::Serving,
         };
         let (sender, commands) = mpsc::unbounded_channel();
@@ -69,10 +74,10 @@
             tenant: 0,
             slots: 1.0,
             memory: 0.0,
-            patience: 0.0,
-            retry: false,
-            expected: None,
-            key: None,
+            timeout: 0.0,
+            is_retry: false,
+            expected_run_time: None,
+            affinity_key: None,
         };
         self.handle.submit(Job { request, patience, payload })
     }
@@ -151,7 +156,7 @@
         let mut again = bench.submit_as("a1");
         let (request, attempt) = bench.attempt().await;
         // What a worker cannot use ends here: no other is asked.
-        bench.handle.tell(Input::Ended(request, attempt, Outcome::Rejected, Bytes::new(), None));
+        bench.handle.tell(Input::Ended(request, attempt, Outcome::InvalidRequest, Bytes::new(), None));
         assert_eq!(again.answer().await, Answer::Rejected(Fault::Unusable));
     });
 }
@@ -218,12 +223,12 @@
 fn what_comes_before_discovery_is_heard_waits_for_it() {
     run(async {
         let mut bench = Bench::start_unheard(HOUR);
-        assert!(matches!(bench.commands.recv().await, Some(Command::List(Scope::Saved, _))));
+        assert!(matches!(bench.commands.recv().await, Some(Command::List(ListScope::Cached, _))));
         assert_eq!(bench.submit(20_000).answer().await, Answer::Refused(None), "its time is up");
         drop(bench.submit(HOUR));
         let mut waits = bench.submit(HOUR);
-        bench.handle.tell(Input::List(Scope::Full, Vec::new()));
-        assert!(matches!(bench.commands.recv().await, Some(Command::List(Scope::Full, _))));
+        bench.handle.tell(Input::List(ListScope::Full, Vec::new()));
+        assert!(matches!(bench.commands.recv().await, Some(Command::List(ListScope::Full, _))));
         assert!(matches!(waits.answer().await, Answer::Refused(Some(_))), "no worker is left");
         assert!(bench.commands.try_recv().is_err(), "nothing was sent");
     });
@@ -245,11 +250,11 @@
     run(async {
         let mut bench = Bench::start(1000.0);
         assert!(
-            matches!(bench.commands.recv().await, Some(Command::List(Scope::Saved, all)) if all.len() == 1)
+            matches!(bench.commands.recv().await, Some(Command::List(ListScope::Cached, all)) if all.len() == 1)
         );
-        bench.handle.tell(Input::List(Scope::Full, Vec::new()));
+        bench.handle.tell(Input::List(ListScope::Full, Vec::new()));
         assert!(
-            matches!(bench.commands.recv().await, Some(Command::List(Scope::Full, all)) if all.is_empty())
+            matches!(bench.commands.recv().await, Some(Command::List(ListScope::Full, all)) if all.is_empty())
         );
         assert!(matches!(bench.submit(HOUR).answer().await, Answer::Refused(Some(_))));
     });
--- a/crates/dispatcher/tests/pinned_settings.rs
+++ b/crates/dispatcher/tests/pinned_settings.rs
@@ -8,7 +8,8 @@
 use coordination::Times;
 use dispatch_core::settings::worker_id;
 use dispatcher::api::{
-    Class, Group, Load, Member, Repeat, Reports, RoomSettings, Scope, Tenant, WorkerState,
+    CapacityReservation, Class, Endpoint, Idempotency, KeyScope, ListScope, LoadReport, LoadReports, Tenant,
+    WorkerState,
 };
 use dispatcher::config::{self, Config};
 use dispatcher::engine::Listed;
@@ -62,18 +63,18 @@
     let (revision, known) = read(&every_key()).expect("the example is good").known;
     assert_eq!(revision, Some(9));
     let found: Vec<_> = known.iter().map(|Listed { member, address }| (*member, *address)).collect();
-    let member = |name: &str, kind, zone, cell, since, state| Member {
+    let member = |name: &str, kind, zone, cell, since, state| Endpoint {
         worker: worker_id(name),
         kind,
         zone,
         cell,
-        since,
+        started_at: since,
         state,
     };
     let expected = [
         (member("w-1", 1, 1, 3, 1.5, WorkerState::Serving), Some(address(9101))),
         (member("w-2", 1, 2, 4, 2.5, WorkerState::Draining), Some(address(9102))),
-        (member("w-3", 2, 1, 5, 3.5, WorkerState::Gone), Some(address(9103))),
+        (member("w-3", 2, 1, 5, 3.5, WorkerState::Removed), Some(address(9103))),
     ];
     assert_eq!(format!("{found:?}"), format!("{:?}", Vec::from(expected)));
 }
@@ -85,50 +86,55 @@
     assert_eq!(settings.instances, 7);
     assert_eq!(settings.zone, 1);
     let class = |repeat, window, aim, stretch, late_worth, kind| Class {
-        repeat,
-        window,
-        aim,
-        stretch,
-        late_worth,
-        kind: Some(kind),
+        idempotency: repeat,
+        key_window: window,
+        latency_objective: aim,
+        run_time_allowance: stretch,
+        late_weight: late_worth,
+        required_kind: Some(kind),
     };
     let classes = vec![
-        class(Repeat::Safe, Class::default().window, 0.6, 1.25, 0.3, 1),
-        class(Repeat::Keyed(Group::Cell), 14.0, 1.1, 2.5, 0.4, 0),
-        class(Repeat::Keyed(Group::Zone), 13.0, 1.2, 3.0, 0.6, 1),
+        class(Idempotency::Idempotent, Class::default().key_window, 0.6, 1.25, 0.3, 1),
+        class(Idempotency::WithKey(KeyScope::Cell), 14.0, 1.1, 2.5, 0.4, 0),
+        class(Idempotency::WithKey(KeyScope::Zone), 13.0, 1.2, 3.0, 0.6, 1),
     ];
     assert_eq!(format!("{:?}", settings.classes), format!("{classes:?}"));
     let tenants = vec![Tenant { share: 0.7, quota: 14.0 }, Tenant { share: 0.3, quota: 6.0 }];
     assert_eq!(format!("{:?}", settings.tenants), format!("{tenants:?}"));
-    assert!(!settings.ask_for_list);
-    assert_eq!(settings.ask_within, 3.5);
-    assert_eq!(settings.reports, Reports::Probes);
-    assert!(settings.marks_retry);
-    assert!(settings.may_probe);
+    assert!(!settings.polls_endpoint_list);
+    assert_eq!(settings.max_poll_interval, 3.5);
+    assert_eq!(settings.load_reports, LoadReports::WithProbes);
+    assert!(settings.clients_mark_retries);
+    assert!(settings.probes_allowed);
     assert_eq!(settings.probe_price, 0.045);
-    assert!(settings.may_cancel);
+    assert!(settings.cancellation_allowed);
     assert_eq!(settings.max_attempts, 4);
     assert_eq!(settings.max_retry_after, 2.5);
-    assert!(settings.tells_start);
-    assert_eq!(settings.progress, 0.35);
-    assert!(settings.second_copies);
-    assert_eq!(settings.cold_share, 0.14);
-    assert_eq!(settings.warm_within, 24.5);
-    assert_eq!(settings.fall_multiple, 3.25);
-    assert_eq!(settings.fall_span, 1.75);
+    assert!(settings.reports_job_start);
+    assert_eq!(settings.progress_interval, 0.35);
+    assert!(settings.hedging_allowed);
+    assert_eq!(settings.slow_start_min_capacity, 0.14);
+    assert_eq!(settings.slow_start_duration, 24.5);
+    assert_eq!(settings.overload_multiple, 3.25);
+    assert_eq!(settings.overload_window, 1.75);
     assert_eq!(settings.cross_zone_price, 0.025);
     assert_eq!(settings.handshake_price, 0.035);
     assert_eq!(settings.keep_alive, 6.0);
-    assert_eq!(settings.resolution, 0.007);
-    assert_eq!(settings.room, None);
+    assert_eq!(settings.clock_resolution, 0.007);
+    assert_eq!(settings.capacity_reservation, None);
 }
 
 #[test]
 fn load_reports_have_the_figures_that_the_settings_name() {
-    let form = read(&every_key()).expect("the example is good").settings.report;
-    let load = Load { free_slots: Some(3.0), queue: Some(4.0), latency: Some(0.5), ..Load::default() };
-    assert_eq!(form.of_json(r#"{"x0":3,"queue":4,"x1":500}"#).load, Some(load));
-    assert_eq!(form.of_text("TEXT x0=3, queue=4, x1=500").load, Some(load));
+    let form = read(&every_key()).expect("the example is good").settings.load_report_format;
+    let load = LoadReport {
+        free_slots: Some(3.0),
+        queue_length: Some(4.0),
+        latency: Some(0.5),
+        ..LoadReport::default()
+    };
+    assert_eq!(form.parse_json(r#"{"x0":3,"queue":4,"x1":500}"#).load, Some(load));
+    assert_eq!(form.parse_text("TEXT x0=3, queue=4, x1=500").load, Some(load));
 }
 
 #[test]
@@ -143,15 +149,15 @@
         read(&root).expect("a good file")
     };
     let asked = with(["discovery", "", ""], "ask");
-    assert!(asked.settings.ask_for_list && !asked.pushed);
+    assert!(asked.settings.polls_endpoint_list && !asked.pushed);
     let watched = with(["discovery", "", ""], "watch");
-    assert!(!watched.settings.ask_for_list && !watched.pushed);
-    assert_eq!(with(["report", "how", ""], "answers").settings.reports, Reports::Answers);
-    assert_eq!(with(["report", "how", ""], "none").settings.reports, Reports::None);
-    let first = |word| with(["profiles", "0", "idempotency"], word).settings.classes[0].repeat;
-    assert_eq!(first("free"), Repeat::Safe);
-    assert_eq!(first("guarded"), Repeat::Keyed(Group::All));
-    assert_eq!(first("no"), Repeat::Unsafe);
+    assert!(!watched.settings.polls_endpoint_list && !watched.pushed);
+    assert_eq!(with(["report", "how", ""], "answers").settings.load_reports, LoadReports::WithResponses);
+    assert_eq!(with(["report", "how", ""], "none").settings.load_reports, LoadReports::None);
+    let first = |word| with(["profiles", "0", "idempotency"], word).settings.classes[0].idempotency;
+    assert_eq!(first("free"), Idempotency::Idempotent);
+    assert_eq!(first("guarded"), Idempotency::WithKey(KeyScope::All));
+    assert_eq!(first("no"), Idempotency::NotIdempotent);
 }
 
 /// The paths of all values in a tree of JSON; a list of plain values is one value.
@@ -205,9 +211,9 @@
         config::list(&value, &names).expect("a good list")
     };
     let whole = list(json!(true));
-    assert_eq!((whole.revision, whole.scope, whole.members.len()), (12, Scope::Full, 3));
-    assert_eq!(list(json!(false)).scope, Scope::Changes);
-    assert_eq!(list(Value::Null).scope, Scope::Changes);
+    assert_eq!((whole.revision, whole.scope, whole.members.len()), (12, ListScope::Full, 3));
+    assert_eq!(list(json!(false)).scope, ListScope::Incremental);
+    assert_eq!(list(Value::Null).scope, ListScope::Incremental);
 }
 
 #[test]
@@ -242,7 +248,10 @@
         _ => None,
     };
     let config = Config::from_environment(variable).expect("good files");
-    assert_eq!(config.settings.room, Some(RoomSettings { from: 8.0, price: 3.5 }));
+    assert_eq!(
+        config.settings.capacity_reservation,
+        Some(CapacityReservation { min_slots: 8.0, price: 3.5 })
+    );
     assert_eq!(config.fleet, Some(expected_fleet()));
     let fault = Config::from_environment(|_| None).expect_err("no file").to_string();
     assert_eq!(fault, "BALANCER_CONFIG: not set; it names the configuration file");
@@ -256,10 +265,10 @@
     let json = folder.join("config.json");
     std::fs::write(&json, EVERY_KEY).expect("a file");
     let variable = |name: &str| (name == "BALANCER_CONFIG").then(|| json.display().to_string());
-    let room = || Config::from_environment(variable).expect("good files").settings.room;
+    let room = || Config::from_environment(variable).expect("good files").settings.capacity_reservation;
     assert_eq!(room(), None);
     std::fs::write(folder.join("cairncrank.hcl"), "room {\n}\n").expect("a file");
-    assert_eq!(room(), Some(RoomSettings { from: 4.0, price: 16.0 }));
+    assert_eq!(room(), Some(CapacityReservation { min_slots: 4.0, price: 16.0 }));
     let _ = std::fs::remove_dir_all(&folder);
 }
 
@@ -300,7 +309,8 @@
 
 #[test]
 fn our_own_settings_have_their_values() {
-    let expected = Own { room: Some(RoomSettings { from: 8.0, price: 3.5 }), fleet: Some(expected_fleet()) };
+    let expected =
+        Own { room: Some(CapacityReservation { min_slots: 8.0, price: 3.5 }), fleet: Some(expected_fleet()) };
     assert_eq!(Own::read("every_key.hcl", EVERY_KEY_HCL).map_err(|fault| fault.to_string()), Ok(expected));
     let not_held = EVERY_KEY_HCL.replace("hold       = true", "hold = false");
     assert_eq!(Own::read("every_key.hcl", &not_held).map(|own| own.room).ok(), Some(None));
@@ -313,7 +323,7 @@
                 \"3\" {\n    address = \"127.0.0.1:3\"\n  }\n  account {\n  }\n  cold {\n    slots = 1\n  }\n  \
                 watch {\n  }\n}\n";
     let own = Own::read("defaults.hcl", text).expect("good settings");
-    assert_eq!(own.room, Some(RoomSettings { from: 4.0, price: 16.0 }));
+    assert_eq!(own.room, Some(CapacityReservation { min_slots: 4.0, price: 16.0 }));
     let expected = Fleet {
         installation: "n".to_owned(),
         listen: address(1),
--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -1,7 +1,7 @@
 //! Holds dispatchers to the four rules, by what the stand-ins saw: clients their answers, workers the jobs that
 //! reached them, discovery what it told. A dispatcher's own word counts for nothing here.
 
-use dispatch_core::api::{Group, Repeat};
+use dispatch_core::api::{Idempotency, KeyScope};
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
@@ -59,7 +59,7 @@
 
 #[derive(Debug)]
 struct Taken {
-    repeat: Repeat,
+    repeat: Idempotency,
     window: Micros,
     deadline: Micros,
     answers: u32,
@@ -94,7 +94,7 @@
     }
 
     /// A client handed in a request, and a dispatcher took it.
-    pub fn took(&mut self, request: u64, repeat: Repeat, window: Micros, deadline: Micros) {
+    pub fn took(&mut self, request: u64, repeat: Idempotency, window: Micros, deadline: Micros) {
         let taken = Taken { repeat, window, deadline, answers: 0, sent: Vec::new(), excused: false };
         self.taken.insert(request, taken);
     }
@@ -114,14 +114,14 @@
         let Some(taken) = self.taken.get_mut(&request) else { return 0 };
         let ran = |s: &&Sent| !s.never_ran;
         let allowed = match taken.repeat {
-            Repeat::Safe => true,
-            Repeat::Unsafe => !taken.sent.iter().any(|s| ran(&s)),
-            Repeat::Keyed(group) => taken.sent.iter().filter(ran).all(|s| {
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => !taken.sent.iter().any(|s| ran(&s)),
+            Idempotency::WithKey(group) => taken.sent.iter().filter(ran).all(|s| {
                 now <= s.at + taken.window
                     && match group {
-                        Group::All => true,
-                        Group::Zone => s.zone == zone,
-                        Group::Cell => s.rack == rack,
+                        KeyScope::All => true,
+                        KeyScope::Zone => s.zone == zone,
+                        KeyScope::Cell => s.rack == rack,
                     }
             }),
         };
@@ -151,7 +151,7 @@
             self.breaches.lost += 1;
         }
         let may_have_run = taken.sent.iter().any(|s| !s.never_ran);
-        let harmless = matches!(taken.repeat, Repeat::Safe | Repeat::Keyed(Group::All));
+        let harmless = matches!(taken.repeat, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All));
         if refused && may_have_run && !harmless {
             self.breaches.dup += 1;
         }
@@ -191,7 +191,7 @@
 mod tests {
     use super::*;
 
-    const CELL: Repeat = Repeat::Keyed(Group::Cell);
+    const CELL: Idempotency = Idempotency::WithKey(KeyScope::Cell);
 
     fn checker() -> Checker {
         let mut checker = Checker::new(Limits { drain_grace: 500, answer_slack: 50 });
@@ -207,7 +207,7 @@
         checker.sent(0, 1, 7, (0, 0), 600);
         checker.answered(1, false, 700);
         assert_eq!(checker.breaches, Breaches::default());
-        checker.took(2, Repeat::Safe, 0, 5000);
+        checker.took(2, Idempotency::Idempotent, 0, 5000);
         checker.sent(0, 2, 7, (0, 0), 601);
         // Another life was not told.
         checker.sent(1, 2, 7, (0, 0), 9000);
--- a/crates/emulator/src/fleet/watching.rs
+++ b/crates/emulator/src/fleet/watching.rs
@@ -23,7 +23,7 @@
 
 use bytes::BytesMut;
 use cluster_member::clock;
-use dispatch_core::api::Repeat;
+use dispatch_core::api::Idempotency;
 use dispatch_core::settings::worker_id;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -68,7 +68,8 @@
 /// New work at a worker that drains ends this long after the drain was told.
 const GRACE: Duration = Duration::from_millis(500);
 /// The classes of jobs, in turn: one that may run as often as it likes, and one that may run once only.
-const CLASSES: [(&str, Repeat); 2] = [("lookup", Repeat::Safe), ("book", Repeat::Unsafe)];
+const CLASSES: [(&str, Idempotency); 2] =
+    [("lookup", Idempotency::Idempotent), ("book", Idempotency::NotIdempotent)];
 /// An arrival is recorded by a busy process: two of them may seem to be closer by this, in microseconds.
 const JITTER: u64 = 100_000;
 
@@ -296,7 +297,7 @@
             "discovery": "push", "resolution-s": 0.001,
             "profiles": CLASSES.map(|(name, repeat)| json!({
                 "name": name, "promise-s": 0.5, "deadline-s": DEADLINE.as_secs_f64(), "late-worth": 0.2,
-                "idempotency": if repeat == Repeat::Safe { "free" } else { "single_shot" },
+                "idempotency": if repeat == Idempotency::Idempotent { "free" } else { "single_shot" },
             })),
             "projects": [{"name": "web", "share": 1.0, "quota-per-s": plan.rate * plan.dispatchers as f64}],
             "caps": {"cancel": true, "dial-timeout-s": 0.25, "keepalive-s": 5.0, "max-retry-after-s": 2.0,
--- a/crates/emulator/src/router.rs
+++ b/crates/emulator/src/router.rs
@@ -3,8 +3,8 @@
 //! All of them are told the same events and answer with the same actions, so the drives know one kind of router.
 
 use dispatch_core::api::{
-    Action, Event, Member, Outcome, Repeat, Request, RequestId, Scope, Seconds, Settings, WorkerId,
-    WorkerState,
+    Action, Endpoint, Event, Idempotency, ListScope, Outcome, Request, RequestId, Seconds, Settings,
+    WorkerId, WorkerState,
 };
 use dispatch_core::Dispatcher;
 use rand::Rng as _;
@@ -160,24 +160,24 @@
             }
             None => {
                 let harmless = held.attempts.iter().all(|(_, end)| end.is_some_and(Outcome::never_ran))
-                    || self.repeat(request) == Repeat::Safe;
+                    || self.repeat(request) == Idempotency::Idempotent;
                 self.open.remove(&request);
                 let wait = self.settings.max_retry_after.min(0.3);
                 actions.push(match harmless {
-                    true => Action::Refuse { request, retry_after: Some(wait) },
+                    true => Action::Reject { request, retry_after: Some(wait) },
                     false => Action::Fail { request },
                 });
             }
         }
     }
 
-    fn repeat(&self, request: RequestId) -> Repeat {
+    fn repeat(&self, request: RequestId) -> Idempotency {
         let class = self.open.get(&request).map_or(0, |open| open.class as usize);
-        self.settings.classes.get(class).map_or(Repeat::Unsafe, |class| class.repeat)
+        self.settings.classes.get(class).map_or(Idempotency::NotIdempotent, |class| class.idempotency)
     }
 
-    fn on_list(&mut self, scope: Scope, members: &[Member]) {
-        if matches!(scope, Scope::Full | Scope::Saved) {
+    fn on_list(&mut self, scope: ListScope, members: &[Endpoint]) {
+        if matches!(scope, ListScope::Full | ListScope::Cached) {
             self.states.clear();
         }
         for member in members {
@@ -198,7 +198,7 @@
                 self.open.insert(id, Held { class, attempts: Vec::new() });
                 self.push(id, actions, sight);
             }
-            Event::Ended { request, attempt, outcome, complete, .. } => {
+            Event::AttemptEnded { request, attempt, outcome, complete, .. } => {
                 let Some(held) = self.open.get_mut(&request) else { return };
                 let Some((worker, end)) = held.attempts.get_mut(attempt as usize) else { return };
                 let worker = *worker;
@@ -209,14 +209,15 @@
                 let expired = outcome == Outcome::Timeout;
                 if complete {
                     self.open.remove(&request);
-                } else if !expired && (outcome.never_ran() || self.repeat(request) == Repeat::Safe) {
+                } else if !expired && (outcome.never_ran() || self.repeat(request) == Idempotency::Idempotent)
+                {
                     self.push(request, actions, sight);
                 } else {
                     self.open.remove(&request);
                     actions.push(Action::Fail { request });
                 }
             }
-            Event::ClientGone(id) => {
+            Event::ClientDisconnected(id) => {
                 if let Some(held) = self.open.remove(&id) {
                     for (n, (worker, end)) in held.attempts.iter().enumerate() {
                         if end.is_none() {
@@ -228,7 +229,7 @@
                     }
                 }
             }
-            Event::List { scope, members } => self.on_list(scope, members),
+            Event::EndpointList { scope, endpoints: members } => self.on_list(scope, members),
             _ => {}
         }
     }
