--- a/crates/emulator/src/sockets/client.rs
+++ b/crates/emulator/src/sockets/client.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 use bytes::BytesMut;
-use dispatch_core::api::Repeat;
+use dispatch_core::api::Idempotency;
 use tokio::io::AsyncWriteExt as _;
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
@@ -61,7 +61,7 @@
         let plan = &shared.day.jobs[job as usize];
         let class = &shared.experiment.traffic.classes[plan.class as usize];
         let deadline = plan.at + shared.patience(job);
-        (deadline, plan.leaves, plan.retries, plan.honours, class.repeat == Repeat::Safe)
+        (deadline, plan.leaves, plan.retries, plan.honours, class.repeat == Idempotency::Idempotent)
     };
     let mut second = false;
     loop {
@@ -183,7 +183,7 @@
     let tenant = shared.experiment.traffic.tenants.get(plan.tenant as usize).map_or("", |t| &t.name);
     let left = (shared.seconds_left(deadline) * 1e3) as u64;
     let key = match class.repeat {
-        Repeat::Keyed(_) => format!("Idempotency-Key: {:032x}\r\n", u128::from(job) + 1),
+        Idempotency::WithKey(_) => format!("Idempotency-Key: {:032x}\r\n", u128::from(job) + 1),
         _ => String::new(),
     };
     format!(
--- a/crates/emulator/src/sockets/program.rs
+++ b/crates/emulator/src/sockets/program.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::BytesMut;
-use dispatch_core::api::{Group, Repeat};
+use dispatch_core::api::{Idempotency, KeyScope};
 use serde_json::{json, Value};
 use tokio::io::AsyncWriteExt as _;
 use tokio::net::{TcpListener, TcpStream};
@@ -52,7 +52,9 @@
         let settings = settings(world, arm, host);
         let own = config.with_extension("hcl");
         let own_text = match arm.room {
-            Some(room) => format!("room {{\n  from_slots = {}\n  price = {}\n}}\n", room.from, room.price),
+            Some(room) => {
+                format!("room {{\n  from_slots = {}\n  price = {}\n}}\n", room.min_slots, room.price)
+            }
             None => "room {\n  hold = false\n}\n".to_owned(),
         };
         Ok(Program { path: path.to_owned(), config, own, own_text, host, settings, discovery, child: None })
@@ -141,12 +143,12 @@
     let shared = world.borrow();
     let (experiment, day) = (&shared.experiment, &shared.day);
     let rules = &experiment.rules;
-    let repeat = |repeat: Repeat| match repeat {
-        Repeat::Safe => ("free", "all"),
-        Repeat::Unsafe => ("single_shot", "all"),
-        Repeat::Keyed(Group::All) => ("guarded", "all"),
-        Repeat::Keyed(Group::Zone) => ("guarded", "zone"),
-        Repeat::Keyed(Group::Cell) => ("guarded", "cell"),
+    let repeat = |repeat: Idempotency| match repeat {
+        Idempotency::Idempotent => ("free", "all"),
+        Idempotency::NotIdempotent => ("single_shot", "all"),
+        Idempotency::WithKey(KeyScope::All) => ("guarded", "all"),
+        Idempotency::WithKey(KeyScope::Zone) => ("guarded", "zone"),
+        Idempotency::WithKey(KeyScope::Cell) => ("guarded", "cell"),
     };
     let classes = &experiment.traffic.classes;
     let profiles = classes.iter().map(|c| {
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -4,7 +4,7 @@
 //! labelled blocks (kinds, classes, tenants) is taken from there whole. What still is a span of figures is drawn for
 //! each day by [`crate::day`].
 
-use dispatch_core::api::{Group, Repeat, RoomSettings};
+use dispatch_core::api::{CapacityReservation, Idempotency, KeyScope};
 use hcl_config::{Read, Section, Value};
 
 /// The figures that hold where an experiment says nothing.
@@ -77,7 +77,7 @@
     /// The part of it that a late answer earns.
     pub late_worth: f64,
     /// What a repeat does.
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// How long a rack drops repeats, in seconds.
     pub window: f64,
 }
@@ -179,7 +179,7 @@
     /// Second copies are allowed.
     pub copies: bool,
     /// Room for large jobs.
-    pub room: Option<RoomSettings>,
+    pub room: Option<CapacityReservation>,
 }
 
 /// An experiment.
@@ -468,11 +468,11 @@
 
 fn class(s: &Section) -> Read<ClassSpec> {
     let repeats = [
-        ("safe", Repeat::Safe),
-        ("rack", Repeat::Keyed(Group::Cell)),
-        ("zone", Repeat::Keyed(Group::Zone)),
-        ("all", Repeat::Keyed(Group::All)),
-        ("unsafe", Repeat::Unsafe),
+        ("safe", Idempotency::Idempotent),
+        ("rack", Idempotency::WithKey(KeyScope::Cell)),
+        ("zone", Idempotency::WithKey(KeyScope::Zone)),
+        ("all", Idempotency::WithKey(KeyScope::All)),
+        ("unsafe", Idempotency::NotIdempotent),
     ];
     let dists =
         [("pareto", Dist::Pareto), ("lognormal", Dist::Lognormal), ("exponential", Dist::Exponential)];
@@ -507,7 +507,7 @@
         patience: need(s, "patience_s", s.number("patience_s", 0.001..=1e6)?)?,
         worth: s.number("worth", 0.0..=1e6)?.unwrap_or(1.0),
         late_worth: s.number("late_worth", 0.0..=1.0)?.unwrap_or(0.0),
-        repeat: s.word("repeat", &repeats)?.unwrap_or(Repeat::Safe),
+        repeat: s.word("repeat", &repeats)?.unwrap_or(Idempotency::Idempotent),
         window: s.number("window_s", 0.0..=86_400.0)?.unwrap_or(0.0),
     })
 }
@@ -629,8 +629,8 @@
         copies: s.flag("copies")?.unwrap_or(true),
         room: match s.section("room")? {
             None => None,
-            Some(room) => Some(RoomSettings {
-                from: room.number("from_slots", 2.0..=1024.0)?.unwrap_or(4.0),
+            Some(room) => Some(CapacityReservation {
+                min_slots: room.number("from_slots", 2.0..=1024.0)?.unwrap_or(4.0),
                 price: room.number("price", 0.0..=1000.0)?.unwrap_or(16.0),
             }),
         },
--- a/crates/emulator/src/virtual_time/world.rs
+++ b/crates/emulator/src/virtual_time/world.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use dispatch_core::api::{
-    Action, Class, Event, Member, Outcome, Repeat, Request, RequestId, Scope, Seconds, Settings, Tenant,
-    WorkerId, WorkerState,
+    Action, Class, Endpoint, Event, Idempotency, ListScope, Outcome, Request, RequestId, Seconds, Settings,
+    Tenant, WorkerId, WorkerState,
 };
 use dispatch_core::settings::worker_id;
 use rand::Rng as _;
@@ -80,7 +80,7 @@
     zone: u32,
     life: u32,
     /// The list, as the agent on its machine has it, and as it last held it itself.
-    agent: BTreeMap<u64, Member>,
+    agent: BTreeMap<u64, Endpoint>,
     /// Tries that it took and has not concluded, or whose attempts are out.
     open: FxHashMap<RequestId, Open>,
     /// When the idle connections to each worker were last used.
@@ -135,7 +135,7 @@
     index: FxHashMap<WorkerId, u32>,
     tries: Vec<Try>,
     attempts: Vec<Attempt>,
-    lists: Vec<Vec<Member>>,
+    lists: Vec<Vec<Endpoint>>,
     publications: BTreeMap<Micros, u32>,
     noise: Vec<Option<LogNormal<f64>>>,
     checker: Checker,
@@ -195,7 +195,7 @@
         for plan in &day.workers {
             world.enlist(Worker::new(plan.clone(), None, DAWN, progress()));
         }
-        let members: Vec<Member> = (0..world.workers.len()).map(|w| world.member(w as u32)).collect();
+        let members: Vec<Endpoint> = (0..world.workers.len()).map(|w| world.member(w as u32)).collect();
         for plan in &day.dispatchers {
             world.hosts.push(Host {
                 router: None,
@@ -279,7 +279,7 @@
             Happens::Ends(w, process) => {
                 if self.processes[w as usize] == process {
                     self.kill(w);
-                    self.publish(self.member_as(w, WorkerState::Gone), self.day.discovery.notice);
+                    self.publish(self.member_as(w, WorkerState::Removed), self.day.discovery.notice);
                 }
             }
             Happens::Starts(w) => self.on_start(w),
@@ -328,10 +328,10 @@
             tenant: job.tenant,
             slots: f64::from(job.slots),
             memory: 0.0,
-            patience: seconds(deadline - self.now),
-            retry: false,
-            expected: None,
-            key: None,
+            timeout: seconds(deadline - self.now),
+            is_retry: false,
+            expected_run_time: None,
+            affinity_key: None,
         };
         self.tell(host, Event::Request(request));
         let answered = self.hosts[host as usize].open.get(&id).is_none_or(|open| open.answered);
@@ -354,7 +354,7 @@
         self.conclude(n, End::Left);
         self.settle(n);
         let host = self.day.jobs[self.tries[n as usize].job as usize].dispatcher;
-        self.tell(host, Event::ClientGone(id));
+        self.tell(host, Event::ClientDisconnected(id));
         self.tidy(host, id);
     }
 
@@ -382,7 +382,7 @@
         let harmless =
             open.is_some_and(|o| o.never_ran && !o.attempt.iter().any(|a| self.attempts[*a as usize].out));
         self.answer(n, harmless.then_some(None));
-        self.tell(host, Event::ClientGone(id));
+        self.tell(host, Event::ClientDisconnected(id));
         self.tidy(host, id);
     }
 
@@ -397,7 +397,7 @@
         let class = &self.experiment.traffic.classes[job.class as usize];
         match refused {
             Some(after) => self.retry_or(n, after, End::Refused(self.now)),
-            None if class.repeat == Repeat::Safe => self.retry_or(n, None, End::Failed(self.now)),
+            None if class.repeat == Idempotency::Idempotent => self.retry_or(n, None, End::Failed(self.now)),
             None => self.conclude(n, End::Failed(self.now)),
         }
         self.settle(n);
@@ -447,30 +447,30 @@
             zone: self.day.dispatchers[host].zone,
             classes: classes
                 .map(|c| Class {
-                    repeat: c.repeat,
-                    window: c.window,
-                    aim: c.aim,
-                    stretch: c.stretch,
-                    late_worth: c.late_worth,
-                    kind: None,
+                    idempotency: c.repeat,
+                    key_window: c.window,
+                    latency_objective: c.aim,
+                    run_time_allowance: c.stretch,
+                    late_weight: c.late_worth,
+                    required_kind: None,
                 })
                 .collect(),
             tenants: tenants
                 .map(|(t, quota)| Tenant { share: t.share, quota: quota * self.arm.quota })
                 .collect(),
-            may_cancel: true,
+            cancellation_allowed: true,
             max_attempts: self.arm.attempts.unwrap_or(rules.attempts),
             max_retry_after: self.experiment.clients.retry_after,
-            tells_start: true,
-            progress: seconds(progress()),
-            second_copies: self.arm.copies,
-            cold_share: rules.cold_share,
-            warm_within: rules.warm,
-            fall_multiple: rules.fall_multiple,
-            fall_span: rules.fall,
+            reports_job_start: true,
+            progress_interval: seconds(progress()),
+            hedging_allowed: self.arm.copies,
+            slow_start_min_capacity: rules.cold_share,
+            slow_start_duration: rules.warm,
+            overload_multiple: rules.fall_multiple,
+            overload_window: rules.fall,
             cross_zone_price: rules.cross_zone_price,
-            resolution: RESOLUTION,
-            room: self.arm.room,
+            clock_resolution: RESOLUTION,
+            capacity_reservation: self.arm.room,
             ..Settings::default()
         }
     }
@@ -481,18 +481,18 @@
         let h = &mut self.hosts[host as usize];
         let seed = self.day.seed ^ (u64::from(host) << 32) ^ (u64::from(h.life) << 48);
         h.router = Some((self.make)(settings, seed));
-        let known: Vec<Member> = h.agent.values().copied().collect();
+        let known: Vec<Endpoint> = h.agent.values().copied().collect();
         let mut actions = std::mem::take(&mut self.actions);
         if let Some(router) = &mut h.router {
             router.start(seconds(self.now), &mut actions);
         }
         self.act(host, actions);
-        self.tell(host, Event::List { scope: Scope::Saved, members: &known });
+        self.tell(host, Event::EndpointList { scope: ListScope::Cached, endpoints: &known });
         self.told_of(host, &known);
-        self.tell(host, Event::List { scope: Scope::Full, members: &known });
+        self.tell(host, Event::EndpointList { scope: ListScope::Full, endpoints: &known });
     }
 
-    fn told_of(&mut self, host: u32, members: &[Member]) {
+    fn told_of(&mut self, host: u32, members: &[Endpoint]) {
         let life = self.life(host);
         for member in members.iter().filter(|m| m.state != WorkerState::Serving) {
             self.checker.told_drain(life, member.worker.0, self.now);
@@ -510,7 +510,7 @@
         h.agent.extend(members.iter().map(|m| (m.worker.0, *m)));
         if h.router.is_some() {
             self.told_of(host, &members);
-            self.tell(host, Event::List { scope: Scope::Changes, members: &members });
+            self.tell(host, Event::EndpointList { scope: ListScope::Incremental, endpoints: &members });
         }
         self.lists[list as usize] = members;
     }
@@ -528,7 +528,7 @@
         for action in actions.drain(..) {
             match action {
                 Action::Send { request, worker, timeout } => self.send(host, request, worker, timeout),
-                Action::Refuse { request, retry_after } => {
+                Action::Reject { request, retry_after } => {
                     self.answer((request.0 - 1) as u32, Some(retry_after));
                     self.tidy(host, request);
                 }
@@ -551,9 +551,9 @@
                     }
                 }
                 Action::Watch(_)
-                | Action::FetchList
+                | Action::FetchEndpointList
                 | Action::Probe(_)
-                | Action::Tell { .. }
+                | Action::SendToPeer { .. }
                 | Action::Log(_) => {}
             }
         }
@@ -596,7 +596,7 @@
             run: None,
         });
         if late {
-            return self.end(n, Outcome::Moot);
+            return self.end(n, Outcome::NotSent);
         }
         if let Some(timeout) = timeout {
             self.at(self.now + micros(timeout), Happens::AttemptDeadline(n));
@@ -645,7 +645,7 @@
             .get(&self.ids[w as usize].0)
             .is_some_and(|m| m.state == WorkerState::Serving);
         if !serving {
-            return self.end(n, Outcome::Moot);
+            return self.end(n, Outcome::NotSent);
         }
         let place = (self.workers[w as usize].plan.zone, self.workers[w as usize].plan.rack);
         let life = self.life(host);
@@ -700,7 +700,7 @@
             self.settle(try_no);
         }
         let complete = !self.is_open(try_no);
-        self.tell(host, Event::Ended { request: id, attempt: number, outcome, complete, load: None });
+        self.tell(host, Event::AttemptEnded { request: id, attempt: number, outcome, complete, load: None });
         self.tidy(host, id);
     }
 
@@ -720,24 +720,24 @@
         w
     }
 
-    fn member(&self, w: u32) -> Member {
+    fn member(&self, w: u32) -> Endpoint {
         self.member_as(w, WorkerState::Serving)
     }
 
-    fn member_as(&self, w: u32, state: WorkerState) -> Member {
+    fn member_as(&self, w: u32, state: WorkerState) -> Endpoint {
         let worker = &self.workers[w as usize];
-        Member {
+        Endpoint {
             worker: self.ids[w as usize],
             kind: worker.plan.kind as u32,
             zone: worker.plan.zone,
             cell: worker.plan.rack,
-            since: worker.since.map_or(0.0, seconds),
+            started_at: worker.since.map_or(0.0, seconds),
             state,
         }
     }
 
     /// A change of the list goes out with the others of its period.
-    fn publish(&mut self, member: Member, after: Micros) {
+    fn publish(&mut self, member: Endpoint, after: Micros) {
         let period = self.day.discovery.period.max(1);
         let at = (self.now + after).div_ceil(period) * period;
         let list = match self.publications.get(&at) {
@@ -771,7 +771,7 @@
         let fails = self.rng.random_bool(worker.plan.errors);
         let known = self.hosts[host as usize].agent.get(&self.ids[w as usize].0);
         let since = worker.since.map_or(0.0, seconds);
-        let informed = known.is_some_and(|m| m.since >= since);
+        let informed = known.is_some_and(|m| m.started_at >= since);
         let usual = self.day.means[job.class as usize] * f64::from(job.slots);
         let work = job.work * noise;
         let task = Task { attempt: n as usize, slots: job.slots, work, usual, fails, informed };
@@ -782,7 +782,7 @@
         if let Some(fallen) = fallen {
             self.checker.fell_over(fallen.by_informed);
             self.processes[w as usize] += 1;
-            self.publish(self.member_as(w, WorkerState::Gone), self.day.discovery.silent);
+            self.publish(self.member_as(w, WorkerState::Removed), self.day.discovery.silent);
         }
         self.said(w, notes);
     }
@@ -836,7 +836,7 @@
             Note::Running(_, done) => return self.tell(host, Event::Progress { request, attempt, done }),
             Note::Done(_) => Outcome::Ok,
             Note::Failed(_) => Outcome::Error,
-            Note::Returned(_) => Outcome::Full,
+            Note::Returned(_) => Outcome::Overloaded,
             Note::Lost(_) => Outcome::Reset,
         };
         if outcome != Outcome::Reset && self.processes[w as usize] == process {
@@ -934,7 +934,7 @@
                 let job = &self.day.jobs[self.tries[n as usize].job as usize];
                 let class = &self.experiment.traffic.classes[job.class as usize];
                 match class.repeat {
-                    Repeat::Safe => self.retry_or(n, None, End::Failed(self.now)),
+                    Idempotency::Idempotent => self.retry_or(n, None, End::Failed(self.now)),
                     _ => self.conclude(n, End::Failed(self.now)),
                 }
             }
--- a/crates/emulator/tests/stable_results.rs
+++ b/crates/emulator/tests/stable_results.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 
 use coordination::Flaw;
-use dispatch_core::api::{Action, Event, Outcome, Scope, Seconds, WorkerState};
+use dispatch_core::api::{Action, Event, ListScope, Outcome, Seconds, WorkerState};
 use dispatch_core::Settings;
 use emulator::day::Day;
 use emulator::fleet::hours::live;
@@ -152,15 +152,15 @@
         Action::Send { request, worker, timeout } => {
             format!("send request {} to {:016x} within {timeout:?}", request.0, worker.0)
         }
-        Action::Refuse { request, retry_after } => format!("refuse {} until {retry_after:?}", request.0),
+        Action::Reject { request, retry_after } => format!("refuse {} until {retry_after:?}", request.0),
         Action::Fail { request } => format!("fail {}", request.0),
         Action::Cancel { request, attempt } => format!("cancel {} attempt {attempt}", request.0),
         Action::Probe(worker) => format!("probe {:016x}", worker.0),
         Action::SetTimer { after, token } => format!("timer {token:x} after {after}"),
         Action::Watch(on) => format!("watch {on}"),
-        Action::FetchList => "fetch the list".to_owned(),
+        Action::FetchEndpointList => "fetch the list".to_owned(),
         Action::CloseIdle(worker) => format!("close idle {:016x}", worker.0),
-        Action::Tell { to, data } => format!("tell {to:?} {data:02x?}"),
+        Action::SendToPeer { to, data } => format!("tell {to:?} {data:02x?}"),
         Action::Log(line) => format!("log {}", line.len()),
     }
 }
@@ -169,14 +169,14 @@
     match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
-        Outcome::Full => "full",
+        Outcome::Overloaded => "full",
         Outcome::Timeout => "timeout",
         Outcome::ConnectFailed => "no connection",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "never sent",
-        Outcome::Stale => "stale connection",
-        Outcome::Rejected => "unusable",
+        Outcome::NotSent => "never sent",
+        Outcome::StaleConnection => "stale connection",
+        Outcome::InvalidRequest => "unusable",
     }
 }
 
@@ -184,35 +184,35 @@
     match event {
         Event::Request(request) => format!(
             "request {} class {} tenant {} slots {} patience {} retry {}",
-            request.id.0, request.class, request.tenant, request.slots, request.patience, request.retry
+            request.id.0, request.class, request.tenant, request.slots, request.timeout, request.is_retry
         ),
         Event::JobStarted { request, attempt } => format!("started {} attempt {attempt}", request.0),
         Event::Progress { request, attempt, done } => {
             format!("progress {} attempt {attempt} {done}", request.0)
         }
-        Event::Ended { request, attempt, outcome, complete, .. } => {
+        Event::AttemptEnded { request, attempt, outcome, complete, .. } => {
             format!("ended {} attempt {attempt} {} {complete}", request.0, outcome_text(*outcome))
         }
-        Event::ClientGone(request) => format!("client of {} left", request.0),
+        Event::ClientDisconnected(request) => format!("client of {} left", request.0),
         Event::Timer(token) => format!("timer {token:x}"),
-        Event::List { scope, members } => {
+        Event::EndpointList { scope, endpoints: members } => {
             let scope = match scope {
-                Scope::Full => "full",
-                Scope::Saved => "saved",
-                Scope::Changes => "changes",
-                Scope::Failed => "failed",
+                ListScope::Full => "full",
+                ListScope::Cached => "saved",
+                ListScope::Incremental => "changes",
+                ListScope::Failed => "failed",
             };
             let mut text = format!("list {scope}");
             for member in *members {
                 let state = match member.state {
                     WorkerState::Serving => "serving",
                     WorkerState::Draining => "draining",
-                    WorkerState::Gone => "gone",
+                    WorkerState::Removed => "gone",
                 };
                 let _ = write!(
                     text,
                     "; {:016x} kind {} zone {} rack {} since {} {state}",
-                    member.worker.0, member.kind, member.zone, member.cell, member.since
+                    member.worker.0, member.kind, member.zone, member.cell, member.started_at
                 );
             }
             text
--- a/crates/emulator/tests/virtual_time.rs
+++ b/crates/emulator/tests/virtual_time.rs
@@ -64,7 +64,7 @@
     }
 
     fn on_event(&mut self, now: Seconds, event: Event<'_>, actions: &mut Vec<Action>, sight: &dyn Sight) {
-        if let Event::List { members, .. } = event {
+        if let Event::EndpointList { endpoints: members, .. } = event {
             for member in members {
                 if member.state == WorkerState::Serving {
                     self.workers.push(member.worker);
@@ -114,7 +114,7 @@
 fn a_refusal_of_what_may_have_run_is_caught() {
     let found = breaches("hang", |_, event, actions| {
         if let Event::JobStarted { request, .. } = event {
-            actions.push(Action::Refuse { request, retry_after: None });
+            actions.push(Action::Reject { request, retry_after: None });
         }
     });
     assert!(found.dup > 0, "{found:?}");
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -13,11 +13,12 @@
 use rustc_hash::FxHashMap;
 
 use dispatch_core::api::{
-    Action, Event, Load, Member, Outcome, Request, RequestId, Scope, Seconds, WorkerId, WorkerState,
+    Action, Endpoint, Event, ListScope, LoadReport, Outcome, Request, RequestId, Seconds, WorkerId,
+    WorkerState,
 };
-use dispatch_core::report::Form;
+use dispatch_core::load_report::LoadReportFormat;
 pub use dispatch_core::settings::worker_id;
-use dispatch_core::settings::{bad, settings, Bad, Pairs, Parsed};
+use dispatch_core::settings::{invalid, parse_settings, InvalidValue, Parsed, SettingsPairs};
 use dispatch_core::Dispatcher;
 
 /// How many numbered worker lists the wire keeps.
@@ -83,21 +84,21 @@
     fn opt<T: FromStr>(&mut self, what: &str) -> Parsed<Option<T>> {
         match self.text() {
             None => Ok(None),
-            Some(v) => v.parse().map(Some).or_else(|_| bad(what, v)),
+            Some(v) => v.parse().map(Some).or_else(|_| invalid(what, v)),
         }
     }
 
     fn need<T: FromStr>(&mut self, what: &str) -> Parsed<T> {
         match self.opt(what)? {
             Some(v) => Ok(v),
-            None => bad(what, "nothing"),
+            None => invalid(what, "nothing"),
         }
     }
 
     /// A finite number.
     fn num(&mut self, what: &str) -> Parsed<Option<f64>> {
         match self.opt::<f64>(what)? {
-            Some(v) if !v.is_finite() => bad(what, &v.to_string()),
+            Some(v) if !v.is_finite() => invalid(what, &v.to_string()),
             v => Ok(v),
         }
     }
@@ -106,7 +107,7 @@
         match self.text() {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(v) => bad(what, v),
+            Some(v) => invalid(what, v),
         }
     }
 }
@@ -114,12 +115,12 @@
 /// One hosted dispatcher.
 struct Instance {
     dispatcher: Dispatcher,
-    report: Form,
+    report: LoadReportFormat,
 }
 
 impl Instance {
-    fn load(&self, text: Option<&str>) -> Parsed<Option<Load>> {
-        text.map(|text| self.report.by_place(text)).transpose()
+    fn load(&self, text: Option<&str>) -> Parsed<Option<LoadReport>> {
+        text.map(|text| self.report.parse_positional(text)).transpose()
     }
 }
 
@@ -128,7 +129,7 @@
 pub struct Host {
     instances: FxHashMap<Box<str>, Instance>,
     names: FxHashMap<WorkerId, Box<str>>,
-    lists: [Vec<Member>; LISTS],
+    lists: [Vec<Endpoint>; LISTS],
     /// The instance that the events at hand concern, and the one that the reply speaks for.
     context: Box<str>,
     speaker: Box<str>,
@@ -159,7 +160,8 @@
             if input.read_until(b'\n', &mut buffer)? == 0 {
                 return if self.in_batch {
                     self.line += 1;
-                    Err(self.located(Bad { expected: "EOF_BATCH".into(), found: "end of input".into() }))
+                    Err(self
+                        .located(InvalidValue { expected: "EOF_BATCH".into(), found: "end of input".into() }))
                 } else {
                     Ok(())
                 };
@@ -167,7 +169,7 @@
             self.line += 1;
             let step = match std::str::from_utf8(&buffer) {
                 Ok(line) => self.line(line.trim_end_matches(['\n', '\r'])),
-                Err(_) => bad("UTF-8 text", &String::from_utf8_lossy(&buffer)),
+                Err(_) => invalid("UTF-8 text", &String::from_utf8_lossy(&buffer)),
             };
             if step.map_err(|b| self.located(b))? {
                 output.write_all(self.reply.as_bytes())?;
@@ -177,7 +179,7 @@
         }
     }
 
-    fn located(&self, b: Bad) -> HostError {
+    fn located(&self, b: InvalidValue) -> HostError {
         HostError::Malformed(Malformed { line: self.line, expected: b.expected, found: b.found })
     }
 
@@ -187,7 +189,7 @@
         let name = fields.0.next().unwrap_or("");
         if let Some((list, missing)) = self.reading {
             if name != "WORKER" {
-                return bad("a WORKER line of the list", line);
+                return invalid("a WORKER line of the list", line);
             }
             let member = self.member(&mut fields)?;
             self.lists[list].push(member);
@@ -198,13 +200,13 @@
             "SYNC" if !self.in_batch => {
                 self.now = match fields.num("the clock in seconds")? {
                     Some(now) => now,
-                    None => return bad("the clock in seconds", "nothing"),
+                    None => return invalid("the clock in seconds", "nothing"),
                 };
                 self.in_batch = true;
                 self.speaker = Box::default();
             }
             "" if !self.in_batch => {}
-            _ if !self.in_batch => return bad("SYNC", line),
+            _ if !self.in_batch => return invalid("SYNC", line),
             "EOF_BATCH" => {
                 self.in_batch = false;
                 self.reply.push_str("OK\n");
@@ -213,7 +215,7 @@
             "CONTEXT" => {
                 let name: &str = match fields.text() {
                     Some(name) => name,
-                    None => return bad("an instance", "nothing"),
+                    None => return invalid("an instance", "nothing"),
                 };
                 if *self.context != *name {
                     self.context = name.into();
@@ -222,7 +224,7 @@
             "REGISTER" => {
                 let list: usize = fields.need("a list number from 0 to 15")?;
                 if list >= LISTS {
-                    return bad("a list number from 0 to 15", &list.to_string());
+                    return invalid("a list number from 0 to 15", &list.to_string());
                 }
                 let count: usize = fields.need("a count of entries")?;
                 self.lists[list].clear();
@@ -230,12 +232,12 @@
             }
             "INIT" => {
                 if self.context.is_empty() {
-                    return bad("CONTEXT before INIT", line);
+                    return invalid("CONTEXT before INIT", line);
                 }
                 let seed = fields.need("a seed")?;
-                let pairs = Pairs::read(fields.0)?;
-                let settings = settings(&pairs)?;
-                let report = settings.report.clone();
+                let pairs = SettingsPairs::parse(fields.0)?;
+                let settings = parse_settings(&pairs)?;
+                let report = settings.load_report_format.clone();
                 let mut dispatcher = Dispatcher::new(settings, seed);
                 dispatcher.start(self.now, &mut self.actions);
                 self.instances.insert(self.context.clone(), Instance { dispatcher, report });
@@ -249,24 +251,24 @@
         Ok(false)
     }
 
-    fn member(&mut self, fields: &mut Fields<'_>) -> Parsed<Member> {
-        let Some(name) = fields.text() else { return bad("a worker", "nothing") };
+    fn member(&mut self, fields: &mut Fields<'_>) -> Parsed<Endpoint> {
+        let Some(name) = fields.text() else { return invalid("a worker", "nothing") };
         let worker = worker_id(name);
         self.names.entry(worker).or_insert_with(|| name.into());
         let kind = fields.opt("a machine type")?.unwrap_or(0);
         // Slots and paces are learned, so this is checked and left.
         fields.num("a capacity hint")?;
-        Ok(Member {
+        Ok(Endpoint {
             worker,
             kind,
-            since: fields.num("a start time")?.unwrap_or(0.0),
+            started_at: fields.num("a start time")?.unwrap_or(0.0),
             zone: fields.opt("a zone")?.unwrap_or(0),
             cell: fields.opt("a cell")?.unwrap_or(0),
             state: match fields.text() {
                 Some("SERVING") => WorkerState::Serving,
                 Some("DRAINING") => WorkerState::Draining,
-                Some("DELETED") => WorkerState::Gone,
-                other => return bad("SERVING, DRAINING or DELETED", other.unwrap_or("nothing")),
+                Some("DELETED") => WorkerState::Removed,
+                other => return invalid("SERVING, DRAINING or DELETED", other.unwrap_or("nothing")),
             },
         })
     }
@@ -288,7 +290,17 @@
                 let expected = f.num("expected work")?.filter(|_| flags & 1 != 0);
                 let class = f.opt("a class")?.unwrap_or(0);
                 let key = f.opt("a key")?;
-                Event::Request(Request { id, class, tenant, slots, memory, patience, retry, expected, key })
+                Event::Request(Request {
+                    id,
+                    class,
+                    tenant,
+                    slots,
+                    memory,
+                    timeout: patience,
+                    is_retry: retry,
+                    expected_run_time: expected,
+                    affinity_key: key,
+                })
             }
             "STARTED" => Event::StreamStarted {
                 request: RequestId(f.need("a request")?),
@@ -315,49 +327,49 @@
                 let outcome = match f.need::<u32>("an outcome")? {
                     0 => Outcome::Ok,
                     13 => Outcome::Error,
-                    8 => Outcome::Full,
+                    8 => Outcome::Overloaded,
                     4 => Outcome::Timeout,
                     14 => Outcome::ConnectFailed,
                     10 => Outcome::Reset,
                     1 => Outcome::Cancelled,
-                    9 => Outcome::Moot,
-                    other => return bad("an outcome", &other.to_string()),
+                    9 => Outcome::NotSent,
+                    other => return invalid("an outcome", &other.to_string()),
                 };
                 let load = instance.load(f.text())?;
-                Event::Ended { request, attempt, outcome, complete, load }
+                Event::AttemptEnded { request, attempt, outcome, complete, load }
             }
-            "CANCELLED_BY_CLIENT" => Event::ClientGone(RequestId(f.need("a request")?)),
+            "CANCELLED_BY_CLIENT" => Event::ClientDisconnected(RequestId(f.need("a request")?)),
             "DEADLINE_HIT" => Event::Timer(f.need("a timer's name")?),
             "HEALTH_RESULT" => {
                 let ok = f.need::<u32>("an outcome")? == 0;
-                let Some(worker) = f.text() else { return bad("a worker", "nothing") };
+                let Some(worker) = f.text() else { return invalid("a worker", "nothing") };
                 f.num("a time since the send")?;
-                Event::Probed { worker: worker_id(worker), ok, load: instance.load(f.text())? }
+                Event::ProbeEnded { worker: worker_id(worker), ok, load: instance.load(f.text())? }
             }
             "WHISPER" => {
                 let from = f.need("a sender")?;
                 let text = f.text().unwrap_or("");
-                data = BASE64.decode(text).or_else(|_| bad("base64", text))?;
-                Event::Peer { from, data: &data }
+                data = BASE64.decode(text).or_else(|_| invalid("base64", text))?;
+                Event::PeerMessage { from, data: &data }
             }
             "FLEET" => {
                 let scope = match f.text() {
-                    Some("FULL") => Scope::Full,
-                    Some("SAVED") => Scope::Saved,
-                    Some("INCREMENTAL") => Scope::Changes,
-                    Some("FAILED") => Scope::Failed,
+                    Some("FULL") => ListScope::Full,
+                    Some("SAVED") => ListScope::Cached,
+                    Some("INCREMENTAL") => ListScope::Incremental,
+                    Some("FAILED") => ListScope::Failed,
                     other => {
-                        return bad("INCREMENTAL, FULL, SAVED or FAILED", other.unwrap_or("nothing"));
+                        return invalid("INCREMENTAL, FULL, SAVED or FAILED", other.unwrap_or("nothing"));
                     }
                 };
                 let members = match f.opt::<usize>("a list number")? {
-                    _ if scope == Scope::Failed => &[],
+                    _ if scope == ListScope::Failed => &[],
                     Some(list) if list < LISTS => &self.lists[list][..],
-                    other => return bad("a list number from 0 to 15", &format!("{other:?}")),
+                    other => return invalid("a list number from 0 to 15", &format!("{other:?}")),
                 };
-                Event::List { scope, members }
+                Event::EndpointList { scope, endpoints: members }
             }
-            _ => return bad("an event of the wire", line),
+            _ => return invalid("an event of the wire", line),
         };
         instance.dispatcher.on_event(self.now, event, &mut self.actions);
         self.write_actions();
@@ -382,8 +394,8 @@
                     (Some(name), None) => writeln!(out, "PLACE {} {name}", request.0),
                     (Some(name), Some(after)) => writeln!(out, "PLACE {} {name} {after}", request.0),
                 },
-                Action::Refuse { request, retry_after: None } => writeln!(out, "BUSY {}", request.0),
-                Action::Refuse { request, retry_after: Some(s) } => writeln!(out, "BUSY {} {s}", request.0),
+                Action::Reject { request, retry_after: None } => writeln!(out, "BUSY {}", request.0),
+                Action::Reject { request, retry_after: Some(s) } => writeln!(out, "BUSY {} {s}", request.0),
                 Action::Fail { request } => writeln!(out, "DROP_REQUEST {}", request.0),
                 Action::Cancel { request, attempt } => writeln!(out, "ABANDON {} {attempt}", request.0),
                 Action::Probe(worker) => match self.names.get(&worker) {
@@ -398,8 +410,8 @@
                     writeln!(out, "SET_TIMER {} {}", after.clamp(0.0, MAX_TIMER), token % MAX_TOKEN)
                 }
                 Action::Watch(on) => writeln!(out, "LISTEN {}", u8::from(on)),
-                Action::FetchList => writeln!(out, "READ_LIST"),
-                Action::Tell { to, data } => {
+                Action::FetchEndpointList => writeln!(out, "READ_LIST"),
+                Action::SendToPeer { to, data } => {
                     let to = to.map_or(-1, i64::from);
                     let data = BASE64.encode(&data[..data.len().min(MAX_TELL)]);
                     writeln!(out, "MEMO_TO {to} {}", if data.is_empty() { "-" } else { &data })
--- a/examples/scheduler.rs
+++ b/examples/scheduler.rs
@@ -6,13 +6,18 @@
 use std::collections::{HashMap, VecDeque};
 
 use dispatcher::api::{
-    Class, Member, Outcome, Repeat, Request, RequestId, Scope, Tenant, WorkerId, WorkerState,
+    Class, Endpoint, Idempotency, ListScope, Outcome, Request, RequestId, Tenant, WorkerId, WorkerState,
 };
 use dispatcher::{Action, Dispatcher, Event, Settings};
 
 fn main() {
     let settings = Settings {
-        classes: vec![Class { repeat: Repeat::Safe, aim: 0.2, stretch: 2.0, ..Class::default() }],
+        classes: vec![Class {
+            idempotency: Idempotency::Idempotent,
+            latency_objective: 0.2,
+            run_time_allowance: 2.0,
+            ..Class::default()
+        }],
         tenants: vec![Tenant { share: 1.0, quota: 50.0 }],
         max_attempts: 3,
         max_retry_after: 2.0,
@@ -24,16 +29,20 @@
     dispatcher.start(now, &mut actions);
 
     // The ids of workers must be the same at every scheduler: a hash of the name, say.
-    let member = |id| Member {
+    let member = |id| Endpoint {
         worker: WorkerId(id),
         kind: 0,
         zone: 0,
         cell: 0,
-        since: 0.0,
+        started_at: 0.0,
         state: WorkerState::Serving,
     };
-    let workers: Vec<Member> = [11, 12, 13].map(member).to_vec();
-    dispatcher.on_event(now, Event::List { scope: Scope::Full, members: &workers }, &mut actions);
+    let workers: Vec<Endpoint> = [11, 12, 13].map(member).to_vec();
+    dispatcher.on_event(
+        now,
+        Event::EndpointList { scope: ListScope::Full, endpoints: &workers },
+        &mut actions,
+    );
 
     let (mut served, mut refused) = (0, 0);
     let mut tries: HashMap<RequestId, u32> = HashMap::new();
@@ -45,10 +54,10 @@
             tenant: 0,
             slots: 1.0,
             memory: 0.0,
-            patience: 1.0,
-            retry: false,
-            expected: None,
-            key: None,
+            timeout: 1.0,
+            is_retry: false,
+            expected_run_time: None,
+            affinity_key: None,
         };
         dispatcher.on_event(now, Event::Request(job), &mut actions);
 
@@ -62,11 +71,11 @@
                     served += u32::from(complete);
                     // Attempts are numbered in the order of their sends.
                     let attempt = *tries.entry(request).and_modify(|n| *n += 1).or_insert(0);
-                    let ended = Event::Ended { request, attempt, outcome, complete, load: None };
+                    let ended = Event::AttemptEnded { request, attempt, outcome, complete, load: None };
                     dispatcher.on_event(now, ended, &mut actions);
                     todo.extend(actions.drain(..));
                 }
-                Action::Refuse { request, retry_after } => {
+                Action::Reject { request, retry_after } => {
                     refused += 1;
                     println!("{request:?} refused, come back in {retry_after:?} s");
                 }
