--- a/crates/cluster-member/src/cold.rs
+++ b/crates/cluster-member/src/cold.rs
@@ -20,7 +20,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use coordination::{Micros, Token};
+use coordination::{FencingToken, Micros};
 use serde::{Deserialize, Serialize};
 
 /// The name of the duty.
@@ -255,7 +255,7 @@
     process: u64,
     expiry: Micros,
     /// The last word that was taken.
-    last: (Token, u64),
+    last: (FencingToken, u64),
     /// A flaw for tests: what comes twice counts twice.
     twice: bool,
 }
@@ -263,14 +263,14 @@
 impl Purse {
     /// The purse of the process that drew this number.
     pub fn new(process: u64, how: &Dealing) -> Purse {
-        Purse { process, expiry: how.expiry, last: (Token(0), 0), twice: false }
+        Purse { process, expiry: how.expiry, last: (FencingToken(0), 0), twice: false }
     }
 
     /// What of an owner's word is for this process, with the time until which each may be used. The same word, or an
     /// older one, gives nothing.
     pub fn take(
         &mut self,
-        token: Token,
+        token: FencingToken,
         version: u64,
         grants: &Grants,
         now: Micros,
@@ -308,14 +308,14 @@
         let mut purses: Vec<Purse> = (0..5).map(|n| Purse { twice, ..Purse::new(n, &HOW) }).collect();
         let mut dealer = Dealer::new(HOW, WARMING, 0);
         let (mut token, mut version) = (1, 0);
-        let mut on_the_way: Vec<(Micros, usize, Token, u64, Grants)> = Vec::new();
+        let mut on_the_way: Vec<(Micros, usize, FencingToken, u64, Grants)> = Vec::new();
         let mut reached = Vec::new();
         for now in (0..length).step_by(50_000) {
             ages.list(now, [(1, 7)].into_iter());
             if owners.contains(&now) {
                 // The old one's words may still be on their way: its token is refused from here on.
                 (token, version) = (token + 1, 0);
-                on_the_way.retain(|word| word.2 == Token(token));
+                on_the_way.retain(|word| word.2 == FencingToken(token));
                 dealer = Dealer::new(HOW, WARMING, now);
             }
             for process in 0..5 {
@@ -329,7 +329,7 @@
             for n in 0..5 {
                 for _ in 0..random.usize(0..3) {
                     let late = now + random.u64(0..400_000);
-                    on_the_way.push((late, n, Token(token), version, grants.clone()));
+                    on_the_way.push((late, n, FencingToken(token), version, grants.clone()));
                 }
             }
             on_the_way.sort_by_key(|word| (word.0, word.3));
@@ -414,10 +414,10 @@
         let grant = |to, asked| Grant { to, asked, worker: 1, work: 0.2 };
         let grants =
             Grants(vec![grant(9, 900_000), grant(8, 900_000), grant(9, 300_000), grant(9, 1_100_000)]);
-        let taken = purse.take(Token(3), 1, &grants, SECOND);
+        let taken = purse.take(FencingToken(3), 1, &grants, SECOND);
         assert_eq!(taken, [(1, 0.2, 1_400_000)], "not another's, not an old one, not one of the future");
-        assert!(purse.take(Token(3), 1, &grants, SECOND).is_empty());
-        assert!(purse.take(Token(2), 9, &grants, SECOND).is_empty());
+        assert!(purse.take(FencingToken(3), 1, &grants, SECOND).is_empty());
+        assert!(purse.take(FencingToken(2), 9, &grants, SECOND).is_empty());
         assert_eq!(Grants::unpack(&grants.pack()), Some(grants));
         assert_eq!(Grants::unpack(&Grants(vec![Grant { work: f64::NAN, ..grant(1, 1) }]).pack()), None);
     }
--- a/crates/cluster-member/src/effects.rs
+++ b/crates/cluster-member/src/effects.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coordination::{DutyId, Flaw, Token};
+use coordination::{FencingToken, InjectedBug, LeaseId};
 use tokio::net::TcpListener;
 use tokio::sync::{watch, Semaphore};
 use tokio::task::JoinHandle;
@@ -57,7 +57,7 @@
     loop {
         let effect: Effect = link.next().await?;
         let now = clock::now();
-        let verdict = member.holder().borrow_mut().take(&effect.duty, effect.token, now);
+        let verdict = member.holder().borrow_mut().accept_effect(&effect.duty, effect.token, now);
         let what = serde_json::json!({
             "duty": effect.duty.to_string(), "token": effect.token.0, "version": effect.version, "from": owner,
         });
@@ -93,8 +93,8 @@
     said: watch::Sender<Said>,
     tasks: BTreeMap<Peer, JoinHandle<()>>,
     member: Member,
-    duty: DutyId,
-    token: Token,
+    duty: LeaseId,
+    token: FencingToken,
     hears: Hears,
 }
 
@@ -109,15 +109,15 @@
 
 impl Publisher {
     /// For the term that this member holds with this token.
-    pub fn new(member: &Member, duty: DutyId, token: Token) -> Publisher {
+    pub fn new(member: &Member, duty: LeaseId, token: FencingToken) -> Publisher {
         Publisher::hearing(member, duty, token, |_| {})
     }
 
     /// The same; `hears` gets what receivers say back to what they take.
     pub fn hearing(
         member: &Member,
-        duty: DutyId,
-        token: Token,
+        duty: LeaseId,
+        token: FencingToken,
         hears: impl Fn(&[u8]) + 'static,
     ) -> Publisher {
         Publisher {
@@ -131,7 +131,7 @@
     }
 
     /// The term's token.
-    pub fn token(&self) -> Token {
+    pub fn token(&self) -> FencingToken {
         self.token
     }
 
@@ -168,7 +168,7 @@
 async fn to_one_receiver(
     member: Member,
     peer: Peer,
-    term: (DutyId, Token, Hears),
+    term: (LeaseId, FencingToken, Hears),
     mut said: watch::Receiver<Said>,
 ) {
     let Ok(address) = peer.address.parse::<SocketAddr>() else { return };
@@ -189,7 +189,7 @@
 async fn on_one_link(
     member: &Member,
     address: SocketAddr,
-    (duty, token, hears): &(DutyId, Token, Hears),
+    (duty, token, hears): &(LeaseId, FencingToken, Hears),
     said: &mut watch::Receiver<Said>,
 ) -> io::Result<()> {
     let (settings, token) = (member.settings(), *token);
@@ -197,7 +197,7 @@
     let who = Who::Owner { name: settings.name.clone(), incarnation };
     let hello = Hello { schema: SCHEMA, installation: settings.installation.clone(), who };
     let (mut link, _) = Link::connect(address, settings.bind, &hello).await?;
-    let once = member.holder().borrow().flaw() == Some(Flaw::NoLookAtTheClock);
+    let once = member.holder().borrow().injected_bug() == Some(InjectedBug::SkipExpiryCheck);
     let mut looked = false;
     loop {
         said.changed().await.map_err(|_| io::Error::from(io::ErrorKind::BrokenPipe))?;
@@ -207,7 +207,7 @@
         // The look at the clock is the last thing before the write.
         let now = clock::now();
         let skip_look = once && looked;
-        if !skip_look && !member.holder().borrow().may_act(duty, token, now) {
+        if !skip_look && !member.holder().borrow().holds_lease(duty, token, now) {
             continue;
         }
         looked = true;
--- a/crates/cluster-member/src/member.rs
+++ b/crates/cluster-member/src/member.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coordination::{DutyId, Holder, Reason, Revision, SessionId, Times, Token};
+use coordination::{CommandRejection, FencingToken, LeaseClient, LeaseId, Revision, SessionId, Timing};
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
@@ -34,9 +34,9 @@
     /// The address that connections come from.
     pub bind: Option<IpAddr>,
     /// The times, the same as the keepers'.
-    pub times: Times,
+    pub times: Timing,
     /// What it may be given.
-    pub offers: Vec<DutyId>,
+    pub offers: Vec<LeaseId>,
     /// Seed of its pauses.
     pub seed: u64,
 }
@@ -45,13 +45,13 @@
 #[derive(Debug, Clone)]
 pub struct Member {
     settings: Rc<Settings>,
-    holder: Rc<RefCell<Holder>>,
+    holder: Rc<RefCell<LeaseClient>>,
     roster: Rc<RefCell<(Revision, Vec<Peer>)>>,
     /// Changes whenever what is owned or known may have changed.
     changed: watch::Sender<u64>,
     leaving: watch::Sender<bool>,
     /// Terms to be given back.
-    releases: watch::Sender<Vec<(DutyId, Token)>>,
+    releases: watch::Sender<Vec<(LeaseId, FencingToken)>>,
     record: Recorder,
 }
 
@@ -78,7 +78,7 @@
 
 impl Member {
     /// A member that has no session yet.
-    pub fn new(settings: Settings, holder: Holder, record: Recorder) -> Member {
+    pub fn new(settings: Settings, holder: LeaseClient, record: Recorder) -> Member {
         Member {
             settings: Rc::new(settings),
             holder: Rc::new(RefCell::new(holder)),
@@ -96,7 +96,7 @@
     }
 
     /// Its account of session and tokens.
-    pub fn holder(&self) -> &RefCell<Holder> {
+    pub fn holder(&self) -> &RefCell<LeaseClient> {
         &self.holder
     }
 
@@ -116,17 +116,17 @@
     }
 
     /// The terms that this member holds now.
-    pub fn owned(&self) -> Vec<(DutyId, Token)> {
-        self.holder.borrow().owned(clock::now())
+    pub fn owned(&self) -> Vec<(LeaseId, FencingToken)> {
+        self.holder.borrow().held_leases(clock::now())
     }
 
     /// Whether an effect of that term may be done at this moment, by a clock that is read here.
-    pub fn may_act(&self, duty: &DutyId, token: Token) -> bool {
-        self.holder.borrow().may_act(duty, token, clock::now())
+    pub fn may_act(&self, duty: &LeaseId, token: FencingToken) -> bool {
+        self.holder.borrow().holds_lease(duty, token, clock::now())
     }
 
     /// Gives a term back, because this member cannot do what it is for; another one gets the duty.
-    pub fn release(&self, duty: DutyId, token: Token) {
+    pub fn release(&self, duty: LeaseId, token: FencingToken) {
         self.releases.send_if_modified(|releases| {
             let new = !releases.contains(&(duty.clone(), token));
             if new {
@@ -165,12 +165,12 @@
                 () = &mut given_up => Ok(Next::End(Ended::Left)),
             };
             self.changed.send_modify(|count| *count += 1);
-            if started.elapsed() > Duration::from_micros(self.settings.times.lease) {
+            if started.elapsed() > Duration::from_micros(self.settings.times.lease_duration) {
                 failures = 0;
             }
             let next = match next {
                 Ok(Next::End(ended)) => {
-                    self.holder.borrow_mut().gone();
+                    self.holder.borrow_mut().on_session_ended();
                     return ended;
                 }
                 Ok(Next::Elsewhere(leader)) => leader,
@@ -193,7 +193,7 @@
             // Full jitter over a span that grows to a fourth of the lease: the first tries are quick, since a session
             // may be at stake, and a fleet that lost its keepers does not come back in step.
             failures = (failures + 1).min(8);
-            let span = (10_000u64 << failures).min(self.settings.times.lease / 4);
+            let span = (10_000u64 << failures).min(self.settings.times.lease_duration / 4);
             sleep(Duration::from_micros(random.u64(1..=span))).await;
         }
     }
@@ -201,7 +201,7 @@
     /// Ends when this member was told to leave and has tried to say so for the time of two calls.
     async fn left_long_enough(&self) {
         if self.leaving.subscribe().wait_for(|leaving| *leaving).await.is_ok() {
-            sleep(Duration::from_micros(2 * self.settings.times.call)).await;
+            sleep(Duration::from_micros(2 * self.settings.times.call_timeout)).await;
         }
     }
 
@@ -213,7 +213,7 @@
     async fn with_keeper(&self, (keeper, address): (u64, Option<SocketAddr>), boot: u64) -> io::Result<Next> {
         let settings = &self.settings;
         let Some(address) = address else { return Ok(Next::Elsewhere(None)) };
-        let call = Duration::from_micros(settings.times.call);
+        let call = Duration::from_micros(settings.times.call_timeout);
         let hello = self.hello();
         let connecting = tokio::time::timeout(call, Link::connect(address, settings.bind, &hello));
         let mut link = match connecting.await? {
@@ -231,7 +231,7 @@
         loop {
             let now = clock::now();
             // A session that is over by this clock is given up: what was known may be old, and a new one learns anew.
-            let session = self.holder.borrow().session(now).map(|session| session.id);
+            let session = self.holder.borrow().active_session(now).map(|session| session.id);
             let leaving = *self.leaving.borrow();
             let ask = match session {
                 None if leaving => return Ok(Next::End(Ended::Left)),
@@ -242,8 +242,8 @@
                 }
                 Some(session) => Ask::Renew {
                     session,
-                    seen: self.holder.borrow().seen(),
-                    roster: self.holder.borrow().owned(now).first().map(|_| self.roster.borrow().0),
+                    seen: self.holder.borrow().applied_revision(),
+                    roster: self.holder.borrow().held_leases(now).first().map(|_| self.roster.borrow().0),
                 },
                 None => Ask::Join {
                     name: settings.name.clone(),
@@ -282,7 +282,9 @@
             }
             // The next renewal is due by this clock, counted from when the last one was asked for.
             let due = Instant::now()
-                + Duration::from_micros((asked + settings.times.renew).saturating_sub(clock::now()));
+                + Duration::from_micros(
+                    (asked + settings.times.renewal_interval).saturating_sub(clock::now()),
+                );
             loop {
                 tokio::select! {
                     message = link.next() => match message? {
@@ -301,8 +303,8 @@
         }
     }
 
-    fn hear(&self, of: SessionId, view: coordination::View) -> bool {
-        let heard = self.holder.borrow_mut().told(of, view);
+    fn hear(&self, of: SessionId, view: coordination::ClusterView) -> bool {
+        let heard = self.holder.borrow_mut().on_view_changed(of, view);
         if heard {
             self.changed.send_modify(|count| *count += 1);
         }
@@ -314,7 +316,7 @@
         let now = clock::now();
         match answer {
             Answer::Joined { session, incarnation, view } => {
-                self.holder.borrow_mut().joined(session, incarnation, asked, now, view);
+                self.holder.borrow_mut().on_session_opened(session, incarnation, asked, now, view);
                 *self.roster.borrow_mut() = (0, Vec::new());
                 let name = &self.settings.name;
                 tracing::info!(name, session = session.0, incarnation, "has a session");
@@ -326,7 +328,7 @@
             }
             Answer::Renewed { view, roster } => {
                 if let Some(session) = renewed {
-                    self.holder.borrow_mut().renewed(session, asked, now, view);
+                    self.holder.borrow_mut().on_session_renewed(session, asked, now, view);
                 }
                 if let Some(roster) = roster {
                     *self.roster.borrow_mut() = roster;
@@ -336,14 +338,14 @@
                 let address = address.and_then(|address| address.parse().ok());
                 return Some(Next::Elsewhere(leader.map(|leader| (leader, address))));
             }
-            Answer::Refused(Reason::Superseded { incarnation }) => {
+            Answer::Refused(CommandRejection::Superseded { incarnation }) => {
                 tracing::error!(
                     incarnation,
                     "another process of the same name is there; this one is no member any more"
                 );
                 return Some(Next::End(Ended::Superseded { incarnation }));
             }
-            Answer::Refused(Reason::NoSession) => self.holder.borrow_mut().gone(),
+            Answer::Refused(CommandRejection::NoSuchSession) => self.holder.borrow_mut().on_session_ended(),
             Answer::Refused(reason) => return Some(Next::End(Ended::Refused(reason.to_string()))),
             Answer::Busy | Answer::Done | Answer::Status(_) | Answer::Account(..) | Answer::Changed(_) => {
                 return Some(Next::Elsewhere(None))
--- a/crates/cluster-member/src/settings.rs
+++ b/crates/cluster-member/src/settings.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use coordination::Times;
+use coordination::Timing;
 use hcl_config::{Read, Section};
 
 use crate::cold::Dealing;
@@ -68,26 +68,26 @@
 ///
 /// # Errors
 /// One is out of bounds, or two do not fit together: the fault names both.
-pub fn times(top: &Section) -> Read<Times> {
-    let mut times = Times::default();
+pub fn times(top: &Section) -> Read<Timing> {
+    let mut times = Timing::default();
     let Some(section) = top.section("times")? else { return Ok(times) };
     for (key, time) in [
-        ("lease_ms", &mut times.lease),
-        ("renew_ms", &mut times.renew),
-        ("call_ms", &mut times.call),
-        ("stay_ms", &mut times.stay),
-        ("short_ms", &mut times.short),
-        ("election_ms", &mut times.election),
-        ("heartbeat_ms", &mut times.heartbeat),
+        ("lease_ms", &mut times.lease_duration),
+        ("renew_ms", &mut times.renewal_interval),
+        ("call_ms", &mut times.call_timeout),
+        ("stay_ms", &mut times.stability_period),
+        ("short_ms", &mut times.short_session_limit),
+        ("election_ms", &mut times.election_timeout),
+        ("heartbeat_ms", &mut times.heartbeat_interval),
     ] {
         if let Some(ms) = section.whole(key, 1..=600_000)? {
             *time = ms * 1_000;
         }
     }
     if let Some(skew) = section.whole("skew_ppm", 0..=100_000)? {
-        times.skew_ppm = skew;
+        times.max_clock_skew_ppm = skew;
     }
-    times.check().map_err(|fault| {
+    times.validate().map_err(|fault| {
         let (key, against) = (format!("{}_ms", fault.key), format!("{}_ms", fault.against));
         section.fault(&key, format!("does not fit to {against}: {}", fault.problem))
     })?;
@@ -121,7 +121,7 @@
 ///
 /// # Errors
 /// A figure is missing or out of bounds.
-pub fn dealing(section: &Section, times: &Times) -> Read<Dealing> {
+pub fn dealing(section: &Section, times: &Timing) -> Read<Dealing> {
     let slots = section.number("slots", 0.1..=1e6)?;
     Ok(Dealing {
         slots: slots
@@ -129,7 +129,7 @@
         part: section.number("part", 0.0..=PART)?.unwrap_or(PART),
         expiry: section.whole("expiry_ms", 200..=10_000)?.unwrap_or(EXPIRY_MS) * 1_000,
         written: 0,
-        skew_ppm: times.skew_ppm,
+        skew_ppm: times.max_clock_skew_ppm,
     })
 }
 
--- a/crates/cluster-member/src/watch.rs
+++ b/crates/cluster-member/src/watch.rs
@@ -13,7 +13,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use coordination::{DutyId, Micros, Scope, Token};
+use coordination::{FencingToken, LeaseId, LeaseScope, Micros};
 use serde::{Deserialize, Serialize};
 
 /// Between two reports of one owner there is at least this.
@@ -65,14 +65,14 @@
     }
 
     /// All duties of this kind.
-    pub fn duties(&self) -> Vec<DutyId> {
-        (0..self.sets).map(|set| DutyId::set(&self.name(), set)).collect()
+    pub fn duties(&self) -> Vec<LeaseId> {
+        (0..self.sets).map(|set| LeaseId::worker_set(&self.name(), set)).collect()
     }
 
     /// The set that a duty is about, where it is one of these.
-    pub fn set(&self, duty: &DutyId) -> Option<u16> {
+    pub fn set(&self, duty: &LeaseId) -> Option<u16> {
         match duty.scope {
-            Scope::Set(set) if set < self.sets && duty.name == self.name() => Some(set),
+            LeaseScope::WorkerSet(set) if set < self.sets && duty.name == self.name() => Some(set),
             _ => None,
         }
     }
@@ -309,7 +309,7 @@
     how: Watching,
     heard: BTreeMap<u16, Heard>,
     /// By term, the smallest difference between the receiver's clock and what a report says: the quickest word.
-    quickest: BTreeMap<Token, i128>,
+    quickest: BTreeMap<FencingToken, i128>,
 }
 
 /// What is held against a worker.
@@ -328,7 +328,7 @@
     }
 
     /// Takes a report of a set's owner, whose token was found good.
-    pub fn take(&mut self, set: u16, token: Token, report: Report, now: Micros) {
+    pub fn take(&mut self, set: u16, token: FencingToken, report: Report, now: Micros) {
         let apart = i128::from(now) - i128::from(report.sent);
         let quickest = self.quickest.entry(token).or_insert(apart);
         *quickest = apart.min(*quickest);
@@ -455,12 +455,12 @@
         assert_eq!(report.failing.iter().map(|failing| failing.worker).collect::<Vec<_>>(), [3]);
         assert_eq!(Report::unpack(&report.pack()), Some(report.clone()));
         let mut sightings = Sightings::new(HOW);
-        sightings.take(0, Token(7), report.clone(), 10 * SECOND);
+        sightings.take(0, FencingToken(7), report.clone(), 10 * SECOND);
         let against = sightings.against(10 * SECOND)[&3];
         assert!(against.seen <= 10 * SECOND && against.until > 13 * SECOND);
         assert!(sightings.against(against.until).is_empty(), "it lapses");
         let well = Report { failing: Vec::new(), ..report };
-        sightings.take(0, Token(7), well, 10 * SECOND + 1);
+        sightings.take(0, FencingToken(7), well, 10 * SECOND + 1);
         assert!(sightings.against(10 * SECOND + 2).is_empty());
     }
 
@@ -469,9 +469,9 @@
         let (_, report) = term(0, 3 * SECOND, "north", |worker| worker != 3);
         let report = report.unwrap();
         let mut sightings = Sightings::new(HOW);
-        sightings.take(0, Token(7), report.clone(), 10 * SECOND);
+        sightings.take(0, FencingToken(7), report.clone(), 10 * SECOND);
         let later = Report { sent: report.sent + SECOND, ..report };
-        sightings.take(0, Token(7), later, 14 * SECOND);
+        sightings.take(0, FencingToken(7), later, 14 * SECOND);
         // Three of these four seconds it was on its way.
         assert!(sightings.against(14 * SECOND)[&3].seen <= 11 * SECOND);
         assert!(sightings.against(15 * SECOND).is_empty());
@@ -487,15 +487,15 @@
         let (_, near) = term(0, 3 * SECOND, "south", |worker| worker >= 2);
         let told = |other: &Report| {
             let mut sightings = Sightings::new(HOW);
-            sightings.take(0, Token(1), cut.clone().unwrap(), now);
-            sightings.take(1, Token(2), other.clone(), now);
+            sightings.take(0, FencingToken(1), cut.clone().unwrap(), now);
+            sightings.take(1, FencingToken(2), other.clone(), now);
             sightings.against(now).into_keys().collect::<Vec<u64>>()
         };
         assert!(told(&fine.unwrap()).is_empty(), "another watcher sees the north well");
         assert!(told(&near.unwrap()).is_empty(), "one of the same zone proves nothing");
         assert_eq!(told(&same.unwrap()), [0, 1], "two zones see the north dark");
         let mut trusting = Sightings::new(Watching { flaw: Some(Flaw::Trusting), ..HOW });
-        trusting.take(0, Token(1), cut.unwrap(), now);
+        trusting.take(0, FencingToken(1), cut.unwrap(), now);
         assert_eq!(trusting.against(now).len(), 2, "without the check it would");
     }
 
@@ -514,7 +514,7 @@
                 rounds.ended(worker, Some(reached), now, &mut zones);
             }
             if let Some(report) = rounds.report(now, &zones) {
-                sightings.take(0, Token(1), report, now);
+                sightings.take(0, FencingToken(1), report, now);
             }
             assert!(sightings.against(now).is_empty(), "at {now}");
         }
@@ -525,8 +525,8 @@
         let (_, blind) = term(0, 3 * SECOND, "south", |_| false);
         let (_, other) = term(0, 3 * SECOND, "west", |worker| worker >= 2);
         let mut sightings = Sightings::new(HOW);
-        sightings.take(0, Token(1), blind.unwrap(), 10 * SECOND);
-        sightings.take(1, Token(2), other.unwrap(), 10 * SECOND);
+        sightings.take(0, FencingToken(1), blind.unwrap(), 10 * SECOND);
+        sightings.take(1, FencingToken(2), other.unwrap(), 10 * SECOND);
         assert!(sightings.against(10 * SECOND).is_empty());
         assert_eq!(sightings.watched(10 * SECOND).len(), 2);
         assert!(sightings.watched(15 * SECOND).is_empty());
--- a/crates/cluster-member/src/wire.rs
+++ b/crates/cluster-member/src/wire.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use coordination::{DutyId, Reason, Refusal, Revision, SessionId, Token, View};
+use coordination::{
+    ClusterView, CommandRejection, EffectRejection, FencingToken, LeaseId, Revision, SessionId,
+};
 use disruption_budget::{Account, Change, Outcome};
 use futures_util::{SinkExt, StreamExt};
 use serde::de::DeserializeOwned;
@@ -153,7 +155,7 @@
         /// Where it is reached.
         address: String,
         /// What it may be given.
-        offers: Vec<DutyId>,
+        offers: Vec<LeaseId>,
     },
     /// The session is to go on.
     Renew {
@@ -172,9 +174,9 @@
     /// A term is over.
     Release {
         /// The duty.
-        duty: DutyId,
+        duty: LeaseId,
         /// Which term; an operator leaves it out.
-        token: Option<Token>,
+        token: Option<FencingToken>,
     },
     /// How things are.
     Status,
@@ -202,7 +204,7 @@
     /// The answer to a request.
     Answer(u64, Answer),
     /// Who owns what has changed, told to the member of this session.
-    News(SessionId, View),
+    News(SessionId, ClusterView),
 }
 
 /// An answer.
@@ -215,12 +217,12 @@
         /// Which process of that name.
         incarnation: u64,
         /// Who owns what.
-        view: View,
+        view: ClusterView,
     },
     /// The session goes on.
     Renewed {
         /// Who owns what, if that is later than what was seen.
-        view: Option<View>,
+        view: Option<ClusterView>,
         /// The members, if asked for and changed.
         roster: Option<(Revision, Vec<Peer>)>,
     },
@@ -236,7 +238,7 @@
     /// Not now: ask again.
     Busy,
     /// It was not done.
-    Refused(Reason),
+    Refused(CommandRejection),
     /// How things are.
     Status(Box<Status>),
     /// Who may be out, as of this entry; nothing where the asker knows it.
@@ -314,11 +316,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyStatus {
     /// Which.
-    pub duty: DutyId,
+    pub duty: LeaseId,
     /// Whose, and with which token.
-    pub owner: Option<(String, Token)>,
+    pub owner: Option<(String, FencingToken)>,
     /// Tokens below are of ended terms.
-    pub floor: Token,
+    pub floor: FencingToken,
     /// The entry that ended the last term.
     pub fenced: Revision,
 }
@@ -327,9 +329,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Effect {
     /// On behalf of which duty.
-    pub duty: DutyId,
+    pub duty: LeaseId,
     /// In which term.
-    pub token: Token,
+    pub token: FencingToken,
     /// Counted within the term.
     pub version: u64,
     /// What the duty says.
@@ -342,7 +344,7 @@
     /// It was taken; what the duty has the receiver say back.
     Taken(Vec<u8>),
     /// It was not.
-    Refused(Refusal),
+    Refused(EffectRejection),
 }
 
 /// A connection that carries messages.
--- a/crates/cluster-member/tests/format.rs
+++ b/crates/cluster-member/tests/format.rs
@@ -10,7 +10,10 @@
     pack, Answer, Ask, Disk, Effect, EffectAnswer, FromKeeper, Hello, Peer, Request, Status, Turned,
     TurnedAway, Welcome, Who, LONGEST_FRAME, OLDEST_SCHEMA, PATIENCE, SCHEMA,
 };
-use coordination::{DutyId, Owner, Reason, Refusal, Scope, Seat, SessionId, Token, View};
+use coordination::{
+    ClusterView, CommandRejection, EffectRejection, FencingToken, LeaseHolder, LeaseId, LeaseScope,
+    LeaseView, SessionId,
+};
 use disruption_budget::{
     Account, Amount, Budget, Change, Cover, Kind, Outcome, Refusal as ReleaseRefusal, State, Target,
 };
@@ -26,17 +29,25 @@
     }
 }
 
-fn view() -> View {
-    View {
+fn view() -> ClusterView {
+    ClusterView {
         revision: 1_000,
-        seats: vec![
-            Seat {
-                duty: DutyId::fleet("list"),
-                floor: Token(6),
-                owner: Some(Owner { session: SessionId(512), token: Token(7) }),
+        leases: vec![
+            LeaseView {
+                lease: LeaseId::fleet("list"),
+                minimum_token: FencingToken(6),
+                holder: Some(LeaseHolder { session: SessionId(512), token: FencingToken(7) }),
+            },
+            LeaseView {
+                lease: LeaseId::zone("probe", "north"),
+                minimum_token: FencingToken(2),
+                holder: None,
+            },
+            LeaseView {
+                lease: LeaseId::worker_set("watch-of-8-in-3", 5),
+                minimum_token: FencingToken(0),
+                holder: None,
             },
-            Seat { duty: DutyId::zone("probe", "north"), floor: Token(2), owner: None },
-            Seat { duty: DutyId::set("watch-of-8-in-3", 5), floor: Token(0), owner: None },
         ],
     }
 }
@@ -69,23 +80,23 @@
     account
 }
 
-fn reject_reasons() -> Vec<(&'static str, Reason)> {
+fn reject_reasons() -> Vec<(&'static str, CommandRejection)> {
     vec![
-        ("no session", Reason::NoSession),
-        ("superseded", Reason::Superseded { incarnation: 4 }),
-        ("not free", Reason::NotFree),
-        ("not the holder", Reason::NotTheOwner),
-        ("full", Reason::Full("sessions".to_owned())),
-        ("old store", Reason::OldDisk { boots: 5 }),
-        ("coordinators", Reason::Keepers("no".to_owned())),
+        ("no session", CommandRejection::NoSuchSession),
+        ("superseded", CommandRejection::Superseded { incarnation: 4 }),
+        ("not free", CommandRejection::LeaseNotFree),
+        ("not the holder", CommandRejection::NotLeaseHolder),
+        ("full", CommandRejection::LimitExceeded("sessions".to_owned())),
+        ("old store", CommandRejection::StaleDisk { starts: 5 }),
+        ("coordinators", CommandRejection::InvalidReplacement("no".to_owned())),
     ]
 }
 
-fn effect_rejections() -> Vec<(&'static str, Refusal)> {
+fn effect_rejections() -> Vec<(&'static str, EffectRejection)> {
     vec![
-        ("no session", Refusal::NoSession),
-        ("old token", Refusal::OldToken { floor: Token(7) }),
-        ("unknown lease", Refusal::Unknown),
+        ("no session", EffectRejection::NoSession),
+        ("old token", EffectRejection::StaleToken { minimum_token: FencingToken(7) }),
+        ("unknown lease", EffectRejection::UnknownLease),
     ]
 }
 
@@ -141,7 +152,8 @@
 #[test]
 fn requests() {
     let target = Target { kind: Kind::Dispatcher, name: "d1".to_owned() };
-    let offers = vec![DutyId::fleet("list"), DutyId::set("watch", 1), DutyId::zone("probe", "north")];
+    let offers =
+        vec![LeaseId::fleet("list"), LeaseId::worker_set("watch", 1), LeaseId::zone("probe", "north")];
     let operations = [
         (
             "join",
@@ -156,8 +168,8 @@
         ("renew", Ask::Renew { session: SessionId(512), seen: 1_000, roster: None }),
         ("renew with members", Ask::Renew { session: SessionId(512), seen: 1_000, roster: Some(900) }),
         ("leave", Ask::Leave { session: SessionId(512) }),
-        ("release", Ask::Release { duty: DutyId::fleet("list"), token: Some(Token(7)) }),
-        ("release by an operator", Ask::Release { duty: DutyId::fleet("list"), token: None }),
+        ("release", Ask::Release { duty: LeaseId::fleet("list"), token: Some(FencingToken(7)) }),
+        ("release by an operator", Ask::Release { duty: LeaseId::fleet("list"), token: None }),
         ("status", Ask::Status),
         ("replace", Ask::Replace { old: 1, new: 4, address: "127.0.0.1:7104".to_owned() }),
         ("disruption state, since schema 3", Ask::Account { known: 700 }),
@@ -226,8 +238,8 @@
 #[test]
 fn effects() {
     let effect = Effect {
-        duty: DutyId { name: "list".to_owned(), scope: Scope::Fleet },
-        token: Token(700),
+        duty: LeaseId { name: "list".to_owned(), scope: LeaseScope::Fleet },
+        token: FencingToken(700),
         version: 300,
         body: vec![1, 2, 255],
     };
@@ -327,8 +339,10 @@
 fn status_json() {
     assert_eq!(serde_json::to_string(&status()).unwrap(), STATUS);
     let new = serde_json::to_string(&Status::default()).unwrap();
-    let with = |scope| serde_json::to_string(&DutyId { name: "probe".to_owned(), scope }).unwrap();
-    let scopes = [with(Scope::Zone("north".to_owned())), with(Scope::Set(3)), with(Scope::Fleet)].join("\n");
+    let with = |scope| serde_json::to_string(&LeaseId { name: "probe".to_owned(), scope }).unwrap();
+    let scopes =
+        [with(LeaseScope::Zone("north".to_owned())), with(LeaseScope::WorkerSet(3)), with(LeaseScope::Fleet)]
+            .join("\n");
     assert_pinned("status_json", &format!("{new}\n{scopes}\n"));
 }
 
--- a/crates/cluster-member/tests/sessions.rs
+++ b/crates/cluster-member/tests/sessions.rs
@@ -15,7 +15,10 @@
 use cluster_member::member::{Ended, Member, Settings};
 use cluster_member::record::Recorder;
 use cluster_member::wire::{Answer, Ask, Effect, EffectAnswer, Hello, Link, Peer, Request, Who, SCHEMA};
-use coordination::{DutyId, Holder, Owner, Reason, Seat, SessionId, Times, Token, View};
+use coordination::{
+    ClusterView, CommandRejection, FencingToken, LeaseClient, LeaseHolder, LeaseId, LeaseView, SessionId,
+    Timing,
+};
 use support::{assert_pinned, play_coordinator};
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, LocalSet};
@@ -31,7 +34,7 @@
 }
 
 fn member(name: &str, address: SocketAddr, coordinator: SocketAddr, record: &Path) -> Member {
-    let times = Times::default();
+    let times = Timing::default();
     let settings = Settings {
         installation: "north".to_owned(),
         name: name.to_owned(),
@@ -40,16 +43,23 @@
         keepers: BTreeMap::from([(1, coordinator)]),
         bind: None,
         times,
-        offers: vec![DutyId::fleet("list")],
+        offers: vec![LeaseId::fleet("list")],
         seed: 7,
     };
-    Member::new(settings, Holder::new(times), Recorder::to(record).unwrap())
+    Member::new(settings, LeaseClient::new(times), Recorder::to(record).unwrap())
 }
 
 /// The duty "list" is held by session 5 with token 7.
-fn view() -> View {
-    let owner = Some(Owner { session: SessionId(5), token: Token(7) });
-    View { revision: 9, seats: vec![Seat { duty: DutyId::fleet("list"), floor: Token(6), owner }] }
+fn view() -> ClusterView {
+    let owner = Some(LeaseHolder { session: SessionId(5), token: FencingToken(7) });
+    ClusterView {
+        revision: 9,
+        leases: vec![LeaseView {
+            lease: LeaseId::fleet("list"),
+            minimum_token: FencingToken(6),
+            holder: owner,
+        }],
+    }
 }
 
 async fn until(what: &str, holds: impl Fn() -> bool) {
@@ -113,15 +123,16 @@
         spawn_local(receive(receiver.clone(), effects, |effect| [b"seen ", &effect.body[..]].concat()));
         until("the holder knows the receiver", || !holder.roster().is_empty()).await;
         until("the receiver has a session", || records(&receiver_file).contains("session")).await;
-        assert_eq!(holder.owned(), [(DutyId::fleet("list"), Token(7))]);
-        assert!(holder.may_act(&DutyId::fleet("list"), Token(7)) && receiver.owned().is_empty());
+        assert_eq!(holder.owned(), [(LeaseId::fleet("list"), FencingToken(7))]);
+        assert!(holder.may_act(&LeaseId::fleet("list"), FencingToken(7)) && receiver.owned().is_empty());
 
         let said: Rc<RefCell<Vec<Vec<u8>>>> = Rc::default();
         let hears = said.clone();
-        let mut publisher = Publisher::hearing(&holder, DutyId::fleet("list"), Token(7), move |answer| {
-            hears.borrow_mut().push(answer.to_vec());
-        });
-        assert_eq!((publisher.say(b"one".to_vec()), publisher.token()), (1, Token(7)));
+        let mut publisher =
+            Publisher::hearing(&holder, LeaseId::fleet("list"), FencingToken(7), move |answer| {
+                hears.borrow_mut().push(answer.to_vec());
+            });
+        assert_eq!((publisher.say(b"one".to_vec()), publisher.token()), (1, FencingToken(7)));
         until("the receiver has answered", || !said.borrow().is_empty()).await;
         assert_eq!(*said.borrow(), [b"seen one".to_vec()]);
         drop(publisher);
@@ -133,8 +144,12 @@
         assert_eq!(name, "receiver");
         let mut texts = Vec::new();
         for (duty, token) in [("list", 5), ("other", 5)] {
-            let effect =
-                Effect { duty: DutyId::fleet(duty), token: Token(token), version: 3, body: Vec::new() };
+            let effect = Effect {
+                duty: LeaseId::fleet(duty),
+                token: FencingToken(token),
+                version: 3,
+                body: Vec::new(),
+            };
             link.send(&effect).await.unwrap();
             match link.next().await.unwrap() {
                 EffectAnswer::Refused(why) => texts.push(why.to_string()),
@@ -152,7 +167,7 @@
             "turned away: it does not speak with the likes of this at that address"
         );
 
-        holder.release(DutyId::fleet("list"), Token(7));
+        holder.release(LeaseId::fleet("list"), FencingToken(7));
         until("the term is given back", || {
             asked.borrow().iter().any(|ask| matches!(ask, Ask::Release { .. }))
         })
@@ -173,7 +188,7 @@
     assert_eq!(
         asked[1..],
         [
-            Ask::Release { duty: DutyId::fleet("list"), token: Some(Token(7)) },
+            Ask::Release { duty: LeaseId::fleet("list"), token: Some(FencingToken(7)) },
             Ask::Leave { session: SessionId(5) }
         ]
     );
@@ -186,8 +201,11 @@
 async fn a_membership_ends_where_the_coordinators_say_so() {
     let folder = tempfile::tempdir().unwrap();
     for (reason, end) in [
-        (Reason::Superseded { incarnation: 9 }, Ended::Superseded { incarnation: 9 }),
-        (Reason::Full("sessions".to_owned()), Ended::Refused("no room: sessions".to_owned())),
+        (CommandRejection::Superseded { incarnation: 9 }, Ended::Superseded { incarnation: 9 }),
+        (
+            CommandRejection::LimitExceeded("sessions".to_owned()),
+            Ended::Refused("no room: sessions".to_owned()),
+        ),
     ] {
         let (coordinator, address) = listen().await;
         let member = member("d1", address, address, &folder.path().join("records"));
@@ -200,7 +218,7 @@
     let (_, address) = listen().await;
     let mut alone = member("d1", address, address, &folder.path().join("records")).settings().clone();
     alone.keepers.clear();
-    let alone = Member::new(alone, Holder::new(Times::default()), Recorder::default());
+    let alone = Member::new(alone, LeaseClient::new(Timing::default()), Recorder::default());
     assert_eq!(alone.run().await, Ended::Refused("no keeper is named".to_owned()));
 }
 
@@ -218,8 +236,8 @@
         LocalSet::new().run_until(test).await
     };
     assert_eq!(call(|_| Some(Answer::Done), 2_000).await, Ok(Answer::Done));
-    let rejected = Answer::Refused(Reason::NoSession);
-    assert_eq!(call(|_| Some(Answer::Refused(Reason::NoSession)), 2_000).await, Ok(rejected));
+    let rejected = Answer::Refused(CommandRejection::NoSuchSession);
+    assert_eq!(call(|_| Some(Answer::Refused(CommandRejection::NoSuchSession)), 2_000).await, Ok(rejected));
     let not_leading = |_: &Request| Some(Answer::NotLeading { leader: None, address: None });
     assert_eq!(call(not_leading, 100).await, Err("no keeper leads".to_owned()));
     assert_eq!(call(|_| Some(Answer::Busy), 100).await, Err("the keeper that leads is busy".to_owned()));
--- a/crates/cluster-member/tests/settings.rs
+++ b/crates/cluster-member/tests/settings.rs
@@ -74,14 +74,14 @@
     }
     let times = settings::times(&top)?;
     lines.extend([
-        format!("lease: {} us", times.lease),
-        format!("renew: {} us", times.renew),
-        format!("call: {} us", times.call),
-        format!("stay: {} us", times.stay),
-        format!("short: {} us", times.short),
-        format!("election: {} us", times.election),
-        format!("heartbeat: {} us", times.heartbeat),
-        format!("skew: {} ppm", times.skew_ppm),
+        format!("lease: {} us", times.lease_duration),
+        format!("renew: {} us", times.renewal_interval),
+        format!("call: {} us", times.call_timeout),
+        format!("stay: {} us", times.stability_period),
+        format!("short: {} us", times.short_session_limit),
+        format!("election: {} us", times.election_timeout),
+        format!("heartbeat: {} us", times.heartbeat_interval),
+        format!("skew: {} ppm", times.max_clock_skew_ppm),
     ]);
     if let Some(section) = top.section("watch")? {
         let watching = settings::watching(section)?;
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -14,8 +14,8 @@
 //! The lease is for speed (2 rests on sessions ending by time only where a member does not answer); tokens are for
 //! safety where clocks run at other rates than stated: an old owner's effect is refused by whoever knows a higher token.
 //!
-//! [`State`] is the replicated state machine, [`Warden`] what the leading keeper knows besides, [`Holder`] a member's
-//! side, [`Times`] the times and the bound on clock rates.
+//! [`StateMachine`] is the replicated state machine, [`LeaderState`] what the leading keeper knows besides, [`LeaseClient`] a member's
+//! side, [`Timing`] the times and the bound on clock rates.
 
 mod command;
 mod holder;
@@ -23,13 +23,14 @@
 mod times;
 mod warden;
 
-pub use command::{Command, CommandFault, COMMAND_VERSION};
-pub use holder::{Flaw, Holder, HolderCounts, Refusal, Session as HeldSession};
+pub use command::{Command, CommandDecodeError, COMMAND_VERSION};
+pub use holder::{ClientSession, EffectCounts, EffectRejection, InjectedBug, LeaseClient};
 pub use machine::{
-    Duty, Outcome, Owner, Reason, Replacing, Seat, Session, SnapshotFault, State, View, LIMITS,
+    ClusterView, CommandOutcome, CommandRejection, Lease, LeaseHolder, LeaseView, ReplicaReplacement,
+    Session, SnapshotError, StateMachine, LIMITS,
 };
-pub use times::{Times, TimesFault};
-pub use warden::Warden;
+pub use times::{Timing, TimingError};
+pub use warden::LeaderState;
 
 use serde::{Deserialize, Serialize};
 
@@ -45,71 +46,72 @@
 
 /// A fencing token. Higher is later.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Token(pub u64);
+pub struct FencingToken(pub u64);
 
 /// What a duty reaches over.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Scope {
+pub enum LeaseScope {
     /// The whole fleet; any member may own it.
     Fleet,
     /// One zone; only its members may own it.
     Zone(String),
     /// One of the sets that the workers are cut into; any member may own it.
-    Set(u16),
+    #[serde(rename = "Set")]
+    WorkerSet(u16),
 }
 
 /// A duty by name and scope.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct DutyId {
+pub struct LeaseId {
     /// What is done, such as `list`.
     pub name: String,
     /// What it reaches over.
-    pub scope: Scope,
+    pub scope: LeaseScope,
 }
 
-impl DutyId {
+impl LeaseId {
     /// The duty of this name for the whole fleet.
-    pub fn fleet(name: &str) -> DutyId {
-        DutyId { name: name.to_owned(), scope: Scope::Fleet }
+    pub fn fleet(name: &str) -> LeaseId {
+        LeaseId { name: name.to_owned(), scope: LeaseScope::Fleet }
     }
 
     /// The duty of this name for one zone.
-    pub fn zone(name: &str, zone: &str) -> DutyId {
-        DutyId { name: name.to_owned(), scope: Scope::Zone(zone.to_owned()) }
+    pub fn zone(name: &str, zone: &str) -> LeaseId {
+        LeaseId { name: name.to_owned(), scope: LeaseScope::Zone(zone.to_owned()) }
     }
 
     /// The duty of this name for one set of workers.
-    pub fn set(name: &str, set: u16) -> DutyId {
-        DutyId { name: name.to_owned(), scope: Scope::Set(set) }
+    pub fn worker_set(name: &str, set: u16) -> LeaseId {
+        LeaseId { name: name.to_owned(), scope: LeaseScope::WorkerSet(set) }
     }
 }
 
-impl std::fmt::Display for DutyId {
+impl std::fmt::Display for LeaseId {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match &self.scope {
-            Scope::Fleet => write!(f, "{}", self.name),
-            Scope::Zone(zone) => write!(f, "{}@zone/{zone}", self.name),
-            Scope::Set(set) => write!(f, "{}@set/{set}", self.name),
+            LeaseScope::Fleet => write!(f, "{}", self.name),
+            LeaseScope::Zone(zone) => write!(f, "{}@zone/{zone}", self.name),
+            LeaseScope::WorkerSet(set) => write!(f, "{}@set/{set}", self.name),
         }
     }
 }
 
-impl std::str::FromStr for DutyId {
+impl std::str::FromStr for LeaseId {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<DutyId, String> {
+    fn from_str(text: &str) -> Result<LeaseId, String> {
         let fault = || format!("{text:?} is no duty; wanted NAME, NAME@zone/ZONE or NAME@set/NUMBER");
         let (name, scope) = match text.split_once('@') {
-            None => (text, Scope::Fleet),
+            None => (text, LeaseScope::Fleet),
             Some((name, scope)) => match scope.split_once('/') {
-                Some(("zone", zone)) if !zone.is_empty() => (name, Scope::Zone(zone.to_owned())),
-                Some(("set", set)) => (name, Scope::Set(set.parse().map_err(|_| fault())?)),
+                Some(("zone", zone)) if !zone.is_empty() => (name, LeaseScope::Zone(zone.to_owned())),
+                Some(("set", set)) => (name, LeaseScope::WorkerSet(set.parse().map_err(|_| fault())?)),
                 _ => return Err(fault()),
             },
         };
         match name.is_empty() {
             true => Err(fault()),
-            false => Ok(DutyId { name: name.to_owned(), scope }),
+            false => Ok(LeaseId { name: name.to_owned(), scope }),
         }
     }
 }
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -6,7 +6,7 @@
 use disruption_budget::{Account, Change};
 use serde::{Deserialize, Serialize};
 
-use crate::{Command, DutyId, Revision, Scope, SessionId, Token};
+use crate::{Command, FencingToken, LeaseId, LeaseScope, Revision, SessionId};
 
 /// Bounds on what the state may hold: sessions, duties, duties offered by one member, bytes of a name or an address.
 pub const LIMITS: (usize, usize, usize, usize) = (2_048, 4_096, 128, 128);
@@ -24,15 +24,15 @@
     /// Which process of that name, counted from one.
     pub incarnation: u64,
     /// The number that this process drew.
-    pub boot: u64,
+    pub boot_id: u64,
     /// Its zone.
     pub zone: String,
     /// Where members reach it.
     pub address: String,
     /// The duties that it may be given.
-    pub offers: Vec<DutyId>,
+    pub eligible_leases: Vec<LeaseId>,
     /// Whether it stayed long enough.
-    pub settled: bool,
+    pub stable: bool,
     /// Whether a later process of the same name is there: no renewal any more.
     pub superseded: bool,
 }
@@ -51,34 +51,34 @@
 
 /// Who owns a duty.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Owner {
+pub struct LeaseHolder {
     /// By which session.
     pub session: SessionId,
     /// With which token.
-    pub token: Token,
+    pub token: FencingToken,
 }
 
 /// A duty.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Duty {
+pub struct Lease {
     /// Tokens below this one are of ended terms.
-    pub floor: Token,
+    pub minimum_token: FencingToken,
     /// When the last term ended: whoever is to have a say in the next has to know of this.
-    pub fenced: Revision,
+    pub fencing_revision: Revision,
     /// The owner, if it has one.
-    pub owner: Option<Owner>,
+    pub holder: Option<LeaseHolder>,
 }
 
 /// What all keepers agree on.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct State {
+pub struct StateMachine {
     revision: Revision,
-    seats_revision: Revision,
-    roster_revision: Revision,
+    lease_revision: Revision,
+    membership_revision: Revision,
     next_token: u64,
     sessions: BTreeMap<SessionId, Session>,
     names: BTreeMap<String, Name>,
-    duties: BTreeMap<DutyId, Duty>,
+    duties: BTreeMap<LeaseId, Lease>,
     keepers: BTreeMap<u64, u64>,
     /// Stands behind the rest in a snapshot, and only where there is something of it.
     #[serde(skip)]
@@ -88,7 +88,7 @@
     account: Account,
     /// The last entry that changed it; after a restart, the snapshot's.
     #[serde(skip)]
-    account_revision: Revision,
+    disruption_revision: Revision,
 }
 
 /// What is agreed on of keepers that came later, since version 2.
@@ -96,14 +96,14 @@
 struct Changes {
     /// Where those are that came later.
     addresses: BTreeMap<u64, String>,
-    replacing: Option<Replacing>,
+    replacing: Option<ReplicaReplacement>,
     /// Numbers that are not used again.
     gone: BTreeSet<u64>,
 }
 
 /// A replacement of a keeper that is on its way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Replacing {
+pub struct ReplicaReplacement {
     /// The one that goes.
     pub old: u64,
     /// The one that comes.
@@ -112,105 +112,107 @@
 
 /// What became of a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Outcome {
+pub enum CommandOutcome {
     /// The member has this session, as that process of its name.
-    Joined(SessionId, u64),
+    SessionOpened(SessionId, u64),
     /// The session is over.
-    Ended(SessionId),
+    SessionEnded(SessionId),
     /// It may own duties now.
-    Settled(SessionId),
+    SessionStable(SessionId),
     /// The duty has an owner.
-    Granted(DutyId, Owner),
+    LeaseGranted(LeaseId, LeaseHolder),
     /// The term is over.
-    Released(DutyId, Token),
+    LeaseReleased(LeaseId, FencingToken),
     /// What became of a change of the account.
-    Account(disruption_budget::Outcome),
+    Disruption(disruption_budget::Outcome),
     /// Noted.
-    Noted,
+    Acknowledged,
     /// Not done, and nothing was changed.
-    Refused(Reason),
+    Rejected(CommandRejection),
 }
 
 /// Why a command was not done.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Reason {
+pub enum CommandRejection {
     /// There is no such session, or no more.
-    NoSession,
+    NoSuchSession,
     /// A later process of the same name is there.
     Superseded {
         /// Which one.
         incarnation: u64,
     },
     /// The duty was granted, fenced or unknown.
-    NotFree,
+    LeaseNotFree,
     /// That term is over, or never was.
-    NotTheOwner,
+    NotLeaseHolder,
     /// Too much of something.
-    Full(String),
+    LimitExceeded(String),
     /// The disk of a keeper was seen with more starts.
-    OldDisk {
+    StaleDisk {
         /// How many.
-        boots: u64,
+        starts: u64,
     },
     /// A keeper cannot be replaced so.
-    Keepers(String),
+    InvalidReplacement(String),
 }
 
-impl std::fmt::Display for Reason {
+impl std::fmt::Display for CommandRejection {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Reason::NoSession => write!(f, "there is no such session, or it has ended"),
-            Reason::Superseded { incarnation } => {
+            CommandRejection::NoSuchSession => write!(f, "there is no such session, or it has ended"),
+            CommandRejection::Superseded { incarnation } => {
                 write!(f, "process {incarnation} of the same name is there and this one is older")
             }
-            Reason::NotFree => write!(f, "the duty is not free"),
-            Reason::NotTheOwner => write!(f, "that term is over"),
-            Reason::Full(what) => write!(f, "no room: {what}"),
-            Reason::Keepers(why) => write!(f, "{why}"),
-            Reason::OldDisk { boots } => write!(f, "this disk was seen with {boots} starts already"),
+            CommandRejection::LeaseNotFree => write!(f, "the duty is not free"),
+            CommandRejection::NotLeaseHolder => write!(f, "that term is over"),
+            CommandRejection::LimitExceeded(what) => write!(f, "no room: {what}"),
+            CommandRejection::InvalidReplacement(why) => write!(f, "{why}"),
+            CommandRejection::StaleDisk { starts: boots } => {
+                write!(f, "this disk was seen with {boots} starts already")
+            }
         }
     }
 }
 
 /// What a member is told of one duty.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Seat {
+pub struct LeaseView {
     /// The duty.
-    pub duty: DutyId,
+    pub lease: LeaseId,
     /// Tokens below are refused.
-    pub floor: Token,
+    pub minimum_token: FencingToken,
     /// The owner, if there is one.
-    pub owner: Option<Owner>,
+    pub holder: Option<LeaseHolder>,
 }
 
 /// What a member is told of all duties, at a revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct View {
+pub struct ClusterView {
     /// The revision of the last change that it shows.
     pub revision: Revision,
     /// The duties.
-    pub seats: Vec<Seat>,
+    pub leases: Vec<LeaseView>,
 }
 
 /// A snapshot that this program cannot read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SnapshotFault(pub String);
+pub struct SnapshotError(pub String);
 
-impl std::fmt::Display for SnapshotFault {
+impl std::fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "the snapshot cannot be read: {}", self.0)
     }
 }
 
-impl std::error::Error for SnapshotFault {}
+impl std::error::Error for SnapshotError {}
 
-impl State {
+impl StateMachine {
     /// A fleet without members. `first_token` is above every token of an earlier installation.
-    pub fn new(first_token: u64) -> State {
-        State {
+    pub fn new(first_token: u64) -> StateMachine {
+        StateMachine {
             revision: 0,
-            seats_revision: 0,
-            roster_revision: 0,
+            lease_revision: 0,
+            membership_revision: 0,
             next_token: first_token.max(1),
             sessions: BTreeMap::new(),
             names: BTreeMap::new(),
@@ -218,7 +220,7 @@
             keepers: BTreeMap::new(),
             changes: Changes::default(),
             account: Account::default(),
-            account_revision: 0,
+            disruption_revision: 0,
         }
     }
 
@@ -228,13 +230,13 @@
     }
 
     /// The last entry that changed who owns what or what is fenced.
-    pub fn seats_revision(&self) -> Revision {
-        self.seats_revision
+    pub fn lease_revision(&self) -> Revision {
+        self.lease_revision
     }
 
     /// The last entry that changed who is there.
-    pub fn roster_revision(&self) -> Revision {
-        self.roster_revision
+    pub fn membership_revision(&self) -> Revision {
+        self.membership_revision
     }
 
     /// The members that are there.
@@ -243,53 +245,53 @@
     }
 
     /// The duties.
-    pub fn duties(&self) -> &BTreeMap<DutyId, Duty> {
+    pub fn leases(&self) -> &BTreeMap<LeaseId, Lease> {
         &self.duties
     }
 
     /// The token that the next grant gets.
-    pub fn next_token(&self) -> Token {
-        Token(self.next_token)
+    pub fn next_token(&self) -> FencingToken {
+        FencingToken(self.next_token)
     }
 
     /// How often each keeper's disk was started, as far as agreed.
-    pub fn keepers(&self) -> &BTreeMap<u64, u64> {
+    pub fn replica_starts(&self) -> &BTreeMap<u64, u64> {
         &self.keepers
     }
 
     /// Where those keepers are that came later than the installation was set up.
-    pub fn added(&self) -> &BTreeMap<u64, String> {
+    pub fn added_replicas(&self) -> &BTreeMap<u64, String> {
         &self.changes.addresses
     }
 
     /// The replacement that is on its way.
-    pub fn replacing(&self) -> Option<Replacing> {
+    pub fn replacement_in_progress(&self) -> Option<ReplicaReplacement> {
         self.changes.replacing
     }
 
     /// Who may be out.
-    pub fn account(&self) -> &Account {
+    pub fn disruption(&self) -> &Account {
         &self.account
     }
 
     /// The same with a flaw in the account, in builds for tests.
     #[must_use]
-    pub fn with_account_flaw(self, flaw: Option<disruption_budget::Flaw>) -> State {
-        State { account: self.account.with_flaw(flaw), ..self }
+    pub fn with_injected_disruption_bug(self, flaw: Option<disruption_budget::Flaw>) -> StateMachine {
+        StateMachine { account: self.account.with_flaw(flaw), ..self }
     }
 
     /// The last entry that changed who may be out.
-    pub fn account_revision(&self) -> Revision {
-        self.account_revision
+    pub fn disruption_revision(&self) -> Revision {
+        self.disruption_revision
     }
 
     /// How many short lives in a row a member of this name had.
-    pub fn short_lives(&self, name: &str) -> u8 {
+    pub fn consecutive_short_sessions(&self, name: &str) -> u8 {
         self.names.get(name).map_or(0, |name| name.short_lives)
     }
 
     /// The session of this name that may be renewed.
-    pub fn session_of(&self, name: &str) -> Option<(SessionId, &Session)> {
+    pub fn current_session_of(&self, name: &str) -> Option<(SessionId, &Session)> {
         self.sessions
             .iter()
             .find(|(_, session)| session.name == name && !session.superseded)
@@ -302,85 +304,98 @@
     }
 
     /// What members are told.
-    pub fn view(&self) -> View {
-        let seat =
-            |(id, duty): (&DutyId, &Duty)| Seat { duty: id.clone(), floor: duty.floor, owner: duty.owner };
-        View { revision: self.seats_revision, seats: self.duties.iter().map(seat).collect() }
+    pub fn view(&self) -> ClusterView {
+        let seat = |(id, duty): (&LeaseId, &Lease)| LeaseView {
+            lease: id.clone(),
+            minimum_token: duty.minimum_token,
+            holder: duty.holder,
+        };
+        ClusterView { revision: self.lease_revision, leases: self.duties.iter().map(seat).collect() }
     }
 
     /// Counts an entry of the log that carries no command.
-    pub fn skip(&mut self, index: Revision) {
+    pub fn skip_entry(&mut self, index: Revision) {
         self.revision = self.revision.max(index);
     }
 
     /// Applies the entry at this position of the log. One that was applied is not applied again.
-    pub fn apply(&mut self, index: Revision, command: &Command) -> Outcome {
+    pub fn apply(&mut self, index: Revision, command: &Command) -> CommandOutcome {
         if index <= self.revision {
-            return Outcome::Noted;
+            return CommandOutcome::Acknowledged;
         }
         self.revision = index;
         match command {
-            Command::Join { name, boot, zone, address, offers, short } => {
-                self.join(index, (name, *boot), zone, address, offers, *short)
-            }
-            Command::Leave { session, short } | Command::End { session, short } => {
+            Command::OpenSession {
+                name,
+                boot_id: boot,
+                zone,
+                address,
+                eligible_leases: offers,
+                short_lived: short,
+            } => self.join(index, (name, *boot), zone, address, offers, *short),
+            Command::CloseSession { session, short_lived: short }
+            | Command::ExpireSession { session, short_lived: short } => {
                 match self.end(index, *session) {
                     Some(ended) => {
                         // Of a superseded one it was said when it was.
                         if !ended.superseded {
                             self.lived(&ended.name, *short);
                         }
-                        Outcome::Ended(*session)
+                        CommandOutcome::SessionEnded(*session)
                     }
-                    None => Outcome::Refused(Reason::NoSession),
+                    None => CommandOutcome::Rejected(CommandRejection::NoSuchSession),
                 }
             }
-            Command::Settle { session } => match self.sessions.get_mut(session) {
+            Command::MarkSessionStable { session } => match self.sessions.get_mut(session) {
                 Some(there) if !there.superseded => {
-                    there.settled = true;
-                    Outcome::Settled(*session)
+                    there.stable = true;
+                    CommandOutcome::SessionStable(*session)
                 }
-                _ => Outcome::Refused(Reason::NoSession),
+                _ => CommandOutcome::Rejected(CommandRejection::NoSuchSession),
             },
-            Command::Grant { duty, session, fenced } => self.grant(index, duty, *session, *fenced),
-            Command::Release { duty, token, unsettle } => self.release(index, duty, *token, *unsettle),
-            Command::KeeperStarted { keeper, boots } => {
+            Command::GrantLease { lease: duty, session, fencing_revision: fenced } => {
+                self.grant(index, duty, *session, *fenced)
+            }
+            Command::ReleaseLease { lease: duty, token, reset_stability: unsettle } => {
+                self.release(index, duty, *token, *unsettle)
+            }
+            Command::RecordReplicaStart { replica: keeper, starts: boots } => {
                 let seen = self.keepers.entry(*keeper).or_default();
                 if *boots < *seen {
-                    return Outcome::Refused(Reason::OldDisk { boots: *seen });
+                    return CommandOutcome::Rejected(CommandRejection::StaleDisk { starts: *seen });
                 }
                 *seen = *boots;
-                Outcome::Noted
+                CommandOutcome::Acknowledged
             }
-            Command::Account(change) => {
+            Command::Disruption(change) => {
                 // An observation counts while its term is the running one, and at no other time.
                 if let Change::Observe { token, .. } = change {
-                    let owner = self.duties.get(&DutyId::fleet(ACCOUNT)).and_then(|duty| duty.owner);
-                    if owner.is_none_or(|owner| owner.token != Token(*token)) {
-                        return Outcome::Refused(Reason::NotTheOwner);
+                    let owner = self.duties.get(&LeaseId::fleet(ACCOUNT)).and_then(|duty| duty.holder);
+                    if owner.is_none_or(|owner| owner.token != FencingToken(*token)) {
+                        return CommandOutcome::Rejected(CommandRejection::NotLeaseHolder);
                     }
                 }
-                self.account_revision = index;
-                Outcome::Account(self.account.apply(index, change))
+                self.disruption_revision = index;
+                CommandOutcome::Disruption(self.account.apply(index, change))
             }
-            Command::ReplaceKeeper { old, new, address } => self.replace(*old, *new, address),
-            Command::KeeperReplaced { old } => {
+            Command::ReplaceReplica { old, new, address } => self.replace(*old, *new, address),
+            Command::CompleteReplacement { old } => {
                 if self.changes.replacing.is_some_and(|replacing| replacing.old == *old) {
                     self.changes.replacing = None;
                     self.changes.addresses.remove(old);
                     self.changes.gone.insert(*old);
                 }
-                Outcome::Noted
+                CommandOutcome::Acknowledged
             }
         }
     }
 
-    fn replace(&mut self, old: u64, new: u64, address: &str) -> Outcome {
-        let wanted = Replacing { old, new };
-        let refused = |why: String| Outcome::Refused(Reason::Keepers(why));
+    fn replace(&mut self, old: u64, new: u64, address: &str) -> CommandOutcome {
+        let wanted = ReplicaReplacement { old, new };
+        let refused = |why: String| CommandOutcome::Rejected(CommandRejection::InvalidReplacement(why));
         match self.changes.replacing {
             // Asked again by an operator who did not hear the answer.
-            Some(going) if going == wanted => return Outcome::Noted,
+            Some(going) if going == wanted => return CommandOutcome::Acknowledged,
             Some(going) => {
                 return refused(format!("keeper {} is being replaced by {} still", going.old, going.new))
             }
@@ -394,11 +409,14 @@
             return refused(format!("keeper {old} was replaced already"));
         }
         if address.is_empty() || address.len() > LIMITS.3 {
-            return Outcome::Refused(Reason::Full(format!("an address is empty or over {} bytes", LIMITS.3)));
+            return CommandOutcome::Rejected(CommandRejection::LimitExceeded(format!(
+                "an address is empty or over {} bytes",
+                LIMITS.3
+            )));
         }
         self.changes.addresses.insert(new, address.to_owned());
         self.changes.replacing = Some(wanted);
-        Outcome::Noted
+        CommandOutcome::Acknowledged
     }
 
     fn join(
@@ -407,31 +425,31 @@
         (name, boot): (&str, u64),
         zone: &str,
         address: &str,
-        offers: &[DutyId],
+        offers: &[LeaseId],
         short: bool,
-    ) -> Outcome {
-        if let Some((id, session)) = self.session_of(name) {
-            if session.boot == boot {
-                return Outcome::Joined(id, session.incarnation);
+    ) -> CommandOutcome {
+        if let Some((id, session)) = self.current_session_of(name) {
+            if session.boot_id == boot {
+                return CommandOutcome::SessionOpened(id, session.incarnation);
             }
         }
         let (sessions, duties, offered, bytes) = LIMITS;
         let text = [name, zone, address].into_iter().chain(offers.iter().map(|duty| duty.name.as_str()));
         if name.is_empty() || text.into_iter().any(|text| text.len() > bytes) {
-            return Outcome::Refused(Reason::Full(format!(
+            return CommandOutcome::Rejected(CommandRejection::LimitExceeded(format!(
                 "a name or an address is empty or over {bytes} bytes"
             )));
         }
         let new = offers.iter().filter(|duty| !self.duties.contains_key(duty)).count();
         if self.sessions.len() >= sessions || self.duties.len() + new > duties || offers.len() > offered {
-            return Outcome::Refused(Reason::Full(format!(
+            return CommandOutcome::Rejected(CommandRejection::LimitExceeded(format!(
                 "{sessions} sessions, {duties} duties, {offered} offers"
             )));
         }
-        let older = self.session_of(name).map(|(id, _)| id);
+        let older = self.current_session_of(name).map(|(id, _)| id);
         let known = self.names.entry(name.to_owned()).or_default();
         if known.boots.contains(&boot) && known.boots.last() != Some(&boot) {
-            return Outcome::Refused(Reason::Superseded { incarnation: known.incarnation });
+            return CommandOutcome::Rejected(CommandRejection::Superseded { incarnation: known.incarnation });
         }
         if known.boots.last() != Some(&boot) {
             let short = if older.is_some() { short } else { known.last_short };
@@ -450,23 +468,26 @@
         }
         for duty in offers.iter().filter(|duty| !self.duties.contains_key(duty)).cloned().collect::<Vec<_>>()
         {
-            self.duties.insert(duty, Duty { floor: Token(self.next_token), fenced: index, owner: None });
-            self.seats_revision = index;
+            self.duties.insert(
+                duty,
+                Lease { minimum_token: FencingToken(self.next_token), fencing_revision: index, holder: None },
+            );
+            self.lease_revision = index;
         }
         let session = Session {
             name: name.to_owned(),
             incarnation,
-            boot,
+            boot_id: boot,
             zone: zone.to_owned(),
             address: address.to_owned(),
-            offers: offers.to_vec(),
-            settled: false,
+            eligible_leases: offers.to_vec(),
+            stable: false,
             superseded: false,
         };
         self.sessions.insert(SessionId(index), session);
-        self.roster_revision = index;
+        self.membership_revision = index;
         self.forget_names();
-        Outcome::Joined(SessionId(index), incarnation)
+        CommandOutcome::SessionOpened(SessionId(index), incarnation)
     }
 
     /// Names without a session are forgotten, the ones with the fewest processes first, when there are very many.
@@ -488,46 +509,56 @@
 
     fn end(&mut self, index: Revision, id: SessionId) -> Option<Session> {
         let session = self.sessions.remove(&id)?;
-        self.roster_revision = index;
-        let next = Token(self.next_token);
+        self.membership_revision = index;
+        let next = FencingToken(self.next_token);
         for duty in
-            self.duties.values_mut().filter(|duty| duty.owner.is_some_and(|owner| owner.session == id))
+            self.duties.values_mut().filter(|duty| duty.holder.is_some_and(|owner| owner.session == id))
         {
-            *duty = Duty { floor: next, fenced: index, owner: None };
-            self.seats_revision = index;
+            *duty = Lease { minimum_token: next, fencing_revision: index, holder: None };
+            self.lease_revision = index;
         }
         Some(session)
     }
 
-    fn grant(&mut self, index: Revision, id: &DutyId, to: SessionId, fenced: Revision) -> Outcome {
-        let able = self.sessions.get(&to).is_some_and(|session| session.may_own(id));
+    fn grant(&mut self, index: Revision, id: &LeaseId, to: SessionId, fenced: Revision) -> CommandOutcome {
+        let able = self.sessions.get(&to).is_some_and(|session| session.may_hold(id));
         let next = self.next_token;
-        let Some(duty) = self.duties.get_mut(id) else { return Outcome::Refused(Reason::NotFree) };
-        if duty.owner.is_some() || duty.fenced != fenced {
-            return Outcome::Refused(Reason::NotFree);
+        let Some(duty) = self.duties.get_mut(id) else {
+            return CommandOutcome::Rejected(CommandRejection::LeaseNotFree);
+        };
+        if duty.holder.is_some() || duty.fencing_revision != fenced {
+            return CommandOutcome::Rejected(CommandRejection::LeaseNotFree);
         }
         if !able {
-            return Outcome::Refused(Reason::NoSession);
+            return CommandOutcome::Rejected(CommandRejection::NoSuchSession);
         }
-        let owner = Owner { session: to, token: Token(next) };
-        *duty = Duty { floor: owner.token, fenced, owner: Some(owner) };
+        let owner = LeaseHolder { session: to, token: FencingToken(next) };
+        *duty = Lease { minimum_token: owner.token, fencing_revision: fenced, holder: Some(owner) };
         self.next_token += 1;
-        self.seats_revision = index;
-        Outcome::Granted(id.clone(), owner)
+        self.lease_revision = index;
+        CommandOutcome::LeaseGranted(id.clone(), owner)
     }
 
-    fn release(&mut self, index: Revision, id: &DutyId, token: Token, unsettle: bool) -> Outcome {
-        let next = Token(self.next_token);
-        let Some(duty) = self.duties.get_mut(id) else { return Outcome::Refused(Reason::NotTheOwner) };
-        let Some(owner) = duty.owner.filter(|owner| owner.token == token) else {
-            return Outcome::Refused(Reason::NotTheOwner);
+    fn release(
+        &mut self,
+        index: Revision,
+        id: &LeaseId,
+        token: FencingToken,
+        unsettle: bool,
+    ) -> CommandOutcome {
+        let next = FencingToken(self.next_token);
+        let Some(duty) = self.duties.get_mut(id) else {
+            return CommandOutcome::Rejected(CommandRejection::NotLeaseHolder);
+        };
+        let Some(owner) = duty.holder.filter(|owner| owner.token == token) else {
+            return CommandOutcome::Rejected(CommandRejection::NotLeaseHolder);
         };
-        *duty = Duty { floor: next, fenced: index, owner: None };
-        self.seats_revision = index;
+        *duty = Lease { minimum_token: next, fencing_revision: index, holder: None };
+        self.lease_revision = index;
         if let Some(session) = self.sessions.get_mut(&owner.session).filter(|_| unsettle) {
-            session.settled = false;
+            session.stable = false;
         }
-        Outcome::Released(id.clone(), token)
+        CommandOutcome::LeaseReleased(id.clone(), token)
     }
 
     /// The bytes of a snapshot: its version, then all.
@@ -545,23 +576,23 @@
     }
 
     /// Reads a snapshot.
-    pub fn restore(bytes: &[u8]) -> Result<State, SnapshotFault> {
-        let fault = |error: postcard::Error| SnapshotFault(error.to_string());
+    pub fn restore(bytes: &[u8]) -> Result<StateMachine, SnapshotError> {
+        let fault = |error: postcard::Error| SnapshotError(error.to_string());
         let (version, rest): (u16, _) = postcard::take_from_bytes(bytes).map_err(fault)?;
         match version {
             1 => postcard::from_bytes(rest).map_err(fault),
             2 => {
-                let (state, changes): (State, Changes) = postcard::from_bytes(rest).map_err(fault)?;
-                Ok(State { changes, ..state })
+                let (state, changes): (StateMachine, Changes) = postcard::from_bytes(rest).map_err(fault)?;
+                Ok(StateMachine { changes, ..state })
             }
             SNAPSHOT_VERSION => {
-                let (state, changes, account): (State, Changes, Account) =
+                let (state, changes, account): (StateMachine, Changes, Account) =
                     postcard::from_bytes(rest).map_err(fault)?;
-                let account_revision = state.revision;
-                Ok(State { changes, account, account_revision, ..state })
+                let disruption_revision = state.revision;
+                Ok(StateMachine { changes, account, disruption_revision, ..state })
             }
             _ => {
-                Err(SnapshotFault(format!("it has version {version}, this keeper knows {SNAPSHOT_VERSION}")))
+                Err(SnapshotError(format!("it has version {version}, this keeper knows {SNAPSHOT_VERSION}")))
             }
         }
     }
@@ -575,11 +606,11 @@
 
 impl Session {
     /// Whether it may be given this duty.
-    pub fn may_own(&self, duty: &DutyId) -> bool {
+    pub fn may_hold(&self, duty: &LeaseId) -> bool {
         let here = match &duty.scope {
-            Scope::Fleet | Scope::Set(_) => true,
-            Scope::Zone(zone) => *zone == self.zone,
+            LeaseScope::Fleet | LeaseScope::WorkerSet(_) => true,
+            LeaseScope::Zone(zone) => *zone == self.zone,
         };
-        here && self.settled && !self.superseded && self.offers.contains(duty)
+        here && self.stable && !self.superseded && self.eligible_leases.contains(duty)
     }
 }
--- a/crates/coordination/src/times.rs
+++ b/crates/coordination/src/times.rs
@@ -6,28 +6,36 @@
 
 /// All times of the agreement, in microseconds. Keepers and members of one installation have the same.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Times {
+pub struct Timing {
     /// How long a session lasts after the member asked for its renewal, by the member's clock.
-    pub lease: Micros,
+    #[serde(rename = "lease")]
+    pub lease_duration: Micros,
     /// How often a member asks for a renewal.
-    pub renew: Micros,
+    #[serde(rename = "renew")]
+    pub renewal_interval: Micros,
     /// How long a member waits for an answer of a keeper before it asks another.
-    pub call: Micros,
+    #[serde(rename = "call")]
+    pub call_timeout: Micros,
     /// How long a member has to stay before it may own a duty; doubled for each short life before.
-    pub stay: Micros,
+    #[serde(rename = "stay")]
+    pub stability_period: Micros,
     /// A session that ends before this age counts as a short life.
-    pub short: Micros,
+    #[serde(rename = "short")]
+    pub short_session_limit: Micros,
     /// The most by which two clocks' rates differ, in parts of a million.
-    pub skew_ppm: u64,
+    #[serde(rename = "skew_ppm")]
+    pub max_clock_skew_ppm: u64,
     /// How long a keeper that follows hears nothing before it wants to lead.
-    pub election: Micros,
+    #[serde(rename = "election")]
+    pub election_timeout: Micros,
     /// How often the leading keeper makes itself heard.
-    pub heartbeat: Micros,
+    #[serde(rename = "heartbeat")]
+    pub heartbeat_interval: Micros,
 }
 
 /// Two times that do not fit together.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TimesFault {
+pub struct TimingError {
     /// The key that is wrong.
     pub key: &'static str,
     /// The key that it does not fit to.
@@ -36,63 +44,75 @@
     pub problem: String,
 }
 
-impl std::fmt::Display for TimesFault {
+impl std::fmt::Display for TimingError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{} does not fit to {}: {}", self.key, self.against, self.problem)
     }
 }
 
-impl std::error::Error for TimesFault {}
+impl std::error::Error for TimingError {}
 
-impl Default for Times {
-    fn default() -> Times {
-        Times {
-            lease: 1_600_000,
-            renew: 400_000,
-            call: 400_000,
-            stay: 1_000_000,
-            short: 10_000_000,
-            skew_ppm: 1_000,
-            election: 400_000,
-            heartbeat: 80_000,
+impl Default for Timing {
+    fn default() -> Timing {
+        Timing {
+            lease_duration: 1_600_000,
+            renewal_interval: 400_000,
+            call_timeout: 400_000,
+            stability_period: 1_000_000,
+            short_session_limit: 10_000_000,
+            max_clock_skew_ppm: 1_000,
+            election_timeout: 400_000,
+            heartbeat_interval: 80_000,
         }
     }
 }
 
-impl Times {
+impl Timing {
     /// Whether the times fit together.
-    pub fn check(&self) -> Result<(), TimesFault> {
+    pub fn validate(&self) -> Result<(), TimingError> {
         let rules = [
             (
-                self.heartbeat == 0 || self.heartbeat * 4 > self.election,
+                self.heartbeat_interval == 0 || self.heartbeat_interval * 4 > self.election_timeout,
                 "heartbeat",
                 "election",
                 "wanted above 0 and at most a fourth of it, or a late beat starts an election",
             ),
             (
-                self.renew == 0 || self.renew * 3 > self.lease,
+                self.renewal_interval == 0 || self.renewal_interval * 3 > self.lease_duration,
                 "renew",
                 "lease",
                 "wanted above 0 and at most a third of it, or one lost answer ends a session",
             ),
             (
-                self.call == 0 || self.call * 2 > self.lease,
+                self.call_timeout == 0 || self.call_timeout * 2 > self.lease_duration,
                 "call",
                 "lease",
                 "wanted above 0 and at most half of it, or a silent keeper ends a session",
             ),
             (
-                self.election * 2 > self.lease,
+                self.election_timeout * 2 > self.lease_duration,
                 "election",
                 "lease",
                 "wanted at most half of it, or every election ends sessions",
             ),
-            (self.stay < self.renew, "stay", "renew", "wanted at least as long, or a member settles unheard"),
-            (self.short < self.stay, "short", "stay", "wanted at least as long, or no life is ever short"),
-            (self.skew_ppm > 100_000, "skew_ppm", "lease", "wanted at most 100000, a tenth"),
+            (
+                self.stability_period < self.renewal_interval,
+                "stay",
+                "renew",
+                "wanted at least as long, or a member settles unheard",
+            ),
+            (
+                self.short_session_limit < self.stability_period,
+                "short",
+                "stay",
+                "wanted at least as long, or no life is ever short",
+            ),
+            (self.max_clock_skew_ppm > 100_000, "skew_ppm", "lease", "wanted at most 100000, a tenth"),
         ];
         match rules.into_iter().find(|rule| rule.0) {
-            Some((_, key, against, problem)) => Err(TimesFault { key, against, problem: problem.to_owned() }),
+            Some((_, key, against, problem)) => {
+                Err(TimingError { key, against, problem: problem.to_owned() })
+            }
             None => Ok(()),
         }
     }
@@ -101,12 +121,12 @@
     ///
     /// A member's clock may run slow by the bound and a keeper's fast, so that both differences are added. What is
     /// rounded is rounded up, and one microsecond more covers both readings.
-    pub fn keepers_wait(&self) -> Micros {
-        self.lease + (self.lease * 2 * self.skew_ppm).div_ceil(1_000_000) + 1
+    pub fn expiry_wait(&self) -> Micros {
+        self.lease_duration + (self.lease_duration * 2 * self.max_clock_skew_ppm).div_ceil(1_000_000) + 1
     }
 
     /// How long a member with this many short lives in a row has to stay before it may own a duty.
-    pub fn stay_after(&self, short_lives: u8) -> Micros {
-        self.stay << short_lives.min(5)
+    pub fn stability_period_after(&self, short_lives: u8) -> Micros {
+        self.stability_period << short_lives.min(5)
     }
 }
--- a/crates/coordination/tests/agreement.rs
+++ b/crates/coordination/tests/agreement.rs
@@ -1,59 +1,66 @@
 //! The state machine, the leading keeper's account and a member's side, each by themselves.
 
 use coordination::{
-    Command, CommandFault, DutyId, Holder, Outcome, Reason, Refusal, Revision, Scope, SessionId, State,
-    Times, Token, Warden,
+    Command, CommandDecodeError, CommandOutcome, CommandRejection, EffectRejection, FencingToken,
+    LeaderState, LeaseClient, LeaseId, LeaseScope, Revision, SessionId, StateMachine, Timing,
 };
 
 const SECOND: u64 = 1_000_000;
 
 /// A log of one fleet with its leading keeper, all at one clock.
 struct Fleet {
-    state: State,
-    warden: Warden,
+    state: StateMachine,
+    warden: LeaderState,
     index: Revision,
 }
 
 impl Fleet {
     fn new() -> Fleet {
-        let state = State::new(1);
-        Fleet { warden: Warden::new(Times::default(), 0, &state), state, index: 0 }
+        let state = StateMachine::new(1);
+        Fleet { warden: LeaderState::new(Timing::default(), 0, &state), state, index: 0 }
     }
 
-    fn apply(&mut self, now: u64, command: &Command) -> Outcome {
+    fn apply(&mut self, now: u64, command: &Command) -> CommandOutcome {
         self.index += 1;
         let outcome = self.state.apply(self.index, command);
-        self.warden.applied(now, &self.state);
-        if matches!(outcome, Outcome::Refused(_)) {
-            self.warden.dropped(command);
+        self.warden.on_entries_applied(now, &self.state);
+        if matches!(outcome, CommandOutcome::Rejected(_)) {
+            self.warden.proposal_rejected(command);
         }
         outcome
     }
 
-    fn join(&mut self, now: u64, name: &str, boot: u64) -> Outcome {
-        let short = self.warden.short(name, now, &self.state);
+    fn join(&mut self, now: u64, name: &str, boot: u64) -> CommandOutcome {
+        let short = self.warden.is_short_session(name, now, &self.state);
         let (zone, address) = ("north".to_owned(), "127.0.0.1:1".to_owned());
         self.apply(
             now,
-            &Command::Join { name: name.to_owned(), boot, zone, address, offers: offers(), short },
+            &Command::OpenSession {
+                name: name.to_owned(),
+                boot_id: boot,
+                zone,
+                address,
+                eligible_leases: offers(),
+                short_lived: short,
+            },
         )
     }
 
     fn session(&mut self, now: u64, name: &str, boot: u64) -> SessionId {
         match self.join(now, name, boot) {
-            Outcome::Joined(id, _) => id,
+            CommandOutcome::SessionOpened(id, _) => id,
             other => panic!("{other:?}"),
         }
     }
 
     /// Renews these sessions, as having seen everything, and does what is due, until nothing is.
-    fn settle(&mut self, now: u64, alive: &[SessionId]) -> Vec<Outcome> {
+    fn settle(&mut self, now: u64, alive: &[SessionId]) -> Vec<CommandOutcome> {
         let mut outcomes = Vec::new();
         loop {
             for id in alive {
-                self.warden.renewed(*id, self.state.seats_revision(), now, &self.state).unwrap();
+                self.warden.renew_session(*id, self.state.lease_revision(), now, &self.state).unwrap();
             }
-            let due = self.warden.due(now, &self.state);
+            let due = self.warden.due_commands(now, &self.state);
             if due.is_empty() {
                 return outcomes;
             }
@@ -61,16 +68,16 @@
         }
     }
 
-    fn owner(&self) -> Option<(SessionId, Token)> {
-        self.state.duties()[&duty()].owner.map(|owner| (owner.session, owner.token))
+    fn owner(&self) -> Option<(SessionId, FencingToken)> {
+        self.state.leases()[&duty()].holder.map(|owner| (owner.session, owner.token))
     }
 }
 
-fn duty() -> DutyId {
-    DutyId::fleet("list")
+fn duty() -> LeaseId {
+    LeaseId::fleet("list")
 }
 
-fn offers() -> Vec<DutyId> {
+fn offers() -> Vec<LeaseId> {
     vec![duty()]
 }
 
@@ -82,7 +89,7 @@
     fleet.settle(SECOND, &[a, b]);
     let (first, token) = fleet.owner().unwrap();
     let other = if first == a { b } else { a };
-    let gone = SECOND + Times::default().keepers_wait();
+    let gone = SECOND + Timing::default().expiry_wait();
     assert!(fleet.settle(gone, &[other]).is_empty(), "not before its time");
     fleet.settle(gone + 1, &[other]);
     let (second, later) = fleet.owner().unwrap();
@@ -97,17 +104,17 @@
     fleet.settle(SECOND, &ids);
     let (owner, token) = fleet.owner().unwrap();
     let others: Vec<SessionId> = ids.into_iter().filter(|id| *id != owner).collect();
-    fleet.apply(SECOND, &Command::Leave { session: owner, short: false });
-    let fence = fleet.state.seats_revision();
-    fleet.warden.renewed(others[0], fence, SECOND, &fleet.state).unwrap();
-    fleet.warden.renewed(others[1], fence - 1, SECOND, &fleet.state).unwrap();
-    assert!(fleet.warden.due(SECOND, &fleet.state).is_empty(), "one of them has not seen the fence");
-    fleet.warden.renewed(others[1], fence, SECOND, &fleet.state).unwrap();
-    assert!(matches!(&fleet.warden.due(SECOND, &fleet.state)[..], [Command::Grant { .. }]));
+    fleet.apply(SECOND, &Command::CloseSession { session: owner, short_lived: false });
+    let fence = fleet.state.lease_revision();
+    fleet.warden.renew_session(others[0], fence, SECOND, &fleet.state).unwrap();
+    fleet.warden.renew_session(others[1], fence - 1, SECOND, &fleet.state).unwrap();
+    assert!(fleet.warden.due_commands(SECOND, &fleet.state).is_empty(), "one of them has not seen the fence");
+    fleet.warden.renew_session(others[1], fence, SECOND, &fleet.state).unwrap();
+    assert!(matches!(&fleet.warden.due_commands(SECOND, &fleet.state)[..], [Command::GrantLease { .. }]));
     // A new leader does not know what was seen, and asks anew.
-    fleet.warden = Warden::new(Times::default(), SECOND, &fleet.state);
-    assert!(fleet.warden.due(SECOND, &fleet.state).is_empty());
-    assert!(fleet.state.duties()[&duty()].floor > token);
+    fleet.warden = LeaderState::new(Timing::default(), SECOND, &fleet.state);
+    assert!(fleet.warden.due_commands(SECOND, &fleet.state).is_empty());
+    assert!(fleet.state.leases()[&duty()].minimum_token > token);
 }
 
 /// Found by the rig (three keepers, seed 3): a duty stayed without an owner for ten seconds, until the leader changed.
@@ -116,20 +123,20 @@
     let mut fleet = Fleet::new();
     let (a, b) = (fleet.session(0, "a", 1), fleet.session(0, "b", 2));
     for id in [a, b] {
-        fleet.warden.renewed(id, fleet.state.seats_revision(), SECOND, &fleet.state).unwrap();
+        fleet.warden.renew_session(id, fleet.state.lease_revision(), SECOND, &fleet.state).unwrap();
     }
-    for settle in fleet.warden.due(SECOND, &fleet.state) {
+    for settle in fleet.warden.due_commands(SECOND, &fleet.state) {
         fleet.apply(SECOND, &settle);
     }
-    let grant = fleet.warden.due(SECOND, &fleet.state).remove(0);
-    let Command::Grant { session: chosen, .. } = grant else { panic!("{grant:?}") };
+    let grant = fleet.warden.due_commands(SECOND, &fleet.state).remove(0);
+    let Command::GrantLease { session: chosen, .. } = grant else { panic!("{grant:?}") };
     let other = if chosen == a { b } else { a };
     let name = if chosen == a { "a" } else { "b" };
     // A later process of that name is there before the grant is applied.
     fleet.session(SECOND, name, 9);
-    assert_eq!(fleet.apply(SECOND, &grant), Outcome::Refused(Reason::NoSession));
-    let again = fleet.warden.due(SECOND, &fleet.state);
-    assert!(matches!(again[..], [Command::Grant { session, .. }] if session == other), "{again:?}");
+    assert_eq!(fleet.apply(SECOND, &grant), CommandOutcome::Rejected(CommandRejection::NoSuchSession));
+    let again = fleet.warden.due_commands(SECOND, &fleet.state);
+    assert!(matches!(again[..], [Command::GrantLease { session, .. }] if session == other), "{again:?}");
 }
 
 #[test]
@@ -137,22 +144,28 @@
     let mut fleet = Fleet::new();
     let a = fleet.session(0, "a", 1);
     let late = 3 * SECOND;
-    let due = fleet.warden.due(late, &fleet.state);
-    assert!(matches!(due[..], [Command::End { .. }]));
-    assert_eq!(fleet.warden.renewed(a, 0, late, &fleet.state), Err(Reason::NoSession));
-    fleet.warden.dropped(&due[0]);
-    assert_eq!(fleet.warden.renewed(a, 0, late, &fleet.state), Ok(()));
+    let due = fleet.warden.due_commands(late, &fleet.state);
+    assert!(matches!(due[..], [Command::ExpireSession { .. }]));
+    assert_eq!(fleet.warden.renew_session(a, 0, late, &fleet.state), Err(CommandRejection::NoSuchSession));
+    fleet.warden.proposal_rejected(&due[0]);
+    assert_eq!(fleet.warden.renew_session(a, 0, late, &fleet.state), Ok(()));
 }
 
 #[test]
 fn a_later_process_of_a_name_takes_over_and_an_older_one_does_not_come_back() {
     let mut fleet = Fleet::new();
     let old = fleet.session(0, "a", 1);
-    assert_eq!(fleet.join(0, "a", 1), Outcome::Joined(old, 1), "asked twice, one session");
-    let Outcome::Joined(new, 2) = fleet.join(0, "a", 2) else { panic!() };
-    assert_eq!(fleet.warden.renewed(old, 9, 0, &fleet.state), Err(Reason::Superseded { incarnation: 2 }));
-    assert_eq!(fleet.warden.renewed(new, 9, 0, &fleet.state), Ok(()));
-    assert_eq!(fleet.join(0, "a", 1), Outcome::Refused(Reason::Superseded { incarnation: 2 }));
+    assert_eq!(fleet.join(0, "a", 1), CommandOutcome::SessionOpened(old, 1), "asked twice, one session");
+    let CommandOutcome::SessionOpened(new, 2) = fleet.join(0, "a", 2) else { panic!() };
+    assert_eq!(
+        fleet.warden.renew_session(old, 9, 0, &fleet.state),
+        Err(CommandRejection::Superseded { incarnation: 2 })
+    );
+    assert_eq!(fleet.warden.renew_session(new, 9, 0, &fleet.state), Ok(()));
+    assert_eq!(
+        fleet.join(0, "a", 1),
+        CommandOutcome::Rejected(CommandRejection::Superseded { incarnation: 2 })
+    );
 }
 
 #[test]
@@ -164,7 +177,7 @@
         at += SECOND / 2;
     }
     let a = fleet.session(at, "a", 9);
-    assert_eq!(fleet.state.short_lives("a"), 4);
+    assert_eq!(fleet.state.consecutive_short_sessions("a"), 4);
     let mut granted = None;
     for tenth in 0..400 {
         let now = at + tenth * SECOND / 10;
@@ -183,12 +196,12 @@
     let a = fleet.session(0, "a", 1);
     fleet.settle(SECOND, &[a]);
     let (_, token) = fleet.owner().unwrap();
-    let mut holder = Holder::new(Times::default());
-    holder.joined(a, 1, 0, 5 * SECOND, fleet.state.view());
-    assert!(!holder.may_act(&duty(), token, 5 * SECOND), "the answer came after the lease was over");
-    holder.renewed(a, 5 * SECOND, 6 * SECOND, None);
-    assert!(holder.may_act(&duty(), token, 6_599_999));
-    assert!(!holder.may_act(&duty(), token, 6_600_000));
+    let mut holder = LeaseClient::new(Timing::default());
+    holder.on_session_opened(a, 1, 0, 5 * SECOND, fleet.state.view());
+    assert!(!holder.holds_lease(&duty(), token, 5 * SECOND), "the answer came after the lease was over");
+    holder.on_session_renewed(a, 5 * SECOND, 6 * SECOND, None);
+    assert!(holder.holds_lease(&duty(), token, 6_599_999));
+    assert!(!holder.holds_lease(&duty(), token, 6_600_000));
 }
 
 #[test]
@@ -197,66 +210,75 @@
     let a = fleet.session(0, "a", 1);
     fleet.settle(SECOND, &[a]);
     let (_, token) = fleet.owner().unwrap();
-    let mut holder = Holder::new(Times::default());
-    assert_eq!(holder.take(&duty(), token, 0), Err(Refusal::NoSession));
-    holder.joined(a, 1, 0, 0, fleet.state.view());
-    assert_eq!(holder.take(&duty(), token, 1), Ok(()));
-    assert_eq!(holder.take(&DutyId::fleet("other"), token, 1), Err(Refusal::Unknown));
-    fleet.apply(0, &Command::Release { duty: duty(), token, unsettle: true });
-    assert!(holder.told(a, fleet.state.view()), "news are confirmed at once");
-    let floor = Token(token.0 + 1);
-    assert_eq!(holder.take(&duty(), token, 1), Err(Refusal::OldToken { floor }));
-    assert_eq!(holder.take(&duty(), floor, Times::default().lease), Err(Refusal::NoSession));
-    let counts = holder.counts();
-    assert_eq!((counts.taken, counts.old_tokens, counts.without_session, counts.unknown), (1, 1, 2, 1));
+    let mut holder = LeaseClient::new(Timing::default());
+    assert_eq!(holder.accept_effect(&duty(), token, 0), Err(EffectRejection::NoSession));
+    holder.on_session_opened(a, 1, 0, 0, fleet.state.view());
+    assert_eq!(holder.accept_effect(&duty(), token, 1), Ok(()));
+    assert_eq!(holder.accept_effect(&LeaseId::fleet("other"), token, 1), Err(EffectRejection::UnknownLease));
+    fleet.apply(0, &Command::ReleaseLease { lease: duty(), token, reset_stability: true });
+    assert!(holder.on_view_changed(a, fleet.state.view()), "news are confirmed at once");
+    let floor = FencingToken(token.0 + 1);
+    assert_eq!(
+        holder.accept_effect(&duty(), token, 1),
+        Err(EffectRejection::StaleToken { minimum_token: floor })
+    );
+    assert_eq!(
+        holder.accept_effect(&duty(), floor, Timing::default().lease_duration),
+        Err(EffectRejection::NoSession)
+    );
+    let counts = holder.effect_counts();
+    assert_eq!(
+        (counts.accepted, counts.stale_tokens, counts.without_session, counts.unknown_leases),
+        (1, 1, 2, 1)
+    );
 }
 
 #[test]
 fn a_duty_of_a_zone_goes_to_that_zone_only() {
     let mut fleet = Fleet::new();
-    let far = vec![DutyId::zone("list", "south")];
-    let join = Command::Join {
+    let far = vec![LeaseId::zone("list", "south")];
+    let join = Command::OpenSession {
         name: "a".into(),
-        boot: 1,
+        boot_id: 1,
         zone: "north".into(),
         address: String::new(),
-        offers: far.clone(),
-        short: false,
+        eligible_leases: far.clone(),
+        short_lived: false,
     };
-    let Outcome::Joined(a, _) = fleet.apply(0, &join) else { panic!() };
+    let CommandOutcome::SessionOpened(a, _) = fleet.apply(0, &join) else { panic!() };
     fleet.settle(SECOND, &[a]);
-    assert_eq!(fleet.state.duties()[&far[0]].owner, None);
+    assert_eq!(fleet.state.leases()[&far[0]].holder, None);
 }
 
 /// The first member that stays gets every set; those that come later take over their part, one set at a time.
 #[test]
 fn sets_are_evened_out_one_at_a_time_and_then_stay() {
     let mut fleet = Fleet::new();
-    let sets: Vec<DutyId> = (0..6).map(|set| DutyId::set("watch", set)).collect();
+    let sets: Vec<LeaseId> = (0..6).map(|set| LeaseId::worker_set("watch", set)).collect();
     let mut alive = Vec::new();
     let mut moves = 0;
-    let (mut now, step) = (0, Times::default().renew);
+    let (mut now, step) = (0, Timing::default().renewal_interval);
     for (boot, name) in ["a", "b", "c"].into_iter().enumerate() {
-        let join = Command::Join {
+        let join = Command::OpenSession {
             name: name.to_owned(),
-            boot: boot as u64 + 1,
+            boot_id: boot as u64 + 1,
             zone: String::new(),
             address: "127.0.0.1:1".to_owned(),
-            offers: sets.clone(),
-            short: false,
+            eligible_leases: sets.clone(),
+            short_lived: false,
         };
-        let Outcome::Joined(id, _) = fleet.apply(now, &join) else { panic!("no session") };
+        let CommandOutcome::SessionOpened(id, _) = fleet.apply(now, &join) else { panic!("no session") };
         alive.push(id);
         for _ in 0..30 {
             now += step;
-            let released = |outcome: &&Outcome| matches!(outcome, Outcome::Released(..));
+            let released = |outcome: &&CommandOutcome| matches!(outcome, CommandOutcome::LeaseReleased(..));
             let outcomes = fleet.settle(now, &alive);
             let in_one_round = outcomes.iter().filter(released).count();
             assert!(in_one_round <= 1, "{in_one_round} sets moved at once");
             moves += in_one_round;
         }
         let of = |id: &SessionId| {
-            let owners = fleet.state.duties().values().filter_map(|duty| duty.owner);
+            let owners = fleet.state.leases().values().filter_map(|duty| duty.holder);
             owners.filter(|owner| owner.session == *id).count()
         };
         let (least, most) =
@@ -271,42 +293,57 @@
     let mut fleet = Fleet::new();
     let a = fleet.session(0, "a", 1);
     fleet.settle(SECOND, &[a]);
-    let again = State::restore(&fleet.state.snapshot()).unwrap();
+    let again = StateMachine::restore(&fleet.state.snapshot()).unwrap();
     assert_eq!(again, fleet.state);
     assert_eq!(again.digest(), fleet.state.digest());
-    let command = Command::Leave { session: a, short: true };
+    let command = Command::CloseSession { session: a, short_lived: true };
     assert_eq!(Command::decode(&command.encode()), Ok(command.clone()));
     let mut later = command.encode();
     later[0] = 4;
-    assert_eq!(Command::decode(&later), Err(CommandFault::Later(4, 3)));
+    assert_eq!(Command::decode(&later), Err(CommandDecodeError::UnsupportedVersion(4, 3)));
     let mut long = command.encode();
     long.push(0);
-    assert!(matches!(Command::decode(&long), Err(CommandFault::Malformed(_))));
+    assert!(matches!(Command::decode(&long), Err(CommandDecodeError::Malformed(_))));
     // What keepers of the version before read is written as they wrote it, until something new is agreed on.
     assert_eq!((command.encode()[0], fleet.state.snapshot()[0]), (1, 1));
-    let replace = Command::ReplaceKeeper { old: 3, new: 4, address: "127.0.0.1:1".into() };
+    let replace = Command::ReplaceReplica { old: 3, new: 4, address: "127.0.0.1:1".into() };
     assert_eq!(replace.encode()[0], 2);
-    assert_eq!(fleet.apply(SECOND, &replace), Outcome::Noted);
-    assert_eq!(fleet.apply(SECOND, &replace), Outcome::Noted, "asked again");
-    let other = Command::ReplaceKeeper { old: 2, new: 5, address: "127.0.0.1:1".into() };
-    assert!(matches!(fleet.apply(SECOND, &other), Outcome::Refused(Reason::Keepers(_))), "one at a time");
-    assert_eq!(fleet.apply(SECOND, &Command::KeeperReplaced { old: 3 }), Outcome::Noted);
-    let back = Command::ReplaceKeeper { old: 4, new: 3, address: "127.0.0.1:1".into() };
-    assert!(matches!(fleet.apply(SECOND, &back), Outcome::Refused(Reason::Keepers(_))), "a number of old");
+    assert_eq!(fleet.apply(SECOND, &replace), CommandOutcome::Acknowledged);
+    assert_eq!(fleet.apply(SECOND, &replace), CommandOutcome::Acknowledged, "asked again");
+    let other = Command::ReplaceReplica { old: 2, new: 5, address: "127.0.0.1:1".into() };
+    assert!(
+        matches!(
+            fleet.apply(SECOND, &other),
+            CommandOutcome::Rejected(CommandRejection::InvalidReplacement(_))
+        ),
+        "one at a time"
+    );
+    assert_eq!(fleet.apply(SECOND, &Command::CompleteReplacement { old: 3 }), CommandOutcome::Acknowledged);
+    let back = Command::ReplaceReplica { old: 4, new: 3, address: "127.0.0.1:1".into() };
+    assert!(
+        matches!(
+            fleet.apply(SECOND, &back),
+            CommandOutcome::Rejected(CommandRejection::InvalidReplacement(_))
+        ),
+        "a number of old"
+    );
     assert_eq!(fleet.state.snapshot()[0], 2);
-    assert_eq!(State::restore(&fleet.state.snapshot()), Ok(fleet.state.clone()));
+    assert_eq!(StateMachine::restore(&fleet.state.snapshot()), Ok(fleet.state.clone()));
     let target = disruption_budget::Target { kind: disruption_budget::Kind::Worker, name: "w".into() };
     let ask = disruption_budget::Change::Ask { target, reason: "r".into(), asker: "a".into(), force: false };
-    let ask = Command::Account(ask);
+    let ask = Command::Disruption(ask);
     assert_eq!(ask.encode()[0], 3);
-    assert_eq!(Command::decode_up_to(2, &ask.encode()), Err(CommandFault::Later(3, 2)));
-    assert!(matches!(fleet.apply(SECOND, &ask), Outcome::Account(_)));
+    assert_eq!(
+        Command::decode_with_supported_version(2, &ask.encode()),
+        Err(CommandDecodeError::UnsupportedVersion(3, 2))
+    );
+    assert!(matches!(fleet.apply(SECOND, &ask), CommandOutcome::Disruption(_)));
     assert_eq!(fleet.state.snapshot()[0], 3);
-    let again = State::restore(&fleet.state.snapshot()).unwrap();
-    assert_eq!((again.account(), again.digest()), (fleet.state.account(), fleet.state.digest()));
+    let again = StateMachine::restore(&fleet.state.snapshot()).unwrap();
+    assert_eq!((again.disruption(), again.digest()), (fleet.state.disruption(), fleet.state.digest()));
     let mut snapshot = fleet.state.snapshot();
     snapshot[0] = 7;
-    assert!(State::restore(&snapshot).unwrap_err().to_string().contains("version 7"));
+    assert!(StateMachine::restore(&snapshot).unwrap_err().to_string().contains("version 7"));
 }
 
 /// The account takes the word of whoever observes in the running term, and of nobody else.
@@ -314,55 +351,65 @@
 fn an_observation_of_another_term_is_refused() {
     use disruption_budget::{census::ACCOUNT, Change};
     let mut fleet = Fleet::new();
-    let observe = |token| Command::Account(Change::Observe { token, seen: 0, targets: vec![], gone: vec![] });
-    assert_eq!(fleet.apply(SECOND, &observe(1)), Outcome::Refused(Reason::NotTheOwner), "nobody owns it");
-    let join = Command::Join {
+    let observe =
+        |token| Command::Disruption(Change::Observe { token, seen: 0, targets: vec![], gone: vec![] });
+    assert_eq!(
+        fleet.apply(SECOND, &observe(1)),
+        CommandOutcome::Rejected(CommandRejection::NotLeaseHolder),
+        "nobody owns it"
+    );
+    let join = Command::OpenSession {
         name: "a".into(),
-        boot: 1,
+        boot_id: 1,
         zone: String::new(),
         address: String::new(),
-        offers: vec![DutyId::fleet(ACCOUNT)],
-        short: false,
+        eligible_leases: vec![LeaseId::fleet(ACCOUNT)],
+        short_lived: false,
     };
-    let Outcome::Joined(session, _) = fleet.apply(SECOND, &join) else { panic!("no session") };
-    fleet.apply(SECOND, &Command::Settle { session });
-    let fenced = fleet.state.duties()[&DutyId::fleet(ACCOUNT)].fenced;
-    let grant = Command::Grant { duty: DutyId::fleet(ACCOUNT), session, fenced };
-    let Outcome::Granted(_, owner) = fleet.apply(SECOND, &grant) else { panic!("not granted") };
-    assert!(matches!(fleet.apply(SECOND, &observe(owner.token.0)), Outcome::Account(_)));
+    let CommandOutcome::SessionOpened(session, _) = fleet.apply(SECOND, &join) else { panic!("no session") };
+    fleet.apply(SECOND, &Command::MarkSessionStable { session });
+    let fenced = fleet.state.leases()[&LeaseId::fleet(ACCOUNT)].fencing_revision;
+    let grant = Command::GrantLease { lease: LeaseId::fleet(ACCOUNT), session, fencing_revision: fenced };
+    let CommandOutcome::LeaseGranted(_, owner) = fleet.apply(SECOND, &grant) else { panic!("not granted") };
+    assert!(matches!(fleet.apply(SECOND, &observe(owner.token.0)), CommandOutcome::Disruption(_)));
     let late = fleet.apply(SECOND, &observe(owner.token.0 - 1));
-    assert_eq!(late, Outcome::Refused(Reason::NotTheOwner));
-    fleet.apply(SECOND, &Command::End { session, short: false });
-    assert_eq!(fleet.apply(SECOND, &observe(owner.token.0)), Outcome::Refused(Reason::NotTheOwner));
+    assert_eq!(late, CommandOutcome::Rejected(CommandRejection::NotLeaseHolder));
+    fleet.apply(SECOND, &Command::ExpireSession { session, short_lived: false });
+    assert_eq!(
+        fleet.apply(SECOND, &observe(owner.token.0)),
+        CommandOutcome::Rejected(CommandRejection::NotLeaseHolder)
+    );
 }
 
 #[test]
 fn times_that_do_not_fit_name_both_keys() {
-    let good = Times::default();
-    assert_eq!(good.check(), Ok(()));
+    let good = Timing::default();
+    assert_eq!(good.validate(), Ok(()));
     for (times, key, against) in [
-        (Times { renew: 900_000, ..good }, "renew", "lease"),
-        (Times { heartbeat: 200_000, ..good }, "heartbeat", "election"),
-        (Times { election: 900_000, ..good }, "election", "lease"),
-        (Times { stay: 1, ..good }, "stay", "renew"),
-        (Times { call: 0, ..good }, "call", "lease"),
+        (Timing { renewal_interval: 900_000, ..good }, "renew", "lease"),
+        (Timing { heartbeat_interval: 200_000, ..good }, "heartbeat", "election"),
+        (Timing { election_timeout: 900_000, ..good }, "election", "lease"),
+        (Timing { stability_period: 1, ..good }, "stay", "renew"),
+        (Timing { call_timeout: 0, ..good }, "call", "lease"),
     ] {
-        let fault = times.check().unwrap_err();
+        let fault = times.validate().unwrap_err();
         assert_eq!((fault.key, fault.against), (key, against));
     }
     // Two clocks at the far ends of the bound: the member's slow, the keeper's fast.
-    let member_takes = (good.lease as f64) / 0.999;
-    assert!(good.keepers_wait() as f64 / 1.001 >= member_takes - 5.0);
+    let member_takes = (good.lease_duration as f64) / 0.999;
+    assert!(good.expiry_wait() as f64 / 1.001 >= member_takes - 5.0);
 }
 
 #[test]
 fn duties_are_written_and_read() {
-    for (text, scope) in
-        [("list", Scope::Fleet), ("list@zone/a", Scope::Zone("a".into())), ("w@set/7", Scope::Set(7))]
-    {
-        let id: DutyId = text.parse().unwrap();
+    for (text, scope) in [
+        ("list", LeaseScope::Fleet),
+        ("list@zone/a", LeaseScope::Zone("a".into())),
+        ("w@set/7", LeaseScope::WorkerSet(7)),
+    ] {
+        let id: LeaseId = text.parse().unwrap();
         assert_eq!((id.scope.clone(), id.to_string()), (scope, text.to_owned()));
     }
-    assert!("@zone/".parse::<DutyId>().is_err());
-    assert!("w@set/x".parse::<DutyId>().is_err());
+    assert!("@zone/".parse::<LeaseId>().is_err());
+    assert!("w@set/x".parse::<LeaseId>().is_err());
 }
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -5,7 +5,8 @@
 use std::collections::BTreeMap;
 
 use coordination::{
-    Command, DutyId, Holder, Outcome, Refusal, Revision, SessionId, State, Times, Token, Warden,
+    Command, CommandOutcome, EffectRejection, FencingToken, LeaderState, LeaseClient, LeaseId, Revision,
+    SessionId, StateMachine, Timing,
 };
 
 const MEMBERS: u64 = 5;
@@ -44,38 +45,38 @@
 struct Member {
     name: String,
     process: u64,
-    holder: Holder,
+    holder: LeaseClient,
     session: Option<SessionId>,
     silent_until: u64,
 }
 
 struct Fleet {
-    state: State,
-    warden: Warden,
+    state: StateMachine,
+    warden: LeaderState,
     index: Revision,
     members: Vec<Member>,
     random: Random,
     trace: Trace,
 }
 
-fn offers() -> Vec<DutyId> {
-    let mut offers = vec![DutyId::fleet("list"), DutyId::zone("cold", "z0"), DutyId::zone("cold", "z1")];
-    offers.extend((0..6).map(|set| DutyId::set("watch", set)));
+fn offers() -> Vec<LeaseId> {
+    let mut offers = vec![LeaseId::fleet("list"), LeaseId::zone("cold", "z0"), LeaseId::zone("cold", "z1")];
+    offers.extend((0..6).map(|set| LeaseId::worker_set("watch", set)));
     offers
 }
 
 impl Fleet {
     fn new(seed: u64) -> Fleet {
-        let state = State::new(1);
+        let state = StateMachine::new(1);
         let member = |number: u64| Member {
             name: format!("member-{number}"),
             process: 0,
-            holder: Holder::new(Times::default()),
+            holder: LeaseClient::new(Timing::default()),
             session: None,
             silent_until: 0,
         };
         Fleet {
-            warden: Warden::new(Times::default(), 0, &state),
+            warden: LeaderState::new(Timing::default(), 0, &state),
             state,
             index: 0,
             members: (0..MEMBERS).map(member).collect(),
@@ -84,14 +85,14 @@
         }
     }
 
-    fn apply(&mut self, now: u64, command: &Command) -> Outcome {
+    fn apply(&mut self, now: u64, command: &Command) -> CommandOutcome {
         self.index += 1;
         self.trace.note("command", &command.encode());
         let outcome = self.state.apply(self.index, command);
-        self.warden.applied(now, &self.state);
-        if let Outcome::Refused(reason) = &outcome {
+        self.warden.on_entries_applied(now, &self.state);
+        if let CommandOutcome::Rejected(reason) = &outcome {
             self.trace.note("refused", reason.to_string().as_bytes());
-            self.warden.dropped(command);
+            self.warden.proposal_rejected(command);
         }
         self.trace.note("state", &self.state.digest().to_le_bytes());
         outcome
@@ -99,32 +100,32 @@
 
     fn join(&mut self, now: u64, at: usize) {
         let member = &self.members[at];
-        let command = Command::Join {
+        let command = Command::OpenSession {
             name: member.name.clone(),
-            boot: at as u64 * 1_000 + member.process,
+            boot_id: at as u64 * 1_000 + member.process,
             zone: format!("z{}", at % 2),
             address: format!("10.0.0.{at}:7000"),
-            offers: offers(),
-            short: self.warden.short(&member.name, now, &self.state),
+            eligible_leases: offers(),
+            short_lived: self.warden.is_short_session(&member.name, now, &self.state),
         };
-        if let Outcome::Joined(session, incarnation) = self.apply(now, &command) {
+        if let CommandOutcome::SessionOpened(session, incarnation) = self.apply(now, &command) {
             let member = &mut self.members[at];
             member.session = Some(session);
-            member.holder.joined(session, incarnation, now, now, self.state.view());
+            member.holder.on_session_opened(session, incarnation, now, now, self.state.view());
         }
     }
 
     fn renew(&mut self, now: u64, at: usize, session: SessionId) {
-        let seen = self.members[at].holder.seen();
-        match self.warden.renewed(session, seen, now, &self.state) {
+        let seen = self.members[at].holder.applied_revision();
+        match self.warden.renew_session(session, seen, now, &self.state) {
             Ok(()) => {
                 let asked = now - self.random.below(STEP).min(now);
                 let view = self.random.one_in(2).then(|| self.state.view());
-                self.members[at].holder.renewed(session, asked, now, view);
+                self.members[at].holder.on_session_renewed(session, asked, now, view);
             }
             Err(reason) => {
                 self.trace.note("not renewed", reason.to_string().as_bytes());
-                self.members[at].holder.gone();
+                self.members[at].holder.on_session_ended();
                 self.members[at].session = None;
             }
         }
@@ -140,14 +141,14 @@
         if self.random.one_in(200) {
             let member = &mut self.members[at];
             (member.process, member.session) = (member.process + 1, None);
-            member.holder = Holder::new(Times::default());
+            member.holder = LeaseClient::new(Timing::default());
         }
         match self.members[at].session {
             None => self.join(now, at),
             Some(session) if self.random.one_in(300) => {
-                let short = self.warden.short(&self.members[at].name, now, &self.state);
-                self.apply(now, &Command::Leave { session, short });
-                self.members[at].holder.gone();
+                let short = self.warden.is_short_session(&self.members[at].name, now, &self.state);
+                self.apply(now, &Command::CloseSession { session, short_lived: short });
+                self.members[at].holder.on_session_ended();
                 self.members[at].session = None;
             }
             Some(session) => self.renew(now, at, session),
@@ -156,39 +157,40 @@
 
     fn step_of_leader(&mut self, now: u64) {
         if self.random.one_in(400) {
-            self.warden = Warden::new(Times::default(), now, &self.state);
+            self.warden = LeaderState::new(Timing::default(), now, &self.state);
         }
-        for command in self.warden.due(now, &self.state) {
+        for command in self.warden.due_commands(now, &self.state) {
             if self.random.one_in(20) {
                 self.trace.note("lost", &command.encode());
-                self.warden.dropped(&command);
+                self.warden.proposal_rejected(&command);
             } else {
                 self.apply(now, &command);
             }
         }
-        let owned = self.state.duties().iter().filter_map(|(id, duty)| Some((id.clone(), duty.owner?.token)));
-        let owned: Vec<(DutyId, Token)> = owned.collect();
+        let owned =
+            self.state.leases().iter().filter_map(|(id, duty)| Some((id.clone(), duty.holder?.token)));
+        let owned: Vec<(LeaseId, FencingToken)> = owned.collect();
         if !owned.is_empty() && self.random.one_in(50) {
             let (duty, token) = owned[self.random.below(owned.len() as u64) as usize].clone();
             let unsettle = self.random.one_in(2);
-            self.apply(now, &Command::Release { duty, token, unsettle });
+            self.apply(now, &Command::ReleaseLease { lease: duty, token, reset_stability: unsettle });
         }
     }
 
     /// Every owner that may act does so at every member, also with the token before its own.
     fn effects(&mut self, now: u64) {
         for at in 0..self.members.len() {
-            for (duty, token) in self.members[at].holder.owned(now) {
-                assert!(self.members[at].holder.may_act(&duty, token, now));
-                assert!(!self.members[at].holder.may_act(&duty, Token(token.0 + 1), now));
+            for (duty, token) in self.members[at].holder.held_leases(now) {
+                assert!(self.members[at].holder.holds_lease(&duty, token, now));
+                assert!(!self.members[at].holder.holds_lease(&duty, FencingToken(token.0 + 1), now));
                 for to in 0..self.members.len() {
-                    let token = Token(token.0 - self.random.below(2));
-                    let verdict = self.members[to].holder.take(&duty, token, now);
+                    let token = FencingToken(token.0 - self.random.below(2));
+                    let verdict = self.members[to].holder.accept_effect(&duty, token, now);
                     let kind = match verdict {
                         Ok(()) => "taken",
-                        Err(Refusal::NoSession) => "without session",
-                        Err(Refusal::OldToken { .. }) => "old token",
-                        Err(Refusal::Unknown) => "unknown",
+                        Err(EffectRejection::NoSession) => "without session",
+                        Err(EffectRejection::StaleToken { .. }) => "old token",
+                        Err(EffectRejection::UnknownLease) => "unknown",
                     };
                     self.trace.note(kind, duty.to_string().as_bytes());
                 }
--- a/crates/coordination/tests/format.rs
+++ b/crates/coordination/tests/format.rs
@@ -5,8 +5,8 @@
 use std::fmt::{Display, Write as _};
 
 use coordination::{
-    Command, DutyId, HolderCounts, Outcome, Owner, Reason, Refusal, Revision, Scope, Seat, SessionId, State,
-    Times, Token, View, COMMAND_VERSION,
+    ClusterView, Command, CommandOutcome, CommandRejection, EffectCounts, EffectRejection, FencingToken,
+    LeaseHolder, LeaseId, LeaseScope, LeaseView, Revision, SessionId, StateMachine, Timing, COMMAND_VERSION,
 };
 use disruption_budget::{Amount, Budget, Change, Condition, Cover, Kind, Observed, Target};
 use serde::Serialize;
@@ -30,31 +30,43 @@
     Target { kind: Kind::Worker, name: name.to_owned() }
 }
 
-fn join(name: &str, boot: u64, zone: &str, offers: Vec<DutyId>, short: bool) -> Command {
+fn join(name: &str, boot: u64, zone: &str, offers: Vec<LeaseId>, short: bool) -> Command {
     let (name, zone, address) = (name.to_owned(), zone.to_owned(), format!("10.0.0.{boot}:7000"));
-    Command::Join { name, boot, zone, address, offers, short }
+    Command::OpenSession { name, boot_id: boot, zone, address, eligible_leases: offers, short_lived: short }
 }
 
 fn version_1_commands() -> Vec<(&'static str, Command)> {
-    let offers = vec![DutyId::fleet("list"), DutyId::zone("cold", "north"), DutyId::set("watch", 300)];
+    let offers =
+        vec![LeaseId::fleet("list"), LeaseId::zone("cold", "north"), LeaseId::worker_set("watch", 300)];
     vec![
         ("0 join", join("a", 200, "north", offers, true)),
-        ("1 leave", Command::Leave { session: SessionId(5), short: true }),
-        ("2 end", Command::End { session: SessionId(300), short: false }),
-        ("3 settle", Command::Settle { session: SessionId(7) }),
+        ("1 leave", Command::CloseSession { session: SessionId(5), short_lived: true }),
+        ("2 end", Command::ExpireSession { session: SessionId(300), short_lived: false }),
+        ("3 settle", Command::MarkSessionStable { session: SessionId(7) }),
         (
             "4 grant",
-            Command::Grant { duty: DutyId::zone("cold", "north"), session: SessionId(8), fenced: 513 },
+            Command::GrantLease {
+                lease: LeaseId::zone("cold", "north"),
+                session: SessionId(8),
+                fencing_revision: 513,
+            },
         ),
-        ("5 release", Command::Release { duty: DutyId::fleet("list"), token: Token(9), unsettle: true }),
-        ("6 started", Command::KeeperStarted { keeper: 3, boots: 11 }),
+        (
+            "5 release",
+            Command::ReleaseLease {
+                lease: LeaseId::fleet("list"),
+                token: FencingToken(9),
+                reset_stability: true,
+            },
+        ),
+        ("6 started", Command::RecordReplicaStart { replica: 3, starts: 11 }),
     ]
 }
 
 fn version_2_commands() -> Vec<(&'static str, Command)> {
     vec![
-        ("7 replace", Command::ReplaceKeeper { old: 2, new: 4, address: "10.0.0.4:7100".to_owned() }),
-        ("8 replaced", Command::KeeperReplaced { old: 2 }),
+        ("7 replace", Command::ReplaceReplica { old: 2, new: 4, address: "10.0.0.4:7100".to_owned() }),
+        ("8 replaced", Command::CompleteReplacement { old: 2 }),
     ]
 }
 
@@ -91,16 +103,16 @@
         observed(dispatcher.clone(), Condition::Out, 300),
     ];
     vec![
-        ("9.0 budgets", Command::Account(Change::Budgets { seen: 300, budgets: budgets() })),
-        ("9.1 ask", Command::Account(ask("w1", true))),
-        ("9.2 begin", Command::Account(Change::Begin { permit: 6, incarnation: 2 })),
-        ("9.3 done", Command::Account(Change::Done { permit: 6 })),
-        ("9.4 void", Command::Account(Change::Void { permit: 7 })),
+        ("9.0 budgets", Command::Disruption(Change::Budgets { seen: 300, budgets: budgets() })),
+        ("9.1 ask", Command::Disruption(ask("w1", true))),
+        ("9.2 begin", Command::Disruption(Change::Begin { permit: 6, incarnation: 2 })),
+        ("9.3 done", Command::Disruption(Change::Done { permit: 6 })),
+        ("9.4 void", Command::Disruption(Change::Void { permit: 7 })),
         (
             "9.5 observe",
-            Command::Account(Change::Observe { token: 4, seen: 5, targets, gone: vec![worker("w3")] }),
+            Command::Disruption(Change::Observe { token: 4, seen: 5, targets, gone: vec![worker("w3")] }),
         ),
-        ("9.6 strike", Command::Account(Change::Strike { target: dispatcher, by: "ops".to_owned() })),
+        ("9.6 strike", Command::Disruption(Change::Strike { target: dispatcher, by: "ops".to_owned() })),
     ]
 }
 
@@ -112,7 +124,11 @@
         for (label, command) in &commands {
             assert_eq!(command.version(), version, "{label}");
             assert_eq!(Command::decode(&command.encode()).as_ref(), Ok(command), "{label}");
-            assert_eq!(Command::decode_up_to(version, &command.encode()).as_ref(), Ok(command), "{label}");
+            assert_eq!(
+                Command::decode_with_supported_version(version, &command.encode()).as_ref(),
+                Ok(command),
+                "{label}"
+            );
         }
         let text = lines(&commands, |command| hex(&command.encode()));
         insta::assert_snapshot!(format!("log_entries_version_{version}"), text);
@@ -121,27 +137,27 @@
 
 /// A state and the log that made it.
 struct Log {
-    state: State,
+    state: StateMachine,
     index: Revision,
 }
 
 impl Log {
-    fn apply(&mut self, command: &Command) -> Outcome {
+    fn apply(&mut self, command: &Command) -> CommandOutcome {
         self.index += 1;
         self.state.apply(self.index, command)
     }
 
     fn joined(&mut self, command: &Command) -> SessionId {
         match self.apply(command) {
-            Outcome::Joined(session, _) => session,
+            CommandOutcome::SessionOpened(session, _) => session,
             other => panic!("{other:?}"),
         }
     }
 
-    fn granted(&mut self, duty: &DutyId, session: SessionId) -> Token {
-        let fenced = self.state.duties()[duty].fenced;
-        match self.apply(&Command::Grant { duty: duty.clone(), session, fenced }) {
-            Outcome::Granted(_, owner) => owner.token,
+    fn granted(&mut self, duty: &LeaseId, session: SessionId) -> FencingToken {
+        let fenced = self.state.leases()[duty].fencing_revision;
+        match self.apply(&Command::GrantLease { lease: duty.clone(), session, fencing_revision: fenced }) {
+            CommandOutcome::LeaseGranted(_, owner) => owner.token,
             other => panic!("{other:?}"),
         }
     }
@@ -149,26 +165,35 @@
 
 /// Sessions that are settled, superseded and gone; duties of all scopes, owned, free and given back.
 fn version_1_log() -> Log {
-    let mut log = Log { state: State::new(70), index: 0 };
-    let (list, account) = (DutyId::fleet("list"), DutyId::fleet("account"));
-    let (cold, set) = (DutyId::zone("cold", "north"), DutyId::set("watch", 300));
+    let mut log = Log { state: StateMachine::new(70), index: 0 };
+    let (list, account) = (LeaseId::fleet("list"), LeaseId::fleet("account"));
+    let (cold, set) = (LeaseId::zone("cold", "north"), LeaseId::worker_set("watch", 300));
     let all = vec![list.clone(), account.clone(), cold, set.clone()];
     let first = log.joined(&join("a", 1, "north", all.clone(), false));
     let second = log.joined(&join("b", 2, "south", all.clone(), false));
     for session in [first, second] {
-        assert_eq!(log.apply(&Command::Settle { session }), Outcome::Settled(session));
+        assert_eq!(
+            log.apply(&Command::MarkSessionStable { session }),
+            CommandOutcome::SessionStable(session)
+        );
     }
     log.granted(&list, first);
     log.granted(&account, second);
     let token = log.granted(&set, second);
-    log.apply(&Command::Release { duty: set, token, unsettle: false });
+    log.apply(&Command::ReleaseLease { lease: set, token, reset_stability: false });
     // A second process of a name supersedes the first, after a short life.
     log.joined(&join("a", 3, "north", all.clone(), true));
     // A third name comes and goes again.
     let third = log.joined(&join("c", 4, "", vec![], false));
-    assert_eq!(log.apply(&Command::End { session: third, short: true }), Outcome::Ended(third));
+    assert_eq!(
+        log.apply(&Command::ExpireSession { session: third, short_lived: true }),
+        CommandOutcome::SessionEnded(third)
+    );
     for (keeper, boots) in [(1, 2), (2, 1), (3, 300)] {
-        assert_eq!(log.apply(&Command::KeeperStarted { keeper, boots }), Outcome::Noted);
+        assert_eq!(
+            log.apply(&Command::RecordReplicaStart { replica: keeper, starts: boots }),
+            CommandOutcome::Acknowledged
+        );
     }
     log
 }
@@ -176,19 +201,19 @@
 /// The same with a replacement of a keeper that is over and one on its way.
 fn version_2_log() -> Log {
     let mut log = version_1_log();
-    let replace = |old, new| Command::ReplaceKeeper { old, new, address: format!("10.0.0.{new}:7100") };
-    assert_eq!(log.apply(&replace(3, 4)), Outcome::Noted);
-    assert_eq!(log.apply(&Command::KeeperReplaced { old: 3 }), Outcome::Noted);
-    assert_eq!(log.apply(&replace(2, 5)), Outcome::Noted);
+    let replace = |old, new| Command::ReplaceReplica { old, new, address: format!("10.0.0.{new}:7100") };
+    assert_eq!(log.apply(&replace(3, 4)), CommandOutcome::Acknowledged);
+    assert_eq!(log.apply(&Command::CompleteReplacement { old: 3 }), CommandOutcome::Acknowledged);
+    assert_eq!(log.apply(&replace(2, 5)), CommandOutcome::Acknowledged);
     log
 }
 
 /// The same with budgets, targets and permits in every state.
 fn version_3_log() -> Log {
     let mut log = version_2_log();
-    let token = log.state.duties()[&DutyId::fleet("account")].owner.unwrap().token.0;
-    let mut change = |change: Change| match log.apply(&Command::Account(change)) {
-        Outcome::Account(outcome) => outcome,
+    let token = log.state.leases()[&LeaseId::fleet("account")].holder.unwrap().token.0;
+    let mut change = |change: Change| match log.apply(&Command::Disruption(change)) {
+        CommandOutcome::Disruption(outcome) => outcome,
         other => panic!("{other:?}"),
     };
     change(Change::Budgets { seen: 0, budgets: budgets() });
@@ -208,44 +233,51 @@
 }
 
 /// Every value that the state shows, under names that are not those of the code.
-fn described(state: &State) -> String {
+fn described(state: &StateMachine) -> String {
     let mut text = format!(
         "revisions: {} leases {} members {} disruption {}\nnext token: {}\n",
         state.revision(),
-        state.seats_revision(),
-        state.roster_revision(),
-        state.account_revision(),
+        state.lease_revision(),
+        state.membership_revision(),
+        state.disruption_revision(),
         state.next_token().0
     );
     for (id, session) in state.sessions() {
-        let offers: Vec<String> = session.offers.iter().map(DutyId::to_string).collect();
+        let offers: Vec<String> = session.eligible_leases.iter().map(LeaseId::to_string).collect();
         let _ = writeln!(
             text,
             "session {}: name {:?} incarnation {} boot {} zone {:?} address {:?} offers {} stable {} superseded {}",
             id.0,
             session.name,
             session.incarnation,
-            session.boot,
+            session.boot_id,
             session.zone,
             session.address,
             offers.join(" "),
-            session.settled,
+            session.stable,
             session.superseded
         );
     }
     for name in ["a", "b", "c"] {
-        let (short, incarnation) = (state.short_lives(name), state.incarnation_of(name));
+        let (short, incarnation) = (state.consecutive_short_sessions(name), state.incarnation_of(name));
         let _ = writeln!(text, "name {name}: short sessions {short} incarnation {incarnation}");
     }
-    for (id, duty) in state.duties() {
-        let owner = duty.owner.map(|owner| (owner.session.0, owner.token.0));
-        let _ =
-            writeln!(text, "lease {id}: minimum {} fenced {} holder {owner:?}", duty.floor.0, duty.fenced);
+    for (id, duty) in state.leases() {
+        let owner = duty.holder.map(|owner| (owner.session.0, owner.token.0));
+        let _ = writeln!(
+            text,
+            "lease {id}: minimum {} fenced {} holder {owner:?}",
+            duty.minimum_token.0, duty.fencing_revision
+        );
     }
-    let replacing = state.replacing().map(|replacing| (replacing.old, replacing.new));
-    let _ =
-        writeln!(text, "replicas: {:?} added {:?} replacing {replacing:?}", state.keepers(), state.added());
-    let _ = writeln!(text, "disruption: {}", postcard_hex(state.account()));
+    let replacing = state.replacement_in_progress().map(|replacing| (replacing.old, replacing.new));
+    let _ = writeln!(
+        text,
+        "replicas: {:?} added {:?} replacing {replacing:?}",
+        state.replica_starts(),
+        state.added_replicas()
+    );
+    let _ = writeln!(text, "disruption: {}", postcard_hex(state.disruption()));
     text
 }
 
@@ -254,7 +286,7 @@
     for (version, log) in [(1, version_1_log()), (2, version_2_log()), (3, version_3_log())] {
         let bytes = log.state.snapshot();
         assert_eq!(u16::from(bytes[0]), version);
-        let restored = State::restore(&bytes).unwrap();
+        let restored = StateMachine::restore(&bytes).unwrap();
         assert_eq!(described(&restored), described(&log.state));
         assert_eq!(restored, log.state);
         assert_eq!(restored.digest(), log.state.digest());
@@ -269,57 +301,60 @@
 #[test]
 fn a_restored_snapshot_decides_as_the_state_that_it_was_taken_of() {
     let log = version_3_log();
-    let mut restored = Log { state: State::restore(&log.state.snapshot()).unwrap(), index: log.index };
+    let mut restored = Log { state: StateMachine::restore(&log.state.snapshot()).unwrap(), index: log.index };
     let old_process = restored.apply(&join("a", 1, "north", vec![], false));
-    assert_eq!(old_process, Outcome::Refused(Reason::Superseded { incarnation: 2 }));
-    let used_number = Command::ReplaceKeeper { old: 2, new: 3, address: "10.0.0.3:7100".to_owned() };
-    assert!(matches!(restored.apply(&used_number), Outcome::Refused(Reason::Keepers(_))));
+    assert_eq!(old_process, CommandOutcome::Rejected(CommandRejection::Superseded { incarnation: 2 }));
+    let used_number = Command::ReplaceReplica { old: 2, new: 3, address: "10.0.0.3:7100".to_owned() };
+    assert!(matches!(
+        restored.apply(&used_number),
+        CommandOutcome::Rejected(CommandRejection::InvalidReplacement(_))
+    ));
     restored.joined(&join("c", 5, "", vec![], false));
-    assert_eq!(restored.state.short_lives("c"), 1, "the session before was short");
+    assert_eq!(restored.state.consecutive_short_sessions("c"), 1, "the session before was short");
 }
 
 #[test]
 fn messages_keep_their_bytes() {
-    let owner = Owner { session: SessionId(300), token: Token(7) };
+    let owner = LeaseHolder { session: SessionId(300), token: FencingToken(7) };
     let seats = vec![
-        Seat { duty: DutyId::fleet("list"), floor: Token(7), owner: Some(owner) },
-        Seat { duty: DutyId::zone("cold", "north"), floor: Token(300), owner: None },
-        Seat { duty: DutyId::set("watch", 300), floor: Token(1), owner: None },
+        LeaseView { lease: LeaseId::fleet("list"), minimum_token: FencingToken(7), holder: Some(owner) },
+        LeaseView { lease: LeaseId::zone("cold", "north"), minimum_token: FencingToken(300), holder: None },
+        LeaseView { lease: LeaseId::worker_set("watch", 300), minimum_token: FencingToken(1), holder: None },
     ];
-    let counts = HolderCounts { taken: 1, old_tokens: 2, without_session: 3, unknown: 4 };
+    let counts = EffectCounts { accepted: 1, stale_tokens: 2, without_session: 3, unknown_leases: 4 };
     let mut text = lines(&reasons(), postcard_hex);
     text += &lines(&refusals(), postcard_hex);
-    let _ = writeln!(text, "view: {}", postcard_hex(&View { revision: 513, seats }));
+    let _ = writeln!(text, "view: {}", postcard_hex(&ClusterView { revision: 513, leases: seats }));
     let _ = writeln!(text, "counts: {}", postcard_hex(&counts));
-    let _ = writeln!(text, "times: {}", postcard_hex(&Times::default()));
+    let _ = writeln!(text, "times: {}", postcard_hex(&Timing::default()));
     insta::assert_snapshot!("messages", text);
 }
 
-fn reasons() -> Vec<(&'static str, Reason)> {
+fn reasons() -> Vec<(&'static str, CommandRejection)> {
     vec![
-        ("rejection 0", Reason::NoSession),
-        ("rejection 1", Reason::Superseded { incarnation: 300 }),
-        ("rejection 2", Reason::NotFree),
-        ("rejection 3", Reason::NotTheOwner),
-        ("rejection 4", Reason::Full("much".to_owned())),
-        ("rejection 5", Reason::OldDisk { boots: 301 }),
-        ("rejection 6", Reason::Keepers("why".to_owned())),
+        ("rejection 0", CommandRejection::NoSuchSession),
+        ("rejection 1", CommandRejection::Superseded { incarnation: 300 }),
+        ("rejection 2", CommandRejection::LeaseNotFree),
+        ("rejection 3", CommandRejection::NotLeaseHolder),
+        ("rejection 4", CommandRejection::LimitExceeded("much".to_owned())),
+        ("rejection 5", CommandRejection::StaleDisk { starts: 301 }),
+        ("rejection 6", CommandRejection::InvalidReplacement("why".to_owned())),
     ]
 }
 
-fn refusals() -> Vec<(&'static str, Refusal)> {
+fn refusals() -> Vec<(&'static str, EffectRejection)> {
     vec![
-        ("effect rejection 0", Refusal::NoSession),
-        ("effect rejection 1", Refusal::OldToken { floor: Token(300) }),
-        ("effect rejection 2", Refusal::Unknown),
+        ("effect rejection 0", EffectRejection::NoSession),
+        ("effect rejection 1", EffectRejection::StaleToken { minimum_token: FencingToken(300) }),
+        ("effect rejection 2", EffectRejection::UnknownLease),
     ]
 }
 
-fn ids() -> Vec<(&'static str, DutyId)> {
+fn ids() -> Vec<(&'static str, LeaseId)> {
     vec![
-        ("id of the fleet", DutyId::fleet("list")),
-        ("id of a zone", DutyId::zone("cold", "north")),
-        ("id of a set", DutyId::set("watch", 300)),
+        ("id of the fleet", LeaseId::fleet("list")),
+        ("id of a zone", LeaseId::zone("cold", "north")),
+        ("id of a set", LeaseId::worker_set("watch", 300)),
     ]
 }
 
@@ -331,67 +366,67 @@
     }
     let mut text = lines(&ids(), json);
     let _ = writeln!(text, "session: {}", json(&SessionId(300)));
-    let _ = writeln!(text, "token: {}", json(&Token(300)));
-    let _ = writeln!(text, "times: {}", json(&Times::default()));
+    let _ = writeln!(text, "token: {}", json(&FencingToken(300)));
+    let _ = writeln!(text, "times: {}", json(&Timing::default()));
     insta::assert_snapshot!("json", text);
     for (label, id) in ids() {
-        assert_eq!(serde_json::from_str::<DutyId>(&json(&id)).unwrap(), id, "{label}");
+        assert_eq!(serde_json::from_str::<LeaseId>(&json(&id)).unwrap(), id, "{label}");
     }
-    assert_eq!(serde_json::from_str::<Times>(&json(&Times::default())).unwrap(), Times::default());
-    assert_eq!(serde_json::from_str::<Scope>(r#"{"Set":7}"#).unwrap(), Scope::Set(7));
+    assert_eq!(serde_json::from_str::<Timing>(&json(&Timing::default())).unwrap(), Timing::default());
+    assert_eq!(serde_json::from_str::<LeaseScope>(r#"{"Set":7}"#).unwrap(), LeaseScope::WorkerSet(7));
 }
 
 #[test]
 fn texts_stay() {
     let shown = |label: &str, text: &dyn Display| format!("{label}: {text}\n");
-    let mut text = lines(&reasons(), Reason::to_string);
-    text += &lines(&refusals(), Refusal::to_string);
-    text += &lines(&ids(), DutyId::to_string);
+    let mut text = lines(&reasons(), CommandRejection::to_string);
+    text += &lines(&refusals(), EffectRejection::to_string);
+    text += &lines(&ids(), LeaseId::to_string);
     for wrong in ["", "@zone/a", "list@", "list@zone/", "list@set/x", "list@set/70000", "list@shop/a"] {
-        text += &shown(&format!("id {wrong:?}"), &wrong.parse::<DutyId>().unwrap_err());
+        text += &shown(&format!("id {wrong:?}"), &wrong.parse::<LeaseId>().unwrap_err());
     }
-    let good = Times::default();
+    let good = Timing::default();
     for times in [
-        Times { heartbeat: 200_000, ..good },
-        Times { renew: 900_000, ..good },
-        Times { call: 0, ..good },
-        Times { election: 900_000, ..good },
-        Times { stay: 1, ..good },
-        Times { short: 1, ..good },
-        Times { skew_ppm: 100_001, ..good },
+        Timing { heartbeat_interval: 200_000, ..good },
+        Timing { renewal_interval: 900_000, ..good },
+        Timing { call_timeout: 0, ..good },
+        Timing { election_timeout: 900_000, ..good },
+        Timing { stability_period: 1, ..good },
+        Timing { short_session_limit: 1, ..good },
+        Timing { max_clock_skew_ppm: 100_001, ..good },
     ] {
-        text += &shown("times", &times.check().unwrap_err());
+        text += &shown("times", &times.validate().unwrap_err());
     }
     insta::assert_snapshot!("texts", text);
 }
 
 #[test]
 fn too_many_or_too_long_values_are_named() {
-    let mut log = Log { state: State::new(1), index: 0 };
+    let mut log = Log { state: StateMachine::new(1), index: 0 };
     let long = "x".repeat(129);
-    let address = |address: &str| Command::ReplaceKeeper { old: 1, new: 9, address: address.to_owned() };
-    let many = (0..129).map(|set| DutyId::set("watch", set)).collect();
-    log.apply(&Command::KeeperStarted { keeper: 1, boots: 7 });
+    let address = |address: &str| Command::ReplaceReplica { old: 1, new: 9, address: address.to_owned() };
+    let many = (0..129).map(|set| LeaseId::worker_set("watch", set)).collect();
+    log.apply(&Command::RecordReplicaStart { replica: 1, starts: 7 });
     let mut text = String::new();
     for (label, command) in [
         ("empty name", join("", 1, "", vec![], false)),
         ("long name", join(&long, 1, "", vec![], false)),
         ("long zone", join("a", 1, &long, vec![], false)),
-        ("long lease", join("a", 1, "", vec![DutyId::fleet(&long)], false)),
+        ("long lease", join("a", 1, "", vec![LeaseId::fleet(&long)], false)),
         ("many offers", join("a", 1, "", many, false)),
         ("empty address", address("")),
         ("long address", address(&long)),
-        ("used number", Command::ReplaceKeeper { old: 2, new: 1, address: "10.0.0.1:7100".to_owned() }),
-        ("itself", Command::ReplaceKeeper { old: 2, new: 2, address: "10.0.0.1:7100".to_owned() }),
-        ("old disk", Command::KeeperStarted { keeper: 1, boots: 6 }),
-        ("first", Command::ReplaceKeeper { old: 1, new: 2, address: "10.0.0.1:7100".to_owned() }),
-        ("second", Command::ReplaceKeeper { old: 3, new: 4, address: "10.0.0.1:7100".to_owned() }),
-        ("over", Command::KeeperReplaced { old: 1 }),
-        ("again", Command::ReplaceKeeper { old: 1, new: 4, address: "10.0.0.1:7100".to_owned() }),
+        ("used number", Command::ReplaceReplica { old: 2, new: 1, address: "10.0.0.1:7100".to_owned() }),
+        ("itself", Command::ReplaceReplica { old: 2, new: 2, address: "10.0.0.1:7100".to_owned() }),
+        ("old disk", Command::RecordReplicaStart { replica: 1, starts: 6 }),
+        ("first", Command::ReplaceReplica { old: 1, new: 2, address: "10.0.0.1:7100".to_owned() }),
+        ("second", Command::ReplaceReplica { old: 3, new: 4, address: "10.0.0.1:7100".to_owned() }),
+        ("over", Command::CompleteReplacement { old: 1 }),
+        ("again", Command::ReplaceReplica { old: 1, new: 4, address: "10.0.0.1:7100".to_owned() }),
     ] {
         let told = match log.apply(&command) {
-            Outcome::Refused(reason) => reason.to_string(),
-            Outcome::Noted => "done".to_owned(),
+            CommandOutcome::Rejected(reason) => reason.to_string(),
+            CommandOutcome::Acknowledged => "done".to_owned(),
             other => panic!("{label}: {other:?}"),
         };
         let _ = writeln!(text, "{label}: {told}");
@@ -407,7 +442,7 @@
     };
     for (known, commands) in [(1, version_2_commands()), (2, version_3_commands())] {
         for (label, command) in commands {
-            shown(label, &Command::decode_up_to(known, &command.encode()).unwrap_err());
+            shown(label, &Command::decode_with_supported_version(known, &command.encode()).unwrap_err());
         }
     }
     let mut entry = version_1_commands()[1].1.encode();
@@ -420,11 +455,11 @@
     shown("unknown command", &Command::decode(&[1, 10]).unwrap_err());
     shown("no entry", &Command::decode(&[]).unwrap_err());
     let mut snapshot = version_3_log().state.snapshot();
-    shown("short snapshot", &State::restore(&snapshot[..snapshot.len() - 1]).unwrap_err());
+    shown("short snapshot", &StateMachine::restore(&snapshot[..snapshot.len() - 1]).unwrap_err());
     snapshot[0] = 4;
-    shown("later snapshot", &State::restore(&snapshot).unwrap_err());
+    shown("later snapshot", &StateMachine::restore(&snapshot).unwrap_err());
     snapshot[0] = 0;
-    shown("snapshot 0", &State::restore(&snapshot).unwrap_err());
-    shown("no snapshot", &State::restore(&[]).unwrap_err());
+    shown("snapshot 0", &StateMachine::restore(&snapshot).unwrap_err());
+    shown("no snapshot", &StateMachine::restore(&[]).unwrap_err());
     insta::assert_snapshot!("later_versions", text);
 }
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -6,7 +6,7 @@
 
 use cluster_member::settings;
 use cluster_member::wire::{OLDEST_SCHEMA, SCHEMA};
-use coordination::Times;
+use coordination::Timing;
 use disruption_budget::{Amount, Budget, Cover, Kind};
 use hcl_config::{Fault, Section, Value};
 
@@ -20,7 +20,7 @@
     /// The lowest token that is ever granted.
     pub first_token: u64,
     /// The times.
-    pub times: Times,
+    pub times: Timing,
     /// This keeper, where it is one that serves.
     pub serve: Option<Serve>,
 }
--- a/crates/coordinator/src/ctl.rs
+++ b/crates/coordinator/src/ctl.rs
@@ -5,7 +5,7 @@
 
 use cluster_member::keepers::Keepers;
 use cluster_member::wire::{Answer, Ask, FromKeeper, Hello, Link, Request, Status, Who, SCHEMA};
-use coordination::{DutyId, Token};
+use coordination::{FencingToken, LeaseId};
 use disruption_budget::{Account, Change, Condition, Outcome};
 use tokio::time::timeout;
 
@@ -214,7 +214,7 @@
 ///
 /// # Errors
 /// Nobody leads, or the duty has no such term.
-pub async fn release(config: &Config, duty: DutyId, token: Option<Token>) -> Result<(), String> {
+pub async fn release(config: &Config, duty: LeaseId, token: Option<FencingToken>) -> Result<(), String> {
     let leader = leading(config).await?;
     match ask(config, leader.keeper, Ask::Release { duty: duty.clone(), token }).await? {
         Answer::Done => Ok(()),
@@ -249,7 +249,7 @@
         &quantiles,
     );
     let owners = status.duties.iter().map(|duty| {
-        let (owner, token) = duty.owner.clone().unwrap_or((String::new(), Token(0)));
+        let (owner, token) = duty.owner.clone().unwrap_or((String::new(), FencingToken(0)));
         (format!("{{duty={:?},owner={owner:?}}}", duty.duty.to_string()), token.0)
     });
     figure(
--- a/crates/coordinator/src/disk.rs
+++ b/crates/coordinator/src/disk.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use cluster_member::wire::Disk as Identity;
-use coordination::State;
+use coordination::StateMachine;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use redb::{Database, ReadableTable, TableDefinition};
@@ -91,8 +91,8 @@
     first_token: u64,
     disk: u64,
 ) -> Result<(), Stop> {
-    let mut state = State::new(first_token);
-    state.skip(1);
+    let mut state = StateMachine::new(first_token);
+    state.skip_entry(1);
     let mut snapshot = Snapshot::default();
     snapshot.mut_metadata().index = 1;
     snapshot.mut_metadata().term = 1;
@@ -108,7 +108,7 @@
 /// There is a store already, or it cannot be written.
 pub fn bootstrap_joining(folder: &Path, installation: &str, keeper: u64, disk: u64) -> Result<(), Stop> {
     let mut snapshot = Snapshot::default();
-    snapshot.set_data(State::new(1).snapshot().into());
+    snapshot.set_data(StateMachine::new(1).snapshot().into());
     set_up(folder, installation, keeper, disk, &snapshot)
 }
 
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use cluster_member::record::Recorder;
-use coordination::{DutyId, Token};
+use coordination::{FencingToken, LeaseId};
 use coordinator::config::{self, Config};
 use coordinator::{ctl, disk, serve, Stop};
 use disruption_budget::{Change, Outcome, State, Target};
@@ -44,8 +44,8 @@
     verb: String,
     config: Option<PathBuf>,
     record: Option<PathBuf>,
-    duty: Option<DutyId>,
-    token: Option<Token>,
+    duty: Option<LeaseId>,
+    token: Option<FencingToken>,
     keeper: Option<u64>,
     with: Option<u64>,
     address: Option<String>,
@@ -93,7 +93,7 @@
             Long("config") => args.config = Some(parser.value()?.into()),
             Long("record") => args.record = Some(parser.value()?.into()),
             Long("duty") => args.duty = Some(parser.value()?.parse()?),
-            Long("token") => args.token = Some(Token(parser.value()?.parse()?)),
+            Long("token") => args.token = Some(FencingToken(parser.value()?.parse()?)),
             Long("keeper") => args.keeper = Some(parser.value()?.parse()?),
             Long("with") => args.with = Some(parser.value()?.parse()?),
             Long("address") => args.address = Some(parser.value()?.string()?),
--- a/crates/coordinator/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -9,8 +9,8 @@
     Answer, Ask, Disk as Identity, DutyStatus, FromKeeper, MemberStatus, Peer, Request, Status, Turned,
 };
 use coordination::{
-    Command, Micros, Outcome, Reason, Replacing, Revision, SessionId, State, Times, Token, Warden,
-    COMMAND_VERSION,
+    Command, CommandOutcome, CommandRejection, FencingToken, LeaderState, Micros, ReplicaReplacement,
+    Revision, SessionId, StateMachine, Timing, COMMAND_VERSION,
 };
 use disruption_budget::desk::Desk;
 use hdrhistogram::Histogram;
@@ -44,7 +44,7 @@
     /// Something to a member or an operator.
     Say(Conn, FromKeeper),
     /// The view has changed, for all connections of members.
-    News(coordination::View),
+    News(coordination::ClusterView),
     /// Something was applied, for the records.
     Applied {
         /// Where in the log.
@@ -52,8 +52,8 @@
         /// What it was.
         command: Command,
         /// What came of it.
-        outcome: Outcome,
-        /// [`State::digest`] after it, or 0 where none is wanted.
+        outcome: CommandOutcome,
+        /// [`StateMachine::digest`] after it, or 0 where none is wanted.
         digest: u64,
     },
     /// This keeper leads now in this term, or does no longer.
@@ -131,15 +131,15 @@
     raw: RawNode<Store>,
     disk: Disk,
     identity: Identity,
-    state: State,
+    state: StateMachine,
     /// Who votes and who learns, as applied.
     conf: ConfState,
     /// It changed: others are given a snapshot that knows of it.
     conf_changed: bool,
     /// When a change of it was proposed last.
     conf_proposed: Option<Micros>,
-    times: Times,
-    warden: Option<Warden>,
+    times: Timing,
+    warden: Option<LeaderState>,
     flaw: Option<disruption_budget::Flaw>,
     desk: Desk,
     voided: Micros,
@@ -178,9 +178,10 @@
     Stop::Raft(format!("raft does not go on: {error}"))
 }
 
-fn restored(snapshot: &Snapshot) -> Result<State, Stop> {
-    let mut state = State::restore(snapshot.get_data()).map_err(|fault| Stop::Later(fault.to_string()))?;
-    state.skip(snapshot.get_metadata().index);
+fn restored(snapshot: &Snapshot) -> Result<StateMachine, Stop> {
+    let mut state =
+        StateMachine::restore(snapshot.get_data()).map_err(|fault| Stop::Later(fault.to_string()))?;
+    state.skip_entry(snapshot.get_metadata().index);
     Ok(state)
 }
 
@@ -189,7 +190,7 @@
     ///
     /// # Errors
     /// What was on the disk cannot be used.
-    pub fn new(disk: Disk, found: Found, times: Times, tick: Micros, nonce: u64) -> Result<Node, Stop> {
+    pub fn new(disk: Disk, found: Found, times: Timing, tick: Micros, nonce: u64) -> Result<Node, Stop> {
         let Found { identity, hard, snapshot, entries, peers } = found;
         let state = restored(&snapshot)?;
         let log = MemStorage::new();
@@ -208,8 +209,8 @@
         }
         let config = Config {
             id: identity.keeper,
-            election_tick: times.election.div_ceil(tick).max(4) as usize,
-            heartbeat_tick: (times.heartbeat / tick).max(1) as usize,
+            election_tick: times.election_timeout.div_ceil(tick).max(4) as usize,
+            heartbeat_tick: (times.heartbeat_interval / tick).max(1) as usize,
             applied: snapshot.get_metadata().index,
             max_size_per_msg: 1 << 20,
             max_inflight_msgs: 256,
@@ -226,7 +227,7 @@
             raw,
             disk,
             identity,
-            told: state.seats_revision(),
+            told: state.lease_revision(),
             state,
             conf,
             conf_changed: false,
@@ -264,7 +265,8 @@
     /// The account gets a flaw, in builds for tests.
     pub fn account_flaw(&mut self, flaw: Option<disruption_budget::Flaw>) {
         self.flaw = flaw;
-        self.state = std::mem::replace(&mut self.state, State::new(1)).with_account_flaw(flaw);
+        self.state =
+            std::mem::replace(&mut self.state, StateMachine::new(1)).with_injected_disruption_bug(flaw);
     }
 
     /// This keeper is to be as one that knows entries up to this version.
@@ -290,11 +292,11 @@
         // One that joins knows nobody yet; those that take it in know it as soon as that is agreed on.
         let joins = self.conf == ConfState::default();
         let known = self.raw.raft.prs().iter().any(|(id, _)| *id == by.keeper)
-            || self.state.added().contains_key(&by.keeper);
+            || self.state.added_replicas().contains_key(&by.keeper);
         if by.keeper == self.identity.keeper || !(known || joins) {
             return Ok(Err(Turned::Stranger));
         }
-        let agreed = self.state.keepers().get(&by.keeper).copied().unwrap_or(0);
+        let agreed = self.state.replica_starts().get(&by.keeper).copied().unwrap_or(0);
         let known = self.peers.get(&by.keeper).copied().unwrap_or(Identity { boots: 0, term: 0, ..by });
         if known.disk != by.disk {
             return Ok(Err(Turned::WrongDisk));
@@ -320,10 +322,10 @@
         let known = self.peers.values().map(|peer| (peer.keeper, peer.boots));
         let known = known.chain([(self.identity.keeper, self.identity.boots)]);
         let news: Vec<(u64, u64)> = known
-            .filter(|(keeper, boots)| self.state.keepers().get(keeper).is_none_or(|seen| seen < boots))
+            .filter(|(keeper, boots)| self.state.replica_starts().get(keeper).is_none_or(|seen| seen < boots))
             .collect();
         for (keeper, boots) in news {
-            let command = Command::KeeperStarted { keeper, boots };
+            let command = Command::RecordReplicaStart { replica: keeper, starts: boots };
             let _ = self.raw.propose(Vec::new(), command.encode());
         }
     }
@@ -409,7 +411,11 @@
     /// The keeper stops.
     pub fn tick(&mut self, now: Micros) -> Result<(), Stop> {
         self.raw.tick();
-        if self.round.as_ref().is_some_and(|round| now.saturating_sub(round.since) > self.times.election) {
+        if self
+            .round
+            .as_ref()
+            .is_some_and(|round| now.saturating_sub(round.since) > self.times.election_timeout)
+        {
             self.give_up_round();
         }
         let old: Vec<u64> = self
@@ -427,17 +433,19 @@
 
     /// Where keepers are that came later than the installation was set up.
     pub fn added(&self) -> &BTreeMap<u64, String> {
-        self.state.added()
+        self.state.added_replicas()
     }
 
     /// The next step of a replacement that is on its way, by whoever leads: the new one learns; when it has caught up
     /// both change at once, through a configuration in which majorities of the old and the new have to agree; then that
     /// is left, and the replacement is over. Each step is asked of what is agreed, so a next leader goes on.
     fn replace_on(&mut self, now: Micros) {
-        let Some(Replacing { old, new }) = self.state.replacing().filter(|_| self.warden.is_some()) else {
+        let Some(ReplicaReplacement { old, new }) =
+            self.state.replacement_in_progress().filter(|_| self.warden.is_some())
+        else {
             return;
         };
-        let lately = |at: Micros| now.saturating_sub(at) < self.times.election;
+        let lately = |at: Micros| now.saturating_sub(at) < self.times.election_timeout;
         if self.raw.raft.has_pending_conf() || self.conf_proposed.is_some_and(lately) {
             return;
         }
@@ -453,7 +461,7 @@
         if !self.conf.get_voters_outgoing().is_empty() {
             // An empty change leaves the joint configuration.
         } else if voters.contains(&new) && !voters.contains(&old) {
-            let _ = self.raw.propose(Vec::new(), Command::KeeperReplaced { old }.encode());
+            let _ = self.raw.propose(Vec::new(), Command::CompleteReplacement { old }.encode());
             return;
         } else if !voters.contains(&new) && !learners.contains(&new) {
             change.set_changes(vec![single(ConfChangeType::AddLearnerNode, new)].into());
@@ -497,7 +505,7 @@
         let out = votes(&self.conf) && !votes(&conf);
         self.raw.mut_store().log.wl().set_conf_state(conf.clone());
         (self.conf, self.conf_changed) = (conf, true);
-        self.state.skip(entry.index);
+        self.state.skip_entry(entry.index);
         match out {
             true => Err(Stop::Replaced(format!(
                 "another keeper has taken the place of keeper {}: this one is not needed any more",
@@ -520,7 +528,7 @@
     fn not_leading(&self) -> Answer {
         match Some(self.leader).filter(|leader| *leader != 0 && *leader != self.identity.keeper) {
             Some(leader) => {
-                let address = self.state.added().get(&leader).cloned();
+                let address = self.state.added_replicas().get(&leader).cloned();
                 Answer::NotLeading { leader: Some(leader), address }
             }
             None => Answer::Busy,
@@ -548,8 +556,20 @@
         }
         match ask {
             Ask::Join { name, boot, zone, address, offers } => {
-                let short = warden.short(&name, now, &self.state);
-                self.propose(conn, id, Command::Join { name, boot, zone, address, offers, short }, now);
+                let short = warden.is_short_session(&name, now, &self.state);
+                self.propose(
+                    conn,
+                    id,
+                    Command::OpenSession {
+                        name,
+                        boot_id: boot,
+                        zone,
+                        address,
+                        eligible_leases: offers,
+                        short_lived: short,
+                    },
+                    now,
+                );
             }
             Ask::Renew { session, seen, roster } => {
                 self.sessions.insert(conn, session);
@@ -562,42 +582,47 @@
                     .get(&session)
                     .map(|session| session.name.clone())
                     .unwrap_or_default();
-                let short = warden.short(&name, now, &self.state);
-                self.propose(conn, id, Command::Leave { session, short }, now);
+                let short = warden.is_short_session(&name, now, &self.state);
+                self.propose(conn, id, Command::CloseSession { session, short_lived: short }, now);
             }
             Ask::Release { duty, token } => {
                 let held =
-                    self.state.duties().get(&duty).and_then(|duty| duty.owner).map(|owner| owner.token);
+                    self.state.leases().get(&duty).and_then(|duty| duty.holder).map(|owner| owner.token);
                 match token.or(held) {
-                    Some(token) => {
-                        self.propose(conn, id, Command::Release { duty, token, unsettle: true }, now)
-                    }
-                    None => self.say(conn, id, Answer::Refused(Reason::NotTheOwner)),
+                    Some(token) => self.propose(
+                        conn,
+                        id,
+                        Command::ReleaseLease { lease: duty, token, reset_stability: true },
+                        now,
+                    ),
+                    None => self.say(conn, id, Answer::Refused(CommandRejection::NotLeaseHolder)),
                 }
             }
             Ask::Replace { old, new, address } => {
                 let why = match self.conf.get_voters() {
-                    voters if !voters.contains(&old) && self.state.replacing().is_none() => {
+                    voters if !voters.contains(&old) && self.state.replacement_in_progress().is_none() => {
                         Some(format!("there is no keeper {old}; those that vote are {voters:?}"))
                     }
                     voters if voters.contains(&new) => Some(format!("keeper {new} votes already")),
                     _ => None,
                 };
                 match why {
-                    Some(why) => self.say(conn, id, Answer::Refused(Reason::Keepers(why))),
-                    None => self.propose(conn, id, Command::ReplaceKeeper { old, new, address }, now),
+                    Some(why) => {
+                        self.say(conn, id, Answer::Refused(CommandRejection::InvalidReplacement(why)))
+                    }
+                    None => self.propose(conn, id, Command::ReplaceReplica { old, new, address }, now),
                 }
             }
             Ask::Change(change) => match self.older_voter() {
                 Some(keeper) => {
                     let why = format!("keeper {keeper} is of a version that knows no permits yet");
-                    self.say(conn, id, Answer::Refused(Reason::Keepers(why)));
+                    self.say(conn, id, Answer::Refused(CommandRejection::InvalidReplacement(why)));
                 }
-                None => self.propose(conn, id, Command::Account(change), now),
+                None => self.propose(conn, id, Command::Disruption(change), now),
             },
             Ask::Account { known } => {
-                let revision = self.state.account_revision();
-                let account = (revision > known).then(|| Box::new(self.state.account().clone()));
+                let revision = self.state.disruption_revision();
+                let account = (revision > known).then(|| Box::new(self.state.disruption().clone()));
                 self.say(conn, id, Answer::Account(revision, account));
             }
             Ask::Status => {}
@@ -644,10 +669,10 @@
             self.conf_changed = false;
             self.compact()?;
         }
-        if self.warden.is_some() && self.state.seats_revision() != self.told {
+        if self.warden.is_some() && self.state.lease_revision() != self.told {
             self.out.push(Out::News(self.state.view()));
         }
-        self.told = self.state.seats_revision();
+        self.told = self.state.lease_revision();
         Ok(())
     }
 
@@ -664,15 +689,15 @@
     fn propose_due(&mut self, now: Micros) {
         let Some(warden) = &mut self.warden else { return };
         // What is due of permits is proposed at most so often: the agreement takes a moment.
-        if now.saturating_sub(self.voided) > self.times.heartbeat {
+        if now.saturating_sub(self.voided) > self.times.heartbeat_interval {
             for change in self.desk.due(now) {
                 self.voided = now;
-                let _ = self.raw.propose(Vec::new(), Command::Account(change).encode());
+                let _ = self.raw.propose(Vec::new(), Command::Disruption(change).encode());
             }
         }
-        for command in warden.due(now, &self.state) {
+        for command in warden.due_commands(now, &self.state) {
             if self.raw.propose(Vec::new(), command.encode()).is_err() {
-                warden.dropped(&command);
+                warden.proposal_rejected(&command);
             }
         }
     }
@@ -703,7 +728,7 @@
         if foreign {
             let snapshot = ready.snapshot().clone();
             self.raw.mut_store().log.wl().apply_snapshot(snapshot.clone()).map_err(raft_fault)?;
-            self.state = restored(&snapshot)?.with_account_flaw(self.flaw);
+            self.state = restored(&snapshot)?.with_injected_disruption_bug(self.flaw);
             self.conf = snapshot.get_metadata().get_conf_state().clone();
             self.raw.mut_store().snapshot = snapshot;
         }
@@ -734,19 +759,19 @@
                 continue;
             }
             if entry.data.is_empty() {
-                self.state.skip(entry.index);
+                self.state.skip_entry(entry.index);
                 continue;
             }
-            let command = Command::decode_up_to(self.knows, &entry.data)
+            let command = Command::decode_with_supported_version(self.knows, &entry.data)
                 .map_err(|fault| Stop::Later(format!("at entry {}: {fault}", entry.index)))?;
             let outcome = self.state.apply(entry.index, &command);
-            if let Outcome::Account(_) = outcome {
-                self.desk.applied(now, self.state.account());
+            if let CommandOutcome::Disruption(_) = outcome {
+                self.desk.applied(now, self.state.disruption());
             }
             if let Some(warden) = &mut self.warden {
-                warden.applied(now, &self.state);
-                if matches!(outcome, Outcome::Refused(_)) {
-                    warden.dropped(&command);
+                warden.on_entries_applied(now, &self.state);
+                if matches!(outcome, CommandOutcome::Rejected(_)) {
+                    warden.proposal_rejected(&command);
                 }
             }
             let own = postcard::from_bytes::<(u64, u64)>(&entry.context)
@@ -762,12 +787,12 @@
         Ok(())
     }
 
-    fn answer(&mut self, waiter: Waiter, outcome: &Outcome, now: Micros) {
+    fn answer(&mut self, waiter: Waiter, outcome: &CommandOutcome, now: Micros) {
         let answer = match (outcome, &mut self.warden) {
             // Only the leading keeper may give a lease, old or new.
-            (Outcome::Joined(session, incarnation), Some(warden)) => {
+            (CommandOutcome::SessionOpened(session, incarnation), Some(warden)) => {
                 // A session that was there is renewed by this, unless its end is on its way.
-                match warden.renewed(*session, 0, now, &self.state) {
+                match warden.renew_session(*session, 0, now, &self.state) {
                     Ok(()) => {
                         self.sessions.insert(waiter.conn, *session);
                         Answer::Joined {
@@ -779,9 +804,9 @@
                     Err(_) => Answer::Busy,
                 }
             }
-            (Outcome::Joined(..), None) => self.not_leading(),
-            (Outcome::Refused(reason), _) => Answer::Refused(reason.clone()),
-            (Outcome::Account(outcome), _) => {
+            (CommandOutcome::SessionOpened(..), None) => self.not_leading(),
+            (CommandOutcome::Rejected(reason), _) => Answer::Refused(reason.clone()),
+            (CommandOutcome::Disruption(outcome), _) => {
                 if let disruption_budget::Outcome::Asked(id, _) = outcome {
                     self.desk.asked(*id, now);
                 }
@@ -806,9 +831,9 @@
         }
         self.leads = leads;
         self.out.push(Out::Leads(leads));
-        self.warden = leads.map(|_| Warden::new(self.times, now, &self.state));
+        self.warden = leads.map(|_| LeaderState::new(self.times, now, &self.state));
         self.desk = Desk::default();
-        self.desk.applied(now, self.state.account());
+        self.desk.applied(now, self.state.disruption());
         self.propose_boots();
         // Whoever waits asks the next leader; what was proposed may still be agreed on, and asking twice does no harm.
         let answer = self.not_leading();
@@ -830,12 +855,12 @@
             let Some((_, renewals)) = self.confirmed.pop_front() else { return };
             for renewal in renewals {
                 let Some(warden) = &mut self.warden else { return };
-                let answer = match warden.renewed(renewal.session, renewal.seen, now, &self.state) {
+                let answer = match warden.renew_session(renewal.session, renewal.seen, now, &self.state) {
                     Ok(()) => Answer::Renewed {
-                        view: (self.state.seats_revision() > renewal.seen).then(|| self.state.view()),
+                        view: (self.state.lease_revision() > renewal.seen).then(|| self.state.view()),
                         roster: renewal
                             .roster
-                            .filter(|known| *known < self.state.roster_revision())
+                            .filter(|known| *known < self.state.membership_revision())
                             .map(|_| self.roster()),
                     },
                     Err(reason) => Answer::Refused(reason),
@@ -849,7 +874,7 @@
         let sessions = self.state.sessions().values().filter(|session| !session.superseded);
         let mut peers: Vec<Peer> = sessions.map(peer).collect();
         peers.sort();
-        (self.state.roster_revision(), peers)
+        (self.state.membership_revision(), peers)
     }
 
     /// The session that was last heard of on a connection.
@@ -881,19 +906,19 @@
         let members = state.sessions().iter().map(|(id, session)| MemberStatus {
             session: *id,
             peer: peer(session),
-            settled: session.settled,
+            settled: session.stable,
             superseded: session.superseded,
-            short_lives: state.short_lives(&session.name),
+            short_lives: state.consecutive_short_sessions(&session.name),
         });
-        let owner = |owner: coordination::Owner| {
+        let owner = |owner: coordination::LeaseHolder| {
             let name = state.sessions().get(&owner.session).map(|session| session.name.clone());
             (name.unwrap_or_default(), owner.token)
         };
-        let duties = state.duties().iter().map(|(id, duty)| DutyStatus {
+        let duties = state.leases().iter().map(|(id, duty)| DutyStatus {
             duty: id.clone(),
-            owner: duty.owner.map(owner),
-            floor: duty.floor,
-            fenced: duty.fenced,
+            owner: duty.holder.map(owner),
+            floor: duty.minimum_token,
+            fenced: duty.fencing_revision,
         });
         let quantile = |q| self.commits.value_at_quantile(q);
         Status {
@@ -909,18 +934,18 @@
             commit_us: (quantile(0.5), quantile(0.99), self.commits.max()),
             members: members.collect(),
             duties: duties.collect(),
-            keepers: state.keepers().iter().map(|(keeper, boots)| (*keeper, *boots)).collect(),
+            keepers: state.replica_starts().iter().map(|(keeper, boots)| (*keeper, *boots)).collect(),
             voters: {
                 let both = self.conf.get_voters().iter().chain(self.conf.get_voters_outgoing());
                 both.copied().collect::<std::collections::BTreeSet<u64>>().into_iter().collect()
             },
             learners: self.conf.get_learners().to_vec(),
-            replacing: state.replacing().map(|Replacing { old, new }| (old, new)),
+            replacing: state.replacement_in_progress().map(|ReplicaReplacement { old, new }| (old, new)),
         }
     }
 
     /// The token that the next grant gets, for tests of tokens over restarts.
-    pub fn next_token(&self) -> Token {
+    pub fn next_token(&self) -> FencingToken {
         self.state.next_token()
     }
 }
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -13,7 +13,7 @@
     check_hello_of, pack, turned_away, Disk as Identity, FromKeeper, Hello, Link, Request, Turned, Welcome,
     Who, PATIENCE,
 };
-use coordination::{Command, Outcome, COMMAND_VERSION};
+use coordination::{Command, CommandOutcome, COMMAND_VERSION};
 use futures_util::SinkExt;
 use raft::eraftpb::{Message, MessageType};
 use tokio::net::{TcpListener, TcpStream};
@@ -51,7 +51,7 @@
     let speaks = serve.speaks;
     let (disk, found) = Disk::open(&serve.store, &config.installation, serve.keeper)?;
     let identity = found.identity;
-    let tick = (config.times.heartbeat / 2).clamp(5_000, 50_000);
+    let tick = (config.times.heartbeat_interval / 2).clamp(5_000, 50_000);
     let mut node = Node::new(disk, found, config.times, tick, clock::unique())?;
     node.digest(record.records());
     // Each version of the messages came with the entries of that version.
@@ -107,7 +107,7 @@
     }
     tracing::info!("ends; hands the lead over");
     node.hand_over(clock::now())?;
-    let end = tokio::time::Instant::now() + Duration::from_micros(config.times.election);
+    let end = tokio::time::Instant::now() + Duration::from_micros(config.times.election_timeout);
     while node.leads() && tokio::time::Instant::now() < end {
         driver.carry_out(&mut node);
         tokio::select! {
@@ -214,21 +214,21 @@
                     log(&command, &outcome);
                     let mut what = serde_json::json!({"index": index, "digest": digest});
                     match &outcome {
-                        Outcome::Granted(duty, owner) => {
+                        CommandOutcome::LeaseGranted(duty, owner) => {
                             what["granted"] = duty.to_string().into();
                             what["token"] = owner.token.0.into();
                             what["session"] = owner.session.0.into();
                         }
-                        Outcome::Ended(session) => what["ended"] = session.0.into(),
-                        Outcome::Joined(session, _) => {
+                        CommandOutcome::SessionEnded(session) => what["ended"] = session.0.into(),
+                        CommandOutcome::SessionOpened(session, _) => {
                             what["joined"] = session.0.into();
-                            if let Command::Join { name, .. } = &command {
+                            if let Command::OpenSession { name, .. } = &command {
                                 what["name"] = name.as_str().into();
                             }
                         }
-                        Outcome::Account(disruption_budget::Outcome::Observed { granted, .. })
-                            if !granted.is_empty() =>
-                        {
+                        CommandOutcome::Disruption(disruption_budget::Outcome::Observed {
+                            granted, ..
+                        }) if !granted.is_empty() => {
                             what["permits"] = granted.clone().into();
                         }
                         _ => {}
@@ -257,31 +257,34 @@
     }
 }
 
-fn log(command: &Command, outcome: &Outcome) {
+fn log(command: &Command, outcome: &CommandOutcome) {
     match outcome {
-        Outcome::Granted(duty, owner) => {
+        CommandOutcome::LeaseGranted(duty, owner) => {
             tracing::info!(%duty, token = owner.token.0, session = owner.session.0, "a duty has an owner");
         }
-        Outcome::Joined(session, incarnation) => {
-            if let Command::Join { name, .. } = command {
+        CommandOutcome::SessionOpened(session, incarnation) => {
+            if let Command::OpenSession { name, .. } = command {
                 tracing::info!(name, session = session.0, incarnation, "a member has a session");
             }
         }
-        Outcome::Ended(session) => {
-            let cause = if matches!(command, Command::Leave { .. }) { "left" } else { "not renewed in time" };
+        CommandOutcome::SessionEnded(session) => {
+            let cause =
+                if matches!(command, Command::CloseSession { .. }) { "left" } else { "not renewed in time" };
             tracing::info!(session = session.0, cause, "a session is over; its duties are free");
         }
-        Outcome::Account(outcome) => log_account(command, outcome),
-        Outcome::Released(duty, token) => tracing::info!(%duty, token = token.0, "a term was given back"),
-        Outcome::Refused(reason) => tracing::debug!(%reason, ?command, "refused"),
-        Outcome::Settled(_) | Outcome::Noted => {}
+        CommandOutcome::Disruption(outcome) => log_account(command, outcome),
+        CommandOutcome::LeaseReleased(duty, token) => {
+            tracing::info!(%duty, token = token.0, "a term was given back")
+        }
+        CommandOutcome::Rejected(reason) => tracing::debug!(%reason, ?command, "refused"),
+        CommandOutcome::SessionStable(_) | CommandOutcome::Acknowledged => {}
     }
 }
 
 /// Who asked, forced, struck off, and what an observation led to; that nothing changed is said to nobody.
 fn log_account(command: &Command, outcome: &disruption_budget::Outcome) {
     use disruption_budget::{Change, Outcome, State};
-    let Command::Account(change) = command else { return };
+    let Command::Disruption(change) = command else { return };
     match (change, outcome) {
         (Change::Ask { target, reason, asker, force: true }, Outcome::Asked(permit, _)) => {
             tracing::warn!(%target, reason, asker, permit, "a permit was forced, beyond what budgets allow");
--- a/crates/coordinator/tests/cluster.rs
+++ b/crates/coordinator/tests/cluster.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use cluster_member::wire::{Answer, Ask, Disk as Identity, FromKeeper, Request, Turned, SCHEMA};
-use coordination::{DutyId, Outcome, Reason, SessionId, Times, Token};
+use coordination::{CommandOutcome, CommandRejection, FencingToken, LeaseId, SessionId, Timing};
 use coordinator::disk::{self, Disk};
 use coordinator::node::{Node, Out};
 use coordinator::Stop;
@@ -16,7 +16,7 @@
     nodes: BTreeMap<u64, Node>,
     now: u64,
     answers: Vec<Answer>,
-    granted: Vec<(SessionId, Token)>,
+    granted: Vec<(SessionId, FencingToken)>,
     digests: BTreeMap<u64, u64>,
     next: u64,
 }
@@ -46,7 +46,7 @@
     fn start(&mut self, keeper: u64) {
         let (disk, found) = Disk::open(&self.store(keeper), "test", keeper).unwrap();
         self.next += 1;
-        let mut node = Node::new(disk, found, Times::default(), TICK, keeper << 32 | self.next).unwrap();
+        let mut node = Node::new(disk, found, Timing::default(), TICK, keeper << 32 | self.next).unwrap();
         node.digest(true);
         self.nodes.insert(keeper, node);
     }
@@ -80,7 +80,7 @@
                         Out::Applied { index, outcome, digest, .. } => {
                             let known = self.digests.entry(index).or_insert(digest);
                             assert_eq!(*known, digest, "entry {index} at keeper {keeper}");
-                            if let Outcome::Granted(_, owner) = outcome {
+                            if let CommandOutcome::LeaseGranted(_, owner) = outcome {
                                 self.granted.push((owner.session, owner.token));
                             }
                         }
@@ -133,7 +133,7 @@
     }
 
     fn join(&mut self, name: &str, boot: u64) -> SessionId {
-        let offers = vec![DutyId::fleet("list")];
+        let offers = vec![LeaseId::fleet("list")];
         let (zone, address) = (String::new(), String::new());
         match self.ask(Ask::Join { name: name.to_owned(), boot, zone, address, offers }) {
             Answer::Joined { session, .. } => session,
@@ -156,7 +156,7 @@
         }
     }
 
-    fn last_grant(&self) -> (SessionId, Token) {
+    fn last_grant(&self) -> (SessionId, FencingToken) {
         self.granted.iter().copied().max_by_key(|grant| grant.1).unwrap()
     }
 }
@@ -176,7 +176,7 @@
         cluster.renew(other);
         cluster.pass(TICK);
     }
-    let lease = Times::default().lease;
+    let lease = Timing::default().lease_duration;
     assert!(cluster.now - started > lease, "the new leader gives the running lease its full time");
     assert_eq!(cluster.last_grant().0, other);
     // The old leader comes back and agrees on the same.
@@ -195,11 +195,11 @@
     cluster.nodes.clear();
     (1..=3).for_each(|keeper| cluster.start(keeper));
     assert!(matches!(cluster.renew(a), Answer::Renewed { .. }), "the session has its full time again");
-    cluster.ask(Ask::Release { duty: DutyId::fleet("list"), token: Some(token) });
+    cluster.ask(Ask::Release { duty: LeaseId::fleet("list"), token: Some(token) });
     cluster.live(&[a], 2_000_000);
     assert!(cluster.last_grant().1 > token);
-    let stale = cluster.ask(Ask::Release { duty: DutyId::fleet("list"), token: Some(token) });
-    assert_eq!(stale, Answer::Refused(Reason::NotTheOwner));
+    let stale = cluster.ask(Ask::Release { duty: LeaseId::fleet("list"), token: Some(token) });
+    assert_eq!(stale, Answer::Refused(CommandRejection::NotLeaseHolder));
 }
 
 #[test]
@@ -344,8 +344,14 @@
     assert_eq!(cluster.nodes.get_mut(&leader).unwrap().greeted(new, SCHEMA).unwrap(), Ok(()));
     let mut wanted: Vec<u64> = (1..=4).filter(|keeper| *keeper != lost).collect();
     cluster.until_voters(&wanted);
-    assert!(matches!(cluster.replace(lost, 5), Answer::Refused(Reason::Keepers(_))), "it is gone already");
-    assert!(matches!(cluster.replace(leader, lost), Answer::Refused(Reason::Keepers(_))), "a used number");
+    assert!(
+        matches!(cluster.replace(lost, 5), Answer::Refused(CommandRejection::InvalidReplacement(_))),
+        "it is gone already"
+    );
+    assert!(
+        matches!(cluster.replace(leader, lost), Answer::Refused(CommandRejection::InvalidReplacement(_))),
+        "a used number"
+    );
     // The new one and one of the old are a majority; what was agreed is known to both.
     cluster.nodes.remove(&leader);
     wanted.retain(|keeper| *keeper != leader);
--- a/crates/coordinator/tests/compatibility/command_line.rs
+++ b/crates/coordinator/tests/compatibility/command_line.rs
@@ -1,7 +1,7 @@
 //! The command line: usage, and what each command prints for fixed answers of the coordinators.
 
 use cluster_member::wire::{Answer, Ask, DutyStatus, MemberStatus, Peer, Status, Turned};
-use coordination::{DutyId, Reason, Revision, SessionId, Token};
+use coordination::{CommandRejection, FencingToken, LeaseId, Revision, SessionId};
 use disruption_budget::{
     Account, Amount, Budget, Change, Condition, Cover, Kind, Observed, Outcome, Refusal, State, Target,
 };
@@ -40,16 +40,21 @@
         ],
         duties: vec![
             DutyStatus {
-                duty: DutyId::fleet("list"),
-                owner: Some(("berlin".to_owned(), Token(61))),
-                floor: Token(61),
+                duty: LeaseId::fleet("list"),
+                owner: Some(("berlin".to_owned(), FencingToken(61))),
+                floor: FencingToken(61),
                 fenced: 1_100,
             },
-            DutyStatus { duty: DutyId::zone("watch", "east"), owner: None, floor: Token(57), fenced: 1_101 },
             DutyStatus {
-                duty: DutyId::set("watch", 3),
-                owner: Some((String::new(), Token(58))),
-                floor: Token(58),
+                duty: LeaseId::zone("watch", "east"),
+                owner: None,
+                floor: FencingToken(57),
+                fenced: 1_101,
+            },
+            DutyStatus {
+                duty: LeaseId::worker_set("watch", 3),
+                owner: Some((String::new(), FencingToken(58))),
+                floor: FencingToken(58),
                 fenced: 1_102,
             },
         ],
@@ -277,7 +282,7 @@
     let answers = [
         Answer::Done,
         Answer::Busy,
-        Answer::Refused(Reason::NotTheOwner),
+        Answer::Refused(CommandRejection::NotLeaseHolder),
         Answer::NotLeading { leader: Some(2), address: None },
     ];
     let mut all = String::new();
@@ -286,8 +291,8 @@
         all += &installation.run(&["release-duty", "--duty", "list"]);
         all += &installation.run(&["release-duty", "--duty", "watch@set/3", "--token", "58"]);
         let expected = [
-            (1, Ask::Release { duty: DutyId::fleet("list"), token: None }),
-            (1, Ask::Release { duty: DutyId::set("watch", 3), token: Some(Token(58)) }),
+            (1, Ask::Release { duty: LeaseId::fleet("list"), token: None }),
+            (1, Ask::Release { duty: LeaseId::worker_set("watch", 3), token: Some(FencingToken(58)) }),
         ];
         assert_eq!(installation.requests(), expected);
     }
@@ -297,7 +302,9 @@
 #[test]
 fn replace_and_what_it_asks_for() {
     let full = ["replace", "--keeper", "3", "--with", "4", "--address", "192.0.2.14:7100"];
-    let refused = installation(Answer::Refused(Reason::Keepers("there is no keeper 3".to_owned())));
+    let refused = installation(Answer::Refused(CommandRejection::InvalidReplacement(
+        "there is no keeper 3".to_owned(),
+    )));
     let mut all = refused.run(&full);
     let expected = Ask::Replace { old: 3, new: 4, address: "192.0.2.14:7100".to_owned() };
     assert_eq!(refused.requests(), [(1, expected)]);
--- a/crates/coordinator/tests/compatibility/exit_codes.rs
+++ b/crates/coordinator/tests/compatibility/exit_codes.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use cluster_member::wire::Turned;
-use coordination::{Command, State};
+use coordination::{Command, StateMachine};
 use coordinator::disk::{self, Batch, Disk};
 use protobuf::Message as _;
 use raft::eraftpb::{
@@ -54,7 +54,7 @@
 
 /// An entry as a program two versions later would write it.
 fn later_entry() -> Vec<u8> {
-    let mut data = Command::KeeperStarted { keeper: 1, boots: 1 }.encode();
+    let mut data = Command::RecordReplicaStart { replica: 1, starts: 1 }.encode();
     data[0] = 5;
     data
 }
@@ -124,7 +124,7 @@
     change_meta(&store, "snapshot", |bytes| {
         let mut snapshot = Snapshot::default();
         snapshot.merge_from_bytes(bytes).unwrap();
-        let mut data = State::new(1).snapshot();
+        let mut data = StateMachine::new(1).snapshot();
         data[0] = 4;
         snapshot.set_data(data.into());
         *bytes = snapshot.write_to_bytes().unwrap();
--- a/crates/coordinator/tests/compatibility/settings.rs
+++ b/crates/coordinator/tests/compatibility/settings.rs
@@ -4,7 +4,7 @@
 use std::net::IpAddr;
 use std::path::Path;
 
-use coordination::Times;
+use coordination::Timing;
 use coordinator::config::{budgets, parse, read, read_budgets};
 use disruption_budget::{Amount, Budget, Cover, Kind};
 
@@ -34,15 +34,15 @@
     let expected = [(1, "192.0.2.11:7100"), (2, "192.0.2.12:7100"), (7, "[2001:db8::13]:7100")];
     assert_eq!(addresses, expected.map(|(number, address)| (number, address.to_owned())));
     assert_eq!(config.first_token, 5_000);
-    let times = Times {
-        lease: 2_000_000,
-        renew: 500_000,
-        call: 600_000,
-        stay: 1_100_000,
-        short: 11_000_000,
-        skew_ppm: 2_000,
-        election: 480_000,
-        heartbeat: 90_000,
+    let times = Timing {
+        lease_duration: 2_000_000,
+        renewal_interval: 500_000,
+        call_timeout: 600_000,
+        stability_period: 1_100_000,
+        short_session_limit: 11_000_000,
+        max_clock_skew_ppm: 2_000,
+        election_timeout: 480_000,
+        heartbeat_interval: 90_000,
     };
     assert_eq!(config.times, times);
     let serve = config.serve.unwrap();
@@ -58,7 +58,7 @@
 #[test]
 fn keys_that_are_left_out_have_their_defaults() {
     let config = parse("keeper.hcl", &format!("{MEMBERS}{SERVE}")).unwrap();
-    assert_eq!((config.first_token, config.times), (1, Times::default()));
+    assert_eq!((config.first_token, config.times), (1, Timing::default()));
     let serve = config.serve.unwrap();
     assert_eq!(serve.listen.to_string(), "192.0.2.11:7100");
     assert_eq!((serve.bind, serve.connections, serve.speaks, serve.flaw), (None, 1_024, 3, None));
--- a/crates/coordinator/tests/compatibility/store.rs
+++ b/crates/coordinator/tests/compatibility/store.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 
 use cluster_member::wire::Disk as Identity;
-use coordination::{Command, DutyId, Revision, SessionId, State, Times, Token};
+use coordination::{Command, FencingToken, LeaseId, Revision, SessionId, StateMachine, Timing};
 use coordinator::disk::{self, Batch, Disk};
 use coordinator::node::Node;
 use disruption_budget::{Amount, Budget, Change, Condition, Cover, Kind, Observed, Target};
@@ -28,13 +28,13 @@
 /// One file: its snapshot is of this version, and its entries up to it.
 struct Example {
     fixture: &'static str,
-    state: State,
+    state: StateMachine,
     configuration: ConfState,
     commands: Vec<Command>,
 }
 
-fn lease() -> DutyId {
-    DutyId::fleet("list")
+fn lease() -> LeaseId {
+    LeaseId::fleet("list")
 }
 
 fn target(kind: Kind, name: &str) -> Target {
@@ -43,39 +43,39 @@
 
 fn first_commands() -> Vec<Command> {
     vec![
-        Command::KeeperStarted { keeper: 2, boots: 1 },
-        Command::Join {
+        Command::RecordReplicaStart { replica: 2, starts: 1 },
+        Command::OpenSession {
             name: "berlin".to_owned(),
-            boot: 7,
+            boot_id: 7,
             zone: "east".to_owned(),
             address: "192.0.2.41:7200".to_owned(),
-            offers: vec![
+            eligible_leases: vec![
                 lease(),
-                DutyId::fleet("account"),
-                DutyId::zone("watch", "east"),
-                DutyId::set("watch", 3),
+                LeaseId::fleet("account"),
+                LeaseId::zone("watch", "east"),
+                LeaseId::worker_set("watch", 3),
             ],
-            short: false,
+            short_lived: false,
         },
-        Command::Settle { session: SessionId(3) },
-        Command::Grant { duty: lease(), session: SessionId(3), fenced: 3 },
+        Command::MarkSessionStable { session: SessionId(3) },
+        Command::GrantLease { lease: lease(), session: SessionId(3), fencing_revision: 3 },
     ]
 }
 
 /// Those of a later entry, once the ones above were applied from entry 2 on.
 fn later_commands() -> Vec<Command> {
     vec![
-        Command::Release { duty: lease(), token: Token(50), unsettle: true },
-        Command::End { session: SessionId(3), short: true },
-        Command::Leave { session: SessionId(3), short: false },
+        Command::ReleaseLease { lease: lease(), token: FencingToken(50), reset_stability: true },
+        Command::ExpireSession { session: SessionId(3), short_lived: true },
+        Command::CloseSession { session: SessionId(3), short_lived: false },
     ]
 }
 
 fn replacement() -> Vec<Command> {
     vec![
-        Command::ReplaceKeeper { old: 3, new: 4, address: "192.0.2.14:7100".to_owned() },
-        Command::KeeperReplaced { old: 3 },
-        Command::ReplaceKeeper { old: 1, new: 5, address: "192.0.2.15:7100".to_owned() },
+        Command::ReplaceReplica { old: 3, new: 4, address: "192.0.2.14:7100".to_owned() },
+        Command::CompleteReplacement { old: 3 },
+        Command::ReplaceReplica { old: 1, new: 5, address: "192.0.2.15:7100".to_owned() },
     ]
 }
 
@@ -123,13 +123,13 @@
         Change::Ask { target: target(Kind::Dispatcher, "d1"), reason: String::new(), asker, force: false },
         Change::Strike { target: target(Kind::Worker, "w2"), by: "an operator".to_owned() },
     ];
-    changes.into_iter().map(Command::Account).collect()
+    changes.into_iter().map(Command::Disruption).collect()
 }
 
 /// The state after these commands, the first of them at entry 2.
-fn state_after(commands: &[Command]) -> State {
-    let mut state = State::new(FIRST_TOKEN);
-    state.skip(1);
+fn state_after(commands: &[Command]) -> StateMachine {
+    let mut state = StateMachine::new(FIRST_TOKEN);
+    state.skip_entry(1);
     for (index, command) in (2..).zip(commands) {
         state.apply(index, command);
     }
@@ -150,9 +150,10 @@
         ..ConfState::default()
     };
     let second = [first_commands(), replacement()].concat();
-    let observer = Command::Grant { duty: DutyId::fleet("account"), session: SessionId(3), fenced: 3 };
+    let observer =
+        Command::GrantLease { lease: LeaseId::fleet("account"), session: SessionId(3), fencing_revision: 3 };
     let third = [first_commands(), vec![observer], permits(7)].concat();
-    let further = [permits(14), vec![Command::Account(Change::Void { permit: 12 })]].concat();
+    let further = [permits(14), vec![Command::Disruption(Change::Void { permit: 12 })]].concat();
     [
         example("store-version-1.hex", first_commands(), later_commands()),
         Example { configuration: joint, ..example("store-version-2.hex", second, replacement()) },
@@ -302,7 +303,7 @@
         assert_eq!(found.identity, identity, "{version}");
         assert_eq!(found.hard, example.hard_state(), "{version}");
         assert_eq!(found.snapshot, example.snapshot(), "{version}");
-        assert_eq!(State::restore(found.snapshot.get_data()).unwrap(), example.state, "{version}");
+        assert_eq!(StateMachine::restore(found.snapshot.get_data()).unwrap(), example.state, "{version}");
         assert_eq!(found.entries, example.entries(), "{version}");
         for (entry, command) in found.entries.iter().zip(&example.commands) {
             assert_eq!(Command::decode(&entry.data).unwrap(), *command, "{version}");
@@ -320,7 +321,7 @@
         let folder = tempfile::tempdir().unwrap();
         unpack_fixture(example.fixture, &folder.path().join("keeper.redb"));
         let (store, found) = Disk::open(folder.path(), "north", COORDINATOR).unwrap();
-        let mut node = Node::new(store, found, Times::default(), TICK, 1).unwrap();
+        let mut node = Node::new(store, found, Timing::default(), TICK, 1).unwrap();
         node.tick(TICK).unwrap();
         let mut expected = example.state.clone();
         for (index, command) in (example.state.revision() + 1..).zip(&example.commands) {
@@ -333,15 +334,15 @@
         assert_eq!((status.keeper, status.term, status.boots), (COORDINATOR, 4, 2), "{version}");
         assert_eq!(node.next_token(), expected.next_token(), "{version}");
         assert_eq!(status.members.len(), expected.sessions().len(), "{version}");
-        assert_eq!(status.duties.len(), expected.duties().len(), "{version}");
-        for (status, (id, lease)) in status.duties.iter().zip(expected.duties()) {
-            let owner: Option<(Token, Revision)> =
+        assert_eq!(status.duties.len(), expected.leases().len(), "{version}");
+        for (status, (id, lease)) in status.duties.iter().zip(expected.leases()) {
+            let owner: Option<(FencingToken, Revision)> =
                 status.owner.as_ref().map(|(_, token)| (*token, status.fenced));
             assert_eq!(status.duty, *id, "{version}");
-            assert_eq!(owner, lease.owner.map(|owner| (owner.token, lease.fenced)), "{version}");
-            assert_eq!(status.floor, lease.floor, "{version}");
+            assert_eq!(owner, lease.holder.map(|owner| (owner.token, lease.fencing_revision)), "{version}");
+            assert_eq!(status.floor, lease.minimum_token, "{version}");
         }
-        let replaced = expected.replacing().map(|replacing| (replacing.old, replacing.new));
+        let replaced = expected.replacement_in_progress().map(|replacing| (replacing.old, replacing.new));
         assert_eq!(status.replacing, replaced, "{version}");
     }
 }
--- a/crates/coordinator/tests/config.rs
+++ b/crates/coordinator/tests/config.rs
@@ -26,7 +26,7 @@
     let config = parse("keeper.hcl", &format!("{KEEPERS}{more}")).unwrap();
     let serve = config.serve.unwrap();
     assert_eq!((serve.keeper, serve.listen.port(), config.first_token), (2, 7102, 50));
-    assert_eq!((config.times.lease, config.times.renew), (2_000_000, 400_000));
+    assert_eq!((config.times.lease_duration, config.times.renewal_interval), (2_000_000, 400_000));
 }
 
 #[test]
--- a/crates/dispatcher/src/net/cold.rs
+++ b/crates/dispatcher/src/net/cold.rs
@@ -9,7 +9,7 @@
 use cluster_member::effects::Publisher;
 use cluster_member::member::Member;
 use cluster_member::wire::Effect;
-use coordination::{DutyId, Micros, Token};
+use coordination::{FencingToken, LeaseId, Micros};
 use tokio::time::{interval, MissedTickBehavior};
 
 use super::console::FleetMetrics;
@@ -26,7 +26,7 @@
 const LEARN: f64 = 0.1;
 
 struct Term {
-    token: Token,
+    token: FencingToken,
     dealer: Rc<RefCell<Dealer>>,
     publisher: Publisher,
 }
@@ -91,7 +91,7 @@
         Use { process: self.process, asked, jobs_per_s: self.jobs_per_s.get(), usual }
     }
 
-    fn granted(&self, token: Token, version: u64, grants: &Grants) {
+    fn granted(&self, token: FencingToken, version: u64, grants: &Grants) {
         let now = clock::now();
         for (worker, work, until) in self.purse.borrow_mut().take(token, version, grants, now) {
             let at = self.pool.clock.now() + until.saturating_sub(now);
@@ -137,7 +137,7 @@
     }
 
     fn own(&self, now: Micros) {
-        let duty = DutyId::fleet(COLD);
+        let duty = LeaseId::fleet(COLD);
         let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
@@ -174,7 +174,7 @@
         };
         let version = term.publisher.say(grants.pack());
         // Our own part, by the same rules as everybody's: the lease is looked at immediately before.
-        if self.member.may_act(&DutyId::fleet(COLD), term.token) {
+        if self.member.may_act(&LeaseId::fleet(COLD), term.token) {
             self.granted(term.token, version, &grants);
         }
     }
--- a/crates/dispatcher/src/net/fleet.rs
+++ b/crates/dispatcher/src/net/fleet.rs
@@ -16,7 +16,7 @@
 use cluster_member::member::{Ended, Member, Settings};
 use cluster_member::record::Recorder;
 use cluster_member::watch::Watching;
-use coordination::{DutyId, Holder, Micros};
+use coordination::{LeaseClient, LeaseId, Micros};
 use dispatch_core::settings::worker_id;
 use disruption_budget::census::{Listed, Warmth, ACCOUNT};
 use serde_json::Value;
@@ -82,9 +82,9 @@
     let address = settings.address.map_or_else(|| listener.local_addr(), Ok)?;
     let zones = config.names.zones.len().clamp(1, usize::from(u16::MAX)) as u16;
     let watch = settings.watch.map(|how| Watching { zones, ..how });
-    let mut offers: Vec<DutyId> = settings.list.then(|| DutyId::fleet(LIST)).into_iter().collect();
-    offers.extend(settings.cold.map(|_| DutyId::fleet(COLD)));
-    offers.extend(settings.account.map(|_| DutyId::fleet(ACCOUNT)));
+    let mut offers: Vec<LeaseId> = settings.list.then(|| LeaseId::fleet(LIST)).into_iter().collect();
+    offers.extend(settings.cold.map(|_| LeaseId::fleet(COLD)));
+    offers.extend(settings.account.map(|_| LeaseId::fleet(ACCOUNT)));
     offers.extend(watch.iter().flat_map(|how| how.duties()));
     let zone = config.names.zones.get(config.settings.zone as usize).cloned().unwrap_or_default();
     let member = Settings {
@@ -100,7 +100,7 @@
         seed: config.seed ^ 0x000f_1ee7,
     };
     let record = settings.record.as_deref().map_or(Ok(Recorder::default()), Recorder::to)?;
-    let member = Member::new(member, Holder::new(settings.times), record);
+    let member = Member::new(member, LeaseClient::new(settings.times), record);
     member.record().put(clock::now(), "started", serde_json::json!({}));
     let (sender, news) = mpsc::channel(NEWS);
     let watchers =
@@ -185,10 +185,10 @@
         rounds.tick().await;
         let now = clock::now();
         let holder = member.holder().borrow();
-        let counts = holder.counts();
-        metrics.session.set(i64::from(holder.session(now).is_some()));
-        metrics.owned.set(holder.owned(now).len() as i64);
-        metrics.refused.set((counts.old_tokens + counts.without_session) as i64);
+        let counts = holder.effect_counts();
+        metrics.session.set(i64::from(holder.active_session(now).is_some()));
+        metrics.owned.set(holder.held_leases(now).len() as i64);
+        metrics.refused.set((counts.stale_tokens + counts.without_session) as i64);
     }
 }
 
@@ -283,7 +283,7 @@
 
     /// Notices whether this member owns the duty, and gives it back where discovery is silent here.
     fn own(&self) {
-        let duty = DutyId::fleet(LIST);
+        let duty = LeaseId::fleet(LIST);
         let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
