--- a/crates/dispatcher/src/net/leave.rs
+++ b/crates/dispatcher/src/net/leave.rs
@@ -12,7 +12,7 @@
 use cluster_member::keepers::Keepers;
 use cluster_member::member::Member;
 use cluster_member::wire::{Answer, Ask, Who};
-use coordination::{DutyId, Micros, Token};
+use coordination::{FencingToken, LeaseId, Micros};
 use disruption_budget::census::{Census, Listed, Standing, Warmth, ACCOUNT};
 use disruption_budget::{Account, Change, Kind, Observed, Outcome, Refusal, State, Target, Wants};
 use tokio::sync::{watch, Mutex};
@@ -50,7 +50,7 @@
 pub(super) type Workers = Box<dyn Fn() -> Vec<Listed>>;
 
 struct Term {
-    token: Token,
+    token: FencingToken,
     census: Rc<RefCell<Census>>,
     publisher: Publisher,
 }
@@ -194,7 +194,7 @@
         }
         // Whoever was stopped meanwhile may have been seen as another life: then the permit may be over.
         let now = clock::now();
-        if self.member.holder().borrow().session(now).is_none() || self.number() != number {
+        if self.member.holder().borrow().active_session(now).is_none() || self.number() != number {
             return denied("this dispatcher lost its session meanwhile", AGAIN.0);
         }
         if force {
@@ -245,7 +245,7 @@
                 continue;
             }
             // The look at the lease comes right before the word; the keepers look at the token besides.
-            if !self.member.may_act(&DutyId::fleet(ACCOUNT), token) {
+            if !self.member.may_act(&LeaseId::fleet(ACCOUNT), token) {
                 continue;
             }
             let observe = Change::Observe { token: token.0, seen: known, targets, gone };
@@ -262,7 +262,7 @@
     fn own_term(&self) {
         let now = clock::now();
         self.warmth.borrow_mut().list(now, &self.listed());
-        let duty = DutyId::fleet(ACCOUNT);
+        let duty = LeaseId::fleet(ACCOUNT);
         let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
@@ -287,7 +287,7 @@
     }
 
     /// Who is not as the account has them.
-    fn look(&self, account: &Account) -> Option<(Token, Vec<Observed>, Vec<Target>)> {
+    fn look(&self, account: &Account) -> Option<(FencingToken, Vec<Observed>, Vec<Target>)> {
         let term = self.term.borrow();
         let term = term.as_ref()?;
         let roster = self.member.roster();
--- a/crates/dispatcher/src/net/watchers.rs
+++ b/crates/dispatcher/src/net/watchers.rs
@@ -10,7 +10,7 @@
 use cluster_member::member::Member;
 use cluster_member::watch::{Against, Flaw, Report, Rounds, Sightings, Watching, Zones};
 use cluster_member::wire::Effect;
-use coordination::{Micros, Token};
+use coordination::{FencingToken, Micros};
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{interval, MissedTickBehavior};
 
@@ -23,7 +23,7 @@
 
 /// One set in one term of ours.
 struct Term {
-    token: Token,
+    token: FencingToken,
     rounds: Rounds,
     publisher: Publisher,
     /// The probes that are out.
@@ -98,7 +98,7 @@
 
     /// Notices which sets are ours.
     fn own(&self) {
-        let owned: BTreeMap<u16, Token> = self
+        let owned: BTreeMap<u16, FencingToken> = self
             .member
             .owned()
             .into_iter()
@@ -109,7 +109,7 @@
         for (set, token) in owned {
             terms.entry(set).or_insert_with(|| {
                 tracing::info!(set, token = token.0, "watches workers for the fleet");
-                let duty = coordination::DutyId::set(&self.how.name(), set);
+                let duty = coordination::LeaseId::worker_set(&self.how.name(), set);
                 Term {
                     token,
                     rounds: Rounds::new(self.how, &self.zone),
@@ -144,12 +144,12 @@
         self.metrics.failing.set(failing as i64);
     }
 
-    async fn look(self: Rc<Self>, set: u16, token: Token, worker: u64) {
-        let duty = coordination::DutyId::set(&self.how.name(), set);
+    async fn look(self: Rc<Self>, set: u16, token: FencingToken, worker: u64) {
+        let duty = coordination::LeaseId::worker_set(&self.how.name(), set);
         let may = || {
             // The last thing before the write: a look at the lease by the clock, and the time for the next one.
             let now = clock::now();
-            let looked = self.member.holder().borrow().may_act(&duty, token, now);
+            let looked = self.member.holder().borrow().holds_lease(&duty, token, now);
             let may = looked || self.how.flaw == Some(Flaw::NoLook);
             if may {
                 let what = serde_json::json!({"duty": duty.to_string(), "token": token.0, "worker": worker});
@@ -167,7 +167,7 @@
     }
 
     /// Does something with a term that is still ours.
-    fn with(&self, set: u16, token: Token, change: impl FnOnce(&mut Term)) {
+    fn with(&self, set: u16, token: FencingToken, change: impl FnOnce(&mut Term)) {
         if let Some(term) = self.terms.borrow_mut().get_mut(&set).filter(|term| term.token == token) {
             change(term);
         }
--- a/crates/dispatcher/src/own.rs
+++ b/crates/dispatcher/src/own.rs
@@ -12,7 +12,7 @@
 use cluster_member::cold::Dealing;
 use cluster_member::settings;
 use cluster_member::watch::Watching;
-use coordination::{Micros, Times};
+use coordination::{Micros, Timing};
 use dispatch_core::api::RoomSettings;
 use hcl_config::{Read, Section};
 
@@ -48,7 +48,7 @@
     /// The keepers, by number.
     pub keepers: BTreeMap<u64, SocketAddr>,
     /// The times, the same as the keepers'.
-    pub times: Times,
+    pub times: Timing,
     /// Whether the list is asked for by one member.
     pub list: bool,
     /// What discovery's revisions count at, if not at its address.
--- a/crates/dispatcher/tests/pinned_settings.rs
+++ b/crates/dispatcher/tests/pinned_settings.rs
@@ -5,7 +5,7 @@
 
 use cluster_member::cold::Dealing;
 use cluster_member::watch::Watching;
-use coordination::Times;
+use coordination::Timing;
 use dispatch_core::settings::worker_id;
 use dispatcher::api::{
     Class, Group, Load, Member, Repeat, Reports, RoomSettings, Scope, Tenant, WorkerState,
@@ -270,15 +270,15 @@
         address: Some(address(7302)),
         bind: Some("127.0.0.2".parse().expect("an address")),
         keepers: BTreeMap::from([(1, address(7101)), (2, address(7102)), (5, address(7105))]),
-        times: Times {
-            lease: 1_700_000,
-            renew: 410_000,
-            call: 420_000,
-            stay: 1_100_000,
-            short: 11_000_000,
-            skew_ppm: 1_200,
-            election: 430_000,
-            heartbeat: 90_000,
+        times: Timing {
+            lease_duration: 1_700_000,
+            renewal_interval: 410_000,
+            call_timeout: 420_000,
+            stability_period: 1_100_000,
+            short_session_limit: 11_000_000,
+            max_clock_skew_ppm: 1_200,
+            election_timeout: 430_000,
+            heartbeat_interval: 90_000,
         },
         list: false,
         source: Some("catalogue".to_owned()),
@@ -320,7 +320,7 @@
         address: None,
         bind: None,
         keepers: BTreeMap::from([(1, address(1)), (2, address(2)), (3, address(3))]),
-        times: Times::default(),
+        times: Timing::default(),
         list: true,
         source: None,
         silence: 3_000_000,
--- a/crates/emulator/src/fleet/hours.rs
+++ b/crates/emulator/src/fleet/hours.rs
@@ -8,7 +8,8 @@
 use std::collections::BinaryHeap;
 
 use coordination::{
-    Command, DutyId, Flaw, Holder, Outcome, Reason, SessionId, State, Times, Token, View, Warden,
+    ClusterView, Command, CommandOutcome, CommandRejection, FencingToken, InjectedBug, LeaderState,
+    LeaseClient, LeaseId, SessionId, StateMachine, Timing,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -67,7 +68,7 @@
 }
 
 /// Lets fleets live for so many hours, an hour for each seed. `skew_ppm` is by how much clocks really differ.
-pub fn live(hours: u64, seed: u64, skew_ppm: u64, flaw: Option<Flaw>) -> Hours {
+pub fn live(hours: u64, seed: u64, skew_ppm: u64, flaw: Option<InjectedBug>) -> Hours {
     let one = |hour: u64| {
         World::new(seed ^ hour.wrapping_mul(0x9e37_79b9_7f4a_7c15), skew_ppm, flaw).run(3_600 * SECOND)
     };
@@ -89,7 +90,7 @@
 
 struct Member {
     clock: Clock,
-    holder: Holder,
+    holder: LeaseClient,
     boot: u64,
     /// It runs from here on; what reaches it before waits.
     resumes: u64,
@@ -98,7 +99,7 @@
     /// Counts processes of this member: what was meant for an earlier one is lost.
     life: u64,
     /// The highest token taken in this life.
-    highest: Token,
+    highest: FencingToken,
     asked: u64,
 }
 
@@ -106,16 +107,16 @@
     Ask(usize),
     Keepers { from: usize, asked: u64, life: u64, session: Option<SessionId>, seen: u64 },
     Answer { to: usize, asked: u64, life: u64, said: Said },
-    News { to: usize, life: u64, session: SessionId, view: View },
+    News { to: usize, life: u64, session: SessionId, view: ClusterView },
     Round(usize),
-    Effect { to: usize, token: Token },
+    Effect { to: usize, token: FencingToken },
     Tick,
     Fault,
 }
 
 enum Said {
-    Joined(SessionId, u64, View),
-    Renewed(SessionId, Option<View>),
+    Joined(SessionId, u64, ClusterView),
+    Renewed(SessionId, Option<ClusterView>),
     Gone,
 }
 
@@ -144,29 +145,29 @@
 
 struct World {
     random: Pcg64,
-    times: Times,
+    times: Timing,
     skew: f64,
-    flaw: Option<Flaw>,
+    flaw: Option<InjectedBug>,
     now: u64,
     order: u64,
     queue: BinaryHeap<Reverse<Event>>,
-    state: State,
-    warden: Warden,
+    state: StateMachine,
+    warden: LeaderState,
     keeper: Clock,
     /// No keeper leads before this.
     leads: u64,
     index: u64,
     members: Vec<Member>,
-    duty: DutyId,
+    duty: LeaseId,
     sums: Hours,
 }
 
 impl World {
-    fn new(seed: u64, skew_ppm: u64, flaw: Option<Flaw>) -> World {
+    fn new(seed: u64, skew_ppm: u64, flaw: Option<InjectedBug>) -> World {
         let mut random = Pcg64::seed_from_u64(seed);
-        let times = Times { short: 3 * SECOND, ..Times::default() };
+        let times = Timing { short_session_limit: 3 * SECOND, ..Timing::default() };
         let skew = skew_ppm as f64 / 1e6;
-        let state = State::new(1);
+        let state = StateMachine::new(1);
         let mut clock = || Clock {
             start: random.random_range(0..1 << 40),
             rate: 1.0 + random.random_range(-skew..=skew),
@@ -174,16 +175,16 @@
         let keeper = clock();
         let member = |at: usize| Member {
             clock: Clock { start: 0, rate: 1.0 },
-            holder: Holder::new(times).with_flaw(flaw),
+            holder: LeaseClient::new(times).with_injected_bug(flaw),
             boot: at as u64,
             resumes: 0,
             cut: 0,
             life: 0,
-            highest: Token(0),
+            highest: FencingToken(0),
             asked: 0,
         };
         let members: Vec<Member> = (0..MEMBERS).map(|at| Member { clock: clock(), ..member(at) }).collect();
-        let warden = Warden::new(times, keeper.at(0), &state);
+        let warden = LeaderState::new(times, keeper.at(0), &state);
         let mut world = World {
             random,
             times,
@@ -198,7 +199,7 @@
             leads: 0,
             index: 0,
             members,
-            duty: DutyId::fleet("pulse"),
+            duty: LeaseId::fleet("pulse"),
             sums: Hours::default(),
         };
         for at in 0..MEMBERS {
@@ -238,17 +239,17 @@
         self.sums
     }
 
-    fn apply(&mut self, command: &Command) -> Outcome {
+    fn apply(&mut self, command: &Command) -> CommandOutcome {
         self.index += 1;
-        let before = self.state.seats_revision();
+        let before = self.state.lease_revision();
         let outcome = self.state.apply(self.index, command);
         let now = self.keeper.at(self.now);
-        self.warden.applied(now, &self.state);
-        if matches!(outcome, Outcome::Refused(_)) {
-            self.warden.dropped(command);
+        self.warden.on_entries_applied(now, &self.state);
+        if matches!(outcome, CommandOutcome::Rejected(_)) {
+            self.warden.proposal_rejected(command);
         }
-        self.sums.terms += u64::from(matches!(outcome, Outcome::Granted(..)));
-        if self.state.seats_revision() != before {
+        self.sums.terms += u64::from(matches!(outcome, CommandOutcome::LeaseGranted(..)));
+        if self.state.lease_revision() != before {
             for to in 0..MEMBERS {
                 let Some(session) = self.members[to].holder.last_session() else { continue };
                 if self.now >= self.members[to].cut {
@@ -260,8 +261,8 @@
         outcome
     }
 
-    fn newest(&self) -> Token {
-        Token(self.state.next_token().0 - 1)
+    fn newest(&self) -> FencingToken {
+        FencingToken(self.state.next_token().0 - 1)
     }
 
     fn happen(&mut self, what: What) {
@@ -281,7 +282,7 @@
         match what {
             What::Ask(at) => {
                 self.ask(at);
-                self.put(self.times.renew, What::Ask(at));
+                self.put(self.times.renewal_interval, What::Ask(at));
             }
             What::Keepers { from, asked, life, session, seen } => {
                 self.keepers((from, asked, life), session, seen)
@@ -290,21 +291,21 @@
                 let member = &mut self.members[to];
                 let now = member.clock.at(self.now);
                 // An answer that took longer than a call may was given up, as was one of an earlier process.
-                let late = asked != member.asked || now.saturating_sub(asked) > self.times.call;
-                let given_up = late && self.flaw != Some(Flaw::LeaseFromAnswer);
+                let late = asked != member.asked || now.saturating_sub(asked) > self.times.call_timeout;
+                let given_up = late && self.flaw != Some(InjectedBug::LeaseFromResponse);
                 if life != member.life || given_up {
                     return;
                 }
                 match said {
                     Said::Joined(id, incarnation, view) => {
-                        member.holder.joined(id, incarnation, asked, now, view)
+                        member.holder.on_session_opened(id, incarnation, asked, now, view)
                     }
-                    Said::Renewed(id, view) => member.holder.renewed(id, asked, now, view),
-                    Said::Gone => member.holder.gone(),
+                    Said::Renewed(id, view) => member.holder.on_session_renewed(id, asked, now, view),
+                    Said::Gone => member.holder.on_session_ended(),
                 }
             }
             What::News { to, life, session, view } => {
-                if life == self.members[to].life && self.members[to].holder.told(session, view) {
+                if life == self.members[to].life && self.members[to].holder.on_view_changed(session, view) {
                     self.ask(to);
                 }
             }
@@ -316,7 +317,7 @@
                 let newest = self.newest();
                 let member = &mut self.members[to];
                 let now = member.clock.at(self.now);
-                if member.holder.take(&self.duty, token, now).is_ok() {
+                if member.holder.accept_effect(&self.duty, token, now).is_ok() {
                     self.sums.taken += 1;
                     self.sums.late += u64::from(token < newest);
                     self.sums.backwards += u64::from(token < member.highest);
@@ -328,7 +329,7 @@
             What::Tick => {
                 self.put(TICK, What::Tick);
                 if self.now >= self.leads {
-                    for command in self.warden.due(self.keeper.at(self.now), &self.state) {
+                    for command in self.warden.due_commands(self.keeper.at(self.now), &self.state) {
                         self.apply(&command);
                     }
                 }
@@ -341,8 +342,8 @@
         let member = &mut self.members[from];
         let asked = member.clock.at(self.now);
         member.asked = asked;
-        let session = member.holder.session(asked).map(|session| session.id);
-        let (life, seen, lost) = (member.life, member.holder.seen(), self.now < member.cut);
+        let session = member.holder.active_session(asked).map(|session| session.id);
+        let (life, seen, lost) = (member.life, member.holder.applied_revision(), self.now < member.cut);
         if !lost && self.random.random_range(0..100) != 0 {
             let way = self.way();
             self.put(way, What::Keepers { from, asked, life, session, seen });
@@ -355,26 +356,33 @@
         }
         let now = self.keeper.at(self.now);
         let said = match session {
-            Some(id) => match self.warden.renewed(id, seen, now, &self.state) {
-                Ok(()) => Said::Renewed(id, (self.state.seats_revision() > seen).then(|| self.state.view())),
+            Some(id) => match self.warden.renew_session(id, seen, now, &self.state) {
+                Ok(()) => Said::Renewed(id, (self.state.lease_revision() > seen).then(|| self.state.view())),
                 Err(_) => Said::Gone,
             },
             None => {
                 let name = format!("m{from}");
-                let short = self.warden.short(&name, now, &self.state);
+                let short = self.warden.is_short_session(&name, now, &self.state);
                 // The process that asked may be gone by now; its question still arrives.
                 let boot = self.members[from].boot - (self.members[from].life - life) * MEMBERS as u64;
                 let offers = vec![self.duty.clone()];
                 let (zone, address) = (String::new(), String::new());
-                match self.apply(&Command::Join { name, boot, zone, address, offers, short }) {
-                    Outcome::Joined(id, incarnation) => {
+                match self.apply(&Command::OpenSession {
+                    name,
+                    boot_id: boot,
+                    zone,
+                    address,
+                    eligible_leases: offers,
+                    short_lived: short,
+                }) {
+                    CommandOutcome::SessionOpened(id, incarnation) => {
                         let now = self.keeper.at(self.now);
-                        match self.warden.renewed(id, 0, now, &self.state) {
+                        match self.warden.renew_session(id, 0, now, &self.state) {
                             Ok(()) => Said::Joined(id, incarnation, self.state.view()),
                             Err(_) => return,
                         }
                     }
-                    Outcome::Refused(Reason::Superseded { .. }) => Said::Gone,
+                    CommandOutcome::Rejected(CommandRejection::Superseded { .. }) => Said::Gone,
                     _ => return,
                 }
             }
@@ -389,9 +397,9 @@
         let newest = self.newest();
         let member = &self.members[at];
         let now = member.clock.at(self.now);
-        let Some((duty, token)) = member.holder.owned(now).into_iter().next() else { return };
+        let Some((duty, token)) = member.holder.held_leases(now).into_iter().next() else { return };
         for to in (0..MEMBERS).filter(|to| *to != at) {
-            if self.members[at].holder.may_act(&duty, token, now) {
+            if self.members[at].holder.holds_lease(&duty, token, now) {
                 self.sums.doubly_owned += u64::from(token < newest);
                 // It may stop between the look and the write, and the way may be long.
                 let way = self.way();
@@ -404,7 +412,7 @@
         let next = self.random.random_range(SECOND / 2..8 * SECOND);
         self.put(next, What::Fault);
         self.sums.faults += 1;
-        let owner = self.state.duties().get(&self.duty).and_then(|duty| duty.owner);
+        let owner = self.state.leases().get(&self.duty).and_then(|duty| duty.holder);
         let name = owner
             .and_then(|owner| self.state.sessions().get(&owner.session))
             .map(|session| session.name.clone());
@@ -424,8 +432,8 @@
                 let member = &mut self.members[whom];
                 member.life += 1;
                 member.boot += MEMBERS as u64;
-                member.holder = Holder::new(self.times).with_flaw(self.flaw);
-                member.highest = Token(0);
+                member.holder = LeaseClient::new(self.times).with_injected_bug(self.flaw);
+                member.highest = FencingToken(0);
                 member.resumes = self.now + long;
             }
             _ => {
@@ -433,7 +441,7 @@
                 self.leads = self.now + long.min(3 * SECOND);
                 let rate = 1.0 + self.random.random_range(-self.skew..=self.skew);
                 self.keeper = Clock { start: self.random.random_range(0..1 << 40), rate };
-                self.warden = Warden::new(self.times, self.keeper.at(self.leads), &self.state);
+                self.warden = LeaderState::new(self.times, self.keeper.at(self.leads), &self.state);
             }
         }
     }
--- a/crates/emulator/src/fleet/light.rs
+++ b/crates/emulator/src/fleet/light.rs
@@ -8,7 +8,7 @@
 use cluster_member::effects::{receive, Publisher};
 use cluster_member::member::{Ended, Member, Settings};
 use cluster_member::record::Recorder;
-use coordination::{DutyId, Flaw, Holder, Times};
+use coordination::{InjectedBug, LeaseClient, LeaseId, Timing};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
@@ -37,7 +37,7 @@
     /// The duties that it offers.
     pub duties: Vec<String>,
     /// The times, as the keepers have them.
-    pub times: Times,
+    pub times: Timing,
     /// Where it records.
     pub record: Option<PathBuf>,
     /// A flaw put in, by name.
@@ -60,13 +60,13 @@
 
 async fn live(light: Light) -> Result<(), String> {
     let bug = light.bug.as_deref();
-    let flaw: Option<Flaw> =
-        bug.and_then(|name| Flaw::names().iter().find(|(known, _)| *known == name)).map(|(_, f)| *f);
+    let flaw: Option<InjectedBug> =
+        bug.and_then(|name| InjectedBug::names().iter().find(|(known, _)| *known == name)).map(|(_, f)| *f);
     let record = match &light.record {
         Some(path) => Recorder::to(path).map_err(|error| format!("{}: {error}", path.display()))?,
         None => Recorder::default(),
     };
-    let offers: Result<Vec<DutyId>, String> = light.duties.iter().map(|duty| duty.parse()).collect();
+    let offers: Result<Vec<LeaseId>, String> = light.duties.iter().map(|duty| duty.parse()).collect();
     let listener =
         TcpListener::bind(light.listen).await.map_err(|error| format!("{}: {error}", light.listen))?;
     let settings = Settings {
@@ -80,7 +80,7 @@
         offers: offers?,
         seed: light.seed,
     };
-    let member = Member::new(settings, Holder::new(light.times).with_flaw(flaw), record);
+    let member = Member::new(settings, LeaseClient::new(light.times).with_injected_bug(flaw), record);
     member.record().put(cluster_member::clock::now(), "started", serde_json::json!({}));
     tokio::task::spawn_local(receive(member.clone(), listener, |_| Vec::new()));
     tokio::task::spawn_local(own(member.clone()));
@@ -102,7 +102,7 @@
 
 /// Does the rounds of every duty that this member owns.
 async fn own(member: Member) {
-    let mut terms: BTreeMap<DutyId, Publisher> = BTreeMap::new();
+    let mut terms: BTreeMap<LeaseId, Publisher> = BTreeMap::new();
     loop {
         let owned = member.owned();
         terms.retain(|duty, term| owned.iter().any(|(owned, token)| owned == duty && *token == term.token()));
--- a/crates/emulator/src/fleet/model.rs
+++ b/crates/emulator/src/fleet/model.rs
@@ -6,7 +6,10 @@
 
 use std::collections::BTreeSet;
 
-use coordination::{Command, DutyId, Flaw, Holder, Outcome, SessionId, State, Times, Token, View, Warden};
+use coordination::{
+    ClusterView, Command, CommandOutcome, FencingToken, InjectedBug, LeaderState, LeaseClient, LeaseId,
+    SessionId, StateMachine, Timing,
+};
 use stateright::{Checker, Model, Property};
 
 /// Bounds of the search.
@@ -32,7 +35,7 @@
 #[derive(Debug, Clone)]
 pub struct Ownership {
     /// The flaw put in.
-    pub flaw: Option<Flaw>,
+    pub flaw: Option<InjectedBug>,
     /// How far to look.
     pub bounds: Bounds,
 }
@@ -43,18 +46,18 @@
     /// The keepers' answer to what was asked then, with the revision and the floor and owner that it shows.
     Answer(usize, u64, Option<Told>),
     /// An effect of a term, to a receiver.
-    Effect(usize, Token),
+    Effect(usize, FencingToken),
 }
 
-type Told = (u64, Token, Option<(SessionId, Token)>);
+type Told = (u64, FencingToken, Option<(SessionId, FencingToken)>);
 
 /// All there is.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Fleet {
     now: u64,
     index: u64,
-    state: State,
-    warden: Warden,
+    state: StateMachine,
+    warden: LeaderState,
     leaders: u8,
     members: Vec<Member>,
     net: BTreeSet<Message>,
@@ -66,9 +69,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Member {
     id: SessionId,
-    holder: Holder,
+    holder: LeaseClient,
     asked: Option<u64>,
-    looked: Option<Token>,
+    looked: Option<FencingToken>,
 }
 
 /// What may happen next.
@@ -91,37 +94,40 @@
     Act(usize, usize),
 }
 
-fn duty() -> DutyId {
-    DutyId::fleet("list")
+fn duty() -> LeaseId {
+    LeaseId::fleet("list")
 }
 
-fn told(view: &View) -> Told {
-    let seat = &view.seats[0];
-    (view.revision, seat.floor, seat.owner.map(|owner| (owner.session, owner.token)))
+fn told(view: &ClusterView) -> Told {
+    let seat = &view.leases[0];
+    (view.revision, seat.minimum_token, seat.holder.map(|owner| (owner.session, owner.token)))
 }
 
-fn view((revision, floor, owner): Told) -> View {
-    let owner = owner.map(|(session, token)| coordination::Owner { session, token });
-    View { revision, seats: vec![coordination::Seat { duty: duty(), floor, owner }] }
+fn view((revision, floor, owner): Told) -> ClusterView {
+    let owner = owner.map(|(session, token)| coordination::LeaseHolder { session, token });
+    ClusterView {
+        revision,
+        leases: vec![coordination::LeaseView { lease: duty(), minimum_token: floor, holder: owner }],
+    }
 }
 
 impl Fleet {
-    fn apply(&mut self, command: &Command) -> Outcome {
+    fn apply(&mut self, command: &Command) -> CommandOutcome {
         self.index += 1;
         let outcome = self.state.apply(self.index, command);
-        self.warden.applied(self.now, &self.state);
-        if matches!(outcome, Outcome::Refused(_)) {
-            self.warden.dropped(command);
+        self.warden.on_entries_applied(self.now, &self.state);
+        if matches!(outcome, CommandOutcome::Rejected(_)) {
+            self.warden.proposal_rejected(command);
         }
-        if matches!(outcome, Outcome::Granted(..)) && self.state.next_token() > Token(2) {
+        if matches!(outcome, CommandOutcome::LeaseGranted(..)) && self.state.next_token() > FencingToken(2) {
             self.handed_over = true;
         }
         outcome
     }
 
     /// The highest token that was granted.
-    fn newest(&self) -> Token {
-        Token(self.state.next_token().0 - 1)
+    fn newest(&self) -> FencingToken {
+        FencingToken(self.state.next_token().0 - 1)
     }
 
     fn send(&mut self, message: Message, bounds: Bounds) -> Option<()> {
@@ -137,10 +143,18 @@
 
     /// Members that joined, one of them the owner of the only duty.
     fn init_states(&self) -> Vec<Fleet> {
-        let times =
-            Times { lease: 2, renew: 1, call: 1, stay: 0, short: 0, skew_ppm: 0, election: 1, heartbeat: 1 };
-        let state = State::new(1);
-        let warden = Warden::new(times, 0, &state);
+        let times = Timing {
+            lease_duration: 2,
+            renewal_interval: 1,
+            call_timeout: 1,
+            stability_period: 0,
+            short_session_limit: 0,
+            max_clock_skew_ppm: 0,
+            election_timeout: 1,
+            heartbeat_interval: 1,
+        };
+        let state = StateMachine::new(1);
+        let warden = LeaderState::new(times, 0, &state);
         let mut fleet = Fleet {
             now: 0,
             index: 0,
@@ -156,27 +170,29 @@
         for boot in 0..self.bounds.members {
             let name = format!("m{boot}");
             let offers = vec![duty()];
-            let join = Command::Join {
+            let join = Command::OpenSession {
                 name,
-                boot,
+                boot_id: boot,
                 zone: String::new(),
                 address: String::new(),
-                offers,
-                short: false,
+                eligible_leases: offers,
+                short_lived: false,
+            };
+            let CommandOutcome::SessionOpened(id, incarnation) = fleet.apply(&join) else {
+                return Vec::new();
             };
-            let Outcome::Joined(id, incarnation) = fleet.apply(&join) else { return Vec::new() };
-            let mut holder = Holder::new(times).with_flaw(self.flaw);
-            holder.joined(id, incarnation, 0, 0, fleet.state.view());
+            let mut holder = LeaseClient::new(times).with_injected_bug(self.flaw);
+            holder.on_session_opened(id, incarnation, 0, 0, fleet.state.view());
             fleet.members.push(Member { id, holder, asked: None, looked: None });
         }
         for _ in 0..2 {
-            for command in fleet.warden.due(0, &fleet.state) {
+            for command in fleet.warden.due_commands(0, &fleet.state) {
                 fleet.apply(&command);
             }
         }
         let view = fleet.state.view();
         for member in &mut fleet.members {
-            member.holder.told(member.id, view.clone());
+            member.holder.on_view_changed(member.id, view.clone());
         }
         vec![fleet]
     }
@@ -188,7 +204,7 @@
         if fleet.leaders < self.bounds.leaders {
             actions.push(Event::NewLeader);
         }
-        if !fleet.warden.clone().due(fleet.now, &fleet.state).is_empty() {
+        if !fleet.warden.clone().due_commands(fleet.now, &fleet.state).is_empty() {
             actions.push(Event::Decide);
         }
         actions.extend(fleet.net.iter().cloned().map(Event::Deliver));
@@ -198,7 +214,7 @@
             }
             let owner = member
                 .holder
-                .owned(fleet.now)
+                .held_leases(fleet.now)
                 .first()
                 .is_some_and(|(_, token)| member.looked != Some(*token));
             if owner {
@@ -217,33 +233,36 @@
             Event::Tick => fleet.now += 1,
             Event::NewLeader => {
                 fleet.leaders += 1;
-                let times = Times { lease: 2, ..Times::default() };
-                fleet.warden =
-                    Warden::new(Times { skew_ppm: 0, stay: 0, short: 0, ..times }, now, &fleet.state);
+                let times = Timing { lease_duration: 2, ..Timing::default() };
+                fleet.warden = LeaderState::new(
+                    Timing { max_clock_skew_ppm: 0, stability_period: 0, short_session_limit: 0, ..times },
+                    now,
+                    &fleet.state,
+                );
             }
             Event::Decide => {
-                for command in fleet.warden.due(now, &fleet.state) {
+                for command in fleet.warden.due_commands(now, &fleet.state) {
                     fleet.apply(&command);
                 }
             }
             Event::Ask(at) => {
                 let member = &mut fleet.members[at];
                 member.asked = Some(now);
-                let (id, seen) = (member.id, member.holder.seen());
-                fleet.warden.renewed(id, seen, now, &fleet.state).ok()?;
-                let news = (fleet.state.seats_revision() > seen).then(|| told(&fleet.state.view()));
+                let (id, seen) = (member.id, member.holder.applied_revision());
+                fleet.warden.renew_session(id, seen, now, &fleet.state).ok()?;
+                let news = (fleet.state.lease_revision() > seen).then(|| told(&fleet.state.view()));
                 fleet.send(Message::Answer(at, now, news), self.bounds)?;
             }
             Event::Look(at) => {
-                let (_, token) = fleet.members[at].holder.owned(now).into_iter().next()?;
-                if fleet.members[at].holder.may_act(&duty(), token, now) {
+                let (_, token) = fleet.members[at].holder.held_leases(now).into_iter().next()?;
+                if fleet.members[at].holder.holds_lease(&duty(), token, now) {
                     fleet.members[at].looked = Some(token);
                     fleet.doubly_owned |= token < fleet.newest();
                 }
             }
             Event::Act(at, to) => {
                 let token = fleet.members[at].looked?;
-                if self.flaw == Some(Flaw::NoLookAtTheClock) {
+                if self.flaw == Some(InjectedBug::SkipExpiryCheck) {
                     fleet.doubly_owned |= token < fleet.newest();
                 } else {
                     fleet.members[at].looked = None;
@@ -255,13 +274,13 @@
                 match message {
                     Message::Answer(at, asked, news) => {
                         let member = &mut fleet.members[at];
-                        member.holder.renewed(member.id, asked, now, news.map(view));
+                        member.holder.on_session_renewed(member.id, asked, now, news.map(view));
                     }
                     Message::Effect(at, token) => {
-                        if fleet.members[at].holder.take(&duty(), token, now).is_ok() {
+                        if fleet.members[at].holder.accept_effect(&duty(), token, now).is_ok() {
                             fleet.late |= token < fleet.newest();
                         }
-                        fleet.members[at].holder.forget_counts();
+                        fleet.members[at].holder.reset_effect_counts();
                     }
                 }
             }
@@ -294,7 +313,7 @@
 }
 
 /// Searches all orders of events within the bounds.
-pub fn search(flaw: Option<Flaw>, bounds: Bounds, threads: usize) -> Searched {
+pub fn search(flaw: Option<InjectedBug>, bounds: Bounds, threads: usize) -> Searched {
     let model = Ownership { flaw, bounds };
     let checker = model.checker().threads(threads).spawn_bfs().join();
     let broken = ["no effect of an ended term is taken", "no owner acts when a later term was granted"];
--- a/crates/emulator/src/fleet/plan.rs
+++ b/crates/emulator/src/fleet/plan.rs
@@ -1,6 +1,6 @@
 //! What an experiment of the drive `fleet` says, and the schedules of faults that a seed draws from it.
 
-use coordination::Times;
+use coordination::Timing;
 use hcl_config::{Fault as HclFault, Section};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -22,7 +22,7 @@
     /// The arms.
     pub arms: Vec<Arm>,
     /// The times of the agreement.
-    pub times: Times,
+    pub times: Timing,
 }
 
 /// One arm.
--- a/crates/emulator/src/fleet/rig.rs
+++ b/crates/emulator/src/fleet/rig.rs
@@ -232,14 +232,14 @@
         text += &format!(
             "times {{\n  lease_ms = {}\n  renew_ms = {}\n  call_ms = {}\n  stay_ms = {}\n  short_ms = {}\n  \
              election_ms = {}\n  heartbeat_ms = {}\n  skew_ppm = {}\n}}\n",
-            times.lease / 1_000,
-            times.renew / 1_000,
-            times.call / 1_000,
-            times.stay / 1_000,
-            times.short / 1_000,
-            times.election / 1_000,
-            times.heartbeat / 1_000,
-            times.skew_ppm
+            times.lease_duration / 1_000,
+            times.renewal_interval / 1_000,
+            times.call_timeout / 1_000,
+            times.stability_period / 1_000,
+            times.short_session_limit / 1_000,
+            times.election_timeout / 1_000,
+            times.heartbeat_interval / 1_000,
+            times.max_clock_skew_ppm
         );
         text += &format!(
             "serve {{\n  keeper = {}\n  listen = \"{}\"\n  bind = \"{}\"\n  store = \"{}\"\n}}\n",
@@ -708,7 +708,7 @@
             faults,
             resets: self.net.borrow().resets,
             doubles: self.net.borrow().doubles,
-            takeovers: checker::takeovers(&records, &self.done, self.plan.times.lease),
+            takeovers: checker::takeovers(&records, &self.done, self.plan.times.lease_duration),
             taken: checker::taken(&records),
             refused: checker::refused(&records),
             terms: checker::terms(&records),
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use clap::{Parser, Subcommand, ValueEnum};
-use coordination::Flaw;
+use coordination::InjectedBug;
 use emulator::fleet::drains;
 use emulator::fleet::hours::live;
 use emulator::fleet::joining;
@@ -249,17 +249,17 @@
 }
 
 /// The flaw of this name; `list` names them.
-fn flaw(name: Option<&str>) -> Result<Option<Flaw>, String> {
-    let names: Vec<&str> = Flaw::names().iter().map(|(name, _)| *name).collect();
+fn flaw(name: Option<&str>) -> Result<Option<InjectedBug>, String> {
+    let names: Vec<&str> = InjectedBug::names().iter().map(|(name, _)| *name).collect();
     let Some(name) = name else { return Ok(None) };
-    match Flaw::names().iter().find(|(known, _)| *known == name) {
+    match InjectedBug::names().iter().find(|(known, _)| *known == name) {
         Some((_, flaw)) => Ok(Some(*flaw)),
         None => Err(format!("--seeded-bug: wanted one of {}", names.join(", "))),
     }
 }
 
 fn list_flaws() {
-    Flaw::names().iter().for_each(|(name, _)| println!("{name}"));
+    InjectedBug::names().iter().for_each(|(name, _)| println!("{name}"));
 }
 
 /// Whether an experiment is one with processes of a fleet. What cannot be read is complained of later.
--- a/crates/emulator/tests/list_duty.rs
+++ b/crates/emulator/tests/list_duty.rs
@@ -199,7 +199,7 @@
 fn a_member_without_keepers_ends_when_it_is_told_to() {
     use cluster_member::member::{Ended, Member, Settings};
     use cluster_member::record::Recorder;
-    use coordination::{Holder, Times};
+    use coordination::{LeaseClient, Timing};
     play(async {
         let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let settings = Settings {
@@ -209,11 +209,11 @@
             address: nobody.to_string(),
             keepers: [(1, nobody), (2, nobody), (3, nobody)].into(),
             bind: None,
-            times: Times::default(),
+            times: Timing::default(),
             offers: Vec::new(),
             seed: 1,
         };
-        let member = Member::new(settings, Holder::new(Times::default()), Recorder::default());
+        let member = Member::new(settings, LeaseClient::new(Timing::default()), Recorder::default());
         let leaver = member.clone();
         tokio::task::spawn_local(async move {
             sleep(Duration::from_millis(100)).await;
--- a/crates/emulator/tests/ownership_model.rs
+++ b/crates/emulator/tests/ownership_model.rs
@@ -1,6 +1,6 @@
 //! The ownership protocol in every order of events, as it is and with each flaw.
 
-use coordination::Flaw;
+use coordination::InjectedBug;
 use emulator::fleet::hours::live;
 use emulator::fleet::model::{search, Bounds};
 
@@ -10,8 +10,8 @@
     let sound = search(None, bounds, 2);
     assert_eq!(sound.broken, None);
     assert!(sound.handed_over, "no hand-over within the bounds would mean that nothing was checked");
-    assert_eq!(Flaw::names().len(), 4);
-    for (name, flaw) in Flaw::names() {
+    assert_eq!(InjectedBug::names().len(), 4);
+    for (name, flaw) in InjectedBug::names() {
         assert!(search(Some(*flaw), bounds, 2).broken.is_some(), "{name} was not found");
     }
 }
@@ -22,7 +22,7 @@
     assert!(!sound.broken(), "{sound:#?}");
     assert!(sound.terms > 100 && sound.refused > 100, "{sound:#?}");
     for name in ["receiver-without-check", "lease-from-answer", "token-not-stored"] {
-        let flaw = Flaw::names().iter().find(|(known, _)| *known == name).map(|(_, flaw)| *flaw);
+        let flaw = InjectedBug::names().iter().find(|(known, _)| *known == name).map(|(_, flaw)| *flaw);
         assert!(live(4, 1, 1_000, flaw).broken(), "{name} was not found");
     }
     // Clocks far beyond the bound: two owners may act, and a receiver still never goes back to an older one.
--- a/crates/emulator/tests/stable_results.rs
+++ b/crates/emulator/tests/stable_results.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 use std::sync::{Arc, Mutex};
 
-use coordination::Flaw;
+use coordination::InjectedBug;
 use dispatch_core::api::{Action, Event, Outcome, Scope, Seconds, WorkerState};
 use dispatch_core::Settings;
 use emulator::day::Day;
@@ -281,7 +281,7 @@
 fn hours_of_a_fleet() {
     let mut text = String::new();
     for (skew_ppm, flaw) in [(1_000, None), (300_000, None), (1_000, Some("lease-from-answer"))] {
-        let known = Flaw::names().iter().find(|(name, _)| Some(*name) == flaw).map(|(_, flaw)| *flaw);
+        let known = InjectedBug::names().iter().find(|(name, _)| Some(*name) == flaw).map(|(_, flaw)| *flaw);
         let hours = live(2, 7, skew_ppm, known);
         let json = serde_json::to_string_pretty(&hours).expect("JSON");
         let _ = writeln!(text, "{skew_ppm} ppm, {flaw:?}: broken {}\n{json}", hours.broken());
@@ -293,7 +293,7 @@
 fn states_of_the_ownership_protocol() {
     let mut text = String::new();
     let bounds = Bounds { messages: 1, ..Bounds::default() };
-    let all = Flaw::names().iter().map(|(name, flaw)| (*name, Some(*flaw)));
+    let all = InjectedBug::names().iter().map(|(name, flaw)| (*name, Some(*flaw)));
     for (name, flaw) in [("sound", None)].into_iter().chain(all) {
         let found = search(flaw, bounds, 1);
         let _ = writeln!(
--- a/crates/emulator/tests/stable_text.rs
+++ b/crates/emulator/tests/stable_text.rs
@@ -165,14 +165,14 @@
         plan.length,
         plan.calm,
         plan.between,
-        times.lease,
-        times.renew,
-        times.call,
-        times.stay,
-        times.short,
-        times.election,
-        times.heartbeat,
-        times.skew_ppm
+        times.lease_duration,
+        times.renewal_interval,
+        times.call_timeout,
+        times.stability_period,
+        times.short_session_limit,
+        times.election_timeout,
+        times.heartbeat_interval,
+        times.max_clock_skew_ppm
     );
     for arm in &plan.arms {
         let kinds: Vec<&str> = arm.kinds.iter().map(|kind| kind.name()).collect();
