--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use disruption_budget::census::ACCOUNT;
-use disruption_budget::{Account, Change};
+use disruption_budget::availability_observer::OBSERVER_LEASE;
+use disruption_budget::{DisruptionCommand, DisruptionState};
 use serde::{Deserialize, Serialize};
 
 use crate::{Command, FencingToken, LeaseId, LeaseScope, Revision, SessionId};
@@ -85,7 +85,7 @@
     changes: Changes,
     /// Who may be out, since version 3. Stands behind the rest in the same way.
     #[serde(skip)]
-    account: Account,
+    account: DisruptionState,
     /// The last entry that changed it; after a restart, the snapshot's.
     #[serde(skip)]
     disruption_revision: Revision,
@@ -124,7 +124,7 @@
     /// The term is over.
     LeaseReleased(LeaseId, FencingToken),
     /// What became of a change of the account.
-    Disruption(disruption_budget::Outcome),
+    Disruption(disruption_budget::DisruptionOutcome),
     /// Noted.
     Acknowledged,
     /// Not done, and nothing was changed.
@@ -219,7 +219,7 @@
             duties: BTreeMap::new(),
             keepers: BTreeMap::new(),
             changes: Changes::default(),
-            account: Account::default(),
+            account: DisruptionState::default(),
             disruption_revision: 0,
         }
     }
@@ -270,14 +270,14 @@
     }
 
     /// Who may be out.
-    pub fn disruption(&self) -> &Account {
+    pub fn disruption(&self) -> &DisruptionState {
         &self.account
     }
 
     /// The same with a flaw in the account, in builds for tests.
     #[must_use]
-    pub fn with_injected_disruption_bug(self, flaw: Option<disruption_budget::Flaw>) -> StateMachine {
-        StateMachine { account: self.account.with_flaw(flaw), ..self }
+    pub fn with_injected_disruption_bug(self, injected_bug: Option<disruption_budget::InjectedBug>) -> StateMachine {
+        StateMachine { account: self.account.with_injected_bug(injected_bug), ..self }
     }
 
     /// The last entry that changed who may be out.
@@ -305,7 +305,8 @@
 
     /// What members are told.
     pub fn view(&self) -> ClusterView {
-        let seat = |(id, duty): (&LeaseId, &Lease)| LeaseView {
+        let seat =
+            |(id, duty): (&LeaseId, &Lease)| LeaseView {
             lease: id.clone(),
             minimum_token: duty.minimum_token,
             holder: duty.holder,
@@ -332,7 +333,8 @@
                 address,
                 eligible_leases: offers,
                 short_lived: short,
-            } => self.join(index, (name, *boot), zone, address, offers, *short),
+            } =>
+                self.join(index, (name, *boot), zone, address, offers, *short),
             Command::CloseSession { session, short_lived: short }
             | Command::ExpireSession { session, short_lived: short } => {
                 match self.end(index, *session) {
@@ -369,9 +371,9 @@
             }
             Command::Disruption(change) => {
                 // An observation counts while its term is the running one, and at no other time.
-                if let Change::Observe { token, .. } = change {
-                    let owner = self.duties.get(&LeaseId::fleet(ACCOUNT)).and_then(|duty| duty.holder);
-                    if owner.is_none_or(|owner| owner.token != FencingToken(*token)) {
+                if let DisruptionCommand::RecordObservation { fencing_token, .. } = change {
+                    let owner = self.duties.get(&LeaseId::fleet(OBSERVER_LEASE)).and_then(|duty| duty.holder);
+                    if owner.is_none_or(|owner| owner.token != FencingToken(*fencing_token)) {
                         return CommandOutcome::Rejected(CommandRejection::NotLeaseHolder);
                     }
                 }
@@ -477,7 +479,8 @@
         let session = Session {
             name: name.to_owned(),
             incarnation,
-            boot_id: boot,
+            boot_id:
+            boot,
             zone: zone.to_owned(),
             address: address.to_owned(),
             eligible_leases: offers.to_vec(),
@@ -565,7 +568,7 @@
     pub fn snapshot(&self) -> Vec<u8> {
         // Each part as the first version that knew it wrote it, so that keepers of an older one read on.
         let (changes, account) = (&self.changes, &self.account);
-        let packed = if *account != Account::default() {
+        let packed = if *account != DisruptionState::default() {
             postcard::to_stdvec(&(SNAPSHOT_VERSION, self, changes, account))
         } else if *changes != Changes::default() {
             postcard::to_stdvec(&(2u16, self, changes))
@@ -586,7 +589,7 @@
                 Ok(StateMachine { changes, ..state })
             }
             SNAPSHOT_VERSION => {
-                let (state, changes, account): (StateMachine, Changes, Account) =
+                let (state, changes, account): (StateMachine, Changes, DisruptionState) =
                     postcard::from_bytes(rest).map_err(fault)?;
                 let disruption_revision = state.revision;
                 Ok(StateMachine { changes, account, disruption_revision, ..state })
--- a/crates/coordination/tests/agreement.rs
+++ b/crates/coordination/tests/agreement.rs
@@ -329,8 +329,13 @@
     );
     assert_eq!(fleet.state.snapshot()[0], 2);
     assert_eq!(StateMachine::restore(&fleet.state.snapshot()), Ok(fleet.state.clone()));
-    let target = disruption_budget::Target { kind: disruption_budget::Kind::Worker, name: "w".into() };
-    let ask = disruption_budget::Change::Ask { target, reason: "r".into(), asker: "a".into(), force: false };
+    let target = disruption_budget::Target { kind: disruption_budget::TargetKind::Worker, name: "w".into() };
+    let ask = disruption_budget::DisruptionCommand::RequestPermit {
+        target,
+        reason: "r".into(),
+        requester: "a".into(),
+        force: false,
+    };
     let ask = Command::Disruption(ask);
     assert_eq!(ask.encode()[0], 3);
     assert_eq!(
@@ -349,10 +354,17 @@
 /// The account takes the word of whoever observes in the running term, and of nobody else.
 #[test]
 fn an_observation_of_another_term_is_refused() {
-    use disruption_budget::{census::ACCOUNT, Change};
+    use disruption_budget::{availability_observer::OBSERVER_LEASE, DisruptionCommand};
     let mut fleet = Fleet::new();
     let observe =
-        |token| Command::Disruption(Change::Observe { token, seen: 0, targets: vec![], gone: vec![] });
+        |token| {
+        Command::Disruption(DisruptionCommand::RecordObservation {
+            fencing_token: token,
+            known_revision: 0,
+            changed: vec![],
+            removed: vec![],
+        })
+    };
     assert_eq!(
         fleet.apply(SECOND, &observe(1)),
         CommandOutcome::Rejected(CommandRejection::NotLeaseHolder),
@@ -363,13 +375,13 @@
         boot_id: 1,
         zone: String::new(),
         address: String::new(),
-        eligible_leases: vec![LeaseId::fleet(ACCOUNT)],
+        eligible_leases: vec![LeaseId::fleet(OBSERVER_LEASE)],
         short_lived: false,
     };
     let CommandOutcome::SessionOpened(session, _) = fleet.apply(SECOND, &join) else { panic!("no session") };
     fleet.apply(SECOND, &Command::MarkSessionStable { session });
-    let fenced = fleet.state.leases()[&LeaseId::fleet(ACCOUNT)].fencing_revision;
-    let grant = Command::GrantLease { lease: LeaseId::fleet(ACCOUNT), session, fencing_revision: fenced };
+    let fenced = fleet.state.leases()[&LeaseId::fleet(OBSERVER_LEASE)].fencing_revision;
+    let grant = Command::GrantLease { lease: LeaseId::fleet(OBSERVER_LEASE), session, fencing_revision: fenced };
     let CommandOutcome::LeaseGranted(_, owner) = fleet.apply(SECOND, &grant) else { panic!("not granted") };
     assert!(matches!(fleet.apply(SECOND, &observe(owner.token.0)), CommandOutcome::Disruption(_)));
     let late = fleet.apply(SECOND, &observe(owner.token.0 - 1));
@@ -402,11 +414,13 @@
 
 #[test]
 fn duties_are_written_and_read() {
-    for (text, scope) in [
+    for (text, scope) in
+        [
         ("list", LeaseScope::Fleet),
         ("list@zone/a", LeaseScope::Zone("a".into())),
         ("w@set/7", LeaseScope::WorkerSet(7)),
-    ] {
+    ]
+    {
         let id: LeaseId = text.parse().unwrap();
         assert_eq!((id.scope.clone(), id.to_string()), (scope, text.to_owned()));
     }
