--- a/crates/cluster-member/src/member.rs
+++ b/crates/cluster-member/src/member.rs
@@ -250,12 +250,16 @@
                 Some(session) => Operation::RenewSession {
                     session,
                     known_view: self.holder.borrow().applied_revision(),
-                    known_members: self.holder.borrow().held_leases(now).first().map(|_| self.roster.borrow().0),
+                    known_members: self
+                        .holder
+                        .borrow()
+                        .held_leases(now)
+                        .first()
+                        .map(|_| self.roster.borrow().0),
                 },
                 None => Operation::OpenSession {
                     name: settings.name.clone(),
-                    boot_id:
-                    boot,
+                    boot_id: boot,
                     zone: settings.zone.clone(),
                     address: settings.address.clone(),
                     eligible_leases: settings.offers.clone(),
@@ -353,14 +357,15 @@
                 );
                 return Some(Next::End(Ended::Superseded { incarnation }));
             }
-            Response::Rejected(CommandRejection::NoSuchSession) => self.holder.borrow_mut().on_session_ended(),
+            Response::Rejected(CommandRejection::NoSuchSession) => {
+                self.holder.borrow_mut().on_session_ended()
+            }
             Response::Rejected(reason) => return Some(Next::End(Ended::Refused(reason.to_string()))),
             Response::Busy
             | Response::Done
             | Response::Status(_)
             | Response::DisruptionState(..)
-            | Response::DisruptionStateChanged(_) =>
-                return Some(Next::Elsewhere(None)),
+            | Response::DisruptionStateChanged(_) => return Some(Next::Elsewhere(None)),
         }
         self.changed.send_modify(|count| *count += 1);
         None
--- a/crates/cluster-member/tests/format.rs
+++ b/crates/cluster-member/tests/format.rs
@@ -176,8 +176,7 @@
                 boot_id: 0x0102_0304_0506_0708,
                 zone: "north".to_owned(),
                 address: "127.0.0.1:7201".to_owned(),
-                eligible_leases:
-                offers,
+                eligible_leases: offers,
             },
         ),
         (
--- a/crates/cluster-member/tests/sessions.rs
+++ b/crates/cluster-member/tests/sessions.rs
@@ -152,9 +152,10 @@
         assert_eq!(name, "receiver");
         let mut texts = Vec::new();
         for (duty, token) in [("list", 5), ("other", 5)] {
-            let effect =
-                Effect { lease: LeaseId::fleet(duty),
-                token: FencingToken(token), sequence: 3,
+            let effect = Effect {
+                lease: LeaseId::fleet(duty),
+                token: FencingToken(token),
+                sequence: 3,
                 body: Vec::new(),
             };
             link.send(&effect).await.unwrap();
@@ -250,7 +251,10 @@
     };
     assert_eq!(call(|_| Some(Response::Done), 2_000).await, Ok(Response::Done));
     let rejected = Response::Rejected(CommandRejection::NoSuchSession);
-    assert_eq!(call(|_| Some(Response::Rejected(CommandRejection::NoSuchSession)), 2_000).await, Ok(rejected));
+    assert_eq!(
+        call(|_| Some(Response::Rejected(CommandRejection::NoSuchSession)), 2_000).await,
+        Ok(rejected)
+    );
     let not_leading = |_: &Request| Some(Response::NotLeader { leader: None, address: None });
     assert_eq!(call(not_leading, 100).await, Err("no keeper leads".to_owned()));
     assert_eq!(call(|_| Some(Response::Busy), 100).await, Err("the keeper that leads is busy".to_owned()));
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/machine.rs
@@ -276,7 +276,10 @@
 
     /// The same with a flaw in the account, in builds for tests.
     #[must_use]
-    pub fn with_injected_disruption_bug(self, injected_bug: Option<disruption_budget::InjectedBug>) -> StateMachine {
+    pub fn with_injected_disruption_bug(
+        self,
+        injected_bug: Option<disruption_budget::InjectedBug>,
+    ) -> StateMachine {
         StateMachine { account: self.account.with_injected_bug(injected_bug), ..self }
     }
 
@@ -305,8 +308,7 @@
 
     /// What members are told.
     pub fn view(&self) -> ClusterView {
-        let seat =
-            |(id, duty): (&LeaseId, &Lease)| LeaseView {
+        let seat = |(id, duty): (&LeaseId, &Lease)| LeaseView {
             lease: id.clone(),
             minimum_token: duty.minimum_token,
             holder: duty.holder,
@@ -333,8 +335,7 @@
                 address,
                 eligible_leases: offers,
                 short_lived: short,
-            } =>
-                self.join(index, (name, *boot), zone, address, offers, *short),
+            } => self.join(index, (name, *boot), zone, address, offers, *short),
             Command::CloseSession { session, short_lived: short }
             | Command::ExpireSession { session, short_lived: short } => {
                 match self.end(index, *session) {
@@ -479,8 +480,7 @@
         let session = Session {
             name: name.to_owned(),
             incarnation,
-            boot_id:
-            boot,
+            boot_id: boot,
             zone: zone.to_owned(),
             address: address.to_owned(),
             eligible_leases: offers.to_vec(),
--- a/crates/coordination/tests/agreement.rs
+++ b/crates/coordination/tests/agreement.rs
@@ -356,8 +356,7 @@
 fn an_observation_of_another_term_is_refused() {
     use disruption_budget::{availability_observer::OBSERVER_LEASE, DisruptionCommand};
     let mut fleet = Fleet::new();
-    let observe =
-        |token| {
+    let observe = |token| {
         Command::Disruption(DisruptionCommand::RecordObservation {
             fencing_token: token,
             known_revision: 0,
@@ -381,7 +380,8 @@
     let CommandOutcome::SessionOpened(session, _) = fleet.apply(SECOND, &join) else { panic!("no session") };
     fleet.apply(SECOND, &Command::MarkSessionStable { session });
     let fenced = fleet.state.leases()[&LeaseId::fleet(OBSERVER_LEASE)].fencing_revision;
-    let grant = Command::GrantLease { lease: LeaseId::fleet(OBSERVER_LEASE), session, fencing_revision: fenced };
+    let grant =
+        Command::GrantLease { lease: LeaseId::fleet(OBSERVER_LEASE), session, fencing_revision: fenced };
     let CommandOutcome::LeaseGranted(_, owner) = fleet.apply(SECOND, &grant) else { panic!("not granted") };
     assert!(matches!(fleet.apply(SECOND, &observe(owner.token.0)), CommandOutcome::Disruption(_)));
     let late = fleet.apply(SECOND, &observe(owner.token.0 - 1));
@@ -414,13 +414,11 @@
 
 #[test]
 fn duties_are_written_and_read() {
-    for (text, scope) in
-        [
+    for (text, scope) in [
         ("list", LeaseScope::Fleet),
         ("list@zone/a", LeaseScope::Zone("a".into())),
         ("w@set/7", LeaseScope::WorkerSet(7)),
-    ]
-    {
+    ] {
         let id: LeaseId = text.parse().unwrap();
         assert_eq!((id.scope.clone(), id.to_string()), (scope, text.to_owned()));
     }
--- a/crates/coordination/tests/format.rs
+++ b/crates/coordination/tests/format.rs
@@ -5,8 +5,7 @@
 use std::fmt::{Display, Write as _};
 
 use coordination::{
-    ClusterView,
-    Command, CommandOutcome, CommandRejection, EffectCounts, EffectRejection, FencingToken,
+    ClusterView, Command, CommandOutcome, CommandRejection, EffectCounts, EffectRejection, FencingToken,
     LeaseHolder, LeaseId, LeaseScope, LeaseView, Revision, SessionId, StateMachine, Timing, COMMAND_VERSION,
 };
 use disruption_budget::{
@@ -311,16 +310,14 @@
     }
     for (id, duty) in state.leases() {
         let owner = duty.holder.map(|owner| (owner.session.0, owner.token.0));
-        let _ =
-            writeln!(
+        let _ = writeln!(
             text,
             "lease {id}: minimum {} fenced {} holder {owner:?}",
             duty.minimum_token.0, duty.fencing_revision
         );
     }
     let replacing = state.replacement_in_progress().map(|replacing| (replacing.old, replacing.new));
-    let _ =
-        writeln!(
+    let _ = writeln!(
         text,
         "replicas: {:?} added {:?} replacing {replacing:?}",
         state.replica_starts(),
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -130,8 +130,7 @@
         if name.is_empty() || name.len() > 128 || budgets.iter().any(|budget| budget.name == name) {
             return Err(section.fault("", "wanted a label of 1 to 128 bytes that no other budget has"));
         }
-        let kind =
-            section
+        let kind = section
             .word("targets", &[("dispatchers", TargetKind::Dispatcher), ("workers", TargetKind::Worker)])?;
         let kind = kind.ok_or_else(|| section.fault("targets", "is missing: dispatchers or workers"))?;
         let scope = match section.text("of")?.as_deref() {
--- a/crates/coordinator/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -11,8 +11,7 @@
 };
 use coordination::{
     Command, CommandOutcome, CommandRejection, FencingToken, LeaderState, Micros, ReplicaReplacement,
-    Revision, SessionId, StateMachine, Timing,
-    COMMAND_VERSION,
+    Revision, SessionId, StateMachine, Timing, COMMAND_VERSION,
 };
 use disruption_budget::permit_timeouts::PermitTimeouts;
 use hdrhistogram::Histogram;
@@ -610,8 +609,7 @@
                 let held =
                     self.state.leases().get(&duty).and_then(|duty| duty.holder).map(|owner| owner.token);
                 match token.or(held) {
-                    Some(token) =>
-                        self.propose(
+                    Some(token) => self.propose(
                         conn,
                         id,
                         Command::ReleaseLease { lease: duty, token, reset_stability: true },
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -235,10 +235,9 @@
                                 what["name"] = name.as_str().into();
                             }
                         }
-                        CommandOutcome::Disruption(disruption_budget::DisruptionOutcome::ObservationRecorded {
-                            granted,
-                            ..
-                        }) if !granted.is_empty() => {
+                        CommandOutcome::Disruption(
+                            disruption_budget::DisruptionOutcome::ObservationRecorded { granted, .. },
+                        ) if !granted.is_empty() => {
                             what["permits"] = granted.clone().into();
                         }
                         _ => {}
@@ -323,9 +322,7 @@
         (
             DisruptionCommand::RecordObservation { .. },
             DisruptionOutcome::ObservationRecorded { granted, revoked, closed },
-        )
-            if !(granted.is_empty() && revoked.is_empty() && closed.is_empty()) =>
-        {
+        ) if !(granted.is_empty() && revoked.is_empty() && closed.is_empty()) => {
             tracing::info!(?granted, ?revoked, ?closed, "permits");
         }
         (_, DisruptionOutcome::Rejected(why)) => tracing::info!(%why, ?change, "the account refuses"),
--- a/crates/coordinator/tests/compatibility/command_line.rs
+++ b/crates/coordinator/tests/compatibility/command_line.rs
@@ -330,7 +330,13 @@
         all += &installation.run(&["release-duty", "--duty", "watch@set/3", "--token", "58"]);
         let expected = [
             (1, Operation::ReleaseLease { lease: LeaseId::fleet("list"), token: None }),
-            (1, Operation::ReleaseLease { lease: LeaseId::worker_set("watch", 3), token: Some(FencingToken(58)) }),
+            (
+                1,
+                Operation::ReleaseLease {
+                    lease: LeaseId::worker_set("watch", 3),
+                    token: Some(FencingToken(58)),
+                },
+            ),
         ];
         assert_eq!(installation.requests(), expected);
     }
--- a/crates/coordinator/tests/compatibility/exit_codes.rs
+++ b/crates/coordinator/tests/compatibility/exit_codes.rs
@@ -74,12 +74,10 @@
 
 #[test]
 fn a_disk_that_others_know_better_ends_with_3() {
-    for (name, why) in
-        [
+    for (name, why) in [
         ("old_disk", HandshakeRejection::StaleStore { start_count: 9, raft_term: 4 }),
         ("wrong_disk", HandshakeRejection::StoreMismatch),
-    ]
-    {
+    ] {
         let installation =
             Installation::new([Script::Rejects(why), Script::Unreachable, Script::Unreachable]);
         empty_store(&installation.store(), "north", 2);
--- a/crates/dispatcher/src/net/leave.rs
+++ b/crates/dispatcher/src/net/leave.rs
@@ -170,8 +170,7 @@
                 PermitState::Waiting,
             ))) => {
                 let held = match keepers.ask(&Operation::DisruptionState { known_revision: 0 }, by).await {
-                    Ok(Response::DisruptionState(_, Some(account))) =>
-                        account
+                    Ok(Response::DisruptionState(_, Some(account))) => account
                         .blocking_budget(permit)
                         .map(|budget| format!(": budget {:?} is used up", budget.name)),
                     _ => None,
