--- a/crates/coordinator/tests/compatibility/command_line.rs
+++ b/crates/coordinator/tests/compatibility/command_line.rs
@@ -3,7 +3,7 @@
 use cluster_member::wire::{
     HandshakeRejection, LeaseStatus, MemberStatus, Operation, Peer, ReplicaStatus, Response,
 };
-use coordination::{DutyId, Reason, Revision, SessionId, Token};
+use coordination::{CommandRejection, FencingToken, LeaseId, Revision, SessionId};
 use disruption_budget::{
     Amount, Availability, Budget, BudgetScope, DisruptionCommand, DisruptionOutcome, DisruptionState,
     PermitState, Rejection, Target, TargetKind, TargetStatus,
@@ -49,21 +49,21 @@
         ],
         leases: vec![
             LeaseStatus {
-                lease: DutyId::fleet("list"),
-                holder: Some(("berlin".to_owned(), Token(61))),
-                minimum_token: Token(61),
+                lease: LeaseId::fleet("list"),
+                holder: Some(("berlin".to_owned(), FencingToken(61))),
+                minimum_token: FencingToken(61),
                 fencing_revision: 1_100,
             },
             LeaseStatus {
-                lease: DutyId::zone("watch", "east"),
+                lease: LeaseId::zone("watch", "east"),
                 holder: None,
-                minimum_token: Token(57),
+                minimum_token: FencingToken(57),
                 fencing_revision: 1_101,
             },
             LeaseStatus {
-                lease: DutyId::set("watch", 3),
-                holder: Some((String::new(), Token(58))),
-                minimum_token: Token(58),
+                lease: LeaseId::worker_set("watch", 3),
+                holder: Some((String::new(), FencingToken(58))),
+                minimum_token: FencingToken(58),
                 fencing_revision: 1_102,
             },
         ],
@@ -320,7 +320,7 @@
     let answers = [
         Response::Done,
         Response::Busy,
-        Response::Rejected(Reason::NotTheOwner),
+        Response::Rejected(CommandRejection::NotLeaseHolder),
         Response::NotLeader { leader: Some(2), address: None },
     ];
     let mut all = String::new();
@@ -329,8 +329,14 @@
         all += &installation.run(&["release-duty", "--duty", "list"]);
         all += &installation.run(&["release-duty", "--duty", "watch@set/3", "--token", "58"]);
         let expected = [
-            (1, Operation::ReleaseLease { lease: DutyId::fleet("list"), token: None }),
-            (1, Operation::ReleaseLease { lease: DutyId::set("watch", 3), token: Some(Token(58)) }),
+            (1, Operation::ReleaseLease { lease: LeaseId::fleet("list"), token: None }),
+            (
+                1,
+                Operation::ReleaseLease {
+                    lease: LeaseId::worker_set("watch", 3),
+                    token: Some(FencingToken(58)),
+                },
+            ),
         ];
         assert_eq!(installation.requests(), expected);
     }
@@ -340,7 +346,9 @@
 #[test]
 fn replace_and_what_it_asks_for() {
     let full = ["replace", "--keeper", "3", "--with", "4", "--address", "192.0.2.14:7100"];
-    let refused = installation(Response::Rejected(Reason::Keepers("there is no keeper 3".to_owned())));
+    let refused = installation(Response::Rejected(CommandRejection::InvalidReplacement(
+        "there is no keeper 3".to_owned(),
+    )));
     let mut all = refused.run(&full);
     let expected = Operation::ReplaceReplica { old: 3, new: 4, address: "192.0.2.14:7100".to_owned() };
     assert_eq!(refused.requests(), [(1, expected)]);
