--- a/crates/coordinator/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -6,13 +6,14 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use cluster_member::wire::{
-    Answer, Ask, Disk as Identity, DutyStatus, FromKeeper, MemberStatus, Peer, Request, Status, Turned,
+    CoordinatorMessage, HandshakeRejection, LeaseStatus, MemberStatus, Operation, Peer, ReplicaStatus,
+    Request, Response, StoreIdentity,
 };
 use coordination::{
-    Command, Micros, Outcome, Reason, Replacing, Revision, SessionId, State, Times, Token, Warden,
-    COMMAND_VERSION,
+    Command, CommandOutcome, CommandRejection, FencingToken, LeaderState, Micros, ReplicaReplacement,
+    Revision, SessionId, StateMachine, Timing, COMMAND_VERSION,
 };
-use disruption_budget::desk::Desk;
+use disruption_budget::permit_timeouts::PermitTimeouts;
 use hdrhistogram::Histogram;
 use protobuf::Message as _;
 use raft::eraftpb::{
@@ -42,9 +43,9 @@
     /// A message of Raft to a keeper.
     Raft(Message),
     /// Something to a member or an operator.
-    Say(Conn, FromKeeper),
+    Say(Conn, CoordinatorMessage),
     /// The view has changed, for all connections of members.
-    News(coordination::View),
+    News(coordination::ClusterView),
     /// Something was applied, for the records.
     Applied {
         /// Where in the log.
@@ -52,8 +53,8 @@
         /// What it was.
         command: Command,
         /// What came of it.
-        outcome: Outcome,
-        /// [`State::digest`] after it, or 0 where none is wanted.
+        outcome: CommandOutcome,
+        /// [`StateMachine::digest`] after it, or 0 where none is wanted.
         digest: u64,
     },
     /// This keeper leads now in this term, or does no longer.
@@ -130,24 +131,24 @@
 pub struct Node {
     raw: RawNode<Store>,
     disk: Disk,
-    identity: Identity,
-    state: State,
+    identity: StoreIdentity,
+    state: StateMachine,
     /// Who votes and who learns, as applied.
     conf: ConfState,
     /// It changed: others are given a snapshot that knows of it.
     conf_changed: bool,
     /// When a change of it was proposed last.
     conf_proposed: Option<Micros>,
-    times: Times,
-    warden: Option<Warden>,
-    flaw: Option<disruption_budget::Flaw>,
-    desk: Desk,
+    times: Timing,
+    warden: Option<LeaderState>,
+    flaw: Option<disruption_budget::InjectedBug>,
+    permit_timeouts: PermitTimeouts,
     voided: Micros,
     /// The latest entries that this keeper knows, and the latest messages that others speak, of those that greeted it.
     knows: u16,
     schemas: BTreeMap<u64, u16>,
-    peers: BTreeMap<u64, Identity>,
-    peers_changed: Vec<Identity>,
+    peers: BTreeMap<u64, StoreIdentity>,
+    peers_changed: Vec<StoreIdentity>,
     /// Which proposals are this process's: a number drawn at its start, and one counted.
     nonce: u64,
     next: u64,
@@ -178,9 +179,10 @@
     Stop::Raft(format!("raft does not go on: {error}"))
 }
 
-fn restored(snapshot: &Snapshot) -> Result<State, Stop> {
-    let mut state = State::restore(snapshot.get_data()).map_err(|fault| Stop::Later(fault.to_string()))?;
-    state.skip(snapshot.get_metadata().index);
+fn restored(snapshot: &Snapshot) -> Result<StateMachine, Stop> {
+    let mut state =
+        StateMachine::restore(snapshot.get_data()).map_err(|fault| Stop::Later(fault.to_string()))?;
+    state.skip_entry(snapshot.get_metadata().index);
     Ok(state)
 }
 
@@ -189,7 +191,7 @@
     ///
     /// # Errors
     /// What was on the disk cannot be used.
-    pub fn new(disk: Disk, found: Found, times: Times, tick: Micros, nonce: u64) -> Result<Node, Stop> {
+    pub fn new(disk: Disk, found: Found, times: Timing, tick: Micros, nonce: u64) -> Result<Node, Stop> {
         let Found { identity, hard, snapshot, entries, peers } = found;
         let state = restored(&snapshot)?;
         let log = MemStorage::new();
@@ -207,9 +209,9 @@
             log.set_hardstate(HardState { commit: commit.min(last), term, ..hard });
         }
         let config = Config {
-            id: identity.keeper,
-            election_tick: times.election.div_ceil(tick).max(4) as usize,
-            heartbeat_tick: (times.heartbeat / tick).max(1) as usize,
+            id: identity.replica_id,
+            election_tick: times.election_timeout.div_ceil(tick).max(4) as usize,
+            heartbeat_tick: (times.heartbeat_interval / tick).max(1) as usize,
             applied: snapshot.get_metadata().index,
             max_size_per_msg: 1 << 20,
             max_inflight_msgs: 256,
@@ -226,7 +228,7 @@
             raw,
             disk,
             identity,
-            told: state.seats_revision(),
+            told: state.lease_revision(),
             state,
             conf,
             conf_changed: false,
@@ -234,7 +236,7 @@
             times,
             warden: None,
             flaw: None,
-            desk: Desk::default(),
+            permit_timeouts: PermitTimeouts::default(),
             voided: 0,
             knows: COMMAND_VERSION,
             schemas: BTreeMap::new(),
@@ -257,14 +259,15 @@
     }
 
     /// What this keeper says of its disk.
-    pub fn identity(&self) -> Identity {
-        Identity { term: self.raw.raft.term, ..self.identity }
+    pub fn identity(&self) -> StoreIdentity {
+        StoreIdentity { raft_term: self.raw.raft.term, ..self.identity }
     }
 
     /// The account gets a flaw, in builds for tests.
-    pub fn account_flaw(&mut self, flaw: Option<disruption_budget::Flaw>) {
+    pub fn account_flaw(&mut self, flaw: Option<disruption_budget::InjectedBug>) {
         self.flaw = flaw;
-        self.state = std::mem::replace(&mut self.state, State::new(1)).with_account_flaw(flaw);
+        self.state =
+            std::mem::replace(&mut self.state, StateMachine::new(1)).with_injected_disruption_bug(flaw);
     }
 
     /// This keeper is to be as one that knows entries up to this version.
@@ -286,28 +289,39 @@
     ///
     /// # Errors
     /// Its disk is not the one that was known, or an old copy of it.
-    pub fn greeted(&mut self, by: Identity, schema: u16) -> Result<Result<(), Turned>, Stop> {
+    pub fn greeted(
+        &mut self,
+        by: StoreIdentity,
+        schema: u16,
+    ) -> Result<Result<(), HandshakeRejection>, Stop> {
         // One that joins knows nobody yet; those that take it in know it as soon as that is agreed on.
         let joins = self.conf == ConfState::default();
-        let known = self.raw.raft.prs().iter().any(|(id, _)| *id == by.keeper)
-            || self.state.added().contains_key(&by.keeper);
-        if by.keeper == self.identity.keeper || !(known || joins) {
-            return Ok(Err(Turned::Stranger));
-        }
-        let agreed = self.state.keepers().get(&by.keeper).copied().unwrap_or(0);
-        let known = self.peers.get(&by.keeper).copied().unwrap_or(Identity { boots: 0, term: 0, ..by });
-        if known.disk != by.disk {
-            return Ok(Err(Turned::WrongDisk));
+        let known = self.raw.raft.prs().iter().any(|(id, _)| *id == by.replica_id)
+            || self.state.added_replicas().contains_key(&by.replica_id);
+        if by.replica_id == self.identity.replica_id || !(known || joins) {
+            return Ok(Err(HandshakeRejection::UnknownReplica));
+        }
+        let agreed = self.state.replica_starts().get(&by.replica_id).copied().unwrap_or(0);
+        let known = self.peers.get(&by.replica_id).copied().unwrap_or(StoreIdentity {
+            start_count: 0,
+            raft_term: 0,
+            ..by
+        });
+        if known.store_id != by.store_id {
+            return Ok(Err(HandshakeRejection::StoreMismatch));
         }
-        let boots = known.boots.max(agreed);
-        if by.boots < boots || by.term < known.term {
-            return Ok(Err(Turned::OldDisk { boots, term: known.term }));
+        let boots = known.start_count.max(agreed);
+        if by.start_count < boots || by.raft_term < known.raft_term {
+            return Ok(Err(HandshakeRejection::StaleStore {
+                start_count: boots,
+                raft_term: known.raft_term,
+            }));
         }
         if known != by {
             self.disk.write(&Batch { peers: &[by], ..Batch::default() })?;
-            self.peers.insert(by.keeper, by);
+            self.peers.insert(by.replica_id, by);
         }
-        self.schemas.insert(by.keeper, schema);
+        self.schemas.insert(by.replica_id, schema);
         self.propose_boots();
         Ok(Ok(()))
     }
@@ -317,13 +331,13 @@
         if self.warden.is_none() {
             return;
         }
-        let known = self.peers.values().map(|peer| (peer.keeper, peer.boots));
-        let known = known.chain([(self.identity.keeper, self.identity.boots)]);
+        let known = self.peers.values().map(|peer| (peer.replica_id, peer.start_count));
+        let known = known.chain([(self.identity.replica_id, self.identity.start_count)]);
         let news: Vec<(u64, u64)> = known
-            .filter(|(keeper, boots)| self.state.keepers().get(keeper).is_none_or(|seen| seen < boots))
+            .filter(|(keeper, boots)| self.state.replica_starts().get(keeper).is_none_or(|seen| seen < boots))
             .collect();
         for (keeper, boots) in news {
-            let command = Command::KeeperStarted { keeper, boots };
+            let command = Command::RecordReplicaStart { replica: keeper, starts: boots };
             let _ = self.raw.propose(Vec::new(), command.encode());
         }
     }
@@ -333,7 +347,7 @@
     /// # Errors
     /// The keeper stops.
     pub fn message(&mut self, from: u64, message: Message, now: Micros) -> Result<(), Stop> {
-        if message.from != from || message.to != self.identity.keeper {
+        if message.from != from || message.to != self.identity.replica_id {
             return Ok(());
         }
         // What another keeper has said of its term is written down with the next thing that is: one that forgets it
@@ -343,11 +357,11 @@
                 message.get_msg_type(),
                 MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse
             );
-            message.term > peer.term && !votes
+            message.term > peer.raft_term && !votes
         }) {
-            peer.term = message.term;
+            peer.raft_term = message.term;
             let peer = *peer;
-            self.peers_changed.retain(|changed| changed.keeper != from);
+            self.peers_changed.retain(|changed| changed.replica_id != from);
             self.peers_changed.push(peer);
         }
         // A message that does not fit is dropped, as if it were lost.
@@ -389,7 +403,7 @@
 
     fn give_lead(&mut self, not_to: u64) {
         if self.raw.raft.state == StateRole::Leader {
-            let own = self.identity.keeper;
+            let own = self.identity.replica_id;
             let others = self
                 .raw
                 .raft
@@ -409,7 +423,11 @@
     /// The keeper stops.
     pub fn tick(&mut self, now: Micros) -> Result<(), Stop> {
         self.raw.tick();
-        if self.round.as_ref().is_some_and(|round| now.saturating_sub(round.since) > self.times.election) {
+        if self
+            .round
+            .as_ref()
+            .is_some_and(|round| now.saturating_sub(round.since) > self.times.election_timeout)
+        {
             self.give_up_round();
         }
         let old: Vec<u64> = self
@@ -427,17 +445,19 @@
 
     /// Where keepers are that came later than the installation was set up.
     pub fn added(&self) -> &BTreeMap<u64, String> {
-        self.state.added()
+        self.state.added_replicas()
     }
 
     /// The next step of a replacement that is on its way, by whoever leads: the new one learns; when it has caught up
     /// both change at once, through a configuration in which majorities of the old and the new have to agree; then that
     /// is left, and the replacement is over. Each step is asked of what is agreed, so a next leader goes on.
     fn replace_on(&mut self, now: Micros) {
-        let Some(Replacing { old, new }) = self.state.replacing().filter(|_| self.warden.is_some()) else {
+        let Some(ReplicaReplacement { old, new }) =
+            self.state.replacement_in_progress().filter(|_| self.warden.is_some())
+        else {
             return;
         };
-        let lately = |at: Micros| now.saturating_sub(at) < self.times.election;
+        let lately = |at: Micros| now.saturating_sub(at) < self.times.election_timeout;
         if self.raw.raft.has_pending_conf() || self.conf_proposed.is_some_and(lately) {
             return;
         }
@@ -453,11 +473,11 @@
         if !self.conf.get_voters_outgoing().is_empty() {
             // An empty change leaves the joint configuration.
         } else if voters.contains(&new) && !voters.contains(&old) {
-            let _ = self.raw.propose(Vec::new(), Command::KeeperReplaced { old }.encode());
+            let _ = self.raw.propose(Vec::new(), Command::CompleteReplacement { old }.encode());
             return;
         } else if !voters.contains(&new) && !learners.contains(&new) {
             change.set_changes(vec![single(ConfChangeType::AddLearnerNode, new)].into());
-        } else if old == self.identity.keeper {
+        } else if old == self.identity.replica_id {
             // It does not end its own lead by a change; another one goes on.
             self.give_lead(new);
             return;
@@ -492,16 +512,19 @@
         };
         let conf = conf.map_err(raft_fault)?;
         let votes = |conf: &ConfState| {
-            conf.get_voters().iter().chain(conf.get_voters_outgoing()).any(|id| *id == self.identity.keeper)
+            conf.get_voters()
+                .iter()
+                .chain(conf.get_voters_outgoing())
+                .any(|id| *id == self.identity.replica_id)
         };
         let out = votes(&self.conf) && !votes(&conf);
         self.raw.mut_store().log.wl().set_conf_state(conf.clone());
         (self.conf, self.conf_changed) = (conf, true);
-        self.state.skip(entry.index);
+        self.state.skip_entry(entry.index);
         match out {
             true => Err(Stop::Replaced(format!(
                 "another keeper has taken the place of keeper {}: this one is not needed any more",
-                self.identity.keeper
+                self.identity.replica_id
             ))),
             false => Ok(()),
         }
@@ -509,21 +532,21 @@
 
     fn give_up_round(&mut self) {
         for renewal in self.round.take().into_iter().flat_map(|round| round.renewals) {
-            self.say(renewal.conn, renewal.request, Answer::Busy);
+            self.say(renewal.conn, renewal.request, Response::Busy);
         }
     }
 
-    fn say(&mut self, conn: Conn, request: u64, answer: Answer) {
-        self.out.push(Out::Say(conn, FromKeeper::Answer(request, answer)));
+    fn say(&mut self, conn: Conn, request: u64, answer: Response) {
+        self.out.push(Out::Say(conn, CoordinatorMessage::Response(request, answer)));
     }
 
-    fn not_leading(&self) -> Answer {
-        match Some(self.leader).filter(|leader| *leader != 0 && *leader != self.identity.keeper) {
+    fn not_leading(&self) -> Response {
+        match Some(self.leader).filter(|leader| *leader != 0 && *leader != self.identity.replica_id) {
             Some(leader) => {
-                let address = self.state.added().get(&leader).cloned();
-                Answer::NotLeading { leader: Some(leader), address }
+                let address = self.state.added_replicas().get(&leader).cloned();
+                Response::NotLeader { leader: Some(leader), address }
             }
-            None => Answer::Busy,
+            None => Response::Busy,
         }
     }
 
@@ -531,10 +554,15 @@
     ///
     /// # Errors
     /// The keeper stops.
-    pub fn ask(&mut self, conn: Conn, Request { id, ask }: Request, now: Micros) -> Result<(), Stop> {
-        if let Ask::Status = ask {
+    pub fn ask(
+        &mut self,
+        conn: Conn,
+        Request { id, operation: ask }: Request,
+        now: Micros,
+    ) -> Result<(), Stop> {
+        if let Operation::Status = ask {
             let status = self.status();
-            self.say(conn, id, Answer::Status(Box::new(status)));
+            self.say(conn, id, Response::Status(Box::new(status)));
             return Ok(());
         }
         let Some(warden) = &self.warden else {
@@ -543,64 +571,81 @@
             return Ok(());
         };
         if self.waiting.len() + self.queued.len() >= MOST_WAITING {
-            self.say(conn, id, Answer::Busy);
+            self.say(conn, id, Response::Busy);
             return Ok(());
         }
         match ask {
-            Ask::Join { name, boot, zone, address, offers } => {
-                let short = warden.short(&name, now, &self.state);
-                self.propose(conn, id, Command::Join { name, boot, zone, address, offers, short }, now);
+            Operation::OpenSession { name, boot_id: boot, zone, address, eligible_leases: offers } => {
+                let short = warden.is_short_session(&name, now, &self.state);
+                self.propose(
+                    conn,
+                    id,
+                    Command::OpenSession {
+                        name,
+                        boot_id: boot,
+                        zone,
+                        address,
+                        eligible_leases: offers,
+                        short_lived: short,
+                    },
+                    now,
+                );
             }
-            Ask::Renew { session, seen, roster } => {
+            Operation::RenewSession { session, known_view: seen, known_members: roster } => {
                 self.sessions.insert(conn, session);
                 self.queued.push(Renewal { conn, request: id, session, seen, roster });
             }
-            Ask::Leave { session } => {
+            Operation::CloseSession { session } => {
                 let name = self
                     .state
                     .sessions()
                     .get(&session)
                     .map(|session| session.name.clone())
                     .unwrap_or_default();
-                let short = warden.short(&name, now, &self.state);
-                self.propose(conn, id, Command::Leave { session, short }, now);
+                let short = warden.is_short_session(&name, now, &self.state);
+                self.propose(conn, id, Command::CloseSession { session, short_lived: short }, now);
             }
-            Ask::Release { duty, token } => {
+            Operation::ReleaseLease { lease: duty, token } => {
                 let held =
-                    self.state.duties().get(&duty).and_then(|duty| duty.owner).map(|owner| owner.token);
+                    self.state.leases().get(&duty).and_then(|duty| duty.holder).map(|owner| owner.token);
                 match token.or(held) {
-                    Some(token) => {
-                        self.propose(conn, id, Command::Release { duty, token, unsettle: true }, now)
-                    }
-                    None => self.say(conn, id, Answer::Refused(Reason::NotTheOwner)),
+                    Some(token) => self.propose(
+                        conn,
+                        id,
+                        Command::ReleaseLease { lease: duty, token, reset_stability: true },
+                        now,
+                    ),
+                    None => self.say(conn, id, Response::Rejected(CommandRejection::NotLeaseHolder)),
                 }
             }
-            Ask::Replace { old, new, address } => {
+            Operation::ReplaceReplica { old, new, address } => {
                 let why = match self.conf.get_voters() {
-                    voters if !voters.contains(&old) && self.state.replacing().is_none() => {
+                    voters if !voters.contains(&old) && self.state.replacement_in_progress().is_none() => {
                         Some(format!("there is no keeper {old}; those that vote are {voters:?}"))
                     }
                     voters if voters.contains(&new) => Some(format!("keeper {new} votes already")),
                     _ => None,
                 };
                 match why {
-                    Some(why) => self.say(conn, id, Answer::Refused(Reason::Keepers(why))),
-                    None => self.propose(conn, id, Command::ReplaceKeeper { old, new, address }, now),
+                    Some(why) => {
+                        self.say(conn, id, Response::Rejected(CommandRejection::InvalidReplacement(why)))
+                    }
+                    None => self.propose(conn, id, Command::ReplaceReplica { old, new, address }, now),
                 }
             }
-            Ask::Change(change) => match self.older_voter() {
+            Operation::ChangeDisruptionState(change) => match self.older_voter() {
                 Some(keeper) => {
                     let why = format!("keeper {keeper} is of a version that knows no permits yet");
-                    self.say(conn, id, Answer::Refused(Reason::Keepers(why)));
+                    self.say(conn, id, Response::Rejected(CommandRejection::InvalidReplacement(why)));
                 }
-                None => self.propose(conn, id, Command::Account(change), now),
+                None => self.propose(conn, id, Command::Disruption(change), now),
             },
-            Ask::Account { known } => {
-                let revision = self.state.account_revision();
-                let account = (revision > known).then(|| Box::new(self.state.account().clone()));
-                self.say(conn, id, Answer::Account(revision, account));
+            Operation::DisruptionState { known_revision: known } => {
+                let revision = self.state.disruption_revision();
+                let account = (revision > known).then(|| Box::new(self.state.disruption().clone()));
+                self.say(conn, id, Response::DisruptionState(revision, account));
             }
-            Ask::Status => {}
+            Operation::Status => {}
         }
         self.work(now)
     }
@@ -609,7 +654,7 @@
     /// is not put into the log, which would stop it.
     fn older_voter(&self) -> Option<u64> {
         if self.knows < 3 {
-            return Some(self.identity.keeper);
+            return Some(self.identity.replica_id);
         }
         let voters = self.conf.get_voters().iter().chain(self.conf.get_voters_outgoing());
         voters.copied().find(|voter| self.schemas.get(voter).is_some_and(|schema| *schema < 3))
@@ -622,7 +667,7 @@
             Ok(()) => {
                 self.waiting.insert(self.next, Waiter { conn, request, since: now });
             }
-            Err(_) => self.say(conn, request, Answer::Busy),
+            Err(_) => self.say(conn, request, Response::Busy),
         }
     }
 
@@ -644,10 +689,10 @@
             self.conf_changed = false;
             self.compact()?;
         }
-        if self.warden.is_some() && self.state.seats_revision() != self.told {
+        if self.warden.is_some() && self.state.lease_revision() != self.told {
             self.out.push(Out::News(self.state.view()));
         }
-        self.told = self.state.seats_revision();
+        self.told = self.state.lease_revision();
         Ok(())
     }
 
@@ -664,15 +709,15 @@
     fn propose_due(&mut self, now: Micros) {
         let Some(warden) = &mut self.warden else { return };
         // What is due of permits is proposed at most so often: the agreement takes a moment.
-        if now.saturating_sub(self.voided) > self.times.heartbeat {
-            for change in self.desk.due(now) {
+        if now.saturating_sub(self.voided) > self.times.heartbeat_interval {
+            for command in self.permit_timeouts.expired(now) {
                 self.voided = now;
-                let _ = self.raw.propose(Vec::new(), Command::Account(change).encode());
+                let _ = self.raw.propose(Vec::new(), Command::Disruption(command).encode());
             }
         }
-        for command in warden.due(now, &self.state) {
+        for command in warden.due_commands(now, &self.state) {
             if self.raw.propose(Vec::new(), command.encode()).is_err() {
-                warden.dropped(&command);
+                warden.proposal_rejected(&command);
             }
         }
     }
@@ -703,7 +748,7 @@
         if foreign {
             let snapshot = ready.snapshot().clone();
             self.raw.mut_store().log.wl().apply_snapshot(snapshot.clone()).map_err(raft_fault)?;
-            self.state = restored(&snapshot)?.with_account_flaw(self.flaw);
+            self.state = restored(&snapshot)?.with_injected_disruption_bug(self.flaw);
             self.conf = snapshot.get_metadata().get_conf_state().clone();
             self.raw.mut_store().snapshot = snapshot;
         }
@@ -734,19 +779,19 @@
                 continue;
             }
             if entry.data.is_empty() {
-                self.state.skip(entry.index);
+                self.state.skip_entry(entry.index);
                 continue;
             }
-            let command = Command::decode_up_to(self.knows, &entry.data)
+            let command = Command::decode_with_supported_version(self.knows, &entry.data)
                 .map_err(|fault| Stop::Later(format!("at entry {}: {fault}", entry.index)))?;
             let outcome = self.state.apply(entry.index, &command);
-            if let Outcome::Account(_) = outcome {
-                self.desk.applied(now, self.state.account());
+            if let CommandOutcome::Disruption(_) = outcome {
+                self.permit_timeouts.update(now, self.state.disruption());
             }
             if let Some(warden) = &mut self.warden {
-                warden.applied(now, &self.state);
-                if matches!(outcome, Outcome::Refused(_)) {
-                    warden.dropped(&command);
+                warden.on_entries_applied(now, &self.state);
+                if matches!(outcome, CommandOutcome::Rejected(_)) {
+                    warden.proposal_rejected(&command);
                 }
             }
             let own = postcard::from_bytes::<(u64, u64)>(&entry.context)
@@ -762,32 +807,32 @@
         Ok(())
     }
 
-    fn answer(&mut self, waiter: Waiter, outcome: &Outcome, now: Micros) {
+    fn answer(&mut self, waiter: Waiter, outcome: &CommandOutcome, now: Micros) {
         let answer = match (outcome, &mut self.warden) {
             // Only the leading keeper may give a lease, old or new.
-            (Outcome::Joined(session, incarnation), Some(warden)) => {
+            (CommandOutcome::SessionOpened(session, incarnation), Some(warden)) => {
                 // A session that was there is renewed by this, unless its end is on its way.
-                match warden.renewed(*session, 0, now, &self.state) {
+                match warden.renew_session(*session, 0, now, &self.state) {
                     Ok(()) => {
                         self.sessions.insert(waiter.conn, *session);
-                        Answer::Joined {
+                        Response::SessionOpened {
                             session: *session,
                             incarnation: *incarnation,
                             view: self.state.view(),
                         }
                     }
-                    Err(_) => Answer::Busy,
+                    Err(_) => Response::Busy,
                 }
             }
-            (Outcome::Joined(..), None) => self.not_leading(),
-            (Outcome::Refused(reason), _) => Answer::Refused(reason.clone()),
-            (Outcome::Account(outcome), _) => {
-                if let disruption_budget::Outcome::Asked(id, _) = outcome {
-                    self.desk.asked(*id, now);
+            (CommandOutcome::SessionOpened(..), None) => self.not_leading(),
+            (CommandOutcome::Rejected(reason), _) => Response::Rejected(reason.clone()),
+            (CommandOutcome::Disruption(outcome), _) => {
+                if let disruption_budget::DisruptionOutcome::PermitRequested(id, _) = outcome {
+                    self.permit_timeouts.renew(*id, now);
                 }
-                Answer::Changed(outcome.clone())
+                Response::DisruptionStateChanged(outcome.clone())
             }
-            _ => Answer::Done,
+            _ => Response::Done,
         };
         self.say(waiter.conn, waiter.request, answer);
     }
@@ -806,9 +851,9 @@
         }
         self.leads = leads;
         self.out.push(Out::Leads(leads));
-        self.warden = leads.map(|_| Warden::new(self.times, now, &self.state));
-        self.desk = Desk::default();
-        self.desk.applied(now, self.state.account());
+        self.warden = leads.map(|_| LeaderState::new(self.times, now, &self.state));
+        self.permit_timeouts = PermitTimeouts::default();
+        self.permit_timeouts.update(now, self.state.disruption());
         self.propose_boots();
         // Whoever waits asks the next leader; what was proposed may still be agreed on, and asking twice does no harm.
         let answer = self.not_leading();
@@ -830,15 +875,15 @@
             let Some((_, renewals)) = self.confirmed.pop_front() else { return };
             for renewal in renewals {
                 let Some(warden) = &mut self.warden else { return };
-                let answer = match warden.renewed(renewal.session, renewal.seen, now, &self.state) {
-                    Ok(()) => Answer::Renewed {
-                        view: (self.state.seats_revision() > renewal.seen).then(|| self.state.view()),
-                        roster: renewal
+                let answer = match warden.renew_session(renewal.session, renewal.seen, now, &self.state) {
+                    Ok(()) => Response::SessionRenewed {
+                        view: (self.state.lease_revision() > renewal.seen).then(|| self.state.view()),
+                        members: renewal
                             .roster
-                            .filter(|known| *known < self.state.roster_revision())
+                            .filter(|known| *known < self.state.membership_revision())
                             .map(|_| self.roster()),
                     },
-                    Err(reason) => Answer::Refused(reason),
+                    Err(reason) => Response::Rejected(reason),
                 };
                 self.say(renewal.conn, renewal.request, answer);
             }
@@ -849,7 +894,7 @@
         let sessions = self.state.sessions().values().filter(|session| !session.superseded);
         let mut peers: Vec<Peer> = sessions.map(peer).collect();
         peers.sort();
-        (self.state.roster_revision(), peers)
+        (self.state.membership_revision(), peers)
     }
 
     /// The session that was last heard of on a connection.
@@ -875,52 +920,52 @@
     }
 
     /// How things are.
-    pub fn status(&self) -> Status {
+    pub fn status(&self) -> ReplicaStatus {
         let raft = &self.raw.raft;
         let state = &self.state;
         let members = state.sessions().iter().map(|(id, session)| MemberStatus {
             session: *id,
             peer: peer(session),
-            settled: session.settled,
+            stable: session.stable,
             superseded: session.superseded,
-            short_lives: state.short_lives(&session.name),
+            consecutive_short_sessions: state.consecutive_short_sessions(&session.name),
         });
-        let owner = |owner: coordination::Owner| {
+        let owner = |owner: coordination::LeaseHolder| {
             let name = state.sessions().get(&owner.session).map(|session| session.name.clone());
             (name.unwrap_or_default(), owner.token)
         };
-        let duties = state.duties().iter().map(|(id, duty)| DutyStatus {
-            duty: id.clone(),
-            owner: duty.owner.map(owner),
-            floor: duty.floor,
-            fenced: duty.fenced,
+        let duties = state.leases().iter().map(|(id, duty)| LeaseStatus {
+            lease: id.clone(),
+            holder: duty.holder.map(owner),
+            minimum_token: duty.minimum_token,
+            fencing_revision: duty.fencing_revision,
         });
         let quantile = |q| self.commits.value_at_quantile(q);
-        Status {
-            keeper: self.identity.keeper,
-            leads: self.warden.is_some(),
-            leader: Some(self.leader).filter(|leader| *leader != 0),
-            term: raft.term,
-            applied: state.revision(),
-            committed: raft.raft_log.committed,
-            first: self.raw.store().first_index().unwrap_or(0),
-            boots: self.identity.boots,
-            elections: self.elections,
-            commit_us: (quantile(0.5), quantile(0.99), self.commits.max()),
+        ReplicaStatus {
+            replica_id: self.identity.replica_id,
+            is_leader: self.warden.is_some(),
+            leader_id: Some(self.leader).filter(|leader| *leader != 0),
+            raft_term: raft.term,
+            applied_index: state.revision(),
+            committed_index: raft.raft_log.committed,
+            first_log_index: self.raw.store().first_index().unwrap_or(0),
+            start_count: self.identity.start_count,
+            election_count: self.elections,
+            commit_latency: (quantile(0.5), quantile(0.99), self.commits.max()),
             members: members.collect(),
-            duties: duties.collect(),
-            keepers: state.keepers().iter().map(|(keeper, boots)| (*keeper, *boots)).collect(),
+            leases: duties.collect(),
+            replicas: state.replica_starts().iter().map(|(keeper, boots)| (*keeper, *boots)).collect(),
             voters: {
                 let both = self.conf.get_voters().iter().chain(self.conf.get_voters_outgoing());
                 both.copied().collect::<std::collections::BTreeSet<u64>>().into_iter().collect()
             },
             learners: self.conf.get_learners().to_vec(),
-            replacing: state.replacing().map(|Replacing { old, new }| (old, new)),
+            replacement: state.replacement_in_progress().map(|ReplicaReplacement { old, new }| (old, new)),
         }
     }
 
     /// The token that the next grant gets, for tests of tokens over restarts.
-    pub fn next_token(&self) -> Token {
+    pub fn next_token(&self) -> FencingToken {
         self.state.next_token()
     }
 }
--- a/crates/coordinator/tests/compatibility/settings.rs
+++ b/crates/coordinator/tests/compatibility/settings.rs
@@ -4,9 +4,9 @@
 use std::net::IpAddr;
 use std::path::Path;
 
-use coordination::Times;
+use coordination::Timing;
 use coordinator::config::{budgets, parse, read, read_budgets};
-use disruption_budget::{Amount, Budget, Cover, Kind};
+use disruption_budget::{Amount, Budget, BudgetScope, TargetKind};
 
 const MEMBERS: &str = r#"installation = "north"
 keeper "1" {
@@ -34,15 +34,15 @@
     let expected = [(1, "192.0.2.11:7100"), (2, "192.0.2.12:7100"), (7, "[2001:db8::13]:7100")];
     assert_eq!(addresses, expected.map(|(number, address)| (number, address.to_owned())));
     assert_eq!(config.first_token, 5_000);
-    let times = Times {
-        lease: 2_000_000,
-        renew: 500_000,
-        call: 600_000,
-        stay: 1_100_000,
-        short: 11_000_000,
-        skew_ppm: 2_000,
-        election: 480_000,
-        heartbeat: 90_000,
+    let times = Timing {
+        lease_duration: 2_000_000,
+        renewal_interval: 500_000,
+        call_timeout: 600_000,
+        stability_period: 1_100_000,
+        short_session_limit: 11_000_000,
+        max_clock_skew_ppm: 2_000,
+        election_timeout: 480_000,
+        heartbeat_interval: 90_000,
     };
     assert_eq!(config.times, times);
     let serve = config.serve.unwrap();
@@ -58,7 +58,7 @@
 #[test]
 fn keys_that_are_left_out_have_their_defaults() {
     let config = parse("keeper.hcl", &format!("{MEMBERS}{SERVE}")).unwrap();
-    assert_eq!((config.first_token, config.times), (1, Times::default()));
+    assert_eq!((config.first_token, config.times), (1, Timing::default()));
     let serve = config.serve.unwrap();
     assert_eq!(serve.listen.to_string(), "192.0.2.11:7100");
     assert_eq!((serve.bind, serve.connections, serve.speaks, serve.flaw), (None, 1_024, 3, None));
@@ -67,22 +67,22 @@
 
 #[test]
 fn every_key_of_a_budget_has_its_effect() {
-    let budget = |name: &str, kind, cover, most_out, least_in| Budget {
+    let budget = |name: &str, kind, scope, max_unavailable, min_available| Budget {
         name: name.to_owned(),
         kind,
-        cover,
-        most_out,
-        least_in,
+        scope,
+        max_unavailable,
+        min_available,
     };
     let (count, percent) = (|count| Some(Amount::Count(count)), |part| Some(Amount::Percent(part)));
-    let (east, large) = (Cover::Zone("east".to_owned()), Cover::Pool("large".to_owned()));
+    let (east, large) = (BudgetScope::Zone("east".to_owned()), BudgetScope::Pool("large".to_owned()));
     let expected = [
-        budget("all", Kind::Worker, Cover::Fleet, count(3), None),
-        budget("fleet", Kind::Dispatcher, Cover::Fleet, percent(25), count(2)),
-        budget("zones", Kind::Worker, Cover::EachZone, None, percent(50)),
-        budget("pools", Kind::Worker, Cover::EachPool, count(1), None),
-        budget("east", Kind::Dispatcher, east, count(1), None),
-        budget("large", Kind::Worker, large, None, count(4)),
+        budget("all", TargetKind::Worker, BudgetScope::Fleet, count(3), None),
+        budget("fleet", TargetKind::Dispatcher, BudgetScope::Fleet, percent(25), count(2)),
+        budget("zones", TargetKind::Worker, BudgetScope::EachZone, None, percent(50)),
+        budget("pools", TargetKind::Worker, BudgetScope::EachPool, count(1), None),
+        budget("east", TargetKind::Dispatcher, east, count(1), None),
+        budget("large", TargetKind::Worker, large, None, count(4)),
     ];
     assert_eq!(read_budgets(&example("every-budget-key.hcl")).unwrap(), expected);
 }
@@ -154,12 +154,12 @@
 #[cfg(feature = "seeded-bugs")]
 #[test]
 fn every_injected_bug_has_its_name() {
-    use disruption_budget::Flaw;
+    use disruption_budget::InjectedBug;
     for (name, bug) in [
-        ("any-process", Flaw::AnyProcess),
-        ("planned-only", Flaw::PlannedOnly),
-        ("old-observation", Flaw::OldObservation),
-        ("begin-unasked", Flaw::BeginUnasked),
+        ("any-process", InjectedBug::AnyIncarnation),
+        ("planned-only", InjectedBug::PlannedOnly),
+        ("old-observation", InjectedBug::StaleObservation),
+        ("begin-unasked", InjectedBug::BeginUnknownPermit),
     ] {
         let config = parse("keeper.hcl", &with_injected_bug(name)).unwrap();
         assert_eq!(config.serve.unwrap().flaw, Some(bug));
--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -1,7 +1,7 @@
 //! Holds dispatchers to the four rules, by what the stand-ins saw: clients their answers, workers the jobs that
 //! reached them, discovery what it told. A dispatcher's own word counts for nothing here.
 
-use dispatch_core::api::{Group, Repeat};
+use dispatch_core::api::{Idempotency, KeyScope};
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
@@ -59,7 +59,7 @@
 
 #[derive(Debug)]
 struct AcceptedRequest {
-    idempotency: Repeat,
+    idempotency: Idempotency,
     retry_window: Micros,
     deadline: Micros,
     answer_count: u32,
@@ -94,7 +94,7 @@
     }
 
     /// A client handed in a request, and a dispatcher took it.
-    pub fn record_accepted(&mut self, request: u64, repeat: Repeat, window: Micros, deadline: Micros) {
+    pub fn record_accepted(&mut self, request: u64, repeat: Idempotency, window: Micros, deadline: Micros) {
         let taken = AcceptedRequest {
             idempotency: repeat,
             retry_window: window,
@@ -121,14 +121,14 @@
         let Some(taken) = self.accepted.get_mut(&request) else { return 0 };
         let ran = |s: &&SentAttempt| !s.never_ran;
         let allowed = match taken.idempotency {
-            Repeat::Safe => true,
-            Repeat::Unsafe => !taken.attempts.iter().any(|s| ran(&s)),
-            Repeat::Keyed(group) => taken.attempts.iter().filter(ran).all(|s| {
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => !taken.attempts.iter().any(|s| ran(&s)),
+            Idempotency::WithKey(group) => taken.attempts.iter().filter(ran).all(|s| {
                 now <= s.sent_at + taken.retry_window
                     && match group {
-                        Group::All => true,
-                        Group::Zone => s.zone == zone,
-                        Group::Cell => s.rack == rack,
+                        KeyScope::All => true,
+                        KeyScope::Zone => s.zone == zone,
+                        KeyScope::Cell => s.rack == rack,
                     }
             }),
         };
@@ -158,7 +158,8 @@
             self.violations.lost += 1;
         }
         let may_have_run = taken.attempts.iter().any(|s| !s.never_ran);
-        let harmless = matches!(taken.idempotency, Repeat::Safe | Repeat::Keyed(Group::All));
+        let harmless =
+            matches!(taken.idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All));
         if refused && may_have_run && !harmless {
             self.violations.dup += 1;
         }
@@ -198,7 +199,7 @@
 mod tests {
     use super::*;
 
-    const CELL: Repeat = Repeat::Keyed(Group::Cell);
+    const CELL: Idempotency = Idempotency::WithKey(KeyScope::Cell);
 
     fn checker() -> RuleChecker {
         let mut checker = RuleChecker::new(RuleLimits { drain_grace: 500, answer_slack: 50 });
@@ -214,7 +215,7 @@
         checker.record_attempt(0, 1, 7, (0, 0), 600);
         checker.record_answer(1, false, 700);
         assert_eq!(checker.violations, RuleViolations::default());
-        checker.record_accepted(2, Repeat::Safe, 0, 5000);
+        checker.record_accepted(2, Idempotency::Idempotent, 0, 5000);
         checker.record_attempt(0, 2, 7, (0, 0), 601);
         // Another life was not told.
         checker.record_attempt(1, 2, 7, (0, 0), 9000);
--- a/crates/emulator/src/cluster/lease_harness.rs
+++ b/crates/emulator/src/cluster/lease_harness.rs
@@ -240,14 +240,14 @@
         text += &format!(
             "times {{\n  lease_ms = {}\n  renew_ms = {}\n  call_ms = {}\n  stay_ms = {}\n  short_ms = {}\n  \
              election_ms = {}\n  heartbeat_ms = {}\n  skew_ppm = {}\n}}\n",
-            times.lease / 1_000,
-            times.renew / 1_000,
-            times.call / 1_000,
-            times.stay / 1_000,
-            times.short / 1_000,
-            times.election / 1_000,
-            times.heartbeat / 1_000,
-            times.skew_ppm
+            times.lease_duration / 1_000,
+            times.renewal_interval / 1_000,
+            times.call_timeout / 1_000,
+            times.stability_period / 1_000,
+            times.short_session_limit / 1_000,
+            times.election_timeout / 1_000,
+            times.heartbeat_interval / 1_000,
+            times.max_clock_skew_ppm
         );
         text += &format!(
             "serve {{\n  keeper = {}\n  listen = \"{}\"\n  bind = \"{}\"\n  store = \"{}\"\n}}\n",
@@ -737,7 +737,7 @@
             faults,
             resets: self.network.borrow().resets,
             duplicates: self.network.borrow().duplicates,
-            takeovers: record_checker::takeovers(&records, &self.injected, self.plan.times.lease),
+            takeovers: record_checker::takeovers(&records, &self.injected, self.plan.times.lease_duration),
             effects_accepted: record_checker::effects_accepted(&records),
             effects_rejected: record_checker::effects_rejected(&records),
             lease_terms: record_checker::lease_terms(&records),
--- a/crates/emulator/src/cluster/virtual_time_soak.rs
+++ b/crates/emulator/src/cluster/virtual_time_soak.rs
@@ -8,7 +8,8 @@
 use std::collections::BinaryHeap;
 
 use coordination::{
-    Command, DutyId, Flaw, Holder, Outcome, Reason, SessionId, State, Times, Token, View, Warden,
+    ClusterView, Command, CommandOutcome, CommandRejection, FencingToken, InjectedBug, LeaderState,
+    LeaseClient, LeaseId, SessionId, StateMachine, Timing,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -90,7 +91,7 @@
 }
 
 /// Lets fleets live for so many hours, an hour for each seed. `skew_ppm` is by how much clocks really differ.
-pub fn run_soak(hours: u64, seed: u64, skew_ppm: u64, flaw: Option<Flaw>) -> SoakResult {
+pub fn run_soak(hours: u64, seed: u64, skew_ppm: u64, flaw: Option<InjectedBug>) -> SoakResult {
     let one = |hour: u64| {
         Simulation::new(seed ^ hour.wrapping_mul(0x9e37_79b9_7f4a_7c15), skew_ppm, flaw).run(3_600 * SECOND)
     };
@@ -112,7 +113,7 @@
 
 struct Member {
     clock: Clock,
-    holder: Holder,
+    holder: LeaseClient,
     boot: u64,
     /// It runs from here on; what reaches it before waits.
     resumes_at: u64,
@@ -121,7 +122,7 @@
     /// Counts processes of this member: what was meant for an earlier one is lost.
     incarnation: u64,
     /// The highest token taken in this life.
-    highest_token: Token,
+    highest_token: FencingToken,
     last_renewal: u64,
 }
 
@@ -129,16 +130,16 @@
     SendRenewal(usize),
     RenewalArrives { from: usize, asked: u64, life: u64, session: Option<SessionId>, seen: u64 },
     ReplyArrives { to: usize, asked: u64, life: u64, said: Reply },
-    ViewArrives { to: usize, life: u64, session: SessionId, view: View },
+    ViewArrives { to: usize, life: u64, session: SessionId, view: ClusterView },
     Act(usize),
-    EffectArrives { to: usize, token: Token },
+    EffectArrives { to: usize, token: FencingToken },
     Tick,
     Fault,
 }
 
 enum Reply {
-    Joined(SessionId, u64, View),
-    Renewed(SessionId, Option<View>),
+    Joined(SessionId, u64, ClusterView),
+    Renewed(SessionId, Option<ClusterView>),
     SessionExpired,
 }
 
@@ -167,29 +168,29 @@
 
 struct Simulation {
     random: Pcg64,
-    times: Times,
+    times: Timing,
     skew: f64,
-    flaw: Option<Flaw>,
+    flaw: Option<InjectedBug>,
     now: u64,
     order: u64,
     queue: BinaryHeap<Reverse<Event>>,
-    state: State,
-    warden: Warden,
+    state: StateMachine,
+    warden: LeaderState,
     leader_clock: Clock,
     /// No keeper leads before this.
     leader_since: u64,
     index: u64,
     members: Vec<Member>,
-    duty: DutyId,
+    duty: LeaseId,
     result: SoakResult,
 }
 
 impl Simulation {
-    fn new(seed: u64, skew_ppm: u64, flaw: Option<Flaw>) -> Simulation {
+    fn new(seed: u64, skew_ppm: u64, flaw: Option<InjectedBug>) -> Simulation {
         let mut random = Pcg64::seed_from_u64(seed);
-        let times = Times { short: 3 * SECOND, ..Times::default() };
+        let times = Timing { short_session_limit: 3 * SECOND, ..Timing::default() };
         let skew = skew_ppm as f64 / 1e6;
-        let state = State::new(1);
+        let state = StateMachine::new(1);
         let mut clock = || Clock {
             start: random.random_range(0..1 << 40),
             rate: 1.0 + random.random_range(-skew..=skew),
@@ -197,16 +198,16 @@
         let keeper = clock();
         let member = |at: usize| Member {
             clock: Clock { start: 0, rate: 1.0 },
-            holder: Holder::new(times).with_flaw(flaw),
+            holder: LeaseClient::new(times).with_injected_bug(flaw),
             boot: at as u64,
             resumes_at: 0,
             disconnected_until: 0,
             incarnation: 0,
-            highest_token: Token(0),
+            highest_token: FencingToken(0),
             last_renewal: 0,
         };
         let members: Vec<Member> = (0..MEMBERS).map(|at| Member { clock: clock(), ..member(at) }).collect();
-        let warden = Warden::new(times, keeper.at(0), &state);
+        let warden = LeaderState::new(times, keeper.at(0), &state);
         let mut world = Simulation {
             random,
             times,
@@ -221,7 +222,7 @@
             leader_since: 0,
             index: 0,
             members,
-            duty: DutyId::fleet("pulse"),
+            duty: LeaseId::fleet("pulse"),
             result: SoakResult::default(),
         };
         for at in 0..MEMBERS {
@@ -261,17 +262,17 @@
         self.result
     }
 
-    fn apply(&mut self, command: &Command) -> Outcome {
+    fn apply(&mut self, command: &Command) -> CommandOutcome {
         self.index += 1;
-        let before = self.state.seats_revision();
+        let before = self.state.lease_revision();
         let outcome = self.state.apply(self.index, command);
         let now = self.leader_clock.at(self.now);
-        self.warden.applied(now, &self.state);
-        if matches!(outcome, Outcome::Refused(_)) {
-            self.warden.dropped(command);
+        self.warden.on_entries_applied(now, &self.state);
+        if matches!(outcome, CommandOutcome::Rejected(_)) {
+            self.warden.proposal_rejected(command);
         }
-        self.result.lease_terms += u64::from(matches!(outcome, Outcome::Granted(..)));
-        if self.state.seats_revision() != before {
+        self.result.lease_terms += u64::from(matches!(outcome, CommandOutcome::LeaseGranted(..)));
+        if self.state.lease_revision() != before {
             for to in 0..MEMBERS {
                 let Some(session) = self.members[to].holder.last_session() else { continue };
                 if self.now >= self.members[to].disconnected_until {
@@ -284,8 +285,8 @@
         outcome
     }
 
-    fn newest(&self) -> Token {
-        Token(self.state.next_token().0 - 1)
+    fn newest(&self) -> FencingToken {
+        FencingToken(self.state.next_token().0 - 1)
     }
 
     fn handle(&mut self, what: EventKind) {
@@ -307,7 +308,7 @@
         match what {
             EventKind::SendRenewal(at) => {
                 self.send_renewal(at);
-                self.schedule(self.times.renew, EventKind::SendRenewal(at));
+                self.schedule(self.times.renewal_interval, EventKind::SendRenewal(at));
             }
             EventKind::RenewalArrives { from, asked, life, session, seen } => {
                 self.handle_renewal((from, asked, life), session, seen)
@@ -316,21 +317,24 @@
                 let member = &mut self.members[to];
                 let now = member.clock.at(self.now);
                 // An answer that took longer than a call may was given up, as was one of an earlier process.
-                let late = asked != member.last_renewal || now.saturating_sub(asked) > self.times.call;
-                let given_up = late && self.flaw != Some(Flaw::LeaseFromAnswer);
+                let late =
+                    asked != member.last_renewal || now.saturating_sub(asked) > self.times.call_timeout;
+                let given_up = late && self.flaw != Some(InjectedBug::LeaseFromResponse);
                 if life != member.incarnation || given_up {
                     return;
                 }
                 match said {
                     Reply::Joined(id, incarnation, view) => {
-                        member.holder.joined(id, incarnation, asked, now, view)
+                        member.holder.on_session_opened(id, incarnation, asked, now, view)
                     }
-                    Reply::Renewed(id, view) => member.holder.renewed(id, asked, now, view),
-                    Reply::SessionExpired => member.holder.gone(),
+                    Reply::Renewed(id, view) => member.holder.on_session_renewed(id, asked, now, view),
+                    Reply::SessionExpired => member.holder.on_session_ended(),
                 }
             }
             EventKind::ViewArrives { to, life, session, view } => {
-                if life == self.members[to].incarnation && self.members[to].holder.told(session, view) {
+                if life == self.members[to].incarnation
+                    && self.members[to].holder.on_view_changed(session, view)
+                {
                     self.send_renewal(to);
                 }
             }
@@ -342,7 +346,7 @@
                 let newest = self.newest();
                 let member = &mut self.members[to];
                 let now = member.clock.at(self.now);
-                if member.holder.take(&self.duty, token, now).is_ok() {
+                if member.holder.accept_effect(&self.duty, token, now).is_ok() {
                     self.result.effects_accepted += 1;
                     self.result.late_effects += u64::from(token < newest);
                     self.result.decreasing_tokens += u64::from(token < member.highest_token);
@@ -354,7 +358,7 @@
             EventKind::Tick => {
                 self.schedule(TICK_INTERVAL, EventKind::Tick);
                 if self.now >= self.leader_since {
-                    for command in self.warden.due(self.leader_clock.at(self.now), &self.state) {
+                    for command in self.warden.due_commands(self.leader_clock.at(self.now), &self.state) {
                         self.apply(&command);
                     }
                 }
@@ -367,9 +371,9 @@
         let member = &mut self.members[from];
         let asked = member.clock.at(self.now);
         member.last_renewal = asked;
-        let session = member.holder.session(asked).map(|session| session.id);
+        let session = member.holder.active_session(asked).map(|session| session.id);
         let (life, seen, lost) =
-            (member.incarnation, member.holder.seen(), self.now < member.disconnected_until);
+            (member.incarnation, member.holder.applied_revision(), self.now < member.disconnected_until);
         if !lost && self.random.random_range(0..100) != 0 {
             let way = self.network_delay();
             self.schedule(way, EventKind::RenewalArrives { from, asked, life, session, seen });
@@ -387,26 +391,33 @@
         }
         let now = self.leader_clock.at(self.now);
         let said = match session {
-            Some(id) => match self.warden.renewed(id, seen, now, &self.state) {
-                Ok(()) => Reply::Renewed(id, (self.state.seats_revision() > seen).then(|| self.state.view())),
+            Some(id) => match self.warden.renew_session(id, seen, now, &self.state) {
+                Ok(()) => Reply::Renewed(id, (self.state.lease_revision() > seen).then(|| self.state.view())),
                 Err(_) => Reply::SessionExpired,
             },
             None => {
                 let name = format!("m{from}");
-                let short = self.warden.short(&name, now, &self.state);
+                let short = self.warden.is_short_session(&name, now, &self.state);
                 // The process that asked may be gone by now; its question still arrives.
                 let boot = self.members[from].boot - (self.members[from].incarnation - life) * MEMBERS as u64;
                 let offers = vec![self.duty.clone()];
                 let (zone, address) = (String::new(), String::new());
-                match self.apply(&Command::Join { name, boot, zone, address, offers, short }) {
-                    Outcome::Joined(id, incarnation) => {
+                match self.apply(&Command::OpenSession {
+                    name,
+                    boot_id: boot,
+                    zone,
+                    address,
+                    eligible_leases: offers,
+                    short_lived: short,
+                }) {
+                    CommandOutcome::SessionOpened(id, incarnation) => {
                         let now = self.leader_clock.at(self.now);
-                        match self.warden.renewed(id, 0, now, &self.state) {
+                        match self.warden.renew_session(id, 0, now, &self.state) {
                             Ok(()) => Reply::Joined(id, incarnation, self.state.view()),
                             Err(_) => return,
                         }
                     }
-                    Outcome::Refused(Reason::Superseded { .. }) => Reply::SessionExpired,
+                    CommandOutcome::Rejected(CommandRejection::Superseded { .. }) => Reply::SessionExpired,
                     _ => return,
                 }
             }
@@ -421,9 +432,9 @@
         let newest = self.newest();
         let member = &self.members[at];
         let now = member.clock.at(self.now);
-        let Some((duty, token)) = member.holder.owned(now).into_iter().next() else { return };
+        let Some((duty, token)) = member.holder.held_leases(now).into_iter().next() else { return };
         for to in (0..MEMBERS).filter(|to| *to != at) {
-            if self.members[at].holder.may_act(&duty, token, now) {
+            if self.members[at].holder.holds_lease(&duty, token, now) {
                 self.result.overlapping_holders += u64::from(token < newest);
                 // It may stop between the look and the write, and the way may be long.
                 let way = self.network_delay();
@@ -436,7 +447,7 @@
         let next = self.random.random_range(SECOND / 2..8 * SECOND);
         self.schedule(next, EventKind::Fault);
         self.result.faults += 1;
-        let owner = self.state.duties().get(&self.duty).and_then(|duty| duty.owner);
+        let owner = self.state.leases().get(&self.duty).and_then(|duty| duty.holder);
         let name = owner
             .and_then(|owner| self.state.sessions().get(&owner.session))
             .map(|session| session.name.clone());
@@ -456,8 +467,8 @@
                 let member = &mut self.members[whom];
                 member.incarnation += 1;
                 member.boot += MEMBERS as u64;
-                member.holder = Holder::new(self.times).with_flaw(self.flaw);
-                member.highest_token = Token(0);
+                member.holder = LeaseClient::new(self.times).with_injected_bug(self.flaw);
+                member.highest_token = FencingToken(0);
                 member.resumes_at = self.now + long;
             }
             _ => {
@@ -465,7 +476,8 @@
                 self.leader_since = self.now + long.min(3 * SECOND);
                 let rate = 1.0 + self.random.random_range(-self.skew..=self.skew);
                 self.leader_clock = Clock { start: self.random.random_range(0..1 << 40), rate };
-                self.warden = Warden::new(self.times, self.leader_clock.at(self.leader_since), &self.state);
+                self.warden =
+                    LeaderState::new(self.times, self.leader_clock.at(self.leader_since), &self.state);
             }
         }
     }
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use clap::{Parser, Subcommand, ValueEnum};
-use coordination::Flaw;
+use coordination::InjectedBug;
 use emulator::cluster::cluster_harness::Binaries;
 use emulator::cluster::lease_harness::Programs;
 use emulator::cluster::lease_model::{search, Bounds};
@@ -249,17 +249,17 @@
 }
 
 /// The flaw of this name; `list` names them.
-fn injected_bug(name: Option<&str>) -> Result<Option<Flaw>, String> {
-    let names: Vec<&str> = Flaw::names().iter().map(|(name, _)| *name).collect();
+fn injected_bug(name: Option<&str>) -> Result<Option<InjectedBug>, String> {
+    let names: Vec<&str> = InjectedBug::names().iter().map(|(name, _)| *name).collect();
     let Some(name) = name else { return Ok(None) };
-    match Flaw::names().iter().find(|(known, _)| *known == name) {
+    match InjectedBug::names().iter().find(|(known, _)| *known == name) {
         Some((_, flaw)) => Ok(Some(*flaw)),
         None => Err(format!("--seeded-bug: wanted one of {}", names.join(", "))),
     }
 }
 
 fn list_injected_bugs() {
-    Flaw::names().iter().for_each(|(name, _)| println!("{name}"));
+    InjectedBug::names().iter().for_each(|(name, _)| println!("{name}"));
 }
 
 /// Whether an experiment is one with processes of a fleet. What cannot be read is complained of later.
@@ -331,7 +331,7 @@
 }
 
 fn planned_drains(args: &DrainsArgs) -> Result<(), String> {
-    let known: Vec<&str> = disruption_budget::Flaw::names().iter().map(|(name, _)| *name).collect();
+    let known: Vec<&str> = disruption_budget::InjectedBug::names().iter().map(|(name, _)| *name).collect();
     match args.seeded_bug.as_deref() {
         Some("list") => {
             known.iter().for_each(|name| println!("{name}"));
--- a/crates/emulator/src/router.rs
+++ b/crates/emulator/src/router.rs
@@ -3,8 +3,8 @@
 //! All of them are told the same events and answer with the same actions, so the drives know one kind of router.
 
 use dispatch_core::api::{
-    Action, Event, Member, Outcome, Repeat, Request, RequestId, Scope, Seconds, Settings, WorkerId,
-    WorkerState,
+    Action, Endpoint, Event, Idempotency, ListScope, Outcome, Request, RequestId, Seconds, Settings,
+    WorkerId, WorkerState,
 };
 use dispatch_core::Dispatcher;
 use rand::Rng as _;
@@ -171,24 +171,24 @@
             }
             None => {
                 let harmless = held.attempts.iter().all(|(_, end)| end.is_some_and(Outcome::never_ran))
-                    || self.idempotency(request) == Repeat::Safe;
+                    || self.idempotency(request) == Idempotency::Idempotent;
                 self.open_requests.remove(&request);
                 let wait = self.settings.max_retry_after.min(0.3);
                 actions.push(match harmless {
-                    true => Action::Refuse { request, retry_after: Some(wait) },
+                    true => Action::Reject { request, retry_after: Some(wait) },
                     false => Action::Fail { request },
                 });
             }
         }
     }
 
-    fn idempotency(&self, request: RequestId) -> Repeat {
+    fn idempotency(&self, request: RequestId) -> Idempotency {
         let class = self.open_requests.get(&request).map_or(0, |open| open.class as usize);
-        self.settings.classes.get(class).map_or(Repeat::Unsafe, |class| class.repeat)
+        self.settings.classes.get(class).map_or(Idempotency::NotIdempotent, |class| class.idempotency)
     }
 
-    fn on_list(&mut self, scope: Scope, members: &[Member]) {
-        if matches!(scope, Scope::Full | Scope::Saved) {
+    fn on_list(&mut self, scope: ListScope, members: &[Endpoint]) {
+        if matches!(scope, ListScope::Full | ListScope::Cached) {
             self.states.clear();
         }
         for member in members {
@@ -209,7 +209,7 @@
                 self.open_requests.insert(id, OpenRequest { class, attempts: Vec::new() });
                 self.dispatch(id, actions, sight);
             }
-            Event::Ended { request, attempt, outcome, complete, .. } => {
+            Event::AttemptEnded { request, attempt, outcome, complete, .. } => {
                 let Some(held) = self.open_requests.get_mut(&request) else { return };
                 let Some((worker, end)) = held.attempts.get_mut(attempt as usize) else { return };
                 let worker = *worker;
@@ -220,14 +220,16 @@
                 let expired = outcome == Outcome::Timeout;
                 if complete {
                     self.open_requests.remove(&request);
-                } else if !expired && (outcome.never_ran() || self.idempotency(request) == Repeat::Safe) {
+                } else if !expired
+                    && (outcome.never_ran() || self.idempotency(request) == Idempotency::Idempotent)
+                {
                     self.dispatch(request, actions, sight);
                 } else {
                     self.open_requests.remove(&request);
                     actions.push(Action::Fail { request });
                 }
             }
-            Event::ClientGone(id) => {
+            Event::ClientDisconnected(id) => {
                 if let Some(held) = self.open_requests.remove(&id) {
                     for (n, (worker, end)) in held.attempts.iter().enumerate() {
                         if end.is_none() {
@@ -239,7 +241,7 @@
                     }
                 }
             }
-            Event::List { scope, members } => self.on_list(scope, members),
+            Event::EndpointList { scope, endpoints: members } => self.on_list(scope, members),
             _ => {}
         }
     }
--- a/crates/emulator/src/sockets/client.rs
+++ b/crates/emulator/src/sockets/client.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 use bytes::BytesMut;
-use dispatch_core::api::Repeat;
+use dispatch_core::api::Idempotency;
 use tokio::io::AsyncWriteExt as _;
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
@@ -66,7 +66,7 @@
             plan.client_leaves_at,
             plan.retry_backoff,
             plan.honours_retry_after,
-            class.idempotency == Repeat::Safe,
+            class.idempotency == Idempotency::Idempotent,
         )
     };
     let mut second = false;
@@ -201,7 +201,7 @@
     let tenant = shared.experiment.traffic.tenants.get(plan.tenant as usize).map_or("", |t| &t.name);
     let left = (shared.seconds_left(deadline) * 1e3) as u64;
     let key = match class.idempotency {
-        Repeat::Keyed(_) => format!("Idempotency-Key: {:032x}\r\n", u128::from(job) + 1),
+        Idempotency::WithKey(_) => format!("Idempotency-Key: {:032x}\r\n", u128::from(job) + 1),
         _ => String::new(),
     };
     format!(
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -4,7 +4,7 @@
 //! labelled blocks (kinds, classes, tenants) is taken from there whole. What still is a span of figures is drawn for
 //! each day by [`crate::day`].
 
-use dispatch_core::api::{Group, Repeat, RoomSettings};
+use dispatch_core::api::{CapacityReservation, Idempotency, KeyScope};
 use hcl_config::{Read, Section, Value};
 
 /// The figures that hold where an experiment says nothing.
@@ -77,7 +77,7 @@
     /// The part of it that a late answer earns.
     pub late_weight: f64,
     /// What a repeat does.
-    pub idempotency: Repeat,
+    pub idempotency: Idempotency,
     /// How long a rack drops repeats, in seconds.
     pub retry_window: f64,
 }
@@ -179,7 +179,7 @@
     /// Second copies are allowed.
     pub hedging: bool,
     /// Room for large jobs.
-    pub capacity_reservation: Option<RoomSettings>,
+    pub capacity_reservation: Option<CapacityReservation>,
 }
 
 /// An experiment.
@@ -468,11 +468,11 @@
 
 fn class_spec(s: &Section) -> Read<ClassSpec> {
     let repeats = [
-        ("safe", Repeat::Safe),
-        ("rack", Repeat::Keyed(Group::Cell)),
-        ("zone", Repeat::Keyed(Group::Zone)),
-        ("all", Repeat::Keyed(Group::All)),
-        ("unsafe", Repeat::Unsafe),
+        ("safe", Idempotency::Idempotent),
+        ("rack", Idempotency::WithKey(KeyScope::Cell)),
+        ("zone", Idempotency::WithKey(KeyScope::Zone)),
+        ("all", Idempotency::WithKey(KeyScope::All)),
+        ("unsafe", Idempotency::NotIdempotent),
     ];
     let dists = [
         ("pareto", WorkShape::Pareto),
@@ -510,7 +510,7 @@
         timeout: required(s, "patience_s", s.number("patience_s", 0.001..=1e6)?)?,
         priority_weight: s.number("worth", 0.0..=1e6)?.unwrap_or(1.0),
         late_weight: s.number("late_worth", 0.0..=1.0)?.unwrap_or(0.0),
-        idempotency: s.word("repeat", &repeats)?.unwrap_or(Repeat::Safe),
+        idempotency: s.word("repeat", &repeats)?.unwrap_or(Idempotency::Idempotent),
         retry_window: s.number("window_s", 0.0..=86_400.0)?.unwrap_or(0.0),
     })
 }
@@ -632,8 +632,8 @@
         hedging: s.flag("copies")?.unwrap_or(true),
         capacity_reservation: match s.section("room")? {
             None => None,
-            Some(room) => Some(RoomSettings {
-                from: room.number("from_slots", 2.0..=1024.0)?.unwrap_or(4.0),
+            Some(room) => Some(CapacityReservation {
+                min_slots: room.number("from_slots", 2.0..=1024.0)?.unwrap_or(4.0),
                 price: room.number("price", 0.0..=1000.0)?.unwrap_or(16.0),
             }),
         },
--- a/crates/emulator/src/virtual_time/simulation.rs
+++ b/crates/emulator/src/virtual_time/simulation.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use dispatch_core::api::{
-    Action, Class, Event, Member, Outcome, Repeat, Request, RequestId, Scope, Seconds, Settings, Tenant,
-    WorkerId, WorkerState,
+    Action, Class, Endpoint, Event, Idempotency, ListScope, Outcome, Request, RequestId, Seconds, Settings,
+    Tenant, WorkerId, WorkerState,
 };
 use dispatch_core::settings::worker_id;
 use rand::Rng as _;
@@ -80,7 +80,7 @@
     zone: u32,
     incarnation: u32,
     /// The list, as the agent on its machine has it, and as it last held it itself.
-    agent_list: BTreeMap<u64, Member>,
+    agent_list: BTreeMap<u64, Endpoint>,
     /// Tries that it took and has not concluded, or whose attempts are out.
     open_requests: FxHashMap<RequestId, OpenRequest>,
     /// When the idle connections to each worker were last used.
@@ -135,7 +135,7 @@
     worker_index: FxHashMap<WorkerId, u32>,
     submissions: Vec<Submission>,
     attempts: Vec<DispatchAttempt>,
-    list_changes: Vec<Vec<Member>>,
+    list_changes: Vec<Vec<Endpoint>>,
     publications: BTreeMap<Micros, u32>,
     work_noise: Vec<Option<LogNormal<f64>>>,
     checker: RuleChecker,
@@ -195,7 +195,7 @@
         for plan in &day.workers {
             world.add_worker(Worker::new(plan.clone(), None, DAY_START, progress_interval()));
         }
-        let members: Vec<Member> = (0..world.workers.len()).map(|w| world.list_entry(w as u32)).collect();
+        let members: Vec<Endpoint> = (0..world.workers.len()).map(|w| world.list_entry(w as u32)).collect();
         for plan in &day.dispatchers {
             world.dispatchers.push(DispatcherHost {
                 router: None,
@@ -281,7 +281,10 @@
             SimulationEvent::WorkerEnds(w, process) => {
                 if self.processes[w as usize] == process {
                     self.kill_worker(w);
-                    self.publish(self.list_entry_as(w, WorkerState::Gone), self.day.discovery.drain_notice);
+                    self.publish(
+                        self.list_entry_as(w, WorkerState::Removed),
+                        self.day.discovery.drain_notice,
+                    );
                 }
             }
             SimulationEvent::WorkerStarts(w) => self.on_worker_starts(w),
@@ -330,10 +333,10 @@
             tenant: job.tenant,
             slots: f64::from(job.slots),
             memory: 0.0,
-            patience: seconds(deadline - self.now),
-            retry: false,
-            expected: None,
-            key: None,
+            timeout: seconds(deadline - self.now),
+            is_retry: false,
+            expected_run_time: None,
+            affinity_key: None,
         };
         self.deliver(host, Event::Request(request));
         let answered =
@@ -360,7 +363,7 @@
         self.record_outcome(n, JobOutcome::ClientLeft);
         self.mark_answered(n);
         let host = self.day.jobs[self.submissions[n as usize].job as usize].dispatcher;
-        self.deliver(host, Event::ClientGone(id));
+        self.deliver(host, Event::ClientDisconnected(id));
         self.close_if_complete(host, id);
     }
 
@@ -391,7 +394,7 @@
         let harmless = open
             .is_some_and(|o| o.never_ran && !o.attempts.iter().any(|a| self.attempts[*a as usize].in_flight));
         self.answer(n, harmless.then_some(None));
-        self.deliver(host, Event::ClientGone(id));
+        self.deliver(host, Event::ClientDisconnected(id));
         self.close_if_complete(host, id);
     }
 
@@ -406,7 +409,9 @@
         let class = &self.experiment.traffic.classes[job.class as usize];
         match refused {
             Some(after) => self.retry_or(n, after, JobOutcome::Rejected(self.now)),
-            None if class.idempotency == Repeat::Safe => self.retry_or(n, None, JobOutcome::Failed(self.now)),
+            None if class.idempotency == Idempotency::Idempotent => {
+                self.retry_or(n, None, JobOutcome::Failed(self.now))
+            }
             None => self.record_outcome(n, JobOutcome::Failed(self.now)),
         }
         self.mark_answered(n);
@@ -456,30 +461,30 @@
             zone: self.day.dispatchers[host].zone,
             classes: classes
                 .map(|c| Class {
-                    repeat: c.idempotency,
-                    window: c.retry_window,
-                    aim: c.latency_objective,
-                    stretch: c.stretch,
-                    late_worth: c.late_weight,
-                    kind: None,
+                    idempotency: c.idempotency,
+                    key_window: c.retry_window,
+                    latency_objective: c.latency_objective,
+                    run_time_allowance: c.stretch,
+                    late_weight: c.late_weight,
+                    required_kind: None,
                 })
                 .collect(),
             tenants: tenants
                 .map(|(t, quota)| Tenant { share: t.share, quota: quota * self.arm.quota })
                 .collect(),
-            may_cancel: true,
+            cancellation_allowed: true,
             max_attempts: self.arm.attempts.unwrap_or(rules.max_attempts),
             max_retry_after: self.experiment.clients.max_retry_after,
-            tells_start: true,
-            progress: seconds(progress_interval()),
-            second_copies: self.arm.hedging,
-            cold_share: rules.cold_share,
-            warm_within: rules.warm_up,
-            fall_multiple: rules.overload_multiple,
-            fall_span: rules.overload_window,
+            reports_job_start: true,
+            progress_interval: seconds(progress_interval()),
+            hedging_allowed: self.arm.hedging,
+            slow_start_min_capacity: rules.cold_share,
+            slow_start_duration: rules.warm_up,
+            overload_multiple: rules.overload_multiple,
+            overload_window: rules.overload_window,
             cross_zone_price: rules.cross_zone_price,
-            resolution: RESOLUTION,
-            room: self.arm.capacity_reservation,
+            clock_resolution: RESOLUTION,
+            capacity_reservation: self.arm.capacity_reservation,
             ..Settings::default()
         }
     }
@@ -490,18 +495,18 @@
         let h = &mut self.dispatchers[host as usize];
         let seed = self.day.seed ^ (u64::from(host) << 32) ^ (u64::from(h.incarnation) << 48);
         h.router = Some((self.make_router)(settings, seed));
-        let known: Vec<Member> = h.agent_list.values().copied().collect();
+        let known: Vec<Endpoint> = h.agent_list.values().copied().collect();
         let mut actions = std::mem::take(&mut self.actions);
         if let Some(router) = &mut h.router {
             router.start(seconds(self.now), &mut actions);
         }
         self.execute(host, actions);
-        self.deliver(host, Event::List { scope: Scope::Saved, members: &known });
+        self.deliver(host, Event::EndpointList { scope: ListScope::Cached, endpoints: &known });
         self.record_drain_notices(host, &known);
-        self.deliver(host, Event::List { scope: Scope::Full, members: &known });
+        self.deliver(host, Event::EndpointList { scope: ListScope::Full, endpoints: &known });
     }
 
-    fn record_drain_notices(&mut self, host: u32, members: &[Member]) {
+    fn record_drain_notices(&mut self, host: u32, members: &[Endpoint]) {
         let life = self.incarnation_id(host);
         for member in members.iter().filter(|m| m.state != WorkerState::Serving) {
             self.checker.record_drain_notice(life, member.worker.0, self.now);
@@ -519,7 +524,7 @@
         h.agent_list.extend(members.iter().map(|m| (m.worker.0, *m)));
         if h.router.is_some() {
             self.record_drain_notices(host, &members);
-            self.deliver(host, Event::List { scope: Scope::Changes, members: &members });
+            self.deliver(host, Event::EndpointList { scope: ListScope::Incremental, endpoints: &members });
         }
         self.list_changes[list as usize] = members;
     }
@@ -537,7 +542,7 @@
         for action in actions.drain(..) {
             match action {
                 Action::Send { request, worker, timeout } => self.send(host, request, worker, timeout),
-                Action::Refuse { request, retry_after } => {
+                Action::Reject { request, retry_after } => {
                     self.answer((request.0 - 1) as u32, Some(retry_after));
                     self.close_if_complete(host, request);
                 }
@@ -560,9 +565,9 @@
                     }
                 }
                 Action::Watch(_)
-                | Action::FetchList
+                | Action::FetchEndpointList
                 | Action::Probe(_)
-                | Action::Tell { .. }
+                | Action::SendToPeer { .. }
                 | Action::Log(_) => {}
             }
         }
@@ -605,7 +610,7 @@
             run: None,
         });
         if late {
-            return self.end_attempt(n, Outcome::Moot);
+            return self.end_attempt(n, Outcome::NotSent);
         }
         if let Some(timeout) = timeout {
             self.schedule(self.now + micros(timeout), SimulationEvent::AttemptDeadline(n));
@@ -659,7 +664,7 @@
             .get(&self.worker_ids[w as usize].0)
             .is_some_and(|m| m.state == WorkerState::Serving);
         if !serving {
-            return self.end_attempt(n, Outcome::Moot);
+            return self.end_attempt(n, Outcome::NotSent);
         }
         let place = (self.workers[w as usize].plan.zone, self.workers[w as usize].plan.rack);
         let life = self.incarnation_id(host);
@@ -720,7 +725,10 @@
             self.mark_answered(try_no);
         }
         let complete = !self.is_open(try_no);
-        self.deliver(host, Event::Ended { request: id, attempt: number, outcome, complete, load: None });
+        self.deliver(
+            host,
+            Event::AttemptEnded { request: id, attempt: number, outcome, complete, load: None },
+        );
         self.close_if_complete(host, id);
     }
 
@@ -740,24 +748,24 @@
         w
     }
 
-    fn list_entry(&self, w: u32) -> Member {
+    fn list_entry(&self, w: u32) -> Endpoint {
         self.list_entry_as(w, WorkerState::Serving)
     }
 
-    fn list_entry_as(&self, w: u32, state: WorkerState) -> Member {
+    fn list_entry_as(&self, w: u32, state: WorkerState) -> Endpoint {
         let worker = &self.workers[w as usize];
-        Member {
+        Endpoint {
             worker: self.worker_ids[w as usize],
             kind: worker.plan.kind as u32,
             zone: worker.plan.zone,
             cell: worker.plan.rack,
-            since: worker.started_at.map_or(0.0, seconds),
+            started_at: worker.started_at.map_or(0.0, seconds),
             state,
         }
     }
 
     /// A change of the list goes out with the others of its period.
-    fn publish(&mut self, member: Member, after: Micros) {
+    fn publish(&mut self, member: Endpoint, after: Micros) {
         let period = self.day.discovery.publish_period.max(1);
         let at = (self.now + after).div_ceil(period) * period;
         let list = match self.publications.get(&at) {
@@ -792,7 +800,7 @@
         let fails = self.rng.random_bool(worker.plan.error_rate);
         let known = self.dispatchers[host as usize].agent_list.get(&self.worker_ids[w as usize].0);
         let since = worker.started_at.map_or(0.0, seconds);
-        let informed = known.is_some_and(|m| m.since >= since);
+        let informed = known.is_some_and(|m| m.started_at >= since);
         let usual = self.day.mean_work[job.class as usize] * f64::from(job.slots);
         let work = job.work * noise;
         let task = AssignedJob {
@@ -812,7 +820,7 @@
         if let Some(fallen) = fallen {
             self.checker.record_cold_overload(fallen.by_informed_senders);
             self.processes[w as usize] += 1;
-            self.publish(self.list_entry_as(w, WorkerState::Gone), self.day.discovery.death_notice);
+            self.publish(self.list_entry_as(w, WorkerState::Removed), self.day.discovery.death_notice);
         }
         self.process_job_events(w, notes);
     }
@@ -873,7 +881,7 @@
             }
             JobEvent::Done(_) => Outcome::Ok,
             JobEvent::Failed(_) => Outcome::Error,
-            JobEvent::Rejected(_) => Outcome::Full,
+            JobEvent::Rejected(_) => Outcome::Overloaded,
             JobEvent::Lost(_) => Outcome::Reset,
         };
         if outcome != Outcome::Reset && self.processes[w as usize] == process {
@@ -975,7 +983,7 @@
                 let job = &self.day.jobs[self.submissions[n as usize].job as usize];
                 let class = &self.experiment.traffic.classes[job.class as usize];
                 match class.idempotency {
-                    Repeat::Safe => self.retry_or(n, None, JobOutcome::Failed(self.now)),
+                    Idempotency::Idempotent => self.retry_or(n, None, JobOutcome::Failed(self.now)),
                     _ => self.record_outcome(n, JobOutcome::Failed(self.now)),
                 }
             }
--- a/crates/emulator/tests/lease_protocol.rs
+++ b/crates/emulator/tests/lease_protocol.rs
@@ -1,6 +1,6 @@
 //! The ownership protocol in every order of events, as it is and with each flaw.
 
-use coordination::Flaw;
+use coordination::InjectedBug;
 use emulator::cluster::lease_model::{search, Bounds};
 use emulator::cluster::virtual_time_soak::run_soak;
 
@@ -10,8 +10,8 @@
     let sound = search(None, bounds, 2);
     assert_eq!(sound.violated, None);
     assert!(sound.handed_over, "no hand-over within the bounds would mean that nothing was checked");
-    assert_eq!(Flaw::names().len(), 4);
-    for (name, flaw) in Flaw::names() {
+    assert_eq!(InjectedBug::names().len(), 4);
+    for (name, flaw) in InjectedBug::names() {
         assert!(search(Some(*flaw), bounds, 2).violated.is_some(), "{name} was not found");
     }
 }
@@ -22,7 +22,7 @@
     assert!(!sound.broken(), "{sound:#?}");
     assert!(sound.lease_terms > 100 && sound.effects_rejected > 100, "{sound:#?}");
     for name in ["receiver-without-check", "lease-from-answer", "token-not-stored"] {
-        let flaw = Flaw::names().iter().find(|(known, _)| *known == name).map(|(_, flaw)| *flaw);
+        let flaw = InjectedBug::names().iter().find(|(known, _)| *known == name).map(|(_, flaw)| *flaw);
         assert!(run_soak(4, 1, 1_000, flaw).broken(), "{name} was not found");
     }
     // Clocks far beyond the bound: two owners may act, and a receiver still never goes back to an older one.
