--- a/crates/cluster-member/src/settings.rs
+++ b/crates/cluster-member/src/settings.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use coordination::Times;
-use hcl_config::{Read, Section};
+use hcl_config::{HclResult, Section};
 
 use crate::cold::Dealing;
 use crate::watch::{Flaw, Watching};
@@ -27,11 +27,11 @@
 ///
 /// # Errors
 /// It is missing, empty or too long.
-pub fn wanted(section: &Section, key: &str) -> Read<String> {
-    match section.text(key)? {
+pub fn wanted(section: &Section, key: &str) -> HclResult<String> {
+    match section.string(key)? {
         Some(text) if !text.is_empty() && text.len() <= 128 => Ok(text),
-        Some(_) => Err(section.fault(key, "wanted 1 to 128 bytes")),
-        None => Err(section.fault(key, "is missing")),
+        Some(_) => Err(section.error(key, "wanted 1 to 128 bytes")),
+        None => Err(section.error(key, "is missing")),
     }
 }
 
@@ -39,28 +39,28 @@
 ///
 /// # Errors
 /// It is missing, or none.
-pub fn address(section: &Section, key: &str) -> Read<SocketAddr> {
+pub fn address(section: &Section, key: &str) -> HclResult<SocketAddr> {
     let text = wanted(section, key)?;
-    text.parse().map_err(|_| section.fault(key, format!("{text:?} is no address; wanted IP:PORT")))
+    text.parse().map_err(|_| section.error(key, format!("{text:?} is no address; wanted IP:PORT")))
 }
 
 /// The blocks `keeper "NUMBER" { address = "IP:PORT" }`.
 ///
 /// # Errors
 /// There are not three or five, or one is wrong.
-pub fn keepers(top: &Section) -> Read<BTreeMap<u64, SocketAddr>> {
+pub fn keepers(top: &Section) -> HclResult<BTreeMap<u64, SocketAddr>> {
     let mut keepers = BTreeMap::new();
     for section in top.sections("keeper") {
         let number = section.label().parse::<u64>().ok().filter(|number| (1..=1_000_000).contains(number));
         let number = number
-            .ok_or_else(|| section.fault("", "wanted a label that is a number from 1, as keeper \"1\""))?;
+            .ok_or_else(|| section.error("", "wanted a label that is a number from 1, as keeper \"1\""))?;
         if keepers.insert(number, address(section, "address")?).is_some() {
-            return Err(section.fault("", format!("keeper {number} stands here twice")));
+            return Err(section.error("", format!("keeper {number} stands here twice")));
         }
     }
     match keepers.len() {
         3 | 5 => Ok(keepers),
-        found => Err(top.fault("keeper", format!("wanted three or five keepers, found {found}"))),
+        found => Err(top.error("keeper", format!("wanted three or five keepers, found {found}"))),
     }
 }
 
@@ -68,7 +68,7 @@
 ///
 /// # Errors
 /// One is out of bounds, or two do not fit together: the fault names both.
-pub fn times(top: &Section) -> Read<Times> {
+pub fn times(top: &Section) -> HclResult<Times> {
     let mut times = Times::default();
     let Some(section) = top.section("times")? else { return Ok(times) };
     for (key, time) in [
@@ -80,16 +80,16 @@
         ("election_ms", &mut times.election),
         ("heartbeat_ms", &mut times.heartbeat),
     ] {
-        if let Some(ms) = section.whole(key, 1..=600_000)? {
+        if let Some(ms) = section.integer(key, 1..=600_000)? {
             *time = ms * 1_000;
         }
     }
-    if let Some(skew) = section.whole("skew_ppm", 0..=100_000)? {
+    if let Some(skew) = section.integer("skew_ppm", 0..=100_000)? {
         times.skew_ppm = skew;
     }
     times.check().map_err(|fault| {
         let (key, against) = (format!("{}_ms", fault.key), format!("{}_ms", fault.against));
-        section.fault(&key, format!("does not fit to {against}: {}", fault.problem))
+        section.error(&key, format!("does not fit to {against}: {}", fault.problem))
     })?;
     Ok(times)
 }
@@ -98,20 +98,20 @@
 ///
 /// # Errors
 /// A figure is out of bounds, or two do not fit together: the fault names both.
-pub fn watching(section: &Section) -> Read<Watching> {
-    let period = section.whole("every_ms", 100..=60_000)?.unwrap_or(EVERY_MS) * 1_000;
-    let holds = section.whole("holds_ms", 200..=600_000)?.map_or(HOLDS * period, |ms| ms * 1_000);
+pub fn watching(section: &Section) -> HclResult<Watching> {
+    let period = section.integer("every_ms", 100..=60_000)?.unwrap_or(EVERY_MS) * 1_000;
+    let holds = section.integer("holds_ms", 200..=600_000)?.map_or(HOLDS * period, |ms| ms * 1_000);
     if holds < 2 * period {
-        return Err(section.fault(
+        return Err(section.error(
             "holds_ms",
             "does not fit to every_ms: wanted at least twice as long, or what is said lapses between two probes",
         ));
     }
     Ok(Watching {
-        sets: section.whole("sets", 1..=MOST_SETS)?.unwrap_or(SETS) as u16,
+        sets: section.integer("sets", 1..=MOST_SETS)?.unwrap_or(SETS) as u16,
         zones: 1,
         period,
-        fails: section.whole("fails", 1..=100)?.unwrap_or(FAILS) as u16,
+        fails: section.integer("fails", 1..=100)?.unwrap_or(FAILS) as u16,
         holds,
         flaw: flaw(section)?,
     })
@@ -121,13 +121,13 @@
 ///
 /// # Errors
 /// A figure is missing or out of bounds.
-pub fn dealing(section: &Section, times: &Times) -> Read<Dealing> {
+pub fn dealing(section: &Section, times: &Times) -> HclResult<Dealing> {
     let slots = section.number("slots", 0.1..=1e6)?;
     Ok(Dealing {
         slots: slots
-            .ok_or_else(|| section.fault("slots", "is missing: the slots of the smallest kind of worker"))?,
+            .ok_or_else(|| section.error("slots", "is missing: the slots of the smallest kind of worker"))?,
         part: section.number("part", 0.0..=PART)?.unwrap_or(PART),
-        expiry: section.whole("expiry_ms", 200..=10_000)?.unwrap_or(EXPIRY_MS) * 1_000,
+        expiry: section.integer("expiry_ms", 200..=10_000)?.unwrap_or(EXPIRY_MS) * 1_000,
         written: 0,
         skew_ppm: times.skew_ppm,
     })
@@ -135,12 +135,12 @@
 
 /// A flaw put in on purpose. Only a build for such tests knows the key.
 #[cfg(feature = "seeded-bugs")]
-fn flaw(section: &Section) -> Read<Option<Flaw>> {
-    let Some(name) = section.text("flaw")? else { return Ok(None) };
+fn flaw(section: &Section) -> HclResult<Option<Flaw>> {
+    let Some(name) = section.string("flaw")? else { return Ok(None) };
     let known = Flaw::NAMES.iter().find(|(known, _)| *known == name);
     known
         .map(|(_, flaw)| Some(*flaw))
-        .ok_or_else(|| section.fault("flaw", format!("there is no flaw {name:?}")))
+        .ok_or_else(|| section.error("flaw", format!("there is no flaw {name:?}")))
 }
 
 #[cfg(not(feature = "seeded-bugs"))]
--- a/crates/cluster-member/tests/settings.rs
+++ b/crates/cluster-member/tests/settings.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use cluster_member::settings;
-use hcl_config::{Fault, Section};
+use hcl_config::{HclError, Section};
 use support::assert_pinned;
 
 /// Every key with a value that is not its default.
@@ -63,7 +63,7 @@
 "#;
 
 /// What is read from a text, one value a line.
-fn values(text: &str) -> Result<String, Fault> {
+fn values(text: &str) -> Result<String, HclError> {
     let top = Section::parse("member.hcl", text)?;
     let mut lines = vec![
         format!("installation: {}", settings::wanted(&top, "installation")?),
@@ -102,7 +102,7 @@
             format!("skew: {} ppm", dealing.skew_ppm),
         ]);
     }
-    top.finish()?;
+    top.deny_unknown_keys()?;
     Ok(lines.join("\n") + "\n")
 }
 
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -8,7 +8,7 @@
 use cluster_member::wire::{OLDEST_SCHEMA, SCHEMA};
 use coordination::Times;
 use disruption_budget::{Amount, Budget, BudgetScope, TargetKind};
-use hcl_config::{Fault, Section, Value};
+use hcl_config::{HclError, Section, Value};
 
 /// A keeper's configuration.
 #[derive(Debug, Clone)]
@@ -57,29 +57,29 @@
 ///
 /// # Errors
 /// Something in it is wrong.
-pub fn parse(file: &str, text: &str) -> Result<Config, Fault> {
+pub fn parse(file: &str, text: &str) -> Result<Config, HclError> {
     let top = Section::parse(file, text)?;
     let installation = settings::wanted(&top, "installation")?;
     let keepers = settings::keepers(&top)?;
-    let first_token = top.whole("first_token", 1..=u64::MAX / 2)?.unwrap_or(1);
+    let first_token = top.integer("first_token", 1..=u64::MAX / 2)?.unwrap_or(1);
     let times = settings::times(&top)?;
     let serve = top.section("serve")?.map(|section| serve(section, &keepers)).transpose()?;
-    top.finish()?;
+    top.deny_unknown_keys()?;
     Ok(Config { installation, keepers, first_token, times, serve })
 }
 
-fn serve(section: &Section, keepers: &BTreeMap<u64, SocketAddr>) -> Result<Serve, Fault> {
+fn serve(section: &Section, keepers: &BTreeMap<u64, SocketAddr>) -> Result<Serve, HclError> {
     let keeper =
-        section.whole("keeper", 1..=1_000_000)?.ok_or_else(|| section.fault("keeper", "is missing"))?;
+        section.integer("keeper", 1..=1_000_000)?.ok_or_else(|| section.error("keeper", "is missing"))?;
     let Some(address) = keepers.get(&keeper) else {
-        return Err(section.fault("keeper", format!("there is no block keeper \"{keeper}\"")));
+        return Err(section.error("keeper", format!("there is no block keeper \"{keeper}\"")));
     };
     let listen = match section.value("listen") {
         Some(_) => settings::address(section, "listen")?,
         None => *address,
     };
-    let bind = section.text("bind")?.map(|text| {
-        text.parse::<IpAddr>().map_err(|_| section.fault("bind", format!("{text:?} is no IP address")))
+    let bind = section.string("bind")?.map(|text| {
+        text.parse::<IpAddr>().map_err(|_| section.error("bind", format!("{text:?} is no IP address")))
     });
     Ok(Serve {
         keeper,
@@ -88,20 +88,20 @@
         bind: bind.transpose()?,
         flaw: flaw(section)?,
         speaks: section
-            .whole("speaks", u64::from(OLDEST_SCHEMA)..=u64::from(SCHEMA))?
+            .integer("speaks", u64::from(OLDEST_SCHEMA)..=u64::from(SCHEMA))?
             .map_or(SCHEMA, |speaks| speaks as u16),
-        connections: section.whole("connections", 8..=65_536)?.unwrap_or(1_024) as usize,
+        connections: section.integer("connections", 8..=65_536)?.unwrap_or(1_024) as usize,
     })
 }
 
 /// A flaw put in on purpose. Only a build for such tests knows the key.
 #[cfg(feature = "seeded-bugs")]
-fn flaw(section: &Section) -> Result<Option<disruption_budget::InjectedBug>, Fault> {
-    let Some(name) = section.text("flaw")? else { return Ok(None) };
+fn flaw(section: &Section) -> Result<Option<disruption_budget::InjectedBug>, HclError> {
+    let Some(name) = section.string("flaw")? else { return Ok(None) };
     let known = disruption_budget::InjectedBug::names().iter().find(|(known, _)| *known == name);
     known
         .map(|(_, flaw)| Some(*flaw))
-        .ok_or_else(|| section.fault("flaw", format!("there is no flaw {name:?}")))
+        .ok_or_else(|| section.error("flaw", format!("there is no flaw {name:?}")))
 }
 
 #[cfg(not(feature = "seeded-bugs"))]
@@ -122,18 +122,20 @@
 ///
 /// # Errors
 /// One is wrong, or a name stands there twice.
-pub fn budgets(file: &str, text: &str) -> Result<Vec<Budget>, Fault> {
+pub fn budgets(file: &str, text: &str) -> Result<Vec<Budget>, HclError> {
     let top = Section::parse(file, text)?;
     let mut budgets: Vec<Budget> = Vec::new();
     for section in top.sections("budget") {
         let name = section.label().to_owned();
         if name.is_empty() || name.len() > 128 || budgets.iter().any(|budget| budget.name == name) {
-            return Err(section.fault("", "wanted a label of 1 to 128 bytes that no other budget has"));
+            return Err(section.error("", "wanted a label of 1 to 128 bytes that no other budget has"));
         }
-        let kind = section
-            .word("targets", &[("dispatchers", TargetKind::Dispatcher), ("workers", TargetKind::Worker)])?;
-        let kind = kind.ok_or_else(|| section.fault("targets", "is missing: dispatchers or workers"))?;
-        let scope = match section.text("of")?.as_deref() {
+        let kind = section.keyword(
+            "targets",
+            &[("dispatchers", TargetKind::Dispatcher), ("workers", TargetKind::Worker)],
+        )?;
+        let kind = kind.ok_or_else(|| section.error("targets", "is missing: dispatchers or workers"))?;
+        let scope = match section.string("of")?.as_deref() {
             None | Some("fleet") => BudgetScope::Fleet,
             Some("each-zone") => BudgetScope::EachZone,
             Some("each-pool") => BudgetScope::EachPool,
@@ -142,31 +144,31 @@
                 Some(("pool", pool)) if !pool.is_empty() => BudgetScope::Pool(pool.to_owned()),
                 _ => {
                     let wanted = "wanted fleet, each-zone, zone/NAME, each-pool or pool/NAME";
-                    return Err(section.fault("of", format!("{other:?}: {wanted}")));
+                    return Err(section.error("of", format!("{other:?}: {wanted}")));
                 }
             },
         };
         let (max_unavailable, min_available) = (amount(section, "most_out")?, amount(section, "least_in")?);
         let budget = Budget { name, kind, scope, max_unavailable, min_available };
-        budget.validate().map_err(|fault| section.fault(fault.key, fault.reason))?;
+        budget.validate().map_err(|fault| section.error(fault.key, fault.reason))?;
         budgets.push(budget);
     }
-    top.finish()?;
+    top.deny_unknown_keys()?;
     Ok(budgets)
 }
 
 /// A number of targets, or a part of them such as `"10%"`.
-fn amount(section: &Section, key: &str) -> Result<Option<Amount>, Fault> {
+fn amount(section: &Section, key: &str) -> Result<Option<Amount>, HclError> {
     let Some(value) = section.value(key) else { return Ok(None) };
-    if !matches!(value, Value::Text(_)) {
-        return Ok(section.whole(key, 0..=100_000)?.map(|count| Amount::Count(count as u32)));
+    if !matches!(value, Value::String(_)) {
+        return Ok(section.integer(key, 0..=100_000)?.map(|count| Amount::Count(count as u32)));
     }
-    let text = section.text(key)?.unwrap_or_default();
+    let text = section.string(key)?.unwrap_or_default();
     let percent = text.strip_suffix('%').and_then(|number| number.trim().parse().ok());
     match percent.filter(|percent| *percent <= 100u32) {
         Some(percent) => Ok(Some(Amount::Percent(percent))),
         None => {
-            Err(section.fault(key, format!("{text:?} is no part; wanted a number or \"0%\" to \"100%\"")))
+            Err(section.error(key, format!("{text:?} is no part; wanted a number or \"0%\" to \"100%\"")))
         }
     }
 }
--- a/crates/dispatcher/src/own.rs
+++ b/crates/dispatcher/src/own.rs
@@ -14,7 +14,7 @@
 use cluster_member::watch::Watching;
 use coordination::{Micros, Times};
 use dispatch_core::api::RoomSettings;
-use hcl_config::{Read, Section};
+use hcl_config::{HclResult, Section};
 
 use crate::config::ConfigError;
 
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     /// The first fault.
-    pub fn read(file: &str, text: &str) -> Read<Own> {
+    pub fn read(file: &str, text: &str) -> HclResult<Own> {
         let root = Section::parse(file, text)?;
         let own = Own {
             room: match root.section("room")? {
@@ -114,22 +114,22 @@
             },
             fleet: root.section("fleet")?.map(fleet).transpose()?,
         };
-        root.finish()?;
+        root.deny_unknown_keys()?;
         Ok(own)
     }
 }
 
-fn room(section: &Section) -> Read<Option<RoomSettings>> {
+fn room(section: &Section) -> HclResult<Option<RoomSettings>> {
     let settings = RoomSettings {
         from: section.number("from_slots", 2.0..=1024.0)?.unwrap_or(FROM_SLOTS),
         price: section.number("price", 0.0..=1000.0)?.unwrap_or(PRICE),
     };
-    Ok(section.flag("hold")?.unwrap_or(true).then_some(settings))
+    Ok(section.boolean("hold")?.unwrap_or(true).then_some(settings))
 }
 
-fn fleet(section: &Section) -> Read<Fleet> {
-    let bind = section.text("bind")?.map(|text| {
-        text.parse::<IpAddr>().map_err(|_| section.fault("bind", format!("{text:?} is no IP address")))
+fn fleet(section: &Section) -> HclResult<Fleet> {
+    let bind = section.string("bind")?.map(|text| {
+        text.parse::<IpAddr>().map_err(|_| section.error("bind", format!("{text:?} is no IP address")))
     });
     let times = settings::times(section)?;
     Ok(Fleet {
@@ -142,14 +142,14 @@
         bind: bind.transpose()?,
         keepers: settings::keepers(section)?,
         times,
-        list: section.flag("list")?.unwrap_or(true),
-        source: section.text("source")?,
-        silence: section.whole("silence_ms", 1_000..=600_000)?.unwrap_or(SILENCE_MS) * 1_000,
+        list: section.boolean("list")?.unwrap_or(true),
+        source: section.string("source")?,
+        silence: section.integer("silence_ms", 1_000..=600_000)?.unwrap_or(SILENCE_MS) * 1_000,
         fallback_per_s: section.number("fallback_per_s", 0.1..=10_000.0)?.unwrap_or(FALLBACK_PER_S),
-        record: section.text("record")?.map(PathBuf::from),
+        record: section.string("record")?.map(PathBuf::from),
         account: section
             .section("account")?
-            .map(|account| Ok(account.whole("holds_ms", 300..=60_000)?.unwrap_or(HOLDS_MS) * 1_000))
+            .map(|account| Ok(account.integer("holds_ms", 300..=60_000)?.unwrap_or(HOLDS_MS) * 1_000))
             .transpose()?,
         cold: section.section("cold")?.map(|cold| settings::dealing(cold, &times)).transpose()?,
         watch: section.section("watch")?.map(settings::watching).transpose()?,
--- a/crates/emulator/src/fleet/plan.rs
+++ b/crates/emulator/src/fleet/plan.rs
@@ -1,7 +1,7 @@
 //! What an experiment of the drive `fleet` says, and the schedules of faults that a seed draws from it.
 
 use coordination::Times;
-use hcl_config::{Fault as HclFault, Section};
+use hcl_config::{HclError as HclFault, Section};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -149,22 +149,22 @@
     pub fn read(file: &str, text: &str) -> Result<Plan, HclFault> {
         let top = Section::parse(file, text)?;
         let head =
-            top.section("experiment")?.ok_or_else(|| top.fault("experiment", "the block is missing"))?;
+            top.section("experiment")?.ok_or_else(|| top.error("experiment", "the block is missing"))?;
         let arms: Result<Vec<Arm>, HclFault> = head.sections("arm").map(arm).collect();
         let plan = Plan {
             name: head.label().to_owned(),
-            about: head.text("about")?.unwrap_or_default(),
+            about: head.string("about")?.unwrap_or_default(),
             length: head.number("length_s", 1.0..=3_600.0)?.unwrap_or(20.0),
             calm: head.number("calm_s", 3.0..=60.0)?.unwrap_or(5.0),
             between: head.number("between_s", 0.2..=600.0)?.unwrap_or(4.0),
             arms: arms?,
             times: cluster_member::settings::times(head)?,
         };
-        head.word("drive", &[("fleet", ())])?;
+        head.keyword("drive", &[("fleet", ())])?;
         if plan.arms.is_empty() {
-            return Err(head.fault("arm", "wanted at least one"));
+            return Err(head.error("arm", "wanted at least one"));
         }
-        top.finish()?;
+        top.deny_unknown_keys()?;
         Ok(plan)
     }
 
@@ -172,7 +172,7 @@
     pub fn is_one(file: &str, text: &str) -> bool {
         let top = Section::parse(file, text).ok();
         let drive = top.and_then(|top| {
-            top.section("experiment").ok().flatten().map(|head| head.text("drive").ok().flatten())
+            top.section("experiment").ok().flatten().map(|head| head.string("drive").ok().flatten())
         });
         drive.flatten().is_some_and(|drive| drive == "fleet")
     }
@@ -211,23 +211,23 @@
 }
 
 fn arm(section: &Section) -> Result<Arm, HclFault> {
-    let keepers = section.whole("keepers", 3..=5)?.unwrap_or(3) as usize;
+    let keepers = section.integer("keepers", 3..=5)?.unwrap_or(3) as usize;
     if keepers == 4 {
-        return Err(section.fault("keepers", "wanted 3 or 5"));
+        return Err(section.error("keepers", "wanted 3 or 5"));
     }
     let mut kinds = Vec::new();
-    for word in section.text("faults")?.unwrap_or_else(|| "all".to_owned()).split_whitespace() {
+    for word in section.string("faults")?.unwrap_or_else(|| "all".to_owned()).split_whitespace() {
         match (word, KINDS.iter().find(|(name, _)| *name == word)) {
             ("all", _) => kinds.extend(KINDS.iter().map(|(_, kind)| *kind)),
             ("none", _) => kinds.clear(),
             (_, Some((_, kind))) => kinds.push(*kind),
-            _ => return Err(section.fault("faults", format!("{word:?} is no kind of fault"))),
+            _ => return Err(section.error("faults", format!("{word:?} is no kind of fault"))),
         }
     }
     Ok(Arm {
         name: section.label().to_owned(),
         keepers,
-        members: section.whole("members", 2..=100)?.unwrap_or(8) as usize,
+        members: section.integer("members", 2..=100)?.unwrap_or(8) as usize,
         kinds,
     })
 }
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -5,7 +5,7 @@
 //! each day by [`crate::day`].
 
 use dispatch_core::api::{Group, Repeat, RoomSettings};
-use hcl_config::{Read, Section, Value};
+use hcl_config::{HclResult, Section, Value};
 
 /// The figures that hold where an experiment says nothing.
 const BASE: &str = include_str!("base.hcl");
@@ -318,14 +318,14 @@
 }
 
 impl<'a> Layer<'a> {
-    fn block(self, kind: &str) -> Read<Layer<'a>> {
+    fn block(self, kind: &str) -> HclResult<Layer<'a>> {
         let own = match self.own {
             Some(own) => own.section(kind)?,
             None => None,
         };
         match self.base.section(kind)? {
             Some(base) => Ok(Layer { own, base }),
-            None => Err(self.base.fault(kind, "the base lacks this block")),
+            None => Err(self.base.error(kind, "the base lacks this block")),
         }
     }
 
@@ -339,18 +339,18 @@
         }
     }
 
-    fn span(self, key: &str, low: f64, high: f64) -> Read<Span> {
+    fn span(self, key: &str, low: f64, high: f64) -> HclResult<Span> {
         let own = match self.own {
-            Some(own) => own.span(key, low..=high)?,
+            Some(own) => own.number_range(key, low..=high)?,
             None => None,
         };
         match own {
             Some(span) => Ok(span),
-            None => need(self.base, key, self.base.span(key, low..=high)?),
+            None => need(self.base, key, self.base.number_range(key, low..=high)?),
         }
     }
 
-    fn number(self, key: &str, low: f64, high: f64) -> Read<f64> {
+    fn number(self, key: &str, low: f64, high: f64) -> HclResult<f64> {
         let own = match self.own {
             Some(own) => own.number(key, low..=high)?,
             None => None,
@@ -361,20 +361,20 @@
         }
     }
 
-    fn whole(self, key: &str, low: u64, high: u64) -> Read<u64> {
+    fn whole(self, key: &str, low: u64, high: u64) -> HclResult<u64> {
         let own = match self.own {
-            Some(own) => own.whole(key, low..=high)?,
+            Some(own) => own.integer(key, low..=high)?,
             None => None,
         };
         match own {
             Some(number) => Ok(number),
-            None => need(self.base, key, self.base.whole(key, low..=high)?),
+            None => need(self.base, key, self.base.integer(key, low..=high)?),
         }
     }
 }
 
-fn need<T>(section: &Section, key: &str, value: Option<T>) -> Read<T> {
-    value.ok_or_else(|| section.fault(key, "missing"))
+fn need<T>(section: &Section, key: &str, value: Option<T>) -> HclResult<T> {
+    value.ok_or_else(|| section.error(key, "missing"))
 }
 
 fn milli(span: Span) -> Span {
@@ -385,63 +385,63 @@
 ///
 /// # Errors
 /// The first fault, with file, line and key.
-pub fn read(file: &str, text: &str) -> Read<Experiment> {
+pub fn read(file: &str, text: &str) -> HclResult<Experiment> {
     let own = Section::parse(file, text)?;
     let base = Section::parse("base.hcl", BASE)?;
     let head = need(&own, "experiment", own.section("experiment")?)?;
     if head.label().is_empty() {
-        return Err(head.fault("", "expected a name, as in experiment \"large-jobs\""));
+        return Err(head.error("", "expected a name, as in experiment \"large-jobs\""));
     }
     let top = Layer { own: Some(head), base: &base };
     let fleet = top.block("fleet")?;
     let experiment = Experiment {
         name: head.label().to_owned(),
-        about: head.text("about")?.unwrap_or_default(),
+        about: head.string("about")?.unwrap_or_default(),
         length: top.number("length_s", 1.0, 86_400.0 * 400.0)?,
         large_slots: top.whole("large_slots", 1, 1024)? as u32,
         workers: fleet.span("workers", 1.0, 100_000.0)?,
         dispatchers: fleet.span("dispatchers", 1.0, 10_000.0)?,
         zones: fleet.whole("zones", 1, 250)? as u32,
         rack: fleet.span("rack", 1.0, 100_000.0)?,
-        kinds: fleet.blocks("kind").into_iter().map(kind).collect::<Read<_>>()?,
+        kinds: fleet.blocks("kind").into_iter().map(kind).collect::<HclResult<_>>()?,
         net: net(top.block("connections")?)?,
         traffic: traffic(top.block("traffic")?)?,
         clients: clients(top.block("clients")?)?,
         discovery: discovery(top.block("discovery")?)?,
         rules: rules(top.block("rules")?)?,
         cases: cases(top)?,
-        arms: head.sections("arm").map(arm).collect::<Read<_>>()?,
+        arms: head.sections("arm").map(arm).collect::<HclResult<_>>()?,
     };
     if experiment.arms.is_empty() {
         return Err(
-            head.fault("arm", "expected one arm or more, as in arm \"now\" { router = \"cairncrank\" }")
+            head.error("arm", "expected one arm or more, as in arm \"now\" { router = \"cairncrank\" }")
         );
     }
     for (n, arm) in experiment.arms.iter().enumerate() {
         if experiment.arms[..n].iter().any(|other| other.name == arm.name) {
-            return Err(head.fault("arm", format!("two arms are named \"{}\"", arm.name)));
+            return Err(head.error("arm", format!("two arms are named \"{}\"", arm.name)));
         }
     }
-    own.finish()?;
+    own.deny_unknown_keys()?;
     Ok(experiment)
 }
 
-fn kind(s: &Section) -> Read<KindSpec> {
+fn kind(s: &Section) -> HclResult<KindSpec> {
     Ok(KindSpec {
         name: s.label().to_owned(),
         share: need(s, "share", s.number("share", 0.0..=1000.0)?)?,
         cores: need(s, "cores", s.number("cores", 0.25..=1024.0)?)?,
-        speed: need(s, "speed", s.span("speed", 0.01..=100.0)?)?,
-        speed_cv: s.span("speed_cv", 0.0..=2.0)?.unwrap_or_default(),
-        slots_per_core: s.span("slots_per_core", 0.25..=64.0)?.unwrap_or((1.0, 1.0)),
-        queue_per_core: s.span("queue_per_core", 0.0..=10_000.0)?.unwrap_or((6.0, 6.0)),
-        cold_share: s.span("cold_share", 0.01..=1.0)?.unwrap_or((1.0, 1.0)),
-        warm: s.span("warm_s", 0.0..=3600.0)?.unwrap_or_default(),
-        errors: s.span("errors", 0.0..=1.0)?.unwrap_or_default(),
+        speed: need(s, "speed", s.number_range("speed", 0.01..=100.0)?)?,
+        speed_cv: s.number_range("speed_cv", 0.0..=2.0)?.unwrap_or_default(),
+        slots_per_core: s.number_range("slots_per_core", 0.25..=64.0)?.unwrap_or((1.0, 1.0)),
+        queue_per_core: s.number_range("queue_per_core", 0.0..=10_000.0)?.unwrap_or((6.0, 6.0)),
+        cold_share: s.number_range("cold_share", 0.01..=1.0)?.unwrap_or((1.0, 1.0)),
+        warm: s.number_range("warm_s", 0.0..=3600.0)?.unwrap_or_default(),
+        errors: s.number_range("errors", 0.0..=1.0)?.unwrap_or_default(),
     })
 }
 
-fn net(l: Layer<'_>) -> Read<NetSpec> {
+fn net(l: Layer<'_>) -> HclResult<NetSpec> {
     Ok(NetSpec {
         same_zone: milli(l.span("same_zone_ms", 0.0, 1000.0)?),
         cross_zone: milli(l.span("cross_zone_ms", 0.0, 10_000.0)?),
@@ -454,19 +454,19 @@
     })
 }
 
-fn traffic(l: Layer<'_>) -> Read<TrafficSpec> {
+fn traffic(l: Layer<'_>) -> HclResult<TrafficSpec> {
     Ok(TrafficSpec {
         swing: l.span("swing", 0.0, 0.95)?,
         stream_cv: l.span("stream_cv", 0.1, 10.0)?,
         skew: l.span("skew", 0.0, 5.0)?,
         quota: l.span("quota", 0.0, 100.0)?,
         over_share_worth: l.number("over_share_worth", 0.0, 1.0)?,
-        classes: l.blocks("class").into_iter().map(class).collect::<Read<_>>()?,
-        tenants: l.blocks("tenant").into_iter().map(tenant).collect::<Read<_>>()?,
+        classes: l.blocks("class").into_iter().map(class).collect::<HclResult<_>>()?,
+        tenants: l.blocks("tenant").into_iter().map(tenant).collect::<HclResult<_>>()?,
     })
 }
 
-fn class(s: &Section) -> Read<ClassSpec> {
+fn class(s: &Section) -> HclResult<ClassSpec> {
     let repeats = [
         ("safe", Repeat::Safe),
         ("rack", Repeat::Keyed(Group::Cell)),
@@ -478,49 +478,49 @@
         [("pareto", Dist::Pareto), ("lognormal", Dist::Lognormal), ("exponential", Dist::Exponential)];
     let slots = match s.value("slots") {
         None => vec![(1, 1.0)],
-        Some(Value::Map(parts)) => {
+        Some(Value::Object(parts)) => {
             let part = |(name, part): &(String, Value)| match (name.parse::<u32>(), part) {
                 (Ok(slots), Value::Number(part)) if (1..=1024).contains(&slots) && *part >= 0.0 => {
                     Ok((slots, *part))
                 }
-                _ => Err(s.fault("slots", format!("expected slots = part, found {name} = {part}"))),
+                _ => Err(s.error("slots", format!("expected slots = part, found {name} = {part}"))),
             };
-            parts.iter().map(part).collect::<Read<Vec<_>>>()?
+            parts.iter().map(part).collect::<HclResult<Vec<_>>>()?
         }
         Some(other) => {
-            return Err(s.fault("slots", format!("expected {{ 1 = 0.8, 4 = 0.2 }}, found {other}")))
+            return Err(s.error("slots", format!("expected {{ 1 = 0.8, 4 = 0.2 }}, found {other}")))
         }
     };
     if slots.iter().map(|(_, part)| part).sum::<f64>() <= 0.0 {
-        return Err(s.fault("slots", "the parts sum to nothing"));
+        return Err(s.error("slots", "the parts sum to nothing"));
     }
     Ok(ClassSpec {
         name: s.label().to_owned(),
-        share: need(s, "share", s.span("share", 0.0..=1000.0)?)?,
-        work: milli(need(s, "work_ms", s.span("work_ms", 0.01..=1e9)?)?),
-        dist: s.word("dist", &dists)?.unwrap_or(Dist::Exponential),
-        cv: s.span("cv", 0.05..=20.0)?.unwrap_or((1.0, 1.0)),
-        noise: s.span("noise", 0.0..=3.0)?.unwrap_or_default(),
+        share: need(s, "share", s.number_range("share", 0.0..=1000.0)?)?,
+        work: milli(need(s, "work_ms", s.number_range("work_ms", 0.01..=1e9)?)?),
+        dist: s.keyword("dist", &dists)?.unwrap_or(Dist::Exponential),
+        cv: s.number_range("cv", 0.05..=20.0)?.unwrap_or((1.0, 1.0)),
+        noise: s.number_range("noise", 0.0..=3.0)?.unwrap_or_default(),
         slots,
         aim: need(s, "aim_ms", s.number("aim_ms", 1.0..=1e9)?)? / 1e3,
         stretch: s.number("stretch", 0.0..=1000.0)?.unwrap_or(0.0),
         patience: need(s, "patience_s", s.number("patience_s", 0.001..=1e6)?)?,
         worth: s.number("worth", 0.0..=1e6)?.unwrap_or(1.0),
         late_worth: s.number("late_worth", 0.0..=1.0)?.unwrap_or(0.0),
-        repeat: s.word("repeat", &repeats)?.unwrap_or(Repeat::Safe),
+        repeat: s.keyword("repeat", &repeats)?.unwrap_or(Repeat::Safe),
         window: s.number("window_s", 0.0..=86_400.0)?.unwrap_or(0.0),
     })
 }
 
-fn tenant(s: &Section) -> Read<TenantSpec> {
+fn tenant(s: &Section) -> HclResult<TenantSpec> {
     Ok(TenantSpec {
         name: s.label().to_owned(),
         share: need(s, "share", s.number("share", 0.0..=1000.0)?)?,
-        usage: s.span("usage", 0.0..=1000.0)?.unwrap_or((1.0, 1.0)),
+        usage: s.number_range("usage", 0.0..=1000.0)?.unwrap_or((1.0, 1.0)),
     })
 }
 
-fn clients(l: Layer<'_>) -> Read<ClientSpec> {
+fn clients(l: Layer<'_>) -> HclResult<ClientSpec> {
     Ok(ClientSpec {
         retry: l.span("retry", 0.0, 1.0)?,
         honour: l.span("honour", 0.0, 1.0)?,
@@ -530,7 +530,7 @@
     })
 }
 
-fn discovery(l: Layer<'_>) -> Read<DiscoverySpec> {
+fn discovery(l: Layer<'_>) -> HclResult<DiscoverySpec> {
     Ok(DiscoverySpec {
         notice: l.span("notice_s", 0.0, 3600.0)?,
         silent: l.span("silent_s", 0.0, 3600.0)?,
@@ -540,7 +540,7 @@
     })
 }
 
-fn rules(l: Layer<'_>) -> Read<RuleSpec> {
+fn rules(l: Layer<'_>) -> HclResult<RuleSpec> {
     Ok(RuleSpec {
         drain_grace: l.number("drain_grace_s", 0.0, 3600.0)?,
         answer_slack: l.number("answer_slack_s", 0.0, 3600.0)?,
@@ -553,24 +553,24 @@
     })
 }
 
-fn trouble(s: &Section, kind: TroubleKind) -> Read<TroubleSpec> {
+fn trouble(s: &Section, kind: TroubleKind) -> HclResult<TroubleSpec> {
     Ok(TroubleSpec {
         kind,
-        length: need(s, "length_s", s.span("length_s", 0.0..=1e7)?)?,
-        part: s.span("part", 0.0..=1.0)?.unwrap_or((1.0, 1.0)),
-        size: s.span("size", 0.0..=100.0)?.unwrap_or((0.2, 0.2)),
-        extra: s.span("extra_s", 0.0..=1e6)?.unwrap_or((1.0, 1.0)),
+        length: need(s, "length_s", s.number_range("length_s", 0.0..=1e7)?)?,
+        part: s.number_range("part", 0.0..=1.0)?.unwrap_or((1.0, 1.0)),
+        size: s.number_range("size", 0.0..=100.0)?.unwrap_or((0.2, 0.2)),
+        extra: s.number_range("extra_s", 0.0..=1e6)?.unwrap_or((1.0, 1.0)),
     })
 }
 
 /// The cases: those named, or one of the usual load.
-fn cases(top: Layer<'_>) -> Read<Vec<Case>> {
+fn cases(top: Layer<'_>) -> HclResult<Vec<Case>> {
     let own = top.own.into_iter().flat_map(|own| own.sections("trouble"));
     let known: Vec<&Section> = own.chain(top.base.sections("trouble")).collect();
     for section in &known {
         if !TROUBLES.iter().any(|(name, _)| *name == section.label()) {
             let names: Vec<&str> = TROUBLES.iter().map(|(name, _)| *name).collect();
-            return Err(section.fault("", format!("expected one of {}", names.join(", "))));
+            return Err(section.error("", format!("expected one of {}", names.join(", "))));
         }
     }
     let usual = top.block("traffic")?.span("load", 0.0, 100.0)?;
@@ -582,8 +582,8 @@
             None => {}
             Some(Value::List(names)) => {
                 for name in names {
-                    let Value::Text(name) = name else {
-                        return Err(s.fault("troubles", format!("expected names, found {name}")));
+                    let Value::String(name) = name else {
+                        return Err(s.error("troubles", format!("expected names, found {name}")));
                     };
                     let kind = TROUBLES.iter().find(|(known, _)| known == name).map(|(_, kind)| *kind);
                     let figures = known.iter().find(|section| section.label() == name);
@@ -592,17 +592,17 @@
                         (Some(_), None) => {
                             let problem =
                                 format!("\"{name}\" needs a block trouble \"{name}\" with its figures");
-                            return Err(s.fault("troubles", problem));
+                            return Err(s.error("troubles", problem));
                         }
-                        _ => return Err(s.fault("troubles", format!("there is no trouble \"{name}\""))),
+                        _ => return Err(s.error("troubles", format!("there is no trouble \"{name}\""))),
                     }
                 }
             }
             Some(other) => {
-                return Err(s.fault("troubles", format!("expected a list of names, found {other}")))
+                return Err(s.error("troubles", format!("expected a list of names, found {other}")))
             }
         }
-        let load = s.span("load", 0.0..=100.0)?.unwrap_or(usual);
+        let load = s.number_range("load", 0.0..=100.0)?.unwrap_or(usual);
         cases.push(Case { name: s.label().to_owned(), load, troubles });
     }
     if cases.is_empty() {
@@ -611,7 +611,7 @@
     Ok(cases)
 }
 
-fn arm(s: &Section) -> Read<Arm> {
+fn arm(s: &Section) -> HclResult<Arm> {
     let routers = [
         ("cairncrank", RouterKind::Cairncrank),
         ("random", RouterKind::Random),
@@ -622,11 +622,11 @@
     ];
     Ok(Arm {
         name: s.label().to_owned(),
-        router: need(s, "router", s.word("router", &routers)?)?,
+        router: need(s, "router", s.keyword("router", &routers)?)?,
         quota: s.number("quota", 0.0..=100.0)?.unwrap_or(1.0),
-        attempts: s.whole("attempts", 1..=100)?.map(|attempts| attempts as u32),
+        attempts: s.integer("attempts", 1..=100)?.map(|attempts| attempts as u32),
         clock_error: s.number("clock_error_s", 0.0..=1e6)?.unwrap_or(0.0),
-        copies: s.flag("copies")?.unwrap_or(true),
+        copies: s.boolean("copies")?.unwrap_or(true),
         room: match s.section("room")? {
             None => None,
             Some(room) => Some(RoomSettings {
--- a/crates/hcl-config/src/lib.rs
+++ b/crates/hcl-config/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! `hcl-edit` parses the text and keeps where each part stood; this package keeps no more of it than plain values
 //! with their lines, and offers getters that check type and bounds. A key or block that no getter asked for is a
-//! fault too ([`Section::finish`]): a misspelt setting must not pass for a default.
+//! fault too ([`Section::deny_unknown_keys`]): a misspelt setting must not pass for a default.
 
 use std::cell::Cell;
 use std::fmt;
@@ -15,7 +15,7 @@
 
 /// What is wrong with a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct HclError {
     /// The file.
     pub file: String,
     /// The line, from 1; 0 where the file itself is at fault.
@@ -26,7 +26,7 @@
     pub problem: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for HclError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}: ", self.file, self.line)?;
         if !self.key.is_empty() {
@@ -36,34 +36,34 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for HclError {}
 
 /// What reading a setting gives.
-pub type Read<T> = Result<T, Fault>;
+pub type HclResult<T> = Result<T, HclError>;
 
 /// A plain value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// True or false.
-    Flag(bool),
+    Bool(bool),
     /// A number; whole ones are exact up to 2^53.
     Number(f64),
     /// A text without interpolation.
-    Text(String),
+    String(String),
     /// A list.
     List(Vec<Value>),
     /// An object, in the order of the file.
-    Map(Vec<(String, Value)>),
+    Object(Vec<(String, Value)>),
 }
 
 impl fmt::Display for Value {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Value::Flag(flag) => write!(f, "{flag}"),
+            Value::Bool(flag) => write!(f, "{flag}"),
             Value::Number(number) => write!(f, "{number}"),
-            Value::Text(text) => write!(f, "\"{text}\""),
+            Value::String(text) => write!(f, "\"{text}\""),
             Value::List(items) => write!(f, "a list of {}", items.len()),
-            Value::Map(_) => f.write_str("an object"),
+            Value::Object(_) => f.write_str("an object"),
         }
     }
 }
@@ -73,7 +73,7 @@
     key: String,
     line: usize,
     value: Value,
-    asked: Cell<bool>,
+    was_read: Cell<bool>,
 }
 
 /// A file or a block of it.
@@ -86,7 +86,7 @@
     label: String,
     entries: Vec<Entry>,
     sections: Vec<Section>,
-    asked: Cell<bool>,
+    was_read: Cell<bool>,
 }
 
 impl Section {
@@ -94,15 +94,15 @@
     ///
     /// # Errors
     /// The text is no HCL, or uses what needs evaluation: variables, functions, interpolation.
-    pub fn parse(file: &str, text: &str) -> Read<Section> {
-        let body = hcl_edit::parser::parse_body(text).map_err(|error| Fault {
+    pub fn parse(file: &str, text: &str) -> HclResult<Section> {
+        let body = hcl_edit::parser::parse_body(text).map_err(|error| HclError {
             file: file.to_owned(),
             line: error.location().line(),
             key: String::new(),
             problem: format!("no HCL: {}", error.message()),
         })?;
-        let reader = Reader { file: file.into(), text };
-        reader.section(&body, String::new(), 1, String::new(), String::new())
+        let parser = Parser { file: file.into(), text };
+        parser.section(&body, String::new(), 1, String::new(), String::new())
     }
 
     /// The label of a block such as `class "stock-lookup"`; empty where it has none.
@@ -111,12 +111,12 @@
     }
 
     /// A fault of this section at a key, or of the section itself where the key is empty.
-    pub fn fault(&self, key: &str, problem: impl Into<String>) -> Fault {
+    pub fn error(&self, key: &str, problem: impl Into<String>) -> HclError {
         let line = self.entries.iter().find(|e| e.key == key).map_or(self.line, |e| e.line);
-        Fault { file: self.file.to_string(), line, key: self.at(key), problem: problem.into() }
+        HclError { file: self.file.to_string(), line, key: self.qualified_key(key), problem: problem.into() }
     }
 
-    fn at(&self, key: &str) -> String {
+    fn qualified_key(&self, key: &str) -> String {
         match (self.path.is_empty(), key.is_empty()) {
             (true, _) => key.to_owned(),
             (false, true) => self.path.clone(),
@@ -127,15 +127,20 @@
     /// The value at a key, whatever its type.
     pub fn value(&self, key: &str) -> Option<&Value> {
         let entry = self.entries.iter().find(|entry| entry.key == key)?;
-        entry.asked.set(true);
+        entry.was_read.set(true);
         Some(&entry.value)
     }
 
-    fn typed<T>(&self, key: &str, expected: &str, read: impl Fn(&Value) -> Option<T>) -> Read<Option<T>> {
+    fn converted<T>(
+        &self,
+        key: &str,
+        expected: &str,
+        convert: impl Fn(&Value) -> Option<T>,
+    ) -> HclResult<Option<T>> {
         let Some(value) = self.value(key) else { return Ok(None) };
-        match read(value) {
-            Some(read) => Ok(Some(read)),
-            None => Err(self.fault(key, format!("expected {expected}, found {value}"))),
+        match convert(value) {
+            Some(converted) => Ok(Some(converted)),
+            None => Err(self.error(key, format!("expected {expected}, found {value}"))),
         }
     }
 
@@ -143,10 +148,10 @@
     ///
     /// # Errors
     /// It is no number, or out of bounds.
-    pub fn number(&self, key: &str, within: RangeInclusive<f64>) -> Read<Option<f64>> {
-        let expected = format!("a number from {} to {}", within.start(), within.end());
-        self.typed(key, &expected, |value| match value {
-            Value::Number(number) if within.contains(number) => Some(*number),
+    pub fn number(&self, key: &str, bounds: RangeInclusive<f64>) -> HclResult<Option<f64>> {
+        let expected = format!("a number from {} to {}", bounds.start(), bounds.end());
+        self.converted(key, &expected, |value| match value {
+            Value::Number(number) if bounds.contains(number) => Some(*number),
             _ => None,
         })
     }
@@ -155,10 +160,10 @@
     ///
     /// # Errors
     /// It is no whole number, or out of bounds.
-    pub fn whole(&self, key: &str, within: RangeInclusive<u64>) -> Read<Option<u64>> {
-        let expected = format!("a whole number from {} to {}", within.start(), within.end());
-        self.typed(key, &expected, |value| match value {
-            Value::Number(n) if n.fract() == 0.0 && *n >= 0.0 && within.contains(&(*n as u64)) => {
+    pub fn integer(&self, key: &str, bounds: RangeInclusive<u64>) -> HclResult<Option<u64>> {
+        let expected = format!("a whole number from {} to {}", bounds.start(), bounds.end());
+        self.converted(key, &expected, |value| match value {
+            Value::Number(n) if n.fract() == 0.0 && *n >= 0.0 && bounds.contains(&(*n as u64)) => {
                 Some(*n as u64)
             }
             _ => None,
@@ -169,14 +174,14 @@
     ///
     /// # Errors
     /// It is neither, out of bounds, or the wrong way round.
-    pub fn span(&self, key: &str, within: RangeInclusive<f64>) -> Read<Option<(f64, f64)>> {
-        let (low, high) = (within.start(), within.end());
+    pub fn number_range(&self, key: &str, bounds: RangeInclusive<f64>) -> HclResult<Option<(f64, f64)>> {
+        let (low, high) = (bounds.start(), bounds.end());
         let expected = format!("a number from {low} to {high}, or [lower, upper] within these");
-        self.typed(key, &expected, |value| match value {
-            Value::Number(number) if within.contains(number) => Some((*number, *number)),
+        self.converted(key, &expected, |value| match value {
+            Value::Number(number) if bounds.contains(number) => Some((*number, *number)),
             Value::List(items) => match items[..] {
                 [Value::Number(a), Value::Number(b)]
-                    if within.contains(&a) && within.contains(&b) && a <= b =>
+                    if bounds.contains(&a) && bounds.contains(&b) && a <= b =>
                 {
                     Some((a, b))
                 }
@@ -190,15 +195,15 @@
     ///
     /// # Errors
     /// It is neither, empty, or out of bounds.
-    pub fn numbers(&self, key: &str, within: RangeInclusive<f64>) -> Read<Option<Vec<f64>>> {
-        let expected = format!("numbers from {} to {}", within.start(), within.end());
-        self.typed(key, &expected, |value| {
+    pub fn number_list(&self, key: &str, bounds: RangeInclusive<f64>) -> HclResult<Option<Vec<f64>>> {
+        let expected = format!("numbers from {} to {}", bounds.start(), bounds.end());
+        self.converted(key, &expected, |value| {
             let items = match value {
                 Value::List(items) if !items.is_empty() => items.as_slice(),
                 one => std::slice::from_ref(one),
             };
             let number = |item: &Value| match item {
-                Value::Number(number) if within.contains(number) => Some(*number),
+                Value::Number(number) if bounds.contains(number) => Some(*number),
                 _ => None,
             };
             items.iter().map(number).collect()
@@ -209,9 +214,9 @@
     ///
     /// # Errors
     /// It is neither.
-    pub fn flag(&self, key: &str) -> Read<Option<bool>> {
-        self.typed(key, "true or false", |value| match value {
-            Value::Flag(flag) => Some(*flag),
+    pub fn boolean(&self, key: &str) -> HclResult<Option<bool>> {
+        self.converted(key, "true or false", |value| match value {
+            Value::Bool(flag) => Some(*flag),
             _ => None,
         })
     }
@@ -220,9 +225,9 @@
     ///
     /// # Errors
     /// It is none.
-    pub fn text(&self, key: &str) -> Read<Option<String>> {
-        self.typed(key, "a text", |value| match value {
-            Value::Text(text) => Some(text.clone()),
+    pub fn string(&self, key: &str) -> HclResult<Option<String>> {
+        self.converted(key, "a text", |value| match value {
+            Value::String(text) => Some(text.clone()),
             _ => None,
         })
     }
@@ -231,10 +236,12 @@
     ///
     /// # Errors
     /// It is none of them.
-    pub fn word<T: Copy>(&self, key: &str, words: &[(&str, T)]) -> Read<Option<T>> {
-        let known: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
-        self.typed(key, &format!("one of {}", known.join(", ")), |value| match value {
-            Value::Text(text) => words.iter().find(|(word, _)| word == text).map(|(_, meant)| *meant),
+    pub fn keyword<T: Copy>(&self, key: &str, keywords: &[(&str, T)]) -> HclResult<Option<T>> {
+        let known: Vec<&str> = keywords.iter().map(|(keyword, _)| *keyword).collect();
+        self.converted(key, &format!("one of {}", known.join(", ")), |value| match value {
+            Value::String(text) => {
+                keywords.iter().find(|(keyword, _)| keyword == text).map(|(_, meaning)| *meaning)
+            }
             _ => None,
         })
     }
@@ -242,18 +249,18 @@
     /// The blocks of a kind, in the order of the file.
     pub fn sections<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a Section> {
         let of_kind = self.sections.iter().filter(move |section| section.kind == kind);
-        of_kind.inspect(|section| section.asked.set(true))
+        of_kind.inspect(|section| section.was_read.set(true))
     }
 
     /// The one block of a kind, where there is one.
     ///
     /// # Errors
     /// There are several.
-    pub fn section(&self, kind: &str) -> Read<Option<&Section>> {
+    pub fn section(&self, kind: &str) -> HclResult<Option<&Section>> {
         let mut found = self.sections.iter().filter(|section| section.kind == kind);
-        let first = found.next().inspect(|section| section.asked.set(true));
+        let first = found.next().inspect(|section| section.was_read.set(true));
         match found.next() {
-            Some(second) => Err(second.fault("", "there is more than one such block")),
+            Some(second) => Err(second.error("", "there is more than one such block")),
             None => Ok(first),
         }
     }
@@ -262,44 +269,51 @@
     ///
     /// # Errors
     /// The first key or block that was not.
-    pub fn finish(&self) -> Read<()> {
-        if let Some(entry) = self.entries.iter().find(|entry| !entry.asked.get()) {
-            return Err(self.fault(&entry.key, "there is no such key here"));
+    pub fn deny_unknown_keys(&self) -> HclResult<()> {
+        if let Some(entry) = self.entries.iter().find(|entry| !entry.was_read.get()) {
+            return Err(self.error(&entry.key, "there is no such key here"));
         }
-        self.sections.iter().try_for_each(|section| match section.asked.get() {
-            true => section.finish(),
-            false => Err(section.fault("", "there is no such block here")),
+        self.sections.iter().try_for_each(|section| match section.was_read.get() {
+            true => section.deny_unknown_keys(),
+            false => Err(section.error("", "there is no such block here")),
         })
     }
 }
 
-struct Reader<'a> {
+struct Parser<'a> {
     file: Rc<str>,
     text: &'a str,
 }
 
-impl Reader<'_> {
+impl Parser<'_> {
     fn line(&self, span: Option<std::ops::Range<usize>>) -> usize {
         let before = span.and_then(|span| self.text.get(..span.start)).unwrap_or_default();
         1 + before.bytes().filter(|byte| *byte == b'\n').count()
     }
 
-    fn section(&self, body: &Body, path: String, line: usize, kind: String, label: String) -> Read<Section> {
-        let (file, asked) = (Rc::clone(&self.file), Cell::new(false));
+    fn section(
+        &self,
+        body: &Body,
+        path: String,
+        line: usize,
+        kind: String,
+        label: String,
+    ) -> HclResult<Section> {
+        let (file, was_read) = (Rc::clone(&self.file), Cell::new(false));
         let (entries, sections) = (Vec::new(), Vec::new());
-        let mut section = Section { file, path, line, kind, label, entries, sections, asked };
+        let mut section = Section { file, path, line, kind, label, entries, sections, was_read };
         for part in body {
             match part {
                 Structure::Attribute(attribute) => {
                     let key = attribute.key.as_str().to_owned();
                     let line = self.line(attribute.key.span());
-                    let value = value(&attribute.value).map_err(|problem| Fault {
+                    let value = plain_value(&attribute.value).map_err(|problem| HclError {
                         file: self.file.to_string(),
                         line,
-                        key: section.at(&key),
+                        key: section.qualified_key(&key),
                         problem,
                     })?;
-                    section.entries.push(Entry { key, line, value, asked: Cell::new(false) });
+                    section.entries.push(Entry { key, line, value, was_read: Cell::new(false) });
                 }
                 Structure::Block(block) => {
                     let kind = block.ident.as_str().to_owned();
@@ -307,7 +321,13 @@
                     let label = labels.join(" ");
                     let name = if label.is_empty() { kind.clone() } else { format!("{kind}[{label}]") };
                     let line = self.line(block.ident.span());
-                    section.sections.push(self.section(&block.body, section.at(&name), line, kind, label)?);
+                    section.sections.push(self.section(
+                        &block.body,
+                        section.qualified_key(&name),
+                        line,
+                        kind,
+                        label,
+                    )?);
                 }
             }
         }
@@ -315,15 +335,15 @@
     }
 }
 
-fn value(expression: &Expression) -> Result<Value, String> {
+fn plain_value(expression: &Expression) -> Result<Value, String> {
     Ok(match expression {
-        Expression::Bool(flag) => Value::Flag(**flag),
+        Expression::Bool(flag) => Value::Bool(**flag),
         Expression::Number(number) => match number.as_f64() {
             Some(number) if number.is_finite() => Value::Number(number),
             _ => return Err("a number out of range".to_owned()),
         },
-        Expression::String(text) => Value::Text(text.as_str().to_owned()),
-        Expression::Array(items) => Value::List(items.iter().map(value).collect::<Result<_, _>>()?),
+        Expression::String(text) => Value::String(text.as_str().to_owned()),
+        Expression::Array(items) => Value::List(items.iter().map(plain_value).collect::<Result<_, _>>()?),
         Expression::Object(map) => {
             let entry = |(key, item): (&ObjectKey, &hcl_edit::expr::ObjectValue)| {
                 let key = match key {
@@ -332,12 +352,12 @@
                     ObjectKey::Expression(Expression::Number(number)) => number.to_string(),
                     ObjectKey::Expression(_) => return Err("keys of an object are names".to_owned()),
                 };
-                Ok((key, value(item.expr())?))
+                Ok((key, plain_value(item.expr())?))
             };
-            Value::Map(map.iter().map(entry).collect::<Result<_, String>>()?)
+            Value::Object(map.iter().map(entry).collect::<Result<_, String>>()?)
         }
-        Expression::Parenthesis(inner) => value(inner.inner())?,
-        Expression::UnaryOp(op) if *op.operator == UnaryOperator::Neg => match value(&op.expr)? {
+        Expression::Parenthesis(inner) => plain_value(inner.inner())?,
+        Expression::UnaryOp(op) if *op.operator == UnaryOperator::Neg => match plain_value(&op.expr)? {
             Value::Number(number) => Value::Number(-number),
             other => return Err(format!("there is no minus of {other}")),
         },
@@ -374,19 +394,19 @@
     fn values_are_read_by_type_and_bounds() {
         let file = read(TEXT);
         let room = file.section("room").expect("one").expect("there");
-        assert_eq!(file.text("name"), Ok(Some("here".to_owned())));
+        assert_eq!(file.string("name"), Ok(Some("here".to_owned())));
         assert_eq!(room.number("share", 0.0..=1.0), Ok(Some(0.5)));
-        assert_eq!(room.span("wide", 0.0..=9.0), Ok(Some((1.0, 2.5))));
-        assert_eq!(room.flag("on"), Ok(Some(true)));
+        assert_eq!(room.number_range("wide", 0.0..=9.0), Ok(Some((1.0, 2.5))));
+        assert_eq!(room.boolean("on"), Ok(Some(true)));
         assert_eq!(room.number("absent", 0.0..=1.0), Ok(None));
         let labels: Vec<&str> = file.sections("class").map(Section::label).collect();
         assert_eq!(labels, ["small", "large"]);
     }
 
     #[test]
-    fn faults_name_file_line_and_key() {
+    fn errors_name_file_line_and_key() {
         let file = read(TEXT);
-        let shown = |fault: Fault| fault.to_string();
+        let shown = |error: HclError| error.to_string();
         let room = file.section("room").expect("one").expect("there");
         let wide = room.number("wide", 0.0..=1.0).map_err(shown);
         assert_eq!(
@@ -394,7 +414,7 @@
             Err("a.hcl:5: room.wide: expected a number from 0 to 1, found a list of 2".to_owned())
         );
         let large = file.sections("class").last().expect("two");
-        let slots = large.whole("slots", 1..=64).map_err(shown);
+        let slots = large.integer("slots", 1..=64).map_err(shown);
         let said = "a.hcl:13: class[large].slots: expected a whole number from 1 to 64, found -4";
         assert_eq!(slots, Err(said.to_owned()));
         let twice = file.section("class").map(|_| ()).map_err(shown);
@@ -406,11 +426,11 @@
     }
 
     #[test]
-    fn what_nobody_asks_for_is_a_fault() {
+    fn rejects_keys_that_nobody_reads() {
         let file = read("room {\n  share = 1\n  shore = 2\n}\nroam {}\n");
         let room = file.section("room").expect("one").expect("there");
         let _ = room.number("share", 0.0..=1.0);
-        let shown = |file: &Section| file.finish().map_err(|fault| fault.to_string());
+        let shown = |file: &Section| file.deny_unknown_keys().map_err(|error| error.to_string());
         assert_eq!(shown(&file), Err("a.hcl:3: room.shore: there is no such key here".to_owned()));
         let _ = room.value("shore");
         assert_eq!(shown(&file), Err("a.hcl:5: roam: there is no such block here".to_owned()));
--- a/crates/hcl-config/tests/error_text.rs
+++ b/crates/hcl-config/tests/error_text.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use hcl_config::{Fault, Section};
+use hcl_config::{HclError, Section};
 
 const SETTINGS: &str = "\
 name = \"here\"
@@ -27,7 +27,7 @@
 }
 ";
 
-fn shown<T>(read: Result<T, Fault>) -> String {
+fn shown<T>(read: Result<T, HclError>) -> String {
     match read {
         Ok(_) => "read".to_owned(),
         Err(error) => format!("{error} [line {}, key {:?}]", error.line, error.key),
@@ -40,28 +40,28 @@
     let room = file.section("room").unwrap().unwrap();
     let large = file.sections("class").last().unwrap();
     let limits = large.section("limits").unwrap().unwrap();
-    let words = [("slow", 1), ("quick", 2)];
+    let keywords = [("slow", 1), ("quick", 2)];
     let texts = [
         shown(file.number("name", 0.0..=1.5)),
         shown(room.number("share", 1.0..=2.0)),
-        shown(file.whole("debt", 1..=64)),
-        shown(file.whole("name", 0..=u64::MAX)),
-        shown(large.whole("slots", 1..=64)),
-        shown(file.span("wide", 2.0..=9.0)),
-        shown(file.span("deep", 2.0..=9.0)),
-        shown(room.numbers("many", 1.0..=2.0)),
-        shown(room.flag("share")),
-        shown(file.flag("deep")),
-        shown(room.text("on")),
-        shown(file.text("wide")),
-        shown(limits.word("rate", &words)),
+        shown(file.integer("debt", 1..=64)),
+        shown(file.integer("name", 0..=u64::MAX)),
+        shown(large.integer("slots", 1..=64)),
+        shown(file.number_range("wide", 2.0..=9.0)),
+        shown(file.number_range("deep", 2.0..=9.0)),
+        shown(room.number_list("many", 1.0..=2.0)),
+        shown(room.boolean("share")),
+        shown(file.boolean("deep")),
+        shown(room.string("on")),
+        shown(file.string("wide")),
+        shown(limits.keyword("rate", &keywords)),
         shown(file.section("class").map(|_| ())),
-        shown::<()>(Err(limits.fault("", "is of no use"))),
-        shown::<()>(Err(limits.fault("absent", "is missing"))),
-        shown::<()>(Err(file.fault("", "is empty"))),
-        shown(file.finish()),
-        shown(room.finish()),
-        shown(large.finish()),
+        shown::<()>(Err(limits.error("", "is of no use"))),
+        shown::<()>(Err(limits.error("absent", "is missing"))),
+        shown::<()>(Err(file.error("", "is empty"))),
+        shown(file.deny_unknown_keys()),
+        shown(room.deny_unknown_keys()),
+        shown(large.deny_unknown_keys()),
     ];
     let text = texts.join("\n");
     insta::assert_snapshot!(text);
@@ -86,10 +86,10 @@
     let shared = "a = 1\nroom {\n  b = 2\n}\nroam {}\n";
     let file = Section::parse("etc/a.hcl", shared).unwrap();
     file.value("a");
-    writeln!(text, "{}", shown(file.finish())).unwrap();
+    writeln!(text, "{}", shown(file.deny_unknown_keys())).unwrap();
     let room = file.section("room").unwrap().unwrap();
-    writeln!(text, "{}", shown(file.finish())).unwrap();
+    writeln!(text, "{}", shown(file.deny_unknown_keys())).unwrap();
     room.value("b");
-    writeln!(text, "{}", shown(file.finish())).unwrap();
+    writeln!(text, "{}", shown(file.deny_unknown_keys())).unwrap();
     insta::assert_snapshot!(text);
 }
