--- a/crates/emulator/src/cluster/cluster_harness.rs
+++ b/crates/emulator/src/cluster/cluster_harness.rs
@@ -408,6 +408,18 @@
         self.dispatchers[n] = None;
     }
 
+    /// How many coordinators were set up, those that were killed included.
+    #[must_use]
+    pub fn coordinator_count(&self) -> usize {
+        self.coordinators.len()
+    }
+
+    /// How many dispatchers were set up, those that were killed included.
+    #[must_use]
+    pub fn dispatcher_count(&self) -> usize {
+        self.dispatchers.len()
+    }
+
     /// Whether dispatcher `n` was not killed.
     #[must_use]
     pub fn is_running(&self, n: usize) -> bool {
--- a/crates/emulator/src/cluster/planned_drains.rs
+++ b/crates/emulator/src/cluster/planned_drains.rs
@@ -18,16 +18,16 @@
 use cluster_member::clock;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
-use rustix::process::Signal;
 use serde::Serialize;
 use serde_json::json;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 
 use super::cluster_harness::{
-    call_console, member_node, read_records, run_in_folder, Binaries, ClusterHarness, ClusterSpec,
+    call_console, read_records, run_in_folder, Binaries, ClusterHarness, ClusterSpec,
 };
 use super::emulated_discovery::EmulatedDiscovery;
+use super::fault_injection::{ClusterFault, LinkFaultKind};
 use super::record_checker::{self, RecordLine, Records};
 
 /// The rules, in the order of the module's text.
@@ -323,114 +323,94 @@
     }
 }
 
+/// Draws faults and injects them one after another, until the schedule's time is over.
 async fn inject_faults(
-    fleet: &mut ClusterHarness,
-    notes: &SharedObservations,
+    cluster: &mut ClusterHarness,
+    observations: &SharedObservations,
     plan: &Plan,
 ) -> Result<Vec<Fault>, String> {
     let mut random = Pcg64::seed_from_u64(plan.seed);
-    let mut done = Vec::new();
+    let mut injected = Vec::new();
     let end = Instant::now() + plan.length;
     while Instant::now() < end {
         let next = Instant::now() + plan.fault_interval.mul_f64(random.random_range(0.5..1.5));
         let fault = FAULT_KINDS[random.random_range(0..FAULT_KINDS.len())];
-        let some = random.random_range(0..plan.dispatchers);
-        let observer = fleet.last_logged_by("observes the fleet").unwrap_or(0);
-        let lasts = Duration::from_secs_f64(match fault {
-            Fault::PauseObserver | Fault::PauseRequester | Fault::PauseLeader => {
-                random.random_range(0.2..6.0)
-            }
-            Fault::LoseDispatcher => random.random_range(7.0..9.0),
-            Fault::KillAllCoordinators | Fault::KillLeader => random.random_range(0.1..2.0),
-            _ => random.random_range(1.0..4.0),
-        });
-        let from = clock::now();
-        done.push(fault);
-        match fault {
-            Fault::KillObserver | Fault::LoseDispatcher => {
-                let whom = if fault == Fault::LoseDispatcher { some } else { observer };
-                fleet.kill_dispatcher(whom);
-                sleep(lasts).await;
-                fleet.start_dispatcher(whom)?;
-                notes.borrow_mut().killed.push((whom, from, clock::now()));
-            }
-            Fault::PauseObserver | Fault::PauseRequester => {
-                let whom = if fault == Fault::PauseRequester { some } else { observer };
-                if fault == Fault::PauseRequester {
-                    notes.borrow_mut().call_now[whom] = true;
-                    sleep(Duration::from_millis(random.random_range(20..60))).await;
-                    notes.borrow_mut().call_now[whom] = false;
-                }
-                fleet.signal_dispatcher(whom, Signal::STOP)?;
-                sleep(lasts).await;
-                fleet.signal_dispatcher(whom, Signal::CONT)?;
-                notes.borrow_mut().paused.push((whom, from, clock::now()));
-            }
-            Fault::SlowRequester => {
-                delay_replies(fleet, plan, some);
-                notes.borrow_mut().call_now[some] = true;
-                sleep(lasts).await;
-                notes.borrow_mut().call_now[some] = false;
-                clear_link_faults(fleet);
-            }
-            Fault::PartitionFromCoordinators | Fault::PartitionFromMembers | Fault::SlowNetwork => {
-                apply_link_fault(fleet, plan, fault, some);
-                sleep(lasts).await;
-                clear_link_faults(fleet);
-            }
-            Fault::KillLeader => {
-                let leader = fleet.leader();
-                fleet.kill_coordinator(leader);
-                sleep(lasts).await;
-                fleet.start_coordinator(leader)?;
-            }
-            Fault::PauseLeader => {
-                let leader = fleet.leader();
-                fleet.signal_coordinator(leader, Signal::STOP)?;
-                sleep(lasts).await;
-                fleet.signal_coordinator(leader, Signal::CONT)?;
-            }
-            Fault::KillAllCoordinators => {
-                (1..=plan.coordinators).for_each(|n| fleet.kill_coordinator(n));
-                sleep(lasts).await;
-                (1..=plan.coordinators).try_for_each(|n| fleet.start_coordinator(n))?;
-            }
+        let any = random.random_range(0..plan.dispatchers);
+        let observer = cluster.last_logged_by("observes the fleet").unwrap_or(0);
+        let duration = fault.sample_duration(&mut random);
+        let target = if fault.is_for_observer() { observer } else { any };
+        let began_at = clock::now();
+        injected.push(fault);
+        if fault == Fault::PauseRequester {
+            observations.borrow_mut().call_now[target] = true;
+            sleep(Duration::from_millis(random.random_range(20..60))).await;
+            observations.borrow_mut().call_now[target] = false;
         }
+        inject(cluster, observations, fault, (target, began_at), duration).await?;
         sleep_until(next).await;
     }
-    Ok(done)
+    Ok(injected)
 }
 
-fn clear_link_faults(fleet: &ClusterHarness) {
-    fleet.network.iter().for_each(|net| net.borrow_mut().clear_faults());
+/// Injects one fault for so long, and records when its dispatcher could not answer.
+async fn inject(
+    cluster: &mut ClusterHarness,
+    observations: &SharedObservations,
+    fault: Fault,
+    (target, began_at): (usize, u64),
+    duration: Duration,
+) -> Result<(), String> {
+    let active = fault.at(target).begin(cluster)?;
+    let slow_requester = fault == Fault::SlowRequester;
+    if slow_requester {
+        observations.borrow_mut().call_now[target] = true;
+    }
+    sleep(duration).await;
+    if slow_requester {
+        observations.borrow_mut().call_now[target] = false;
+    }
+    active.end(cluster)?;
+    let outage = (target, began_at, clock::now());
+    match fault {
+        Fault::KillObserver | Fault::LoseDispatcher => observations.borrow_mut().killed.push(outage),
+        Fault::PauseObserver | Fault::PauseRequester => observations.borrow_mut().paused.push(outage),
+        _ => {}
+    }
+    Ok(())
 }
 
-fn delay_replies(fleet: &ClusterHarness, plan: &Plan, of: usize) {
-    let Some(net) = &fleet.network else { return };
-    for keeper in 1..=plan.coordinators {
-        net.borrow_mut()
-            .update_link(keeper, member_node(of), |trouble| trouble.delay = Duration::from_millis(300));
+impl Fault {
+    fn is_for_observer(self) -> bool {
+        matches!(self, Fault::KillObserver | Fault::PauseObserver)
+    }
+
+    fn sample_duration(self, random: &mut Pcg64) -> Duration {
+        Duration::from_secs_f64(match self {
+            Fault::PauseObserver | Fault::PauseRequester | Fault::PauseLeader => {
+                random.random_range(0.2..6.0)
+            }
+            Fault::LoseDispatcher => random.random_range(7.0..9.0),
+            Fault::KillAllCoordinators | Fault::KillLeader => random.random_range(0.1..2.0),
+            _ => random.random_range(1.0..4.0),
+        })
     }
-}
 
-fn apply_link_fault(fleet: &ClusterHarness, plan: &Plan, fault: Fault, at: usize) {
-    let Some(net) = &fleet.network else { return };
-    let mut net = net.borrow_mut();
-    let all: Vec<usize> = (1..=plan.coordinators).chain((0..plan.dispatchers).map(member_node)).collect();
-    for (from, to) in all.iter().flat_map(|from| all.iter().map(move |to| (*from, *to))) {
-        let of_it = from == member_node(at) || to == member_node(at);
-        let with_keeper = from <= plan.coordinators || to <= plan.coordinators;
-        match fault {
-            Fault::PartitionFromCoordinators if of_it && with_keeper => {
-                net.update_link(from, to, |trouble| trouble.partitioned = true)
+    /// The fault at a dispatcher, as the cluster harness knows it.
+    fn at(self, dispatcher: usize) -> ClusterFault {
+        match self {
+            Fault::KillObserver | Fault::LoseDispatcher => ClusterFault::KillDispatcher(dispatcher),
+            Fault::PauseObserver | Fault::PauseRequester => ClusterFault::PauseDispatcher(dispatcher),
+            Fault::SlowRequester => ClusterFault::Links(LinkFaultKind::DelayedReplies(dispatcher)),
+            Fault::PartitionFromCoordinators => {
+                ClusterFault::Links(LinkFaultKind::PartitionFromCoordinators(dispatcher))
             }
-            Fault::PartitionFromMembers if of_it && !with_keeper => {
-                net.update_link(from, to, |trouble| trouble.partitioned = true)
+            Fault::PartitionFromMembers => {
+                ClusterFault::Links(LinkFaultKind::PartitionFromMembers(dispatcher))
             }
-            Fault::SlowNetwork => net.update_link(from, to, |trouble| {
-                (trouble.delay, trouble.reset_probability) = (Duration::from_millis(50), 0.05);
-            }),
-            _ => {}
+            Fault::SlowNetwork => ClusterFault::Links(LinkFaultKind::SlowNetwork),
+            Fault::KillLeader => ClusterFault::KillLeader,
+            Fault::PauseLeader => ClusterFault::PauseLeader,
+            Fault::KillAllCoordinators => ClusterFault::KillAllCoordinators,
         }
     }
 }
--- a/crates/emulator/src/cluster/schedule.rs
+++ b/crates/emulator/src/cluster/schedule.rs
@@ -202,8 +202,7 @@
                 FaultKind::KillHolder
                 | FaultKind::KillMember
                 | FaultKind::TerminateHolder
-                | FaultKind::KillLeader =>
-                    random.random_range(0.0..5.0),
+                | FaultKind::KillLeader => random.random_range(0.0..5.0),
                 FaultKind::KillAllCoordinators | FaultKind::RestoreOldDisk | FaultKind::LoseDisk => {
                     random.random_range(0.1..3.0)
                 }
@@ -237,10 +236,8 @@
     }
     Ok(Arm {
         name: section.label().to_owned(),
-        coordinators:
-        keepers,
+        coordinators: keepers,
         members: section.integer("members", 2..=100)?.unwrap_or(8) as usize,
-        fault_kinds:
-        kinds,
+        fault_kinds: kinds,
     })
 }
--- a/crates/emulator/src/cluster/shared_health_checks.rs
+++ b/crates/emulator/src/cluster/shared_health_checks.rs
@@ -35,11 +35,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep, sleep_until, timeout, Instant, MissedTickBehavior};
 
-use super::cluster_harness::{
-    member_node, read_records, run_in_folder, Binaries, ClusterHarness, ClusterSpec,
-};
+use super::cluster_harness::{read_records, run_in_folder, Binaries, ClusterHarness, ClusterSpec};
 use super::dispatch_latency::submit_job;
 use super::emulated_discovery::EmulatedDiscovery;
+use super::fault_injection::{ClusterFault, LinkFaultKind};
 use super::fault_proxy::{run_proxy, FaultyNetwork, SharedNetwork};
 use super::record_checker::{self, Records};
 use super::worker_model::{WorkerModel, INITIAL_CAPACITY, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, WARM_UP};
@@ -299,7 +298,14 @@
         spawn_local(run_clients(notes.clone(), dispatcher, *address, plan.rate, end));
     }
     sleep(Duration::from_secs(5)).await;
-    let done = inject_faults(&mut fleet, (&nets, &discoveries), &notes, plan, end).await?;
+    let targets = Targets {
+        cluster: &mut fleet,
+        worker_links: &nets,
+        discoveries: &discoveries,
+        observations: &notes,
+        plan,
+    };
+    let done = inject_faults(targets, end).await?;
     sleep_until(end).await;
     let until = clock::now();
     sleep(DEADLINE + ANSWER_SLACK + Duration::from_millis(200)).await;
@@ -332,179 +338,216 @@
     })
 }
 
-/// Draws faults until shortly before the end and does them. At most one dispatcher and one worker are in trouble.
-async fn inject_faults(
-    fleet: &mut ClusterHarness,
-    (nets, discoveries): (&[SharedNetwork], &[EmulatedDiscovery]),
-    notes: &SharedObservations,
-    plan: &Plan,
-    end: Instant,
-) -> Result<Vec<InjectedFault>, String> {
+/// The faults that are drawn; one that stands here twice is drawn twice as often.
+const DRAWN_FAULTS: [Fault; 16] = [
+    Fault::KillDispatcher,
+    Fault::PauseDispatcher,
+    Fault::TerminateDispatcher,
+    Fault::PartitionZone,
+    Fault::HangWorker,
+    Fault::KillLeader,
+    Fault::PartitionFromCoordinators,
+    Fault::HearsNoCoordinator,
+    Fault::PartitionFromMembers,
+    Fault::SlowNetwork,
+    Fault::PauseLeader,
+    Fault::PartitionCoordinator,
+    Fault::KillAllCoordinators,
+    Fault::DrainWorker,
+    Fault::DrainWorker,
+    Fault::RollingRestart,
+];
+/// No fault begins later than this before the end, so that its recovery takes effect.
+const RECOVERY_TIME: Duration = Duration::from_secs(8);
+/// A worker that drained stays away for this long before it is back, cold.
+const WORKER_RESTART: Duration = Duration::from_millis(500);
+/// Pause between two restarts of [`Fault::RollingRestart`].
+const ROLL_PAUSE: Duration = Duration::from_millis(150);
+
+/// What faults are injected into.
+struct Targets<'a> {
+    cluster: &'a mut ClusterHarness,
+    /// The links to workers, by dispatcher.
+    worker_links: &'a [SharedNetwork],
+    discoveries: &'a [EmulatedDiscovery],
+    observations: &'a SharedObservations,
+    plan: &'a Plan,
+}
+
+/// A fault of a schedule, before it is injected.
+#[derive(Clone, Copy)]
+struct DrawnFault {
+    fault: Fault,
+    /// The dispatcher or the worker.
+    target: usize,
+    zone: usize,
+    duration: Duration,
+}
+
+/// Draws faults until shortly before the end and injects them, one at a time.
+async fn inject_faults(mut targets: Targets<'_>, end: Instant) -> Result<Vec<InjectedFault>, String> {
+    let plan = targets.plan;
     let mut random = Pcg64::seed_from_u64(plan.seed);
-    let mut done = Vec::new();
-    let kinds = [
-        Fault::KillDispatcher,
-        Fault::PauseDispatcher,
-        Fault::TerminateDispatcher,
-        Fault::PartitionZone,
-        Fault::HangWorker,
-        Fault::KillLeader,
-        Fault::PartitionFromCoordinators,
-        Fault::HearsNoCoordinator,
-        Fault::PartitionFromMembers,
-        Fault::SlowNetwork,
-        Fault::PauseLeader,
-        Fault::PartitionCoordinator,
-        Fault::KillAllCoordinators,
-        Fault::DrainWorker,
-        Fault::DrainWorker,
-        Fault::RollingRestart,
-    ];
-    // What is healed takes effect before the end.
-    while Instant::now() + plan.fault_interval.max(Duration::from_secs(8)) < end {
+    let mut injected = Vec::new();
+    while Instant::now() + plan.fault_interval.max(RECOVERY_TIME) < end {
         let next = Instant::now() + plan.fault_interval;
-        let fault =
-            if plan.only_kills { Fault::KillDispatcher } else { kinds[random.random_range(0..kinds.len())] };
-        let zone = random.random_range(0..ZONES.len());
-        let told = match plan.script {
-            [] => None,
-            script => match script.get(done.len()) {
-                Some(told) => Some(*told),
-                None => break,
-            },
-        };
-        let (fault, zone) = told.map_or((fault, zone), |(fault, _, zone)| (fault, zone));
-        let at = match fault {
-            _ if told.is_some() => told.map_or(0, |(_, at, _)| at),
-            // One that is in use: dispatchers keep to few workers while these suffice.
-            Fault::HangWorker | Fault::DrainWorker => {
-                busiest_worker(&notes.borrow(), random.random_range(0..plan.workers))
-            }
-            _ => random.random_range(0..plan.dispatchers),
-        };
-        let longest = plan.fault_interval.as_secs_f64() * 0.9;
-        let lasts = Duration::from_secs_f64(match fault {
+        let Some(drawn) = draw_fault(&targets, injected.len(), &mut random) else { break };
+        injected.push(targets.inject(drawn).await?);
+        sleep_until(next).await;
+    }
+    Ok(injected)
+}
+
+/// Draws the next fault, or takes it from the script; none where the script is over.
+fn draw_fault(targets: &Targets<'_>, number: usize, random: &mut Pcg64) -> Option<DrawnFault> {
+    let plan = targets.plan;
+    let fault = if plan.only_kills {
+        Fault::KillDispatcher
+    } else {
+        DRAWN_FAULTS[random.random_range(0..DRAWN_FAULTS.len())]
+    };
+    let zone = random.random_range(0..ZONES.len());
+    let (fault, target, zone) = match plan.script {
+        [] => (fault, draw_target(targets, fault, random), zone),
+        script => *script.get(number)?,
+    };
+    let longest = plan.fault_interval.as_secs_f64() * 0.9;
+    Some(DrawnFault { fault, target, zone, duration: fault.sample_duration(longest, random) })
+}
+
+fn draw_target(targets: &Targets<'_>, fault: Fault, random: &mut Pcg64) -> usize {
+    match fault {
+        // One that is in use: dispatchers keep to few workers while these suffice.
+        Fault::HangWorker | Fault::DrainWorker => {
+            let any = random.random_range(0..targets.plan.workers);
+            busiest_worker(&targets.observations.borrow(), any)
+        }
+        _ => random.random_range(0..targets.plan.dispatchers),
+    }
+}
+
+impl Fault {
+    /// How long it lasts; `longest` in seconds.
+    fn sample_duration(self, longest: f64, random: &mut Pcg64) -> Duration {
+        Duration::from_secs_f64(match self {
             Fault::KillDispatcher | Fault::TerminateDispatcher => random.random_range(0.1..longest.min(4.0)),
-            Fault::HangWorker | Fault::PartitionZone | Fault::SlowNetwork => longest,
-            Fault::PartitionFromCoordinators | Fault::HearsNoCoordinator | Fault::PartitionFromMembers => {
-                longest
+            Fault::HangWorker
+            | Fault::PartitionZone
+            | Fault::SlowNetwork
+            | Fault::PartitionFromCoordinators
+            | Fault::HearsNoCoordinator
+            | Fault::PartitionFromMembers => longest,
+            Fault::PauseDispatcher | Fault::PauseLeader | Fault::PartitionCoordinator => {
+                random.random_range(0.2..longest)
             }
-            Fault::PauseDispatcher => random.random_range(0.2..longest),
             Fault::KillLeader => 1.0,
-            Fault::PauseLeader | Fault::PartitionCoordinator => random.random_range(0.2..longest),
             Fault::KillAllCoordinators => random.random_range(0.1..1.0),
             Fault::DrainWorker => random.random_range(1.0..longest.min(2.0)),
             // The time that the restarts take.
             Fault::RollingRestart => 0.0,
-        });
-        let from = clock::now();
-        let mut hurt = at;
-        match fault {
-            Fault::KillDispatcher => fleet.kill_dispatcher(at),
-            Fault::TerminateDispatcher => fleet.signal_dispatcher(at, Signal::TERM)?,
-            Fault::PauseDispatcher => fleet.signal_dispatcher(at, Signal::STOP)?,
-            Fault::HangWorker => notes.borrow_mut().hung[at] = true,
-            Fault::PartitionZone => set_zone_partition(&nets[at], plan.workers, zone, true),
-            Fault::KillLeader => {
-                hurt = fleet.leader();
-                fleet.kill_coordinator(hurt);
+        })
+    }
+
+    /// The fault at a dispatcher, where the cluster harness knows how to inject it.
+    fn at(self, dispatcher: usize, coordinators: usize) -> Option<ClusterFault> {
+        Some(match self {
+            Fault::KillDispatcher => ClusterFault::KillDispatcher(dispatcher),
+            Fault::PauseDispatcher => ClusterFault::PauseDispatcher(dispatcher),
+            Fault::TerminateDispatcher => ClusterFault::TerminateDispatcher(dispatcher),
+            Fault::KillLeader => ClusterFault::KillLeader,
+            Fault::PauseLeader => ClusterFault::PauseLeader,
+            Fault::KillAllCoordinators => ClusterFault::KillAllCoordinators,
+            Fault::PartitionFromCoordinators => {
+                ClusterFault::Links(LinkFaultKind::PartitionFromCoordinators(dispatcher))
             }
-            Fault::PauseLeader => {
-                hurt = fleet.leader();
-                fleet.signal_coordinator(hurt, Signal::STOP)?;
+            Fault::HearsNoCoordinator => ClusterFault::Links(LinkFaultKind::HearsNoCoordinator(dispatcher)),
+            Fault::PartitionFromMembers => {
+                ClusterFault::Links(LinkFaultKind::PartitionFromMembers(dispatcher))
             }
-            Fault::KillAllCoordinators => (1..=plan.coordinators).for_each(|n| fleet.kill_coordinator(n)),
-            Fault::DrainWorker => {
-                discoveries.iter().for_each(|discovery| discovery.set_phase(at, "terminating"))
+            Fault::PartitionCoordinator => {
+                ClusterFault::Links(LinkFaultKind::PartitionCoordinator(1 + dispatcher % coordinators))
             }
-            Fault::RollingRestart => {
-                for n in 0..plan.dispatchers {
-                    fleet.signal_dispatcher(n, Signal::TERM)?;
-                    sleep(Duration::from_millis(150)).await;
-                    fleet.kill_dispatcher(n);
-                    fleet.start_dispatcher(n)?;
-                    let keeper = 1 + n;
-                    if keeper <= plan.coordinators {
-                        fleet.kill_coordinator(keeper);
-                        fleet.start_coordinator(keeper)?;
-                    }
-                    sleep(Duration::from_millis(150)).await;
-                }
+            Fault::SlowNetwork => ClusterFault::Links(LinkFaultKind::SlowNetwork),
+            Fault::PartitionZone | Fault::HangWorker | Fault::DrainWorker | Fault::RollingRestart => {
+                return None;
             }
-            Fault::PartitionCoordinator
-            | Fault::PartitionFromCoordinators
-            | Fault::HearsNoCoordinator
-            | Fault::PartitionFromMembers
-            | Fault::SlowNetwork => {
-                apply_link_fault(fleet, plan, fault, at);
+        })
+    }
+}
+
+impl Targets<'_> {
+    async fn inject(&mut self, drawn: DrawnFault) -> Result<InjectedFault, String> {
+        let DrawnFault { fault, target, zone, duration } = drawn;
+        let began_at = clock::now();
+        let mut affected = target;
+        match fault.at(target, self.plan.coordinators) {
+            Some(cluster_fault) => {
+                let active = cluster_fault.begin(self.cluster)?;
+                affected = active.leader().unwrap_or(target);
+                sleep(duration).await;
+                active.end(self.cluster)?;
             }
+            None => self.inject_other(drawn).await?,
         }
-        sleep(lasts).await;
+        Ok(InjectedFault { fault, target: affected, zone, began_at, ended_at: clock::now() })
+    }
+
+    /// Injects a fault of workers or of links to them, or restarts everything in turn.
+    async fn inject_other(&mut self, drawn: DrawnFault) -> Result<(), String> {
+        let DrawnFault { fault, target, zone, duration } = drawn;
         match fault {
-            Fault::KillDispatcher => fleet.start_dispatcher(at)?,
-            Fault::TerminateDispatcher => {
-                fleet.kill_dispatcher(at);
-                fleet.start_dispatcher(at)?;
+            Fault::PartitionZone => {
+                set_zone_partition(&self.worker_links[target], self.plan.workers, zone, true);
+                sleep(duration).await;
+                set_zone_partition(&self.worker_links[target], self.plan.workers, zone, false);
             }
-            Fault::PauseDispatcher => fleet.signal_dispatcher(at, Signal::CONT)?,
-            Fault::HangWorker => notes.borrow_mut().hung[at] = false,
-            Fault::PartitionZone => set_zone_partition(&nets[at], plan.workers, zone, false),
-            Fault::KillLeader => fleet.start_coordinator(hurt)?,
-            Fault::PauseLeader => fleet.signal_coordinator(hurt, Signal::CONT)?,
-            Fault::KillAllCoordinators => {
-                (1..=plan.coordinators).try_for_each(|n| fleet.start_coordinator(n))?
+            Fault::HangWorker => {
+                self.observations.borrow_mut().hung[target] = true;
+                sleep(duration).await;
+                self.observations.borrow_mut().hung[target] = false;
             }
-            Fault::DrainWorker => {
-                discoveries.iter().for_each(|discovery| discovery.set_phase(at, "terminated"));
-                sleep(Duration::from_millis(500)).await;
-                {
-                    let mut notes = notes.borrow_mut();
-                    let cold = WorkerModel::new((SLOTS, RUN_TIME), true, plan.seed ^ clock::now());
-                    let old = std::mem::replace(&mut notes.workers[at], cold);
-                    notes.replaced_workers.push(old);
-                }
-                discoveries.iter().for_each(|discovery| discovery.set_phase(at, "in_service"));
-            }
-            Fault::RollingRestart => {}
-            Fault::PartitionCoordinator
-            | Fault::PartitionFromCoordinators
-            | Fault::HearsNoCoordinator
-            | Fault::PartitionFromMembers
-            | Fault::SlowNetwork => {
-                fleet.network.iter().for_each(|net| net.borrow_mut().clear_faults());
+            Fault::DrainWorker => self.drain_worker(target, duration).await,
+            _ => {
+                self.restart_all().await?;
+                sleep(duration).await;
             }
         }
-        done.push(InjectedFault { fault, target: hurt, zone, began_at: from, ended_at: clock::now() });
-        sleep_until(next).await;
+        Ok(())
     }
-    Ok(done)
-}
 
-/// Begins a trouble of the links between members and keepers.
-fn apply_link_fault(fleet: &ClusterHarness, plan: &Plan, fault: Fault, at: usize) {
-    let Some(net) = &fleet.network else { return };
-    let mut net = net.borrow_mut();
-    let members = (0..plan.dispatchers).map(member_node);
-    let all: Vec<usize> = (1..=plan.coordinators).chain(members).collect();
-    for (from, to) in all.iter().flat_map(|from| all.iter().map(move |to| (*from, *to))) {
-        let (of, other) = (from == member_node(at), to == member_node(at));
-        let keeper = |name: usize| name <= plan.coordinators;
-        let one = 1 + at % plan.coordinators;
-        let hit = match fault {
-            Fault::PartitionFromCoordinators => (of && keeper(to)) || (other && keeper(from)),
-            Fault::HearsNoCoordinator => other && keeper(from),
-            Fault::PartitionCoordinator => (from == one && keeper(to)) || (to == one && keeper(from)),
-            Fault::PartitionFromMembers => (of && !keeper(to)) || (other && !keeper(from)),
-            _ => false,
-        };
-        if hit {
-            net.update_link(from, to, |trouble| trouble.partitioned = true);
+    async fn drain_worker(&self, worker: usize, duration: Duration) {
+        self.set_phase(worker, "terminating");
+        sleep(duration).await;
+        self.set_phase(worker, "terminated");
+        sleep(WORKER_RESTART).await;
+        {
+            let mut observations = self.observations.borrow_mut();
+            let cold = WorkerModel::new((SLOTS, RUN_TIME), true, self.plan.seed ^ clock::now());
+            let old = std::mem::replace(&mut observations.workers[worker], cold);
+            observations.replaced_workers.push(old);
         }
-        if fault == Fault::SlowNetwork {
-            net.update_link(from, to, |trouble| {
-                (trouble.delay, trouble.reset_probability) = (Duration::from_millis(50), 0.05);
-            });
+        self.set_phase(worker, "in_service");
+    }
+
+    fn set_phase(&self, worker: usize, phase: &str) {
+        self.discoveries.iter().for_each(|discovery| discovery.set_phase(worker, phase));
+    }
+
+    /// Restarts all dispatchers and coordinators, one pair after another.
+    async fn restart_all(&mut self) -> Result<(), String> {
+        for dispatcher in 0..self.plan.dispatchers {
+            self.cluster.signal_dispatcher(dispatcher, Signal::TERM)?;
+            sleep(ROLL_PAUSE).await;
+            self.cluster.kill_dispatcher(dispatcher);
+            self.cluster.start_dispatcher(dispatcher)?;
+            let coordinator = 1 + dispatcher;
+            if coordinator <= self.plan.coordinators {
+                self.cluster.kill_coordinator(coordinator);
+                self.cluster.start_coordinator(coordinator)?;
+            }
+            sleep(ROLL_PAUSE).await;
         }
+        Ok(())
     }
 }
 
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -474,8 +474,7 @@
         ("all", Idempotency::WithKey(KeyScope::All)),
         ("unsafe", Idempotency::NotIdempotent),
     ];
-    let dists =
-        [
+    let dists = [
         ("pareto", WorkShape::Pareto),
         ("lognormal", WorkShape::Lognormal),
         ("exponential", WorkShape::Exponential),
