--- a/crates/dispatch-core/src/lib.rs
+++ b/crates/dispatch-core/src/lib.rs
@@ -6,15 +6,15 @@
 
 pub mod api;
 pub mod backoff;
-mod cold;
-mod estimate;
-mod health;
+mod capacity_reservation;
 mod load;
 pub mod load_report;
+mod outlier_detection;
 pub mod policy;
 pub mod poll_schedule;
-mod room;
+mod run_time;
 pub mod settings;
+mod slow_start;
 mod state;
 
 pub use api::{Action, Event, Settings};
