--- /dev/null
+++ b/crates/dispatch-core/src/admission_rate.rs
@@ -0,0 +1,49 @@
+//! The admission rate R of a dispatcher, and what was seen of it in the window at hand.
+
+/// The lowest rate, in slots a second, and the lowest of a part of it: waits are divided by it.
+const MIN_RATE: f64 = 0.5;
+const MIN_PARTIAL_RATE: f64 = 1e-3;
+
+/// The rate R in slots a second, with the accepted and rejected slots of this window.
+#[derive(Debug, Default)]
+pub(crate) struct AdmissionRate {
+    pub slots_per_second: f64,
+    /// It was cut before, so it rises slowly.
+    pub was_cut: bool,
+    /// Jobs were rejected or queued for want of tokens in this window.
+    pub is_limiting: bool,
+    /// Slots a second that are served in time, on average.
+    pub served_rate: f64,
+    pub accepted: f64,
+    pub rejected: f64,
+    /// Whether more than one worker rejected in this window.
+    pub several_rejecters: bool,
+    first_rejecter: Option<usize>,
+}
+
+impl AdmissionRate {
+    /// A rate that starts here, with a guess of what is served.
+    pub(crate) fn new(slots_per_second: f64, served_rate: f64) -> AdmissionRate {
+        AdmissionRate { slots_per_second, served_rate, ..AdmissionRate::default() }
+    }
+
+    /// A part of the rate; never quite none, to divide by.
+    pub(crate) fn partial(&self, share: f64) -> f64 {
+        (share * self.slots_per_second).max(MIN_PARTIAL_RATE)
+    }
+
+    /// Counts slots that a worker rejected or kept waiting for too long.
+    pub(crate) fn record_rejection(&mut self, worker: usize, slots: f64) {
+        self.rejected += slots;
+        self.several_rejecters |= self.first_rejecter.is_some_and(|first| first != worker);
+        self.first_rejecter.get_or_insert(worker);
+    }
+
+    /// Begins a window with nothing seen, at a rate that is never quite none.
+    pub(crate) fn start_window(&mut self) {
+        *self = AdmissionRate {
+            was_cut: self.was_cut,
+            ..AdmissionRate::new(self.slots_per_second.max(MIN_RATE), self.served_rate)
+        };
+    }
+}
--- /dev/null
+++ b/crates/dispatch-core/src/api/mod.rs
@@ -0,0 +1,15 @@
+//! The interface of the decision module: its settings, the events it takes, the actions it answers, and the ids in all.
+//!
+//! Times are seconds on the caller's clock, which may start anywhere and only moves forward. Ids are opaque:
+//! the module compares and hashes them, nothing else.
+
+mod action;
+mod event;
+mod ids;
+mod settings;
+
+pub use crate::load_report::LoadReport;
+pub use action::Action;
+pub use event::{Endpoint, Event, ListScope, Outcome, Request, WorkerState};
+pub use ids::{RequestId, Seconds, WorkerId};
+pub use settings::{CapacityReservation, Class, Idempotency, KeyScope, LoadReports, Settings, Tenant};
--- a/crates/dispatch-core/src/backoff.rs
+++ b/crates/dispatch-core/src/backoff.rs
@@ -1,4 +1,4 @@
-//! How long to wait before the next try at something that all dispatchers ask for: capped exponential backoff with
+//! How long to wait before the next attempt at something that all dispatchers ask for: capped exponential backoff with
 //! full jitter.
 //!
 //! A service that all of them call is slowed down by one event for all at once, so a fixed pause keeps them in step
@@ -9,7 +9,10 @@
 /// A span in microseconds.
 pub type Micros = u64;
 
-/// The pauses between the tries at one thing.
+/// The pauses double this often at the most.
+const MAX_DOUBLINGS: u32 = 32;
+
+/// The pauses between the attempts at one thing.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     first: Micros,
@@ -25,12 +28,12 @@
         Backoff { first, cap: cap.max(first), failures: 0, rng: fastrand::Rng::with_seed(seed) }
     }
 
-    /// The pause after one more failure, in microseconds. `wanted` is what the other side asked for, where it did: no
-    /// pause is shorter, as far as the cap allows, and the jitter comes on top.
-    pub fn next_delay(&mut self, wanted: Option<Micros>) -> Micros {
-        let longest = self.first.saturating_mul(1 << self.failures.min(32)).min(self.cap);
+    /// The pause after one more failure, in microseconds. `retry_after` is what the other side asked for, where it did:
+    /// no pause is shorter, as far as the cap allows, and the jitter comes on top.
+    pub fn next_delay(&mut self, retry_after: Option<Micros>) -> Micros {
+        let longest = self.first.saturating_mul(1 << self.failures.min(MAX_DOUBLINGS)).min(self.cap);
         self.failures = self.failures.saturating_add(1);
-        wanted.unwrap_or(0).min(self.cap).saturating_add(self.rng.u64(0..=longest))
+        retry_after.unwrap_or(0).min(self.cap).saturating_add(self.rng.u64(0..=longest))
     }
 
     /// It went well: the next failure is a first one.
--- /dev/null
+++ b/crates/dispatch-core/src/fleet.rs
@@ -0,0 +1,316 @@
+//! The workers that were ever named, what is remembered of each, and where to find them.
+
+use rustc_hash::FxHashMap;
+
+use crate::api::{Endpoint, KeyScope, Seconds, Settings, WorkerId, WorkerState};
+use crate::hashing::mix_bits;
+use crate::outlier_detection::{OutlierDetector, ZoneOutage};
+use crate::queueing::QueueingCurve;
+use crate::run_time::{RunningJob, Slowdown, SlowdownModel};
+use crate::slow_start::SlowStartBudget;
+
+/// Points of each worker on the ring of keys; more spread keys more evenly.
+const RING_POINTS: u64 = 16;
+/// Zones beyond this are taken for one.
+const MAX_ZONE: u32 = 255;
+/// Kinds beyond this are taken for one.
+const MAX_KIND: usize = 4095;
+/// No job is larger, in slots; the sums stay exact.
+const MAX_JOB_SLOTS: f64 = 1e6;
+/// An idle connection is counted on for this part of the time for which it is kept open.
+const IDLE_CONNECTION_USE: f64 = 0.7;
+/// A start that discovery knows of is in its list after this at the latest, in seconds.
+const MAX_LISTING_DELAY: Seconds = 5.0;
+
+/// What is learned of a kind of worker.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct MachineKind {
+    pub slots: f64,
+    /// Its running times relative to the usual.
+    pub slowdown: Slowdown,
+}
+
+/// What is usual among the workers of one kind in one zone.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Cohort {
+    /// The part of a worker's slots that others hold, and how often something was heard of it.
+    pub utilization: f64,
+    pub samples: f64,
+}
+
+/// A worker, and what a dispatcher remembers of it.
+#[derive(Debug, Default)]
+pub(crate) struct Worker {
+    pub id: WorkerId,
+    pub kind: usize,
+    pub zone: u32,
+    /// The position of its kind in its zone among the cohorts.
+    pub cohort: usize,
+    pub cell: u32,
+    /// When it started, as the list says, and as is believed by this dispatcher's own clock.
+    pub listed_start: Seconds,
+    pub started_at: Seconds,
+    pub state: WorkerState,
+    /// Slots and attempts of ours that are in flight.
+    pub our_slots: f64,
+    pub in_flight: u32,
+    /// The same slots a while ago, as a report that arrives now knows them: a moving average.
+    pub our_slots_delayed: f64,
+    pub our_slots_at: Seconds,
+    /// Slots that others seem to hold or wait for there, as last heard, and when that was.
+    pub other_slots: f64,
+    pub other_slots_at: Seconds,
+    /// Its running times relative to its kind's, and the jobs of ours that run there.
+    pub slowdown: Slowdown,
+    pub running: Vec<RunningJob>,
+    pub slow_start: SlowStartBudget,
+    /// A probe is on its way.
+    pub probing: bool,
+    /// Until when a connection of ours is thought to stand idle there.
+    pub idle_connection_until: Seconds,
+    pub health: OutlierDetector,
+}
+
+impl Worker {
+    /// An attempt ended there, and its job had begun to run by then or not.
+    pub(crate) fn end_attempt(&mut self, started_at: Option<Seconds>, log_work: f64) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        let is_it = |job: &RunningJob| Some(job.started_at) == started_at && job.log_work == log_work;
+        if let Some(position) = self.running.iter().position(is_it) {
+            self.running.swap_remove(position);
+        }
+    }
+
+    /// Counts slots that we take there or give back. What a report that is so late knows of them lags behind.
+    pub(crate) fn add_slots(&mut self, slots: f64, now: Seconds, report_delay: Seconds) {
+        let fading = (-(now - self.our_slots_at) / report_delay).exp();
+        self.our_slots_delayed = self.our_slots + (self.our_slots_delayed - self.our_slots) * fading;
+        self.our_slots_at = now;
+        self.our_slots = (self.our_slots + slots).max(0.0);
+    }
+
+    /// A connection of ours is left idle there; it is counted on for a part of the time for which it is kept open.
+    pub(crate) fn keep_connection(&mut self, now: Seconds, keep_alive: Seconds) {
+        self.idle_connection_until = now + IDLE_CONNECTION_USE * keep_alive;
+    }
+
+    /// Whether another worker drops repeats of what this one may have run, by their idempotency key.
+    pub(crate) fn shares_keys_with(&self, other: &Worker, scope: KeyScope) -> bool {
+        match scope {
+            KeyScope::All => true,
+            KeyScope::Zone => self.zone == other.zone,
+            KeyScope::Cell => self.cell == other.cell,
+        }
+    }
+}
+
+/// All workers.
+#[derive(Debug, Default)]
+pub(crate) struct Fleet {
+    pub workers: Vec<Worker>,
+    pub index: FxHashMap<WorkerId, usize>,
+    /// For each zone, those that serve.
+    pub serving_by_zone: Vec<Vec<usize>>,
+    /// How many that serve are held for outliers.
+    pub unhealthy_count: usize,
+    /// What is usual among the workers of one kind in one zone.
+    pub cohorts: Vec<Cohort>,
+    /// What is learnt of each kind of machine, and the most slots that a job asked for.
+    pub kinds: Vec<MachineKind>,
+    pub largest_job: i64,
+    /// How long jobs wait at workers that are so full.
+    pub queueing_curve: QueueingCurve,
+    /// How cold a worker starts, and when it is warm.
+    pub slow_start_min_capacity: f64,
+    pub slow_start_duration: Seconds,
+    /// Those that serve, several times each, in the order of a hash that all dispatchers share.
+    ring: Vec<(u64, usize)>,
+    /// For each zone, whether it seems lost.
+    zone_outages: Vec<ZoneOutage>,
+    /// The position of each cohort, by zone and kind.
+    cohort_index: FxHashMap<(u32, usize), usize>,
+    /// When discovery was heard last.
+    list_received_at: Option<Seconds>,
+}
+
+impl Fleet {
+    /// One without any worker.
+    pub(crate) fn new(settings: &Settings) -> Fleet {
+        let mut fleet = Fleet { largest_job: 1, ..Fleet::default() };
+        fleet.configure(settings);
+        fleet
+    }
+
+    /// Other settings hold.
+    pub(crate) fn configure(&mut self, settings: &Settings) {
+        self.slow_start_min_capacity = settings.slow_start_min_capacity;
+        self.slow_start_duration = settings.slow_start_duration;
+    }
+
+    /// Brings the zones and the ring in line with the workers; `zone` exists even if it has none. `received_at` where it
+    /// was discovery that told of them.
+    pub(crate) fn rebuild_indexes(&mut self, zone: u32, received_at: Option<Seconds>) {
+        self.list_received_at = received_at.or(self.list_received_at);
+        let zones = self.workers.iter().map(|worker| worker.zone).chain([zone]).max();
+        self.serving_by_zone = vec![Vec::new(); zones.unwrap_or(0).min(MAX_ZONE) as usize + 1];
+        self.zone_outages.resize(self.serving_by_zone.len(), ZoneOutage::default());
+        self.ring.clear();
+        for (index, worker) in self.workers.iter_mut().enumerate() {
+            let next = self.cohort_index.len();
+            let cohort = (worker.zone.min(MAX_ZONE), worker.kind);
+            worker.cohort = *self.cohort_index.entry(cohort).or_insert(next);
+            if worker.state == WorkerState::Serving {
+                self.serving_by_zone[zone_index(worker)].push(index);
+                let point = |n| mix_bits(worker.id.0 ^ mix_bits(n));
+                self.ring.extend((0..RING_POINTS).map(|n| (point(n), index)));
+            }
+        }
+        self.cohorts.resize(self.cohort_index.len(), Cohort::default());
+        self.ring.sort_unstable();
+        self.count_unhealthy();
+    }
+
+    /// Takes a line of the list.
+    pub(crate) fn upsert(&mut self, endpoint: &Endpoint, now: Seconds) {
+        let kind = (endpoint.kind as usize).min(MAX_KIND);
+        self.kinds.resize(self.kinds.len().max(kind + 1), MachineKind::default());
+        // Clocks may be wrong by much: no start is in the future, and one that discovery did not name when it was heard
+        // last was not long before that.
+        let earliest = self.list_received_at.map_or(0.0, |received_at| received_at - MAX_LISTING_DELAY);
+        let new = Worker {
+            id: endpoint.worker,
+            kind,
+            zone: endpoint.zone,
+            cell: endpoint.cell,
+            listed_start: endpoint.started_at,
+            started_at: endpoint.started_at.min(now).max(earliest),
+            state: endpoint.state,
+            our_slots_at: now,
+            ..Worker::default()
+        };
+        let Some(&index) = self.index.get(&new.id) else {
+            self.index.insert(new.id, self.workers.len());
+            return self.workers.push(new);
+        };
+        let known = &mut self.workers[index];
+        if new.listed_start > known.listed_start {
+            // A restart: what was known of the old process is void.
+            *known = Worker { our_slots: known.our_slots, in_flight: known.in_flight, ..new };
+        } else {
+            (known.kind, known.zone, known.cell, known.state) = (kind, new.zone, new.cell, new.state);
+        }
+    }
+
+    /// A whole list came: workers that are absent from it are gone.
+    pub(crate) fn remove_absent(&mut self, endpoints: &[Endpoint]) {
+        let mut listed: Vec<WorkerId> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
+        listed.sort_unstable();
+        for worker in &mut self.workers {
+            if listed.binary_search(&worker.id).is_err() {
+                worker.state = WorkerState::Removed;
+            }
+        }
+    }
+
+    /// The largest job that any worker may be able to take, in slots, as far as was seen; none without workers.
+    pub(crate) fn max_job_slots(&self) -> f64 {
+        let most = |kind: &MachineKind| if kind.slots > 0.0 { 2.0 * kind.slots } else { f64::INFINITY };
+        self.kinds.iter().map(most).fold(0.0, f64::max).min(MAX_JOB_SLOTS)
+    }
+
+    /// The workers on the ring from a key on, each once.
+    pub(crate) fn ring_workers(&self, key: u64, count: usize) -> Vec<usize> {
+        let start = self.ring.partition_point(|&(point, _)| point < mix_bits(key));
+        let mut found: Vec<usize> = Vec::with_capacity(count);
+        for &(_, index) in self.ring[start..].iter().chain(&self.ring[..start]) {
+            if found.len() == count {
+                break;
+            }
+            if !found.contains(&index) {
+                found.push(index);
+            }
+        }
+        found
+    }
+
+    /// The slowdown of a worker now, as a logarithm.
+    pub(crate) fn log_slowdown(&self, index: usize, slowdowns: &SlowdownModel, now: Seconds) -> f64 {
+        let worker = &self.workers[index];
+        let kind = &self.kinds[worker.kind].slowdown;
+        slowdowns.log_slowdown(kind, &worker.slowdown, &worker.running, now)
+    }
+
+    /// The slowdowns of a worker's kind and of the worker, to learn from a run.
+    pub(crate) fn slowdowns_of(&mut self, index: usize) -> (&mut Slowdown, &mut Slowdown) {
+        let worker = &mut self.workers[index];
+        (&mut self.kinds[worker.kind].slowdown, &mut worker.slowdown)
+    }
+
+    /// A worker failed; `jitter` is drawn from 0 to 1.
+    pub(crate) fn record_failure(&mut self, index: usize, now: Seconds, jitter: f64) {
+        let worker = &mut self.workers[index];
+        self.zone_outages[zone_index(worker)].record_failure(index, now, jitter);
+        if worker.health.record_failure(now, jitter) {
+            self.count_unhealthy();
+        }
+    }
+
+    /// A worker did what it was asked for.
+    pub(crate) fn record_success(&mut self, index: usize) {
+        if self.workers[index].health.record_success() {
+            self.count_unhealthy();
+        }
+    }
+
+    /// A worker gave a sign of life.
+    pub(crate) fn record_liveness(&mut self, index: usize, now: Seconds) {
+        let worker = &mut self.workers[index];
+        self.zone_outages[zone_index(worker)].record_liveness();
+        if worker.health.record_liveness(now) {
+            self.count_unhealthy();
+        }
+    }
+
+    /// Whether the zone of a worker seems lost now.
+    pub(crate) fn is_zone_lost(&self, worker: &Worker, now: Seconds) -> bool {
+        self.zone_outages[zone_index(worker)].is_suspected(now)
+    }
+
+    /// A health checker saw a worker fail `observed_ago`, and for so long from `now` on that may be held against it.
+    pub(crate) fn apply_verdict(
+        &mut self,
+        worker: WorkerId,
+        now: Seconds,
+        observed_ago: Seconds,
+        valid_for: Seconds,
+    ) {
+        if let Some(&index) = self.index.get(&worker) {
+            let valid_until = if valid_for > 0.0 { now + valid_for } else { 0.0 };
+            self.workers[index].health.apply_verdict(now - observed_ago.max(0.0), valid_until);
+            self.count_unhealthy();
+        }
+    }
+
+    /// So much work may be sent to a worker in slow start until then, beside the planned share.
+    pub(crate) fn apply_grant(&mut self, worker: WorkerId, work: f64, expires_at: Seconds, now: Seconds) {
+        if let Some(&index) = self.index.get(&worker) {
+            self.workers[index].slow_start.grant(work, expires_at, now);
+        }
+    }
+
+    /// Whether more than half of all workers are held for outliers: then it is the network, or we.
+    pub(crate) fn most_are_unhealthy(&self) -> bool {
+        2 * self.unhealthy_count > self.index.len()
+    }
+
+    /// Counts the outliers among those that serve.
+    pub(crate) fn count_unhealthy(&mut self) {
+        let serving = self.workers.iter().filter(|worker| worker.state == WorkerState::Serving);
+        self.unhealthy_count = serving.filter(|worker| worker.health.is_unhealthy()).count();
+    }
+}
+
+/// The position of a worker's zone.
+fn zone_index(worker: &Worker) -> usize {
+    worker.zone.min(MAX_ZONE) as usize
+}
--- a/crates/dispatch-core/src/lib.rs
+++ b/crates/dispatch-core/src/lib.rs
@@ -1,21 +1,35 @@
 //! The decisions of a dispatcher, and nothing else: no clock, no I/O, no sockets, no tasks.
 //!
-//! [`Dispatcher`] is the decision module: it decides which worker gets a job, whether to retry and what is turned
-//! away. It is told of [`Event`]s and answers with [`Action`]s; `api` holds both. Whoever drives it (the engine of
-//! the real program, the simulator's adapter, the lab) brings the clock and carries the actions out.
+//! [`Dispatcher`] is the decision module: it decides which worker gets a job, whether to retry and what is rejected. It
+//! takes [`Event`]s and answers with [`Action`]s; `api` holds both. Whoever drives it (the engine of the real program,
+//! the simulator's adapter, the emulator) brings the clock and carries the actions out.
+//!
+//! `policy` holds the decisions. The private modules hold what they are taken by: plain state machines and estimates.
 
 pub mod api;
 pub mod backoff;
-mod capacity_reservation;
-mod load;
+pub mod hashing;
 pub mod load_report;
-mod outlier_detection;
 pub mod policy;
 pub mod poll_schedule;
-mod run_time;
 pub mod settings;
+pub mod settings_pairs;
+
+mod admission_rate;
+mod capacity_reservation;
+mod endpoint_list;
+mod fleet;
+mod hedging;
+mod job;
+mod key_rates;
+mod load;
+mod outlier_detection;
+mod queueing;
+mod run_time;
 mod slow_start;
-mod state;
+mod timers;
+mod token_bank;
+mod workload;
 
 pub use api::{Action, Event, Settings};
 pub use policy::Dispatcher;
--- a/crates/dispatch-core/src/load.rs
+++ b/crates/dispatch-core/src/load.rs
@@ -1,13 +1,13 @@
 //! What is believed of the load of workers: the slots that other dispatchers fill there by now.
 //!
 //! What we ourselves hold at a worker is known. What others hold is heard of now and then: by load reports, by how long
-//! a job of ours waits before it starts, by being turned away. Each word is true of a while ago and fades into what is
+//! a job of ours waits before it starts, by rejections. Each word is true of a while ago and fades into what is
 //! usual among the workers of its kind in its zone. Spans are in windows, a window being about a running time: within
 //! a few of them all that a worker holds has changed.
 
-use crate::api::{LoadReport, Seconds};
+use crate::api::{LoadReport, Seconds, WorkerState};
+use crate::fleet::{Fleet, Worker};
 use crate::run_time::CLASS_LEARNING_RATE;
-use crate::state::{Fleet, Worker};
 
 /// What is heard of a worker's load fades over this many windows.
 const OCCUPANCY_FADE_WINDOWS: f64 = 4.0;
@@ -15,226 +15,119 @@
 const REPORT_DELAY_WINDOWS: f64 = 0.5;
 /// Learning rate of the slots of a kind, from the largest figures seen.
 const SLOTS_LEARNING_RATE: f64 = 0.5;
+/// A report counts for this part beside what was thought before: it is a sample, late and noisy.
+const REPORT_WEIGHT: f64 = 0.5;
 /// A cohort's usual load moves by one part in this many words at first.
 const INITIAL_COHORT_SAMPLES: f64 = 24.0;
-/// A job that starts within this of its push did not wait: round trips, and a handshake that takes work.
+/// A job that starts within this of its send did not wait: round trips, and a handshake that takes work.
 pub(crate) const PROMPT_START: Seconds = 0.1;
 
-/// Steps of the curve of waits: so many to a worker that is just full, and how many there are in all.
-const STEPS_TO_FULL: f64 = 8.0;
-const STEPS: usize = 33;
-/// What the first guess is worth, in jobs; and the learning rate.
-const INITIAL_WEIGHT: f64 = 6.0;
-const WAIT_CURVE_LEARNING_RATE: f64 = 1.0 / 128.0;
-
-/// How long jobs really waited at workers that were thought to be so full: a curve that is learnt, since how far word of
-/// loads can be trusted depends on how late and how noisy it is, and on how many others choose by the same word.
-#[derive(Clone, Debug)]
-pub(crate) struct QueueingCurve([(f64, f64); STEPS]);
-
-impl Default for QueueingCurve {
-    /// At first, as if all were as it is thought to be.
-    fn default() -> Self {
-        QueueingCurve(std::array::from_fn(|n| ((n as f64 / STEPS_TO_FULL - 1.0).max(0.0), INITIAL_WEIGHT)))
-    }
-}
-
-impl QueueingCurve {
-    fn step(filled: f64) -> usize {
-        ((filled.max(0.0) * STEPS_TO_FULL).round() as usize).min(STEPS - 1)
-    }
-
-    /// The mean wait, in running times.
-    pub(crate) fn mean_wait(&self, filled: f64) -> f64 {
-        // Beyond the last step each running time's worth of work is a running time's wait.
-        self.0[QueueingCurve::step(filled)].0 + (filled - (STEPS - 1) as f64 / STEPS_TO_FULL).max(0.0)
-    }
-
-    /// A job waited for so many running times.
-    pub(crate) fn learn(&mut self, filled: f64, waited: f64) {
-        let (mean, seen) = &mut self.0[QueueingCurve::step(filled)];
-        *seen += 1.0;
-        *mean += WAIT_CURVE_LEARNING_RATE.max(1.0 / *seen) * (waited.clamp(0.0, 8.0) - *mean);
-    }
-}
-
-/// The present, by which words are old.
+/// The present, by which observations are old.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ObservationTime {
     pub now: Seconds,
-    /// A window of R, about a running time.
+    /// A window of the admission rate, about a running time.
     pub window: Seconds,
 }
 
 impl Fleet {
     /// How many slots a worker has, as far as was seen.
-    pub(crate) fn slots_of(&self, w: &Worker) -> f64 {
-        self.kinds[w.kind].slots.max(self.largest_job as f64)
+    pub(crate) fn slots_of(&self, worker: &Worker) -> f64 {
+        self.kinds[worker.kind].slots.max(self.largest_job as f64)
     }
 
     /// Its capacity now, as a part of the full one; a lower bound.
-    pub(crate) fn warm_capacity(&self, w: &Worker, now: Seconds) -> f64 {
-        if w.listed_start <= 0.0 || self.slow_start_duration <= 0.0 {
+    pub(crate) fn warm_capacity(&self, worker: &Worker, now: Seconds) -> f64 {
+        if worker.listed_start <= 0.0 || self.slow_start_duration <= 0.0 {
             return 1.0;
         }
-        let age = ((now - w.started_at) / self.slow_start_duration).clamp(0.0, 1.0);
+        let age = ((now - worker.started_at) / self.slow_start_duration).clamp(0.0, 1.0);
         self.slow_start_min_capacity + (1.0 - self.slow_start_min_capacity) * age
     }
 
+    /// It serves and has started so recently that it does not have its full capacity yet.
+    pub(crate) fn is_warming_up(&self, worker: &Worker, now: Seconds) -> bool {
+        worker.state == WorkerState::Serving && self.warm_capacity(worker, now) < 1.0
+    }
+
     /// Slots that others hold there by now: what was last heard, fading into what is usual.
-    pub(crate) fn other_slots(&self, w: &Worker, at: ObservationTime) -> f64 {
-        let usual = self.cohorts[w.cohort].utilization * self.slots_of(w) * self.warm_capacity(w, at.now);
-        usual
-            + (w.other_slots - usual)
-                * (-(at.now - w.other_slots_at) / (OCCUPANCY_FADE_WINDOWS * at.window)).exp()
+    pub(crate) fn other_slots(&self, worker: &Worker, time: ObservationTime) -> f64 {
+        let usual = self.cohorts[worker.cohort].utilization
+            * self.slots_of(worker)
+            * self.warm_capacity(worker, time.now);
+        let fading = (-(time.now - worker.other_slots_at) / (OCCUPANCY_FADE_WINDOWS * time.window)).exp();
+        usual + (worker.other_slots - usual) * fading
     }
 
     /// How long a job is thought to wait at a worker that is so full with it, in running times; where nobody tells how
     /// many slots it has, nothing is known of its queue.
-    pub(crate) fn expected_wait(&self, w: &Worker, filled: f64) -> f64 {
-        if self.kinds[w.kind].slots > 0.0 {
-            self.queueing_curve.mean_wait(filled)
+    pub(crate) fn expected_wait(&self, worker: &Worker, utilization: f64) -> f64 {
+        if self.kinds[worker.kind].slots > 0.0 {
+            self.queueing_curve.mean_wait(utilization)
         } else {
             0.0
         }
     }
 
     /// Counts slots that we take at a worker or give back.
-    pub(crate) fn add_slots(&mut self, i: usize, slots: f64, at: ObservationTime) {
-        self.workers[i].add_slots(slots, at.now, REPORT_DELAY_WINDOWS * at.window);
+    pub(crate) fn add_slots(&mut self, index: usize, slots: f64, time: ObservationTime) {
+        self.workers[index].add_slots(slots, time.now, REPORT_DELAY_WINDOWS * time.window);
     }
 
     /// Something told how many slots others hold or wait for there.
-    pub(crate) fn record_other_slots(&mut self, i: usize, others: f64, now: Seconds) {
-        let share = others / self.slots_of(&self.workers[i]);
-        let w = &mut self.workers[i];
-        let g = &mut self.cohorts[w.cohort];
-        g.samples += 1.0;
-        g.utilization += CLASS_LEARNING_RATE.max(1.0 / (g.samples + INITIAL_COHORT_SAMPLES))
-            * (share.min(1.0) - g.utilization);
-        (w.other_slots, w.other_slots_at) = (others, now);
+    pub(crate) fn record_other_slots(&mut self, index: usize, slots: f64, now: Seconds) {
+        let utilization = slots / self.slots_of(&self.workers[index]);
+        let worker = &mut self.workers[index];
+        let cohort = &mut self.cohorts[worker.cohort];
+        cohort.samples += 1.0;
+        let learning_rate = CLASS_LEARNING_RATE.max(1.0 / (cohort.samples + INITIAL_COHORT_SAMPLES));
+        cohort.utilization += learning_rate * (utilization.min(1.0) - cohort.utilization);
+        (worker.other_slots, worker.other_slots_at) = (slots, now);
     }
 
-    /// Takes a load report, where it tells of free slots; `job` is the slots of a usual job. Returns the slots that
+    /// Takes a load report, where it tells of free slots; `job_slots` is the slots of a usual job. Returns the slots that
     /// wait there.
     pub(crate) fn apply_load_report(
         &mut self,
-        i: usize,
+        index: usize,
         load: &LoadReport,
-        job: f64,
-        at: ObservationTime,
+        job_slots: f64,
+        time: ObservationTime,
     ) -> Option<f64> {
-        let free = load.free_slots?;
-        let room = load.free_memory.map_or(free, |m| free.min(m));
-        self.add_slots(i, 0.0, at);
-        let kind = &mut self.kinds[self.workers[i].kind];
-        kind.slots +=
-            (free - kind.slots).max(0.0) * if kind.slots == 0.0 { 1.0 } else { SLOTS_LEARNING_RATE };
-        let slots = self.slots_of(&self.workers[i]);
+        let free_slots = load.free_slots?;
+        let free = load.free_memory.map_or(free_slots, |free_memory| free_slots.min(free_memory));
+        self.add_slots(index, 0.0, time);
+        let kind = &mut self.kinds[self.workers[index].kind];
+        let learning_rate = if kind.slots == 0.0 { 1.0 } else { SLOTS_LEARNING_RATE };
+        kind.slots += (free_slots - kind.slots).max(0.0) * learning_rate;
+        let worker = &self.workers[index];
+        let slots = self.slots_of(worker);
         // What it holds beyond its slots waits; while it has room, nothing does.
-        let held = load.in_flight.filter(|_| room < 1.0).map_or(0.0, |held| (held * job - slots).max(0.0));
-        let queue = load.queue_length.unwrap_or(held);
-        let seen = slots - room + queue - self.workers[i].our_slots_delayed;
-        // Half of it: a report is a sample, late and noisy.
-        let others = 0.5 * (seen.max(0.0) + self.other_slots(&self.workers[i], at));
-        self.record_other_slots(i, others, at.now);
+        let in_flight = load.in_flight.filter(|_| free < 1.0);
+        let excess = in_flight.map_or(0.0, |in_flight| (in_flight * job_slots - slots).max(0.0));
+        let queue = load.queue_length.unwrap_or(excess);
+        let seen = slots - free + queue - worker.our_slots_delayed;
+        let others = REPORT_WEIGHT * (seen.max(0.0) + self.other_slots(worker, time));
+        self.record_other_slots(index, others, time.now);
         Some(queue.round().min(slots))
     }
 
     /// A job of ours waited there for so long, which tells how much others had: each slot comes free once in a running
     /// time.
-    pub(crate) fn record_wait(&mut self, i: usize, delay: Seconds, at: ObservationTime) {
-        let w = &self.workers[i];
-        let waited = delay - PROMPT_START / self.warm_capacity(w, at.now);
-        let (slots, rest) = (self.slots_of(w), (self.slots_of(w) - w.our_slots).max(0.0));
-        let queued = rest + slots * waited / at.window;
-        let others = if waited > 0.0 { queued } else { self.other_slots(w, at).min(rest) };
-        self.record_other_slots(i, others, at.now);
+    pub(crate) fn record_wait(&mut self, index: usize, delay: Seconds, time: ObservationTime) {
+        let worker = &self.workers[index];
+        let waited = delay - PROMPT_START / self.warm_capacity(worker, time.now);
+        let slots = self.slots_of(worker);
+        let rest = (slots - worker.our_slots).max(0.0);
+        let others = if waited > 0.0 {
+            rest + slots * waited / time.window
+        } else {
+            self.other_slots(worker, time).min(rest)
+        };
+        self.record_other_slots(index, others, time.now);
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Word that is old says less: where workers that seem just full keep jobs waiting for half a running time, that is
-    /// what is thought of them afterwards, and of no others.
-    #[test]
-    fn waits_are_learnt_by_how_full_a_worker_seemed() {
-        let mut waits = QueueingCurve::default();
-        assert_eq!(
-            (waits.mean_wait(0.5), waits.mean_wait(1.0), waits.mean_wait(2.0)),
-            (0.0, 0.0, 1.0),
-            "as if word were true"
-        );
-        (0..400).for_each(|n| waits.learn(1.0, f64::from(n % 2)));
-        assert!((0.4..0.6).contains(&waits.mean_wait(1.0)), "{}", waits.mean_wait(1.0));
-        assert_eq!((waits.mean_wait(0.5), waits.mean_wait(2.0)), (0.0, 1.0));
-        for odd in [-1.0, f64::MAX, f64::INFINITY] {
-            waits.learn(odd, odd);
-        }
-        assert!(waits.mean_wait(f64::MAX).is_finite() && waits.mean_wait(-1.0) >= 0.0);
-    }
-
-    /// A report tells of a queue by what the worker holds beyond its slots, and only while it has no room.
-    #[test]
-    fn what_a_worker_holds_beyond_its_slots_waits() {
-        let mut fleet = Fleet::new(&crate::api::Settings::default());
-        let member = crate::api::Endpoint {
-            worker: crate::api::WorkerId(1),
-            kind: 0,
-            zone: 0,
-            cell: 0,
-            started_at: 0.0,
-            state: crate::api::WorkerState::Serving,
-        };
-        fleet.kinds.push(crate::state::MachineKind::default());
-        fleet.upsert(&member, 0, 0.0);
-        fleet.rebuild_indexes(0, None);
-        let at = ObservationTime { now: 1.0, window: 0.3 };
-        let told = |free: f64, held: f64| LoadReport {
-            free_slots: Some(free),
-            in_flight: Some(held),
-            ..LoadReport::default()
-        };
-        assert_eq!(fleet.apply_load_report(0, &told(4.0, 0.0), 1.0, at), Some(0.0));
-        assert_eq!(fleet.apply_load_report(0, &told(2.0, 9.0), 1.0, at), Some(0.0), "it has room");
-        assert_eq!(fleet.apply_load_report(0, &told(0.0, 7.0), 1.0, at), Some(3.0), "seven in four slots");
-        assert!(fleet.other_slots(&fleet.workers[0], at) > 3.0);
-        assert_eq!(fleet.apply_load_report(0, &LoadReport::default(), 1.0, at), None);
-    }
-
-    /// Found by experiments/wrong-clocks.hcl: a clock that is an hour ahead made every cold worker look warm, and one that
-    /// is behind would make every warm one look cold.
-    #[test]
-    fn how_warm_a_worker_is_does_not_rest_on_the_clocks_of_others() {
-        let mut fleet = Fleet::default();
-        (fleet.slow_start_min_capacity, fleet.slow_start_duration) = (0.2, 20.0);
-        let member = |worker, since| crate::api::Endpoint {
-            worker: crate::api::WorkerId(worker),
-            kind: 0,
-            zone: 0,
-            cell: 0,
-            started_at: since,
-            state: crate::api::WorkerState::Serving,
-        };
-        fleet.kinds.push(crate::state::MachineKind::default());
-        let warmth = |fleet: &Fleet, worker: usize, now| {
-            (fleet.warm_capacity(&fleet.workers[worker], now) * 1e6).round() / 1e6
-        };
-        // What was there before is as old as the list says, but did not start in the future.
-        fleet.upsert(&member(1, 9_990.0), 0, 10_000.0);
-        fleet.upsert(&member(2, 13_600.0), 0, 10_000.0);
-        fleet.rebuild_indexes(0, Some(10_000.0));
-        assert_eq!((warmth(&fleet, 0, 10_000.0), warmth(&fleet, 1, 10_000.0)), (0.6, 0.2));
-        assert_eq!(warmth(&fleet, 1, 10_020.0), 1.0, "not an hour later");
-        // One that comes later, or again, started after discovery was heard last, or shortly before.
-        fleet.upsert(&member(3, 6_400.0), 0, 10_010.0);
-        fleet.upsert(&member(2, 13_601.0), 0, 10_010.0);
-        assert_eq!((warmth(&fleet, 2, 10_010.0), warmth(&fleet, 1, 10_010.0)), (0.8, 0.2));
-        // Named again it is the same start.
-        fleet.rebuild_indexes(0, Some(10_010.0));
-        fleet.upsert(&member(3, 6_400.0), 0, 10_014.0);
-        assert_eq!(warmth(&fleet, 2, 10_015.0), 1.0);
-    }
-}
+#[path = "../tests/unit/load.rs"]
+mod tests;
--- a/crates/dispatch-core/src/policy/attempts.rs
+++ b/crates/dispatch-core/src/policy/attempts.rs
@@ -1,35 +1,38 @@
-//! 5. **Attempts.** What never ran is pushed again; what may have run only as its class allows.
+//! 5. **Attempts.** What never ran is sent again; what may have run only as its class allows.
 
-use super::*;
+use super::Dispatcher;
+use crate::api::{Action, Idempotency, LoadReport, LoadReports, Outcome, RequestId};
+use crate::fleet::Worker;
+use crate::job::{Attempt, Candidate, EndedAttempt, Job, JobState};
+use crate::load::PROMPT_START;
+use crate::run_time::RunningJob;
+use crate::timers::{TimerEvent, TIMER_TOLERANCE};
 
-/// After so many tries a job goes on only to a worker that is thought free: the rest bounces as well.
+/// An admitted job waits for a free worker for this part of the time it has.
+pub(super) const PLACEMENT_WAIT: f64 = 0.1;
+/// After so many attempts a job goes on only to a worker that is thought free: the rest rejects it as well.
 const BLIND_ATTEMPTS: usize = 2;
-/// A job that waits at a worker for more than this part of the time it has counts as bounced.
+/// A job that waits at a worker for more than this part of the time it has counts as rejected.
 const CONGESTED_WAIT: f64 = 0.5;
-/// So many hopeless jobs are pushed all the same: what is believed must be open to refutation.
+/// So many jobs that cannot be in time are sent all the same: what is believed must be open to refutation.
 const UNREACHABLE_SEND_RATE: f64 = 1.0 / 16.0;
-/// So many paid jobs are tried at one event.
+/// So many admitted jobs are tried at one event.
 pub(super) const MAX_PLACEMENTS: usize = 3;
-/// A worker that turned a job away holds about this many times its slots.
+/// A worker that rejected a job as overloaded holds about this many times its slots.
 const OVERLOADED_UTILIZATION: f64 = 1.5;
 
 impl Dispatcher {
-    /// Whether a keyed job that may have run may go to this worker.
-    pub(super) fn key_scope_allows(&self, w: &Worker, job: &Job) -> bool {
-        let class = &self.cfg.classes[job.request.class as usize];
-        let Idempotency::WithKey(group) = class.idempotency else { return true };
-        job.attempts.iter().filter(|a| !a.outcome.is_some_and(Outcome::never_ran)).all(|a| {
-            let first = &self.fleet.workers[a.worker];
-            self.now - a.sent_at < class.retry_window()
-                && match group {
-                    KeyScope::All => true,
-                    KeyScope::Zone => w.zone == first.zone,
-                    KeyScope::Cell => w.cell == first.cell,
-                }
+    /// Whether a job with an idempotency key that may have run may go to this worker.
+    pub(super) fn key_scope_allows(&self, worker: &Worker, job: &Job) -> bool {
+        let class = &self.settings.classes[job.class()];
+        let Idempotency::WithKey(scope) = class.idempotency else { return true };
+        job.possible_runs().all(|attempt| {
+            self.now - attempt.sent_at < class.retry_window()
+                && self.fleet.workers[attempt.worker].shares_keys_with(worker, scope)
         })
     }
 
-    /// Pushes what is paid, first come first. An event costs a few looks at the most: where the first jobs
+    /// Sends what is admitted, first come first. An event costs a few looks at the most: where the first jobs
     /// find no worker, those behind them would not either.
     pub(super) fn place_admitted(&mut self, actions: &mut Vec<Action>) {
         let mut waiting = Vec::with_capacity(MAX_PLACEMENTS);
@@ -44,222 +47,212 @@
 
     /// A job has waited for a free worker for as long as it may.
     pub(super) fn on_placement_timeout(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        if let Some(n) = self.admitted.iter().position(|&p| p == id) {
-            self.admitted.remove(n);
+        if let Some(position) = self.admitted.iter().position(|&admitted| admitted == id) {
+            self.admitted.remove(position);
             if self.place(id, actions) {
                 self.admitted.push_front(id);
             }
         }
     }
 
-    /// Pushes a job, or ends it where that is of no use. Where loads are reported and no worker is known
-    /// free, it waits here a while: true.
+    /// Sends a job, or ends it where that is of no use. Where loads are reported and no worker is known free,
+    /// it waits here a while: true.
     fn place(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(job) = self.jobs.remove(&id) else { return false };
-        let tries_left = job.attempts.len() < self.cfg.max_attempts.max(1) as usize;
-        let choice = if tries_left { self.choose_worker(&job) } else { None };
-        let told = self.cfg.load_reports != LoadReports::None;
-        let early = self.now + 1e-6 < job.placement_deadline(PLACEMENT_WAIT);
-        let waits = told && early && tries_left && choice.is_none_or(|c| !c.has_free_slot);
-        let (tried, k) = (job.attempts.len(), job.size());
-        let class = job.request.class as usize;
-        let worthless = self.cfg.classes[class].late_weight == 0.0 && job.never_ran();
-        let hopeless =
-            |c: &Candidate| worthless && self.run_times[class].deadline_unreachable(c.lateness_probability);
+        let may_send = job.attempts.len() < self.settings.max_attempts.max(1) as usize;
+        let candidate = if may_send { self.choose_worker(&job) } else { None };
+        let has_reports = self.settings.load_reports != LoadReports::None;
+        let is_early = self.now + TIMER_TOLERANCE < job.placement_deadline(PLACEMENT_WAIT);
+        let is_free = candidate.is_some_and(|candidate| candidate.has_free_slot);
+        let waits = has_reports && is_early && may_send && !is_free;
+        let may_go_blind = !has_reports || job.attempts.len() < BLIND_ATTEMPTS;
+        let (class, run_times) = (&self.settings.classes[job.class()], &self.workload.run_times[job.class()]);
+        let is_worthless_late = class.late_weight == 0.0 && job.never_ran();
+        let lateness = candidate.map_or(0.0, |candidate| candidate.lateness_probability);
+        let is_unreachable = is_worthless_late && run_times.deadline_unreachable(lateness);
+        let size = job.size();
         self.jobs.insert(id, job);
-        match choice {
+        match candidate {
             _ if waits => {}
-            Some(c) if hopeless(&c) && self.rng.f64() > UNREACHABLE_SEND_RATE => {
-                self.rate.record_rejection(c.worker, k);
+            Some(candidate) if is_unreachable && self.rng.f64() > UNREACHABLE_SEND_RATE => {
+                self.rate.record_rejection(candidate.worker, size);
                 self.reject_or_fail(id, actions);
             }
-            Some(c) if c.has_free_slot || !told || tried < BLIND_ATTEMPTS => self.send(id, c, actions),
+            Some(candidate) if is_free || may_go_blind => self.send(id, candidate, actions),
             _ => self.reject_or_fail(id, actions),
         }
         waits
     }
 
-    pub(super) fn send(&mut self, id: RequestId, choice: Candidate, actions: &mut Vec<Action>) {
+    pub(super) fn send(&mut self, id: RequestId, candidate: Candidate, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let Candidate { worker: i, has_free_slot: free, utilization: filled, .. } = choice;
-        let (k, work) = (job.size(), job.work());
+        let (size, work) = (job.size(), job.work());
         job.state = JobState::InFlight;
-        job.attempts.push(Attempt {
-            worker: i,
-            sent_at: self.now,
-            started_at: None,
-            had_free_slot: free,
-            utilization: filled,
-            outcome: None,
-        });
-        self.fleet.add_slots(i, k, self.observation_time());
-        let (slice, w) = (self.time_slice(), &mut self.fleet.workers[i]);
-        (w.in_flight, w.idle_connection_until) = (w.in_flight + 1, 0.0);
-        w.slow_start.spend(work, slice, self.now);
-        self.hedge_budget = (self.hedge_budget + HEDGES_PER_SEND).min(MAX_HEDGE_BUDGET);
-        if self.cfg.reports_job_start {
+        job.attempts.push(Attempt::new(&candidate, self.now));
+        self.fleet.add_slots(candidate.worker, size, self.observation_time());
+        let (time_slice, worker) = (self.time_slice(), &mut self.fleet.workers[candidate.worker]);
+        worker.in_flight += 1;
+        worker.idle_connection_until = 0.0;
+        worker.slow_start.spend(work, time_slice, self.now);
+        actions.push(Action::Send { request: id, worker: worker.id, timeout: None });
+        self.hedge_budget.record_send();
+        if self.settings.reports_job_start {
             self.schedule(2.0 * PROMPT_START, TimerEvent::StallCheck(id));
         }
-        actions.push(Action::Send { request: id, worker: self.fleet.workers[i].id, timeout: None });
     }
 
+    /// Ends a job that was not served: rejected where its client may send it again, else failed.
     pub(super) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.state = JobState::Ended;
-        let class = &self.cfg.classes[job.request.class as usize];
-        let wait = (job.slots as f64 / self.rate.slots_per_second.max(1e-3)).min(self.cfg.max_retry_after);
+        let Some(job) = self.jobs.get(&id) else { return };
+        let class = &self.settings.classes[job.class()];
+        let wait = (job.slots as f64 / self.rate.partial(1.0)).min(self.settings.max_retry_after);
         // A client that comes back as it is told must come back within the window.
-        let known = |a: &Attempt| self.now + wait - a.sent_at < class.retry_window();
-        let again = |a: &Attempt| {
-            known(a)
-                && matches!(class.idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All))
-        };
-        let ran = job.attempts.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran));
-        let harmless = ran.is_none_or(again);
-        actions.push(if harmless { self.rejection(id, wait) } else { Action::Fail { request: id } });
-        self.remove_if_finished(id);
+        let may_return = |attempt: &Attempt| class.allows_client_retry(self.now + wait - attempt.sent_at);
+        let is_harmless = job.possible_runs().next().is_none_or(may_return);
+        actions.push(if is_harmless { self.rejection(id, wait) } else { Action::Fail { request: id } });
+        self.finish(id);
     }
 
-    fn remove_if_finished(&mut self, id: RequestId) {
-        if self.jobs.get(&id).is_some_and(|job| job.state == JobState::Ended && !job.has_open_attempt()) {
+    /// A job was answered; it is remembered until its attempts have ended.
+    fn finish(&mut self, id: RequestId) {
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        job.state = JobState::Ended;
+        if !job.has_open_attempt() {
             self.jobs.remove(&id);
         }
     }
 
-    pub(super) fn on_job_started(&mut self, id: RequestId, attempt: u32) {
+    pub(super) fn on_job_started(&mut self, id: RequestId, number: u32) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let a = job.attempts.get_mut(attempt as usize);
-        if let Some(a) = a.filter(|a| a.started_at.is_none() && a.outcome.is_none()) {
-            a.started_at = Some(self.now);
-            let (i, delay, filled) = (a.worker, self.now - a.sent_at, a.utilization);
-            let (work, spread) = (job.log_work, self.run_times[job.request.class as usize].spread());
-            let run = self.rate_window() * self.slowdowns.log_slowdown(i, &self.fleet, self.now).exp();
-            self.fleet.queueing_curve.learn(filled, delay / run);
-            self.fleet.workers[i].running.push(RunningJob {
-                started_at: self.now,
-                log_work: work,
-                variance: spread,
-            });
-            self.record_liveness(i);
-            self.mean_wait += WAIT_LEARNING_RATE * (delay - self.mean_wait);
-            if self.cfg.load_reports != LoadReports::WithResponses {
-                self.fleet.record_wait(i, delay, self.observation_time());
-            }
+        let (class, log_work) = (job.class(), job.log_work);
+        let Some(attempt) = job.start_attempt(number, self.now) else { return };
+        let (index, delay) = (attempt.worker, self.now - attempt.sent_at);
+        let log_slowdown = self.fleet.log_slowdown(index, &self.workload.slowdowns, self.now);
+        let run_time = self.workload.rate_window() * log_slowdown.exp();
+        self.fleet.queueing_curve.learn(attempt.utilization, delay / run_time);
+        let variance = self.workload.run_times[class].variance();
+        let running = RunningJob { started_at: self.now, log_work, variance };
+        self.fleet.workers[index].running.push(running);
+        self.fleet.record_liveness(index, self.now);
+        self.workload.record_wait(delay);
+        if self.settings.load_reports != LoadReports::WithResponses {
+            self.fleet.record_wait(index, delay, self.observation_time());
+        }
+    }
+
+    pub(super) fn on_progress(&mut self, id: RequestId, number: u32) {
+        let job = self.jobs.get(&id);
+        if let Some(attempt) = job.and_then(|job| job.attempts.get(number as usize)) {
+            self.fleet.record_liveness(attempt.worker, self.now);
         }
     }
 
     pub(super) fn on_attempt_ended(
         &mut self,
         id: RequestId,
-        attempt: u32,
+        number: u32,
         outcome: Outcome,
         complete: bool,
         load: Option<LoadReport>,
         actions: &mut Vec<Action>,
     ) {
-        let now = self.now;
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        let Some(a) = job.attempts.get_mut(attempt as usize).filter(|a| a.outcome.is_none()) else { return };
-        a.outcome = Some(outcome);
-        let (i, a, k, class, work) = (a.worker, *a, job.size(), job.request.class as usize, job.log_work);
-        let (expected, tenant) = (job.request.expected_run_time, job.request.tenant as usize);
-        let ended = |a: &Attempt| matches!(a.outcome, Some(Outcome::Reset | Outcome::Error));
-        let failed_before = job.attempts[..attempt as usize].iter().any(ended);
-        let already = job.state == JobState::Ended;
-        let expired = now - job.arrived_at >= job.request.timeout - self.cfg.clock_resolution;
-        self.fleet.add_slots(i, -k, self.observation_time());
-        self.fleet.workers[i].end_attempt(a.started_at, work);
+        let ended = self.jobs.get_mut(&id).and_then(|job| job.end_attempt(number, outcome));
+        let Some(ended) = ended else { return };
+        self.record_attempt(&ended, load);
+        let Some(job) = self.jobs.get(&id) else { return };
+        if complete || ended.was_answered {
+            let cancels = self.settings.cancellation_allowed && !ended.was_answered;
+            actions.extend(job.cancel_actions().filter(|_| cancels));
+            self.finish(id);
+            return self.place_admitted(actions);
+        }
+        if job.has_open_attempt() {
+            return;
+        }
+        if outcome == Outcome::InvalidRequest {
+            actions.push(Action::Fail { request: id });
+            return self.finish(id);
+        }
+        let class = &self.settings.classes[job.class()];
+        let is_harmless = job.never_ran() || class.idempotency != Idempotency::NotIdempotent;
+        let has_expired = job.has_expired(self.now, self.settings.clock_resolution);
+        if is_harmless && !has_expired && job.start_by > self.now {
+            self.admit(id, actions);
+        } else {
+            self.reject_or_fail(id, actions);
+        }
+    }
+
+    /// Takes what the end of an attempt says of its worker, of the rate and of running times.
+    fn record_attempt(&mut self, ended: &EndedAttempt, load: Option<LoadReport>) {
+        let &EndedAttempt { attempt, outcome, size, .. } = ended;
+        let index = attempt.worker;
+        self.fleet.add_slots(index, -size, self.observation_time());
+        self.fleet.workers[index].end_attempt(attempt.started_at, ended.log_work);
         if outcome != Outcome::Overloaded {
-            self.apply_load_report(i, load);
+            self.apply_load_report(index, load);
         }
-        if matches!(outcome, Outcome::Ok | Outcome::Overloaded | Outcome::Error | Outcome::InvalidRequest) {
-            self.record_liveness(i);
+        if outcome.is_response() {
+            self.fleet.record_liveness(index, self.now);
         }
         match outcome {
-            Outcome::Ok => {
-                // Without word of the start, the run is known only where the worker was free.
-                let clear = a.started_at.is_some() || a.had_free_slot;
-                let run = now - a.started_at.unwrap_or(a.sent_at);
-                // A long wait there is congestion; a long run is the job's or the worker's own matter.
-                let likely = self.run_times[class].mean * self.cfg.classes[class].run_time_allowance.max(1.0);
-                let waited = now - a.sent_at - if a.started_at.is_some() { run } else { run.min(likely) };
-                if waited <= CONGESTED_WAIT * self.start_slack(class, expected) {
-                    self.rate.accepted += k;
-                } else {
-                    self.rate.record_rejection(i, k);
-                }
-                self.record_success(i);
-                self.fleet.workers[i].idle_connection_until = now + 0.7 * self.cfg.keep_alive;
-                if self.cfg.keep_alive > 0.0 {
-                    self.recently_probed.truncate(MAX_SAMPLE - 1);
-                    self.recently_probed.push_front(i);
-                }
-                if clear {
-                    let (w, class) = (&mut self.fleet.workers[i], &mut self.run_times[class]);
-                    let kind = &mut self.fleet.kinds[w.kind];
-                    self.slowdowns.learn(run, expected, class, kind, &mut w.slowdown, now);
-                }
-            }
+            Outcome::Ok => self.record_served(ended),
             Outcome::Overloaded => {
-                if attempt > 0 {
-                    self.rate.record_rejection(i, k);
+                if ended.is_retry {
+                    self.rate.record_rejection(index, size);
                 }
-                let w = &self.fleet.workers[i];
                 // Its report is older than this answer, and says less.
-                self.fleet.record_other_slots(
-                    i,
-                    OVERLOADED_UTILIZATION * self.fleet.slots_of(w) - w.our_slots,
-                    now,
-                );
+                let worker = &self.fleet.workers[index];
+                let others = OVERLOADED_UTILIZATION * self.fleet.slots_of(worker) - worker.our_slots;
+                self.fleet.record_other_slots(index, others, self.now);
             }
             Outcome::Timeout => {
-                self.rate.record_rejection(i, k);
-                if a.started_at.is_none() {
-                    self.record_failure(i);
+                self.rate.record_rejection(index, size);
+                if attempt.started_at.is_none() {
+                    self.record_failure(index);
                 }
             }
-            Outcome::ConnectFailed => self.record_failure(i),
+            Outcome::ConnectFailed => self.record_failure(index),
             // What fails at one worker after another is at fault itself, and must not bar them all.
-            Outcome::Reset | Outcome::Error if failed_before => {}
-            Outcome::Reset | Outcome::Error => self.record_failure(i),
-            Outcome::InvalidRequest => {
-                // It was no job: what it took of its tenant's part is given back.
-                let slots = k.ceil() as i64;
-                self.banks[tenant].refund(slots);
-            }
+            Outcome::Reset | Outcome::Error if ended.failed_before => {}
+            Outcome::Reset | Outcome::Error => self.record_failure(index),
+            // It was no job: what it took of its tenant's part is given back.
+            Outcome::InvalidRequest => self.banks[ended.request.tenant as usize].refund(size.ceil() as i64),
             Outcome::Cancelled | Outcome::NotSent | Outcome::StaleConnection => {}
         }
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        if complete || already {
-            actions.extend(job.cancel_actions().filter(|_| self.cfg.cancellation_allowed && !already));
-            job.state = JobState::Ended;
-            self.remove_if_finished(id);
-            return self.place_admitted(actions);
-        }
-        if job.has_open_attempt() {
-            return;
+    }
+
+    /// A served job says how long it waited and ran, and that its worker is well.
+    fn record_served(&mut self, ended: &EndedAttempt) {
+        let (index, class, now) = (ended.attempt.worker, ended.request.class as usize, self.now);
+        let expected = ended.request.expected_run_time;
+        // A long wait there is congestion; a long run is the job's or the worker's own matter.
+        let (settings, run_times) = (&self.settings.classes[class], &self.workload.run_times[class]);
+        let likely = run_times.mean * settings.run_time_allowance.max(1.0);
+        if ended.wait(now, likely) <= CONGESTED_WAIT * run_times.start_slack(settings, expected) {
+            self.rate.accepted += ended.size;
+        } else {
+            self.rate.record_rejection(index, ended.size);
         }
-        if outcome == Outcome::InvalidRequest {
-            job.state = JobState::Ended;
-            actions.push(Action::Fail { request: id });
-            return self.remove_if_finished(id);
+        self.fleet.record_success(index);
+        self.fleet.workers[index].keep_connection(now, self.settings.keep_alive);
+        if self.settings.keep_alive > 0.0 {
+            self.remember_probed(index);
         }
-        let again = job.never_ran() || self.cfg.classes[class].idempotency != Idempotency::NotIdempotent;
-        if again && !expired && job.start_by > now {
-            self.admit(id, actions);
-        } else {
-            self.reject_or_fail(id, actions);
+        if ended.has_known_run() {
+            let slowdowns = self.fleet.slowdowns_of(index);
+            self.workload.record_run(class, ended.run_time(now), expected, slowdowns, now);
         }
     }
 
     pub(super) fn on_client_disconnect(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         match std::mem::replace(&mut job.state, JobState::Ended) {
-            JobState::Queued => self.banks[job.request.tenant as usize].remove_queued(id, job.slots),
-            JobState::Admitted => self.admitted.retain(|&p| p != id),
-            JobState::InFlight if self.cfg.cancellation_allowed => actions.extend(job.cancel_actions()),
-            _ => {}
+            JobState::Queued => self.banks[job.tenant()].remove_queued(id, job.slots),
+            JobState::Admitted => self.admitted.retain(|&admitted| admitted != id),
+            JobState::InFlight if self.settings.cancellation_allowed => actions.extend(job.cancel_actions()),
+            JobState::InFlight | JobState::Ended => {}
         }
-        self.remove_if_finished(id);
+        self.finish(id);
     }
 }
--- a/crates/dispatch-core/src/policy/outlier_detection.rs
+++ b/crates/dispatch-core/src/policy/outlier_detection.rs
@@ -1,57 +1,58 @@
 //! Workers that fail or say nothing are left out for a while, and are let in again.
 
-use super::*;
+use super::Dispatcher;
+use crate::api::{Action, Idempotency, LoadReports, RequestId, Seconds};
+use crate::job::JobState;
+use crate::timers::{TimerEvent, TIMER_TOLERANCE};
+
+/// A worker is stalled that gives no sign of life for this long and so many usual waits while a job of ours
+/// waits there, or for so many times the span between two progress reports while one runs.
+const STALL_TIMEOUT: Seconds = 1.5;
+const STALL_WAITS: f64 = 16.0;
+const STALL_PROGRESS_INTERVALS: f64 = 2.2;
 
 impl Dispatcher {
-    pub(super) fn record_failure(&mut self, i: usize) {
+    pub(super) fn record_failure(&mut self, index: usize) {
         let jitter = self.rng.f64();
-        self.fleet.zone_outage(i).failed(i, self.now, jitter);
-        if self.fleet.workers[i].health.record_failure(self.now, jitter) {
-            self.fleet.count_unhealthy();
-        }
-    }
-
-    pub(super) fn record_success(&mut self, i: usize) {
-        if self.fleet.workers[i].health.record_success() {
-            self.fleet.count_unhealthy();
-        }
+        self.fleet.record_failure(index, self.now, jitter);
     }
 
-    pub(super) fn record_liveness(&mut self, i: usize) {
-        self.fleet.zone_outage(i).record_liveness();
-        if self.fleet.workers[i].health.record_liveness(self.now) {
-            self.fleet.count_unhealthy();
-        }
-    }
-
-    /// A worker that takes jobs and says nothing is left out until it speaks; its job is copied elsewhere.
+    /// A worker that takes jobs and says nothing is left out until it speaks; its job is hedged elsewhere.
     pub(super) fn on_stall_check(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(job) = self.jobs.get(&id).filter(|j| j.state == JobState::InFlight) else { return };
-        let noted = |a: &&Attempt| {
-            a.outcome.is_none() && (a.started_at.is_none() || self.cfg.progress_interval > 0.0)
+        let Some(job) = self.jobs.get(&id).filter(|job| job.state == JobState::InFlight) else { return };
+        let interval = self.settings.progress_interval;
+        let Some(attempt) = job.attempt_to_watch(interval > 0.0) else { return };
+        let (index, is_waiting) = (attempt.worker, attempt.started_at.is_none());
+        let timeout = if is_waiting {
+            STALL_TIMEOUT + STALL_WAITS * self.workload.mean_wait
+        } else {
+            STALL_PROGRESS_INTERVALS * interval
         };
-        let Some(a) = job.attempts.last().filter(noted) else { return };
-        let (a, i, notes) = (*a, a.worker, STALL_PROGRESS_INTERVALS * self.cfg.progress_interval);
-        let quiet = if a.started_at.is_some() { notes } else { STALL_TIMEOUT + STALL_WAITS * self.mean_wait };
-        let until = self.fleet.workers[i].health.last_alive.max(a.sent_at) + quiet;
-        if a.started_at.is_none() && self.cfg.load_reports == LoadReports::None {
-            self.fleet.record_wait(i, self.now - a.sent_at, self.observation_time());
+        let stalled_at = self.fleet.workers[index].health.last_alive.max(attempt.sent_at) + timeout;
+        if is_waiting && self.settings.load_reports == LoadReports::None {
+            self.fleet.record_wait(index, self.now - attempt.sent_at, self.observation_time());
         }
-        if until > self.now + 1e-6 {
-            return self.schedule(until - self.now, TimerEvent::StallCheck(id));
+        if stalled_at > self.now + TIMER_TOLERANCE {
+            return self.schedule(stalled_at - self.now, TimerEvent::StallCheck(id));
         }
-        if self.fleet.workers[i].health.mark_stalled() {
-            self.record_failure(i);
+        if self.fleet.workers[index].health.mark_stalled() {
+            self.record_failure(index);
         }
+        self.hedge(id, actions);
+    }
+
+    /// Sends a hedged request where settings, class and budget allow one.
+    fn hedge(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.remove(&id) else { return };
-        let repeat = self.cfg.classes[job.request.class as usize].idempotency;
-        let allowed = self.cfg.hedging_allowed && repeat != Idempotency::NotIdempotent;
-        let left = job.attempts.len() < self.cfg.max_attempts as usize && self.hedge_budget >= 1.0;
-        let choice = if allowed && left { self.choose_worker(&job) } else { None };
+        let idempotency = self.settings.classes[job.class()].idempotency;
+        let is_allowed = self.settings.hedging_allowed && idempotency != Idempotency::NotIdempotent;
+        let has_attempts = job.attempts.len() < self.settings.max_attempts as usize;
+        let may_send = is_allowed && has_attempts && self.hedge_budget.is_left();
+        let candidate = if may_send { self.choose_worker(&job) } else { None };
         self.jobs.insert(id, job);
-        if let Some(choice) = choice {
-            self.hedge_budget -= 1.0;
-            self.send(id, choice, actions);
+        if let Some(candidate) = candidate {
+            self.hedge_budget.spend();
+            self.send(id, candidate, actions);
         }
     }
 }
--- a/crates/dispatch-core/src/policy/placement.rs
+++ b/crates/dispatch-core/src/policy/placement.rs
@@ -1,15 +1,23 @@
-//! 3. **Workers.** A paid job goes to a worker that is known free, else to one that holds few of ours;
+//! 3. **Placement.** An admitted job goes to a worker that is known free, else to one that holds few of ours;
 //!    sampled, own zone first, quick workers first, and those that may still hold its data.
 
-use super::*;
+use super::Dispatcher;
+use crate::api::{Action, LoadReport, LoadReports, RequestId, Seconds, WorkerId, WorkerState};
+use crate::job::{Candidate, Job, JobState};
+use crate::load::ObservationTime;
+use crate::timers::TimerEvent;
 
+/// Workers looked at for one job. Where loads are reported, dispatchers share old reports, and the more of
+/// them choose the best of many the more they choose alike: there two for each dispatcher, within these.
+pub(super) const MAX_SAMPLE: usize = 6;
+const MIN_SAMPLE: usize = 2;
 /// A wait costs this many times a run of its length: what starts late is late. And how much an emptier worker
 /// is preferred among those that seem free: what is known is late too.
 const WAIT_COST: f64 = 4.0;
 const UTILIZATION_COST: f64 = 0.6;
-/// Where probes may be sent, what is known of a worker is news for this part of a window.
+/// Where probes may be sent, what is known of a worker is recent for this part of a window.
 const FRESH_WINDOWS: f64 = 0.25;
-/// Workers asked for one job that waits, and what their probes may cost, in parts of the service.
+/// Workers probed for one job that waits, and what the probes may cost, in parts of the service.
 const PROBES_PER_JOB: f64 = 3.0;
 const MAX_PROBE_COST: f64 = 0.01;
 /// Workers on the ring that a key may go to, and the further ones it uses for each worker that it could fill.
@@ -24,77 +32,74 @@
 
 impl Dispatcher {
     /// What a job would cost there, in seconds, with prices and lateness as time.
-    fn evaluate(&self, i: usize, job: &Job) -> Candidate {
-        let w = &self.fleet.workers[i];
+    fn evaluate(&self, index: usize, job: &Job) -> Candidate {
+        let worker = &self.fleet.workers[index];
+        let (settings, window) = (&self.settings, self.workload.rate_window());
+        let class = &settings.classes[job.class()];
+        let run_times = &self.workload.run_times[job.class()];
         let work = job.log_work.exp();
-        let pace = self.slowdowns.log_slowdown(i, &self.fleet, self.now).exp()
-            / self.fleet.warm_capacity(w, self.now);
-        let slots = self.fleet.slots_of(w);
-        let filled = (w.our_slots + self.fleet.other_slots(w, self.observation_time()) + job.size()) / slots;
-        let crossing = if w.zone == self.cfg.zone { 0.0 } else { self.cfg.cross_zone_price };
-        let handshake = if self.now < w.idle_connection_until { 0.0 } else { self.cfg.handshake_price };
-        let waits = WAIT_COST * (filled - 1.0).max(0.0) + UTILIZATION_COST * filled.min(2.0).powi(2);
-        let fresh = !self.may_probe() || self.now - w.other_slots_at < FRESH_WINDOWS * self.rate_window();
-        let lost = self.fleet.zone_outages[w.zone.min(MAX_ZONE) as usize].is_suspected(self.now);
-        let run = work * pace;
-        let wait = self.fleet.expected_wait(w, filled) * self.rate_window() * pace;
-        let class = job.request.class as usize;
-        let late = self.run_times[class].lateness_probability(job.objective_due - self.now, run, wait);
-        let lost_late = LATENESS_COST
-            * late
-            * (1.0 - self.cfg.classes[class].late_weight)
-            * self.run_times[class].lateness_weight();
-        let cost = run * (1.0 + waits + self.reserved_workers.price(i, job.slots as f64))
-            + (PRICE_COST * (crossing + handshake) + lost_late) * work
-            + if lost { LOST_ZONE_COST } else { 0.0 };
-        Candidate {
-            worker: i,
-            cost,
-            has_free_slot: filled <= 1.0 && fresh && !lost,
-            utilization: filled,
-            lateness_probability: late,
-        }
+        let log_slowdown = self.fleet.log_slowdown(index, &self.workload.slowdowns, self.now);
+        let slowdown = log_slowdown.exp() / self.fleet.warm_capacity(worker, self.now);
+        let others = self.fleet.other_slots(worker, self.observation_time());
+        let utilization = (worker.our_slots + others + job.size()) / self.fleet.slots_of(worker);
+        let crossing = if worker.zone == settings.zone { 0.0 } else { settings.cross_zone_price };
+        let handshake = if self.now < worker.idle_connection_until { 0.0 } else { settings.handshake_price };
+        let waits =
+            WAIT_COST * (utilization - 1.0).max(0.0) + UTILIZATION_COST * utilization.min(2.0).powi(2);
+        let is_fresh = !self.may_probe() || self.now - worker.other_slots_at < FRESH_WINDOWS * window;
+        let is_lost = self.fleet.is_zone_lost(worker, self.now);
+        let run_time = work * slowdown;
+        let wait = self.fleet.expected_wait(worker, utilization) * window * slowdown;
+        let time_left = job.objective_due - self.now;
+        let lateness_probability = run_times.lateness_probability(time_left, run_time, wait);
+        let late_cost =
+            LATENESS_COST * lateness_probability * (1.0 - class.late_weight) * run_times.lateness_weight();
+        let cost = run_time * (1.0 + waits + self.reserved_workers.price(index, job.slots as f64))
+            + (PRICE_COST * (crossing + handshake) + late_cost) * work
+            + if is_lost { LOST_ZONE_COST } else { 0.0 };
+        let has_free_slot = utilization <= 1.0 && is_fresh && !is_lost;
+        Candidate { worker: index, cost, has_free_slot, utilization, lateness_probability }
     }
 
-    fn is_eligible(&self, i: usize, job: &Job) -> bool {
-        let w = &self.fleet.workers[i];
-        let c = &self.cfg.classes[job.request.class as usize];
-        w.state == WorkerState::Serving
-            && c.required_kind.is_none_or(|k| k as usize == w.kind)
-            && (!w.health.is_ejected(self.now, w.in_flight > 0)
-                || 2 * self.fleet.unhealthy_count > self.fleet.index.len())
-            && !job.attempts.iter().any(|a| a.worker == i && a.outcome != Some(Outcome::StaleConnection))
-            && self.has_slow_start_budget(w, job)
-            && self.key_scope_allows(w, job)
+    fn is_eligible(&self, index: usize, job: &Job) -> bool {
+        let worker = &self.fleet.workers[index];
+        let required_kind = self.settings.classes[job.class()].required_kind;
+        worker.state == WorkerState::Serving
+            && required_kind.is_none_or(|kind| kind as usize == worker.kind)
+            && (!worker.health.is_ejected(self.now, worker.in_flight > 0) || self.fleet.most_are_unhealthy())
+            && !job.was_tried_at(index)
+            && self.has_slow_start_budget(worker, job)
+            && self.key_scope_allows(worker, job)
     }
 
-    pub(super) fn consider(&mut self, i: usize, job: &Job, best: &mut BestCandidate) {
-        if self.is_eligible(i, job) {
-            let mut choice = self.evaluate(i, job);
-            choice.cost *= 1.0 + 0.01 * self.rng.f64();
-            if best.is_none_or(|b| choice.cost < b.cost) {
-                *best = Some(choice);
+    pub(super) fn consider(&mut self, index: usize, job: &Job, best: &mut Option<Candidate>) {
+        if self.is_eligible(index, job) {
+            let mut candidate = self.evaluate(index, job);
+            // So that equal workers take turns.
+            candidate.cost *= 1.0 + 0.01 * self.rng.f64();
+            if best.is_none_or(|best| candidate.cost < best.cost) {
+                *best = Some(candidate);
             }
         }
     }
 
     /// The best of a sample of workers for the job.
-    pub(super) fn choose_worker(&mut self, job: &Job) -> BestCandidate {
-        let mut best: BestCandidate = None;
-        let known = |best: &BestCandidate| best.is_some_and(|b| b.has_free_slot);
+    pub(super) fn choose_worker(&mut self, job: &Job) -> Option<Candidate> {
+        let mut best: Option<Candidate> = None;
+        let is_free = |best: &Option<Candidate>| best.is_some_and(|best| best.has_free_slot);
         if self.may_probe() {
             self.consider_recently_probed(job, &mut best);
         }
-        if let Some(key) = job.request.affinity_key.filter(|_| !known(&best)) {
+        if let Some(key) = job.request.affinity_key.filter(|_| !is_free(&best)) {
             self.consider_key_homes(key, job, &mut best);
         }
-        if !known(&best) {
+        if !is_free(&best) {
             self.consider_warming_up(job, &mut best);
         }
-        for step in 0..self.fleet.serving_by_zone.len() {
-            let z = (self.cfg.zone as usize + step) % self.fleet.serving_by_zone.len();
-            if best.is_none() || (job.request.affinity_key.is_none() && !known(&best)) {
-                self.consider_sample(z, job, &mut best);
+        let zones = self.fleet.serving_by_zone.len();
+        for step in 0..zones {
+            if best.is_none() || (job.request.affinity_key.is_none() && !is_free(&best)) {
+                self.consider_sample((self.settings.zone as usize + step) % zones, job, &mut best);
                 if !self.may_probe() {
                     self.consider_recently_probed(job, &mut best);
                 }
@@ -103,97 +108,103 @@
         best
     }
 
-    fn consider_recently_probed(&mut self, job: &Job, best: &mut BestCandidate) {
-        for n in 0..self.recently_probed.len() {
-            self.consider(self.recently_probed[n], job, best);
+    fn consider_recently_probed(&mut self, job: &Job, best: &mut Option<Candidate>) {
+        for position in 0..self.recently_probed.len() {
+            self.consider(self.recently_probed[position], job, best);
         }
     }
 
-    fn consider_sample(&mut self, z: usize, job: &Job, best: &mut BestCandidate) {
-        let n = self.fleet.serving_by_zone[z].len();
-        let offset = self.rng.usize(..n.max(1));
-        let all: usize = self.fleet.serving_by_zone.iter().map(Vec::len).sum();
-        let none = if self.cfg.load_reports == LoadReports::None { MAX_SAMPLE } else { 0 };
-        let looks = (2 * all / self.cfg.instances as usize).clamp(MIN_SAMPLE.max(none), MAX_SAMPLE);
-        for j in 0..looks.min(n) {
-            // A stride that spreads the looks walks the zone without repeats.
-            let i = self.fleet.serving_by_zone[z][(offset + j * n.div_ceil(looks)) % n];
-            self.consider(i, job, best);
+    fn consider_sample(&mut self, zone: usize, job: &Job, best: &mut Option<Candidate>) {
+        let zones = &self.fleet.serving_by_zone;
+        let (in_zone, in_all) = (zones[zone].len(), zones.iter().map(Vec::len).sum::<usize>());
+        let offset = self.rng.usize(..in_zone.max(1));
+        let least = if self.settings.load_reports == LoadReports::None { MAX_SAMPLE } else { MIN_SAMPLE };
+        let sample = (2 * in_all / self.settings.instances as usize).clamp(least, MAX_SAMPLE);
+        for step in 0..sample.min(in_zone) {
+            // A stride that spreads the sample walks the zone without repeats.
+            let position = (offset + step * in_zone.div_ceil(sample)) % in_zone;
+            self.consider(self.fleet.serving_by_zone[zone][position], job, best);
         }
     }
 
     /// The homes of a key are the next workers on the ring, the same at every dispatcher, and the more the
     /// more it is asked for. The job takes one of them, or where that is busy one of those that follow.
-    fn consider_key_homes(&mut self, key: u64, job: &Job, best: &mut BestCandidate) {
-        let asked = self.key_rates.rate(key, self.now) * f64::from(self.cfg.instances);
-        let busy = asked * self.rate_window() * self.mean_slots / self.fleet.largest_job as f64;
-        let skip = self.rng.usize(..1 + (busy * KEY_SPREAD) as usize);
-        for i in self.fleet.ring_workers(key, skip + KEY_HOMES).into_iter().skip(skip) {
-            self.consider(i, job, best);
+    fn consider_key_homes(&mut self, key: u64, job: &Job, best: &mut Option<Candidate>) {
+        let rate = self.key_rates.rate(key, self.now) * f64::from(self.settings.instances);
+        let work = rate * self.workload.rate_window() * self.workload.mean_slots;
+        let busy = work / self.fleet.largest_job as f64;
+        let skipped = self.rng.usize(..1 + (busy * KEY_SPREAD) as usize);
+        for index in self.fleet.ring_workers(key, skipped + KEY_HOMES).into_iter().skip(skipped) {
+            self.consider(index, job, best);
         }
     }
 
     pub(super) fn observation_time(&self) -> ObservationTime {
-        ObservationTime { now: self.now, window: self.rate_window() }
+        ObservationTime { now: self.now, window: self.workload.rate_window() }
     }
 
-    pub(super) fn apply_load_report(&mut self, i: usize, load: Option<LoadReport>) {
+    pub(super) fn apply_load_report(&mut self, index: usize, load: Option<LoadReport>) {
         let Some(load) = load else { return };
-        let waiting = self.fleet.apply_load_report(i, &load, self.mean_slots, self.observation_time());
-        if let Some(waiting) = waiting.filter(|w| *w > 0.0 && !self.cfg.reports_job_start) {
+        let time = self.observation_time();
+        let waiting = self.fleet.apply_load_report(index, &load, self.workload.mean_slots, time);
+        if let Some(waiting) = waiting.filter(|slots| *slots > 0.0 && !self.settings.reports_job_start) {
             // Nobody says when a job starts, but a queue says that some did not.
-            self.rate.record_rejection(i, waiting);
+            self.rate.record_rejection(index, waiting);
         }
     }
 
     pub(super) fn may_probe(&self) -> bool {
-        self.cfg.probes_allowed && self.cfg.load_reports == LoadReports::WithResponses
+        self.settings.probes_allowed && self.settings.load_reports == LoadReports::WithResponses
     }
 
-    /// Asks a few workers while a paid job waits for a free one: where traffic is thin, news is old.
-    /// A free worker answers soon; the own zone is asked first, then the others.
-    pub(super) fn probe(&mut self, id: RequestId, far: bool, actions: &mut Vec<Action>) {
-        let Some(job) = self.jobs.get(&id).filter(|j| j.state == JobState::Admitted) else { return };
+    /// Probes a few workers while an admitted job waits for a free one: where traffic is thin, reports are
+    /// old. A free worker answers soon; the own zone is probed first, then the others.
+    pub(super) fn probe(&mut self, id: RequestId, other_zones: bool, actions: &mut Vec<Action>) {
+        let Some(job) = self.jobs.get(&id).filter(|job| job.state == JobState::Admitted) else { return };
         let zones = self.fleet.serving_by_zone.len() as u32;
-        let mut looks =
-            (MAX_PROBE_COST / self.cfg.probe_price.max(MAX_PROBE_COST / PROBES_PER_JOB)).round() as usize;
+        let price = self.settings.probe_price.max(MAX_PROBE_COST / PROBES_PER_JOB);
+        let mut probes_left = (MAX_PROBE_COST / price).round() as usize;
         for _ in 0..MAX_SAMPLE {
-            let step = if far { self.rng.u32(1..zones.max(2)) } else { 0 };
-            let zone = &self.fleet.serving_by_zone[((self.cfg.zone + step) % zones.max(1)) as usize];
-            let i = zone.get(self.rng.usize(..zone.len().max(1))).copied();
-            if let Some(i) =
-                i.filter(|&i| looks > 0 && !self.fleet.workers[i].probing && self.is_eligible(i, job))
-            {
-                looks -= 1;
-                self.fleet.workers[i].probing = true;
-                actions.push(Action::Probe(self.fleet.workers[i].id));
+            let step = if other_zones { self.rng.u32(1..zones.max(2)) } else { 0 };
+            let zone = &self.fleet.serving_by_zone[((self.settings.zone + step) % zones.max(1)) as usize];
+            let Some(&index) = zone.get(self.rng.usize(..zone.len().max(1))) else { continue };
+            if probes_left > 0 && !self.fleet.workers[index].probing && self.is_eligible(index, job) {
+                probes_left -= 1;
+                self.fleet.workers[index].probing = true;
+                actions.push(Action::Probe(self.fleet.workers[index].id));
             }
         }
     }
 
     pub(super) fn on_probe_due(&mut self, actions: &mut Vec<Action>) {
-        let n = self.fleet.workers.len();
-        let i = self.rng.usize(..n.max(1));
-        if let Some(w) = self.fleet.workers.get_mut(i) {
-            if w.state == WorkerState::Serving && !w.probing {
-                w.probing = true;
-                actions.push(Action::Probe(w.id));
+        let count = self.fleet.workers.len();
+        let index = self.rng.usize(..count.max(1));
+        if let Some(worker) = self.fleet.workers.get_mut(index) {
+            if worker.state == WorkerState::Serving && !worker.probing {
+                worker.probing = true;
+                actions.push(Action::Probe(worker.id));
             }
         }
         // Each worker about once a second, but no more than one probe a request: they have a price.
-        let pace = (n as f64).min(1.0 + self.banks.iter().map(|b| b.arrival_rate).sum::<f64>()).max(1.0);
-        let after = 2.0 * self.rng.f64() / pace;
+        let requests = 1.0 + self.banks.iter().map(|bank| bank.arrival_rate).sum::<f64>();
+        let probes_per_second = (count as f64).min(requests).max(1.0);
+        let after = 2.0 * self.rng.f64() / probes_per_second;
         self.schedule(after, TimerEvent::ProbeDue);
     }
 
     pub(super) fn on_probed(&mut self, id: WorkerId, load: Option<LoadReport>, actions: &mut Vec<Action>) {
-        let Some(&i) = self.fleet.index.get(&id) else { return };
-        self.fleet.workers[i].probing = false;
-        self.apply_load_report(i, load);
+        let Some(&index) = self.fleet.index.get(&id) else { return };
+        self.fleet.workers[index].probing = false;
+        self.apply_load_report(index, load);
         if load.is_some() && self.may_probe() {
-            self.recently_probed.truncate(MAX_SAMPLE - 1);
-            self.recently_probed.push_front(i);
+            self.remember_probed(index);
             self.place_admitted(actions);
         }
     }
+
+    /// Keeps the workers that were heard of last, latest first.
+    pub(super) fn remember_probed(&mut self, index: usize) {
+        self.recently_probed.truncate(MAX_SAMPLE - 1);
+        self.recently_probed.push_front(index);
+    }
 }
--- a/crates/dispatch-core/src/policy/slow_start.rs
+++ b/crates/dispatch-core/src/policy/slow_start.rs
@@ -1,57 +1,68 @@
-//! 4. **Cold budget.** A worker that just started gets work by a budget of all dispatchers together.
+//! 4. **Slow start.** A worker that just started gets work by a budget of all dispatchers together.
 
-use super::*;
+use super::placement::MAX_SAMPLE;
+use super::Dispatcher;
+use crate::api::{Seconds, WorkerId};
+use crate::fleet::Worker;
+use crate::hashing::mix_bits;
+use crate::job::{Candidate, Job};
+use crate::slow_start::{planned_share, time_slice};
 
-/// The part of the cold budget that is planned for: running times vary, and pushes of two slices may meet.
+/// The part of the budget that is planned for: running times vary, and sends of two slices may meet.
 const PLANNED_BUDGET_SHARE: f64 = 0.25;
 
 impl Dispatcher {
-    /// A span in which each grant has one owner, by the clock that all dispatchers share.
     pub(super) fn time_slice(&self) -> u64 {
-        (self.now / self.cfg.overload_window.max(0.1)) as u64
+        time_slice(self.now, self.settings.overload_window)
     }
 
-    fn is_warming_up(&self, w: &Worker) -> bool {
-        w.state == WorkerState::Serving && self.fleet.warm_capacity(w, self.now) < 1.0
-    }
-
-    /// What all may send there in this slice, as work, and our part of it. It is handed out in grants, each
-    /// for about a job and with an owner of its own: of many dispatchers none has the traffic to use up more.
-    fn planned_budget(&self, w: &Worker) -> (f64, f64) {
-        let capacity = self.fleet.warm_capacity(w, self.now) * self.fleet.slots_of(w);
-        let budget = self.cfg.overload_multiple * capacity * self.cfg.overload_window * PLANNED_BUDGET_SHARE;
-        let grants = (budget / self.mean_job_work()).clamp(1.0, 64.0) as u64;
-        let owner =
-            |n: &u64| mix_bits(w.id.0 ^ mix_bits(self.time_slice() * 64 + n)) % u64::from(self.cfg.instances);
-        let ours = (0..grants).filter(|n| owner(n) == u64::from(self.cfg.instance)).count();
-        (budget, budget * ours as f64 / grants as f64)
+    /// What all may send there in this slice, as work, and our part of it. It is planned in parts, each for
+    /// about a job and with an owner of its own: of many dispatchers none has the traffic to use up more.
+    fn planned_budget(&self, worker: &Worker) -> (f64, f64) {
+        let settings = &self.settings;
+        let capacity = self.fleet.warm_capacity(worker, self.now) * self.fleet.slots_of(worker);
+        let budget = settings.overload_multiple * capacity * settings.overload_window * PLANNED_BUDGET_SHARE;
+        let part = self.mean_job_work();
+        (budget, planned_share(worker.id, self.time_slice(), budget, part, settings))
     }
 
     /// A job that asks for more than our part goes there by chance, drawn once a slice: the mean keeps it.
-    pub(super) fn has_slow_start_budget(&self, w: &Worker, job: &Job) -> bool {
-        if !self.is_warming_up(w) || w.slow_start.granted(self.now) >= job.work() {
+    pub(super) fn has_slow_start_budget(&self, worker: &Worker, job: &Job) -> bool {
+        if !self.fleet.is_warming_up(worker, self.now)
+            || worker.slow_start.granted_work(self.now) >= job.work()
+        {
             return true;
         }
-        let ((budget, ours), work) = (self.planned_budget(w), job.work());
-        if let Some(spent) = w.slow_start.spent_in_slice(self.time_slice()) {
+        let ((budget, ours), work) = (self.planned_budget(worker), job.work());
+        if let Some(spent) = worker.slow_start.spent_in_slice(self.time_slice()) {
             return spent + work <= ours;
         }
-        let drawn = mix_bits(w.id.0 ^ mix_bits(!self.time_slice() ^ mix_bits(self.cfg.instance.into())));
+        let instance = u64::from(self.settings.instance);
+        let drawn = mix_bits(worker.id.0 ^ mix_bits(!self.time_slice() ^ mix_bits(instance)));
         work <= budget && drawn as f64 / u64::MAX as f64 * work < ours
     }
 
-    /// Looks at some of the cold workers with grants of ours: a sample of all would hardly meet them.
-    pub(super) fn consider_warming_up(&mut self, job: &Job, best: &mut BestCandidate) {
-        let slice = self.time_slice();
-        if self.slow_start_turns.0 != slice {
-            let ours = |w: &Worker| w.slow_start.granted(self.now) > 0.0 || self.planned_budget(w).1 > 0.0;
-            let fleet = self.fleet.workers.iter().enumerate();
-            let ours = fleet.filter(|(_, w)| self.is_warming_up(w) && ours(w)).map(|(i, _)| i);
-            self.slow_start_turns = (slice, ours.collect());
+    /// Looks at some workers in slow start of which a part is ours: a sample of all would hardly meet them.
+    pub(super) fn consider_warming_up(&mut self, job: &Job, best: &mut Option<Candidate>) {
+        let time_slice = self.time_slice();
+        if self.slow_start_turns.0 != time_slice {
+            let is_ours = |worker: &Worker| {
+                worker.slow_start.granted_work(self.now) > 0.0 || self.planned_budget(worker).1 > 0.0
+            };
+            let workers = self.fleet.workers.iter().enumerate();
+            let ours =
+                workers.filter(|(_, worker)| self.fleet.is_warming_up(worker, self.now) && is_ours(worker));
+            self.slow_start_turns = (time_slice, ours.map(|(index, _)| index).collect());
         }
         for _ in 0..MAX_SAMPLE.min(self.slow_start_turns.1.len()) {
-            let n = self.rng.usize(..self.slow_start_turns.1.len());
-            self.consider(self.slow_start_turns.1[n], job, best);
+            let position = self.rng.usize(..self.slow_start_turns.1.len());
+            self.consider(self.slow_start_turns.1[position], job, best);
         }
     }
+
+    /// The leader that shares out slow-start budgets granted more than our planned share.
+    pub(super) fn on_slow_start_grant(&mut self, worker: WorkerId, work: f64, expires_at: Seconds) {
+        self.fleet.apply_grant(worker, work, expires_at, self.now);
+        self.slow_start_turns.0 = u64::MAX;
+    }
 }
--- a/crates/dispatch-core/src/policy/throttle.rs
+++ b/crates/dispatch-core/src/policy/throttle.rs
@@ -1,176 +1,163 @@
 //! 1. **Throttle.** Each tenant has a token bank and a small job buffer (Berger and Whitt), folded into one
-//!    counter in slots, U = T - J + C_J. A k-slot job needs U >= k or is refused at once, whole, with a
-//!    retry-after. With k tokens banked it is pushed at once; else it is held, and tokens pay the head.
+//!    counter in slots, U = T - J + C_J. A k-slot job needs U >= k or is rejected at once, whole, with a
+//!    retry-after. With k tokens banked it is admitted at once; else it is queued, and tokens pay the head.
 
-use super::attempts::MAX_PLACEMENTS;
-use super::*;
+use super::attempts::{MAX_PLACEMENTS, PLACEMENT_WAIT};
+use super::Dispatcher;
+use crate::api::{Action, Request, RequestId, Seconds};
+use crate::job::{Job, JobState};
+use crate::timers::{TimerEvent, TIMER_TOLERANCE};
+use crate::token_bank;
 
 /// A full token bank holds this much time's tokens: a burst that evens out over a running time or two.
 const BANK_TIME: Seconds = 1.0;
-/// Those of other zones are asked after this part of the wait.
+/// Workers of other zones are probed after this part of the wait for a free worker.
 const PROBE_OTHER_ZONES_AFTER: f64 = 0.2;
-/// No job is larger, in slots; the sums stay exact.
-const LARGEST: f64 = 1e6;
+/// A job has at least this time to start, or half its timeout.
+const MIN_START_TIME: Seconds = 0.01;
+/// A job starts so many steps of the clock before its client gives up.
+const CLOCK_STEPS_TO_ANSWER: f64 = 4.0;
+/// The shortest wait that a client is told.
+const MIN_RETRY_AFTER: Seconds = 0.001;
 
 impl Dispatcher {
     pub(super) fn resize_banks(&mut self) {
-        let aim = self.cfg.classes.iter().map(|c| c.latency_objective).fold(f64::INFINITY, f64::min);
-        for b in &mut self.banks {
-            let rate = b.share * self.rate.slots_per_second;
-            let buffer = ((rate * aim) as i64).max(self.fleet.largest_job);
-            b.resize(((rate * BANK_TIME) as i64).max(2 * self.fleet.largest_job), buffer);
+        let objectives = self.settings.classes.iter().map(|class| class.latency_objective);
+        let shortest_objective = objectives.fold(f64::INFINITY, f64::min);
+        let largest_job = self.fleet.largest_job;
+        for bank in &mut self.banks {
+            let rate = bank.share * self.rate.slots_per_second;
+            let buffer_capacity = ((rate * shortest_objective) as i64).max(largest_job);
+            bank.resize(((rate * BANK_TIME) as i64).max(2 * largest_job), buffer_capacity);
         }
     }
 
     pub(super) fn accrue_tokens(&mut self) {
-        let dt = self.now - std::mem::replace(&mut self.accrued_at, self.now);
-        if dt <= 0.0 {
-            return;
+        let elapsed = self.now - std::mem::replace(&mut self.accrued_at, self.now);
+        if elapsed > 0.0 {
+            token_bank::accrue(&mut self.banks, self.rate.slots_per_second * elapsed);
         }
-        accrue_all(&mut self.banks, self.rate.slots_per_second * dt);
     }
 
-    pub(super) fn on_request(&mut self, req: Request, actions: &mut Vec<Action>) {
-        if self.jobs.contains_key(&req.id) {
+    pub(super) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
+        if self.jobs.contains_key(&request.id) {
             return;
         }
-        let class = (req.class as usize).min(self.cfg.classes.len() - 1);
-        let tenant = (req.tenant as usize).min(self.banks.len() - 1);
-        let req = Request { class: class as u32, tenant: tenant as u32, ..req };
-        let k = req.slots.max(1.0).ceil() as i64;
-        if k > self.fleet.largest_job {
+        let class = (request.class as usize).min(self.settings.classes.len() - 1);
+        let tenant = (request.tenant as usize).min(self.banks.len() - 1);
+        let request = Request { class: class as u32, tenant: tenant as u32, ..request };
+        let slots = request.slots.max(1.0).ceil() as i64;
+        if slots > self.fleet.largest_job {
             // A figure beyond any worker must not open the banks to everything that follows.
-            let most = |kind: &MachineKind| if kind.slots > 0.0 { 2.0 * kind.slots } else { f64::INFINITY };
-            if k as f64 > self.fleet.kinds.iter().map(most).fold(0.0, f64::max).min(LARGEST) {
-                return actions.push(self.rejection(req.id, self.cfg.max_retry_after));
+            if slots as f64 > self.fleet.max_job_slots() {
+                return actions.push(self.rejection(request.id, self.settings.max_retry_after));
             }
-            self.fleet.largest_job = k;
+            self.fleet.largest_job = slots;
             self.resize_banks();
         }
         self.accrue_tokens();
-        self.mean_slots += CLASS_LEARNING_RATE * (k as f64 - self.mean_slots);
-        self.reserved_workers.record_job(
-            k as f64,
-            k as f64 * self.run_times[class].mean,
-            &self.fleet.workers,
-        );
-        if let Some(key) = req.affinity_key {
-            self.key_rates.record(key, self.now);
+        self.record_arrival(&request, slots as f64);
+        let slack = self.workload.run_times[class]
+            .start_slack(&self.settings.classes[class], request.expected_run_time);
+        let age = self.request_age(&request);
+        let latest_start = request.timeout - CLOCK_STEPS_TO_ANSWER * self.settings.clock_resolution;
+        let start_by = self.now + (slack - age).min(latest_start);
+        let too_late = start_by <= self.now && self.settings.classes[class].late_weight == 0.0;
+        let balance = self.banks[tenant].balance;
+        if too_late || balance < slots || request.timeout <= 0.0 {
+            let wait = (slots - balance).max(1) as f64 / self.rate.partial(self.banks[tenant].share);
+            self.rate.is_limiting |= !too_late;
+            return actions.push(self.rejection(request.id, wait));
         }
-        let slack = self.start_slack(class, req.expected_run_time);
-        let longest = self.run_times[class].record_timeout(req.timeout);
-        // A first try that is to be answered sooner than others is no older than they.
-        let age = longest - req.timeout;
-        let first =
-            if self.cfg.clients_mark_retries { !req.is_retry } else { age < self.cfg.clock_resolution };
-        let age = if first { 0.0 } else { age };
-        self.banks[tenant].window_arrivals += f64::from(first);
-        let until = self.now + (slack - age).min(req.timeout - 4.0 * self.cfg.clock_resolution);
-        let late = until <= self.now && self.cfg.classes[class].late_weight == 0.0;
-        let bank = &mut self.banks[tenant];
-        if late || bank.balance < k || req.timeout <= 0.0 {
-            let wait = (k - bank.balance).max(1) as f64 / self.tenant_rate(tenant);
-            self.rate.is_limiting |= !late;
-            return actions.push(self.rejection(req.id, wait));
-        }
-        let until = until.max(self.now + 0.01_f64.min(req.timeout / 2.0));
-        let now_pay = bank.balance - bank.buffer_capacity >= k;
-        bank.balance -= k;
-        let state = if now_pay { JobState::Admitted } else { JobState::Queued };
-        let run = self.run_times[class].mean.max(req.expected_run_time.unwrap_or(0.0));
-        let work_log = self.run_times[class].log_work(req.expected_run_time);
-        let c = &self.cfg.classes[class];
-        let due = self.now - age + c.latency_objective + c.run_time_allowance * work_log.exp();
-        let (arrived, attempts) = (self.now, Vec::new());
-        let job = Job {
-            request: req,
-            run_time: run,
-            log_work: work_log,
-            objective_due: due,
-            slots: k,
-            arrived_at: arrived,
-            start_by: until,
-            state,
-            attempts,
-        };
-        self.jobs.insert(req.id, job);
-        if now_pay {
-            self.admit(req.id, actions);
-        } else {
-            self.rate.is_limiting = true;
-            self.banks[tenant].queued.push_back(req.id);
-            self.banks[tenant].queued_slots += k;
-            self.schedule(until - self.now, TimerEvent::QueueTimeout(req.id));
-            self.release_queued(tenant, actions);
+        let start_by = start_by.max(self.now + MIN_START_TIME.min(request.timeout / 2.0));
+        let (class, run_times) = (&self.settings.classes[class], &self.workload.run_times[class]);
+        let job = Job::new(request, slots, class, run_times, (self.now, age), start_by);
+        self.enqueue(job, actions);
+    }
+
+    fn record_arrival(&mut self, request: &Request, slots: f64) {
+        self.workload.record_slots(slots);
+        let work = slots * self.workload.run_times[request.class as usize].mean;
+        self.reserved_workers.record_job(slots, work, &self.fleet.workers);
+        if let Some(key) = request.affinity_key {
+            self.key_rates.record(key, self.now);
         }
     }
 
-    /// How long a job of the class may wait and still be in time, by its running time as told or as usual.
-    pub(super) fn start_slack(&self, class: usize, expected: Option<Seconds>) -> Seconds {
-        let c = &self.cfg.classes[class];
-        c.latency_objective
-            + (c.run_time_allowance - 1.0).max(0.0) * self.run_times[class].log_work(expected).exp()
+    /// How long ago the client first asked for this job. First attempts count as arrivals of the tenant.
+    fn request_age(&mut self, request: &Request) -> Seconds {
+        let run_times = &mut self.workload.run_times[request.class as usize];
+        // A first attempt that is to be answered sooner than others is no older than they.
+        let age = run_times.record_timeout(request.timeout) - request.timeout;
+        let seems_first = age < self.settings.clock_resolution;
+        let is_first = if self.settings.clients_mark_retries { !request.is_retry } else { seems_first };
+        if is_first {
+            self.banks[request.tenant as usize].window_arrivals += 1.0;
+            return 0.0;
+        }
+        age
     }
 
-    /// Tokens a second of a tenant; never quite none, to divide by.
-    fn tenant_rate(&self, tenant: usize) -> f64 {
-        (self.banks[tenant].share * self.rate.slots_per_second).max(1e-3)
+    /// Takes the job's slots out of its tenant's bank; it waits in the buffer until tokens pay for it.
+    fn enqueue(&mut self, job: Job, actions: &mut Vec<Action>) {
+        let (id, tenant, start_by) = (job.request.id, job.tenant(), job.start_by);
+        let is_paid = self.banks[tenant].withdraw(id, job.slots);
+        self.jobs.insert(id, job);
+        if is_paid {
+            return self.admit(id, actions);
+        }
+        self.rate.is_limiting = true;
+        self.schedule(start_by - self.now, TimerEvent::QueueTimeout(id));
+        self.release_queued(tenant, actions);
     }
 
     pub(super) fn rejection(&self, request: RequestId, wait: Seconds) -> Action {
-        let longest = self.cfg.max_retry_after;
-        let retry_after = (longest > 0.0).then(|| wait.clamp(0.001, longest));
+        let longest = self.settings.max_retry_after;
+        let retry_after = (longest > 0.0).then(|| wait.clamp(MIN_RETRY_AFTER, longest));
         Action::Reject { request, retry_after }
     }
 
     pub(super) fn release_queued(&mut self, tenant: usize, actions: &mut Vec<Action>) {
         while let Some(&id) = self.banks[tenant].queued.front() {
-            let b = &mut self.banks[tenant];
             let Some(job) = self.jobs.get(&id) else { return };
-            let owed = (b.buffer_capacity - b.balance).max(0);
-            let missing = job.slots - (b.queued_slots - owed);
-            if missing > 0 {
-                let after = (missing as f64 - b.partial_token).max(0.01) / self.tenant_rate(tenant);
-                self.schedule(after, TimerEvent::TokensDue(tenant));
-                return;
+            if let Some(missing) = self.banks[tenant].release_head(job.slots) {
+                let after = missing / self.rate.partial(self.banks[tenant].share);
+                return self.schedule(after, TimerEvent::TokensDue(tenant));
             }
-            b.queued.pop_front();
-            b.queued_slots -= job.slots;
             self.admit(id, actions);
         }
     }
 
-    /// Its tokens are all there, or were taken for an attempt that never ran.
+    /// Its tokens are all there, or were taken for an attempt that never ran: it waits for a worker.
     pub(super) fn admit(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.state = JobState::Admitted;
-        let give_way = job.placement_deadline(PLACEMENT_WAIT);
+        let deadline = job.placement_deadline(PLACEMENT_WAIT);
         self.admitted.push_back(id);
         self.place_admitted(actions);
         if self.admitted.contains(&id) {
-            self.schedule(give_way - self.now, TimerEvent::PlacementTimeout(id));
+            let wait = deadline - self.now;
+            self.schedule(wait, TimerEvent::PlacementTimeout(id));
             if self.may_probe() && self.admitted.len() <= MAX_PLACEMENTS {
                 self.probe(id, false, actions);
-                self.schedule(
-                    PROBE_OTHER_ZONES_AFTER * (give_way - self.now),
-                    TimerEvent::ProbeOtherZones(id),
-                );
+                self.schedule(PROBE_OTHER_ZONES_AFTER * wait, TimerEvent::ProbeOtherZones(id));
             }
         }
     }
 
+    /// A job that waits for tokens or for a worker has no time left to start.
     pub(super) fn on_queue_timeout(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id) else { return };
-        if job.start_by > self.now + 1e-6 {
+        if job.start_by > self.now + TIMER_TOLERANCE {
             return;
         }
         match job.state {
             JobState::Queued => {
-                self.banks[job.request.tenant as usize].remove_queued(id, job.slots);
+                self.banks[job.tenant()].remove_queued(id, job.slots);
                 self.rate.is_limiting = true;
             }
-            JobState::Admitted => self.admitted.retain(|&p| p != id),
-            _ => return,
+            JobState::Admitted => self.admitted.retain(|&admitted| admitted != id),
+            JobState::InFlight | JobState::Ended => return,
         }
         self.reject_or_fail(id, actions);
     }
--- a/crates/dispatch-core/src/poll_schedule.rs
+++ b/crates/dispatch-core/src/poll_schedule.rs
@@ -1,35 +1,38 @@
-//! When discovery is called again after a watch or a call has ended. Pure: no clock, no I/O.
+//! When the endpoint list is polled again after a watch or a call has ended. Pure: no clock, no I/O.
 //!
-//! A change counts as told a fixed time after discovery had it and could be reached, whatever a call before did, and
+//! A change counts as notified a fixed time after discovery had it and could be reached, whatever a call before did, and
 //! soon after that nothing may be sent to a worker that drains. So what bounds a pause is since when nothing may have
 //! been heard, not how often calls failed: a call that was given up late leaves less time before the next.
 
 use crate::api::Settings;
 use crate::backoff::{Backoff, Micros};
 
-/// A change counts as told this long after discovery had it and could be reached.
+/// A change counts as notified this long after discovery had it and could be reached.
 pub const NOTIFIED_WITHIN: Micros = 6_000_000;
 /// Of that, what a call may take to be answered: it waits its turn for up to 2 s where discovery is one service for all.
 const ANSWERED_WITHIN: Micros = 2_000_000;
 
-/// An agent on this machine costs nothing to ask, and what it has counts as told at once: first and longest pause, in
-/// parts of the time for which a worker that drains may still get work.
-const AGENT: (Micros, Micros) = (25, 5);
-/// An agent that does not answer within this part of that time, in hundredths, may have lost the connection: another is
-/// opened beside it, so that one of them was opened after discovery came back.
-const BESIDE: Micros = 40;
+/// An agent on this machine costs nothing to poll, and what it has counts as notified at once: first and longest pause,
+/// as divisors of the time for which a worker that drains may still get work.
+const AGENT_FIRST_DIVISOR: Micros = 25;
+const AGENT_LONGEST_DIVISOR: Micros = 5;
+/// An agent that does not answer within this part of that time, in hundredths, may have lost the connection: a standby
+/// watch is opened, so that one of the two was opened after discovery came back.
+const STANDBY_PERCENT: Micros = 40;
 /// That time is taken for no shorter and no longer than this, whatever the settings tell: an agent needs a moment to
 /// answer, and calls without any pause would leave none for the rest.
-const GRACE: (Micros, Micros) = (50_000, 60_000_000);
-/// Where discovery is one service for all, what breaks one watch breaks all, and a call that is turned away costs it as
+const MIN_GRACE: Micros = 50_000;
+const MAX_GRACE: Micros = 60_000_000;
+/// Where discovery is one service for all, what breaks one watch breaks all, and a call that is rejected costs it as
 /// much as one that is answered. So the first calls are spread over so much for each dispatcher, between these; the
 /// later ones, wider and wider, up to the time that is left.
-const SPREAD: Micros = 10_000;
-const FIRST: (Micros, Micros) = (500_000, 2_000_000);
+const SPREAD_PER_INSTANCE: Micros = 10_000;
+const MIN_FIRST_PAUSE: Micros = 500_000;
+const MAX_FIRST_PAUSE: Micros = 2_000_000;
 
-/// How long an agent may take to begin its answer before another connection is opened beside it.
+/// How long an agent may take to begin its answer before a standby watch is opened.
 pub fn standby_watch_delay(grace: Micros) -> Micros {
-    grace.clamp(GRACE.0, GRACE.1) * BESIDE / 100
+    grace.clamp(MIN_GRACE, MAX_GRACE) * STANDBY_PERCENT / 100
 }
 
 /// The pauses between calls.
@@ -45,10 +48,11 @@
     pub fn new(settings: &Settings, grace: Micros, seed: u64) -> PollSchedule {
         let latest = NOTIFIED_WITHIN - ANSWERED_WITHIN;
         let (first, longest) = if settings.polls_endpoint_list {
-            ((SPREAD * Micros::from(settings.instances)).clamp(FIRST.0, FIRST.1), latest)
+            let spread = SPREAD_PER_INSTANCE * Micros::from(settings.instances);
+            (spread.clamp(MIN_FIRST_PAUSE, MAX_FIRST_PAUSE), latest)
         } else {
-            let grace = grace.clamp(GRACE.0, GRACE.1);
-            (grace / AGENT.0, grace / AGENT.1)
+            let grace = grace.clamp(MIN_GRACE, MAX_GRACE);
+            (grace / AGENT_FIRST_DIVISOR, grace / AGENT_LONGEST_DIVISOR)
         };
         PollSchedule { backoff: Backoff::new(first, longest, seed), latest }
     }
@@ -58,9 +62,9 @@
         self.backoff.reset();
     }
 
-    /// The pause before the next call, where nothing may have been heard for so long already. `wanted` is what
-    /// discovery asked for; it is heeded as far as the time within which a change counts as told allows.
-    pub fn next_delay(&mut self, deaf: Micros, wanted: Option<Micros>) -> Micros {
-        self.backoff.next_delay(wanted).min(self.latest.saturating_sub(deaf))
+    /// The pause before the next call, where there has been no watch for so long already. `retry_after` is what
+    /// discovery asked for; it is heeded as far as the time within which a change counts as notified allows.
+    pub fn next_delay(&mut self, without_watch: Micros, retry_after: Option<Micros>) -> Micros {
+        self.backoff.next_delay(retry_after).min(self.latest.saturating_sub(without_watch))
     }
 }
--- a/crates/dispatch-core/src/run_time.rs
+++ b/crates/dispatch-core/src/run_time.rs
@@ -1,24 +1,22 @@
 //! Running times: what a job is thought to take on a worker, learnt from the jobs that ended.
 //!
-//! A running time is the product of the job's own work and of paces: of the fleet as a whole, of the kind of machine,
-//! of the worker. All are kept as logarithms, so that a worker that is twice as slow counts as much as one that is
-//! twice as quick.
+//! A running time is the product of the job's own work and of slowdowns: of the fleet as a whole, of the kind of
+//! machine, of the worker. All are kept as logarithms, so that a worker that is twice as slow counts as much as one that
+//! is twice as quick.
 //!
 //! The work is what is usual in the class, and where jobs come with a hint, a straight line through the logarithms of
 //! hint and work that is fitted as jobs end. Hints that tell nothing flatten the line until the class's mean is left;
 //! hints that are wrong by a constant factor move it; a few heavy jobs that say so teach nothing wrong.
 //!
-//! Each pace is believed to some degree: a variance that grows with time, since machines change, and shrinks with each
-//! job that tells of it. A job moves each pace by that pace's part of all that is doubtful, the job's own spread
-//! included. So where hints are good a few jobs tell that a worker has become slow, and where running times spread
-//! over a factor of ten, many are needed: the gains follow from what is seen and are no settings.
+//! Each slowdown is believed to some degree: a variance that grows with time, since machines change, and shrinks with
+//! each job that tells of it. A job moves each slowdown by that slowdown's part of all that is uncertain, the job's own
+//! variance included. So where hints are good a few jobs tell that a worker has become slow, and where running times
+//! spread over a factor of ten, many are needed: the gains follow from what is seen and are no settings.
 
-use crate::api::Seconds;
-use crate::state::{Fleet, MachineKind};
+use crate::api::{Class, Seconds};
 
-/// Learning rates: of what is usual in a class; and of how long jobs wait at workers.
+/// Learning rate of what is usual in a class.
 pub(crate) const CLASS_LEARNING_RATE: f64 = 1.0 / 64.0;
-pub(crate) const WAIT_LEARNING_RATE: f64 = 1.0 / 16.0;
 /// A running time to start from, and how many jobs seen it is worth.
 const INITIAL_RUN_TIME: Seconds = 0.3;
 const INITIAL_SAMPLES: f64 = 4.0;
@@ -32,23 +30,33 @@
 const INITIAL_HINTED_VARIANCE: f64 = 0.25;
 const INITIAL_VARIANCE: f64 = 1.0;
 const MIN_RUN_TIME_VARIANCE: f64 = 0.02;
-/// Variance of a pace at first, and what it gains in a second: workers become slow by a factor of three or so about
-/// once in a minute or two; what all of them depend on does so less often and by less.
-const KIND_VARIANCE: (f64, f64) = (0.25, 0.0005);
-const WORKER_VARIANCE: (f64, f64) = (0.05, 0.02);
-const FLEET_VARIANCE: (f64, f64) = (0.02, 0.004);
-/// A pace is never sure and never quite unknown.
-const VARIANCE_LIMITS: (f64, f64) = (1e-4, 1.0);
-/// The variance that waits and paces add to a running time by the time the job is done.
+/// No job's error counts for more than so many times the variance.
+const MAX_ERROR: f64 = 4.0;
+/// How unsure slowdowns are: workers become slow by a factor of three or so about once in a minute or two; what all of
+/// them depend on does so less often and by less.
+const KIND_UNCERTAINTY: Uncertainty = Uncertainty { initial: 0.25, per_second: 0.0005 };
+const WORKER_UNCERTAINTY: Uncertainty = Uncertainty { initial: 0.05, per_second: 0.02 };
+const FLEET_UNCERTAINTY: Uncertainty = Uncertainty { initial: 0.02, per_second: 0.004 };
+/// A slowdown is never sure and never quite unknown.
+const MIN_VARIANCE: f64 = 1e-4;
+const MAX_VARIANCE: f64 = 1.0;
+/// The variance that waits and slowdowns add to a running time by the time the job is done.
 const RESIDUAL_VARIANCE: f64 = 0.05;
 /// The logistic curve that is nearest to the normal one.
 const LOGISTIC_SCALE: f64 = 1.7;
 /// A job is given up from so far below certainty of being late on, as far as estimates can be trusted.
 const UNREACHABLE_PROBABILITY: f64 = 0.9;
 /// A job that has run for longer than was thought tells of its worker before it ends, from so many times the usual
-/// spread on.
+/// deviation on.
 const OVERDUE_DEVIATIONS: f64 = 1.0;
 
+/// How unsure a slowdown is: its variance at first, and what that gains in a second.
+#[derive(Clone, Copy, Debug)]
+struct Uncertainty {
+    initial: f64,
+    per_second: f64,
+}
+
 /// Running times of a class.
 #[derive(Clone, Debug)]
 pub(crate) struct RunTimeModel {
@@ -56,12 +64,11 @@
     pub mean: Seconds,
     /// The mean of the logarithms of the work.
     mean_log_work: f64,
-    /// The longest that a client of the class waits.
+    /// The longest timeout that a client of the class has set.
     longest_timeout: Seconds,
-    /// How many were seen.
     runs_seen: f64,
-    /// Hints that were seen, the mean of their logarithms, its spread, and the slope of the work over it.
     hints_seen: f64,
+    /// The mean of the logarithms of hints, their variance, and their covariance with the work.
     mean_log_hint: f64,
     hint_variance: f64,
     hint_covariance: f64,
@@ -87,16 +94,21 @@
 
 /// A hint as a logarithm, where it tells anything at all.
 fn log_hint(hint: Option<Seconds>) -> Option<f64> {
-    hint.filter(|h| *h > 0.0).map(|h| h.clamp(MIN_RUN_TIME, MAX_RUN_TIME).ln())
+    hint.filter(|hint| *hint > 0.0).map(|hint| hint.clamp(MIN_RUN_TIME, MAX_RUN_TIME).ln())
+}
+
+/// The learning rate after so many samples: a mean at first, then one that forgets.
+fn learning_rate(samples: f64) -> f64 {
+    CLASS_LEARNING_RATE.max(1.0 / (samples + INITIAL_SAMPLES))
 }
 
 impl RunTimeModel {
-    /// The work of a job of the class, as a logarithm: its running time where all paces are the usual ones.
+    /// The work of a job of the class, as a logarithm: its running time where all slowdowns are the usual ones.
     pub(crate) fn log_work(&self, hint: Option<Seconds>) -> f64 {
         match log_hint(hint) {
             Some(hint) => {
-                let far = self.clamp_hint(hint) - self.reference_hint();
-                self.mean_log_work + self.hint_covariance / self.hint_variance * far
+                let deviation = self.clamp_hint(hint) - self.reference_hint();
+                self.mean_log_work + self.hint_covariance / self.hint_variance * deviation
             }
             None => self.mean_log_work,
         }
@@ -117,24 +129,31 @@
         hint.clamp(mean - most, mean + most)
     }
 
-    /// A client of the class waits for so long; the longest that any does.
-    pub(crate) fn record_timeout(&mut self, patience: Seconds) -> Seconds {
-        self.longest_timeout = self.longest_timeout.max(patience);
+    /// How long a job of the class may wait and still be in time, by its running time as told or as usual.
+    pub(crate) fn start_slack(&self, class: &Class, hint: Option<Seconds>) -> Seconds {
+        let run_time = self.log_work(hint).exp();
+        class.latency_objective + (class.run_time_allowance - 1.0).max(0.0) * run_time
+    }
+
+    /// A client of the class set this timeout. Returns the longest that any did.
+    pub(crate) fn record_timeout(&mut self, timeout: Seconds) -> Seconds {
+        self.longest_timeout = self.longest_timeout.max(timeout);
         self.longest_timeout
     }
 
     /// How far a running time may lie from its estimate, as a variance of logarithms.
-    pub(crate) fn spread(&self) -> f64 {
+    pub(crate) fn variance(&self) -> f64 {
         self.variance
     }
 
     /// How likely a job is to be late that has so much time left, and is thought to run and to wait for so long.
-    pub(crate) fn lateness_probability(&self, left: Seconds, run: Seconds, wait: Seconds) -> f64 {
-        let spread = (self.variance + RESIDUAL_VARIANCE).sqrt();
-        let in_time = 1.0 / (1.0 + (LOGISTIC_SCALE / spread * (run / left.max(MIN_RUN_TIME)).ln()).exp());
+    pub(crate) fn lateness_probability(&self, left: Seconds, run_time: Seconds, wait: Seconds) -> f64 {
+        let deviation = (self.variance + RESIDUAL_VARIANCE).sqrt();
+        let excess = (run_time / left.max(MIN_RUN_TIME)).ln();
+        let runs_in_time = 1.0 / (1.0 + (LOGISTIC_SCALE / deviation * excess).exp());
         // Waits are taken as exponential: of a wait little more than its mean is known.
-        let waits = if wait > 0.0 { (-(left - run).max(0.0) / wait).exp() } else { 0.0 };
-        1.0 - in_time * (1.0 - waits)
+        let waits_too_long = if wait > 0.0 { (-(left - run_time).max(0.0) / wait).exp() } else { 0.0 };
+        1.0 - runs_in_time * (1.0 - waits_too_long)
     }
 
     /// How far estimates can be trusted: nearly all the way where running times are known beforehand, and little where
@@ -150,63 +169,78 @@
 
     /// A job that is so likely to be late wherever it goes is given up: an even chance is enough where running times
     /// are known, for then it is the queue that makes it late, and the slot serves another in time.
-    pub(crate) fn deadline_unreachable(&self, late: f64) -> bool {
-        late > 1.0 - UNREACHABLE_PROBABILITY * self.confidence()
+    pub(crate) fn deadline_unreachable(&self, lateness_probability: f64) -> bool {
+        lateness_probability > 1.0 - UNREACHABLE_PROBABILITY * self.confidence()
     }
 
-    /// Takes a run that ended and the work that was estimated for it, with all paces known to have acted on it.
-    fn learn(&mut self, run: Seconds, hint: Option<Seconds>, paces: f64, off: f64, doubt: f64) {
+    /// Takes a run that ended, with all slowdowns known to have acted on it, what its estimate was off by, and how much
+    /// of that the slowdowns may account for, as a variance.
+    fn learn(
+        &mut self,
+        run_time: Seconds,
+        hint: Option<Seconds>,
+        slowdowns: f64,
+        error: f64,
+        uncertainty: f64,
+    ) {
         self.runs_seen += 1.0;
-        let learn = CLASS_LEARNING_RATE.max(1.0 / (self.runs_seen + INITIAL_SAMPLES));
-        self.mean += learn * (run - self.mean);
-        let work = run.ln() - paces;
+        let rate = learning_rate(self.runs_seen);
+        self.mean += rate * (run_time - self.mean);
+        let log_work = run_time.ln() - slowdowns;
         match log_hint(hint) {
-            Some(hint) => {
-                if self.hints_seen == 0.0 {
-                    let hint = self.clamp_hint(hint);
-                    (self.mean_log_hint, self.mean_log_work, self.variance) =
-                        (hint, hint, INITIAL_HINTED_VARIANCE);
-                }
-                self.hints_seen += 1.0;
-                let learn = CLASS_LEARNING_RATE.max(1.0 / (self.hints_seen + INITIAL_SAMPLES));
-                let (far, work_far) = (self.clamp_hint(hint) - self.mean_log_hint, work - self.mean_log_work);
-                self.mean_log_hint += learn * far;
-                self.mean_log_work += learn * work_far;
-                self.hint_variance += learn * ((1.0 - learn) * far * far - self.hint_variance);
-                self.hint_covariance += learn * ((1.0 - learn) * far * work_far - self.hint_covariance);
-                // Hints that are all alike tell nothing, and must not divide by nothing.
-                self.hint_variance = self.hint_variance.max(MIN_RUN_TIME_VARIANCE);
-            }
-            None => self.mean_log_work += learn * (work - self.mean_log_work),
+            Some(hint) => self.learn_hint(hint, log_work),
+            None => self.mean_log_work += rate * (log_work - self.mean_log_work),
         }
-        // What the paces were unsure of is no spread of the jobs.
-        self.variance +=
-            learn * ((off * off - doubt).min(4.0 * self.variance.max(INITIAL_VARIANCE)) - self.variance);
+        // What the slowdowns were unsure of is no variance of the jobs.
+        let seen = (error * error - uncertainty).min(MAX_ERROR * self.variance.max(INITIAL_VARIANCE));
+        self.variance += rate * (seen - self.variance);
         self.variance = self.variance.max(MIN_RUN_TIME_VARIANCE);
     }
+
+    /// Fits the line through hints and work.
+    fn learn_hint(&mut self, hint: f64, log_work: f64) {
+        if self.hints_seen == 0.0 {
+            let hint = self.clamp_hint(hint);
+            (self.mean_log_hint, self.mean_log_work, self.variance) = (hint, hint, INITIAL_HINTED_VARIANCE);
+        }
+        self.hints_seen += 1.0;
+        let rate = learning_rate(self.hints_seen);
+        let hint_deviation = self.clamp_hint(hint) - self.mean_log_hint;
+        let work_deviation = log_work - self.mean_log_work;
+        self.mean_log_hint += rate * hint_deviation;
+        self.mean_log_work += rate * work_deviation;
+        self.hint_variance += rate * ((1.0 - rate) * hint_deviation * hint_deviation - self.hint_variance);
+        self.hint_covariance +=
+            rate * ((1.0 - rate) * hint_deviation * work_deviation - self.hint_covariance);
+        // Hints that are all alike tell nothing, and must not divide by nothing.
+        self.hint_variance = self.hint_variance.max(MIN_RUN_TIME_VARIANCE);
+    }
 }
 
-/// What is believed of a pace: a logarithm, how unsure it is, and as of when.
+/// What is believed of a slowdown: a logarithm, how unsure it is, and as of when.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Slowdown {
-    pub log: f64,
+    log: f64,
     variance: f64,
     updated_at: Seconds,
 }
 
 impl Slowdown {
-    /// How unsure it is by now.
-    fn uncertainty(&self, now: Seconds, (first, gain): (f64, f64)) -> f64 {
+    /// How unsure it is by now, as a variance.
+    fn variance(&self, now: Seconds, uncertainty: Uncertainty) -> f64 {
         match self.variance {
-            0.0 => first,
-            known => (known + gain * (now - self.updated_at).max(0.0)).min(VARIANCE_LIMITS.1),
+            0.0 => uncertainty.initial,
+            known => {
+                let gained = uncertainty.per_second * (now - self.updated_at).max(0.0);
+                (known + gained).min(MAX_VARIANCE)
+            }
         }
     }
 
-    /// Takes its part of what an estimate was off by.
-    fn learn(&mut self, off: f64, doubt: f64, all: f64, now: Seconds) {
-        self.log += doubt / all * off;
-        (self.variance, self.updated_at) = ((doubt - doubt * doubt / all).max(VARIANCE_LIMITS.0), now);
+    /// Takes its part of what an estimate was off by: its own variance of that of all.
+    fn learn(&mut self, error: f64, own: f64, all: f64, now: Seconds) {
+        self.log += own / all * error;
+        (self.variance, self.updated_at) = ((own - own * own / all).max(MIN_VARIANCE), now);
     }
 }
 
@@ -218,172 +252,54 @@
     pub variance: f64,
 }
 
-/// The paces of all workers together.
+/// The slowdowns of all workers together.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SlowdownModel {
     fleet: Slowdown,
 }
 
 impl SlowdownModel {
-    /// The pace of a worker, as a logarithm: by the jobs that ended there, or more where one that runs is overdue.
-    pub(crate) fn log_slowdown(&self, worker: usize, fleet: &Fleet, now: Seconds) -> f64 {
-        let w = &fleet.workers[worker];
-        let known = self.fleet.log + fleet.kinds[w.kind].slowdown.log + w.slowdown.log;
-        let overdue = |r: &RunningJob| {
-            (now - r.started_at).max(MIN_RUN_TIME).ln() - r.log_work - OVERDUE_DEVIATIONS * r.variance.sqrt()
+    /// The slowdown of a worker, as a logarithm: by the jobs that ended there, or more where one that runs is overdue.
+    pub(crate) fn log_slowdown(
+        &self,
+        kind: &Slowdown,
+        worker: &Slowdown,
+        running: &[RunningJob],
+        now: Seconds,
+    ) -> f64 {
+        let known = self.fleet.log + kind.log + worker.log;
+        let overdue = |job: &RunningJob| {
+            let so_far = (now - job.started_at).max(MIN_RUN_TIME).ln();
+            so_far - job.log_work - OVERDUE_DEVIATIONS * job.variance.sqrt()
         };
-        w.running.iter().map(overdue).fold(known, f64::max)
+        running.iter().map(overdue).fold(known, f64::max)
     }
 
-    /// Takes a run that ended: what it was off by moves the class, the paces of the fleet, the kind and the worker.
+    /// Takes a run that ended: what it was off by moves the class, the slowdowns of the fleet, the kind and the worker.
     pub(crate) fn learn(
         &mut self,
-        run: Seconds,
+        run_time: Seconds,
         hint: Option<Seconds>,
         class: &mut RunTimeModel,
-        kind: &mut MachineKind,
+        kind: &mut Slowdown,
         worker: &mut Slowdown,
         now: Seconds,
     ) {
-        let run = run.clamp(MIN_RUN_TIME, MAX_RUN_TIME);
-        let off = run.ln() - class.log_work(hint) - self.fleet.log - kind.slowdown.log - worker.log;
-        let doubts = [
-            self.fleet.uncertainty(now, FLEET_VARIANCE),
-            kind.slowdown.uncertainty(now, KIND_VARIANCE),
-            worker.uncertainty(now, WORKER_VARIANCE),
-        ];
-        let doubt: f64 = doubts.iter().sum();
-        let all = doubt + class.variance;
-        // The fleet's pace is what differs from the usual: what lasts becomes the usual.
-        class.learn(run, hint, kind.slowdown.log + worker.log, off, doubt);
-        self.fleet.learn(off, doubts[0], all, now);
-        kind.slowdown.learn(off, doubts[1], all, now);
-        worker.learn(off, doubts[2], all, now);
+        let run_time = run_time.clamp(MIN_RUN_TIME, MAX_RUN_TIME);
+        let error = run_time.ln() - class.log_work(hint) - self.fleet.log - kind.log - worker.log;
+        let of_fleet = self.fleet.variance(now, FLEET_UNCERTAINTY);
+        let of_kind = kind.variance(now, KIND_UNCERTAINTY);
+        let of_worker = worker.variance(now, WORKER_UNCERTAINTY);
+        let of_slowdowns = of_fleet + of_kind + of_worker;
+        let all = of_slowdowns + class.variance;
+        // The fleet's slowdown is what differs from the usual: what lasts becomes the usual.
+        class.learn(run_time, hint, kind.log + worker.log, error, of_slowdowns);
+        self.fleet.learn(error, of_fleet, all, now);
+        kind.learn(error, of_kind, all, now);
+        worker.learn(error, of_worker, all, now);
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// One class, one kind, one worker, and jobs a third of a second apart.
-    struct World {
-        paces: SlowdownModel,
-        class: RunTimeModel,
-        kind: MachineKind,
-        worker: Slowdown,
-        now: Seconds,
-        rng: fastrand::Rng,
-    }
-
-    impl World {
-        fn new() -> World {
-            let rng = fastrand::Rng::with_seed(9);
-            let (paces, class, kind) =
-                (SlowdownModel::default(), RunTimeModel::default(), MachineKind::default());
-            World { paces, class, kind, worker: Slowdown::default(), now: 0.0, rng }
-        }
-
-        /// Takes jobs of a tenth to ten times of 0.2 s; `hint` makes a hint of the work, and runs are so many times it.
-        fn run(
-            &mut self,
-            jobs: u32,
-            times: f64,
-            mut hint: impl FnMut(&mut fastrand::Rng, Seconds) -> Option<Seconds>,
-        ) {
-            for _ in 0..jobs {
-                let work = draw(&mut self.rng);
-                let hint = hint(&mut self.rng, work);
-                let run = times * work * (0.8 + 0.4 * self.rng.f64());
-                self.now += 0.3;
-                let World { paces, class, kind, worker, now, .. } = self;
-                paces.learn(run, hint, class, kind, worker, *now);
-            }
-        }
-
-        fn pace(&self) -> f64 {
-            (self.paces.fleet.log + self.kind.slowdown.log + self.worker.log).exp()
-        }
-
-        /// How long a job of this hint is thought to run.
-        fn thought(&self, hint: Seconds) -> Seconds {
-            self.class.log_work(Some(hint)).exp() * self.pace()
-        }
-    }
-
-    fn draw(rng: &mut fastrand::Rng) -> Seconds {
-        0.2 * 10_f64.powf(2.0 * rng.f64() - 1.0)
-    }
-
-    #[test]
-    fn good_hints_tell_jobs_apart_and_useless_ones_leave_the_mean() {
-        let (mut good, mut poor) = (World::new(), World::new());
-        good.run(300, 1.0, |_, work| Some(work));
-        poor.run(300, 1.0, |rng, _| Some(draw(rng)));
-        let ratio = |world: &World| world.thought(1.0) / world.thought(0.05);
-        assert!((16.0..25.0).contains(&ratio(&good)), "20 in truth: {}", ratio(&good));
-        assert!(ratio(&poor) < 3.0, "1 in truth: {}", ratio(&poor));
-        let (good, poor) = (good.class, poor.class);
-        assert!(
-            good.deadline_unreachable(0.6)
-                && !poor.deadline_unreachable(0.6)
-                && poor.deadline_unreachable(0.95)
-        );
-        assert!(good.spread() < 0.1 && poor.spread() > 0.5, "{} and {}", good.spread(), poor.spread());
-        assert!(
-            good.lateness_probability(0.3, 0.2, 0.0) < 0.1 && good.lateness_probability(0.2, 0.3, 0.0) > 0.9
-        );
-        assert!(
-            (0.3..0.5).contains(&good.lateness_probability(0.3, 0.2, 0.1)),
-            "a wait that takes all the time left on average"
-        );
-        assert!(good.lateness_weight() > 2.0 * poor.lateness_weight());
-    }
-
-    #[test]
-    fn hints_that_turn_wrong_by_a_hundred_times_are_found_out() {
-        let mut world = World::new();
-        for wrong in [100.0, 1.0, 0.01] {
-            world.run(300, 1.0, |_, work| Some(work * wrong));
-            let run = world.thought(0.2 * wrong);
-            assert!((0.1..0.4).contains(&run), "0.2 s in truth, hints times {wrong}: {run}");
-        }
-    }
-
-    #[test]
-    fn a_nonsensical_hint_costs_its_own_job_at_the_most() {
-        let mut world = World::new();
-        for hint in [1e18, 1e-12, 0.0, -1.0, f64::INFINITY, f64::NAN] {
-            assert!(world.class.log_work(Some(hint)).is_finite(), "{hint}");
-            world.run(300, 1.0, |rng, work| Some(if rng.u8(0..50) == 0 { hint } else { work }));
-            let run = world.thought(0.2);
-            assert!((0.1..0.4).contains(&run), "0.2 s in truth after hints of {hint}: {run}");
-        }
-    }
-
-    /// A worker that became six times slower is known for it after a few hinted jobs, and after more of unknown size.
-    #[test]
-    fn a_slow_worker_is_known_the_sooner_the_better_hints_are() {
-        let after = |hinted: bool, jobs: u32| {
-            let mut world = World::new();
-            world.run(300, 1.0, |_, work| Some(work).filter(|_| hinted));
-            let before = world.pace();
-            world.run(jobs, 6.0, |_, work| Some(work).filter(|_| hinted));
-            world.pace() / before
-        };
-        let (hinted, not, later) = (after(true, 8), after(false, 8), after(false, 40));
-        assert!(hinted > 3.0 && not < hinted && later > 2.0, "{hinted}, {not}, {later}");
-    }
-
-    #[test]
-    fn a_job_that_is_overdue_tells_of_its_worker_before_it_ends() {
-        let mut fleet = Fleet::new(&crate::api::Settings::default());
-        fleet.workers.push(crate::state::Worker::default());
-        fleet.kinds = vec![MachineKind::default()];
-        let running = RunningJob { started_at: 10.0, log_work: 0.1_f64.ln(), variance: 0.04 };
-        fleet.workers[0].running.push(running);
-        let pace = |now| SlowdownModel::default().log_slowdown(0, &fleet, now).exp();
-        assert!(pace(10.1) <= 1.0, "in time");
-        assert!((3.0..5.0).contains(&pace(10.5)), "five times as long, less the spread: {}", pace(10.5));
-    }
-}
+#[path = "../tests/unit/run_time.rs"]
+mod tests;
--- a/crates/dispatch-core/tests/settings_keys.rs
+++ b/crates/dispatch-core/tests/settings_keys.rs
@@ -2,7 +2,8 @@
 //! path=value pairs and nested JSON, give the same.
 
 use dispatch_core::api::{Idempotency, KeyScope, LoadReport, LoadReports, Settings};
-use dispatch_core::settings::{parse_settings, SettingsPairs};
+use dispatch_core::settings::parse_settings;
+use dispatch_core::settings_pairs::SettingsPairs;
 
 /// A key, an example, and what is read from it, as text.
 struct Key {
--- a/crates/dispatch-core/tests/shared_numbers.rs
+++ b/crates/dispatch-core/tests/shared_numbers.rs
@@ -3,8 +3,8 @@
 use std::fmt::Write as _;
 
 use dispatch_core::backoff::Backoff;
+use dispatch_core::hashing::{hash_bytes, worker_id};
 use dispatch_core::poll_schedule::{standby_watch_delay, PollSchedule};
-use dispatch_core::settings::{hash_bytes, worker_id};
 use dispatch_core::Settings;
 
 #[test]
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -14,7 +14,9 @@
 use crate::engine::{micros, Listed, Micros};
 use crate::own::{Fleet, Own};
 use dispatch_core::api::{Endpoint, Idempotency, ListScope, Settings, WorkerState};
-use dispatch_core::settings::{parse_settings, worker_id, InvalidValue, SettingsPairs};
+use dispatch_core::hashing::worker_id;
+use dispatch_core::settings::parse_settings;
+use dispatch_core::settings_pairs::{InvalidValue, SettingsPairs};
 
 /// Descriptors where no limit is told.
 const SOCKETS: usize = 1024;
--- a/crates/dispatcher/src/net/client.rs
+++ b/crates/dispatcher/src/net/client.rs
@@ -18,7 +18,7 @@
 use crate::engine::{micros, Answer, Fault, Handle, Input, Job, Micros, Payload};
 use dispatch_core::api::{Request, RequestId};
 
-use dispatch_core::settings::hash_bytes;
+use dispatch_core::hashing::hash_bytes;
 
 /// From this part of the connections on, in hundredths, idle ones are closed and new ones refused: a
 /// dispatcher without descriptors could neither accept nor reach a worker.
--- a/crates/dispatcher/src/net/fleet.rs
+++ b/crates/dispatcher/src/net/fleet.rs
@@ -17,7 +17,7 @@
 use cluster_member::record::Recorder;
 use cluster_member::watch::Watching;
 use coordination::{DutyId, Holder, Micros};
-use dispatch_core::settings::worker_id;
+use dispatch_core::hashing::worker_id;
 use disruption_budget::availability_observer::{ListedWorker, WarmupTracker, OBSERVER_LEASE};
 use serde_json::Value;
 use tokio::net::TcpListener;
--- a/crates/dispatcher/src/net/worker.rs
+++ b/crates/dispatcher/src/net/worker.rs
@@ -23,8 +23,8 @@
 use super::{read_more, read_response_head, write_whole, Configs};
 use crate::engine::{Clock, Command, Handle, Input, Micros, Payload, Reach};
 use dispatch_core::api::{ListScope, LoadReport, Outcome, RequestId, WorkerId, WorkerState};
+use dispatch_core::hashing::worker_id;
 use dispatch_core::load_report::{LoadReportFormat, ParsedLoadReport};
-use dispatch_core::settings::worker_id;
 
 /// A line of a worker may be this long: a result as large as a body, with room for escapes.
 const LONGEST_LINE: usize = 2 * MAX_BODY + 1024;
--- a/crates/dispatcher/tests/pinned_settings.rs
+++ b/crates/dispatcher/tests/pinned_settings.rs
@@ -6,7 +6,7 @@
 use cluster_member::cold::Dealing;
 use cluster_member::watch::Watching;
 use coordination::Times;
-use dispatch_core::settings::worker_id;
+use dispatch_core::hashing::worker_id;
 use dispatcher::api::{
     CapacityReservation, Class, Endpoint, Idempotency, KeyScope, ListScope, LoadReport, LoadReports, Tenant,
     WorkerState,
--- a/crates/emulator/src/fleet/watching.rs
+++ b/crates/emulator/src/fleet/watching.rs
@@ -24,7 +24,7 @@
 use bytes::BytesMut;
 use cluster_member::clock;
 use dispatch_core::api::Idempotency;
-use dispatch_core::settings::worker_id;
+use dispatch_core::hashing::worker_id;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use rustix::process::Signal;
--- a/crates/emulator/src/virtual_time/world.rs
+++ b/crates/emulator/src/virtual_time/world.rs
@@ -7,7 +7,7 @@
     Action, Class, Endpoint, Event, Idempotency, ListScope, Outcome, Request, RequestId, Seconds, Settings,
     Tenant, WorkerId, WorkerState,
 };
-use dispatch_core::settings::worker_id;
+use dispatch_core::hashing::worker_id;
 use rand::Rng as _;
 use rand_distr::{Distribution as _, LogNormal};
 use rand_pcg::Pcg64Mcg;
