--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -99,9 +99,9 @@
 impl std::fmt::Display for CommandDecodeError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            CommandDecodeError::UnsupportedVersion(version, knows) => write!(
+            CommandDecodeError::UnsupportedVersion(version, supported) => write!(
                 f,
-                "an entry has version {version} and this keeper knows up to {knows}: it stops rather than skip what was \
+                "an entry has version {version} and this keeper knows up to {supported}: it stops rather than skip what was \
                  agreed; run a newer keeper"
             ),
             CommandDecodeError::Malformed(why) => write!(f, "an entry cannot be read: {why}"),
@@ -117,7 +117,7 @@
         postcard::to_stdvec(&(self.version(), self)).unwrap_or_default()
     }
 
-    /// The first version that knows it: keepers of the version before read on until something new is agreed on.
+    /// The first version that supported it: keepers of the version before read on until something new is agreed on.
     pub fn version(&self) -> u16 {
         match self {
             Command::Disruption(_) => 3,
@@ -131,12 +131,15 @@
         Command::decode_with_supported_version(COMMAND_VERSION, bytes)
     }
 
-    /// The same by a keeper that knows entries up to this version.
-    pub fn decode_with_supported_version(knows: u16, bytes: &[u8]) -> Result<Command, CommandDecodeError> {
+    /// The same by a keeper that supported entries up to this version.
+    pub fn decode_with_supported_version(
+        supported: u16,
+        bytes: &[u8],
+    ) -> Result<Command, CommandDecodeError> {
         let malformed = |error: postcard::Error| CommandDecodeError::Malformed(error.to_string());
         let (version, rest): (u16, _) = postcard::take_from_bytes(bytes).map_err(malformed)?;
-        if version > knows {
-            return Err(CommandDecodeError::UnsupportedVersion(version, knows));
+        if version > supported {
+            return Err(CommandDecodeError::UnsupportedVersion(version, supported));
         }
         match postcard::take_from_bytes(rest).map_err(malformed)? {
             (command, []) => Ok(command),
--- a/crates/coordination/src/holder.rs
+++ b/crates/coordination/src/lease_client.rs
@@ -6,7 +6,7 @@
 
 use crate::{ClusterView, FencingToken, LeaseId, LeaseView, Micros, Revision, SessionId, Timing};
 
-/// A flaw put in on purpose, to see that it is found.
+/// A injected_bug put in on purpose, to see that it is found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum InjectedBug {
     /// A receiver takes every effect.
@@ -15,7 +15,7 @@
     LeaseFromResponse,
     /// What a receiver is told of tokens is forgotten.
     ForgetMinimumToken,
-    /// An owner looks at the clock once a round and not before each effect.
+    /// An holder looks at the clock once a round and not before each effect.
     SkipExpiryCheck,
 }
 
@@ -87,31 +87,31 @@
 /// A member's account.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseClient {
-    times: Timing,
-    flaw: Option<InjectedBug>,
+    timing: Timing,
+    injected_bug: Option<InjectedBug>,
     session: Option<ClientSession>,
     revision: Revision,
-    seats: BTreeMap<LeaseId, LeaseView>,
+    leases: BTreeMap<LeaseId, LeaseView>,
     counts: EffectCounts,
 }
 
 impl LeaseClient {
     /// A process that knows nothing yet.
-    pub fn new(times: Timing) -> LeaseClient {
+    pub fn new(timing: Timing) -> LeaseClient {
         LeaseClient {
-            times,
-            flaw: None,
+            timing,
+            injected_bug: None,
             session: None,
             revision: 0,
-            seats: BTreeMap::new(),
+            leases: BTreeMap::new(),
             counts: EffectCounts::default(),
         }
     }
 
-    /// Puts a flaw in.
+    /// Puts a injected_bug in.
     #[cfg(feature = "seeded-bugs")]
-    pub fn with_injected_bug(mut self, flaw: Option<InjectedBug>) -> LeaseClient {
-        self.flaw = flaw;
+    pub fn with_injected_bug(mut self, injected_bug: Option<InjectedBug>) -> LeaseClient {
+        self.injected_bug = injected_bug;
         self
     }
 
@@ -120,38 +120,38 @@
         &mut self,
         id: SessionId,
         incarnation: u64,
-        asked: Micros,
+        requested_at: Micros,
         now: Micros,
         view: ClusterView,
     ) {
         if self.session.is_none_or(|session| session.id != id) {
             // The keepers' word at the start of a session is the whole truth, also after they were set up anew.
-            (self.revision, self.seats) = (0, BTreeMap::new());
+            (self.revision, self.leases) = (0, BTreeMap::new());
             self.session = Some(ClientSession { id, incarnation, expires_at: 0 });
         }
-        self.on_session_renewed(id, asked, now, Some(view));
+        self.on_session_renewed(id, requested_at, now, Some(view));
     }
 
     /// The keepers confirmed the session, asked for at that time.
     pub fn on_session_renewed(
         &mut self,
         id: SessionId,
-        asked: Micros,
+        requested_at: Micros,
         now: Micros,
         view: Option<ClusterView>,
     ) {
-        let until = self.until(asked, now);
+        let expires_at = self.expiry(requested_at, now);
         if let Some(session) = self.session.as_mut().filter(|session| session.id == id) {
-            session.expires_at = session.expires_at.max(until);
+            session.expires_at = session.expires_at.max(expires_at);
             if let Some(view) = view {
-                self.learn(view);
+                self.apply_view(view);
             }
         }
     }
 
     /// News of who owns what; returns whether it is to be confirmed at once.
     pub fn on_view_changed(&mut self, id: SessionId, view: ClusterView) -> bool {
-        self.session.is_some_and(|session| session.id == id) && self.learn(view)
+        self.session.is_some_and(|session| session.id == id) && self.apply_view(view)
     }
 
     /// The keepers said that the session is over, or this member gave it back.
@@ -159,27 +159,27 @@
         self.session = None;
     }
 
-    fn until(&self, asked: Micros, now: Micros) -> Micros {
-        match self.flaw {
-            Some(InjectedBug::LeaseFromResponse) => now + self.times.lease_duration,
-            _ => asked + self.times.lease_duration,
+    fn expiry(&self, requested_at: Micros, now: Micros) -> Micros {
+        match self.injected_bug {
+            Some(InjectedBug::LeaseFromResponse) => now + self.timing.lease_duration,
+            _ => requested_at + self.timing.lease_duration,
         }
     }
 
-    fn learn(&mut self, view: ClusterView) -> bool {
+    fn apply_view(&mut self, view: ClusterView) -> bool {
         if view.revision <= self.revision {
             return false;
         }
         self.revision = view.revision;
-        for mut seat in view.leases {
+        for mut lease_view in view.leases {
             // What was taken with a higher token than this view knows stays the measure.
-            if let Some(known) = self.seats.get(&seat.lease) {
-                seat.minimum_token = seat.minimum_token.max(known.minimum_token);
+            if let Some(known) = self.leases.get(&lease_view.lease) {
+                lease_view.minimum_token = lease_view.minimum_token.max(known.minimum_token);
             }
-            if self.flaw == Some(InjectedBug::ForgetMinimumToken) {
-                seat.minimum_token = FencingToken(0);
+            if self.injected_bug == Some(InjectedBug::ForgetMinimumToken) {
+                lease_view.minimum_token = FencingToken(0);
             }
-            self.seats.insert(seat.lease.clone(), seat);
+            self.leases.insert(lease_view.lease.clone(), lease_view);
         }
         true
     }
@@ -202,56 +202,57 @@
     /// The duties that this member owns now, with their tokens.
     pub fn held_leases(&self, now: Micros) -> Vec<(LeaseId, FencingToken)> {
         let Some(session) = self.active_session(now) else { return Vec::new() };
-        let mine = |seat: &&LeaseView| seat.holder.is_some_and(|owner| owner.session == session.id);
-        let token = |seat: &LeaseView| Some((seat.lease.clone(), seat.holder?.token));
-        self.seats.values().filter(mine).filter_map(token).collect()
+        let mine =
+            |lease_view: &&LeaseView| lease_view.holder.is_some_and(|holder| holder.session == session.id);
+        let token = |lease_view: &LeaseView| Some((lease_view.lease.clone(), lease_view.holder?.token));
+        self.leases.values().filter(mine).filter_map(token).collect()
     }
 
-    /// Whether this member may do an effect of that term at this moment. To be asked immediately before each.
-    pub fn holds_lease(&self, duty: &LeaseId, token: FencingToken, now: Micros) -> bool {
+    /// Whether this member may do an effect of that term at this moment. To be requested_at immediately before each.
+    pub fn holds_lease(&self, lease: &LeaseId, token: FencingToken, now: Micros) -> bool {
         let Some(session) = self.active_session(now) else { return false };
-        let owner = self.seats.get(duty).and_then(|seat| seat.holder);
-        owner.is_some_and(|owner| owner.session == session.id && owner.token == token)
+        let holder = self.leases.get(lease).and_then(|lease_view| lease_view.holder);
+        holder.is_some_and(|holder| holder.session == session.id && holder.token == token)
     }
 
-    /// The flaw, for whoever drives the rounds.
+    /// The injected_bug, for whoever drives the rounds.
     pub fn injected_bug(&self) -> Option<InjectedBug> {
-        self.flaw
+        self.injected_bug
     }
 
     /// Whether this member takes an effect with that token now. What is taken raises the measure.
     pub fn accept_effect(
         &mut self,
-        duty: &LeaseId,
+        lease: &LeaseId,
         token: FencingToken,
         now: Micros,
     ) -> Result<(), EffectRejection> {
-        let verdict = self.check_token(duty, token, now);
+        let verdict = self.check_token(lease, token, now);
         match verdict {
             Ok(()) => self.counts.accepted += 1,
             Err(EffectRejection::NoSession) => self.counts.without_session += 1,
             Err(EffectRejection::StaleToken { .. }) => self.counts.stale_tokens += 1,
             Err(EffectRejection::UnknownLease) => self.counts.unknown_leases += 1,
         }
-        if let Some(seat) = self.seats.get_mut(duty).filter(|_| verdict.is_ok()) {
-            if self.flaw != Some(InjectedBug::ForgetMinimumToken) {
-                seat.minimum_token = seat.minimum_token.max(token);
+        if let Some(lease_view) = self.leases.get_mut(lease).filter(|_| verdict.is_ok()) {
+            if self.injected_bug != Some(InjectedBug::ForgetMinimumToken) {
+                lease_view.minimum_token = lease_view.minimum_token.max(token);
             }
         }
         verdict
     }
 
-    fn check_token(&self, duty: &LeaseId, token: FencingToken, now: Micros) -> Result<(), EffectRejection> {
-        if self.flaw == Some(InjectedBug::SkipTokenCheck) {
+    fn check_token(&self, lease: &LeaseId, token: FencingToken, now: Micros) -> Result<(), EffectRejection> {
+        if self.injected_bug == Some(InjectedBug::SkipTokenCheck) {
             return Ok(());
         }
         if self.active_session(now).is_none() {
             return Err(EffectRejection::NoSession);
         }
-        let seat = self.seats.get(duty).ok_or(EffectRejection::UnknownLease)?;
-        match token >= seat.minimum_token {
+        let lease_view = self.leases.get(lease).ok_or(EffectRejection::UnknownLease)?;
+        match token >= lease_view.minimum_token {
             true => Ok(()),
-            false => Err(EffectRejection::StaleToken { minimum_token: seat.minimum_token }),
+            false => Err(EffectRejection::StaleToken { minimum_token: lease_view.minimum_token }),
         }
     }
 
@@ -267,6 +268,6 @@
 
     /// The duties as known.
     pub fn lease_views(&self) -> impl Iterator<Item = &LeaseView> {
-        self.seats.values()
+        self.leases.values()
     }
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -18,19 +18,19 @@
 //! side, [`Timing`] the times and the bound on clock rates.
 
 mod command;
-mod holder;
-mod machine;
-mod times;
-mod warden;
+mod leader_state;
+mod lease_client;
+mod state_machine;
+mod timing;
 
 pub use command::{Command, CommandDecodeError, COMMAND_VERSION};
-pub use holder::{ClientSession, EffectCounts, EffectRejection, InjectedBug, LeaseClient};
-pub use machine::{
+pub use leader_state::LeaderState;
+pub use lease_client::{ClientSession, EffectCounts, EffectRejection, InjectedBug, LeaseClient};
+pub use state_machine::{
     ClusterView, CommandOutcome, CommandRejection, Lease, LeaseHolder, LeaseView, ReplicaReplacement,
     Session, SnapshotError, StateMachine, LIMITS,
 };
-pub use times::{Timing, TimingError};
-pub use warden::LeaderState;
+pub use timing::{Timing, TimingError};
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/state_machine.rs
@@ -12,7 +12,7 @@
 pub const LIMITS: (usize, usize, usize, usize) = (2_048, 4_096, 128, 128);
 
 /// How many processes of one name are remembered, so that an old one is known when it comes again.
-const OLD_BOOTS: usize = 8;
+const REMEMBERED_BOOT_IDS: usize = 8;
 /// The version of the snapshot.
 const SNAPSHOT_VERSION: u16 = 3;
 
@@ -39,17 +39,17 @@
 
 /// What is remembered of a name.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Name {
+struct NameHistory {
     incarnation: u64,
     /// The last processes of the name, the latest last.
-    boots: Vec<u64>,
+    boot_ids: Vec<u64>,
     /// Whether the last session was short.
-    last_short: bool,
+    last_session_short: bool,
     /// Short lives of processes in a row. One that comes again after a cut is the same process, and no new life.
-    short_lives: u8,
+    consecutive_short_sessions: u8,
 }
 
-/// Who owns a duty.
+/// Who owns a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseHolder {
     /// By which session.
@@ -58,14 +58,14 @@
     pub token: FencingToken,
 }
 
-/// A duty.
+/// A lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
     /// Tokens below this one are of ended terms.
     pub minimum_token: FencingToken,
     /// When the last term ended: whoever is to have a say in the next has to know of this.
     pub fencing_revision: Revision,
-    /// The owner, if it has one.
+    /// The holder, if it has one.
     pub holder: Option<LeaseHolder>,
 }
 
@@ -77,15 +77,15 @@
     membership_revision: Revision,
     next_token: u64,
     sessions: BTreeMap<SessionId, Session>,
-    names: BTreeMap<String, Name>,
-    duties: BTreeMap<LeaseId, Lease>,
-    keepers: BTreeMap<u64, u64>,
+    names: BTreeMap<String, NameHistory>,
+    leases: BTreeMap<LeaseId, Lease>,
+    replica_starts: BTreeMap<u64, u64>,
     /// Stands behind the rest in a snapshot, and only where there is something of it.
     #[serde(skip)]
-    changes: Changes,
+    replica_changes: ReplicaChanges,
     /// Who may be out, since version 3. Stands behind the rest in the same way.
     #[serde(skip)]
-    account: DisruptionState,
+    disruption: DisruptionState,
     /// The last entry that changed it; after a restart, the snapshot's.
     #[serde(skip)]
     disruption_revision: Revision,
@@ -93,12 +93,12 @@
 
 /// What is agreed on of keepers that came later, since version 2.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Changes {
+struct ReplicaChanges {
     /// Where those are that came later.
     addresses: BTreeMap<u64, String>,
     replacing: Option<ReplicaReplacement>,
     /// Numbers that are not used again.
-    gone: BTreeSet<u64>,
+    retired: BTreeSet<u64>,
 }
 
 /// A replacement of a keeper that is on its way.
@@ -119,7 +119,7 @@
     SessionEnded(SessionId),
     /// It may own duties now.
     SessionStable(SessionId),
-    /// The duty has an owner.
+    /// The lease has an holder.
     LeaseGranted(LeaseId, LeaseHolder),
     /// The term is over.
     LeaseReleased(LeaseId, FencingToken),
@@ -141,7 +141,7 @@
         /// Which one.
         incarnation: u64,
     },
-    /// The duty was granted, fenced or unknown.
+    /// The lease was granted, fencing_revision or unknown.
     LeaseNotFree,
     /// That term is over, or never was.
     NotLeaseHolder,
@@ -174,14 +174,14 @@
     }
 }
 
-/// What a member is told of one duty.
+/// What a member is told of one lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseView {
-    /// The duty.
+    /// The lease.
     pub lease: LeaseId,
     /// Tokens below are refused.
     pub minimum_token: FencingToken,
-    /// The owner, if there is one.
+    /// The holder, if there is one.
     pub holder: Option<LeaseHolder>,
 }
 
@@ -216,10 +216,10 @@
             next_token: first_token.max(1),
             sessions: BTreeMap::new(),
             names: BTreeMap::new(),
-            duties: BTreeMap::new(),
-            keepers: BTreeMap::new(),
-            changes: Changes::default(),
-            account: DisruptionState::default(),
+            leases: BTreeMap::new(),
+            replica_starts: BTreeMap::new(),
+            replica_changes: ReplicaChanges::default(),
+            disruption: DisruptionState::default(),
             disruption_revision: 0,
         }
     }
@@ -246,7 +246,7 @@
 
     /// The duties.
     pub fn leases(&self) -> &BTreeMap<LeaseId, Lease> {
-        &self.duties
+        &self.leases
     }
 
     /// The token that the next grant gets.
@@ -256,22 +256,22 @@
 
     /// How often each keeper's disk was started, as far as agreed.
     pub fn replica_starts(&self) -> &BTreeMap<u64, u64> {
-        &self.keepers
+        &self.replica_starts
     }
 
     /// Where those keepers are that came later than the installation was set up.
     pub fn added_replicas(&self) -> &BTreeMap<u64, String> {
-        &self.changes.addresses
+        &self.replica_changes.addresses
     }
 
     /// The replacement that is on its way.
     pub fn replacement_in_progress(&self) -> Option<ReplicaReplacement> {
-        self.changes.replacing
+        self.replica_changes.replacing
     }
 
     /// Who may be out.
     pub fn disruption(&self) -> &DisruptionState {
-        &self.account
+        &self.disruption
     }
 
     /// The same with a flaw in the account, in builds for tests.
@@ -280,7 +280,7 @@
         self,
         injected_bug: Option<disruption_budget::InjectedBug>,
     ) -> StateMachine {
-        StateMachine { account: self.account.with_injected_bug(injected_bug), ..self }
+        StateMachine { disruption: self.disruption.with_injected_bug(injected_bug), ..self }
     }
 
     /// The last entry that changed who may be out.
@@ -290,7 +290,7 @@
 
     /// How many short lives in a row a member of this name had.
     pub fn consecutive_short_sessions(&self, name: &str) -> u8 {
-        self.names.get(name).map_or(0, |name| name.short_lives)
+        self.names.get(name).map_or(0, |name| name.consecutive_short_sessions)
     }
 
     /// The session of this name that may be renewed.
@@ -308,12 +308,12 @@
 
     /// What members are told.
     pub fn view(&self) -> ClusterView {
-        let seat = |(id, duty): (&LeaseId, &Lease)| LeaseView {
+        let lease_view = |(id, lease): (&LeaseId, &Lease)| LeaseView {
             lease: id.clone(),
-            minimum_token: duty.minimum_token,
-            holder: duty.holder,
+            minimum_token: lease.minimum_token,
+            holder: lease.holder,
         };
-        ClusterView { revision: self.lease_revision, leases: self.duties.iter().map(seat).collect() }
+        ClusterView { revision: self.lease_revision, leases: self.leases.iter().map(lease_view).collect() }
     }
 
     /// Counts an entry of the log that carries no command.
@@ -335,14 +335,14 @@
                 address,
                 eligible_leases: offers,
                 short_lived: short,
-            } => self.join(index, (name, *boot), zone, address, offers, *short),
+            } => self.open_session(index, (name, *boot), zone, address, offers, *short),
             Command::CloseSession { session, short_lived: short }
             | Command::ExpireSession { session, short_lived: short } => {
-                match self.end(index, *session) {
+                match self.end_session(index, *session) {
                     Some(ended) => {
                         // Of a superseded one it was said when it was.
                         if !ended.superseded {
-                            self.lived(&ended.name, *short);
+                            self.record_session_length(&ended.name, *short);
                         }
                         CommandOutcome::SessionEnded(*session)
                     }
@@ -356,14 +356,14 @@
                 }
                 _ => CommandOutcome::Rejected(CommandRejection::NoSuchSession),
             },
-            Command::GrantLease { lease: duty, session, fencing_revision: fenced } => {
-                self.grant(index, duty, *session, *fenced)
+            Command::GrantLease { lease, session, fencing_revision } => {
+                self.grant_lease(index, lease, *session, *fencing_revision)
             }
-            Command::ReleaseLease { lease: duty, token, reset_stability: unsettle } => {
-                self.release(index, duty, *token, *unsettle)
+            Command::ReleaseLease { lease, token, reset_stability } => {
+                self.release_lease(index, lease, *token, *reset_stability)
             }
             Command::RecordReplicaStart { replica: keeper, starts: boots } => {
-                let seen = self.keepers.entry(*keeper).or_default();
+                let seen = self.replica_starts.entry(*keeper).or_default();
                 if *boots < *seen {
                     return CommandOutcome::Rejected(CommandRejection::StaleDisk { starts: *seen });
                 }
@@ -373,30 +373,31 @@
             Command::Disruption(change) => {
                 // An observation counts while its term is the running one, and at no other time.
                 if let DisruptionCommand::RecordObservation { fencing_token, .. } = change {
-                    let owner = self.duties.get(&LeaseId::fleet(OBSERVER_LEASE)).and_then(|duty| duty.holder);
-                    if owner.is_none_or(|owner| owner.token != FencingToken(*fencing_token)) {
+                    let holder =
+                        self.leases.get(&LeaseId::fleet(OBSERVER_LEASE)).and_then(|lease| lease.holder);
+                    if holder.is_none_or(|holder| holder.token != FencingToken(*fencing_token)) {
                         return CommandOutcome::Rejected(CommandRejection::NotLeaseHolder);
                     }
                 }
                 self.disruption_revision = index;
-                CommandOutcome::Disruption(self.account.apply(index, change))
+                CommandOutcome::Disruption(self.disruption.apply(index, change))
             }
-            Command::ReplaceReplica { old, new, address } => self.replace(*old, *new, address),
+            Command::ReplaceReplica { old, new, address } => self.replace_replica(*old, *new, address),
             Command::CompleteReplacement { old } => {
-                if self.changes.replacing.is_some_and(|replacing| replacing.old == *old) {
-                    self.changes.replacing = None;
-                    self.changes.addresses.remove(old);
-                    self.changes.gone.insert(*old);
+                if self.replica_changes.replacing.is_some_and(|replacing| replacing.old == *old) {
+                    self.replica_changes.replacing = None;
+                    self.replica_changes.addresses.remove(old);
+                    self.replica_changes.retired.insert(*old);
                 }
                 CommandOutcome::Acknowledged
             }
         }
     }
 
-    fn replace(&mut self, old: u64, new: u64, address: &str) -> CommandOutcome {
+    fn replace_replica(&mut self, old: u64, new: u64, address: &str) -> CommandOutcome {
         let wanted = ReplicaReplacement { old, new };
         let refused = |why: String| CommandOutcome::Rejected(CommandRejection::InvalidReplacement(why));
-        match self.changes.replacing {
+        match self.replica_changes.replacing {
             // Asked again by an operator who did not hear the answer.
             Some(going) if going == wanted => return CommandOutcome::Acknowledged,
             Some(going) => {
@@ -404,11 +405,11 @@
             }
             None => {}
         }
-        let used = self.keepers.contains_key(&new) || self.changes.gone.contains(&new);
-        if old == new || used || self.changes.addresses.contains_key(&new) {
+        let used = self.replica_starts.contains_key(&new) || self.replica_changes.retired.contains(&new);
+        if old == new || used || self.replica_changes.addresses.contains_key(&new) {
             return refused(format!("number {new} was used already; a new keeper has a new number"));
         }
-        if self.changes.gone.contains(&old) {
+        if self.replica_changes.retired.contains(&old) {
             return refused(format!("keeper {old} was replaced already"));
         }
         if address.is_empty() || address.len() > LIMITS.3 {
@@ -417,12 +418,12 @@
                 LIMITS.3
             )));
         }
-        self.changes.addresses.insert(new, address.to_owned());
-        self.changes.replacing = Some(wanted);
+        self.replica_changes.addresses.insert(new, address.to_owned());
+        self.replica_changes.replacing = Some(wanted);
         CommandOutcome::Acknowledged
     }
 
-    fn join(
+    fn open_session(
         &mut self,
         index: Revision,
         (name, boot): (&str, u64),
@@ -437,30 +438,31 @@
             }
         }
         let (sessions, duties, offered, bytes) = LIMITS;
-        let text = [name, zone, address].into_iter().chain(offers.iter().map(|duty| duty.name.as_str()));
+        let text = [name, zone, address].into_iter().chain(offers.iter().map(|lease| lease.name.as_str()));
         if name.is_empty() || text.into_iter().any(|text| text.len() > bytes) {
             return CommandOutcome::Rejected(CommandRejection::LimitExceeded(format!(
                 "a name or an address is empty or over {bytes} bytes"
             )));
         }
-        let new = offers.iter().filter(|duty| !self.duties.contains_key(duty)).count();
-        if self.sessions.len() >= sessions || self.duties.len() + new > duties || offers.len() > offered {
+        let new = offers.iter().filter(|lease| !self.leases.contains_key(lease)).count();
+        if self.sessions.len() >= sessions || self.leases.len() + new > duties || offers.len() > offered {
             return CommandOutcome::Rejected(CommandRejection::LimitExceeded(format!(
                 "{sessions} sessions, {duties} duties, {offered} offers"
             )));
         }
         let older = self.current_session_of(name).map(|(id, _)| id);
         let known = self.names.entry(name.to_owned()).or_default();
-        if known.boots.contains(&boot) && known.boots.last() != Some(&boot) {
+        if known.boot_ids.contains(&boot) && known.boot_ids.last() != Some(&boot) {
             return CommandOutcome::Rejected(CommandRejection::Superseded { incarnation: known.incarnation });
         }
-        if known.boots.last() != Some(&boot) {
-            let short = if older.is_some() { short } else { known.last_short };
-            let again = short && !known.boots.is_empty();
-            known.short_lives = if again { known.short_lives.saturating_add(1) } else { 0 };
-            known.boots.push(boot);
-            if known.boots.len() > OLD_BOOTS {
-                known.boots.remove(0);
+        if known.boot_ids.last() != Some(&boot) {
+            let short = if older.is_some() { short } else { known.last_session_short };
+            let again = short && !known.boot_ids.is_empty();
+            known.consecutive_short_sessions =
+                if again { known.consecutive_short_sessions.saturating_add(1) } else { 0 };
+            known.boot_ids.push(boot);
+            if known.boot_ids.len() > REMEMBERED_BOOT_IDS {
+                known.boot_ids.remove(0);
             }
         }
         known.incarnation += 1;
@@ -469,10 +471,11 @@
         if let Some(older) = older.and_then(|id| self.sessions.get_mut(&id)) {
             older.superseded = true;
         }
-        for duty in offers.iter().filter(|duty| !self.duties.contains_key(duty)).cloned().collect::<Vec<_>>()
+        for lease in
+            offers.iter().filter(|lease| !self.leases.contains_key(lease)).cloned().collect::<Vec<_>>()
         {
-            self.duties.insert(
-                duty,
+            self.leases.insert(
+                lease,
                 Lease { minimum_token: FencingToken(self.next_token), fencing_revision: index, holder: None },
             );
             self.lease_revision = index;
@@ -489,12 +492,12 @@
         };
         self.sessions.insert(SessionId(index), session);
         self.membership_revision = index;
-        self.forget_names();
+        self.trim_name_history();
         CommandOutcome::SessionOpened(SessionId(index), incarnation)
     }
 
     /// Names without a session are forgotten, the ones with the fewest processes first, when there are very many.
-    fn forget_names(&mut self) {
+    fn trim_name_history(&mut self) {
         while self.names.len() > 2 * LIMITS.0 {
             let here = |name: &str| self.sessions.values().any(|session| session.name == name);
             let gone =
@@ -504,61 +507,67 @@
         }
     }
 
-    fn lived(&mut self, name: &str, short: bool) {
+    fn record_session_length(&mut self, name: &str, short: bool) {
         if let Some(name) = self.names.get_mut(name) {
-            name.last_short = short;
+            name.last_session_short = short;
         }
     }
 
-    fn end(&mut self, index: Revision, id: SessionId) -> Option<Session> {
+    fn end_session(&mut self, index: Revision, id: SessionId) -> Option<Session> {
         let session = self.sessions.remove(&id)?;
         self.membership_revision = index;
         let next = FencingToken(self.next_token);
-        for duty in
-            self.duties.values_mut().filter(|duty| duty.holder.is_some_and(|owner| owner.session == id))
+        for lease in
+            self.leases.values_mut().filter(|lease| lease.holder.is_some_and(|holder| holder.session == id))
         {
-            *duty = Lease { minimum_token: next, fencing_revision: index, holder: None };
+            *lease = Lease { minimum_token: next, fencing_revision: index, holder: None };
             self.lease_revision = index;
         }
         Some(session)
     }
 
-    fn grant(&mut self, index: Revision, id: &LeaseId, to: SessionId, fenced: Revision) -> CommandOutcome {
+    fn grant_lease(
+        &mut self,
+        index: Revision,
+        id: &LeaseId,
+        to: SessionId,
+        fencing_revision: Revision,
+    ) -> CommandOutcome {
         let able = self.sessions.get(&to).is_some_and(|session| session.may_hold(id));
         let next = self.next_token;
-        let Some(duty) = self.duties.get_mut(id) else {
+        let Some(lease) = self.leases.get_mut(id) else {
             return CommandOutcome::Rejected(CommandRejection::LeaseNotFree);
         };
-        if duty.holder.is_some() || duty.fencing_revision != fenced {
+        if lease.holder.is_some() || lease.fencing_revision != fencing_revision {
             return CommandOutcome::Rejected(CommandRejection::LeaseNotFree);
         }
         if !able {
             return CommandOutcome::Rejected(CommandRejection::NoSuchSession);
         }
-        let owner = LeaseHolder { session: to, token: FencingToken(next) };
-        *duty = Lease { minimum_token: owner.token, fencing_revision: fenced, holder: Some(owner) };
+        let holder = LeaseHolder { session: to, token: FencingToken(next) };
+        *lease = Lease { minimum_token: holder.token, fencing_revision, holder: Some(holder) };
         self.next_token += 1;
         self.lease_revision = index;
-        CommandOutcome::LeaseGranted(id.clone(), owner)
+        CommandOutcome::LeaseGranted(id.clone(), holder)
     }
 
-    fn release(
+    fn release_lease(
         &mut self,
         index: Revision,
         id: &LeaseId,
         token: FencingToken,
-        unsettle: bool,
+        reset_stability: bool,
     ) -> CommandOutcome {
         let next = FencingToken(self.next_token);
-        let Some(duty) = self.duties.get_mut(id) else {
+        let Some(lease) = self.leases.get_mut(id) else {
             return CommandOutcome::Rejected(CommandRejection::NotLeaseHolder);
         };
-        let Some(owner) = duty.holder.filter(|owner| owner.token == token) else {
+        let Some(holder) = lease.holder.filter(|holder| holder.token == token) else {
             return CommandOutcome::Rejected(CommandRejection::NotLeaseHolder);
         };
-        *duty = Lease { minimum_token: next, fencing_revision: index, holder: None };
+        *lease = Lease { minimum_token: next, fencing_revision: index, holder: None };
         self.lease_revision = index;
-        if let Some(session) = self.sessions.get_mut(&owner.session).filter(|_| unsettle) {
+        if let Some(session) = self.sessions.get_mut(&holder.session).filter(|_| reset_stability) {
             session.stable = false;
         }
         CommandOutcome::LeaseReleased(id.clone(), token)
@@ -567,11 +576,11 @@
     /// The bytes of a snapshot: its version, then all.
     pub fn snapshot(&self) -> Vec<u8> {
         // Each part as the first version that knew it wrote it, so that keepers of an older one read on.
-        let (changes, account) = (&self.changes, &self.account);
-        let packed = if *account != DisruptionState::default() {
-            postcard::to_stdvec(&(SNAPSHOT_VERSION, self, changes, account))
-        } else if *changes != Changes::default() {
-            postcard::to_stdvec(&(2u16, self, changes))
+        let (replica_changes, disruption) = (&self.replica_changes, &self.disruption);
+        let packed = if *disruption != DisruptionState::default() {
+            postcard::to_stdvec(&(SNAPSHOT_VERSION, self, replica_changes, disruption))
+        } else if *replica_changes != ReplicaChanges::default() {
+            postcard::to_stdvec(&(2u16, self, replica_changes))
         } else {
             postcard::to_stdvec(&(1u16, self))
         };
@@ -585,14 +594,15 @@
         match version {
             1 => postcard::from_bytes(rest).map_err(fault),
             2 => {
-                let (state, changes): (StateMachine, Changes) = postcard::from_bytes(rest).map_err(fault)?;
-                Ok(StateMachine { changes, ..state })
+                let (state, replica_changes): (StateMachine, ReplicaChanges) =
+                    postcard::from_bytes(rest).map_err(fault)?;
+                Ok(StateMachine { replica_changes, ..state })
             }
             SNAPSHOT_VERSION => {
-                let (state, changes, account): (StateMachine, Changes, DisruptionState) =
+                let (state, replica_changes, disruption): (StateMachine, ReplicaChanges, DisruptionState) =
                     postcard::from_bytes(rest).map_err(fault)?;
                 let disruption_revision = state.revision;
-                Ok(StateMachine { changes, account, disruption_revision, ..state })
+                Ok(StateMachine { replica_changes, disruption, disruption_revision, ..state })
             }
             _ => {
                 Err(SnapshotError(format!("it has version {version}, this keeper knows {SNAPSHOT_VERSION}")))
@@ -608,12 +618,12 @@
 }
 
 impl Session {
-    /// Whether it may be given this duty.
-    pub fn may_hold(&self, duty: &LeaseId) -> bool {
-        let here = match &duty.scope {
+    /// Whether it may be given this lease.
+    pub fn may_hold(&self, lease: &LeaseId) -> bool {
+        let here = match &lease.scope {
             LeaseScope::Fleet | LeaseScope::WorkerSet(_) => true,
             LeaseScope::Zone(zone) => *zone == self.zone,
         };
-        here && self.stable && !self.superseded && self.eligible_leases.contains(duty)
+        here && self.stable && !self.superseded && self.eligible_leases.contains(lease)
     }
 }
--- a/crates/coordination/src/times.rs
+++ b/crates/coordination/src/timing.rs
@@ -126,7 +126,7 @@
     }
 
     /// How long a member with this many short lives in a row has to stay before it may own a duty.
-    pub fn stability_period_after(&self, short_lives: u8) -> Micros {
-        self.stability_period << short_lives.min(5)
+    pub fn stability_period_after(&self, consecutive_short_sessions: u8) -> Micros {
+        self.stability_period << consecutive_short_sessions.min(5)
     }
 }
