--- a/crates/cluster-member/src/wire.rs
+++ b/crates/cluster-member/src/wire.rs
@@ -264,49 +264,49 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
     /// The keeper.
-    #[serde(rename = " keeper")]
+    #[serde(rename = "keeper")]
     pub replica_id: u64,
     /// Whether it leads.
-    #[serde(rename = " leads")]
+    #[serde(rename = "leads")]
     pub is_leader: bool,
     /// Who leads, as far as it knows.
-    #[serde(rename = " leader")]
+    #[serde(rename = "leader")]
     pub leader_id: Option<u64>,
     /// The term of Raft.
-    #[serde(rename = " term")]
+    #[serde(rename = "term")]
     pub raft_term: u64,
     /// The last entry that it applied.
-    #[serde(rename = " applied")]
+    #[serde(rename = "applied")]
     pub applied_index: u64,
     /// The last entry that it knows to be agreed.
-    #[serde(rename = " committed")]
+    #[serde(rename = "committed")]
     pub committed_index: u64,
     /// The first entry of the log that it still has.
-    #[serde(rename = " first")]
+    #[serde(rename = "first")]
     pub first_log_index: u64,
     /// How often its disk was started.
-    #[serde(rename = " boots")]
+    #[serde(rename = "boots")]
     pub start_count: u64,
     /// Elections that it has seen since it started.
-    #[serde(rename = " elections")]
+    #[serde(rename = "elections")]
     pub election_count: u64,
     /// From a proposal to its being applied, in microseconds: half of them, 99 of 100, the longest.
-    #[serde(rename = " commit_us")]
+    #[serde(rename = "commit_us")]
     pub commit_latency: (u64, u64, u64),
     /// The members.
     pub members: Vec<MemberStatus>,
     /// The duties.
-    #[serde(rename = " duties")]
+    #[serde(rename = "duties")]
     pub leases: Vec<LeaseStatus>,
     /// The keepers, and how often each one's disk was started.
-    #[serde(rename = " keepers")]
+    #[serde(rename = "keepers")]
     pub replicas: Vec<(u64, u64)>,
     /// Those that vote; while one is replaced, of both configurations.
     pub voters: Vec<u64>,
     /// Those that learn and do not vote yet.
     pub learners: Vec<u64>,
     /// Who is being replaced by whom.
-    #[serde(rename = " replacing")]
+    #[serde(rename = "replacing")]
     pub replacement: Option<(u64, u64)>,
 }
 
@@ -318,12 +318,12 @@
     /// Who.
     pub peer: Peer,
     /// Whether it has stayed long enough to be given duties.
-    #[serde(rename = " settled")]
+    #[serde(rename = "settled")]
     pub stable: bool,
     /// Whether a later process of the same name is there.
     pub superseded: bool,
     /// Short lives in a row.
-    #[serde(rename = " short_lives")]
+    #[serde(rename = "short_lives")]
     pub consecutive_short_sessions: u8,
 }
 
@@ -331,16 +331,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseStatus {
     /// Which.
-    #[serde(rename = " duty")]
+    #[serde(rename = "duty")]
     pub lease: LeaseId,
     /// Whose, and with which token.
-    #[serde(rename = " owner")]
+    #[serde(rename = "owner")]
     pub holder: Option<(String, FencingToken)>,
     /// Tokens below are of ended terms.
-    #[serde(rename = " floor")]
+    #[serde(rename = "floor")]
     pub minimum_token: FencingToken,
     /// The entry that ended the last term.
-    #[serde(rename = " fenced")]
+    #[serde(rename = "fenced")]
     pub fencing_revision: Revision,
 }
 
--- a/crates/dispatcher/src/own.rs
+++ b/crates/dispatcher/src/own.rs
@@ -13,8 +13,8 @@
 use cluster_member::settings;
 use cluster_member::watch::Watching;
 use coordination::{Micros, Timing};
-use dispatch_core::api::RoomSettings;
-use hcl_config::{Read, Section};
+use dispatch_core::api::CapacityReservation;
+use hcl_config::{HclResult, Section};
 
 use crate::config::ConfigError;
 
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Own {
     /// Room for large jobs; none where it is not held.
-    pub room: Option<RoomSettings>,
+    pub room: Option<CapacityReservation>,
     /// The fleet that this dispatcher is a member of, if it is of one.
     pub fleet: Option<Fleet>,
 }
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     /// The first fault.
-    pub fn read(file: &str, text: &str) -> Read<Own> {
+    pub fn read(file: &str, text: &str) -> HclResult<Own> {
         let root = Section::parse(file, text)?;
         let own = Own {
             room: match root.section("room")? {
@@ -114,22 +114,22 @@
             },
             fleet: root.section("fleet")?.map(fleet).transpose()?,
         };
-        root.finish()?;
+        root.deny_unknown_keys()?;
         Ok(own)
     }
 }
 
-fn room(section: &Section) -> Read<Option<RoomSettings>> {
-    let settings = RoomSettings {
-        from: section.number("from_slots", 2.0..=1024.0)?.unwrap_or(FROM_SLOTS),
+fn room(section: &Section) -> HclResult<Option<CapacityReservation>> {
+    let settings = CapacityReservation {
+        min_slots: section.number("from_slots", 2.0..=1024.0)?.unwrap_or(FROM_SLOTS),
         price: section.number("price", 0.0..=1000.0)?.unwrap_or(PRICE),
     };
-    Ok(section.flag("hold")?.unwrap_or(true).then_some(settings))
+    Ok(section.boolean("hold")?.unwrap_or(true).then_some(settings))
 }
 
-fn fleet(section: &Section) -> Read<Fleet> {
-    let bind = section.text("bind")?.map(|text| {
-        text.parse::<IpAddr>().map_err(|_| section.fault("bind", format!("{text:?} is no IP address")))
+fn fleet(section: &Section) -> HclResult<Fleet> {
+    let bind = section.string("bind")?.map(|text| {
+        text.parse::<IpAddr>().map_err(|_| section.error("bind", format!("{text:?} is no IP address")))
     });
     let times = settings::times(section)?;
     Ok(Fleet {
@@ -142,14 +142,14 @@
         bind: bind.transpose()?,
         keepers: settings::keepers(section)?,
         times,
-        list: section.flag("list")?.unwrap_or(true),
-        source: section.text("source")?,
-        silence: section.whole("silence_ms", 1_000..=600_000)?.unwrap_or(SILENCE_MS) * 1_000,
+        list: section.boolean("list")?.unwrap_or(true),
+        source: section.string("source")?,
+        silence: section.integer("silence_ms", 1_000..=600_000)?.unwrap_or(SILENCE_MS) * 1_000,
         fallback_per_s: section.number("fallback_per_s", 0.1..=10_000.0)?.unwrap_or(FALLBACK_PER_S),
-        record: section.text("record")?.map(PathBuf::from),
+        record: section.string("record")?.map(PathBuf::from),
         account: section
             .section("account")?
-            .map(|account| Ok(account.whole("holds_ms", 300..=60_000)?.unwrap_or(HOLDS_MS) * 1_000))
+            .map(|account| Ok(account.integer("holds_ms", 300..=60_000)?.unwrap_or(HOLDS_MS) * 1_000))
             .transpose()?,
         cold: section.section("cold")?.map(|cold| settings::dealing(cold, &times)).transpose()?,
         watch: section.section("watch")?.map(settings::watching).transpose()?,
@@ -164,7 +164,10 @@
     fn room_is_held_where_the_file_asks_for_it() {
         let read = |text| Own::read("own.hcl", text).map(|own| own.room).map_err(|fault| fault.to_string());
         assert_eq!(read(""), Ok(None));
-        assert_eq!(read("room {\n}\n"), Ok(Some(RoomSettings { from: FROM_SLOTS, price: PRICE })));
+        assert_eq!(
+            read("room {\n}\n"),
+            Ok(Some(CapacityReservation { min_slots: FROM_SLOTS, price: PRICE }))
+        );
         assert_eq!(read("room {\n  hold = false\n  from_slots = 2\n}\n"), Ok(None));
         let from = "own.hcl:2: room.from_slots: expected a number from 2 to 1024, found 1".to_owned();
         assert_eq!(read("room {\n  from_slots = 1\n}\n"), Err(from));
