--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -16,32 +16,32 @@
     /// The installation: whoever names another is turned away.
     pub installation: String,
     /// Where keepers are reached, by number.
-    pub keepers: BTreeMap<u64, SocketAddr>,
+    pub coordinators: BTreeMap<u64, SocketAddr>,
     /// The lowest token that is ever granted.
     pub first_token: u64,
     /// The times.
     pub times: Times,
     /// This keeper, where it is one that serves.
-    pub serve: Option<Serve>,
+    pub serve: Option<ServeConfig>,
 }
 
 /// What one keeper is told beside what all are.
 #[derive(Debug, Clone)]
-pub struct Serve {
+pub struct ServeConfig {
     /// Its number.
-    pub keeper: u64,
+    pub coordinator_id: u64,
     /// Where it listens.
     pub listen: SocketAddr,
     /// The folder of its store.
-    pub store: PathBuf,
+    pub store_directory: PathBuf,
     /// The address that its connections come from.
-    pub bind: Option<IpAddr>,
+    pub bind_address: Option<IpAddr>,
     /// The most connections at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// A flaw put in on purpose, in a build for such tests.
-    pub flaw: Option<disruption_budget::Flaw>,
+    pub injected_bug: Option<disruption_budget::Flaw>,
     /// The version of the messages that it speaks, and of the entries that it knows.
-    pub speaks: u16,
+    pub protocol_version: u16,
 }
 
 /// Reads a file.
@@ -60,19 +60,19 @@
 pub fn parse(file: &str, text: &str) -> Result<Config, Fault> {
     let top = Section::parse(file, text)?;
     let installation = settings::wanted(&top, "installation")?;
-    let keepers = settings::keepers(&top)?;
+    let coordinators = settings::keepers(&top)?;
     let first_token = top.whole("first_token", 1..=u64::MAX / 2)?.unwrap_or(1);
     let times = settings::times(&top)?;
-    let serve = top.section("serve")?.map(|section| serve(section, &keepers)).transpose()?;
+    let serve = top.section("serve")?.map(|section| parse_serve(section, &coordinators)).transpose()?;
     top.finish()?;
-    Ok(Config { installation, keepers, first_token, times, serve })
+    Ok(Config { installation, coordinators, first_token, times, serve })
 }
 
-fn serve(section: &Section, keepers: &BTreeMap<u64, SocketAddr>) -> Result<Serve, Fault> {
-    let keeper =
+fn parse_serve(section: &Section, coordinators: &BTreeMap<u64, SocketAddr>) -> Result<ServeConfig, Fault> {
+    let coordinator_id =
         section.whole("keeper", 1..=1_000_000)?.ok_or_else(|| section.fault("keeper", "is missing"))?;
-    let Some(address) = keepers.get(&keeper) else {
-        return Err(section.fault("keeper", format!("there is no block keeper \"{keeper}\"")));
+    let Some(address) = coordinators.get(&coordinator_id) else {
+        return Err(section.fault("keeper", format!("there is no block keeper \"{coordinator_id}\"")));
     };
     let listen = match section.value("listen") {
         Some(_) => settings::address(section, "listen")?,
@@ -81,22 +81,22 @@
     let bind = section.text("bind")?.map(|text| {
         text.parse::<IpAddr>().map_err(|_| section.fault("bind", format!("{text:?} is no IP address")))
     });
-    Ok(Serve {
-        keeper,
+    Ok(ServeConfig {
+        coordinator_id,
         listen,
-        store: settings::wanted(section, "store")?.into(),
-        bind: bind.transpose()?,
-        flaw: flaw(section)?,
-        speaks: section
+        store_directory: settings::wanted(section, "store")?.into(),
+        bind_address: bind.transpose()?,
+        injected_bug: parse_injected_bug(section)?,
+        protocol_version: section
             .whole("speaks", u64::from(OLDEST_SCHEMA)..=u64::from(SCHEMA))?
-            .map_or(SCHEMA, |speaks| speaks as u16),
-        connections: section.whole("connections", 8..=65_536)?.unwrap_or(1_024) as usize,
+            .map_or(SCHEMA, |version| version as u16),
+        max_connections: section.whole("connections", 8..=65_536)?.unwrap_or(1_024) as usize,
     })
 }
 
 /// A flaw put in on purpose. Only a build for such tests knows the key.
 #[cfg(feature = "seeded-bugs")]
-fn flaw(section: &Section) -> Result<Option<disruption_budget::Flaw>, Fault> {
+fn parse_injected_bug(section: &Section) -> Result<Option<disruption_budget::Flaw>, Fault> {
     let Some(name) = section.text("flaw")? else { return Ok(None) };
     let known = disruption_budget::Flaw::names().iter().find(|(known, _)| *known == name);
     known
@@ -105,7 +105,7 @@
 }
 
 #[cfg(not(feature = "seeded-bugs"))]
-fn flaw(_: &Section) -> Result<Option<disruption_budget::Flaw>, Fault> {
+fn parse_injected_bug(_: &Section) -> Result<Option<disruption_budget::Flaw>, Fault> {
     Ok(None)
 }
 
@@ -115,14 +115,14 @@
 /// It cannot be read, or a budget is wrong; the text names file, line and key.
 pub fn read_budgets(path: &Path) -> Result<Vec<Budget>, String> {
     let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
-    budgets(&path.display().to_string(), &text).map_err(|fault| fault.to_string())
+    parse_budgets(&path.display().to_string(), &text).map_err(|fault| fault.to_string())
 }
 
 /// Reads a text of blocks `budget "NAME"`; `file` is its name in faults.
 ///
 /// # Errors
 /// One is wrong, or a name stands there twice.
-pub fn budgets(file: &str, text: &str) -> Result<Vec<Budget>, Fault> {
+pub fn parse_budgets(file: &str, text: &str) -> Result<Vec<Budget>, Fault> {
     let top = Section::parse(file, text)?;
     let mut budgets: Vec<Budget> = Vec::new();
     for section in top.sections("budget") {
@@ -146,7 +146,7 @@
                 }
             },
         };
-        let (most_out, least_in) = (amount(section, "most_out")?, amount(section, "least_in")?);
+        let (most_out, least_in) = (parse_amount(section, "most_out")?, parse_amount(section, "least_in")?);
         let budget = Budget { name, kind, cover, most_out, least_in };
         budget.check().map_err(|fault| section.fault(fault.key, fault.why))?;
         budgets.push(budget);
@@ -156,7 +156,7 @@
 }
 
 /// A number of targets, or a part of them such as `"10%"`.
-fn amount(section: &Section, key: &str) -> Result<Option<Amount>, Fault> {
+fn parse_amount(section: &Section, key: &str) -> Result<Option<Amount>, Fault> {
     let Some(value) = section.value(key) else { return Ok(None) };
     if !matches!(value, Value::Text(_)) {
         return Ok(section.whole(key, 0..=100_000)?.map(|count| Amount::Count(count as u32)));
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,59 +1,59 @@
 //! Keepers: three or five processes that agree by Raft who is a member of the fleet and who owns which duty.
 //!
-//! [`disk`] keeps what has to outlive the process, [`node`] drives Raft and the replicated state without sockets or
-//! clock of its own, [`serve`] gives it both, [`config`] reads what is set, [`ctl`] asks for an operator.
+//! [`store`] keeps what has to outlive the process, [`replica`] drives Raft and the replicated state without sockets or
+//! clock of its own, [`server`] gives it both, [`config`] reads what is set, [`operator`] asks for an operator.
 
 pub mod config;
-pub mod ctl;
-pub mod disk;
-pub mod node;
-pub mod serve;
+pub mod operator;
+pub mod replica;
+pub mod server;
+pub mod store;
 
 /// Why a keeper stops.
 #[derive(Debug)]
-pub enum Stop {
+pub enum CoordinatorError {
     /// What is on the disk cannot be used, or nothing can be written to it.
-    Disk(String),
+    Store(String),
     /// Something was agreed on that this program does not know.
-    Later(String),
+    UnsupportedFormat(String),
     /// Others know better what this disk was.
-    OldDisk(String),
+    StaleDisk(String),
     /// Raft refused to go on.
     Raft(String),
     /// Another keeper has taken this one's place.
     Replaced(String),
     /// What was asked for has to wait.
-    NotNow(String),
+    PermitWaiting(String),
     /// The address cannot be listened at, or another fault at the start.
-    Start(String),
+    Startup(String),
 }
 
-impl Stop {
+impl CoordinatorError {
     /// What the process ends with.
-    pub fn code(&self) -> u8 {
+    pub fn exit_code(&self) -> u8 {
         match self {
-            Stop::Start(_) => 1,
-            Stop::OldDisk(_) => 3,
-            Stop::Disk(_) => 4,
-            Stop::Later(_) => 5,
-            Stop::Raft(_) => 6,
-            Stop::Replaced(_) => 7,
-            Stop::NotNow(_) => 8,
+            CoordinatorError::Startup(_) => 1,
+            CoordinatorError::StaleDisk(_) => 3,
+            CoordinatorError::Store(_) => 4,
+            CoordinatorError::UnsupportedFormat(_) => 5,
+            CoordinatorError::Raft(_) => 6,
+            CoordinatorError::Replaced(_) => 7,
+            CoordinatorError::PermitWaiting(_) => 8,
         }
     }
 }
 
-impl std::fmt::Display for Stop {
+impl std::fmt::Display for CoordinatorError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let (Stop::Disk(why)
-        | Stop::Later(why)
-        | Stop::OldDisk(why)
-        | Stop::Raft(why)
-        | Stop::Replaced(why)
-        | Stop::NotNow(why)
-        | Stop::Start(why)) = self;
+        let (CoordinatorError::Store(why)
+        | CoordinatorError::UnsupportedFormat(why)
+        | CoordinatorError::StaleDisk(why)
+        | CoordinatorError::Raft(why)
+        | CoordinatorError::Replaced(why)
+        | CoordinatorError::PermitWaiting(why)
+        | CoordinatorError::Startup(why)) = self;
         f.write_str(why)
     }
 }
 
-impl std::error::Error for Stop {}
+impl std::error::Error for CoordinatorError {}
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -7,11 +7,11 @@
 use cluster_member::record::Recorder;
 use coordination::{DutyId, Token};
 use coordinator::config::{self, Config};
-use coordinator::{ctl, disk, serve, Stop};
+use coordinator::{operator, server, store, CoordinatorError};
 use disruption_budget::{Change, Outcome, State, Target};
 use lexopt::prelude::*;
 
-const HELP: &str = "\
+const USAGE: &str = "\
 coordinator COMMAND --config FILE [options]
 
   bootstrap       sets up the empty store of this keeper, once in the life of an installation
@@ -39,7 +39,7 @@
 5 something was agreed on that this version does not know, 6 raft refused to go on, 7 replaced by another, 8 not now.
 ";
 
-struct Args {
+struct Arguments {
     command: String,
     verb: String,
     config: Option<PathBuf>,
@@ -62,9 +62,9 @@
     json: bool,
 }
 
-fn args() -> Result<Args, lexopt::Error> {
+fn parse_arguments() -> Result<Arguments, lexopt::Error> {
     let mut parser = lexopt::Parser::from_env();
-    let mut args = Args {
+    let mut args = Arguments {
         command: String::new(),
         verb: String::new(),
         config: None,
@@ -117,16 +117,16 @@
 }
 
 fn main() -> ExitCode {
-    let args = match args() {
+    let args = match parse_arguments() {
         Ok(args) => args,
         Err(error) => {
-            eprintln!("coordinator: {error}\n\n{HELP}");
+            eprintln!("coordinator: {error}\n\n{USAGE}");
             return ExitCode::from(2);
         }
     };
     match args.command.as_str() {
         "help" => {
-            print!("{HELP}");
+            print!("{USAGE}");
             return ExitCode::SUCCESS;
         }
         "version" => {
@@ -136,7 +136,7 @@
         "bootstrap" | "serve" | "status" | "members" | "duties" | "release-duty" | "replace" | "metrics"
         | "check-config" | "account" | "budgets" | "permit" | "strike-off" => {}
         other => {
-            eprintln!("coordinator: {other:?} is no command\n\n{HELP}");
+            eprintln!("coordinator: {other:?} is no command\n\n{USAGE}");
             return ExitCode::from(2);
         }
     }
@@ -164,20 +164,20 @@
             let _ = std::io::stdout().write_all(text.as_bytes());
             ExitCode::SUCCESS
         }
-        Err(stop) => {
-            eprintln!("coordinator: {stop}");
-            ExitCode::from(stop.code())
+        Err(error) => {
+            eprintln!("coordinator: {error}");
+            ExitCode::from(error.exit_code())
         }
     }
 }
 
-fn here(config: &Config) -> Result<&config::Serve, Stop> {
-    config.serve.as_ref().ok_or_else(|| Stop::Start("serve: the block is missing".to_owned()))
+fn serve_config(config: &Config) -> Result<&config::ServeConfig, CoordinatorError> {
+    config.serve.as_ref().ok_or_else(|| CoordinatorError::Startup("serve: the block is missing".to_owned()))
 }
 
 /// Asks for a permit, begins it, says that its step is done, or gives it back.
-async fn permit(args: &Args, config: &Config) -> Result<String, Stop> {
-    let missing = |key: &str| Stop::Start(format!("--{key} is missing"));
+async fn permit(args: &Arguments, config: &Config) -> Result<String, CoordinatorError> {
+    let missing = |key: &str| CoordinatorError::Startup(format!("--{key} is missing"));
     let number = || args.permit.ok_or_else(|| missing("permit"));
     let change = match args.verb.as_str() {
         "ask" => Change::Ask {
@@ -189,15 +189,21 @@
         "begin" => Change::Begin { permit: number()?, incarnation: args.number },
         "done" => Change::Done { permit: number()? },
         "void" => Change::Void { permit: number()? },
-        other => return Err(Stop::Start(format!("permit {other:?}: wanted ask, begin, done or void"))),
+        other => {
+            return Err(CoordinatorError::Startup(format!(
+                "permit {other:?}: wanted ask, begin, done or void"
+            )))
+        }
     };
-    match ctl::change(config, change).await.map_err(Stop::Start)? {
+    match operator::change_disruption_state(config, change).await.map_err(CoordinatorError::Startup)? {
         Outcome::Asked(permit, State::Waiting) => {
-            let (_, account) = ctl::account(config).await.map_err(Stop::Start)?;
+            let (_, account) = operator::disruption_state(config).await.map_err(CoordinatorError::Startup)?;
             let held = account
                 .held_by(permit)
                 .map_or(String::new(), |held| format!(", held by budget {:?}", held.name));
-            Err(Stop::NotNow(format!("permit {permit} waits for its turn{held}; ask again within a minute")))
+            Err(CoordinatorError::PermitWaiting(format!(
+                "permit {permit} waits for its turn{held}; ask again within a minute"
+            )))
         }
         Outcome::Asked(permit, state) => Ok(format!("{permit} {}\n", format!("{state:?}").to_lowercase())),
         Outcome::Begun(permit) => Ok(format!("{permit} begun\n")),
@@ -205,40 +211,50 @@
     }
 }
 
-async fn run(args: &Args, config: &Config) -> Result<String, Stop> {
+async fn run(args: &Arguments, config: &Config) -> Result<String, CoordinatorError> {
     match args.command.as_str() {
         "bootstrap" => {
-            let here = here(config)?;
-            let voters: Vec<u64> = config.keepers.keys().copied().collect();
+            let serve = serve_config(config)?;
+            let voters: Vec<u64> = config.coordinators.keys().copied().collect();
             let disk = cluster_member::clock::unique();
             if args.joining {
-                disk::bootstrap_joining(&here.store, &config.installation, here.keeper, disk)?;
+                store::bootstrap_joining(
+                    &serve.store_directory,
+                    &config.installation,
+                    serve.coordinator_id,
+                    disk,
+                )?;
                 return Ok(format!(
                     "{}: the store of keeper {}, which is to join\n",
-                    here.store.display(),
-                    here.keeper
+                    serve.store_directory.display(),
+                    serve.coordinator_id
                 ));
             }
-            disk::bootstrap(
-                &here.store,
+            store::bootstrap(
+                &serve.store_directory,
                 &config.installation,
-                here.keeper,
+                serve.coordinator_id,
                 &voters,
                 config.first_token,
                 disk,
             )?;
-            Ok(format!("{}: an empty store of keeper {}\n", here.store.display(), here.keeper))
+            Ok(format!(
+                "{}: an empty store of keeper {}\n",
+                serve.store_directory.display(),
+                serve.coordinator_id
+            ))
         }
         "serve" => {
             let record = match &args.record {
-                Some(path) => Recorder::to(path)
-                    .map_err(|error| Stop::Start(format!("--record: {}: {error}", path.display())))?,
+                Some(path) => Recorder::to(path).map_err(|error| {
+                    CoordinatorError::Startup(format!("--record: {}: {error}", path.display()))
+                })?,
                 None => Recorder::default(),
             };
-            serve::serve(config, here(config)?, record).await.map(|()| String::new())
+            server::serve(config, serve_config(config)?, record).await.map(|()| String::new())
         }
         "status" => {
-            let all = ctl::statuses(config).await;
+            let all = operator::statuses(config).await;
             let mut text = String::new();
             for (keeper, status) in &all {
                 text += &match status {
@@ -259,7 +275,7 @@
             Ok(text)
         }
         "members" => {
-            let status = ctl::leading(config).await.map_err(Stop::Start)?;
+            let status = operator::leader_status(config).await.map_err(CoordinatorError::Startup)?;
             if args.json {
                 return Ok(serde_json::to_string(&status.members).unwrap_or_default() + "\n");
             }
@@ -274,7 +290,7 @@
             Ok(status.members.iter().map(line).collect())
         }
         "duties" => {
-            let status = ctl::leading(config).await.map_err(Stop::Start)?;
+            let status = operator::leader_status(config).await.map_err(CoordinatorError::Startup)?;
             if args.json {
                 return Ok(serde_json::to_string(&status.duties).unwrap_or_default() + "\n");
             }
@@ -285,51 +301,70 @@
             Ok(status.duties.iter().map(line).collect())
         }
         "release-duty" => {
-            let duty = args.duty.clone().ok_or_else(|| Stop::Start("--duty is missing".to_owned()))?;
-            ctl::release(config, duty, args.token).await.map(|()| String::new()).map_err(Stop::Start)
+            let duty =
+                args.duty.clone().ok_or_else(|| CoordinatorError::Startup("--duty is missing".to_owned()))?;
+            operator::release_lease(config, duty, args.token)
+                .await
+                .map(|()| String::new())
+                .map_err(CoordinatorError::Startup)
         }
         "replace" => {
-            let missing = |key: &str| Stop::Start(format!("--{key} is missing"));
+            let missing = |key: &str| CoordinatorError::Startup(format!("--{key} is missing"));
             let (old, new) =
                 (args.keeper.ok_or_else(|| missing("keeper"))?, args.with.ok_or_else(|| missing("with"))?);
             let address = args.address.clone().ok_or_else(|| missing("address"))?;
             if address.parse::<std::net::SocketAddr>().is_err() {
-                return Err(Stop::Start(format!("--address: {address:?} is no address; wanted IP:PORT")));
+                return Err(CoordinatorError::Startup(format!(
+                    "--address: {address:?} is no address; wanted IP:PORT"
+                )));
             }
-            ctl::replace(config, old, new, address).await.map_err(Stop::Start)?;
+            operator::replace(config, old, new, address).await.map_err(CoordinatorError::Startup)?;
             Ok(format!("keeper {new} has taken the place of keeper {old}\n"))
         }
         "account" => {
-            let (revision, account) = ctl::account(config).await.map_err(Stop::Start)?;
+            let (revision, account) =
+                operator::disruption_state(config).await.map_err(CoordinatorError::Startup)?;
             match args.json {
-                true => Ok(serde_json::json!({"revision": revision, "account": ctl::account_json(&account)})
+                true => Ok(serde_json::json!({"revision": revision, "account": operator::disruption_state_json(&account)})
                     .to_string()
                     + "\n"),
-                false => Ok(ctl::account_text(&account)),
+                false => Ok(operator::disruption_state_text(&account)),
             }
         }
         "budgets" => {
-            let path = args.set.as_ref().ok_or_else(|| Stop::Start("--set FILE is missing".to_owned()))?;
-            let budgets = config::read_budgets(path).map_err(Stop::Start)?;
+            let path = args
+                .set
+                .as_ref()
+                .ok_or_else(|| CoordinatorError::Startup("--set FILE is missing".to_owned()))?;
+            let budgets = config::read_budgets(path).map_err(CoordinatorError::Startup)?;
             // Whoever does not say what version was seen has just looked.
             let seen = match args.seen {
                 Some(seen) => seen,
-                None => ctl::account(config).await.map_err(Stop::Start)?.1.budgets().0,
+                None => {
+                    operator::disruption_state(config).await.map_err(CoordinatorError::Startup)?.1.budgets().0
+                }
             };
             let count = budgets.len();
-            ctl::change(config, Change::Budgets { seen, budgets }).await.map_err(Stop::Start)?;
+            operator::change_disruption_state(config, Change::Budgets { seen, budgets })
+                .await
+                .map_err(CoordinatorError::Startup)?;
             Ok(format!("{count} budgets hold from now on\n"))
         }
         "permit" => permit(args, config).await,
         "strike-off" => {
-            let target = args.target.clone().ok_or_else(|| Stop::Start("--target is missing".to_owned()))?;
+            let target = args
+                .target
+                .clone()
+                .ok_or_else(|| CoordinatorError::Startup("--target is missing".to_owned()))?;
             let by = args.by.clone().unwrap_or_else(|| "an operator".to_owned());
-            ctl::change(config, Change::Strike { target, by }).await.map_err(Stop::Start)?;
+            operator::change_disruption_state(config, Change::Strike { target, by })
+                .await
+                .map_err(CoordinatorError::Startup)?;
             Ok(String::new())
         }
         "metrics" => {
-            let status = ctl::status(config, here(config)?.keeper).await;
-            Ok(ctl::figures(&status.map_err(Stop::Start)?))
+            let status = operator::status(config, serve_config(config)?.coordinator_id).await;
+            Ok(operator::metrics_text(&status.map_err(CoordinatorError::Startup)?))
         }
         _ => Ok("the configuration is fine\n".to_owned()),
     }
--- a/crates/coordinator/src/ctl.rs
+++ b/crates/coordinator/src/operator.rs
@@ -12,10 +12,10 @@
 use crate::config::Config;
 
 /// How long a keeper has for an answer.
-const CALL: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-async fn ask(config: &Config, keeper: u64, ask: Ask) -> Result<Answer, String> {
-    let address = config.keepers.get(&keeper).ok_or_else(|| format!("there is no keeper {keeper}"))?;
+async fn call(config: &Config, keeper: u64, ask: Ask) -> Result<Answer, String> {
+    let address = config.coordinators.get(&keeper).ok_or_else(|| format!("there is no keeper {keeper}"))?;
     let hello = Hello { schema: SCHEMA, installation: config.installation.clone(), who: Who::Operator };
     let call = async {
         let (mut link, _) = Link::connect(*address, None, &hello).await?;
@@ -26,9 +26,9 @@
             }
         }
     };
-    match timeout(CALL, call).await {
+    match timeout(CALL_TIMEOUT, call).await {
         Ok(answer) => answer.map_err(|error| format!("keeper {keeper} at {address}: {error}")),
-        Err(_) => Err(format!("keeper {keeper} at {address}: no answer within {} s", CALL.as_secs())),
+        Err(_) => Err(format!("keeper {keeper} at {address}: no answer within {} s", CALL_TIMEOUT.as_secs())),
     }
 }
 
@@ -37,7 +37,7 @@
 /// # Errors
 /// It is not reached.
 pub async fn status(config: &Config, keeper: u64) -> Result<Status, String> {
-    match ask(config, keeper, Ask::Status).await? {
+    match call(config, keeper, Ask::Status).await? {
         Answer::Status(status) => Ok(*status),
         other => Err(format!("keeper {keeper}: an answer that was not asked for: {other:?}")),
     }
@@ -46,7 +46,7 @@
 /// How things are at each keeper, or why it cannot be told.
 pub async fn statuses(config: &Config) -> Vec<(u64, Result<Status, String>)> {
     let mut all = Vec::new();
-    for keeper in config.keepers.keys() {
+    for keeper in config.coordinators.keys() {
         all.push((*keeper, status(config, *keeper).await));
     }
     all
@@ -56,7 +56,7 @@
 ///
 /// # Errors
 /// No keeper leads.
-pub async fn leading(config: &Config) -> Result<Status, String> {
+pub async fn leader_status(config: &Config) -> Result<Status, String> {
     let mut statuses = statuses(config).await;
     statuses.retain(|(_, status)| !matches!(status, Ok(status) if !status.leads));
     let best = statuses
@@ -84,14 +84,14 @@
     let mut why = String::new();
     let mut asked = false;
     while tokio::time::Instant::now() < until {
-        match leading(config).await {
+        match leader_status(config).await {
             Ok(leader) if leader.voters.contains(&new) && !leader.voters.contains(&old) => return Ok(()),
             Ok(leader) if asked => {
                 why = format!("it goes on: {:?} vote, {:?} learn", leader.voters, leader.learners)
             }
             Ok(leader) => {
                 let wanted = Ask::Replace { old, new, address: address.clone() };
-                match ask(config, leader.keeper, wanted).await? {
+                match call(config, leader.keeper, wanted).await? {
                     Answer::Done => asked = true,
                     Answer::Refused(reason) => return Err(reason.to_string()),
                     other => why = format!("{other:?}"),
@@ -105,9 +105,9 @@
 }
 
 /// Asks the keeper that leads.
-async fn ask_leader(config: &Config, ask: Ask) -> Result<Answer, String> {
-    let mut keepers = Keepers::new(&config.installation, Who::Operator, config.keepers.clone(), None);
-    let answer = keepers.ask(&ask, tokio::time::Instant::now() + CALL).await;
+async fn call_leader(config: &Config, ask: Ask) -> Result<Answer, String> {
+    let mut keepers = Keepers::new(&config.installation, Who::Operator, config.coordinators.clone(), None);
+    let answer = keepers.ask(&ask, tokio::time::Instant::now() + CALL_TIMEOUT).await;
     answer.map_err(|why| format!("{why}: a majority of the keepers has to be there and reach each other"))
 }
 
@@ -115,9 +115,9 @@
 ///
 /// # Errors
 /// Nobody leads.
-pub async fn account(config: &Config) -> Result<(u64, Account), String> {
+pub async fn disruption_state(config: &Config) -> Result<(u64, Account), String> {
     // Nothing is known yet: an account that never changed is an empty one.
-    match ask_leader(config, Ask::Account { known: 0 }).await? {
+    match call_leader(config, Ask::Account { known: 0 }).await? {
         Answer::Account(revision, account) => {
             Ok((revision, account.map_or_else(Account::default, |all| *all)))
         }
@@ -129,8 +129,8 @@
 ///
 /// # Errors
 /// Nobody leads, or it is refused.
-pub async fn change(config: &Config, change: Change) -> Result<Outcome, String> {
-    match ask_leader(config, Ask::Change(change)).await? {
+pub async fn change_disruption_state(config: &Config, change: Change) -> Result<Outcome, String> {
+    match call_leader(config, Ask::Change(change)).await? {
         Answer::Changed(Outcome::Refused(why)) => Err(why.to_string()),
         Answer::Changed(outcome) => Ok(outcome),
         Answer::Refused(reason) => Err(reason.to_string()),
@@ -139,7 +139,7 @@
 }
 
 /// The account for programs.
-pub fn account_json(account: &Account) -> serde_json::Value {
+pub fn disruption_state_json(account: &Account) -> serde_json::Value {
     let (version, _) = account.budgets();
     let budgets = account.sums().into_iter().map(|(budget, place, sum)| {
         serde_json::json!({
@@ -171,7 +171,7 @@
 }
 
 /// The account for people.
-pub fn account_text(account: &Account) -> String {
+pub fn disruption_state_text(account: &Account) -> String {
     let mut text = String::new();
     let (version, budgets) = account.budgets();
     let _ = writeln!(text, "budgets, version {version}:");
@@ -214,9 +214,9 @@
 ///
 /// # Errors
 /// Nobody leads, or the duty has no such term.
-pub async fn release(config: &Config, duty: DutyId, token: Option<Token>) -> Result<(), String> {
-    let leader = leading(config).await?;
-    match ask(config, leader.keeper, Ask::Release { duty: duty.clone(), token }).await? {
+pub async fn release_lease(config: &Config, duty: DutyId, token: Option<Token>) -> Result<(), String> {
+    let leader = leader_status(config).await?;
+    match call(config, leader.keeper, Ask::Release { duty: duty.clone(), token }).await? {
         Answer::Done => Ok(()),
         Answer::Refused(reason) => Err(format!("{duty}: {reason}")),
         other => Err(format!("{duty}: not done: {other:?}; ask again")),
@@ -224,9 +224,9 @@
 }
 
 /// The figures of a keeper for Prometheus, in its text form.
-pub fn figures(status: &Status) -> String {
+pub fn metrics_text(status: &Status) -> String {
     let mut text = String::new();
-    let mut figure = |name: &str, kind: &str, help: &str, rows: &[(String, u64)]| {
+    let mut metric = |name: &str, kind: &str, help: &str, rows: &[(String, u64)]| {
         let _ =
             writeln!(text, "# HELP cairncrank_keeper_{name} {help}\n# TYPE cairncrank_keeper_{name} {kind}");
         for (labels, value) in rows {
@@ -234,15 +234,15 @@
         }
     };
     let one = |value: u64| vec![(String::new(), value)];
-    figure("leads", "gauge", "Whether this keeper leads.", &one(status.leads.into()));
-    figure("term", "gauge", "The term of Raft.", &one(status.term));
-    figure("applied_entries", "counter", "The last entry applied.", &one(status.applied));
-    figure("elections_total", "counter", "Leaders seen since the start.", &one(status.elections));
-    figure("starts_total", "counter", "How often this disk was started.", &one(status.boots));
-    figure("members", "gauge", "Sessions of members.", &one(status.members.len() as u64));
+    metric("leads", "gauge", "Whether this keeper leads.", &one(status.leads.into()));
+    metric("term", "gauge", "The term of Raft.", &one(status.term));
+    metric("applied_entries", "counter", "The last entry applied.", &one(status.applied));
+    metric("elections_total", "counter", "Leaders seen since the start.", &one(status.elections));
+    metric("starts_total", "counter", "How often this disk was started.", &one(status.boots));
+    metric("members", "gauge", "Sessions of members.", &one(status.members.len() as u64));
     let quantiles = [("0.5", status.commit_us.0), ("0.99", status.commit_us.1), ("1", status.commit_us.2)];
     let quantiles: Vec<_> = quantiles.map(|(q, us)| (format!("{{quantile=\"{q}\"}}"), us)).into();
-    figure(
+    metric(
         "commit_microseconds",
         "gauge",
         "From a proposal to its being applied, since the start.",
@@ -252,7 +252,7 @@
         let (owner, token) = duty.owner.clone().unwrap_or((String::new(), Token(0)));
         (format!("{{duty={:?},owner={owner:?}}}", duty.duty.to_string()), token.0)
     });
-    figure(
+    metric(
         "duty_token",
         "gauge",
         "The token of a duty's running term, 0 without an owner.",
--- a/crates/coordinator/tests/cluster.rs
+++ b/crates/coordinator/tests/cluster.rs
@@ -5,15 +5,15 @@
 
 use cluster_member::wire::{Answer, Ask, Disk as Identity, FromKeeper, Request, Turned, SCHEMA};
 use coordination::{DutyId, Outcome, Reason, SessionId, Times, Token};
-use coordinator::disk::{self, Disk};
-use coordinator::node::{Node, Out};
-use coordinator::Stop;
+use coordinator::replica::{Output, Replica};
+use coordinator::store::{self, Store};
+use coordinator::CoordinatorError;
 
 const TICK: u64 = 40_000;
 
 struct Cluster {
     folder: tempfile::TempDir,
-    nodes: BTreeMap<u64, Node>,
+    replicas: BTreeMap<u64, Replica>,
     now: u64,
     answers: Vec<Answer>,
     granted: Vec<(SessionId, Token)>,
@@ -25,30 +25,39 @@
     fn new() -> Cluster {
         let mut cluster = Cluster {
             folder: tempfile::tempdir().unwrap(),
-            nodes: BTreeMap::new(),
+            replicas: BTreeMap::new(),
             now: 0,
             answers: Vec::new(),
             granted: Vec::new(),
             digests: BTreeMap::new(),
             next: 0,
         };
-        for keeper in 1..=3 {
-            disk::bootstrap(&cluster.store(keeper), "test", keeper, &[1, 2, 3], 1, 100 + keeper).unwrap();
-            cluster.start(keeper);
+        for coordinator in 1..=3 {
+            store::bootstrap(
+                &cluster.store(coordinator),
+                "test",
+                coordinator,
+                &[1, 2, 3],
+                1,
+                100 + coordinator,
+            )
+            .unwrap();
+            cluster.start(coordinator);
         }
         cluster
     }
 
-    fn store(&self, keeper: u64) -> PathBuf {
-        self.folder.path().join(keeper.to_string())
+    fn store(&self, coordinator: u64) -> PathBuf {
+        self.folder.path().join(coordinator.to_string())
     }
 
-    fn start(&mut self, keeper: u64) {
-        let (disk, found) = Disk::open(&self.store(keeper), "test", keeper).unwrap();
+    fn start(&mut self, coordinator: u64) {
+        let (store, recovered) = Store::open(&self.store(coordinator), "test", coordinator).unwrap();
         self.next += 1;
-        let mut node = Node::new(disk, found, Times::default(), TICK, keeper << 32 | self.next).unwrap();
-        node.digest(true);
-        self.nodes.insert(keeper, node);
+        let mut replica =
+            Replica::new(store, recovered, Times::default(), TICK, coordinator << 32 | self.next).unwrap();
+        replica.enable_digests(true);
+        self.replicas.insert(coordinator, replica);
     }
 
     /// Lets so much time pass, and delivers every message between the keepers that are there.
@@ -56,8 +65,8 @@
         let end = self.now + micros;
         while self.now < end {
             self.now += TICK;
-            for node in self.nodes.values_mut() {
-                node.tick(self.now).unwrap();
+            for replica in self.replicas.values_mut() {
+                replica.tick(self.now).unwrap();
             }
             self.deliver();
         }
@@ -72,19 +81,19 @@
         let mut replaced = Vec::new();
         loop {
             let mut messages = Vec::new();
-            for (keeper, node) in &mut self.nodes {
-                for out in node.take() {
-                    match out {
-                        Out::Raft(message) => messages.push((*keeper, message)),
-                        Out::Say(_, FromKeeper::Answer(_, answer)) => self.answers.push(answer),
-                        Out::Applied { index, outcome, digest, .. } => {
+            for (coordinator, replica) in &mut self.replicas {
+                for output in replica.take_outputs() {
+                    match output {
+                        Output::SendToPeer(message) => messages.push((*coordinator, message)),
+                        Output::SendToClient(_, FromKeeper::Answer(_, answer)) => self.answers.push(answer),
+                        Output::Applied { index, outcome, digest, .. } => {
                             let known = self.digests.entry(index).or_insert(digest);
-                            assert_eq!(*known, digest, "entry {index} at keeper {keeper}");
+                            assert_eq!(*known, digest, "entry {index} at coordinator {coordinator}");
                             if let Outcome::Granted(_, owner) = outcome {
                                 self.granted.push((owner.session, owner.token));
                             }
                         }
-                        Out::Say(..) | Out::News(_) | Out::Leads(_) => {}
+                        Output::SendToClient(..) | Output::ViewChanged(_) | Output::LeadershipChanged(_) => {}
                     }
                 }
             }
@@ -93,11 +102,11 @@
             }
             for (from, message) in messages {
                 let to = message.to;
-                let Some(node) = self.nodes.get_mut(&to) else { continue };
-                match node.message(from, message, self.now) {
+                let Some(replica) = self.replicas.get_mut(&to) else { continue };
+                match replica.receive_raft_message(from, message, self.now) {
                     Ok(()) => {}
-                    Err(Stop::Replaced(_)) => {
-                        self.nodes.remove(&to);
+                    Err(CoordinatorError::Replaced(_)) => {
+                        self.replicas.remove(&to);
                         replaced.push(to);
                     }
                     Err(stop) => panic!("keeper {to}: {stop}"),
@@ -108,8 +117,8 @@
 
     fn leader(&mut self) -> u64 {
         for _ in 0..100 {
-            if let Some((keeper, _)) = self.nodes.iter().find(|(_, node)| node.leads()) {
-                return *keeper;
+            if let Some((coordinator, _)) = self.replicas.iter().find(|(_, replica)| replica.is_leader()) {
+                return *coordinator;
             }
             self.pass(TICK);
         }
@@ -121,7 +130,7 @@
         self.next += 1;
         self.answers.clear();
         let request = Request { id: self.next, ask };
-        self.nodes.get_mut(&leader).unwrap().ask(7, request, self.now).unwrap();
+        self.replicas.get_mut(&leader).unwrap().handle_request(7, request, self.now).unwrap();
         for _ in 0..20 {
             self.deliver();
             if let Some(answer) = self.answers.pop() {
@@ -162,14 +171,14 @@
 }
 
 #[test]
-fn a_duty_goes_on_when_its_owner_and_the_leader_are_lost() {
+fn lease_moves_when_its_holder_and_the_leader_are_lost() {
     let mut cluster = Cluster::new();
     let (a, b) = (cluster.join("a", 1), cluster.join("b", 2));
     cluster.live(&[a, b], 2_000_000);
     let (owner, token) = cluster.last_grant();
     let other = if owner == a { b } else { a };
     let leader = cluster.leader();
-    cluster.nodes.remove(&leader);
+    cluster.replicas.remove(&leader);
     let started = cluster.now;
     while cluster.last_grant().1 == token {
         assert!(cluster.now - started < 3_000_000, "no next owner within 3 s");
@@ -183,17 +192,17 @@
     cluster.start(leader);
     cluster.live(&[other], 1_000_000);
     let now = cluster.leader();
-    assert_eq!(cluster.nodes[&leader].status().duties, cluster.nodes[&now].status().duties);
+    assert_eq!(cluster.replicas[&leader].status().duties, cluster.replicas[&now].status().duties);
 }
 
 #[test]
-fn tokens_and_members_outlive_all_processes_at_once() {
+fn tokens_and_sessions_survive_a_restart_of_all_coordinators() {
     let mut cluster = Cluster::new();
     let a = cluster.join("a", 1);
     cluster.live(&[a], 2_000_000);
     let (_, token) = cluster.last_grant();
-    cluster.nodes.clear();
-    (1..=3).for_each(|keeper| cluster.start(keeper));
+    cluster.replicas.clear();
+    (1..=3).for_each(|coordinator| cluster.start(coordinator));
     assert!(matches!(cluster.renew(a), Answer::Renewed { .. }), "the session has its full time again");
     cluster.ask(Ask::Release { duty: DutyId::fleet("list"), token: Some(token) });
     cluster.live(&[a], 2_000_000);
@@ -203,20 +212,20 @@
 }
 
 #[test]
-fn a_leader_that_is_cut_off_confirms_no_renewal() {
+fn isolated_leader_confirms_no_renewal() {
     let mut cluster = Cluster::new();
     let a = cluster.join("a", 1);
     let leader = cluster.leader();
-    let mut cut = cluster.nodes.remove(&leader).unwrap();
+    let mut cut = cluster.replicas.remove(&leader).unwrap();
     let request = Request { id: 1, ask: Ask::Renew { session: a, seen: 0, roster: None } };
-    cut.ask(7, request, cluster.now).unwrap();
+    cut.handle_request(7, request, cluster.now).unwrap();
     for tick in 1..100 {
         cut.tick(cluster.now + tick * TICK).unwrap();
         let said: Vec<Answer> = cut
-            .take()
+            .take_outputs()
             .into_iter()
-            .filter_map(|out| match out {
-                Out::Say(_, FromKeeper::Answer(_, answer)) => Some(answer),
+            .filter_map(|output| match output {
+                Output::SendToClient(_, FromKeeper::Answer(_, answer)) => Some(answer),
                 _ => None,
             })
             .collect();
@@ -232,72 +241,79 @@
 }
 
 #[test]
-fn the_log_is_cut_and_a_keeper_that_was_away_gets_the_snapshot() {
+fn lagging_coordinator_catches_up_from_a_snapshot_after_compaction() {
     let mut cluster = Cluster::new();
     let leader = cluster.leader();
     let away = if leader == 3 { 2 } else { 3 };
-    cluster.nodes.remove(&away);
+    cluster.replicas.remove(&away);
     for round in 0..2_200u64 {
         let session = cluster.join("a", round);
         cluster.ask(Ask::Leave { session });
     }
     let leader = cluster.leader();
-    let status = cluster.nodes[&leader].status();
+    let status = cluster.replicas[&leader].status();
     assert!(status.first > 3_000, "the log begins at {} of {}", status.first, status.applied);
     cluster.start(away);
     cluster.pass(2_000_000);
     let leader = cluster.leader();
-    assert_eq!(cluster.nodes[&away].status().applied, cluster.nodes[&leader].status().applied);
-    assert_eq!(cluster.nodes[&away].next_token(), cluster.nodes[&leader].next_token());
+    assert_eq!(cluster.replicas[&away].status().applied, cluster.replicas[&leader].status().applied);
+    assert_eq!(cluster.replicas[&away].next_token(), cluster.replicas[&leader].next_token());
     // And from its own disk, after another start.
-    cluster.nodes.remove(&away);
+    cluster.replicas.remove(&away);
     cluster.start(away);
-    assert!(cluster.nodes[&away].status().applied > 3_000);
+    assert!(cluster.replicas[&away].status().applied > 3_000);
 }
 
 #[test]
-fn a_disk_that_forgot_something_is_known_by_the_others() {
+fn rejects_handshake_of_an_old_copy_of_a_store() {
     let mut cluster = Cluster::new();
-    let node = cluster.nodes.get_mut(&1).unwrap();
+    let replica = cluster.replicas.get_mut(&1).unwrap();
     let fresh = Identity { keeper: 2, disk: 102, boots: 5, term: 3 };
-    assert_eq!(node.greeted(fresh, SCHEMA).unwrap(), Ok(()));
+    assert_eq!(replica.accept_peer(fresh, SCHEMA).unwrap(), Ok(()));
     let old = Identity { boots: 4, ..fresh };
-    assert_eq!(node.greeted(old, SCHEMA).unwrap(), Err(Turned::OldDisk { boots: 5, term: 3 }));
+    assert_eq!(replica.accept_peer(old, SCHEMA).unwrap(), Err(Turned::OldDisk { boots: 5, term: 3 }));
     let older_term = Identity { boots: 6, term: 2, ..fresh };
-    assert_eq!(node.greeted(older_term, SCHEMA).unwrap(), Err(Turned::OldDisk { boots: 5, term: 3 }));
+    assert_eq!(replica.accept_peer(older_term, SCHEMA).unwrap(), Err(Turned::OldDisk { boots: 5, term: 3 }));
     assert_eq!(
-        node.greeted(Identity { disk: 999, boots: 9, ..fresh }, SCHEMA).unwrap(),
+        replica.accept_peer(Identity { disk: 999, boots: 9, ..fresh }, SCHEMA).unwrap(),
         Err(Turned::WrongDisk)
     );
-    assert_eq!(node.greeted(Identity { keeper: 9, ..fresh }, SCHEMA).unwrap(), Err(Turned::Stranger));
+    assert_eq!(replica.accept_peer(Identity { keeper: 9, ..fresh }, SCHEMA).unwrap(), Err(Turned::Stranger));
     // It knows so after a start, too.
-    cluster.nodes.remove(&1);
+    cluster.replicas.remove(&1);
     cluster.start(1);
-    let again = cluster.nodes.get_mut(&1).unwrap().greeted(old, SCHEMA).unwrap();
+    let again = cluster.replicas.get_mut(&1).unwrap().accept_peer(old, SCHEMA).unwrap();
     assert_eq!(again, Err(Turned::OldDisk { boots: 5, term: 3 }));
 }
 
 #[test]
-fn a_store_is_opened_by_its_keeper_only_and_made_once() {
+fn store_is_created_once_and_opened_only_by_its_coordinator() {
     let folder = tempfile::tempdir().unwrap();
     let store = folder.path().join("s");
-    let missing = Disk::open(&store, "test", 1).unwrap_err();
-    assert!(matches!(&missing, Stop::Disk(why) if why.contains("could vote twice")), "{missing}");
-    disk::bootstrap(&store, "test", 1, &[1, 2, 3], 1, 5).unwrap();
-    let twice = disk::bootstrap(&store, "test", 1, &[1, 2, 3], 1, 5).unwrap_err();
+    let missing = Store::open(&store, "test", 1).unwrap_err();
+    assert!(
+        matches!(&missing, CoordinatorError::Store(why) if why.contains("could vote twice")),
+        "{missing}"
+    );
+    store::bootstrap(&store, "test", 1, &[1, 2, 3], 1, 5).unwrap();
+    let twice = store::bootstrap(&store, "test", 1, &[1, 2, 3], 1, 5).unwrap_err();
     assert!(twice.to_string().contains("left alone"), "{twice}");
-    let other = Disk::open(&store, "test", 2).unwrap_err();
+    let other = Store::open(&store, "test", 2).unwrap_err();
     assert!(other.to_string().contains("not of keeper 2"), "{other}");
-    let stranger = Disk::open(&store, "elsewhere", 1).unwrap_err();
+    let stranger = Store::open(&store, "elsewhere", 1).unwrap_err();
     assert!(stranger.to_string().contains("elsewhere"), "{stranger}");
-    let (_, found) = Disk::open(&store, "test", 1).unwrap();
-    assert_eq!((found.identity.boots, found.identity.disk), (1, 5), "starts that failed do not count");
+    let (_, recovered) = Store::open(&store, "test", 1).unwrap();
+    assert_eq!(
+        (recovered.identity.boots, recovered.identity.disk),
+        (1, 5),
+        "starts that failed do not count"
+    );
 }
 
 impl Cluster {
     fn voters(&mut self) -> Vec<u64> {
         let leader = self.leader();
-        self.nodes[&leader].status().voters
+        self.replicas[&leader].status().voters
     }
 
     fn replace(&mut self, old: u64, new: u64) -> Answer {
@@ -308,55 +324,58 @@
     fn until_voters(&mut self, wanted: &[u64]) {
         for _ in 0..500 {
             let leader = self.leader();
-            let status = self.nodes[&leader].status();
+            let status = self.replicas[&leader].status();
             if status.voters == wanted && status.replacing.is_none() && status.learners.is_empty() {
                 return;
             }
             self.pass(TICK);
         }
         let leader = self.leader();
-        panic!("{:?}", self.nodes[&leader].status());
+        panic!("{:?}", self.replicas[&leader].status());
     }
 }
 
 /// A keeper whose disk is gone is replaced while the others go on; the new one knows all, and counts.
 #[test]
-fn a_keeper_that_lost_its_disk_is_replaced_by_a_new_one() {
+fn replaces_a_coordinator_that_lost_its_store() {
     let mut cluster = Cluster::new();
     let a = cluster.join("a", 1);
     cluster.live(&[a], 3_000_000);
     let before = cluster.granted.last().copied().expect("an owner");
     let leader = cluster.leader();
-    let lost = (1..=3).find(|keeper| *keeper != leader).unwrap();
-    cluster.nodes.remove(&lost);
+    let lost = (1..=3).find(|coordinator| *coordinator != leader).unwrap();
+    cluster.replicas.remove(&lost);
     std::fs::remove_dir_all(cluster.store(lost)).unwrap();
-    disk::bootstrap_joining(&cluster.store(4), "test", 4, 104).unwrap();
+    store::bootstrap_joining(&cluster.store(4), "test", 4, 104).unwrap();
     cluster.start(4);
     cluster.pass(2_000_000);
-    assert_eq!(cluster.nodes[&4].status().applied, 0, "nobody speaks to it before it is agreed on");
+    assert_eq!(cluster.replicas[&4].status().applied, 0, "nobody speaks to it before it is agreed on");
     // Found by processes: one that joins has to let those in that will tell it all.
-    let others = cluster.nodes[&leader].identity();
-    assert_eq!(cluster.nodes.get_mut(&4).unwrap().greeted(others, SCHEMA).unwrap(), Ok(()));
-    let new = cluster.nodes[&4].identity();
-    assert_eq!(cluster.nodes.get_mut(&leader).unwrap().greeted(new, SCHEMA).unwrap(), Err(Turned::Stranger));
+    let others = cluster.replicas[&leader].identity();
+    assert_eq!(cluster.replicas.get_mut(&4).unwrap().accept_peer(others, SCHEMA).unwrap(), Ok(()));
+    let new = cluster.replicas[&4].identity();
+    assert_eq!(
+        cluster.replicas.get_mut(&leader).unwrap().accept_peer(new, SCHEMA).unwrap(),
+        Err(Turned::Stranger)
+    );
     assert_eq!(cluster.replace(lost, 4), Answer::Done);
-    let new = cluster.nodes[&4].identity();
-    assert_eq!(cluster.nodes.get_mut(&leader).unwrap().greeted(new, SCHEMA).unwrap(), Ok(()));
-    let mut wanted: Vec<u64> = (1..=4).filter(|keeper| *keeper != lost).collect();
+    let new = cluster.replicas[&4].identity();
+    assert_eq!(cluster.replicas.get_mut(&leader).unwrap().accept_peer(new, SCHEMA).unwrap(), Ok(()));
+    let mut wanted: Vec<u64> = (1..=4).filter(|coordinator| *coordinator != lost).collect();
     cluster.until_voters(&wanted);
     assert!(matches!(cluster.replace(lost, 5), Answer::Refused(Reason::Keepers(_))), "it is gone already");
     assert!(matches!(cluster.replace(leader, lost), Answer::Refused(Reason::Keepers(_))), "a used number");
     // The new one and one of the old are a majority; what was agreed is known to both.
-    cluster.nodes.remove(&leader);
-    wanted.retain(|keeper| *keeper != leader);
+    cluster.replicas.remove(&leader);
+    wanted.retain(|coordinator| *coordinator != leader);
     let b = cluster.join("b", 2);
     cluster.live(&[b], 6_000_000);
     let after = cluster.granted.last().copied().expect("an owner");
     assert!(after.1 > before.1 && after.0 == b, "{before:?} {after:?}");
     // And after all that are left were started anew from their disks.
-    for keeper in wanted {
-        cluster.nodes.remove(&keeper);
-        cluster.start(keeper);
+    for coordinator in wanted {
+        cluster.replicas.remove(&coordinator);
+        cluster.start(coordinator);
     }
     let voters = cluster.voters();
     assert!(voters.contains(&4) && !voters.contains(&lost), "{voters:?}");
@@ -367,29 +386,29 @@
 
 /// The one that leads is replaced too: it gives the lead away first, and ends when it is out.
 #[test]
-fn the_leading_keeper_is_replaced_and_the_lead_may_change_on_the_way() {
+fn leader_transfers_leadership_before_it_is_replaced() {
     let mut cluster = Cluster::new();
     let old = cluster.leader();
-    disk::bootstrap_joining(&cluster.store(4), "test", 4, 104).unwrap();
+    store::bootstrap_joining(&cluster.store(4), "test", 4, 104).unwrap();
     cluster.start(4);
     assert_eq!(cluster.replace(old, 4), Answer::Done);
     let end = cluster.now + 10_000_000;
-    while cluster.nodes.contains_key(&old) && cluster.now < end {
+    while cluster.replicas.contains_key(&old) && cluster.now < end {
         cluster.now += TICK;
         let now = cluster.now;
         let mut out = Vec::new();
-        for (keeper, node) in &mut cluster.nodes {
-            if let Err(stop) = node.tick(now) {
-                assert!(matches!(stop, Stop::Replaced(_)), "{stop}");
-                out.push(*keeper);
+        for (coordinator, replica) in &mut cluster.replicas {
+            if let Err(stop) = replica.tick(now) {
+                assert!(matches!(stop, CoordinatorError::Replaced(_)), "{stop}");
+                out.push(*coordinator);
             }
         }
-        out.iter().for_each(|keeper| drop(cluster.nodes.remove(keeper)));
+        out.iter().for_each(|coordinator| drop(cluster.replicas.remove(coordinator)));
         out.extend(cluster.deliver_some());
-        assert!(out.iter().all(|keeper| *keeper == old), "{out:?}");
+        assert!(out.iter().all(|coordinator| *coordinator == old), "{out:?}");
     }
-    let wanted: Vec<u64> = (1..=4).filter(|keeper| *keeper != old).collect();
-    assert!(!cluster.nodes.contains_key(&old), "it heard of it and did not end");
+    let wanted: Vec<u64> = (1..=4).filter(|coordinator| *coordinator != old).collect();
+    assert!(!cluster.replicas.contains_key(&old), "it heard of it and did not end");
     cluster.until_voters(&wanted);
     let a = cluster.join("a", 1);
     cluster.live(&[a], 6_000_000);
@@ -398,21 +417,21 @@
 
 /// The leader dies between two steps of a replacement: the next one goes on where it was.
 #[test]
-fn a_replacement_goes_on_under_the_next_leader() {
+fn next_leader_continues_a_replacement() {
     for steps in [1, 4, 8, 12, 16, 24] {
         let mut cluster = Cluster::new();
         let leader = cluster.leader();
-        let old = (1..=3).find(|keeper| *keeper != leader).unwrap();
-        cluster.nodes.remove(&old);
-        disk::bootstrap_joining(&cluster.store(4), "test", 4, 104).unwrap();
+        let old = (1..=3).find(|coordinator| *coordinator != leader).unwrap();
+        cluster.replicas.remove(&old);
+        store::bootstrap_joining(&cluster.store(4), "test", 4, 104).unwrap();
         cluster.start(4);
         assert_eq!(cluster.replace(old, 4), Answer::Done);
         cluster.pass(steps * TICK);
         // Killed and started again: with the one that lost its disk away, it is needed for a majority.
-        cluster.nodes.remove(&leader);
+        cluster.replicas.remove(&leader);
         cluster.pass(1_000_000);
         cluster.start(leader);
-        let wanted: Vec<u64> = (1..=4).filter(|keeper| *keeper != old).collect();
+        let wanted: Vec<u64> = (1..=4).filter(|coordinator| *coordinator != old).collect();
         cluster.until_voters(&wanted);
     }
 }
--- a/crates/coordinator/tests/compatibility/exit_codes.rs
+++ b/crates/coordinator/tests/compatibility/exit_codes.rs
@@ -4,7 +4,7 @@
 
 use cluster_member::wire::Turned;
 use coordination::{Command, State};
-use coordinator::disk::{self, Batch, Disk};
+use coordinator::store::{self, Store, WriteBatch};
 use protobuf::Message as _;
 use raft::eraftpb::{
     ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType, HardState, Snapshot,
@@ -19,16 +19,18 @@
 /// An empty store of this coordinator.
 fn empty_store(folder: &Path, installation: &str, coordinator: u64) {
     let _guard = no_process_starts();
-    disk::bootstrap(folder, installation, coordinator, &[1, 2, 3], 1, 7).unwrap();
+    store::bootstrap(folder, installation, coordinator, &[1, 2, 3], 1, 7).unwrap();
 }
 
 /// The store of coordinator 2 with one entry that is agreed on.
 fn store_with(folder: &Path, entry: Entry) {
     let _guard = no_process_starts();
-    disk::bootstrap(folder, "north", 2, &[1, 2, 3], 1, 7).unwrap();
-    let (store, _) = Disk::open(folder, "north", 2).unwrap();
+    store::bootstrap(folder, "north", 2, &[1, 2, 3], 1, 7).unwrap();
+    let (store, _) = Store::open(folder, "north", 2).unwrap();
     let hard_state = HardState { term: 2, vote: 2, commit: 2, ..HardState::default() };
-    store.write(&Batch { hard: Some(&hard_state), entries: &[entry], ..Batch::default() }).unwrap();
+    store
+        .write(&WriteBatch { hard_state: Some(&hard_state), entries: &[entry], ..WriteBatch::default() })
+        .unwrap();
 }
 
 fn entry(data: Vec<u8>) -> Entry {
@@ -104,7 +106,7 @@
     empty_store(&store, "north", 2);
     let _open = {
         let _guard = no_process_starts();
-        Disk::open(&store, "north", 2).unwrap()
+        Store::open(&store, "north", 2).unwrap()
     };
     all += &format!("in use: {}", installation.run(&SERVE));
     insta::assert_snapshot!("store", all);
@@ -182,8 +184,8 @@
 fn the_entry_of_an_empty_configuration_is_read_by_one_that_joins() {
     let _guard = no_process_starts();
     let folder = tempfile::tempdir().unwrap();
-    disk::bootstrap_joining(folder.path(), "north", 4, 9).unwrap();
-    let (_, found) = Disk::open(folder.path(), "north", 4).unwrap();
-    assert_eq!(*found.snapshot.get_metadata().get_conf_state(), ConfState::default());
-    assert_eq!((found.identity.keeper, found.identity.boots, found.entries.len()), (4, 1, 0));
+    store::bootstrap_joining(folder.path(), "north", 4, 9).unwrap();
+    let (_, recovered) = Store::open(folder.path(), "north", 4).unwrap();
+    assert_eq!(*recovered.snapshot.get_metadata().get_conf_state(), ConfState::default());
+    assert_eq!((recovered.identity.keeper, recovered.identity.boots, recovered.entries.len()), (4, 1, 0));
 }
--- a/crates/coordinator/tests/compatibility/settings.rs
+++ b/crates/coordinator/tests/compatibility/settings.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use coordination::Times;
-use coordinator::config::{budgets, parse, read, read_budgets};
+use coordinator::config::{parse, parse_budgets, read, read_budgets};
 use disruption_budget::{Amount, Budget, Cover, Kind};
 
 const MEMBERS: &str = r#"installation = "north"
@@ -30,7 +30,7 @@
     let config = read(&example("every-key.hcl")).unwrap();
     assert_eq!(config.installation, "north");
     let addresses: Vec<(u64, String)> =
-        config.keepers.iter().map(|(number, address)| (*number, address.to_string())).collect();
+        config.coordinators.iter().map(|(number, address)| (*number, address.to_string())).collect();
     let expected = [(1, "192.0.2.11:7100"), (2, "192.0.2.12:7100"), (7, "[2001:db8::13]:7100")];
     assert_eq!(addresses, expected.map(|(number, address)| (number, address.to_owned())));
     assert_eq!(config.first_token, 5_000);
@@ -46,13 +46,13 @@
     };
     assert_eq!(config.times, times);
     let serve = config.serve.unwrap();
-    assert_eq!(serve.keeper, 7);
+    assert_eq!(serve.coordinator_id, 7);
     assert_eq!(serve.listen.to_string(), "0.0.0.0:7101");
-    assert_eq!(serve.store, Path::new("/var/lib/keeper"));
-    assert_eq!(serve.bind, Some("192.0.2.13".parse::<IpAddr>().unwrap()));
-    assert_eq!(serve.connections, 4_000);
-    assert_eq!(serve.speaks, 2);
-    assert_eq!(serve.flaw, None);
+    assert_eq!(serve.store_directory, Path::new("/var/lib/keeper"));
+    assert_eq!(serve.bind_address, Some("192.0.2.13".parse::<IpAddr>().unwrap()));
+    assert_eq!(serve.max_connections, 4_000);
+    assert_eq!(serve.protocol_version, 2);
+    assert_eq!(serve.injected_bug, None);
 }
 
 #[test]
@@ -61,7 +61,10 @@
     assert_eq!((config.first_token, config.times), (1, Times::default()));
     let serve = config.serve.unwrap();
     assert_eq!(serve.listen.to_string(), "192.0.2.11:7100");
-    assert_eq!((serve.bind, serve.connections, serve.speaks, serve.flaw), (None, 1_024, 3, None));
+    assert_eq!(
+        (serve.bind_address, serve.max_connections, serve.protocol_version, serve.injected_bug),
+        (None, 1_024, 3, None)
+    );
     assert!(parse("keeper.hcl", MEMBERS).unwrap().serve.is_none());
 }
 
@@ -141,7 +144,7 @@
     ];
     let mut all = String::new();
     for text in cases {
-        let _ = writeln!(all, "{}", budgets("budgets.hcl", &text).unwrap_err());
+        let _ = writeln!(all, "{}", parse_budgets("budgets.hcl", &text).unwrap_err());
     }
     let _ = writeln!(all, "{}", read_budgets(Path::new("nowhere/budgets.hcl")).unwrap_err());
     insta::assert_snapshot!("budget_faults", all);
@@ -162,7 +165,7 @@
         ("begin-unasked", Flaw::BeginUnasked),
     ] {
         let config = parse("keeper.hcl", &with_injected_bug(name)).unwrap();
-        assert_eq!(config.serve.unwrap().flaw, Some(bug));
+        assert_eq!(config.serve.unwrap().injected_bug, Some(bug));
     }
     let fault = parse("keeper.hcl", &with_injected_bug("unknown")).unwrap_err().to_string();
     assert_eq!(fault, "keeper.hcl:14: serve.flaw: there is no flaw \"unknown\"");
--- a/crates/coordinator/tests/compatibility/store.rs
+++ b/crates/coordinator/tests/compatibility/store.rs
@@ -9,8 +9,8 @@
 
 use cluster_member::wire::Disk as Identity;
 use coordination::{Command, DutyId, Revision, SessionId, State, Times, Token};
-use coordinator::disk::{self, Batch, Disk};
-use coordinator::node::Node;
+use coordinator::replica::Replica;
+use coordinator::store::{self, Store, WriteBatch};
 use disruption_budget::{Amount, Budget, Change, Condition, Cover, Kind, Observed, Target};
 use protobuf::Message as _;
 use raft::eraftpb::{
@@ -210,13 +210,15 @@
 
     /// Writes the store by the code of today.
     fn write(&self, folder: &Path) {
-        disk::bootstrap(folder, "north", COORDINATOR, &[1, 2, 3], FIRST_TOKEN, DISK).unwrap();
-        let (store, _) = Disk::open(folder, "north", COORDINATOR).unwrap();
+        store::bootstrap(folder, "north", COORDINATOR, &[1, 2, 3], FIRST_TOKEN, DISK).unwrap();
+        let (store, _) = Store::open(folder, "north", COORDINATOR).unwrap();
         let snapshot = self.snapshot();
         write_snapshot(&store, &snapshot);
         let (entries, hard_state) = (self.entries(), self.hard_state());
-        store.write(&Batch { entries: &entries, hard: Some(&hard_state), ..Batch::default() }).unwrap();
-        store.write(&Batch { peers: &self.peers(), ..Batch::default() }).unwrap();
+        store
+            .write(&WriteBatch { entries: &entries, hard_state: Some(&hard_state), ..WriteBatch::default() })
+            .unwrap();
+        store.write(&WriteBatch { peers: &self.peers(), ..WriteBatch::default() }).unwrap();
     }
 }
 
@@ -273,8 +275,8 @@
     let _guard = no_process_starts();
     let folder = tempfile::tempdir().unwrap();
     let (first, joining) = (folder.path().join("first"), folder.path().join("joining"));
-    disk::bootstrap(&first, "north", COORDINATOR, &[1, 2, 3], FIRST_TOKEN, DISK).unwrap();
-    disk::bootstrap_joining(&joining, "north", 4, DISK).unwrap();
+    store::bootstrap(&first, "north", COORDINATOR, &[1, 2, 3], FIRST_TOKEN, DISK).unwrap();
+    store::bootstrap_joining(&joining, "north", 4, DISK).unwrap();
     let all = format!(
         "bootstrap\n{}\nbootstrap of one that joins\n{}",
         dump(&first.join("keeper.redb")),
@@ -295,21 +297,21 @@
     for example in examples() {
         let folder = tempfile::tempdir().unwrap();
         unpack_fixture(example.fixture, &folder.path().join("keeper.redb"));
-        let (_, found) = Disk::open(folder.path(), "north", COORDINATOR).unwrap();
+        let (_, recovered) = Store::open(folder.path(), "north", COORDINATOR).unwrap();
         let version = example.fixture;
         // The fixture was started once, and this start counts.
         let identity = Identity { keeper: COORDINATOR, disk: DISK, boots: 2, term: 4 };
-        assert_eq!(found.identity, identity, "{version}");
-        assert_eq!(found.hard, example.hard_state(), "{version}");
-        assert_eq!(found.snapshot, example.snapshot(), "{version}");
-        assert_eq!(State::restore(found.snapshot.get_data()).unwrap(), example.state, "{version}");
-        assert_eq!(found.entries, example.entries(), "{version}");
-        for (entry, command) in found.entries.iter().zip(&example.commands) {
+        assert_eq!(recovered.identity, identity, "{version}");
+        assert_eq!(recovered.hard_state, example.hard_state(), "{version}");
+        assert_eq!(recovered.snapshot, example.snapshot(), "{version}");
+        assert_eq!(State::restore(recovered.snapshot.get_data()).unwrap(), example.state, "{version}");
+        assert_eq!(recovered.entries, example.entries(), "{version}");
+        for (entry, command) in recovered.entries.iter().zip(&example.commands) {
             assert_eq!(Command::decode(&entry.data).unwrap(), *command, "{version}");
         }
         let peers: BTreeMap<u64, Identity> =
             example.peers().into_iter().map(|peer| (peer.keeper, peer)).collect();
-        assert_eq!(found.peers, peers, "{version}");
+        assert_eq!(recovered.peers, peers, "{version}");
     }
 }
 
@@ -319,8 +321,8 @@
     for example in examples() {
         let folder = tempfile::tempdir().unwrap();
         unpack_fixture(example.fixture, &folder.path().join("keeper.redb"));
-        let (store, found) = Disk::open(folder.path(), "north", COORDINATOR).unwrap();
-        let mut node = Node::new(store, found, Times::default(), TICK, 1).unwrap();
+        let (store, recovered) = Store::open(folder.path(), "north", COORDINATOR).unwrap();
+        let mut node = Replica::new(store, recovered, Times::default(), TICK, 1).unwrap();
         node.tick(TICK).unwrap();
         let mut expected = example.state.clone();
         for (index, command) in (example.state.revision() + 1..).zip(&example.commands) {
--- a/crates/coordinator/tests/compatibility/support.rs
+++ b/crates/coordinator/tests/compatibility/support.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, RwLock, RwLockReadGuard};
 
 use cluster_member::wire::{Answer, Ask, FromKeeper, Link, Request, Turned, Welcome, Who};
-use coordinator::disk::{Batch, Disk};
+use coordinator::store::{Store, WriteBatch};
 use raft::eraftpb::Snapshot;
 
 const PROGRAM_PATH: &str = env!("CARGO_BIN_EXE_coordinator");
@@ -173,9 +173,9 @@
 }
 
 /// Writes a snapshot that replaces the whole log.
-pub fn write_snapshot(store: &Disk, snapshot: &Snapshot) {
+pub fn write_snapshot(store: &Store, snapshot: &Snapshot) {
     let written = Some((snapshot, snapshot.get_metadata().index));
-    store.write(&Batch { snapshot: written, clear: true, ..Batch::default() }).unwrap();
+    store.write(&WriteBatch { snapshot: written, clear_log: true, ..WriteBatch::default() }).unwrap();
 }
 
 /// Writes the file of a fixture to `file`. Rows of zeros are left out of the fixture, and rows that are there several times in a
--- a/crates/coordinator/tests/config.rs
+++ b/crates/coordinator/tests/config.rs
@@ -20,17 +20,17 @@
 }
 
 #[test]
-fn a_whole_configuration_is_read() {
+fn parses_a_complete_configuration() {
     let more =
         "serve {\n  keeper = 2\n  store = \"var\"\n}\ntimes {\n  lease_ms = 2000\n}\nfirst_token = 50\n";
     let config = parse("keeper.hcl", &format!("{KEEPERS}{more}")).unwrap();
     let serve = config.serve.unwrap();
-    assert_eq!((serve.keeper, serve.listen.port(), config.first_token), (2, 7102, 50));
+    assert_eq!((serve.coordinator_id, serve.listen.port(), config.first_token), (2, 7102, 50));
     assert_eq!((config.times.lease, config.times.renew), (2_000_000, 400_000));
 }
 
 #[test]
-fn faults_name_file_line_and_key() {
+fn errors_name_file_line_and_key() {
     let one = parse("keeper.hcl", "installation = \"a\"\nkeeper \"1\" {\n  address = \"127.0.0.1:1\"\n}\n");
     assert!(one.unwrap_err().to_string().contains("wanted three or five keepers, found 1"));
     let times = fault("times {\n  lease_ms = 1000\n}\n");
--- a/crates/coordinator/tests/full_disk.rs
+++ b/crates/coordinator/tests/full_disk.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::process::Command;
 
-use coordinator::disk::{bootstrap, Batch, Disk};
+use coordinator::store::{bootstrap, Store, WriteBatch};
 use raft::eraftpb::{Entry, HardState};
 
 const STORE: &str = "CAIRNCRANK_TEST_STORE";
@@ -14,20 +14,22 @@
     Entry { index, term: 2, data: vec![index as u8; 60 + (index % 200) as usize].into(), ..Entry::default() }
 }
 
-fn write(disk: &Disk, index: u64) -> bool {
+fn write(store: &Store, index: u64) -> bool {
     let hard = HardState { term: 2, vote: 1, commit: index, ..HardState::default() };
-    disk.write(&Batch { hard: Some(&hard), entries: &[entry(index)], ..Batch::default() }).is_ok()
+    store
+        .write(&WriteBatch { hard_state: Some(&hard), entries: &[entry(index)], ..WriteBatch::default() })
+        .is_ok()
 }
 
 /// What stands in the store: the last entry, after all before it; and how often it was started.
 fn last(store: &Path) -> (u64, u64) {
-    let (disk, found) = Disk::open(store, "test", 1).unwrap();
-    for (entry, index) in found.entries.iter().zip(2..) {
+    let (opened, recovered) = Store::open(store, "test", 1).unwrap();
+    for (entry, index) in recovered.entries.iter().zip(2..) {
         assert_eq!(*entry, self::entry(index));
     }
-    assert_eq!(found.hard.commit, found.entries.last().map_or(0, |entry| entry.index));
-    drop(disk);
-    (found.hard.commit, found.identity.boots)
+    assert_eq!(recovered.hard_state.commit, recovered.entries.last().map_or(0, |entry| entry.index));
+    drop(opened);
+    (recovered.hard_state.commit, recovered.identity.boots)
 }
 
 /// Not a test of its own: the process that writes so many entries, says of each that it is on the disk, and is killed; or
@@ -36,11 +38,11 @@
 fn child() {
     let Ok(store) = std::env::var(STORE) else { return };
     let count: u64 = std::env::var(COUNT).unwrap().parse().unwrap();
-    let Ok((disk, found)) = Disk::open(Path::new(&store), "test", 1) else { return };
-    println!("boots {}", found.identity.boots);
-    let next = found.entries.last().map_or(2, |entry| entry.index + 1);
+    let Ok((opened, recovered)) = Store::open(Path::new(&store), "test", 1) else { return };
+    println!("boots {}", recovered.identity.boots);
+    let next = recovered.entries.last().map_or(2, |entry| entry.index + 1);
     for index in next..next + count {
-        if !write(&disk, index) {
+        if !write(&opened, index) {
             return;
         }
         println!("written {index}");
@@ -67,7 +69,7 @@
 }
 
 #[test]
-fn what_was_written_before_the_disk_was_full_is_there_and_the_store_goes_on() {
+fn store_keeps_acknowledged_writes_when_the_disk_is_full() {
     let mut failed = 0;
     for blocks in (8..4_200).step_by(131).chain([256, 300, 40, 64]) {
         let dir = tempfile::tempdir().unwrap();
