--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -8,7 +8,7 @@
 use coordination::{DutyId, Token};
 use coordinator::config::{self, Config};
 use coordinator::{operator, server, store, CoordinatorError};
-use disruption_budget::{Change, Outcome, State, Target};
+use disruption_budget::{DisruptionCommand, DisruptionOutcome, PermitState, Target};
 use lexopt::prelude::*;
 
 const USAGE: &str = "\
@@ -179,34 +179,36 @@
 async fn permit(args: &Arguments, config: &Config) -> Result<String, CoordinatorError> {
     let missing = |key: &str| CoordinatorError::Startup(format!("--{key} is missing"));
     let number = || args.permit.ok_or_else(|| missing("permit"));
-    let change = match args.verb.as_str() {
-        "ask" => Change::Ask {
+    let command = match args.verb.as_str() {
+        "ask" => DisruptionCommand::RequestPermit {
             target: args.target.clone().ok_or_else(|| missing("target"))?,
             reason: args.reason.clone().unwrap_or_default(),
-            asker: args.by.clone().ok_or_else(|| missing("by"))?,
+            requester: args.by.clone().ok_or_else(|| missing("by"))?,
             force: args.force,
         },
-        "begin" => Change::Begin { permit: number()?, incarnation: args.number },
-        "done" => Change::Done { permit: number()? },
-        "void" => Change::Void { permit: number()? },
+        "begin" => DisruptionCommand::BeginPermit { permit: number()?, incarnation: args.number },
+        "done" => DisruptionCommand::CompletePermit { permit: number()? },
+        "void" => DisruptionCommand::CancelPermit { permit: number()? },
         other => {
             return Err(CoordinatorError::Startup(format!(
                 "permit {other:?}: wanted ask, begin, done or void"
             )))
         }
     };
-    match operator::change_disruption_state(config, change).await.map_err(CoordinatorError::Startup)? {
-        Outcome::Asked(permit, State::Waiting) => {
+    match operator::change_disruption_state(config, command).await.map_err(CoordinatorError::Startup)? {
+        DisruptionOutcome::PermitRequested(permit, PermitState::Waiting) => {
             let (_, account) = operator::disruption_state(config).await.map_err(CoordinatorError::Startup)?;
             let held = account
-                .held_by(permit)
+                .blocking_budget(permit)
                 .map_or(String::new(), |held| format!(", held by budget {:?}", held.name));
             Err(CoordinatorError::PermitWaiting(format!(
                 "permit {permit} waits for its turn{held}; ask again within a minute"
             )))
         }
-        Outcome::Asked(permit, state) => Ok(format!("{permit} {}\n", format!("{state:?}").to_lowercase())),
-        Outcome::Begun(permit) => Ok(format!("{permit} begun\n")),
+        DisruptionOutcome::PermitRequested(permit, state) => {
+            Ok(format!("{permit} {}\n", format!("{state:?}").to_lowercase()))
+        }
+        DisruptionOutcome::PermitBegun(permit) => Ok(format!("{permit} begun\n")),
         _ => Ok(String::new()),
     }
 }
@@ -345,9 +347,12 @@
                 }
             };
             let count = budgets.len();
-            operator::change_disruption_state(config, Change::Budgets { seen, budgets })
-                .await
-                .map_err(CoordinatorError::Startup)?;
+            operator::change_disruption_state(
+                config,
+                DisruptionCommand::SetBudgets { expected_version: seen, budgets },
+            )
+            .await
+            .map_err(CoordinatorError::Startup)?;
             Ok(format!("{count} budgets hold from now on\n"))
         }
         "permit" => permit(args, config).await,
@@ -357,9 +362,12 @@
                 .clone()
                 .ok_or_else(|| CoordinatorError::Startup("--target is missing".to_owned()))?;
             let by = args.by.clone().unwrap_or_else(|| "an operator".to_owned());
-            operator::change_disruption_state(config, Change::Strike { target, by })
-                .await
-                .map_err(CoordinatorError::Startup)?;
+            operator::change_disruption_state(
+                config,
+                DisruptionCommand::DeregisterTarget { target, operator: by },
+            )
+            .await
+            .map_err(CoordinatorError::Startup)?;
             Ok(String::new())
         }
         "metrics" => {
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -12,7 +12,7 @@
     Command, Micros, Outcome, Reason, Replacing, Revision, SessionId, State, Times, Token, Warden,
     COMMAND_VERSION,
 };
-use disruption_budget::desk::Desk;
+use disruption_budget::permit_timeouts::PermitTimeouts;
 use hdrhistogram::Histogram;
 use protobuf::Message as _;
 use raft::eraftpb::{
@@ -140,8 +140,8 @@
     configuration_proposed_at: Option<Micros>,
     times: Times,
     session_monitor: Option<Warden>,
-    injected_bug: Option<disruption_budget::Flaw>,
-    permit_timeouts: Desk,
+    injected_bug: Option<disruption_budget::InjectedBug>,
+    permit_timeouts: PermitTimeouts,
     permits_expired_at: Micros,
     /// The latest entries that this keeper knows, and the latest messages that others speak, of those that greeted it.
     supported_version: u16,
@@ -242,7 +242,7 @@
             times,
             session_monitor: None,
             injected_bug: None,
-            permit_timeouts: Desk::default(),
+            permit_timeouts: PermitTimeouts::default(),
             permits_expired_at: 0,
             supported_version: COMMAND_VERSION,
             peer_versions: BTreeMap::new(),
@@ -270,7 +270,7 @@
     }
 
     /// The account gets a flaw, in builds for tests.
-    pub fn inject_disruption_bug(&mut self, flaw: Option<disruption_budget::Flaw>) {
+    pub fn inject_disruption_bug(&mut self, flaw: Option<disruption_budget::InjectedBug>) {
         self.injected_bug = flaw;
         self.state = std::mem::replace(&mut self.state, State::new(1)).with_account_flaw(flaw);
     }
@@ -705,9 +705,9 @@
         let Some(session_monitor) = &mut self.session_monitor else { return };
         // What is due of permits is proposed at most so often: the agreement takes a moment.
         if now.saturating_sub(self.permits_expired_at) > self.times.heartbeat {
-            for change in self.permit_timeouts.due(now) {
+            for command in self.permit_timeouts.expired(now) {
                 self.permits_expired_at = now;
-                let _ = self.raw_node.propose(Vec::new(), Command::Account(change).encode());
+                let _ = self.raw_node.propose(Vec::new(), Command::Account(command).encode());
             }
         }
         for command in session_monitor.due(now, &self.state) {
@@ -783,7 +783,7 @@
             })?;
             let outcome = self.state.apply(entry.index, &command);
             if let Outcome::Account(_) = outcome {
-                self.permit_timeouts.applied(now, self.state.account());
+                self.permit_timeouts.update(now, self.state.account());
             }
             if let Some(session_monitor) = &mut self.session_monitor {
                 session_monitor.applied(now, &self.state);
@@ -824,8 +824,8 @@
             (Outcome::Joined(..), None) => self.not_leader_response(),
             (Outcome::Refused(reason), _) => Answer::Refused(reason.clone()),
             (Outcome::Account(outcome), _) => {
-                if let disruption_budget::Outcome::Asked(id, _) = outcome {
-                    self.permit_timeouts.asked(*id, now);
+                if let disruption_budget::DisruptionOutcome::PermitRequested(id, _) = outcome {
+                    self.permit_timeouts.renew(*id, now);
                 }
                 Answer::Changed(outcome.clone())
             }
@@ -849,8 +849,8 @@
         self.leading_term = leads;
         self.outputs.push(Output::LeadershipChanged(leads));
         self.session_monitor = leads.map(|_| Warden::new(self.times, now, &self.state));
-        self.permit_timeouts = Desk::default();
-        self.permit_timeouts.applied(now, self.state.account());
+        self.permit_timeouts = PermitTimeouts::default();
+        self.permit_timeouts.update(now, self.state.account());
         self.propose_start_counts();
         // Whoever waits asks the next leader; what was proposed may still be agreed on, and asking twice does no harm.
         let answer = self.not_leader_response();
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -252,9 +252,10 @@
                                 entry["name"] = name.as_str().into();
                             }
                         }
-                        Outcome::Account(disruption_budget::Outcome::Observed { granted, .. })
-                            if !granted.is_empty() =>
-                        {
+                        Outcome::Account(disruption_budget::DisruptionOutcome::ObservationRecorded {
+                            granted,
+                            ..
+                        }) if !granted.is_empty() => {
                             entry["permits"] = granted.clone().into();
                         }
                         _ => {}
@@ -309,30 +310,41 @@
 }
 
 /// Who asked, forced, struck off, and what an observation led to; that nothing changed is said to nobody.
-fn log_disruption_change(command: &Command, outcome: &disruption_budget::Outcome) {
-    use disruption_budget::{Change, Outcome, State};
+fn log_disruption_change(command: &Command, outcome: &disruption_budget::DisruptionOutcome) {
+    use disruption_budget::{DisruptionCommand, DisruptionOutcome, PermitState};
     let Command::Account(change) = command else { return };
     match (change, outcome) {
-        (Change::Ask { target, reason, asker, force: true }, Outcome::Asked(permit, _)) => {
-            tracing::warn!(%target, reason, requester = asker, permit, "permit forced beyond the budgets");
+        (
+            DisruptionCommand::RequestPermit { target, reason, requester, force: true },
+            DisruptionOutcome::PermitRequested(permit, _),
+        ) => {
+            tracing::warn!(%target, reason, requester, permit, "permit forced beyond the budgets");
         }
-        (Change::Ask { target, reason, asker, .. }, Outcome::Asked(permit, State::Waiting)) => {
-            tracing::debug!(%target, reason, requester = asker, permit, "permit requested");
+        (
+            DisruptionCommand::RequestPermit { target, reason, requester, .. },
+            DisruptionOutcome::PermitRequested(permit, PermitState::Waiting),
+        ) => {
+            tracing::debug!(%target, reason, requester, permit, "permit requested");
         }
-        (Change::Begin { .. }, Outcome::Begun(permit)) => tracing::info!(permit, "permit begun"),
-        (Change::Void { permit }, Outcome::Done) => tracing::info!(permit, "permit cancelled"),
-        (Change::Strike { target, by }, Outcome::Done) => {
-            tracing::warn!(%target, requester = by, "target deregistered")
+        (DisruptionCommand::BeginPermit { .. }, DisruptionOutcome::PermitBegun(permit)) => {
+            tracing::info!(permit, "permit begun")
         }
-        (Change::Budgets { budgets, .. }, Outcome::Done) => {
+        (DisruptionCommand::CancelPermit { permit }, DisruptionOutcome::Applied) => {
+            tracing::info!(permit, "permit cancelled")
+        }
+        (DisruptionCommand::DeregisterTarget { target, operator }, DisruptionOutcome::Applied) => {
+            tracing::warn!(%target, operator, "target deregistered")
+        }
+        (DisruptionCommand::SetBudgets { budgets, .. }, DisruptionOutcome::Applied) => {
             tracing::info!(budgets = budgets.len(), "budgets replaced");
         }
-        (Change::Observe { .. }, Outcome::Observed { granted, called_back, proven })
-            if !(granted.is_empty() && called_back.is_empty() && proven.is_empty()) =>
-        {
-            tracing::info!(?granted, revoked = ?called_back, completed = ?proven, "permits changed");
+        (
+            DisruptionCommand::RecordObservation { .. },
+            DisruptionOutcome::ObservationRecorded { granted, revoked, closed },
+        ) if !(granted.is_empty() && revoked.is_empty() && closed.is_empty()) => {
+            tracing::info!(?granted, ?revoked, ?closed, "permits changed");
         }
-        (_, Outcome::Refused(why)) => tracing::info!(reason = %why, ?change, "change rejected"),
+        (_, DisruptionOutcome::Rejected(why)) => tracing::info!(reason = %why, ?change, "change rejected"),
         _ => {}
     }
 }
