--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -6,7 +6,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use cluster_member::wire::{
-    Answer, Ask, Disk as Identity, DutyStatus, FromKeeper, MemberStatus, Peer, Request, Status, Turned,
+    CoordinatorMessage, HandshakeRejection, LeaseStatus, MemberStatus, Operation, Peer, ReplicaStatus,
+    Request, Response, StoreIdentity,
 };
 use coordination::{
     Command, Micros, Outcome, Reason, Replacing, Revision, SessionId, State, Times, Token, Warden,
@@ -42,7 +43,7 @@
     /// A message of Raft to a keeper.
     SendToPeer(Message),
     /// Something to a member or an operator.
-    SendToClient(ConnectionId, FromKeeper),
+    SendToClient(ConnectionId, CoordinatorMessage),
     /// The view has changed, for all connections of members.
     ViewChanged(coordination::View),
     /// Something was applied, for the records.
@@ -130,7 +131,7 @@
 pub struct Replica {
     raw_node: RawNode<RaftStorage>,
     store: Store,
-    identity: Identity,
+    identity: StoreIdentity,
     state: State,
     /// Who votes and who learns, as applied.
     configuration: ConfState,
@@ -146,8 +147,8 @@
     /// The latest entries that this keeper knows, and the latest messages that others speak, of those that greeted it.
     supported_version: u16,
     peer_versions: BTreeMap<u64, u16>,
-    peer_identities: BTreeMap<u64, Identity>,
-    unsaved_peers: Vec<Identity>,
+    peer_identities: BTreeMap<u64, StoreIdentity>,
+    unsaved_peers: Vec<StoreIdentity>,
     /// Which proposals are this process's: a number drawn at its start, and one counted.
     process_nonce: u64,
     last_request: u64,
@@ -215,7 +216,7 @@
             log.set_hardstate(HardState { commit: commit.min(last), term, ..hard_state });
         }
         let config = Config {
-            id: identity.keeper,
+            id: identity.replica_id,
             election_tick: times.election.div_ceil(tick).max(4) as usize,
             heartbeat_tick: (times.heartbeat / tick).max(1) as usize,
             applied: snapshot.get_metadata().index,
@@ -265,8 +266,8 @@
     }
 
     /// What this keeper says of its disk.
-    pub fn identity(&self) -> Identity {
-        Identity { term: self.raw_node.raft.term, ..self.identity }
+    pub fn identity(&self) -> StoreIdentity {
+        StoreIdentity { raft_term: self.raw_node.raft.term, ..self.identity }
     }
 
     /// The account gets a flaw, in builds for tests.
@@ -294,29 +295,39 @@
     ///
     /// # Errors
     /// Its disk is not the one that was known, or an old copy of it.
-    pub fn accept_peer(&mut self, by: Identity, schema: u16) -> Result<Result<(), Turned>, CoordinatorError> {
+    pub fn accept_peer(
+        &mut self,
+        by: StoreIdentity,
+        schema: u16,
+    ) -> Result<Result<(), HandshakeRejection>, CoordinatorError> {
         // One that joins knows nobody yet; those that take it in know it as soon as that is agreed on.
         let joins = self.configuration == ConfState::default();
-        let known = self.raw_node.raft.prs().iter().any(|(id, _)| *id == by.keeper)
-            || self.state.added().contains_key(&by.keeper);
-        if by.keeper == self.identity.keeper || !(known || joins) {
-            return Ok(Err(Turned::Stranger));
-        }
-        let agreed = self.state.keepers().get(&by.keeper).copied().unwrap_or(0);
-        let known =
-            self.peer_identities.get(&by.keeper).copied().unwrap_or(Identity { boots: 0, term: 0, ..by });
-        if known.disk != by.disk {
-            return Ok(Err(Turned::WrongDisk));
+        let known = self.raw_node.raft.prs().iter().any(|(id, _)| *id == by.replica_id)
+            || self.state.added().contains_key(&by.replica_id);
+        if by.replica_id == self.identity.replica_id || !(known || joins) {
+            return Ok(Err(HandshakeRejection::UnknownReplica));
+        }
+        let agreed = self.state.keepers().get(&by.replica_id).copied().unwrap_or(0);
+        let known = self.peer_identities.get(&by.replica_id).copied().unwrap_or(StoreIdentity {
+            start_count: 0,
+            raft_term: 0,
+            ..by
+        });
+        if known.store_id != by.store_id {
+            return Ok(Err(HandshakeRejection::StoreMismatch));
         }
-        let boots = known.boots.max(agreed);
-        if by.boots < boots || by.term < known.term {
-            return Ok(Err(Turned::OldDisk { boots, term: known.term }));
+        let boots = known.start_count.max(agreed);
+        if by.start_count < boots || by.raft_term < known.raft_term {
+            return Ok(Err(HandshakeRejection::StaleStore {
+                start_count: boots,
+                raft_term: known.raft_term,
+            }));
         }
         if known != by {
             self.store.write(&WriteBatch { peers: &[by], ..WriteBatch::default() })?;
-            self.peer_identities.insert(by.keeper, by);
+            self.peer_identities.insert(by.replica_id, by);
         }
-        self.peer_versions.insert(by.keeper, schema);
+        self.peer_versions.insert(by.replica_id, schema);
         self.propose_start_counts();
         Ok(Ok(()))
     }
@@ -326,8 +337,8 @@
         if self.session_monitor.is_none() {
             return;
         }
-        let known = self.peer_identities.values().map(|peer| (peer.keeper, peer.boots));
-        let known = known.chain([(self.identity.keeper, self.identity.boots)]);
+        let known = self.peer_identities.values().map(|peer| (peer.replica_id, peer.start_count));
+        let known = known.chain([(self.identity.replica_id, self.identity.start_count)]);
         let unknown: Vec<(u64, u64)> = known
             .filter(|(keeper, boots)| self.state.keepers().get(keeper).is_none_or(|seen| seen < boots))
             .collect();
@@ -347,7 +358,7 @@
         message: Message,
         now: Micros,
     ) -> Result<(), CoordinatorError> {
-        if message.from != from || message.to != self.identity.keeper {
+        if message.from != from || message.to != self.identity.replica_id {
             return Ok(());
         }
         // What another keeper has said of its term is written down with the next thing that is: one that forgets it
@@ -357,11 +368,11 @@
                 message.get_msg_type(),
                 MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse
             );
-            message.term > peer.term && !votes
+            message.term > peer.raft_term && !votes
         }) {
-            peer.term = message.term;
+            peer.raft_term = message.term;
             let peer = *peer;
-            self.unsaved_peers.retain(|changed| changed.keeper != from);
+            self.unsaved_peers.retain(|changed| changed.replica_id != from);
             self.unsaved_peers.push(peer);
         }
         // A message that does not fit is dropped, as if it were lost.
@@ -403,7 +414,7 @@
 
     fn transfer_leadership_except(&mut self, excluded: u64) {
         if self.raw_node.raft.state == StateRole::Leader {
-            let own = self.identity.keeper;
+            let own = self.identity.replica_id;
             let others = self.raw_node.raft.prs().iter().filter(|(id, _)| {
                 **id != own && **id != excluded && self.configuration.get_voters().contains(id)
             });
@@ -473,7 +484,7 @@
             return;
         } else if !voters.contains(&new) && !learners.contains(&new) {
             change.set_changes(vec![single(ConfChangeType::AddLearnerNode, new)].into());
-        } else if old == self.identity.keeper {
+        } else if old == self.identity.replica_id {
             // It does not end its own lead by a change; another one goes on.
             self.transfer_leadership_except(new);
             return;
@@ -515,7 +526,7 @@
                 .get_voters()
                 .iter()
                 .chain(configuration.get_voters_outgoing())
-                .any(|id| *id == self.identity.keeper)
+                .any(|id| *id == self.identity.replica_id)
         };
         let removed = votes(&self.configuration) && !votes(&configuration);
         self.raw_node.mut_store().log.wl().set_conf_state(configuration.clone());
@@ -524,7 +535,7 @@
         match removed {
             true => Err(CoordinatorError::Replaced(format!(
                 "another keeper has taken the place of keeper {}: this one is not needed any more",
-                self.identity.keeper
+                self.identity.replica_id
             ))),
             false => Ok(()),
         }
@@ -532,21 +543,21 @@
 
     fn abandon_read_index_round(&mut self) {
         for renewal in self.read_index_round.take().into_iter().flat_map(|round| round.renewals) {
-            self.reply(renewal.connection, renewal.request_id, Answer::Busy);
+            self.reply(renewal.connection, renewal.request_id, Response::Busy);
         }
     }
 
-    fn reply(&mut self, connection: ConnectionId, request_id: u64, answer: Answer) {
-        self.outputs.push(Output::SendToClient(connection, FromKeeper::Answer(request_id, answer)));
+    fn reply(&mut self, connection: ConnectionId, request_id: u64, answer: Response) {
+        self.outputs.push(Output::SendToClient(connection, CoordinatorMessage::Response(request_id, answer)));
     }
 
-    fn not_leader_response(&self) -> Answer {
-        match Some(self.leader_id).filter(|leader| *leader != 0 && *leader != self.identity.keeper) {
+    fn not_leader_response(&self) -> Response {
+        match Some(self.leader_id).filter(|leader| *leader != 0 && *leader != self.identity.replica_id) {
             Some(leader) => {
                 let address = self.state.added().get(&leader).cloned();
-                Answer::NotLeading { leader: Some(leader), address }
+                Response::NotLeader { leader: Some(leader), address }
             }
-            None => Answer::Busy,
+            None => Response::Busy,
         }
     }
 
@@ -557,12 +568,12 @@
     pub fn handle_request(
         &mut self,
         connection: ConnectionId,
-        Request { id, ask }: Request,
+        Request { id, operation: ask }: Request,
         now: Micros,
     ) -> Result<(), CoordinatorError> {
-        if let Ask::Status = ask {
+        if let Operation::Status = ask {
             let status = self.status();
-            self.reply(connection, id, Answer::Status(Box::new(status)));
+            self.reply(connection, id, Response::Status(Box::new(status)));
             return Ok(());
         }
         let Some(session_monitor) = &self.session_monitor else {
@@ -571,15 +582,15 @@
             return Ok(());
         };
         if self.pending_proposals.len() + self.queued_renewals.len() >= MAX_PENDING_REQUESTS {
-            self.reply(connection, id, Answer::Busy);
+            self.reply(connection, id, Response::Busy);
             return Ok(());
         }
         match ask {
-            Ask::Join { name, boot, zone, address, offers } => {
+            Operation::OpenSession { name, boot_id: boot, zone, address, eligible_leases: offers } => {
                 let short = session_monitor.short(&name, now, &self.state);
                 self.propose(connection, id, Command::Join { name, boot, zone, address, offers, short }, now);
             }
-            Ask::Renew { session, seen, roster } => {
+            Operation::RenewSession { session, known_view: seen, known_members: roster } => {
                 self.client_sessions.insert(connection, session);
                 self.queued_renewals.push(PendingRenewal {
                     connection,
@@ -589,7 +600,7 @@
                     known_roster: roster,
                 });
             }
-            Ask::Leave { session } => {
+            Operation::CloseSession { session } => {
                 let name = self
                     .state
                     .sessions()
@@ -599,17 +610,17 @@
                 let short = session_monitor.short(&name, now, &self.state);
                 self.propose(connection, id, Command::Leave { session, short }, now);
             }
-            Ask::Release { duty, token } => {
+            Operation::ReleaseLease { lease: duty, token } => {
                 let running =
                     self.state.duties().get(&duty).and_then(|duty| duty.owner).map(|owner| owner.token);
                 match token.or(running) {
                     Some(token) => {
                         self.propose(connection, id, Command::Release { duty, token, unsettle: true }, now)
                     }
-                    None => self.reply(connection, id, Answer::Refused(Reason::NotTheOwner)),
+                    None => self.reply(connection, id, Response::Rejected(Reason::NotTheOwner)),
                 }
             }
-            Ask::Replace { old, new, address } => {
+            Operation::ReplaceReplica { old, new, address } => {
                 let why = match self.configuration.get_voters() {
                     voters if !voters.contains(&old) && self.state.replacing().is_none() => {
                         Some(format!("there is no keeper {old}; those that vote are {voters:?}"))
@@ -618,23 +629,23 @@
                     _ => None,
                 };
                 match why {
-                    Some(why) => self.reply(connection, id, Answer::Refused(Reason::Keepers(why))),
+                    Some(why) => self.reply(connection, id, Response::Rejected(Reason::Keepers(why))),
                     None => self.propose(connection, id, Command::ReplaceKeeper { old, new, address }, now),
                 }
             }
-            Ask::Change(change) => match self.outdated_voter() {
+            Operation::ChangeDisruptionState(change) => match self.outdated_voter() {
                 Some(keeper) => {
                     let why = format!("keeper {keeper} is of a version that knows no permits yet");
-                    self.reply(connection, id, Answer::Refused(Reason::Keepers(why)));
+                    self.reply(connection, id, Response::Rejected(Reason::Keepers(why)));
                 }
                 None => self.propose(connection, id, Command::Account(change), now),
             },
-            Ask::Account { known } => {
+            Operation::DisruptionState { known_revision: known } => {
                 let revision = self.state.account_revision();
                 let account = (revision > known).then(|| Box::new(self.state.account().clone()));
-                self.reply(connection, id, Answer::Account(revision, account));
+                self.reply(connection, id, Response::DisruptionState(revision, account));
             }
-            Ask::Status => {}
+            Operation::Status => {}
         }
         self.advance(now)
     }
@@ -643,7 +654,7 @@
     /// is not put into the log, which would stop it.
     fn outdated_voter(&self) -> Option<u64> {
         if self.supported_version < 3 {
-            return Some(self.identity.keeper);
+            return Some(self.identity.replica_id);
         }
         let voters = self.configuration.get_voters().iter().chain(self.configuration.get_voters_outgoing());
         voters.copied().find(|voter| self.peer_versions.get(voter).is_some_and(|schema| *schema < 3))
@@ -657,7 +668,7 @@
                 self.pending_proposals
                     .insert(self.last_request, PendingProposal { connection, request_id, proposed_at: now });
             }
-            Err(_) => self.reply(connection, request_id, Answer::Busy),
+            Err(_) => self.reply(connection, request_id, Response::Busy),
         }
     }
 
@@ -812,24 +823,24 @@
                 match session_monitor.renewed(*session, 0, now, &self.state) {
                     Ok(()) => {
                         self.client_sessions.insert(proposal.connection, *session);
-                        Answer::Joined {
+                        Response::SessionOpened {
                             session: *session,
                             incarnation: *incarnation,
                             view: self.state.view(),
                         }
                     }
-                    Err(_) => Answer::Busy,
+                    Err(_) => Response::Busy,
                 }
             }
             (Outcome::Joined(..), None) => self.not_leader_response(),
-            (Outcome::Refused(reason), _) => Answer::Refused(reason.clone()),
+            (Outcome::Refused(reason), _) => Response::Rejected(reason.clone()),
             (Outcome::Account(outcome), _) => {
                 if let disruption_budget::DisruptionOutcome::PermitRequested(id, _) = outcome {
                     self.permit_timeouts.renew(*id, now);
                 }
-                Answer::Changed(outcome.clone())
+                Response::DisruptionStateChanged(outcome.clone())
             }
-            _ => Answer::Done,
+            _ => Response::Done,
         };
         self.reply(proposal.connection, proposal.request_id, answer);
     }
@@ -879,15 +890,15 @@
                 let Some(session_monitor) = &mut self.session_monitor else { return };
                 let answer =
                     match session_monitor.renewed(renewal.session, renewal.seen_revision, now, &self.state) {
-                        Ok(()) => Answer::Renewed {
+                        Ok(()) => Response::SessionRenewed {
                             view: (self.state.seats_revision() > renewal.seen_revision)
                                 .then(|| self.state.view()),
-                            roster: renewal
+                            members: renewal
                                 .known_roster
                                 .filter(|known| *known < self.state.roster_revision())
                                 .map(|_| self.roster()),
                         },
-                        Err(reason) => Answer::Refused(reason),
+                        Err(reason) => Response::Rejected(reason),
                     };
                 self.reply(renewal.connection, renewal.request_id, answer);
             }
@@ -925,48 +936,48 @@
     }
 
     /// How things are.
-    pub fn status(&self) -> Status {
+    pub fn status(&self) -> ReplicaStatus {
         let raft = &self.raw_node.raft;
         let state = &self.state;
         let members = state.sessions().iter().map(|(id, session)| MemberStatus {
             session: *id,
             peer: peer(session),
-            settled: session.settled,
+            stable: session.settled,
             superseded: session.superseded,
-            short_lives: state.short_lives(&session.name),
+            consecutive_short_sessions: state.short_lives(&session.name),
         });
         let owner = |owner: coordination::Owner| {
             let name = state.sessions().get(&owner.session).map(|session| session.name.clone());
             (name.unwrap_or_default(), owner.token)
         };
-        let duties = state.duties().iter().map(|(id, duty)| DutyStatus {
-            duty: id.clone(),
-            owner: duty.owner.map(owner),
-            floor: duty.floor,
-            fenced: duty.fenced,
+        let duties = state.duties().iter().map(|(id, duty)| LeaseStatus {
+            lease: id.clone(),
+            holder: duty.owner.map(owner),
+            minimum_token: duty.floor,
+            fencing_revision: duty.fenced,
         });
         let quantile = |q| self.commit_latency.value_at_quantile(q);
-        Status {
-            keeper: self.identity.keeper,
-            leads: self.session_monitor.is_some(),
-            leader: Some(self.leader_id).filter(|leader| *leader != 0),
-            term: raft.term,
-            applied: state.revision(),
-            committed: raft.raft_log.committed,
-            first: self.raw_node.store().first_index().unwrap_or(0),
-            boots: self.identity.boots,
-            elections: self.election_count,
-            commit_us: (quantile(0.5), quantile(0.99), self.commit_latency.max()),
+        ReplicaStatus {
+            replica_id: self.identity.replica_id,
+            is_leader: self.session_monitor.is_some(),
+            leader_id: Some(self.leader_id).filter(|leader| *leader != 0),
+            raft_term: raft.term,
+            applied_index: state.revision(),
+            committed_index: raft.raft_log.committed,
+            first_log_index: self.raw_node.store().first_index().unwrap_or(0),
+            start_count: self.identity.start_count,
+            election_count: self.election_count,
+            commit_latency: (quantile(0.5), quantile(0.99), self.commit_latency.max()),
             members: members.collect(),
-            duties: duties.collect(),
-            keepers: state.keepers().iter().map(|(keeper, boots)| (*keeper, *boots)).collect(),
+            leases: duties.collect(),
+            replicas: state.keepers().iter().map(|(keeper, boots)| (*keeper, *boots)).collect(),
             voters: {
                 let both =
                     self.configuration.get_voters().iter().chain(self.configuration.get_voters_outgoing());
                 both.copied().collect::<std::collections::BTreeSet<u64>>().into_iter().collect()
             },
             learners: self.configuration.get_learners().to_vec(),
-            replacing: state.replacing().map(|Replacing { old, new }| (old, new)),
+            replacement: state.replacing().map(|Replacing { old, new }| (old, new)),
         }
     }
 
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -10,8 +10,8 @@
 use cluster_member::clock;
 use cluster_member::record::Recorder;
 use cluster_member::wire::{
-    check_hello_of, pack, turned_away, Disk as Identity, FromKeeper, Hello, Link, Request, Turned, Welcome,
-    Who, PATIENCE,
+    encode, handshake_rejection, validate_client_hello_for_version, ClientHello, ClientIdentity, Connection,
+    CoordinatorMessage, HandshakeRejection, Request, ServerHello, StoreIdentity, IO_TIMEOUT,
 };
 use coordination::{Command, Outcome, COMMAND_VERSION};
 use futures_util::SinkExt;
@@ -34,12 +34,12 @@
 const MAX_REJECTED_AT_ONCE: usize = 32;
 
 enum Event {
-    PeerHandshake(Identity, u16, oneshot::Sender<Welcome>),
+    PeerHandshake(StoreIdentity, u16, oneshot::Sender<ServerHello>),
     RaftMessage(u64, Message),
     ClientConnected(ConnectionId, mpsc::Sender<Bytes>),
     ConnectionClosed(ConnectionId),
     Request(ConnectionId, Request),
-    RejectedByPeer(u64, Turned),
+    RejectedByPeer(u64, HandshakeRejection),
     PeerUnreachable(u64, bool),
 }
 
@@ -62,11 +62,11 @@
         .map_err(|error| CoordinatorError::Startup(format!("serve.listen: {}: {error}", serve.listen)))?;
     let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .map_err(|error| CoordinatorError::Startup(error.to_string()))?;
-    tracing::info!(coordinator = serve.coordinator_id, starts = identity.boots, term = identity.term, listen = %serve.listen, "coordinator started");
+    tracing::info!(coordinator = serve.coordinator_id, starts = identity.start_count, term = identity.raft_term, listen = %serve.listen, "coordinator started");
     record.put(
         clock::now(),
         "started",
-        serde_json::json!({"keeper": serve.coordinator_id, "boots": identity.boots}),
+        serde_json::json!({"keeper": serve.coordinator_id, "boots": identity.start_count}),
     );
     let (events, mut queue) = mpsc::channel(EVENT_QUEUE_LENGTH);
     let (identity_sender, identity_receiver) = watch::channel(replica.identity());
@@ -149,13 +149,13 @@
     events: mpsc::Sender<Event>,
     /// What the link to a keeper that comes later is made of.
     peer_link: PeerLink,
-    identity: watch::Receiver<Identity>,
+    identity: watch::Receiver<StoreIdentity>,
 }
 
 impl EventLoop {
     /// Links to keepers that were agreed on since the installation was set up.
     fn link_added_coordinators(&mut self, replica: &Replica) {
-        let own = replica.identity().keeper;
+        let own = replica.identity().replica_id;
         for (number, address) in replica.added_coordinators().iter().filter(|(number, _)| **number != own) {
             if self.peers.contains_key(number) {
                 continue;
@@ -174,16 +174,18 @@
         match event {
             Event::PeerHandshake(by, schema, answer) => {
                 let welcome = match replica.accept_peer(by, schema)? {
-                    Ok(()) => Welcome::Fine { name: format!("keeper {}", replica.identity().keeper) },
+                    Ok(()) => {
+                        ServerHello::Accepted { name: format!("keeper {}", replica.identity().replica_id) }
+                    }
                     Err(why) => {
                         tracing::warn!(
-                            coordinator = by.keeper,
-                            starts = by.boots,
-                            term = by.term,
+                            coordinator = by.replica_id,
+                            starts = by.start_count,
+                            term = by.raft_term,
                             reason = %why,
                             "peer handshake rejected"
                         );
-                        Welcome::Turned(why)
+                        ServerHello::Rejected(why)
                     }
                 };
                 let _ = answer.send(welcome);
@@ -197,7 +199,10 @@
                 replica.connection_closed(connection);
             }
             Event::Request(connection, request) => replica.handle_request(connection, request, now)?,
-            Event::RejectedByPeer(by, why @ (Turned::OldDisk { .. } | Turned::WrongDisk)) => {
+            Event::RejectedByPeer(
+                by,
+                why @ (HandshakeRejection::StaleStore { .. } | HandshakeRejection::StoreMismatch),
+            ) => {
                 return Err(CoordinatorError::StaleDisk(format!("keeper {by} turned this one away: {why}")));
             }
             Event::RejectedByPeer(by, why) => {
@@ -232,7 +237,10 @@
                         .filter_map(|connection| Some((*connection, replica.session_of(*connection)?)))
                         .collect();
                     for (connection, session) in recipients {
-                        self.send_to_client(connection, &FromKeeper::News(session, view.clone()));
+                        self.send_to_client(
+                            connection,
+                            &CoordinatorMessage::ViewChanged(session, view.clone()),
+                        );
                     }
                 }
                 Output::Applied { index, command, outcome, digest } => {
@@ -274,9 +282,9 @@
         }
     }
 
-    fn send_to_client(&mut self, connection: ConnectionId, message: &FromKeeper) {
+    fn send_to_client(&mut self, connection: ConnectionId, message: &CoordinatorMessage) {
         let Some(sender) = self.clients.get(&connection) else { return };
-        let packed = match pack(message) {
+        let packed = match encode(message) {
             Ok(packed) => packed,
             Err(error) => return tracing::error!(%error, "response exceeds the longest frame"),
         };
@@ -391,38 +399,38 @@
     full: bool,
     events: &mpsc::Sender<Event>,
 ) -> std::io::Result<()> {
-    let (mut link, hello) = Link::accept(stream).await?;
-    let checked = check_hello_of(protocol_version, &hello, installation);
-    let checked = if full { Err(Turned::Full) } else { checked };
+    let (mut link, hello) = Connection::accept(stream).await?;
+    let checked = validate_client_hello_for_version(protocol_version, &hello, installation);
+    let checked = if full { Err(HandshakeRejection::TooManyConnections) } else { checked };
     if let Err(why) = checked {
         tracing::warn!(?hello, reason = %why, "connection rejected");
-        return link.welcome(&Welcome::Turned(why)).await;
+        return link.send_server_hello(&ServerHello::Rejected(why)).await;
     }
-    match hello.who {
-        Who::Keeper(identity) => {
+    match hello.identity {
+        ClientIdentity::Replica(identity) => {
             let (answer, welcome) = oneshot::channel();
-            let _ = events.send(Event::PeerHandshake(identity, hello.schema, answer)).await;
+            let _ = events.send(Event::PeerHandshake(identity, hello.schema_version, answer)).await;
             let Ok(welcome) = welcome.await else { return Ok(()) };
-            link.welcome(&welcome).await?;
-            if matches!(welcome, Welcome::Turned(_)) {
+            link.send_server_hello(&welcome).await?;
+            if matches!(welcome, ServerHello::Rejected(_)) {
                 return Ok(());
             }
             loop {
-                let frame = link.next_packed().await?;
+                let frame = link.receive_encoded().await?;
                 let Some(message) = replica::decode_message(&frame) else { return Ok(()) };
-                if events.send(Event::RaftMessage(identity.keeper, message)).await.is_err() {
+                if events.send(Event::RaftMessage(identity.replica_id, message)).await.is_err() {
                     return Ok(());
                 }
             }
         }
-        Who::Member { .. } | Who::Operator => {
-            link.welcome(&Welcome::Fine { name: name.to_owned() }).await?;
+        ClientIdentity::Member { .. } | ClientIdentity::Operator => {
+            link.send_server_hello(&ServerHello::Accepted { name: name.to_owned() }).await?;
             let (sender, mut outgoing) = mpsc::channel::<Bytes>(CLIENT_QUEUE_LENGTH);
             let (mut sink, mut frames) = link.split();
             let _ = events.send(Event::ClientConnected(connection, sender)).await;
             let reads = async {
                 loop {
-                    let Ok(request) = frames.next::<Request>().await else { return };
+                    let Ok(request) = frames.receive::<Request>().await else { return };
                     if events.send(Event::Request(connection, request)).await.is_err() {
                         return;
                     }
@@ -430,7 +438,7 @@
             };
             let writes = async {
                 while let Some(message) = outgoing.recv().await {
-                    if !matches!(timeout(PATIENCE, sink.send(message)).await, Ok(Ok(()))) {
+                    if !matches!(timeout(IO_TIMEOUT, sink.send(message)).await, Ok(Ok(()))) {
                         return;
                     }
                 }
@@ -441,7 +449,9 @@
             }
             Ok(())
         }
-        Who::Owner { .. } => link.welcome(&Welcome::Turned(Turned::WrongDoor)).await,
+        ClientIdentity::LeaseHolder { .. } => {
+            link.send_server_hello(&ServerHello::Rejected(HandshakeRejection::WrongService)).await
+        }
     }
 }
 
@@ -458,22 +468,25 @@
 impl PeerLink {
     async fn run(
         self,
-        identity: watch::Receiver<Identity>,
+        identity: watch::Receiver<StoreIdentity>,
         mut messages: mpsc::Receiver<Bytes>,
         events: mpsc::Sender<Event>,
     ) {
         loop {
-            let who = Who::Keeper(*identity.borrow());
-            let hello =
-                Hello { schema: self.protocol_version, installation: (*self.installation).clone(), who };
-            match Link::connect(self.address, self.bind, &hello).await {
+            let who = ClientIdentity::Replica(*identity.borrow());
+            let hello = ClientHello {
+                schema_version: self.protocol_version,
+                installation: (*self.installation).clone(),
+                identity: who,
+            };
+            match Connection::connect(self.address, self.bind, &hello).await {
                 Ok((link, _)) => {
                     // What waited while there was no connection is of yesterday; Raft sends again what is needed.
                     while messages.try_recv().is_ok() {}
                     self.forward_messages(link, &mut messages).await;
                     let _ = events.send(Event::PeerUnreachable(self.peer_id, true)).await;
                 }
-                Err(error) => match turned_away(&error) {
+                Err(error) => match handshake_rejection(&error) {
                     Some(why) => {
                         let _ = events.send(Event::RejectedByPeer(self.peer_id, why.clone())).await;
                         sleep(Duration::from_secs(1)).await;
@@ -485,18 +498,18 @@
         }
     }
 
-    async fn forward_messages(&self, link: Link, messages: &mut mpsc::Receiver<Bytes>) {
+    async fn forward_messages(&self, link: Connection, messages: &mut mpsc::Receiver<Bytes>) {
         let (mut sink, mut frames) = link.split();
         loop {
             tokio::select! {
                 message = messages.recv() => {
                     let Some(message) = message else { return };
-                    if !matches!(timeout(PATIENCE, sink.send(message)).await, Ok(Ok(()))) {
+                    if !matches!(timeout(IO_TIMEOUT, sink.send(message)).await, Ok(Ok(()))) {
                         return;
                     }
                 }
                 // Nothing is said back here: the other end only closes it.
-                _ = frames.next::<()>() => return,
+                _ = frames.receive::<()>() => return,
             }
         }
     }
--- a/crates/coordinator/src/store.rs
+++ b/crates/coordinator/src/store.rs
@@ -4,7 +4,7 @@
 use std::fs::File;
 use std::path::Path;
 
-use cluster_member::wire::Disk as Identity;
+use cluster_member::wire::StoreIdentity;
 use coordination::State;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub struct RecoveredState {
     /// Whose disk it is.
-    pub identity: Identity,
+    pub identity: StoreIdentity,
     /// Raft's vote and term.
     pub hard_state: HardState,
     /// The last snapshot.
@@ -43,7 +43,7 @@
     /// The entries after it.
     pub entries: Vec<Entry>,
     /// What is known of other keepers' disks.
-    pub peers: BTreeMap<u64, Identity>,
+    pub peers: BTreeMap<u64, StoreIdentity>,
 }
 
 /// The store of a keeper.
@@ -66,7 +66,7 @@
     /// Whether no entry is to be left, since the snapshot came from elsewhere.
     pub clear_log: bool,
     /// What is known of other keepers' disks.
-    pub peers: &'a [Identity],
+    pub peers: &'a [StoreIdentity],
 }
 
 fn fault(what: impl std::fmt::Display) -> CoordinatorError {
@@ -262,8 +262,12 @@
             peers.insert(id.value(), fault_from!(postcard::from_bytes(bytes.value())));
         }
         let term = hard_state.term.max(snapshot.get_metadata().term);
-        let identity =
-            Identity { keeper: header.coordinator_id, disk: header.disk_id, boots: header.boots, term };
+        let identity = StoreIdentity {
+            replica_id: header.coordinator_id,
+            store_id: header.disk_id,
+            start_count: header.boots,
+            raft_term: term,
+        };
         Ok(RecoveredState { identity, hard_state, snapshot, entries, peers })
     }
 
@@ -295,7 +299,7 @@
             }
             for peer in batch.peers {
                 let bytes = fault_from!(postcard::to_stdvec(peer));
-                fault_from!(peers.insert(peer.keeper, bytes.as_slice()));
+                fault_from!(peers.insert(peer.replica_id, bytes.as_slice()));
             }
         }
         fault_from!(write.commit());
--- a/crates/coordinator/tests/cluster.rs
+++ b/crates/coordinator/tests/cluster.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use cluster_member::wire::{Answer, Ask, Disk as Identity, FromKeeper, Request, Turned, SCHEMA};
+use cluster_member::wire::{
+    CoordinatorMessage, HandshakeRejection, Operation, Request, Response, StoreIdentity, SCHEMA_VERSION,
+};
 use coordination::{DutyId, Outcome, Reason, SessionId, Times, Token};
 use coordinator::replica::{Output, Replica};
 use coordinator::store::{self, Store};
@@ -15,7 +17,7 @@
     folder: tempfile::TempDir,
     replicas: BTreeMap<u64, Replica>,
     now: u64,
-    answers: Vec<Answer>,
+    answers: Vec<Response>,
     granted: Vec<(SessionId, Token)>,
     digests: BTreeMap<u64, u64>,
     next: u64,
@@ -85,7 +87,9 @@
                 for output in replica.take_outputs() {
                     match output {
                         Output::SendToPeer(message) => messages.push((*coordinator, message)),
-                        Output::SendToClient(_, FromKeeper::Answer(_, answer)) => self.answers.push(answer),
+                        Output::SendToClient(_, CoordinatorMessage::Response(_, answer)) => {
+                            self.answers.push(answer)
+                        }
                         Output::Applied { index, outcome, digest, .. } => {
                             let known = self.digests.entry(index).or_insert(digest);
                             assert_eq!(*known, digest, "entry {index} at coordinator {coordinator}");
@@ -125,11 +129,11 @@
         panic!("nobody leads after 4 s");
     }
 
-    fn ask(&mut self, ask: Ask) -> Answer {
+    fn ask(&mut self, ask: Operation) -> Response {
         let leader = self.leader();
         self.next += 1;
         self.answers.clear();
-        let request = Request { id: self.next, ask };
+        let request = Request { id: self.next, operation: ask };
         self.replicas.get_mut(&leader).unwrap().handle_request(7, request, self.now).unwrap();
         for _ in 0..20 {
             self.deliver();
@@ -144,15 +148,21 @@
     fn join(&mut self, name: &str, boot: u64) -> SessionId {
         let offers = vec![DutyId::fleet("list")];
         let (zone, address) = (String::new(), String::new());
-        match self.ask(Ask::Join { name: name.to_owned(), boot, zone, address, offers }) {
-            Answer::Joined { session, .. } => session,
+        match self.ask(Operation::OpenSession {
+            name: name.to_owned(),
+            boot_id: boot,
+            zone,
+            address,
+            eligible_leases: offers,
+        }) {
+            Response::SessionOpened { session, .. } => session,
             other => panic!("{other:?}"),
         }
     }
 
     /// Renews a session, as of a member that has seen all that there is.
-    fn renew(&mut self, session: SessionId) -> Answer {
-        self.ask(Ask::Renew { session, seen: u64::MAX, roster: Some(0) })
+    fn renew(&mut self, session: SessionId) -> Response {
+        self.ask(Operation::RenewSession { session, known_view: u64::MAX, known_members: Some(0) })
     }
 
     fn live(&mut self, sessions: &[SessionId], micros: u64) {
@@ -192,7 +202,7 @@
     cluster.start(leader);
     cluster.live(&[other], 1_000_000);
     let now = cluster.leader();
-    assert_eq!(cluster.replicas[&leader].status().duties, cluster.replicas[&now].status().duties);
+    assert_eq!(cluster.replicas[&leader].status().leases, cluster.replicas[&now].status().leases);
 }
 
 #[test]
@@ -203,12 +213,15 @@
     let (_, token) = cluster.last_grant();
     cluster.replicas.clear();
     (1..=3).for_each(|coordinator| cluster.start(coordinator));
-    assert!(matches!(cluster.renew(a), Answer::Renewed { .. }), "the session has its full time again");
-    cluster.ask(Ask::Release { duty: DutyId::fleet("list"), token: Some(token) });
+    assert!(
+        matches!(cluster.renew(a), Response::SessionRenewed { .. }),
+        "the session has its full time again"
+    );
+    cluster.ask(Operation::ReleaseLease { lease: DutyId::fleet("list"), token: Some(token) });
     cluster.live(&[a], 2_000_000);
     assert!(cluster.last_grant().1 > token);
-    let stale = cluster.ask(Ask::Release { duty: DutyId::fleet("list"), token: Some(token) });
-    assert_eq!(stale, Answer::Refused(Reason::NotTheOwner));
+    let stale = cluster.ask(Operation::ReleaseLease { lease: DutyId::fleet("list"), token: Some(token) });
+    assert_eq!(stale, Response::Rejected(Reason::NotTheOwner));
 }
 
 #[test]
@@ -217,20 +230,23 @@
     let a = cluster.join("a", 1);
     let leader = cluster.leader();
     let mut cut = cluster.replicas.remove(&leader).unwrap();
-    let request = Request { id: 1, ask: Ask::Renew { session: a, seen: 0, roster: None } };
+    let request = Request {
+        id: 1,
+        operation: Operation::RenewSession { session: a, known_view: 0, known_members: None },
+    };
     cut.handle_request(7, request, cluster.now).unwrap();
     for tick in 1..100 {
         cut.tick(cluster.now + tick * TICK).unwrap();
-        let said: Vec<Answer> = cut
+        let said: Vec<Response> = cut
             .take_outputs()
             .into_iter()
             .filter_map(|output| match output {
-                Output::SendToClient(_, FromKeeper::Answer(_, answer)) => Some(answer),
+                Output::SendToClient(_, CoordinatorMessage::Response(_, answer)) => Some(answer),
                 _ => None,
             })
             .collect();
         assert!(
-            said.iter().all(|answer| matches!(answer, Answer::Busy | Answer::NotLeading { .. })),
+            said.iter().all(|answer| matches!(answer, Response::Busy | Response::NotLeader { .. })),
             "{said:?}"
         );
         if !said.is_empty() {
@@ -248,42 +264,61 @@
     cluster.replicas.remove(&away);
     for round in 0..2_200u64 {
         let session = cluster.join("a", round);
-        cluster.ask(Ask::Leave { session });
+        cluster.ask(Operation::CloseSession { session });
     }
     let leader = cluster.leader();
     let status = cluster.replicas[&leader].status();
-    assert!(status.first > 3_000, "the log begins at {} of {}", status.first, status.applied);
+    assert!(
+        status.first_log_index > 3_000,
+        "the log begins at {} of {}",
+        status.first_log_index,
+        status.applied_index
+    );
     cluster.start(away);
     cluster.pass(2_000_000);
     let leader = cluster.leader();
-    assert_eq!(cluster.replicas[&away].status().applied, cluster.replicas[&leader].status().applied);
+    assert_eq!(
+        cluster.replicas[&away].status().applied_index,
+        cluster.replicas[&leader].status().applied_index
+    );
     assert_eq!(cluster.replicas[&away].next_token(), cluster.replicas[&leader].next_token());
     // And from its own disk, after another start.
     cluster.replicas.remove(&away);
     cluster.start(away);
-    assert!(cluster.replicas[&away].status().applied > 3_000);
+    assert!(cluster.replicas[&away].status().applied_index > 3_000);
 }
 
 #[test]
 fn rejects_handshake_of_an_old_copy_of_a_store() {
     let mut cluster = Cluster::new();
     let replica = cluster.replicas.get_mut(&1).unwrap();
-    let fresh = Identity { keeper: 2, disk: 102, boots: 5, term: 3 };
-    assert_eq!(replica.accept_peer(fresh, SCHEMA).unwrap(), Ok(()));
-    let old = Identity { boots: 4, ..fresh };
-    assert_eq!(replica.accept_peer(old, SCHEMA).unwrap(), Err(Turned::OldDisk { boots: 5, term: 3 }));
-    let older_term = Identity { boots: 6, term: 2, ..fresh };
-    assert_eq!(replica.accept_peer(older_term, SCHEMA).unwrap(), Err(Turned::OldDisk { boots: 5, term: 3 }));
+    let fresh = StoreIdentity { replica_id: 2, store_id: 102, start_count: 5, raft_term: 3 };
+    assert_eq!(replica.accept_peer(fresh, SCHEMA_VERSION).unwrap(), Ok(()));
+    let old = StoreIdentity { start_count: 4, ..fresh };
+    assert_eq!(
+        replica.accept_peer(old, SCHEMA_VERSION).unwrap(),
+        Err(HandshakeRejection::StaleStore { start_count: 5, raft_term: 3 })
+    );
+    let older_term = StoreIdentity { start_count: 6, raft_term: 2, ..fresh };
+    assert_eq!(
+        replica.accept_peer(older_term, SCHEMA_VERSION).unwrap(),
+        Err(HandshakeRejection::StaleStore { start_count: 5, raft_term: 3 })
+    );
+    assert_eq!(
+        replica
+            .accept_peer(StoreIdentity { store_id: 999, start_count: 9, ..fresh }, SCHEMA_VERSION)
+            .unwrap(),
+        Err(HandshakeRejection::StoreMismatch)
+    );
     assert_eq!(
-        replica.accept_peer(Identity { disk: 999, boots: 9, ..fresh }, SCHEMA).unwrap(),
-        Err(Turned::WrongDisk)
+        replica.accept_peer(StoreIdentity { replica_id: 9, ..fresh }, SCHEMA_VERSION).unwrap(),
+        Err(HandshakeRejection::UnknownReplica)
     );
-    assert_eq!(replica.accept_peer(Identity { keeper: 9, ..fresh }, SCHEMA).unwrap(), Err(Turned::Stranger));
     // It knows so after a start, too.
     cluster.replicas.remove(&1);
     cluster.start(1);
-    let again = cluster.replicas.get_mut(&1).unwrap().accept_peer(old, SCHEMA).unwrap();
-    assert_eq!(again, Err(Turned::OldDisk { boots: 5, term: 3 }));
+    let again = cluster.replicas.get_mut(&1).unwrap().accept_peer(old, SCHEMA_VERSION).unwrap();
+    assert_eq!(again, Err(HandshakeRejection::StaleStore { start_count: 5, raft_term: 3 }));
 }
 
 #[test]
@@ -304,7 +339,7 @@
     assert!(stranger.to_string().contains("elsewhere"), "{stranger}");
     let (_, recovered) = Store::open(&store, "test", 1).unwrap();
     assert_eq!(
-        (recovered.identity.boots, recovered.identity.disk),
+        (recovered.identity.start_count, recovered.identity.store_id),
         (1, 5),
         "starts that failed do not count"
     );
@@ -316,8 +351,8 @@
         self.replicas[&leader].status().voters
     }
 
-    fn replace(&mut self, old: u64, new: u64) -> Answer {
-        self.ask(Ask::Replace { old, new, address: "127.0.0.1:7104".into() })
+    fn replace(&mut self, old: u64, new: u64) -> Response {
+        self.ask(Operation::ReplaceReplica { old, new, address: "127.0.0.1:7104".into() })
     }
 
     /// Lets time pass until these vote, and nobody is being replaced.
@@ -325,7 +360,7 @@
         for _ in 0..500 {
             let leader = self.leader();
             let status = self.replicas[&leader].status();
-            if status.voters == wanted && status.replacing.is_none() && status.learners.is_empty() {
+            if status.voters == wanted && status.replacement.is_none() && status.learners.is_empty() {
                 return;
             }
             self.pass(TICK);
@@ -349,22 +384,22 @@
     store::bootstrap_joining(&cluster.store(4), "test", 4, 104).unwrap();
     cluster.start(4);
     cluster.pass(2_000_000);
-    assert_eq!(cluster.replicas[&4].status().applied, 0, "nobody speaks to it before it is agreed on");
+    assert_eq!(cluster.replicas[&4].status().applied_index, 0, "nobody speaks to it before it is agreed on");
     // Found by processes: one that joins has to let those in that will tell it all.
     let others = cluster.replicas[&leader].identity();
-    assert_eq!(cluster.replicas.get_mut(&4).unwrap().accept_peer(others, SCHEMA).unwrap(), Ok(()));
+    assert_eq!(cluster.replicas.get_mut(&4).unwrap().accept_peer(others, SCHEMA_VERSION).unwrap(), Ok(()));
     let new = cluster.replicas[&4].identity();
     assert_eq!(
-        cluster.replicas.get_mut(&leader).unwrap().accept_peer(new, SCHEMA).unwrap(),
-        Err(Turned::Stranger)
+        cluster.replicas.get_mut(&leader).unwrap().accept_peer(new, SCHEMA_VERSION).unwrap(),
+        Err(HandshakeRejection::UnknownReplica)
     );
-    assert_eq!(cluster.replace(lost, 4), Answer::Done);
+    assert_eq!(cluster.replace(lost, 4), Response::Done);
     let new = cluster.replicas[&4].identity();
-    assert_eq!(cluster.replicas.get_mut(&leader).unwrap().accept_peer(new, SCHEMA).unwrap(), Ok(()));
+    assert_eq!(cluster.replicas.get_mut(&leader).unwrap().accept_peer(new, SCHEMA_VERSION).unwrap(), Ok(()));
     let mut wanted: Vec<u64> = (1..=4).filter(|coordinator| *coordinator != lost).collect();
     cluster.until_voters(&wanted);
-    assert!(matches!(cluster.replace(lost, 5), Answer::Refused(Reason::Keepers(_))), "it is gone already");
-    assert!(matches!(cluster.replace(leader, lost), Answer::Refused(Reason::Keepers(_))), "a used number");
+    assert!(matches!(cluster.replace(lost, 5), Response::Rejected(Reason::Keepers(_))), "it is gone already");
+    assert!(matches!(cluster.replace(leader, lost), Response::Rejected(Reason::Keepers(_))), "a used number");
     // The new one and one of the old are a majority; what was agreed is known to both.
     cluster.replicas.remove(&leader);
     wanted.retain(|coordinator| *coordinator != leader);
@@ -391,7 +426,7 @@
     let old = cluster.leader();
     store::bootstrap_joining(&cluster.store(4), "test", 4, 104).unwrap();
     cluster.start(4);
-    assert_eq!(cluster.replace(old, 4), Answer::Done);
+    assert_eq!(cluster.replace(old, 4), Response::Done);
     let end = cluster.now + 10_000_000;
     while cluster.replicas.contains_key(&old) && cluster.now < end {
         cluster.now += TICK;
@@ -425,7 +460,7 @@
         cluster.replicas.remove(&old);
         store::bootstrap_joining(&cluster.store(4), "test", 4, 104).unwrap();
         cluster.start(4);
-        assert_eq!(cluster.replace(old, 4), Answer::Done);
+        assert_eq!(cluster.replace(old, 4), Response::Done);
         cluster.pass(steps * TICK);
         // Killed and started again: with the one that lost its disk away, it is needed for a majority.
         cluster.replicas.remove(&leader);
--- a/crates/coordinator/tests/compatibility/exit_codes.rs
+++ b/crates/coordinator/tests/compatibility/exit_codes.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use cluster_member::wire::Turned;
+use cluster_member::wire::HandshakeRejection;
 use coordination::{Command, State};
 use coordinator::store::{self, Store, WriteBatch};
 use protobuf::Message as _;
@@ -76,9 +76,10 @@
 
 #[test]
 fn a_disk_that_others_know_better_ends_with_3() {
-    for (name, why) in
-        [("old_disk", Turned::OldDisk { boots: 9, term: 4 }), ("wrong_disk", Turned::WrongDisk)]
-    {
+    for (name, why) in [
+        ("old_disk", HandshakeRejection::StaleStore { start_count: 9, raft_term: 4 }),
+        ("wrong_disk", HandshakeRejection::StoreMismatch),
+    ] {
         let installation =
             Installation::new([Script::Rejects(why), Script::Unreachable, Script::Unreachable]);
         empty_store(&installation.store(), "north", 2);
@@ -187,5 +188,8 @@
     store::bootstrap_joining(folder.path(), "north", 4, 9).unwrap();
     let (_, recovered) = Store::open(folder.path(), "north", 4).unwrap();
     assert_eq!(*recovered.snapshot.get_metadata().get_conf_state(), ConfState::default());
-    assert_eq!((recovered.identity.keeper, recovered.identity.boots, recovered.entries.len()), (4, 1, 0));
+    assert_eq!(
+        (recovered.identity.replica_id, recovered.identity.start_count, recovered.entries.len()),
+        (4, 1, 0)
+    );
 }
--- a/crates/coordinator/tests/full_disk.rs
+++ b/crates/coordinator/tests/full_disk.rs
@@ -29,7 +29,7 @@
     }
     assert_eq!(recovered.hard_state.commit, recovered.entries.last().map_or(0, |entry| entry.index));
     drop(opened);
-    (recovered.hard_state.commit, recovered.identity.boots)
+    (recovered.hard_state.commit, recovered.identity.start_count)
 }
 
 /// Not a test of its own: the process that writes so many entries, says of each that it is on the disk, and is killed; or
@@ -39,7 +39,7 @@
     let Ok(store) = std::env::var(STORE) else { return };
     let count: u64 = std::env::var(COUNT).unwrap().parse().unwrap();
     let Ok((opened, recovered)) = Store::open(Path::new(&store), "test", 1) else { return };
-    println!("boots {}", recovered.identity.boots);
+    println!("boots {}", recovered.identity.start_count);
     let next = recovered.entries.last().map_or(2, |entry| entry.index + 1);
     for index in next..next + count {
         if !write(&opened, index) {
