--- a/crates/coordinator/src/operator.rs
+++ b/crates/coordinator/src/operator.rs
@@ -39,6 +39,16 @@
     }
 }
 
+/// A response as operators have always been shown it, whatever its type is called.
+fn response_text(response: &Response) -> String {
+    match response {
+        Response::NotLeader { leader, address } => {
+            format!("NotLeading {{ leader: {leader:?}, address: {address:?} }}")
+        }
+        other => format!("{other:?}"),
+    }
+}
+
 /// How things are at one keeper.
 ///
 /// # Errors
@@ -101,7 +111,7 @@
                 match call(config, leader.replica_id, wanted).await? {
                     Response::Done => asked = true,
                     Response::Rejected(reason) => return Err(reason.to_string()),
-                    other => why = format!("{other:?}"),
+                    other => why = response_text(&other),
                 }
             }
             Err(error) => why = error,
@@ -231,7 +241,7 @@
     match call(config, leader.replica_id, Operation::ReleaseLease { lease: duty.clone(), token }).await? {
         Response::Done => Ok(()),
         Response::Rejected(reason) => Err(format!("{duty}: {reason}")),
-        other => Err(format!("{duty}: not done: {other:?}; ask again")),
+        other => Err(format!("{duty}: not done: {}; ask again", response_text(&other))),
     }
 }
 
