--- a/crates/coordinator/src/operator.rs
+++ b/crates/coordinator/src/operator.rs
@@ -8,7 +8,7 @@
     ClientHello, ClientIdentity, Connection, CoordinatorMessage, Operation, ReplicaStatus, Request, Response,
     SCHEMA_VERSION,
 };
-use coordination::{DutyId, Token};
+use coordination::{FencingToken, LeaseId};
 use disruption_budget::{Availability, DisruptionCommand, DisruptionOutcome, DisruptionState};
 use tokio::time::timeout;
 
@@ -236,7 +236,11 @@
 ///
 /// # Errors
 /// Nobody leads, or the duty has no such term.
-pub async fn release_lease(config: &Config, duty: DutyId, token: Option<Token>) -> Result<(), String> {
+pub async fn release_lease(
+    config: &Config,
+    duty: LeaseId,
+    token: Option<FencingToken>,
+) -> Result<(), String> {
     let leader = leader_status(config).await?;
     match call(config, leader.replica_id, Operation::ReleaseLease { lease: duty.clone(), token }).await? {
         Response::Done => Ok(()),
@@ -272,7 +276,7 @@
         &quantiles,
     );
     let owners = status.leases.iter().map(|duty| {
-        let (owner, token) = duty.holder.clone().unwrap_or((String::new(), Token(0)));
+        let (owner, token) = duty.holder.clone().unwrap_or((String::new(), FencingToken(0)));
         (format!("{{duty={:?},owner={owner:?}}}", duty.lease.to_string()), token.0)
     });
     metric(
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -10,8 +10,8 @@
     Request, Response, StoreIdentity,
 };
 use coordination::{
-    Command, Micros, Outcome, Reason, Replacing, Revision, SessionId, State, Times, Token, Warden,
-    COMMAND_VERSION,
+    Command, CommandOutcome, CommandRejection, FencingToken, LeaderState, Micros, ReplicaReplacement,
+    Revision, SessionId, StateMachine, Timing, COMMAND_VERSION,
 };
 use disruption_budget::permit_timeouts::PermitTimeouts;
 use hdrhistogram::Histogram;
@@ -45,7 +45,7 @@
     /// Something to a member or an operator.
     SendToClient(ConnectionId, CoordinatorMessage),
     /// The view has changed, for all connections of members.
-    ViewChanged(coordination::View),
+    ViewChanged(coordination::ClusterView),
     /// Something was applied, for the records.
     Applied {
         /// Where in the log.
@@ -53,8 +53,8 @@
         /// What it was.
         command: Command,
         /// What came of it.
-        outcome: Outcome,
-        /// [`State::digest`] after it, or 0 where none is wanted.
+        outcome: CommandOutcome,
+        /// [`StateMachine::digest`] after it, or 0 where none is wanted.
         digest: u64,
     },
     /// This keeper leads now in this term, or does no longer.
@@ -132,15 +132,15 @@
     raw_node: RawNode<RaftStorage>,
     store: Store,
     identity: StoreIdentity,
-    state: State,
+    state: StateMachine,
     /// Who votes and who learns, as applied.
     configuration: ConfState,
     /// It changed: others are given a snapshot that knows of it.
     configuration_changed: bool,
     /// When a change of it was proposed last.
     configuration_proposed_at: Option<Micros>,
-    times: Times,
-    session_monitor: Option<Warden>,
+    times: Timing,
+    session_monitor: Option<LeaderState>,
     injected_bug: Option<disruption_budget::InjectedBug>,
     permit_timeouts: PermitTimeouts,
     permits_expired_at: Micros,
@@ -179,10 +179,10 @@
     CoordinatorError::Raft(format!("raft does not go on: {error}"))
 }
 
-fn restore_state(snapshot: &Snapshot) -> Result<State, CoordinatorError> {
-    let mut state = State::restore(snapshot.get_data())
+fn restore_state(snapshot: &Snapshot) -> Result<StateMachine, CoordinatorError> {
+    let mut state = StateMachine::restore(snapshot.get_data())
         .map_err(|fault| CoordinatorError::UnsupportedFormat(fault.to_string()))?;
-    state.skip(snapshot.get_metadata().index);
+    state.skip_entry(snapshot.get_metadata().index);
     Ok(state)
 }
 
@@ -194,7 +194,7 @@
     pub fn new(
         store: Store,
         recovered: RecoveredState,
-        times: Times,
+        times: Timing,
         tick: Micros,
         process_nonce: u64,
     ) -> Result<Replica, CoordinatorError> {
@@ -217,8 +217,8 @@
         }
         let config = Config {
             id: identity.replica_id,
-            election_tick: times.election.div_ceil(tick).max(4) as usize,
-            heartbeat_tick: (times.heartbeat / tick).max(1) as usize,
+            election_tick: times.election_timeout.div_ceil(tick).max(4) as usize,
+            heartbeat_tick: (times.heartbeat_interval / tick).max(1) as usize,
             applied: snapshot.get_metadata().index,
             max_size_per_msg: 1 << 20,
             max_inflight_msgs: 256,
@@ -235,7 +235,7 @@
             raw_node: raw,
             store,
             identity,
-            notified_revision: state.seats_revision(),
+            notified_revision: state.lease_revision(),
             state,
             configuration,
             configuration_changed: false,
@@ -273,7 +273,8 @@
     /// The account gets a flaw, in builds for tests.
     pub fn inject_disruption_bug(&mut self, flaw: Option<disruption_budget::InjectedBug>) {
         self.injected_bug = flaw;
-        self.state = std::mem::replace(&mut self.state, State::new(1)).with_account_flaw(flaw);
+        self.state =
+            std::mem::replace(&mut self.state, StateMachine::new(1)).with_injected_disruption_bug(flaw);
     }
 
     /// This keeper is to be as one that knows entries up to this version.
@@ -303,11 +304,11 @@
         // One that joins knows nobody yet; those that take it in know it as soon as that is agreed on.
         let joins = self.configuration == ConfState::default();
         let known = self.raw_node.raft.prs().iter().any(|(id, _)| *id == by.replica_id)
-            || self.state.added().contains_key(&by.replica_id);
+            || self.state.added_replicas().contains_key(&by.replica_id);
         if by.replica_id == self.identity.replica_id || !(known || joins) {
             return Ok(Err(HandshakeRejection::UnknownReplica));
         }
-        let agreed = self.state.keepers().get(&by.replica_id).copied().unwrap_or(0);
+        let agreed = self.state.replica_starts().get(&by.replica_id).copied().unwrap_or(0);
         let known = self.peer_identities.get(&by.replica_id).copied().unwrap_or(StoreIdentity {
             start_count: 0,
             raft_term: 0,
@@ -340,10 +341,10 @@
         let known = self.peer_identities.values().map(|peer| (peer.replica_id, peer.start_count));
         let known = known.chain([(self.identity.replica_id, self.identity.start_count)]);
         let unknown: Vec<(u64, u64)> = known
-            .filter(|(keeper, boots)| self.state.keepers().get(keeper).is_none_or(|seen| seen < boots))
+            .filter(|(keeper, boots)| self.state.replica_starts().get(keeper).is_none_or(|seen| seen < boots))
             .collect();
         for (keeper, boots) in unknown {
-            let command = Command::KeeperStarted { keeper, boots };
+            let command = Command::RecordReplicaStart { replica: keeper, starts: boots };
             let _ = self.raw_node.propose(Vec::new(), command.encode());
         }
     }
@@ -434,7 +435,7 @@
         if self
             .read_index_round
             .as_ref()
-            .is_some_and(|round| now.saturating_sub(round.started_at) > self.times.election)
+            .is_some_and(|round| now.saturating_sub(round.started_at) > self.times.election_timeout)
         {
             self.abandon_read_index_round();
         }
@@ -453,18 +454,19 @@
 
     /// Where keepers are that came later than the installation was set up.
     pub fn added_coordinators(&self) -> &BTreeMap<u64, String> {
-        self.state.added()
+        self.state.added_replicas()
     }
 
     /// The next step of a replacement that is on its way, by whoever leads: the new one learns; when it has caught up
     /// both change at once, through a configuration in which majorities of the old and the new have to agree; then that
     /// is left, and the replacement is over. Each step is asked of what is agreed, so a next leader goes on.
     fn advance_replacement(&mut self, now: Micros) {
-        let Some(Replacing { old, new }) = self.state.replacing().filter(|_| self.session_monitor.is_some())
+        let Some(ReplicaReplacement { old, new }) =
+            self.state.replacement_in_progress().filter(|_| self.session_monitor.is_some())
         else {
             return;
         };
-        let lately = |at: Micros| now.saturating_sub(at) < self.times.election;
+        let lately = |at: Micros| now.saturating_sub(at) < self.times.election_timeout;
         if self.raw_node.raft.has_pending_conf() || self.configuration_proposed_at.is_some_and(lately) {
             return;
         }
@@ -480,7 +482,7 @@
         if !self.configuration.get_voters_outgoing().is_empty() {
             // An empty change leaves the joint configuration.
         } else if voters.contains(&new) && !voters.contains(&old) {
-            let _ = self.raw_node.propose(Vec::new(), Command::KeeperReplaced { old }.encode());
+            let _ = self.raw_node.propose(Vec::new(), Command::CompleteReplacement { old }.encode());
             return;
         } else if !voters.contains(&new) && !learners.contains(&new) {
             change.set_changes(vec![single(ConfChangeType::AddLearnerNode, new)].into());
@@ -531,7 +533,7 @@
         let removed = votes(&self.configuration) && !votes(&configuration);
         self.raw_node.mut_store().log.wl().set_conf_state(configuration.clone());
         (self.configuration, self.configuration_changed) = (configuration, true);
-        self.state.skip(entry.index);
+        self.state.skip_entry(entry.index);
         match removed {
             true => Err(CoordinatorError::Replaced(format!(
                 "another keeper has taken the place of keeper {}: this one is not needed any more",
@@ -554,7 +556,7 @@
     fn not_leader_response(&self) -> Response {
         match Some(self.leader_id).filter(|leader| *leader != 0 && *leader != self.identity.replica_id) {
             Some(leader) => {
-                let address = self.state.added().get(&leader).cloned();
+                let address = self.state.added_replicas().get(&leader).cloned();
                 Response::NotLeader { leader: Some(leader), address }
             }
             None => Response::Busy,
@@ -587,8 +589,20 @@
         }
         match ask {
             Operation::OpenSession { name, boot_id: boot, zone, address, eligible_leases: offers } => {
-                let short = session_monitor.short(&name, now, &self.state);
-                self.propose(connection, id, Command::Join { name, boot, zone, address, offers, short }, now);
+                let short = session_monitor.is_short_session(&name, now, &self.state);
+                self.propose(
+                    connection,
+                    id,
+                    Command::OpenSession {
+                        name,
+                        boot_id: boot,
+                        zone,
+                        address,
+                        eligible_leases: offers,
+                        short_lived: short,
+                    },
+                    now,
+                );
             }
             Operation::RenewSession { session, known_view: seen, known_members: roster } => {
                 self.client_sessions.insert(connection, session);
@@ -607,42 +621,49 @@
                     .get(&session)
                     .map(|session| session.name.clone())
                     .unwrap_or_default();
-                let short = session_monitor.short(&name, now, &self.state);
-                self.propose(connection, id, Command::Leave { session, short }, now);
+                let short = session_monitor.is_short_session(&name, now, &self.state);
+                self.propose(connection, id, Command::CloseSession { session, short_lived: short }, now);
             }
             Operation::ReleaseLease { lease: duty, token } => {
                 let running =
-                    self.state.duties().get(&duty).and_then(|duty| duty.owner).map(|owner| owner.token);
+                    self.state.leases().get(&duty).and_then(|duty| duty.holder).map(|owner| owner.token);
                 match token.or(running) {
-                    Some(token) => {
-                        self.propose(connection, id, Command::Release { duty, token, unsettle: true }, now)
-                    }
-                    None => self.reply(connection, id, Response::Rejected(Reason::NotTheOwner)),
+                    Some(token) => self.propose(
+                        connection,
+                        id,
+                        Command::ReleaseLease { lease: duty, token, reset_stability: true },
+                        now,
+                    ),
+                    None => self.reply(connection, id, Response::Rejected(CommandRejection::NotLeaseHolder)),
                 }
             }
             Operation::ReplaceReplica { old, new, address } => {
                 let why = match self.configuration.get_voters() {
-                    voters if !voters.contains(&old) && self.state.replacing().is_none() => {
+                    voters if !voters.contains(&old) && self.state.replacement_in_progress().is_none() => {
                         Some(format!("there is no keeper {old}; those that vote are {voters:?}"))
                     }
                     voters if voters.contains(&new) => Some(format!("keeper {new} votes already")),
                     _ => None,
                 };
                 match why {
-                    Some(why) => self.reply(connection, id, Response::Rejected(Reason::Keepers(why))),
-                    None => self.propose(connection, id, Command::ReplaceKeeper { old, new, address }, now),
+                    Some(why) => self.reply(
+                        connection,
+                        id,
+                        Response::Rejected(CommandRejection::InvalidReplacement(why)),
+                    ),
+                    None => self.propose(connection, id, Command::ReplaceReplica { old, new, address }, now),
                 }
             }
             Operation::ChangeDisruptionState(change) => match self.outdated_voter() {
                 Some(keeper) => {
                     let why = format!("keeper {keeper} is of a version that knows no permits yet");
-                    self.reply(connection, id, Response::Rejected(Reason::Keepers(why)));
+                    self.reply(connection, id, Response::Rejected(CommandRejection::InvalidReplacement(why)));
                 }
-                None => self.propose(connection, id, Command::Account(change), now),
+                None => self.propose(connection, id, Command::Disruption(change), now),
             },
             Operation::DisruptionState { known_revision: known } => {
-                let revision = self.state.account_revision();
-                let account = (revision > known).then(|| Box::new(self.state.account().clone()));
+                let revision = self.state.disruption_revision();
+                let account = (revision > known).then(|| Box::new(self.state.disruption().clone()));
                 self.reply(connection, id, Response::DisruptionState(revision, account));
             }
             Operation::Status => {}
@@ -691,10 +712,10 @@
             self.configuration_changed = false;
             self.compact_log()?;
         }
-        if self.session_monitor.is_some() && self.state.seats_revision() != self.notified_revision {
+        if self.session_monitor.is_some() && self.state.lease_revision() != self.notified_revision {
             self.outputs.push(Output::ViewChanged(self.state.view()));
         }
-        self.notified_revision = self.state.seats_revision();
+        self.notified_revision = self.state.lease_revision();
         Ok(())
     }
 
@@ -715,15 +736,15 @@
     fn propose_expirations(&mut self, now: Micros) {
         let Some(session_monitor) = &mut self.session_monitor else { return };
         // What is due of permits is proposed at most so often: the agreement takes a moment.
-        if now.saturating_sub(self.permits_expired_at) > self.times.heartbeat {
+        if now.saturating_sub(self.permits_expired_at) > self.times.heartbeat_interval {
             for command in self.permit_timeouts.expired(now) {
                 self.permits_expired_at = now;
-                let _ = self.raw_node.propose(Vec::new(), Command::Account(command).encode());
+                let _ = self.raw_node.propose(Vec::new(), Command::Disruption(command).encode());
             }
         }
-        for command in session_monitor.due(now, &self.state) {
+        for command in session_monitor.due_commands(now, &self.state) {
             if self.raw_node.propose(Vec::new(), command.encode()).is_err() {
-                session_monitor.dropped(&command);
+                session_monitor.proposal_rejected(&command);
             }
         }
     }
@@ -755,7 +776,7 @@
         if received {
             let snapshot = ready.snapshot().clone();
             self.raw_node.mut_store().log.wl().apply_snapshot(snapshot.clone()).map_err(raft_fault)?;
-            self.state = restore_state(&snapshot)?.with_account_flaw(self.injected_bug);
+            self.state = restore_state(&snapshot)?.with_injected_disruption_bug(self.injected_bug);
             self.configuration = snapshot.get_metadata().get_conf_state().clone();
             self.raw_node.mut_store().snapshot = snapshot;
         }
@@ -786,20 +807,21 @@
                 continue;
             }
             if entry.data.is_empty() {
-                self.state.skip(entry.index);
+                self.state.skip_entry(entry.index);
                 continue;
             }
-            let command = Command::decode_up_to(self.supported_version, &entry.data).map_err(|fault| {
-                CoordinatorError::UnsupportedFormat(format!("at entry {}: {fault}", entry.index))
-            })?;
+            let command = Command::decode_with_supported_version(self.supported_version, &entry.data)
+                .map_err(|fault| {
+                    CoordinatorError::UnsupportedFormat(format!("at entry {}: {fault}", entry.index))
+                })?;
             let outcome = self.state.apply(entry.index, &command);
-            if let Outcome::Account(_) = outcome {
-                self.permit_timeouts.update(now, self.state.account());
+            if let CommandOutcome::Disruption(_) = outcome {
+                self.permit_timeouts.update(now, self.state.disruption());
             }
             if let Some(session_monitor) = &mut self.session_monitor {
-                session_monitor.applied(now, &self.state);
-                if matches!(outcome, Outcome::Refused(_)) {
-                    session_monitor.dropped(&command);
+                session_monitor.on_entries_applied(now, &self.state);
+                if matches!(outcome, CommandOutcome::Rejected(_)) {
+                    session_monitor.proposal_rejected(&command);
                 }
             }
             let own = postcard::from_bytes::<(u64, u64)>(&entry.context)
@@ -815,12 +837,12 @@
         Ok(())
     }
 
-    fn reply_to_proposal(&mut self, proposal: PendingProposal, outcome: &Outcome, now: Micros) {
+    fn reply_to_proposal(&mut self, proposal: PendingProposal, outcome: &CommandOutcome, now: Micros) {
         let answer = match (outcome, &mut self.session_monitor) {
             // Only the leading keeper may give a lease, old or new.
-            (Outcome::Joined(session, incarnation), Some(session_monitor)) => {
+            (CommandOutcome::SessionOpened(session, incarnation), Some(session_monitor)) => {
                 // A session that was there is renewed by this, unless its end is on its way.
-                match session_monitor.renewed(*session, 0, now, &self.state) {
+                match session_monitor.renew_session(*session, 0, now, &self.state) {
                     Ok(()) => {
                         self.client_sessions.insert(proposal.connection, *session);
                         Response::SessionOpened {
@@ -832,9 +854,9 @@
                     Err(_) => Response::Busy,
                 }
             }
-            (Outcome::Joined(..), None) => self.not_leader_response(),
-            (Outcome::Refused(reason), _) => Response::Rejected(reason.clone()),
-            (Outcome::Account(outcome), _) => {
+            (CommandOutcome::SessionOpened(..), None) => self.not_leader_response(),
+            (CommandOutcome::Rejected(reason), _) => Response::Rejected(reason.clone()),
+            (CommandOutcome::Disruption(outcome), _) => {
                 if let disruption_budget::DisruptionOutcome::PermitRequested(id, _) = outcome {
                     self.permit_timeouts.renew(*id, now);
                 }
@@ -859,9 +881,9 @@
         }
         self.leading_term = leads;
         self.outputs.push(Output::LeadershipChanged(leads));
-        self.session_monitor = leads.map(|_| Warden::new(self.times, now, &self.state));
+        self.session_monitor = leads.map(|_| LeaderState::new(self.times, now, &self.state));
         self.permit_timeouts = PermitTimeouts::default();
-        self.permit_timeouts.update(now, self.state.account());
+        self.permit_timeouts.update(now, self.state.disruption());
         self.propose_start_counts();
         // Whoever waits asks the next leader; what was proposed may still be agreed on, and asking twice does no harm.
         let answer = self.not_leader_response();
@@ -888,18 +910,22 @@
             let Some((_, renewals)) = self.confirmed_renewals.pop_front() else { return };
             for renewal in renewals {
                 let Some(session_monitor) = &mut self.session_monitor else { return };
-                let answer =
-                    match session_monitor.renewed(renewal.session, renewal.seen_revision, now, &self.state) {
-                        Ok(()) => Response::SessionRenewed {
-                            view: (self.state.seats_revision() > renewal.seen_revision)
-                                .then(|| self.state.view()),
-                            members: renewal
-                                .known_roster
-                                .filter(|known| *known < self.state.roster_revision())
-                                .map(|_| self.roster()),
-                        },
-                        Err(reason) => Response::Rejected(reason),
-                    };
+                let answer = match session_monitor.renew_session(
+                    renewal.session,
+                    renewal.seen_revision,
+                    now,
+                    &self.state,
+                ) {
+                    Ok(()) => Response::SessionRenewed {
+                        view: (self.state.lease_revision() > renewal.seen_revision)
+                            .then(|| self.state.view()),
+                        members: renewal
+                            .known_roster
+                            .filter(|known| *known < self.state.membership_revision())
+                            .map(|_| self.roster()),
+                    },
+                    Err(reason) => Response::Rejected(reason),
+                };
                 self.reply(renewal.connection, renewal.request_id, answer);
             }
         }
@@ -909,7 +935,7 @@
         let sessions = self.state.sessions().values().filter(|session| !session.superseded);
         let mut peers: Vec<Peer> = sessions.map(peer).collect();
         peers.sort();
-        (self.state.roster_revision(), peers)
+        (self.state.membership_revision(), peers)
     }
 
     /// The session that was last heard of on a connection.
@@ -942,19 +968,19 @@
         let members = state.sessions().iter().map(|(id, session)| MemberStatus {
             session: *id,
             peer: peer(session),
-            stable: session.settled,
+            stable: session.stable,
             superseded: session.superseded,
-            consecutive_short_sessions: state.short_lives(&session.name),
+            consecutive_short_sessions: state.consecutive_short_sessions(&session.name),
         });
-        let owner = |owner: coordination::Owner| {
+        let owner = |owner: coordination::LeaseHolder| {
             let name = state.sessions().get(&owner.session).map(|session| session.name.clone());
             (name.unwrap_or_default(), owner.token)
         };
-        let duties = state.duties().iter().map(|(id, duty)| LeaseStatus {
+        let duties = state.leases().iter().map(|(id, duty)| LeaseStatus {
             lease: id.clone(),
-            holder: duty.owner.map(owner),
-            minimum_token: duty.floor,
-            fencing_revision: duty.fenced,
+            holder: duty.holder.map(owner),
+            minimum_token: duty.minimum_token,
+            fencing_revision: duty.fencing_revision,
         });
         let quantile = |q| self.commit_latency.value_at_quantile(q);
         ReplicaStatus {
@@ -970,19 +996,19 @@
             commit_latency: (quantile(0.5), quantile(0.99), self.commit_latency.max()),
             members: members.collect(),
             leases: duties.collect(),
-            replicas: state.keepers().iter().map(|(keeper, boots)| (*keeper, *boots)).collect(),
+            replicas: state.replica_starts().iter().map(|(keeper, boots)| (*keeper, *boots)).collect(),
             voters: {
                 let both =
                     self.configuration.get_voters().iter().chain(self.configuration.get_voters_outgoing());
                 both.copied().collect::<std::collections::BTreeSet<u64>>().into_iter().collect()
             },
             learners: self.configuration.get_learners().to_vec(),
-            replacement: state.replacing().map(|Replacing { old, new }| (old, new)),
+            replacement: state.replacement_in_progress().map(|ReplicaReplacement { old, new }| (old, new)),
         }
     }
 
     /// The token that the next grant gets, for tests of tokens over restarts.
-    pub fn next_token(&self) -> Token {
+    pub fn next_token(&self) -> FencingToken {
         self.state.next_token()
     }
 }
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -13,7 +13,7 @@
     encode, handshake_rejection, validate_client_hello_for_version, ClientHello, ClientIdentity, Connection,
     CoordinatorMessage, HandshakeRejection, Request, ServerHello, StoreIdentity, IO_TIMEOUT,
 };
-use coordination::{Command, Outcome, COMMAND_VERSION};
+use coordination::{Command, CommandOutcome, COMMAND_VERSION};
 use futures_util::SinkExt;
 use raft::eraftpb::{Message, MessageType};
 use tokio::net::{TcpListener, TcpStream};
@@ -51,7 +51,7 @@
     let protocol_version = serve.protocol_version;
     let (store, recovered) = Store::open(&serve.store_directory, &config.installation, serve.coordinator_id)?;
     let identity = recovered.identity;
-    let tick = (config.times.heartbeat / 2).clamp(5_000, 50_000);
+    let tick = (config.times.heartbeat_interval / 2).clamp(5_000, 50_000);
     let mut replica = Replica::new(store, recovered, config.times, tick, clock::unique())?;
     replica.enable_digests(record.records());
     // Each version of the messages came with the entries of that version.
@@ -126,7 +126,7 @@
     }
     tracing::info!("shutting down, transferring leadership");
     replica.transfer_leadership(clock::now())?;
-    let end = tokio::time::Instant::now() + Duration::from_micros(config.times.election);
+    let end = tokio::time::Instant::now() + Duration::from_micros(config.times.election_timeout);
     while replica.is_leader() && tokio::time::Instant::now() < end {
         event_loop.handle_outputs(&mut replica);
         tokio::select! {
@@ -248,22 +248,21 @@
                     log_applied(&command, &outcome);
                     let mut entry = serde_json::json!({"index": index, "digest": digest});
                     match &outcome {
-                        Outcome::Granted(duty, owner) => {
+                        CommandOutcome::LeaseGranted(duty, owner) => {
                             entry["granted"] = duty.to_string().into();
                             entry["token"] = owner.token.0.into();
                             entry["session"] = owner.session.0.into();
                         }
-                        Outcome::Ended(session) => entry["ended"] = session.0.into(),
-                        Outcome::Joined(session, _) => {
+                        CommandOutcome::SessionEnded(session) => entry["ended"] = session.0.into(),
+                        CommandOutcome::SessionOpened(session, _) => {
                             entry["joined"] = session.0.into();
-                            if let Command::Join { name, .. } = &command {
+                            if let Command::OpenSession { name, .. } = &command {
                                 entry["name"] = name.as_str().into();
                             }
                         }
-                        Outcome::Account(disruption_budget::DisruptionOutcome::ObservationRecorded {
-                            granted,
-                            ..
-                        }) if !granted.is_empty() => {
+                        CommandOutcome::Disruption(
+                            disruption_budget::DisruptionOutcome::ObservationRecorded { granted, .. },
+                        ) if !granted.is_empty() => {
                             entry["permits"] = granted.clone().into();
                         }
                         _ => {}
@@ -296,31 +295,33 @@
     }
 }
 
-fn log_applied(command: &Command, outcome: &Outcome) {
+fn log_applied(command: &Command, outcome: &CommandOutcome) {
     match outcome {
-        Outcome::Granted(duty, owner) => {
+        CommandOutcome::LeaseGranted(duty, owner) => {
             tracing::info!(lease = %duty, token = owner.token.0, session = owner.session.0, "lease granted");
         }
-        Outcome::Joined(session, incarnation) => {
-            if let Command::Join { name, .. } = command {
+        CommandOutcome::SessionOpened(session, incarnation) => {
+            if let Command::OpenSession { name, .. } = command {
                 tracing::info!(name, session = session.0, incarnation, "session opened");
             }
         }
-        Outcome::Ended(session) => {
-            let cause = if matches!(command, Command::Leave { .. }) { "left" } else { "expired" };
+        CommandOutcome::SessionEnded(session) => {
+            let cause = if matches!(command, Command::CloseSession { .. }) { "left" } else { "expired" };
             tracing::info!(session = session.0, cause, "session ended, its leases are free");
         }
-        Outcome::Account(outcome) => log_disruption_change(command, outcome),
-        Outcome::Released(duty, token) => tracing::info!(lease = %duty, token = token.0, "lease released"),
-        Outcome::Refused(reason) => tracing::debug!(%reason, ?command, "command rejected"),
-        Outcome::Settled(_) | Outcome::Noted => {}
+        CommandOutcome::Disruption(outcome) => log_disruption_change(command, outcome),
+        CommandOutcome::LeaseReleased(duty, token) => {
+            tracing::info!(lease = %duty, token = token.0, "lease released")
+        }
+        CommandOutcome::Rejected(reason) => tracing::debug!(%reason, ?command, "command rejected"),
+        CommandOutcome::SessionStable(_) | CommandOutcome::Acknowledged => {}
     }
 }
 
 /// Who asked, forced, struck off, and what an observation led to; that nothing changed is said to nobody.
 fn log_disruption_change(command: &Command, outcome: &disruption_budget::DisruptionOutcome) {
     use disruption_budget::{DisruptionCommand, DisruptionOutcome, PermitState};
-    let Command::Account(change) = command else { return };
+    let Command::Disruption(change) = command else { return };
     match (change, outcome) {
         (
             DisruptionCommand::RequestPermit { target, reason, requester, force: true },
--- a/crates/coordinator/src/store.rs
+++ b/crates/coordinator/src/store.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use cluster_member::wire::StoreIdentity;
-use coordination::State;
+use coordination::StateMachine;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use redb::{Database, ReadableTable, TableDefinition};
@@ -91,8 +91,8 @@
     first_token: u64,
     disk_id: u64,
 ) -> Result<(), CoordinatorError> {
-    let mut state = State::new(first_token);
-    state.skip(1);
+    let mut state = StateMachine::new(first_token);
+    state.skip_entry(1);
     let mut snapshot = Snapshot::default();
     snapshot.mut_metadata().index = 1;
     snapshot.mut_metadata().term = 1;
@@ -113,7 +113,7 @@
     disk_id: u64,
 ) -> Result<(), CoordinatorError> {
     let mut snapshot = Snapshot::default();
-    snapshot.set_data(State::new(1).snapshot().into());
+    snapshot.set_data(StateMachine::new(1).snapshot().into());
     create_store(directory, installation, coordinator_id, disk_id, &snapshot)
 }
 
--- a/crates/coordinator/tests/cluster.rs
+++ b/crates/coordinator/tests/cluster.rs
@@ -6,7 +6,7 @@
 use cluster_member::wire::{
     CoordinatorMessage, HandshakeRejection, Operation, Request, Response, StoreIdentity, SCHEMA_VERSION,
 };
-use coordination::{DutyId, Outcome, Reason, SessionId, Times, Token};
+use coordination::{CommandOutcome, CommandRejection, FencingToken, LeaseId, SessionId, Timing};
 use coordinator::replica::{Output, Replica};
 use coordinator::store::{self, Store};
 use coordinator::CoordinatorError;
@@ -18,7 +18,7 @@
     replicas: BTreeMap<u64, Replica>,
     now: u64,
     answers: Vec<Response>,
-    granted: Vec<(SessionId, Token)>,
+    granted: Vec<(SessionId, FencingToken)>,
     digests: BTreeMap<u64, u64>,
     next: u64,
 }
@@ -57,7 +57,7 @@
         let (store, recovered) = Store::open(&self.store(coordinator), "test", coordinator).unwrap();
         self.next += 1;
         let mut replica =
-            Replica::new(store, recovered, Times::default(), TICK, coordinator << 32 | self.next).unwrap();
+            Replica::new(store, recovered, Timing::default(), TICK, coordinator << 32 | self.next).unwrap();
         replica.enable_digests(true);
         self.replicas.insert(coordinator, replica);
     }
@@ -93,7 +93,7 @@
                         Output::Applied { index, outcome, digest, .. } => {
                             let known = self.digests.entry(index).or_insert(digest);
                             assert_eq!(*known, digest, "entry {index} at coordinator {coordinator}");
-                            if let Outcome::Granted(_, owner) = outcome {
+                            if let CommandOutcome::LeaseGranted(_, owner) = outcome {
                                 self.granted.push((owner.session, owner.token));
                             }
                         }
@@ -146,7 +146,7 @@
     }
 
     fn join(&mut self, name: &str, boot: u64) -> SessionId {
-        let offers = vec![DutyId::fleet("list")];
+        let offers = vec![LeaseId::fleet("list")];
         let (zone, address) = (String::new(), String::new());
         match self.ask(Operation::OpenSession {
             name: name.to_owned(),
@@ -175,7 +175,7 @@
         }
     }
 
-    fn last_grant(&self) -> (SessionId, Token) {
+    fn last_grant(&self) -> (SessionId, FencingToken) {
         self.granted.iter().copied().max_by_key(|grant| grant.1).unwrap()
     }
 }
@@ -195,7 +195,7 @@
         cluster.renew(other);
         cluster.pass(TICK);
     }
-    let lease = Times::default().lease;
+    let lease = Timing::default().lease_duration;
     assert!(cluster.now - started > lease, "the new leader gives the running lease its full time");
     assert_eq!(cluster.last_grant().0, other);
     // The old leader comes back and agrees on the same.
@@ -217,11 +217,11 @@
         matches!(cluster.renew(a), Response::SessionRenewed { .. }),
         "the session has its full time again"
     );
-    cluster.ask(Operation::ReleaseLease { lease: DutyId::fleet("list"), token: Some(token) });
+    cluster.ask(Operation::ReleaseLease { lease: LeaseId::fleet("list"), token: Some(token) });
     cluster.live(&[a], 2_000_000);
     assert!(cluster.last_grant().1 > token);
-    let stale = cluster.ask(Operation::ReleaseLease { lease: DutyId::fleet("list"), token: Some(token) });
-    assert_eq!(stale, Response::Rejected(Reason::NotTheOwner));
+    let stale = cluster.ask(Operation::ReleaseLease { lease: LeaseId::fleet("list"), token: Some(token) });
+    assert_eq!(stale, Response::Rejected(CommandRejection::NotLeaseHolder));
 }
 
 #[test]
@@ -398,8 +398,14 @@
     assert_eq!(cluster.replicas.get_mut(&leader).unwrap().accept_peer(new, SCHEMA_VERSION).unwrap(), Ok(()));
     let mut wanted: Vec<u64> = (1..=4).filter(|coordinator| *coordinator != lost).collect();
     cluster.until_voters(&wanted);
-    assert!(matches!(cluster.replace(lost, 5), Response::Rejected(Reason::Keepers(_))), "it is gone already");
-    assert!(matches!(cluster.replace(leader, lost), Response::Rejected(Reason::Keepers(_))), "a used number");
+    assert!(
+        matches!(cluster.replace(lost, 5), Response::Rejected(CommandRejection::InvalidReplacement(_))),
+        "it is gone already"
+    );
+    assert!(
+        matches!(cluster.replace(leader, lost), Response::Rejected(CommandRejection::InvalidReplacement(_))),
+        "a used number"
+    );
     // The new one and one of the old are a majority; what was agreed is known to both.
     cluster.replicas.remove(&leader);
     wanted.retain(|coordinator| *coordinator != leader);
--- a/crates/dispatcher/src/net/leave.rs
+++ b/crates/dispatcher/src/net/leave.rs
@@ -12,7 +12,7 @@
 use cluster_member::keepers::Keepers;
 use cluster_member::member::Member;
 use cluster_member::wire::{ClientIdentity, Operation, Response};
-use coordination::{DutyId, Micros, Token};
+use coordination::{FencingToken, LeaseId, Micros};
 use disruption_budget::availability_observer::{
     AvailabilityObserver, ListedWorker, ReadinessReport, WarmupTracker, OBSERVER_LEASE,
 };
@@ -55,7 +55,7 @@
 pub(super) type Workers = Box<dyn Fn() -> Vec<ListedWorker>>;
 
 struct Term {
-    token: Token,
+    token: FencingToken,
     observer: Rc<RefCell<AvailabilityObserver>>,
     publisher: Publisher,
 }
@@ -210,7 +210,7 @@
         }
         // Whoever was stopped meanwhile may have been seen as another life: then the permit may be over.
         let now = clock::now();
-        if self.member.holder().borrow().session(now).is_none() || self.number() != number {
+        if self.member.holder().borrow().active_session(now).is_none() || self.number() != number {
             return denied("this dispatcher lost its session meanwhile", AGAIN.0);
         }
         if force {
@@ -261,7 +261,7 @@
                 continue;
             }
             // The look at the lease comes right before the word; the keepers look at the token besides.
-            if !self.member.may_act(&DutyId::fleet(OBSERVER_LEASE), token) {
+            if !self.member.may_act(&LeaseId::fleet(OBSERVER_LEASE), token) {
                 continue;
             }
             let observe = DisruptionCommand::RecordObservation {
@@ -283,7 +283,7 @@
     fn own_term(&self) {
         let now = clock::now();
         self.warmup.borrow_mut().update_list(now, &self.listed());
-        let duty = DutyId::fleet(OBSERVER_LEASE);
+        let duty = LeaseId::fleet(OBSERVER_LEASE);
         let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
@@ -308,7 +308,7 @@
     }
 
     /// Who is not as the account has them.
-    fn look(&self, account: &DisruptionState) -> Option<(Token, Vec<TargetStatus>, Vec<Target>)> {
+    fn look(&self, account: &DisruptionState) -> Option<(FencingToken, Vec<TargetStatus>, Vec<Target>)> {
         let term = self.term.borrow();
         let term = term.as_ref()?;
         let roster = self.member.roster();
