--- a/crates/cluster-member/src/list.rs
+++ b/crates/cluster-member/src/endpoint_list.rs
@@ -12,42 +12,43 @@
 use serde_json::{json, Value};
 
 /// The name of the duty.
-pub const LIST: &str = "list";
+pub const ENDPOINT_LIST_LEASE: &str = "list";
 
 /// What an owner of the duty says.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct WatchEvent {
     /// What revisions count at: those of another source say nothing here.
     pub source: String,
     /// How many members there are, by which a fleet that loses its owner spreads its questions.
-    pub members: u64,
+    #[serde(rename = "members")]
+    pub member_count: u64,
     /// The whole list, as discovery would tell it; or only its revision, where nothing changed.
     pub list: Value,
 }
 
-impl News {
+impl WatchEvent {
     /// The revision of discovery's that this is about.
     pub fn revision(&self) -> u64 {
         self.list["revision"].as_u64().unwrap_or(0)
     }
 
     /// Whether the whole list is in it.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.list["members"].is_array()
     }
 }
 
 /// The list as heard from discovery piece by piece, in discovery's own words.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Ledger {
+pub struct EndpointSnapshot {
     revision: u64,
-    whole: bool,
+    complete: bool,
     entries: BTreeMap<String, Value>,
 }
 
-impl Ledger {
+impl EndpointSnapshot {
     /// Takes a list in, whole or changes. One that is older than what is known is left out.
-    pub fn take(&mut self, list: &Value) {
+    pub fn apply(&mut self, list: &Value) {
         let (Some(revision), Some(members)) = (list["revision"].as_u64(), list["members"].as_array()) else {
             return;
         };
@@ -56,7 +57,7 @@
         }
         self.revision = revision;
         if list["complete"].as_bool() == Some(true) {
-            self.whole = true;
+            self.complete = true;
             self.entries.clear();
         }
         for entry in members {
@@ -69,14 +70,14 @@
     }
 
     /// The whole list, if it was ever heard whole.
-    pub fn list(&self) -> Option<Value> {
+    pub fn complete_list(&self) -> Option<Value> {
         let members: Vec<&Value> = self.entries.values().collect();
-        self.whole.then(|| json!({"revision": self.revision, "complete": true, "members": members}))
+        self.complete.then(|| json!({"revision": self.revision, "complete": true, "members": members}))
     }
 
     /// The entries, in discovery's own words; none before a whole list was heard.
     pub fn entries(&self) -> impl Iterator<Item = &Value> {
-        self.entries.values().filter(|_| self.whole)
+        self.entries.values().filter(|_| self.complete)
     }
 
     /// The revision of what is known.
@@ -85,54 +86,60 @@
     }
 
     /// Forgets all: what comes next comes of another place.
-    pub fn forget(&mut self) {
-        *self = Ledger::default();
+    pub fn clear(&mut self) {
+        *self = EndpointSnapshot::default();
     }
 }
 
 /// Whether a member asks discovery by itself or relies on the owner.
 #[derive(Debug, Clone)]
-pub struct Reliance {
-    silence: Micros,
-    per_second: f64,
+pub struct DiscoveryFallback {
+    silence_timeout: Micros,
+    members_per_second: f64,
     /// Drawn once: a member's place in the order in which a fleet goes back to asking.
-    place: f64,
-    heard: Option<Micros>,
-    members: u64,
+    position: f64,
+    last_event: Option<Micros>,
+    member_count: u64,
 }
 
-impl Reliance {
+impl DiscoveryFallback {
     /// Relies on nobody yet. `silence` is how long an owner may say nothing, `per_second` how many members of the
     /// whole fleet may go back to asking each second, `place` from 0 to 1 drawn by this member's seed.
-    pub fn new(silence: Micros, per_second: f64, place: f64) -> Reliance {
-        Reliance { silence, per_second, place: place.clamp(0.0, 1.0), heard: None, members: 0 }
+    pub fn new(silence: Micros, per_second: f64, place: f64) -> DiscoveryFallback {
+        DiscoveryFallback {
+            silence_timeout: silence,
+            members_per_second: per_second,
+            position: place.clamp(0.0, 1.0),
+            last_event: None,
+            member_count: 0,
+        }
     }
 
     /// The same, with the place drawn by a seed.
-    pub fn drawn(silence: Micros, per_second: f64, seed: u64) -> Reliance {
-        Reliance::new(silence, per_second, fastrand::Rng::with_seed(seed).f64())
+    pub fn with_seed(silence: Micros, per_second: f64, seed: u64) -> DiscoveryFallback {
+        DiscoveryFallback::new(silence, per_second, fastrand::Rng::with_seed(seed).f64())
     }
 
     /// An owner's news were taken.
-    pub fn heard(&mut self, now: Micros, members: u64) {
-        self.heard = Some(now);
-        self.members = members;
+    pub fn record_event(&mut self, now: Micros, members: u64) {
+        self.last_event = Some(now);
+        self.member_count = members;
     }
 
     /// What was heard says nothing any more: discovery is another place, or read by other names.
-    pub fn forget(&mut self) {
-        self.heard = None;
+    pub fn reset(&mut self) {
+        self.last_event = None;
     }
 
     /// When this member asks by itself again, if nothing is heard until then; it asks now where that is past.
-    pub fn asks_at(&self) -> Micros {
-        let spread = self.members as f64 / self.per_second * self.place;
-        self.heard.map_or(0, |heard| heard + self.silence + (spread * 1e6) as Micros)
+    pub fn polls_from(&self) -> Micros {
+        let spread = self.member_count as f64 / self.members_per_second * self.position;
+        self.last_event.map_or(0, |heard| heard + self.silence_timeout + (spread * 1e6) as Micros)
     }
 
     /// Whether it asks discovery by itself. An owner always does.
-    pub fn asks(&self, now: Micros, owns: bool) -> bool {
-        owns || now >= self.asks_at()
+    pub fn should_poll(&self, now: Micros, owns: bool) -> bool {
+        owns || now >= self.polls_from()
     }
 }
 
@@ -146,27 +153,27 @@
 
     #[test]
     fn a_ledger_tells_the_whole_by_discoverys_order_and_not_by_arrival() {
-        let mut ledger = Ledger::default();
-        ledger.take(&json!({"revision": 4, "complete": false, "members": [entry("a", "in_service")]}));
-        assert_eq!(ledger.list(), None, "changes alone are not the whole");
-        ledger.take(&json!({"revision": 5, "complete": true, "members": [entry("a", "in_service"), entry("b", "in_service")]}));
-        ledger.take(&json!({"revision": 7, "complete": false, "members": [entry("a", "terminating"), entry("b", "terminated")]}));
-        ledger.take(&json!({"revision": 6, "complete": true, "members": [entry("a", "in_service")]}));
+        let mut ledger = EndpointSnapshot::default();
+        ledger.apply(&json!({"revision": 4, "complete": false, "members": [entry("a", "in_service")]}));
+        assert_eq!(ledger.complete_list(), None, "changes alone are not the whole");
+        ledger.apply(&json!({"revision": 5, "complete": true, "members": [entry("a", "in_service"), entry("b", "in_service")]}));
+        ledger.apply(&json!({"revision": 7, "complete": false, "members": [entry("a", "terminating"), entry("b", "terminated")]}));
+        ledger.apply(&json!({"revision": 6, "complete": true, "members": [entry("a", "in_service")]}));
         let list = json!({"revision": 7, "complete": true, "members": [entry("a", "terminating")]});
-        assert_eq!(ledger.list(), Some(list));
-        ledger.take(&json!({"revision": "x", "members": []}));
+        assert_eq!(ledger.complete_list(), Some(list));
+        ledger.apply(&json!({"revision": "x", "members": []}));
         assert_eq!(ledger.revision(), 7);
     }
 
     #[test]
     fn a_fleet_that_loses_its_owner_asks_again_spread_out() {
         let at = |place| {
-            let mut reliance = Reliance::new(3_000_000, 20.0, place);
-            assert!(reliance.asks(0, false), "one that has heard nothing asks");
-            reliance.heard(1_000_000, 300);
-            assert!(!reliance.asks(3_999_999, false));
-            assert!(reliance.asks(1_000_001, true), "an owner asks");
-            reliance.asks_at()
+            let mut reliance = DiscoveryFallback::new(3_000_000, 20.0, place);
+            assert!(reliance.should_poll(0, false), "one that has heard nothing asks");
+            reliance.record_event(1_000_000, 300);
+            assert!(!reliance.should_poll(3_999_999, false));
+            assert!(reliance.should_poll(1_000_001, true), "an owner asks");
+            reliance.polls_from()
         };
         assert_eq!(at(0.0), 4_000_000);
         assert_eq!(at(0.5), 11_500_000);
--- a/crates/cluster-member/src/lib.rs
+++ b/crates/cluster-member/src/lib.rs
@@ -4,12 +4,12 @@
 //! Nothing here is on the way of a request: a member that reaches no keeper goes on as if there were no fleet.
 
 pub mod clock;
-pub mod cold;
+pub mod coordinator_client;
 pub mod effects;
-pub mod keepers;
-pub mod list;
+pub mod endpoint_list;
+pub mod health_check;
 pub mod member;
 pub mod record;
 pub mod settings;
-pub mod watch;
+pub mod slow_start;
 pub mod wire;
--- a/crates/cluster-member/src/settings.rs
+++ b/crates/cluster-member/src/settings.rs
@@ -6,8 +6,8 @@
 use coordination::Times;
 use hcl_config::{Read, Section};
 
-use crate::cold::Dealing;
-use crate::watch::{Flaw, Watching};
+use crate::health_check::{HealthCheckConfig, InjectedBug};
+use crate::slow_start::QuotaConfig;
 
 /// How often a watched worker is probed, in milliseconds, into how many sets the workers are cut, after how many
 /// failures in a row one is told to fail, and for how many periods that holds, where the file does not say.
@@ -98,7 +98,7 @@
 ///
 /// # Errors
 /// A figure is out of bounds, or two do not fit together: the fault names both.
-pub fn watching(section: &Section) -> Read<Watching> {
+pub fn watching(section: &Section) -> Read<HealthCheckConfig> {
     let period = section.whole("every_ms", 100..=60_000)?.unwrap_or(EVERY_MS) * 1_000;
     let holds = section.whole("holds_ms", 200..=600_000)?.map_or(HOLDS * period, |ms| ms * 1_000);
     if holds < 2 * period {
@@ -107,13 +107,13 @@
             "does not fit to every_ms: wanted at least twice as long, or what is said lapses between two probes",
         ));
     }
-    Ok(Watching {
-        sets: section.whole("sets", 1..=MOST_SETS)?.unwrap_or(SETS) as u16,
-        zones: 1,
-        period,
-        fails: section.whole("fails", 1..=100)?.unwrap_or(FAILS) as u16,
-        holds,
-        flaw: flaw(section)?,
+    Ok(HealthCheckConfig {
+        set_count: section.whole("sets", 1..=MOST_SETS)?.unwrap_or(SETS) as u16,
+        zone_count: 1,
+        probe_interval: period,
+        failure_threshold: section.whole("fails", 1..=100)?.unwrap_or(FAILS) as u16,
+        report_ttl: holds,
+        injected_bug: flaw(section)?,
     })
 }
 
@@ -121,29 +121,29 @@
 ///
 /// # Errors
 /// A figure is missing or out of bounds.
-pub fn dealing(section: &Section, times: &Times) -> Read<Dealing> {
+pub fn dealing(section: &Section, times: &Times) -> Read<QuotaConfig> {
     let slots = section.number("slots", 0.1..=1e6)?;
-    Ok(Dealing {
-        slots: slots
+    Ok(QuotaConfig {
+        smallest_worker_slots: slots
             .ok_or_else(|| section.fault("slots", "is missing: the slots of the smallest kind of worker"))?,
-        part: section.number("part", 0.0..=PART)?.unwrap_or(PART),
-        expiry: section.whole("expiry_ms", 200..=10_000)?.unwrap_or(EXPIRY_MS) * 1_000,
-        written: 0,
+        grantable_fraction: section.number("part", 0.0..=PART)?.unwrap_or(PART),
+        grant_ttl: section.whole("expiry_ms", 200..=10_000)?.unwrap_or(EXPIRY_MS) * 1_000,
+        delivery_timeout: 0,
         skew_ppm: times.skew_ppm,
     })
 }
 
 /// A flaw put in on purpose. Only a build for such tests knows the key.
 #[cfg(feature = "seeded-bugs")]
-fn flaw(section: &Section) -> Read<Option<Flaw>> {
+fn flaw(section: &Section) -> Read<Option<InjectedBug>> {
     let Some(name) = section.text("flaw")? else { return Ok(None) };
-    let known = Flaw::NAMES.iter().find(|(known, _)| *known == name);
+    let known = InjectedBug::NAMES.iter().find(|(known, _)| *known == name);
     known
         .map(|(_, flaw)| Some(*flaw))
         .ok_or_else(|| section.fault("flaw", format!("there is no flaw {name:?}")))
 }
 
 #[cfg(not(feature = "seeded-bugs"))]
-fn flaw(_: &Section) -> Read<Option<Flaw>> {
+fn flaw(_: &Section) -> Read<Option<InjectedBug>> {
     Ok(None)
 }
--- a/crates/cluster-member/src/wire.rs
+++ b/crates/cluster-member/src/wire.rs
@@ -419,9 +419,7 @@
                 Ok((
                     _,
                     ServerHello::Rejected(HandshakeRejection::UnsupportedSchema { latest_supported: ours }),
-                ))
-                    if (OLDEST_SCHEMA_VERSION..hello.schema_version).contains(&ours) =>
-                {
+                )) if (OLDEST_SCHEMA_VERSION..hello.schema_version).contains(&ours) => {
                     hello.schema_version = ours;
                 }
                 Ok((_, ServerHello::Rejected(why))) => {
--- a/crates/cluster-member/tests/format.rs
+++ b/crates/cluster-member/tests/format.rs
@@ -2,10 +2,10 @@
 
 mod support;
 
-use cluster_member::cold::{Grant, Grants, Use, COLD};
-use cluster_member::list::{Ledger, News, LIST};
+use cluster_member::endpoint_list::{EndpointSnapshot, WatchEvent, ENDPOINT_LIST_LEASE};
+use cluster_member::health_check::{FailingWorker, HealthCheckConfig, HealthReport, ZoneReport};
 use cluster_member::record::Recorder;
-use cluster_member::watch::{Failing, Report, Watching, ZoneSeen};
+use cluster_member::slow_start::{Grant, QuotaGrants, UsageReport, SLOW_START_LEASE};
 use cluster_member::wire::{
     encode, ClientHello, ClientIdentity, CoordinatorMessage, Effect, EffectResponse, HandshakeRejected,
     HandshakeRejection, Operation, Peer, ReplicaStatus, Request, Response, ServerHello, StoreIdentity,
@@ -164,8 +164,7 @@
                 boot_id: 0x0102_0304_0506_0708,
                 zone: "north".to_owned(),
                 address: "127.0.0.1:7201".to_owned(),
-                eligible_leases:
-                offers,
+                eligible_leases: offers,
             },
         ),
         (
@@ -236,7 +235,9 @@
         ),
         (
             "disruption state not changed, since schema 3".to_owned(),
-            Response::DisruptionStateChanged(DisruptionOutcome::Rejected(Rejection::VersionConflict { version: 5 })),
+            Response::DisruptionStateChanged(DisruptionOutcome::Rejected(Rejection::VersionConflict {
+                version: 5,
+            })),
         ),
     ]);
     let mut text = String::new();
@@ -265,61 +266,72 @@
 
 #[test]
 fn health_reports() {
-    let report = Report {
-        zone: "north".to_owned(),
-        sent: 1_000_000,
-        sees: true,
+    let report = HealthReport {
+        observer_zone: "north".to_owned(),
+        sent_at: 1_000_000,
+        sees_healthy_worker: true,
         zones: vec![
-            ZoneSeen { name: "north".to_owned(), lit: true, failing: 1 },
-            ZoneSeen { name: "south".to_owned(), lit: false, failing: 300 },
+            ZoneReport { name: "north".to_owned(), reachable: true, failing_count: 1 },
+            ZoneReport { name: "south".to_owned(), reachable: false, failing_count: 300 },
         ],
-        failing: vec![Failing { worker: 70_000, zone: 1, failures: 400, ago: 500, alone: true }],
+        failing: vec![FailingWorker {
+            worker: 70_000,
+            zone_index: 1,
+            consecutive_failures: 400,
+            age: 500,
+            zone_reachable: true,
+        }],
     };
-    assert_eq!(Report::unpack(&report.pack()).as_ref(), Some(&report));
+    assert_eq!(HealthReport::decode(&report.encode()).as_ref(), Some(&report));
     let mut of_no_zone = report.clone();
-    of_no_zone.failing[0].zone = 2;
-    assert_eq!(Report::unpack(&of_no_zone.pack()), None);
-    assert_pinned("health_reports", &hex(&report.pack()));
+    of_no_zone.failing[0].zone_index = 2;
+    assert_eq!(HealthReport::decode(&of_no_zone.encode()), None);
+    assert_pinned("health_reports", &hex(&report.encode()));
 }
 
 #[test]
 fn slow_start_grants_and_usage() {
-    let grant = |work| Grant { to: 300, asked: 1_000_000, worker: 70_000, work };
-    let grants = Grants(vec![grant(0.25), grant(2.0)]);
-    assert_eq!(Grants::unpack(&grants.pack()).as_ref(), Some(&grants));
-    assert_eq!(Grants::unpack(&Grants(vec![grant(0.0)]).pack()), None);
-    let most = |count| Grants(vec![grant(1.0); count]).pack();
-    assert!(Grants::unpack(&most(512)).is_some() && Grants::unpack(&most(513)).is_none());
-    let usage = Use { process: 300, asked: 1_000_000, jobs_per_s: 12.5, usual: 0.125 };
-    assert_eq!(Use::unpack(&usage.pack()), Some(usage));
+    let grant = |work| Grant { process_id: 300, clock_reading: 1_000_000, worker: 70_000, work };
+    let grants = QuotaGrants(vec![grant(0.25), grant(2.0)]);
+    assert_eq!(QuotaGrants::decode(&grants.encode()).as_ref(), Some(&grants));
+    assert_eq!(QuotaGrants::decode(&QuotaGrants(vec![grant(0.0)]).encode()), None);
+    let most = |count| QuotaGrants(vec![grant(1.0); count]).encode();
+    assert!(QuotaGrants::decode(&most(512)).is_some() && QuotaGrants::decode(&most(513)).is_none());
+    let usage =
+        UsageReport { process_id: 300, clock_reading: 1_000_000, jobs_per_second: 12.5, typical_work: 0.125 };
+    assert_eq!(UsageReport::decode(&usage.encode()), Some(usage));
     for wrong in [f64::NAN, f64::INFINITY, -1.0, 1e9] {
-        assert_eq!(Use::unpack(&Use { jobs_per_s: wrong, ..usage }.pack()), None);
-        assert_eq!(Use::unpack(&Use { usual: wrong, ..usage }.pack()), None);
+        assert_eq!(UsageReport::decode(&UsageReport { jobs_per_second: wrong, ..usage }.encode()), None);
+        assert_eq!(UsageReport::decode(&UsageReport { typical_work: wrong, ..usage }.encode()), None);
     }
-    let text = format!("grants: {}\nusage: {}\n", hex(&grants.pack()), hex(&usage.pack()));
+    let text = format!("grants: {}\nusage: {}\n", hex(&grants.encode()), hex(&usage.encode()));
     assert_pinned("slow_start_grants_and_usage", &text);
 }
 
 #[test]
 fn endpoint_list_events() {
-    let mut ledger = Ledger::default();
+    let mut ledger = EndpointSnapshot::default();
     let member = |id: &str, phase: &str| json!({"id": id, "phase": phase, "locality": "north", "more": [1]});
-    ledger.take(&json!({"revision": 4, "complete": true, "members": [member("b", "in_service"), member("a", "in_service")]}));
-    ledger.take(
+    ledger.apply(&json!({"revision": 4, "complete": true, "members": [member("b", "in_service"), member("a", "in_service")]}));
+    ledger.apply(
         &json!({"revision": 5, "complete": false, "members": [member("b", "terminated"), member("c", "starting")]}),
     );
-    let whole = News { source: "127.0.0.1:7000".to_owned(), members: 3, list: ledger.list().unwrap() };
-    let unchanged = News {
+    let whole = WatchEvent {
+        source: "127.0.0.1:7000".to_owned(),
+        member_count: 3,
+        list: ledger.complete_list().unwrap(),
+    };
+    let unchanged = WatchEvent {
         source: "127.0.0.1:7000".to_owned(),
-        members: 3,
+        member_count: 3,
         list: json!({"revision": ledger.revision()}),
     };
-    assert!(whole.is_whole() && !unchanged.is_whole());
+    assert!(whole.is_complete() && !unchanged.is_complete());
     assert_eq!((whole.revision(), unchanged.revision()), (5, 5));
     let mut text = String::new();
     for event in [whole, unchanged] {
         let line = serde_json::to_string(&event).unwrap();
-        assert_eq!(serde_json::from_str::<News>(&line).unwrap(), event);
+        assert_eq!(serde_json::from_str::<WatchEvent>(&line).unwrap(), event);
         text += &format!("{line}\n");
     }
     assert_pinned("endpoint_list_events", &text);
@@ -327,18 +339,25 @@
 
 #[test]
 fn leases_and_the_sets_of_workers() {
-    let watching = Watching { sets: 8, zones: 3, period: 1_000_000, fails: 2, holds: 4_000_000, flaw: None };
-    let mut text = format!("list: {LIST}\nslow start: {COLD}\nhealth checks:");
-    for duty in watching.duties() {
-        text += &format!(" {duty}={:?}", watching.set(&duty));
+    let watching = HealthCheckConfig {
+        set_count: 8,
+        zone_count: 3,
+        probe_interval: 1_000_000,
+        failure_threshold: 2,
+        report_ttl: 4_000_000,
+        injected_bug: None,
+    };
+    let mut text = format!("list: {ENDPOINT_LIST_LEASE}\nslow start: {SLOW_START_LEASE}\nhealth checks:");
+    for duty in watching.leases() {
+        text += &format!(" {duty}={:?}", watching.set_of_lease(&duty));
     }
     text += "\n";
     for (sets, zones) in [(8, 3), (8, 1), (2, 5), (100, 7)] {
-        let watching = Watching { sets, zones, ..watching };
-        text += &format!("{}:", watching.name());
+        let watching = HealthCheckConfig { set_count: sets, zone_count: zones, ..watching };
+        text += &format!("{}:", watching.lease_name());
         for worker in [0, 1, 70_000, u64::MAX] {
             for zone in 0..3 {
-                text += &format!(" {}", watching.set_of(worker, zone));
+                text += &format!(" {}", watching.set_of_worker(worker, zone));
             }
         }
         text += "\n";
--- a/crates/cluster-member/tests/sessions.rs
+++ b/crates/cluster-member/tests/sessions.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use cluster_member::coordinator_client::Keepers;
 use cluster_member::effects::{receive, Publisher};
-use cluster_member::keepers::Keepers;
 use cluster_member::member::{Ended, Member, Settings};
 use cluster_member::record::Recorder;
 use cluster_member::wire::{
--- a/crates/cluster-member/tests/settings.rs
+++ b/crates/cluster-member/tests/settings.rs
@@ -86,19 +86,19 @@
     if let Some(section) = top.section("watch")? {
         let watching = settings::watching(section)?;
         lines.extend([
-            format!("sets: {}, zones: {}", watching.sets, watching.zones),
-            format!("period: {} us", watching.period),
-            format!("failures: {}", watching.fails),
-            format!("holds: {} us", watching.holds),
-            format!("bug: {}", watching.flaw.is_some()),
+            format!("sets: {}, zones: {}", watching.set_count, watching.zone_count),
+            format!("period: {} us", watching.probe_interval),
+            format!("failures: {}", watching.failure_threshold),
+            format!("holds: {} us", watching.report_ttl),
+            format!("bug: {}", watching.injected_bug.is_some()),
         ]);
     }
     if let Some(section) = top.section("cold")? {
         let dealing = settings::dealing(section, &times)?;
         lines.extend([
-            format!("slots: {}", dealing.slots),
-            format!("part: {}", dealing.part),
-            format!("expiry: {} us, written: {} us", dealing.expiry, dealing.written),
+            format!("slots: {}", dealing.smallest_worker_slots),
+            format!("part: {}", dealing.grantable_fraction),
+            format!("expiry: {} us, written: {} us", dealing.grant_ttl, dealing.delivery_timeout),
             format!("skew: {} ppm", dealing.skew_ppm),
         ]);
     }
--- a/crates/coordinator/src/ctl.rs
+++ b/crates/coordinator/src/ctl.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-use cluster_member::keepers::Keepers;
+use cluster_member::coordinator_client::Keepers;
 use cluster_member::wire::{
     ClientHello, ClientIdentity, Connection, CoordinatorMessage, Operation, ReplicaStatus, Request, Response,
     SCHEMA_VERSION,
--- a/crates/dispatcher/src/net/cold.rs
+++ b/crates/dispatcher/src/net/cold.rs
@@ -5,9 +5,12 @@
 use std::rc::Rc;
 
 use cluster_member::clock;
-use cluster_member::cold::{Ages, Dealer, Dealing, Grants, Purse, Use, Warming, COLD};
 use cluster_member::effects::Publisher;
 use cluster_member::member::Member;
+use cluster_member::slow_start::{
+    EndpointAges, GrantedQuota, QuotaAllocator, QuotaConfig, QuotaGrants, SlowStartProfile, UsageReport,
+    SLOW_START_LEASE,
+};
 use cluster_member::wire::Effect;
 use coordination::{DutyId, Micros, Token};
 use tokio::time::{interval, MissedTickBehavior};
@@ -27,14 +30,14 @@
 
 struct Term {
     token: Token,
-    dealer: Rc<RefCell<Dealer>>,
+    dealer: Rc<RefCell<QuotaAllocator>>,
     publisher: Publisher,
 }
 
 /// This dispatcher's part in cold grants.
 pub(super) struct Colds {
-    how: Dealing,
-    warming: Warming,
+    how: QuotaConfig,
+    warming: SlowStartProfile,
     member: Member,
     pool: Rc<Pool>,
     metrics: FleetMetrics,
@@ -44,15 +47,15 @@
     usual: Rc<Cell<f64>>,
     jobs_per_s: Cell<f64>,
     counted: Cell<u64>,
-    ages: RefCell<Ages>,
-    purse: RefCell<Purse>,
+    ages: RefCell<EndpointAges>,
+    purse: RefCell<GrantedQuota>,
     term: RefCell<Option<Term>>,
     random: RefCell<fastrand::Rng>,
 }
 
 impl Colds {
     pub(super) fn new(
-        (how, warming): (Dealing, Warming),
+        (how, warming): (QuotaConfig, SlowStartProfile),
         member: Member,
         pool: Rc<Pool>,
         metrics: FleetMetrics,
@@ -71,7 +74,7 @@
             jobs_per_s: Cell::default(),
             counted: Cell::default(),
             ages: RefCell::default(),
-            purse: RefCell::new(Purse::new(process, &how)),
+            purse: RefCell::new(GrantedQuota::new(process, &how)),
             term: RefCell::default(),
             random: RefCell::new(fastrand::Rng::with_seed(seed)),
         }
@@ -79,21 +82,26 @@
 
     /// The owner says what it grants, its token was found good; the answer says what is used here.
     pub(super) fn heard(&self, effect: &Effect) -> Vec<u8> {
-        match Grants::unpack(&effect.body) {
+        match QuotaGrants::decode(&effect.body) {
             Some(grants) => self.granted(effect.token, effect.sequence, &grants),
             None => tracing::warn!("what is granted of cold workers cannot be read"),
         }
-        self.used().pack()
+        self.used().encode()
     }
 
-    fn used(&self) -> Use {
+    fn used(&self) -> UsageReport {
         let (asked, usual) = (clock::now(), self.usual.get());
-        Use { process: self.process, asked, jobs_per_s: self.jobs_per_s.get(), usual }
+        UsageReport {
+            process_id: self.process,
+            clock_reading: asked,
+            jobs_per_second: self.jobs_per_s.get(),
+            typical_work: usual,
+        }
     }
 
-    fn granted(&self, token: Token, version: u64, grants: &Grants) {
+    fn granted(&self, token: Token, version: u64, grants: &QuotaGrants) {
         let now = clock::now();
-        for (worker, work, until) in self.purse.borrow_mut().take(token, version, grants, now) {
+        for (worker, work, until) in self.purse.borrow_mut().accept(token, version, grants, now) {
             let at = self.pool.clock.now() + until.saturating_sub(now);
             let what = serde_json::json!({"worker": worker, "work": work, "until": until, "token": token.0});
             self.member.record().put(now, "granted", what);
@@ -133,22 +141,22 @@
     fn list(&self, now: Micros) {
         let peers = self.pool.peers.borrow();
         let serving = peers.iter().filter(|(_, peer)| peer.serves.get());
-        self.ages.borrow_mut().list(now, serving.map(|(id, peer)| (id.0, peer.since.get().to_bits())));
+        self.ages.borrow_mut().update(now, serving.map(|(id, peer)| (id.0, peer.since.get().to_bits())));
     }
 
     fn own(&self, now: Micros) {
-        let duty = DutyId::fleet(COLD);
+        let duty = DutyId::fleet(SLOW_START_LEASE);
         let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
             Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
             Some((duty, token)) => {
                 tracing::info!(token = token.0, "hands out what cold workers bear");
-                let dealer = Rc::new(RefCell::new(Dealer::new(self.how, self.warming, now)));
+                let dealer = Rc::new(RefCell::new(QuotaAllocator::new(self.how, self.warming, now)));
                 let hears = dealer.clone();
                 let publisher = Publisher::hearing(&self.member, duty, token, move |said| {
-                    if let Some(used) = Use::unpack(said) {
-                        hears.borrow_mut().heard(used, clock::now());
+                    if let Some(used) = UsageReport::decode(said) {
+                        hears.borrow_mut().record_usage(used, clock::now());
                     }
                 });
                 *term = Some(Term { token, dealer, publisher });
@@ -160,21 +168,22 @@
     /// Grants what can be granted now. While no worker is cold nothing is said.
     fn deal(&self, now: Micros) {
         let mut term = self.term.borrow_mut();
-        let Some(term) = term.as_mut().filter(|_| self.ages.borrow().any_younger(now, self.warming.within))
+        let Some(term) =
+            term.as_mut().filter(|_| self.ages.borrow().any_younger(now, self.warming.ramp_duration))
         else {
             return;
         };
         let grants = {
             let mut dealer = term.dealer.borrow_mut();
-            dealer.heard(self.used(), now);
+            dealer.record_usage(self.used(), now);
             let mut random = self.random.borrow_mut();
-            let grants = dealer.deal(now, &self.ages.borrow(), || random.f64());
-            self.metrics.dealt.set(dealer.total());
+            let grants = dealer.allocate(now, &self.ages.borrow(), || random.f64());
+            self.metrics.dealt.set(dealer.total_granted());
             grants
         };
-        let version = term.publisher.say(grants.pack());
+        let version = term.publisher.say(grants.encode());
         // Our own part, by the same rules as everybody's: the lease is looked at immediately before.
-        if self.member.may_act(&DutyId::fleet(COLD), term.token) {
+        if self.member.may_act(&DutyId::fleet(SLOW_START_LEASE), term.token) {
             self.granted(term.token, version, &grants);
         }
     }
--- a/crates/dispatcher/src/net/discovery.rs
+++ b/crates/dispatcher/src/net/discovery.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use cluster_member::list::News;
+use cluster_member::endpoint_list::WatchEvent;
 use rustc_hash::FxHashMap;
 use serde_json::Value;
 use tokio::net::TcpStream;
@@ -71,7 +71,7 @@
     mut configs: Configs,
     handle: Handle,
     ready: watch::Sender<bool>,
-    fleet: Option<(Rc<Lists>, mpsc::Receiver<News>)>,
+    fleet: Option<(Rc<Lists>, mpsc::Receiver<WatchEvent>)>,
 ) {
     let (known, mut members) = configs.borrow().known.clone();
     let told = Told { revision: Cell::default(), newest: Cell::default(), states: RefCell::default() };
@@ -143,7 +143,7 @@
 /// that neither a late word nor one that lags behind brings anything back.
 async fn hear(
     lists: Rc<Lists>,
-    mut news: mpsc::Receiver<News>,
+    mut news: mpsc::Receiver<WatchEvent>,
     told: Rc<Told>,
     configs: Configs,
     handle: Handle,
@@ -154,7 +154,7 @@
             tracing::debug!(source = news.source, "the fleet's list is of another source");
             continue;
         }
-        if news.is_whole() && news.revision() > told.newest.get() {
+        if news.is_complete() && news.revision() > told.newest.get() {
             let list = config::list(&news.list, &configs.borrow().names);
             match list {
                 Ok(mut list) => {
--- a/crates/dispatcher/src/net/fleet.rs
+++ b/crates/dispatcher/src/net/fleet.rs
@@ -10,12 +10,12 @@
 use std::time::Duration;
 
 use cluster_member::clock;
-use cluster_member::cold::{Dealing, Warming, COLD};
 use cluster_member::effects::{receive, Publisher};
-use cluster_member::list::{Ledger, News, Reliance, LIST};
+use cluster_member::endpoint_list::{DiscoveryFallback, EndpointSnapshot, WatchEvent, ENDPOINT_LIST_LEASE};
+use cluster_member::health_check::HealthCheckConfig;
 use cluster_member::member::{Ended, Member, Settings};
 use cluster_member::record::Recorder;
-use cluster_member::watch::Watching;
+use cluster_member::slow_start::{QuotaConfig, SlowStartProfile, SLOW_START_LEASE};
 use coordination::{DutyId, Holder, Micros};
 use dispatch_core::settings::worker_id;
 use disruption_budget::availability_observer::{ListedWorker, WarmupTracker, OBSERVER_LEASE};
@@ -48,8 +48,8 @@
     /// What revisions count at.
     source: RefCell<String>,
     member: Member,
-    ledger: RefCell<Ledger>,
-    reliance: RefCell<Reliance>,
+    ledger: RefCell<EndpointSnapshot>,
+    reliance: RefCell<DiscoveryFallback>,
     /// Whether discovery is to be asked from here.
     asks: watch::Sender<bool>,
     term: RefCell<Option<Publisher>>,
@@ -65,7 +65,7 @@
 pub(super) struct Joined {
     pub(super) lists: Rc<Lists>,
     /// What an owner of the list says.
-    pub(super) news: mpsc::Receiver<News>,
+    pub(super) news: mpsc::Receiver<WatchEvent>,
     /// Who decides on a planned standby, where that is agreed on.
     pub(super) leave: Option<Rc<Leave>>,
 }
@@ -81,11 +81,12 @@
     let listener = TcpListener::bind(settings.listen).await?;
     let address = settings.address.map_or_else(|| listener.local_addr(), Ok)?;
     let zones = config.names.zones.len().clamp(1, usize::from(u16::MAX)) as u16;
-    let watch = settings.watch.map(|how| Watching { zones, ..how });
-    let mut offers: Vec<DutyId> = settings.list.then(|| DutyId::fleet(LIST)).into_iter().collect();
-    offers.extend(settings.cold.map(|_| DutyId::fleet(COLD)));
+    let watch = settings.watch.map(|how| HealthCheckConfig { zone_count: zones, ..how });
+    let mut offers: Vec<DutyId> =
+        settings.list.then(|| DutyId::fleet(ENDPOINT_LIST_LEASE)).into_iter().collect();
+    offers.extend(settings.cold.map(|_| DutyId::fleet(SLOW_START_LEASE)));
     offers.extend(settings.account.map(|_| DutyId::fleet(OBSERVER_LEASE)));
-    offers.extend(watch.iter().flat_map(|how| how.duties()));
+    offers.extend(watch.iter().flat_map(|how| how.leases()));
     let zone = config.names.zones.get(config.settings.zone as usize).cloned().unwrap_or_default();
     let member = Settings {
         installation: settings.installation.clone(),
@@ -107,27 +108,27 @@
         watch.map(|how| Rc::new(Watchers::new(how, zone, member.clone(), pool.clone(), metrics.clone())));
     watchers.iter().for_each(|watchers| drop(spawn_local(watchers.clone().rounds())));
     let colds = settings.cold.map(|how| {
-        let both = (Dealing { written: config.dial_timeout + WRITTEN, ..how }, warming(config));
+        let both = (QuotaConfig { delivery_timeout: config.dial_timeout + WRITTEN, ..how }, warming(config));
         Rc::new(Colds::new(both, member.clone(), pool.clone(), metrics.clone(), usual, config.seed ^ 0xc01d))
     });
     colds.iter().for_each(|colds| drop(spawn_local(colds.clone().rounds())));
     let leave = settings.account.map(|holds| {
         let cold = warming(config);
-        let warmup = WarmupTracker::new(cold.share, cold.within);
+        let warmup = WarmupTracker::new(cold.initial_capacity_fraction, cold.ramp_duration);
         Rc::new(Leave::new(holds, member.clone(), own, metrics.clone(), warmup))
     });
     leave.iter().for_each(|leave| drop(spawn_local(leave.clone().rounds())));
     let (leaver, watches) = (leave.clone(), watchers.clone());
     spawn_local(receive(member.clone(), listener, move |effect| match effect.lease.name.as_str() {
-        LIST => {
-            if let Ok(news) = serde_json::from_slice::<News>(&effect.body) {
+        ENDPOINT_LIST_LEASE => {
+            if let Ok(news) = serde_json::from_slice::<WatchEvent>(&effect.body) {
                 // The latest counts; where the queue is full, the next one says more than this.
                 let _ = sender.try_send(news);
             }
             Vec::new()
         }
         OBSERVER_LEASE => leaver.as_ref().map_or_else(Vec::new, |leave| leave.heard()),
-        COLD => colds.as_ref().map_or_else(Vec::new, |colds| colds.heard(&effect)),
+        SLOW_START_LEASE => colds.as_ref().map_or_else(Vec::new, |colds| colds.heard(&effect)),
         _ => {
             watchers.iter().for_each(|watchers| watchers.heard(&effect));
             Vec::new()
@@ -135,7 +136,7 @@
     }));
     spawn_local(figures(member.clone(), metrics));
     let source = settings.source.clone().unwrap_or_else(|| config.discovery.to_string());
-    let reliance = Reliance::drawn(settings.silence, settings.fallback_per_s, config.seed);
+    let reliance = DiscoveryFallback::with_seed(settings.silence, settings.fallback_per_s, config.seed);
     let lists = Rc::new(Lists {
         settings: settings.clone(),
         source: RefCell::new(source),
@@ -159,13 +160,13 @@
 }
 
 /// What the platform says of cold workers.
-fn warming(config: &Config) -> Warming {
+fn warming(config: &Config) -> SlowStartProfile {
     let settings = &config.settings;
-    Warming {
-        share: settings.cold_share,
-        within: micros(settings.warm_within),
-        multiple: settings.fall_multiple,
-        span: micros(settings.fall_span),
+    SlowStartProfile {
+        initial_capacity_fraction: settings.cold_share,
+        ramp_duration: micros(settings.warm_within),
+        overload_factor: settings.fall_multiple,
+        overload_window: micros(settings.fall_span),
     }
 }
 
@@ -227,14 +228,14 @@
         self.heard.set(clock::now());
         self.due.set(true);
         if let Some(list) = list {
-            self.ledger.borrow_mut().take(list);
+            self.ledger.borrow_mut().apply(list);
         }
     }
 
     /// Discovery is another place from here on, or read by other names: it is asked from here first.
     pub(super) fn moved(&self, discovery: SocketAddr) {
-        self.ledger.borrow_mut().forget();
-        self.reliance.borrow_mut().forget();
+        self.ledger.borrow_mut().clear();
+        self.reliance.borrow_mut().reset();
         self.decide();
         if self.settings.source.is_none() {
             *self.source.borrow_mut() = discovery.to_string();
@@ -242,20 +243,20 @@
     }
 
     /// Whether an owner's news are of the same source, so that revisions can be compared.
-    pub(super) fn concerns(&self, news: &News) -> bool {
+    pub(super) fn concerns(&self, news: &WatchEvent) -> bool {
         news.source == *self.source.borrow()
     }
 
     /// An owner's news were taken in, and all that it knows is known here.
-    pub(super) fn relies(&self, news: &News) {
-        self.ledger.borrow_mut().take(&news.list);
-        self.reliance.borrow_mut().heard(clock::now(), news.members);
+    pub(super) fn relies(&self, news: &WatchEvent) {
+        self.ledger.borrow_mut().apply(&news.list);
+        self.reliance.borrow_mut().record_event(clock::now(), news.member_count);
         self.decide();
     }
 
     fn decide(&self) {
         let owns = self.term.borrow().is_some();
-        let asks = self.reliance.borrow().asks(clock::now(), owns);
+        let asks = self.reliance.borrow().should_poll(clock::now(), owns);
         let changed = self.asks.send_if_modified(|old| std::mem::replace(old, asks) != asks);
         if changed {
             tracing::info!(
@@ -283,7 +284,7 @@
 
     /// Notices whether this member owns the duty, and gives it back where discovery is silent here.
     fn own(&self) {
-        let duty = DutyId::fleet(LIST);
+        let duty = DutyId::fleet(ENDPOINT_LIST_LEASE);
         let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
@@ -311,14 +312,17 @@
         let mut term = self.term.borrow_mut();
         let Some(term) = term.as_mut().filter(|_| self.due.get()) else { return };
         let ledger = self.ledger.borrow();
-        let Some(list) = ledger.list() else { return };
+        let Some(list) = ledger.complete_list() else { return };
         self.due.set(false);
         let state = (ledger.revision(), self.member.roster().len());
         let whole = self.told.replace(state) != state;
         let members = state.1 as u64;
         let revision = serde_json::json!({"revision": state.0});
-        let news =
-            News { source: self.source.borrow().clone(), members, list: if whole { list } else { revision } };
+        let news = WatchEvent {
+            source: self.source.borrow().clone(),
+            member_count: members,
+            list: if whole { list } else { revision },
+        };
         if let Ok(body) = serde_json::to_vec(&news) {
             term.say(body);
         }
--- a/crates/dispatcher/src/net/leave.rs
+++ b/crates/dispatcher/src/net/leave.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use cluster_member::clock;
+use cluster_member::coordinator_client::Keepers;
 use cluster_member::effects::Publisher;
-use cluster_member::keepers::Keepers;
 use cluster_member::member::Member;
 use cluster_member::wire::{ClientIdentity, Operation, Response};
 use coordination::{DutyId, Micros, Token};
@@ -165,10 +165,12 @@
             force,
         };
         let permit = match keepers.ask(&Operation::ChangeDisruptionState(request), by).await {
-            Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested(permit, PermitState::Waiting))) => {
+            Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested(
+                permit,
+                PermitState::Waiting,
+            ))) => {
                 let held = match keepers.ask(&Operation::DisruptionState { known_revision: 0 }, by).await {
-                    Ok(Response::DisruptionState(_, Some(account))) =>
-                        account
+                    Ok(Response::DisruptionState(_, Some(account))) => account
                         .blocking_budget(permit)
                         .map(|budget| format!(": budget {:?} is used up", budget.name)),
                     _ => None,
--- a/crates/dispatcher/src/net/watchers.rs
+++ b/crates/dispatcher/src/net/watchers.rs
@@ -7,8 +7,11 @@
 
 use cluster_member::clock;
 use cluster_member::effects::Publisher;
+use cluster_member::health_check::{
+    HealthCheckConfig, HealthCheckScheduler, HealthReport, HealthReports, InjectedBug, UnhealthyVerdict,
+    ZoneLiveness,
+};
 use cluster_member::member::Member;
-use cluster_member::watch::{Against, Flaw, Report, Rounds, Sightings, Watching, Zones};
 use cluster_member::wire::Effect;
 use coordination::{Micros, Token};
 use tokio::task::{spawn_local, AbortHandle};
@@ -24,7 +27,7 @@
 /// One set in one term of ours.
 struct Term {
     token: Token,
-    rounds: Rounds,
+    rounds: HealthCheckScheduler,
     publisher: Publisher,
     /// The probes that are out.
     probes: BTreeMap<u64, AbortHandle>,
@@ -38,7 +41,7 @@
 
 /// This dispatcher's part in watching workers.
 pub(super) struct Watchers {
-    how: Watching,
+    how: HealthCheckConfig,
     /// Our own zone.
     zone: String,
     member: Member,
@@ -46,31 +49,31 @@
     metrics: FleetMetrics,
     terms: RefCell<BTreeMap<u16, Term>>,
     /// What all our sets say of each zone.
-    zones: RefCell<Zones>,
-    sightings: RefCell<Sightings>,
+    zones: RefCell<ZoneLiveness>,
+    sightings: RefCell<HealthReports>,
     /// What the engine was told is held against whom.
-    told: RefCell<BTreeMap<u64, Against>>,
+    told: RefCell<BTreeMap<u64, UnhealthyVerdict>>,
 }
 
 impl Watchers {
     pub(super) fn new(
-        how: Watching,
+        how: HealthCheckConfig,
         zone: String,
         member: Member,
         pool: Rc<Pool>,
         metrics: FleetMetrics,
     ) -> Watchers {
-        let sightings = RefCell::new(Sightings::new(how));
+        let sightings = RefCell::new(HealthReports::new(how));
         let (terms, told, zones) = (RefCell::default(), RefCell::default(), RefCell::default());
         Watchers { how, zone, member, pool, metrics, terms, zones, sightings, told }
     }
 
     /// Another member says what it sees; its token was found good.
     pub(super) fn heard(&self, effect: &Effect) {
-        let Some(set) = self.how.set(&effect.lease) else { return };
-        match Report::unpack(&effect.body) {
+        let Some(set) = self.how.set_of_lease(&effect.lease) else { return };
+        match HealthReport::decode(&effect.body) {
             Some(report) => {
-                self.sightings.borrow_mut().take(set, effect.token, report, clock::now());
+                self.sightings.borrow_mut().record(set, effect.token, report, clock::now());
                 self.tell_engine();
             }
             None => tracing::warn!(duty = %effect.lease, "what a watcher says cannot be read"),
@@ -102,17 +105,17 @@
             .member
             .owned()
             .into_iter()
-            .filter_map(|(duty, token)| Some((self.how.set(&duty)?, token)))
+            .filter_map(|(duty, token)| Some((self.how.set_of_lease(&duty)?, token)))
             .collect();
         let mut terms = self.terms.borrow_mut();
         terms.retain(|set, term| owned.get(set) == Some(&term.token));
         for (set, token) in owned {
             terms.entry(set).or_insert_with(|| {
                 tracing::info!(set, token = token.0, "watches workers for the fleet");
-                let duty = coordination::DutyId::set(&self.how.name(), set);
+                let duty = coordination::DutyId::set(&self.how.lease_name(), set);
                 Term {
                     token,
-                    rounds: Rounds::new(self.how, &self.zone),
+                    rounds: HealthCheckScheduler::new(self.how, &self.zone),
                     publisher: Publisher::new(&self.member, duty, token),
                     probes: BTreeMap::new(),
                 }
@@ -128,16 +131,16 @@
         let peers = self.pool.peers.borrow();
         let (mut watched, mut failing) = (0, 0);
         for (set, term) in terms.iter_mut() {
-            let ours = peers
-                .iter()
-                .filter(|(id, peer)| peer.serves.get() && self.how.set_of(id.0, peer.zone.get()) == *set);
+            let ours = peers.iter().filter(|(id, peer)| {
+                peer.serves.get() && self.how.set_of_worker(id.0, peer.zone.get()) == *set
+            });
             let zone = |at: u32| zones.get(at as usize).map_or("", String::as_str);
-            term.rounds.list(now, ours.map(|(id, peer)| (id.0, zone(peer.zone.get()))));
-            for worker in term.rounds.due(now) {
+            term.rounds.update_workers(now, ours.map(|(id, peer)| (id.0, zone(peer.zone.get()))));
+            for worker in term.rounds.due_probes(now) {
                 let task = spawn_local(self.clone().look(*set, term.token, worker));
                 term.probes.insert(worker, task.abort_handle());
             }
-            let counts = term.rounds.counts();
+            let counts = term.rounds.worker_counts();
             (watched, failing) = (watched + counts.0, failing + counts.1);
         }
         self.metrics.watched.set(watched as i64);
@@ -145,16 +148,16 @@
     }
 
     async fn look(self: Rc<Self>, set: u16, token: Token, worker: u64) {
-        let duty = coordination::DutyId::set(&self.how.name(), set);
+        let duty = coordination::DutyId::set(&self.how.lease_name(), set);
         let may = || {
             // The last thing before the write: a look at the lease by the clock, and the time for the next one.
             let now = clock::now();
             let looked = self.member.holder().borrow().may_act(&duty, token, now);
-            let may = looked || self.how.flaw == Some(Flaw::NoLook);
+            let may = looked || self.how.injected_bug == Some(InjectedBug::SkipLeaseCheck);
             if may {
                 let what = serde_json::json!({"duty": duty.to_string(), "token": token.0, "worker": worker});
                 self.member.record().put(now, "acted", what);
-                self.with(set, token, |term| term.rounds.written(worker, now));
+                self.with(set, token, |term| term.rounds.probe_sent(worker, now));
                 self.metrics.probes.inc();
             }
             may
@@ -162,7 +165,7 @@
         let well = probe::look(&self.pool, WorkerId(worker), may).await;
         self.with(set, token, |term| {
             term.probes.remove(&worker);
-            term.rounds.ended(worker, well, clock::now(), &mut self.zones.borrow_mut());
+            term.rounds.probe_finished(worker, well, clock::now(), &mut self.zones.borrow_mut());
         });
     }
 
@@ -177,16 +180,16 @@
     fn say(&self) {
         for (set, term) in self.terms.borrow_mut().iter_mut() {
             let now = clock::now();
-            let Some(report) = term.rounds.report(now, &self.zones.borrow()) else { continue };
-            term.publisher.say(report.pack());
-            self.sightings.borrow_mut().take(*set, term.token, report, now);
+            let Some(report) = term.rounds.next_report(now, &self.zones.borrow()) else { continue };
+            term.publisher.say(report.encode());
+            self.sightings.borrow_mut().record(*set, term.token, report, now);
         }
     }
 
     /// Tells the engine what is held against whom, where that has changed.
     fn tell_engine(&self) {
         let now = clock::now();
-        let against = self.sightings.borrow().against(now);
+        let against = self.sightings.borrow().verdicts(now);
         let mut told = self.told.borrow_mut();
         if *told == against {
             return;
@@ -204,7 +207,7 @@
             if !told.contains_key(worker) {
                 tracing::info!(worker, "a watcher sees this worker fail");
             }
-            tell(*worker, now.saturating_sub(one.seen), one.until.saturating_sub(now));
+            tell(*worker, now.saturating_sub(one.last_failure), one.expires_at.saturating_sub(now));
         }
         self.metrics.against.set(against.len() as i64);
         *told = against;
--- a/crates/dispatcher/src/own.rs
+++ b/crates/dispatcher/src/own.rs
@@ -9,9 +9,9 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
-use cluster_member::cold::Dealing;
+use cluster_member::health_check::HealthCheckConfig;
 use cluster_member::settings;
-use cluster_member::watch::Watching;
+use cluster_member::slow_start::QuotaConfig;
 use coordination::{Micros, Times};
 use dispatch_core::api::RoomSettings;
 use hcl_config::{Read, Section};
@@ -60,11 +60,11 @@
     /// A file for records of what this member did and took on behalf of duties, a JSON object a line.
     pub record: Option<PathBuf>,
     /// How workers are watched by one member each, where they are.
-    pub watch: Option<Watching>,
+    pub watch: Option<HealthCheckConfig>,
     /// How long what a dispatcher says of itself counts, where drains are agreed across the fleet.
     pub account: Option<Micros>,
     /// How the budgets of cold workers are handed out by one member, where they are.
-    pub cold: Option<Dealing>,
+    pub cold: Option<QuotaConfig>,
 }
 
 /// What the file says.
@@ -181,12 +181,18 @@
         let fault = |text: String| Own::read("own.hcl", &text).unwrap_err().to_string();
         let watch = |inner: &str| format!("{head}{keepers}  watch {{\n{inner}  }}\n}}\n");
         let watched = Own::read("own.hcl", &watch("    sets = 4\n")).unwrap().fleet.unwrap().watch.unwrap();
-        assert_eq!((watched.sets, watched.period, watched.holds), (4, 1_000_000, 4_000_000));
+        assert_eq!(
+            (watched.set_count, watched.probe_interval, watched.report_ttl),
+            (4, 1_000_000, 4_000_000)
+        );
         let lapses = fault(watch("    every_ms = 2000\n    holds_ms = 3000\n"));
         assert!(lapses.contains("holds_ms") && lapses.contains("every_ms"), "{lapses}");
         let cold = |inner: &str| format!("{head}{keepers}  cold {{\n{inner}  }}\n}}\n");
         let dealt = Own::read("own.hcl", &cold("    slots = 8\n")).unwrap().fleet.unwrap().cold.unwrap();
-        assert_eq!((dealt.slots, dealt.part, dealt.expiry), (8.0, 0.5, 500_000));
+        assert_eq!(
+            (dealt.smallest_worker_slots, dealt.grantable_fraction, dealt.grant_ttl),
+            (8.0, 0.5, 500_000)
+        );
         assert!(fault(cold("")).contains("cold.slots"), "{}", fault(cold("")));
         assert!(fault(cold("    slots = 8\n    part = 0.6\n")).contains("cold.part"));
         assert!(fault(format!("{head}}}\n")).contains("wanted three or five keepers"));
--- a/crates/dispatcher/tests/pinned_settings.rs
+++ b/crates/dispatcher/tests/pinned_settings.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use cluster_member::cold::Dealing;
-use cluster_member::watch::Watching;
+use cluster_member::health_check::HealthCheckConfig;
+use cluster_member::slow_start::QuotaConfig;
 use coordination::Times;
 use dispatch_core::settings::worker_id;
 use dispatcher::api::{
@@ -285,16 +285,22 @@
         silence: 4_500_000,
         fallback_per_s: 12.5,
         record: Some("/var/log/fleet.jsonl".into()),
-        watch: Some(Watching {
-            sets: 9,
-            zones: 1,
-            period: 1_500_000,
-            fails: 3,
-            holds: 7_000_000,
-            flaw: None,
+        watch: Some(HealthCheckConfig {
+            set_count: 9,
+            zone_count: 1,
+            probe_interval: 1_500_000,
+            failure_threshold: 3,
+            report_ttl: 7_000_000,
+            injected_bug: None,
         }),
         account: Some(1_300_000),
-        cold: Some(Dealing { slots: 2.5, part: 0.25, expiry: 600_000, written: 0, skew_ppm: 1_200 }),
+        cold: Some(QuotaConfig {
+            smallest_worker_slots: 2.5,
+            grantable_fraction: 0.25,
+            grant_ttl: 600_000,
+            delivery_timeout: 0,
+            skew_ppm: 1_200,
+        }),
     }
 }
 
@@ -326,16 +332,22 @@
         silence: 3_000_000,
         fallback_per_s: 20.0,
         record: None,
-        watch: Some(Watching {
-            sets: 8,
-            zones: 1,
-            period: 1_000_000,
-            fails: 2,
-            holds: 4_000_000,
-            flaw: None,
+        watch: Some(HealthCheckConfig {
+            set_count: 8,
+            zone_count: 1,
+            probe_interval: 1_000_000,
+            failure_threshold: 2,
+            report_ttl: 4_000_000,
+            injected_bug: None,
         }),
         account: Some(1_000_000),
-        cold: Some(Dealing { slots: 1.0, part: 0.5, expiry: 500_000, written: 0, skew_ppm: 1_000 }),
+        cold: Some(QuotaConfig {
+            smallest_worker_slots: 1.0,
+            grantable_fraction: 0.5,
+            grant_ttl: 500_000,
+            delivery_timeout: 0,
+            skew_ppm: 1_000,
+        }),
     };
     assert_eq!(own.fleet, Some(expected));
 }
