--- a/crates/cluster-member/src/health_check.rs
+++ b/crates/cluster-member/src/health_check.rs
@@ -13,7 +13,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use coordination::{DutyId, Micros, Scope, Token};
+use coordination::{FencingToken, LeaseId, LeaseScope, Micros};
 use serde::{Deserialize, Serialize};
 
 /// Between two reports of one owner there is at least this.
@@ -68,14 +68,14 @@
     }
 
     /// All duties of this kind.
-    pub fn leases(&self) -> Vec<DutyId> {
-        (0..self.set_count).map(|set| DutyId::set(&self.lease_name(), set)).collect()
+    pub fn leases(&self) -> Vec<LeaseId> {
+        (0..self.set_count).map(|set| LeaseId::worker_set(&self.lease_name(), set)).collect()
     }
 
     /// The set that a duty is about, where it is one of these.
-    pub fn set_of_lease(&self, duty: &DutyId) -> Option<u16> {
+    pub fn set_of_lease(&self, duty: &LeaseId) -> Option<u16> {
         match duty.scope {
-            Scope::Set(set) if set < self.set_count && duty.name == self.lease_name() => Some(set),
+            LeaseScope::WorkerSet(set) if set < self.set_count && duty.name == self.lease_name() => Some(set),
             _ => None,
         }
     }
@@ -355,7 +355,7 @@
     config: HealthCheckConfig,
     reports: BTreeMap<u16, ReceivedReport>,
     /// By term, the smallest difference between the receiver's clock and what a report says: the quickest word.
-    smallest_offsets: BTreeMap<Token, i128>,
+    smallest_offsets: BTreeMap<FencingToken, i128>,
 }
 
 /// What is held verdicts a worker.
@@ -374,7 +374,7 @@
     }
 
     /// Takes a report of a set's owner, whose token was found good.
-    pub fn record(&mut self, set: u16, token: Token, report: HealthReport, now: Micros) {
+    pub fn record(&mut self, set: u16, token: FencingToken, report: HealthReport, now: Micros) {
         let apart = i128::from(now) - i128::from(report.sent_at);
         let quickest = self.smallest_offsets.entry(token).or_insert(apart);
         *quickest = apart.min(*quickest);
@@ -511,12 +511,12 @@
         assert_eq!(report.failing.iter().map(|failing| failing.worker).collect::<Vec<_>>(), [3]);
         assert_eq!(HealthReport::decode(&report.encode()), Some(report.clone()));
         let mut sightings = HealthReports::new(HOW);
-        sightings.record(0, Token(7), report.clone(), 10 * SECOND);
+        sightings.record(0, FencingToken(7), report.clone(), 10 * SECOND);
         let against = sightings.verdicts(10 * SECOND)[&3];
         assert!(against.last_failure <= 10 * SECOND && against.expires_at > 13 * SECOND);
         assert!(sightings.verdicts(against.expires_at).is_empty(), "it lapses");
         let well = HealthReport { failing: Vec::new(), ..report };
-        sightings.record(0, Token(7), well, 10 * SECOND + 1);
+        sightings.record(0, FencingToken(7), well, 10 * SECOND + 1);
         assert!(sightings.verdicts(10 * SECOND + 2).is_empty());
     }
 
@@ -525,9 +525,9 @@
         let (_, report) = term(0, 3 * SECOND, "north", |worker| worker != 3);
         let report = report.unwrap();
         let mut sightings = HealthReports::new(HOW);
-        sightings.record(0, Token(7), report.clone(), 10 * SECOND);
+        sightings.record(0, FencingToken(7), report.clone(), 10 * SECOND);
         let later = HealthReport { sent_at: report.sent_at + SECOND, ..report };
-        sightings.record(0, Token(7), later, 14 * SECOND);
+        sightings.record(0, FencingToken(7), later, 14 * SECOND);
         // Three of these four seconds it was on its way.
         assert!(sightings.verdicts(14 * SECOND)[&3].last_failure <= 11 * SECOND);
         assert!(sightings.verdicts(15 * SECOND).is_empty());
@@ -543,8 +543,8 @@
         let (_, near) = term(0, 3 * SECOND, "south", |worker| worker >= 2);
         let told = |other: &HealthReport| {
             let mut sightings = HealthReports::new(HOW);
-            sightings.record(0, Token(1), cut.clone().unwrap(), now);
-            sightings.record(1, Token(2), other.clone(), now);
+            sightings.record(0, FencingToken(1), cut.clone().unwrap(), now);
+            sightings.record(1, FencingToken(2), other.clone(), now);
             sightings.verdicts(now).into_keys().collect::<Vec<u64>>()
         };
         assert!(told(&fine.unwrap()).is_empty(), "another watcher sees the north well");
@@ -554,7 +554,7 @@
             injected_bug: Some(InjectedBug::TrustEveryReport),
             ..HOW
         });
-        trusting.record(0, Token(1), cut.unwrap(), now);
+        trusting.record(0, FencingToken(1), cut.unwrap(), now);
         assert_eq!(trusting.verdicts(now).len(), 2, "without the check it would");
     }
 
@@ -573,7 +573,7 @@
                 rounds.probe_finished(worker, Some(reached), now, &mut zones);
             }
             if let Some(report) = rounds.next_report(now, &zones) {
-                sightings.record(0, Token(1), report, now);
+                sightings.record(0, FencingToken(1), report, now);
             }
             assert!(sightings.verdicts(now).is_empty(), "at {now}");
         }
@@ -584,8 +584,8 @@
         let (_, blind) = term(0, 3 * SECOND, "south", |_| false);
         let (_, other) = term(0, 3 * SECOND, "west", |worker| worker >= 2);
         let mut sightings = HealthReports::new(HOW);
-        sightings.record(0, Token(1), blind.unwrap(), 10 * SECOND);
-        sightings.record(1, Token(2), other.unwrap(), 10 * SECOND);
+        sightings.record(0, FencingToken(1), blind.unwrap(), 10 * SECOND);
+        sightings.record(1, FencingToken(2), other.unwrap(), 10 * SECOND);
         assert!(sightings.verdicts(10 * SECOND).is_empty());
         assert_eq!(sightings.observed_sets(10 * SECOND).len(), 2);
         assert!(sightings.observed_sets(15 * SECOND).is_empty());
--- a/crates/cluster-member/src/slow_start.rs
+++ b/crates/cluster-member/src/slow_start.rs
@@ -20,7 +20,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use coordination::{Micros, Token};
+use coordination::{FencingToken, Micros};
 use serde::{Deserialize, Serialize};
 
 /// The name of the duty.
@@ -275,7 +275,7 @@
     process_id: u64,
     grant_ttl: Micros,
     /// The last word that was taken.
-    last_accepted: (Token, u64),
+    last_accepted: (FencingToken, u64),
     /// A flaw for tests: what comes twice counts twice.
     accepts_duplicates: bool,
 }
@@ -286,7 +286,7 @@
         GrantedQuota {
             process_id: process,
             grant_ttl: how.grant_ttl,
-            last_accepted: (Token(0), 0),
+            last_accepted: (FencingToken(0), 0),
             accepts_duplicates: false,
         }
     }
@@ -295,7 +295,7 @@
     /// older one, gives nothing.
     pub fn accept(
         &mut self,
-        token: Token,
+        token: FencingToken,
         version: u64,
         grants: &QuotaGrants,
         now: Micros,
@@ -346,14 +346,14 @@
             .collect();
         let mut dealer = QuotaAllocator::new(HOW, WARMING, 0);
         let (mut token, mut version) = (1, 0);
-        let mut on_the_way: Vec<(Micros, usize, Token, u64, QuotaGrants)> = Vec::new();
+        let mut on_the_way: Vec<(Micros, usize, FencingToken, u64, QuotaGrants)> = Vec::new();
         let mut reached = Vec::new();
         for now in (0..length).step_by(50_000) {
             ages.update(now, [(1, 7)].into_iter());
             if owners.contains(&now) {
                 // The old one's words may still be on their way: its token is refused from here on.
                 (token, version) = (token + 1, 0);
-                on_the_way.retain(|word| word.2 == Token(token));
+                on_the_way.retain(|word| word.2 == FencingToken(token));
                 dealer = QuotaAllocator::new(HOW, WARMING, now);
             }
             for process in 0..5 {
@@ -375,7 +375,7 @@
             for n in 0..5 {
                 for _ in 0..random.usize(0..3) {
                     let late = now + random.u64(0..400_000);
-                    on_the_way.push((late, n, Token(token), version, grants.clone()));
+                    on_the_way.push((late, n, FencingToken(token), version, grants.clone()));
                 }
             }
             on_the_way.sort_by_key(|word| (word.0, word.3));
@@ -472,10 +472,10 @@
         let grant = |to, asked| Grant { process_id: to, clock_reading: asked, worker: 1, work: 0.2 };
         let grants =
             QuotaGrants(vec![grant(9, 900_000), grant(8, 900_000), grant(9, 300_000), grant(9, 1_100_000)]);
-        let taken = purse.accept(Token(3), 1, &grants, SECOND);
+        let taken = purse.accept(FencingToken(3), 1, &grants, SECOND);
         assert_eq!(taken, [(1, 0.2, 1_400_000)], "not another's, not an old one, not one of the future");
-        assert!(purse.accept(Token(3), 1, &grants, SECOND).is_empty());
-        assert!(purse.accept(Token(2), 9, &grants, SECOND).is_empty());
+        assert!(purse.accept(FencingToken(3), 1, &grants, SECOND).is_empty());
+        assert!(purse.accept(FencingToken(2), 9, &grants, SECOND).is_empty());
         assert_eq!(QuotaGrants::decode(&grants.encode()), Some(grants));
         assert_eq!(
             QuotaGrants::decode(&QuotaGrants(vec![Grant { work: f64::NAN, ..grant(1, 1) }]).encode()),
--- a/crates/coordinator/src/ctl.rs
+++ b/crates/coordinator/src/ctl.rs
@@ -8,7 +8,7 @@
     ClientHello, ClientIdentity, Connection, CoordinatorMessage, Operation, ReplicaStatus, Request, Response,
     SCHEMA_VERSION,
 };
-use coordination::{DutyId, Token};
+use coordination::{FencingToken, LeaseId};
 use disruption_budget::{Availability, DisruptionCommand, DisruptionOutcome, DisruptionState};
 use tokio::time::timeout;
 
@@ -223,7 +223,7 @@
 ///
 /// # Errors
 /// Nobody leads, or the duty has no such term.
-pub async fn release(config: &Config, duty: DutyId, token: Option<Token>) -> Result<(), String> {
+pub async fn release(config: &Config, duty: LeaseId, token: Option<FencingToken>) -> Result<(), String> {
     let leader = leading(config).await?;
     match ask(config, leader.replica_id, Operation::ReleaseLease { lease: duty.clone(), token }).await? {
         Response::Done => Ok(()),
@@ -259,7 +259,7 @@
         &quantiles,
     );
     let owners = status.leases.iter().map(|duty| {
-        let (owner, token) = duty.holder.clone().unwrap_or((String::new(), Token(0)));
+        let (owner, token) = duty.holder.clone().unwrap_or((String::new(), FencingToken(0)));
         (format!("{{duty={:?},owner={owner:?}}}", duty.lease.to_string()), token.0)
     });
     figure(
--- /dev/null
+++ b/crates/dispatch-core/src/load_report.rs
@@ -0,0 +1,193 @@
+//! Load reports: what a worker says of its load, by the names that the settings give. A codec, no I/O.
+//!
+//! The simulator's wire gives the figures by position, workers on sockets by name. Both mean the same, and what a name
+//! means is said in one place, here. A report is advice: one that cannot be used costs nobody a job.
+
+use std::borrow::Cow;
+use std::fmt;
+
+use serde::de::{Deserialize, Deserializer, MapAccess, Visitor};
+use serde_json::Value;
+
+use crate::settings_pairs::{InvalidValue, SettingsPairs};
+
+/// Figures of one report that are looked at; the settings name four at the most.
+const MAX_FIGURES: usize = 16;
+/// Figures of one JSON object that are read, known or not.
+const MAX_JSON_FIGURES: usize = 4 * MAX_FIGURES;
+/// The word that a report in a header begins with.
+const TEXT_PREFIX: &str = "TEXT";
+
+/// What a worker says of its load. Absent fields were not told.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct LoadReport {
+    /// Slots with nothing in them.
+    pub free_slots: Option<f64>,
+    /// Memory units not in use.
+    pub free_memory: Option<f64>,
+    /// Requests waiting.
+    pub queue_length: Option<f64>,
+    /// Requests held.
+    pub in_flight: Option<f64>,
+    /// The service time of late, without waiting, in seconds.
+    pub latency: Option<f64>,
+    /// Errors a second.
+    pub error_rate: Option<f64>,
+}
+
+impl LoadReport {
+    fn set(&mut self, figure: Figure, value: Option<f64>) {
+        match figure {
+            Figure::FreeSlots => self.free_slots = value,
+            Figure::FreeMemory => self.free_memory = value,
+            Figure::QueueLength => self.queue_length = value,
+            Figure::InFlight => self.in_flight = value,
+            Figure::LatencyMillis => self.latency = value.map(|millis| millis / 1e3),
+            Figure::ErrorRate => self.error_rate = value,
+            Figure::Unknown => {}
+        }
+    }
+}
+
+/// The meaning of one figure.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Figure {
+    FreeSlots,
+    FreeMemory,
+    QueueLength,
+    InFlight,
+    LatencyMillis,
+    ErrorRate,
+    Unknown,
+}
+
+impl Figure {
+    fn of_name(name: &str) -> Figure {
+        match name {
+            "free_slots" => Figure::FreeSlots,
+            "free_memory" => Figure::FreeMemory,
+            "queue" => Figure::QueueLength,
+            "inflight" => Figure::InFlight,
+            "latency_ms" => Figure::LatencyMillis,
+            "eps" => Figure::ErrorRate,
+            _ => Figure::Unknown,
+        }
+    }
+}
+
+/// The figures of a deployment's reports, in their order.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct LoadReportFormat(Vec<(Box<str>, Figure)>);
+
+/// A report that came by name.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ParsedLoadReport {
+    /// What could be used of it; none where nothing could.
+    pub load: Option<LoadReport>,
+    /// Some of it was malformed, and was left out.
+    pub malformed: bool,
+}
+
+impl ParsedLoadReport {
+    const UNREADABLE: ParsedLoadReport = ParsedLoadReport { load: None, malformed: true };
+}
+
+impl LoadReportFormat {
+    /// As the settings tell: `report.names`, and for x0 and x1 what `family-info` says of them.
+    pub fn from_settings(pairs: &SettingsPairs<'_>) -> LoadReportFormat {
+        let described = |name: &str| pairs.text(&format!("family-info.report-{name}")).replace(' ', "_");
+        let figure = |name: &str| match name {
+            "x0" | "x1" => Figure::of_name(&described(name)),
+            name => Figure::of_name(name),
+        };
+        let names = pairs.list("report.names").take(MAX_FIGURES);
+        LoadReportFormat(names.map(|name| (name.into(), figure(name))).collect())
+    }
+
+    /// Reads a report that gives its figures by position, separated by commas; `-` or nothing where one was not told.
+    ///
+    /// # Errors
+    /// Something that is no number stands where one must.
+    pub fn parse_positional(&self, text: &str) -> Result<LoadReport, InvalidValue> {
+        let mut load = LoadReport::default();
+        for ((_, figure), value) in self.0.iter().zip(text.split(',')) {
+            if value.is_empty() || value == "-" {
+                continue;
+            }
+            let malformed = |_| InvalidValue::new("a load report of numbers", text);
+            let value: f64 = value.parse().map_err(malformed)?;
+            if value.is_finite() && value >= 0.0 {
+                load.set(*figure, Some(value));
+            }
+        }
+        Ok(load)
+    }
+
+    /// Takes a report that gives its figures by name. Names that the settings do not know are passed over. What is
+    /// no number, negative, infinite, or told twice is left out: of two figures neither is known to be the right one.
+    pub fn parse_named<'a>(&self, figures: impl Iterator<Item = (&'a str, Option<f64>)>) -> ParsedLoadReport {
+        let (mut load, mut malformed) = (LoadReport::default(), false);
+        let mut was_named = [false; MAX_FIGURES];
+        for (name, value) in figures {
+            let Some(position) = self.0.iter().position(|(known, _)| **known == *name) else { continue };
+            let is_repeated = std::mem::replace(&mut was_named[position], true);
+            let value = value.filter(|value| value.is_finite() && *value >= 0.0 && !is_repeated);
+            malformed |= value.is_none();
+            load.set(self.0[position].1, value);
+        }
+        ParsedLoadReport { load: Some(load).filter(|load| *load != LoadReport::default()), malformed }
+    }
+
+    /// Reads a report as an object of JSON: `{"inflight":7,"queue":2}`.
+    pub fn parse_json(&self, text: &str) -> ParsedLoadReport {
+        match serde_json::from_str::<Object<'_>>(text) {
+            Ok(Object(figures)) => self.parse_named(figures.iter().map(|(name, value)| (&**name, *value))),
+            Err(_) => ParsedLoadReport::UNREADABLE,
+        }
+    }
+
+    /// Reads a report as a header holds it: the word TEXT, then `name=value` separated by commas.
+    pub fn parse_text(&self, text: &str) -> ParsedLoadReport {
+        let Some(rest) = text.trim().strip_prefix(TEXT_PREFIX) else {
+            return ParsedLoadReport::UNREADABLE;
+        };
+        let pairs = rest.split(',').map(str::trim).filter(|pair| !pair.is_empty());
+        self.parse_named(pairs.map(|pair| match pair.split_once('=') {
+            Some((name, value)) => (name.trim(), value.trim().parse().ok()),
+            None => (pair, None),
+        }))
+    }
+}
+
+/// The figures of an object in their order: a map would hide that one was told twice.
+struct Object<'a>(Vec<(Cow<'a, str>, Option<f64>)>);
+
+impl<'de> Deserialize<'de> for Object<'de> {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        deserializer.deserialize_map(ObjectVisitor)
+    }
+}
+
+struct ObjectVisitor;
+
+impl<'de> Visitor<'de> for ObjectVisitor {
+    type Value = Object<'de>;
+
+    fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str("an object of figures")
+    }
+
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Object<'de>, A::Error> {
+        let mut figures = Vec::new();
+        while let Some((name, value)) = map.next_entry::<Cow<'de, str>, Value>()? {
+            if figures.len() < MAX_JSON_FIGURES {
+                figures.push((name, value.as_f64()));
+            }
+        }
+        Ok(Object(figures))
+    }
+}
+
+#[cfg(test)]
+#[path = "../tests/unit/load_report.rs"]
+mod tests;
--- a/crates/dispatch-core/src/policy/attempts.rs
+++ b/crates/dispatch-core/src/policy/attempts.rs
@@ -1,247 +1,258 @@
-//! 5. **Attempts.** What never ran is pushed again; what may have run only as its class allows.
+//! 5. **Attempts.** What never ran is sent again; what may have run only as its class allows.
 
-use super::*;
+use super::Dispatcher;
+use crate::api::{Action, Idempotency, LoadReport, LoadReports, Outcome, RequestId};
+use crate::fleet::Worker;
+use crate::job::{Attempt, Candidate, EndedAttempt, Job, JobState};
+use crate::load::PROMPT_START;
+use crate::run_time::RunningJob;
+use crate::timers::{TimerEvent, TIMER_TOLERANCE};
 
-/// After so many tries a job goes on only to a worker that is thought free: the rest bounces as well.
-const BLIND_TRIES: usize = 2;
-/// A job that waits at a worker for more than this part of the time it has counts as bounced.
-const WAITED: f64 = 0.5;
-/// So many hopeless jobs are pushed all the same: what is believed must be open to refutation.
-const DARE: f64 = 1.0 / 16.0;
-/// So many paid jobs are tried at one event.
-pub(super) const TRIED: usize = 3;
-/// A worker that turned a job away holds about this many times its slots.
-const FULL_AT: f64 = 1.5;
+/// An admitted job waits for a free worker for this part of the time it has.
+pub(super) const PLACEMENT_WAIT: f64 = 0.1;
+/// After so many attempts a job goes on only to a worker that is thought free: the rest rejects it as well.
+const BLIND_ATTEMPTS: usize = 2;
+/// A job that waits at a worker for more than this part of the time it has counts as rejected.
+const CONGESTED_WAIT: f64 = 0.5;
+/// So many jobs that cannot be in time are sent all the same: what is believed must be open to refutation.
+const UNREACHABLE_SEND_RATE: f64 = 1.0 / 16.0;
+/// So many admitted jobs are tried at one event.
+pub(super) const MAX_PLACEMENTS: usize = 3;
+/// A worker that rejected a job as overloaded holds about this many times its slots.
+const OVERLOADED_UTILIZATION: f64 = 1.5;
 
 impl Dispatcher {
-    /// Whether a keyed job that may have run may go to this worker.
-    pub(super) fn group_allows(&self, w: &Worker, job: &Job) -> bool {
-        let class = &self.cfg.classes[job.req.class as usize];
-        let Repeat::Keyed(group) = class.repeat else { return true };
-        job.attempts.iter().filter(|a| !a.ended.is_some_and(Outcome::never_ran)).all(|a| {
-            let first = &self.fleet.workers[a.worker];
-            self.now - a.sent < class.repeat_within()
-                && match group {
-                    Group::All => true,
-                    Group::Zone => w.zone == first.zone,
-                    Group::Cell => w.cell == first.cell,
-                }
+    /// Whether a job with an idempotency key that may have run may go to this worker.
+    pub(super) fn key_scope_allows(&self, worker: &Worker, job: &Job) -> bool {
+        let class = &self.settings.classes[job.class()];
+        let Idempotency::WithKey(scope) = class.idempotency else { return true };
+        job.possible_runs().all(|attempt| {
+            self.now - attempt.sent_at < class.retry_window()
+                && self.fleet.workers[attempt.worker].shares_keys_with(worker, scope)
         })
     }
 
-    /// Pushes what is paid, first come first. An event costs a few looks at the most: where the first jobs
+    /// Sends what is admitted, first come first. An event costs a few looks at the most: where the first jobs
     /// find no worker, those behind them would not either.
-    pub(super) fn dispatch(&mut self, actions: &mut Vec<Action>) {
-        let mut waiting = Vec::with_capacity(TRIED);
-        while waiting.len() < TRIED {
-            let Some(id) = self.paid.pop_front() else { break };
+    pub(super) fn place_admitted(&mut self, actions: &mut Vec<Action>) {
+        let mut waiting = Vec::with_capacity(MAX_PLACEMENTS);
+        while waiting.len() < MAX_PLACEMENTS {
+            let Some(id) = self.admitted.pop_front() else { break };
             if self.place(id, actions) {
                 waiting.push(id);
             }
         }
-        waiting.into_iter().rev().for_each(|id| self.paid.push_front(id));
+        waiting.into_iter().rev().for_each(|id| self.admitted.push_front(id));
     }
 
     /// A job has waited for a free worker for as long as it may.
-    pub(super) fn give_way(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        if let Some(n) = self.paid.iter().position(|&p| p == id) {
-            self.paid.remove(n);
+    pub(super) fn on_placement_timeout(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        if let Some(position) = self.admitted.iter().position(|&admitted| admitted == id) {
+            self.admitted.remove(position);
             if self.place(id, actions) {
-                self.paid.push_front(id);
+                self.admitted.push_front(id);
             }
         }
     }
 
-    /// Pushes a job, or ends it where that is of no use. Where loads are reported and no worker is known
-    /// free, it waits here a while: true.
+    /// Sends a job, or ends it where that is of no use. Where loads are reported and no worker is known free,
+    /// it waits here a while: true.
     fn place(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(job) = self.jobs.remove(&id) else { return false };
-        let tries_left = job.attempts.len() < self.cfg.max_attempts.max(1) as usize;
-        let choice = if tries_left { self.choose(&job) } else { None };
-        let told = self.cfg.reports != Reports::None;
-        let early = self.now + 1e-6 < job.give_way(GATE);
-        let waits = told && early && tries_left && choice.is_none_or(|c| !c.free);
-        let (tried, k) = (job.attempts.len(), job.size());
-        let class = job.req.class as usize;
-        let worthless = self.cfg.classes[class].late_worth == 0.0 && job.never_ran();
-        let hopeless = |c: &Choice| worthless && self.runs[class].hopeless(c.late);
+        let may_send = job.attempts.len() < self.settings.max_attempts.max(1) as usize;
+        let candidate = if may_send { self.choose_worker(&job) } else { None };
+        let has_reports = self.settings.load_reports != LoadReports::None;
+        let is_early = self.now + TIMER_TOLERANCE < job.placement_deadline(PLACEMENT_WAIT);
+        let is_free = candidate.is_some_and(|candidate| candidate.has_free_slot);
+        let waits = has_reports && is_early && may_send && !is_free;
+        let may_go_blind = !has_reports || job.attempts.len() < BLIND_ATTEMPTS;
+        let (class, run_times) = (&self.settings.classes[job.class()], &self.workload.run_times[job.class()]);
+        let is_worthless_late = class.late_weight == 0.0 && job.never_ran();
+        let lateness = candidate.map_or(0.0, |candidate| candidate.lateness_probability);
+        let is_unreachable = is_worthless_late && run_times.deadline_unreachable(lateness);
+        let size = job.size();
         self.jobs.insert(id, job);
-        match choice {
+        match candidate {
             _ if waits => {}
-            Some(c) if hopeless(&c) && self.rng.f64() > DARE => {
-                self.rate.bounce(c.worker, k);
-                self.end_unserved(id, actions);
+            Some(candidate) if is_unreachable && self.rng.f64() > UNREACHABLE_SEND_RATE => {
+                self.rate.record_rejection(candidate.worker, size);
+                self.reject_or_fail(id, actions);
             }
-            Some(c) if c.free || !told || tried < BLIND_TRIES => self.push(id, c, actions),
-            _ => self.end_unserved(id, actions),
+            Some(candidate) if is_free || may_go_blind => self.send(id, candidate, actions),
+            _ => self.reject_or_fail(id, actions),
         }
         waits
     }
 
-    pub(super) fn push(&mut self, id: RequestId, choice: Choice, actions: &mut Vec<Action>) {
+    pub(super) fn send(&mut self, id: RequestId, candidate: Candidate, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let Choice { worker: i, free, filled, .. } = choice;
-        let (k, work) = (job.size(), job.work());
-        job.state = State::Out;
-        job.attempts.push(Attempt { worker: i, sent: self.now, started: None, free, filled, ended: None });
-        self.fleet.hold(i, k, self.present());
-        let (slice, w) = (self.slice(), &mut self.fleet.workers[i]);
-        (w.out, w.kept) = (w.out + 1, 0.0);
-        w.cold.spend(work, slice, self.now);
-        self.copies = (self.copies + COPIES).min(COPIES_SAVED);
-        if self.cfg.tells_start {
-            self.wake(2.0 * PROMPT, Wake::Quiet(id));
-        }
-        actions.push(Action::Send { request: id, worker: self.fleet.workers[i].id, timeout: None });
+        let (size, work) = (job.size(), job.work());
+        job.state = JobState::InFlight;
+        job.attempts.push(Attempt::new(&candidate, self.now));
+        self.fleet.add_slots(candidate.worker, size, self.observation_time());
+        let (time_slice, worker) = (self.time_slice(), &mut self.fleet.workers[candidate.worker]);
+        worker.in_flight += 1;
+        worker.idle_connection_until = 0.0;
+        worker.slow_start.spend(work, time_slice, self.now);
+        actions.push(Action::Send { request: id, worker: worker.id, timeout: None });
+        self.hedge_budget.record_send();
+        if self.settings.reports_job_start {
+            self.schedule(2.0 * PROMPT_START, TimerEvent::StallCheck(id));
+        }
     }
 
-    pub(super) fn end_unserved(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.state = State::Ended;
-        let class = &self.cfg.classes[job.req.class as usize];
-        let wait = (job.slots as f64 / self.rate.slots_per_s.max(1e-3)).min(self.cfg.max_retry_after);
+    /// Ends a job that was not served: rejected where its client may send it again, else failed.
+    pub(super) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(job) = self.jobs.get(&id) else { return };
+        let class = &self.settings.classes[job.class()];
+        let wait = (job.slots as f64 / self.rate.partial(1.0)).min(self.settings.max_retry_after);
         // A client that comes back as it is told must come back within the window.
-        let known = |a: &Attempt| self.now + wait - a.sent < class.repeat_within();
-        let again =
-            |a: &Attempt| known(a) && matches!(class.repeat, Repeat::Safe | Repeat::Keyed(Group::All));
-        let ran = job.attempts.iter().find(|a| !a.ended.is_some_and(Outcome::never_ran));
-        let harmless = ran.is_none_or(again);
-        actions.push(if harmless { self.refusal(id, wait) } else { Action::Fail { request: id } });
-        self.forget(id);
+        let may_return = |attempt: &Attempt| class.allows_client_retry(self.now + wait - attempt.sent_at);
+        let is_harmless = job.possible_runs().next().is_none_or(may_return);
+        actions.push(if is_harmless { self.rejection(id, wait) } else { Action::Fail { request: id } });
+        self.finish(id);
     }
 
-    fn forget(&mut self, id: RequestId) {
-        if self.jobs.get(&id).is_some_and(|job| job.state == State::Ended && !job.is_out()) {
+    /// A job was answered; it is remembered until its attempts have ended.
+    fn finish(&mut self, id: RequestId) {
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        job.state = JobState::Ended;
+        if !job.has_open_attempt() {
             self.jobs.remove(&id);
         }
     }
 
-    pub(super) fn on_started(&mut self, id: RequestId, attempt: u32) {
+    pub(super) fn on_job_started(&mut self, id: RequestId, number: u32) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let a = job.attempts.get_mut(attempt as usize);
-        if let Some(a) = a.filter(|a| a.started.is_none() && a.ended.is_none()) {
-            a.started = Some(self.now);
-            let (i, delay, filled) = (a.worker, self.now - a.sent, a.filled);
-            let (work, spread) = (job.work_log, self.runs[job.req.class as usize].spread());
-            let run = self.window() * self.paces.of(i, &self.fleet, self.now).exp();
-            self.fleet.waits.learn(filled, delay / run);
-            self.fleet.workers[i].running.push(Running { since: self.now, work, spread });
-            self.sign(i);
-            self.waits += LEARN_WORKER * (delay - self.waits);
-            if self.cfg.reports != Reports::Answers {
-                self.fleet.waited(i, delay, self.present());
-            }
+        let (class, log_work) = (job.class(), job.log_work);
+        let Some(attempt) = job.start_attempt(number, self.now) else { return };
+        let (index, delay) = (attempt.worker, self.now - attempt.sent_at);
+        let log_slowdown = self.fleet.log_slowdown(index, &self.workload.slowdowns, self.now);
+        let run_time = self.workload.rate_window() * log_slowdown.exp();
+        self.fleet.queueing_curve.learn(attempt.utilization, delay / run_time);
+        let variance = self.workload.run_times[class].variance();
+        let running = RunningJob { started_at: self.now, log_work, variance };
+        self.fleet.workers[index].running.push(running);
+        self.fleet.record_liveness(index, self.now);
+        self.workload.record_wait(delay);
+        if self.settings.load_reports != LoadReports::WithResponses {
+            self.fleet.record_wait(index, delay, self.observation_time());
+        }
+    }
+
+    pub(super) fn on_progress(&mut self, id: RequestId, number: u32) {
+        let job = self.jobs.get(&id);
+        if let Some(attempt) = job.and_then(|job| job.attempts.get(number as usize)) {
+            self.fleet.record_liveness(attempt.worker, self.now);
         }
     }
 
-    pub(super) fn on_ended(
+    pub(super) fn on_attempt_ended(
         &mut self,
         id: RequestId,
-        attempt: u32,
+        number: u32,
         outcome: Outcome,
         complete: bool,
-        load: Option<Load>,
+        load: Option<LoadReport>,
         actions: &mut Vec<Action>,
     ) {
-        let now = self.now;
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        let Some(a) = job.attempts.get_mut(attempt as usize).filter(|a| a.ended.is_none()) else { return };
-        a.ended = Some(outcome);
-        let (i, a, k, class, work) = (a.worker, *a, job.size(), job.req.class as usize, job.work_log);
-        let (expected, tenant) = (job.req.expected, job.req.tenant as usize);
-        let ended = |a: &Attempt| matches!(a.ended, Some(Outcome::Reset | Outcome::Error));
-        let failed_before = job.attempts[..attempt as usize].iter().any(ended);
-        let already = job.state == State::Ended;
-        let expired = now - job.arrived >= job.req.patience - self.cfg.resolution;
-        self.fleet.hold(i, -k, self.present());
-        self.fleet.workers[i].stopped(a.started, work);
-        if outcome != Outcome::Full {
-            self.report(i, load);
-        }
-        if matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Error | Outcome::Rejected) {
-            self.sign(i);
+        let ended = self.jobs.get_mut(&id).and_then(|job| job.end_attempt(number, outcome));
+        let Some(ended) = ended else { return };
+        self.record_attempt(&ended, load);
+        let Some(job) = self.jobs.get(&id) else { return };
+        if complete || ended.was_answered {
+            let cancels = self.settings.cancellation_allowed && !ended.was_answered;
+            actions.extend(job.cancel_actions().filter(|_| cancels));
+            self.finish(id);
+            return self.place_admitted(actions);
+        }
+        if job.has_open_attempt() {
+            return;
+        }
+        if outcome == Outcome::InvalidRequest {
+            actions.push(Action::Fail { request: id });
+            return self.finish(id);
+        }
+        let class = &self.settings.classes[job.class()];
+        let is_harmless = job.never_ran() || class.idempotency != Idempotency::NotIdempotent;
+        let has_expired = job.has_expired(self.now, self.settings.clock_resolution);
+        if is_harmless && !has_expired && job.start_by > self.now {
+            self.admit(id, actions);
+        } else {
+            self.reject_or_fail(id, actions);
+        }
+    }
+
+    /// Takes what the end of an attempt says of its worker, of the rate and of running times.
+    fn record_attempt(&mut self, ended: &EndedAttempt, load: Option<LoadReport>) {
+        let &EndedAttempt { attempt, outcome, size, .. } = ended;
+        let index = attempt.worker;
+        self.fleet.add_slots(index, -size, self.observation_time());
+        self.fleet.workers[index].end_attempt(attempt.started_at, ended.log_work);
+        if outcome != Outcome::Overloaded {
+            self.apply_load_report(index, load);
+        }
+        if outcome.is_response() {
+            self.fleet.record_liveness(index, self.now);
         }
         match outcome {
-            Outcome::Ok => {
-                // Without word of the start, the run is known only where the worker was free.
-                let clear = a.started.is_some() || a.free;
-                let run = now - a.started.unwrap_or(a.sent);
-                // A long wait there is congestion; a long run is the job's or the worker's own matter.
-                let likely = self.runs[class].mean * self.cfg.classes[class].stretch.max(1.0);
-                let waited = now - a.sent - if a.started.is_some() { run } else { run.min(likely) };
-                if waited <= WAITED * self.slack(class, expected) {
-                    self.rate.taken += k;
-                } else {
-                    self.rate.bounce(i, k);
-                }
-                self.worked(i);
-                self.fleet.workers[i].kept = now + 0.7 * self.cfg.keep_alive;
-                if self.cfg.keep_alive > 0.0 {
-                    self.looked.truncate(SAMPLE - 1);
-                    self.looked.push_front(i);
+            Outcome::Ok => self.record_served(ended),
+            Outcome::Overloaded => {
+                if ended.is_retry {
+                    self.rate.record_rejection(index, size);
                 }
-                if clear {
-                    let (w, class) = (&mut self.fleet.workers[i], &mut self.runs[class]);
-                    let kind = &mut self.fleet.kinds[w.kind];
-                    self.paces.learn(run, expected, class, kind, &mut w.pace, now);
-                }
-            }
-            Outcome::Full => {
-                if attempt > 0 {
-                    self.rate.bounce(i, k);
-                }
-                let w = &self.fleet.workers[i];
                 // Its report is older than this answer, and says less.
-                self.fleet.heard(i, FULL_AT * self.fleet.slots_of(w) - w.ours, now);
+                let worker = &self.fleet.workers[index];
+                let others = OVERLOADED_UTILIZATION * self.fleet.slots_of(worker) - worker.our_slots;
+                self.fleet.record_other_slots(index, others, self.now);
             }
             Outcome::Timeout => {
-                self.rate.bounce(i, k);
-                if a.started.is_none() {
-                    self.failed(i);
+                self.rate.record_rejection(index, size);
+                if attempt.started_at.is_none() {
+                    self.record_failure(index);
                 }
             }
-            Outcome::ConnectFailed => self.failed(i),
+            Outcome::ConnectFailed => self.record_failure(index),
             // What fails at one worker after another is at fault itself, and must not bar them all.
-            Outcome::Reset | Outcome::Error if failed_before => {}
-            Outcome::Reset | Outcome::Error => self.failed(i),
-            Outcome::Rejected => {
-                // It was no job: what it took of its tenant's part is given back.
-                let slots = k.ceil() as i64;
-                self.banks[tenant].refund(slots);
-            }
-            Outcome::Cancelled | Outcome::Moot | Outcome::Stale => {}
+            Outcome::Reset | Outcome::Error if ended.failed_before => {}
+            Outcome::Reset | Outcome::Error => self.record_failure(index),
+            // It was no job: what it took of its tenant's part is given back.
+            Outcome::InvalidRequest => self.banks[ended.request.tenant as usize].refund(size.ceil() as i64),
+            Outcome::Cancelled | Outcome::NotSent | Outcome::StaleConnection => {}
         }
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        if complete || already {
-            actions.extend(job.cancels().filter(|_| self.cfg.may_cancel && !already));
-            job.state = State::Ended;
-            self.forget(id);
-            return self.dispatch(actions);
-        }
-        if job.is_out() {
-            return;
+    }
+
+    /// A served job says how long it waited and ran, and that its worker is well.
+    fn record_served(&mut self, ended: &EndedAttempt) {
+        let (index, class, now) = (ended.attempt.worker, ended.request.class as usize, self.now);
+        let expected = ended.request.expected_run_time;
+        // A long wait there is congestion; a long run is the job's or the worker's own matter.
+        let (settings, run_times) = (&self.settings.classes[class], &self.workload.run_times[class]);
+        let likely = run_times.mean * settings.run_time_allowance.max(1.0);
+        if ended.wait(now, likely) <= CONGESTED_WAIT * run_times.start_slack(settings, expected) {
+            self.rate.accepted += ended.size;
+        } else {
+            self.rate.record_rejection(index, ended.size);
         }
-        if outcome == Outcome::Rejected {
-            job.state = State::Ended;
-            actions.push(Action::Fail { request: id });
-            return self.forget(id);
+        self.fleet.record_success(index);
+        self.fleet.workers[index].keep_connection(now, self.settings.keep_alive);
+        if self.settings.keep_alive > 0.0 {
+            self.remember_probed(index);
         }
-        let again = job.never_ran() || self.cfg.classes[class].repeat != Repeat::Unsafe;
-        if again && !expired && job.until > now {
-            self.pay(id, actions);
-        } else {
-            self.end_unserved(id, actions);
+        if ended.has_known_run() {
+            let slowdowns = self.fleet.slowdowns_of(index);
+            self.workload.record_run(class, ended.run_time(now), expected, slowdowns, now);
         }
     }
 
-    pub(super) fn on_gone(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn on_client_disconnect(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        match std::mem::replace(&mut job.state, State::Ended) {
-            State::Held => self.banks[job.req.tenant as usize].give_back(id, job.slots),
-            State::Paid => self.paid.retain(|&p| p != id),
-            State::Out if self.cfg.may_cancel => actions.extend(job.cancels()),
-            _ => {}
+        match std::mem::replace(&mut job.state, JobState::Ended) {
+            JobState::Queued => self.banks[job.tenant()].remove_queued(id, job.slots),
+            JobState::Admitted => self.admitted.retain(|&admitted| admitted != id),
+            JobState::InFlight if self.settings.cancellation_allowed => actions.extend(job.cancel_actions()),
+            JobState::InFlight | JobState::Ended => {}
         }
-        self.forget(id);
+        self.finish(id);
     }
 }
--- a/crates/dispatcher/src/net/cold.rs
+++ b/crates/dispatcher/src/net/cold.rs
@@ -12,7 +12,7 @@
     SLOW_START_LEASE,
 };
 use cluster_member::wire::Effect;
-use coordination::{DutyId, Micros, Token};
+use coordination::{FencingToken, LeaseId, Micros};
 use tokio::time::{interval, MissedTickBehavior};
 
 use super::console::FleetMetrics;
@@ -29,7 +29,7 @@
 const LEARN: f64 = 0.1;
 
 struct Term {
-    token: Token,
+    token: FencingToken,
     dealer: Rc<RefCell<QuotaAllocator>>,
     publisher: Publisher,
 }
@@ -99,7 +99,7 @@
         }
     }
 
-    fn granted(&self, token: Token, version: u64, grants: &QuotaGrants) {
+    fn granted(&self, token: FencingToken, version: u64, grants: &QuotaGrants) {
         let now = clock::now();
         for (worker, work, until) in self.purse.borrow_mut().accept(token, version, grants, now) {
             let at = self.pool.clock.now() + until.saturating_sub(now);
@@ -145,7 +145,7 @@
     }
 
     fn own(&self, now: Micros) {
-        let duty = DutyId::fleet(SLOW_START_LEASE);
+        let duty = LeaseId::fleet(SLOW_START_LEASE);
         let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
@@ -183,7 +183,7 @@
         };
         let version = term.publisher.say(grants.encode());
         // Our own part, by the same rules as everybody's: the lease is looked at immediately before.
-        if self.member.may_act(&DutyId::fleet(SLOW_START_LEASE), term.token) {
+        if self.member.may_act(&LeaseId::fleet(SLOW_START_LEASE), term.token) {
             self.granted(term.token, version, &grants);
         }
     }
--- a/crates/dispatcher/src/net/fleet.rs
+++ b/crates/dispatcher/src/net/fleet.rs
@@ -16,8 +16,8 @@
 use cluster_member::member::{Ended, Member, Settings};
 use cluster_member::record::Recorder;
 use cluster_member::slow_start::{QuotaConfig, SlowStartProfile, SLOW_START_LEASE};
-use coordination::{DutyId, Holder, Micros};
-use dispatch_core::settings::worker_id;
+use coordination::{LeaseClient, LeaseId, Micros};
+use dispatch_core::hashing::worker_id;
 use disruption_budget::availability_observer::{ListedWorker, WarmupTracker, OBSERVER_LEASE};
 use serde_json::Value;
 use tokio::net::TcpListener;
@@ -82,10 +82,10 @@
     let address = settings.address.map_or_else(|| listener.local_addr(), Ok)?;
     let zones = config.names.zones.len().clamp(1, usize::from(u16::MAX)) as u16;
     let watch = settings.watch.map(|how| HealthCheckConfig { zone_count: zones, ..how });
-    let mut offers: Vec<DutyId> =
-        settings.list.then(|| DutyId::fleet(ENDPOINT_LIST_LEASE)).into_iter().collect();
-    offers.extend(settings.cold.map(|_| DutyId::fleet(SLOW_START_LEASE)));
-    offers.extend(settings.account.map(|_| DutyId::fleet(OBSERVER_LEASE)));
+    let mut offers: Vec<LeaseId> =
+        settings.list.then(|| LeaseId::fleet(ENDPOINT_LIST_LEASE)).into_iter().collect();
+    offers.extend(settings.cold.map(|_| LeaseId::fleet(SLOW_START_LEASE)));
+    offers.extend(settings.account.map(|_| LeaseId::fleet(OBSERVER_LEASE)));
     offers.extend(watch.iter().flat_map(|how| how.leases()));
     let zone = config.names.zones.get(config.settings.zone as usize).cloned().unwrap_or_default();
     let member = Settings {
@@ -101,7 +101,7 @@
         seed: config.seed ^ 0x000f_1ee7,
     };
     let record = settings.record.as_deref().map_or(Ok(Recorder::default()), Recorder::to)?;
-    let member = Member::new(member, Holder::new(settings.times), record);
+    let member = Member::new(member, LeaseClient::new(settings.times), record);
     member.record().put(clock::now(), "started", serde_json::json!({}));
     let (sender, news) = mpsc::channel(NEWS);
     let watchers =
@@ -163,10 +163,10 @@
 fn warming(config: &Config) -> SlowStartProfile {
     let settings = &config.settings;
     SlowStartProfile {
-        initial_capacity_fraction: settings.cold_share,
-        ramp_duration: micros(settings.warm_within),
-        overload_factor: settings.fall_multiple,
-        overload_window: micros(settings.fall_span),
+        initial_capacity_fraction: settings.slow_start_min_capacity,
+        ramp_duration: micros(settings.slow_start_duration),
+        overload_factor: settings.overload_multiple,
+        overload_window: micros(settings.overload_window),
     }
 }
 
@@ -186,10 +186,10 @@
         rounds.tick().await;
         let now = clock::now();
         let holder = member.holder().borrow();
-        let counts = holder.counts();
-        metrics.session.set(i64::from(holder.session(now).is_some()));
-        metrics.owned.set(holder.owned(now).len() as i64);
-        metrics.refused.set((counts.old_tokens + counts.without_session) as i64);
+        let counts = holder.effect_counts();
+        metrics.session.set(i64::from(holder.active_session(now).is_some()));
+        metrics.owned.set(holder.held_leases(now).len() as i64);
+        metrics.refused.set((counts.stale_tokens + counts.without_session) as i64);
     }
 }
 
@@ -284,7 +284,7 @@
 
     /// Notices whether this member owns the duty, and gives it back where discovery is silent here.
     fn own(&self) {
-        let duty = DutyId::fleet(ENDPOINT_LIST_LEASE);
+        let duty = LeaseId::fleet(ENDPOINT_LIST_LEASE);
         let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
--- a/crates/dispatcher/src/net/watchers.rs
+++ b/crates/dispatcher/src/net/watchers.rs
@@ -13,7 +13,7 @@
 };
 use cluster_member::member::Member;
 use cluster_member::wire::Effect;
-use coordination::{Micros, Token};
+use coordination::{FencingToken, Micros};
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{interval, MissedTickBehavior};
 
@@ -26,7 +26,7 @@
 
 /// One set in one term of ours.
 struct Term {
-    token: Token,
+    token: FencingToken,
     rounds: HealthCheckScheduler,
     publisher: Publisher,
     /// The probes that are out.
@@ -101,7 +101,7 @@
 
     /// Notices which sets are ours.
     fn own(&self) {
-        let owned: BTreeMap<u16, Token> = self
+        let owned: BTreeMap<u16, FencingToken> = self
             .member
             .owned()
             .into_iter()
@@ -112,7 +112,7 @@
         for (set, token) in owned {
             terms.entry(set).or_insert_with(|| {
                 tracing::info!(set, token = token.0, "watches workers for the fleet");
-                let duty = coordination::DutyId::set(&self.how.lease_name(), set);
+                let duty = coordination::LeaseId::worker_set(&self.how.lease_name(), set);
                 Term {
                     token,
                     rounds: HealthCheckScheduler::new(self.how, &self.zone),
@@ -147,12 +147,12 @@
         self.metrics.failing.set(failing as i64);
     }
 
-    async fn look(self: Rc<Self>, set: u16, token: Token, worker: u64) {
-        let duty = coordination::DutyId::set(&self.how.lease_name(), set);
+    async fn look(self: Rc<Self>, set: u16, token: FencingToken, worker: u64) {
+        let duty = coordination::LeaseId::worker_set(&self.how.lease_name(), set);
         let may = || {
             // The last thing before the write: a look at the lease by the clock, and the time for the next one.
             let now = clock::now();
-            let looked = self.member.holder().borrow().may_act(&duty, token, now);
+            let looked = self.member.holder().borrow().holds_lease(&duty, token, now);
             let may = looked || self.how.injected_bug == Some(InjectedBug::SkipLeaseCheck);
             if may {
                 let what = serde_json::json!({"duty": duty.to_string(), "token": token.0, "worker": worker});
@@ -170,7 +170,7 @@
     }
 
     /// Does something with a term that is still ours.
-    fn with(&self, set: u16, token: Token, change: impl FnOnce(&mut Term)) {
+    fn with(&self, set: u16, token: FencingToken, change: impl FnOnce(&mut Term)) {
         if let Some(term) = self.terms.borrow_mut().get_mut(&set).filter(|term| term.token == token) {
             change(term);
         }
