--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -11,27 +11,27 @@
 use rustc_hash::FxHashMap;
 use serde_json::Value;
 
-use crate::engine::{micros, Listed, Micros};
-use crate::own::{Fleet, Own};
+use crate::engine::{micros, ListedEndpoint, Micros};
+use crate::settings_file::{ClusterSettings, LocalSettings};
 use dispatch_core::api::{Member, Repeat, Scope, Settings, WorkerState};
 use dispatch_core::settings::{settings, worker_id, Bad, Pairs};
 
 /// Descriptors where no limit is told.
-const SOCKETS: usize = 1024;
+const DEFAULT_SOCKETS: usize = 1024;
 /// Descriptors kept back for files, the runtime, the listener and discovery.
-const SOCKETS_KEPT: usize = 40;
+const RESERVED_SOCKETS: usize = 40;
 /// The part of the descriptors that clients may hold, in hundredths; workers have the rest.
-const CLIENT_SOCKETS: usize = 60;
+const CLIENT_SOCKETS_PERCENT: usize = 60;
 /// Seconds for a connection to come up, and for which an idle one is kept, where not told.
-const DIAL_TIMEOUT: f64 = 1.0;
-const KEEPALIVE: f64 = 5.0;
+const DEFAULT_DIAL_TIMEOUT_S: f64 = 1.0;
+const DEFAULT_KEEPALIVE_S: f64 = 5.0;
 /// An idle connection is used for this part of the time after which a worker may close it: the clocks of both
 /// sides differ, and a request that crosses the close would be lost.
-const KEEPALIVE_USED: f64 = 0.8;
+const KEEPALIVE_FRACTION: f64 = 0.8;
 /// Seconds for which a worker that drains may still get work, where not told.
-const DRAIN_GRACE: f64 = 0.5;
+const DEFAULT_DRAIN_GRACE_S: f64 = 0.5;
 /// A client's patience in seconds where neither it nor the class tells.
-const PATIENCE: f64 = 10.0;
+const DEFAULT_TIMEOUT_S: f64 = 10.0;
 
 /// What is wrong with a configuration.
 #[derive(Debug, PartialEq, Eq)]
@@ -50,7 +50,7 @@
 
 impl std::error::Error for ConfigError {}
 
-fn wrong<T>(key: &str, problem: impl Into<String>) -> Result<T, ConfigError> {
+fn invalid<T>(key: &str, problem: impl Into<String>) -> Result<T, ConfigError> {
     Err(ConfigError { key: key.to_owned(), problem: problem.into() })
 }
 
@@ -60,9 +60,9 @@
     /// Its name, the first part of the path.
     pub name: String,
     /// How long clients wait where they do not say.
-    pub patience: Micros,
+    pub timeout: Micros,
     /// A job of it comes with an idempotency key.
-    pub keyed: bool,
+    pub requires_idempotency_key: bool,
 }
 
 /// The names of the settings, and the positions in their lists by which the module knows them.
@@ -102,17 +102,17 @@
     /// A connection that is not up after this has failed.
     pub dial_timeout: Micros,
     /// An idle connection to a worker is dropped after this.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// A worker that drains may still get work for so long after that was told.
     pub drain_grace: Micros,
     /// Lists are pushed to an agent on this machine: what it has counts as told, from the first moment on.
-    pub pushed: bool,
+    pub list_is_pushed: bool,
     /// The longest deadline of a class.
-    pub longest: Micros,
+    pub longest_timeout: Micros,
     /// The list as last held, and its revision; none where nothing is known.
-    pub known: (Option<u64>, Vec<Listed>),
+    pub saved_list: (Option<u64>, Vec<ListedEndpoint>),
     /// The fleet that this dispatcher is a member of, if our own settings name one.
-    pub fleet: Option<Fleet>,
+    pub cluster: Option<ClusterSettings>,
 }
 
 impl Config {
@@ -121,10 +121,10 @@
     /// # Errors
     /// The first key that is missing or faulty.
     pub fn from_environment(var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-        let mut config = Config::read(&Config::text(&var)?, &var)?;
-        let own = Own::find(var)?;
-        config.settings.room = own.room;
-        config.fleet = own.fleet;
+        let mut config = Config::parse(&Config::read_file(&var)?, &var)?;
+        let own = LocalSettings::load(var)?;
+        config.settings.room = own.capacity_reservation;
+        config.cluster = own.cluster;
         Ok(config)
     }
 
@@ -132,24 +132,24 @@
     ///
     /// # Errors
     /// The first key that is missing or faulty, or that a running program cannot change.
-    pub fn again(&self, var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-        let mut config = self.replace(&Config::text(&var)?, &var)?;
-        let own = Own::find(var)?;
-        if own.fleet != self.fleet {
-            return wrong("fleet", "cannot change while the program runs");
+    pub fn reload(&self, var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        let mut config = self.replace(&Config::read_file(&var)?, &var)?;
+        let own = LocalSettings::load(var)?;
+        if own.cluster != self.cluster {
+            return invalid("fleet", "cannot change while the program runs");
         }
-        config.settings.room = own.room;
-        config.fleet = own.fleet;
+        config.settings.room = own.capacity_reservation;
+        config.cluster = own.cluster;
         Ok(config)
     }
 
-    fn text(var: &impl Fn(&str) -> Option<String>) -> Result<String, ConfigError> {
+    fn read_file(var: &impl Fn(&str) -> Option<String>) -> Result<String, ConfigError> {
         let Some(path) = var("BALANCER_CONFIG") else {
-            return wrong("BALANCER_CONFIG", "not set; it names the configuration file");
+            return invalid("BALANCER_CONFIG", "not set; it names the configuration file");
         };
         match std::fs::read_to_string(&path) {
             Ok(text) => Ok(text),
-            Err(error) => wrong("BALANCER_CONFIG", format!("cannot read {path}: {error}")),
+            Err(error) => invalid("BALANCER_CONFIG", format!("cannot read {path}: {error}")),
         }
     }
 
@@ -159,20 +159,20 @@
     /// # Errors
     /// The first key that is missing or faulty, or that a running program cannot change.
     pub fn replace(&self, text: &str, var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-        let mut new = Config::read(text, |name| match name {
+        let mut new = Config::parse(text, |name| match name {
             "BALANCER_DISCOVERY" => None,
             _ => var(name),
         })
         .or_else(|error| match error.key.as_str() {
             // A file that does not say leaves it as it was.
-            "discovery" if error.problem.starts_with("missing") => Config::read(text, var),
+            "discovery" if error.problem.starts_with("missing") => Config::parse(text, var),
             _ => Err(error),
         })?;
         let fixed =
-            |key: &str| wrong(key, "cannot change while the program runs, but for names added at the end");
+            |key: &str| invalid(key, "cannot change while the program runs, but for names added at the end");
         let class_names = |names: &Names| names.classes.iter().map(|c| c.name.clone()).collect::<Vec<_>>();
         if new.listen != self.listen && self.listen.port() != 0 {
-            return wrong(
+            return invalid(
                 "listen",
                 format!("cannot change while the program runs: it listens on {}", self.listen),
             );
@@ -198,48 +198,51 @@
     ///
     /// # Errors
     /// The first key that is missing or faulty.
-    pub fn read(text: &str, var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+    pub fn parse(text: &str, var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let root: Value = match serde_json::from_str(text) {
             Ok(root) => root,
-            Err(error) => return wrong("configuration", format!("is not JSON: {error}")),
+            Err(error) => return invalid("configuration", format!("is not JSON: {error}")),
         };
         let told = |name: &str, key: &str| {
             let own = var(name).map(|v| (name.to_owned(), v));
             own.or_else(|| root[key].as_str().map(|v| (key.to_owned(), v.to_owned())))
         };
         let address = |name: &str, key: &str| match told(name, key) {
-            None => wrong(key, "missing; expected an address such as 127.0.0.1:7070"),
+            None => invalid(key, "missing; expected an address such as 127.0.0.1:7070"),
             Some((at, v)) => match v.parse::<SocketAddr>() {
                 Ok(address) => Ok(address),
-                Err(_) => wrong(&at, format!("expected an address such as 127.0.0.1:7070, found '{v}'")),
+                Err(_) => invalid(&at, format!("expected an address such as 127.0.0.1:7070, found '{v}'")),
             },
         };
         let pairs = match &root["settings"] {
             all @ Value::Object(_) => Pairs::flatten(all),
-            Value::Null => return wrong("settings", "missing"),
-            _ => return wrong("settings", "expected an object"),
+            Value::Null => return invalid("settings", "missing"),
+            _ => return invalid("settings", "expected an object"),
         };
         let module = settings(&pairs)?;
-        let names = names(&pairs, &module)?;
+        let names = parse_names(&pairs, &module)?;
         if module.zone as usize >= names.zones.len().max(1) {
-            return wrong("settings.zone", format!("there is no zone number {}", module.zone));
+            return invalid("settings.zone", format!("there is no zone number {}", module.zone));
         }
         let sockets = match &root["limits"]["sockets"] {
-            Value::Null => SOCKETS,
-            v => match v.as_u64().and_then(|v| usize::try_from(v).ok()).filter(|v| *v >= 2 * SOCKETS_KEPT) {
-                Some(v) => v,
-                None => return wrong("limits.sockets", format!("expected {} or more, found {v}", 80)),
-            },
+            Value::Null => DEFAULT_SOCKETS,
+            v => {
+                match v.as_u64().and_then(|v| usize::try_from(v).ok()).filter(|v| *v >= 2 * RESERVED_SOCKETS)
+                {
+                    Some(v) => v,
+                    None => return invalid("limits.sockets", format!("expected {} or more, found {v}", 80)),
+                }
+            }
         };
-        let client_sockets = (sockets - SOCKETS_KEPT) * CLIENT_SOCKETS / 100;
+        let client_sockets = (sockets - RESERVED_SOCKETS) * CLIENT_SOCKETS_PERCENT / 100;
         let known = match &root["known"] {
             Value::Null => (None, Vec::new()),
-            known => match list(known, &names) {
-                Ok(list) => (Some(list.revision), list.members),
-                Err(error) => return wrong(&format!("known.{}", error.key), error.problem),
+            known => match parse_endpoint_list(known, &names) {
+                Ok(list) => (Some(list.revision), list.endpoints),
+                Err(error) => return invalid(&format!("known.{}", error.key), error.problem),
             },
         };
-        let keepalive = pairs.size("caps.keepalive-s", KEEPALIVE)?;
+        let keepalive = pairs.size("caps.keepalive-s", DEFAULT_KEEPALIVE_S)?;
         Ok(Config {
             name: told("BALANCER_NAME", "name").map_or_else(|| "cairncrank".to_owned(), |(_, v)| v),
             listen: address("BALANCER_LISTEN", "listen")?,
@@ -248,18 +251,23 @@
                 None => None,
                 Some(_) => Some(address("BALANCER_CONSOLE", "console")?),
             },
-            seed: seed(&root["seed"])?,
+            seed: parse_seed(&root["seed"])?,
             client_sockets,
-            worker_sockets: sockets - SOCKETS_KEPT - client_sockets,
+            worker_sockets: sockets - RESERVED_SOCKETS - client_sockets,
             settings: module,
-            dial_timeout: micros(pairs.size("caps.dial-timeout-s", DIAL_TIMEOUT)?.max(0.001)),
-            idle: micros(keepalive * KEEPALIVE_USED),
-            drain_grace: micros(pairs.size("obligations.drain-grace-s", DRAIN_GRACE)?),
-            pushed: pairs.word("discovery") == "push",
-            longest: names.classes.iter().map(|c| c.patience).max().unwrap_or(micros(PATIENCE)),
+            dial_timeout: micros(pairs.size("caps.dial-timeout-s", DEFAULT_DIAL_TIMEOUT_S)?.max(0.001)),
+            idle_timeout: micros(keepalive * KEEPALIVE_FRACTION),
+            drain_grace: micros(pairs.size("obligations.drain-grace-s", DEFAULT_DRAIN_GRACE_S)?),
+            list_is_pushed: pairs.word("discovery") == "push",
+            longest_timeout: names
+                .classes
+                .iter()
+                .map(|c| c.timeout)
+                .max()
+                .unwrap_or(micros(DEFAULT_TIMEOUT_S)),
             names,
-            known,
-            fleet: None,
+            saved_list: known,
+            cluster: None,
         })
     }
 }
@@ -274,28 +282,28 @@
 }
 
 /// A seed in hexadecimal digits or as a number; any other text serves as well.
-fn seed(value: &Value) -> Result<u64, ConfigError> {
+fn parse_seed(value: &Value) -> Result<u64, ConfigError> {
     match value {
         Value::String(s) => Ok(u64::from_str_radix(s, 16).unwrap_or_else(|_| worker_id(s).0)),
         Value::Number(n) if n.is_u64() => Ok(n.as_u64().unwrap_or_default()),
-        Value::Null => wrong("seed", "missing"),
-        other => wrong("seed", format!("expected hexadecimal digits, found {other}")),
+        Value::Null => invalid("seed", "missing"),
+        other => invalid("seed", format!("expected hexadecimal digits, found {other}")),
     }
 }
 
-fn names(pairs: &Pairs<'_>, module: &Settings) -> Result<Names, ConfigError> {
+fn parse_names(pairs: &Pairs<'_>, module: &Settings) -> Result<Names, ConfigError> {
     let mut classes = Vec::new();
     for (i, name) in pairs.names("profiles")?.into_iter().enumerate() {
-        let patience = micros(pairs.size(&format!("profiles.{i}.deadline-s"), PATIENCE)?);
+        let patience = micros(pairs.size(&format!("profiles.{i}.deadline-s"), DEFAULT_TIMEOUT_S)?);
         let keyed = matches!(module.classes[i].repeat, Repeat::Keyed(_));
-        classes.push(ClassInfo { name, patience, keyed });
+        classes.push(ClassInfo { name, timeout: patience, requires_idempotency_key: keyed });
     }
     let tenants = pairs.names("projects")?;
     let listed = |path: &str| pairs.list(path).map(str::to_owned).collect();
     let names = Names { classes, tenants, zones: listed("azs"), kinds: listed("flavors") };
-    let unnamed = |list: &str, i: usize| wrong(&format!("settings.{list}.{i}.name"), "missing");
+    let unnamed = |list: &str, i: usize| invalid(&format!("settings.{list}.{i}.name"), "missing");
     if names.classes.is_empty() {
-        return wrong("settings.profiles", "expected one class of request or more");
+        return invalid("settings.profiles", "expected one class of request or more");
     }
     if let Some(i) = names.classes.iter().position(|c| c.name.is_empty()) {
         return unnamed("profiles", i);
@@ -308,27 +316,28 @@
 
 /// What discovery tells at once: the whole list, or the entries that changed.
 #[derive(Debug)]
-pub struct List {
+pub struct EndpointList {
     /// The version.
     pub revision: u64,
     /// What part of the list it is.
     pub scope: Scope,
     /// The entries.
-    pub members: Vec<Listed>,
+    pub endpoints: Vec<ListedEndpoint>,
 }
 
 /// Reads the list of workers in discovery's form.
 ///
 /// # Errors
 /// The first key that is missing or faulty.
-pub fn list(value: &Value, names: &Names) -> Result<List, ConfigError> {
+pub fn parse_endpoint_list(value: &Value, names: &Names) -> Result<EndpointList, ConfigError> {
     let Some(revision) = value["revision"].as_u64() else {
-        return wrong("revision", format!("expected a whole number, found {}", value["revision"]));
+        return invalid("revision", format!("expected a whole number, found {}", value["revision"]));
     };
     let Some(members) = value["members"].as_array() else {
-        return wrong("members", "expected a list");
+        return invalid("members", "expected a list");
     };
-    let mut list = List { revision, scope: Scope::Changes, members: Vec::with_capacity(members.len()) };
+    let mut list =
+        EndpointList { revision, scope: Scope::Changes, endpoints: Vec::with_capacity(members.len()) };
     if value["complete"].as_bool().unwrap_or(false) {
         list.scope = Scope::Full;
     }
@@ -336,19 +345,19 @@
     let kinds: FxHashMap<&str, u32> = names.kinds.iter().map(String::as_str).zip(0..).collect();
     for (i, entry) in members.iter().enumerate() {
         let at = |key: &str| format!("members.{i}.{key}");
-        let Some(id) = entry["id"].as_str() else { return wrong(&at("id"), "missing") };
+        let Some(id) = entry["id"].as_str() else { return invalid(&at("id"), "missing") };
         let state = match entry["phase"].as_str() {
             Some("in_service") => WorkerState::Serving,
             Some("terminating") => WorkerState::Draining,
             Some("terminated") => WorkerState::Gone,
             _ => {
                 let problem = "expected in_service, terminating or terminated, found ";
-                return wrong(&at("phase"), format!("{problem}{}", entry["phase"]));
+                return invalid(&at("phase"), format!("{problem}{}", entry["phase"]));
             }
         };
         let address = entry["host_port"].as_str().and_then(|v| v.parse().ok());
         if address.is_none() && state == WorkerState::Serving {
-            return wrong(&at("host_port"), format!("expected an address, found {}", entry["host_port"]));
+            return invalid(&at("host_port"), format!("expected an address, found {}", entry["host_port"]));
         }
         // A name that the settings do not hold is a zone or kind of its own, and of nobody here.
         let number = |names: &FxHashMap<&str, u32>, key: &str| {
@@ -363,7 +372,7 @@
             since: entry["up_since_ms"].as_f64().unwrap_or(0.0) / 1e3,
             state,
         };
-        list.members.push(Listed { member, address });
+        list.endpoints.push(ListedEndpoint { endpoint: member, address });
     }
     Ok(list)
 }
--- a/crates/dispatcher/src/engine.rs
+++ b/crates/dispatcher/src/engine.rs
@@ -35,9 +35,9 @@
 }
 
 /// The most inputs taken in one turn of the loop.
-const TURN: usize = 128;
+const MAX_INPUTS_PER_TURN: usize = 128;
 /// A request that the module still holds this long after its deadline is answered without it: it never should.
-const OVERDUE: Micros = 10_000;
+const OVERDUE_GRACE: Micros = 10_000;
 
 /// The monotonic clock, anchored once to Unix time: the module's turns at cold workers use a clock that all
 /// dispatchers share, and workers tell their start in Unix time.
@@ -90,7 +90,7 @@
     /// What the module is told of it; `id` and `patience` are filled in by the engine.
     pub request: Request,
     /// How long the client waits.
-    pub patience: Micros,
+    pub timeout: Micros,
     /// What a worker gets of it.
     pub payload: Payload,
 }
@@ -105,35 +105,35 @@
     /// Failed.
     Failed,
     /// Never a job.
-    Rejected(Fault),
+    Rejected(InvalidRequest),
 }
 
 /// Why a request is no job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum InvalidRequest {
     /// Another request of this id is open.
-    Open,
+    DuplicateId,
     /// A worker says that it cannot be used.
     Unusable,
 }
 
 /// How far an attempt got before it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reach {
+pub enum AttemptStage {
     /// There was no connection.
-    Unconnected,
+    NotConnected,
     /// A part of the request was written at the most.
-    PartWritten,
+    PartiallyWritten,
     /// Its last byte was written.
     Written,
     /// The worker took the job.
     Started,
 }
 
-impl Reach {
+impl AttemptStage {
     /// What a connection that breaks at this point means.
-    pub fn broken(self) -> Outcome {
-        if self < Reach::Written {
+    pub fn outcome_if_broken(self) -> Outcome {
+        if self < AttemptStage::Written {
             Outcome::ConnectFailed
         } else {
             Outcome::Reset
@@ -143,9 +143,9 @@
 
 /// An entry of the worker list, with where the worker listens.
 #[derive(Clone, Copy, Debug)]
-pub struct Listed {
+pub struct ListedEndpoint {
     /// What the module is told.
-    pub member: Member,
+    pub endpoint: Member,
     /// Its address, where it has one.
     pub address: Option<SocketAddr>,
 }
@@ -156,26 +156,26 @@
     /// A job, and where its answer goes.
     Submit(RequestId, Box<Job>, oneshot::Sender<Answer>),
     /// The client left.
-    Gone(RequestId),
+    ClientDisconnected(RequestId),
     /// A worker began a job.
-    Started(RequestId, u32),
+    JobStarted(RequestId, u32),
     /// A job is done to this part.
     Progress(RequestId, u32, f64),
     /// An attempt ended; the bytes are the result of one that was served.
-    Ended(RequestId, u32, Outcome, Bytes, Option<Load>),
+    AttemptEnded(RequestId, u32, Outcome, Bytes, Option<Load>),
     /// A probe ended: whether the worker answered that it is well, and what it said of its load. Each
     /// [`Command::Probe`] is followed by one; where a probe was out already, its end answers both.
-    Probed(WorkerId, bool, Option<Load>),
+    HealthCheckEnded(WorkerId, bool, Option<Load>),
     /// One who watches workers for all saw this one fail so long ago, which may be held against it for so long.
-    Sighted(WorkerId, Micros, Micros),
+    UnhealthyReported(WorkerId, Micros, Micros),
     /// One who hands cold budgets out for all granted so much work at this worker until then.
-    Granted(WorkerId, f64, Micros),
+    QuotaGranted(WorkerId, f64, Micros),
     /// The worker list, or a part of it.
-    List(Scope, Vec<Listed>),
+    EndpointList(Scope, Vec<ListedEndpoint>),
     /// Other settings hold from here on.
     Configure(Box<Settings>),
     /// The program ends: answer what is open.
-    Finish,
+    Shutdown,
 }
 
 /// What the engine wants done.
@@ -194,58 +194,58 @@
         /// When the dispatcher stops waiting.
         deadline: Micros,
         /// Not to be written after this, since an attempt before it may have run: a connection may come up late.
-        latest: Micros,
+        not_after: Micros,
     },
     /// Give an attempt up.
     Cancel(RequestId, u32),
     /// Ask a worker for its load, or where none is reported whether it is well.
-    Probe(WorkerId),
+    HealthCheck(WorkerId),
     /// Close the idle connections to a worker.
     CloseIdle(WorkerId),
     /// Where workers listen, and whether they take work; with [`Scope::Full`] all others are gone.
-    List(Scope, Vec<Listed>),
+    EndpointList(Scope, Vec<ListedEndpoint>),
 }
 
 /// The way to the engine's queue.
 #[derive(Clone, Debug)]
 pub struct Handle {
     inputs: mpsc::UnboundedSender<Input>,
-    next: Rc<Cell<u64>>,
+    next_id: Rc<Cell<u64>>,
 }
 
 impl Handle {
     /// A queue and the way to it. It is as long as there are connections at the most: each has one request
     /// open, and takes turns with the engine.
-    pub fn queue() -> (Handle, mpsc::UnboundedReceiver<Input>) {
+    pub fn channel() -> (Handle, mpsc::UnboundedReceiver<Input>) {
         let (inputs, queue) = mpsc::unbounded_channel();
-        (Handle { inputs, next: Rc::new(Cell::new(1)) }, queue)
+        (Handle { inputs, next_id: Rc::new(Cell::new(1)) }, queue)
     }
 
     /// Tells the engine. One that has ended has no more need to know.
-    pub fn tell(&self, input: Input) {
+    pub fn send(&self, input: Input) {
         let _ = self.inputs.send(input);
     }
 
     /// Hands in a job. Dropping the ticket tells that the client left.
-    pub fn submit(&self, job: Job) -> Ticket {
-        let id = RequestId(self.next.get());
-        self.next.set(id.0 + 1);
+    pub fn submit(&self, job: Job) -> PendingJob {
+        let id = RequestId(self.next_id.get());
+        self.next_id.set(id.0 + 1);
         let (sender, answer) = oneshot::channel();
-        self.tell(Input::Submit(id, Box::new(job), sender));
-        Ticket { id, answer, answered: false, handle: self.clone() }
+        self.send(Input::Submit(id, Box::new(job), sender));
+        PendingJob { id, answer, answered: false, handle: self.clone() }
     }
 }
 
 /// A job that was handed in.
 #[derive(Debug)]
-pub struct Ticket {
+pub struct PendingJob {
     id: RequestId,
     answer: oneshot::Receiver<Answer>,
     answered: bool,
     handle: Handle,
 }
 
-impl Ticket {
+impl PendingJob {
     /// Waits for the final answer.
     pub async fn answer(&mut self) -> Answer {
         let answer = (&mut self.answer).await;
@@ -254,20 +254,20 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for PendingJob {
     fn drop(&mut self) {
         if !self.answered {
-            self.handle.tell(Input::Gone(self.id));
+            self.handle.send(Input::ClientDisconnected(self.id));
         }
     }
 }
 
 /// A request in the table.
-struct Open {
+struct OpenRequest {
     deadline: Micros,
     payload: Rc<Payload>,
     /// Where the answer goes; none once it is concluded.
-    answer: Option<oneshot::Sender<Answer>>,
+    answer_sender: Option<oneshot::Sender<Answer>>,
     class: usize,
     attempts: Vec<Attempt>,
 }
@@ -275,31 +275,31 @@
 /// An attempt at a request.
 struct Attempt {
     /// When it was sent on its way.
-    sent: Micros,
-    out: bool,
+    sent_at: Micros,
+    in_flight: bool,
     /// No outcome proves that it never ran.
     may_have_run: bool,
 }
 
-impl Open {
+impl OpenRequest {
     /// Takes where the answer goes, once; from then on no attempt begins.
     fn conclude(&mut self) -> Option<oneshot::Sender<Answer>> {
         self.payload.concluded.set(true);
-        self.answer.take()
+        self.answer_sender.take()
     }
 
-    fn is_out(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.out)
+    fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Module(u64),
+enum Timer {
+    Policy(u64),
     Attempt(RequestId, u32),
     Deadline(RequestId),
     Overdue(RequestId),
-    Unheard,
+    InitialListTimeout,
 }
 
 /// The task that owns the module.
@@ -307,27 +307,27 @@
     dispatcher: Dispatcher,
     max_attempts: usize,
     /// For each class, how long after an attempt that may have run another may be written.
-    repeat_within: Vec<Micros>,
+    retry_windows: Vec<Micros>,
     /// What came before discovery was heard, where it is to be heard first.
-    unheard: Option<Vec<Request>>,
+    held_for_initial_list: Option<Vec<Request>>,
     clock: Clock,
     now: Micros,
-    open: FxHashMap<RequestId, Open>,
+    open_requests: FxHashMap<RequestId, OpenRequest>,
     /// The ids that clients gave to what is open.
-    ids: FxHashSet<Bytes>,
-    due: BinaryHeap<Reverse<(Micros, Due)>>,
+    open_ids: FxHashSet<Bytes>,
+    timers: BinaryHeap<Reverse<(Micros, Timer)>>,
     actions: Vec<Action>,
     /// Ends of attempts that the engine itself caused and the module has not been told yet.
-    ended: VecDeque<(RequestId, u32, Outcome)>,
+    abandoned_attempts: VecDeque<(RequestId, u32, Outcome)>,
     commands: mpsc::UnboundedSender<Command>,
-    finishing: bool,
+    shutting_down: bool,
     /// What a usual job asks of a worker, for whoever asked to be kept up to date.
-    usual: Option<Rc<Cell<f64>>>,
+    usual_job_cost: Option<Rc<Cell<f64>>>,
 }
 
 impl std::fmt::Debug for Engine {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Engine").field("now", &self.now).field("open", &self.open.len()).finish()
+        f.debug_struct("Engine").field("now", &self.now).field("open", &self.open_requests.len()).finish()
     }
 }
 
@@ -336,52 +336,52 @@
     pub fn new(
         settings: Settings,
         seed: u64,
-        known: Vec<Listed>,
+        known: Vec<ListedEndpoint>,
         clock: Clock,
         commands: mpsc::UnboundedSender<Command>,
     ) -> Engine {
         let max_attempts = settings.max_attempts.max(1) as usize;
         let mut engine = Engine {
-            repeat_within: repeat_within(&settings),
+            retry_windows: retry_windows(&settings),
             dispatcher: Dispatcher::new(settings, seed),
             max_attempts,
-            unheard: None,
+            held_for_initial_list: None,
             clock,
             now: clock.now(),
-            open: FxHashMap::default(),
-            ids: FxHashSet::default(),
-            due: BinaryHeap::new(),
+            open_requests: FxHashMap::default(),
+            open_ids: FxHashSet::default(),
+            timers: BinaryHeap::new(),
             actions: Vec::new(),
-            ended: VecDeque::new(),
+            abandoned_attempts: VecDeque::new(),
             commands,
-            finishing: false,
-            usual: None,
+            shutting_down: false,
+            usual_job_cost: None,
         };
         engine.dispatcher.start(seconds(engine.now), &mut engine.actions);
-        engine.act();
-        engine.take(Input::List(Scope::Saved, known));
+        engine.perform_actions();
+        engine.handle_input(Input::EndpointList(Scope::Saved, known));
         engine
     }
 
     /// Holds what comes until discovery is heard, for so long at the most. Where lists are pushed, what they tell counts
     /// as told from the first moment of a process, whatever the list as last held says.
-    pub fn hear_first(&mut self, longest: Micros) {
-        self.unheard = Some(Vec::new());
-        self.due.push(Reverse((self.now + longest, Due::Unheard)));
+    pub fn await_initial_list(&mut self, longest: Micros) {
+        self.held_for_initial_list = Some(Vec::new());
+        self.timers.push(Reverse((self.now + longest, Timer::InitialListTimeout)));
     }
 
     /// What a usual job asks of a worker, in slots by seconds; kept up to date from now on.
-    pub fn usual_job(&mut self) -> Rc<Cell<f64>> {
-        let usual = self.usual.get_or_insert_with(Rc::default);
+    pub fn usual_job_cost(&mut self) -> Rc<Cell<f64>> {
+        let usual = self.usual_job_cost.get_or_insert_with(Rc::default);
         usual.set(self.dispatcher.usual_job());
         usual.clone()
     }
 
     /// Takes inputs and timers in turns, until nobody can send any.
     pub async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<Input>) {
-        let mut turn = Vec::with_capacity(TURN);
+        let mut turn = Vec::with_capacity(MAX_INPUTS_PER_TURN);
         loop {
-            let next = self.due.peek().map(|Reverse((at, _))| self.clock.instant(*at));
+            let next = self.timers.peek().map(|Reverse((at, _))| self.clock.instant(*at));
             let sleep = async {
                 match next {
                     Some(at) => tokio::time::sleep_until(at).await,
@@ -390,229 +390,248 @@
             };
             tokio::select! {
                 biased;
-                count = inputs.recv_many(&mut turn, TURN) => if count == 0 { return },
+                count = inputs.recv_many(&mut turn, MAX_INPUTS_PER_TURN) => if count == 0 { return },
                 () = sleep => {}
             }
             self.now = self.clock.now();
             for input in turn.drain(..) {
-                self.take(input);
+                self.handle_input(input);
             }
-            self.fire();
-            if let Some(usual) = &self.usual {
+            self.fire_timers();
+            if let Some(usual) = &self.usual_job_cost {
                 usual.set(self.dispatcher.usual_job());
             }
         }
     }
 
-    fn fire(&mut self) {
-        while let Some(&Reverse((at, due))) = self.due.peek() {
+    fn fire_timers(&mut self) {
+        while let Some(&Reverse((at, due))) = self.timers.peek() {
             if at > self.now {
                 return;
             }
-            self.due.pop();
+            self.timers.pop();
             match due {
-                Due::Module(token) => self.tell(Event::Timer(token)),
-                Due::Attempt(request, attempt) => self.give_up(request, attempt, Outcome::Timeout),
-                Due::Deadline(request) => {
-                    let attempts = self.open.get(&request).map_or(0, |open| open.attempts.len());
+                Timer::Policy(token) => self.notify_policy(Event::Timer(token)),
+                Timer::Attempt(request, attempt) => self.abandon_attempt(request, attempt, Outcome::Timeout),
+                Timer::Deadline(request) => {
+                    let attempts = self.open_requests.get(&request).map_or(0, |open| open.attempts.len());
                     for attempt in 0..attempts as u32 {
-                        self.give_up(request, attempt, Outcome::Timeout);
+                        self.abandon_attempt(request, attempt, Outcome::Timeout);
                     }
-                    if self.open.contains_key(&request) {
-                        self.due.push(Reverse((self.now + OVERDUE, Due::Overdue(request))));
+                    if self.open_requests.contains_key(&request) {
+                        self.timers.push(Reverse((self.now + OVERDUE_GRACE, Timer::Overdue(request))));
                     }
                 }
-                Due::Overdue(request) => self.close(request),
-                Due::Unheard => self.heard(),
+                Timer::Overdue(request) => self.force_close(request),
+                Timer::InitialListTimeout => self.release_held_requests(),
             }
-            self.settle();
+            self.report_abandoned_attempts();
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Submit(id, job, answer) => self.submit(id, *job, answer),
-            Input::Gone(id) => {
-                if let Some(open) = self.open.get_mut(&id) {
+            Input::Submit(id, job, answer) => self.open_request(id, *job, answer),
+            Input::ClientDisconnected(id) => {
+                if let Some(open) = self.open_requests.get_mut(&id) {
                     // The module may have answered while the client left.
                     if open.conclude().is_some() {
-                        self.tell(Event::ClientGone(id));
+                        self.notify_policy(Event::ClientGone(id));
                     }
-                    self.tidy(id);
+                    self.remove_if_finished(id);
                 }
             }
-            Input::Started(request, attempt) => {
-                if self.is_out(request, attempt) {
-                    self.tell(Event::JobStarted { request, attempt });
+            Input::JobStarted(request, attempt) => {
+                if self.is_in_flight(request, attempt) {
+                    self.notify_policy(Event::JobStarted { request, attempt });
                 }
             }
             Input::Progress(request, attempt, done) => {
-                if self.is_out(request, attempt) {
-                    self.tell(Event::Progress { request, attempt, done });
+                if self.is_in_flight(request, attempt) {
+                    self.notify_policy(Event::Progress { request, attempt, done });
                 }
             }
-            Input::Granted(worker, work, until) => {
-                self.tell(Event::Granted { worker, work, until: seconds(until) });
+            Input::QuotaGranted(worker, work, until) => {
+                self.notify_policy(Event::Granted { worker, work, until: seconds(until) });
             }
-            Input::Sighted(worker, ago, holds) => {
-                self.tell(Event::Sighted { worker, ago: seconds(ago), holds: seconds(holds) });
+            Input::UnhealthyReported(worker, ago, holds) => {
+                self.notify_policy(Event::Sighted { worker, ago: seconds(ago), holds: seconds(holds) });
             }
-            Input::Probed(worker, ok, load) => self.tell(Event::Probed { worker, ok, load }),
-            Input::Ended(request, attempt, outcome, result, load) => {
-                if self.is_out(request, attempt) {
-                    self.end(request, attempt, outcome, result, load);
+            Input::HealthCheckEnded(worker, ok, load) => {
+                self.notify_policy(Event::Probed { worker, ok, load })
+            }
+            Input::AttemptEnded(request, attempt, outcome, result, load) => {
+                if self.is_in_flight(request, attempt) {
+                    self.end_attempt(request, attempt, outcome, result, load);
                 }
             }
-            Input::List(scope, members) => {
-                let lines: Vec<Member> = members.iter().map(|l| l.member).collect();
+            Input::EndpointList(scope, members) => {
+                let lines: Vec<Member> = members.iter().map(|l| l.endpoint).collect();
                 // The way to a worker must be known before the module can choose it, and barred before it asks.
-                let _ = self.commands.send(Command::List(scope, members));
-                self.tell(Event::List { scope, members: &lines });
+                let _ = self.commands.send(Command::EndpointList(scope, members));
+                self.notify_policy(Event::List { scope, members: &lines });
                 if scope != Scope::Saved {
-                    self.heard();
+                    self.release_held_requests();
                 }
             }
             Input::Configure(settings) => {
                 self.max_attempts = settings.max_attempts.max(1) as usize;
-                self.repeat_within = repeat_within(&settings);
-                self.tell(Event::Settings(&settings));
+                self.retry_windows = retry_windows(&settings);
+                self.notify_policy(Event::Settings(&settings));
             }
-            Input::Finish => {
-                self.finishing = true;
-                let mut ids: Vec<RequestId> = self.open.keys().copied().collect();
+            Input::Shutdown => {
+                self.shutting_down = true;
+                let mut ids: Vec<RequestId> = self.open_requests.keys().copied().collect();
                 ids.sort_unstable();
-                ids.into_iter().for_each(|id| self.close(id));
+                ids.into_iter().for_each(|id| self.force_close(id));
             }
         }
-        self.settle();
+        self.report_abandoned_attempts();
     }
 
-    fn submit(&mut self, id: RequestId, job: Job, answer: oneshot::Sender<Answer>) {
-        if self.finishing {
+    fn open_request(&mut self, id: RequestId, job: Job, answer: oneshot::Sender<Answer>) {
+        if self.shutting_down {
             let _ = answer.send(Answer::Refused(None));
             return;
         }
         // Workers know jobs by these ids: a second one would be taken for the first, and a cancel would end both.
-        if !job.payload.id.is_empty() && !self.ids.insert(job.payload.id.clone()) {
-            let _ = answer.send(Answer::Rejected(Fault::Open));
+        if !job.payload.id.is_empty() && !self.open_ids.insert(job.payload.id.clone()) {
+            let _ = answer.send(Answer::Rejected(InvalidRequest::DuplicateId));
             return;
         }
-        let deadline = self.now + job.patience;
-        let open = Open {
+        let deadline = self.now + job.timeout;
+        let open = OpenRequest {
             deadline,
             payload: Rc::new(job.payload),
-            answer: Some(answer),
+            answer_sender: Some(answer),
             class: job.request.class as usize,
             attempts: Vec::new(),
         };
-        self.open.insert(id, open);
-        self.due.push(Reverse((deadline, Due::Deadline(id))));
-        let request = Request { id, patience: seconds(job.patience), ..job.request };
-        match &mut self.unheard {
+        self.open_requests.insert(id, open);
+        self.timers.push(Reverse((deadline, Timer::Deadline(id))));
+        let request = Request { id, patience: seconds(job.timeout), ..job.request };
+        match &mut self.held_for_initial_list {
             Some(held) => held.push(request),
-            None => self.tell(Event::Request(request)),
+            None => self.notify_policy(Event::Request(request)),
         }
     }
 
     /// Discovery was heard, or waited for for long enough: hands on what came before.
-    fn heard(&mut self) {
-        for request in self.unheard.take().unwrap_or_default() {
-            if let Some(open) = self.open.get(&request.id).filter(|open| open.answer.is_some()) {
+    fn release_held_requests(&mut self) {
+        for request in self.held_for_initial_list.take().unwrap_or_default() {
+            if let Some(open) =
+                self.open_requests.get(&request.id).filter(|open| open.answer_sender.is_some())
+            {
                 let patience = seconds(open.deadline.saturating_sub(self.now));
-                self.tell(Event::Request(Request { patience, ..request }));
+                self.notify_policy(Event::Request(Request { patience, ..request }));
             }
         }
     }
 
-    fn is_out(&self, request: RequestId, attempt: u32) -> bool {
-        let open = self.open.get(&request);
-        open.and_then(|open| open.attempts.get(attempt as usize)).is_some_and(|attempt| attempt.out)
+    fn is_in_flight(&self, request: RequestId, attempt: u32) -> bool {
+        let open = self.open_requests.get(&request);
+        open.and_then(|open| open.attempts.get(attempt as usize)).is_some_and(|attempt| attempt.in_flight)
     }
 
     /// Stops waiting for an attempt that is out, and notes its end for the module.
-    fn give_up(&mut self, request: RequestId, attempt: u32, outcome: Outcome) {
-        if self.is_out(request, attempt) {
+    fn abandon_attempt(&mut self, request: RequestId, attempt: u32, outcome: Outcome) {
+        if self.is_in_flight(request, attempt) {
             let _ = self.commands.send(Command::Cancel(request, attempt));
-            self.ended.push_back((request, attempt, outcome));
+            self.abandoned_attempts.push_back((request, attempt, outcome));
         }
     }
 
     /// Tells the module of the ends that are noted; what it does then may cause more.
-    fn settle(&mut self) {
-        while let Some((request, attempt, outcome)) = self.ended.pop_front() {
-            if self.is_out(request, attempt) {
-                self.end(request, attempt, outcome, Bytes::new(), None);
+    fn report_abandoned_attempts(&mut self) {
+        while let Some((request, attempt, outcome)) = self.abandoned_attempts.pop_front() {
+            if self.is_in_flight(request, attempt) {
+                self.end_attempt(request, attempt, outcome, Bytes::new(), None);
             }
         }
     }
 
-    fn end(&mut self, request: RequestId, attempt: u32, outcome: Outcome, result: Bytes, load: Option<Load>) {
-        let Some(open) = self.open.get_mut(&request) else { return };
+    fn end_attempt(
+        &mut self,
+        request: RequestId,
+        attempt: u32,
+        outcome: Outcome,
+        result: Bytes,
+        load: Option<Load>,
+    ) {
+        let Some(open) = self.open_requests.get_mut(&request) else { return };
         let ended = &mut open.attempts[attempt as usize];
-        (ended.out, ended.may_have_run) = (false, !outcome.never_ran());
+        (ended.in_flight, ended.may_have_run) = (false, !outcome.never_ran());
         if outcome == Outcome::Ok {
             if let Some(answer) = open.conclude() {
                 let _ = answer.send(Answer::Served(result));
             }
         } else if outcome == Outcome::Rejected {
             if let Some(answer) = open.conclude() {
-                let _ = answer.send(Answer::Rejected(Fault::Unusable));
+                let _ = answer.send(Answer::Rejected(InvalidRequest::Unusable));
             }
         }
-        let complete = open.answer.is_none();
-        self.tell(Event::Ended { request, attempt, outcome, complete, load });
-        self.tidy(request);
+        let complete = open.answer_sender.is_none();
+        self.notify_policy(Event::Ended { request, attempt, outcome, complete, load });
+        self.remove_if_finished(request);
     }
 
     /// Answers a request in the module's stead: it is overdue, or the program ends.
-    fn close(&mut self, request: RequestId) {
-        let Some(open) = self.open.get_mut(&request) else { return };
+    fn force_close(&mut self, request: RequestId) {
+        let Some(open) = self.open_requests.get_mut(&request) else { return };
         let harmless = !open.attempts.iter().any(|attempt| attempt.may_have_run);
         if let Some(answer) = open.conclude() {
             let _ = answer.send(if harmless { Answer::Refused(None) } else { Answer::Failed });
-            self.tell(Event::ClientGone(request));
+            self.notify_policy(Event::ClientGone(request));
         }
-        let attempts = self.open.get(&request).map_or(0, |open| open.attempts.len() as u32);
-        (0..attempts).for_each(|attempt| self.give_up(request, attempt, Outcome::Cancelled));
-        self.tidy(request);
+        let attempts = self.open_requests.get(&request).map_or(0, |open| open.attempts.len() as u32);
+        (0..attempts).for_each(|attempt| self.abandon_attempt(request, attempt, Outcome::Cancelled));
+        self.remove_if_finished(request);
     }
 
     /// Forgets a request once it is concluded and none of its attempts is out.
-    fn tidy(&mut self, request: RequestId) {
-        if self.open.get(&request).is_some_and(|o| o.answer.is_none() && !o.is_out()) {
-            if let Some(open) = self.open.remove(&request) {
-                self.ids.remove(&open.payload.id);
+    fn remove_if_finished(&mut self, request: RequestId) {
+        if self
+            .open_requests
+            .get(&request)
+            .is_some_and(|o| o.answer_sender.is_none() && !o.has_attempt_in_flight())
+        {
+            if let Some(open) = self.open_requests.remove(&request) {
+                self.open_ids.remove(&open.payload.id);
             }
         }
     }
 
-    fn tell(&mut self, event: Event<'_>) {
+    fn notify_policy(&mut self, event: Event<'_>) {
         let (dispatcher, actions, now) = (&mut self.dispatcher, &mut self.actions, seconds(self.now));
         // A panic of the module costs the event at hand, not the requests of everybody else: each of those
         // is still answered at its deadline.
         if catch_unwind(AssertUnwindSafe(|| dispatcher.on_event(now, event, actions))).is_err() {
             tracing::error!("the decision module panicked; the event is lost");
         }
-        self.act();
+        self.perform_actions();
     }
 
-    fn act(&mut self) {
+    fn perform_actions(&mut self) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match action {
-                Action::Send { request, worker, timeout } => self.send(request, worker, timeout),
-                Action::Refuse { request, retry_after } => self.answer(request, Answer::Refused(retry_after)),
-                Action::Fail { request } => self.answer(request, Answer::Failed),
-                Action::Cancel { request, attempt } => self.give_up(request, attempt, Outcome::Cancelled),
+                Action::Send { request, worker, timeout } => self.start_attempt(request, worker, timeout),
+                Action::Refuse { request, retry_after } => {
+                    self.answer_request(request, Answer::Refused(retry_after))
+                }
+                Action::Fail { request } => self.answer_request(request, Answer::Failed),
+                Action::Cancel { request, attempt } => {
+                    self.abandon_attempt(request, attempt, Outcome::Cancelled)
+                }
                 Action::SetTimer { after, token } => {
-                    self.due.push(Reverse((self.now + micros(after), Due::Module(token))));
+                    self.timers.push(Reverse((self.now + micros(after), Timer::Policy(token))));
                 }
                 Action::CloseIdle(worker) => {
                     let _ = self.commands.send(Command::CloseIdle(worker));
                 }
                 Action::Log(words) => tracing::info!(target: "dispatcher::policy", "{words}"),
                 Action::Probe(worker) => {
-                    let _ = self.commands.send(Command::Probe(worker));
+                    let _ = self.commands.send(Command::HealthCheck(worker));
                 }
                 // Discovery is always watched; messages between dispatchers have no form on sockets.
                 Action::Watch(_) | Action::FetchList | Action::Tell { .. } => {}
@@ -621,42 +640,52 @@
         self.actions = actions;
     }
 
-    fn send(&mut self, request: RequestId, worker: WorkerId, timeout: Option<Seconds>) {
-        let Some(open) = self.open.get_mut(&request) else { return };
+    fn start_attempt(&mut self, request: RequestId, worker: WorkerId, timeout: Option<Seconds>) {
+        let Some(open) = self.open_requests.get_mut(&request) else { return };
         let attempt = open.attempts.len() as u32;
         let may_have_run =
-            open.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.sent);
-        open.attempts.push(Attempt { sent: self.now, out: true, may_have_run: true });
-        if open.answer.is_none() || self.now >= open.deadline || open.attempts.len() > self.max_attempts {
-            return self.ended.push_back((request, attempt, Outcome::Moot));
+            open.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.sent_at);
+        open.attempts.push(Attempt { sent_at: self.now, in_flight: true, may_have_run: true });
+        if open.answer_sender.is_none()
+            || self.now >= open.deadline
+            || open.attempts.len() > self.max_attempts
+        {
+            return self.abandoned_attempts.push_back((request, attempt, Outcome::Moot));
         }
         let wanted = timeout.filter(|t| *t != 0.0).map_or(Micros::MAX, |t| self.now + micros(t));
         let deadline = wanted.min(open.deadline);
         if wanted < open.deadline {
-            self.due.push(Reverse((wanted, Due::Attempt(request, attempt))));
+            self.timers.push(Reverse((wanted, Timer::Attempt(request, attempt))));
         }
-        let within = self.repeat_within.get(open.class).copied().unwrap_or(0);
+        let within = self.retry_windows.get(open.class).copied().unwrap_or(0);
         let latest = may_have_run.map_or(Micros::MAX, |sent| sent.saturating_add(within));
         let payload = open.payload.clone();
-        let _ = self.commands.send(Command::Attempt { request, attempt, worker, payload, deadline, latest });
+        let _ = self.commands.send(Command::Attempt {
+            request,
+            attempt,
+            worker,
+            payload,
+            deadline,
+            not_after: latest,
+        });
     }
 
-    fn answer(&mut self, request: RequestId, answer: Answer) {
-        if let Some(sender) = self.open.get_mut(&request).and_then(Open::conclude) {
+    fn answer_request(&mut self, request: RequestId, answer: Answer) {
+        if let Some(sender) = self.open_requests.get_mut(&request).and_then(OpenRequest::conclude) {
             let _ = sender.send(answer);
         }
-        self.tidy(request);
+        self.remove_if_finished(request);
     }
 }
 
 /// For each class, how long after an attempt that may have run another may be written.
-fn repeat_within(settings: &Settings) -> Vec<Micros> {
+fn retry_windows(settings: &Settings) -> Vec<Micros> {
     settings.classes.iter().map(|class| micros(class.repeat_within())).collect()
 }
 
-impl Listed {
+impl ListedEndpoint {
     /// It takes new work.
-    pub fn serves(&self) -> bool {
-        self.member.state == WorkerState::Serving
+    pub fn accepts_work(&self) -> bool {
+        self.endpoint.state == WorkerState::Serving
     }
 }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -4,6 +4,6 @@
 pub mod engine;
 pub mod log;
 pub mod net;
-pub mod own;
+pub mod settings_file;
 
 pub use dispatch_core::{api, Action, Dispatcher, Event, Settings};
--- a/crates/dispatcher/src/log.rs
+++ b/crates/dispatcher/src/log.rs
@@ -19,10 +19,10 @@
 use tracing_subscriber::{Layer as _, Registry};
 
 /// The most lines in one second, and the most that wait to be written.
-const MOST: u32 = 20;
-const WAITING: usize = 64;
+const MAX_LINES_PER_SECOND: u32 = 20;
+const MAX_QUEUED_LINES: usize = 64;
 /// A longer line is cut: what a peer sends may stand in it.
-const LONGEST_LINE: usize = 1024;
+const MAX_LINE_BYTES: usize = 1024;
 
 /// How lines look.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -60,7 +60,7 @@
 ///
 /// # Errors
 /// What is no level and no target, in words.
-pub fn levels(words: &str) -> Result<Targets, String> {
+pub fn parse_levels(words: &str) -> Result<Targets, String> {
     let targets = words.parse::<Targets>().map_err(|error| format!("'{words}': {error}"))?;
     if words.trim().is_empty() {
         return Err("expected a level such as info, or target=level".to_owned());
@@ -90,24 +90,24 @@
 }
 
 /// The levels where none are given: all that tells an operator something.
-pub fn usual_levels() -> Targets {
+pub fn default_levels() -> Targets {
     Targets::new().with_default(LevelFilter::INFO)
 }
 
 /// The bound of lines a second.
 #[derive(Debug)]
-struct Budget(Mutex<Window>);
+struct RateLimit(Mutex<Window>);
 
 #[derive(Debug)]
 struct Window {
-    since: Instant,
+    started_at: Instant,
     lines: u32,
-    left_out: u32,
+    dropped: u32,
 }
 
-impl Budget {
-    fn new() -> Budget {
-        Budget(Mutex::new(Window { since: Instant::now(), lines: 0, left_out: 0 }))
+impl RateLimit {
+    fn new() -> RateLimit {
+        RateLimit(Mutex::new(Window { started_at: Instant::now(), lines: 0, dropped: 0 }))
     }
 
     fn window(&self) -> std::sync::MutexGuard<'_, Window> {
@@ -116,57 +116,57 @@
     }
 
     /// Takes a line's place in this second, or counts it as left out.
-    fn take(&self, now: Instant) -> bool {
+    fn admit(&self, now: Instant) -> bool {
         let mut window = self.window();
-        if now.duration_since(window.since) >= Duration::from_secs(1) {
-            (window.since, window.lines) = (now, 0);
+        if now.duration_since(window.started_at) >= Duration::from_secs(1) {
+            (window.started_at, window.lines) = (now, 0);
         }
-        let room = window.lines < MOST;
+        let room = window.lines < MAX_LINES_PER_SECOND;
         if room {
             window.lines += 1;
         } else {
-            window.left_out = window.left_out.saturating_add(1);
+            window.dropped = window.dropped.saturating_add(1);
         }
         room
     }
 
-    fn left_out(&self) -> u32 {
-        std::mem::take(&mut self.window().left_out)
+    fn take_dropped(&self) -> u32 {
+        std::mem::take(&mut self.window().dropped)
     }
 }
 
 /// Keeps events that the budget has no room for from being formatted.
-struct Bound(Arc<Budget>);
+struct RateLimitFilter(Arc<RateLimit>);
 
-impl<S: Subscriber> Filter<S> for Bound {
+impl<S: Subscriber> Filter<S> for RateLimitFilter {
     fn enabled(&self, _: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         true
     }
 
     fn event_enabled(&self, _: &Event<'_>, _: &Context<'_, S>) -> bool {
-        self.0.take(Instant::now())
+        self.0.admit(Instant::now())
     }
 }
 
 /// Hands whole lines to the thread that writes.
 #[derive(Clone)]
-struct Lines {
+struct LineWriter {
     writer: NonBlocking,
-    budget: Arc<Budget>,
+    rate_limit: Arc<RateLimit>,
     format: Format,
 }
 
-impl<'a> MakeWriter<'a> for Lines {
-    type Writer = Lines;
+impl<'a> MakeWriter<'a> for LineWriter {
+    type Writer = LineWriter;
 
-    fn make_writer(&'a self) -> Lines {
+    fn make_writer(&'a self) -> LineWriter {
         self.clone()
     }
 }
 
-impl Write for Lines {
+impl Write for LineWriter {
     fn write(&mut self, event: &[u8]) -> io::Result<usize> {
-        let left_out = self.budget.left_out();
+        let left_out = self.rate_limit.take_dropped();
         if left_out > 0 {
             let line = match self.format {
                 Format::Text => format!("{left_out} lines left out\n"),
@@ -174,7 +174,7 @@
             };
             self.writer.write_all(line.as_bytes())?;
         }
-        self.writer.write_all(&one_line(event))?;
+        self.writer.write_all(&single_line(event))?;
         Ok(event.len())
     }
 
@@ -184,10 +184,10 @@
 }
 
 /// An event as one line of bounded length: words of a peer must not look like lines of ours.
-fn one_line(event: &[u8]) -> Vec<u8> {
+fn single_line(event: &[u8]) -> Vec<u8> {
     let text = event.strip_suffix(b"\n").unwrap_or(event);
     let blank = |&byte: &u8| if byte.is_ascii_control() { b' ' } else { byte };
-    let mut line: Vec<u8> = text.iter().take(LONGEST_LINE).map(blank).collect();
+    let mut line: Vec<u8> = text.iter().take(MAX_LINE_BYTES).map(blank).collect();
     line.push(b'\n');
     line
 }
@@ -200,20 +200,20 @@
     format: Format,
 ) -> (impl Subscriber + Send + Sync, WorkerGuard) {
     let (writer, guard) =
-        NonBlockingBuilder::default().lossy(true).buffered_lines_limit(WAITING).finish(sink);
-    let budget = Arc::new(Budget::new());
-    let lines = Lines { writer, budget: Arc::clone(&budget), format };
+        NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_LINES).finish(sink);
+    let budget = Arc::new(RateLimit::new());
+    let lines = LineWriter { writer, rate_limit: Arc::clone(&budget), format };
     let plain = tracing_subscriber::fmt::layer().with_writer(lines).with_ansi(false);
     let layer = match format {
         Format::Text => plain.boxed(),
         Format::Json => plain.json().flatten_event(true).with_span_list(false).boxed(),
     };
     // The levels stand outside: what they leave out takes no place in the budget.
-    (Registry::default().with(layer.with_filter(Bound(budget)).with_filter(levels)), guard)
+    (Registry::default().with(layer.with_filter(RateLimitFilter(budget)).with_filter(levels)), guard)
 }
 
 /// Sends the program's events to standard error. The guard belongs to the end of `main`.
-pub fn start(levels: Targets, format: Format) -> WorkerGuard {
+pub fn init(levels: Targets, format: Format) -> WorkerGuard {
     let (subscriber, guard) = subscriber(io::stderr(), levels, format);
     // Only a second start could fail, and then the first one holds.
     let _ = tracing::subscriber::set_global_default(subscriber);
@@ -239,7 +239,8 @@
 
     fn logged(levels: &str, format: Format, say: impl FnOnce()) -> Vec<String> {
         let sink = Sink::default();
-        let (subscriber, guard) = subscriber(sink.clone(), super::levels(levels).expect("levels"), format);
+        let (subscriber, guard) =
+            subscriber(sink.clone(), super::parse_levels(levels).expect("levels"), format);
         tracing::subscriber::with_default(subscriber, say);
         drop(guard);
         let text = String::from_utf8(sink.0.lock().expect("written").clone()).expect("text");
@@ -260,18 +261,18 @@
     fn what_a_peer_sends_stays_in_one_json_line() {
         let lines = logged("info", Format::Json, || tracing::warn!("a\r\n{}", "b".repeat(5000)));
         assert_eq!(lines.len(), 1);
-        assert!(lines[0].len() <= LONGEST_LINE && lines[0].contains("\"level\":\"WARN\""), "{lines:?}");
+        assert!(lines[0].len() <= MAX_LINE_BYTES && lines[0].contains("\"level\":\"WARN\""), "{lines:?}");
     }
 
     /// An attack that causes a line each time gets the bound of lines; those left out take no place by level.
     #[test]
     fn lines_a_second_are_bounded_and_the_rest_is_counted() {
-        let budget = Budget::new();
+        let budget = RateLimit::new();
         let start = Instant::now();
-        let taken = (0..10_000).filter(|_| budget.take(start)).count();
-        assert_eq!(taken, MOST as usize);
-        assert!(budget.take(start + Duration::from_millis(1001)), "the next second has room");
-        assert_eq!((budget.left_out(), budget.left_out()), (10_000 - MOST, 0));
+        let taken = (0..10_000).filter(|_| budget.admit(start)).count();
+        assert_eq!(taken, MAX_LINES_PER_SECOND as usize);
+        assert!(budget.admit(start + Duration::from_millis(1001)), "the next second has room");
+        assert_eq!((budget.take_dropped(), budget.take_dropped()), (10_000 - MAX_LINES_PER_SECOND, 0));
     }
 
     /// A reader that does not read holds up the thread that writes, and nothing else.
@@ -288,14 +289,19 @@
             }
         }
         let (release, stuck) = std::sync::mpsc::channel();
-        let (writer, guard) =
-            NonBlockingBuilder::default().lossy(true).buffered_lines_limit(WAITING).finish(Stuck(stuck));
-        let mut lines =
-            Lines { writer: writer.clone(), budget: Arc::new(Budget::new()), format: Format::Text };
-        for _ in 0..10 * WAITING {
+        let (writer, guard) = NonBlockingBuilder::default()
+            .lossy(true)
+            .buffered_lines_limit(MAX_QUEUED_LINES)
+            .finish(Stuck(stuck));
+        let mut lines = LineWriter {
+            writer: writer.clone(),
+            rate_limit: Arc::new(RateLimit::new()),
+            format: Format::Text,
+        };
+        for _ in 0..10 * MAX_QUEUED_LINES {
             lines.write_all(b"a line\n").expect("never fails");
         }
-        assert!(writer.error_counter().dropped_lines() >= 8 * WAITING);
+        assert!(writer.error_counter().dropped_lines() >= 8 * MAX_QUEUED_LINES);
         drop(release);
         drop(guard);
     }
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -4,8 +4,8 @@
 
 use dispatcher::config::{Config, ConfigError};
 use dispatcher::log;
-use dispatcher::net::{self, inherit, signal};
-use dispatcher::own;
+use dispatcher::net::{self, shutdown, socket_activation};
+use dispatcher::settings_file;
 use lexopt::prelude::{Long, Short, Value};
 use lexopt::ValueExt as _;
 use tracing_subscriber::filter::Targets;
@@ -46,12 +46,12 @@
 fn arguments() -> Result<Arguments, lexopt::Error> {
     let mut parser = lexopt::Parser::from_env();
     let (mut command, mut config, mut settings) = (None, None, None);
-    let (mut levels, mut format) = (log::usual_levels(), log::Format::default());
+    let (mut levels, mut format) = (log::default_levels(), log::Format::default());
     while let Some(argument) = parser.next()? {
         match argument {
             Long("config") => config = Some(parser.value()?.string()?),
             Long("settings") => settings = Some(parser.value()?.string()?),
-            Long("log") => levels = parser.value()?.parse_with(log::levels)?,
+            Long("log") => levels = parser.value()?.parse_with(log::parse_levels)?,
             Long("log-format") => format = parser.value()?.parse()?,
             Long("help") | Short('h') => command = Some(Command::Help),
             Long("version") | Short('V') => command = Some(Command::Version),
@@ -80,7 +80,7 @@
     };
     let variable = move |name: &str| match &file {
         Some(file) if name == "BALANCER_CONFIG" => Some(file.clone()),
-        _ if name == own::VARIABLE && settings.is_some() => settings.clone(),
+        _ if name == settings_file::VARIABLE && settings.is_some() => settings.clone(),
         _ => std::env::var(name).ok(),
     };
     match command {
@@ -93,16 +93,16 @@
                 config.names.classes.len(),
                 config.listen,
                 config.discovery,
-                config.known.1.len()
+                config.saved_list.1.len()
             ),
             Err(error) => return misconfigured(&error),
         },
         Command::Serve => match Config::from_environment(&variable) {
             Ok(config) => {
                 // Before the log's thread starts: taking the socket sets variables of the environment.
-                let inherited = match variable(inherit::VARIABLE)
-                    .map(|text| inherit::number(&text).and_then(inherit::take))
-                {
+                let inherited = match variable(socket_activation::VARIABLE).map(|text| {
+                    socket_activation::parse_descriptor(&text).and_then(socket_activation::take_listener)
+                }) {
                     None => None,
                     Some(Ok(listener)) => Some(listener),
                     Some(Err(error)) => {
@@ -110,7 +110,7 @@
                         return ExitCode::FAILURE;
                     }
                 };
-                let _guard = log::start(levels, format);
+                let _guard = log::init(levels, format);
                 return serve(config, inherited, variable);
             }
             Err(error) => return misconfigured(&error),
@@ -131,8 +131,8 @@
 ) -> ExitCode {
     let run = async {
         // Caught first: a signal that comes while the rest starts must not kill.
-        let phase = signal::phases(config.longest)?;
-        let reload = signal::reloads(move |old| old.again(&variable))?;
+        let phase = shutdown::listen_for_termination(config.longest_timeout)?;
+        let reload = shutdown::listen_for_reload(move |old| old.reload(&variable))?;
         // The platform may hold the address itself and hand it over, so that two processes serve it in turn.
         let listener = match inherited {
             Some(listener) => tokio::net::TcpListener::from_std(listener)?,
--- a/crates/dispatcher/src/net/watchers.rs
+++ b/crates/dispatcher/src/net/cluster/health_checks.rs
@@ -14,11 +14,11 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{interval, MissedTickBehavior};
 
-use super::console::FleetMetrics;
-use super::fleet::ROUND;
-use super::probe;
-use super::worker::Pool;
+use super::PUBLISH_INTERVAL;
 use crate::engine::Input;
+use crate::net::console::ClusterMetrics;
+use crate::net::health_check;
+use crate::net::worker::Pool;
 use dispatch_core::api::WorkerId;
 
 /// One set in one term of ours.
@@ -27,154 +27,164 @@
     rounds: Rounds,
     publisher: Publisher,
     /// The probes that are out.
-    probes: BTreeMap<u64, AbortHandle>,
+    health_checks: BTreeMap<u64, AbortHandle>,
 }
 
 impl Drop for Term {
     fn drop(&mut self) {
-        self.probes.values().for_each(AbortHandle::abort);
+        self.health_checks.values().for_each(AbortHandle::abort);
     }
 }
 
 /// This dispatcher's part in watching workers.
-pub(super) struct Watchers {
-    how: Watching,
+pub(super) struct ClusterHealthChecks {
+    config: Watching,
     /// Our own zone.
     zone: String,
     member: Member,
     pool: Rc<Pool>,
-    metrics: FleetMetrics,
+    metrics: ClusterMetrics,
     terms: RefCell<BTreeMap<u16, Term>>,
     /// What all our sets say of each zone.
     zones: RefCell<Zones>,
     sightings: RefCell<Sightings>,
     /// What the engine was told is held against whom.
-    told: RefCell<BTreeMap<u64, Against>>,
+    notified: RefCell<BTreeMap<u64, Against>>,
 }
 
-impl Watchers {
+impl ClusterHealthChecks {
     pub(super) fn new(
         how: Watching,
         zone: String,
         member: Member,
         pool: Rc<Pool>,
-        metrics: FleetMetrics,
-    ) -> Watchers {
+        metrics: ClusterMetrics,
+    ) -> ClusterHealthChecks {
         let sightings = RefCell::new(Sightings::new(how));
         let (terms, told, zones) = (RefCell::default(), RefCell::default(), RefCell::default());
-        Watchers { how, zone, member, pool, metrics, terms, zones, sightings, told }
+        ClusterHealthChecks {
+            config: how,
+            zone,
+            member,
+            pool,
+            metrics,
+            terms,
+            zones,
+            sightings,
+            notified: told,
+        }
     }
 
     /// Another member says what it sees; its token was found good.
-    pub(super) fn heard(&self, effect: &Effect) {
-        let Some(set) = self.how.set(&effect.duty) else { return };
+    pub(super) fn handle_report(&self, effect: &Effect) {
+        let Some(set) = self.config.set(&effect.duty) else { return };
         match Report::unpack(&effect.body) {
             Some(report) => {
                 self.sightings.borrow_mut().take(set, effect.token, report, clock::now());
-                self.tell_engine();
+                self.notify_engine();
             }
             None => tracing::warn!(duty = %effect.duty, "what a watcher says cannot be read"),
         }
     }
 
     /// Whether something is held against this worker here.
-    pub(super) fn against(&self, worker: WorkerId) -> bool {
-        self.told.borrow().contains_key(&worker.0)
+    pub(super) fn is_reported_failing(&self, worker: WorkerId) -> bool {
+        self.notified.borrow().contains_key(&worker.0)
     }
 
     /// Watches for as long as the program runs.
-    pub(super) async fn rounds(self: Rc<Self>) {
-        let mut rounds = interval(ROUND);
+    pub(super) async fn run(self: Rc<Self>) {
+        let mut rounds = interval(PUBLISH_INTERVAL);
         rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             rounds.tick().await;
-            self.own();
-            self.probe();
-            self.say();
+            self.update_terms();
+            self.start_due_checks();
+            self.publish_reports();
             // What lapses is taken back without anybody saying so.
-            self.tell_engine();
+            self.notify_engine();
         }
     }
 
     /// Notices which sets are ours.
-    fn own(&self) {
+    fn update_terms(&self) {
         let owned: BTreeMap<u16, Token> = self
             .member
             .owned()
             .into_iter()
-            .filter_map(|(duty, token)| Some((self.how.set(&duty)?, token)))
+            .filter_map(|(duty, token)| Some((self.config.set(&duty)?, token)))
             .collect();
         let mut terms = self.terms.borrow_mut();
         terms.retain(|set, term| owned.get(set) == Some(&term.token));
         for (set, token) in owned {
             terms.entry(set).or_insert_with(|| {
                 tracing::info!(set, token = token.0, "watches workers for the fleet");
-                let duty = coordination::DutyId::set(&self.how.name(), set);
+                let duty = coordination::DutyId::set(&self.config.name(), set);
                 Term {
                     token,
-                    rounds: Rounds::new(self.how, &self.zone),
+                    rounds: Rounds::new(self.config, &self.zone),
                     publisher: Publisher::new(&self.member, duty, token),
-                    probes: BTreeMap::new(),
+                    health_checks: BTreeMap::new(),
                 }
             });
         }
     }
 
     /// Probes what is due in the sets that are ours.
-    fn probe(self: &Rc<Self>) {
+    fn start_due_checks(self: &Rc<Self>) {
         let now = clock::now();
-        let (mut terms, configs) = (self.terms.borrow_mut(), self.pool.configs.borrow());
+        let (mut terms, configs) = (self.terms.borrow_mut(), self.pool.config.borrow());
         let zones = &configs.names.zones;
-        let peers = self.pool.peers.borrow();
+        let peers = self.pool.workers.borrow();
         let (mut watched, mut failing) = (0, 0);
         for (set, term) in terms.iter_mut() {
-            let ours = peers
-                .iter()
-                .filter(|(id, peer)| peer.serves.get() && self.how.set_of(id.0, peer.zone.get()) == *set);
+            let ours = peers.iter().filter(|(id, peer)| {
+                peer.accepts_work.get() && self.config.set_of(id.0, peer.zone.get()) == *set
+            });
             let zone = |at: u32| zones.get(at as usize).map_or("", String::as_str);
             term.rounds.list(now, ours.map(|(id, peer)| (id.0, zone(peer.zone.get()))));
             for worker in term.rounds.due(now) {
-                let task = spawn_local(self.clone().look(*set, term.token, worker));
-                term.probes.insert(worker, task.abort_handle());
+                let task = spawn_local(self.clone().check_worker(*set, term.token, worker));
+                term.health_checks.insert(worker, task.abort_handle());
             }
             let counts = term.rounds.counts();
             (watched, failing) = (watched + counts.0, failing + counts.1);
         }
-        self.metrics.watched.set(watched as i64);
-        self.metrics.failing.set(failing as i64);
+        self.metrics.workers_checked.set(watched as i64);
+        self.metrics.workers_failing.set(failing as i64);
     }
 
-    async fn look(self: Rc<Self>, set: u16, token: Token, worker: u64) {
-        let duty = coordination::DutyId::set(&self.how.name(), set);
+    async fn check_worker(self: Rc<Self>, set: u16, token: Token, worker: u64) {
+        let duty = coordination::DutyId::set(&self.config.name(), set);
         let may = || {
             // The last thing before the write: a look at the lease by the clock, and the time for the next one.
             let now = clock::now();
             let looked = self.member.holder().borrow().may_act(&duty, token, now);
-            let may = looked || self.how.flaw == Some(Flaw::NoLook);
+            let may = looked || self.config.flaw == Some(Flaw::NoLook);
             if may {
                 let what = serde_json::json!({"duty": duty.to_string(), "token": token.0, "worker": worker});
                 self.member.record().put(now, "acted", what);
-                self.with(set, token, |term| term.rounds.written(worker, now));
-                self.metrics.probes.inc();
+                self.with_term(set, token, |term| term.rounds.written(worker, now));
+                self.metrics.health_checks.inc();
             }
             may
         };
-        let well = probe::look(&self.pool, WorkerId(worker), may).await;
-        self.with(set, token, |term| {
-            term.probes.remove(&worker);
+        let well = health_check::check_on_new_connection(&self.pool, WorkerId(worker), may).await;
+        self.with_term(set, token, |term| {
+            term.health_checks.remove(&worker);
             term.rounds.ended(worker, well, clock::now(), &mut self.zones.borrow_mut());
         });
     }
 
     /// Does something with a term that is still ours.
-    fn with(&self, set: u16, token: Token, change: impl FnOnce(&mut Term)) {
+    fn with_term(&self, set: u16, token: Token, change: impl FnOnce(&mut Term)) {
         if let Some(term) = self.terms.borrow_mut().get_mut(&set).filter(|term| term.token == token) {
             change(term);
         }
     }
 
     /// Tells the members what is due, ourselves first.
-    fn say(&self) {
+    fn publish_reports(&self) {
         for (set, term) in self.terms.borrow_mut().iter_mut() {
             let now = clock::now();
             let Some(report) = term.rounds.report(now, &self.zones.borrow()) else { continue };
@@ -184,17 +194,17 @@
     }
 
     /// Tells the engine what is held against whom, where that has changed.
-    fn tell_engine(&self) {
+    fn notify_engine(&self) {
         let now = clock::now();
         let against = self.sightings.borrow().against(now);
-        let mut told = self.told.borrow_mut();
+        let mut told = self.notified.borrow_mut();
         if *told == against {
             return;
         }
         let tell = |worker: u64, ago: Micros, holds: Micros| {
             let what = serde_json::json!({"worker": worker, "holds": holds});
             self.member.record().put(now, "against", what);
-            self.pool.handle.tell(Input::Sighted(WorkerId(worker), ago, holds));
+            self.pool.handle.send(Input::UnhealthyReported(WorkerId(worker), ago, holds));
         };
         for worker in told.keys().filter(|worker| !against.contains_key(worker)) {
             tracing::info!(worker, "no watcher holds anything against this worker any more");
@@ -206,7 +216,7 @@
             }
             tell(*worker, now.saturating_sub(one.seen), one.until.saturating_sub(now));
         }
-        self.metrics.against.set(against.len() as i64);
+        self.metrics.workers_reported_failing.set(against.len() as i64);
         *told = against;
     }
 }
--- a/crates/dispatcher/src/net/fleet.rs
+++ b/crates/dispatcher/src/net/cluster/mod.rs
@@ -4,6 +4,9 @@
 //! Nothing here is on the way of a job. Without a keeper, an owner or news of it, discovery is followed as if there
 //! were no fleet.
 
+mod health_checks;
+mod slow_start;
+
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,66 +28,66 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, MissedTickBehavior};
 
-use super::cold::Colds;
-use super::console::FleetMetrics;
-use super::leave::{Leave, Own};
-use super::signal::Phase;
-use super::watchers::Watchers;
+use super::console::ClusterMetrics;
+use super::planned_drain::{LocalStatus, PlannedDrain};
+use super::shutdown::ShutdownPhase;
 use super::worker::Pool;
 use crate::config::Config;
 use crate::engine::micros;
-use crate::own::Fleet;
+use crate::settings_file::ClusterSettings;
+use health_checks::ClusterHealthChecks;
+use slow_start::SlowStartQuota;
 
 /// What changed within this is told together.
-pub(super) const ROUND: Duration = Duration::from_millis(50);
+pub(super) const PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a job may take from being decided on to its last byte, beside the time for a connection.
-const WRITTEN: Micros = 100_000;
+const MAX_WRITE_DELAY: Micros = 100_000;
 /// News that wait for the one who follows discovery, at the most.
-const NEWS: usize = 16;
+const WATCH_EVENT_QUEUE: usize = 16;
 
 /// The duty "list" at this member.
-pub(super) struct Lists {
-    settings: Fleet,
+pub(super) struct SharedList {
+    settings: ClusterSettings,
     /// What revisions count at.
     source: RefCell<String>,
     member: Member,
     ledger: RefCell<Ledger>,
     reliance: RefCell<Reliance>,
     /// Whether discovery is to be asked from here.
-    asks: watch::Sender<bool>,
+    polls_discovery: watch::Sender<bool>,
     term: RefCell<Option<Publisher>>,
     /// Something is to be told: perhaps only that discovery still talks.
-    due: Cell<bool>,
+    publish_due: Cell<bool>,
     /// The revision and the members that were told the whole list last.
-    told: Cell<(u64, usize)>,
+    published: Cell<(u64, usize)>,
     /// When discovery said something last, or this member began to own the duty.
-    heard: Cell<Micros>,
+    discovery_heard_at: Cell<Micros>,
 }
 
 /// What being a member gives to the rest of the program.
-pub(super) struct Joined {
-    pub(super) lists: Rc<Lists>,
+pub(super) struct ClusterHandle {
+    pub(super) shared_list: Rc<SharedList>,
     /// What an owner of the list says.
-    pub(super) news: mpsc::Receiver<News>,
+    pub(super) events: mpsc::Receiver<News>,
     /// Who decides on a planned standby, where that is agreed on.
-    pub(super) leave: Option<Rc<Leave>>,
+    pub(super) planned_drain: Option<Rc<PlannedDrain>>,
 }
 
 /// Becomes a member. What an owner says goes to the receiver that is returned.
-pub(super) async fn start(
-    settings: &Fleet,
+pub(super) async fn join(
+    settings: &ClusterSettings,
     config: &Config,
-    phase: watch::Receiver<Phase>,
+    phase: watch::Receiver<ShutdownPhase>,
     (pool, usual): (&Rc<Pool>, Rc<Cell<f64>>),
-    (metrics, own): (FleetMetrics, Own),
-) -> std::io::Result<Joined> {
+    (metrics, own): (ClusterMetrics, LocalStatus),
+) -> std::io::Result<ClusterHandle> {
     let listener = TcpListener::bind(settings.listen).await?;
-    let address = settings.address.map_or_else(|| listener.local_addr(), Ok)?;
+    let address = settings.advertised_address.map_or_else(|| listener.local_addr(), Ok)?;
     let zones = config.names.zones.len().clamp(1, usize::from(u16::MAX)) as u16;
-    let watch = settings.watch.map(|how| Watching { zones, ..how });
-    let mut offers: Vec<DutyId> = settings.list.then(|| DutyId::fleet(LIST)).into_iter().collect();
-    offers.extend(settings.cold.map(|_| DutyId::fleet(COLD)));
-    offers.extend(settings.account.map(|_| DutyId::fleet(ACCOUNT)));
+    let watch = settings.health_checks.map(|how| Watching { zones, ..how });
+    let mut offers: Vec<DutyId> = settings.shared_list.then(|| DutyId::fleet(LIST)).into_iter().collect();
+    offers.extend(settings.slow_start.map(|_| DutyId::fleet(COLD)));
+    offers.extend(settings.readiness_validity.map(|_| DutyId::fleet(ACCOUNT)));
     offers.extend(watch.iter().flat_map(|how| how.duties()));
     let zone = config.names.zones.get(config.settings.zone as usize).cloned().unwrap_or_default();
     let member = Settings {
@@ -92,8 +95,8 @@
         name: config.name.clone(),
         zone: zone.clone(),
         address: address.to_string(),
-        keepers: settings.keepers.clone(),
-        bind: settings.bind,
+        keepers: settings.coordinators.clone(),
+        bind: settings.bind_address,
         times: settings.times,
         offers,
         // Another number than the module's: the two draw different things.
@@ -102,21 +105,30 @@
     let record = settings.record.as_deref().map_or(Ok(Recorder::default()), Recorder::to)?;
     let member = Member::new(member, Holder::new(settings.times), record);
     member.record().put(clock::now(), "started", serde_json::json!({}));
-    let (sender, news) = mpsc::channel(NEWS);
-    let watchers =
-        watch.map(|how| Rc::new(Watchers::new(how, zone, member.clone(), pool.clone(), metrics.clone())));
-    watchers.iter().for_each(|watchers| drop(spawn_local(watchers.clone().rounds())));
-    let colds = settings.cold.map(|how| {
-        let both = (Dealing { written: config.dial_timeout + WRITTEN, ..how }, warming(config));
-        Rc::new(Colds::new(both, member.clone(), pool.clone(), metrics.clone(), usual, config.seed ^ 0xc01d))
+    let (sender, news) = mpsc::channel(WATCH_EVENT_QUEUE);
+    let watchers = watch.map(|how| {
+        Rc::new(ClusterHealthChecks::new(how, zone, member.clone(), pool.clone(), metrics.clone()))
+    });
+    watchers.iter().for_each(|watchers| drop(spawn_local(watchers.clone().run())));
+    let colds = settings.slow_start.map(|how| {
+        let both =
+            (Dealing { written: config.dial_timeout + MAX_WRITE_DELAY, ..how }, slow_start_profile(config));
+        Rc::new(SlowStartQuota::new(
+            both,
+            member.clone(),
+            pool.clone(),
+            metrics.clone(),
+            usual,
+            config.seed ^ 0xc01d,
+        ))
     });
-    colds.iter().for_each(|colds| drop(spawn_local(colds.clone().rounds())));
-    let leave = settings.account.map(|holds| {
-        let cold = warming(config);
+    colds.iter().for_each(|colds| drop(spawn_local(colds.clone().run())));
+    let leave = settings.readiness_validity.map(|holds| {
+        let cold = slow_start_profile(config);
         let warmth = Warmth::new(cold.share, cold.within);
-        Rc::new(Leave::new(holds, member.clone(), own, metrics.clone(), warmth))
+        Rc::new(PlannedDrain::new(holds, member.clone(), own, metrics.clone(), warmth))
     });
-    leave.iter().for_each(|leave| drop(spawn_local(leave.clone().rounds())));
+    leave.iter().for_each(|leave| drop(spawn_local(leave.clone().run())));
     let (leaver, watches) = (leave.clone(), watchers.clone());
     spawn_local(receive(member.clone(), listener, move |effect| match effect.duty.name.as_str() {
         LIST => {
@@ -126,40 +138,40 @@
             }
             Vec::new()
         }
-        ACCOUNT => leaver.as_ref().map_or_else(Vec::new, |leave| leave.heard()),
-        COLD => colds.as_ref().map_or_else(Vec::new, |colds| colds.heard(&effect)),
+        ACCOUNT => leaver.as_ref().map_or_else(Vec::new, |leave| leave.readiness_report()),
+        COLD => colds.as_ref().map_or_else(Vec::new, |colds| colds.handle_grants(&effect)),
         _ => {
-            watchers.iter().for_each(|watchers| watchers.heard(&effect));
+            watchers.iter().for_each(|watchers| watchers.handle_report(&effect));
             Vec::new()
         }
     }));
-    spawn_local(figures(member.clone(), metrics));
-    let source = settings.source.clone().unwrap_or_else(|| config.discovery.to_string());
-    let reliance = Reliance::drawn(settings.silence, settings.fallback_per_s, config.seed);
-    let lists = Rc::new(Lists {
+    spawn_local(update_metrics(member.clone(), metrics));
+    let source = settings.list_source.clone().unwrap_or_else(|| config.discovery.to_string());
+    let reliance = Reliance::drawn(settings.list_silence, settings.fallback_per_s, config.seed);
+    let lists = Rc::new(SharedList {
         settings: settings.clone(),
         source: RefCell::new(source),
         member: member.clone(),
         ledger: RefCell::default(),
         reliance: RefCell::new(reliance),
-        asks: watch::Sender::new(true),
+        polls_discovery: watch::Sender::new(true),
         term: RefCell::default(),
-        due: Cell::default(),
-        told: Cell::default(),
-        heard: Cell::default(),
+        publish_due: Cell::default(),
+        published: Cell::default(),
+        discovery_heard_at: Cell::default(),
     });
     if let Some(leave) = &leave {
         let ledger = lists.clone();
-        leave.observes(Box::new(move || ledger.workers(watches.as_deref())));
+        leave.observe_workers(Box::new(move || ledger.workers(watches.as_deref())));
     }
-    spawn_local(lists.clone().rounds());
-    spawn_local(stay(member.clone()));
-    spawn_local(give_back(member, phase));
-    Ok(Joined { lists, news, leave })
+    spawn_local(lists.clone().run());
+    spawn_local(run_member(member.clone()));
+    spawn_local(release_on_shutdown(member, phase));
+    Ok(ClusterHandle { shared_list: lists, events: news, planned_drain: leave })
 }
 
 /// What the platform says of cold workers.
-fn warming(config: &Config) -> Warming {
+fn slow_start_profile(config: &Config) -> Warming {
     let settings = &config.settings;
     Warming {
         share: settings.cold_share,
@@ -170,7 +182,7 @@
 }
 
 /// Stays a member for as long as the keepers let it.
-async fn stay(member: Member) {
+async fn run_member(member: Member) {
     match member.run().await {
         Ended::Left => tracing::info!("left the fleet"),
         ended => tracing::error!(?ended, "no member of the fleet any more; goes on by itself"),
@@ -178,8 +190,8 @@
 }
 
 /// Keeps the figures of the session for as long as the program runs.
-async fn figures(member: Member, metrics: FleetMetrics) {
-    let mut rounds = interval(20 * ROUND);
+async fn update_metrics(member: Member, metrics: ClusterMetrics) {
+    let mut rounds = interval(20 * PUBLISH_INTERVAL);
     rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         rounds.tick().await;
@@ -187,20 +199,20 @@
         let holder = member.holder().borrow();
         let counts = holder.counts();
         metrics.session.set(i64::from(holder.session(now).is_some()));
-        metrics.owned.set(holder.owned(now).len() as i64);
-        metrics.refused.set((counts.old_tokens + counts.without_session) as i64);
+        metrics.leases_held.set(holder.owned(now).len() as i64);
+        metrics.effects_rejected.set((counts.old_tokens + counts.without_session) as i64);
     }
 }
 
 /// Gives the duties back as soon as the program is told to end: somebody else follows discovery meanwhile.
-async fn give_back(member: Member, mut phase: watch::Receiver<Phase>) {
-    let _ = phase.wait_for(|phase| *phase != Phase::Serving).await;
+async fn release_on_shutdown(member: Member, mut phase: watch::Receiver<ShutdownPhase>) {
+    let _ = phase.wait_for(|phase| *phase != ShutdownPhase::Serving).await;
     member.leave();
 }
 
-impl Lists {
+impl SharedList {
     /// The workers of the list, as watchers see them.
-    fn workers(&self, watchers: Option<&Watchers>) -> Vec<Listed> {
+    fn workers(&self, watchers: Option<&ClusterHealthChecks>) -> Vec<Listed> {
         let ledger = self.ledger.borrow();
         let listed = |entry: &Value| {
             let text = |key: &str| entry[key].as_str().unwrap_or_default().to_owned();
@@ -210,7 +222,7 @@
                 pool: text("flavor"),
                 serves: entry["phase"] == "in_service",
                 start: entry["up_since_ms"].as_u64().unwrap_or(0),
-                fails: watchers.is_some_and(|watchers| watchers.against(worker_id(&name))),
+                fails: watchers.is_some_and(|watchers| watchers.is_reported_failing(worker_id(&name))),
                 name,
             }
         };
@@ -218,45 +230,45 @@
     }
 
     /// Turns true when discovery is to be asked from here, and false when the fleet's list is relied on.
-    pub(super) fn asks(&self) -> watch::Receiver<bool> {
-        self.asks.subscribe()
+    pub(super) fn polls_discovery(&self) -> watch::Receiver<bool> {
+        self.polls_discovery.subscribe()
     }
 
     /// Discovery has said something here: a list, or that nothing changed.
-    pub(super) fn said(&self, list: Option<&Value>) {
-        self.heard.set(clock::now());
-        self.due.set(true);
+    pub(super) fn record_discovery(&self, list: Option<&Value>) {
+        self.discovery_heard_at.set(clock::now());
+        self.publish_due.set(true);
         if let Some(list) = list {
             self.ledger.borrow_mut().take(list);
         }
     }
 
     /// Discovery is another place from here on, or read by other names: it is asked from here first.
-    pub(super) fn moved(&self, discovery: SocketAddr) {
+    pub(super) fn source_changed(&self, discovery: SocketAddr) {
         self.ledger.borrow_mut().forget();
         self.reliance.borrow_mut().forget();
-        self.decide();
-        if self.settings.source.is_none() {
+        self.decide_polling();
+        if self.settings.list_source.is_none() {
             *self.source.borrow_mut() = discovery.to_string();
         }
     }
 
     /// Whether an owner's news are of the same source, so that revisions can be compared.
-    pub(super) fn concerns(&self, news: &News) -> bool {
+    pub(super) fn is_same_source(&self, news: &News) -> bool {
         news.source == *self.source.borrow()
     }
 
     /// An owner's news were taken in, and all that it knows is known here.
-    pub(super) fn relies(&self, news: &News) {
+    pub(super) fn accept_event(&self, news: &News) {
         self.ledger.borrow_mut().take(&news.list);
         self.reliance.borrow_mut().heard(clock::now(), news.members);
-        self.decide();
+        self.decide_polling();
     }
 
-    fn decide(&self) {
+    fn decide_polling(&self) {
         let owns = self.term.borrow().is_some();
         let asks = self.reliance.borrow().asks(clock::now(), owns);
-        let changed = self.asks.send_if_modified(|old| std::mem::replace(old, asks) != asks);
+        let changed = self.polls_discovery.send_if_modified(|old| std::mem::replace(old, asks) != asks);
         if changed {
             tracing::info!(
                 owns,
@@ -266,8 +278,8 @@
         }
     }
 
-    async fn rounds(self: Rc<Self>) {
-        let mut rounds = interval(ROUND);
+    async fn run(self: Rc<Self>) {
+        let mut rounds = interval(PUBLISH_INTERVAL);
         rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut changes = self.member.changes();
         loop {
@@ -275,14 +287,14 @@
                 _ = rounds.tick() => {}
                 _ = changes.changed() => {}
             }
-            self.own();
-            self.decide();
-            self.tell();
+            self.update_term();
+            self.decide_polling();
+            self.publish();
         }
     }
 
     /// Notices whether this member owns the duty, and gives it back where discovery is silent here.
-    fn own(&self) {
+    fn update_term(&self) {
         let duty = DutyId::fleet(LIST);
         let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
@@ -291,14 +303,14 @@
                 if term.as_ref().is_none_or(|term| term.token() != token) {
                     tracing::info!(token = token.0, "asks discovery for the fleet");
                     *term = Some(Publisher::new(&self.member, duty.clone(), token));
-                    self.told.set((0, 0));
-                    self.heard.set(clock::now());
+                    self.published.set((0, 0));
+                    self.discovery_heard_at.set(clock::now());
                 }
-                if clock::now().saturating_sub(self.heard.get())
-                    > self.settings.silence + self.settings.silence / 2
+                if clock::now().saturating_sub(self.discovery_heard_at.get())
+                    > self.settings.list_silence + self.settings.list_silence / 2
                 {
                     tracing::warn!(token = token.0, "discovery is silent here; gives the list back");
-                    self.heard.set(clock::now());
+                    self.discovery_heard_at.set(clock::now());
                     self.member.release(duty, token);
                 }
             }
@@ -307,14 +319,14 @@
     }
 
     /// Tells the members what is due: the whole list where it or they have changed, else only that it still holds.
-    fn tell(&self) {
+    fn publish(&self) {
         let mut term = self.term.borrow_mut();
-        let Some(term) = term.as_mut().filter(|_| self.due.get()) else { return };
+        let Some(term) = term.as_mut().filter(|_| self.publish_due.get()) else { return };
         let ledger = self.ledger.borrow();
         let Some(list) = ledger.list() else { return };
-        self.due.set(false);
+        self.publish_due.set(false);
         let state = (ledger.revision(), self.member.roster().len());
-        let whole = self.told.replace(state) != state;
+        let whole = self.published.replace(state) != state;
         let members = state.1 as u64;
         let revision = serde_json::json!({"revision": state.0});
         let news =
--- a/crates/dispatcher/src/net/cold.rs
+++ b/crates/dispatcher/src/net/cluster/slow_start.rs
@@ -12,18 +12,18 @@
 use coordination::{DutyId, Micros, Token};
 use tokio::time::{interval, MissedTickBehavior};
 
-use super::console::FleetMetrics;
-use super::fleet::ROUND;
-use super::worker::Pool;
+use super::PUBLISH_INTERVAL;
 use crate::engine::Input;
+use crate::net::console::ClusterMetrics;
+use crate::net::worker::Pool;
 use dispatch_core::api::WorkerId;
 
 /// Grants are made every so many rounds.
-const DEALS: u32 = 2;
+const ALLOCATION_ROUNDS: u32 = 2;
 /// The list is looked through for workers that started every so many rounds.
-const LISTS: u32 = 10;
+const AGE_UPDATE_ROUNDS: u32 = 10;
 /// How much of what was seen in one second of rounds goes into the figure of jobs a second.
-const LEARN: f64 = 0.1;
+const JOB_RATE_SMOOTHING: f64 = 0.1;
 
 struct Term {
     token: Token,
@@ -32,44 +32,44 @@
 }
 
 /// This dispatcher's part in cold grants.
-pub(super) struct Colds {
-    how: Dealing,
-    warming: Warming,
+pub(super) struct SlowStartQuota {
+    config: Dealing,
+    profile: Warming,
     member: Member,
     pool: Rc<Pool>,
-    metrics: FleetMetrics,
+    metrics: ClusterMetrics,
     /// A number that tells this process from others of its name.
     process: u64,
     /// What a usual job asks of a worker, by the module.
-    usual: Rc<Cell<f64>>,
+    usual_job_cost: Rc<Cell<f64>>,
     jobs_per_s: Cell<f64>,
-    counted: Cell<u64>,
+    attempts_counted: Cell<u64>,
     ages: RefCell<Ages>,
     purse: RefCell<Purse>,
     term: RefCell<Option<Term>>,
     random: RefCell<fastrand::Rng>,
 }
 
-impl Colds {
+impl SlowStartQuota {
     pub(super) fn new(
         (how, warming): (Dealing, Warming),
         member: Member,
         pool: Rc<Pool>,
-        metrics: FleetMetrics,
+        metrics: ClusterMetrics,
         usual: Rc<Cell<f64>>,
         seed: u64,
-    ) -> Colds {
+    ) -> SlowStartQuota {
         let process = clock::unique();
-        Colds {
-            how,
-            warming,
+        SlowStartQuota {
+            config: how,
+            profile: warming,
             member,
             pool,
             metrics,
             process,
-            usual,
+            usual_job_cost: usual,
             jobs_per_s: Cell::default(),
-            counted: Cell::default(),
+            attempts_counted: Cell::default(),
             ages: RefCell::default(),
             purse: RefCell::new(Purse::new(process, &how)),
             term: RefCell::default(),
@@ -78,33 +78,33 @@
     }
 
     /// The owner says what it grants, its token was found good; the answer says what is used here.
-    pub(super) fn heard(&self, effect: &Effect) -> Vec<u8> {
+    pub(super) fn handle_grants(&self, effect: &Effect) -> Vec<u8> {
         match Grants::unpack(&effect.body) {
-            Some(grants) => self.granted(effect.token, effect.version, &grants),
+            Some(grants) => self.apply_grants(effect.token, effect.version, &grants),
             None => tracing::warn!("what is granted of cold workers cannot be read"),
         }
-        self.used().pack()
+        self.usage_report().pack()
     }
 
-    fn used(&self) -> Use {
-        let (asked, usual) = (clock::now(), self.usual.get());
+    fn usage_report(&self) -> Use {
+        let (asked, usual) = (clock::now(), self.usual_job_cost.get());
         Use { process: self.process, asked, jobs_per_s: self.jobs_per_s.get(), usual }
     }
 
-    fn granted(&self, token: Token, version: u64, grants: &Grants) {
+    fn apply_grants(&self, token: Token, version: u64, grants: &Grants) {
         let now = clock::now();
         for (worker, work, until) in self.purse.borrow_mut().take(token, version, grants, now) {
             let at = self.pool.clock.now() + until.saturating_sub(now);
             let what = serde_json::json!({"worker": worker, "work": work, "until": until, "token": token.0});
             self.member.record().put(now, "granted", what);
-            self.metrics.granted.inc_by(work);
-            self.pool.handle.tell(Input::Granted(WorkerId(worker), work, at));
+            self.metrics.quota_granted.inc_by(work);
+            self.pool.handle.send(Input::QuotaGranted(WorkerId(worker), work, at));
         }
     }
 
     /// Keeps count, and hands out while the duty is ours, for as long as the program runs.
-    pub(super) async fn rounds(self: Rc<Self>) {
-        let mut rounds = interval(ROUND);
+    pub(super) async fn run(self: Rc<Self>) {
+        let mut rounds = interval(PUBLISH_INTERVAL);
         rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut count = 0u32;
         let mut before = clock::now();
@@ -112,31 +112,31 @@
             rounds.tick().await;
             count = count.wrapping_add(1);
             let now = clock::now();
-            self.count(now - before);
+            self.update_job_rate(now - before);
             before = now;
-            if count % LISTS == 1 {
-                self.list(now);
+            if count % AGE_UPDATE_ROUNDS == 1 {
+                self.update_ages(now);
             }
-            self.own(now);
-            if count % DEALS == 0 {
-                self.deal(now);
+            self.update_term(now);
+            if count % ALLOCATION_ROUNDS == 0 {
+                self.allocate(now);
             }
         }
     }
 
-    fn count(&self, span: Micros) {
-        let begun = self.pool.begun.get();
-        let seen = (begun - self.counted.replace(begun)) as f64 / (span.max(1) as f64 / 1e6);
-        self.jobs_per_s.set(self.jobs_per_s.get() + LEARN * (seen - self.jobs_per_s.get()));
+    fn update_job_rate(&self, span: Micros) {
+        let begun = self.pool.attempts_started.get();
+        let seen = (begun - self.attempts_counted.replace(begun)) as f64 / (span.max(1) as f64 / 1e6);
+        self.jobs_per_s.set(self.jobs_per_s.get() + JOB_RATE_SMOOTHING * (seen - self.jobs_per_s.get()));
     }
 
-    fn list(&self, now: Micros) {
-        let peers = self.pool.peers.borrow();
-        let serving = peers.iter().filter(|(_, peer)| peer.serves.get());
-        self.ages.borrow_mut().list(now, serving.map(|(id, peer)| (id.0, peer.since.get().to_bits())));
+    fn update_ages(&self, now: Micros) {
+        let peers = self.pool.workers.borrow();
+        let serving = peers.iter().filter(|(_, peer)| peer.accepts_work.get());
+        self.ages.borrow_mut().list(now, serving.map(|(id, peer)| (id.0, peer.started_at.get().to_bits())));
     }
 
-    fn own(&self, now: Micros) {
+    fn update_term(&self, now: Micros) {
         let duty = DutyId::fleet(COLD);
         let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
@@ -144,7 +144,7 @@
             Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
             Some((duty, token)) => {
                 tracing::info!(token = token.0, "hands out what cold workers bear");
-                let dealer = Rc::new(RefCell::new(Dealer::new(self.how, self.warming, now)));
+                let dealer = Rc::new(RefCell::new(Dealer::new(self.config, self.profile, now)));
                 let hears = dealer.clone();
                 let publisher = Publisher::hearing(&self.member, duty, token, move |said| {
                     if let Some(used) = Use::unpack(said) {
@@ -158,24 +158,24 @@
     }
 
     /// Grants what can be granted now. While no worker is cold nothing is said.
-    fn deal(&self, now: Micros) {
+    fn allocate(&self, now: Micros) {
         let mut term = self.term.borrow_mut();
-        let Some(term) = term.as_mut().filter(|_| self.ages.borrow().any_younger(now, self.warming.within))
+        let Some(term) = term.as_mut().filter(|_| self.ages.borrow().any_younger(now, self.profile.within))
         else {
             return;
         };
         let grants = {
             let mut dealer = term.dealer.borrow_mut();
-            dealer.heard(self.used(), now);
+            dealer.heard(self.usage_report(), now);
             let mut random = self.random.borrow_mut();
             let grants = dealer.deal(now, &self.ages.borrow(), || random.f64());
-            self.metrics.dealt.set(dealer.total());
+            self.metrics.quota_allocated.set(dealer.total());
             grants
         };
         let version = term.publisher.say(grants.pack());
         // Our own part, by the same rules as everybody's: the lease is looked at immediately before.
         if self.member.may_act(&DutyId::fleet(COLD), term.token) {
-            self.granted(term.token, version, &grants);
+            self.apply_grants(term.token, version, &grants);
         }
     }
 }
--- a/crates/dispatcher/src/net/console.rs
+++ b/crates/dispatcher/src/net/console.rs
@@ -17,15 +17,15 @@
 use tokio::time::{sleep, timeout};
 
 use super::http::{Head, Start};
-use super::leave::{Denied, Leave};
+use super::planned_drain::{DrainRejected, PlannedDrain};
 use super::read_more;
 
 /// A call must have come whole within this from connecting on; a caller waits 1 s for its answer.
-const CALL_PATIENCE: Duration = Duration::from_millis(500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Connections at once; those beyond are answered 503 at once, unread.
-const MOST: usize = 32;
+const MAX_CALLS: usize = 32;
 /// After an accept that failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The figures, counted where each event happens.
 #[derive(Debug)]
@@ -36,9 +36,9 @@
     /// Jobs taken and not yet answered.
     pub in_flight: IntGauge,
     /// The workers in the list.
-    pub known: IntGauge,
+    pub workers_known: IntGauge,
     /// The listed workers that are avoided.
-    pub excluded: IntGauge,
+    pub workers_excluded: IntGauge,
     /// Settings taken at SIGHUP.
     pub reloads_ok: IntCounter,
     /// Settings turned down at SIGHUP.
@@ -49,29 +49,29 @@
 
 /// The figures of a member of a fleet.
 #[derive(Debug, Clone)]
-pub struct FleetMetrics {
+pub struct ClusterMetrics {
     /// Whether the keepers' word that this is a member holds now.
     pub session: IntGauge,
     /// Duties that are ours.
-    pub owned: IntGauge,
+    pub leases_held: IntGauge,
     /// Effects of others that were refused since the start: old tokens, or no session here.
-    pub refused: IntGauge,
+    pub effects_rejected: IntGauge,
     /// Workers that this member watches for all.
-    pub watched: IntGauge,
+    pub workers_checked: IntGauge,
     /// Those of them that fail.
-    pub failing: IntGauge,
+    pub workers_failing: IntGauge,
     /// Workers that some watcher's word is held against here.
-    pub against: IntGauge,
+    pub workers_reported_failing: IntGauge,
     /// Probes written on behalf of the fleet.
-    pub probes: IntCounter,
+    pub health_checks: IntCounter,
     /// Work at cold workers that this member was granted since the start, in slots by seconds.
-    pub granted: Counter,
+    pub quota_granted: Counter,
     /// Work at cold workers that this member granted to all in its last term, in slots by seconds.
-    pub dealt: Gauge,
+    pub quota_allocated: Gauge,
     /// Calls for standby that the fleet did not allow, and those that somebody forced.
-    pub denied: IntCounter,
+    pub drains_rejected: IntCounter,
     /// See [`FleetMetrics::denied`].
-    pub forced: IntCounter,
+    pub drains_forced: IntCounter,
 }
 
 /// How a job ended for its client, or that an attempt was written whole.
@@ -119,8 +119,8 @@
         let metrics = Metrics {
             requests,
             in_flight: gauge("balancer_in_flight", "Jobs taken and not yet answered"),
-            known: gauge("balancer_shop_workers_known", "Workers in the list"),
-            excluded: gauge("balancer_shop_workers_excluded", "Listed workers that are avoided now"),
+            workers_known: gauge("balancer_shop_workers_known", "Workers in the list"),
+            workers_excluded: gauge("balancer_shop_workers_excluded", "Listed workers that are avoided now"),
             reloads_ok: counter("balancer_reloads_ok", "Settings taken at SIGHUP"),
             reloads_failed: counter("balancer_reloads_failed", "Settings turned down at SIGHUP"),
             malformed_reports: counter(
@@ -132,8 +132,8 @@
         let registry = &metrics.registry;
         registry.register(Box::new(metrics.requests.clone())).expect("registered once");
         registry.register(Box::new(metrics.in_flight.clone())).expect("registered once");
-        registry.register(Box::new(metrics.known.clone())).expect("registered once");
-        registry.register(Box::new(metrics.excluded.clone())).expect("registered once");
+        registry.register(Box::new(metrics.workers_known.clone())).expect("registered once");
+        registry.register(Box::new(metrics.workers_excluded.clone())).expect("registered once");
         registry.register(Box::new(metrics.reloads_ok.clone())).expect("registered once");
         registry.register(Box::new(metrics.reloads_failed.clone())).expect("registered once");
         registry.register(Box::new(metrics.malformed_reports.clone())).expect("registered once");
@@ -145,7 +145,7 @@
     /// # Panics
     /// Never where it is called once: the names are fixed and differ.
     #[must_use]
-    pub fn fleet(&self) -> FleetMetrics {
+    pub fn register_cluster(&self) -> ClusterMetrics {
         let gauge = |name: &str, help: &str| {
             let gauge = IntGauge::new(name, help).expect("a valid name");
             self.registry.register(Box::new(gauge.clone())).expect("registered once");
@@ -164,24 +164,39 @@
         let dealt = "Work at cold workers granted by this member in its term, slots by seconds";
         let dealt = Gauge::new("cairncrank_fleet_cold_dealt", dealt).expect("a valid name");
         self.registry.register(Box::new(dealt.clone())).expect("registered once");
-        FleetMetrics {
-            denied: counter(
+        ClusterMetrics {
+            drains_rejected: counter(
                 "cairncrank_fleet_standby_denied_total",
                 "Calls for standby that the fleet did not allow",
             ),
-            forced: counter("cairncrank_fleet_standby_forced_total", "Calls for standby that were forced"),
-            granted,
-            dealt,
+            drains_forced: counter(
+                "cairncrank_fleet_standby_forced_total",
+                "Calls for standby that were forced",
+            ),
+            quota_granted: granted,
+            quota_allocated: dealt,
             session: gauge(
                 "cairncrank_fleet_session",
                 "1 while the keepers' word holds that this is a member",
             ),
-            owned: gauge("cairncrank_fleet_duties_owned", "Duties that this member owns"),
-            refused: gauge("cairncrank_fleet_effects_refused", "Effects of others refused since the start"),
-            watched: gauge("cairncrank_fleet_workers_watched", "Workers that this member watches for all"),
-            failing: gauge("cairncrank_fleet_workers_failing", "Workers that fail, of those watched here"),
-            against: gauge("cairncrank_fleet_workers_told_failing", "Workers that watchers' word is against"),
-            probes,
+            leases_held: gauge("cairncrank_fleet_duties_owned", "Duties that this member owns"),
+            effects_rejected: gauge(
+                "cairncrank_fleet_effects_refused",
+                "Effects of others refused since the start",
+            ),
+            workers_checked: gauge(
+                "cairncrank_fleet_workers_watched",
+                "Workers that this member watches for all",
+            ),
+            workers_failing: gauge(
+                "cairncrank_fleet_workers_failing",
+                "Workers that fail, of those watched here",
+            ),
+            workers_reported_failing: gauge(
+                "cairncrank_fleet_workers_told_failing",
+                "Workers that watchers' word is against",
+            ),
+            health_checks: probes,
         }
     }
 
@@ -191,7 +206,7 @@
     }
 
     /// Every class shows all four, from 0 on, so that a scrape tells 0 from unknown.
-    pub fn know_class(&self, class: &str) {
+    pub fn register_class(&self, class: &str) {
         for outcome in [Outcome::Served, Outcome::Refused, Outcome::Failed, Outcome::Attempt] {
             self.requests.with_label_values(&[class, outcome.label()]);
         }
@@ -199,7 +214,7 @@
 
     /// The figures in the Prometheus text exposition format.
     #[must_use]
-    pub fn text(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let mut text = Vec::new();
         // Writing to memory fails only on a family without metrics, which registration rules out.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
@@ -245,7 +260,7 @@
     /// Whether the process is ready: it says yes to the health check.
     pub ready: Box<dyn Fn() -> bool>,
     /// Who decides on a standby, where that is agreed across the fleet.
-    pub leave: Option<Rc<Leave>>,
+    pub planned_drain: Option<Rc<PlannedDrain>>,
 }
 
 /// Answers the operators' calls for as long as the program runs.
@@ -255,8 +270,8 @@
         tokio::select! {
             Some(_) = calls.join_next() => {}
             accepted = listener.accept() => match accepted {
-                Ok((stream, _)) if calls.len() < MOST => {
-                    calls.spawn_local(call(stream, console.clone()));
+                Ok((stream, _)) if calls.len() < MAX_CALLS => {
+                    calls.spawn_local(serve_call(stream, console.clone()));
                 }
                 Ok((stream, _)) => {
                     // Answered unread, but without waiting: a caller that does not read holds nothing here.
@@ -264,7 +279,7 @@
                 }
                 Err(error) => {
                     tracing::warn!(%error, "the console cannot accept");
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
         }
@@ -272,9 +287,9 @@
 }
 
 /// One call and its answer.
-async fn call(mut stream: TcpStream, console: Rc<Console>) {
+async fn serve_call(mut stream: TcpStream, console: Rc<Console>) {
     let _ = stream.set_nodelay(true);
-    let head = timeout(CALL_PATIENCE, async {
+    let head = timeout(CALL_TIMEOUT, async {
         let mut buf = BytesMut::new();
         loop {
             match Head::request(&mut buf) {
@@ -289,8 +304,8 @@
     });
     let answer = match head.await {
         Ok(Some(head)) => match &head.start {
-            Start::Request(method, target) => match &console.leave {
-                Some(leave) if is_standby(method, target) => standby(leave, target).await,
+            Start::Request(method, target) => match &console.planned_drain {
+                Some(leave) if is_standby(method, target) => answer_standby(leave, target).await,
                 _ => answer(&console, method, target),
             },
             Start::Response(_) => response(400, "text/plain", b"a call is a request\n"),
@@ -298,7 +313,7 @@
         Ok(None) => response(400, "text/plain", b"this is no HTTP/1.1 request\n"),
         Err(_) => response(408, "text/plain", b"the call did not come in time\n"),
     };
-    let _ = timeout(CALL_PATIENCE, stream.write_all(&answer)).await;
+    let _ = timeout(CALL_TIMEOUT, stream.write_all(&answer)).await;
     let _ = stream.shutdown().await;
 }
 
@@ -307,11 +322,11 @@
 }
 
 /// The answer to a call for standby where the fleet has a say: granted and done, or why not and when to ask again.
-async fn standby(leave: &Leave, target: &[u8]) -> Vec<u8> {
+async fn answer_standby(leave: &PlannedDrain, target: &[u8]) -> Vec<u8> {
     let force = target.split(|b| matches!(b, b'?' | b'&')).skip(1).any(|pair| pair == b"force=1");
-    match leave.standby("an operator's standby", force).await {
+    match leave.enter_standby("an operator's standby", force).await {
         Ok(()) => response(200, "text/plain", b"standby\n"),
-        Err(Denied { why, after_s }) => {
+        Err(DrainRejected { reason: why, retry_after_s: after_s }) => {
             let text = format!("not now: {why}\n");
             with_headers(503, "text/plain", &format!("Retry-After: {after_s}\r\n"), text.as_bytes())
         }
@@ -333,7 +348,7 @@
             );
             response(if ready { 200 } else { 503 }, "application/json", body.as_bytes())
         }
-        (b"GET", b"/status/metrics") => response(200, "text/plain; version=0.0.4", &console.metrics.text()),
+        (b"GET", b"/status/metrics") => response(200, "text/plain; version=0.0.4", &console.metrics.encode()),
         (b"POST", b"/standby") => {
             if console.mode.send_replace(Mode::Standby) == Mode::Active {
                 tracing::info!("standby: no new work is invited");
@@ -343,7 +358,7 @@
         (b"POST", b"/active") => {
             if console.mode.send_replace(Mode::Active) == Mode::Standby {
                 tracing::info!("active: work is invited again");
-                console.leave.iter().for_each(|leave| leave.returned());
+                console.planned_drain.iter().for_each(|leave| leave.record_return());
             }
             response(200, "text/plain", b"active\n")
         }
--- a/crates/dispatcher/src/net/discovery.rs
+++ b/crates/dispatcher/src/net/discovery.rs
@@ -17,45 +17,45 @@
 use tokio::task::{spawn_local, AbortHandle, JoinSet};
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-use super::fleet::Lists;
+use super::cluster::SharedList;
 use super::http::{Decoder, Head, Piece, Start};
-use super::values::{Token, Values};
-use super::{read_more, waiting, write_whole, Configs};
+use super::json_framing::{JsonStream, Token};
+use super::{has_unread_bytes, read_more, write_all, ConfigReceiver};
 use crate::config::{self, Config, Names};
-use crate::engine::{micros, Handle, Input, Listed, Micros};
+use crate::engine::{micros, Handle, Input, ListedEndpoint, Micros};
 use dispatch_core::api::{Seconds, WorkerId, WorkerState};
 use dispatch_core::news::{beside, Calls};
 
 /// An empty line comes every 2 s; a watch that is silent for longer is dead, whatever its connection says.
-const SILENCE: Duration = Duration::from_millis(2800);
+const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2800);
 /// The agent is on this machine: it takes a connection at once or not at all.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
 /// So many watches are opened beside each other at the most where an agent does not answer; the oldest goes first.
-const MOST_BESIDE: usize = 8;
+const MAX_STANDBY_WATCHES: usize = 8;
 /// The longest list: some thousands of workers.
-const LONGEST_LIST: usize = 4 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 /// What has come of a watch by its end is read within this.
-const LAST_READ: Duration = Duration::from_millis(20);
+const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// What was told so far, by all watches together.
-struct Told {
+struct NotifiedState {
     /// The last revision of the place that is followed; none where all must be asked for.
     revision: Cell<Option<u64>>,
     /// The highest revision of all places.
-    newest: Cell<u64>,
+    newest_revision: Cell<u64>,
     /// The start and state of each worker.
     states: RefCell<FxHashMap<WorkerId, (Seconds, WorkerState)>>,
 }
 
-impl Told {
+impl NotifiedState {
     /// Takes note of a list. One that is older than what was told before comes of a place that lags behind: it
     /// must not bring back a worker of which this program knows that it drains or is gone.
-    fn note(&self, revision: u64, members: &mut [Listed]) {
-        let older = revision < self.newest.get();
+    fn record(&self, revision: u64, members: &mut [ListedEndpoint]) {
+        let older = revision < self.newest_revision.get();
         self.revision.set(Some(revision));
-        self.newest.set(self.newest.get().max(revision));
+        self.newest_revision.set(self.newest_revision.get().max(revision));
         let mut states = self.states.borrow_mut();
-        for Listed { member, .. } in members {
+        for ListedEndpoint { endpoint: member, .. } in members {
             let (since, state) = states.entry(member.worker).or_insert((member.since, member.state));
             if older && member.since <= *since && member.state == WorkerState::Serving {
                 member.state = *state;
@@ -67,25 +67,36 @@
 
 /// Watches for ever. `ready` turns true with the first list. In a fleet it pauses while another member's word is
 /// relied on.
-pub(super) async fn follow(
-    mut configs: Configs,
+pub(super) async fn run_watch(
+    mut configs: ConfigReceiver,
     handle: Handle,
     ready: watch::Sender<bool>,
-    fleet: Option<(Rc<Lists>, mpsc::Receiver<News>)>,
+    fleet: Option<(Rc<SharedList>, mpsc::Receiver<News>)>,
 ) {
-    let (known, mut members) = configs.borrow().known.clone();
-    let told = Told { revision: Cell::default(), newest: Cell::default(), states: RefCell::default() };
-    told.note(known.unwrap_or(0), &mut members);
+    let (known, mut members) = configs.borrow().saved_list.clone();
+    let told = NotifiedState {
+        revision: Cell::default(),
+        newest_revision: Cell::default(),
+        states: RefCell::default(),
+    };
+    told.record(known.unwrap_or(0), &mut members);
     // Where nothing was held before, all must be asked for. What was held may well be of revision 0: to ask for all
     // first would make two calls of one, of every dispatcher of a fleet at its start.
     told.revision.set(known);
     let told = Rc::new(told);
     let lists = fleet.map(|(lists, news)| {
-        spawn_local(hear(lists.clone(), news, told.clone(), configs.clone(), handle.clone(), ready.clone()));
+        spawn_local(follow_cluster_list(
+            lists.clone(),
+            news,
+            told.clone(),
+            configs.clone(),
+            handle.clone(),
+            ready.clone(),
+        ));
         lists
     });
     // Without a fleet the sender is gone, and it stays at asking.
-    let mut asks = lists.as_ref().map_or_else(|| watch::channel(true).1, |lists| lists.asks());
+    let mut asks = lists.as_ref().map_or_else(|| watch::channel(true).1, |lists| lists.polls_discovery());
     let mut failing = false;
     let calls = |config: &Config| Calls::new(&config.settings, config.drain_grace, config.seed);
     let mut pauses = calls(&configs.borrow());
@@ -94,11 +105,11 @@
             let before = configs.borrow().clone();
             tokio::select! {
                 _ = asks.wait_for(|asks| *asks) => {}
-                _ = configs.wait_for(|now| moved(&before, now)) => {}
+                _ = configs.wait_for(|now| source_changed(&before, now)) => {}
             }
-            if moved(&before, &configs.borrow()) {
+            if source_changed(&before, &configs.borrow()) {
                 told.revision.set(None);
-                lists.iter().for_each(|lists| lists.moved(configs.borrow().discovery));
+                lists.iter().for_each(|lists| lists.source_changed(configs.borrow().discovery));
             }
             continue;
         }
@@ -107,19 +118,19 @@
         let watch = Watch {
             config: config.clone(),
             handle: handle.clone(),
-            told: told.clone(),
-            lists: lists.clone(),
+            notified: told.clone(),
+            shared_list: lists.clone(),
         };
         // A task of its own: a panic ends this watch, not the following.
         let watch = spawn_local(watch.run(configs.clone(), ready.clone(), asks.clone()));
-        let End { why, answered, wanted, deaf_since } =
-            watch.await.unwrap_or_else(|panic| End::now(panic.to_string()));
-        if moved(&config, &configs.borrow()) {
+        let WatchEnded { reason: why, answered, retry_after: wanted, without_watch_since: deaf_since } =
+            watch.await.unwrap_or_else(|panic| WatchEnded::now(panic.to_string()));
+        if source_changed(&config, &configs.borrow()) {
             // Revisions are those of the place that told them: elsewhere the same number may stand for more.
             told.revision.set(None);
             failing = false;
             pauses = calls(&configs.borrow());
-            lists.iter().for_each(|lists| lists.moved(configs.borrow().discovery));
+            lists.iter().for_each(|lists| lists.source_changed(configs.borrow().discovery));
             continue;
         }
         if !*asks.borrow() {
@@ -135,31 +146,31 @@
         }
         let deaf = deaf_since.elapsed().as_micros() as Micros;
         let pause = Duration::from_micros(pauses.pause(deaf, wanted));
-        let _ = timeout(pause, configs.wait_for(|now| moved(&config, now))).await;
+        let _ = timeout(pause, configs.wait_for(|now| source_changed(&config, now))).await;
     }
 }
 
 /// Takes what an owner in the fleet says of the list. What is not newer than what is known here changes nothing, so
 /// that neither a late word nor one that lags behind brings anything back.
-async fn hear(
-    lists: Rc<Lists>,
+async fn follow_cluster_list(
+    lists: Rc<SharedList>,
     mut news: mpsc::Receiver<News>,
-    told: Rc<Told>,
-    configs: Configs,
+    told: Rc<NotifiedState>,
+    configs: ConfigReceiver,
     handle: Handle,
     ready: watch::Sender<bool>,
 ) {
     while let Some(news) = news.recv().await {
-        if !lists.concerns(&news) {
+        if !lists.is_same_source(&news) {
             tracing::debug!(source = news.source, "the fleet's list is of another source");
             continue;
         }
-        if news.is_whole() && news.revision() > told.newest.get() {
-            let list = config::list(&news.list, &configs.borrow().names);
+        if news.is_whole() && news.revision() > told.newest_revision.get() {
+            let list = config::parse_endpoint_list(&news.list, &configs.borrow().names);
             match list {
                 Ok(mut list) => {
-                    told.note(list.revision, &mut list.members);
-                    handle.tell(Input::List(list.scope, list.members));
+                    told.record(list.revision, &mut list.endpoints);
+                    handle.send(Input::EndpointList(list.scope, list.endpoints));
                     ready.send_replace(true);
                 }
                 Err(error) => {
@@ -169,33 +180,38 @@
             }
         }
         // One that knows less than the owner goes on by itself until it is told the whole.
-        if told.newest.get() >= news.revision() && *ready.borrow() {
-            lists.relies(&news);
+        if told.newest_revision.get() >= news.revision() && *ready.borrow() {
+            lists.accept_event(&news);
         }
     }
 }
 
 /// What was told under one of them need not hold under the other: it comes of another place, or was read by
 /// other names.
-fn moved(old: &Config, new: &Config) -> bool {
+fn source_changed(old: &Config, new: &Config) -> bool {
     let names = |names: &Names| (names.zones.len(), names.kinds.len());
     old.discovery != new.discovery || names(&old.names) != names(&new.names)
 }
 
 /// How a watch ended.
-struct End {
-    why: String,
+struct WatchEnded {
+    reason: String,
     /// Discovery had begun to tell something.
     answered: bool,
     /// When discovery wants to be asked again.
-    wanted: Option<Micros>,
+    retry_after: Option<Micros>,
     /// From when on nothing may have been heard.
-    deaf_since: Instant,
+    without_watch_since: Instant,
 }
 
-impl End {
-    fn now(why: impl Into<String>) -> End {
-        End { why: why.into(), answered: false, wanted: None, deaf_since: Instant::now() }
+impl WatchEnded {
+    fn now(why: impl Into<String>) -> WatchEnded {
+        WatchEnded {
+            reason: why.into(),
+            answered: false,
+            retry_after: None,
+            without_watch_since: Instant::now(),
+        }
     }
 }
 
@@ -203,22 +219,22 @@
 struct Watch {
     config: Rc<Config>,
     handle: Handle,
-    told: Rc<Told>,
-    lists: Option<Rc<Lists>>,
+    notified: Rc<NotifiedState>,
+    shared_list: Option<Rc<SharedList>>,
 }
 
 impl Watch {
     /// Follows it to its end, or until the configuration names another place or the fleet is relied on.
     async fn run(
         self,
-        mut configs: Configs,
+        mut configs: ConfigReceiver,
         ready: watch::Sender<bool>,
         mut asks: watch::Receiver<bool>,
-    ) -> End {
+    ) -> WatchEnded {
         let config = self.config.clone();
         let moves = async {
             let moves = async {
-                if configs.wait_for(|now| moved(&config, now)).await.is_err() {
+                if configs.wait_for(|now| source_changed(&config, now)).await.is_err() {
                     std::future::pending().await
                 }
             };
@@ -236,45 +252,48 @@
         let begun = Instant::now();
         let mut talk = tokio::select! {
             biased;
-            talk = self.begin() => match talk {
+            talk = self.connect() => match talk {
                 Ok(talk) => talk,
-                Err(why) => return End { deaf_since: begun, ..End::now(why) },
+                Err(why) => return WatchEnded { without_watch_since: begun, ..WatchEnded::now(why) },
             },
-            () = &mut moves => return End::now("moved"),
+            () = &mut moves => return WatchEnded::now("moved"),
         };
         let why = tokio::select! {
             biased;
             () = &mut moves => "moved".to_owned(),
-            Ended { why, silent } = self.listen(&mut talk, &ready) => {
+            ListenEnded { reason: why, timed_out: silent } = self.listen(&mut talk, &ready) => {
                 // A call that was never answered may have begun just before discovery could be reached.
-                let deaf_since = if silent || !talk.answered { talk.heard } else { Instant::now() };
-                return End { why, answered: talk.answered, wanted: talk.wanted, deaf_since };
+                let deaf_since = if silent || !talk.answered { talk.last_heard_at } else { Instant::now() };
+                return WatchEnded { reason: why, answered: talk.answered, retry_after: talk.retry_after, without_watch_since: deaf_since };
             }
         };
         // What this place has written counts as told, also what nobody has read so far.
         let rest = async {
-            while waiting(&talk.stream) && read_more(&mut talk.stream, &mut talk.buf).await.is_ok() {}
+            while has_unread_bytes(&talk.stream) && read_more(&mut talk.stream, &mut talk.buf).await.is_ok() {
+            }
         };
-        let _ = timeout(LAST_READ, rest).await;
-        let _ = self.take(&mut talk, &ready);
-        End { answered: talk.answered, ..End::now(why) }
+        let _ = timeout(FINAL_READ_TIMEOUT, rest).await;
+        let _ = self.process_buffer(&mut talk, &ready);
+        WatchEnded { answered: talk.answered, ..WatchEnded::now(why) }
     }
 
     /// Opens a watch, or asks for the whole list where all must be asked for. An agent has begun to answer then.
-    async fn begin(&self) -> Result<Talk, String> {
+    async fn connect(&self) -> Result<DiscoveryConnection, String> {
         let (host, query) = (self.config.discovery, self.query());
         if self.config.settings.ask_for_list {
-            return Talk::open(host, &query).await;
+            return DiscoveryConnection::open(host, &query).await;
         }
         let beside = Duration::from_micros(beside(self.config.drain_grace));
         let mut tries = JoinSet::new();
         let mut order = VecDeque::new();
         loop {
-            if order.len() == MOST_BESIDE {
+            if order.len() == MAX_STANDBY_WATCHES {
                 order.pop_front().iter().for_each(AbortHandle::abort);
             }
             let query = query.clone();
-            order.push_back(tries.spawn_local(async move { Talk::answered(host, &query).await }));
+            order.push_back(
+                tries.spawn_local(async move { DiscoveryConnection::open_answered(host, &query).await }),
+            );
             let mut next = pin!(sleep(beside));
             loop {
                 tokio::select! {
@@ -293,36 +312,40 @@
 
     /// What is to be asked next: the whole list, or what comes after what is known.
     fn query(&self) -> String {
-        let after = self.told.revision.get().map(|revision| format!("?stream=1&index={revision}"));
+        let after = self.notified.revision.get().map(|revision| format!("?stream=1&index={revision}"));
         after.unwrap_or_default()
     }
 
-    async fn listen(&self, talk: &mut Talk, ready: &watch::Sender<bool>) -> Ended {
+    async fn listen(&self, talk: &mut DiscoveryConnection, ready: &watch::Sender<bool>) -> ListenEnded {
         loop {
-            if let Err(why) = self.take(talk, ready) {
-                return Ended { why, silent: false };
+            if let Err(why) = self.process_buffer(talk, ready) {
+                return ListenEnded { reason: why, timed_out: false };
             }
-            if talk.done {
+            if talk.response_complete {
                 // The whole list was asked for and is here; the watch goes on after it.
-                if let Err(why) = talk.ask(&self.query()).await {
-                    return Ended { why, silent: false };
+                if let Err(why) = talk.send_request(&self.query()).await {
+                    return ListenEnded { reason: why, timed_out: false };
                 }
             }
             // Not counted from the last byte: a list that never comes to its end tells nothing.
-            let dead = talk.heard + SILENCE;
+            let dead = talk.last_heard_at + WATCH_SILENCE_TIMEOUT;
             let (why, silent) = match timeout_at(dead, read_more(&mut talk.stream, &mut talk.buf)).await {
                 Ok(Ok(true)) => continue,
                 Ok(Ok(false)) => ("the connection ended".to_owned(), false),
                 Ok(Err(error)) => (format!("the connection broke: {error}"), false),
                 Err(_) => ("the watch fell silent".to_owned(), true),
             };
-            return Ended { why, silent };
+            return ListenEnded { reason: why, timed_out: silent };
         }
     }
 
     /// Takes what has been read.
-    fn take(&self, talk: &mut Talk, ready: &watch::Sender<bool>) -> Result<(), String> {
-        while !talk.done {
+    fn process_buffer(
+        &self,
+        talk: &mut DiscoveryConnection,
+        ready: &watch::Sender<bool>,
+    ) -> Result<(), String> {
+        while !talk.response_complete {
             let piece = match &mut talk.body {
                 None => match Head::response(&mut talk.buf).map_err(|error| error.to_string())? {
                     Some(head) if head.start == Start::Response(200) => {
@@ -333,7 +356,7 @@
                     }
                     Some(head) => {
                         let wait = head.header_text("Retry-After").and_then(|text| text.trim().parse().ok());
-                        talk.wanted = wait.map(micros);
+                        talk.retry_after = wait.map(micros);
                         return Err(format!("answered {:?}", head.start));
                     }
                     None => Piece::More,
@@ -343,21 +366,21 @@
             let end = match piece {
                 Piece::More => return Ok(()),
                 Piece::Data(data) => {
-                    talk.values.add(&data, LONGEST_LIST).map_err(|error| error.to_string())?;
+                    talk.json.push(&data, MAX_LIST_BYTES).map_err(|error| error.to_string())?;
                     None
                 }
-                Piece::End => Some(talk.values.rest()),
+                Piece::End => Some(talk.json.take_rest()),
             };
-            while let Some(token) = talk.values.next_token() {
-                talk.heard = Instant::now();
-                self.take_token(token, ready)?;
+            while let Some(token) = talk.json.next_token() {
+                talk.last_heard_at = Instant::now();
+                self.handle_token(token, ready)?;
             }
             if let Some(rest) = end {
                 if !rest.is_empty() {
                     // A value without its end, which the parser tells.
-                    self.take_token(Token::Value(rest), ready)?;
+                    self.handle_token(Token::Value(rest), ready)?;
                 }
-                talk.done = true;
+                talk.response_complete = true;
                 if !talk.keep_alive || talk.is_watch {
                     return Err("the watch ended".to_owned());
                 }
@@ -367,28 +390,28 @@
     }
 
     /// Takes a list; an empty line says that nothing changed.
-    fn take_token(&self, token: Token, ready: &watch::Sender<bool>) -> Result<(), String> {
+    fn handle_token(&self, token: Token, ready: &watch::Sender<bool>) -> Result<(), String> {
         if let Token::Value(text) = &token {
             let list = serde_json::from_slice::<Value>(text).map_err(|error| error.to_string());
             let list = list.and_then(|value| {
-                config::list(&value, &self.config.names).map_err(|error| error.to_string())
+                config::parse_endpoint_list(&value, &self.config.names).map_err(|error| error.to_string())
             });
             match list {
                 Ok(mut list) => {
-                    self.told.note(list.revision, &mut list.members);
-                    if let Some(lists) = &self.lists {
-                        lists.said(serde_json::from_slice(text).ok().as_ref());
+                    self.notified.record(list.revision, &mut list.endpoints);
+                    if let Some(lists) = &self.shared_list {
+                        lists.record_discovery(serde_json::from_slice(text).ok().as_ref());
                     }
-                    self.handle.tell(Input::List(list.scope, list.members));
+                    self.handle.send(Input::EndpointList(list.scope, list.endpoints));
                 }
                 Err(error) => {
                     // The state is unknown from here on: ask for all of it.
-                    self.told.revision.set(None);
+                    self.notified.revision.set(None);
                     return Err(error);
                 }
             }
-        } else if let Some(lists) = &self.lists {
-            lists.said(None);
+        } else if let Some(lists) = &self.shared_list {
+            lists.record_discovery(None);
         }
         ready.send_replace(true);
         Ok(())
@@ -396,61 +419,66 @@
 }
 
 /// How listening ended.
-struct Ended {
-    why: String,
+struct ListenEnded {
+    reason: String,
     /// The connection stands, and nothing comes.
-    silent: bool,
+    timed_out: bool,
 }
 
 /// A connection to discovery, and how much of an answer was read.
-struct Talk {
+struct DiscoveryConnection {
     stream: TcpStream,
     host: SocketAddr,
     buf: BytesMut,
     body: Option<Decoder>,
-    values: Values,
+    json: JsonStream,
     keep_alive: bool,
     is_watch: bool,
     answered: bool,
-    wanted: Option<Micros>,
+    retry_after: Option<Micros>,
     /// When something whole was heard last, or asked for.
-    heard: Instant,
+    last_heard_at: Instant,
     /// All of the answer was taken: something is to be asked next.
-    done: bool,
+    response_complete: bool,
 }
 
-impl Talk {
+impl DiscoveryConnection {
     /// Connects and asks.
-    async fn open(host: SocketAddr, query: &str) -> Result<Talk, String> {
+    async fn open(host: SocketAddr, query: &str) -> Result<DiscoveryConnection, String> {
         let stream = match timeout(DIAL_TIMEOUT, TcpStream::connect(host)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(format!("cannot connect: {error}")),
             Err(_) => return Err("no connection in time".to_owned()),
         };
         let _ = stream.set_nodelay(true);
-        let mut talk = Talk {
+        let mut talk = DiscoveryConnection {
             stream,
             host,
             buf: BytesMut::new(),
             body: None,
-            values: Values::default(),
+            json: JsonStream::default(),
             keep_alive: false,
             is_watch: false,
             answered: false,
-            wanted: None,
-            heard: Instant::now(),
-            done: true,
+            retry_after: None,
+            last_heard_at: Instant::now(),
+            response_complete: true,
         };
-        talk.ask(query).await?;
+        talk.send_request(query).await?;
         Ok(talk)
     }
 
     /// Connects, asks and waits until the answer begins.
-    async fn answered(host: SocketAddr, query: &str) -> Result<Talk, String> {
-        let mut talk = Talk::open(host, query).await?;
-        match timeout_at(talk.heard + SILENCE, read_more(&mut talk.stream, &mut talk.buf)).await {
+    async fn open_answered(host: SocketAddr, query: &str) -> Result<DiscoveryConnection, String> {
+        let mut talk = DiscoveryConnection::open(host, query).await?;
+        match timeout_at(
+            talk.last_heard_at + WATCH_SILENCE_TIMEOUT,
+            read_more(&mut talk.stream, &mut talk.buf),
+        )
+        .await
+        {
             Ok(Ok(true)) => {
-                talk.heard = Instant::now();
+                talk.last_heard_at = Instant::now();
                 Ok(talk)
             }
             Ok(Ok(false)) => Err("the connection ended".to_owned()),
@@ -459,11 +487,11 @@
         }
     }
 
-    async fn ask(&mut self, query: &str) -> Result<(), String> {
-        (self.done, self.is_watch, self.body) = (false, !query.is_empty(), None);
-        self.heard = Instant::now();
+    async fn send_request(&mut self, query: &str) -> Result<(), String> {
+        (self.response_complete, self.is_watch, self.body) = (false, !query.is_empty(), None);
+        self.last_heard_at = Instant::now();
         let request = format!("GET /v1/servers{query} HTTP/1.1\r\nHost: {}\r\n\r\n", self.host);
-        let written = write_whole(&mut self.stream, &mut Bytes::from(request)).await;
+        let written = write_all(&mut self.stream, &mut Bytes::from(request)).await;
         written.map_err(|error| format!("cannot ask: {error}"))
     }
 }
--- a/crates/dispatcher/src/net/probe.rs
+++ b/crates/dispatcher/src/net/health_check.rs
@@ -12,66 +12,68 @@
 use tokio::time::timeout;
 
 use super::http::{Decoder, Framing, Piece, MAX_BODY};
-use super::worker::{dial, Peer, Pool};
-use super::{read_more, read_response_head, write_whole};
+use super::worker::{connect, Pool, Worker};
+use super::{read_more, read_response_head, write_all};
 use crate::engine::Input;
 use dispatch_core::api::{Load, Reports, WorkerId};
 
 /// A probe is given up after this many times what a connection may take to come up: the settings tell no time for
 /// it, and an answer that needs longer is no news any more.
-const PATIENCE: u32 = 2;
+const TIMEOUT_FACTOR: u32 = 2;
 
 /// Tells the engine of the end of a probe, exactly once.
-struct End {
+struct HealthCheckGuard {
     pool: Rc<Pool>,
     worker: WorkerId,
-    ok: bool,
+    healthy: bool,
     load: Option<Load>,
 }
 
-impl Drop for End {
+impl Drop for HealthCheckGuard {
     fn drop(&mut self) {
-        self.pool.probes.borrow_mut().remove(&self.worker);
-        self.pool.handle.tell(Input::Probed(self.worker, self.ok, self.load.take()));
+        self.pool.health_checks.borrow_mut().remove(&self.worker);
+        self.pool.handle.send(Input::HealthCheckEnded(self.worker, self.healthy, self.load.take()));
     }
 }
 
 /// Begins a probe of the worker; where one is out already, its end is the answer to both.
-pub(super) fn begin(pool: &Rc<Pool>, worker: WorkerId) {
-    if pool.probes.borrow().contains_key(&worker) {
+pub(super) fn start(pool: &Rc<Pool>, worker: WorkerId) {
+    if pool.health_checks.borrow().contains_key(&worker) {
         return;
     }
-    let end = End { pool: pool.clone(), worker, ok: false, load: None };
-    let patience = Duration::from_micros(pool.configs.borrow().dial_timeout) * PATIENCE;
+    let end = HealthCheckGuard { pool: pool.clone(), worker, healthy: false, load: None };
+    let patience = Duration::from_micros(pool.config.borrow().dial_timeout) * TIMEOUT_FACTOR;
     let task = spawn_local(async move {
         let mut end = end;
-        if let Ok(Some((ok, load))) = timeout(patience, ask(&end.pool, worker)).await {
-            (end.ok, end.load) = (ok, load);
+        if let Ok(Some((ok, load))) = timeout(patience, check(&end.pool, worker)).await {
+            (end.healthy, end.load) = (ok, load);
         }
     });
-    pool.probes.borrow_mut().insert(worker, task.abort_handle());
+    pool.health_checks.borrow_mut().insert(worker, task.abort_handle());
 }
 
 /// Whether the worker says that it is well, and what it says of its load; none where no answer came.
-async fn ask(pool: &Rc<Pool>, worker: WorkerId) -> Option<(bool, Option<Load>)> {
-    let peer = pool.peers.borrow().get(&worker).cloned()?;
-    let reports = pool.configs.borrow().settings.reports != Reports::None;
-    let (mut stream, counted, _) = match pool.reuse(&peer) {
+async fn check(pool: &Rc<Pool>, worker: WorkerId) -> Option<(bool, Option<Load>)> {
+    let peer = pool.workers.borrow().get(&worker).cloned()?;
+    let reports = pool.config.borrow().settings.reports != Reports::None;
+    let (mut stream, counted, _) = match pool.take_idle(&peer) {
         Some(kept) => kept,
-        None if !pool.make_room() => return None,
-        None => dial(pool, &peer).await?,
+        None if !pool.ensure_capacity() => return None,
+        None => connect(pool, &peer).await?,
     };
     // As with an attempt: it may have begun to drain while the connection came up.
-    peer.address.get().filter(|_| peer.serves.get())?;
+    peer.address.get().filter(|_| peer.accepts_work.get())?;
     let path = if reports { "/load" } else { "/healthz" };
     let (status, body, reusable) = exchange(&mut stream, &peer, path, "").await?;
     let load = std::str::from_utf8(&body).ok().filter(|text| reports && !text.trim().is_empty());
     let load = load.and_then(|text| {
         let text = text.trim();
-        pool.read(|form| if text.starts_with('{') { form.of_json(text) } else { form.of_text(text) })
+        pool.parse_load_report(
+            |form| if text.starts_with('{') { form.of_json(text) } else { form.of_text(text) },
+        )
     });
     if reusable {
-        pool.keep(&peer, stream, counted);
+        pool.return_connection(&peer, stream, counted);
     }
     Some((status == 200, load))
 }
@@ -79,17 +81,21 @@
 /// Looks at a worker on behalf of the fleet: over a connection of its own, so that a kept one that the worker has
 /// closed meanwhile is not taken for a failure. `may` is asked immediately before the write; without its yes nothing
 /// is written. None where nothing was learnt of the worker.
-pub(super) async fn look(pool: &Rc<Pool>, worker: WorkerId, may: impl FnOnce() -> bool) -> Option<bool> {
-    let peer = pool.peers.borrow().get(&worker).cloned()?;
-    if !pool.make_room() {
+pub(super) async fn check_on_new_connection(
+    pool: &Rc<Pool>,
+    worker: WorkerId,
+    may: impl FnOnce() -> bool,
+) -> Option<bool> {
+    let peer = pool.workers.borrow().get(&worker).cloned()?;
+    if !pool.ensure_capacity() {
         return None;
     }
-    let patience = Duration::from_micros(pool.configs.borrow().dial_timeout) * PATIENCE;
-    let Some((mut stream, _counted, _)) = dial(pool, &peer).await else {
+    let patience = Duration::from_micros(pool.config.borrow().dial_timeout) * TIMEOUT_FACTOR;
+    let Some((mut stream, _counted, _)) = connect(pool, &peer).await else {
         // Of a worker that began to drain meanwhile nothing is said.
-        return peer.serves.get().then_some(false);
+        return peer.accepts_work.get().then_some(false);
     };
-    if !peer.serves.get() || !may() {
+    if !peer.accepts_work.get() || !may() {
         return None;
     }
     let answer = timeout(patience, exchange(&mut stream, &peer, "/healthz", "Connection: close\r\n")).await;
@@ -99,18 +105,18 @@
 /// Asks for this path and reads the answer whole.
 async fn exchange(
     stream: &mut TcpStream,
-    peer: &Peer,
+    peer: &Worker,
     path: &str,
     headers: &str,
 ) -> Option<(u16, BytesMut, bool)> {
     let host = peer.address.get()?;
     let mut request = Bytes::from(format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n{headers}\r\n"));
-    write_whole(stream, &mut request).await.ok()?;
-    answer(stream).await
+    write_all(stream, &mut request).await.ok()?;
+    read_response(stream).await
 }
 
 /// Status and body of one answer, and whether the connection can be used again.
-async fn answer(stream: &mut TcpStream) -> Option<(u16, BytesMut, bool)> {
+async fn read_response(stream: &mut TcpStream) -> Option<(u16, BytesMut, bool)> {
     let mut buf = BytesMut::new();
     let (status, head) = read_response_head(stream, &mut buf).await?;
     let (mut decoder, mut body) = (Decoder::new(head.framing), BytesMut::new());
--- a/crates/dispatcher/src/net/values.rs
+++ b/crates/dispatcher/src/net/json_framing.rs
@@ -16,28 +16,28 @@
 
 /// Cuts the stream. Each byte is looked at once, whatever pieces the bytes come in.
 #[derive(Debug, Default)]
-pub struct Values {
+pub struct JsonStream {
     buf: BytesMut,
     /// So much of the buffer was looked at; where a value has begun, it begins at the buffer's start.
-    seen: usize,
+    scanned: usize,
     /// Open brackets of the value.
     depth: usize,
     /// Within the quotes of a string, and right after a backslash there.
-    quoted: bool,
+    in_string: bool,
     escaped: bool,
     /// The present line held a value.
-    filled: bool,
+    line_has_value: bool,
 }
 
-impl Values {
+impl JsonStream {
     /// Adds a piece of the stream.
     ///
     /// # Errors
     /// A value has grown longer than `longest`.
-    pub fn add(&mut self, piece: &[u8], longest: usize) -> Result<(), Malformed> {
+    pub fn push(&mut self, piece: &[u8], longest: usize) -> Result<(), Malformed> {
         self.buf.extend_from_slice(piece);
         // What was looked at and not taken is one value that has not ended.
-        if self.seen > longest {
+        if self.scanned > longest {
             return Err(Malformed::BodyTooLarge);
         }
         Ok(())
@@ -45,16 +45,16 @@
 
     /// The next value or empty line, once it is all there.
     pub fn next_token(&mut self) -> Option<Token> {
-        while let Some(&byte) = self.buf.get(self.seen) {
-            let begun = self.seen > 0;
-            self.seen += 1;
-            if self.quoted {
+        while let Some(&byte) = self.buf.get(self.scanned) {
+            let begun = self.scanned > 0;
+            self.scanned += 1;
+            if self.in_string {
                 match byte {
                     _ if self.escaped => self.escaped = false,
                     b'\\' => self.escaped = true,
-                    b'"' => self.quoted = false,
+                    b'"' => self.in_string = false,
                     // No string holds an end of line: this is no value, and waiting for its end is of no use.
-                    b'\n' => return Some(self.cut(0)),
+                    b'\n' => return Some(self.split_value(0)),
                     _ => {}
                 }
                 continue;
@@ -62,25 +62,25 @@
             match byte {
                 b'\n' if !begun => {
                     let _ = self.buf.split_to(1);
-                    self.seen = 0;
-                    if !std::mem::take(&mut self.filled) {
+                    self.scanned = 0;
+                    if !std::mem::take(&mut self.line_has_value) {
                         return Some(Token::Blank);
                     }
                 }
                 b' ' | b'\t' | b'\r' if !begun => {
                     let _ = self.buf.split_to(1);
-                    self.seen = 0;
+                    self.scanned = 0;
                 }
-                b'"' => self.quoted = true,
+                b'"' => self.in_string = true,
                 b'{' | b'[' => self.depth += 1,
                 b'}' | b']' => {
                     self.depth = self.depth.saturating_sub(1);
                     if self.depth == 0 {
-                        return Some(self.cut(0));
+                        return Some(self.split_value(0));
                     }
                 }
                 // Outside of brackets a value ends with its line.
-                b'\n' if self.depth == 0 => return Some(self.cut(1)),
+                b'\n' if self.depth == 0 => return Some(self.split_value(1)),
                 _ => {}
             }
         }
@@ -88,18 +88,19 @@
     }
 
     /// What is left when the stream has ended: a value without its end, or nothing.
-    pub fn rest(&mut self) -> Bytes {
-        self.seen = self.buf.len();
-        match self.cut(0) {
+    pub fn take_rest(&mut self) -> Bytes {
+        self.scanned = self.buf.len();
+        match self.split_value(0) {
             Token::Value(value) => value,
             Token::Blank => Bytes::new(),
         }
     }
 
     /// Takes the value that was looked at, less so many bytes, off the buffer.
-    fn cut(&mut self, less: usize) -> Token {
-        let value = self.buf.split_to(self.seen - less).freeze();
-        (self.seen, self.depth, self.quoted, self.escaped, self.filled) = (0, 0, false, false, true);
+    fn split_value(&mut self, less: usize) -> Token {
+        let value = self.buf.split_to(self.scanned - less).freeze();
+        (self.scanned, self.depth, self.in_string, self.escaped, self.line_has_value) =
+            (0, 0, false, false, true);
         Token::Value(value)
     }
 }
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -3,17 +3,17 @@
 //! [`Answer`](crate::engine::Answer); none of them decides anything.
 
 pub mod client;
-mod cold;
+
+mod cluster;
 pub mod console;
 pub mod discovery;
-mod fleet;
+mod health_check;
 pub mod http;
-pub mod inherit;
-pub mod leave;
-mod probe;
-pub mod signal;
-pub mod values;
-mod watchers;
+pub mod json_framing;
+pub mod planned_drain;
+pub mod shutdown;
+pub mod socket_activation;
+
 pub mod worker;
 
 use std::mem::MaybeUninit;
@@ -30,20 +30,20 @@
 use crate::engine::{Clock, Engine, Handle, Input, Micros};
 
 /// What one read asks for; a buffer grows by this.
-const READ: usize = 8 * 1024;
+const READ_SIZE: usize = 8 * 1024;
 
 /// The configuration as it holds now. One change of it reaches all parts at once.
-pub(crate) type Configs = watch::Receiver<Rc<Config>>;
+pub(crate) type ConfigReceiver = watch::Receiver<Rc<Config>>;
 
 /// Bytes wait to be read. It asks the socket itself: what the runtime knows of it may be older.
-pub(crate) fn waiting(stream: &TcpStream) -> bool {
+pub(crate) fn has_unread_bytes(stream: &TcpStream) -> bool {
     let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
     peeked.is_ok_and(|count| count > 0)
 }
 
 /// Reads some more into the buffer; false where the other side has ended its sending.
 pub(crate) async fn read_more(stream: &mut TcpStream, buf: &mut BytesMut) -> std::io::Result<bool> {
-    buf.reserve(READ);
+    buf.reserve(READ_SIZE);
     Ok(stream.read_buf(buf).await? > 0)
 }
 
@@ -67,7 +67,7 @@
 }
 
 /// Writes a message whole; its parts leave together, in one call where the socket takes it.
-pub(crate) async fn write_whole(stream: &mut TcpStream, message: &mut impl Buf) -> std::io::Result<()> {
+pub(crate) async fn write_all(stream: &mut TcpStream, message: &mut impl Buf) -> std::io::Result<()> {
     stream.write_all_buf(message).await
 }
 
@@ -78,30 +78,36 @@
 pub async fn serve(
     config: Config,
     listener: tokio::net::TcpListener,
-    phase: watch::Receiver<signal::Phase>,
-    reload: signal::Reload,
+    phase: watch::Receiver<shutdown::ShutdownPhase>,
+    reload: shutdown::Reload,
 ) -> std::io::Result<()> {
     let clock = Clock::start();
     let metrics = Rc::new(console::Metrics::new());
-    config.names.classes.iter().for_each(|class| metrics.know_class(&class.name));
+    config.names.classes.iter().for_each(|class| metrics.register_class(&class.name));
     let (mode, modes) = watch::channel(console::Mode::Active);
-    let (handle, inputs) = Handle::queue();
+    let (handle, inputs) = Handle::channel();
     let (commands, orders) = mpsc::unbounded_channel();
     let mut engine =
-        Engine::new(config.settings.clone(), config.seed, config.known.1.clone(), clock, commands);
-    if config.pushed {
-        engine.hear_first(client::UNHEARD.as_micros() as Micros);
+        Engine::new(config.settings.clone(), config.seed, config.saved_list.1.clone(), clock, commands);
+    if config.list_is_pushed {
+        engine.await_initial_list(client::INITIAL_LIST_TIMEOUT.as_micros() as Micros);
     }
     let at = config.console;
     let (config, configs) = watch::channel(Rc::new(config));
     let pool = worker::Pool::new(configs.clone(), clock, handle.clone(), metrics.clone());
     let first = configs.borrow().clone();
     let (ready, is_ready) = watch::channel(false);
-    let fleet = match &first.fleet {
+    let fleet = match &first.cluster {
         Some(settings) => {
-            let work = (&pool, engine.usual_job());
-            let own = leave::Own { mode: mode.clone(), ready: is_ready.clone(), phase: phase.clone() };
-            fleet::start(settings, &first, phase.clone(), work, (metrics.fleet(), own)).await.map(Some)
+            let work = (&pool, engine.usual_job_cost());
+            let own = planned_drain::LocalStatus {
+                mode: mode.clone(),
+                ready: is_ready.clone(),
+                phase: phase.clone(),
+            };
+            cluster::join(settings, &first, phase.clone(), work, (metrics.register_cluster(), own))
+                .await
+                .map(Some)
         }
         None => Ok(None),
     };
@@ -113,11 +119,13 @@
     let mut pool = spawn_local(worker::run(pool, orders));
     let mut engine = spawn_local(engine.run(inputs));
     let (fleet, leave) = match fleet {
-        Some(fleet::Joined { lists, news, leave }) => (Some((lists, news)), leave),
+        Some(cluster::ClusterHandle { shared_list: lists, events: news, planned_drain: leave }) => {
+            (Some((lists, news)), leave)
+        }
         None => (None, None),
     };
-    let mut follow = spawn_local(discovery::follow(configs.clone(), handle.clone(), ready, fleet));
-    let mut renew = spawn_local(renew(reload, config, handle.clone(), metrics.clone()));
+    let mut follow = spawn_local(discovery::run_watch(configs.clone(), handle.clone(), ready, fleet));
+    let mut renew = spawn_local(reload_on_request(reload, config, handle.clone(), metrics.clone()));
     if let Some(at) = at {
         // Without its console the dispatcher still serves; the operators see the error in the log.
         match tokio::net::TcpListener::bind(at).await {
@@ -125,9 +133,10 @@
                 let (heard, phase, since) = (is_ready.clone(), phase.clone(), tokio::time::Instant::now());
                 // Standby is told apart by the console itself, which names it in its answer.
                 let ready = Box::new(move || {
-                    client::says_yes(*heard.borrow(), since, *phase.borrow(), console::Mode::Active)
+                    client::is_ready(*heard.borrow(), since, *phase.borrow(), console::Mode::Active)
                 });
-                let console = console::Console { metrics: metrics.clone(), mode, ready, leave };
+                let console =
+                    console::Console { metrics: metrics.clone(), mode, ready, planned_drain: leave };
                 spawn_local(console::serve(listener, Rc::new(console)));
             }
             Err(error) => tracing::error!(%error, %at, "the console cannot listen"),
@@ -145,20 +154,20 @@
 
 /// Takes in each configuration that is to replace the one before. All parts have it before any of them runs
 /// again, so that no job is read by the names of one and decided by the settings of the other.
-async fn renew(
-    mut reload: signal::Reload,
+async fn reload_on_request(
+    mut reload: shutdown::Reload,
     config: watch::Sender<Rc<Config>>,
     handle: Handle,
     metrics: Rc<console::Metrics>,
 ) {
-    while reload.asked.recv().await.is_some() {
+    while reload.requests.recv().await.is_some() {
         let old = config.borrow().clone();
         match (reload.read)(&old) {
             Ok(new) => {
                 tracing::info!(discovery = %new.discovery, "configuration read again");
                 metrics.reloads_ok.inc();
-                new.names.classes.iter().for_each(|class| metrics.know_class(&class.name));
-                handle.tell(Input::Configure(Box::new(new.settings.clone())));
+                new.names.classes.iter().for_each(|class| metrics.register_class(&class.name));
+                handle.send(Input::Configure(Box::new(new.settings.clone())));
                 config.send_replace(Rc::new(new));
             }
             Err(error) => {
--- a/crates/dispatcher/src/net/leave.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -18,32 +18,32 @@
 use tokio::sync::{watch, Mutex};
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
-use super::console::{FleetMetrics, Mode};
-use super::signal::Phase;
+use super::console::{ClusterMetrics, Mode};
+use super::shutdown::ShutdownPhase;
 
 /// How often all are asked how they are.
-const ROUND: Duration = Duration::from_millis(200);
+const OBSERVATION_INTERVAL: Duration = Duration::from_millis(200);
 /// How often the account is told that nothing changed while a permit is open and nothing waits, in rounds.
-const SELDOM: u32 = 5;
+const UNCHANGED_REPORT_ROUNDS: u32 = 5;
 /// The most time that a standby takes to be granted or refused.
-const DECIDED: Duration = Duration::from_millis(800);
+const DECISION_TIMEOUT: Duration = Duration::from_millis(800);
 /// When to ask again for what has to wait, and for what needs a majority first, in seconds.
-const AGAIN: (u32, u32) = (1, 5);
+const RETRY_AFTER_S: (u32, u32) = (1, 5);
 
 /// Why a standby is not granted, and when to ask again, in seconds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Denied {
+pub struct DrainRejected {
     /// Why.
-    pub why: String,
+    pub reason: String,
     /// When.
-    pub after_s: u32,
+    pub retry_after_s: u32,
 }
 
 /// What the rest of the program tells of this dispatcher.
-pub(super) struct Own {
+pub(super) struct LocalStatus {
     pub(super) mode: watch::Sender<Mode>,
     pub(super) ready: watch::Receiver<bool>,
-    pub(super) phase: watch::Receiver<Phase>,
+    pub(super) phase: watch::Receiver<ShutdownPhase>,
 }
 
 /// The workers as they are listed and watched.
@@ -56,102 +56,113 @@
 }
 
 /// This dispatcher's part in the account of who may be out.
-pub struct Leave {
-    holds: Micros,
+pub struct PlannedDrain {
+    readiness_validity: Micros,
     member: Member,
-    own: Own,
-    metrics: FleetMetrics,
+    status: LocalStatus,
+    metrics: ClusterMetrics,
     /// How often it returned from standby in this process.
-    returns: Cell<u64>,
+    returns_from_standby: Cell<u64>,
     term: RefCell<Option<Term>>,
     /// One standby is decided on at a time.
-    deciding: Mutex<()>,
+    decision: Mutex<()>,
     workers: RefCell<Option<Workers>>,
     warmth: RefCell<Warmth>,
 }
 
-impl std::fmt::Debug for Leave {
+impl std::fmt::Debug for PlannedDrain {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Leave").field("number", &self.number()).finish_non_exhaustive()
+        f.debug_struct("Leave").field("number", &self.incarnation()).finish_non_exhaustive()
     }
 }
 
-fn denied(why: impl Into<String>, after_s: u32) -> Result<(), Denied> {
-    Err(Denied { why: why.into(), after_s })
+fn rejected(why: impl Into<String>, after_s: u32) -> Result<(), DrainRejected> {
+    Err(DrainRejected { reason: why.into(), retry_after_s: after_s })
 }
 
-impl Leave {
+impl PlannedDrain {
     pub(super) fn new(
         holds: Micros,
         member: Member,
-        own: Own,
-        metrics: FleetMetrics,
+        own: LocalStatus,
+        metrics: ClusterMetrics,
         warmth: Warmth,
-    ) -> Leave {
+    ) -> PlannedDrain {
         let (returns, term, deciding) = (Cell::default(), RefCell::default(), Mutex::default());
         let (workers, warmth) = (RefCell::default(), RefCell::new(warmth));
-        Leave { holds, member, own, metrics, returns, term, deciding, workers, warmth }
+        PlannedDrain {
+            readiness_validity: holds,
+            member,
+            status: own,
+            metrics,
+            returns_from_standby: returns,
+            term,
+            decision: deciding,
+            workers,
+            warmth,
+        }
     }
 
     /// Where the workers are known from.
-    pub(super) fn observes(&self, workers: Workers) {
+    pub(super) fn observe_workers(&self, workers: Workers) {
         *self.workers.borrow_mut() = Some(workers);
     }
 
-    fn keepers(&self) -> Keepers {
+    fn coordinators(&self) -> Keepers {
         let settings = self.member.settings();
         let who = Who::Member { name: settings.name.clone() };
         Keepers::new(&settings.installation, who, settings.keepers.clone(), settings.bind)
     }
 
     /// Which life of this dispatcher it is: higher with every session and every return.
-    fn number(&self) -> u64 {
+    fn incarnation(&self) -> u64 {
         let session = self.member.holder().borrow().last_session().map_or(0, |session| session.incarnation);
-        session << 20 | self.returns.get()
+        session << 20 | self.returns_from_standby.get()
     }
 
-    fn standing(&self) -> Standing {
-        let serving = *self.own.phase.borrow() == Phase::Serving && *self.own.mode.borrow() == Mode::Active;
+    fn readiness(&self) -> Standing {
+        let serving = *self.status.phase.borrow() == ShutdownPhase::Serving
+            && *self.status.mode.borrow() == Mode::Active;
         let settings = self.member.settings();
         Standing {
             name: settings.name.clone(),
             zone: settings.zone.clone(),
-            number: self.number(),
-            serves: serving && *self.own.ready.borrow(),
+            number: self.incarnation(),
+            serves: serving && *self.status.ready.borrow(),
         }
     }
 
     /// The owner of the account asks how this dispatcher is; its token was found good.
-    pub(super) fn heard(&self) -> Vec<u8> {
-        self.standing().pack()
+    pub(super) fn readiness_report(&self) -> Vec<u8> {
+        self.readiness().pack()
     }
 
     /// Goes to standby if the fleet allows it, or somebody insists.
     ///
     /// # Errors
     /// It does not, and says why at once.
-    pub(super) async fn standby(&self, reason: &str, force: bool) -> Result<(), Denied> {
-        if *self.own.mode.borrow() == Mode::Standby {
+    pub(super) async fn enter_standby(&self, reason: &str, force: bool) -> Result<(), DrainRejected> {
+        if *self.status.mode.borrow() == Mode::Standby {
             return Ok(());
         }
-        let Ok(_one) = self.deciding.try_lock() else {
-            return denied("another call for standby is being decided on", AGAIN.0);
+        let Ok(_one) = self.decision.try_lock() else {
+            return rejected("another call for standby is being decided on", RETRY_AFTER_S.0);
         };
-        let decided = self.decide(reason, force).await;
+        let decided = self.request_permit(reason, force).await;
         match &decided {
             Ok(()) => tracing::info!(reason, force, "standby: no new work is invited"),
             Err(denied) => {
-                self.metrics.denied.inc();
-                tracing::info!(reason, why = denied.why, "standby is refused");
+                self.metrics.drains_rejected.inc();
+                tracing::info!(reason, why = denied.reason, "standby is refused");
             }
         }
         decided
     }
 
-    async fn decide(&self, reason: &str, force: bool) -> Result<(), Denied> {
-        let by = Instant::now() + DECIDED;
-        let (mut keepers, name) = (self.keepers(), &self.member.settings().name);
-        let number = self.number();
+    async fn request_permit(&self, reason: &str, force: bool) -> Result<(), DrainRejected> {
+        let by = Instant::now() + DECISION_TIMEOUT;
+        let (mut keepers, name) = (self.coordinators(), &self.member.settings().name);
+        let number = self.incarnation();
         let target = Target { kind: Kind::Dispatcher, name: name.clone() };
         let ask =
             Change::Ask { target, reason: reason.to_owned(), asker: format!("dispatcher/{name}"), force };
@@ -164,22 +175,24 @@
                     _ => None,
                 };
                 let held = held.unwrap_or_default();
-                return denied(format!("permit {permit} waits for its turn{held}"), AGAIN.0);
+                return rejected(format!("permit {permit} waits for its turn{held}"), RETRY_AFTER_S.0);
             }
             Ok(Answer::Changed(Outcome::Asked(permit, _))) => permit,
-            Ok(Answer::Changed(Outcome::Refused(why))) => return denied(why.to_string(), AGAIN.1),
-            Ok(Answer::Refused(reason)) => return denied(reason.to_string(), AGAIN.1),
-            Ok(other) => return denied(format!("an answer that was not asked for: {other:?}"), AGAIN.1),
+            Ok(Answer::Changed(Outcome::Refused(why))) => return rejected(why.to_string(), RETRY_AFTER_S.1),
+            Ok(Answer::Refused(reason)) => return rejected(reason.to_string(), RETRY_AFTER_S.1),
+            Ok(other) => {
+                return rejected(format!("an answer that was not asked for: {other:?}"), RETRY_AFTER_S.1)
+            }
             Err(why) if force => {
                 tracing::warn!(why, "standby is forced without the keepers");
-                self.metrics.forced.inc();
-                self.go(None);
+                self.metrics.drains_forced.inc();
+                self.switch_to_standby(None);
                 return Ok(());
             }
             Err(why) => {
-                return denied(
+                return rejected(
                     format!("no majority of the keepers answers ({why}); serving goes on"),
-                    AGAIN.1,
+                    RETRY_AFTER_S.1,
                 )
             }
         };
@@ -187,58 +200,58 @@
         match keepers.ask(&Ask::Change(begin), by).await {
             Ok(Answer::Changed(Outcome::Begun(_))) => {}
             Ok(Answer::Changed(Outcome::Refused(Refusal::NoPermit))) => {
-                return denied("the permit before this one is not over yet", AGAIN.0)
+                return rejected("the permit before this one is not over yet", RETRY_AFTER_S.0)
             }
-            Ok(Answer::Changed(Outcome::Refused(why))) => return denied(why.to_string(), AGAIN.0),
-            other => return denied(format!("the permit could not be begun: {other:?}"), AGAIN.0),
+            Ok(Answer::Changed(Outcome::Refused(why))) => return rejected(why.to_string(), RETRY_AFTER_S.0),
+            other => return rejected(format!("the permit could not be begun: {other:?}"), RETRY_AFTER_S.0),
         }
         // Whoever was stopped meanwhile may have been seen as another life: then the permit may be over.
         let now = clock::now();
-        if self.member.holder().borrow().session(now).is_none() || self.number() != number {
-            return denied("this dispatcher lost its session meanwhile", AGAIN.0);
+        if self.member.holder().borrow().session(now).is_none() || self.incarnation() != number {
+            return rejected("this dispatcher lost its session meanwhile", RETRY_AFTER_S.0);
         }
         if force {
-            self.metrics.forced.inc();
+            self.metrics.drains_forced.inc();
         }
-        self.go(Some(permit));
+        self.switch_to_standby(Some(permit));
         Ok(())
     }
 
-    fn go(&self, permit: Option<u64>) {
-        self.own.mode.send_replace(Mode::Standby);
+    fn switch_to_standby(&self, permit: Option<u64>) {
+        self.status.mode.send_replace(Mode::Standby);
         self.member.record().put(clock::now(), "standby", serde_json::json!({"permit": permit}));
     }
 
     /// Returned from standby: another life.
-    pub(super) fn returned(&self) {
-        self.returns.set(self.returns.get() + 1);
-        self.member.record().put(clock::now(), "active", serde_json::json!({"number": self.number()}));
+    pub(super) fn record_return(&self) {
+        self.returns_from_standby.set(self.returns_from_standby.get() + 1);
+        self.member.record().put(clock::now(), "active", serde_json::json!({"number": self.incarnation()}));
     }
 
     /// Asks all how they are and tells the account, while that duty is ours, for as long as the program runs.
-    pub(super) async fn rounds(self: Rc<Self>) {
-        let mut rounds = interval(ROUND);
+    pub(super) async fn run(self: Rc<Self>) {
+        let mut rounds = interval(OBSERVATION_INTERVAL);
         rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut keepers = self.keepers();
+        let mut keepers = self.coordinators();
         let (mut known, mut account, mut count) = (0, Account::default(), 0u32);
         loop {
             rounds.tick().await;
-            self.own_term();
+            self.update_term();
             if self.term.borrow().is_none() {
                 (known, account) = (0, Account::default());
                 continue;
             }
             count = count.wrapping_add(1);
-            let by = Instant::now() + DECIDED;
+            let by = Instant::now() + DECISION_TIMEOUT;
             match keepers.ask(&Ask::Account { known }, by).await {
                 Ok(Answer::Account(revision, Some(new))) => (known, account) = (revision, *new),
                 Ok(Answer::Account(..)) => {}
                 _ => continue,
             }
-            let Some((token, targets, gone)) = self.look(&account) else { continue };
+            let Some((token, targets, gone)) = self.observe(&account) else { continue };
             let wanted = match account.waits() {
                 Some(Wants::Now) => true,
-                Some(Wants::Seldom) => count % SELDOM == 0,
+                Some(Wants::Seldom) => count % UNCHANGED_REPORT_ROUNDS == 0,
                 None => false,
             };
             if targets.is_empty() && gone.is_empty() && !wanted {
@@ -255,13 +268,13 @@
         }
     }
 
-    fn listed(&self) -> Vec<Listed> {
+    fn listed_workers(&self) -> Vec<Listed> {
         self.workers.borrow().as_ref().map_or_else(Vec::new, |workers| workers())
     }
 
-    fn own_term(&self) {
+    fn update_term(&self) {
         let now = clock::now();
-        self.warmth.borrow_mut().list(now, &self.listed());
+        self.warmth.borrow_mut().list(now, &self.listed_workers());
         let duty = DutyId::fleet(ACCOUNT);
         let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
@@ -269,7 +282,7 @@
             Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
             Some((duty, token)) => {
                 tracing::info!(token = token.0, "observes the fleet for the account of who may be out");
-                let census = Rc::new(RefCell::new(Census::new(self.holds, now)));
+                let census = Rc::new(RefCell::new(Census::new(self.readiness_validity, now)));
                 let hears = census.clone();
                 let publisher = Publisher::hearing(&self.member, duty, token, move |said| {
                     if let Some(standing) = Standing::unpack(said) {
@@ -282,12 +295,12 @@
         }
         if let Some(term) = term.as_mut() {
             term.publisher.say(Vec::new());
-            term.census.borrow_mut().heard(self.standing(), now);
+            term.census.borrow_mut().heard(self.readiness(), now);
         }
     }
 
     /// Who is not as the account has them.
-    fn look(&self, account: &Account) -> Option<(Token, Vec<Observed>, Vec<Target>)> {
+    fn observe(&self, account: &Account) -> Option<(Token, Vec<Observed>, Vec<Target>)> {
         let term = self.term.borrow();
         let term = term.as_ref()?;
         let roster = self.member.roster();
@@ -295,7 +308,7 @@
             roster.iter().map(|peer| (peer.name.as_str(), peer.zone.as_str())).collect();
         let now = clock::now();
         let mut seen = term.census.borrow().look(now, &members, account)?;
-        let workers = self.listed();
+        let workers = self.listed_workers();
         // Before a list was heard nothing is known of workers, which is not that they are gone.
         let (changed, gone) = match workers.is_empty() {
             true => (Vec::new(), Vec::new()),
--- a/crates/dispatcher/src/net/signal.rs
+++ b/crates/dispatcher/src/net/shutdown.rs
@@ -12,38 +12,38 @@
 /// This long after the signal clients are sent elsewhere. New connections come for up to 0.4 s; those that
 /// clients have are served for longer, since elsewhere may be nobody: restarts roll, and a dispatcher that went
 /// just before takes this long to be back. What comes late still has time to end before SIGKILL.
-const STILL_COMING: Duration = Duration::from_secs(2);
+const DRAIN_PERIOD: Duration = Duration::from_secs(2);
 /// The longest deadline counts as this where it is longer, and so long after it SIGKILL may come.
-const LONGEST: Micros = 3_000_000;
-const KILL_AFTER: Duration = Duration::from_millis(700);
+const MAX_COUNTED_TIMEOUT: Micros = 3_000_000;
+const KILL_GRACE: Duration = Duration::from_millis(700);
 /// All is answered so long before SIGKILL may come.
-const SPARE: Duration = Duration::from_millis(250);
+const FINISH_RESERVE: Duration = Duration::from_millis(250);
 
 /// How far the end has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub enum ShutdownPhase {
     /// Serving.
     Serving,
     /// Told to end; clients may not know yet, and all that comes is served.
-    Leaving,
+    Draining,
     /// Connections on which nothing is asked are closed, and no new ones are awaited.
     Closing,
     /// Time is up: what is open is answered now.
     Finishing,
     /// What has no answer by now has no whole request, or does not read.
-    Over,
+    Finished,
 }
 
 /// Reads what is to replace a configuration.
-pub type Read = dyn Fn(&Config) -> Result<Config, ConfigError>;
+pub type ReadConfig = dyn Fn(&Config) -> Result<Config, ConfigError>;
 
 /// How a configuration comes to be replaced.
 #[expect(missing_debug_implementations, reason = "a function has nothing to show")]
 pub struct Reload {
     /// Something comes each time it is to be read again.
-    pub asked: mpsc::Receiver<()>,
+    pub requests: mpsc::Receiver<()>,
     /// Reads what is to replace the given one.
-    pub read: Box<Read>,
+    pub read: Box<ReadConfig>,
 }
 
 /// Asks to read the configuration again at each SIGHUP, which would end the program otherwise. Signals that
@@ -51,7 +51,9 @@
 ///
 /// # Errors
 /// The signal cannot be caught.
-pub fn reloads(read: impl Fn(&Config) -> Result<Config, ConfigError> + 'static) -> std::io::Result<Reload> {
+pub fn listen_for_reload(
+    read: impl Fn(&Config) -> Result<Config, ConfigError> + 'static,
+) -> std::io::Result<Reload> {
     let mut hangup = signal(SignalKind::hangup())?;
     let (sender, asked) = mpsc::channel(1);
     tokio::task::spawn_local(async move {
@@ -59,37 +61,38 @@
             let _ = sender.try_send(());
         }
     });
-    Ok(Reload { asked, read: Box::new(read) })
+    Ok(Reload { requests: asked, read: Box::new(read) })
 }
 
 /// Goes through the phases from the first SIGTERM or SIGINT on.
 ///
 /// # Errors
 /// The signals cannot be caught.
-pub fn phases(longest: Micros) -> std::io::Result<watch::Receiver<Phase>> {
+pub fn listen_for_termination(longest: Micros) -> std::io::Result<watch::Receiver<ShutdownPhase>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    let (sender, phase) = watch::channel(Phase::Serving);
+    let (sender, phase) = watch::channel(ShutdownPhase::Serving);
     tokio::task::spawn_local(async move {
         tokio::select! {
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        leave(&sender, longest).await;
+        run_phases(&sender, longest).await;
     });
     Ok(phase)
 }
 
 /// The phases after the signal, by the time that a platform leaves before it kills.
-pub async fn leave(phase: &watch::Sender<Phase>, longest: Micros) {
-    phase.send_replace(Phase::Leaving);
-    let finish = (Duration::from_micros(longest.min(LONGEST)) + KILL_AFTER).saturating_sub(SPARE);
+pub async fn run_phases(phase: &watch::Sender<ShutdownPhase>, longest: Micros) {
+    phase.send_replace(ShutdownPhase::Draining);
+    let finish =
+        (Duration::from_micros(longest.min(MAX_COUNTED_TIMEOUT)) + KILL_GRACE).saturating_sub(FINISH_RESERVE);
     // Where deadlines are short SIGKILL comes early.
-    let closing = STILL_COMING.min(finish.mul_f64(0.6));
+    let closing = DRAIN_PERIOD.min(finish.mul_f64(0.6));
     sleep(closing).await;
-    phase.send_replace(Phase::Closing);
+    phase.send_replace(ShutdownPhase::Closing);
     sleep(finish - closing).await;
-    phase.send_replace(Phase::Finishing);
-    sleep(SPARE / 2).await;
-    phase.send_replace(Phase::Over);
+    phase.send_replace(ShutdownPhase::Finishing);
+    sleep(FINISH_RESERVE / 2).await;
+    phase.send_replace(ShutdownPhase::Finished);
 }
--- a/crates/dispatcher/src/net/inherit.rs
+++ b/crates/dispatcher/src/net/socket_activation.rs
@@ -13,32 +13,38 @@
 
 /// What is wrong with an inherited descriptor, and how far taking it got.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Inherit {
+pub enum InheritedSocketError {
     /// The variable holds no descriptor number.
-    NoNumber(String),
+    InvalidNumber(String),
     /// The number names no TCP socket that listens: none at all, a closed one, or another kind of file.
-    NoSocket(i32, String),
+    NotListening(i32, String),
 }
 
-impl std::fmt::Display for Inherit {
+impl std::fmt::Display for InheritedSocketError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Inherit::NoNumber(text) => write!(f, "{VARIABLE}: '{text}' is no descriptor number"),
-            Inherit::NoSocket(fd, why) => {
+            InheritedSocketError::InvalidNumber(text) => {
+                write!(f, "{VARIABLE}: '{text}' is no descriptor number")
+            }
+            InheritedSocketError::NotListening(fd, why) => {
                 write!(f, "{VARIABLE}: descriptor {fd} is no listening TCP socket: {why}")
             }
         }
     }
 }
 
-impl std::error::Error for Inherit {}
+impl std::error::Error for InheritedSocketError {}
 
 /// Reads the variable's text as a descriptor number.
 ///
 /// # Errors
 /// The text is no whole number from 0 on.
-pub fn number(text: &str) -> Result<i32, Inherit> {
-    text.trim().parse::<i32>().ok().filter(|fd| *fd >= 0).ok_or_else(|| Inherit::NoNumber(text.to_owned()))
+pub fn parse_descriptor(text: &str) -> Result<i32, InheritedSocketError> {
+    text.trim()
+        .parse::<i32>()
+        .ok()
+        .filter(|fd| *fd >= 0)
+        .ok_or_else(|| InheritedSocketError::InvalidNumber(text.to_owned()))
 }
 
 /// Takes the listening socket at the descriptor, non-blocking, for the runtime. Call it before any thread starts:
@@ -46,8 +52,8 @@
 ///
 /// # Errors
 /// The descriptor is no TCP socket that listens.
-pub fn take(fd: i32) -> Result<TcpListener, Inherit> {
-    let no_socket = |why: String| Inherit::NoSocket(fd, why);
+pub fn take_listener(fd: i32) -> Result<TcpListener, InheritedSocketError> {
+    let no_socket = |why: String| InheritedSocketError::NotListening(fd, why);
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", fd.to_string());
     std::env::remove_var("LISTEN_PID");
