--- a/crates/dispatcher/src/net/worker.rs
+++ b/crates/dispatcher/src/net/worker.rs
@@ -18,33 +18,33 @@
 use tokio::time::{interval_at, timeout, timeout_at, Instant};
 
 use super::console::{self, Metrics};
+use super::health_check;
 use super::http::{Decoder, Lines, Piece, MAX_BODY};
-use super::probe;
-use super::{read_more, read_response_head, write_whole, Configs};
-use crate::engine::{Clock, Command, Handle, Input, Micros, Payload, Reach};
+use super::{read_more, read_response_head, write_all, ConfigReceiver};
+use crate::engine::{AttemptStage, Clock, Command, Handle, Input, Micros, Payload};
 use dispatch_core::api::{Load, Outcome, RequestId, Scope, WorkerId, WorkerState};
 use dispatch_core::report::{Form, Read};
 use dispatch_core::settings::worker_id;
 
 /// A line of a worker may be this long: a result as large as a body, with room for escapes.
-const LONGEST_LINE: usize = 2 * MAX_BODY + 1024;
+const MAX_LINE_BYTES: usize = 2 * MAX_BODY + 1024;
 /// After the last line of an answer its framing ends soon, or the connection is not used again.
-const TAIL: Duration = Duration::from_millis(200);
+const FRAMING_TIMEOUT: Duration = Duration::from_millis(200);
 /// A kept connection that breaks within this after a request on it was closed by the worker before.
-const STALE: Micros = 250_000;
+const STALE_CONNECTION_WINDOW: Micros = 250_000;
 /// How often idle connections are looked through.
-const SWEEP: Duration = Duration::from_millis(250);
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A connection on which nothing is out.
-struct Idle {
+struct IdleConnection {
     stream: TcpStream,
-    since: Micros,
+    idle_since: Micros,
 }
 
-impl Idle {
+impl IdleConnection {
     /// The worker has neither closed it nor sent anything that nobody asked for. It asks the socket itself:
     /// what the runtime knows of it may be older.
-    fn usable(&self) -> bool {
+    fn is_usable(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&self.stream).peek(&mut byte);
         peeked.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
@@ -52,303 +52,320 @@
 }
 
 /// A worker as the pool knows it.
-pub(super) struct Peer {
+pub(super) struct Worker {
     /// Its zone, by its place in the settings.
     pub(super) zone: Cell<u32>,
     /// When it started, as discovery says.
-    pub(super) since: Cell<f64>,
+    pub(super) started_at: Cell<f64>,
     pub(super) address: Cell<Option<SocketAddr>>,
     /// It takes new work, as far as discovery told.
-    pub(super) serves: Cell<bool>,
+    pub(super) accepts_work: Cell<bool>,
     /// The list names it, whether it takes new work or drains.
     listed: Cell<bool>,
     /// The last one was used last.
-    idle: RefCell<Vec<Idle>>,
+    idle: RefCell<Vec<IdleConnection>>,
 }
 
 pub(super) struct Pool {
     metrics: Rc<Metrics>,
-    pub(super) configs: Configs,
+    pub(super) config: ConfigReceiver,
     pub(super) clock: Clock,
     /// Attempts that were begun.
-    pub(super) begun: Cell<u64>,
+    pub(super) attempts_started: Cell<u64>,
     pub(super) handle: Handle,
-    pub(super) peers: RefCell<FxHashMap<WorkerId, Rc<Peer>>>,
+    pub(super) workers: RefCell<FxHashMap<WorkerId, Rc<Worker>>>,
     /// The attempts that are out.
-    out: RefCell<FxHashMap<(RequestId, u32), AbortHandle>>,
+    attempts: RefCell<FxHashMap<(RequestId, u32), AbortHandle>>,
     /// The probes that are out.
-    pub(super) probes: RefCell<FxHashMap<WorkerId, AbortHandle>>,
+    pub(super) health_checks: RefCell<FxHashMap<WorkerId, AbortHandle>>,
     /// Connections that are open or coming up.
-    open: Cell<usize>,
+    open_connections: Cell<usize>,
 }
 
 /// Counts a connection while it lives.
-pub(super) struct Counted(Rc<Pool>);
+pub(super) struct ConnectionGuard(Rc<Pool>);
 
-impl Counted {
-    fn new(pool: &Rc<Pool>) -> Counted {
-        pool.open.set(pool.open.get() + 1);
-        Counted(pool.clone())
+impl ConnectionGuard {
+    fn new(pool: &Rc<Pool>) -> ConnectionGuard {
+        pool.open_connections.set(pool.open_connections.get() + 1);
+        ConnectionGuard(pool.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
+        self.0.open_connections.set(self.0.open_connections.get() - 1);
     }
 }
 
 /// Carries out commands until the engine ends.
 pub(super) async fn run(pool: Rc<Pool>, mut commands: mpsc::UnboundedReceiver<Command>) {
-    let mut sweep = interval_at(Instant::now() + SWEEP, SWEEP);
+    let mut sweep = interval_at(Instant::now() + IDLE_SWEEP_INTERVAL, IDLE_SWEEP_INTERVAL);
     loop {
         tokio::select! {
             biased;
             command = commands.recv() => match command {
-                Some(command) => pool.carry_out(command),
+                Some(command) => pool.execute(command),
                 None => return,
             },
-            _ = sweep.tick() => pool.sweep(),
+            _ = sweep.tick() => pool.close_expired_connections(),
         }
     }
 }
 
 impl Pool {
-    pub(super) fn new(configs: Configs, clock: Clock, handle: Handle, metrics: Rc<Metrics>) -> Rc<Pool> {
+    pub(super) fn new(
+        configs: ConfigReceiver,
+        clock: Clock,
+        handle: Handle,
+        metrics: Rc<Metrics>,
+    ) -> Rc<Pool> {
         Rc::new(Pool {
             metrics,
-            configs,
+            config: configs,
             clock,
-            begun: Cell::default(),
+            attempts_started: Cell::default(),
             handle,
-            peers: RefCell::default(),
-            out: RefCell::default(),
-            probes: RefCell::default(),
-            open: Cell::new(0),
+            workers: RefCell::default(),
+            attempts: RefCell::default(),
+            health_checks: RefCell::default(),
+            open_connections: Cell::new(0),
         })
     }
 
-    fn carry_out(self: &Rc<Self>, command: Command) {
+    fn execute(self: &Rc<Self>, command: Command) {
         match command {
-            Command::Attempt { request, attempt, worker, payload, deadline, latest } => {
-                let peer = self.peers.borrow().get(&worker).cloned();
-                self.begun.set(self.begun.get() + 1);
-                let (pool, reach) = (self.clone(), Reach::Unconnected);
-                let end = End { pool, request, attempt, worker, reach, told: false, load: None };
-                let task = spawn_local(try_at(peer, payload, (deadline, latest), end));
-                self.out.borrow_mut().insert((request, attempt), task.abort_handle());
+            Command::Attempt { request, attempt, worker, payload, deadline, not_after: latest } => {
+                let peer = self.workers.borrow().get(&worker).cloned();
+                self.attempts_started.set(self.attempts_started.get() + 1);
+                let (pool, reach) = (self.clone(), AttemptStage::NotConnected);
+                let end = AttemptGuard {
+                    pool,
+                    request,
+                    attempt,
+                    worker,
+                    stage: reach,
+                    reported: false,
+                    load: None,
+                };
+                let task = spawn_local(run_attempt(peer, payload, (deadline, latest), end));
+                self.attempts.borrow_mut().insert((request, attempt), task.abort_handle());
             }
             Command::Cancel(request, attempt) => {
-                let task = self.out.borrow_mut().remove(&(request, attempt));
+                let task = self.attempts.borrow_mut().remove(&(request, attempt));
                 if let Some(task) = task {
                     task.abort();
                 }
             }
-            Command::Probe(worker) => probe::begin(self, worker),
+            Command::HealthCheck(worker) => health_check::start(self, worker),
             Command::CloseIdle(worker) => {
-                if let Some(peer) = self.peers.borrow().get(&worker) {
-                    self.drop_idle(peer, |_| false);
+                if let Some(peer) = self.workers.borrow().get(&worker) {
+                    self.retain_idle(peer, |_| false);
                 }
             }
-            Command::List(scope, members) => self.list(scope, &members),
+            Command::EndpointList(scope, members) => self.update_workers(scope, &members),
         }
     }
 
-    fn list(&self, scope: Scope, members: &[crate::engine::Listed]) {
-        let mut peers = self.peers.borrow_mut();
+    fn update_workers(&self, scope: Scope, members: &[crate::engine::ListedEndpoint]) {
+        let mut peers = self.workers.borrow_mut();
         if scope != Scope::Changes {
             // Those that the whole list does not name are gone.
             peers.values().for_each(|peer| {
-                peer.serves.set(false);
+                peer.accepts_work.set(false);
                 peer.listed.set(false);
             });
         }
         for listed in members {
-            let peer = peers.entry(listed.member.worker).or_insert_with(|| {
-                Rc::new(Peer {
+            let peer = peers.entry(listed.endpoint.worker).or_insert_with(|| {
+                Rc::new(Worker {
                     zone: Cell::default(),
-                    since: Cell::default(),
+                    started_at: Cell::default(),
                     address: Cell::default(),
-                    serves: Cell::default(),
+                    accepts_work: Cell::default(),
                     listed: Cell::default(),
                     idle: RefCell::default(),
                 })
             });
             if listed.address.is_some() && listed.address != peer.address.get() {
                 peer.address.set(listed.address);
-                self.drop_idle(peer, |_| false);
+                self.retain_idle(peer, |_| false);
             }
-            peer.zone.set(listed.member.zone);
-            peer.since.set(listed.member.since);
-            peer.serves.set(listed.serves());
-            peer.listed.set(listed.member.state != WorkerState::Gone);
+            peer.zone.set(listed.endpoint.zone);
+            peer.started_at.set(listed.endpoint.since);
+            peer.accepts_work.set(listed.accepts_work());
+            peer.listed.set(listed.endpoint.state != WorkerState::Gone);
         }
-        for (worker, peer) in peers.iter().filter(|(_, peer)| !peer.serves.get()) {
-            self.drop_idle(peer, |_| false);
+        for (worker, peer) in peers.iter().filter(|(_, peer)| !peer.accepts_work.get()) {
+            self.retain_idle(peer, |_| false);
             // Nothing new is asked of a worker that drains, and what is out there has no more to tell.
-            if let Some(task) = self.probes.borrow().get(worker) {
+            if let Some(task) = self.health_checks.borrow().get(worker) {
                 task.abort();
             }
         }
         // A peer that no attempt uses and nobody may use again is forgotten.
         peers.retain(|_, peer| peer.listed.get() || Rc::strong_count(peer) > 1);
-        self.metrics.known.set(known(peers.values().map(|peer| peer.listed.get())));
+        self.metrics.workers_known.set(count_listed(peers.values().map(|peer| peer.listed.get())));
     }
 
-    fn sweep(&self) {
-        let (now, longest) = (self.clock.now(), self.configs.borrow().idle);
-        for peer in self.peers.borrow().values() {
-            self.drop_idle(peer, |idle| now < idle.since + longest && idle.usable());
+    fn close_expired_connections(&self) {
+        let (now, longest) = (self.clock.now(), self.config.borrow().idle_timeout);
+        for peer in self.workers.borrow().values() {
+            self.retain_idle(peer, |idle| now < idle.idle_since + longest && idle.is_usable());
         }
     }
 
     /// Drops the idle connections that are not to be kept.
-    fn drop_idle(&self, peer: &Peer, keep: impl Fn(&Idle) -> bool) {
+    fn retain_idle(&self, peer: &Worker, keep: impl Fn(&IdleConnection) -> bool) {
         let mut idle = peer.idle.borrow_mut();
         let before = idle.len();
         idle.retain(keep);
-        self.open.set(self.open.get() - (before - idle.len()));
+        self.open_connections.set(self.open_connections.get() - (before - idle.len()));
     }
 
     /// Makes room for one more connection, at the cost of the one that was idle longest.
-    pub(super) fn make_room(&self) -> bool {
-        if self.open.get() < self.configs.borrow().worker_sockets {
+    pub(super) fn ensure_capacity(&self) -> bool {
+        if self.open_connections.get() < self.config.borrow().worker_sockets {
             return true;
         }
-        let peers = self.peers.borrow();
+        let peers = self.workers.borrow();
         let oldest = peers.values().filter(|p| !p.idle.borrow().is_empty());
-        let Some(peer) = oldest.min_by_key(|p| p.idle.borrow().first().map(|i| i.since)) else {
+        let Some(peer) = oldest.min_by_key(|p| p.idle.borrow().first().map(|i| i.idle_since)) else {
             return false;
         };
         peer.idle.borrow_mut().remove(0);
-        self.open.set(self.open.get() - 1);
+        self.open_connections.set(self.open_connections.get() - 1);
         true
     }
 
     /// The connection that was used last and can still be used.
-    pub(super) fn reuse(self: &Rc<Self>, peer: &Peer) -> Option<(TcpStream, Counted, bool)> {
-        let (now, longest) = (self.clock.now(), self.configs.borrow().idle);
+    pub(super) fn take_idle(self: &Rc<Self>, peer: &Worker) -> Option<(TcpStream, ConnectionGuard, bool)> {
+        let (now, longest) = (self.clock.now(), self.config.borrow().idle_timeout);
         loop {
             let idle = peer.idle.borrow_mut().pop()?;
-            self.open.set(self.open.get() - 1);
+            self.open_connections.set(self.open_connections.get() - 1);
             // A request on a connection that the worker has closed is a reset once written, and may have run.
-            if now < idle.since + longest && idle.usable() {
-                return Some((idle.stream, Counted::new(self), true));
+            if now < idle.idle_since + longest && idle.is_usable() {
+                return Some((idle.stream, ConnectionGuard::new(self), true));
             }
         }
     }
 
     /// Reads a load report by the form that the settings tell; what is malformed is counted and left out.
-    pub(super) fn read(&self, read: impl FnOnce(&Form) -> Read) -> Option<Load> {
-        let Read { load, malformed } = read(&self.configs.borrow().settings.report);
+    pub(super) fn parse_load_report(&self, read: impl FnOnce(&Form) -> Read) -> Option<Load> {
+        let Read { load, malformed } = read(&self.config.borrow().settings.report);
         if malformed {
             self.metrics.malformed_reports.inc();
         }
         load
     }
 
-    pub(super) fn keep(&self, peer: &Peer, stream: TcpStream, counted: Counted) {
-        if peer.serves.get() {
-            peer.idle.borrow_mut().push(Idle { stream, since: self.clock.now() });
-            self.open.set(self.open.get() + 1);
+    pub(super) fn return_connection(&self, peer: &Worker, stream: TcpStream, counted: ConnectionGuard) {
+        if peer.accepts_work.get() {
+            peer.idle.borrow_mut().push(IdleConnection { stream, idle_since: self.clock.now() });
+            self.open_connections.set(self.open_connections.get() + 1);
         }
         drop(counted);
     }
 }
 
 /// Tells the engine of the end of an attempt, exactly once: also of one that panicked.
-struct End {
+struct AttemptGuard {
     pool: Rc<Pool>,
     request: RequestId,
     attempt: u32,
     worker: WorkerId,
-    reach: Reach,
-    told: bool,
+    stage: AttemptStage,
+    reported: bool,
     /// What the worker said of its load with its last word.
     load: Option<Load>,
 }
 
-impl End {
-    fn tell(&mut self, outcome: Outcome, result: Bytes) {
-        if !std::mem::replace(&mut self.told, true) {
-            self.pool.out.borrow_mut().remove(&(self.request, self.attempt));
+impl AttemptGuard {
+    fn report(&mut self, outcome: Outcome, result: Bytes) {
+        if !std::mem::replace(&mut self.reported, true) {
+            self.pool.attempts.borrow_mut().remove(&(self.request, self.attempt));
             let load = self.load.take();
-            self.pool.handle.tell(Input::Ended(self.request, self.attempt, outcome, result, load));
+            self.pool.handle.send(Input::AttemptEnded(self.request, self.attempt, outcome, result, load));
         }
     }
 }
 
-impl Drop for End {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.tell(self.reach.broken(), Bytes::new());
+        self.report(self.stage.outcome_if_broken(), Bytes::new());
     }
 }
 
 /// One attempt. Whatever way it ends early, `end` tells how far it had come.
-async fn try_at(
-    peer: Option<Rc<Peer>>,
+async fn run_attempt(
+    peer: Option<Rc<Worker>>,
     payload: Rc<Payload>,
     (deadline, latest): (Micros, Micros),
-    mut end: End,
+    mut end: AttemptGuard,
 ) {
     let Some(peer) = peer else { return };
     let pool = end.pool.clone();
-    let (mut stream, counted, kept) = match pool.reuse(&peer) {
+    let (mut stream, counted, kept) = match pool.take_idle(&peer) {
         Some(kept) => kept,
         // Without a descriptor to spare nothing is sent, which is no fault of the worker's.
-        None if !pool.make_room() => return end.tell(Outcome::Moot, Bytes::new()),
-        None => match dial(&pool, &peer).await {
+        None if !pool.ensure_capacity() => return end.report(Outcome::Moot, Bytes::new()),
+        None => match connect(&pool, &peer).await {
             Some(new) => new,
             None => return,
         },
     };
     // Checked here and not before: the worker may have begun to drain while the connection came up, and what
     // is written later than the grace breaks the rule on drains.
-    if !peer.serves.get() {
+    if !peer.accepts_work.get() {
         return;
     }
     // Likewise: the client may have left meanwhile, another attempt may have served it, and what an attempt before
     // this one may have done is no longer known to the worker once the window for repeats is over.
     if payload.concluded.get() || pool.clock.now() >= latest {
-        return end.tell(Outcome::Moot, Bytes::new());
+        return end.report(Outcome::Moot, Bytes::new());
     }
-    let head = request_head(&peer, &payload, deadline.saturating_sub(pool.clock.now()));
+    let head = encode_request_head(&peer, &payload, deadline.saturating_sub(pool.clock.now()));
     let mut message = head.chain(payload.body.clone());
-    end.reach = Reach::PartWritten;
+    end.stage = AttemptStage::PartiallyWritten;
     let begun = pool.clock.now();
-    let written = write_whole(&mut stream, &mut message).await;
+    let written = write_all(&mut stream, &mut message).await;
     if !message.has_remaining() {
-        end.reach = Reach::Written;
+        end.stage = AttemptStage::Written;
         pool.metrics.count(&payload.class, console::Outcome::Attempt);
     }
     if written.is_err() {
         // A kept connection that takes no write is no fault of the worker's, and nothing was sent.
-        return if kept && end.reach < Reach::Written {
-            end.tell(Outcome::Moot, Bytes::new())
+        return if kept && end.stage < AttemptStage::Written {
+            end.report(Outcome::Moot, Bytes::new())
         };
     }
-    let reusable = answer(&mut stream, &payload, &mut end).await == Some(true);
-    if kept && !end.told && end.reach == Reach::Written && pool.clock.now() < begun + STALE {
+    let reusable = read_answer(&mut stream, &payload, &mut end).await == Some(true);
+    if kept
+        && !end.reported
+        && end.stage == AttemptStage::Written
+        && pool.clock.now() < begun + STALE_CONNECTION_WINDOW
+    {
         // The others that are idle there are closed by now as well.
-        pool.drop_idle(&peer, |_| false);
-        end.tell(Outcome::Stale, Bytes::new());
+        pool.retain_idle(&peer, |_| false);
+        end.report(Outcome::Stale, Bytes::new());
     }
     if reusable {
-        pool.keep(&peer, stream, counted);
+        pool.return_connection(&peer, stream, counted);
     }
 }
 
-pub(super) async fn dial(pool: &Rc<Pool>, peer: &Peer) -> Option<(TcpStream, Counted, bool)> {
+pub(super) async fn connect(pool: &Rc<Pool>, peer: &Worker) -> Option<(TcpStream, ConnectionGuard, bool)> {
     let address = peer.address.get()?;
-    let counted = Counted::new(pool);
-    let patience = Duration::from_micros(pool.configs.borrow().dial_timeout);
+    let counted = ConnectionGuard::new(pool);
+    let patience = Duration::from_micros(pool.config.borrow().dial_timeout);
     let stream = timeout(patience, TcpStream::connect(address)).await;
     let stream = stream.ok()?.ok()?;
     stream.set_nodelay(true).ok()?;
     Some((stream, counted, false))
 }
 
-fn request_head(peer: &Peer, payload: &Payload, patience: Micros) -> Bytes {
+fn encode_request_head(peer: &Worker, payload: &Payload, patience: Micros) -> Bytes {
     let mut head = BytesMut::with_capacity(256 + payload.target.len());
     let host = peer.address.get().map_or_else(String::new, |address| address.to_string());
     let mut put = |parts: &[&[u8]]| parts.iter().for_each(|part| head.extend_from_slice(part));
@@ -364,7 +381,7 @@
 
 /// A line of a worker's answer.
 #[derive(Deserialize)]
-struct Line<'a> {
+struct AnswerLine<'a> {
     #[serde(borrow)]
     id: Cow<'a, str>,
     #[serde(borrow, default)]
@@ -380,7 +397,7 @@
 }
 
 /// The result of a job: the text of a JSON string as a slice of its line where nothing in it is escaped.
-fn result(line: &Bytes, raw: Option<&RawValue>) -> Option<Bytes> {
+fn result_bytes(line: &Bytes, raw: Option<&RawValue>) -> Option<Bytes> {
     let raw = raw?.get();
     match raw.strip_prefix('"').and_then(|r| r.strip_suffix('"')) {
         Some(plain) if !plain.contains('\\') => Some(line.slice_ref(plain.as_bytes())),
@@ -391,11 +408,11 @@
 
 /// Reads the answer to an attempt and tells how it ended. True where the connection can be used again; none
 /// where it broke before the end of the attempt was known.
-async fn answer(stream: &mut TcpStream, payload: &Payload, end: &mut End) -> Option<bool> {
+async fn read_answer(stream: &mut TcpStream, payload: &Payload, end: &mut AttemptGuard) -> Option<bool> {
     let mut buf = BytesMut::new();
     let (status, head) = read_response_head(stream, &mut buf).await?;
     if status == 200 {
-        end.reach = Reach::Started;
+        end.stage = AttemptStage::Started;
     } else {
         let unstarted = head.header_text("Not-Started") == Some("1");
         let outcome = match status {
@@ -405,35 +422,37 @@
             400..=499 => Outcome::Rejected,
             _ => Outcome::Error,
         };
-        end.load = head.header_text("Server-Load").and_then(|text| end.pool.read(|form| form.of_text(text)));
-        end.tell(outcome, Bytes::new());
+        end.load = head
+            .header_text("Server-Load")
+            .and_then(|text| end.pool.parse_load_report(|form| form.of_text(text)));
+        end.report(outcome, Bytes::new());
     }
     let mut body = Decoder::new(head.framing);
     let mut lines = Lines::default();
     let mut tail = None;
     loop {
         match body.next(&mut buf).ok()? {
-            Piece::Data(_) if end.told => {}
+            Piece::Data(_) if end.reported => {}
             Piece::Data(data) => {
-                lines.add(data, LONGEST_LINE).ok()?;
+                lines.add(data, MAX_LINE_BYTES).ok()?;
                 while let Some(line) = lines.next_line() {
-                    take_line(&line, payload, end)?;
+                    handle_line(&line, payload, end)?;
                 }
             }
             Piece::End => {
-                take_line(&lines.rest(), payload, end)?;
-                return end.told.then_some(head.keep_alive && buf.is_empty());
+                handle_line(&lines.rest(), payload, end)?;
+                return end.reported.then_some(head.keep_alive && buf.is_empty());
             }
-            Piece::More if end.told => {
+            Piece::More if end.reported => {
                 // All is known; the framing may still end in time for the connection to be of use.
-                let until = *tail.get_or_insert_with(|| Instant::now() + TAIL);
+                let until = *tail.get_or_insert_with(|| Instant::now() + FRAMING_TIMEOUT);
                 if !timeout_at(until, read_more(stream, &mut buf)).await.ok()?.ok()? {
                     return None;
                 }
             }
             Piece::More => {
                 if !read_more(stream, &mut buf).await.ok()? {
-                    take_line(&lines.rest(), payload, end)?;
+                    handle_line(&lines.rest(), payload, end)?;
                     return None;
                 }
             }
@@ -442,11 +461,11 @@
 }
 
 /// Takes one line; none where it makes no sense, or is not of this request.
-fn take_line(line: &Bytes, payload: &Payload, end: &mut End) -> Option<()> {
-    if end.told || line.trim_ascii().is_empty() {
+fn handle_line(line: &Bytes, payload: &Payload, end: &mut AttemptGuard) -> Option<()> {
+    if end.reported || line.trim_ascii().is_empty() {
         return Some(());
     }
-    let told: Line<'_> = serde_json::from_slice(line).ok()?;
+    let told: AnswerLine<'_> = serde_json::from_slice(line).ok()?;
     // Where another worker has taken over the address, its word is not that of the one that was chosen.
     let other = told.from.is_some_and(|from| worker_id(&from) != end.worker);
     if other || told.id.as_bytes() != payload.id {
@@ -454,21 +473,21 @@
     }
     let (request, attempt) = (end.request, end.attempt);
     if let Some(load) = told.load {
-        end.load = end.pool.read(|form| form.of_json(load.get()));
+        end.load = end.pool.parse_load_report(|form| form.of_json(load.get()));
     }
     match &*told.state {
-        "started" => end.pool.handle.tell(Input::Started(request, attempt)),
-        "running" => end.pool.handle.tell(Input::Progress(request, attempt, told.share)),
-        "done" => end.tell(Outcome::Ok, result(line, told.result)?),
-        "failed" => end.tell(Outcome::Error, Bytes::new()),
-        "returned" => end.tell(Outcome::Full, Bytes::new()),
-        "lost" => end.tell(Outcome::Reset, Bytes::new()),
+        "started" => end.pool.handle.send(Input::JobStarted(request, attempt)),
+        "running" => end.pool.handle.send(Input::Progress(request, attempt, told.share)),
+        "done" => end.report(Outcome::Ok, result_bytes(line, told.result)?),
+        "failed" => end.report(Outcome::Error, Bytes::new()),
+        "returned" => end.report(Outcome::Full, Bytes::new()),
+        "lost" => end.report(Outcome::Reset, Bytes::new()),
         _ => {}
     }
     Some(())
 }
 
 /// The workers that the list names, of the peers known; for the figures.
-fn known(listed: impl Iterator<Item = bool>) -> i64 {
+fn count_listed(listed: impl Iterator<Item = bool>) -> i64 {
     listed.filter(|listed| *listed).count().try_into().unwrap_or(i64::MAX)
 }
--- a/crates/dispatcher/src/own.rs
+++ b/crates/dispatcher/src/settings_file.rs
@@ -19,84 +19,86 @@
 use crate::config::ConfigError;
 
 /// The file where none is named.
-const BESIDE: &str = "cairncrank.hcl";
+const DEFAULT_FILE: &str = "cairncrank.hcl";
 /// The variable that names the file, as `--settings` does.
 pub const VARIABLE: &str = "CAIRNCRANK_SETTINGS";
 /// Jobs of so many slots are large where the file does not say, and the price of a worker kept for the other size.
-const FROM_SLOTS: f64 = 4.0;
-const PRICE: f64 = 16.0;
+const DEFAULT_LARGE_JOB_SLOTS: f64 = 4.0;
+const DEFAULT_WORKER_PRICE: f64 = 16.0;
 
 /// How long an owner of the list may say nothing, in milliseconds, where the file does not say: as long as a watch on
 /// discovery may be silent, and a little for the way.
-const SILENCE_MS: u64 = 3_000;
+const DEFAULT_LIST_SILENCE_MS: u64 = 3_000;
 /// How long what a dispatcher says of itself counts, in milliseconds, where the file does not say.
-const HOLDS_MS: u64 = 1_000;
+const DEFAULT_READINESS_VALIDITY_MS: u64 = 1_000;
 /// How many dispatchers of a fleet without an owner go back to asking discovery each second.
-const FALLBACK_PER_S: f64 = 20.0;
+const DEFAULT_FALLBACK_PER_S: f64 = 20.0;
 
 /// What the file says of a fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fleet {
+pub struct ClusterSettings {
     /// The installation.
     pub installation: String,
     /// Where owners reach this dispatcher.
     pub listen: SocketAddr,
     /// Where others are told that it is, if not where it listens.
-    pub address: Option<SocketAddr>,
+    pub advertised_address: Option<SocketAddr>,
     /// The address that its connections to keepers and members come from.
-    pub bind: Option<IpAddr>,
+    pub bind_address: Option<IpAddr>,
     /// The keepers, by number.
-    pub keepers: BTreeMap<u64, SocketAddr>,
+    pub coordinators: BTreeMap<u64, SocketAddr>,
     /// The times, the same as the keepers'.
     pub times: Times,
     /// Whether the list is asked for by one member.
-    pub list: bool,
+    pub shared_list: bool,
     /// What discovery's revisions count at, if not at its address.
-    pub source: Option<String>,
+    pub list_source: Option<String>,
     /// How long an owner of the list may say nothing.
-    pub silence: Micros,
+    pub list_silence: Micros,
     /// How many dispatchers of the fleet go back to asking each second.
     pub fallback_per_s: f64,
     /// A file for records of what this member did and took on behalf of duties, a JSON object a line.
     pub record: Option<PathBuf>,
     /// How workers are watched by one member each, where they are.
-    pub watch: Option<Watching>,
+    pub health_checks: Option<Watching>,
     /// How long what a dispatcher says of itself counts, where drains are agreed across the fleet.
-    pub account: Option<Micros>,
+    pub readiness_validity: Option<Micros>,
     /// How the budgets of cold workers are handed out by one member, where they are.
-    pub cold: Option<Dealing>,
+    pub slow_start: Option<Dealing>,
 }
 
 /// What the file says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Own {
+pub struct LocalSettings {
     /// Room for large jobs; none where it is not held.
-    pub room: Option<RoomSettings>,
+    pub capacity_reservation: Option<RoomSettings>,
     /// The fleet that this dispatcher is a member of, if it is of one.
-    pub fleet: Option<Fleet>,
+    pub cluster: Option<ClusterSettings>,
 }
 
-impl Own {
+impl LocalSettings {
     /// Reads the file that is named, or the one beside the platform's configuration.
     ///
     /// # Errors
     /// The first fault with file, line and key; or the named file cannot be read.
-    pub fn find(var: impl Fn(&str) -> Option<String>) -> Result<Own, ConfigError> {
+    pub fn load(var: impl Fn(&str) -> Option<String>) -> Result<LocalSettings, ConfigError> {
         let named = var(VARIABLE).filter(|name| !name.is_empty());
         let path = match &named {
             Some(name) => PathBuf::from(name),
             None => match var("BALANCER_CONFIG").as_deref().map(Path::new).and_then(Path::parent) {
-                Some(folder) => folder.join(BESIDE),
-                None => return Ok(Own::default()),
+                Some(folder) => folder.join(DEFAULT_FILE),
+                None => return Ok(LocalSettings::default()),
             },
         };
         let file = path.display().to_string();
         match std::fs::read_to_string(&path) {
-            Ok(text) => Own::read(&file, &text).map_err(|fault| ConfigError {
+            Ok(text) => LocalSettings::parse(&file, &text).map_err(|fault| ConfigError {
                 key: format!("{}:{}: {}", fault.file, fault.line, fault.key),
                 problem: fault.problem,
             }),
-            Err(error) if error.kind() == ErrorKind::NotFound && named.is_none() => Ok(Own::default()),
+            Err(error) if error.kind() == ErrorKind::NotFound && named.is_none() => {
+                Ok(LocalSettings::default())
+            }
             Err(error) => Err(ConfigError { key: file, problem: format!("cannot read it: {error}") }),
         }
     }
@@ -105,54 +107,57 @@
     ///
     /// # Errors
     /// The first fault.
-    pub fn read(file: &str, text: &str) -> Read<Own> {
+    pub fn parse(file: &str, text: &str) -> Read<LocalSettings> {
         let root = Section::parse(file, text)?;
-        let own = Own {
-            room: match root.section("room")? {
-                Some(section) => room(section)?,
+        let own = LocalSettings {
+            capacity_reservation: match root.section("room")? {
+                Some(section) => capacity_reservation(section)?,
                 None => None,
             },
-            fleet: root.section("fleet")?.map(fleet).transpose()?,
+            cluster: root.section("fleet")?.map(cluster_settings).transpose()?,
         };
         root.finish()?;
         Ok(own)
     }
 }
 
-fn room(section: &Section) -> Read<Option<RoomSettings>> {
+fn capacity_reservation(section: &Section) -> Read<Option<RoomSettings>> {
     let settings = RoomSettings {
-        from: section.number("from_slots", 2.0..=1024.0)?.unwrap_or(FROM_SLOTS),
-        price: section.number("price", 0.0..=1000.0)?.unwrap_or(PRICE),
+        from: section.number("from_slots", 2.0..=1024.0)?.unwrap_or(DEFAULT_LARGE_JOB_SLOTS),
+        price: section.number("price", 0.0..=1000.0)?.unwrap_or(DEFAULT_WORKER_PRICE),
     };
     Ok(section.flag("hold")?.unwrap_or(true).then_some(settings))
 }
 
-fn fleet(section: &Section) -> Read<Fleet> {
+fn cluster_settings(section: &Section) -> Read<ClusterSettings> {
     let bind = section.text("bind")?.map(|text| {
         text.parse::<IpAddr>().map_err(|_| section.fault("bind", format!("{text:?} is no IP address")))
     });
     let times = settings::times(section)?;
-    Ok(Fleet {
+    Ok(ClusterSettings {
         installation: settings::wanted(section, "installation")?,
         listen: settings::address(section, "listen")?,
-        address: match section.value("address") {
+        advertised_address: match section.value("address") {
             Some(_) => Some(settings::address(section, "address")?),
             None => None,
         },
-        bind: bind.transpose()?,
-        keepers: settings::keepers(section)?,
+        bind_address: bind.transpose()?,
+        coordinators: settings::keepers(section)?,
         times,
-        list: section.flag("list")?.unwrap_or(true),
-        source: section.text("source")?,
-        silence: section.whole("silence_ms", 1_000..=600_000)?.unwrap_or(SILENCE_MS) * 1_000,
-        fallback_per_s: section.number("fallback_per_s", 0.1..=10_000.0)?.unwrap_or(FALLBACK_PER_S),
+        shared_list: section.flag("list")?.unwrap_or(true),
+        list_source: section.text("source")?,
+        list_silence: section.whole("silence_ms", 1_000..=600_000)?.unwrap_or(DEFAULT_LIST_SILENCE_MS)
+            * 1_000,
+        fallback_per_s: section.number("fallback_per_s", 0.1..=10_000.0)?.unwrap_or(DEFAULT_FALLBACK_PER_S),
         record: section.text("record")?.map(PathBuf::from),
-        account: section
+        readiness_validity: section
             .section("account")?
-            .map(|account| Ok(account.whole("holds_ms", 300..=60_000)?.unwrap_or(HOLDS_MS) * 1_000))
+            .map(|account| {
+                Ok(account.whole("holds_ms", 300..=60_000)?.unwrap_or(DEFAULT_READINESS_VALIDITY_MS) * 1_000)
+            })
             .transpose()?,
-        cold: section.section("cold")?.map(|cold| settings::dealing(cold, &times)).transpose()?,
-        watch: section.section("watch")?.map(settings::watching).transpose()?,
+        slow_start: section.section("cold")?.map(|cold| settings::dealing(cold, &times)).transpose()?,
+        health_checks: section.section("watch")?.map(settings::watching).transpose()?,
     })
 }
 
@@ -162,9 +167,16 @@
 
     #[test]
     fn room_is_held_where_the_file_asks_for_it() {
-        let read = |text| Own::read("own.hcl", text).map(|own| own.room).map_err(|fault| fault.to_string());
+        let read = |text| {
+            LocalSettings::parse("own.hcl", text)
+                .map(|own| own.capacity_reservation)
+                .map_err(|fault| fault.to_string())
+        };
         assert_eq!(read(""), Ok(None));
-        assert_eq!(read("room {\n}\n"), Ok(Some(RoomSettings { from: FROM_SLOTS, price: PRICE })));
+        assert_eq!(
+            read("room {\n}\n"),
+            Ok(Some(RoomSettings { from: DEFAULT_LARGE_JOB_SLOTS, price: DEFAULT_WORKER_PRICE }))
+        );
         assert_eq!(read("room {\n  hold = false\n  from_slots = 2\n}\n"), Ok(None));
         let from = "own.hcl:2: room.from_slots: expected a number from 2 to 1024, found 1".to_owned();
         assert_eq!(read("room {\n  from_slots = 1\n}\n"), Err(from));
@@ -176,16 +188,27 @@
         let keeper = |n| format!("  keeper \"{n}\" {{\n    address = \"127.0.0.1:710{n}\"\n  }}\n");
         let keepers: String = (1..=3).map(keeper).collect();
         let head = "fleet {\n  installation = \"north\"\n  listen = \"127.0.0.1:0\"\n";
-        let fleet = Own::read("own.hcl", &format!("{head}{keepers}}}\n")).unwrap().fleet.unwrap();
-        assert_eq!((fleet.keepers.len(), fleet.list, fleet.silence), (3, true, 3_000_000));
-        let fault = |text: String| Own::read("own.hcl", &text).unwrap_err().to_string();
+        let fleet =
+            LocalSettings::parse("own.hcl", &format!("{head}{keepers}}}\n")).unwrap().cluster.unwrap();
+        assert_eq!((fleet.coordinators.len(), fleet.shared_list, fleet.list_silence), (3, true, 3_000_000));
+        let fault = |text: String| LocalSettings::parse("own.hcl", &text).unwrap_err().to_string();
         let watch = |inner: &str| format!("{head}{keepers}  watch {{\n{inner}  }}\n}}\n");
-        let watched = Own::read("own.hcl", &watch("    sets = 4\n")).unwrap().fleet.unwrap().watch.unwrap();
+        let watched = LocalSettings::parse("own.hcl", &watch("    sets = 4\n"))
+            .unwrap()
+            .cluster
+            .unwrap()
+            .health_checks
+            .unwrap();
         assert_eq!((watched.sets, watched.period, watched.holds), (4, 1_000_000, 4_000_000));
         let lapses = fault(watch("    every_ms = 2000\n    holds_ms = 3000\n"));
         assert!(lapses.contains("holds_ms") && lapses.contains("every_ms"), "{lapses}");
         let cold = |inner: &str| format!("{head}{keepers}  cold {{\n{inner}  }}\n}}\n");
-        let dealt = Own::read("own.hcl", &cold("    slots = 8\n")).unwrap().fleet.unwrap().cold.unwrap();
+        let dealt = LocalSettings::parse("own.hcl", &cold("    slots = 8\n"))
+            .unwrap()
+            .cluster
+            .unwrap()
+            .slow_start
+            .unwrap();
         assert_eq!((dealt.slots, dealt.part, dealt.expiry), (8.0, 0.5, 500_000));
         assert!(fault(cold("")).contains("cold.slots"), "{}", fault(cold("")));
         assert!(fault(cold("    slots = 8\n    part = 0.6\n")).contains("cold.part"));
@@ -205,8 +228,8 @@
                 _ => Some("/nowhere/config.json".to_owned()),
             }
         };
-        assert_eq!(Own::find(var(None)), Ok(Own::default()));
-        let missing = Own::find(var(Some("/nowhere/own.hcl"))).map_err(|error| error.key);
+        assert_eq!(LocalSettings::load(var(None)), Ok(LocalSettings::default()));
+        let missing = LocalSettings::load(var(Some("/nowhere/own.hcl"))).map_err(|error| error.key);
         assert_eq!(missing, Err("/nowhere/own.hcl".to_owned()));
     }
 }
--- a/crates/dispatcher/tests/config.rs
+++ b/crates/dispatcher/tests/config.rs
@@ -12,12 +12,12 @@
 fn fault(change: impl FnOnce(&mut Value)) -> String {
     let mut config = good();
     change(&mut config);
-    Config::read(&config.to_string(), |_| None).expect_err("a fault").to_string()
+    Config::parse(&config.to_string(), |_| None).expect_err("a fault").to_string()
 }
 
 #[test]
 fn the_example_is_read_and_variables_win() {
-    let config = Config::read(&good().to_string(), |name| match name {
+    let config = Config::parse(&good().to_string(), |name| match name {
         "BALANCER_LISTEN" => Some("127.0.0.1:1234".to_owned()),
         _ => None,
     })
@@ -111,7 +111,7 @@
 
 /// The file as it would be read while the program runs on the example.
 fn replaced(change: impl FnOnce(&mut Value)) -> Result<Config, String> {
-    let old = Config::read(&good().to_string(), |_| None).expect("the example is good");
+    let old = Config::parse(&good().to_string(), |_| None).expect("the example is good");
     let mut config = good();
     change(&mut config);
     let variable = |name: &str| Some("127.0.0.1:1".to_owned()).filter(|_| name == "BALANCER_DISCOVERY");
@@ -195,9 +195,9 @@
     let config = Config::from_environment(variable).expect("no fault");
     assert_eq!(config.settings.room.map(|room| room.price), Some(3.0));
     write("room {\n  price = -3\n}\n");
-    let fault = config.again(variable).expect_err("a fault").to_string();
+    let fault = config.reload(variable).expect_err("a fault").to_string();
     assert!(fault.contains(".hcl:2: room.price: expected a number from 0"), "{fault}");
     write("room {\n  hold = false\n}\n");
-    assert_eq!(config.again(variable).expect("no fault").settings.room, None);
+    assert_eq!(config.reload(variable).expect("no fault").settings.room, None);
     let _ = std::fs::remove_file(&file);
 }
--- a/crates/dispatcher/tests/console.rs
+++ b/crates/dispatcher/tests/console.rs
@@ -8,7 +8,15 @@
 
 fn console(ready: bool) -> (Console, watch::Receiver<Mode>) {
     let (mode, modes) = watch::channel(Mode::Active);
-    (Console { metrics: Rc::new(Metrics::new()), mode, ready: Box::new(move || ready), leave: None }, modes)
+    (
+        Console {
+            metrics: Rc::new(Metrics::new()),
+            mode,
+            ready: Box::new(move || ready),
+            planned_drain: None,
+        },
+        modes,
+    )
 }
 
 fn status(message: &[u8]) -> u16 {
@@ -55,14 +63,14 @@
 fn the_figures_read_back_as_counted() {
     let (console, _modes) = console(true);
     let metrics = &console.metrics;
-    metrics.know_class("stock-lookup");
+    metrics.register_class("stock-lookup");
     for _ in 0..7 {
         metrics.count("stock-lookup", Outcome::Served);
     }
     metrics.count("stock-lookup", Outcome::Refused);
     (0..9).for_each(|_| metrics.count("stock-lookup", Outcome::Attempt));
     metrics.reloads_failed.inc();
-    metrics.known.set(12);
+    metrics.workers_known.set(12);
     let held = console::InFlight::new(metrics);
     let message = answer(&console, b"GET", b"/status/metrics");
     assert_eq!(status(&message), 200);
@@ -84,7 +92,7 @@
 
 #[test]
 fn counters_of_a_new_process_start_at_zero() {
-    let text = String::from_utf8(Metrics::new().text()).unwrap();
+    let text = String::from_utf8(Metrics::new().encode()).unwrap();
     for line in text.lines().filter(|l| !l.starts_with('#')) {
         assert!(line.ends_with(" 0"), "{line}");
     }
--- a/crates/dispatcher/tests/engine.rs
+++ b/crates/dispatcher/tests/engine.rs
@@ -7,7 +7,8 @@
     Class, Member, Outcome, Repeat, Request, RequestId, Scope, Settings, Tenant, WorkerId, WorkerState,
 };
 use dispatcher::engine::{
-    Answer, Clock, Command, Engine, Fault, Handle, Input, Job, Listed, Payload, Reach, Ticket,
+    Answer, AttemptStage, Clock, Command, Engine, Handle, Input, InvalidRequest, Job, ListedEndpoint,
+    Payload, PendingJob,
 };
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
@@ -25,7 +26,7 @@
 
     /// One that waits for discovery for so long at the most.
     fn start_unheard(longest: u64) -> Bench {
-        Bench::start_with(1000.0, |engine| engine.hear_first(longest))
+        Bench::start_with(1000.0, |engine| engine.await_initial_list(longest))
     }
 
     fn start_with(quota: f64, prepare: impl FnOnce(&mut Engine)) -> Bench {
@@ -47,22 +48,28 @@
             state: WorkerState::Serving,
         };
         let (sender, commands) = mpsc::unbounded_channel();
-        let (handle, inputs) = Handle::queue();
-        let mut engine = Engine::new(settings, 1, vec![Listed { member, address }], Clock::start(), sender);
+        let (handle, inputs) = Handle::channel();
+        let mut engine = Engine::new(
+            settings,
+            1,
+            vec![ListedEndpoint { endpoint: member, address }],
+            Clock::start(),
+            sender,
+        );
         prepare(&mut engine);
         tokio::task::spawn_local(engine.run(inputs));
         Bench { handle, commands }
     }
 
-    fn submit(&self, patience: u64) -> Ticket {
+    fn submit(&self, patience: u64) -> PendingJob {
         self.submit_job(patience, Payload::default())
     }
 
-    fn submit_as(&self, id: &'static str) -> Ticket {
+    fn submit_as(&self, id: &'static str) -> PendingJob {
         self.submit_job(HOUR, Payload { id: Bytes::from(id), ..Payload::default() })
     }
 
-    fn submit_job(&self, patience: u64, payload: Payload) -> Ticket {
+    fn submit_job(&self, patience: u64, payload: Payload) -> PendingJob {
         let request = Request {
             id: RequestId(0),
             class: 0,
@@ -74,7 +81,7 @@
             expected: None,
             key: None,
         };
-        self.handle.submit(Job { request, patience, payload })
+        self.handle.submit(Job { request, timeout: patience, payload })
     }
 
     /// The next attempt that is wanted.
@@ -82,7 +89,10 @@
         loop {
             match self.commands.recv().await.expect("a command") {
                 Command::Attempt { request, attempt, .. } => return (request, attempt),
-                Command::Cancel(..) | Command::Probe(_) | Command::CloseIdle(_) | Command::List(..) => {}
+                Command::Cancel(..)
+                | Command::HealthCheck(_)
+                | Command::CloseIdle(_)
+                | Command::EndpointList(..) => {}
             }
         }
     }
@@ -101,7 +111,7 @@
 fn what_the_module_declines_is_answered_at_once() {
     run(async {
         let bench = Bench::start(5.0);
-        let mut tickets: Vec<Ticket> = (0..200).map(|_| bench.submit(HOUR)).collect();
+        let mut tickets: Vec<PendingJob> = (0..200).map(|_| bench.submit(HOUR)).collect();
         let mut refused = 0;
         for ticket in tickets.iter_mut().rev().take(150) {
             match ticket.answer().await {
@@ -122,17 +132,17 @@
         let mut ticket = bench.submit(HOUR);
         let (request, attempt) = bench.attempt().await;
         for result in ["first", "second"] {
-            bench.handle.tell(Input::Ended(request, attempt, Outcome::Ok, Bytes::from(result), None));
+            bench.handle.send(Input::AttemptEnded(request, attempt, Outcome::Ok, Bytes::from(result), None));
         }
-        bench.handle.tell(Input::Ended(request, attempt, Outcome::Reset, Bytes::new(), None));
-        bench.handle.tell(Input::Started(request, attempt));
-        bench.handle.tell(Input::Ended(request, 17, Outcome::Ok, Bytes::new(), None));
-        bench.handle.tell(Input::Gone(request));
+        bench.handle.send(Input::AttemptEnded(request, attempt, Outcome::Reset, Bytes::new(), None));
+        bench.handle.send(Input::JobStarted(request, attempt));
+        bench.handle.send(Input::AttemptEnded(request, 17, Outcome::Ok, Bytes::new(), None));
+        bench.handle.send(Input::ClientDisconnected(request));
         assert_eq!(ticket.answer().await, Answer::Served(Bytes::from("first")));
         // It goes on.
         let mut next = bench.submit(HOUR);
         let (request, attempt) = bench.attempt().await;
-        bench.handle.tell(Input::Ended(request, attempt, Outcome::Ok, Bytes::from("next"), None));
+        bench.handle.send(Input::AttemptEnded(request, attempt, Outcome::Ok, Bytes::from("next"), None));
         assert_eq!(next.answer().await, Answer::Served(Bytes::from("next")));
     });
 }
@@ -145,14 +155,14 @@
         let mut bench = Bench::start(1000.0);
         let mut first = bench.submit_as("a1");
         let (request, attempt) = bench.attempt().await;
-        assert_eq!(bench.submit_as("a1").answer().await, Answer::Rejected(Fault::Open));
-        bench.handle.tell(Input::Ended(request, attempt, Outcome::Ok, Bytes::from("one"), None));
+        assert_eq!(bench.submit_as("a1").answer().await, Answer::Rejected(InvalidRequest::DuplicateId));
+        bench.handle.send(Input::AttemptEnded(request, attempt, Outcome::Ok, Bytes::from("one"), None));
         assert_eq!(first.answer().await, Answer::Served(Bytes::from("one")));
         let mut again = bench.submit_as("a1");
         let (request, attempt) = bench.attempt().await;
         // What a worker cannot use ends here: no other is asked.
-        bench.handle.tell(Input::Ended(request, attempt, Outcome::Rejected, Bytes::new(), None));
-        assert_eq!(again.answer().await, Answer::Rejected(Fault::Unusable));
+        bench.handle.send(Input::AttemptEnded(request, attempt, Outcome::Rejected, Bytes::new(), None));
+        assert_eq!(again.answer().await, Answer::Rejected(InvalidRequest::Unusable));
     });
 }
 
@@ -196,7 +206,7 @@
         let mut bench = Bench::start(1000.0);
         let mut open = bench.submit(HOUR);
         bench.attempt().await;
-        bench.handle.tell(Input::Finish);
+        bench.handle.send(Input::Shutdown);
         assert_eq!(open.answer().await, Answer::Failed);
         assert_eq!(bench.submit(HOUR).answer().await, Answer::Refused(None));
     });
@@ -206,8 +216,13 @@
 /// known not to have run.
 #[test]
 fn a_broken_connection_means_what_was_written_on_it() {
-    let outcomes =
-        [Reach::Unconnected, Reach::PartWritten, Reach::Written, Reach::Started].map(Reach::broken);
+    let outcomes = [
+        AttemptStage::NotConnected,
+        AttemptStage::PartiallyWritten,
+        AttemptStage::Written,
+        AttemptStage::Started,
+    ]
+    .map(AttemptStage::outcome_if_broken);
     assert_eq!(outcomes, [Outcome::ConnectFailed, Outcome::ConnectFailed, Outcome::Reset, Outcome::Reset]);
     assert_eq!(outcomes.map(Outcome::never_ran), [true, true, false, false]);
 }
@@ -218,12 +233,12 @@
 fn what_comes_before_discovery_is_heard_waits_for_it() {
     run(async {
         let mut bench = Bench::start_unheard(HOUR);
-        assert!(matches!(bench.commands.recv().await, Some(Command::List(Scope::Saved, _))));
+        assert!(matches!(bench.commands.recv().await, Some(Command::EndpointList(Scope::Saved, _))));
         assert_eq!(bench.submit(20_000).answer().await, Answer::Refused(None), "its time is up");
         drop(bench.submit(HOUR));
         let mut waits = bench.submit(HOUR);
-        bench.handle.tell(Input::List(Scope::Full, Vec::new()));
-        assert!(matches!(bench.commands.recv().await, Some(Command::List(Scope::Full, _))));
+        bench.handle.send(Input::EndpointList(Scope::Full, Vec::new()));
+        assert!(matches!(bench.commands.recv().await, Some(Command::EndpointList(Scope::Full, _))));
         assert!(matches!(waits.answer().await, Answer::Refused(Some(_))), "no worker is left");
         assert!(bench.commands.try_recv().is_err(), "nothing was sent");
     });
@@ -245,11 +260,11 @@
     run(async {
         let mut bench = Bench::start(1000.0);
         assert!(
-            matches!(bench.commands.recv().await, Some(Command::List(Scope::Saved, all)) if all.len() == 1)
+            matches!(bench.commands.recv().await, Some(Command::EndpointList(Scope::Saved, all)) if all.len() == 1)
         );
-        bench.handle.tell(Input::List(Scope::Full, Vec::new()));
+        bench.handle.send(Input::EndpointList(Scope::Full, Vec::new()));
         assert!(
-            matches!(bench.commands.recv().await, Some(Command::List(Scope::Full, all)) if all.is_empty())
+            matches!(bench.commands.recv().await, Some(Command::EndpointList(Scope::Full, all)) if all.is_empty())
         );
         assert!(matches!(bench.submit(HOUR).answer().await, Answer::Refused(Some(_))));
     });
--- a/crates/dispatcher/tests/values.rs
+++ b/crates/dispatcher/tests/json_framing.rs
@@ -1,13 +1,13 @@
 //! Values are found in a stream however they are laid out and in whatever pieces they come.
 
-use dispatcher::net::values::{Token, Values};
+use dispatcher::net::json_framing::{JsonStream, Token};
 
 /// All tokens of the text when it comes in pieces of this size, and what is left.
 fn tokens(text: &str, size: usize) -> (Vec<String>, String) {
-    let mut values = Values::default();
+    let mut values = JsonStream::default();
     let mut seen = Vec::new();
     for piece in text.as_bytes().chunks(size) {
-        values.add(piece, 1 << 20).expect("not too long");
+        values.push(piece, 1 << 20).expect("not too long");
         while let Some(token) = values.next_token() {
             seen.push(match token {
                 Token::Value(value) => String::from_utf8(value.to_vec()).expect("text"),
@@ -15,7 +15,7 @@
             });
         }
     }
-    (seen, String::from_utf8(values.rest().to_vec()).expect("text"))
+    (seen, String::from_utf8(values.take_rest().to_vec()).expect("text"))
 }
 
 fn hold(text: &str, expected: &[&str], rest: &str) {
@@ -58,9 +58,9 @@
 
 #[test]
 fn a_value_without_an_end_is_bounded() {
-    let mut values = Values::default();
+    let mut values = JsonStream::default();
     let mut taken = 0;
-    while values.add(&[b'['; 100], 1000).is_ok() {
+    while values.push(&[b'['; 100], 1000).is_ok() {
         assert_eq!(values.next_token(), None);
         taken += 100;
         assert!(taken <= 1100, "{taken} bytes are held");
--- a/crates/dispatcher/tests/log_targets.rs
+++ b/crates/dispatcher/tests/log_targets.rs
@@ -1,10 +1,10 @@
 //! Levels given to `--log` by target, under the present names of the packages and the former ones.
 
-use dispatcher::log::levels;
+use dispatcher::log::parse_levels;
 use tracing::Level;
 
 fn enabled(words: &str, target: &str, level: Level) -> bool {
-    levels(words).expect("good levels").would_enable(target, &level)
+    parse_levels(words).expect("good levels").would_enable(target, &level)
 }
 
 #[test]
--- a/crates/dispatcher/tests/pinned_console.rs
+++ b/crates/dispatcher/tests/pinned_console.rs
@@ -9,36 +9,36 @@
 /// Metrics of a member of a fleet, each with a value of its own.
 fn counted() -> Rc<Metrics> {
     let metrics = Metrics::new();
-    metrics.know_class("order");
+    metrics.register_class("order");
     for (outcome, count) in
         [(Outcome::Served, 2), (Outcome::Refused, 3), (Outcome::Failed, 4), (Outcome::Attempt, 5)]
     {
         (0..count).for_each(|_| metrics.count("order", outcome));
     }
     metrics.in_flight.set(6);
-    metrics.known.set(7);
-    metrics.excluded.set(8);
+    metrics.workers_known.set(7);
+    metrics.workers_excluded.set(8);
     metrics.reloads_ok.inc_by(9);
     metrics.reloads_failed.inc_by(10);
     metrics.malformed_reports.inc_by(11);
-    let fleet = metrics.fleet();
+    let fleet = metrics.register_cluster();
     fleet.session.set(1);
-    fleet.owned.set(12);
-    fleet.refused.set(13);
-    fleet.watched.set(14);
-    fleet.failing.set(15);
-    fleet.against.set(16);
-    fleet.probes.inc_by(17);
-    fleet.granted.inc_by(18.5);
-    fleet.dealt.set(19.5);
-    fleet.denied.inc_by(20);
-    fleet.forced.inc_by(21);
+    fleet.leases_held.set(12);
+    fleet.effects_rejected.set(13);
+    fleet.workers_checked.set(14);
+    fleet.workers_failing.set(15);
+    fleet.workers_reported_failing.set(16);
+    fleet.health_checks.inc_by(17);
+    fleet.quota_granted.inc_by(18.5);
+    fleet.quota_allocated.set(19.5);
+    fleet.drains_rejected.inc_by(20);
+    fleet.drains_forced.inc_by(21);
     Rc::new(metrics)
 }
 
 fn console(metrics: Rc<Metrics>, ready: bool) -> Console {
     let (mode, _) = watch::channel(Mode::Active);
-    Console { metrics, mode, ready: Box::new(move || ready), leave: None }
+    Console { metrics, mode, ready: Box::new(move || ready), planned_drain: None }
 }
 
 fn text(message: Vec<u8>) -> String {
@@ -48,7 +48,7 @@
 #[test]
 fn figures_of_a_dispatcher_alone() {
     let metrics = Metrics::new();
-    metrics.know_class("order");
+    metrics.register_class("order");
     let shown = text(answer(&console(Rc::new(metrics), true), b"GET", b"/status/metrics"));
     insta::assert_snapshot!("figures_alone", shown);
 }
--- a/crates/dispatcher/tests/pinned_settings.rs
+++ b/crates/dispatcher/tests/pinned_settings.rs
@@ -11,8 +11,8 @@
     Class, Group, Load, Member, Repeat, Reports, RoomSettings, Scope, Tenant, WorkerState,
 };
 use dispatcher::config::{self, Config};
-use dispatcher::engine::Listed;
-use dispatcher::own::{Fleet, Own};
+use dispatcher::engine::ListedEndpoint;
+use dispatcher::settings_file::{ClusterSettings, LocalSettings};
 use serde_json::{json, Value};
 
 const EVERY_KEY: &str = include_str!("fixtures/every_key.json");
@@ -23,7 +23,7 @@
 }
 
 fn read(root: &Value) -> Result<Config, String> {
-    Config::read(&root.to_string(), |_| None).map_err(|error| error.to_string())
+    Config::parse(&root.to_string(), |_| None).map_err(|error| error.to_string())
 }
 
 fn address(port: u16) -> std::net::SocketAddr {
@@ -41,16 +41,20 @@
     assert_eq!(config.client_sockets, 300);
     assert_eq!(config.worker_sockets, 200);
     assert_eq!(config.dial_timeout, 300_000);
-    assert_eq!(config.idle, 4_800_000);
+    assert_eq!(config.idle_timeout, 4_800_000);
     assert_eq!(config.drain_grace, 750_000);
-    assert!(config.pushed);
-    assert_eq!(config.longest, 12_000_000);
-    assert_eq!(config.fleet, None);
+    assert!(config.list_is_pushed);
+    assert_eq!(config.longest_timeout, 12_000_000);
+    assert_eq!(config.cluster, None);
     assert_eq!(config.names.tenants, ["web", "till"]);
     assert_eq!(config.names.zones, ["north", "south"]);
     assert_eq!(config.names.kinds, ["small", "large"]);
-    let classes: Vec<_> =
-        config.names.classes.iter().map(|c| (c.name.as_str(), c.patience, c.keyed)).collect();
+    let classes: Vec<_> = config
+        .names
+        .classes
+        .iter()
+        .map(|c| (c.name.as_str(), c.timeout, c.requires_idempotency_key))
+        .collect();
     assert_eq!(
         classes,
         [("lookup", 4_000_000, false), ("order", 9_000_000, true), ("refund", 12_000_000, true)]
@@ -59,9 +63,9 @@
 
 #[test]
 fn the_known_list_has_its_values() {
-    let (revision, known) = read(&every_key()).expect("the example is good").known;
+    let (revision, known) = read(&every_key()).expect("the example is good").saved_list;
     assert_eq!(revision, Some(9));
-    let found: Vec<_> = known.iter().map(|Listed { member, address }| (*member, *address)).collect();
+    let found: Vec<_> = known.iter().map(|listed| (listed.endpoint, listed.address)).collect();
     let member = |name: &str, kind, zone, cell, since, state| Member {
         worker: worker_id(name),
         kind,
@@ -143,9 +147,9 @@
         read(&root).expect("a good file")
     };
     let asked = with(["discovery", "", ""], "ask");
-    assert!(asked.settings.ask_for_list && !asked.pushed);
+    assert!(asked.settings.ask_for_list && !asked.list_is_pushed);
     let watched = with(["discovery", "", ""], "watch");
-    assert!(!watched.settings.ask_for_list && !watched.pushed);
+    assert!(!watched.settings.ask_for_list && !watched.list_is_pushed);
     assert_eq!(with(["report", "how", ""], "answers").settings.reports, Reports::Answers);
     assert_eq!(with(["report", "how", ""], "none").settings.reports, Reports::None);
     let first = |word| with(["profiles", "0", "idempotency"], word).settings.classes[0].repeat;
@@ -202,10 +206,10 @@
     let names = read(&every_key()).expect("the example is good").names;
     let list = |complete: Value| {
         let value = json!({"revision": 12, "complete": complete, "members": every_key()["known"]["members"]});
-        config::list(&value, &names).expect("a good list")
+        config::parse_endpoint_list(&value, &names).expect("a good list")
     };
     let whole = list(json!(true));
-    assert_eq!((whole.revision, whole.scope, whole.members.len()), (12, Scope::Full, 3));
+    assert_eq!((whole.revision, whole.scope, whole.endpoints.len()), (12, Scope::Full, 3));
     assert_eq!(list(json!(false)).scope, Scope::Changes);
     assert_eq!(list(Value::Null).scope, Scope::Changes);
 }
@@ -219,14 +223,14 @@
         ("BALANCER_CONSOLE", "127.0.0.1:3"),
     ];
     let variable = |name: &str| variables.iter().find(|(n, _)| *n == name).map(|(_, v)| (*v).to_owned());
-    let config = Config::read(EVERY_KEY, variable).expect("good variables");
+    let config = Config::parse(EVERY_KEY, variable).expect("good variables");
     assert_eq!(config.name, "from-variable");
     assert_eq!((config.listen, config.discovery, config.console), (address(1), address(2), Some(address(3))));
     let mut unnamed = every_key();
     unnamed.as_object_mut().expect("an object").remove("name");
     assert_eq!(read(&unnamed).map(|config| config.name), Ok("cairncrank".to_owned()));
     for name in ["BALANCER_LISTEN", "BALANCER_DISCOVERY", "BALANCER_CONSOLE"] {
-        let fault = Config::read(EVERY_KEY, |asked| Some("nowhere".to_owned()).filter(|_| asked == name));
+        let fault = Config::parse(EVERY_KEY, |asked| Some("nowhere".to_owned()).filter(|_| asked == name));
         let fault = fault.expect_err("a fault").to_string();
         assert_eq!(fault, format!("{name}: expected an address such as 127.0.0.1:7070, found 'nowhere'"));
     }
@@ -243,7 +247,7 @@
     };
     let config = Config::from_environment(variable).expect("good files");
     assert_eq!(config.settings.room, Some(RoomSettings { from: 8.0, price: 3.5 }));
-    assert_eq!(config.fleet, Some(expected_fleet()));
+    assert_eq!(config.cluster, Some(expected_fleet()));
     let fault = Config::from_environment(|_| None).expect_err("no file").to_string();
     assert_eq!(fault, "BALANCER_CONFIG: not set; it names the configuration file");
 }
@@ -263,13 +267,13 @@
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-fn expected_fleet() -> Fleet {
-    Fleet {
+fn expected_fleet() -> ClusterSettings {
+    ClusterSettings {
         installation: "north".to_owned(),
         listen: address(7301),
-        address: Some(address(7302)),
-        bind: Some("127.0.0.2".parse().expect("an address")),
-        keepers: BTreeMap::from([(1, address(7101)), (2, address(7102)), (5, address(7105))]),
+        advertised_address: Some(address(7302)),
+        bind_address: Some("127.0.0.2".parse().expect("an address")),
+        coordinators: BTreeMap::from([(1, address(7101)), (2, address(7102)), (5, address(7105))]),
         times: Times {
             lease: 1_700_000,
             renew: 410_000,
@@ -280,12 +284,12 @@
             election: 430_000,
             heartbeat: 90_000,
         },
-        list: false,
-        source: Some("catalogue".to_owned()),
-        silence: 4_500_000,
+        shared_list: false,
+        list_source: Some("catalogue".to_owned()),
+        list_silence: 4_500_000,
         fallback_per_s: 12.5,
         record: Some("/var/log/fleet.jsonl".into()),
-        watch: Some(Watching {
+        health_checks: Some(Watching {
             sets: 9,
             zones: 1,
             period: 1_500_000,
@@ -293,17 +297,26 @@
             holds: 7_000_000,
             flaw: None,
         }),
-        account: Some(1_300_000),
-        cold: Some(Dealing { slots: 2.5, part: 0.25, expiry: 600_000, written: 0, skew_ppm: 1_200 }),
+        readiness_validity: Some(1_300_000),
+        slow_start: Some(Dealing { slots: 2.5, part: 0.25, expiry: 600_000, written: 0, skew_ppm: 1_200 }),
     }
 }
 
 #[test]
 fn our_own_settings_have_their_values() {
-    let expected = Own { room: Some(RoomSettings { from: 8.0, price: 3.5 }), fleet: Some(expected_fleet()) };
-    assert_eq!(Own::read("every_key.hcl", EVERY_KEY_HCL).map_err(|fault| fault.to_string()), Ok(expected));
+    let expected = LocalSettings {
+        capacity_reservation: Some(RoomSettings { from: 8.0, price: 3.5 }),
+        cluster: Some(expected_fleet()),
+    };
+    assert_eq!(
+        LocalSettings::parse("every_key.hcl", EVERY_KEY_HCL).map_err(|fault| fault.to_string()),
+        Ok(expected)
+    );
     let not_held = EVERY_KEY_HCL.replace("hold       = true", "hold = false");
-    assert_eq!(Own::read("every_key.hcl", &not_held).map(|own| own.room).ok(), Some(None));
+    assert_eq!(
+        LocalSettings::parse("every_key.hcl", &not_held).map(|own| own.capacity_reservation).ok(),
+        Some(None)
+    );
 }
 
 #[test]
@@ -312,21 +325,21 @@
                 address = \"127.0.0.1:1\"\n  }\n  keeper \"2\" {\n    address = \"127.0.0.1:2\"\n  }\n  keeper \
                 \"3\" {\n    address = \"127.0.0.1:3\"\n  }\n  account {\n  }\n  cold {\n    slots = 1\n  }\n  \
                 watch {\n  }\n}\n";
-    let own = Own::read("defaults.hcl", text).expect("good settings");
-    assert_eq!(own.room, Some(RoomSettings { from: 4.0, price: 16.0 }));
-    let expected = Fleet {
+    let own = LocalSettings::parse("defaults.hcl", text).expect("good settings");
+    assert_eq!(own.capacity_reservation, Some(RoomSettings { from: 4.0, price: 16.0 }));
+    let expected = ClusterSettings {
         installation: "n".to_owned(),
         listen: address(1),
-        address: None,
-        bind: None,
-        keepers: BTreeMap::from([(1, address(1)), (2, address(2)), (3, address(3))]),
+        advertised_address: None,
+        bind_address: None,
+        coordinators: BTreeMap::from([(1, address(1)), (2, address(2)), (3, address(3))]),
         times: Times::default(),
-        list: true,
-        source: None,
-        silence: 3_000_000,
+        shared_list: true,
+        list_source: None,
+        list_silence: 3_000_000,
         fallback_per_s: 20.0,
         record: None,
-        watch: Some(Watching {
+        health_checks: Some(Watching {
             sets: 8,
             zones: 1,
             period: 1_000_000,
@@ -334,10 +347,10 @@
             holds: 4_000_000,
             flaw: None,
         }),
-        account: Some(1_000_000),
-        cold: Some(Dealing { slots: 1.0, part: 0.5, expiry: 500_000, written: 0, skew_ppm: 1_000 }),
+        readiness_validity: Some(1_000_000),
+        slow_start: Some(Dealing { slots: 1.0, part: 0.5, expiry: 500_000, written: 0, skew_ppm: 1_000 }),
     };
-    assert_eq!(own.fleet, Some(expected));
+    assert_eq!(own.cluster, Some(expected));
 }
 
 /// Each key and block of the example file is known by its name only, and the fault names file, line and key.
@@ -351,7 +364,7 @@
         let renamed = line.replacen(name, &format!("{name}_renamed"), 1);
         let mut lines: Vec<&str> = EVERY_KEY_HCL.lines().collect();
         lines[index] = &renamed;
-        let fault = Own::read("every_key.hcl", &(lines.join("\n") + "\n"));
+        let fault = LocalSettings::parse("every_key.hcl", &(lines.join("\n") + "\n"));
         faults.push(fault.expect_err("a fault").to_string());
     }
     assert_eq!(faults.len(), 40);
--- a/crates/dispatcher/tests/scenario/mod.rs
+++ b/crates/dispatcher/tests/scenario/mod.rs
@@ -40,7 +40,7 @@
 use bytes::BytesMut;
 use dispatcher::config::Config;
 use dispatcher::net::http::{Decoder, Head, Piece, Start};
-use dispatcher::net::{self, signal};
+use dispatcher::net::{self, shutdown};
 use serde_json::{json, Value};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -93,7 +93,7 @@
     listeners: Vec<(JoinHandle<()>, SocketAddr)>,
     jam: Vec<socket2::Socket>,
     jammed: Option<TcpStream>,
-    phase: watch::Sender<signal::Phase>,
+    phase: watch::Sender<shutdown::ShutdownPhase>,
     program: JoinHandle<std::io::Result<()>>,
     longest: u64,
     transcript: String,
@@ -160,7 +160,7 @@
             config["known"]["members"].as_array_mut().expect("a list").push(entry);
         }
         let file = Rc::new(RefCell::new(config));
-        let config = Config::read(&file.borrow().to_string(), |_| None).expect("a configuration");
+        let config = Config::parse(&file.borrow().to_string(), |_| None).expect("a configuration");
         let (hangup, asked) = mpsc::channel(1);
         let changed = file.clone();
         let variable = move |name: &str| Some(discovery.clone()).filter(|_| name == "BALANCER_DISCOVERY");
@@ -168,11 +168,12 @@
             Value::String(raw) => old.replace(raw, &variable),
             file => old.replace(&file.to_string(), &variable),
         });
-        let longest = config.longest;
+        let longest = config.longest_timeout;
         let front = TcpListener::bind(config.listen).await.expect("a port");
         let address = front.local_addr().expect("an address");
-        let (phase, phases) = watch::channel(signal::Phase::Serving);
-        let program = spawn_local(net::serve(config, front, phases, signal::Reload { asked, read }));
+        let (phase, phases) = watch::channel(shutdown::ShutdownPhase::Serving);
+        let program =
+            spawn_local(net::serve(config, front, phases, shutdown::Reload { requests: asked, read }));
         Stage {
             parties: HashMap::new(),
             front: address,
@@ -200,9 +201,9 @@
             ["wait", ms] => sleep(Duration::from_millis(ms.parse().expect("milliseconds"))).await,
             ["program", "send", "TERM"] => {
                 let (phase, longest) = (self.phase.clone(), self.longest);
-                spawn_local(async move { signal::leave(&phase, longest).await });
+                spawn_local(async move { shutdown::run_phases(&phase, longest).await });
             }
-            ["program", "send", "CLOSING"] => drop(self.phase.send_replace(signal::Phase::Closing)),
+            ["program", "send", "CLOSING"] => drop(self.phase.send_replace(shutdown::ShutdownPhase::Closing)),
             ["program", "send", "HUP"] => {
                 self.hangup.send(()).await.expect("a program");
                 // The file is read in the same turn in which the wish is taken.
