--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -8,7 +8,7 @@
 use coordination::{DutyId, Token};
 use coordinator::config::{self, Config};
 use coordinator::{ctl, disk, serve, Stop};
-use disruption_budget::{Change, Outcome, State, Target};
+use disruption_budget::{DisruptionCommand, DisruptionOutcome, PermitState, Target};
 use lexopt::prelude::*;
 
 const HELP: &str = "\
@@ -179,28 +179,30 @@
 async fn permit(args: &Args, config: &Config) -> Result<String, Stop> {
     let missing = |key: &str| Stop::Start(format!("--{key} is missing"));
     let number = || args.permit.ok_or_else(|| missing("permit"));
-    let change = match args.verb.as_str() {
-        "ask" => Change::Ask {
+    let command = match args.verb.as_str() {
+        "ask" => DisruptionCommand::RequestPermit {
             target: args.target.clone().ok_or_else(|| missing("target"))?,
             reason: args.reason.clone().unwrap_or_default(),
-            asker: args.by.clone().ok_or_else(|| missing("by"))?,
+            requester: args.by.clone().ok_or_else(|| missing("by"))?,
             force: args.force,
         },
-        "begin" => Change::Begin { permit: number()?, incarnation: args.number },
-        "done" => Change::Done { permit: number()? },
-        "void" => Change::Void { permit: number()? },
+        "begin" => DisruptionCommand::BeginPermit { permit: number()?, incarnation: args.number },
+        "done" => DisruptionCommand::CompletePermit { permit: number()? },
+        "void" => DisruptionCommand::CancelPermit { permit: number()? },
         other => return Err(Stop::Start(format!("permit {other:?}: wanted ask, begin, done or void"))),
     };
-    match ctl::change(config, change).await.map_err(Stop::Start)? {
-        Outcome::Asked(permit, State::Waiting) => {
+    match ctl::change(config, command).await.map_err(Stop::Start)? {
+        DisruptionOutcome::PermitRequested(permit, PermitState::Waiting) => {
             let (_, account) = ctl::account(config).await.map_err(Stop::Start)?;
             let held = account
-                .held_by(permit)
+                .blocking_budget(permit)
                 .map_or(String::new(), |held| format!(", held by budget {:?}", held.name));
             Err(Stop::NotNow(format!("permit {permit} waits for its turn{held}; ask again within a minute")))
         }
-        Outcome::Asked(permit, state) => Ok(format!("{permit} {}\n", format!("{state:?}").to_lowercase())),
-        Outcome::Begun(permit) => Ok(format!("{permit} begun\n")),
+        DisruptionOutcome::PermitRequested(permit, state) => {
+            Ok(format!("{permit} {}\n", format!("{state:?}").to_lowercase()))
+        }
+        DisruptionOutcome::PermitBegun(permit) => Ok(format!("{permit} begun\n")),
         _ => Ok(String::new()),
     }
 }
@@ -245,13 +247,13 @@
                     Ok(status) if args.json => serde_json::to_string(status).unwrap_or_default() + "\n",
                     Ok(status) => format!(
                         "keeper {keeper}: {}, term {}, applied {} of {}, {} members, commit p50 {} us p99 {} us\n",
-                        if status.leads { "leads" } else { "follows" },
-                        status.term,
-                        status.applied,
-                        status.committed,
+                        if status.is_leader { "leads" } else { "follows" },
+                        status.raft_term,
+                        status.applied_index,
+                        status.committed_index,
                         status.members.len(),
-                        status.commit_us.0,
-                        status.commit_us.1
+                        status.commit_latency.0,
+                        status.commit_latency.1
                     ),
                     Err(error) => format!("{error}\n"),
                 };
@@ -264,7 +266,7 @@
                 return Ok(serde_json::to_string(&status.members).unwrap_or_default() + "\n");
             }
             let line = |member: &cluster_member::wire::MemberStatus| {
-                let (peer, settled) = (&member.peer, if member.settled { "settled" } else { "new" });
+                let (peer, settled) = (&member.peer, if member.stable { "settled" } else { "new" });
                 let state = if member.superseded { "superseded" } else { settled };
                 format!(
                     "{} process {} session {} at {} {state}\n",
@@ -276,13 +278,13 @@
         "duties" => {
             let status = ctl::leading(config).await.map_err(Stop::Start)?;
             if args.json {
-                return Ok(serde_json::to_string(&status.duties).unwrap_or_default() + "\n");
+                return Ok(serde_json::to_string(&status.leases).unwrap_or_default() + "\n");
             }
-            let line = |duty: &cluster_member::wire::DutyStatus| match &duty.owner {
-                Some((name, token)) => format!("{}: {name}, token {}\n", duty.duty, token.0),
-                None => format!("{}: nobody, tokens below {} are over\n", duty.duty, duty.floor.0),
+            let line = |duty: &cluster_member::wire::LeaseStatus| match &duty.holder {
+                Some((name, token)) => format!("{}: {name}, token {}\n", duty.lease, token.0),
+                None => format!("{}: nobody, tokens below {} are over\n", duty.lease, duty.minimum_token.0),
             };
-            Ok(status.duties.iter().map(line).collect())
+            Ok(status.leases.iter().map(line).collect())
         }
         "release-duty" => {
             let duty = args.duty.clone().ok_or_else(|| Stop::Start("--duty is missing".to_owned()))?;
@@ -317,14 +319,18 @@
                 None => ctl::account(config).await.map_err(Stop::Start)?.1.budgets().0,
             };
             let count = budgets.len();
-            ctl::change(config, Change::Budgets { seen, budgets }).await.map_err(Stop::Start)?;
+            ctl::change(config, DisruptionCommand::SetBudgets { expected_version: seen, budgets })
+                .await
+                .map_err(Stop::Start)?;
             Ok(format!("{count} budgets hold from now on\n"))
         }
         "permit" => permit(args, config).await,
         "strike-off" => {
             let target = args.target.clone().ok_or_else(|| Stop::Start("--target is missing".to_owned()))?;
             let by = args.by.clone().unwrap_or_else(|| "an operator".to_owned());
-            ctl::change(config, Change::Strike { target, by }).await.map_err(Stop::Start)?;
+            ctl::change(config, DisruptionCommand::DeregisterTarget { target, operator: by })
+                .await
+                .map_err(Stop::Start)?;
             Ok(String::new())
         }
         "metrics" => {
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -13,8 +13,8 @@
 
 use crate::engine::{micros, ListedEndpoint, Micros};
 use crate::settings_file::{ClusterSettings, LocalSettings};
-use dispatch_core::api::{Member, Repeat, Scope, Settings, WorkerState};
-use dispatch_core::settings::{settings, worker_id, Bad, Pairs};
+use dispatch_core::api::{Endpoint, Idempotency, ListScope, Settings, WorkerState};
+use dispatch_core::settings::{parse_settings, worker_id, InvalidValue, SettingsPairs};
 
 /// Descriptors where no limit is told.
 const DEFAULT_SOCKETS: usize = 1024;
@@ -123,7 +123,7 @@
     pub fn from_environment(var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let mut config = Config::parse(&Config::read_file(&var)?, &var)?;
         let own = LocalSettings::load(var)?;
-        config.settings.room = own.capacity_reservation;
+        config.settings.capacity_reservation = own.capacity_reservation;
         config.cluster = own.cluster;
         Ok(config)
     }
@@ -138,7 +138,7 @@
         if own.cluster != self.cluster {
             return invalid("fleet", "cannot change while the program runs");
         }
-        config.settings.room = own.capacity_reservation;
+        config.settings.capacity_reservation = own.capacity_reservation;
         config.cluster = own.cluster;
         Ok(config)
     }
@@ -215,11 +215,11 @@
             },
         };
         let pairs = match &root["settings"] {
-            all @ Value::Object(_) => Pairs::flatten(all),
+            all @ Value::Object(_) => SettingsPairs::from_json(all),
             Value::Null => return invalid("settings", "missing"),
             _ => return invalid("settings", "expected an object"),
         };
-        let module = settings(&pairs)?;
+        let module = parse_settings(&pairs)?;
         let names = parse_names(&pairs, &module)?;
         if module.zone as usize >= names.zones.len().max(1) {
             return invalid("settings.zone", format!("there is no zone number {}", module.zone));
@@ -242,7 +242,7 @@
                 Err(error) => return invalid(&format!("known.{}", error.key), error.problem),
             },
         };
-        let keepalive = pairs.size("caps.keepalive-s", DEFAULT_KEEPALIVE_S)?;
+        let keepalive = pairs.non_negative("caps.keepalive-s", DEFAULT_KEEPALIVE_S)?;
         Ok(Config {
             name: told("BALANCER_NAME", "name").map_or_else(|| "cairncrank".to_owned(), |(_, v)| v),
             listen: address("BALANCER_LISTEN", "listen")?,
@@ -255,10 +255,12 @@
             client_sockets,
             worker_sockets: sockets - RESERVED_SOCKETS - client_sockets,
             settings: module,
-            dial_timeout: micros(pairs.size("caps.dial-timeout-s", DEFAULT_DIAL_TIMEOUT_S)?.max(0.001)),
+            dial_timeout: micros(
+                pairs.non_negative("caps.dial-timeout-s", DEFAULT_DIAL_TIMEOUT_S)?.max(0.001),
+            ),
             idle_timeout: micros(keepalive * KEEPALIVE_FRACTION),
-            drain_grace: micros(pairs.size("obligations.drain-grace-s", DEFAULT_DRAIN_GRACE_S)?),
-            list_is_pushed: pairs.word("discovery") == "push",
+            drain_grace: micros(pairs.non_negative("obligations.drain-grace-s", DEFAULT_DRAIN_GRACE_S)?),
+            list_is_pushed: pairs.text("discovery") == "push",
             longest_timeout: names
                 .classes
                 .iter()
@@ -272,8 +274,8 @@
     }
 }
 
-impl From<Bad> for ConfigError {
-    fn from(bad: Bad) -> Self {
+impl From<InvalidValue> for ConfigError {
+    fn from(bad: InvalidValue) -> Self {
         ConfigError {
             key: format!("settings.{}", bad.expected),
             problem: format!("'{}' is no value that it can have", bad.found),
@@ -291,11 +293,11 @@
     }
 }
 
-fn parse_names(pairs: &Pairs<'_>, module: &Settings) -> Result<Names, ConfigError> {
+fn parse_names(pairs: &SettingsPairs<'_>, module: &Settings) -> Result<Names, ConfigError> {
     let mut classes = Vec::new();
     for (i, name) in pairs.names("profiles")?.into_iter().enumerate() {
-        let patience = micros(pairs.size(&format!("profiles.{i}.deadline-s"), DEFAULT_TIMEOUT_S)?);
-        let keyed = matches!(module.classes[i].repeat, Repeat::Keyed(_));
+        let patience = micros(pairs.non_negative(&format!("profiles.{i}.deadline-s"), DEFAULT_TIMEOUT_S)?);
+        let keyed = matches!(module.classes[i].idempotency, Idempotency::WithKey(_));
         classes.push(ClassInfo { name, timeout: patience, requires_idempotency_key: keyed });
     }
     let tenants = pairs.names("projects")?;
@@ -320,7 +322,7 @@
     /// The version.
     pub revision: u64,
     /// What part of the list it is.
-    pub scope: Scope,
+    pub scope: ListScope,
     /// The entries.
     pub endpoints: Vec<ListedEndpoint>,
 }
@@ -336,10 +338,13 @@
     let Some(members) = value["members"].as_array() else {
         return invalid("members", "expected a list");
     };
-    let mut list =
-        EndpointList { revision, scope: Scope::Changes, endpoints: Vec::with_capacity(members.len()) };
+    let mut list = EndpointList {
+        revision,
+        scope: ListScope::Incremental,
+        endpoints: Vec::with_capacity(members.len()),
+    };
     if value["complete"].as_bool().unwrap_or(false) {
-        list.scope = Scope::Full;
+        list.scope = ListScope::Full;
     }
     let place: FxHashMap<&str, u32> = names.zones.iter().map(String::as_str).zip(0..).collect();
     let kinds: FxHashMap<&str, u32> = names.kinds.iter().map(String::as_str).zip(0..).collect();
@@ -349,7 +354,7 @@
         let state = match entry["phase"].as_str() {
             Some("in_service") => WorkerState::Serving,
             Some("terminating") => WorkerState::Draining,
-            Some("terminated") => WorkerState::Gone,
+            Some("terminated") => WorkerState::Removed,
             _ => {
                 let problem = "expected in_service, terminating or terminated, found ";
                 return invalid(&at("phase"), format!("{problem}{}", entry["phase"]));
@@ -364,12 +369,12 @@
             let unknown = names.len() as u32;
             entry[key].as_str().map_or(unknown, |name| names.get(name).copied().unwrap_or(unknown))
         };
-        let member = Member {
+        let member = Endpoint {
             worker: worker_id(id),
             kind: number(&kinds, "flavor"),
             zone: number(&place, "locality"),
             cell: entry["cell"].as_u64().unwrap_or(0) as u32,
-            since: entry["up_since_ms"].as_f64().unwrap_or(0.0) / 1e3,
+            started_at: entry["up_since_ms"].as_f64().unwrap_or(0.0) / 1e3,
             state,
         };
         list.endpoints.push(ListedEndpoint { endpoint: member, address });
--- a/crates/dispatcher/src/engine.rs
+++ b/crates/dispatcher/src/engine.rs
@@ -17,7 +17,8 @@
 use tokio::sync::{mpsc, oneshot};
 
 use dispatch_core::api::{
-    Action, Event, Load, Member, Outcome, Request, RequestId, Scope, Seconds, Settings, WorkerId, WorkerState,
+    Action, Endpoint, Event, ListScope, LoadReport, Outcome, Request, RequestId, Seconds, Settings, WorkerId,
+    WorkerState,
 };
 
 use dispatch_core::Dispatcher;
@@ -145,7 +146,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ListedEndpoint {
     /// What the module is told.
-    pub endpoint: Member,
+    pub endpoint: Endpoint,
     /// Its address, where it has one.
     pub address: Option<SocketAddr>,
 }
@@ -162,16 +163,16 @@
     /// A job is done to this part.
     Progress(RequestId, u32, f64),
     /// An attempt ended; the bytes are the result of one that was served.
-    AttemptEnded(RequestId, u32, Outcome, Bytes, Option<Load>),
+    AttemptEnded(RequestId, u32, Outcome, Bytes, Option<LoadReport>),
     /// A probe ended: whether the worker answered that it is well, and what it said of its load. Each
     /// [`Command::Probe`] is followed by one; where a probe was out already, its end answers both.
-    HealthCheckEnded(WorkerId, bool, Option<Load>),
+    HealthCheckEnded(WorkerId, bool, Option<LoadReport>),
     /// One who watches workers for all saw this one fail so long ago, which may be held against it for so long.
     UnhealthyReported(WorkerId, Micros, Micros),
     /// One who hands cold budgets out for all granted so much work at this worker until then.
     QuotaGranted(WorkerId, f64, Micros),
     /// The worker list, or a part of it.
-    EndpointList(Scope, Vec<ListedEndpoint>),
+    EndpointList(ListScope, Vec<ListedEndpoint>),
     /// Other settings hold from here on.
     Configure(Box<Settings>),
     /// The program ends: answer what is open.
@@ -203,7 +204,7 @@
     /// Close the idle connections to a worker.
     CloseIdle(WorkerId),
     /// Where workers listen, and whether they take work; with [`Scope::Full`] all others are gone.
-    EndpointList(Scope, Vec<ListedEndpoint>),
+    EndpointList(ListScope, Vec<ListedEndpoint>),
 }
 
 /// The way to the engine's queue.
@@ -359,7 +360,7 @@
         };
         engine.dispatcher.start(seconds(engine.now), &mut engine.actions);
         engine.perform_actions();
-        engine.handle_input(Input::EndpointList(Scope::Saved, known));
+        engine.handle_input(Input::EndpointList(ListScope::Cached, known));
         engine
     }
 
@@ -373,7 +374,7 @@
     /// What a usual job asks of a worker, in slots by seconds; kept up to date from now on.
     pub fn usual_job_cost(&mut self) -> Rc<Cell<f64>> {
         let usual = self.usual_job_cost.get_or_insert_with(Rc::default);
-        usual.set(self.dispatcher.usual_job());
+        usual.set(self.dispatcher.mean_job_work());
         usual.clone()
     }
 
@@ -399,7 +400,7 @@
             }
             self.fire_timers();
             if let Some(usual) = &self.usual_job_cost {
-                usual.set(self.dispatcher.usual_job());
+                usual.set(self.dispatcher.mean_job_work());
             }
         }
     }
@@ -436,7 +437,7 @@
                 if let Some(open) = self.open_requests.get_mut(&id) {
                     // The module may have answered while the client left.
                     if open.conclude().is_some() {
-                        self.notify_policy(Event::ClientGone(id));
+                        self.notify_policy(Event::ClientDisconnected(id));
                     }
                     self.remove_if_finished(id);
                 }
@@ -452,13 +453,17 @@
                 }
             }
             Input::QuotaGranted(worker, work, until) => {
-                self.notify_policy(Event::Granted { worker, work, until: seconds(until) });
+                self.notify_policy(Event::SlowStartGrant { worker, work, expires_at: seconds(until) });
             }
             Input::UnhealthyReported(worker, ago, holds) => {
-                self.notify_policy(Event::Sighted { worker, ago: seconds(ago), holds: seconds(holds) });
+                self.notify_policy(Event::UnhealthyVerdict {
+                    worker,
+                    observed_ago: seconds(ago),
+                    valid_for: seconds(holds),
+                });
             }
             Input::HealthCheckEnded(worker, ok, load) => {
-                self.notify_policy(Event::Probed { worker, ok, load })
+                self.notify_policy(Event::ProbeEnded { worker, ok, load })
             }
             Input::AttemptEnded(request, attempt, outcome, result, load) => {
                 if self.is_in_flight(request, attempt) {
@@ -466,11 +471,11 @@
                 }
             }
             Input::EndpointList(scope, members) => {
-                let lines: Vec<Member> = members.iter().map(|l| l.endpoint).collect();
+                let lines: Vec<Endpoint> = members.iter().map(|l| l.endpoint).collect();
                 // The way to a worker must be known before the module can choose it, and barred before it asks.
                 let _ = self.commands.send(Command::EndpointList(scope, members));
-                self.notify_policy(Event::List { scope, members: &lines });
-                if scope != Scope::Saved {
+                self.notify_policy(Event::EndpointList { scope, endpoints: &lines });
+                if scope != ListScope::Cached {
                     self.release_held_requests();
                 }
             }
@@ -509,7 +514,7 @@
         };
         self.open_requests.insert(id, open);
         self.timers.push(Reverse((deadline, Timer::Deadline(id))));
-        let request = Request { id, patience: seconds(job.timeout), ..job.request };
+        let request = Request { id, timeout: seconds(job.timeout), ..job.request };
         match &mut self.held_for_initial_list {
             Some(held) => held.push(request),
             None => self.notify_policy(Event::Request(request)),
@@ -523,7 +528,7 @@
                 self.open_requests.get(&request.id).filter(|open| open.answer_sender.is_some())
             {
                 let patience = seconds(open.deadline.saturating_sub(self.now));
-                self.notify_policy(Event::Request(Request { patience, ..request }));
+                self.notify_policy(Event::Request(Request { timeout: patience, ..request }));
             }
         }
     }
@@ -556,7 +561,7 @@
         attempt: u32,
         outcome: Outcome,
         result: Bytes,
-        load: Option<Load>,
+        load: Option<LoadReport>,
     ) {
         let Some(open) = self.open_requests.get_mut(&request) else { return };
         let ended = &mut open.attempts[attempt as usize];
@@ -565,13 +570,13 @@
             if let Some(answer) = open.conclude() {
                 let _ = answer.send(Answer::Served(result));
             }
-        } else if outcome == Outcome::Rejected {
+        } else if outcome == Outcome::InvalidRequest {
             if let Some(answer) = open.conclude() {
                 let _ = answer.send(Answer::Rejected(InvalidRequest::Unusable));
             }
         }
         let complete = open.answer_sender.is_none();
-        self.notify_policy(Event::Ended { request, attempt, outcome, complete, load });
+        self.notify_policy(Event::AttemptEnded { request, attempt, outcome, complete, load });
         self.remove_if_finished(request);
     }
 
@@ -581,7 +586,7 @@
         let harmless = !open.attempts.iter().any(|attempt| attempt.may_have_run);
         if let Some(answer) = open.conclude() {
             let _ = answer.send(if harmless { Answer::Refused(None) } else { Answer::Failed });
-            self.notify_policy(Event::ClientGone(request));
+            self.notify_policy(Event::ClientDisconnected(request));
         }
         let attempts = self.open_requests.get(&request).map_or(0, |open| open.attempts.len() as u32);
         (0..attempts).for_each(|attempt| self.abandon_attempt(request, attempt, Outcome::Cancelled));
@@ -616,7 +621,7 @@
         for action in actions.drain(..) {
             match action {
                 Action::Send { request, worker, timeout } => self.start_attempt(request, worker, timeout),
-                Action::Refuse { request, retry_after } => {
+                Action::Reject { request, retry_after } => {
                     self.answer_request(request, Answer::Refused(retry_after))
                 }
                 Action::Fail { request } => self.answer_request(request, Answer::Failed),
@@ -634,7 +639,7 @@
                     let _ = self.commands.send(Command::HealthCheck(worker));
                 }
                 // Discovery is always watched; messages between dispatchers have no form on sockets.
-                Action::Watch(_) | Action::FetchList | Action::Tell { .. } => {}
+                Action::Watch(_) | Action::FetchEndpointList | Action::SendToPeer { .. } => {}
             }
         }
         self.actions = actions;
@@ -650,7 +655,7 @@
             || self.now >= open.deadline
             || open.attempts.len() > self.max_attempts
         {
-            return self.abandoned_attempts.push_back((request, attempt, Outcome::Moot));
+            return self.abandoned_attempts.push_back((request, attempt, Outcome::NotSent));
         }
         let wanted = timeout.filter(|t| *t != 0.0).map_or(Micros::MAX, |t| self.now + micros(t));
         let deadline = wanted.min(open.deadline);
@@ -680,7 +685,7 @@
 
 /// For each class, how long after an attempt that may have run another may be written.
 fn retry_windows(settings: &Settings) -> Vec<Micros> {
-    settings.classes.iter().map(|class| micros(class.repeat_within())).collect()
+    settings.classes.iter().map(|class| micros(class.retry_window())).collect()
 }
 
 impl ListedEndpoint {
--- a/crates/dispatcher/src/net/cluster/health_checks.rs
+++ b/crates/dispatcher/src/net/cluster/health_checks.rs
@@ -77,13 +77,13 @@
 
     /// Another member says what it sees; its token was found good.
     pub(super) fn handle_report(&self, effect: &Effect) {
-        let Some(set) = self.config.set(&effect.duty) else { return };
+        let Some(set) = self.config.set(&effect.lease) else { return };
         match Report::unpack(&effect.body) {
             Some(report) => {
                 self.sightings.borrow_mut().take(set, effect.token, report, clock::now());
                 self.notify_engine();
             }
-            None => tracing::warn!(duty = %effect.duty, "what a watcher says cannot be read"),
+            None => tracing::warn!(duty = %effect.lease, "what a watcher says cannot be read"),
         }
     }
 
--- a/crates/dispatcher/src/net/cluster/mod.rs
+++ b/crates/dispatcher/src/net/cluster/mod.rs
@@ -21,7 +21,7 @@
 use cluster_member::watch::Watching;
 use coordination::{DutyId, Holder, Micros};
 use dispatch_core::settings::worker_id;
-use disruption_budget::census::{Listed, Warmth, ACCOUNT};
+use disruption_budget::availability_observer::{ListedWorker, WarmupTracker, OBSERVER_LEASE};
 use serde_json::Value;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
@@ -87,7 +87,7 @@
     let watch = settings.health_checks.map(|how| Watching { zones, ..how });
     let mut offers: Vec<DutyId> = settings.shared_list.then(|| DutyId::fleet(LIST)).into_iter().collect();
     offers.extend(settings.slow_start.map(|_| DutyId::fleet(COLD)));
-    offers.extend(settings.readiness_validity.map(|_| DutyId::fleet(ACCOUNT)));
+    offers.extend(settings.readiness_validity.map(|_| DutyId::fleet(OBSERVER_LEASE)));
     offers.extend(watch.iter().flat_map(|how| how.duties()));
     let zone = config.names.zones.get(config.settings.zone as usize).cloned().unwrap_or_default();
     let member = Settings {
@@ -125,12 +125,12 @@
     colds.iter().for_each(|colds| drop(spawn_local(colds.clone().run())));
     let leave = settings.readiness_validity.map(|holds| {
         let cold = slow_start_profile(config);
-        let warmth = Warmth::new(cold.share, cold.within);
-        Rc::new(PlannedDrain::new(holds, member.clone(), own, metrics.clone(), warmth))
+        let warmup = WarmupTracker::new(cold.share, cold.within);
+        Rc::new(PlannedDrain::new(holds, member.clone(), own, metrics.clone(), warmup))
     });
     leave.iter().for_each(|leave| drop(spawn_local(leave.clone().run())));
     let (leaver, watches) = (leave.clone(), watchers.clone());
-    spawn_local(receive(member.clone(), listener, move |effect| match effect.duty.name.as_str() {
+    spawn_local(receive(member.clone(), listener, move |effect| match effect.lease.name.as_str() {
         LIST => {
             if let Ok(news) = serde_json::from_slice::<News>(&effect.body) {
                 // The latest counts; where the queue is full, the next one says more than this.
@@ -138,7 +138,7 @@
             }
             Vec::new()
         }
-        ACCOUNT => leaver.as_ref().map_or_else(Vec::new, |leave| leave.readiness_report()),
+        OBSERVER_LEASE => leaver.as_ref().map_or_else(Vec::new, |leave| leave.encoded_readiness()),
         COLD => colds.as_ref().map_or_else(Vec::new, |colds| colds.handle_grants(&effect)),
         _ => {
             watchers.iter().for_each(|watchers| watchers.handle_report(&effect));
@@ -174,10 +174,10 @@
 fn slow_start_profile(config: &Config) -> Warming {
     let settings = &config.settings;
     Warming {
-        share: settings.cold_share,
-        within: micros(settings.warm_within),
-        multiple: settings.fall_multiple,
-        span: micros(settings.fall_span),
+        share: settings.slow_start_min_capacity,
+        within: micros(settings.slow_start_duration),
+        multiple: settings.overload_multiple,
+        span: micros(settings.overload_window),
     }
 }
 
@@ -212,17 +212,17 @@
 
 impl SharedList {
     /// The workers of the list, as watchers see them.
-    fn workers(&self, watchers: Option<&ClusterHealthChecks>) -> Vec<Listed> {
+    fn workers(&self, watchers: Option<&ClusterHealthChecks>) -> Vec<ListedWorker> {
         let ledger = self.ledger.borrow();
         let listed = |entry: &Value| {
             let text = |key: &str| entry[key].as_str().unwrap_or_default().to_owned();
             let name = text("id");
-            Listed {
+            ListedWorker {
                 zone: text("locality"),
                 pool: text("flavor"),
-                serves: entry["phase"] == "in_service",
-                start: entry["up_since_ms"].as_u64().unwrap_or(0),
-                fails: watchers.is_some_and(|watchers| watchers.is_reported_failing(worker_id(&name))),
+                in_service: entry["phase"] == "in_service",
+                start_id: entry["up_since_ms"].as_u64().unwrap_or(0),
+                unhealthy: watchers.is_some_and(|watchers| watchers.is_reported_failing(worker_id(&name))),
                 name,
             }
         };
--- a/crates/dispatcher/src/net/planned_drain.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -11,10 +11,15 @@
 use cluster_member::effects::Publisher;
 use cluster_member::keepers::Keepers;
 use cluster_member::member::Member;
-use cluster_member::wire::{Answer, Ask, Who};
+use cluster_member::wire::{ClientIdentity, Operation, Response};
 use coordination::{DutyId, Micros, Token};
-use disruption_budget::census::{Census, Listed, Standing, Warmth, ACCOUNT};
-use disruption_budget::{Account, Change, Kind, Observed, Outcome, Refusal, State, Target, Wants};
+use disruption_budget::availability_observer::{
+    AvailabilityObserver, ListedWorker, ReadinessReport, WarmupTracker, OBSERVER_LEASE,
+};
+use disruption_budget::{
+    DisruptionCommand, DisruptionOutcome, DisruptionState, ObservationUrgency, PermitState, Rejection,
+    Target, TargetKind, TargetStatus,
+};
 use tokio::sync::{watch, Mutex};
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
@@ -47,11 +52,11 @@
 }
 
 /// The workers as they are listed and watched.
-pub(super) type Workers = Box<dyn Fn() -> Vec<Listed>>;
+pub(super) type Workers = Box<dyn Fn() -> Vec<ListedWorker>>;
 
 struct Term {
     token: Token,
-    census: Rc<RefCell<Census>>,
+    observer: Rc<RefCell<AvailabilityObserver>>,
     publisher: Publisher,
 }
 
@@ -67,39 +72,37 @@
     /// One standby is decided on at a time.
     decision: Mutex<()>,
     workers: RefCell<Option<Workers>>,
-    warmth: RefCell<Warmth>,
+    warmup: RefCell<WarmupTracker>,
 }
 
 impl std::fmt::Debug for PlannedDrain {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Leave").field("number", &self.incarnation()).finish_non_exhaustive()
+        f.debug_struct("PlannedDrain").field("number", &self.incarnation()).finish_non_exhaustive()
     }
 }
 
-fn rejected(why: impl Into<String>, after_s: u32) -> Result<(), DrainRejected> {
-    Err(DrainRejected { reason: why.into(), retry_after_s: after_s })
+fn rejected(reason: impl Into<String>, retry_after_s: u32) -> Result<(), DrainRejected> {
+    Err(DrainRejected { reason: reason.into(), retry_after_s })
 }
 
 impl PlannedDrain {
     pub(super) fn new(
-        holds: Micros,
+        readiness_validity: Micros,
         member: Member,
-        own: LocalStatus,
+        status: LocalStatus,
         metrics: ClusterMetrics,
-        warmth: Warmth,
+        warmup: WarmupTracker,
     ) -> PlannedDrain {
-        let (returns, term, deciding) = (Cell::default(), RefCell::default(), Mutex::default());
-        let (workers, warmth) = (RefCell::default(), RefCell::new(warmth));
         PlannedDrain {
-            readiness_validity: holds,
+            readiness_validity,
             member,
-            status: own,
+            status,
             metrics,
-            returns_from_standby: returns,
-            term,
-            decision: deciding,
-            workers,
-            warmth,
+            returns_from_standby: Cell::default(),
+            term: RefCell::default(),
+            decision: Mutex::default(),
+            workers: RefCell::default(),
+            warmup: RefCell::new(warmup),
         }
     }
 
@@ -110,7 +113,7 @@
 
     fn coordinators(&self) -> Keepers {
         let settings = self.member.settings();
-        let who = Who::Member { name: settings.name.clone() };
+        let who = ClientIdentity::Member { name: settings.name.clone() };
         Keepers::new(&settings.installation, who, settings.keepers.clone(), settings.bind)
     }
 
@@ -120,21 +123,21 @@
         session << 20 | self.returns_from_standby.get()
     }
 
-    fn readiness(&self) -> Standing {
+    fn readiness_report(&self) -> ReadinessReport {
         let serving = *self.status.phase.borrow() == ShutdownPhase::Serving
             && *self.status.mode.borrow() == Mode::Active;
         let settings = self.member.settings();
-        Standing {
+        ReadinessReport {
             name: settings.name.clone(),
             zone: settings.zone.clone(),
-            number: self.incarnation(),
-            serves: serving && *self.status.ready.borrow(),
+            incarnation: self.incarnation(),
+            ready: serving && *self.status.ready.borrow(),
         }
     }
 
     /// The owner of the account asks how this dispatcher is; its token was found good.
-    pub(super) fn readiness_report(&self) -> Vec<u8> {
-        self.readiness().pack()
+    pub(super) fn encoded_readiness(&self) -> Vec<u8> {
+        self.readiness_report().encode()
     }
 
     /// Goes to standby if the fleet allows it, or somebody insists.
@@ -163,23 +166,32 @@
         let by = Instant::now() + DECISION_TIMEOUT;
         let (mut keepers, name) = (self.coordinators(), &self.member.settings().name);
         let number = self.incarnation();
-        let target = Target { kind: Kind::Dispatcher, name: name.clone() };
-        let ask =
-            Change::Ask { target, reason: reason.to_owned(), asker: format!("dispatcher/{name}"), force };
-        let permit = match keepers.ask(&Ask::Change(ask), by).await {
-            Ok(Answer::Changed(Outcome::Asked(permit, State::Waiting))) => {
-                let held = match keepers.ask(&Ask::Account { known: 0 }, by).await {
-                    Ok(Answer::Account(_, Some(account))) => {
-                        account.held_by(permit).map(|budget| format!(": budget {:?} is used up", budget.name))
-                    }
+        let target = Target { kind: TargetKind::Dispatcher, name: name.clone() };
+        let request = DisruptionCommand::RequestPermit {
+            target,
+            reason: reason.to_owned(),
+            requester: format!("dispatcher/{name}"),
+            force,
+        };
+        let permit = match keepers.ask(&Operation::ChangeDisruptionState(request), by).await {
+            Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested(
+                permit,
+                PermitState::Waiting,
+            ))) => {
+                let held = match keepers.ask(&Operation::DisruptionState { known_revision: 0 }, by).await {
+                    Ok(Response::DisruptionState(_, Some(account))) => account
+                        .blocking_budget(permit)
+                        .map(|budget| format!(": budget {:?} is used up", budget.name)),
                     _ => None,
                 };
                 let held = held.unwrap_or_default();
                 return rejected(format!("permit {permit} waits for its turn{held}"), RETRY_AFTER_S.0);
             }
-            Ok(Answer::Changed(Outcome::Asked(permit, _))) => permit,
-            Ok(Answer::Changed(Outcome::Refused(why))) => return rejected(why.to_string(), RETRY_AFTER_S.1),
-            Ok(Answer::Refused(reason)) => return rejected(reason.to_string(), RETRY_AFTER_S.1),
+            Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested(permit, _))) => permit,
+            Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(why))) => {
+                return rejected(why.to_string(), RETRY_AFTER_S.1)
+            }
+            Ok(Response::Rejected(reason)) => return rejected(reason.to_string(), RETRY_AFTER_S.1),
             Ok(other) => {
                 return rejected(format!("an answer that was not asked for: {other:?}"), RETRY_AFTER_S.1)
             }
@@ -196,13 +208,15 @@
                 )
             }
         };
-        let begin = Change::Begin { permit, incarnation: number };
-        match keepers.ask(&Ask::Change(begin), by).await {
-            Ok(Answer::Changed(Outcome::Begun(_))) => {}
-            Ok(Answer::Changed(Outcome::Refused(Refusal::NoPermit))) => {
+        let begin = DisruptionCommand::BeginPermit { permit, incarnation: number };
+        match keepers.ask(&Operation::ChangeDisruptionState(begin), by).await {
+            Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitBegun(_))) => {}
+            Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(Rejection::UnknownPermit))) => {
                 return rejected("the permit before this one is not over yet", RETRY_AFTER_S.0)
             }
-            Ok(Answer::Changed(Outcome::Refused(why))) => return rejected(why.to_string(), RETRY_AFTER_S.0),
+            Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(why))) => {
+                return rejected(why.to_string(), RETRY_AFTER_S.0)
+            }
             other => return rejected(format!("the permit could not be begun: {other:?}"), RETRY_AFTER_S.0),
         }
         // Whoever was stopped meanwhile may have been seen as another life: then the permit may be over.
@@ -233,86 +247,91 @@
         let mut rounds = interval(OBSERVATION_INTERVAL);
         rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut keepers = self.coordinators();
-        let (mut known, mut account, mut count) = (0, Account::default(), 0u32);
+        let (mut known, mut account, mut count) = (0, DisruptionState::default(), 0u32);
         loop {
             rounds.tick().await;
             self.update_term();
             if self.term.borrow().is_none() {
-                (known, account) = (0, Account::default());
+                (known, account) = (0, DisruptionState::default());
                 continue;
             }
             count = count.wrapping_add(1);
             let by = Instant::now() + DECISION_TIMEOUT;
-            match keepers.ask(&Ask::Account { known }, by).await {
-                Ok(Answer::Account(revision, Some(new))) => (known, account) = (revision, *new),
-                Ok(Answer::Account(..)) => {}
+            match keepers.ask(&Operation::DisruptionState { known_revision: known }, by).await {
+                Ok(Response::DisruptionState(revision, Some(new))) => (known, account) = (revision, *new),
+                Ok(Response::DisruptionState(..)) => {}
                 _ => continue,
             }
             let Some((token, targets, gone)) = self.observe(&account) else { continue };
-            let wanted = match account.waits() {
-                Some(Wants::Now) => true,
-                Some(Wants::Seldom) => count % UNCHANGED_REPORT_ROUNDS == 0,
+            let wanted = match account.observation_urgency() {
+                Some(ObservationUrgency::Immediate) => true,
+                Some(ObservationUrgency::Periodic) => count % UNCHANGED_REPORT_ROUNDS == 0,
                 None => false,
             };
             if targets.is_empty() && gone.is_empty() && !wanted {
                 continue;
             }
             // The look at the lease comes right before the word; the keepers look at the token besides.
-            if !self.member.may_act(&DutyId::fleet(ACCOUNT), token) {
+            if !self.member.may_act(&DutyId::fleet(OBSERVER_LEASE), token) {
                 continue;
             }
-            let observe = Change::Observe { token: token.0, seen: known, targets, gone };
-            let what = serde_json::json!({"duty": ACCOUNT, "token": token.0});
+            let observe = DisruptionCommand::RecordObservation {
+                fencing_token: token.0,
+                known_revision: known,
+                changed: targets,
+                removed: gone,
+            };
+            let what = serde_json::json!({"duty": OBSERVER_LEASE, "token": token.0});
             self.member.record().put(clock::now(), "acted", what);
-            let _ = keepers.ask(&Ask::Change(observe), by).await;
+            let _ = keepers.ask(&Operation::ChangeDisruptionState(observe), by).await;
         }
     }
 
-    fn listed_workers(&self) -> Vec<Listed> {
+    fn listed_workers(&self) -> Vec<ListedWorker> {
         self.workers.borrow().as_ref().map_or_else(Vec::new, |workers| workers())
     }
 
     fn update_term(&self) {
         let now = clock::now();
-        self.warmth.borrow_mut().list(now, &self.listed_workers());
-        let duty = DutyId::fleet(ACCOUNT);
+        self.warmup.borrow_mut().update_list(now, &self.listed_workers());
+        let duty = DutyId::fleet(OBSERVER_LEASE);
         let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
             Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
             Some((duty, token)) => {
                 tracing::info!(token = token.0, "observes the fleet for the account of who may be out");
-                let census = Rc::new(RefCell::new(Census::new(self.readiness_validity, now)));
-                let hears = census.clone();
+                let observer = Rc::new(RefCell::new(AvailabilityObserver::new(self.readiness_validity, now)));
+                let received = observer.clone();
                 let publisher = Publisher::hearing(&self.member, duty, token, move |said| {
-                    if let Some(standing) = Standing::unpack(said) {
-                        hears.borrow_mut().heard(standing, clock::now());
+                    if let Some(report) = ReadinessReport::decode(said) {
+                        received.borrow_mut().record_report(report, clock::now());
                     }
                 });
-                *term = Some(Term { token, census, publisher });
+                *term = Some(Term { token, observer, publisher });
             }
             None => *term = None,
         }
         if let Some(term) = term.as_mut() {
             term.publisher.say(Vec::new());
-            term.census.borrow_mut().heard(self.readiness(), now);
+            term.observer.borrow_mut().record_report(self.readiness_report(), now);
         }
     }
 
     /// Who is not as the account has them.
-    fn observe(&self, account: &Account) -> Option<(Token, Vec<Observed>, Vec<Target>)> {
+    fn observe(&self, account: &DisruptionState) -> Option<(Token, Vec<TargetStatus>, Vec<Target>)> {
         let term = self.term.borrow();
         let term = term.as_ref()?;
         let roster = self.member.roster();
         let members: Vec<(&str, &str)> =
             roster.iter().map(|peer| (peer.name.as_str(), peer.zone.as_str())).collect();
         let now = clock::now();
-        let mut seen = term.census.borrow().look(now, &members, account)?;
+        let mut seen = term.observer.borrow().status_changes(now, &members, account)?;
         let workers = self.listed_workers();
         // Before a list was heard nothing is known of workers, which is not that they are gone.
         let (changed, gone) = match workers.is_empty() {
             true => (Vec::new(), Vec::new()),
-            false => self.warmth.borrow().look(now, &workers, account),
+            false => self.warmup.borrow().status_changes(now, &workers, account),
         };
         seen.extend(changed);
         Some((term.token, seen, gone))
--- a/crates/dispatcher/src/net/worker.rs
+++ b/crates/dispatcher/src/net/worker.rs
@@ -22,8 +22,8 @@
 use super::http::{Decoder, Lines, Piece, MAX_BODY};
 use super::{read_more, read_response_head, write_all, ConfigReceiver};
 use crate::engine::{AttemptStage, Clock, Command, Handle, Input, Micros, Payload};
-use dispatch_core::api::{Load, Outcome, RequestId, Scope, WorkerId, WorkerState};
-use dispatch_core::report::{Form, Read};
+use dispatch_core::api::{ListScope, LoadReport, Outcome, RequestId, WorkerId, WorkerState};
+use dispatch_core::load_report::{LoadReportFormat, ParsedLoadReport};
 use dispatch_core::settings::worker_id;
 
 /// A line of a worker may be this long: a result as large as a body, with room for escapes.
@@ -167,9 +167,9 @@
         }
     }
 
-    fn update_workers(&self, scope: Scope, members: &[crate::engine::ListedEndpoint]) {
+    fn update_workers(&self, scope: ListScope, members: &[crate::engine::ListedEndpoint]) {
         let mut peers = self.workers.borrow_mut();
-        if scope != Scope::Changes {
+        if scope != ListScope::Incremental {
             // Those that the whole list does not name are gone.
             peers.values().for_each(|peer| {
                 peer.accepts_work.set(false);
@@ -192,9 +192,9 @@
                 self.retain_idle(peer, |_| false);
             }
             peer.zone.set(listed.endpoint.zone);
-            peer.started_at.set(listed.endpoint.since);
+            peer.started_at.set(listed.endpoint.started_at);
             peer.accepts_work.set(listed.accepts_work());
-            peer.listed.set(listed.endpoint.state != WorkerState::Gone);
+            peer.listed.set(listed.endpoint.state != WorkerState::Removed);
         }
         for (worker, peer) in peers.iter().filter(|(_, peer)| !peer.accepts_work.get()) {
             self.retain_idle(peer, |_| false);
@@ -252,8 +252,11 @@
     }
 
     /// Reads a load report by the form that the settings tell; what is malformed is counted and left out.
-    pub(super) fn parse_load_report(&self, read: impl FnOnce(&Form) -> Read) -> Option<Load> {
-        let Read { load, malformed } = read(&self.config.borrow().settings.report);
+    pub(super) fn parse_load_report(
+        &self,
+        read: impl FnOnce(&LoadReportFormat) -> ParsedLoadReport,
+    ) -> Option<LoadReport> {
+        let ParsedLoadReport { load, malformed } = read(&self.config.borrow().settings.load_report_format);
         if malformed {
             self.metrics.malformed_reports.inc();
         }
@@ -278,7 +281,7 @@
     stage: AttemptStage,
     reported: bool,
     /// What the worker said of its load with its last word.
-    load: Option<Load>,
+    load: Option<LoadReport>,
 }
 
 impl AttemptGuard {
@@ -309,7 +312,7 @@
     let (mut stream, counted, kept) = match pool.take_idle(&peer) {
         Some(kept) => kept,
         // Without a descriptor to spare nothing is sent, which is no fault of the worker's.
-        None if !pool.ensure_capacity() => return end.report(Outcome::Moot, Bytes::new()),
+        None if !pool.ensure_capacity() => return end.report(Outcome::NotSent, Bytes::new()),
         None => match connect(&pool, &peer).await {
             Some(new) => new,
             None => return,
@@ -323,7 +326,7 @@
     // Likewise: the client may have left meanwhile, another attempt may have served it, and what an attempt before
     // this one may have done is no longer known to the worker once the window for repeats is over.
     if payload.concluded.get() || pool.clock.now() >= latest {
-        return end.report(Outcome::Moot, Bytes::new());
+        return end.report(Outcome::NotSent, Bytes::new());
     }
     let head = encode_request_head(&peer, &payload, deadline.saturating_sub(pool.clock.now()));
     let mut message = head.chain(payload.body.clone());
@@ -337,7 +340,7 @@
     if written.is_err() {
         // A kept connection that takes no write is no fault of the worker's, and nothing was sent.
         return if kept && end.stage < AttemptStage::Written {
-            end.report(Outcome::Moot, Bytes::new())
+            end.report(Outcome::NotSent, Bytes::new())
         };
     }
     let reusable = read_answer(&mut stream, &payload, &mut end).await == Some(true);
@@ -348,7 +351,7 @@
     {
         // The others that are idle there are closed by now as well.
         pool.retain_idle(&peer, |_| false);
-        end.report(Outcome::Stale, Bytes::new());
+        end.report(Outcome::StaleConnection, Bytes::new());
     }
     if reusable {
         pool.return_connection(&peer, stream, counted);
@@ -416,15 +419,15 @@
     } else {
         let unstarted = head.header_text("Not-Started") == Some("1");
         let outcome = match status {
-            503 | 504 if unstarted => Outcome::Full,
+            503 | 504 if unstarted => Outcome::Overloaded,
             // These say something of the worker; all others from 400 on say that the request is at fault.
             408 | 429 => Outcome::Error,
-            400..=499 => Outcome::Rejected,
+            400..=499 => Outcome::InvalidRequest,
             _ => Outcome::Error,
         };
         end.load = head
             .header_text("Server-Load")
-            .and_then(|text| end.pool.parse_load_report(|form| form.of_text(text)));
+            .and_then(|text| end.pool.parse_load_report(|form| form.parse_text(text)));
         end.report(outcome, Bytes::new());
     }
     let mut body = Decoder::new(head.framing);
@@ -473,14 +476,14 @@
     }
     let (request, attempt) = (end.request, end.attempt);
     if let Some(load) = told.load {
-        end.load = end.pool.parse_load_report(|form| form.of_json(load.get()));
+        end.load = end.pool.parse_load_report(|form| form.parse_json(load.get()));
     }
     match &*told.state {
         "started" => end.pool.handle.send(Input::JobStarted(request, attempt)),
         "running" => end.pool.handle.send(Input::Progress(request, attempt, told.share)),
         "done" => end.report(Outcome::Ok, result_bytes(line, told.result)?),
         "failed" => end.report(Outcome::Error, Bytes::new()),
-        "returned" => end.report(Outcome::Full, Bytes::new()),
+        "returned" => end.report(Outcome::Overloaded, Bytes::new()),
         "lost" => end.report(Outcome::Reset, Bytes::new()),
         _ => {}
     }
--- a/crates/dispatcher/src/settings_file.rs
+++ b/crates/dispatcher/src/settings_file.rs
@@ -13,7 +13,7 @@
 use cluster_member::settings;
 use cluster_member::watch::Watching;
 use coordination::{Micros, Times};
-use dispatch_core::api::RoomSettings;
+use dispatch_core::api::CapacityReservation;
 use hcl_config::{Read, Section};
 
 use crate::config::ConfigError;
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LocalSettings {
     /// Room for large jobs; none where it is not held.
-    pub capacity_reservation: Option<RoomSettings>,
+    pub capacity_reservation: Option<CapacityReservation>,
     /// The fleet that this dispatcher is a member of, if it is of one.
     pub cluster: Option<ClusterSettings>,
 }
@@ -121,9 +121,9 @@
     }
 }
 
-fn capacity_reservation(section: &Section) -> Read<Option<RoomSettings>> {
-    let settings = RoomSettings {
-        from: section.number("from_slots", 2.0..=1024.0)?.unwrap_or(DEFAULT_LARGE_JOB_SLOTS),
+fn capacity_reservation(section: &Section) -> Read<Option<CapacityReservation>> {
+    let settings = CapacityReservation {
+        min_slots: section.number("from_slots", 2.0..=1024.0)?.unwrap_or(DEFAULT_LARGE_JOB_SLOTS),
         price: section.number("price", 0.0..=1000.0)?.unwrap_or(DEFAULT_WORKER_PRICE),
     };
     Ok(section.flag("hold")?.unwrap_or(true).then_some(settings))
@@ -175,7 +175,7 @@
         assert_eq!(read(""), Ok(None));
         assert_eq!(
             read("room {\n}\n"),
-            Ok(Some(RoomSettings { from: DEFAULT_LARGE_JOB_SLOTS, price: DEFAULT_WORKER_PRICE }))
+            Ok(Some(CapacityReservation { min_slots: DEFAULT_LARGE_JOB_SLOTS, price: DEFAULT_WORKER_PRICE }))
         );
         assert_eq!(read("room {\n  hold = false\n  from_slots = 2\n}\n"), Ok(None));
         let from = "own.hcl:2: room.from_slots: expected a number from 2 to 1024, found 1".to_owned();
