--- a/crates/dispatcher/src/net/leave.rs
+++ b/crates/dispatcher/src/net/leave.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use cluster_member::clock;
+use cluster_member::coordinator_client::Keepers;
 use cluster_member::effects::Publisher;
-use cluster_member::keepers::Keepers;
 use cluster_member::member::Member;
 use cluster_member::wire::{ClientIdentity, Operation, Response};
 use coordination::{FencingToken, LeaseId, Micros};
