--- a/crates/cluster-member/src/wire.rs
+++ b/crates/cluster-member/src/wire.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use coordination::{DutyId, Reason, Refusal, Revision, SessionId, Token, View};
+use coordination::{
+    ClusterView, CommandRejection, EffectRejection, FencingToken, LeaseId, Revision, SessionId,
+};
 use disruption_budget::{DisruptionCommand, DisruptionOutcome, DisruptionState};
 use futures_util::{SinkExt, StreamExt};
 use serde::de::DeserializeOwned;
@@ -153,7 +155,7 @@
         /// Where it is reached.
         address: String,
         /// What it may be given.
-        eligible_leases: Vec<DutyId>,
+        eligible_leases: Vec<LeaseId>,
     },
     /// The session is to go on.
     RenewSession {
@@ -172,9 +174,9 @@
     /// A term is over.
     ReleaseLease {
         /// The duty.
-        lease: DutyId,
+        lease: LeaseId,
         /// Which term; an operator leaves it out.
-        token: Option<Token>,
+        token: Option<FencingToken>,
     },
     /// How things are.
     Status,
@@ -202,7 +204,7 @@
     /// The answer to a request.
     Response(u64, Response),
     /// Who owns what has changed, told to the member of this session.
-    ViewChanged(SessionId, View),
+    ViewChanged(SessionId, ClusterView),
 }
 
 /// An answer.
@@ -215,12 +217,12 @@
         /// Which process of that name.
         incarnation: u64,
         /// Who owns what.
-        view: View,
+        view: ClusterView,
     },
     /// The session goes on.
     SessionRenewed {
         /// Who owns what, if that is later than what was seen.
-        view: Option<View>,
+        view: Option<ClusterView>,
         /// The members, if asked for and changed.
         members: Option<(Revision, Vec<Peer>)>,
     },
@@ -236,7 +238,7 @@
     /// Not now: ask again.
     Busy,
     /// It was not done.
-    Rejected(Reason),
+    Rejected(CommandRejection),
     /// How things are.
     Status(Box<ReplicaStatus>),
     /// Who may be out, as of this entry; nothing where the asker knows it.
@@ -330,13 +332,13 @@
 pub struct LeaseStatus {
     /// Which.
     #[serde(rename = "duty")]
-    pub lease: DutyId,
+    pub lease: LeaseId,
     /// Whose, and with which token.
     #[serde(rename = "owner")]
-    pub holder: Option<(String, Token)>,
+    pub holder: Option<(String, FencingToken)>,
     /// Tokens below are of ended terms.
     #[serde(rename = "floor")]
-    pub minimum_token: Token,
+    pub minimum_token: FencingToken,
     /// The entry that ended the last term.
     #[serde(rename = "fenced")]
     pub fencing_revision: Revision,
@@ -346,9 +348,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Effect {
     /// On behalf of which duty.
-    pub lease: DutyId,
+    pub lease: LeaseId,
     /// In which term.
-    pub token: Token,
+    pub token: FencingToken,
     /// Counted within the term.
     pub sequence: u64,
     /// What the duty says.
@@ -361,7 +363,7 @@
     /// It was taken; what the duty has the receiver say back.
     Accepted(Vec<u8>),
     /// It was not.
-    Rejected(Refusal),
+    Rejected(EffectRejection),
 }
 
 /// A connection that carries messages.
--- a/crates/cluster-member/tests/settings.rs
+++ b/crates/cluster-member/tests/settings.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use cluster_member::settings;
-use hcl_config::{Fault, Section};
+use hcl_config::{HclError, Section};
 use support::assert_pinned;
 
 /// Every key with a value that is not its default.
@@ -63,7 +63,7 @@
 "#;
 
 /// What is read from a text, one value a line.
-fn values(text: &str) -> Result<String, Fault> {
+fn values(text: &str) -> Result<String, HclError> {
     let top = Section::parse("member.hcl", text)?;
     let mut lines = vec![
         format!("installation: {}", settings::wanted(&top, "installation")?),
@@ -74,35 +74,35 @@
     }
     let times = settings::times(&top)?;
     lines.extend([
-        format!("lease: {} us", times.lease),
-        format!("renew: {} us", times.renew),
-        format!("call: {} us", times.call),
-        format!("stay: {} us", times.stay),
-        format!("short: {} us", times.short),
-        format!("election: {} us", times.election),
-        format!("heartbeat: {} us", times.heartbeat),
-        format!("skew: {} ppm", times.skew_ppm),
+        format!("lease: {} us", times.lease_duration),
+        format!("renew: {} us", times.renewal_interval),
+        format!("call: {} us", times.call_timeout),
+        format!("stay: {} us", times.stability_period),
+        format!("short: {} us", times.short_session_limit),
+        format!("election: {} us", times.election_timeout),
+        format!("heartbeat: {} us", times.heartbeat_interval),
+        format!("skew: {} ppm", times.max_clock_skew_ppm),
     ]);
     if let Some(section) = top.section("watch")? {
         let watching = settings::watching(section)?;
         lines.extend([
-            format!("sets: {}, zones: {}", watching.sets, watching.zones),
-            format!("period: {} us", watching.period),
-            format!("failures: {}", watching.fails),
-            format!("holds: {} us", watching.holds),
-            format!("bug: {}", watching.flaw.is_some()),
+            format!("sets: {}, zones: {}", watching.set_count, watching.zone_count),
+            format!("period: {} us", watching.probe_interval),
+            format!("failures: {}", watching.failure_threshold),
+            format!("holds: {} us", watching.report_ttl),
+            format!("bug: {}", watching.injected_bug.is_some()),
         ]);
     }
     if let Some(section) = top.section("cold")? {
         let dealing = settings::dealing(section, &times)?;
         lines.extend([
-            format!("slots: {}", dealing.slots),
-            format!("part: {}", dealing.part),
-            format!("expiry: {} us, written: {} us", dealing.expiry, dealing.written),
+            format!("slots: {}", dealing.smallest_worker_slots),
+            format!("part: {}", dealing.grantable_fraction),
+            format!("expiry: {} us, written: {} us", dealing.grant_ttl, dealing.delivery_timeout),
             format!("skew: {} ppm", dealing.skew_ppm),
         ]);
     }
-    top.finish()?;
+    top.deny_unknown_keys()?;
     Ok(lines.join("\n") + "\n")
 }
 
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -6,9 +6,9 @@
 
 use cluster_member::settings;
 use cluster_member::wire::{OLDEST_SCHEMA_VERSION, SCHEMA_VERSION};
-use coordination::Times;
+use coordination::Timing;
 use disruption_budget::{Amount, Budget, BudgetScope, TargetKind};
-use hcl_config::{Fault, Section, Value};
+use hcl_config::{HclError, Section, Value};
 
 /// A keeper's configuration.
 #[derive(Debug, Clone)]
@@ -16,32 +16,32 @@
     /// The installation: whoever names another is turned away.
     pub installation: String,
     /// Where keepers are reached, by number.
-    pub keepers: BTreeMap<u64, SocketAddr>,
+    pub coordinators: BTreeMap<u64, SocketAddr>,
     /// The lowest token that is ever granted.
     pub first_token: u64,
     /// The times.
-    pub times: Times,
+    pub times: Timing,
     /// This keeper, where it is one that serves.
-    pub serve: Option<Serve>,
+    pub serve: Option<ServeConfig>,
 }
 
 /// What one keeper is told beside what all are.
 #[derive(Debug, Clone)]
-pub struct Serve {
+pub struct ServeConfig {
     /// Its number.
-    pub keeper: u64,
+    pub coordinator_id: u64,
     /// Where it listens.
     pub listen: SocketAddr,
     /// The folder of its store.
-    pub store: PathBuf,
+    pub store_directory: PathBuf,
     /// The address that its connections come from.
-    pub bind: Option<IpAddr>,
+    pub bind_address: Option<IpAddr>,
     /// The most connections at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// A flaw put in on purpose, in a build for such tests.
-    pub flaw: Option<disruption_budget::InjectedBug>,
+    pub injected_bug: Option<disruption_budget::InjectedBug>,
     /// The version of the messages that it speaks, and of the entries that it knows.
-    pub speaks: u16,
+    pub protocol_version: u16,
 }
 
 /// Reads a file.
@@ -57,55 +57,55 @@
 ///
 /// # Errors
 /// Something in it is wrong.
-pub fn parse(file: &str, text: &str) -> Result<Config, Fault> {
+pub fn parse(file: &str, text: &str) -> Result<Config, HclError> {
     let top = Section::parse(file, text)?;
     let installation = settings::wanted(&top, "installation")?;
-    let keepers = settings::keepers(&top)?;
-    let first_token = top.whole("first_token", 1..=u64::MAX / 2)?.unwrap_or(1);
+    let coordinators = settings::keepers(&top)?;
+    let first_token = top.integer("first_token", 1..=u64::MAX / 2)?.unwrap_or(1);
     let times = settings::times(&top)?;
-    let serve = top.section("serve")?.map(|section| serve(section, &keepers)).transpose()?;
-    top.finish()?;
-    Ok(Config { installation, keepers, first_token, times, serve })
+    let serve = top.section("serve")?.map(|section| parse_serve(section, &coordinators)).transpose()?;
+    top.deny_unknown_keys()?;
+    Ok(Config { installation, coordinators, first_token, times, serve })
 }
 
-fn serve(section: &Section, keepers: &BTreeMap<u64, SocketAddr>) -> Result<Serve, Fault> {
-    let keeper =
-        section.whole("keeper", 1..=1_000_000)?.ok_or_else(|| section.fault("keeper", "is missing"))?;
-    let Some(address) = keepers.get(&keeper) else {
-        return Err(section.fault("keeper", format!("there is no block keeper \"{keeper}\"")));
+fn parse_serve(section: &Section, coordinators: &BTreeMap<u64, SocketAddr>) -> Result<ServeConfig, HclError> {
+    let coordinator_id =
+        section.integer("keeper", 1..=1_000_000)?.ok_or_else(|| section.error("keeper", "is missing"))?;
+    let Some(address) = coordinators.get(&coordinator_id) else {
+        return Err(section.error("keeper", format!("there is no block keeper \"{coordinator_id}\"")));
     };
     let listen = match section.value("listen") {
         Some(_) => settings::address(section, "listen")?,
         None => *address,
     };
-    let bind = section.text("bind")?.map(|text| {
-        text.parse::<IpAddr>().map_err(|_| section.fault("bind", format!("{text:?} is no IP address")))
+    let bind = section.string("bind")?.map(|text| {
+        text.parse::<IpAddr>().map_err(|_| section.error("bind", format!("{text:?} is no IP address")))
     });
-    Ok(Serve {
-        keeper,
+    Ok(ServeConfig {
+        coordinator_id,
         listen,
-        store: settings::wanted(section, "store")?.into(),
-        bind: bind.transpose()?,
-        flaw: flaw(section)?,
-        speaks: section
-            .whole("speaks", u64::from(OLDEST_SCHEMA_VERSION)..=u64::from(SCHEMA_VERSION))?
-            .map_or(SCHEMA_VERSION, |speaks| speaks as u16),
-        connections: section.whole("connections", 8..=65_536)?.unwrap_or(1_024) as usize,
+        store_directory: settings::wanted(section, "store")?.into(),
+        bind_address: bind.transpose()?,
+        injected_bug: parse_injected_bug(section)?,
+        protocol_version: section
+            .integer("speaks", u64::from(OLDEST_SCHEMA_VERSION)..=u64::from(SCHEMA_VERSION))?
+            .map_or(SCHEMA_VERSION, |version| version as u16),
+        max_connections: section.integer("connections", 8..=65_536)?.unwrap_or(1_024) as usize,
     })
 }
 
 /// A flaw put in on purpose. Only a build for such tests knows the key.
 #[cfg(feature = "seeded-bugs")]
-fn flaw(section: &Section) -> Result<Option<disruption_budget::InjectedBug>, Fault> {
-    let Some(name) = section.text("flaw")? else { return Ok(None) };
+fn parse_injected_bug(section: &Section) -> Result<Option<disruption_budget::InjectedBug>, HclError> {
+    let Some(name) = section.string("flaw")? else { return Ok(None) };
     let known = disruption_budget::InjectedBug::names().iter().find(|(known, _)| *known == name);
     known
         .map(|(_, flaw)| Some(*flaw))
-        .ok_or_else(|| section.fault("flaw", format!("there is no flaw {name:?}")))
+        .ok_or_else(|| section.error("flaw", format!("there is no flaw {name:?}")))
 }
 
 #[cfg(not(feature = "seeded-bugs"))]
-fn flaw(_: &Section) -> Result<Option<disruption_budget::InjectedBug>, Fault> {
+fn parse_injected_bug(_: &Section) -> Result<Option<disruption_budget::InjectedBug>, HclError> {
     Ok(None)
 }
 
@@ -115,25 +115,27 @@
 /// It cannot be read, or a budget is wrong; the text names file, line and key.
 pub fn read_budgets(path: &Path) -> Result<Vec<Budget>, String> {
     let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
-    budgets(&path.display().to_string(), &text).map_err(|fault| fault.to_string())
+    parse_budgets(&path.display().to_string(), &text).map_err(|fault| fault.to_string())
 }
 
 /// Reads a text of blocks `budget "NAME"`; `file` is its name in faults.
 ///
 /// # Errors
 /// One is wrong, or a name stands there twice.
-pub fn budgets(file: &str, text: &str) -> Result<Vec<Budget>, Fault> {
+pub fn parse_budgets(file: &str, text: &str) -> Result<Vec<Budget>, HclError> {
     let top = Section::parse(file, text)?;
     let mut budgets: Vec<Budget> = Vec::new();
     for section in top.sections("budget") {
         let name = section.label().to_owned();
         if name.is_empty() || name.len() > 128 || budgets.iter().any(|budget| budget.name == name) {
-            return Err(section.fault("", "wanted a label of 1 to 128 bytes that no other budget has"));
+            return Err(section.error("", "wanted a label of 1 to 128 bytes that no other budget has"));
         }
-        let kind = section
-            .word("targets", &[("dispatchers", TargetKind::Dispatcher), ("workers", TargetKind::Worker)])?;
-        let kind = kind.ok_or_else(|| section.fault("targets", "is missing: dispatchers or workers"))?;
-        let scope = match section.text("of")?.as_deref() {
+        let kind = section.keyword(
+            "targets",
+            &[("dispatchers", TargetKind::Dispatcher), ("workers", TargetKind::Worker)],
+        )?;
+        let kind = kind.ok_or_else(|| section.error("targets", "is missing: dispatchers or workers"))?;
+        let scope = match section.string("of")?.as_deref() {
             None | Some("fleet") => BudgetScope::Fleet,
             Some("each-zone") => BudgetScope::EachZone,
             Some("each-pool") => BudgetScope::EachPool,
@@ -142,31 +144,32 @@
                 Some(("pool", pool)) if !pool.is_empty() => BudgetScope::Pool(pool.to_owned()),
                 _ => {
                     let wanted = "wanted fleet, each-zone, zone/NAME, each-pool or pool/NAME";
-                    return Err(section.fault("of", format!("{other:?}: {wanted}")));
+                    return Err(section.error("of", format!("{other:?}: {wanted}")));
                 }
             },
         };
-        let (max_unavailable, min_available) = (amount(section, "most_out")?, amount(section, "least_in")?);
+        let (max_unavailable, min_available) =
+            (parse_amount(section, "most_out")?, parse_amount(section, "least_in")?);
         let budget = Budget { name, kind, scope, max_unavailable, min_available };
-        budget.validate().map_err(|fault| section.fault(fault.key, fault.reason))?;
+        budget.validate().map_err(|fault| section.error(fault.key, fault.reason))?;
         budgets.push(budget);
     }
-    top.finish()?;
+    top.deny_unknown_keys()?;
     Ok(budgets)
 }
 
 /// A number of targets, or a part of them such as `"10%"`.
-fn amount(section: &Section, key: &str) -> Result<Option<Amount>, Fault> {
+fn parse_amount(section: &Section, key: &str) -> Result<Option<Amount>, HclError> {
     let Some(value) = section.value(key) else { return Ok(None) };
-    if !matches!(value, Value::Text(_)) {
-        return Ok(section.whole(key, 0..=100_000)?.map(|count| Amount::Count(count as u32)));
+    if !matches!(value, Value::String(_)) {
+        return Ok(section.integer(key, 0..=100_000)?.map(|count| Amount::Count(count as u32)));
     }
-    let text = section.text(key)?.unwrap_or_default();
+    let text = section.string(key)?.unwrap_or_default();
     let percent = text.strip_suffix('%').and_then(|number| number.trim().parse().ok());
     match percent.filter(|percent| *percent <= 100u32) {
         Some(percent) => Ok(Some(Amount::Percent(percent))),
         None => {
-            Err(section.fault(key, format!("{text:?} is no part; wanted a number or \"0%\" to \"100%\"")))
+            Err(section.error(key, format!("{text:?} is no part; wanted a number or \"0%\" to \"100%\"")))
         }
     }
 }
--- a/crates/coordinator/src/ctl.rs
+++ b/crates/coordinator/src/operator.rs
@@ -3,22 +3,22 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-use cluster_member::keepers::Keepers;
+use cluster_member::coordinator_client::Keepers;
 use cluster_member::wire::{
     ClientHello, ClientIdentity, Connection, CoordinatorMessage, Operation, ReplicaStatus, Request, Response,
     SCHEMA_VERSION,
 };
-use coordination::{DutyId, Token};
+use coordination::{FencingToken, LeaseId};
 use disruption_budget::{Availability, DisruptionCommand, DisruptionOutcome, DisruptionState};
 use tokio::time::timeout;
 
 use crate::config::Config;
 
 /// How long a keeper has for an answer.
-const CALL: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-async fn ask(config: &Config, keeper: u64, ask: Operation) -> Result<Response, String> {
-    let address = config.keepers.get(&keeper).ok_or_else(|| format!("there is no keeper {keeper}"))?;
+async fn call(config: &Config, keeper: u64, ask: Operation) -> Result<Response, String> {
+    let address = config.coordinators.get(&keeper).ok_or_else(|| format!("there is no keeper {keeper}"))?;
     let hello = ClientHello {
         schema_version: SCHEMA_VERSION,
         installation: config.installation.clone(),
@@ -33,9 +33,19 @@
             }
         }
     };
-    match timeout(CALL, call).await {
+    match timeout(CALL_TIMEOUT, call).await {
         Ok(answer) => answer.map_err(|error| format!("keeper {keeper} at {address}: {error}")),
-        Err(_) => Err(format!("keeper {keeper} at {address}: no answer within {} s", CALL.as_secs())),
+        Err(_) => Err(format!("keeper {keeper} at {address}: no answer within {} s", CALL_TIMEOUT.as_secs())),
+    }
+}
+
+/// A response as operators have always been shown it, whatever its type is called.
+fn response_text(response: &Response) -> String {
+    match response {
+        Response::NotLeader { leader, address } => {
+            format!("NotLeading {{ leader: {leader:?}, address: {address:?} }}")
+        }
+        other => format!("{other:?}"),
     }
 }
 
@@ -44,7 +54,7 @@
 /// # Errors
 /// It is not reached.
 pub async fn status(config: &Config, keeper: u64) -> Result<ReplicaStatus, String> {
-    match ask(config, keeper, Operation::Status).await? {
+    match call(config, keeper, Operation::Status).await? {
         Response::Status(status) => Ok(*status),
         other => Err(format!("keeper {keeper}: an answer that was not asked for: {other:?}")),
     }
@@ -53,7 +63,7 @@
 /// How things are at each keeper, or why it cannot be told.
 pub async fn statuses(config: &Config) -> Vec<(u64, Result<ReplicaStatus, String>)> {
     let mut all = Vec::new();
-    for keeper in config.keepers.keys() {
+    for keeper in config.coordinators.keys() {
         all.push((*keeper, status(config, *keeper).await));
     }
     all
@@ -63,7 +73,7 @@
 ///
 /// # Errors
 /// No keeper leads.
-pub async fn leading(config: &Config) -> Result<ReplicaStatus, String> {
+pub async fn leader_status(config: &Config) -> Result<ReplicaStatus, String> {
     let mut statuses = statuses(config).await;
     statuses.retain(|(_, status)| !matches!(status, Ok(status) if !status.is_leader));
     let best = statuses
@@ -91,17 +101,17 @@
     let mut why = String::new();
     let mut asked = false;
     while tokio::time::Instant::now() < until {
-        match leading(config).await {
+        match leader_status(config).await {
             Ok(leader) if leader.voters.contains(&new) && !leader.voters.contains(&old) => return Ok(()),
             Ok(leader) if asked => {
                 why = format!("it goes on: {:?} vote, {:?} learn", leader.voters, leader.learners)
             }
             Ok(leader) => {
                 let wanted = Operation::ReplaceReplica { old, new, address: address.clone() };
-                match ask(config, leader.replica_id, wanted).await? {
+                match call(config, leader.replica_id, wanted).await? {
                     Response::Done => asked = true,
                     Response::Rejected(reason) => return Err(reason.to_string()),
-                    other => why = format!("{other:?}"),
+                    other => why = response_text(&other),
                 }
             }
             Err(error) => why = error,
@@ -112,10 +122,10 @@
 }
 
 /// Asks the keeper that leads.
-async fn ask_leader(config: &Config, ask: Operation) -> Result<Response, String> {
+async fn call_leader(config: &Config, ask: Operation) -> Result<Response, String> {
     let mut keepers =
-        Keepers::new(&config.installation, ClientIdentity::Operator, config.keepers.clone(), None);
-    let answer = keepers.ask(&ask, tokio::time::Instant::now() + CALL).await;
+        Keepers::new(&config.installation, ClientIdentity::Operator, config.coordinators.clone(), None);
+    let answer = keepers.ask(&ask, tokio::time::Instant::now() + CALL_TIMEOUT).await;
     answer.map_err(|why| format!("{why}: a majority of the keepers has to be there and reach each other"))
 }
 
@@ -123,9 +133,9 @@
 ///
 /// # Errors
 /// Nobody leads.
-pub async fn account(config: &Config) -> Result<(u64, DisruptionState), String> {
+pub async fn disruption_state(config: &Config) -> Result<(u64, DisruptionState), String> {
     // Nothing is known yet: an account that never changed is an empty one.
-    match ask_leader(config, Operation::DisruptionState { known_revision: 0 }).await? {
+    match call_leader(config, Operation::DisruptionState { known_revision: 0 }).await? {
         Response::DisruptionState(revision, account) => {
             Ok((revision, account.map_or_else(DisruptionState::default, |all| *all)))
         }
@@ -137,8 +147,11 @@
 ///
 /// # Errors
 /// Nobody leads, or it is refused.
-pub async fn change(config: &Config, command: DisruptionCommand) -> Result<DisruptionOutcome, String> {
-    match ask_leader(config, Operation::ChangeDisruptionState(command)).await? {
+pub async fn change_disruption_state(
+    config: &Config,
+    command: DisruptionCommand,
+) -> Result<DisruptionOutcome, String> {
+    match call_leader(config, Operation::ChangeDisruptionState(command)).await? {
         Response::DisruptionStateChanged(DisruptionOutcome::Rejected(why)) => Err(why.to_string()),
         Response::DisruptionStateChanged(outcome) => Ok(outcome),
         Response::Rejected(reason) => Err(reason.to_string()),
@@ -147,7 +160,7 @@
 }
 
 /// The account for programs.
-pub fn account_json(state: &DisruptionState) -> serde_json::Value {
+pub fn disruption_state_json(state: &DisruptionState) -> serde_json::Value {
     let (version, _) = state.budgets();
     let budgets = state.budget_usage().into_iter().map(|(budget, place, sum)| {
         serde_json::json!({
@@ -179,7 +192,7 @@
 }
 
 /// The account for people.
-pub fn account_text(state: &DisruptionState) -> String {
+pub fn disruption_state_text(state: &DisruptionState) -> String {
     let mut text = String::new();
     let (version, budgets) = state.budgets();
     let _ = writeln!(text, "budgets, version {version}:");
@@ -223,19 +236,23 @@
 ///
 /// # Errors
 /// Nobody leads, or the duty has no such term.
-pub async fn release(config: &Config, duty: DutyId, token: Option<Token>) -> Result<(), String> {
-    let leader = leading(config).await?;
-    match ask(config, leader.replica_id, Operation::ReleaseLease { lease: duty.clone(), token }).await? {
+pub async fn release_lease(
+    config: &Config,
+    duty: LeaseId,
+    token: Option<FencingToken>,
+) -> Result<(), String> {
+    let leader = leader_status(config).await?;
+    match call(config, leader.replica_id, Operation::ReleaseLease { lease: duty.clone(), token }).await? {
         Response::Done => Ok(()),
         Response::Rejected(reason) => Err(format!("{duty}: {reason}")),
-        other => Err(format!("{duty}: not done: {other:?}; ask again")),
+        other => Err(format!("{duty}: not done: {}; ask again", response_text(&other))),
     }
 }
 
 /// The figures of a keeper for Prometheus, in its text form.
-pub fn figures(status: &ReplicaStatus) -> String {
+pub fn metrics_text(status: &ReplicaStatus) -> String {
     let mut text = String::new();
-    let mut figure = |name: &str, kind: &str, help: &str, rows: &[(String, u64)]| {
+    let mut metric = |name: &str, kind: &str, help: &str, rows: &[(String, u64)]| {
         let _ =
             writeln!(text, "# HELP cairncrank_keeper_{name} {help}\n# TYPE cairncrank_keeper_{name} {kind}");
         for (labels, value) in rows {
@@ -243,26 +260,26 @@
         }
     };
     let one = |value: u64| vec![(String::new(), value)];
-    figure("leads", "gauge", "Whether this keeper leads.", &one(status.is_leader.into()));
-    figure("term", "gauge", "The term of Raft.", &one(status.raft_term));
-    figure("applied_entries", "counter", "The last entry applied.", &one(status.applied_index));
-    figure("elections_total", "counter", "Leaders seen since the start.", &one(status.election_count));
-    figure("starts_total", "counter", "How often this disk was started.", &one(status.start_count));
-    figure("members", "gauge", "Sessions of members.", &one(status.members.len() as u64));
+    metric("leads", "gauge", "Whether this keeper leads.", &one(status.is_leader.into()));
+    metric("term", "gauge", "The term of Raft.", &one(status.raft_term));
+    metric("applied_entries", "counter", "The last entry applied.", &one(status.applied_index));
+    metric("elections_total", "counter", "Leaders seen since the start.", &one(status.election_count));
+    metric("starts_total", "counter", "How often this disk was started.", &one(status.start_count));
+    metric("members", "gauge", "Sessions of members.", &one(status.members.len() as u64));
     let quantiles =
         [("0.5", status.commit_latency.0), ("0.99", status.commit_latency.1), ("1", status.commit_latency.2)];
     let quantiles: Vec<_> = quantiles.map(|(q, us)| (format!("{{quantile=\"{q}\"}}"), us)).into();
-    figure(
+    metric(
         "commit_microseconds",
         "gauge",
         "From a proposal to its being applied, since the start.",
         &quantiles,
     );
     let owners = status.leases.iter().map(|duty| {
-        let (owner, token) = duty.holder.clone().unwrap_or((String::new(), Token(0)));
+        let (owner, token) = duty.holder.clone().unwrap_or((String::new(), FencingToken(0)));
         (format!("{{duty={:?},owner={owner:?}}}", duty.lease.to_string()), token.0)
     });
-    figure(
+    metric(
         "duty_token",
         "gauge",
         "The token of a duty's running term, 0 without an owner.",
--- a/crates/coordinator/tests/compatibility/settings.rs
+++ b/crates/coordinator/tests/compatibility/settings.rs
@@ -4,8 +4,8 @@
 use std::net::IpAddr;
 use std::path::Path;
 
-use coordination::Times;
-use coordinator::config::{budgets, parse, read, read_budgets};
+use coordination::Timing;
+use coordinator::config::{parse, parse_budgets, read, read_budgets};
 use disruption_budget::{Amount, Budget, BudgetScope, TargetKind};
 
 const MEMBERS: &str = r#"installation = "north"
@@ -30,38 +30,41 @@
     let config = read(&example("every-key.hcl")).unwrap();
     assert_eq!(config.installation, "north");
     let addresses: Vec<(u64, String)> =
-        config.keepers.iter().map(|(number, address)| (*number, address.to_string())).collect();
+        config.coordinators.iter().map(|(number, address)| (*number, address.to_string())).collect();
     let expected = [(1, "192.0.2.11:7100"), (2, "192.0.2.12:7100"), (7, "[2001:db8::13]:7100")];
     assert_eq!(addresses, expected.map(|(number, address)| (number, address.to_owned())));
     assert_eq!(config.first_token, 5_000);
-    let times = Times {
-        lease: 2_000_000,
-        renew: 500_000,
-        call: 600_000,
-        stay: 1_100_000,
-        short: 11_000_000,
-        skew_ppm: 2_000,
-        election: 480_000,
-        heartbeat: 90_000,
+    let times = Timing {
+        lease_duration: 2_000_000,
+        renewal_interval: 500_000,
+        call_timeout: 600_000,
+        stability_period: 1_100_000,
+        short_session_limit: 11_000_000,
+        max_clock_skew_ppm: 2_000,
+        election_timeout: 480_000,
+        heartbeat_interval: 90_000,
     };
     assert_eq!(config.times, times);
     let serve = config.serve.unwrap();
-    assert_eq!(serve.keeper, 7);
+    assert_eq!(serve.coordinator_id, 7);
     assert_eq!(serve.listen.to_string(), "0.0.0.0:7101");
-    assert_eq!(serve.store, Path::new("/var/lib/keeper"));
-    assert_eq!(serve.bind, Some("192.0.2.13".parse::<IpAddr>().unwrap()));
-    assert_eq!(serve.connections, 4_000);
-    assert_eq!(serve.speaks, 2);
-    assert_eq!(serve.flaw, None);
+    assert_eq!(serve.store_directory, Path::new("/var/lib/keeper"));
+    assert_eq!(serve.bind_address, Some("192.0.2.13".parse::<IpAddr>().unwrap()));
+    assert_eq!(serve.max_connections, 4_000);
+    assert_eq!(serve.protocol_version, 2);
+    assert_eq!(serve.injected_bug, None);
 }
 
 #[test]
 fn keys_that_are_left_out_have_their_defaults() {
     let config = parse("keeper.hcl", &format!("{MEMBERS}{SERVE}")).unwrap();
-    assert_eq!((config.first_token, config.times), (1, Times::default()));
+    assert_eq!((config.first_token, config.times), (1, Timing::default()));
     let serve = config.serve.unwrap();
     assert_eq!(serve.listen.to_string(), "192.0.2.11:7100");
-    assert_eq!((serve.bind, serve.connections, serve.speaks, serve.flaw), (None, 1_024, 3, None));
+    assert_eq!(
+        (serve.bind_address, serve.max_connections, serve.protocol_version, serve.injected_bug),
+        (None, 1_024, 3, None)
+    );
     assert!(parse("keeper.hcl", MEMBERS).unwrap().serve.is_none());
 }
 
@@ -141,7 +144,7 @@
     ];
     let mut all = String::new();
     for text in cases {
-        let _ = writeln!(all, "{}", budgets("budgets.hcl", &text).unwrap_err());
+        let _ = writeln!(all, "{}", parse_budgets("budgets.hcl", &text).unwrap_err());
     }
     let _ = writeln!(all, "{}", read_budgets(Path::new("nowhere/budgets.hcl")).unwrap_err());
     insta::assert_snapshot!("budget_faults", all);
@@ -162,7 +165,7 @@
         ("begin-unasked", InjectedBug::BeginUnknownPermit),
     ] {
         let config = parse("keeper.hcl", &with_injected_bug(name)).unwrap();
-        assert_eq!(config.serve.unwrap().flaw, Some(bug));
+        assert_eq!(config.serve.unwrap().injected_bug, Some(bug));
     }
     let fault = parse("keeper.hcl", &with_injected_bug("unknown")).unwrap_err().to_string();
     assert_eq!(fault, "keeper.hcl:14: serve.flaw: there is no flaw \"unknown\"");
--- a/crates/coordinator/tests/compatibility/store.rs
+++ b/crates/coordinator/tests/compatibility/store.rs
@@ -8,9 +8,9 @@
 use std::path::Path;
 
 use cluster_member::wire::StoreIdentity;
-use coordination::{Command, DutyId, Revision, SessionId, State, Times, Token};
-use coordinator::disk::{self, Batch, Disk};
-use coordinator::node::Node;
+use coordination::{Command, FencingToken, LeaseId, Revision, SessionId, StateMachine, Timing};
+use coordinator::replica::Replica;
+use coordinator::store::{self, Store, WriteBatch};
 use disruption_budget::{
     Amount, Availability, Budget, BudgetScope, DisruptionCommand, Target, TargetKind, TargetStatus,
 };
@@ -30,13 +30,13 @@
 /// One file: its snapshot is of this version, and its entries up to it.
 struct Example {
     fixture: &'static str,
-    state: State,
+    state: StateMachine,
     configuration: ConfState,
     commands: Vec<Command>,
 }
 
-fn lease() -> DutyId {
-    DutyId::fleet("list")
+fn lease() -> LeaseId {
+    LeaseId::fleet("list")
 }
 
 fn target(kind: TargetKind, name: &str) -> Target {
@@ -45,39 +45,39 @@
 
 fn first_commands() -> Vec<Command> {
     vec![
-        Command::KeeperStarted { keeper: 2, boots: 1 },
-        Command::Join {
+        Command::RecordReplicaStart { replica: 2, starts: 1 },
+        Command::OpenSession {
             name: "berlin".to_owned(),
-            boot: 7,
+            boot_id: 7,
             zone: "east".to_owned(),
             address: "192.0.2.41:7200".to_owned(),
-            offers: vec![
+            eligible_leases: vec![
                 lease(),
-                DutyId::fleet("account"),
-                DutyId::zone("watch", "east"),
-                DutyId::set("watch", 3),
+                LeaseId::fleet("account"),
+                LeaseId::zone("watch", "east"),
+                LeaseId::worker_set("watch", 3),
             ],
-            short: false,
+            short_lived: false,
         },
-        Command::Settle { session: SessionId(3) },
-        Command::Grant { duty: lease(), session: SessionId(3), fenced: 3 },
+        Command::MarkSessionStable { session: SessionId(3) },
+        Command::GrantLease { lease: lease(), session: SessionId(3), fencing_revision: 3 },
     ]
 }
 
 /// Those of a later entry, once the ones above were applied from entry 2 on.
 fn later_commands() -> Vec<Command> {
     vec![
-        Command::Release { duty: lease(), token: Token(50), unsettle: true },
-        Command::End { session: SessionId(3), short: true },
-        Command::Leave { session: SessionId(3), short: false },
+        Command::ReleaseLease { lease: lease(), token: FencingToken(50), reset_stability: true },
+        Command::ExpireSession { session: SessionId(3), short_lived: true },
+        Command::CloseSession { session: SessionId(3), short_lived: false },
     ]
 }
 
 fn replacement() -> Vec<Command> {
     vec![
-        Command::ReplaceKeeper { old: 3, new: 4, address: "192.0.2.14:7100".to_owned() },
-        Command::KeeperReplaced { old: 3 },
-        Command::ReplaceKeeper { old: 1, new: 5, address: "192.0.2.15:7100".to_owned() },
+        Command::ReplaceReplica { old: 3, new: 4, address: "192.0.2.14:7100".to_owned() },
+        Command::CompleteReplacement { old: 3 },
+        Command::ReplaceReplica { old: 1, new: 5, address: "192.0.2.15:7100".to_owned() },
     ]
 }
 
@@ -143,13 +143,13 @@
             operator: "an operator".to_owned(),
         },
     ];
-    changes.into_iter().map(Command::Account).collect()
+    changes.into_iter().map(Command::Disruption).collect()
 }
 
 /// The state after these commands, the first of them at entry 2.
-fn state_after(commands: &[Command]) -> State {
-    let mut state = State::new(FIRST_TOKEN);
-    state.skip(1);
+fn state_after(commands: &[Command]) -> StateMachine {
+    let mut state = StateMachine::new(FIRST_TOKEN);
+    state.skip_entry(1);
     for (index, command) in (2..).zip(commands) {
         state.apply(index, command);
     }
@@ -170,10 +170,11 @@
         ..ConfState::default()
     };
     let second = [first_commands(), replacement()].concat();
-    let observer = Command::Grant { duty: DutyId::fleet("account"), session: SessionId(3), fenced: 3 };
+    let observer =
+        Command::GrantLease { lease: LeaseId::fleet("account"), session: SessionId(3), fencing_revision: 3 };
     let third = [first_commands(), vec![observer], permits(7)].concat();
     let further =
-        [permits(14), vec![Command::Account(DisruptionCommand::CancelPermit { permit: 12 })]].concat();
+        [permits(14), vec![Command::Disruption(DisruptionCommand::CancelPermit { permit: 12 })]].concat();
     [
         example("store-version-1.hex", first_commands(), later_commands()),
         Example { configuration: joint, ..example("store-version-2.hex", second, replacement()) },
@@ -231,13 +232,15 @@
 
     /// Writes the store by the code of today.
     fn write(&self, folder: &Path) {
-        disk::bootstrap(folder, "north", COORDINATOR, &[1, 2, 3], FIRST_TOKEN, DISK).unwrap();
-        let (store, _) = Disk::open(folder, "north", COORDINATOR).unwrap();
+        store::bootstrap(folder, "north", COORDINATOR, &[1, 2, 3], FIRST_TOKEN, DISK).unwrap();
+        let (store, _) = Store::open(folder, "north", COORDINATOR).unwrap();
         let snapshot = self.snapshot();
         write_snapshot(&store, &snapshot);
         let (entries, hard_state) = (self.entries(), self.hard_state());
-        store.write(&Batch { entries: &entries, hard: Some(&hard_state), ..Batch::default() }).unwrap();
-        store.write(&Batch { peers: &self.peers(), ..Batch::default() }).unwrap();
+        store
+            .write(&WriteBatch { entries: &entries, hard_state: Some(&hard_state), ..WriteBatch::default() })
+            .unwrap();
+        store.write(&WriteBatch { peers: &self.peers(), ..WriteBatch::default() }).unwrap();
     }
 }
 
@@ -294,8 +297,8 @@
     let _guard = no_process_starts();
     let folder = tempfile::tempdir().unwrap();
     let (first, joining) = (folder.path().join("first"), folder.path().join("joining"));
-    disk::bootstrap(&first, "north", COORDINATOR, &[1, 2, 3], FIRST_TOKEN, DISK).unwrap();
-    disk::bootstrap_joining(&joining, "north", 4, DISK).unwrap();
+    store::bootstrap(&first, "north", COORDINATOR, &[1, 2, 3], FIRST_TOKEN, DISK).unwrap();
+    store::bootstrap_joining(&joining, "north", 4, DISK).unwrap();
     let all = format!(
         "bootstrap\n{}\nbootstrap of one that joins\n{}",
         dump(&first.join("keeper.redb")),
@@ -316,22 +319,22 @@
     for example in examples() {
         let folder = tempfile::tempdir().unwrap();
         unpack_fixture(example.fixture, &folder.path().join("keeper.redb"));
-        let (_, found) = Disk::open(folder.path(), "north", COORDINATOR).unwrap();
+        let (_, recovered) = Store::open(folder.path(), "north", COORDINATOR).unwrap();
         let version = example.fixture;
         // The fixture was started once, and this start counts.
         let identity =
             StoreIdentity { replica_id: COORDINATOR, store_id: DISK, start_count: 2, raft_term: 4 };
-        assert_eq!(found.identity, identity, "{version}");
-        assert_eq!(found.hard, example.hard_state(), "{version}");
-        assert_eq!(found.snapshot, example.snapshot(), "{version}");
-        assert_eq!(State::restore(found.snapshot.get_data()).unwrap(), example.state, "{version}");
-        assert_eq!(found.entries, example.entries(), "{version}");
-        for (entry, command) in found.entries.iter().zip(&example.commands) {
+        assert_eq!(recovered.identity, identity, "{version}");
+        assert_eq!(recovered.hard_state, example.hard_state(), "{version}");
+        assert_eq!(recovered.snapshot, example.snapshot(), "{version}");
+        assert_eq!(StateMachine::restore(recovered.snapshot.get_data()).unwrap(), example.state, "{version}");
+        assert_eq!(recovered.entries, example.entries(), "{version}");
+        for (entry, command) in recovered.entries.iter().zip(&example.commands) {
             assert_eq!(Command::decode(&entry.data).unwrap(), *command, "{version}");
         }
         let peers: BTreeMap<u64, StoreIdentity> =
             example.peers().into_iter().map(|peer| (peer.replica_id, peer)).collect();
-        assert_eq!(found.peers, peers, "{version}");
+        assert_eq!(recovered.peers, peers, "{version}");
     }
 }
 
@@ -341,8 +344,8 @@
     for example in examples() {
         let folder = tempfile::tempdir().unwrap();
         unpack_fixture(example.fixture, &folder.path().join("keeper.redb"));
-        let (store, found) = Disk::open(folder.path(), "north", COORDINATOR).unwrap();
-        let mut node = Node::new(store, found, Times::default(), TICK, 1).unwrap();
+        let (store, recovered) = Store::open(folder.path(), "north", COORDINATOR).unwrap();
+        let mut node = Replica::new(store, recovered, Timing::default(), TICK, 1).unwrap();
         node.tick(TICK).unwrap();
         let mut expected = example.state.clone();
         for (index, command) in (example.state.revision() + 1..).zip(&example.commands) {
@@ -359,15 +362,15 @@
         );
         assert_eq!(node.next_token(), expected.next_token(), "{version}");
         assert_eq!(status.members.len(), expected.sessions().len(), "{version}");
-        assert_eq!(status.leases.len(), expected.duties().len(), "{version}");
-        for (status, (id, lease)) in status.leases.iter().zip(expected.duties()) {
-            let owner: Option<(Token, Revision)> =
+        assert_eq!(status.leases.len(), expected.leases().len(), "{version}");
+        for (status, (id, lease)) in status.leases.iter().zip(expected.leases()) {
+            let owner: Option<(FencingToken, Revision)> =
                 status.holder.as_ref().map(|(_, token)| (*token, status.fencing_revision));
             assert_eq!(status.lease, *id, "{version}");
-            assert_eq!(owner, lease.owner.map(|owner| (owner.token, lease.fenced)), "{version}");
-            assert_eq!(status.minimum_token, lease.floor, "{version}");
+            assert_eq!(owner, lease.holder.map(|owner| (owner.token, lease.fencing_revision)), "{version}");
+            assert_eq!(status.minimum_token, lease.minimum_token, "{version}");
         }
-        let replaced = expected.replacing().map(|replacing| (replacing.old, replacing.new));
+        let replaced = expected.replacement_in_progress().map(|replacing| (replacing.old, replacing.new));
         assert_eq!(status.replacement, replaced, "{version}");
     }
 }
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -14,7 +14,9 @@
 use crate::engine::{micros, ListedEndpoint, Micros};
 use crate::settings_file::{ClusterSettings, LocalSettings};
 use dispatch_core::api::{Endpoint, Idempotency, ListScope, Settings, WorkerState};
-use dispatch_core::settings::{parse_settings, worker_id, InvalidValue, SettingsPairs};
+use dispatch_core::hashing::worker_id;
+use dispatch_core::settings::parse_settings;
+use dispatch_core::settings_pairs::{InvalidValue, SettingsPairs};
 
 /// Descriptors where no limit is told.
 const DEFAULT_SOCKETS: usize = 1024;
--- a/crates/dispatcher/src/net/client.rs
+++ b/crates/dispatcher/src/net/client.rs
@@ -18,7 +18,7 @@
 use crate::engine::{micros, Answer, Handle, Input, InvalidRequest, Job, Micros, Payload};
 use dispatch_core::api::{Request, RequestId};
 
-use dispatch_core::settings::hash_bytes;
+use dispatch_core::hashing::hash_bytes;
 
 /// From this part of the connections on, in hundredths, idle ones are closed and new ones refused: a
 /// dispatcher without descriptors could neither accept nor reach a worker.
--- a/crates/dispatcher/src/net/cluster/health_checks.rs
+++ b/crates/dispatcher/src/net/cluster/health_checks.rs
@@ -7,10 +7,13 @@
 
 use cluster_member::clock;
 use cluster_member::effects::Publisher;
+use cluster_member::health_check::{
+    HealthCheckConfig, HealthCheckScheduler, HealthReport, HealthReports, InjectedBug, UnhealthyVerdict,
+    ZoneLiveness,
+};
 use cluster_member::member::Member;
-use cluster_member::watch::{Against, Flaw, Report, Rounds, Sightings, Watching, Zones};
 use cluster_member::wire::Effect;
-use coordination::{Micros, Token};
+use coordination::{FencingToken, Micros};
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{interval, MissedTickBehavior};
 
@@ -23,8 +26,8 @@
 
 /// One set in one term of ours.
 struct Term {
-    token: Token,
-    rounds: Rounds,
+    token: FencingToken,
+    rounds: HealthCheckScheduler,
     publisher: Publisher,
     /// The probes that are out.
     health_checks: BTreeMap<u64, AbortHandle>,
@@ -38,7 +41,7 @@
 
 /// This dispatcher's part in watching workers.
 pub(super) struct ClusterHealthChecks {
-    config: Watching,
+    config: HealthCheckConfig,
     /// Our own zone.
     zone: String,
     member: Member,
@@ -46,21 +49,21 @@
     metrics: ClusterMetrics,
     terms: RefCell<BTreeMap<u16, Term>>,
     /// What all our sets say of each zone.
-    zones: RefCell<Zones>,
-    sightings: RefCell<Sightings>,
+    zones: RefCell<ZoneLiveness>,
+    sightings: RefCell<HealthReports>,
     /// What the engine was told is held against whom.
-    notified: RefCell<BTreeMap<u64, Against>>,
+    notified: RefCell<BTreeMap<u64, UnhealthyVerdict>>,
 }
 
 impl ClusterHealthChecks {
     pub(super) fn new(
-        how: Watching,
+        how: HealthCheckConfig,
         zone: String,
         member: Member,
         pool: Rc<Pool>,
         metrics: ClusterMetrics,
     ) -> ClusterHealthChecks {
-        let sightings = RefCell::new(Sightings::new(how));
+        let sightings = RefCell::new(HealthReports::new(how));
         let (terms, told, zones) = (RefCell::default(), RefCell::default(), RefCell::default());
         ClusterHealthChecks {
             config: how,
@@ -77,10 +80,10 @@
 
     /// Another member says what it sees; its token was found good.
     pub(super) fn handle_report(&self, effect: &Effect) {
-        let Some(set) = self.config.set(&effect.lease) else { return };
-        match Report::unpack(&effect.body) {
+        let Some(set) = self.config.set_of_lease(&effect.lease) else { return };
+        match HealthReport::decode(&effect.body) {
             Some(report) => {
-                self.sightings.borrow_mut().take(set, effect.token, report, clock::now());
+                self.sightings.borrow_mut().record(set, effect.token, report, clock::now());
                 self.notify_engine();
             }
             None => tracing::warn!(duty = %effect.lease, "what a watcher says cannot be read"),
@@ -108,21 +111,21 @@
 
     /// Notices which sets are ours.
     fn update_terms(&self) {
-        let owned: BTreeMap<u16, Token> = self
+        let owned: BTreeMap<u16, FencingToken> = self
             .member
             .owned()
             .into_iter()
-            .filter_map(|(duty, token)| Some((self.config.set(&duty)?, token)))
+            .filter_map(|(duty, token)| Some((self.config.set_of_lease(&duty)?, token)))
             .collect();
         let mut terms = self.terms.borrow_mut();
         terms.retain(|set, term| owned.get(set) == Some(&term.token));
         for (set, token) in owned {
             terms.entry(set).or_insert_with(|| {
                 tracing::info!(set, token = token.0, "watches workers for the fleet");
-                let duty = coordination::DutyId::set(&self.config.name(), set);
+                let duty = coordination::LeaseId::worker_set(&self.config.lease_name(), set);
                 Term {
                     token,
-                    rounds: Rounds::new(self.config, &self.zone),
+                    rounds: HealthCheckScheduler::new(self.config, &self.zone),
                     publisher: Publisher::new(&self.member, duty, token),
                     health_checks: BTreeMap::new(),
                 }
@@ -139,32 +142,32 @@
         let (mut watched, mut failing) = (0, 0);
         for (set, term) in terms.iter_mut() {
             let ours = peers.iter().filter(|(id, peer)| {
-                peer.accepts_work.get() && self.config.set_of(id.0, peer.zone.get()) == *set
+                peer.accepts_work.get() && self.config.set_of_worker(id.0, peer.zone.get()) == *set
             });
             let zone = |at: u32| zones.get(at as usize).map_or("", String::as_str);
-            term.rounds.list(now, ours.map(|(id, peer)| (id.0, zone(peer.zone.get()))));
-            for worker in term.rounds.due(now) {
+            term.rounds.update_workers(now, ours.map(|(id, peer)| (id.0, zone(peer.zone.get()))));
+            for worker in term.rounds.due_probes(now) {
                 let task = spawn_local(self.clone().check_worker(*set, term.token, worker));
                 term.health_checks.insert(worker, task.abort_handle());
             }
-            let counts = term.rounds.counts();
+            let counts = term.rounds.worker_counts();
             (watched, failing) = (watched + counts.0, failing + counts.1);
         }
         self.metrics.workers_checked.set(watched as i64);
         self.metrics.workers_failing.set(failing as i64);
     }
 
-    async fn check_worker(self: Rc<Self>, set: u16, token: Token, worker: u64) {
-        let duty = coordination::DutyId::set(&self.config.name(), set);
+    async fn check_worker(self: Rc<Self>, set: u16, token: FencingToken, worker: u64) {
+        let duty = coordination::LeaseId::worker_set(&self.config.lease_name(), set);
         let may = || {
             // The last thing before the write: a look at the lease by the clock, and the time for the next one.
             let now = clock::now();
-            let looked = self.member.holder().borrow().may_act(&duty, token, now);
-            let may = looked || self.config.flaw == Some(Flaw::NoLook);
+            let looked = self.member.holder().borrow().holds_lease(&duty, token, now);
+            let may = looked || self.config.injected_bug == Some(InjectedBug::SkipLeaseCheck);
             if may {
                 let what = serde_json::json!({"duty": duty.to_string(), "token": token.0, "worker": worker});
                 self.member.record().put(now, "acted", what);
-                self.with_term(set, token, |term| term.rounds.written(worker, now));
+                self.with_term(set, token, |term| term.rounds.probe_sent(worker, now));
                 self.metrics.health_checks.inc();
             }
             may
@@ -172,12 +175,12 @@
         let well = health_check::check_on_new_connection(&self.pool, WorkerId(worker), may).await;
         self.with_term(set, token, |term| {
             term.health_checks.remove(&worker);
-            term.rounds.ended(worker, well, clock::now(), &mut self.zones.borrow_mut());
+            term.rounds.probe_finished(worker, well, clock::now(), &mut self.zones.borrow_mut());
         });
     }
 
     /// Does something with a term that is still ours.
-    fn with_term(&self, set: u16, token: Token, change: impl FnOnce(&mut Term)) {
+    fn with_term(&self, set: u16, token: FencingToken, change: impl FnOnce(&mut Term)) {
         if let Some(term) = self.terms.borrow_mut().get_mut(&set).filter(|term| term.token == token) {
             change(term);
         }
@@ -187,16 +190,16 @@
     fn publish_reports(&self) {
         for (set, term) in self.terms.borrow_mut().iter_mut() {
             let now = clock::now();
-            let Some(report) = term.rounds.report(now, &self.zones.borrow()) else { continue };
-            term.publisher.say(report.pack());
-            self.sightings.borrow_mut().take(*set, term.token, report, now);
+            let Some(report) = term.rounds.next_report(now, &self.zones.borrow()) else { continue };
+            term.publisher.say(report.encode());
+            self.sightings.borrow_mut().record(*set, term.token, report, now);
         }
     }
 
     /// Tells the engine what is held against whom, where that has changed.
     fn notify_engine(&self) {
         let now = clock::now();
-        let against = self.sightings.borrow().against(now);
+        let against = self.sightings.borrow().verdicts(now);
         let mut told = self.notified.borrow_mut();
         if *told == against {
             return;
@@ -214,7 +217,7 @@
             if !told.contains_key(worker) {
                 tracing::info!(worker, "a watcher sees this worker fail");
             }
-            tell(*worker, now.saturating_sub(one.seen), one.until.saturating_sub(now));
+            tell(*worker, now.saturating_sub(one.last_failure), one.expires_at.saturating_sub(now));
         }
         self.metrics.workers_reported_failing.set(against.len() as i64);
         *told = against;
--- a/crates/dispatcher/src/net/cluster/mod.rs
+++ b/crates/dispatcher/src/net/cluster/mod.rs
@@ -13,14 +13,14 @@
 use std::time::Duration;
 
 use cluster_member::clock;
-use cluster_member::cold::{Dealing, Warming, COLD};
 use cluster_member::effects::{receive, Publisher};
-use cluster_member::list::{Ledger, News, Reliance, LIST};
+use cluster_member::endpoint_list::{DiscoveryFallback, EndpointSnapshot, WatchEvent, ENDPOINT_LIST_LEASE};
+use cluster_member::health_check::HealthCheckConfig;
 use cluster_member::member::{Ended, Member, Settings};
 use cluster_member::record::Recorder;
-use cluster_member::watch::Watching;
-use coordination::{DutyId, Holder, Micros};
-use dispatch_core::settings::worker_id;
+use cluster_member::slow_start::{QuotaConfig, SlowStartProfile, SLOW_START_LEASE};
+use coordination::{LeaseClient, LeaseId, Micros};
+use dispatch_core::hashing::worker_id;
 use disruption_budget::availability_observer::{ListedWorker, WarmupTracker, OBSERVER_LEASE};
 use serde_json::Value;
 use tokio::net::TcpListener;
@@ -51,8 +51,8 @@
     /// What revisions count at.
     source: RefCell<String>,
     member: Member,
-    ledger: RefCell<Ledger>,
-    reliance: RefCell<Reliance>,
+    ledger: RefCell<EndpointSnapshot>,
+    reliance: RefCell<DiscoveryFallback>,
     /// Whether discovery is to be asked from here.
     polls_discovery: watch::Sender<bool>,
     term: RefCell<Option<Publisher>>,
@@ -68,7 +68,7 @@
 pub(super) struct ClusterHandle {
     pub(super) shared_list: Rc<SharedList>,
     /// What an owner of the list says.
-    pub(super) events: mpsc::Receiver<News>,
+    pub(super) events: mpsc::Receiver<WatchEvent>,
     /// Who decides on a planned standby, where that is agreed on.
     pub(super) planned_drain: Option<Rc<PlannedDrain>>,
 }
@@ -84,11 +84,12 @@
     let listener = TcpListener::bind(settings.listen).await?;
     let address = settings.advertised_address.map_or_else(|| listener.local_addr(), Ok)?;
     let zones = config.names.zones.len().clamp(1, usize::from(u16::MAX)) as u16;
-    let watch = settings.health_checks.map(|how| Watching { zones, ..how });
-    let mut offers: Vec<DutyId> = settings.shared_list.then(|| DutyId::fleet(LIST)).into_iter().collect();
-    offers.extend(settings.slow_start.map(|_| DutyId::fleet(COLD)));
-    offers.extend(settings.readiness_validity.map(|_| DutyId::fleet(OBSERVER_LEASE)));
-    offers.extend(watch.iter().flat_map(|how| how.duties()));
+    let watch = settings.health_checks.map(|how| HealthCheckConfig { zone_count: zones, ..how });
+    let mut offers: Vec<LeaseId> =
+        settings.shared_list.then(|| LeaseId::fleet(ENDPOINT_LIST_LEASE)).into_iter().collect();
+    offers.extend(settings.slow_start.map(|_| LeaseId::fleet(SLOW_START_LEASE)));
+    offers.extend(settings.readiness_validity.map(|_| LeaseId::fleet(OBSERVER_LEASE)));
+    offers.extend(watch.iter().flat_map(|how| how.leases()));
     let zone = config.names.zones.get(config.settings.zone as usize).cloned().unwrap_or_default();
     let member = Settings {
         installation: settings.installation.clone(),
@@ -103,16 +104,17 @@
         seed: config.seed ^ 0x000f_1ee7,
     };
     let record = settings.record.as_deref().map_or(Ok(Recorder::default()), Recorder::to)?;
-    let member = Member::new(member, Holder::new(settings.times), record);
+    let member = Member::new(member, LeaseClient::new(settings.times), record);
     member.record().put(clock::now(), "started", serde_json::json!({}));
     let (sender, news) = mpsc::channel(WATCH_EVENT_QUEUE);
-    let watchers = watch.map(|how| {
+    let watchers =
+        watch.map(|how| {
         Rc::new(ClusterHealthChecks::new(how, zone, member.clone(), pool.clone(), metrics.clone()))
     });
     watchers.iter().for_each(|watchers| drop(spawn_local(watchers.clone().run())));
     let colds = settings.slow_start.map(|how| {
         let both =
-            (Dealing { written: config.dial_timeout + MAX_WRITE_DELAY, ..how }, slow_start_profile(config));
+            (QuotaConfig { delivery_timeout: config.dial_timeout + MAX_WRITE_DELAY, ..how }, slow_start_profile(config));
         Rc::new(SlowStartQuota::new(
             both,
             member.clone(),
@@ -125,21 +127,21 @@
     colds.iter().for_each(|colds| drop(spawn_local(colds.clone().run())));
     let leave = settings.readiness_validity.map(|holds| {
         let cold = slow_start_profile(config);
-        let warmup = WarmupTracker::new(cold.share, cold.within);
+        let warmup = WarmupTracker::new(cold.initial_capacity_fraction, cold.ramp_duration);
         Rc::new(PlannedDrain::new(holds, member.clone(), own, metrics.clone(), warmup))
     });
     leave.iter().for_each(|leave| drop(spawn_local(leave.clone().run())));
     let (leaver, watches) = (leave.clone(), watchers.clone());
     spawn_local(receive(member.clone(), listener, move |effect| match effect.lease.name.as_str() {
-        LIST => {
-            if let Ok(news) = serde_json::from_slice::<News>(&effect.body) {
+        ENDPOINT_LIST_LEASE => {
+            if let Ok(news) = serde_json::from_slice::<WatchEvent>(&effect.body) {
                 // The latest counts; where the queue is full, the next one says more than this.
                 let _ = sender.try_send(news);
             }
             Vec::new()
         }
         OBSERVER_LEASE => leaver.as_ref().map_or_else(Vec::new, |leave| leave.encoded_readiness()),
-        COLD => colds.as_ref().map_or_else(Vec::new, |colds| colds.handle_grants(&effect)),
+        SLOW_START_LEASE => colds.as_ref().map_or_else(Vec::new, |colds| colds.handle_grants(&effect)),
         _ => {
             watchers.iter().for_each(|watchers| watchers.handle_report(&effect));
             Vec::new()
@@ -147,7 +149,7 @@
     }));
     spawn_local(update_metrics(member.clone(), metrics));
     let source = settings.list_source.clone().unwrap_or_else(|| config.discovery.to_string());
-    let reliance = Reliance::drawn(settings.list_silence, settings.fallback_per_s, config.seed);
+    let reliance = DiscoveryFallback::with_seed(settings.list_silence, settings.fallback_per_s, config.seed);
     let lists = Rc::new(SharedList {
         settings: settings.clone(),
         source: RefCell::new(source),
@@ -171,13 +173,13 @@
 }
 
 /// What the platform says of cold workers.
-fn slow_start_profile(config: &Config) -> Warming {
+fn slow_start_profile(config: &Config) -> SlowStartProfile {
     let settings = &config.settings;
-    Warming {
-        share: settings.slow_start_min_capacity,
-        within: micros(settings.slow_start_duration),
-        multiple: settings.overload_multiple,
-        span: micros(settings.overload_window),
+    SlowStartProfile {
+        initial_capacity_fraction: settings.slow_start_min_capacity,
+        ramp_duration: micros(settings.slow_start_duration),
+        overload_factor: settings.overload_multiple,
+        overload_window: micros(settings.overload_window),
     }
 }
 
@@ -197,10 +199,10 @@
         rounds.tick().await;
         let now = clock::now();
         let holder = member.holder().borrow();
-        let counts = holder.counts();
-        metrics.session.set(i64::from(holder.session(now).is_some()));
-        metrics.leases_held.set(holder.owned(now).len() as i64);
-        metrics.effects_rejected.set((counts.old_tokens + counts.without_session) as i64);
+        let counts = holder.effect_counts();
+        metrics.session.set(i64::from(holder.active_session(now).is_some()));
+        metrics.leases_held.set(holder.held_leases(now).len() as i64);
+        metrics.effects_rejected.set((counts.stale_tokens + counts.without_session) as i64);
     }
 }
 
@@ -239,14 +241,14 @@
         self.discovery_heard_at.set(clock::now());
         self.publish_due.set(true);
         if let Some(list) = list {
-            self.ledger.borrow_mut().take(list);
+            self.ledger.borrow_mut().apply(list);
         }
     }
 
     /// Discovery is another place from here on, or read by other names: it is asked from here first.
     pub(super) fn source_changed(&self, discovery: SocketAddr) {
-        self.ledger.borrow_mut().forget();
-        self.reliance.borrow_mut().forget();
+        self.ledger.borrow_mut().clear();
+        self.reliance.borrow_mut().reset();
         self.decide_polling();
         if self.settings.list_source.is_none() {
             *self.source.borrow_mut() = discovery.to_string();
@@ -254,20 +256,20 @@
     }
 
     /// Whether an owner's news are of the same source, so that revisions can be compared.
-    pub(super) fn is_same_source(&self, news: &News) -> bool {
+    pub(super) fn is_same_source(&self, news: &WatchEvent) -> bool {
         news.source == *self.source.borrow()
     }
 
     /// An owner's news were taken in, and all that it knows is known here.
-    pub(super) fn accept_event(&self, news: &News) {
-        self.ledger.borrow_mut().take(&news.list);
-        self.reliance.borrow_mut().heard(clock::now(), news.members);
+    pub(super) fn accept_event(&self, news: &WatchEvent) {
+        self.ledger.borrow_mut().apply(&news.list);
+        self.reliance.borrow_mut().record_event(clock::now(), news.member_count);
         self.decide_polling();
     }
 
     fn decide_polling(&self) {
         let owns = self.term.borrow().is_some();
-        let asks = self.reliance.borrow().asks(clock::now(), owns);
+        let asks = self.reliance.borrow().should_poll(clock::now(), owns);
         let changed = self.polls_discovery.send_if_modified(|old| std::mem::replace(old, asks) != asks);
         if changed {
             tracing::info!(
@@ -295,7 +297,7 @@
 
     /// Notices whether this member owns the duty, and gives it back where discovery is silent here.
     fn update_term(&self) {
-        let duty = DutyId::fleet(LIST);
+        let duty = LeaseId::fleet(ENDPOINT_LIST_LEASE);
         let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
@@ -323,14 +325,17 @@
         let mut term = self.term.borrow_mut();
         let Some(term) = term.as_mut().filter(|_| self.publish_due.get()) else { return };
         let ledger = self.ledger.borrow();
-        let Some(list) = ledger.list() else { return };
+        let Some(list) = ledger.complete_list() else { return };
         self.publish_due.set(false);
         let state = (ledger.revision(), self.member.roster().len());
         let whole = self.published.replace(state) != state;
         let members = state.1 as u64;
         let revision = serde_json::json!({"revision": state.0});
-        let news =
-            News { source: self.source.borrow().clone(), members, list: if whole { list } else { revision } };
+        let news = WatchEvent {
+            source: self.source.borrow().clone(),
+            member_count: members,
+            list: if whole { list } else { revision },
+        };
         if let Ok(body) = serde_json::to_vec(&news) {
             term.say(body);
         }
--- a/crates/dispatcher/src/net/discovery.rs
+++ b/crates/dispatcher/src/net/discovery.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use cluster_member::list::News;
+use cluster_member::endpoint_list::WatchEvent;
 use rustc_hash::FxHashMap;
 use serde_json::Value;
 use tokio::net::TcpStream;
@@ -71,7 +71,7 @@
     mut configs: ConfigReceiver,
     handle: Handle,
     ready: watch::Sender<bool>,
-    fleet: Option<(Rc<SharedList>, mpsc::Receiver<News>)>,
+    fleet: Option<(Rc<SharedList>, mpsc::Receiver<WatchEvent>)>,
 ) {
     let (known, mut members) = configs.borrow().saved_list.clone();
     let told = NotifiedState {
@@ -154,7 +154,7 @@
 /// that neither a late word nor one that lags behind brings anything back.
 async fn follow_cluster_list(
     lists: Rc<SharedList>,
-    mut news: mpsc::Receiver<News>,
+    mut news: mpsc::Receiver<WatchEvent>,
     told: Rc<NotifiedState>,
     configs: ConfigReceiver,
     handle: Handle,
@@ -165,7 +165,7 @@
             tracing::debug!(source = news.source, "the fleet's list is of another source");
             continue;
         }
-        if news.is_whole() && news.revision() > told.newest_revision.get() {
+        if news.is_complete() && news.revision() > told.newest_revision.get() {
             let list = config::parse_endpoint_list(&news.list, &configs.borrow().names);
             match list {
                 Ok(mut list) => {
--- a/crates/dispatcher/src/net/planned_drain.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use cluster_member::clock;
+use cluster_member::coordinator_client::Keepers;
 use cluster_member::effects::Publisher;
-use cluster_member::keepers::Keepers;
 use cluster_member::member::Member;
 use cluster_member::wire::{ClientIdentity, Operation, Response};
-use coordination::{DutyId, Micros, Token};
+use coordination::{FencingToken, LeaseId, Micros};
 use disruption_budget::availability_observer::{
     AvailabilityObserver, ListedWorker, ReadinessReport, WarmupTracker, OBSERVER_LEASE,
 };
@@ -55,7 +55,7 @@
 pub(super) type Workers = Box<dyn Fn() -> Vec<ListedWorker>>;
 
 struct Term {
-    token: Token,
+    token: FencingToken,
     observer: Rc<RefCell<AvailabilityObserver>>,
     publisher: Publisher,
 }
@@ -221,7 +221,7 @@
         }
         // Whoever was stopped meanwhile may have been seen as another life: then the permit may be over.
         let now = clock::now();
-        if self.member.holder().borrow().session(now).is_none() || self.incarnation() != number {
+        if self.member.holder().borrow().active_session(now).is_none() || self.incarnation() != number {
             return rejected("this dispatcher lost its session meanwhile", RETRY_AFTER_S.0);
         }
         if force {
@@ -272,7 +272,7 @@
                 continue;
             }
             // The look at the lease comes right before the word; the keepers look at the token besides.
-            if !self.member.may_act(&DutyId::fleet(OBSERVER_LEASE), token) {
+            if !self.member.may_act(&LeaseId::fleet(OBSERVER_LEASE), token) {
                 continue;
             }
             let observe = DisruptionCommand::RecordObservation {
@@ -294,7 +294,7 @@
     fn update_term(&self) {
         let now = clock::now();
         self.warmup.borrow_mut().update_list(now, &self.listed_workers());
-        let duty = DutyId::fleet(OBSERVER_LEASE);
+        let duty = LeaseId::fleet(OBSERVER_LEASE);
         let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
@@ -319,7 +319,7 @@
     }
 
     /// Who is not as the account has them.
-    fn observe(&self, account: &DisruptionState) -> Option<(Token, Vec<TargetStatus>, Vec<Target>)> {
+    fn observe(&self, account: &DisruptionState) -> Option<(FencingToken, Vec<TargetStatus>, Vec<Target>)> {
         let term = self.term.borrow();
         let term = term.as_ref()?;
         let roster = self.member.roster();
--- a/crates/dispatcher/src/settings_file.rs
+++ b/crates/dispatcher/src/settings_file.rs
@@ -9,12 +9,12 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
-use cluster_member::cold::Dealing;
+use cluster_member::health_check::HealthCheckConfig;
 use cluster_member::settings;
-use cluster_member::watch::Watching;
-use coordination::{Micros, Times};
+use cluster_member::slow_start::QuotaConfig;
+use coordination::{Micros, Timing};
 use dispatch_core::api::CapacityReservation;
-use hcl_config::{Read, Section};
+use hcl_config::{HclResult, Section};
 
 use crate::config::ConfigError;
 
@@ -48,7 +48,7 @@
     /// The keepers, by number.
     pub coordinators: BTreeMap<u64, SocketAddr>,
     /// The times, the same as the keepers'.
-    pub times: Times,
+    pub times: Timing,
     /// Whether the list is asked for by one member.
     pub shared_list: bool,
     /// What discovery's revisions count at, if not at its address.
@@ -60,11 +60,11 @@
     /// A file for records of what this member did and took on behalf of duties, a JSON object a line.
     pub record: Option<PathBuf>,
     /// How workers are watched by one member each, where they are.
-    pub health_checks: Option<Watching>,
+    pub health_checks: Option<HealthCheckConfig>,
     /// How long what a dispatcher says of itself counts, where drains are agreed across the fleet.
     pub readiness_validity: Option<Micros>,
     /// How the budgets of cold workers are handed out by one member, where they are.
-    pub slow_start: Option<Dealing>,
+    pub slow_start: Option<QuotaConfig>,
 }
 
 /// What the file says.
@@ -107,7 +107,7 @@
     ///
     /// # Errors
     /// The first fault.
-    pub fn parse(file: &str, text: &str) -> Read<LocalSettings> {
+    pub fn parse(file: &str, text: &str) -> HclResult<LocalSettings> {
         let root = Section::parse(file, text)?;
         let own = LocalSettings {
             capacity_reservation: match root.section("room")? {
@@ -116,22 +116,22 @@
             },
             cluster: root.section("fleet")?.map(cluster_settings).transpose()?,
         };
-        root.finish()?;
+        root.deny_unknown_keys()?;
         Ok(own)
     }
 }
 
-fn capacity_reservation(section: &Section) -> Read<Option<CapacityReservation>> {
+fn capacity_reservation(section: &Section) -> HclResult<Option<CapacityReservation>> {
     let settings = CapacityReservation {
         min_slots: section.number("from_slots", 2.0..=1024.0)?.unwrap_or(DEFAULT_LARGE_JOB_SLOTS),
         price: section.number("price", 0.0..=1000.0)?.unwrap_or(DEFAULT_WORKER_PRICE),
     };
-    Ok(section.flag("hold")?.unwrap_or(true).then_some(settings))
+    Ok(section.boolean("hold")?.unwrap_or(true).then_some(settings))
 }
 
-fn cluster_settings(section: &Section) -> Read<ClusterSettings> {
-    let bind = section.text("bind")?.map(|text| {
-        text.parse::<IpAddr>().map_err(|_| section.fault("bind", format!("{text:?} is no IP address")))
+fn cluster_settings(section: &Section) -> HclResult<ClusterSettings> {
+    let bind = section.string("bind")?.map(|text| {
+        text.parse::<IpAddr>().map_err(|_| section.error("bind", format!("{text:?} is no IP address")))
     });
     let times = settings::times(section)?;
     Ok(ClusterSettings {
@@ -144,16 +144,16 @@
         bind_address: bind.transpose()?,
         coordinators: settings::keepers(section)?,
         times,
-        shared_list: section.flag("list")?.unwrap_or(true),
-        list_source: section.text("source")?,
-        list_silence: section.whole("silence_ms", 1_000..=600_000)?.unwrap_or(DEFAULT_LIST_SILENCE_MS)
+        shared_list: section.boolean("list")?.unwrap_or(true),
+        list_source: section.string("source")?,
+        list_silence: section.integer("silence_ms", 1_000..=600_000)?.unwrap_or(DEFAULT_LIST_SILENCE_MS)
             * 1_000,
         fallback_per_s: section.number("fallback_per_s", 0.1..=10_000.0)?.unwrap_or(DEFAULT_FALLBACK_PER_S),
-        record: section.text("record")?.map(PathBuf::from),
+        record: section.string("record")?.map(PathBuf::from),
         readiness_validity: section
             .section("account")?
             .map(|account| {
-                Ok(account.whole("holds_ms", 300..=60_000)?.unwrap_or(DEFAULT_READINESS_VALIDITY_MS) * 1_000)
+                Ok(account.integer("holds_ms", 300..=60_000)?.unwrap_or(DEFAULT_READINESS_VALIDITY_MS) * 1_000)
             })
             .transpose()?,
         slow_start: section.section("cold")?.map(|cold| settings::dealing(cold, &times)).transpose()?,
@@ -199,7 +199,10 @@
             .unwrap()
             .health_checks
             .unwrap();
-        assert_eq!((watched.sets, watched.period, watched.holds), (4, 1_000_000, 4_000_000));
+        assert_eq!(
+            (watched.set_count, watched.probe_interval, watched.report_ttl),
+            (4, 1_000_000, 4_000_000)
+        );
         let lapses = fault(watch("    every_ms = 2000\n    holds_ms = 3000\n"));
         assert!(lapses.contains("holds_ms") && lapses.contains("every_ms"), "{lapses}");
         let cold = |inner: &str| format!("{head}{keepers}  cold {{\n{inner}  }}\n}}\n");
@@ -209,7 +212,10 @@
             .unwrap()
             .slow_start
             .unwrap();
-        assert_eq!((dealt.slots, dealt.part, dealt.expiry), (8.0, 0.5, 500_000));
+        assert_eq!(
+            (dealt.smallest_worker_slots, dealt.grantable_fraction, dealt.grant_ttl),
+            (8.0, 0.5, 500_000)
+        );
         assert!(fault(cold("")).contains("cold.slots"), "{}", fault(cold("")));
         assert!(fault(cold("    slots = 8\n    part = 0.6\n")).contains("cold.part"));
         assert!(fault(format!("{head}}}\n")).contains("wanted three or five keepers"));
--- a/crates/dispatcher/tests/pinned_settings.rs
+++ b/crates/dispatcher/tests/pinned_settings.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use cluster_member::cold::Dealing;
-use cluster_member::watch::Watching;
-use coordination::Times;
-use dispatch_core::settings::worker_id;
+use cluster_member::health_check::HealthCheckConfig;
+use cluster_member::slow_start::QuotaConfig;
+use coordination::Timing;
+use dispatch_core::hashing::worker_id;
 use dispatcher::api::{
     CapacityReservation, Class, Endpoint, Idempotency, KeyScope, ListScope, LoadReport, LoadReports, Tenant,
     WorkerState,
@@ -49,7 +49,8 @@
     assert_eq!(config.names.tenants, ["web", "till"]);
     assert_eq!(config.names.zones, ["north", "south"]);
     assert_eq!(config.names.kinds, ["small", "large"]);
-    let classes: Vec<_> = config
+    let classes: Vec<_> =
+        config
         .names
         .classes
         .iter()
@@ -282,31 +283,37 @@
         advertised_address: Some(address(7302)),
         bind_address: Some("127.0.0.2".parse().expect("an address")),
         coordinators: BTreeMap::from([(1, address(7101)), (2, address(7102)), (5, address(7105))]),
-        times: Times {
-            lease: 1_700_000,
-            renew: 410_000,
-            call: 420_000,
-            stay: 1_100_000,
-            short: 11_000_000,
-            skew_ppm: 1_200,
-            election: 430_000,
-            heartbeat: 90_000,
+        times: Timing {
+            lease_duration: 1_700_000,
+            renewal_interval: 410_000,
+            call_timeout: 420_000,
+            stability_period: 1_100_000,
+            short_session_limit: 11_000_000,
+            max_clock_skew_ppm: 1_200,
+            election_timeout: 430_000,
+            heartbeat_interval: 90_000,
         },
         shared_list: false,
         list_source: Some("catalogue".to_owned()),
         list_silence: 4_500_000,
         fallback_per_s: 12.5,
         record: Some("/var/log/fleet.jsonl".into()),
-        health_checks: Some(Watching {
-            sets: 9,
-            zones: 1,
-            period: 1_500_000,
-            fails: 3,
-            holds: 7_000_000,
-            flaw: None,
+        health_checks: Some(HealthCheckConfig {
+            set_count: 9,
+            zone_count: 1,
+            probe_interval: 1_500_000,
+            failure_threshold: 3,
+            report_ttl: 7_000_000,
+            injected_bug: None,
         }),
         readiness_validity: Some(1_300_000),
-        slow_start: Some(Dealing { slots: 2.5, part: 0.25, expiry: 600_000, written: 0, skew_ppm: 1_200 }),
+        slow_start: Some(QuotaConfig {
+            smallest_worker_slots: 2.5,
+            grantable_fraction: 0.25,
+            grant_ttl: 600_000,
+            delivery_timeout: 0,
+            skew_ppm: 1_200,
+        }),
     }
 }
 
@@ -341,22 +348,28 @@
         advertised_address: None,
         bind_address: None,
         coordinators: BTreeMap::from([(1, address(1)), (2, address(2)), (3, address(3))]),
-        times: Times::default(),
+        times: Timing::default(),
         shared_list: true,
         list_source: None,
         list_silence: 3_000_000,
         fallback_per_s: 20.0,
         record: None,
-        health_checks: Some(Watching {
-            sets: 8,
-            zones: 1,
-            period: 1_000_000,
-            fails: 2,
-            holds: 4_000_000,
-            flaw: None,
+        health_checks: Some(HealthCheckConfig {
+            set_count: 8,
+            zone_count: 1,
+            probe_interval: 1_000_000,
+            failure_threshold: 2,
+            report_ttl: 4_000_000,
+            injected_bug: None,
         }),
         readiness_validity: Some(1_000_000),
-        slow_start: Some(Dealing { slots: 1.0, part: 0.5, expiry: 500_000, written: 0, skew_ppm: 1_000 }),
+        slow_start: Some(QuotaConfig {
+            smallest_worker_slots: 1.0,
+            grantable_fraction: 0.5,
+            grant_ttl: 500_000,
+            delivery_timeout: 0,
+            skew_ppm: 1_000,
+        }),
     };
     assert_eq!(own.cluster, Some(expected));
 }
