--- /dev/null
+++ b/crates/emulator/src/cluster/shared_health_checks/faults.rs
@@ -0,0 +1,246 @@
+//! Faults of a schedule: drawn by its seed or taken from its script, and injected one at a time.
+
+use std::time::Duration;
+
+use cluster_member::clock;
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64;
+use rustix::process::Signal;
+use tokio::time::{sleep, sleep_until, Instant};
+
+use super::{Fault, InjectedFault, Observations, Plan, SharedObservations, RUN_TIME, SLOTS, ZONES};
+use crate::cluster::cluster_harness::ClusterHarness;
+use crate::cluster::emulated_discovery::EmulatedDiscovery;
+use crate::cluster::fault_injection::{ClusterFault, LinkFaultKind};
+use crate::cluster::fault_proxy::SharedNetwork;
+use crate::cluster::worker_model::WorkerModel;
+
+/// The faults that are drawn; one that stands here twice is drawn twice as often.
+pub(super) const DRAWN_FAULTS: [Fault; 16] = [
+    Fault::KillDispatcher,
+    Fault::PauseDispatcher,
+    Fault::TerminateDispatcher,
+    Fault::PartitionZone,
+    Fault::HangWorker,
+    Fault::KillLeader,
+    Fault::PartitionFromCoordinators,
+    Fault::HearsNoCoordinator,
+    Fault::PartitionFromMembers,
+    Fault::SlowNetwork,
+    Fault::PauseLeader,
+    Fault::PartitionCoordinator,
+    Fault::KillAllCoordinators,
+    Fault::DrainWorker,
+    Fault::DrainWorker,
+    Fault::RollingRestart,
+];
+/// No fault begins later than this before the end, so that its recovery takes effect.
+pub(super) const RECOVERY_TIME: Duration = Duration::from_secs(8);
+/// A worker that drained stays away for this long before it is back, cold.
+pub(super) const WORKER_RESTART: Duration = Duration::from_millis(500);
+/// Pause between two restarts of [`Fault::RollingRestart`].
+pub(super) const ROLL_PAUSE: Duration = Duration::from_millis(150);
+
+/// What faults are injected into.
+pub(super) struct Targets<'a> {
+    pub(super) cluster: &'a mut ClusterHarness,
+    /// The links to workers, by dispatcher.
+    pub(super) worker_links: &'a [SharedNetwork],
+    pub(super) discoveries: &'a [EmulatedDiscovery],
+    pub(super) observations: &'a SharedObservations,
+    pub(super) plan: &'a Plan,
+}
+
+/// A fault of a schedule, before it is injected.
+#[derive(Clone, Copy)]
+pub(super) struct DrawnFault {
+    fault: Fault,
+    /// The dispatcher or the worker.
+    target: usize,
+    zone: usize,
+    duration: Duration,
+}
+
+/// Draws faults until shortly before the end and injects them, one at a time.
+pub(super) async fn inject_faults(
+    mut targets: Targets<'_>,
+    end: Instant,
+) -> Result<Vec<InjectedFault>, String> {
+    let plan = targets.plan;
+    let mut random = Pcg64::seed_from_u64(plan.seed);
+    let mut injected = Vec::new();
+    while Instant::now() + plan.fault_interval.max(RECOVERY_TIME) < end {
+        let next = Instant::now() + plan.fault_interval;
+        let Some(drawn) = draw_fault(&targets, injected.len(), &mut random) else { break };
+        injected.push(targets.inject(drawn).await?);
+        sleep_until(next).await;
+    }
+    Ok(injected)
+}
+
+/// Draws the next fault, or takes it from the script; none where the script is over.
+pub(super) fn draw_fault(targets: &Targets<'_>, number: usize, random: &mut Pcg64) -> Option<DrawnFault> {
+    let plan = targets.plan;
+    let fault = if plan.only_kills {
+        Fault::KillDispatcher
+    } else {
+        DRAWN_FAULTS[random.random_range(0..DRAWN_FAULTS.len())]
+    };
+    let zone = random.random_range(0..ZONES.len());
+    let (fault, target, zone) = match plan.script {
+        [] => (fault, draw_target(targets, fault, random), zone),
+        script => *script.get(number)?,
+    };
+    let longest = plan.fault_interval.as_secs_f64() * 0.9;
+    Some(DrawnFault { fault, target, zone, duration: fault.sample_duration(longest, random) })
+}
+
+pub(super) fn draw_target(targets: &Targets<'_>, fault: Fault, random: &mut Pcg64) -> usize {
+    match fault {
+        // One that is in use: dispatchers keep to few workers while these suffice.
+        Fault::HangWorker | Fault::DrainWorker => {
+            let any = random.random_range(0..targets.plan.workers);
+            busiest_worker(&targets.observations.borrow(), any)
+        }
+        _ => random.random_range(0..targets.plan.dispatchers),
+    }
+}
+
+impl Fault {
+    /// How long it lasts; `longest` in seconds.
+    fn sample_duration(self, longest: f64, random: &mut Pcg64) -> Duration {
+        Duration::from_secs_f64(match self {
+            Fault::KillDispatcher | Fault::TerminateDispatcher => random.random_range(0.1..longest.min(4.0)),
+            Fault::HangWorker
+            | Fault::PartitionZone
+            | Fault::SlowNetwork
+            | Fault::PartitionFromCoordinators
+            | Fault::HearsNoCoordinator
+            | Fault::PartitionFromMembers => longest,
+            Fault::PauseDispatcher | Fault::PauseLeader | Fault::PartitionCoordinator => {
+                random.random_range(0.2..longest)
+            }
+            Fault::KillLeader => 1.0,
+            Fault::KillAllCoordinators => random.random_range(0.1..1.0),
+            Fault::DrainWorker => random.random_range(1.0..longest.min(2.0)),
+            // The time that the restarts take.
+            Fault::RollingRestart => 0.0,
+        })
+    }
+
+    /// The fault at a dispatcher, where the cluster harness knows how to inject it.
+    fn at(self, dispatcher: usize, coordinators: usize) -> Option<ClusterFault> {
+        Some(match self {
+            Fault::KillDispatcher => ClusterFault::KillDispatcher(dispatcher),
+            Fault::PauseDispatcher => ClusterFault::PauseDispatcher(dispatcher),
+            Fault::TerminateDispatcher => ClusterFault::TerminateDispatcher(dispatcher),
+            Fault::KillLeader => ClusterFault::KillLeader,
+            Fault::PauseLeader => ClusterFault::PauseLeader,
+            Fault::KillAllCoordinators => ClusterFault::KillAllCoordinators,
+            Fault::PartitionFromCoordinators => {
+                ClusterFault::Links(LinkFaultKind::PartitionFromCoordinators(dispatcher))
+            }
+            Fault::HearsNoCoordinator => ClusterFault::Links(LinkFaultKind::HearsNoCoordinator(dispatcher)),
+            Fault::PartitionFromMembers => {
+                ClusterFault::Links(LinkFaultKind::PartitionFromMembers(dispatcher))
+            }
+            Fault::PartitionCoordinator => {
+                ClusterFault::Links(LinkFaultKind::PartitionCoordinator(1 + dispatcher % coordinators))
+            }
+            Fault::SlowNetwork => ClusterFault::Links(LinkFaultKind::SlowNetwork),
+            Fault::PartitionZone | Fault::HangWorker | Fault::DrainWorker | Fault::RollingRestart => {
+                return None;
+            }
+        })
+    }
+}
+
+impl Targets<'_> {
+    async fn inject(&mut self, drawn: DrawnFault) -> Result<InjectedFault, String> {
+        let DrawnFault { fault, target, zone, duration } = drawn;
+        let began_at = clock::now();
+        let mut affected = target;
+        match fault.at(target, self.plan.coordinators) {
+            Some(cluster_fault) => {
+                let active = cluster_fault.begin(self.cluster)?;
+                affected = active.leader().unwrap_or(target);
+                sleep(duration).await;
+                active.end(self.cluster)?;
+            }
+            None => self.inject_other(drawn).await?,
+        }
+        Ok(InjectedFault { fault, target: affected, zone, began_at, ended_at: clock::now() })
+    }
+
+    /// Injects a fault of workers or of links to them, or restarts everything in turn.
+    async fn inject_other(&mut self, drawn: DrawnFault) -> Result<(), String> {
+        let DrawnFault { fault, target, zone, duration } = drawn;
+        match fault {
+            Fault::PartitionZone => {
+                set_zone_partition(&self.worker_links[target], self.plan.workers, zone, true);
+                sleep(duration).await;
+                set_zone_partition(&self.worker_links[target], self.plan.workers, zone, false);
+            }
+            Fault::HangWorker => {
+                self.observations.borrow_mut().hung[target] = true;
+                sleep(duration).await;
+                self.observations.borrow_mut().hung[target] = false;
+            }
+            Fault::DrainWorker => self.drain_worker(target, duration).await,
+            _ => {
+                self.restart_all().await?;
+                sleep(duration).await;
+            }
+        }
+        Ok(())
+    }
+
+    async fn drain_worker(&self, worker: usize, duration: Duration) {
+        self.set_phase(worker, "terminating");
+        sleep(duration).await;
+        self.set_phase(worker, "terminated");
+        sleep(WORKER_RESTART).await;
+        {
+            let mut observations = self.observations.borrow_mut();
+            let cold = WorkerModel::new((SLOTS, RUN_TIME), true, self.plan.seed ^ clock::now());
+            let old = std::mem::replace(&mut observations.workers[worker], cold);
+            observations.replaced_workers.push(old);
+        }
+        self.set_phase(worker, "in_service");
+    }
+
+    fn set_phase(&self, worker: usize, phase: &str) {
+        self.discoveries.iter().for_each(|discovery| discovery.set_phase(worker, phase));
+    }
+
+    /// Restarts all dispatchers and coordinators, one pair after another.
+    async fn restart_all(&mut self) -> Result<(), String> {
+        for dispatcher in 0..self.plan.dispatchers {
+            self.cluster.signal_dispatcher(dispatcher, Signal::TERM)?;
+            sleep(ROLL_PAUSE).await;
+            self.cluster.kill_dispatcher(dispatcher);
+            self.cluster.start_dispatcher(dispatcher)?;
+            let coordinator = 1 + dispatcher;
+            if coordinator <= self.plan.coordinators {
+                self.cluster.kill_coordinator(coordinator);
+                self.cluster.start_coordinator(coordinator)?;
+            }
+            sleep(ROLL_PAUSE).await;
+        }
+        Ok(())
+    }
+}
+
+/// The worker that got the most jobs in the last two seconds, or this one where none got any.
+pub(super) fn busiest_worker(notes: &Observations, else_this: usize) -> usize {
+    let since = clock::now().saturating_sub(2_000_000);
+    let lately = |at: &Vec<(u64, usize, u64)>| at.iter().rev().take_while(|at| at.0 > since).count();
+    let most = notes.jobs.iter().map(lately).enumerate().map(|(worker, jobs)| (jobs, worker)).max();
+    most.filter(|(jobs, _)| *jobs > 0).map_or(else_this, |(_, worker)| worker)
+}
+
+pub(super) fn set_zone_partition(net: &SharedNetwork, workers: usize, zone: usize, cut: bool) {
+    for worker in (0..workers).filter(|worker| worker % ZONES.len() == zone) {
+        net.borrow_mut().update_link(worker, worker, |trouble| trouble.partitioned = cut);
+    }
+}
