--- a/crates/cluster-member/src/effects.rs
+++ b/crates/cluster-member/src/effects.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coordination::{DutyId, Flaw, Token};
+use coordination::{FencingToken, InjectedBug, LeaseId};
 use tokio::net::TcpListener;
 use tokio::sync::{watch, Semaphore};
 use tokio::task::JoinHandle;
@@ -14,7 +14,10 @@
 
 use crate::clock;
 use crate::member::Member;
-use crate::wire::{check_hello, Effect, EffectAnswer, Hello, Link, Peer, Turned, Welcome, Who, SCHEMA};
+use crate::wire::{
+    validate_client_hello, ClientHello, ClientIdentity, Connection, Effect, EffectResponse,
+    HandshakeRejection, Peer, ServerHello, SCHEMA_VERSION,
+};
 
 /// The most connections of owners that a receiver has.
 const MOST_OWNERS: usize = 256;
@@ -47,29 +50,31 @@
     stream: tokio::net::TcpStream,
     apply: &impl Fn(Effect) -> Vec<u8>,
 ) -> io::Result<()> {
-    let (mut link, hello) = Link::accept(stream).await?;
-    let owner = match (check_hello(&hello, &member.settings().installation), hello.who) {
-        (Ok(()), Who::Owner { name, .. }) => name,
-        (Err(why), _) => return link.welcome(&Welcome::Turned(why)).await,
-        (Ok(()), _) => return link.welcome(&Welcome::Turned(Turned::WrongDoor)).await,
+    let (mut link, hello) = Connection::accept(stream).await?;
+    let owner = match (validate_client_hello(&hello, &member.settings().installation), hello.identity) {
+        (Ok(()), ClientIdentity::LeaseHolder { name, .. }) => name,
+        (Err(why), _) => return link.send_server_hello(&ServerHello::Rejected(why)).await,
+        (Ok(()), _) => {
+            return link.send_server_hello(&ServerHello::Rejected(HandshakeRejection::WrongService)).await
+        }
     };
-    link.welcome(&Welcome::Fine { name: member.settings().name.clone() }).await?;
+    link.send_server_hello(&ServerHello::Accepted { name: member.settings().name.clone() }).await?;
     loop {
-        let effect: Effect = link.next().await?;
+        let effect: Effect = link.receive().await?;
         let now = clock::now();
-        let verdict = member.holder().borrow_mut().take(&effect.duty, effect.token, now);
+        let verdict = member.holder().borrow_mut().accept_effect(&effect.lease, effect.token, now);
         let what = serde_json::json!({
-            "duty": effect.duty.to_string(), "token": effect.token.0, "version": effect.version, "from": owner,
+            "duty": effect.lease.to_string(), "token": effect.token.0, "version": effect.sequence, "from": owner,
         });
         let answer = match verdict {
             Ok(()) => {
                 member.record().put(now, "taken", what);
-                EffectAnswer::Taken(apply(effect))
+                EffectResponse::Accepted(apply(effect))
             }
             Err(refusal) => {
                 member.record().put(now, "refused", what);
-                tracing::info!(from = owner, duty = %effect.duty, token = effect.token.0, %refusal, "effect refused");
-                EffectAnswer::Refused(refusal)
+                tracing::info!(from = owner, duty = %effect.lease, token = effect.token.0, %refusal, "effect refused");
+                EffectResponse::Rejected(refusal)
             }
         };
         link.send(&answer).await?;
@@ -93,8 +98,8 @@
     said: watch::Sender<Said>,
     tasks: BTreeMap<Peer, JoinHandle<()>>,
     member: Member,
-    duty: DutyId,
-    token: Token,
+    duty: LeaseId,
+    token: FencingToken,
     hears: Hears,
 }
 
@@ -109,15 +114,15 @@
 
 impl Publisher {
     /// For the term that this member holds with this token.
-    pub fn new(member: &Member, duty: DutyId, token: Token) -> Publisher {
+    pub fn new(member: &Member, duty: LeaseId, token: FencingToken) -> Publisher {
         Publisher::hearing(member, duty, token, |_| {})
     }
 
     /// The same; `hears` gets what receivers say back to what they take.
     pub fn hearing(
         member: &Member,
-        duty: DutyId,
-        token: Token,
+        duty: LeaseId,
+        token: FencingToken,
         hears: impl Fn(&[u8]) + 'static,
     ) -> Publisher {
         Publisher {
@@ -131,7 +136,7 @@
     }
 
     /// The term's token.
-    pub fn token(&self) -> Token {
+    pub fn token(&self) -> FencingToken {
         self.token
     }
 
@@ -168,7 +173,7 @@
 async fn to_one_receiver(
     member: Member,
     peer: Peer,
-    term: (DutyId, Token, Hears),
+    term: (LeaseId, FencingToken, Hears),
     mut said: watch::Receiver<Said>,
 ) {
     let Ok(address) = peer.address.parse::<SocketAddr>() else { return };
@@ -189,33 +194,37 @@
 async fn on_one_link(
     member: &Member,
     address: SocketAddr,
-    (duty, token, hears): &(DutyId, Token, Hears),
+    (duty, token, hears): &(LeaseId, FencingToken, Hears),
     said: &mut watch::Receiver<Said>,
 ) -> io::Result<()> {
     let (settings, token) = (member.settings(), *token);
     let incarnation = member.holder().borrow().last_session().map_or(0, |session| session.incarnation);
-    let who = Who::Owner { name: settings.name.clone(), incarnation };
-    let hello = Hello { schema: SCHEMA, installation: settings.installation.clone(), who };
-    let (mut link, _) = Link::connect(address, settings.bind, &hello).await?;
-    let once = member.holder().borrow().flaw() == Some(Flaw::NoLookAtTheClock);
+    let who = ClientIdentity::LeaseHolder { name: settings.name.clone(), incarnation };
+    let hello = ClientHello {
+        schema_version: SCHEMA_VERSION,
+        installation: settings.installation.clone(),
+        identity: who,
+    };
+    let (mut link, _) = Connection::connect(address, settings.bind, &hello).await?;
+    let once = member.holder().borrow().injected_bug() == Some(InjectedBug::SkipExpiryCheck);
     let mut looked = false;
     loop {
         said.changed().await.map_err(|_| io::Error::from(io::ErrorKind::BrokenPipe))?;
         let Said { version, body } = said.borrow_and_update().clone();
-        let effect = Effect { duty: duty.clone(), token, version, body: body.to_vec() };
-        let packed = crate::wire::pack(&effect)?;
+        let effect = Effect { lease: duty.clone(), token, sequence: version, body: body.to_vec() };
+        let packed = crate::wire::encode(&effect)?;
         // The look at the clock is the last thing before the write.
         let now = clock::now();
         let skip_look = once && looked;
-        if !skip_look && !member.holder().borrow().may_act(duty, token, now) {
+        if !skip_look && !member.holder().borrow().holds_lease(duty, token, now) {
             continue;
         }
         looked = true;
         member.record().put(now, "acted", serde_json::json!({"duty": duty.to_string(), "token": token.0}));
-        link.send_packed(packed).await?;
-        match timeout(ANSWER, link.next::<EffectAnswer>()).await?? {
-            EffectAnswer::Taken(back) => hears(&back),
-            EffectAnswer::Refused(why) => {
+        link.send_encoded(packed).await?;
+        match timeout(ANSWER, link.receive::<EffectResponse>()).await?? {
+            EffectResponse::Accepted(back) => hears(&back),
+            EffectResponse::Rejected(why) => {
                 tracing::warn!(duty = %duty, token = token.0, %why, "an effect of this process was refused");
             }
         }
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -5,8 +5,8 @@
 use std::path::{Path, PathBuf};
 
 use cluster_member::settings;
-use cluster_member::wire::{OLDEST_SCHEMA, SCHEMA};
-use coordination::Times;
+use cluster_member::wire::{OLDEST_SCHEMA_VERSION, SCHEMA_VERSION};
+use coordination::Timing;
 use disruption_budget::{Amount, Budget, BudgetScope, TargetKind};
 use hcl_config::{HclError, Section, Value};
 
@@ -20,7 +20,7 @@
     /// The lowest token that is ever granted.
     pub first_token: u64,
     /// The times.
-    pub times: Times,
+    pub times: Timing,
     /// This keeper, where it is one that serves.
     pub serve: Option<Serve>,
 }
@@ -88,8 +88,8 @@
         bind: bind.transpose()?,
         flaw: flaw(section)?,
         speaks: section
-            .integer("speaks", u64::from(OLDEST_SCHEMA)..=u64::from(SCHEMA))?
-            .map_or(SCHEMA, |speaks| speaks as u16),
+            .integer("speaks", u64::from(OLDEST_SCHEMA_VERSION)..=u64::from(SCHEMA_VERSION))?
+            .map_or(SCHEMA_VERSION, |speaks| speaks as u16),
         connections: section.integer("connections", 8..=65_536)?.unwrap_or(1_024) as usize,
     })
 }
@@ -130,7 +130,8 @@
         if name.is_empty() || name.len() > 128 || budgets.iter().any(|budget| budget.name == name) {
             return Err(section.error("", "wanted a label of 1 to 128 bytes that no other budget has"));
         }
-        let kind = section.keyword(
+        let kind = section
+            .keyword(
             "targets",
             &[("dispatchers", TargetKind::Dispatcher), ("workers", TargetKind::Worker)],
         )?;
--- a/crates/dispatch-core/src/state.rs
+++ b/crates/dispatch-core/src/state.rs
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::api::{
-    Action, Member, Outcome, Request, RequestId, Seconds, Settings, Tenant, WorkerId, WorkerState,
+    Action, Endpoint, Outcome, Request, RequestId, Seconds, Settings, Tenant, WorkerId, WorkerState,
 };
 use crate::cold::Spending;
 use crate::estimate::{Pace, Running};
@@ -157,6 +157,20 @@
     }
 }
 
+/// Adds tokens to all banks by share. What overflows full banks, the paper's O_T, is offered to the others by share.
+pub(crate) fn accrue_all(banks: &mut [Bank], tokens: f64) {
+    let mut over = 0.0;
+    for b in banks.iter_mut() {
+        over += b.add(tokens * b.share);
+    }
+    let open: f64 = banks.iter().filter(|b| b.room() > 0).map(|b| b.share).sum();
+    if over > 0.0 && open > 0.0 {
+        for b in banks.iter_mut().filter(|b| b.room() > 0) {
+            b.add(over * b.share / open);
+        }
+    }
+}
+
 /// The rate R, and what was seen of it in this window.
 #[derive(Debug, Default)]
 pub(crate) struct Rate {
@@ -376,7 +390,7 @@
 
     /// Other settings hold.
     pub(crate) fn configure(&mut self, cfg: &Settings) {
-        (self.cold_share, self.warm_within) = (cfg.cold_share, cfg.warm_within);
+        (self.cold_share, self.warm_within) = (cfg.slow_start_min_capacity, cfg.slow_start_duration);
     }
 
     /// Brings the zones and the ring in line with the workers; `zone` exists even if it has none. `heard` where it was
@@ -407,8 +421,8 @@
     }
 
     /// Takes a line of the list.
-    pub(crate) fn enlist(&mut self, m: &Member, kind: usize, now: Seconds) {
-        let (id, since) = (m.worker, m.since);
+    pub(crate) fn enlist(&mut self, m: &Endpoint, kind: usize, now: Seconds) {
+        let (id, since) = (m.worker, m.started_at);
         // Clocks may be wrong by much: no start is in the future, and one that discovery did not name when it was heard
         // last was not long before that.
         let born = since.min(now).max(self.heard.map_or(0.0, |heard| heard - LISTED_WITHIN));
@@ -440,6 +454,17 @@
         }
     }
 
+    /// A whole list came: workers that it does not name are gone.
+    pub(crate) fn remove_absent(&mut self, members: &[Endpoint]) {
+        let mut named: Vec<WorkerId> = members.iter().map(|m| m.worker).collect();
+        named.sort_unstable();
+        for w in &mut self.workers {
+            if named.binary_search(&w.id).is_err() {
+                w.state = WorkerState::Removed;
+            }
+        }
+    }
+
     /// The workers on the ring from a key on, each once.
     pub(crate) fn homes(&self, key: u64, count: usize) -> Vec<usize> {
         let start = self.ring.partition_point(|&(p, _)| p < mix(key));
--- a/crates/dispatcher/src/own.rs
+++ b/crates/dispatcher/src/own.rs
@@ -12,8 +12,8 @@
 use cluster_member::cold::Dealing;
 use cluster_member::settings;
 use cluster_member::watch::Watching;
-use coordination::{Micros, Times};
-use dispatch_core::api::RoomSettings;
+use coordination::{Micros, Timing};
+use dispatch_core::api::CapacityReservation;
 use hcl_config::{HclResult, Section};
 
 use crate::config::ConfigError;
@@ -48,7 +48,7 @@
     /// The keepers, by number.
     pub keepers: BTreeMap<u64, SocketAddr>,
     /// The times, the same as the keepers'.
-    pub times: Times,
+    pub times: Timing,
     /// Whether the list is asked for by one member.
     pub list: bool,
     /// What discovery's revisions count at, if not at its address.
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Own {
     /// Room for large jobs; none where it is not held.
-    pub room: Option<RoomSettings>,
+    pub room: Option<CapacityReservation>,
     /// The fleet that this dispatcher is a member of, if it is of one.
     pub fleet: Option<Fleet>,
 }
@@ -119,9 +119,9 @@
     }
 }
 
-fn room(section: &Section) -> HclResult<Option<RoomSettings>> {
-    let settings = RoomSettings {
-        from: section.number("from_slots", 2.0..=1024.0)?.unwrap_or(FROM_SLOTS),
+fn room(section: &Section) -> HclResult<Option<CapacityReservation>> {
+    let settings = CapacityReservation {
+        min_slots: section.number("from_slots", 2.0..=1024.0)?.unwrap_or(FROM_SLOTS),
         price: section.number("price", 0.0..=1000.0)?.unwrap_or(PRICE),
     };
     Ok(section.boolean("hold")?.unwrap_or(true).then_some(settings))
@@ -164,7 +164,10 @@
     fn room_is_held_where_the_file_asks_for_it() {
         let read = |text| Own::read("own.hcl", text).map(|own| own.room).map_err(|fault| fault.to_string());
         assert_eq!(read(""), Ok(None));
-        assert_eq!(read("room {\n}\n"), Ok(Some(RoomSettings { from: FROM_SLOTS, price: PRICE })));
+        assert_eq!(
+            read("room {\n}\n"),
+            Ok(Some(CapacityReservation { min_slots: FROM_SLOTS, price: PRICE }))
+        );
         assert_eq!(read("room {\n  hold = false\n  from_slots = 2\n}\n"), Ok(None));
         let from = "own.hcl:2: room.from_slots: expected a number from 2 to 1024, found 1".to_owned();
         assert_eq!(read("room {\n  from_slots = 1\n}\n"), Err(from));
