--- /dev/null
+++ b/crates/emulator/src/cluster/lease_harness.rs
@@ -0,0 +1,759 @@
+//! Plays one schedule: real keepers and members, every link between two of them through a proxy, faults as drawn.
+
+use std::collections::BTreeMap;
+use std::fs;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::path::{Path, PathBuf};
+use std::process::Stdio;
+use std::sync::atomic::{AtomicU8, Ordering};
+use std::time::Duration;
+
+use cluster_member::clock;
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64;
+use rustix::process::{kill_process, Pid, Signal};
+use tokio::net::TcpListener;
+use tokio::process::{Child, Command};
+use tokio::task::{spawn_local, JoinHandle, LocalSet};
+use tokio::time::{sleep, sleep_until, timeout, Instant};
+
+use super::fault_proxy::{self, FaultyNetwork, NodeId, SharedNetwork};
+use super::lightweight_member::MemberConfig;
+use super::record_checker::{self, InjectedFault, Records, Violations, RULES};
+use super::schedule::{Arm, ClusterExperiment, FaultKind, ScheduledFault};
+
+/// The programs.
+#[derive(Debug, Clone)]
+pub struct Programs {
+    /// `coordinator`.
+    pub coordinator: PathBuf,
+    /// This tool, which also is the light member.
+    pub emulator: PathBuf,
+}
+
+/// What came of a schedule.
+#[derive(Debug)]
+pub struct ScheduleResult {
+    /// Its seed.
+    pub seed: u64,
+    /// Rules that were broken.
+    pub violations: Violations,
+    /// Faults by kind.
+    pub faults: BTreeMap<FaultKind, u64>,
+    /// Connections that the proxies reset and doubled.
+    pub resets: u64,
+    /// See `resets`.
+    pub duplicates: u64,
+    /// Takeover times by kind, in microseconds.
+    pub takeovers: BTreeMap<FaultKind, Vec<u64>>,
+    /// Effects taken and refused.
+    pub effects_accepted: u64,
+    /// See `taken`.
+    pub effects_rejected: u64,
+    /// Terms that were granted.
+    pub lease_terms: u64,
+}
+
+/// Each schedule of this process gets addresses of its own.
+static NEXT_ADDRESS_BLOCK: AtomicU8 = AtomicU8::new(0);
+
+/// The installation's name in all rigs.
+const INSTALLATION: &str = "rig";
+const LEASE: &str = "pulse";
+
+enum Role {
+    Coordinator { number: u64 },
+    Member { config: Box<MemberConfig> },
+}
+
+struct Process {
+    role: Role,
+    listen: SocketAddr,
+    child: Option<Child>,
+    /// Not to be started again: its disk is an old copy, or gone.
+    not_restartable: bool,
+}
+
+struct LeaseHarness<'a> {
+    dir: PathBuf,
+    programs: &'a Programs,
+    plan: &'a ClusterExperiment,
+    arm: &'a Arm,
+    network: SharedNetwork,
+    processes: Vec<Process>,
+    injected_bug: Option<&'a str>,
+    address_block: [u8; 2],
+    injected: Vec<InjectedFault>,
+    recoveries: Vec<(Instant, Recovery)>,
+    tasks: Vec<JoinHandle<()>>,
+    violations: Violations,
+    random: Pcg64,
+}
+
+/// What ends a fault.
+enum Recovery {
+    Start(NodeId),
+    Resume(u32),
+    /// The ends of a cut, of a delay, and of what was wrong with all links; what else is wrong with them stays. (A cut
+    /// that ended with another fault looked like a takeover of 6 s: seed 3018.)
+    Reconnect(Vec<(NodeId, NodeId)>),
+    ClearDelay(Vec<(NodeId, NodeId)>),
+    Pause(NodeId, f64),
+    ClearLinkFaults,
+    Kill(NodeId),
+    /// The steps to an old disk: copied, started once more, put back.
+    RestoreOldDisk(NodeId, u8),
+}
+
+fn with_context(what: impl std::fmt::Display) -> impl FnOnce(std::io::Error) -> String {
+    move |error| format!("{what}: {error}")
+}
+
+/// Plays the schedule of a seed. What the processes leave is in a folder of its own below `out`.
+///
+/// # Errors
+/// The rig itself could not do its work; a broken rule is no error here.
+pub fn play(
+    plan: &ClusterExperiment,
+    arm: &Arm,
+    seed: u64,
+    programs: &Programs,
+    out: &Path,
+    bug: Option<&str>,
+) -> Result<ScheduleResult, String> {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(with_context("runtime"))?;
+    LocalSet::new().block_on(&runtime, async {
+        let mut rig = LeaseHarness::new(plan, arm, seed, programs, out, bug).await?;
+        let played = rig.run_schedule(seed).await;
+        rig.shut_down().await;
+        played?;
+        rig.evaluate(seed)
+    })
+}
+
+impl<'a> LeaseHarness<'a> {
+    async fn new(
+        plan: &'a ClusterExperiment,
+        arm: &'a Arm,
+        seed: u64,
+        programs: &'a Programs,
+        out: &Path,
+        bug: Option<&'a str>,
+    ) -> Result<LeaseHarness<'a>, String> {
+        let dir = out.join(format!("{}-{seed}", arm.name));
+        let _ = fs::remove_dir_all(&dir);
+        fs::create_dir_all(&dir).map_err(with_context(dir.display()))?;
+        let base =
+            [16 + (std::process::id() % 200) as u8, NEXT_ADDRESS_BLOCK.fetch_add(1, Ordering::Relaxed)];
+        let count = arm.coordinators + arm.members;
+        let ip = |last: usize| IpAddr::V4(Ipv4Addr::new(127, base[0], base[1], last as u8));
+        let names = (0..count).map(|name| (ip(1 + name), name)).collect();
+        let net = FaultyNetwork::new(names, seed);
+        let (mut targets, mut doors, mut tasks) = (Vec::new(), Vec::new(), Vec::new());
+        for name in 0..count {
+            // The port stays free: nobody else has this address.
+            let probe =
+                std::net::TcpListener::bind((ip(1 + name), 0)).map_err(with_context("a free port"))?;
+            let target = probe.local_addr().map_err(with_context("a free port"))?;
+            let door = TcpListener::bind((ip(101 + name), 0)).await.map_err(with_context("a proxy"))?;
+            doors.push(door.local_addr().map_err(with_context("a proxy"))?);
+            targets.push(target);
+            tasks.push(spawn_local(fault_proxy::run_proxy(net.clone(), door, name, target)));
+        }
+        let keepers: BTreeMap<u64, SocketAddr> =
+            (0..arm.coordinators).map(|name| (name as u64 + 1, doors[name])).collect();
+        let mut processes = Vec::new();
+        for (name, listen) in targets.iter().enumerate() {
+            let task = match name < arm.coordinators {
+                true => Role::Coordinator { number: name as u64 + 1 },
+                false => Role::Member {
+                    config: Box::new(MemberConfig {
+                        installation: INSTALLATION.to_owned(),
+                        name: format!("m{}", name - arm.coordinators),
+                        listen: *listen,
+                        address: doors[name],
+                        bind: Some(ip(1 + name)),
+                        coordinators: keepers.clone(),
+                        leases: vec![LEASE.to_owned()],
+                        times: plan.times,
+                        record: Some(dir.join(format!("m{}.jsonl", name - arm.coordinators))),
+                        injected_bug: bug.map(str::to_owned),
+                        seed: seed ^ (name as u64) << 32,
+                    }),
+                },
+            };
+            processes.push(Process { role: task, listen: *listen, child: None, not_restartable: false });
+        }
+        let random = Pcg64::seed_from_u64(seed ^ 0x5eed);
+        let mut rig = LeaseHarness {
+            dir,
+            programs,
+            plan,
+            arm,
+            network: net,
+            processes,
+            injected_bug: bug,
+            address_block: base,
+            injected: Vec::new(),
+            recoveries: Vec::new(),
+            tasks,
+            violations: Violations::new(),
+            random,
+        };
+        for name in 0..arm.coordinators {
+            rig.write_coordinator_config(name, &keepers)?;
+            let boot = std::process::Command::new(&programs.coordinator)
+                .args(["bootstrap", "--config"])
+                .arg(rig.path(name, "hcl"))
+                .stdout(Stdio::null())
+                .status()
+                .map_err(with_context(programs.coordinator.display()))?;
+            if !boot.success() {
+                return Err(format!("keeper {}: bootstrap ended with {boot}", name + 1));
+            }
+        }
+        (0..count).try_for_each(|name| rig.start(name))?;
+        Ok(rig)
+    }
+
+    fn path(&self, name: NodeId, ending: &str) -> PathBuf {
+        match &self.processes[name].role {
+            Role::Coordinator { number } => self.dir.join(format!("k{number}.{ending}")),
+            Role::Member { config: light } => self.dir.join(format!("{}-{name}.{ending}", light.name)),
+        }
+    }
+
+    fn write_coordinator_config(
+        &self,
+        name: NodeId,
+        keepers: &BTreeMap<u64, SocketAddr>,
+    ) -> Result<(), String> {
+        let process = &self.processes[name];
+        let mut text = format!("installation = \"{INSTALLATION}\"\n");
+        for (number, door) in keepers {
+            text += &format!("keeper \"{number}\" {{\n  address = \"{door}\"\n}}\n");
+        }
+        let times = &self.plan.times;
+        text += &format!(
+            "times {{\n  lease_ms = {}\n  renew_ms = {}\n  call_ms = {}\n  stay_ms = {}\n  short_ms = {}\n  \
+             election_ms = {}\n  heartbeat_ms = {}\n  skew_ppm = {}\n}}\n",
+            times.lease_duration / 1_000,
+            times.renewal_interval / 1_000,
+            times.call_timeout / 1_000,
+            times.stability_period / 1_000,
+            times.short_session_limit / 1_000,
+            times.election_timeout / 1_000,
+            times.heartbeat_interval / 1_000,
+            times.max_clock_skew_ppm
+        );
+        text += &format!(
+            "serve {{\n  keeper = {}\n  listen = \"{}\"\n  bind = \"{}\"\n  store = \"{}\"\n}}\n",
+            name + 1,
+            process.listen,
+            process.listen.ip(),
+            self.path(name, "store").display()
+        );
+        let path = self.path(name, "hcl");
+        fs::write(&path, text).map_err(with_context(path.display()))
+    }
+
+    fn start(&mut self, name: NodeId) -> Result<(), String> {
+        self.start_with(name, None)
+    }
+
+    /// Starts a process; a keeper perhaps with a bound: on the size of its files, as if its disk were full, or on its
+    /// descriptors.
+    fn start_with(&mut self, name: NodeId, bound: Option<&str>) -> Result<(), String> {
+        if self.processes[name].child.is_some() {
+            return Ok(());
+        }
+        let log = fs::File::options()
+            .create(true)
+            .append(true)
+            .open(self.path(name, "log"))
+            .map_err(with_context("a log"))?;
+        let mut command = match &self.processes[name].role {
+            Role::Coordinator { number } => {
+                let mut command = match bound {
+                    None => Command::new(&self.programs.coordinator),
+                    Some(bound) => {
+                        // Ignored signals and limits go over to what is executed: a write then fails, as on a full disk.
+                        let mut command = Command::new("/bin/sh");
+                        command.arg("-c").arg(format!("trap '' XFSZ; ulimit {bound}; exec \"$0\" \"$@\""));
+                        command.arg(&self.programs.coordinator);
+                        command
+                    }
+                };
+                command.args(["serve", "--config"]).arg(self.path(name, "hcl"));
+                // The record is on the full disk too, where there is one: what it misses, other keepers recorded.
+                command.arg("--record").arg(self.dir.join(format!("k{number}.jsonl")));
+                command
+            }
+            Role::Member { config: light } => {
+                let path = self.path(name, "json");
+                let text = serde_json::to_vec(light).map_err(|error| error.to_string())?;
+                fs::write(&path, text).map_err(with_context(path.display()))?;
+                let mut command = Command::new(&self.programs.emulator);
+                command.arg("light-member").arg(path);
+                command
+            }
+        };
+        let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).kill_on_drop(true).spawn();
+        self.processes[name].child = Some(child.map_err(with_context("a process"))?);
+        Ok(())
+    }
+
+    fn signal(&self, name: NodeId, signal: Signal) -> Option<u32> {
+        let id = self.processes[name].child.as_ref()?.id()?;
+        let pid = Pid::from_raw(i32::try_from(id).ok()?)?;
+        kill_process(pid, signal).ok().map(|()| id)
+    }
+
+    /// Kills a process and waits until it is gone.
+    async fn kill(&mut self, name: NodeId) {
+        if let Some(mut child) = self.processes[name].child.take() {
+            let _ = child.kill().await;
+        }
+    }
+
+    /// Ends a process in good order, or kills it where it does not end.
+    async fn terminate(&mut self, name: NodeId) {
+        self.signal(name, Signal::TERM);
+        if let Some(mut child) = self.processes[name].child.take() {
+            if timeout(Duration::from_secs(3), child.wait()).await.is_err() {
+                let _ = child.kill().await;
+            }
+        }
+    }
+
+    fn coordinators(&self) -> std::ops::Range<NodeId> {
+        0..self.arm.coordinators
+    }
+
+    fn members(&self) -> std::ops::Range<NodeId> {
+        self.arm.coordinators..self.arm.coordinators + self.arm.members
+    }
+
+    fn coordinator_records(&self) -> Result<Records, String> {
+        let read =
+            |number: u64| Ok((number, record_checker::read(&self.dir.join(format!("k{number}.jsonl")))?));
+        let keepers: Result<_, String> = (1..=self.arm.coordinators as u64).map(read).collect();
+        Ok(Records { coordinators: keepers?, members: BTreeMap::new() })
+    }
+
+    /// Who owned the duty last, by the keepers' records, and in which term.
+    fn lease_holder(&self) -> Result<Option<(NodeId, u64)>, String> {
+        let records = self.coordinator_records()?;
+        let Some((token, session)) = record_checker::newest_grant(&records) else { return Ok(None) };
+        let Some(member) = record_checker::member_of_session(&records, session) else { return Ok(None) };
+        let number = member.strip_prefix('m').and_then(|number| number.parse::<usize>().ok());
+        Ok(number.map(|number| (number + self.arm.coordinators, token)))
+    }
+
+    fn leader(&self) -> Result<NodeId, String> {
+        Ok(record_checker::leader(&self.coordinator_records()?).map_or(0, |number| number as usize - 1))
+    }
+
+    async fn run_schedule(&mut self, seed: u64) -> Result<(), String> {
+        let start = Instant::now();
+        for fault in self.plan.draw(self.arm, seed) {
+            self.recover_until(start + Duration::from_secs_f64(fault.at)).await?;
+            self.inject(fault).await?;
+        }
+        self.recover_until(start + Duration::from_secs_f64(self.plan.length)).await?;
+        // Everything is healed at once, and then the fleet has to be well again by itself.
+        self.network.borrow_mut().clear_faults();
+        let later: Vec<Recovery> =
+            std::mem::take(&mut self.recoveries).into_iter().map(|(_, later)| later).collect();
+        for later in later {
+            match later {
+                Recovery::Resume(_) | Recovery::Kill(_) | Recovery::RestoreOldDisk(..) => {
+                    self.recover(later).await?
+                }
+                _ => {}
+            }
+        }
+        self.recoveries.clear();
+        for name in 0..self.arm.coordinators + self.arm.members {
+            let gone = self.processes[name]
+                .child
+                .as_mut()
+                .is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))));
+            if gone && !self.processes[name].not_restartable {
+                self.processes[name].child = None;
+            }
+            if !self.processes[name].not_restartable {
+                self.start(name)?;
+            }
+        }
+        let calm = Duration::from_secs_f64(self.plan.recovery_time);
+        sleep(calm).await;
+        let records = self.records()?;
+        if !record_checker::accepted_effect_after(&records, clock::now().saturating_sub(1_000_000)) {
+            let text =
+                format!("nothing was done in the last of {} s after all was healed", self.plan.recovery_time);
+            self.violations.entry(RULES[6]).or_default().push(text);
+        }
+        for name in self.coordinators() {
+            let process = &mut self.processes[name];
+            // Found by seed 3008: a store that a full disk had spoilt, unnoticed while the others were a majority.
+            let ended = process.child.as_mut().filter(|_| !process.not_restartable).map(Child::try_wait);
+            if let Some(Ok(Some(status))) = ended {
+                let text = format!("keeper {}, whose disk is whole, ended with {status}", name + 1);
+                self.violations.entry(RULES[6]).or_default().push(text);
+            }
+        }
+        for name in self.coordinators() {
+            let process = &mut self.processes[name];
+            let state = process.child.as_mut().filter(|_| process.not_restartable).map(Child::try_wait);
+            // One that another fault has killed is gone for good; one that ended by itself says why by its code.
+            let text = match state {
+                Some(Ok(None)) => format!("keeper {} goes on with an old disk or none", name + 1),
+                Some(Ok(Some(status))) if !matches!(status.code(), Some(3 | 4)) => {
+                    format!(
+                        "keeper {} with an old disk or none ended with {status}, not with 3 or 4",
+                        name + 1
+                    )
+                }
+                _ => continue,
+            };
+            self.violations.entry(RULES[7]).or_default().push(text);
+        }
+        Ok(())
+    }
+
+    /// Waits, and ends faults whose time is over meanwhile.
+    async fn recover_until(&mut self, until: Instant) -> Result<(), String> {
+        loop {
+            let next = self.recoveries.iter().map(|(at, _)| *at).min().filter(|at| *at <= until);
+            let Some(next) = next else { break };
+            sleep_until(next).await;
+            let at = self.recoveries.iter().position(|(at, _)| *at == next).unwrap_or(0);
+            let (_, later) = self.recoveries.remove(at);
+            self.recover(later).await?;
+        }
+        sleep_until(until).await;
+        Ok(())
+    }
+
+    async fn recover(&mut self, later: Recovery) -> Result<(), String> {
+        match later {
+            Recovery::Start(name) => {
+                if self.processes[name]
+                    .child
+                    .as_mut()
+                    .is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
+                {
+                    self.processes[name].child = None;
+                }
+                self.start(name)?;
+            }
+            Recovery::Resume(id) => {
+                let pid = i32::try_from(id).ok().and_then(Pid::from_raw);
+                // Only while it is a child of this rig: the number may be somebody else's after its end.
+                let ours = self
+                    .processes
+                    .iter()
+                    .any(|process| process.child.as_ref().and_then(Child::id) == Some(id));
+                if let Some(pid) = pid.filter(|_| ours) {
+                    let _ = kill_process(pid, Signal::CONT);
+                }
+            }
+            Recovery::Reconnect(pairs) => {
+                let mut net = self.network.borrow_mut();
+                pairs
+                    .into_iter()
+                    .for_each(|(from, to)| net.update_link(from, to, |trouble| trouble.partitioned = false));
+            }
+            Recovery::ClearDelay(pairs) => {
+                let mut net = self.network.borrow_mut();
+                let quick = |trouble: &mut fault_proxy::LinkFault| trouble.delay = Duration::ZERO;
+                pairs.into_iter().for_each(|(from, to)| net.update_link(from, to, quick));
+            }
+            Recovery::Pause(name, lasts) => {
+                if let Some(id) = self.signal(name, Signal::STOP) {
+                    self.recover_after(lasts, Recovery::Resume(id));
+                }
+            }
+            Recovery::ClearLinkFaults => self.network.borrow_mut().clear_all_but_partitions(),
+            Recovery::Kill(name) => self.kill(name).await,
+            Recovery::RestoreOldDisk(name, step) => self.restore_old_disk(name, step).await?,
+        }
+        Ok(())
+    }
+
+    fn recover_after(&mut self, after: f64, later: Recovery) {
+        self.recoveries.push((Instant::now() + Duration::from_secs_f64(after), later));
+    }
+
+    fn partition(&mut self, pairs: Vec<(NodeId, NodeId)>, lasts: f64) {
+        {
+            let mut net = self.network.borrow_mut();
+            pairs
+                .iter()
+                .for_each(|(from, to)| net.update_link(*from, *to, |trouble| trouble.partitioned = true));
+        }
+        self.recover_after(lasts, Recovery::Reconnect(pairs));
+    }
+
+    async fn inject(&mut self, fault: ScheduledFault) -> Result<(), String> {
+        let (owner, token) = match self.lease_holder()? {
+            Some((owner, token)) => (owner, Some(token)),
+            None => (self.members().start, None),
+        };
+        let member = self.members().start + fault.target_choice % self.arm.members;
+        let keeper = fault.target_choice % self.arm.coordinators;
+        let (members, keepers) = (self.members(), self.coordinators());
+        let of_owner = matches!(
+            fault.kind,
+            FaultKind::KillHolder
+                | FaultKind::PauseHolder
+                | FaultKind::TerminateHolder
+                | FaultKind::PartitionHolderFromCoordinators
+                | FaultKind::PartitionHolderFromMembers
+                | FaultKind::HolderHearsNoCoordinator
+                | FaultKind::PauseHolderDuringRenewal
+        );
+        let t = clock::now();
+        let until = t + (fault.duration * 1e6) as u64;
+        // The owner of a stop while it asks goes on for the first second.
+        let t = if fault.kind == FaultKind::PauseHolderDuringRenewal { t + 1_000_000 } else { t };
+        self.injected.push(InjectedFault {
+            time: t,
+            kind: fault.kind,
+            until,
+            holder_token: token.filter(|_| of_owner),
+        });
+        let both = |one: NodeId, others: std::ops::Range<NodeId>| -> Vec<(NodeId, NodeId)> {
+            others.filter(|other| *other != one).flat_map(|other| [(one, other), (other, one)]).collect()
+        };
+        match fault.kind {
+            FaultKind::KillHolder | FaultKind::KillMember | FaultKind::KillLeader => {
+                let whom = match fault.kind {
+                    FaultKind::KillHolder => owner,
+                    FaultKind::KillMember => member,
+                    _ => self.leader()?,
+                };
+                self.kill(whom).await;
+                if !self.processes[whom].not_restartable {
+                    self.recover_after(fault.duration, Recovery::Start(whom));
+                }
+            }
+            FaultKind::TerminateHolder => {
+                self.signal(owner, Signal::TERM);
+                self.recover_after(fault.duration.max(0.5), Recovery::Start(owner));
+            }
+            FaultKind::PauseHolder | FaultKind::PauseMember | FaultKind::PauseLeader => {
+                let whom = match fault.kind {
+                    FaultKind::PauseHolder => owner,
+                    FaultKind::PauseMember => member,
+                    _ => self.leader()?,
+                };
+                if let Some(id) = self.signal(whom, Signal::STOP) {
+                    self.recover_after(fault.duration, Recovery::Resume(id));
+                }
+            }
+            FaultKind::PauseHolderDuringRenewal => {
+                let pairs: Vec<(NodeId, NodeId)> = keepers.map(|keeper| (keeper, owner)).collect();
+                for (from, to) in &pairs {
+                    self.network
+                        .borrow_mut()
+                        .update_link(*from, *to, |trouble| trouble.delay = Duration::from_millis(300));
+                }
+                // Renewals go on all the time; after this one of them is under way most likely.
+                self.recover_after(1.0, Recovery::Pause(owner, fault.duration - 1.0));
+                self.recover_after(fault.duration + 0.5, Recovery::ClearDelay(pairs));
+            }
+            FaultKind::PartitionHolderFromCoordinators => {
+                self.partition(both(owner, keepers), fault.duration)
+            }
+            FaultKind::PartitionHolderFromMembers => self.partition(both(owner, members), fault.duration),
+            FaultKind::HolderHearsNoCoordinator => {
+                self.partition(keepers.map(|keeper| (keeper, owner)).collect(), fault.duration)
+            }
+            FaultKind::RestartHalfOfMembers => {
+                let half: Vec<NodeId> =
+                    members.filter(|name| (name + fault.target_choice) % 2 == 0).collect();
+                for (at, name) in half.iter().enumerate() {
+                    let after = 2.0 * at as f64 / half.len() as f64;
+                    self.recover_after(after, Recovery::Kill(*name));
+                    self.recover_after(after + 0.1, Recovery::Start(*name));
+                }
+            }
+            FaultKind::DuplicateMember => self.start_duplicate_member(owner, fault.duration)?,
+            FaultKind::PartitionCoordinator => self.partition(both(keeper, keepers), fault.duration),
+            FaultKind::CoordinatorNotHeard => {
+                let others = keepers.filter(|other| *other != keeper);
+                self.partition(others.map(|other| (keeper, other)).collect(), fault.duration);
+            }
+            FaultKind::KillAllCoordinators => {
+                for name in keepers {
+                    self.kill(name).await;
+                    if !self.processes[name].not_restartable {
+                        self.recover_after(fault.duration, Recovery::Start(name));
+                    }
+                }
+            }
+            FaultKind::SlowNetwork | FaultKind::DuplicateConnections | FaultKind::NarrowBandwidth => {
+                let count = self.processes.len();
+                {
+                    let mut net = self.network.borrow_mut();
+                    let pairs = (0..count).flat_map(|from| (0..count).map(move |to| (from, to)));
+                    for (from, to) in pairs.filter(|(from, to)| from != to) {
+                        net.update_link(from, to, |trouble| match fault.kind {
+                            FaultKind::SlowNetwork => {
+                                trouble.delay = Duration::from_millis(200);
+                                trouble.reset_probability = 0.05;
+                            }
+                            FaultKind::DuplicateConnections => trouble.duplicate_probability = 0.25,
+                            _ if from == keeper || to == keeper => trouble.bytes_per_second = 4_000,
+                            _ => {}
+                        });
+                    }
+                }
+                self.recover_after(fault.duration, Recovery::ClearLinkFaults);
+            }
+            FaultKind::FullDisk | FaultKind::FewDescriptors => {
+                let leader = self.leader()?;
+                if !self.processes[leader].not_restartable {
+                    self.kill(leader).await;
+                    let bound = if fault.kind == FaultKind::FullDisk { "-f 256" } else { "-n 24" };
+                    self.start_with(leader, Some(bound))?;
+                    self.recover_after(fault.duration, Recovery::Kill(leader));
+                    self.recover_after(fault.duration + 0.05, Recovery::Start(leader));
+                }
+            }
+            FaultKind::RestoreOldDisk => self.restore_old_disk(keeper, 0).await?,
+            FaultKind::LoseDisk => {
+                self.kill(keeper).await;
+                let store = self.path(keeper, "store");
+                fs::remove_dir_all(&store).map_err(with_context(store.display()))?;
+                self.processes[keeper].not_restartable = true;
+                self.start(keeper)?;
+            }
+        }
+        Ok(())
+    }
+
+    /// Copies a keeper's disk, lets it start twice more, and puts the copy back.
+    async fn restore_old_disk(&mut self, name: NodeId, step: u8) -> Result<(), String> {
+        let (store, copy) = (self.path(name, "store"), self.path(name, "copy"));
+        if self.processes[name].not_restartable {
+            return Ok(());
+        }
+        self.kill(name).await;
+        match step {
+            0 => {
+                fs::create_dir_all(&copy).map_err(with_context(copy.display()))?;
+                fs::copy(store.join("keeper.redb"), copy.join("keeper.redb"))
+                    .map_err(with_context(copy.display()))?;
+            }
+            2 => {
+                fs::copy(copy.join("keeper.redb"), store.join("keeper.redb"))
+                    .map_err(with_context(store.display()))?;
+                self.processes[name].not_restartable = true;
+            }
+            _ => {}
+        }
+        self.start(name)?;
+        if step < 2 {
+            self.recover_after(0.8, Recovery::RestoreOldDisk(name, step + 1));
+        }
+        Ok(())
+    }
+
+    /// Starts a second process of a member's name, at an address of its own, and kills it later.
+    fn start_duplicate_member(&mut self, of: NodeId, lasts: f64) -> Result<(), String> {
+        let Role::Member { config: light } = &self.processes[of].role else { return Ok(()) };
+        let name = self.processes.len();
+        if name >= 100 {
+            return Ok(());
+        }
+        let ip = IpAddr::V4(Ipv4Addr::new(127, self.address_block[0], self.address_block[1], 1 + name as u8));
+        let probe = std::net::TcpListener::bind((ip, 0)).map_err(with_context("a free port"))?;
+        let listen = probe.local_addr().map_err(with_context("a free port"))?;
+        drop(probe);
+        let record = self.dir.join(format!("{}-twin{name}.jsonl", light.name));
+        let seed = light.seed ^ (name as u64) << 40;
+        let twin = MemberConfig {
+            listen,
+            address: listen,
+            bind: Some(ip),
+            record: Some(record),
+            seed,
+            ..(**light).clone()
+        };
+        self.processes.push(Process {
+            role: Role::Member { config: Box::new(twin) },
+            listen,
+            child: None,
+            not_restartable: true,
+        });
+        self.start(name)?;
+        self.recover_after(lasts, Recovery::Kill(name));
+        // The first one is no member any more and does not become one again by itself; it is started anew after it.
+        self.recover_after(lasts + 0.1, Recovery::Kill(of));
+        self.recover_after(lasts + 0.2, Recovery::Start(of));
+        Ok(())
+    }
+
+    fn records(&self) -> Result<Records, String> {
+        let mut records = self.coordinator_records()?;
+        for entry in fs::read_dir(&self.dir).map_err(with_context(self.dir.display()))? {
+            let path = entry.map_err(with_context(self.dir.display()))?.path();
+            let stem = path.file_stem().and_then(|stem| stem.to_str()).unwrap_or_default().to_owned();
+            if path.extension().is_some_and(|ending| ending == "jsonl") && stem.starts_with('m') {
+                records.members.insert(stem, record_checker::read(&path)?);
+            }
+        }
+        Ok(records)
+    }
+
+    async fn shut_down(&mut self) {
+        for name in self.members().chain(self.arm.coordinators + self.arm.members..self.processes.len()) {
+            self.signal(name, Signal::CONT);
+            self.terminate(name).await;
+        }
+        for name in self.coordinators() {
+            self.signal(name, Signal::CONT);
+            self.terminate(name).await;
+        }
+        self.tasks.iter().for_each(JoinHandle::abort);
+    }
+
+    fn evaluate(mut self, seed: u64) -> Result<ScheduleResult, String> {
+        let records = self.records()?;
+        let mut violations = record_checker::check(&records);
+        for (rule, texts) in std::mem::take(&mut self.violations) {
+            violations.entry(rule).or_default().extend(texts);
+        }
+        let mut faults = BTreeMap::new();
+        self.injected.iter().for_each(|done| *faults.entry(done.kind).or_default() += 1);
+        let played = ScheduleResult {
+            seed,
+            faults,
+            resets: self.network.borrow().resets,
+            duplicates: self.network.borrow().duplicates,
+            takeovers: record_checker::takeovers(&records, &self.injected, self.plan.times.lease_duration),
+            effects_accepted: record_checker::effects_accepted(&records),
+            effects_rejected: record_checker::effects_rejected(&records),
+            lease_terms: record_checker::lease_terms(&records),
+            violations,
+        };
+        let slow = played.takeovers.values().flatten().any(|takeover| *takeover > 3_000_000);
+        let lines: String = self.injected.iter().map(|done| format!("{done:?}\n")).collect();
+        let _ = fs::write(self.dir.join("faults.txt"), lines);
+        // What a sound schedule left is of no more use; what a broken or slow one left is all there is.
+        if played.violations.is_empty()
+            && !slow
+            && self.injected_bug.is_none()
+            && self.random.random_range(0..20) != 0
+        {
+            let _ = fs::remove_dir_all(&self.dir);
+        }
+        Ok(played)
+    }
+}
