--- a/crates/cluster-member/src/settings.rs
+++ b/crates/cluster-member/src/settings.rs
@@ -144,6 +144,6 @@
 }
 
 #[cfg(not(feature = "seeded-bugs"))]
-fn flaw(_: &Section) -> Read<Option<Flaw>> {
+fn flaw(_: &Section) -> HclResult<Option<Flaw>> {
     Ok(None)
 }
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -105,7 +105,7 @@
 }
 
 #[cfg(not(feature = "seeded-bugs"))]
-fn flaw(_: &Section) -> Result<Option<disruption_budget::InjectedBug>, Fault> {
+fn flaw(_: &Section) -> Result<Option<disruption_budget::InjectedBug>, HclError> {
     Ok(None)
 }
 
