--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -1,149 +1,166 @@
-//! What stands in the keepers' log, with its version.
+//! Log entries and their versions.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{FencingToken, LeaseId, Revision, SessionId};
 
-/// The version that this program writes. An entry of a higher one stops the keeper: it may not be skipped.
-pub const COMMAND_VERSION: u16 = 3;
+/// Sessions, leases and starts of replicas.
+const VERSION_BASE: u16 = 1;
+/// The same with replacements of replicas.
+const VERSION_REPLICA_CHANGES: u16 = 2;
+/// The same with the disruption state.
+const VERSION_DISRUPTION: u16 = 3;
 
-/// A change of the state, as agreed on.
+/// The latest version of log entries that this program writes and reads.
+pub const COMMAND_VERSION: u16 = VERSION_DISRUPTION;
+
+/// A change of the state machine, as an entry of the replicated log.
+///
+/// The order of variants and fields is the format of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// A member wants a session. Saying so twice with the same `boot` gives the same session.
+    /// Opens a session for a member. Idempotent for the same `boot_id`.
     OpenSession {
         /// The member's name.
         name: String,
-        /// A number drawn by the member's process at its start.
+        /// A number that the member's process drew at its start.
         boot_id: u64,
-        /// The member's zone, or nothing.
+        /// The member's zone, or empty.
         zone: String,
         /// Where other members reach it.
         address: String,
-        /// The duties that it may be given.
+        /// The leases that it may be granted.
         eligible_leases: Vec<LeaseId>,
-        /// Whether the session that this one takes over from was short, by the leading keeper's clock.
+        /// Whether the session that this one supersedes was short, by the leader's clock.
         short_lived: bool,
     },
-    /// A member goes; its duties are free at once.
+    /// Ends a session at the member's wish; its leases are free at once.
     CloseSession {
-        /// Whose session.
+        /// The session.
         session: SessionId,
-        /// Whether its life was short, by the leading keeper's clock.
+        /// Whether it was short, by the leader's clock.
         short_lived: bool,
     },
-    /// A session was not renewed in time.
+    /// Ends a session that was not renewed in time.
     ExpireSession {
         /// The session.
         session: SessionId,
-        /// Whether its life was short, by the leading keeper's clock.
+        /// Whether it was short, by the leader's clock.
         short_lived: bool,
     },
-    /// A session stayed long enough to be given duties.
+    /// A session lasted its stability period and may hold leases.
     MarkSessionStable {
         /// The session.
         session: SessionId,
     },
-    /// A duty gets an owner, if it is still free since `fenced`.
+    /// Grants a lease, if it is still free since `fencing_revision`.
     GrantLease {
-        /// The duty.
+        /// The lease.
         lease: LeaseId,
-        /// The owner to be.
+        /// The holder to be.
         session: SessionId,
-        /// The fence that all older sessions have seen.
+        /// The fencing revision that all older sessions have acknowledged.
         fencing_revision: Revision,
     },
-    /// An owner's term is over, by its own wish or an operator's.
+    /// Ends a term, at the wish of its holder or of an operator, or to rebalance.
     ReleaseLease {
-        /// The duty.
+        /// The lease.
         lease: LeaseId,
-        /// The term meant; another one is left alone.
+        /// The token of the term; any other term goes on.
         token: FencingToken,
-        /// Whether the owner is not to be given it again for now.
+        /// Whether the holder has to become stable again before it is granted a lease.
         reset_stability: bool,
     },
-    /// A keeper was started, for the so-manieth time on its disk.
+    /// A replica was started.
     RecordReplicaStart {
-        /// Its number.
+        /// The replica's number.
         replica: u64,
         /// How often its disk was started.
         starts: u64,
     },
-    /// A keeper is to be replaced by a new one. Since version 2.
+    /// Begins the replacement of a replica by a new one. Since version 2.
     ReplaceReplica {
-        /// The one that goes.
+        /// The number of the replica that is retired.
         old: u64,
-        /// The one that comes; its number was never used.
+        /// The number of the new replica; it was never used before.
         new: u64,
-        /// Where the new one is reached.
+        /// The address of the new replica.
         address: String,
     },
-    /// The new keeper votes and the old one does not. Since version 2.
+    /// The new replica votes and the old one does not. Since version 2.
     CompleteReplacement {
-        /// The one that went.
+        /// The number of the retired replica.
         old: u64,
     },
-    /// The account of who may be out changes. Since version 3.
+    /// Changes budgets, targets or permits for planned unavailability. Since version 3.
     Disruption(disruption_budget::DisruptionCommand),
 }
 
-/// An entry that this program cannot apply.
-#[derive(Debug, Clone, PartialEq, Eq)]
+/// A log entry that this program cannot apply.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CommandDecodeError {
-    /// Written by a later version than this one knows.
-    UnsupportedVersion(u16, u16),
-    /// Not what a keeper writes.
-    Malformed(String),
-}
-
-impl std::fmt::Display for CommandDecodeError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            CommandDecodeError::UnsupportedVersion(version, supported) => write!(
-                f,
-                "an entry has version {version} and this keeper knows up to {supported}: it stops rather than skip what was \
-                 agreed; run a newer keeper"
-            ),
-            CommandDecodeError::Malformed(why) => write!(f, "an entry cannot be read: {why}"),
-        }
-    }
+    /// Written by a later program. The replica has to stop: skipping the entry would let its state diverge.
+    #[error(
+        "an entry has version {version} and this keeper knows up to {supported}: it stops rather than skip what was \
+         agreed; run a newer keeper"
+    )]
+    UnsupportedVersion {
+        /// The version of the entry.
+        version: u16,
+        /// The latest version that the replica reads.
+        supported: u16,
+    },
+    /// The bytes are not an entry.
+    #[error("an entry cannot be read: {0}")]
+    Malformed(#[from] postcard::Error),
+    /// The entry is followed by more bytes.
+    #[error("an entry cannot be read: {count} bytes too many")]
+    TrailingBytes {
+        /// How many.
+        count: usize,
+    },
 }
 
-impl std::error::Error for CommandDecodeError {}
-
 impl Command {
     /// The bytes for the log: the version, then the command.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(&(self.version(), self)).unwrap_or_default()
     }
 
-    /// The first version that supported it: keepers of the version before read on until something new is agreed on.
+    /// The first version with this command. Replicas of earlier versions read the log until it is used.
     pub fn version(&self) -> u16 {
         match self {
-            Command::Disruption(_) => 3,
-            Command::ReplaceReplica { .. } | Command::CompleteReplacement { .. } => 2,
-            _ => 1,
+            Command::Disruption(_) => VERSION_DISRUPTION,
+            Command::ReplaceReplica { .. } | Command::CompleteReplacement { .. } => VERSION_REPLICA_CHANGES,
+            _ => VERSION_BASE,
         }
     }
 
-    /// Reads an entry.
+    /// Reads an entry of any version up to [`COMMAND_VERSION`].
+    ///
+    /// # Errors
+    /// The entry is of a later version, or malformed.
     pub fn decode(bytes: &[u8]) -> Result<Command, CommandDecodeError> {
         Command::decode_with_supported_version(COMMAND_VERSION, bytes)
     }
 
-    /// The same by a keeper that supported entries up to this version.
+    /// Reads an entry as a replica that supports versions up to this one.
+    ///
+    /// # Errors
+    /// The entry is of a later version, or malformed.
     pub fn decode_with_supported_version(
         supported: u16,
         bytes: &[u8],
     ) -> Result<Command, CommandDecodeError> {
-        let malformed = |error: postcard::Error| CommandDecodeError::Malformed(error.to_string());
-        let (version, rest): (u16, _) = postcard::take_from_bytes(bytes).map_err(malformed)?;
+        let (version, rest): (u16, &[u8]) = postcard::take_from_bytes(bytes)?;
         if version > supported {
-            return Err(CommandDecodeError::UnsupportedVersion(version, supported));
+            return Err(CommandDecodeError::UnsupportedVersion { version, supported });
         }
-        match postcard::take_from_bytes(rest).map_err(malformed)? {
-            (command, []) => Ok(command),
-            (_, rest) => Err(CommandDecodeError::Malformed(format!("{} bytes too many", rest.len()))),
+        let (command, rest) = postcard::take_from_bytes(rest)?;
+        if rest.is_empty() {
+            Ok(command)
+        } else {
+            Err(CommandDecodeError::TrailingBytes { count: rest.len() })
         }
     }
 }
--- /dev/null
+++ b/crates/coordination/src/lease_assigner.rs
@@ -0,0 +1,132 @@
+//! Assignment of leases: who is granted a free one, and when a set of workers moves to another member.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::fnv::fnv1a;
+use crate::session_monitor::SessionMonitor;
+use crate::{Command, LeaseId, LeaseScope, Micros, Revision, SessionId, StateMachine, Timing};
+
+/// A set of workers moves only to a member with at least this many leases less.
+const REBALANCE_THRESHOLD: usize = 2;
+
+/// How many leases each session holds or is about to be granted.
+pub(crate) struct LeaseCounts(BTreeMap<SessionId, usize>);
+
+impl LeaseCounts {
+    pub(crate) fn of(state: &StateMachine) -> LeaseCounts {
+        let mut counts = LeaseCounts(BTreeMap::new());
+        for holder in state.leases().values().filter_map(|lease| lease.holder) {
+            counts.add(holder.session);
+        }
+        counts
+    }
+
+    fn add(&mut self, session: SessionId) {
+        *self.0.entry(session).or_default() += 1;
+    }
+
+    fn get(&self, session: SessionId) -> usize {
+        self.0.get(&session).copied().unwrap_or(0)
+    }
+}
+
+/// What assignments are based on.
+pub(crate) struct AssignmentContext<'a> {
+    pub(crate) now: Micros,
+    pub(crate) state: &'a StateMachine,
+    pub(crate) sessions: &'a SessionMonitor,
+}
+
+impl AssignmentContext<'_> {
+    /// The responsive session with the fewest leases; rendezvous hashing decides among equals.
+    fn choose_holder(&self, lease: &LeaseId, counts: &LeaseCounts) -> Option<SessionId> {
+        let sessions = self.state.sessions().iter();
+        let candidates = sessions
+            .filter(|(id, session)| session.may_hold(lease) && self.sessions.is_responsive(**id, self.now));
+        let rank = |id: SessionId, name: &str| (counts.get(id), rendezvous_weight(lease, name), id);
+        candidates.map(|(id, session)| rank(*id, &session.name)).min().map(|(_, _, id)| id)
+    }
+}
+
+/// The lowest weight wins.
+fn rendezvous_weight(lease: &LeaseId, member: &str) -> u64 {
+    let key = postcard::to_stdvec(&(lease, member)).unwrap_or_default();
+    fnv1a(&key)
+}
+
+/// Chooses the holders of leases.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(crate) struct LeaseAssigner {
+    timing: Timing,
+    /// Grants that were proposed, by lease and fencing revision.
+    grants_proposed: BTreeSet<(LeaseId, Revision)>,
+    last_rebalance: Option<Micros>,
+}
+
+impl LeaseAssigner {
+    pub(crate) fn new(timing: Timing) -> LeaseAssigner {
+        LeaseAssigner { timing, grants_proposed: BTreeSet::new(), last_rebalance: None }
+    }
+
+    /// Forgets proposals whose lease was granted or fenced again.
+    pub(crate) fn on_entries_applied(&mut self, state: &StateMachine) {
+        self.grants_proposed.retain(|(id, fencing_revision)| {
+            let lease = state.leases().get(id);
+            lease.is_some_and(|lease| lease.holder.is_none() && lease.fencing_revision == *fencing_revision)
+        });
+    }
+
+    /// Grants of free leases whose fencing revision was acknowledged by all older sessions.
+    pub(crate) fn grants(
+        &mut self,
+        context: &AssignmentContext<'_>,
+        counts: &mut LeaseCounts,
+    ) -> Vec<Command> {
+        let mut grants = Vec::new();
+        for (id, lease) in context.state.leases().iter().filter(|(_, lease)| lease.holder.is_none()) {
+            let fencing_revision = lease.fencing_revision;
+            let proposal = (id.clone(), fencing_revision);
+            if self.grants_proposed.contains(&proposal)
+                || !context.sessions.fence_acknowledged(fencing_revision, context.state)
+            {
+                continue;
+            }
+            if let Some(session) = context.choose_holder(id, counts) {
+                counts.add(session);
+                self.grants_proposed.insert(proposal);
+                grants.push(Command::GrantLease { lease: id.clone(), session, fencing_revision });
+            }
+        }
+        grants
+    }
+
+    /// The release of one set of workers whose holder has clearly more leases than the member that would be granted it.
+    ///
+    /// One set moves at a time, and the next only after a stability period, so that members that come and go do not
+    /// make the sets move back and forth.
+    pub(crate) fn rebalance(
+        &mut self,
+        context: &AssignmentContext<'_>,
+        counts: &LeaseCounts,
+    ) -> Option<Command> {
+        let now = context.now;
+        if self.last_rebalance.is_some_and(|last| now.saturating_sub(last) < self.timing.stability_period) {
+            return None;
+        }
+        let leases = context.state.leases().iter();
+        let sets = leases.filter(|(id, _)| matches!(id.scope, LeaseScope::WorkerSet(_)));
+        let held = sets.filter_map(|(id, lease)| Some((id, lease.holder?)));
+        let (id, holder) = held.max_by_key(|(id, holder)| (counts.get(holder.session), *id))?;
+        let target = context.choose_holder(id, counts)?;
+        if counts.get(target) + REBALANCE_THRESHOLD > counts.get(holder.session) {
+            return None;
+        }
+        self.last_rebalance = Some(now);
+        Some(Command::ReleaseLease { lease: id.clone(), token: holder.token, reset_stability: false })
+    }
+
+    /// The grant of this lease may be proposed again.
+    pub(crate) fn grant_rejected(&mut self, lease: &LeaseId, fencing_revision: Revision) {
+        self.grants_proposed.remove(&(lease.clone(), fencing_revision));
+    }
+}
--- a/crates/coordination/src/lease_client.rs
+++ b/crates/coordination/src/lease_client.rs
@@ -1,90 +1,69 @@
-//! A member's side: its session, what it knows of tokens, whether it may act and whether it takes an effect.
+//! A member's side: its session, the leases that it holds, and which effects of other holders it accepts.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use crate::{ClusterView, FencingToken, LeaseId, LeaseView, Micros, Revision, SessionId, Timing};
+use crate::{
+    ClusterView, FencingToken, InjectedBug, LeaseId, LeaseView, Micros, Revision, SessionId, Timing,
+};
 
-/// A injected_bug put in on purpose, to see that it is found.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum InjectedBug {
-    /// A receiver takes every effect.
-    SkipTokenCheck,
-    /// The lease counts from the answer of the keepers instead of from before it was asked for.
-    LeaseFromResponse,
-    /// What a receiver is told of tokens is forgotten.
-    ForgetMinimumToken,
-    /// An holder looks at the clock once a round and not before each effect.
-    SkipExpiryCheck,
-}
-
-impl InjectedBug {
-    /// The flaws by name. Empty where the program was not built for such tests.
-    pub fn names() -> &'static [(&'static str, InjectedBug)] {
-        #[cfg(feature = "seeded-bugs")]
-        return &[
-            ("receiver-without-check", InjectedBug::SkipTokenCheck),
-            ("lease-from-answer", InjectedBug::LeaseFromResponse),
-            ("token-not-stored", InjectedBug::ForgetMinimumToken),
-            ("effect-after-pause", InjectedBug::SkipExpiryCheck),
-        ];
-        #[cfg(not(feature = "seeded-bugs"))]
-        &[]
-    }
-}
-
-/// A session that the keepers gave.
+/// A session as its member knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ClientSession {
-    /// Its number.
+    /// The session.
     pub id: SessionId,
-    /// Which process of this name.
+    /// Which session of the member's name, counted from one.
     pub incarnation: u64,
-    /// When it ends, by this member's clock, if it is not renewed.
+    /// When it ends, by this member's clock, unless it is renewed.
     pub expires_at: Micros,
 }
 
-/// Why an effect is not taken.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
+/// Why a receiver rejects an effect.
+///
+/// Holders receive these as postcard: the order of variants and fields is part of the protocol.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, thiserror::Error, Serialize, Deserialize)]
 pub enum EffectRejection {
-    /// This member has no session: what it knows of tokens may be old.
+    /// The receiver has no session, so its minimum tokens may be outdated. The holder may retry later.
+    #[error("the receiver has no session, so it takes nothing")]
     NoSession,
-    /// A higher token is known.
+    /// The receiver knows of a later term. The holder has to stop.
+    #[error("the term is over: tokens below {} are refused", minimum_token.0)]
     StaleToken {
-        /// The lowest that would be taken.
+        /// The lowest token that would be accepted.
         minimum_token: FencingToken,
     },
-    /// The duty is not one that this member knows.
+    /// The receiver does not know the lease yet. The holder may retry later.
+    #[error("the receiver knows no such duty")]
     UnknownLease,
 }
 
-impl std::fmt::Display for EffectRejection {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            EffectRejection::NoSession => write!(f, "the receiver has no session, so it takes nothing"),
-            EffectRejection::StaleToken { minimum_token: floor } => {
-                write!(f, "the term is over: tokens below {} are refused", floor.0)
-            }
-            EffectRejection::UnknownLease => write!(f, "the receiver knows no such duty"),
-        }
-    }
-}
-
-/// What happened at this member, since it started.
+/// Effects that a member received since it started or last reset the counts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EffectCounts {
-    /// Effects taken.
+    /// Accepted.
     pub accepted: u64,
-    /// Effects refused for an old token.
+    /// Rejected with [`EffectRejection::StaleToken`].
     pub stale_tokens: u64,
-    /// Effects refused without a session.
+    /// Rejected with [`EffectRejection::NoSession`].
     pub without_session: u64,
-    /// Effects of duties that are not known.
+    /// Rejected with [`EffectRejection::UnknownLease`].
     pub unknown_leases: u64,
 }
 
-/// A member's account.
+impl EffectCounts {
+    fn record(&mut self, result: Result<(), EffectRejection>) {
+        let count = match result {
+            Ok(()) => &mut self.accepted,
+            Err(EffectRejection::NoSession) => &mut self.without_session,
+            Err(EffectRejection::StaleToken { .. }) => &mut self.stale_tokens,
+            Err(EffectRejection::UnknownLease) => &mut self.unknown_leases,
+        };
+        *count += 1;
+    }
+}
+
+/// A member's session and leases, by its own clock.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseClient {
     timing: Timing,
@@ -96,7 +75,7 @@
 }
 
 impl LeaseClient {
-    /// A process that knows nothing yet.
+    /// A process without a session.
     pub fn new(timing: Timing) -> LeaseClient {
         LeaseClient {
             timing,
@@ -108,14 +87,19 @@
         }
     }
 
-    /// Puts a injected_bug in.
+    /// The same with a bug.
     #[cfg(feature = "seeded-bugs")]
-    pub fn with_injected_bug(mut self, injected_bug: Option<InjectedBug>) -> LeaseClient {
-        self.injected_bug = injected_bug;
+    pub fn with_injected_bug(mut self, bug: Option<InjectedBug>) -> LeaseClient {
+        self.injected_bug = bug;
         self
     }
 
-    /// The keepers gave a session, asked for at that time.
+    /// The bug, for the driver that checks the clock.
+    pub fn injected_bug(&self) -> Option<InjectedBug> {
+        self.injected_bug
+    }
+
+    /// A session was opened, as requested at `requested_at`.
     pub fn on_session_opened(
         &mut self,
         id: SessionId,
@@ -125,14 +109,15 @@
         view: ClusterView,
     ) {
         if self.session.is_none_or(|session| session.id != id) {
-            // The keepers' word at the start of a session is the whole truth, also after they were set up anew.
-            (self.revision, self.leases) = (0, BTreeMap::new());
+            // The view at the start of a session replaces all known ones, also after an installation was set up anew.
+            self.revision = 0;
+            self.leases = BTreeMap::new();
             self.session = Some(ClientSession { id, incarnation, expires_at: 0 });
         }
         self.on_session_renewed(id, requested_at, now, Some(view));
     }
 
-    /// The keepers confirmed the session, asked for at that time.
+    /// The session was renewed, as requested at `requested_at`.
     pub fn on_session_renewed(
         &mut self,
         id: SessionId,
@@ -141,29 +126,28 @@
         view: Option<ClusterView>,
     ) {
         let expires_at = self.expiry(requested_at, now);
-        if let Some(session) = self.session.as_mut().filter(|session| session.id == id) {
-            session.expires_at = session.expires_at.max(expires_at);
-            if let Some(view) = view {
-                self.apply_view(view);
-            }
+        let Some(session) = self.session.as_mut().filter(|session| session.id == id) else { return };
+        session.expires_at = session.expires_at.max(expires_at);
+        if let Some(view) = view {
+            self.apply_view(view);
         }
     }
 
-    /// News of who owns what; returns whether it is to be confirmed at once.
+    /// The session's view changed. Returns whether it was news, which is to be acknowledged at once.
     pub fn on_view_changed(&mut self, id: SessionId, view: ClusterView) -> bool {
         self.session.is_some_and(|session| session.id == id) && self.apply_view(view)
     }
 
-    /// The keepers said that the session is over, or this member gave it back.
+    /// The session has ended, by the coordinator's word or at this member's wish.
     pub fn on_session_ended(&mut self) {
         self.session = None;
     }
 
+    /// Invariant 4 of the crate: the lease is measured from before the renewal was requested.
     fn expiry(&self, requested_at: Micros, now: Micros) -> Micros {
-        match self.injected_bug {
-            Some(InjectedBug::LeaseFromResponse) => now + self.timing.lease_duration,
-            _ => requested_at + self.timing.lease_duration,
-        }
+        let start =
+            if self.injected_bug == Some(InjectedBug::LeaseFromResponse) { now } else { requested_at };
+        start + self.timing.lease_duration
     }
 
     fn apply_view(&mut self, view: ClusterView) -> bool {
@@ -171,75 +155,70 @@
             return false;
         }
         self.revision = view.revision;
-        for mut lease_view in view.leases {
-            // What was taken with a higher token than this view knows stays the measure.
-            if let Some(known) = self.leases.get(&lease_view.lease) {
-                lease_view.minimum_token = lease_view.minimum_token.max(known.minimum_token);
+        for mut lease in view.leases {
+            // An accepted effect may have raised the minimum above what this view knows.
+            if let Some(known) = self.leases.get(&lease.lease) {
+                lease.minimum_token = lease.minimum_token.max(known.minimum_token);
             }
             if self.injected_bug == Some(InjectedBug::ForgetMinimumToken) {
-                lease_view.minimum_token = FencingToken(0);
+                lease.minimum_token = FencingToken(0);
             }
-            self.leases.insert(lease_view.lease.clone(), lease_view);
+            self.leases.insert(lease.lease.clone(), lease);
         }
         true
     }
 
-    /// The last view that was applied; said with each renewal.
+    /// The revision of the latest view that was applied; acknowledged with each renewal.
     pub fn applied_revision(&self) -> Revision {
         self.revision
     }
 
-    /// The session, if there is one that has not ended by this clock.
+    /// The session, unless it has ended by this clock.
     pub fn active_session(&self, now: Micros) -> Option<ClientSession> {
         self.session.filter(|session| now < session.expires_at)
     }
 
-    /// The session that was given last, ended or not.
+    /// The latest session, expired or not.
     pub fn last_session(&self) -> Option<ClientSession> {
         self.session
     }
 
-    /// The duties that this member owns now, with their tokens.
+    /// The leases that this member holds now, with their tokens.
     pub fn held_leases(&self, now: Micros) -> Vec<(LeaseId, FencingToken)> {
         let Some(session) = self.active_session(now) else { return Vec::new() };
-        let mine =
-            |lease_view: &&LeaseView| lease_view.holder.is_some_and(|holder| holder.session == session.id);
-        let token = |lease_view: &LeaseView| Some((lease_view.lease.clone(), lease_view.holder?.token));
-        self.leases.values().filter(mine).filter_map(token).collect()
+        let held = |lease: &LeaseView| {
+            let holder = lease.holder.filter(|holder| holder.session == session.id)?;
+            Some((lease.lease.clone(), holder.token))
+        };
+        self.leases.values().filter_map(held).collect()
     }
 
-    /// Whether this member may do an effect of that term at this moment. To be requested_at immediately before each.
+    /// Whether this member may make an effect of that term now. To be called immediately before each.
     pub fn holds_lease(&self, lease: &LeaseId, token: FencingToken, now: Micros) -> bool {
         let Some(session) = self.active_session(now) else { return false };
-        let holder = self.leases.get(lease).and_then(|lease_view| lease_view.holder);
+        let holder = self.leases.get(lease).and_then(|lease| lease.holder);
         holder.is_some_and(|holder| holder.session == session.id && holder.token == token)
     }
 
-    /// The injected_bug, for whoever drives the rounds.
-    pub fn injected_bug(&self) -> Option<InjectedBug> {
-        self.injected_bug
-    }
-
-    /// Whether this member takes an effect with that token now. What is taken raises the measure.
+    /// Decides on an effect with that token, and counts the decision. Accepting raises the minimum token.
+    ///
+    /// # Errors
+    /// Why the effect is rejected; nothing may be changed by it then.
     pub fn accept_effect(
         &mut self,
         lease: &LeaseId,
         token: FencingToken,
         now: Micros,
     ) -> Result<(), EffectRejection> {
-        let verdict = self.check_token(lease, token, now);
-        match verdict {
-            Ok(()) => self.counts.accepted += 1,
-            Err(EffectRejection::NoSession) => self.counts.without_session += 1,
-            Err(EffectRejection::StaleToken { .. }) => self.counts.stale_tokens += 1,
-            Err(EffectRejection::UnknownLease) => self.counts.unknown_leases += 1,
-        }
-        if let Some(lease_view) = self.leases.get_mut(lease).filter(|_| verdict.is_ok()) {
-            if self.injected_bug != Some(InjectedBug::ForgetMinimumToken) {
-                lease_view.minimum_token = lease_view.minimum_token.max(token);
+        let result = self.check_token(lease, token, now);
+        self.counts.record(result);
+        result?;
+        if self.injected_bug != Some(InjectedBug::ForgetMinimumToken) {
+            if let Some(view) = self.leases.get_mut(lease) {
+                view.minimum_token = view.minimum_token.max(token);
             }
         }
-        verdict
+        Ok(())
     }
 
     fn check_token(&self, lease: &LeaseId, token: FencingToken, now: Micros) -> Result<(), EffectRejection> {
@@ -249,24 +228,25 @@
         if self.active_session(now).is_none() {
             return Err(EffectRejection::NoSession);
         }
-        let lease_view = self.leases.get(lease).ok_or(EffectRejection::UnknownLease)?;
-        match token >= lease_view.minimum_token {
-            true => Ok(()),
-            false => Err(EffectRejection::StaleToken { minimum_token: lease_view.minimum_token }),
+        let minimum_token = self.leases.get(lease).ok_or(EffectRejection::UnknownLease)?.minimum_token;
+        if token >= minimum_token {
+            Ok(())
+        } else {
+            Err(EffectRejection::StaleToken { minimum_token })
         }
     }
 
-    /// What happened so far.
+    /// The effects received so far.
     pub fn effect_counts(&self) -> EffectCounts {
         self.counts
     }
 
-    /// Begins counting anew.
+    /// Sets all counts to zero.
     pub fn reset_effect_counts(&mut self) {
         self.counts = EffectCounts::default();
     }
 
-    /// The duties as known.
+    /// The known leases.
     pub fn lease_views(&self) -> impl Iterator<Item = &LeaseView> {
         self.leases.values()
     }
--- /dev/null
+++ b/crates/coordination/src/outcome.rs
@@ -0,0 +1,60 @@
+//! Results of applying a command.
+
+use serde::{Deserialize, Serialize};
+
+use crate::{FencingToken, LeaseHolder, LeaseId, SessionId};
+
+/// What applying a command led to.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum CommandOutcome {
+    /// The member has this session, with that incarnation of its name.
+    SessionOpened(SessionId, u64),
+    /// The session is over.
+    SessionEnded(SessionId),
+    /// The session may hold leases now.
+    SessionStable(SessionId),
+    /// The lease has a holder.
+    LeaseGranted(LeaseId, LeaseHolder),
+    /// The term with this token is over.
+    LeaseReleased(LeaseId, FencingToken),
+    /// What a change of the disruption state led to.
+    Disruption(disruption_budget::DisruptionOutcome),
+    /// Recorded, or applied before.
+    Acknowledged,
+    /// Nothing was changed.
+    Rejected(CommandRejection),
+}
+
+/// Why a command changed nothing.
+///
+/// Members receive these as postcard: the order of variants and fields is part of the protocol.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
+pub enum CommandRejection {
+    /// The session does not exist or has ended. The member may open a new one.
+    #[error("there is no such session, or it has ended")]
+    NoSuchSession,
+    /// A later process of the same name has a session; the member has to stop.
+    #[error("process {incarnation} of the same name is there and this one is older")]
+    Superseded {
+        /// The incarnation of the later process.
+        incarnation: u64,
+    },
+    /// The lease is held, was fenced again, or is unknown.
+    #[error("the duty is not free")]
+    LeaseNotFree,
+    /// The term with this token is over, or never was.
+    #[error("that term is over")]
+    NotLeaseHolder,
+    /// A limit would be exceeded; names the limit.
+    #[error("no room: {0}")]
+    LimitExceeded(String),
+    /// The disk of a replica was already seen with more starts: it is an old copy.
+    #[error("this disk was seen with {starts} starts already")]
+    StaleDisk {
+        /// The highest number of starts seen.
+        starts: u64,
+    },
+    /// The replacement of a replica is not possible; says why.
+    #[error("{0}")]
+    InvalidReplacement(String),
+}
--- /dev/null
+++ b/crates/coordination/src/session_monitor.rs
@@ -0,0 +1,153 @@
+//! Liveness of sessions: when each was renewed, which revision it acknowledged, when it expires or becomes stable.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::{Command, CommandRejection, Micros, Revision, SessionId, StateMachine, Timing};
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct SessionLiveness {
+    /// When the last renewal was confirmed, or when this leader first knew the session.
+    last_renewal: Micros,
+    /// Since when this leader has known the session.
+    first_seen: Micros,
+    /// Since when it has been unstable, as far as this leader knows.
+    unstable_since: Option<Micros>,
+    /// The latest view that the member acknowledged.
+    acknowledged: Revision,
+    /// Its expiry was proposed: no renewal is confirmed any more.
+    expiry_proposed: bool,
+}
+
+impl SessionLiveness {
+    fn starting_at(now: Micros) -> SessionLiveness {
+        SessionLiveness {
+            last_renewal: now,
+            first_seen: now,
+            unstable_since: Some(now),
+            acknowledged: 0,
+            expiry_proposed: false,
+        }
+    }
+
+    fn since_renewal(&self, now: Micros) -> Micros {
+        now.saturating_sub(self.last_renewal)
+    }
+
+    fn is_short(&self, now: Micros, timing: &Timing) -> bool {
+        now.saturating_sub(self.first_seen) < timing.short_session_limit
+    }
+
+    fn unstable_for(&self, now: Micros) -> Micros {
+        now.saturating_sub(self.unstable_since.unwrap_or(now))
+    }
+}
+
+/// The leader's record of when each session was heard from.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(crate) struct SessionMonitor {
+    timing: Timing,
+    sessions: BTreeMap<SessionId, SessionLiveness>,
+    stability_proposed: BTreeSet<SessionId>,
+}
+
+impl SessionMonitor {
+    pub(crate) fn new(timing: Timing) -> SessionMonitor {
+        SessionMonitor { timing, sessions: BTreeMap::new(), stability_proposed: BTreeSet::new() }
+    }
+
+    /// Follows sessions that were opened, ended, or became stable or unstable.
+    pub(crate) fn on_entries_applied(&mut self, now: Micros, state: &StateMachine) {
+        let sessions = state.sessions();
+        self.sessions.retain(|id, _| sessions.contains_key(id));
+        self.stability_proposed.retain(|id| sessions.get(id).is_some_and(|session| !session.stable));
+        for (id, session) in sessions {
+            let liveness = self.sessions.entry(*id).or_insert_with(|| SessionLiveness::starting_at(now));
+            if session.stable {
+                liveness.unstable_since = None;
+            } else {
+                liveness.unstable_since.get_or_insert(now);
+            }
+        }
+    }
+
+    /// Records a renewal; see [`crate::LeaderState::renew_session`].
+    pub(crate) fn renew(
+        &mut self,
+        id: SessionId,
+        acknowledged: Revision,
+        now: Micros,
+        state: &StateMachine,
+    ) -> Result<(), CommandRejection> {
+        let session = state.sessions().get(&id).ok_or(CommandRejection::NoSuchSession)?;
+        if session.superseded {
+            let incarnation = state.incarnation_of(&session.name);
+            return Err(CommandRejection::Superseded { incarnation });
+        }
+        let liveness = self.sessions.get_mut(&id).filter(|liveness| !liveness.expiry_proposed);
+        let liveness = liveness.ok_or(CommandRejection::NoSuchSession)?;
+        liveness.last_renewal = now;
+        liveness.acknowledged = liveness.acknowledged.max(acknowledged);
+        Ok(())
+    }
+
+    /// Whether the session would be short if it ended now.
+    pub(crate) fn is_short(&self, id: SessionId, now: Micros) -> bool {
+        self.sessions.get(&id).is_some_and(|liveness| liveness.is_short(now, &self.timing))
+    }
+
+    /// Whether the session was renewed within half a lease, so that a grant is likely to reach its member in time.
+    pub(crate) fn is_responsive(&self, id: SessionId, now: Micros) -> bool {
+        self.sessions.get(&id).is_some_and(|liveness| {
+            !liveness.expiry_proposed && liveness.since_renewal(now) < self.timing.lease_duration / 2
+        })
+    }
+
+    /// Whether every session older than the fencing revision has acknowledged it. A later session got a view that
+    /// contains it when it was opened.
+    pub(crate) fn fence_acknowledged(&self, fencing_revision: Revision, state: &StateMachine) -> bool {
+        state.sessions().keys().all(|id| id.0 >= fencing_revision || self.acknowledged(*id, fencing_revision))
+    }
+
+    fn acknowledged(&self, id: SessionId, revision: Revision) -> bool {
+        self.sessions.get(&id).is_some_and(|liveness| liveness.acknowledged >= revision)
+    }
+
+    /// Expiries of sessions that were not renewed in time, and sessions that became stable.
+    pub(crate) fn due_commands(&mut self, now: Micros, state: &StateMachine) -> Vec<Command> {
+        let mut due = Vec::new();
+        for (id, liveness) in &mut self.sessions {
+            if liveness.expiry_proposed {
+                continue;
+            }
+            if liveness.since_renewal(now) > self.timing.expiry_wait() {
+                liveness.expiry_proposed = true;
+                let short_lived = liveness.is_short(now, &self.timing);
+                due.push(Command::ExpireSession { session: *id, short_lived });
+                continue;
+            }
+            let session = state.sessions().get(id);
+            let Some(session) = session.filter(|session| !session.stable && !session.superseded) else {
+                continue;
+            };
+            let short_sessions = state.consecutive_short_sessions(&session.name);
+            if liveness.unstable_for(now) >= self.timing.stability_period_after(short_sessions)
+                && self.stability_proposed.insert(*id)
+            {
+                due.push(Command::MarkSessionStable { session: *id });
+            }
+        }
+        due
+    }
+
+    /// The expiry of this session may be proposed again, and the session renewed.
+    pub(crate) fn expiry_rejected(&mut self, id: SessionId) {
+        if let Some(liveness) = self.sessions.get_mut(&id) {
+            liveness.expiry_proposed = false;
+        }
+    }
+
+    /// The stability of this session may be proposed again.
+    pub(crate) fn stability_rejected(&mut self, id: SessionId) {
+        self.stability_proposed.remove(&id);
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/state_machine/replicas.rs
@@ -0,0 +1,87 @@
+//! Membership changes of the replicas: starts of their disks, and the replacement of one by another.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use serde::{Deserialize, Serialize};
+
+use super::{Applied, StateMachine};
+use crate::limits::MAX_TEXT_BYTES;
+use crate::{CommandOutcome, CommandRejection};
+
+/// The replacement of one replica by another.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct ReplicaReplacement {
+    /// The number of the replica that is retired.
+    pub old: u64,
+    /// The number of the replica that takes its place; it was never used before.
+    pub new: u64,
+}
+
+/// What changed among the replicas since the installation was set up. Since version 2 of the snapshot.
+#[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub(super) struct ReplicaChanges {
+    /// Addresses of the added replicas.
+    pub(super) addresses: BTreeMap<u64, String>,
+    /// The replacement in progress. There is one at a time.
+    pub(super) in_progress: Option<ReplicaReplacement>,
+    /// Numbers that must not be used again.
+    retired: BTreeSet<u64>,
+}
+
+impl StateMachine {
+    /// Records how often a replica's disk was started. Fewer starts than seen before mean an old copy of the disk.
+    pub(super) fn record_replica_start(&mut self, replica: u64, starts: u64) -> Applied {
+        let seen = self.replica_starts.entry(replica).or_default();
+        if starts < *seen {
+            return Err(CommandRejection::StaleDisk { starts: *seen });
+        }
+        *seen = starts;
+        Ok(CommandOutcome::Acknowledged)
+    }
+
+    /// Begins a replacement. Proposing the one in progress again is acknowledged: the operator may have missed the
+    /// response.
+    pub(super) fn replace_replica(&mut self, old: u64, new: u64, address: &str) -> Applied {
+        let wanted = ReplicaReplacement { old, new };
+        if let Some(current) = self.replica_changes.in_progress {
+            if current == wanted {
+                return Ok(CommandOutcome::Acknowledged);
+            }
+            return invalid(format!("keeper {} is being replaced by {} still", current.old, current.new));
+        }
+        if old == new || self.is_used_replica_number(new) {
+            return invalid(format!("number {new} was used already; a new keeper has a new number"));
+        }
+        if self.replica_changes.retired.contains(&old) {
+            return invalid(format!("keeper {old} was replaced already"));
+        }
+        if address.is_empty() || address.len() > MAX_TEXT_BYTES {
+            let reason = format!("an address is empty or over {MAX_TEXT_BYTES} bytes");
+            return Err(CommandRejection::LimitExceeded(reason));
+        }
+        self.replica_changes.addresses.insert(new, address.to_owned());
+        self.replica_changes.in_progress = Some(wanted);
+        Ok(CommandOutcome::Acknowledged)
+    }
+
+    /// Ends the replacement of this replica, whose number is retired.
+    pub(super) fn complete_replacement(&mut self, old: u64) -> CommandOutcome {
+        let changes = &mut self.replica_changes;
+        if changes.in_progress.is_some_and(|replacement| replacement.old == old) {
+            changes.in_progress = None;
+            changes.addresses.remove(&old);
+            changes.retired.insert(old);
+        }
+        CommandOutcome::Acknowledged
+    }
+
+    fn is_used_replica_number(&self, number: u64) -> bool {
+        self.replica_starts.contains_key(&number)
+            || self.replica_changes.retired.contains(&number)
+            || self.replica_changes.addresses.contains_key(&number)
+    }
+}
+
+fn invalid(reason: String) -> Applied {
+    Err(CommandRejection::InvalidReplacement(reason))
+}
--- /dev/null
+++ b/crates/coordination/src/state_machine/sessions.rs
@@ -0,0 +1,205 @@
+//! Sessions of members, and what is remembered of their names.
+
+use serde::{Deserialize, Serialize};
+
+use super::{Applied, StateMachine};
+use crate::limits::{
+    MAX_ELIGIBLE_LEASES, MAX_LEASES, MAX_NAME_HISTORIES, MAX_REMEMBERED_BOOT_IDS, MAX_SESSIONS,
+    MAX_TEXT_BYTES,
+};
+use crate::{CommandOutcome, CommandRejection, LeaseId, LeaseScope, Revision, SessionId};
+
+/// An open session of a member.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Session {
+    /// The member's name.
+    pub name: String,
+    /// Which session of that name, counted from one.
+    pub incarnation: u64,
+    /// The number that the member's process drew at its start.
+    pub boot_id: u64,
+    /// The member's zone, or empty.
+    pub zone: String,
+    /// Where other members reach it.
+    pub address: String,
+    /// The leases that it may be granted.
+    pub eligible_leases: Vec<LeaseId>,
+    /// Whether it lasted its stability period.
+    pub stable: bool,
+    /// Whether a later process of the same name has a session: this one is not renewed any more.
+    pub superseded: bool,
+}
+
+impl Session {
+    /// Whether it may be granted this lease.
+    pub fn may_hold(&self, lease: &LeaseId) -> bool {
+        let in_scope = match &lease.scope {
+            LeaseScope::Fleet | LeaseScope::WorkerSet(_) => true,
+            LeaseScope::Zone(zone) => *zone == self.zone,
+        };
+        in_scope && self.stable && !self.superseded && self.eligible_leases.contains(lease)
+    }
+}
+
+/// What is remembered of a name beyond its sessions.
+#[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub(super) struct NameHistory {
+    incarnation: u64,
+    /// The last processes of the name, the latest last.
+    boot_ids: Vec<u64>,
+    last_session_short: bool,
+    /// Counted by process: one that reconnects is the same process and adds none.
+    consecutive_short_sessions: u8,
+}
+
+impl NameHistory {
+    /// Counts a session of this process; `previous_short` says whether the session before it was short.
+    ///
+    /// # Errors
+    /// A later process of the name was seen.
+    fn add_session(&mut self, boot_id: u64, previous_short: bool) -> Result<u64, CommandRejection> {
+        if self.boot_ids.last() != Some(&boot_id) {
+            if self.boot_ids.contains(&boot_id) {
+                return Err(CommandRejection::Superseded { incarnation: self.incarnation });
+            }
+            self.add_process(boot_id, previous_short);
+        }
+        self.incarnation += 1;
+        Ok(self.incarnation)
+    }
+
+    fn add_process(&mut self, boot_id: u64, previous_short: bool) {
+        let is_first = self.boot_ids.is_empty();
+        self.consecutive_short_sessions =
+            if previous_short && !is_first { self.consecutive_short_sessions.saturating_add(1) } else { 0 };
+        self.boot_ids.push(boot_id);
+        if self.boot_ids.len() > MAX_REMEMBERED_BOOT_IDS {
+            self.boot_ids.remove(0);
+        }
+    }
+}
+
+/// A member's request for a session, as in [`crate::Command::OpenSession`].
+pub(super) struct SessionRequest<'a> {
+    pub(super) name: &'a str,
+    pub(super) boot_id: u64,
+    pub(super) zone: &'a str,
+    pub(super) address: &'a str,
+    pub(super) eligible_leases: &'a [LeaseId],
+    pub(super) short_lived: bool,
+}
+
+impl SessionRequest<'_> {
+    fn texts_within_limit(&self) -> bool {
+        let lease_names = self.eligible_leases.iter().map(|lease| lease.name.as_str());
+        let mut texts = [self.name, self.zone, self.address].into_iter().chain(lease_names);
+        !self.name.is_empty() && texts.all(|text| text.len() <= MAX_TEXT_BYTES)
+    }
+
+    fn session(&self, incarnation: u64) -> Session {
+        Session {
+            name: self.name.to_owned(),
+            incarnation,
+            boot_id: self.boot_id,
+            zone: self.zone.to_owned(),
+            address: self.address.to_owned(),
+            eligible_leases: self.eligible_leases.to_vec(),
+            stable: false,
+            superseded: false,
+        }
+    }
+}
+
+impl StateMachine {
+    /// How many sessions in a row of this name were short.
+    pub fn consecutive_short_sessions(&self, name: &str) -> u8 {
+        self.names.get(name).map_or(0, |history| history.consecutive_short_sessions)
+    }
+
+    /// The session of this name that may be renewed.
+    pub fn current_session_of(&self, name: &str) -> Option<(SessionId, &Session)> {
+        let mut sessions = self.sessions.iter().map(|(id, session)| (*id, session));
+        sessions.find(|(_, session)| session.name == name && !session.superseded)
+    }
+
+    /// The latest incarnation of this name, or 0 for an unknown one.
+    pub fn incarnation_of(&self, name: &str) -> u64 {
+        self.names.get(name).map_or(0, |history| history.incarnation)
+    }
+
+    /// Opens a session. The same process gets the session that it has; a later one supersedes it.
+    pub(super) fn open_session(&mut self, index: Revision, request: &SessionRequest<'_>) -> Applied {
+        let current = self.current_session_of(request.name);
+        if let Some((id, session)) = current.filter(|(_, session)| session.boot_id == request.boot_id) {
+            return Ok(CommandOutcome::SessionOpened(id, session.incarnation));
+        }
+        let superseded = current.map(|(id, _)| id);
+        self.check_limits(request)?;
+        let history = self.names.entry(request.name.to_owned()).or_default();
+        let previous_short =
+            if superseded.is_some() { request.short_lived } else { history.last_session_short };
+        let incarnation = history.add_session(request.boot_id, previous_short)?;
+        // The older process keeps its leases until its session ends: it may be acting on them still.
+        if let Some(session) = superseded.and_then(|id| self.sessions.get_mut(&id)) {
+            session.superseded = true;
+        }
+        self.add_leases(index, request.eligible_leases);
+        self.sessions.insert(SessionId(index), request.session(incarnation));
+        self.membership_revision = index;
+        self.trim_name_histories();
+        Ok(CommandOutcome::SessionOpened(SessionId(index), incarnation))
+    }
+
+    /// Ends a session, and with it the terms of its leases.
+    pub(super) fn end_session(&mut self, index: Revision, id: SessionId, short_lived: bool) -> Applied {
+        let session = self.sessions.remove(&id).ok_or(CommandRejection::NoSuchSession)?;
+        self.membership_revision = index;
+        self.free_leases_of(index, id);
+        // The length of a superseded session was recorded when its successor was opened.
+        if !session.superseded {
+            if let Some(history) = self.names.get_mut(&session.name) {
+                history.last_session_short = short_lived;
+            }
+        }
+        Ok(CommandOutcome::SessionEnded(id))
+    }
+
+    /// From now on the session may hold leases.
+    pub(super) fn mark_session_stable(&mut self, id: SessionId) -> Applied {
+        let session = self.sessions.get_mut(&id).filter(|session| !session.superseded);
+        session.ok_or(CommandRejection::NoSuchSession)?.stable = true;
+        Ok(CommandOutcome::SessionStable(id))
+    }
+
+    fn check_limits(&self, request: &SessionRequest<'_>) -> Result<(), CommandRejection> {
+        if !request.texts_within_limit() {
+            let reason = format!("a name or an address is empty or over {MAX_TEXT_BYTES} bytes");
+            return Err(CommandRejection::LimitExceeded(reason));
+        }
+        let is_new = |lease: &&LeaseId| !self.leases.contains_key(lease);
+        let leases = self.leases.len() + request.eligible_leases.iter().filter(is_new).count();
+        if self.sessions.len() >= MAX_SESSIONS
+            || leases > MAX_LEASES
+            || request.eligible_leases.len() > MAX_ELIGIBLE_LEASES
+        {
+            let reason =
+                format!("{MAX_SESSIONS} sessions, {MAX_LEASES} duties, {MAX_ELIGIBLE_LEASES} offers");
+            return Err(CommandRejection::LimitExceeded(reason));
+        }
+        Ok(())
+    }
+
+    /// Drops histories of names without a session, those with the fewest sessions first, while there are too many.
+    fn trim_name_histories(&mut self) {
+        while self.names.len() > MAX_NAME_HISTORIES {
+            let has_session = |name: &str| self.sessions.values().any(|session| session.name == name);
+            let idle = self.names.iter().filter(|(name, _)| !has_session(name));
+            let Some(name) =
+                idle.min_by_key(|(_, history)| history.incarnation).map(|(name, _)| name.clone())
+            else {
+                return;
+            };
+            self.names.remove(&name);
+        }
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/state_machine/snapshot.rs
@@ -0,0 +1,79 @@
+//! The snapshot codec.
+//!
+//! A snapshot is its version and then, in postcard, the state machine, the membership changes of the replicas (since
+//! version 2) and the disruption state (since version 3). It is written in the first version that can express the
+//! state, so that replicas of earlier versions read it until something new was agreed on.
+
+use disruption_budget::DisruptionState;
+use serde::Deserialize;
+
+use super::{ReplicaChanges, StateMachine};
+use crate::fnv::fnv1a;
+
+/// Sessions, names, leases and starts of replicas.
+const VERSION_BASE: u16 = 1;
+/// The same with membership changes of the replicas.
+const VERSION_REPLICA_CHANGES: u16 = 2;
+/// The same with the disruption state.
+const VERSION_DISRUPTION: u16 = 3;
+
+/// A snapshot that this program cannot read.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub enum SnapshotError {
+    /// Written by a later program; this one has to be upgraded.
+    #[error("the snapshot cannot be read: it has version {version}, this keeper knows {supported}")]
+    UnsupportedVersion {
+        /// The version of the snapshot.
+        version: u16,
+        /// The latest version that this program reads.
+        supported: u16,
+    },
+    /// The bytes are not a snapshot.
+    #[error("the snapshot cannot be read: {0}")]
+    Malformed(#[from] postcard::Error),
+}
+
+impl StateMachine {
+    /// The bytes of a snapshot: its version, then the parts of that version.
+    pub fn snapshot(&self) -> Vec<u8> {
+        let (changes, disruption) = (&self.replica_changes, &self.disruption);
+        let encoded = if *disruption != DisruptionState::default() {
+            postcard::to_stdvec(&(VERSION_DISRUPTION, self, changes, disruption))
+        } else if *changes != ReplicaChanges::default() {
+            postcard::to_stdvec(&(VERSION_REPLICA_CHANGES, self, changes))
+        } else {
+            postcard::to_stdvec(&(VERSION_BASE, self))
+        };
+        encoded.unwrap_or_default()
+    }
+
+    /// Reads a snapshot of any version up to the present one.
+    ///
+    /// # Errors
+    /// The snapshot is of a later version, or malformed.
+    pub fn restore(bytes: &[u8]) -> Result<StateMachine, SnapshotError> {
+        let (version, parts): (u16, &[u8]) = postcard::take_from_bytes(bytes)?;
+        match version {
+            VERSION_BASE => decode(parts),
+            VERSION_REPLICA_CHANGES => {
+                let (state, replica_changes): (StateMachine, ReplicaChanges) = decode(parts)?;
+                Ok(StateMachine { replica_changes, ..state })
+            }
+            VERSION_DISRUPTION => {
+                let (state, replica_changes, disruption): (StateMachine, _, _) = decode(parts)?;
+                let disruption_revision = state.revision;
+                Ok(StateMachine { replica_changes, disruption, disruption_revision, ..state })
+            }
+            _ => Err(SnapshotError::UnsupportedVersion { version, supported: VERSION_DISRUPTION }),
+        }
+    }
+
+    /// The FNV-1a hash of the snapshot, equal on replicas that applied the same entries.
+    pub fn digest(&self) -> u64 {
+        fnv1a(&self.snapshot())
+    }
+}
+
+fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, SnapshotError> {
+    Ok(postcard::from_bytes(bytes)?)
+}
--- a/crates/coordination/src/timing.rs
+++ b/crates/coordination/src/timing.rs
@@ -1,57 +1,70 @@
-//! The times of sessions and leases, checked against each other.
+//! Durations of sessions, leases and elections, validated against each other.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
 
-/// All times of the agreement, in microseconds. Keepers and members of one installation have the same.
+const PARTS_PER_MILLION: u64 = 1_000_000;
+
+/// The largest clock skew that can be configured: a tenth.
+const MAX_CLOCK_SKEW_PPM: u64 = 100_000;
+
+/// Heartbeats that fit at least into an election timeout.
+const MIN_HEARTBEATS_PER_ELECTION: u64 = 4;
+
+/// Renewals that fit at least into a lease.
+const MIN_RENEWALS_PER_LEASE: u64 = 3;
+
+/// Calls that fit at least into a lease.
+const MIN_CALLS_PER_LEASE: u64 = 2;
+
+/// Election timeouts that fit at least into a lease.
+const MIN_ELECTIONS_PER_LEASE: u64 = 2;
+
+/// How often short sessions double the stability period at most.
+const MAX_STABILITY_DOUBLINGS: u8 = 5;
+
+/// All durations, in microseconds. Replicas and members of one installation have the same.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Timing {
-    /// How long a session lasts after the member asked for its renewal, by the member's clock.
+    /// How long a session lasts after its renewal was requested, by the member's clock.
     #[serde(rename = "lease")]
     pub lease_duration: Micros,
-    /// How often a member asks for a renewal.
+    /// How often a member requests a renewal.
     #[serde(rename = "renew")]
     pub renewal_interval: Micros,
-    /// How long a member waits for an answer of a keeper before it asks another.
+    /// How long a member waits for the response of a replica before it tries another.
     #[serde(rename = "call")]
     pub call_timeout: Micros,
-    /// How long a member has to stay before it may own a duty; doubled for each short life before.
+    /// How long a session has to last before it may hold a lease; doubled for each short session before it.
     #[serde(rename = "stay")]
     pub stability_period: Micros,
-    /// A session that ends before this age counts as a short life.
+    /// A session that ends before this age is short.
     #[serde(rename = "short")]
     pub short_session_limit: Micros,
-    /// The most by which two clocks' rates differ, in parts of a million.
+    /// The largest difference between the rates of two clocks, in parts per million.
     #[serde(rename = "skew_ppm")]
     pub max_clock_skew_ppm: u64,
-    /// How long a keeper that follows hears nothing before it wants to lead.
+    /// How long a follower waits for the leader before it starts an election.
     #[serde(rename = "election")]
     pub election_timeout: Micros,
-    /// How often the leading keeper makes itself heard.
+    /// How often the leader sends heartbeats.
     #[serde(rename = "heartbeat")]
     pub heartbeat_interval: Micros,
 }
 
-/// Two times that do not fit together.
-#[derive(Debug, Clone, PartialEq, Eq)]
+/// Two durations that contradict each other, under the names of their settings.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[error("{key} does not fit to {against}: {problem}")]
 pub struct TimingError {
-    /// The key that is wrong.
+    /// The setting that is wrong.
     pub key: &'static str,
-    /// The key that it does not fit to.
+    /// The setting that it contradicts.
     pub against: &'static str,
-    /// Why.
-    pub problem: String,
+    /// What is wanted, and what happens otherwise.
+    pub problem: &'static str,
 }
 
-impl std::fmt::Display for TimingError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{} does not fit to {}: {}", self.key, self.against, self.problem)
-    }
-}
-
-impl std::error::Error for TimingError {}
-
 impl Default for Timing {
     fn default() -> Timing {
         Timing {
@@ -68,65 +81,85 @@
 }
 
 impl Timing {
-    /// Whether the times fit together.
+    /// Checks that the durations fit together.
+    ///
+    /// # Errors
+    /// The first contradiction.
     pub fn validate(&self) -> Result<(), TimingError> {
-        let rules = [
-            (
-                self.heartbeat_interval == 0 || self.heartbeat_interval * 4 > self.election_timeout,
-                "heartbeat",
-                "election",
-                "wanted above 0 and at most a fourth of it, or a late beat starts an election",
-            ),
-            (
-                self.renewal_interval == 0 || self.renewal_interval * 3 > self.lease_duration,
-                "renew",
-                "lease",
-                "wanted above 0 and at most a third of it, or one lost answer ends a session",
-            ),
-            (
-                self.call_timeout == 0 || self.call_timeout * 2 > self.lease_duration,
-                "call",
-                "lease",
-                "wanted above 0 and at most half of it, or a silent keeper ends a session",
-            ),
-            (
-                self.election_timeout * 2 > self.lease_duration,
-                "election",
-                "lease",
-                "wanted at most half of it, or every election ends sessions",
-            ),
-            (
-                self.stability_period < self.renewal_interval,
-                "stay",
-                "renew",
-                "wanted at least as long, or a member settles unheard",
-            ),
-            (
-                self.short_session_limit < self.stability_period,
-                "short",
-                "stay",
-                "wanted at least as long, or no life is ever short",
-            ),
-            (self.max_clock_skew_ppm > 100_000, "skew_ppm", "lease", "wanted at most 100000, a tenth"),
-        ];
-        match rules.into_iter().find(|rule| rule.0) {
-            Some((_, key, against, problem)) => {
-                Err(TimingError { key, against, problem: problem.to_owned() })
-            }
-            None => Ok(()),
-        }
+        self.validate_election()?;
+        self.validate_lease()?;
+        self.validate_stability()?;
+        require(
+            self.max_clock_skew_ppm <= MAX_CLOCK_SKEW_PPM,
+            ("skew_ppm", "lease"),
+            "wanted at most 100000, a tenth",
+        )
+    }
+
+    fn validate_election(&self) -> Result<(), TimingError> {
+        require(
+            self.heartbeat_interval != 0
+                && self.heartbeat_interval * MIN_HEARTBEATS_PER_ELECTION <= self.election_timeout,
+            ("heartbeat", "election"),
+            "wanted above 0 and at most a fourth of it, or a late beat starts an election",
+        )
+    }
+
+    fn validate_lease(&self) -> Result<(), TimingError> {
+        require(
+            self.renewal_interval != 0
+                && self.renewal_interval * MIN_RENEWALS_PER_LEASE <= self.lease_duration,
+            ("renew", "lease"),
+            "wanted above 0 and at most a third of it, or one lost answer ends a session",
+        )?;
+        require(
+            self.call_timeout != 0 && self.call_timeout * MIN_CALLS_PER_LEASE <= self.lease_duration,
+            ("call", "lease"),
+            "wanted above 0 and at most half of it, or a silent keeper ends a session",
+        )?;
+        require(
+            self.election_timeout * MIN_ELECTIONS_PER_LEASE <= self.lease_duration,
+            ("election", "lease"),
+            "wanted at most half of it, or every election ends sessions",
+        )
     }
 
-    /// How long a keeper waits, by its own clock, before a session that was not renewed has ended for its member too.
+    fn validate_stability(&self) -> Result<(), TimingError> {
+        require(
+            self.stability_period >= self.renewal_interval,
+            ("stay", "renew"),
+            "wanted at least as long, or a member settles unheard",
+        )?;
+        require(
+            self.short_session_limit >= self.stability_period,
+            ("short", "stay"),
+            "wanted at least as long, or no life is ever short",
+        )
+    }
+
+    /// How long the leader waits, by its own clock, until a session that was not renewed has ended for its member too.
     ///
-    /// A member's clock may run slow by the bound and a keeper's fast, so that both differences are added. What is
-    /// rounded is rounded up, and one microsecond more covers both readings.
+    /// The member's clock may run slow by the bound and the leader's fast, so both differences are added. The result
+    /// is rounded up, with one microsecond more for the granularity of both readings.
     pub fn expiry_wait(&self) -> Micros {
-        self.lease_duration + (self.lease_duration * 2 * self.max_clock_skew_ppm).div_ceil(1_000_000) + 1
+        let skew = (self.lease_duration * 2 * self.max_clock_skew_ppm).div_ceil(PARTS_PER_MILLION);
+        self.lease_duration + skew + 1
     }
 
-    /// How long a member with this many short lives in a row has to stay before it may own a duty.
+    /// The stability period of a member with this many short sessions in a row.
     pub fn stability_period_after(&self, consecutive_short_sessions: u8) -> Micros {
-        self.stability_period << consecutive_short_sessions.min(5)
+        self.stability_period << consecutive_short_sessions.min(MAX_STABILITY_DOUBLINGS)
+    }
+}
+
+fn require(
+    condition: bool,
+    (key, against): (&'static str, &'static str),
+    problem: &'static str,
+) -> Result<(), TimingError> {
+    if condition {
+        Ok(())
+    } else {
+        Err(TimingError { key, against, problem })
     }
 }
--- a/crates/coordination/tests/coordination.rs
+++ b/crates/coordination/tests/coordination.rs
@@ -300,10 +300,13 @@
     assert_eq!(Command::decode(&command.encode()), Ok(command.clone()));
     let mut later = command.encode();
     later[0] = 4;
-    assert_eq!(Command::decode(&later), Err(CommandDecodeError::UnsupportedVersion(4, 3)));
+    assert_eq!(
+        Command::decode(&later),
+        Err(CommandDecodeError::UnsupportedVersion { version: 4, supported: 3 })
+    );
     let mut long = command.encode();
     long.push(0);
-    assert!(matches!(Command::decode(&long), Err(CommandDecodeError::Malformed(_))));
+    assert!(matches!(Command::decode(&long), Err(CommandDecodeError::TrailingBytes { count: 1 })));
     // What keepers of the version before read is written as they wrote it, until something new is agreed on.
     assert_eq!((command.encode()[0], fleet.state.snapshot()[0]), (1, 1));
     let replace = Command::ReplaceReplica { old: 3, new: 4, address: "127.0.0.1:1".into() };
@@ -340,7 +343,7 @@
     assert_eq!(ask.encode()[0], 3);
     assert_eq!(
         Command::decode_with_supported_version(2, &ask.encode()),
-        Err(CommandDecodeError::UnsupportedVersion(3, 2))
+        Err(CommandDecodeError::UnsupportedVersion { version: 3, supported: 2 })
     );
     assert!(matches!(fleet.apply(SECOND, &ask), CommandOutcome::Disruption(_)));
     assert_eq!(fleet.state.snapshot()[0], 3);
--- a/crates/emulator/src/cluster/lightweight_member.rs
+++ b/crates/emulator/src/cluster/lightweight_member.rs
@@ -70,7 +70,8 @@
         Some(path) => Recorder::to(path).map_err(|error| format!("{}: {error}", path.display()))?,
         None => Recorder::default(),
     };
-    let offers: Result<Vec<LeaseId>, String> = light.leases.iter().map(|duty| duty.parse()).collect();
+    let offers: Result<Vec<LeaseId>, String> =
+        light.leases.iter().map(|duty| duty.parse::<LeaseId>().map_err(|error| error.to_string())).collect();
     let listener =
         TcpListener::bind(light.listen).await.map_err(|error| format!("{}: {error}", light.listen))?;
     let settings = Settings {
