--- a/crates/dispatch-core/tests/backoff.rs
+++ b/crates/dispatch-core/tests/backoff.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn pauses_double_up_to_the_cap_and_begin_anew_after_a_success() {
+fn pauses_double_up_to_the_cap_and_reset_after_a_success() {
     for (failures, longest) in
         [100_000, 200_000, 400_000, 800_000, 1_600_000, CAP, CAP].into_iter().enumerate()
     {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_the_other_side_asks_for_is_waited_for_up_to_the_cap() {
+fn honours_a_retry_after_up_to_the_cap() {
     let mut backoff = Backoff::new(FIRST, CAP, 7);
     assert!((1_000_000..=1_000_000 + FIRST).contains(&backoff.next_delay(Some(1_000_000))));
     assert!(backoff.next_delay(Some(Micros::MAX)) <= 2 * CAP);
--- a/crates/dispatch-core/tests/common/mod.rs
+++ b/crates/dispatch-core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: settings, events, and a ledger that holds a dispatcher to the four rules.
+//! What the tests share: settings, events, and a driver that checks the four rules on every action.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use dispatch_core::api::*;
 use dispatch_core::Dispatcher;
 
-/// How long after the word a worker that drains may still get new work.
+/// How long after it was told to drain a worker may still get new work.
 pub const DRAIN_GRACE: f64 = 0.5;
 
 pub fn class(repeat: Idempotency) -> Class {
@@ -42,14 +42,14 @@
     }
 }
 
-pub fn member(worker: u64, state: WorkerState) -> Endpoint {
+pub fn endpoint(worker: u64, state: WorkerState) -> Endpoint {
     let zone = (worker % 2) as u32;
     Endpoint { worker: WorkerId(worker), kind: 0, zone, cell: zone, started_at: 0.0, state }
 }
 
 /// Workers 1 to n, all serving; the even ones are in zone 0.
 pub fn fleet(n: u64) -> Vec<Endpoint> {
-    (1..=n).map(|w| member(w, WorkerState::Serving)).collect()
+    (1..=n).map(|w| endpoint(w, WorkerState::Serving)).collect()
 }
 
 pub fn request(id: u64) -> Request {
@@ -66,11 +66,11 @@
     }
 }
 
-/// What was seen of one request.
+/// What a dispatcher did with one request.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct RequestRecord {
     pub class: usize,
-    pub ends: u32,
+    pub answers: u32,
     pub sends: Vec<(f64, WorkerId, Option<Outcome>)>,
     pub due: f64,
 }
@@ -80,12 +80,12 @@
     pub cfg: Settings,
     pub dispatcher: Dispatcher,
     pub now: f64,
-    pub seen: BTreeMap<u64, Seen>,
+    pub requests: BTreeMap<u64, RequestRecord>,
     pub log: Vec<Action>,
     pub timers: Vec<(f64, u64)>,
-    /// Attempts that are out, with the time at which their client gives up.
-    pub open: Vec<(u64, u32, f64)>,
-    pub barred: BTreeMap<u64, f64>,
+    /// Open attempts, with the time at which their client gives up.
+    pub open_attempts: Vec<(u64, u32, f64)>,
+    pub excluded_since: BTreeMap<u64, f64>,
     /// The zone and cell of each worker named so far.
     pub zones: BTreeMap<u64, (u32, u32)>,
 }
@@ -96,68 +96,68 @@
             dispatcher: Dispatcher::new(cfg.clone(), seed),
             cfg,
             now: 100.0,
-            seen: BTreeMap::new(),
+            requests: BTreeMap::new(),
             log: Vec::new(),
             timers: Vec::new(),
-            open: Vec::new(),
-            barred: BTreeMap::new(),
+            open_attempts: Vec::new(),
+            excluded_since: BTreeMap::new(),
             zones: BTreeMap::new(),
         };
         let mut actions = Vec::new();
         d.dispatcher.start(d.now, &mut actions);
-        d.take(actions);
-        d.list(ListScope::Cached, workers);
+        d.check_actions(actions);
+        d.send_list(ListScope::Cached, workers);
         d
     }
 
-    pub fn list(&mut self, scope: ListScope, members: &[Endpoint]) -> Vec<Action> {
+    pub fn send_list(&mut self, scope: ListScope, endpoints: &[Endpoint]) -> Vec<Action> {
         if matches!(scope, ListScope::Full | ListScope::Cached) {
             let gone: Vec<u64> = self.zones.keys().copied().collect();
-            for w in gone.into_iter().filter(|w| !members.iter().any(|m| m.worker.0 == *w)) {
-                self.barred.entry(w).or_insert(self.now);
+            for w in gone.into_iter().filter(|w| !endpoints.iter().any(|m| m.worker.0 == *w)) {
+                self.excluded_since.entry(w).or_insert(self.now);
             }
         }
-        for m in members {
+        for m in endpoints {
             self.zones.insert(m.worker.0, (m.zone, m.cell));
             if m.state == WorkerState::Serving {
-                self.barred.remove(&m.worker.0);
+                self.excluded_since.remove(&m.worker.0);
             } else {
-                self.barred.entry(m.worker.0).or_insert(self.now);
+                self.excluded_since.entry(m.worker.0).or_insert(self.now);
             }
         }
-        self.event(Event::EndpointList { scope, endpoints: members })
+        self.event(Event::EndpointList { scope, endpoints })
     }
 
     pub fn request(&mut self, req: Request) -> Vec<Action> {
         let due = self.now + req.timeout;
         let class = req.class as usize;
-        self.seen.insert(req.id.0, Seen { class, due, ..Seen::default() });
+        self.requests.insert(req.id.0, RequestRecord { class, due, ..RequestRecord::default() });
         self.event(Event::Request(req))
     }
 
-    pub fn ended(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        let seen = self.seen.get_mut(&id).expect("a known request");
+    pub fn end_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
+        let seen = self.requests.get_mut(&id).expect("a known request");
         seen.sends[attempt as usize].2 = Some(outcome);
-        self.open.retain(|o| (o.0, o.1) != (id, attempt));
-        let complete = outcome == Outcome::Ok || seen.ends > 0;
-        if outcome == Outcome::Ok && seen.ends == 0 {
-            seen.ends = 1;
+        self.open_attempts.retain(|o| (o.0, o.1) != (id, attempt));
+        let complete = outcome == Outcome::Ok || seen.answers > 0;
+        if outcome == Outcome::Ok && seen.answers == 0 {
+            seen.answers = 1;
         }
         self.event(Event::AttemptEnded { request: RequestId(id), attempt, outcome, complete, load: None })
     }
 
     /// Moves the clock on, firing the timers that fall due and the time-outs of clients that give up.
-    pub fn pass(&mut self, span: f64) -> Vec<Action> {
+    pub fn advance(&mut self, span: f64) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
         loop {
             let timer = (0..self.timers.len()).min_by(|&a, &b| self.timers[a].0.total_cmp(&self.timers[b].0));
             let at = timer.map_or(f64::INFINITY, |n| self.timers[n].0);
-            let late = self.open.iter().copied().min_by(|a, b| a.2.total_cmp(&b.2));
+            let late = self.open_attempts.iter().copied().min_by(|a, b| a.2.total_cmp(&b.2));
             match (timer, late) {
                 (_, Some((id, attempt, due))) if due <= at.min(end) => {
                     self.now = self.now.max(due);
-                    all.extend(self.ended(id, attempt, Outcome::Timeout));
+                    all.extend(self.end_attempt(id, attempt, Outcome::Timeout));
                 }
                 (Some(n), _) if at <= end => {
                     let (at, token) = self.timers.swap_remove(n);
@@ -180,20 +180,20 @@
     pub fn event(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.dispatcher.on_event(self.now, event, &mut actions);
-        self.take(actions)
+        self.check_actions(actions)
     }
 
     /// Holds the dispatcher's actions to the rules.
-    pub fn take(&mut self, actions: Vec<Action>) -> Vec<Action> {
+    pub fn check_actions(&mut self, actions: Vec<Action>) -> Vec<Action> {
         for action in &actions {
             match action {
                 Action::SetTimer { after, token } => self.timers.push((self.now + after, *token)),
-                Action::Send { request, worker, .. } => self.sent(request.0, *worker),
+                Action::Send { request, worker, .. } => self.check_send(request.0, *worker),
                 Action::Reject { request, .. } => {
-                    self.refusable(request.0);
-                    self.final_answer(request.0);
+                    self.check_rejection(request.0);
+                    self.record_answer(request.0);
                 }
-                Action::Fail { request } => self.final_answer(request.0),
+                Action::Fail { request } => self.record_answer(request.0),
                 _ => {}
             }
         }
@@ -201,22 +201,22 @@
         actions
     }
 
-    fn final_answer(&mut self, id: u64) {
-        let seen = self.seen.get_mut(&id).expect("an answer to a known request");
-        seen.ends += 1;
-        assert_eq!(seen.ends, 1, "rule 1: request {id} answered twice");
+    fn record_answer(&mut self, id: u64) {
+        let seen = self.requests.get_mut(&id).expect("an answer to a known request");
+        seen.answers += 1;
+        assert_eq!(seen.answers, 1, "rule 1: request {id} answered twice");
         assert!(self.now <= seen.due + 0.016, "rule 1: request {id} answered late");
     }
 
-    fn sent(&mut self, id: u64, worker: WorkerId) {
+    fn check_send(&mut self, id: u64, worker: WorkerId) {
         let now = self.now;
-        if let Some(since) = self.barred.get(&worker.0) {
+        if let Some(since) = self.excluded_since.get(&worker.0) {
             assert!(now - since <= DRAIN_GRACE, "rule 3: {worker:?} was told to drain");
         }
         let zones = &self.zones;
         let cfg = &self.cfg;
-        let seen = self.seen.get_mut(&id).expect("a send of a known request");
-        assert_eq!(seen.ends, 0, "rule 1: request {id} sent after its end");
+        let seen = self.requests.get_mut(&id).expect("a send of a known request");
+        assert_eq!(seen.answers, 0, "rule 1: request {id} sent after its end");
         assert!(seen.sends.len() < cfg.max_attempts as usize, "request {id}: too many attempts");
         let open = seen.sends.iter().any(|s| s.2.is_none());
         assert!(!open || cfg.hedging_allowed, "request {id}: two attempts out");
@@ -233,12 +233,12 @@
                 }
             }
         }
-        self.open.push((id, seen.sends.len() as u32, seen.due));
+        self.open_attempts.push((id, seen.sends.len() as u32, seen.due));
         seen.sends.push((now, worker, None));
     }
 
-    fn refusable(&self, id: u64) {
-        let seen = &self.seen[&id];
+    fn check_rejection(&self, id: u64) {
+        let seen = &self.requests[&id];
         let clean = seen.sends.iter().all(|s| s.2.is_some_and(Outcome::never_ran));
         let repeat = self.cfg.classes[seen.class].idempotency;
         assert!(
--- a/crates/dispatch-core/tests/odd.rs
+++ b/crates/dispatch-core/tests/odd.rs
@@ -9,25 +9,25 @@
 fn play(d: &mut Driver, from: u64, count: u64, answer: impl Fn(WorkerId) -> Outcome) -> usize {
     for id in from..from + count {
         d.request(request(id));
-        d.pass(0.05);
-        let due: Vec<(u64, u32)> = d.open.iter().map(|o| (o.0, o.1)).collect();
+        d.advance(0.05);
+        let due: Vec<(u64, u32)> = d.open_attempts.iter().map(|o| (o.0, o.1)).collect();
         for (id, n) in due {
-            let (at, worker, _) = d.seen[&id].sends[n as usize];
+            let (at, worker, _) = d.requests[&id].sends[n as usize];
             if d.now - at >= 0.1 {
-                d.ended(id, n, answer(worker));
+                d.end_attempt(id, n, answer(worker));
             }
         }
     }
-    let served = |id: &u64| d.seen[id].sends.iter().any(|s| s.2 == Some(Outcome::Ok));
+    let served = |id: &u64| d.requests[id].sends.iter().any(|s| s.2 == Some(Outcome::Ok));
     (from..from + count).filter(served).count()
 }
 
-fn pushed_to(d: &Driver, worker: u64) -> usize {
-    d.seen.values().flat_map(|s| &s.sends).filter(|s| s.1 == WorkerId(worker)).count()
+fn sends_to(d: &Driver, worker: u64) -> usize {
+    d.requests.values().flat_map(|s| &s.sends).filter(|s| s.1 == WorkerId(worker)).count()
 }
 
 #[test]
-fn settings_without_sense_are_defined() {
+fn accepts_settings_out_of_range() {
     for cfg in [
         Settings { instances: 0, instance: 9, zone: 77, ..settings() },
         Settings { tenants: vec![Tenant { share: 0.0, quota: 0.0 }; 2], ..settings() },
@@ -47,47 +47,47 @@
         },
     ] {
         let mut d = Driver::new(Settings { max_attempts: cfg.max_attempts.max(1), ..cfg }, 1, &fleet(3));
-        d.pass(2.0);
-        d.list(ListScope::Failed, &[]);
+        d.advance(2.0);
+        d.send_list(ListScope::Failed, &[]);
         let served = play(&mut d, 0, 60, |_| Outcome::Ok);
-        d.pass(10.0);
-        assert!(d.seen.values().all(|s| s.ends == 1));
+        d.advance(10.0);
+        assert!(d.requests.values().all(|s| s.answers == 1));
         assert!(served > 0, "{:?}", d.cfg.tenants);
     }
 }
 
 #[test]
-fn without_workers_every_job_is_refused() {
+fn rejects_every_job_without_workers() {
     let mut d = Driver::new(settings(), 1, &[]);
-    d.pass(2.0);
+    d.advance(2.0);
     play(&mut d, 0, 10, |_| Outcome::Ok);
-    d.pass(10.0);
-    assert!(d.seen.values().all(|s| s.ends == 1 && s.sends.is_empty()));
+    d.advance(10.0);
+    assert!(d.requests.values().all(|s| s.answers == 1 && s.sends.is_empty()));
 }
 
 /// One job of a million slots must not open the banks to everything that follows.
 #[test]
-fn a_job_larger_than_any_worker_leaves_the_throttle_alone() {
+fn rejects_a_job_larger_than_any_worker_without_growing_the_banks() {
     let mut d = Driver::new(settings(), 1, &fleet(3));
     for w in 1..=3 {
         d.probed(WorkerId(w), 4.0);
     }
-    d.pass(2.0);
+    d.advance(2.0);
     for (id, slots) in [(1, 1e9), (2, f64::INFINITY), (3, 50.0)] {
         d.request(Request { slots, ..request(id) });
-        assert!(d.seen[&id].sends.is_empty() && d.seen[&id].ends == 1);
+        assert!(d.requests[&id].sends.is_empty() && d.requests[&id].answers == 1);
     }
     for id in 10..3000 {
         d.request(request(id));
     }
-    let admitted = d.seen.values().filter(|s| s.ends == 0).count();
+    let admitted = d.requests.values().filter(|s| s.answers == 0).count();
     assert!(admitted < 400, "R is 120 a second, banks hold a second or two: {admitted} admitted at once");
 }
 
 #[test]
-fn figures_that_are_no_numbers_are_taken_for_the_least() {
+fn takes_figures_that_are_no_numbers_for_the_least() {
     let mut d = Driver::new(settings(), 1, &fleet(3));
-    d.pass(2.0);
+    d.advance(2.0);
     d.request(Request { slots: f64::NAN, memory: f64::NAN, ..request(1) });
     d.request(Request { slots: -3.0, memory: -1.0, class: 3, tenant: 1, ..request(2) });
     let load =
@@ -98,15 +98,15 @@
 
 /// A clock that stands still, falls back or leaps a year ahead.
 #[test]
-fn odd_clocks_do_no_harm() {
+fn survives_clocks_that_stop_fall_back_or_leap() {
     let mut d = Driver::new(settings(), 1, &fleet(3));
-    d.pass(2.0);
+    d.advance(2.0);
     for id in 0..50 {
         d.request(request(id));
     }
     d.now -= 1.5;
     d.request(request(100));
-    d.pass(20.0);
+    d.advance(20.0);
     d.now += 3.2e7;
     d.event(Event::Timer(u64::MAX));
     d.now += 1.0;
@@ -115,35 +115,35 @@
 
 /// A report that is frozen at "all free" is believed less than the worker's own full answers.
 #[test]
-fn a_report_that_lies_is_outweighed_by_answers() {
+fn trusts_overloaded_answers_over_false_load_reports() {
     let mut d = Driver::new(settings(), 1, &fleet(8));
-    d.pass(2.0);
+    d.advance(2.0);
     for id in 0..100 {
         d.probed(WorkerId(2), 9.0);
         play(&mut d, id, 1, |w| if w.0 == 2 { Outcome::Overloaded } else { Outcome::Ok });
     }
-    let at_liar = pushed_to(&d, 2);
+    let at_liar = sends_to(&d, 2);
     assert!(at_liar < 40, "{at_liar} of 100 jobs were pushed to the worker that says it is free and is full");
 }
 
 /// Errors that come fast make a worker look quick and empty: it is ejected, and tried again later.
 #[test]
-fn fast_errors_eject_a_worker_and_it_comes_back() {
+fn ejects_a_worker_on_fast_errors_and_readmits_it() {
     let mut d = Driver::new(settings(), 1, &fleet(6));
-    d.pass(2.0);
+    d.advance(2.0);
     play(&mut d, 0, 200, |w| if w.0 == 2 { Outcome::Error } else { Outcome::Ok });
-    let sick = pushed_to(&d, 2);
+    let sick = sends_to(&d, 2);
     assert!((2..=14).contains(&sick), "{sick} of 200 jobs met the failing worker");
-    d.pass(10.0);
+    d.advance(10.0);
     play(&mut d, 1000, 200, |_| Outcome::Ok);
-    assert!(pushed_to(&d, 2) > sick + 10, "once it works it gets its part again");
+    assert!(sends_to(&d, 2) > sick + 10, "once it works it gets its part again");
 }
 
 /// Only some workers can be reached from here: the others are served as before.
 #[test]
-fn workers_out_of_reach_are_left_alone() {
+fn avoids_unreachable_workers() {
     let mut d = Driver::new(settings(), 1, &fleet(10));
-    d.pass(2.0);
+    d.advance(2.0);
     play(&mut d, 0, 100, |w| if w.0 > 6 { Outcome::ConnectFailed } else { Outcome::Ok });
     let served = play(&mut d, 100, 200, |w| if w.0 > 6 { Outcome::ConnectFailed } else { Outcome::Ok });
     assert!(served > 180, "{served} of 200 served by the six in reach");
@@ -151,9 +151,9 @@
 
 /// Everything looks bad: it is the network or we, and serving goes on as soon as anything works.
 #[test]
-fn when_everything_fails_it_keeps_trying() {
+fn keeps_sending_when_all_workers_fail() {
     let mut d = Driver::new(settings(), 1, &fleet(6));
-    d.pass(2.0);
+    d.advance(2.0);
     play(&mut d, 0, 100, |_| Outcome::Reset);
     let served = play(&mut d, 1000, 100, |_| Outcome::Ok);
     assert!(served > 60, "{served} of 100 served at once when the network is back");
@@ -161,37 +161,37 @@
 
 /// An old list comes late: a restart that it does not know is not undone, and the newer word follows.
 #[test]
-fn a_list_that_jumps_back_keeps_the_rules() {
+fn keeps_the_rules_on_an_outdated_endpoint_list() {
     let mut d = Driver::new(settings(), 1, &fleet(6));
-    d.pass(2.0);
-    let young = Endpoint { started_at: d.now, ..member(2, WorkerState::Serving) };
-    d.list(ListScope::Incremental, &[young, member(4, WorkerState::Draining)]);
+    d.advance(2.0);
+    let young = Endpoint { started_at: d.now, ..endpoint(2, WorkerState::Serving) };
+    d.send_list(ListScope::Incremental, &[young, endpoint(4, WorkerState::Draining)]);
     let old = fleet(6);
-    d.list(ListScope::Cached, &old);
+    d.send_list(ListScope::Cached, &old);
     play(&mut d, 0, 40, |_| Outcome::Ok);
-    d.list(ListScope::Full, &[young, member(1, WorkerState::Serving)]);
-    let before = d.seen.len() as u64;
+    d.send_list(ListScope::Full, &[young, endpoint(1, WorkerState::Serving)]);
+    let before = d.requests.len() as u64;
     play(&mut d, before, 40, |_| Outcome::Ok);
     let ok = |w: &WorkerId| w.0 == 1 || w.0 == 2;
-    let sends = d.seen.range(before..).flat_map(|(_, s)| &s.sends);
+    let sends = d.requests.range(before..).flat_map(|(_, s)| &s.sends);
     assert!(sends.clone().all(|s| ok(&s.1)) && sends.count() > 20);
 }
 
 /// How many workers of the own zone get work from this request on.
 fn near_in_use(d: &Driver, from: u64) -> usize {
-    let used = |w: &u64| d.seen.range(from..).any(|(_, s)| s.sends.iter().any(|s| s.1 == WorkerId(*w)));
+    let used = |w: &u64| d.requests.range(from..).any(|(_, s)| s.sends.iter().any(|s| s.1 == WorkerId(*w)));
     (2..=6).step_by(2).filter(used).count()
 }
 
 /// Requests that no worker can use, from clients that send them again as soon as they are turned away: they are
-/// the clients' fault, and no worker is left out for them (each barred four, and took four from its tenant's bank).
+/// the clients' fault, and no worker is left out for them (each excluded_since four, and took four from its tenant's bank).
 #[test]
-fn requests_that_workers_reject_bar_no_worker() {
+fn invalid_requests_eject_no_worker() {
     let mut d = Driver::new(settings(), 1, &fleet(6));
-    d.pass(2.0);
+    d.advance(2.0);
     play(&mut d, 0, 30, |_| Outcome::InvalidRequest);
-    assert!(d.seen.values().all(|s| s.sends.len() <= 1), "what one rejects is not tried elsewhere");
-    assert!(d.seen.values().filter(|s| s.ends == 1).count() >= 28, "it is answered at once");
+    assert!(d.requests.values().all(|s| s.sends.len() <= 1), "what one rejects is not tried elsewhere");
+    assert!(d.requests.values().filter(|s| s.answers == 1).count() >= 28, "it is answered at once");
     let served = play(&mut d, 1000, 40, |_| Outcome::Ok);
     assert!(served > 30, "{served} of 40 served");
     assert_eq!(near_in_use(&d, 1000), 3, "all are used at once");
@@ -199,13 +199,13 @@
 
 /// A request on which one worker after another breaks is at fault itself: only the first counts it.
 #[test]
-fn one_request_does_not_bar_worker_after_worker() {
+fn one_failing_request_ejects_no_second_worker() {
     let mut d = Driver::new(settings(), 1, &fleet(6));
-    d.pass(2.0);
+    d.advance(2.0);
     for id in 0..2 {
         d.request(request(id));
-        while let Some(&(id, n, _)) = d.open.first() {
-            d.ended(id, n, Outcome::Reset);
+        while let Some(&(id, n, _)) = d.open_attempts.first() {
+            d.end_attempt(id, n, Outcome::Reset);
         }
     }
     play(&mut d, 1000, 8, |_| Outcome::Ok);
--- a/crates/dispatch-core/tests/poll_schedule.rs
+++ b/crates/dispatch-core/tests/poll_schedule.rs
@@ -13,7 +13,7 @@
 /// Whatever a call cost and however many failed before: from the moment since when nothing may have been heard, the
 /// next call begins so early that its answer, which may take 2 s, is there in time.
 #[test]
-fn the_next_call_fits_into_the_time_within_which_a_change_counts_as_told() {
+fn polls_again_within_the_notification_time() {
     for instances in [1, 6, 30, 300] {
         for seed in 0..50 {
             let mut calls = PollSchedule::new(&settings(instances, true), GRACE, seed);
@@ -31,7 +31,7 @@
 /// What an agent has counts as told at once, so the time that a worker may still get work after it drains is all
 /// there is.
 #[test]
-fn an_agent_is_asked_again_within_a_fraction_of_the_grace() {
+fn polls_an_agent_again_within_a_fraction_of_the_grace() {
     for seed in 0..50 {
         let mut calls = PollSchedule::new(&settings(300, false), GRACE, seed);
         assert!((0..20).all(|_| calls.next_delay(0, None) <= 100_000));
@@ -40,7 +40,7 @@
 
 /// Settings may tell no grace, or one without measure: there is a pause all the same, and an agent has a moment to answer.
 #[test]
-fn a_grace_of_nothing_or_of_for_ever_leaves_pauses() {
+fn keeps_pauses_for_a_grace_of_nothing_or_for_ever() {
     for grace in [0, Micros::MAX] {
         let mut calls = PollSchedule::new(&settings(1, false), grace, 1);
         assert!((0..20).map(|_| calls.next_delay(0, None)).max() > Some(5_000));
--- a/crates/dispatch-core/tests/rules.rs
+++ b/crates/dispatch-core/tests/rules.rs
@@ -25,8 +25,8 @@
     let mut d = Driver::new(cfg, seed, &workers);
     let mut next = 1;
     for _ in 0..1500 {
-        d.pass(rng.f64() * 0.03);
-        let open = d.open.clone();
+        d.advance(rng.f64() * 0.03);
+        let open = d.open_attempts.clone();
         match rng.u32(..10) {
             0..=3 => {
                 let req = Request {
@@ -45,14 +45,14 @@
                 let (id, n, _) = open[rng.usize(..open.len())];
                 let good = rng.u32(..3) > 0;
                 let outcome = if good { Outcome::Ok } else { OUTCOMES[rng.usize(..OUTCOMES.len())] };
-                d.ended(id, n, outcome);
+                d.end_attempt(id, n, outcome);
             }
             8 => {
                 let w = rng.u64(1..=10);
                 let state =
                     [WorkerState::Serving, WorkerState::Draining, WorkerState::Removed][rng.usize(..3)];
                 let since = if rng.u32(..4) == 0 { d.now - 1.0 } else { 0.0 };
-                d.list(ListScope::Incremental, &[Endpoint { started_at: since, ..member(w, state) }]);
+                d.send_list(ListScope::Incremental, &[Endpoint { started_at: since, ..endpoint(w, state) }]);
             }
             _ => {
                 d.event(Event::JobStarted { request: RequestId(rng.u64(..next + 3)), attempt: rng.u32(..3) });
@@ -70,9 +70,9 @@
             }
         }
     }
-    d.pass(12.0);
-    for (id, s) in &d.seen {
-        assert_eq!(s.ends, 1, "rule 1: request {id} was never answered");
+    d.advance(12.0);
+    for (id, s) in &d.requests {
+        assert_eq!(s.answers, 1, "rule 1: request {id} was never answered");
     }
     d.log
 }
@@ -103,7 +103,7 @@
 
 /// For each class, what an outcome of the first attempt may lead to.
 #[test]
-fn resends_and_refusals_follow_the_class() {
+fn retries_and_rejections_follow_the_class() {
     for (class, outcome, again) in [
         (0, Outcome::Overloaded, true),
         (0, Outcome::Reset, true),
@@ -117,13 +117,13 @@
     ] {
         let workers = fleet(6);
         let mut d = Driver::new(settings(), 3, &workers);
-        d.pass(1.0);
+        d.advance(1.0);
         d.request(Request { class, ..request(1) });
-        assert_eq!(d.seen[&1].sends.len(), 1, "class {class} is pushed at once with tokens in the bank");
-        d.pass(0.01);
-        let mut actions = d.ended(1, 0, outcome);
-        actions.extend(d.pass(0.3));
-        assert_eq!(d.seen[&1].sends.len() == 2, again, "class {class} after {outcome:?}: {actions:?}");
+        assert_eq!(d.requests[&1].sends.len(), 1, "class {class} is pushed at once with tokens in the bank");
+        d.advance(0.01);
+        let mut actions = d.end_attempt(1, 0, outcome);
+        actions.extend(d.advance(0.3));
+        assert_eq!(d.requests[&1].sends.len() == 2, again, "class {class} after {outcome:?}: {actions:?}");
         let failed = actions.contains(&Action::Fail { request: RequestId(1) });
         assert_eq!(failed, !again, "class {class} after {outcome:?}: {actions:?}");
     }
@@ -132,7 +132,7 @@
 /// Keyed repeats stay within the group that drops them and within its window; where none of it is left, an answer is
 /// given in place of a send.
 #[test]
-fn keyed_repeats_stay_in_their_group_and_window() {
+fn retries_with_a_key_stay_in_their_scope_and_window() {
     for (group, wait, again) in [
         (KeyScope::All, 0.1, true),
         (KeyScope::Zone, 0.1, true),
@@ -142,52 +142,55 @@
     ] {
         let classes = vec![Class { latency_objective: 20.0, ..class(Idempotency::WithKey(group)) }];
         let workers: Vec<Endpoint> =
-            (1..=6).map(|w| Endpoint { cell: (w % 3) as u32, ..member(w, WorkerState::Serving) }).collect();
+            (1..=6).map(|w| Endpoint { cell: (w % 3) as u32, ..endpoint(w, WorkerState::Serving) }).collect();
         let mut d = Driver::new(Settings { classes, ..settings() }, 3, &workers);
-        d.pass(1.0);
+        d.advance(1.0);
         d.request(Request { timeout: 30.0, ..request(1) });
-        d.pass(wait);
-        d.ended(1, 0, Outcome::Reset);
-        d.pass(3.0);
-        let sends = &d.seen[&1].sends;
+        d.advance(wait);
+        d.end_attempt(1, 0, Outcome::Reset);
+        d.advance(3.0);
+        let sends = &d.requests[&1].sends;
         assert_eq!(sends.len() > 1, again, "{group:?} after {wait} s: {sends:?}");
         if let (KeyScope::Cell, Some(second)) = (group, sends.get(1)) {
             assert_eq!(second.1 .0 % 3, sends[0].1 .0 % 3, "the same cell");
         }
-        assert!(again || d.seen[&1].ends == 1, "{group:?} after {wait} s is answered");
+        assert!(again || d.requests[&1].answers == 1, "{group:?} after {wait} s is answered");
     }
 }
 
 #[test]
 fn a_timeout_at_the_deadline_is_answered_at_once() {
-    let mut d = Driver::new(settings(), 3, &[member(1, WorkerState::Serving)]);
-    d.pass(1.0);
+    let mut d = Driver::new(settings(), 3, &[endpoint(1, WorkerState::Serving)]);
+    d.advance(1.0);
     d.request(Request { class: 1, timeout: 0.5, ..request(1) });
-    assert!(d.pass(0.5).contains(&Action::Fail { request: RequestId(1) }));
+    assert!(d.advance(0.5).contains(&Action::Fail { request: RequestId(1) }));
 }
 
 #[test]
-fn nothing_new_goes_to_a_worker_that_drains_or_left_the_list() {
+fn sends_nothing_to_draining_or_removed_workers() {
     let all = fleet(4);
     let mut d = Driver::new(settings(), 5, &all);
-    d.pass(1.0);
-    d.list(ListScope::Incremental, &[member(1, WorkerState::Draining), member(2, WorkerState::Removed)]);
-    d.list(ListScope::Full, &[member(1, WorkerState::Draining), member(4, WorkerState::Serving)]);
+    d.advance(1.0);
+    d.send_list(
+        ListScope::Incremental,
+        &[endpoint(1, WorkerState::Draining), endpoint(2, WorkerState::Removed)],
+    );
+    d.send_list(ListScope::Full, &[endpoint(1, WorkerState::Draining), endpoint(4, WorkerState::Serving)]);
     for id in 0..20 {
-        d.pass(0.05);
+        d.advance(0.05);
         d.request(request(id));
     }
-    let sends = d.seen.values().flat_map(|s| &s.sends);
+    let sends = d.requests.values().flat_map(|s| &s.sends);
     assert!(sends.clone().count() > 10 && sends.clone().all(|s| s.1 == WorkerId(4)));
 }
 
 /// Rule 4 is a budget for all dispatchers together: with one worker, just started, and hundreds of them, what
 /// they send within any span must stay under multiple x present capacity x span.
 #[test]
-fn all_dispatchers_together_spare_a_cold_worker() {
+fn all_dispatchers_together_keep_the_slow_start_budget() {
     for instances in [1_u32, 3, 40, 230] {
         let start = 100.0;
-        let worker = Endpoint { started_at: start, ..member(1, WorkerState::Serving) };
+        let worker = Endpoint { started_at: start, ..endpoint(1, WorkerState::Serving) };
         let mut all: Vec<Driver> = (0..instances)
             .map(|instance| {
                 let cfg = Settings { instance, instances, ..settings() };
@@ -197,14 +200,14 @@
         let per_step = 60_u32.div_ceil(instances);
         for step in 0..180_u64 {
             for (n, d) in (0_u64..).zip(&mut all) {
-                d.pass(0.1);
+                d.advance(0.1);
                 for job in 0..u64::from(per_step) {
                     d.request(request(step * 1000 + job + n * 1_000_000));
                 }
             }
         }
         let sent: Vec<(f64, f64)> =
-            all.iter().flat_map(|d| d.seen.values()).flat_map(|s| &s.sends).map(|s| (s.0, 0.3)).collect();
+            all.iter().flat_map(|d| d.requests.values()).flat_map(|s| &s.sends).map(|s| (s.0, 0.3)).collect();
         // A worker of one slot's size would be pushed over by this much; the module plans by the largest job.
         let (share, warm, span, multiple) = (0.2, 20.0, 2.0, 3.0);
         for &(from, _) in &sent {
@@ -220,7 +223,7 @@
 /// cold ones get some of it, and the sum stays within the budget. Some dispatchers restart on the way, and some hear of
 /// the workers late.
 #[test]
-fn a_large_fleet_warms_its_cold_workers_within_their_budget() {
+fn a_large_fleet_warms_up_within_the_slow_start_budget() {
     for seed in 0..3 {
         let (start, instances) = (100.0, 100_u32);
         let mut list = fleet(60);
@@ -242,25 +245,27 @@
             if step == 300 {
                 all.iter_mut()
                     .filter(|d| d.cfg.instance % 7 == 3)
-                    .for_each(|d| drop(d.list(ListScope::Full, &list)));
+                    .for_each(|d| drop(d.send_list(ListScope::Full, &list)));
             }
             for d in all[60..90].iter_mut().filter(|_| step == 500) {
                 // What it has out counts on; the rest it forgets.
-                sent.extend(d.open.iter().map(|o| d.seen[&o.0].sends[o.1 as usize]).map(|s| (s.0, s.1)));
+                sent.extend(
+                    d.open_attempts.iter().map(|o| d.requests[&o.0].sends[o.1 as usize]).map(|s| (s.0, s.1)),
+                );
                 *d = Driver::new(d.cfg.clone(), seed + 77, &list);
             }
             let now = start + step as f64 / 100.0;
             let d = &mut all[n];
-            d.pass(now - d.now);
+            d.advance(now - d.now);
             d.request(request(step));
             // Each runs for 0.3 s.
             for d in &mut all {
-                for (id, attempt, _) in d.open.clone() {
-                    let (at, worker, _) = d.seen[&id].sends[attempt as usize];
+                for (id, attempt, _) in d.open_attempts.clone() {
+                    let (at, worker, _) = d.requests[&id].sends[attempt as usize];
                     if at + 0.3 <= now {
                         sent.push((at, worker));
-                        d.pass(now - d.now);
-                        d.ended(id, attempt, Outcome::Ok);
+                        d.advance(now - d.now);
+                        d.end_attempt(id, attempt, Outcome::Ok);
                     }
                 }
             }
@@ -281,17 +286,17 @@
 /// A job that waits for a free worker must not go to one that began to drain meanwhile, though the grace has not
 /// passed: the module uses none of it.
 #[test]
-fn a_waiting_job_does_not_go_to_a_worker_that_began_to_drain() {
-    let mut d = Driver::new(settings(), 5, &[member(1, WorkerState::Serving)]);
-    d.pass(1.0);
+fn sends_no_waiting_job_to_a_worker_that_began_to_drain() {
+    let mut d = Driver::new(settings(), 5, &[endpoint(1, WorkerState::Serving)]);
+    d.advance(1.0);
     for id in 0..6 {
         d.request(request(id));
-        d.pass(0.001);
+        d.advance(0.001);
     }
-    let waiting = d.seen.values().filter(|s| s.sends.is_empty()).count();
+    let waiting = d.requests.values().filter(|s| s.sends.is_empty()).count();
     let before = d.log.len();
-    d.list(ListScope::Incremental, &[member(1, WorkerState::Draining)]);
-    d.pass(5.0);
+    d.send_list(ListScope::Incremental, &[endpoint(1, WorkerState::Draining)]);
+    d.advance(5.0);
     let sends = d.log[before..].iter().filter(|a| matches!(a, Action::Send { .. })).count();
     assert!(waiting > 0 && sends == 0, "{waiting} waited, {sends} went there after the word");
 }
@@ -301,9 +306,9 @@
     use super::*;
 
     fn driver(class: u32) -> Driver {
-        let workers = [member(1, WorkerState::Serving), member(3, WorkerState::Serving)];
+        let workers = [endpoint(1, WorkerState::Serving), endpoint(3, WorkerState::Serving)];
         let mut d = Driver::new(settings(), 3, &workers);
-        d.pass(1.0);
+        d.advance(1.0);
         d.request(Request { class, timeout: 1.0, ..request(1) });
         d
     }
@@ -316,49 +321,49 @@
     #[should_panic(expected = "rule 1: request 1 answered twice")]
     fn two_answers() {
         let mut d = driver(0);
-        d.ended(1, 0, Outcome::Ok);
-        d.take(vec![Action::Fail { request: RequestId(1) }]);
+        d.end_attempt(1, 0, Outcome::Ok);
+        d.check_actions(vec![Action::Fail { request: RequestId(1) }]);
     }
 
     #[test]
     #[should_panic(expected = "rule 1: request 1 sent after its end")]
     fn a_send_after_the_end() {
         let mut d = driver(0);
-        d.ended(1, 0, Outcome::Ok);
-        d.take(send(3));
+        d.end_attempt(1, 0, Outcome::Ok);
+        d.check_actions(send(3));
     }
 
     #[test]
     #[should_panic(expected = "rule 1: request 1 answered late")]
     fn a_late_answer() {
         let mut d = driver(1);
-        d.open.clear();
-        d.pass(2.0);
-        d.take(vec![Action::Fail { request: RequestId(1) }]);
+        d.open_attempts.clear();
+        d.advance(2.0);
+        d.check_actions(vec![Action::Fail { request: RequestId(1) }]);
     }
 
     #[test]
     #[should_panic(expected = "rule 2: unsafe request 1 sent again")]
-    fn an_unsafe_resend() {
+    fn a_retry_that_is_not_idempotent() {
         let mut d = driver(1);
-        d.seen.get_mut(&1).expect("request 1").sends[0].2 = Some(Outcome::Reset);
-        d.take(send(3));
+        d.requests.get_mut(&1).expect("request 1").sends[0].2 = Some(Outcome::Reset);
+        d.check_actions(send(3));
     }
 
     #[test]
     #[should_panic(expected = "rule 2: request 1 refused")]
-    fn an_unsafe_refusal() {
+    fn a_rejection_that_is_not_idempotent() {
         let mut d = driver(1);
-        d.seen.get_mut(&1).expect("request 1").sends[0].2 = Some(Outcome::Reset);
-        d.take(vec![Action::Reject { request: RequestId(1), retry_after: None }]);
+        d.requests.get_mut(&1).expect("request 1").sends[0].2 = Some(Outcome::Reset);
+        d.check_actions(vec![Action::Reject { request: RequestId(1), retry_after: None }]);
     }
 
     #[test]
     #[should_panic(expected = "rule 3")]
     fn a_send_past_the_grace() {
         let mut d = driver(0);
-        d.list(ListScope::Incremental, &[member(3, WorkerState::Draining)]);
-        d.pass(DRAIN_GRACE + 0.001);
-        d.take(send(3));
+        d.send_list(ListScope::Incremental, &[endpoint(3, WorkerState::Draining)]);
+        d.advance(DRAIN_GRACE + 0.001);
+        d.check_actions(send(3));
     }
 }
--- a/crates/dispatch-core/tests/throttle.rs
+++ b/crates/dispatch-core/tests/throttle.rs
@@ -38,13 +38,13 @@
         d.request(Request { slots: 4.0, timeout: 50.0, ..request(0) });
         let (bank, buffer) = ((rate as i64).max(8), ((rate * 0.5) as i64).max(4));
         let mut u = buffer;
-        if d.seen[&0].ends == 0 {
+        if d.requests[&0].answers == 0 {
             u -= 4;
         }
         for id in 1..400 {
             // Jobs come a whole number of tokens apart, in bursts and lulls.
             let tokens = if rng.u32(..30) == 0 { rng.i64(0..80) } else { rng.i64(0..4) };
-            d.pass(tokens as f64 / rate);
+            d.advance(tokens as f64 / rate);
             u = (u + tokens).min(bank + buffer);
             let k = rng.i64(1..5);
             let actions = d.request(Request { slots: k as f64, timeout: 50.0, ..request(id) });
@@ -71,8 +71,8 @@
     for (id, slots) in [(1, 3.0), (2, 1.0), (3, 2.0)] {
         d.request(Request { slots, timeout: 50.0, ..request(id) });
     }
-    d.pass(1.0);
-    let at = |id: u64| (d.seen[&id].sends[0].0 - 100.0) * 30.0;
+    d.advance(1.0);
+    let at = |id: u64| (d.requests[&id].sends[0].0 - 100.0) * 30.0;
     for (id, tokens) in [(1, 3.0), (2, 4.0), (3, 6.0)] {
         assert!((at(id) - tokens).abs() <= 1.1, "job {id} left after {} tokens of {tokens}", at(id));
     }
@@ -80,21 +80,21 @@
 
 /// The paper's O_T: the tokens of an idle tenant go to the busy one once the idle bank is full.
 #[test]
-fn an_idle_share_is_passed_on() {
+fn passes_an_idle_share_on() {
     let tenants = vec![Tenant { share: 3.0, quota: 30.0 }, Tenant { share: 1.0, quota: 10.0 }];
     let mut d = Driver::new(Settings { tenants, ..plain(0.0) }, 3, &fleet(1));
     for id in 0..800 {
-        d.pass(0.0125);
+        d.advance(0.0125);
         d.request(Request { tenant: 1, ..request(id) });
     }
-    let pushed = (400..800).filter(|id| !d.seen[id].sends.is_empty()).count();
+    let pushed = (400..800).filter(|id| !d.requests[id].sends.is_empty()).count();
     // Five seconds at R = 60; the tenant's own share is 15 a second.
     assert!((280..=320).contains(&pushed), "{pushed} pushed in five seconds");
 }
 
 /// A refusal carries the deficit over the tenant's rate, within what clients honour.
 #[test]
-fn a_refusal_says_when_to_come_back() {
+fn a_rejection_carries_a_retry_after() {
     let mut d = Driver::new(Settings { max_retry_after: 2.0, ..plain(20.0) }, 3, &fleet(1));
     let mut waits = Vec::new();
     for id in 0..40 {
