--- a/crates/dispatch-core/src/api/event.rs
+++ b/crates/dispatch-core/src/api/event.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher is told.
+//! The events that a dispatcher takes, and the types in them.
 
 use super::ids::{RequestId, Seconds, WorkerId};
 use super::settings::Settings;
@@ -21,7 +21,7 @@
     pub timeout: Seconds,
     /// It is a client's retry, where clients mark them.
     pub is_retry: bool,
-    /// Its expected running time on a standard core, where told.
+    /// Its expected running time on a standard core, where the client gave a hint.
     pub expected_run_time: Option<Seconds>,
     /// The data that it needs; a worker may still hold it from an earlier job of that key.
     pub affinity_key: Option<u64>,
@@ -47,7 +47,7 @@
     /// Never sent.
     NotSent,
     /// An idle connection broke as soon as it was used again: the worker had closed it. Only the request
-    /// was written whole, so it may have run; of the worker it says nothing.
+    /// was written whole, so it may have run; it is no failure of the worker.
     StaleConnection,
     /// The worker cannot use the request, and no other could; it never ran and the worker is not at fault.
     InvalidRequest,
@@ -110,7 +110,7 @@
     Failed,
 }
 
-/// What the dispatcher is told.
+/// An input of a dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// Other settings hold from here on. Classes and tenants keep their positions; new ones may follow them.
@@ -150,7 +150,7 @@
         outcome: Outcome,
         /// The request has its final answer, by this outcome or earlier.
         complete: bool,
-        /// What the worker said of its load.
+        /// The worker's load report, where one came with the response.
         load: Option<LoadReport>,
     },
     /// The client left; no answer is owed.
@@ -163,7 +163,7 @@
         worker: WorkerId,
         /// It answered.
         ok: bool,
-        /// What it said.
+        /// Its load report.
         load: Option<LoadReport>,
     },
     /// A health checker, which probes workers for all dispatchers, saw this one fail, or takes that back.
--- a/crates/dispatch-core/src/api/ids.rs
+++ b/crates/dispatch-core/src/api/ids.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// A worker. The number must be the same at every dispatcher (a hash of its name, say): dispatchers that
+/// A worker. The number must be the same at every dispatcher, such as a hash of its name: dispatchers that
 /// share nothing still agree by this number alone on who may use a worker in slow start, and on where a key lives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WorkerId(pub u64);
--- a/crates/dispatch-core/src/api/settings.rs
+++ b/crates/dispatch-core/src/api/settings.rs
@@ -82,7 +82,7 @@
 pub struct Tenant {
     /// Its part of the service. Shares need not sum to one; they are scaled.
     pub share: f64,
-    /// Requests a second that it was promised, over all dispatchers; 0 where not told.
+    /// Requests a second that it was promised, over all dispatchers; 0 where unstated.
     pub quota: f64,
 }
 
--- a/crates/dispatch-core/src/capacity_reservation.rs
+++ b/crates/dispatch-core/src/capacity_reservation.rs
@@ -3,10 +3,10 @@
 //! A worker starts waiting jobs in order, so a job of four slots behind small ones waits until four slots are free at
 //! once, and holds up all behind it meanwhile. Where large and small jobs go to workers of their own, slots come free
 //! together and nothing is held up. Dispatchers share nothing, but they see the same list: each puts them in
-//! the same order, by kind and a hash of their names, and reserves every n-th, so they agree without a word but for
-//! what each has seen of the traffic.
+//! the same order, by kind and a hash of their names, and reserves every n-th, so they agree without communication, up
+//! to differences in the traffic that each has seen.
 //!
-//! It is a preference with a price and no wall: a small job still goes to a reserved worker when the others would keep
+//! It is a preference with a price, not a partition: a small job still goes to a reserved worker when the others would keep
 //! it waiting for longer than the price, and a large job to any worker that seems empty.
 
 use crate::api::{CapacityReservation, WorkerState};
--- a/crates/dispatch-core/src/fleet.rs
+++ b/crates/dispatch-core/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The workers that were ever named, what is remembered of each, and where to find them.
+//! The workers that were ever listed, what is remembered of each, and indexes to find them.
 
 use rustc_hash::FxHashMap;
 
@@ -33,7 +33,7 @@
 /// What is usual among the workers of one kind in one zone.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Cohort {
-    /// The part of a worker's slots that others hold, and how often something was heard of it.
+    /// The part of a worker's slots that other dispatchers fill, and the number of observations of it.
     pub utilization: f64,
     pub samples: f64,
 }
@@ -47,7 +47,7 @@
     /// The position of its kind in its zone among the cohorts.
     pub cohort: usize,
     pub cell: u32,
-    /// When it started, as the list says, and as is believed by this dispatcher's own clock.
+    /// When it started, by the endpoint list, and by this dispatcher's own clock.
     pub listed_start: Seconds,
     pub started_at: Seconds,
     pub state: WorkerState,
@@ -57,7 +57,7 @@
     /// The same slots a while ago, as a report that arrives now knows them: a moving average.
     pub our_slots_delayed: f64,
     pub our_slots_at: Seconds,
-    /// Slots that others seem to hold or wait for there, as last heard, and when that was.
+    /// Slots that other dispatchers fill or wait for there, as last observed, and when that was.
     pub other_slots: f64,
     pub other_slots_at: Seconds,
     /// Its running times relative to its kind's, and the jobs of ours that run there.
@@ -111,16 +111,16 @@
     pub index: FxHashMap<WorkerId, usize>,
     /// For each zone, those that serve.
     pub serving_by_zone: Vec<Vec<usize>>,
-    /// How many that serve are held for outliers.
+    /// How many of those that serve are unhealthy.
     pub unhealthy_count: usize,
     /// What is usual among the workers of one kind in one zone.
     pub cohorts: Vec<Cohort>,
     /// What is learnt of each kind of machine, and the most slots that a job asked for.
     pub kinds: Vec<MachineKind>,
     pub largest_job: i64,
-    /// How long jobs wait at workers that are so full.
+    /// How long jobs wait at workers by their utilization.
     pub queueing_curve: QueueingCurve,
-    /// How cold a worker starts, and when it is warm.
+    /// The part of its capacity that a worker starts with, and how long it takes to have all of it.
     pub slow_start_min_capacity: f64,
     pub slow_start_duration: Seconds,
     /// Those that serve, several times each, in the order of a hash that all dispatchers share.
@@ -129,7 +129,7 @@
     zone_outages: Vec<ZoneOutage>,
     /// The position of each cohort, by zone and kind.
     cohort_index: FxHashMap<(u32, usize), usize>,
-    /// When discovery was heard last.
+    /// When discovery last sent the list or a change of it.
     list_received_at: Option<Seconds>,
 }
 
@@ -147,8 +147,8 @@
         self.slow_start_duration = settings.slow_start_duration;
     }
 
-    /// Brings the zones and the ring in line with the workers; `zone` exists even if it has none. `received_at` where it
-    /// was discovery that told of them.
+    /// Brings the zones and the ring in line with the workers; `zone` exists even if it has none. `received_at` is given
+    /// where the workers came from discovery rather than from a cache.
     pub(crate) fn rebuild_indexes(&mut self, zone: u32, received_at: Option<Seconds>) {
         self.list_received_at = received_at.or(self.list_received_at);
         let zones = self.workers.iter().map(|worker| worker.zone).chain([zone]).max();
@@ -174,8 +174,8 @@
     pub(crate) fn upsert(&mut self, endpoint: &Endpoint, now: Seconds) {
         let kind = (endpoint.kind as usize).min(MAX_KIND);
         self.kinds.resize(self.kinds.len().max(kind + 1), MachineKind::default());
-        // Clocks may be wrong by much: no start is in the future, and one that discovery did not name when it was heard
-        // last was not long before that.
+        // Clocks may be wrong by much: no start is in the future, and one that was not on the list that discovery
+        // sent last was not long before that.
         let earliest = self.list_received_at.map_or(0.0, |received_at| received_at - MAX_LISTING_DELAY);
         let new = Worker {
             id: endpoint.worker,
@@ -298,12 +298,12 @@
         }
     }
 
-    /// Whether more than half of all workers are held for outliers: then it is the network, or we.
+    /// Whether more than half of all workers are unhealthy: then the fault is the network's or our own.
     pub(crate) fn most_are_unhealthy(&self) -> bool {
         2 * self.unhealthy_count > self.index.len()
     }
 
-    /// Counts the outliers among those that serve.
+    /// Counts the unhealthy workers among those that serve.
     pub(crate) fn count_unhealthy(&mut self) {
         let serving = self.workers.iter().filter(|worker| worker.state == WorkerState::Serving);
         self.unhealthy_count = serving.filter(|worker| worker.health.is_unhealthy()).count();
--- a/crates/dispatch-core/src/job.rs
+++ b/crates/dispatch-core/src/job.rs
@@ -3,7 +3,7 @@
 use crate::api::{Action, Class, Outcome, Request, Seconds};
 use crate::run_time::RunTimeModel;
 
-/// Where a job stands.
+/// The state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JobState {
     /// It waits for tokens in its tenant's buffer.
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub(crate) struct Job {
     pub request: Request,
-    /// How long it is thought to run: as usual, or as told if that is more.
+    /// Its expected running time: the mean of its class, or the hint if that is more.
     pub run_time: Seconds,
     /// Its work as a logarithm, and when its answer must be out to be in time.
     pub log_work: f64,
@@ -109,10 +109,11 @@
         Some(*attempt)
     }
 
-    /// The last attempt, if it is open and its worker should be heard of: until it starts, or where progress is told.
-    pub(crate) fn attempt_to_watch(&self, tells_progress: bool) -> Option<Attempt> {
+    /// The last attempt, if it is open and its worker should give signs of life: until the job starts, or for as long as
+    /// it runs where progress is reported.
+    pub(crate) fn attempt_to_watch(&self, reports_progress: bool) -> Option<Attempt> {
         let attempt = self.attempts.last()?;
-        let is_watched = attempt.outcome.is_none() && (attempt.started_at.is_none() || tells_progress);
+        let is_watched = attempt.outcome.is_none() && (attempt.started_at.is_none() || reports_progress);
         is_watched.then_some(*attempt)
     }
 
@@ -156,9 +157,9 @@
 pub(crate) struct Attempt {
     pub worker: usize,
     pub sent_at: Seconds,
-    /// When the job began to run, where that was told.
+    /// When the job began to run, where that was reported.
     pub started_at: Option<Seconds>,
-    /// The worker was thought to have a slot free, and to be full to this part with the job.
+    /// Whether the worker was expected to have a free slot, and its expected utilization with the job.
     pub had_free_slot: bool,
     pub utilization: f64,
     /// How it ended; none while it is open.
@@ -192,19 +193,20 @@
 }
 
 impl EndedAttempt {
-    /// How long the job ran, as far as was told.
+    /// How long the job ran; from its send where its start was not reported.
     pub(crate) fn run_time(&self, now: Seconds) -> Seconds {
         now - self.attempt.started_at.unwrap_or(self.attempt.sent_at)
     }
 
-    /// How long it waited at the worker; where nobody told when it started, it ran for no longer than is likely.
+    /// How long it waited at the worker; where its start was not reported, it is taken to have run for no longer than is
+    /// likely.
     pub(crate) fn wait(&self, now: Seconds, likely_run_time: Seconds) -> Seconds {
         let run_time = self.run_time(now);
         let is_known = self.attempt.started_at.is_some();
         now - self.attempt.sent_at - if is_known { run_time } else { run_time.min(likely_run_time) }
     }
 
-    /// Its run is known: without word of the start, only where the worker was free.
+    /// Whether its running time is known: where its start was not reported, only if the worker was free.
     pub(crate) fn has_known_run(&self) -> bool {
         self.attempt.started_at.is_some() || self.attempt.had_free_slot
     }
@@ -216,9 +218,9 @@
     pub worker: usize,
     /// What the job would cost there, in seconds.
     pub cost: f64,
-    /// It is thought to have a slot free for the job.
+    /// It is expected to have a free slot for the job.
     pub has_free_slot: bool,
-    /// How full it is thought to be with the job: slots held, as a part of those it has.
+    /// Its expected utilization with the job: slots in use, as a part of those it has.
     pub utilization: f64,
     /// How likely the job is to be late there.
     pub lateness_probability: f64,
--- a/crates/dispatch-core/src/load.rs
+++ b/crates/dispatch-core/src/load.rs
@@ -1,15 +1,15 @@
-//! What is believed of the load of workers: the slots that other dispatchers fill there by now.
+//! Estimates of the load of workers: the slots that other dispatchers fill there by now.
 //!
-//! What we ourselves hold at a worker is known. What others hold is heard of now and then: by load reports, by how long
-//! a job of ours waits before it starts, by rejections. Each word is true of a while ago and fades into what is
-//! usual among the workers of its kind in its zone. Spans are in windows, a window being about a running time: within
-//! a few of them all that a worker holds has changed.
+//! The slots of our own attempts are known. Those of others are observed now and then: by load reports, by how long a
+//! job of ours waits before it starts, by rejections. Each observation is of a while ago and decays to the mean of the
+//! workers of that kind in that zone. Spans are in windows, a window being about a running time: within a few of them
+//! all that runs at a worker has changed.
 
 use crate::api::{LoadReport, Seconds, WorkerState};
 use crate::fleet::{Fleet, Worker};
 use crate::run_time::CLASS_LEARNING_RATE;
 
-/// What is heard of a worker's load fades over this many windows.
+/// An observation of a worker's load decays over this many windows.
 const OCCUPANCY_FADE_WINDOWS: f64 = 4.0;
 /// A report is late by about this part of a window.
 const REPORT_DELAY_WINDOWS: f64 = 0.5;
@@ -17,9 +17,9 @@
 const SLOTS_LEARNING_RATE: f64 = 0.5;
 /// A report counts for this part beside what was thought before: it is a sample, late and noisy.
 const REPORT_WEIGHT: f64 = 0.5;
-/// A cohort's usual load moves by one part in this many words at first.
+/// A cohort's mean load moves by one part in this many observations at first.
 const INITIAL_COHORT_SAMPLES: f64 = 24.0;
-/// A job that starts within this of its send did not wait: round trips, and a handshake that takes work.
+/// A job that starts within this time of its send did not wait: round trips, and a handshake that takes work.
 pub(crate) const PROMPT_START: Seconds = 0.1;
 
 /// The present, by which observations are old.
@@ -31,7 +31,7 @@
 }
 
 impl Fleet {
-    /// How many slots a worker has, as far as was seen.
+    /// How many slots a worker has, by what was observed.
     pub(crate) fn slots_of(&self, worker: &Worker) -> f64 {
         self.kinds[worker.kind].slots.max(self.largest_job as f64)
     }
@@ -50,17 +50,17 @@
         worker.state == WorkerState::Serving && self.warm_capacity(worker, now) < 1.0
     }
 
-    /// Slots that others hold there by now: what was last heard, fading into what is usual.
+    /// Slots that other dispatchers fill there by now: the last observation, decaying to the mean of the cohort.
     pub(crate) fn other_slots(&self, worker: &Worker, time: ObservationTime) -> f64 {
         let usual = self.cohorts[worker.cohort].utilization
             * self.slots_of(worker)
             * self.warm_capacity(worker, time.now);
-        let fading = (-(time.now - worker.other_slots_at) / (OCCUPANCY_FADE_WINDOWS * time.window)).exp();
-        usual + (worker.other_slots - usual) * fading
+        let decay = (-(time.now - worker.other_slots_at) / (OCCUPANCY_FADE_WINDOWS * time.window)).exp();
+        usual + (worker.other_slots - usual) * decay
     }
 
-    /// How long a job is thought to wait at a worker that is so full with it, in running times; where nobody tells how
-    /// many slots it has, nothing is known of its queue.
+    /// How long a job is expected to wait at a worker of this utilization, in running times; none where the number of its
+    /// slots was never reported.
     pub(crate) fn expected_wait(&self, worker: &Worker, utilization: f64) -> f64 {
         if self.kinds[worker.kind].slots > 0.0 {
             self.queueing_curve.mean_wait(utilization)
@@ -74,7 +74,7 @@
         self.workers[index].add_slots(slots, time.now, REPORT_DELAY_WINDOWS * time.window);
     }
 
-    /// Something told how many slots others hold or wait for there.
+    /// Takes an observation of the slots that other dispatchers fill or wait for there.
     pub(crate) fn record_other_slots(&mut self, index: usize, slots: f64, now: Seconds) {
         let utilization = slots / self.slots_of(&self.workers[index]);
         let worker = &mut self.workers[index];
@@ -112,8 +112,8 @@
         Some(queue.round().min(slots))
     }
 
-    /// A job of ours waited there for so long, which tells how much others had: each slot comes free once in a running
-    /// time.
+    /// A job of ours waited there for so long, which shows how many slots others had: each slot comes free once in a
+    /// running time.
     pub(crate) fn record_wait(&mut self, index: usize, delay: Seconds, time: ObservationTime) {
         let worker = &self.workers[index];
         let waited = delay - PROMPT_START / self.warm_capacity(worker, time.now);
--- a/crates/dispatch-core/src/load_report.rs
+++ b/crates/dispatch-core/src/load_report.rs
@@ -1,7 +1,7 @@
-//! Load reports: what a worker says of its load, by the names that the settings give. A codec, no I/O.
+//! Load reports of workers, with the figures that the settings name. A codec, no I/O.
 //!
-//! The simulator's wire gives the figures by position, workers on sockets by name. Both mean the same, and what a name
-//! means is said in one place, here. A report is advice: one that cannot be used costs nobody a job.
+//! The simulator's wire gives the figures by position, workers on sockets by name. Both mean the same, and the meaning
+//! of a name is defined here alone. A report is advice: one that cannot be used fails no job.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -18,7 +18,7 @@
 /// The word that a report in a header begins with.
 const TEXT_PREFIX: &str = "TEXT";
 
-/// What a worker says of its load. Absent fields were not told.
+/// The load of a worker, as it reports it. Absent fields were not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Slots with nothing in them.
@@ -93,7 +93,7 @@
 }
 
 impl LoadReportFormat {
-    /// As the settings tell: `report.names`, and for x0 and x1 what `family-info` says of them.
+    /// By the settings: `report.names`, and for x0 and x1 their meaning under `family-info`.
     pub fn from_settings(pairs: &SettingsPairs<'_>) -> LoadReportFormat {
         let described = |name: &str| pairs.text(&format!("family-info.report-{name}")).replace(' ', "_");
         let figure = |name: &str| match name {
@@ -104,7 +104,7 @@
         LoadReportFormat(names.map(|name| (name.into(), figure(name))).collect())
     }
 
-    /// Reads a report that gives its figures by position, separated by commas; `-` or nothing where one was not told.
+    /// Reads a report that gives its figures by position, separated by commas; `-` or nothing where one is absent.
     ///
     /// # Errors
     /// Something that is no number stands where one must.
@@ -124,7 +124,7 @@
     }
 
     /// Takes a report that gives its figures by name. Names that the settings do not know are passed over. What is
-    /// no number, negative, infinite, or told twice is left out: of two figures neither is known to be the right one.
+    /// no number, negative, infinite, or given twice is left out: of two figures neither is known to be the right one.
     pub fn parse_named<'a>(&self, figures: impl Iterator<Item = (&'a str, Option<f64>)>) -> ParsedLoadReport {
         let (mut load, mut malformed) = (LoadReport::default(), false);
         let mut was_named = [false; MAX_FIGURES];
@@ -159,7 +159,7 @@
     }
 }
 
-/// The figures of an object in their order: a map would hide that one was told twice.
+/// The figures of an object in their order: a map would hide that one was given twice.
 struct Object<'a>(Vec<(Cow<'a, str>, Option<f64>)>);
 
 impl<'de> Deserialize<'de> for Object<'de> {
--- a/crates/dispatch-core/src/outlier_detection.rs
+++ b/crates/dispatch-core/src/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Whether a worker, or a whole zone, is to be left alone for a while: plain state machines that are told what passed.
+//! Ejection of workers, and suspicion of whole zones, by their failures: plain state machines without a clock.
 
 use crate::api::Seconds;
 
@@ -10,7 +10,7 @@
 const MIN_EJECTION_PART: f64 = 0.75;
 const EJECTION_JITTER: f64 = 0.5;
 
-/// What is thought of one worker.
+/// The health of one worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct OutlierDetector {
     failures: u32,
@@ -36,7 +36,7 @@
         ejects
     }
 
-    /// It did what it was asked for; true where that lets it in again.
+    /// It served a job; true where that readmits it.
     pub(crate) fn record_success(&mut self) -> bool {
         let was_unhealthy = self.is_unhealthy();
         *self = OutlierDetector {
@@ -47,7 +47,7 @@
         was_unhealthy
     }
 
-    /// It gave a sign of life; true where that lets it in again.
+    /// It gave a sign of life; true where that readmits it.
     pub(crate) fn record_liveness(&mut self, now: Seconds) -> bool {
         self.last_alive = now;
         let had_verdict = std::mem::take(&mut self.verdict_until) > 0.0;
--- a/crates/dispatch-core/src/policy/attempts.rs
+++ b/crates/dispatch-core/src/policy/attempts.rs
@@ -106,7 +106,7 @@
         let Some(job) = self.jobs.get(&id) else { return };
         let class = &self.settings.classes[job.class()];
         let wait = (job.slots as f64 / self.rate.partial(1.0)).min(self.settings.max_retry_after);
-        // A client that comes back as it is told must come back within the window.
+        // A client that honours the retry-after must come back within the window.
         let may_return = |attempt: &Attempt| class.allows_client_retry(self.now + wait - attempt.sent_at);
         let is_harmless = job.possible_runs().next().is_none_or(may_return);
         actions.push(if is_harmless { self.rejection(id, wait) } else { Action::Fail { request: id } });
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Takes what the end of an attempt says of its worker, of the rate and of running times.
+    /// Updates worker, rate and running times by the end of an attempt.
     fn record_attempt(&mut self, ended: &EndedAttempt, load: Option<LoadReport>) {
         let &EndedAttempt { attempt, outcome, size, .. } = ended;
         let index = attempt.worker;
@@ -201,7 +201,7 @@
                 if ended.is_retry {
                     self.rate.record_rejection(index, size);
                 }
-                // Its report is older than this answer, and says less.
+                // This answer is newer than the report that came with it.
                 let worker = &self.fleet.workers[index];
                 let others = OVERLOADED_UTILIZATION * self.fleet.slots_of(worker) - worker.our_slots;
                 self.fleet.record_other_slots(index, others, self.now);
@@ -222,7 +222,7 @@
         }
     }
 
-    /// A served job says how long it waited and ran, and that its worker is well.
+    /// A job was served: its wait counts for the rate, its run for the estimates, and its worker is healthy.
     fn record_served(&mut self, ended: &EndedAttempt) {
         let (index, class, now) = (ended.attempt.worker, ended.request.class as usize, self.now);
         let expected = ended.request.expected_run_time;
--- a/crates/dispatch-core/src/policy/outlier_detection.rs
+++ b/crates/dispatch-core/src/policy/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Workers that fail or say nothing are left out for a while, and are let in again.
+//! Workers that fail or stall are ejected for a while and readmitted; jobs at stalled workers are hedged.
 
 use super::Dispatcher;
 use crate::api::{Action, Idempotency, LoadReports, RequestId, Seconds};
@@ -17,7 +17,7 @@
         self.fleet.record_failure(index, self.now, jitter);
     }
 
-    /// A worker that takes jobs and says nothing is left out until it speaks; its job is hedged elsewhere.
+    /// A worker that takes jobs and gives no sign of life is ejected until it does; its job is hedged.
     pub(super) fn on_stall_check(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id).filter(|job| job.state == JobState::InFlight) else { return };
         let interval = self.settings.progress_interval;
--- a/crates/dispatch-core/src/policy/placement.rs
+++ b/crates/dispatch-core/src/policy/placement.rs
@@ -148,7 +148,7 @@
         let time = self.observation_time();
         let waiting = self.fleet.apply_load_report(index, &load, self.workload.mean_slots, time);
         if let Some(waiting) = waiting.filter(|slots| *slots > 0.0 && !self.settings.reports_job_start) {
-            // Nobody says when a job starts, but a queue says that some did not.
+            // Job starts are not reported, but a queue shows that some jobs have not started.
             self.rate.record_rejection(index, waiting);
         }
     }
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Keeps the workers that were heard of last, latest first.
+    /// Remembers a worker as the latest that was probed or left a connection.
     pub(super) fn remember_probed(&mut self, index: usize) {
         self.recently_probed.truncate(MAX_SAMPLE - 1);
         self.recently_probed.push_front(index);
--- a/crates/dispatch-core/src/policy/throttle.rs
+++ b/crates/dispatch-core/src/policy/throttle.rs
@@ -17,7 +17,7 @@
 const MIN_START_TIME: Seconds = 0.01;
 /// A job starts so many steps of the clock before its client gives up.
 const CLOCK_STEPS_TO_ANSWER: f64 = 4.0;
-/// The shortest wait that a client is told.
+/// The shortest retry-after of a rejection.
 const MIN_RETRY_AFTER: Seconds = 0.001;
 
 impl Dispatcher {
--- a/crates/dispatch-core/src/poll_schedule.rs
+++ b/crates/dispatch-core/src/poll_schedule.rs
@@ -1,8 +1,8 @@
 //! When the endpoint list is polled again after a watch or a call has ended. Pure: no clock, no I/O.
 //!
 //! A change counts as notified a fixed time after discovery had it and could be reached, whatever a call before did, and
-//! soon after that nothing may be sent to a worker that drains. So what bounds a pause is since when nothing may have
-//! been heard, not how often calls failed: a call that was given up late leaves less time before the next.
+//! soon after that nothing may be sent to a worker that drains. So a pause is bounded by the time without a watch, not by
+//! the number of failed calls: a call that was given up late leaves less time before the next.
 
 use crate::api::Settings;
 use crate::backoff::{Backoff, Micros};
--- a/crates/dispatch-core/src/queueing.rs
+++ b/crates/dispatch-core/src/queueing.rs
@@ -1,7 +1,7 @@
-//! How long jobs wait at a worker by how full it seems: a curve that is learnt.
+//! How long jobs wait at a worker by its expected utilization: a curve that is learnt.
 //!
-//! How far reports of load can be trusted depends on how late and how noisy they are, and on how many others choose by
-//! the same report. So what was thought of a worker when a job was sent there is held against how long the job waited.
+//! How far load reports can be trusted depends on how late and how noisy they are, and on how many others choose by the
+//! same report. So the expected utilization at the send of a job is compared with how long the job really waited.
 
 /// Steps of the curve: so many to a worker that is just full, and how many there are in all.
 const STEPS_TO_FULL: f64 = 8.0;
@@ -25,7 +25,7 @@
 }
 
 impl Default for QueueingCurve {
-    /// At first, as if all were as it is thought to be.
+    /// At first, as if all expectations were exact.
     fn default() -> Self {
         let step = |index: usize| {
             let mean_wait = (index as f64 / STEPS_TO_FULL - 1.0).max(0.0);
--- a/crates/dispatch-core/src/run_time.rs
+++ b/crates/dispatch-core/src/run_time.rs
@@ -6,12 +6,12 @@
 //!
 //! The work is what is usual in the class, and where jobs come with a hint, a straight line through the logarithms of
 //! hint and work that is fitted as jobs end. Hints that tell nothing flatten the line until the class's mean is left;
-//! hints that are wrong by a constant factor move it; a few heavy jobs that say so teach nothing wrong.
+//! hints that are wrong by a constant factor shift it; a few heavy jobs with matching hints do not distort it.
 //!
-//! Each slowdown is believed to some degree: a variance that grows with time, since machines change, and shrinks with
-//! each job that tells of it. A job moves each slowdown by that slowdown's part of all that is uncertain, the job's own
-//! variance included. So where hints are good a few jobs tell that a worker has become slow, and where running times
-//! spread over a factor of ten, many are needed: the gains follow from what is seen and are no settings.
+//! Each slowdown has a variance that grows with time, since machines change, and shrinks with each job that ran under it.
+//! A job moves each slowdown by its part of the total variance, the job's own included (a Kalman gain). So where hints
+//! are good a few jobs show that a worker has become slow, and where running times spread over a factor of ten, many
+//! are needed: the gains follow from the observations and are no settings.
 
 use crate::api::{Class, Seconds};
 
@@ -23,34 +23,34 @@
 /// No run is taken to be shorter, and no hint to be outside these: logarithms need a floor.
 const MIN_RUN_TIME: Seconds = 1e-3;
 const MAX_RUN_TIME: Seconds = 1e4;
-/// A hint is believed as far from the usual as so many times the spread of hints.
+/// A hint is taken to lie no further from the mean than this many standard deviations of hints.
 const MAX_HINT_DEVIATIONS: f64 = 4.0;
 /// How far running times of one class lie apart, as a variance of logarithms: at first with a hint and without, and
 /// at the least (a job's time differs from one run to the next).
 const INITIAL_HINTED_VARIANCE: f64 = 0.25;
 const INITIAL_VARIANCE: f64 = 1.0;
 const MIN_RUN_TIME_VARIANCE: f64 = 0.02;
-/// No job's error counts for more than so many times the variance.
+/// No squared error counts for more than this many times the variance.
 const MAX_ERROR: f64 = 4.0;
-/// How unsure slowdowns are: workers become slow by a factor of three or so about once in a minute or two; what all of
+/// How uncertain slowdowns are: workers become slow by a factor of three or so about once in a minute or two; what all of
 /// them depend on does so less often and by less.
 const KIND_UNCERTAINTY: Uncertainty = Uncertainty { initial: 0.25, per_second: 0.0005 };
 const WORKER_UNCERTAINTY: Uncertainty = Uncertainty { initial: 0.05, per_second: 0.02 };
 const FLEET_UNCERTAINTY: Uncertainty = Uncertainty { initial: 0.02, per_second: 0.004 };
-/// A slowdown is never sure and never quite unknown.
+/// Bounds of the variance of a slowdown.
 const MIN_VARIANCE: f64 = 1e-4;
 const MAX_VARIANCE: f64 = 1.0;
 /// The variance that waits and slowdowns add to a running time by the time the job is done.
 const RESIDUAL_VARIANCE: f64 = 0.05;
 /// The logistic curve that is nearest to the normal one.
 const LOGISTIC_SCALE: f64 = 1.7;
-/// A job is given up from so far below certainty of being late on, as far as estimates can be trusted.
+/// A deadline is unreachable from this far below certainty of being late on, scaled by the confidence in estimates.
 const UNREACHABLE_PROBABILITY: f64 = 0.9;
-/// A job that has run for longer than was thought tells of its worker before it ends, from so many times the usual
-/// deviation on.
+/// A job that has run for longer than expected counts for its worker's slowdown before it ends, from this many standard
+/// deviations on.
 const OVERDUE_DEVIATIONS: f64 = 1.0;
 
-/// How unsure a slowdown is: its variance at first, and what that gains in a second.
+/// How uncertain a slowdown is: its initial variance, and what that gains in a second.
 #[derive(Clone, Copy, Debug)]
 struct Uncertainty {
     initial: f64,
@@ -129,7 +129,7 @@
         hint.clamp(mean - most, mean + most)
     }
 
-    /// How long a job of the class may wait and still be in time, by its running time as told or as usual.
+    /// How long a job of the class may wait and still be in time, by its hinted or else its usual running time.
     pub(crate) fn start_slack(&self, class: &Class, hint: Option<Seconds>) -> Seconds {
         let run_time = self.log_work(hint).exp();
         class.latency_objective + (class.run_time_allowance - 1.0).max(0.0) * run_time
@@ -146,7 +146,7 @@
         self.variance
     }
 
-    /// How likely a job is to be late that has so much time left, and is thought to run and to wait for so long.
+    /// The probability that a job is late, by the time left to it and its expected running time and wait.
     pub(crate) fn lateness_probability(&self, left: Seconds, run_time: Seconds, wait: Seconds) -> f64 {
         let deviation = (self.variance + RESIDUAL_VARIANCE).sqrt();
         let excess = (run_time / left.max(MIN_RUN_TIME)).ln();
@@ -217,7 +217,7 @@
     }
 }
 
-/// What is believed of a slowdown: a logarithm, how unsure it is, and as of when.
+/// The estimate of a slowdown: a logarithm, its variance, and when it was updated.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Slowdown {
     log: f64,
@@ -226,7 +226,7 @@
 }
 
 impl Slowdown {
-    /// How unsure it is by now, as a variance.
+    /// Its variance by now.
     fn variance(&self, now: Seconds, uncertainty: Uncertainty) -> f64 {
         match self.variance {
             0.0 => uncertainty.initial,
--- a/crates/dispatch-core/src/settings.rs
+++ b/crates/dispatch-core/src/settings.rs
@@ -89,7 +89,7 @@
     }
 }
 
-/// Rejections carry a wait only where the settings say so.
+/// Rejections carry a wait only where the settings allow it.
 fn parse_max_retry_after(pairs: &SettingsPairs<'_>, defaults: &Settings) -> Result<f64, InvalidValue> {
     if pairs.get("caps.retry-after", false)? {
         pairs.non_negative("caps.max-retry-after-s", defaults.max_retry_after)
--- a/crates/dispatch-core/src/settings_pairs.rs
+++ b/crates/dispatch-core/src/settings_pairs.rs
@@ -33,10 +33,10 @@
 pub struct SettingsPairs<'a>(FxHashMap<Cow<'a, str>, Cow<'a, str>>);
 
 impl<'a> SettingsPairs<'a> {
-    /// Of a line of the wire, word by word.
+    /// From the fields of a line of the wire.
     ///
     /// # Errors
-    /// A word is no `path=value`.
+    /// A field is not of the form `path=value`.
     pub fn parse(fields: impl Iterator<Item = &'a str>) -> Result<Self, InvalidValue> {
         let mut pairs = FxHashMap::default();
         for pair in fields.filter(|field| !field.is_empty() && *field != "-") {
@@ -48,7 +48,7 @@
         Ok(SettingsPairs(pairs))
     }
 
-    /// Of nested JSON: names are joined by dots, lists of objects are numbered, other lists are joined by commas.
+    /// From nested JSON: names are joined by dots, lists of objects are numbered, other lists are joined by commas.
     pub fn from_json(value: &'a Value) -> Self {
         let mut pairs = SettingsPairs(FxHashMap::default());
         pairs.insert(String::new(), value);
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -11,7 +11,7 @@
 use crate::lists::EndpointLists;
 use crate::worker_id;
 
-/// Flags of a request: its work is told, and it is a client's retry.
+/// Flags of a request: its work is given, and it is a client's retry.
 const FLAG_EXPECTED_WORK: u32 = 1;
 const FLAG_RETRY: u32 = 2;
 
@@ -74,7 +74,7 @@
     Ok(Event::StreamStarted { request, attempt: fields.required(ATTEMPT)? })
 }
 
-/// A note on a job that runs, by its topic; other topics than these say nothing to a dispatcher.
+/// An update on a running job, by its topic; a dispatcher has no use for other topics.
 fn read_update<'a>(mut fields: Fields<'_>) -> Result<Option<Event<'a>>, InvalidValue> {
     let request = RequestId(fields.required(REQUEST)?);
     fields.text();
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -8,7 +8,7 @@
 pub(crate) struct Fields<'a>(Split<'a, char>);
 
 impl<'a> Fields<'a> {
-    /// Of a line, of which the first word is its name.
+    /// Splits a line into its name, which comes first, and its values.
     pub(crate) fn of_line(line: &'a str) -> (&'a str, Fields<'a>) {
         let mut words = line.split(' ');
         (words.next().unwrap_or(""), Fields(words))
--- a/crates/simulator-adapter/src/lists.rs
+++ b/crates/simulator-adapter/src/lists.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// Reads a line of a list, without its first word; returns the worker's name too.
+/// Reads the fields of a line of a list; returns the worker's name too.
 pub(crate) fn parse_endpoint<'a>(mut fields: Fields<'a>) -> Result<(&'a str, Endpoint), InvalidValue> {
     let name = fields.required_text("a worker")?;
     let kind = fields.optional("a machine type")?.unwrap_or(0);
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -24,14 +24,14 @@
 #[derive(Default)]
 pub(crate) struct Reply {
     text: String,
-    /// The instance that the lines at the end speak for.
-    speaker: Box<str>,
+    /// The instance that the last lines are from.
+    instance: Box<str>,
 }
 
 impl Reply {
-    /// A batch begins: its first line will say which instance speaks.
+    /// A batch begins: its first line will name the instance.
     pub(crate) fn begin(&mut self) {
-        self.speaker = Box::default();
+        self.instance = Box::default();
     }
 
     /// Ends the batch.
@@ -49,8 +49,8 @@
         if actions.is_empty() {
             return;
         }
-        if *self.speaker != *instance {
-            self.speaker = instance.into();
+        if *self.instance != *instance {
+            self.instance = instance.into();
             self.text.push_str(&format!("ON_BEHALF {instance}\n"));
         }
         for action in actions.drain(..) {
