--- a/crates/dispatcher/tests/pinned_settings.rs
+++ b/crates/dispatcher/tests/pinned_settings.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use cluster_member::cold::Dealing;
-use cluster_member::watch::Watching;
+use cluster_member::health_check::HealthCheckConfig;
+use cluster_member::slow_start::QuotaConfig;
 use coordination::Timing;
 use dispatch_core::hashing::worker_id;
 use dispatcher::api::{
@@ -12,8 +12,7 @@
     WorkerState,
 };
 use dispatcher::config::{self, Config};
-use dispatcher::engine::Listed;
-use dispatcher::own::{Fleet, Own};
+use dispatcher::settings_file::{ClusterSettings, LocalSettings};
 use serde_json::{json, Value};
 
 const EVERY_KEY: &str = include_str!("fixtures/every_key.json");
@@ -24,7 +23,7 @@
 }
 
 fn read(root: &Value) -> Result<Config, String> {
-    Config::read(&root.to_string(), |_| None).map_err(|error| error.to_string())
+    Config::parse(&root.to_string(), |_| None).map_err(|error| error.to_string())
 }
 
 fn address(port: u16) -> std::net::SocketAddr {
@@ -42,16 +41,20 @@
     assert_eq!(config.client_sockets, 300);
     assert_eq!(config.worker_sockets, 200);
     assert_eq!(config.dial_timeout, 300_000);
-    assert_eq!(config.idle, 4_800_000);
+    assert_eq!(config.idle_timeout, 4_800_000);
     assert_eq!(config.drain_grace, 750_000);
-    assert!(config.pushed);
-    assert_eq!(config.longest, 12_000_000);
-    assert_eq!(config.fleet, None);
+    assert!(config.list_is_pushed);
+    assert_eq!(config.longest_timeout, 12_000_000);
+    assert_eq!(config.cluster, None);
     assert_eq!(config.names.tenants, ["web", "till"]);
     assert_eq!(config.names.zones, ["north", "south"]);
     assert_eq!(config.names.kinds, ["small", "large"]);
-    let classes: Vec<_> =
-        config.names.classes.iter().map(|c| (c.name.as_str(), c.patience, c.keyed)).collect();
+    let classes: Vec<_> = config
+        .names
+        .classes
+        .iter()
+        .map(|c| (c.name.as_str(), c.timeout, c.requires_idempotency_key))
+        .collect();
     assert_eq!(
         classes,
         [("lookup", 4_000_000, false), ("order", 9_000_000, true), ("refund", 12_000_000, true)]
@@ -60,9 +63,9 @@
 
 #[test]
 fn the_known_list_has_its_values() {
-    let (revision, known) = read(&every_key()).expect("the example is good").known;
+    let (revision, known) = read(&every_key()).expect("the example is good").saved_list;
     assert_eq!(revision, Some(9));
-    let found: Vec<_> = known.iter().map(|Listed { member, address }| (*member, *address)).collect();
+    let found: Vec<_> = known.iter().map(|listed| (listed.endpoint, listed.address)).collect();
     let member = |name: &str, kind, zone, cell, since, state| Endpoint {
         worker: worker_id(name),
         kind,
@@ -149,9 +152,9 @@
         read(&root).expect("a good file")
     };
     let asked = with(["discovery", "", ""], "ask");
-    assert!(asked.settings.polls_endpoint_list && !asked.pushed);
+    assert!(asked.settings.polls_endpoint_list && !asked.list_is_pushed);
     let watched = with(["discovery", "", ""], "watch");
-    assert!(!watched.settings.polls_endpoint_list && !watched.pushed);
+    assert!(!watched.settings.polls_endpoint_list && !watched.list_is_pushed);
     assert_eq!(with(["report", "how", ""], "answers").settings.load_reports, LoadReports::WithResponses);
     assert_eq!(with(["report", "how", ""], "none").settings.load_reports, LoadReports::None);
     let first = |word| with(["profiles", "0", "idempotency"], word).settings.classes[0].idempotency;
@@ -208,10 +211,10 @@
     let names = read(&every_key()).expect("the example is good").names;
     let list = |complete: Value| {
         let value = json!({"revision": 12, "complete": complete, "members": every_key()["known"]["members"]});
-        config::list(&value, &names).expect("a good list")
+        config::parse_endpoint_list(&value, &names).expect("a good list")
     };
     let whole = list(json!(true));
-    assert_eq!((whole.revision, whole.scope, whole.members.len()), (12, ListScope::Full, 3));
+    assert_eq!((whole.revision, whole.scope, whole.endpoints.len()), (12, ListScope::Full, 3));
     assert_eq!(list(json!(false)).scope, ListScope::Incremental);
     assert_eq!(list(Value::Null).scope, ListScope::Incremental);
 }
@@ -225,14 +228,14 @@
         ("BALANCER_CONSOLE", "127.0.0.1:3"),
     ];
     let variable = |name: &str| variables.iter().find(|(n, _)| *n == name).map(|(_, v)| (*v).to_owned());
-    let config = Config::read(EVERY_KEY, variable).expect("good variables");
+    let config = Config::parse(EVERY_KEY, variable).expect("good variables");
     assert_eq!(config.name, "from-variable");
     assert_eq!((config.listen, config.discovery, config.console), (address(1), address(2), Some(address(3))));
     let mut unnamed = every_key();
     unnamed.as_object_mut().expect("an object").remove("name");
     assert_eq!(read(&unnamed).map(|config| config.name), Ok("cairncrank".to_owned()));
     for name in ["BALANCER_LISTEN", "BALANCER_DISCOVERY", "BALANCER_CONSOLE"] {
-        let fault = Config::read(EVERY_KEY, |asked| Some("nowhere".to_owned()).filter(|_| asked == name));
+        let fault = Config::parse(EVERY_KEY, |asked| Some("nowhere".to_owned()).filter(|_| asked == name));
         let fault = fault.expect_err("a fault").to_string();
         assert_eq!(fault, format!("{name}: expected an address such as 127.0.0.1:7070, found 'nowhere'"));
     }
@@ -252,7 +255,7 @@
         config.settings.capacity_reservation,
         Some(CapacityReservation { min_slots: 8.0, price: 3.5 })
     );
-    assert_eq!(config.fleet, Some(expected_fleet()));
+    assert_eq!(config.cluster, Some(expected_fleet()));
     let fault = Config::from_environment(|_| None).expect_err("no file").to_string();
     assert_eq!(fault, "BALANCER_CONFIG: not set; it names the configuration file");
 }
@@ -272,13 +275,13 @@
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-fn expected_fleet() -> Fleet {
-    Fleet {
+fn expected_fleet() -> ClusterSettings {
+    ClusterSettings {
         installation: "north".to_owned(),
         listen: address(7301),
-        address: Some(address(7302)),
-        bind: Some("127.0.0.2".parse().expect("an address")),
-        keepers: BTreeMap::from([(1, address(7101)), (2, address(7102)), (5, address(7105))]),
+        advertised_address: Some(address(7302)),
+        bind_address: Some("127.0.0.2".parse().expect("an address")),
+        coordinators: BTreeMap::from([(1, address(7101)), (2, address(7102)), (5, address(7105))]),
         times: Timing {
             lease_duration: 1_700_000,
             renewal_interval: 410_000,
@@ -289,31 +292,45 @@
             election_timeout: 430_000,
             heartbeat_interval: 90_000,
         },
-        list: false,
-        source: Some("catalogue".to_owned()),
-        silence: 4_500_000,
+        shared_list: false,
+        list_source: Some("catalogue".to_owned()),
+        list_silence: 4_500_000,
         fallback_per_s: 12.5,
         record: Some("/var/log/fleet.jsonl".into()),
-        watch: Some(Watching {
-            sets: 9,
-            zones: 1,
-            period: 1_500_000,
-            fails: 3,
-            holds: 7_000_000,
-            flaw: None,
+        health_checks: Some(HealthCheckConfig {
+            set_count: 9,
+            zone_count: 1,
+            probe_interval: 1_500_000,
+            failure_threshold: 3,
+            report_ttl: 7_000_000,
+            injected_bug: None,
+        }),
+        readiness_validity: Some(1_300_000),
+        slow_start: Some(QuotaConfig {
+            smallest_worker_slots: 2.5,
+            grantable_fraction: 0.25,
+            grant_ttl: 600_000,
+            delivery_timeout: 0,
+            skew_ppm: 1_200,
         }),
-        account: Some(1_300_000),
-        cold: Some(Dealing { slots: 2.5, part: 0.25, expiry: 600_000, written: 0, skew_ppm: 1_200 }),
     }
 }
 
 #[test]
 fn our_own_settings_have_their_values() {
-    let expected =
-        Own { room: Some(CapacityReservation { min_slots: 8.0, price: 3.5 }), fleet: Some(expected_fleet()) };
-    assert_eq!(Own::read("every_key.hcl", EVERY_KEY_HCL).map_err(|fault| fault.to_string()), Ok(expected));
+    let expected = LocalSettings {
+        capacity_reservation: Some(CapacityReservation { min_slots: 8.0, price: 3.5 }),
+        cluster: Some(expected_fleet()),
+    };
+    assert_eq!(
+        LocalSettings::parse("every_key.hcl", EVERY_KEY_HCL).map_err(|fault| fault.to_string()),
+        Ok(expected)
+    );
     let not_held = EVERY_KEY_HCL.replace("hold       = true", "hold = false");
-    assert_eq!(Own::read("every_key.hcl", &not_held).map(|own| own.room).ok(), Some(None));
+    assert_eq!(
+        LocalSettings::parse("every_key.hcl", &not_held).map(|own| own.capacity_reservation).ok(),
+        Some(None)
+    );
 }
 
 #[test]
@@ -322,32 +339,38 @@
                 address = \"127.0.0.1:1\"\n  }\n  keeper \"2\" {\n    address = \"127.0.0.1:2\"\n  }\n  keeper \
                 \"3\" {\n    address = \"127.0.0.1:3\"\n  }\n  account {\n  }\n  cold {\n    slots = 1\n  }\n  \
                 watch {\n  }\n}\n";
-    let own = Own::read("defaults.hcl", text).expect("good settings");
-    assert_eq!(own.room, Some(CapacityReservation { min_slots: 4.0, price: 16.0 }));
-    let expected = Fleet {
+    let own = LocalSettings::parse("defaults.hcl", text).expect("good settings");
+    assert_eq!(own.capacity_reservation, Some(CapacityReservation { min_slots: 4.0, price: 16.0 }));
+    let expected = ClusterSettings {
         installation: "n".to_owned(),
         listen: address(1),
-        address: None,
-        bind: None,
-        keepers: BTreeMap::from([(1, address(1)), (2, address(2)), (3, address(3))]),
+        advertised_address: None,
+        bind_address: None,
+        coordinators: BTreeMap::from([(1, address(1)), (2, address(2)), (3, address(3))]),
         times: Timing::default(),
-        list: true,
-        source: None,
-        silence: 3_000_000,
+        shared_list: true,
+        list_source: None,
+        list_silence: 3_000_000,
         fallback_per_s: 20.0,
         record: None,
-        watch: Some(Watching {
-            sets: 8,
-            zones: 1,
-            period: 1_000_000,
-            fails: 2,
-            holds: 4_000_000,
-            flaw: None,
+        health_checks: Some(HealthCheckConfig {
+            set_count: 8,
+            zone_count: 1,
+            probe_interval: 1_000_000,
+            failure_threshold: 2,
+            report_ttl: 4_000_000,
+            injected_bug: None,
+        }),
+        readiness_validity: Some(1_000_000),
+        slow_start: Some(QuotaConfig {
+            smallest_worker_slots: 1.0,
+            grantable_fraction: 0.5,
+            grant_ttl: 500_000,
+            delivery_timeout: 0,
+            skew_ppm: 1_000,
         }),
-        account: Some(1_000_000),
-        cold: Some(Dealing { slots: 1.0, part: 0.5, expiry: 500_000, written: 0, skew_ppm: 1_000 }),
     };
-    assert_eq!(own.fleet, Some(expected));
+    assert_eq!(own.cluster, Some(expected));
 }
 
 /// Each key and block of the example file is known by its name only, and the fault names file, line and key.
@@ -361,7 +384,7 @@
         let renamed = line.replacen(name, &format!("{name}_renamed"), 1);
         let mut lines: Vec<&str> = EVERY_KEY_HCL.lines().collect();
         lines[index] = &renamed;
-        let fault = Own::read("every_key.hcl", &(lines.join("\n") + "\n"));
+        let fault = LocalSettings::parse("every_key.hcl", &(lines.join("\n") + "\n"));
         faults.push(fault.expect_err("a fault").to_string());
     }
     assert_eq!(faults.len(), 40);
