--- a/crates/dispatcher/src/settings_file.rs
+++ b/crates/dispatcher/src/settings_file.rs
@@ -94,7 +94,7 @@
         match std::fs::read_to_string(&path) {
             Ok(text) => LocalSettings::parse(&file, &text).map_err(|fault| ConfigError {
                 key: format!("{}:{}: {}", fault.file, fault.line, fault.key),
-                problem: fault.problem,
+                problem: fault.problem.to_string(),
             }),
             Err(error) if error.kind() == ErrorKind::NotFound && named.is_none() => {
                 Ok(LocalSettings::default())
--- /dev/null
+++ b/crates/hcl-config/src/section.rs
@@ -0,0 +1,246 @@
+//! A file or block, and getters for its settings.
+
+use std::cell::Cell;
+use std::ops::RangeInclusive;
+use std::rc::Rc;
+
+use crate::{HclError, HclResult, Problem, Value};
+
+#[derive(Debug)]
+struct Entry {
+    key: String,
+    line: usize,
+    value: Value,
+    was_read: Cell<bool>,
+}
+
+/// How a block is introduced, and where.
+#[derive(Debug, Default)]
+pub(crate) struct BlockHeader {
+    /// The block with those that it stands in, such as `class[small].limits`; empty for a file.
+    pub(crate) path: String,
+    /// The line, from 1.
+    pub(crate) line: usize,
+    /// The first word of the block; empty for a file.
+    pub(crate) kind: String,
+    /// Its labels; empty where it has none.
+    pub(crate) label: String,
+}
+
+/// A file or a block of it.
+#[derive(Debug)]
+pub struct Section {
+    file: Rc<str>,
+    header: BlockHeader,
+    entries: Vec<Entry>,
+    sections: Vec<Section>,
+    was_read: Cell<bool>,
+}
+
+impl Section {
+    pub(crate) fn new(file: Rc<str>, header: BlockHeader) -> Section {
+        Section { file, header, entries: Vec::new(), sections: Vec::new(), was_read: Cell::new(false) }
+    }
+
+    pub(crate) fn add_entry(&mut self, key: String, line: usize, value: Value) {
+        self.entries.push(Entry { key, line, value, was_read: Cell::new(false) });
+    }
+
+    pub(crate) fn add_section(&mut self, section: Section) {
+        self.sections.push(section);
+    }
+
+    /// A key with the blocks that it stands in; the path of this block where the key is empty.
+    pub(crate) fn qualified_key(&self, key: &str) -> String {
+        let path = &self.header.path;
+        match (path.is_empty(), key.is_empty()) {
+            (true, _) => key.to_owned(),
+            (false, true) => path.clone(),
+            (false, false) => format!("{path}.{key}"),
+        }
+    }
+
+    /// The label of a block such as `class "stock-lookup"`; empty where it has none.
+    pub fn label(&self) -> &str {
+        &self.header.label
+    }
+
+    /// An error at a key of this section, or at the section itself where the key is empty or absent.
+    pub fn error(&self, key: &str, problem: impl Into<Problem>) -> HclError {
+        let line = self.entry(key).map_or(self.header.line, |entry| entry.line);
+        HclError { file: self.file.to_string(), line, key: self.qualified_key(key), problem: problem.into() }
+    }
+
+    fn entry(&self, key: &str) -> Option<&Entry> {
+        self.entries.iter().find(|entry| entry.key == key)
+    }
+
+    /// The value at a key, whatever its type.
+    pub fn value(&self, key: &str) -> Option<&Value> {
+        let entry = self.entry(key)?;
+        entry.was_read.set(true);
+        Some(&entry.value)
+    }
+
+    /// The value at a key, if `convert` takes it; `expected` says what it takes.
+    fn converted<T>(
+        &self,
+        key: &str,
+        expected: &str,
+        convert: impl Fn(&Value) -> Option<T>,
+    ) -> HclResult<Option<T>> {
+        let Some(value) = self.value(key) else { return Ok(None) };
+        match convert(value) {
+            Some(converted) => Ok(Some(converted)),
+            None => {
+                let (expected, found) = (expected.to_owned(), value.clone());
+                Err(self.error(key, Problem::Unexpected { expected, found }))
+            }
+        }
+    }
+
+    /// A number within bounds.
+    ///
+    /// # Errors
+    ///
+    /// It is no number, or out of bounds.
+    pub fn number(&self, key: &str, bounds: RangeInclusive<f64>) -> HclResult<Option<f64>> {
+        let expected = format!("a number from {} to {}", bounds.start(), bounds.end());
+        self.converted(key, &expected, |value| number_within(value, &bounds))
+    }
+
+    /// A whole number within bounds.
+    ///
+    /// # Errors
+    ///
+    /// It is no whole number, or out of bounds.
+    pub fn integer(&self, key: &str, bounds: RangeInclusive<u64>) -> HclResult<Option<u64>> {
+        let expected = format!("a whole number from {} to {}", bounds.start(), bounds.end());
+        self.converted(key, &expected, |value| match value {
+            Value::Number(number) if number.fract() == 0.0 && *number >= 0.0 => {
+                Some(*number as u64).filter(|integer| bounds.contains(integer))
+            }
+            _ => None,
+        })
+    }
+
+    /// A number, or a list of a lower and an upper number, as a range within bounds. One number is both ends.
+    ///
+    /// # Errors
+    ///
+    /// It is neither, out of bounds, or the wrong way round.
+    pub fn number_range(&self, key: &str, bounds: RangeInclusive<f64>) -> HclResult<Option<(f64, f64)>> {
+        let (low, high) = (bounds.start(), bounds.end());
+        let expected = format!("a number from {low} to {high}, or [lower, upper] within these");
+        self.converted(key, &expected, |value| match value {
+            Value::List(items) => match items.as_slice() {
+                [lower, upper] => {
+                    let range = (number_within(lower, &bounds)?, number_within(upper, &bounds)?);
+                    (range.0 <= range.1).then_some(range)
+                }
+                _ => None,
+            },
+            single => number_within(single, &bounds).map(|number| (number, number)),
+        })
+    }
+
+    /// One number or a list of them, each within bounds.
+    ///
+    /// # Errors
+    ///
+    /// It is neither, empty, or out of bounds.
+    pub fn number_list(&self, key: &str, bounds: RangeInclusive<f64>) -> HclResult<Option<Vec<f64>>> {
+        let expected = format!("numbers from {} to {}", bounds.start(), bounds.end());
+        self.converted(key, &expected, |value| {
+            let items = match value {
+                Value::List(items) if !items.is_empty() => items.as_slice(),
+                single => std::slice::from_ref(single),
+            };
+            items.iter().map(|item| number_within(item, &bounds)).collect()
+        })
+    }
+
+    /// True or false.
+    ///
+    /// # Errors
+    ///
+    /// It is neither.
+    pub fn boolean(&self, key: &str) -> HclResult<Option<bool>> {
+        self.converted(key, "true or false", |value| match value {
+            Value::Bool(boolean) => Some(*boolean),
+            _ => None,
+        })
+    }
+
+    /// A text.
+    ///
+    /// # Errors
+    ///
+    /// It is none.
+    pub fn string(&self, key: &str) -> HclResult<Option<String>> {
+        self.converted(key, "a text", |value| match value {
+            Value::String(text) => Some(text.clone()),
+            _ => None,
+        })
+    }
+
+    /// One of some keywords, as what it stands for.
+    ///
+    /// # Errors
+    ///
+    /// It is none of them.
+    pub fn keyword<T: Copy>(&self, key: &str, keywords: &[(&str, T)]) -> HclResult<Option<T>> {
+        let known: Vec<&str> = keywords.iter().map(|(keyword, _)| *keyword).collect();
+        self.converted(key, &format!("one of {}", known.join(", ")), |value| match value {
+            Value::String(text) => {
+                keywords.iter().find(|(keyword, _)| keyword == text).map(|(_, meaning)| *meaning)
+            }
+            _ => None,
+        })
+    }
+
+    /// The blocks of a kind, in the order of the file.
+    pub fn sections<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a Section> {
+        let of_kind = self.sections.iter().filter(move |section| section.header.kind == kind);
+        of_kind.inspect(|section| section.was_read.set(true))
+    }
+
+    /// The one block of a kind, where there is one.
+    ///
+    /// # Errors
+    ///
+    /// There are several.
+    pub fn section(&self, kind: &str) -> HclResult<Option<&Section>> {
+        let mut of_kind = self.sections.iter().filter(|section| section.header.kind == kind);
+        let first = of_kind.next().inspect(|section| section.was_read.set(true));
+        match of_kind.next() {
+            Some(second) => Err(second.error("", Problem::RepeatedBlock)),
+            None => Ok(first),
+        }
+    }
+
+    /// Checks that every key and block of the section was read by a getter.
+    ///
+    /// # Errors
+    ///
+    /// The first key or block that was not.
+    pub fn deny_unknown_keys(&self) -> HclResult<()> {
+        if let Some(entry) = self.entries.iter().find(|entry| !entry.was_read.get()) {
+            return Err(self.error(&entry.key, Problem::UnknownKey));
+        }
+        for section in &self.sections {
+            if !section.was_read.get() {
+                return Err(section.error("", Problem::UnknownBlock));
+            }
+            section.deny_unknown_keys()?;
+        }
+        Ok(())
+    }
+}
+
+fn number_within(value: &Value, bounds: &RangeInclusive<f64>) -> Option<f64> {
+    match value {
+        Value::Number(number) if bounds.contains(number) => Some(*number),
+        _ => None,
+    }
+}
