--- /dev/null
+++ b/crates/coordination/tests/coordination/main.rs
@@ -0,0 +1,8 @@
+//! The state machine, the leader's state and a member's side, each by itself.
+
+mod cluster;
+mod leader_state;
+mod lease_client;
+mod lease_id;
+mod state_machine;
+mod timing;
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -45,38 +45,38 @@
 struct Member {
     name: String,
     process: u64,
-    holder: LeaseClient,
+    client: LeaseClient,
     session: Option<SessionId>,
     silent_until: u64,
 }
 
-struct Fleet {
+struct Cluster {
     state: StateMachine,
-    warden: LeaderState,
+    leader: LeaderState,
     index: Revision,
     members: Vec<Member>,
     random: Random,
     trace: Trace,
 }
 
-fn offers() -> Vec<LeaseId> {
+fn eligible_leases() -> Vec<LeaseId> {
     let mut offers = vec![LeaseId::fleet("list"), LeaseId::zone("cold", "z0"), LeaseId::zone("cold", "z1")];
     offers.extend((0..6).map(|set| LeaseId::worker_set("watch", set)));
     offers
 }
 
-impl Fleet {
-    fn new(seed: u64) -> Fleet {
+impl Cluster {
+    fn new(seed: u64) -> Cluster {
         let state = StateMachine::new(1);
         let member = |number: u64| Member {
             name: format!("member-{number}"),
             process: 0,
-            holder: LeaseClient::new(Timing::default()),
+            client: LeaseClient::new(Timing::default()),
             session: None,
             silent_until: 0,
         };
-        Fleet {
-            warden: LeaderState::new(Timing::default(), 0, &state),
+        Cluster {
+            leader: LeaderState::new(Timing::default(), 0, &state),
             state,
             index: 0,
             members: (0..MEMBERS).map(member).collect(),
@@ -89,43 +89,43 @@
         self.index += 1;
         self.trace.note("command", &command.encode());
         let outcome = self.state.apply(self.index, command);
-        self.warden.on_entries_applied(now, &self.state);
+        self.leader.on_entries_applied(now, &self.state);
         if let CommandOutcome::Rejected(reason) = &outcome {
             self.trace.note("refused", reason.to_string().as_bytes());
-            self.warden.proposal_rejected(command);
+            self.leader.proposal_rejected(command);
         }
         self.trace.note("state", &self.state.digest().to_le_bytes());
         outcome
     }
 
-    fn join(&mut self, now: u64, at: usize) {
+    fn open_session(&mut self, now: u64, at: usize) {
         let member = &self.members[at];
         let command = Command::OpenSession {
             name: member.name.clone(),
             boot_id: at as u64 * 1_000 + member.process,
             zone: format!("z{}", at % 2),
             address: format!("10.0.0.{at}:7000"),
-            eligible_leases: offers(),
-            short_lived: self.warden.is_short_session(&member.name, now, &self.state),
+            eligible_leases: eligible_leases(),
+            short_lived: self.leader.is_short_session(&member.name, now, &self.state),
         };
         if let CommandOutcome::SessionOpened(session, incarnation) = self.apply(now, &command) {
             let member = &mut self.members[at];
             member.session = Some(session);
-            member.holder.on_session_opened(session, incarnation, now, now, self.state.view());
+            member.client.on_session_opened(session, incarnation, now, now, self.state.view());
         }
     }
 
     fn renew(&mut self, now: u64, at: usize, session: SessionId) {
-        let seen = self.members[at].holder.applied_revision();
-        match self.warden.renew_session(session, seen, now, &self.state) {
+        let seen = self.members[at].client.applied_revision();
+        match self.leader.renew_session(session, seen, now, &self.state) {
             Ok(()) => {
                 let asked = now - self.random.below(STEP).min(now);
                 let view = self.random.one_in(2).then(|| self.state.view());
-                self.members[at].holder.on_session_renewed(session, asked, now, view);
+                self.members[at].client.on_session_renewed(session, asked, now, view);
             }
             Err(reason) => {
                 self.trace.note("not renewed", reason.to_string().as_bytes());
-                self.members[at].holder.on_session_ended();
+                self.members[at].client.on_session_ended();
                 self.members[at].session = None;
             }
         }
@@ -141,14 +141,14 @@
         if self.random.one_in(200) {
             let member = &mut self.members[at];
             (member.process, member.session) = (member.process + 1, None);
-            member.holder = LeaseClient::new(Timing::default());
+            member.client = LeaseClient::new(Timing::default());
         }
         match self.members[at].session {
-            None => self.join(now, at),
+            None => self.open_session(now, at),
             Some(session) if self.random.one_in(300) => {
-                let short = self.warden.is_short_session(&self.members[at].name, now, &self.state);
+                let short = self.leader.is_short_session(&self.members[at].name, now, &self.state);
                 self.apply(now, &Command::CloseSession { session, short_lived: short });
-                self.members[at].holder.on_session_ended();
+                self.members[at].client.on_session_ended();
                 self.members[at].session = None;
             }
             Some(session) => self.renew(now, at, session),
@@ -157,12 +157,12 @@
 
     fn step_of_leader(&mut self, now: u64) {
         if self.random.one_in(400) {
-            self.warden = LeaderState::new(Timing::default(), now, &self.state);
+            self.leader = LeaderState::new(Timing::default(), now, &self.state);
         }
-        for command in self.warden.due_commands(now, &self.state) {
+        for command in self.leader.due_commands(now, &self.state) {
             if self.random.one_in(20) {
                 self.trace.note("lost", &command.encode());
-                self.warden.proposal_rejected(&command);
+                self.leader.proposal_rejected(&command);
             } else {
                 self.apply(now, &command);
             }
@@ -180,12 +180,12 @@
     /// Every owner that may act does so at every member, also with the token before its own.
     fn effects(&mut self, now: u64) {
         for at in 0..self.members.len() {
-            for (duty, token) in self.members[at].holder.held_leases(now) {
-                assert!(self.members[at].holder.holds_lease(&duty, token, now));
-                assert!(!self.members[at].holder.holds_lease(&duty, FencingToken(token.0 + 1), now));
+            for (duty, token) in self.members[at].client.held_leases(now) {
+                assert!(self.members[at].client.holds_lease(&duty, token, now));
+                assert!(!self.members[at].client.holds_lease(&duty, FencingToken(token.0 + 1), now));
                 for to in 0..self.members.len() {
                     let token = FencingToken(token.0 - self.random.below(2));
-                    let verdict = self.members[to].holder.accept_effect(&duty, token, now);
+                    let verdict = self.members[to].client.accept_effect(&duty, token, now);
                     let kind = match verdict {
                         Ok(()) => "taken",
                         Err(EffectRejection::NoSession) => "without session",
@@ -215,7 +215,7 @@
 fn the_same_history_gives_the_same_decisions() {
     let mut text = String::new();
     for seed in 1..=4 {
-        let trace = Fleet::new(seed).play();
+        let trace = Cluster::new(seed).play();
         text += &format!("seed {seed}: digest {:016x} {:?}\n", trace.digest, trace.counts);
     }
     insta::assert_snapshot!("decisions", text);
