--- a/crates/coordination/src/outcome.rs
+++ b/crates/coordination/src/outcome.rs
@@ -7,16 +7,31 @@
 /// What applying a command led to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// The member has this session, with that incarnation of its name.
-    SessionOpened(SessionId, u64),
+    /// The member has a session.
+    SessionOpened {
+        /// The session, new or open before.
+        session: SessionId,
+        /// Which session of the member's name, counted from one.
+        incarnation: u64,
+    },
     /// The session is over.
     SessionEnded(SessionId),
     /// The session may hold leases now.
     SessionStable(SessionId),
     /// The lease has a holder.
-    LeaseGranted(LeaseId, LeaseHolder),
-    /// The term with this token is over.
-    LeaseReleased(LeaseId, FencingToken),
+    LeaseGranted {
+        /// The lease.
+        lease: LeaseId,
+        /// Its holder, with the token of the new term.
+        holder: LeaseHolder,
+    },
+    /// A term is over.
+    LeaseReleased {
+        /// The lease.
+        lease: LeaseId,
+        /// The token of the term that ended.
+        token: FencingToken,
+    },
     /// What a change of the disruption state led to.
     Disruption(disruption_budget::DisruptionOutcome),
     /// Recorded, or applied before.
--- a/crates/coordination/src/state_machine/leases.rs
+++ b/crates/coordination/src/state_machine/leases.rs
@@ -61,7 +61,7 @@
         lease.holder = Some(holder);
         self.next_token += 1;
         self.lease_revision = index;
-        Ok(CommandOutcome::LeaseGranted(id.clone(), holder))
+        Ok(CommandOutcome::LeaseGranted { lease: id.clone(), holder })
     }
 
     /// Ends the term with this token, and no other.
@@ -83,7 +83,7 @@
                 session.stable = false;
             }
         }
-        Ok(CommandOutcome::LeaseReleased(id.clone(), token))
+        Ok(CommandOutcome::LeaseReleased { lease: id.clone(), token })
     }
 
     /// A lease without a holder, fenced by this entry.
--- a/crates/coordination/src/state_machine/sessions.rs
+++ b/crates/coordination/src/state_machine/sessions.rs
@@ -131,7 +131,7 @@
     pub(super) fn open_session(&mut self, index: Revision, request: &SessionRequest<'_>) -> Applied {
         let current = self.current_session_of(request.name);
         if let Some((id, session)) = current.filter(|(_, session)| session.boot_id == request.boot_id) {
-            return Ok(CommandOutcome::SessionOpened(id, session.incarnation));
+            return Ok(CommandOutcome::SessionOpened { session: id, incarnation: session.incarnation });
         }
         let superseded = current.map(|(id, _)| id);
         self.check_limits(request)?;
@@ -147,7 +147,7 @@
         self.sessions.insert(SessionId(index), request.session(incarnation));
         self.membership_revision = index;
         self.trim_name_histories();
-        Ok(CommandOutcome::SessionOpened(SessionId(index), incarnation))
+        Ok(CommandOutcome::SessionOpened { session: SessionId(index), incarnation })
     }
 
     /// Ends a session, and with it the terms of its leases.
--- a/crates/coordination/tests/coordination/cluster.rs
+++ b/crates/coordination/tests/coordination/cluster.rs
@@ -57,7 +57,7 @@
 
     pub fn session(&mut self, now: u64, name: &str, boot_id: u64) -> SessionId {
         match self.open_session(now, name, boot_id) {
-            CommandOutcome::SessionOpened(id, _) => id,
+            CommandOutcome::SessionOpened { session: id, .. } => id,
             other => panic!("{other:?}"),
         }
     }
--- a/crates/coordination/tests/coordination/leader_state.rs
+++ b/crates/coordination/tests/coordination/leader_state.rs
@@ -114,7 +114,7 @@
         eligible_leases: far.clone(),
         short_lived: false,
     };
-    let CommandOutcome::SessionOpened(a, _) = cluster.apply(0, &open_session) else { panic!() };
+    let CommandOutcome::SessionOpened { session: a, .. } = cluster.apply(0, &open_session) else { panic!() };
     cluster.run_until_idle(SECOND, &[a]);
     assert_eq!(cluster.state.leases()[&far[0]].holder, None);
 }
@@ -136,13 +136,14 @@
             eligible_leases: sets.clone(),
             short_lived: false,
         };
-        let CommandOutcome::SessionOpened(id, _) = cluster.apply(now, &open_session) else {
+        let CommandOutcome::SessionOpened { session: id, .. } = cluster.apply(now, &open_session) else {
             panic!("no session")
         };
         alive.push(id);
         for _ in 0..30 {
             now += step;
-            let released = |outcome: &&CommandOutcome| matches!(outcome, CommandOutcome::LeaseReleased(..));
+            let released =
+                |outcome: &&CommandOutcome| matches!(outcome, CommandOutcome::LeaseReleased { .. });
             let outcomes = cluster.run_until_idle(now, &alive);
             let in_one_round = outcomes.iter().filter(released).count();
             assert!(in_one_round <= 1, "{in_one_round} sets moved at once");
--- a/crates/coordination/tests/coordination/state_machine.rs
+++ b/crates/coordination/tests/coordination/state_machine.rs
@@ -12,10 +12,13 @@
     let old = cluster.session(0, "a", 1);
     assert_eq!(
         cluster.open_session(0, "a", 1),
-        CommandOutcome::SessionOpened(old, 1),
+        CommandOutcome::SessionOpened { session: old, incarnation: 1 },
         "requested twice, one session"
     );
-    let CommandOutcome::SessionOpened(new, 2) = cluster.open_session(0, "a", 2) else { panic!() };
+    let CommandOutcome::SessionOpened { session: new, incarnation: 2 } = cluster.open_session(0, "a", 2)
+    else {
+        panic!()
+    };
     assert_eq!(
         cluster.leader.renew_session(old, 9, 0, &cluster.state),
         Err(CommandRejection::Superseded { incarnation: 2 })
@@ -122,13 +125,13 @@
         eligible_leases: vec![LeaseId::fleet(OBSERVER_LEASE)],
         short_lived: false,
     };
-    let CommandOutcome::SessionOpened(session, _) = cluster.apply(SECOND, &open_session) else {
+    let CommandOutcome::SessionOpened { session, .. } = cluster.apply(SECOND, &open_session) else {
         panic!("no session")
     };
     cluster.apply(SECOND, &Command::MarkSessionStable { session });
     let fencing_revision = cluster.state.leases()[&LeaseId::fleet(OBSERVER_LEASE)].fencing_revision;
     let grant = Command::GrantLease { lease: LeaseId::fleet(OBSERVER_LEASE), session, fencing_revision };
-    let CommandOutcome::LeaseGranted(_, holder) = cluster.apply(SECOND, &grant) else {
+    let CommandOutcome::LeaseGranted { holder, .. } = cluster.apply(SECOND, &grant) else {
         panic!("not granted")
     };
     assert!(matches!(cluster.apply(SECOND, &observe(holder.token.0)), CommandOutcome::Disruption(_)));
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -108,7 +108,7 @@
             eligible_leases: eligible_leases(),
             short_lived: self.leader.is_short_session(&member.name, now, &self.state),
         };
-        if let CommandOutcome::SessionOpened(session, incarnation) = self.apply(now, &command) {
+        if let CommandOutcome::SessionOpened { session, incarnation } = self.apply(now, &command) {
             let member = &mut self.members[at];
             member.session = Some(session);
             member.client.on_session_opened(session, incarnation, now, now, self.state.view());
--- a/crates/coordination/tests/format.rs
+++ b/crates/coordination/tests/format.rs
@@ -188,7 +188,7 @@
 
     fn joined(&mut self, command: &Command) -> SessionId {
         match self.apply(command) {
-            CommandOutcome::SessionOpened(session, _) => session,
+            CommandOutcome::SessionOpened { session, .. } => session,
             other => panic!("{other:?}"),
         }
     }
@@ -196,7 +196,7 @@
     fn granted(&mut self, duty: &LeaseId, session: SessionId) -> FencingToken {
         let fenced = self.state.leases()[duty].fencing_revision;
         match self.apply(&Command::GrantLease { lease: duty.clone(), session, fencing_revision: fenced }) {
-            CommandOutcome::LeaseGranted(_, owner) => owner.token,
+            CommandOutcome::LeaseGranted { holder: owner, .. } => owner.token,
             other => panic!("{other:?}"),
         }
     }
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -840,7 +840,7 @@
     fn reply_to_proposal(&mut self, proposal: PendingProposal, outcome: &CommandOutcome, now: Micros) {
         let answer = match (outcome, &mut self.session_monitor) {
             // Only the leading keeper may give a lease, old or new.
-            (CommandOutcome::SessionOpened(session, incarnation), Some(session_monitor)) => {
+            (CommandOutcome::SessionOpened { session, incarnation }, Some(session_monitor)) => {
                 // A session that was there is renewed by this, unless its end is on its way.
                 match session_monitor.renew_session(*session, 0, now, &self.state) {
                     Ok(()) => {
@@ -854,7 +854,7 @@
                     Err(_) => Response::Busy,
                 }
             }
-            (CommandOutcome::SessionOpened(..), None) => self.not_leader_response(),
+            (CommandOutcome::SessionOpened { .. }, None) => self.not_leader_response(),
             (CommandOutcome::Rejected(reason), _) => Response::Rejected(reason.clone()),
             (CommandOutcome::Disruption(outcome), _) => {
                 if let disruption_budget::DisruptionOutcome::PermitRequested(id, _) = outcome {
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -248,13 +248,13 @@
                     log_applied(&command, &outcome);
                     let mut entry = serde_json::json!({"index": index, "digest": digest});
                     match &outcome {
-                        CommandOutcome::LeaseGranted(duty, owner) => {
+                        CommandOutcome::LeaseGranted { lease: duty, holder: owner } => {
                             entry["granted"] = duty.to_string().into();
                             entry["token"] = owner.token.0.into();
                             entry["session"] = owner.session.0.into();
                         }
                         CommandOutcome::SessionEnded(session) => entry["ended"] = session.0.into(),
-                        CommandOutcome::SessionOpened(session, _) => {
+                        CommandOutcome::SessionOpened { session, .. } => {
                             entry["joined"] = session.0.into();
                             if let Command::OpenSession { name, .. } = &command {
                                 entry["name"] = name.as_str().into();
@@ -297,10 +297,10 @@
 
 fn log_applied(command: &Command, outcome: &CommandOutcome) {
     match outcome {
-        CommandOutcome::LeaseGranted(duty, owner) => {
+        CommandOutcome::LeaseGranted { lease: duty, holder: owner } => {
             tracing::info!(lease = %duty, token = owner.token.0, session = owner.session.0, "lease granted");
         }
-        CommandOutcome::SessionOpened(session, incarnation) => {
+        CommandOutcome::SessionOpened { session, incarnation } => {
             if let Command::OpenSession { name, .. } = command {
                 tracing::info!(name, session = session.0, incarnation, "session opened");
             }
@@ -310,7 +310,7 @@
             tracing::info!(session = session.0, cause, "session ended, its leases are free");
         }
         CommandOutcome::Disruption(outcome) => log_disruption_change(command, outcome),
-        CommandOutcome::LeaseReleased(duty, token) => {
+        CommandOutcome::LeaseReleased { lease: duty, token } => {
             tracing::info!(lease = %duty, token = token.0, "lease released")
         }
         CommandOutcome::Rejected(reason) => tracing::debug!(%reason, ?command, "command rejected"),
--- a/crates/coordinator/tests/cluster.rs
+++ b/crates/coordinator/tests/cluster.rs
@@ -93,7 +93,7 @@
                         Output::Applied { index, outcome, digest, .. } => {
                             let known = self.digests.entry(index).or_insert(digest);
                             assert_eq!(*known, digest, "entry {index} at coordinator {coordinator}");
-                            if let CommandOutcome::LeaseGranted(_, owner) = outcome {
+                            if let CommandOutcome::LeaseGranted { holder: owner, .. } = outcome {
                                 self.granted.push((owner.session, owner.token));
                             }
                         }
--- a/crates/emulator/src/cluster/lease_model.rs
+++ b/crates/emulator/src/cluster/lease_model.rs
@@ -119,7 +119,8 @@
         if matches!(outcome, CommandOutcome::Rejected(_)) {
             self.warden.proposal_rejected(command);
         }
-        if matches!(outcome, CommandOutcome::LeaseGranted(..)) && self.state.next_token() > FencingToken(2) {
+        if matches!(outcome, CommandOutcome::LeaseGranted { .. }) && self.state.next_token() > FencingToken(2)
+        {
             self.handed_over = true;
         }
         outcome
@@ -178,7 +179,7 @@
                 eligible_leases: offers,
                 short_lived: false,
             };
-            let CommandOutcome::SessionOpened(id, incarnation) = fleet.apply(&join) else {
+            let CommandOutcome::SessionOpened { session: id, incarnation } = fleet.apply(&join) else {
                 return Vec::new();
             };
             let mut holder = LeaseClient::new(times).with_injected_bug(self.injected_bug);
--- a/crates/emulator/src/cluster/virtual_time_soak.rs
+++ b/crates/emulator/src/cluster/virtual_time_soak.rs
@@ -271,7 +271,7 @@
         if matches!(outcome, CommandOutcome::Rejected(_)) {
             self.warden.proposal_rejected(command);
         }
-        self.result.lease_terms += u64::from(matches!(outcome, CommandOutcome::LeaseGranted(..)));
+        self.result.lease_terms += u64::from(matches!(outcome, CommandOutcome::LeaseGranted { .. }));
         if self.state.lease_revision() != before {
             for to in 0..MEMBERS {
                 let Some(session) = self.members[to].holder.last_session() else { continue };
@@ -410,7 +410,7 @@
                     eligible_leases: offers,
                     short_lived: short,
                 }) {
-                    CommandOutcome::SessionOpened(id, incarnation) => {
+                    CommandOutcome::SessionOpened { session: id, incarnation } => {
                         let now = self.leader_clock.at(self.now);
                         match self.warden.renew_session(id, 0, now, &self.state) {
                             Ok(()) => Reply::Joined(id, incarnation, self.state.view()),
