--- a/crates/dispatch-core/src/job.rs
+++ b/crates/dispatch-core/src/job.rs
@@ -41,7 +41,8 @@
         slots: i64,
         class: &Class,
         run_times: &RunTimeModel,
-        (now, age): (Seconds, Seconds),
+        now: Seconds,
+        age: Seconds,
         start_by: Seconds,
     ) -> Job {
         let log_work = run_times.log_work(request.expected_run_time);
--- a/crates/dispatch-core/src/policy/endpoint_list.rs
+++ b/crates/dispatch-core/src/policy/endpoint_list.rs
@@ -26,8 +26,7 @@
         for endpoint in endpoints {
             self.fleet.upsert(endpoint, self.now);
         }
-        let received_at = (scope != ListScope::Cached).then_some(self.now);
-        self.fleet.rebuild_indexes(self.settings.zone, received_at);
+        self.fleet.rebuild_indexes(self.settings.zone, (scope != ListScope::Cached).then_some(self.now));
         self.reserved_workers.assign(&self.fleet.workers);
     }
 }
--- a/crates/dispatch-core/src/policy/mod.rs
+++ b/crates/dispatch-core/src/policy/mod.rs
@@ -21,6 +21,7 @@
 use crate::hedging::HedgeBudget;
 use crate::job::Job;
 use crate::key_rates::KeyRates;
+use crate::slow_start::SlowStartTurns;
 use crate::timers::{TimerEvent, TimerQueue};
 use crate::token_bank::{self, TokenBank};
 use crate::workload::Workload;
@@ -46,8 +47,7 @@
     jobs: FxHashMap<RequestId, Job>,
     /// Jobs that wait for a worker, first come first.
     admitted: VecDeque<RequestId>,
-    /// A time slice, and the workers in slow start of which we own a part in it.
-    slow_start_turns: (u64, Vec<usize>),
+    slow_start_turns: SlowStartTurns,
     /// Workers that answered a probe or left an idle connection, latest first.
     recently_probed: VecDeque<usize>,
     timers: TimerQueue,
@@ -73,7 +73,7 @@
             key_rates: KeyRates::default(),
             jobs: FxHashMap::default(),
             admitted: VecDeque::new(),
-            slow_start_turns: (0, Vec::new()),
+            slow_start_turns: SlowStartTurns::default(),
             recently_probed: VecDeque::new(),
             timers: TimerQueue::default(),
             endpoint_list: EndpointListState::default(),
--- a/crates/dispatch-core/src/policy/rate_control.rs
+++ b/crates/dispatch-core/src/policy/rate_control.rs
@@ -56,8 +56,8 @@
         if rate.several_rejecters && rate.rejected > CONGESTED_SHARE * sent {
             // Never below what is served in time, nor below our part of the promise, unless most is rejected.
             let rejected = rate.rejected / sent;
-            let kept = ((1.0 - rejected) / (1.0 - COLLAPSED_SHARE)).min(1.0);
-            let floor = rate.served_rate.max(promise * kept).min(rate.slots_per_second);
+            let promise_factor = ((1.0 - rejected) / (1.0 - COLLAPSED_SHARE)).min(1.0);
+            let floor = rate.served_rate.max(promise * promise_factor).min(rate.slots_per_second);
             let cut = (CUT_PER_REJECTED * rejected).min(MAX_CUT);
             rate.slots_per_second = (rate.slots_per_second * (1.0 - cut)).max(floor);
             rate.was_cut = true;
--- a/crates/dispatch-core/src/policy/slow_start.rs
+++ b/crates/dispatch-core/src/policy/slow_start.rs
@@ -6,7 +6,7 @@
 use crate::fleet::Worker;
 use crate::hashing::mix_bits;
 use crate::job::{Candidate, Job};
-use crate::slow_start::{planned_share, time_slice};
+use crate::slow_start::{planned_share, time_slice, SlowStartTurns};
 
 /// The part of the budget that is planned for: running times vary, and sends of two slices may meet.
 const PLANNED_BUDGET_SHARE: f64 = 0.25;
@@ -42,27 +42,28 @@
         work <= budget && drawn as f64 / u64::MAX as f64 * work < ours
     }
 
+    fn is_our_turn(&self, index: usize) -> bool {
+        let worker = &self.fleet.workers[index];
+        self.fleet.is_warming_up(worker, self.now)
+            && (worker.slow_start.granted_work(self.now) > 0.0 || self.planned_budget(worker).1 > 0.0)
+    }
+
     /// Looks at some workers in slow start of which a part is ours: a sample of all would hardly meet them.
     pub(super) fn consider_warming_up(&mut self, job: &Job, best: &mut Option<Candidate>) {
         let time_slice = self.time_slice();
-        if self.slow_start_turns.0 != time_slice {
-            let is_ours = |worker: &Worker| {
-                worker.slow_start.granted_work(self.now) > 0.0 || self.planned_budget(worker).1 > 0.0
-            };
-            let workers = self.fleet.workers.iter().enumerate();
-            let ours =
-                workers.filter(|(_, worker)| self.fleet.is_warming_up(worker, self.now) && is_ours(worker));
-            self.slow_start_turns = (time_slice, ours.map(|(index, _)| index).collect());
+        if self.slow_start_turns.time_slice != time_slice {
+            let workers = (0..self.fleet.workers.len()).filter(|index| self.is_our_turn(*index)).collect();
+            self.slow_start_turns = SlowStartTurns { time_slice, workers };
         }
-        for _ in 0..MAX_SAMPLE.min(self.slow_start_turns.1.len()) {
-            let position = self.rng.usize(..self.slow_start_turns.1.len());
-            self.consider(self.slow_start_turns.1[position], job, best);
+        for _ in 0..MAX_SAMPLE.min(self.slow_start_turns.workers.len()) {
+            let position = self.rng.usize(..self.slow_start_turns.workers.len());
+            self.consider(self.slow_start_turns.workers[position], job, best);
         }
     }
 
     /// The leader that shares out slow-start budgets granted more than our planned share.
     pub(super) fn on_slow_start_grant(&mut self, worker: WorkerId, work: f64, expires_at: Seconds) {
         self.fleet.apply_grant(worker, work, expires_at, self.now);
-        self.slow_start_turns.0 = u64::MAX;
+        self.slow_start_turns.time_slice = u64::MAX;
     }
 }
--- a/crates/dispatch-core/src/policy/throttle.rs
+++ b/crates/dispatch-core/src/policy/throttle.rs
@@ -71,7 +71,7 @@
         }
         let start_by = start_by.max(self.now + MIN_START_TIME.min(request.timeout / 2.0));
         let (class, run_times) = (&self.settings.classes[class], &self.workload.run_times[class]);
-        let job = Job::new(request, slots, class, run_times, (self.now, age), start_by);
+        let job = Job::new(request, slots, class, run_times, self.now, age, start_by);
         self.enqueue(job, actions);
     }
 
--- a/crates/dispatch-core/src/slow_start.rs
+++ b/crates/dispatch-core/src/slow_start.rs
@@ -68,6 +68,13 @@
     }
 }
 
+/// The workers in slow start of which we own a part in a time slice, by their positions.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct SlowStartTurns {
+    pub time_slice: u64,
+    pub workers: Vec<usize>,
+}
+
 /// The number of a span in which each planned part has one owner, by the clock that all dispatchers share.
 pub(crate) fn time_slice(now: Seconds, overload_window: Seconds) -> u64 {
     (now / overload_window.max(MIN_TIME_SLICE)) as u64
