--- a/crates/dispatch-core/tests/failures.rs
+++ b/crates/dispatch-core/tests/failures.rs
@@ -5,7 +5,7 @@
 use common::*;
 use dispatch_core::api::*;
 
-/// A dispatcher that may ask its twelve workers at this price.
+/// A dispatcher that may probe its twelve workers at this price.
 fn probing(probe_price: f64) -> Driver {
     let mut d = Driver::new(Settings { probes_allowed: true, probe_price, ..settings() }, 7, &fleet(12));
     d.advance(1.0);
@@ -17,7 +17,7 @@
     actions.iter().filter_map(worker).collect()
 }
 
-/// With hundreds of dispatchers each sees a worker once in a minute: what it knows is old, and it pushed to
+/// With hundreds of dispatchers each sees a worker once in a minute: what it knows is old, and it sent jobs to
 /// busy workers while others were free (customer 1 at full size, under random choice).
 #[test]
 fn probes_before_it_sends_by_old_load_reports() {
@@ -30,7 +30,7 @@
 }
 
 /// Workers that are busy do not answer a probe that waits its turn, and a zone may be full: those of the other
-/// zones are asked while there is time (customer 1: jobs pushed unasked were late in a quarter of cases).
+/// zones are probed while there is time (customer 1: jobs sent without a probe were late in a quarter of cases).
 #[test]
 fn probes_other_zones_when_no_worker_of_its_own_is_free() {
     let mut d = probing(0.002);
@@ -42,7 +42,7 @@
     assert_eq!(d.requests[&1].sends[0].1, far[0]);
 }
 
-/// Probes have a price: where one costs a tenth of the service nobody is asked.
+/// Probes have a price: where one costs a tenth of the service no worker is probed.
 #[test]
 fn sends_no_probes_that_cost_too_much() {
     let mut d = probing(0.1);
@@ -68,7 +68,7 @@
     assert_eq!(refused, 0, "20 a second against an equal part of 2, after two seconds");
 }
 
-/// After a deploy or a lost zone most workers are cold. Each may be used by one dispatcher at a time, so a sample
+/// After a deploy or a lost zone most workers are in slow start. Each may be used by one dispatcher at a time, so a sample
 /// of all hardly met those whose turn was ours: they stood idle while jobs queued at the rest (i056972).
 #[test]
 fn uses_workers_in_slow_start_in_its_own_time_slices() {
@@ -86,7 +86,7 @@
     assert!(4 * cold > sends.count(), "{cold} of the pushes went to cold workers, while warm ones queue");
 }
 
-/// Where loads are told and nobody is thought free, a job that was turned away twice was pushed on up to six
+/// Where loads are reported and no worker is expected to be free, a job that was rejected twice was sent on up to six
 /// times; two thirds of all attempts were full answers (noord in overload, i546cc8).
 #[test]
 fn rejects_a_job_after_two_overloaded_workers_when_none_is_free() {
@@ -104,7 +104,7 @@
     assert_eq!((last.sends.len(), last.answers), (2, 1), "every worker has just said that it is full");
 }
 
-/// R stood at what was promised while nearly every push bounced: the queues stayed full, and service did not come
+/// R stood at what was promised while nearly every send was rejected: the queues stayed full, and service did not come
 /// back after the trouble had gone (i056972, i546cc8).
 #[test]
 fn cuts_the_rate_below_the_quota_when_nearly_all_is_rejected() {
@@ -126,7 +126,7 @@
 }
 
 /// Where loads come by probe alone, a report is older than a running time; what a job waited for its start is
-/// fresher. One worker's start notes say that it is busy: the next jobs go elsewhere (customer 2).
+/// fresher. One worker's reports of starts show that it is busy: the next jobs go elsewhere (customer 2).
 #[test]
 fn a_late_start_marks_a_worker_as_busy() {
     let cfg = Settings { load_reports: LoadReports::WithProbes, ..settings() };
@@ -148,7 +148,7 @@
     assert!(busy <= 5, "{busy} of 16 jobs went to the worker of the own zone that starts them late");
 }
 
-/// Where starts are not told, the first progress note of a long job came seconds after its start and was taken for
+/// Where starts are not reported, the first progress report of a long job came seconds after its start and was taken for
 /// it: the worker looked busy, the run short (noord 0.73 to 0.68 once such notes were read).
 #[test]
 fn a_progress_report_is_no_start() {
@@ -169,7 +169,7 @@
     }
 }
 
-/// Two hundred dispatchers with the same stale news chose alike when each took the best of six: the workers that all
+/// Two hundred dispatchers with the same stale reports chose alike when each took the best of six: the workers that all
 /// thought empty were overrun (customer 2 at full size, under random choice).
 #[test]
 fn many_dispatchers_do_not_all_choose_the_same_workers() {
@@ -178,7 +178,7 @@
         let cfg = Settings { instance, instances: 120, load_reports: LoadReports::WithProbes, ..settings() };
         let mut d = Driver::new(cfg, u64::from(instance), &fleet(60));
         d.advance(1.0);
-        // The news that all have: most are full, six of the own zone are free.
+        // The reports that all have: most are full, six of the own zone are free.
         for w in 1..=60 {
             d.probed(WorkerId(w), 4.0);
             d.probed(WorkerId(w), if w <= 12 { 4.0 } else { 1.0 });
@@ -192,8 +192,8 @@
     assert!(six < 72, "{six} of 120 jobs at once for six workers: {pushes:?}");
 }
 
-/// A worker took jobs and said nothing for seconds (days with `hang`): each waited there until its client gave up,
-/// and more were sent. Now such a job is copied elsewhere, and the worker is left out until it speaks.
+/// A worker took jobs and gave no sign of life for seconds (days with `hang`): each waited there until its client gave up,
+/// and more were sent. Now such a job is hedged elsewhere, and the worker is ejected until it responds.
 #[test]
 fn ejects_a_stalled_worker_and_hedges_its_job() {
     let told =
@@ -204,7 +204,7 @@
     let quiet = d.requests[&1].sends[0].1;
     d.advance(2.0);
     assert_eq!(d.requests[&1].sends.len(), 2, "a copy is out");
-    // Jobs served one by one; how many of them by the quiet worker.
+    // Jobs served one by one; how many of them by the stalled worker.
     let serve = |d: &mut Driver, ids: std::ops::Range<u64>| {
         ids.filter(|&id| {
             d.request(Request { timeout: 30.0, ..request(id) });
@@ -359,7 +359,7 @@
     );
 }
 
-/// Where every worker is known to hold a long queue, a job that cannot be in time and is worth nothing late is declined
+/// Where every worker is known to have a long queue, a job that cannot be in time and has no weight when late is rejected
 /// soon, and not sent to be late; a few go all the same, so that a wrong belief is found out. Where late is still worth
 /// something, all go.
 #[test]
@@ -391,7 +391,7 @@
     }
 }
 
-/// Clients that wait for different times sent their first tries; those with less patience than others were taken for
+/// Clients with different timeouts sent their first attempts; those with shorter ones than others were taken for
 /// old retries, and two in three of all jobs were declined on arrival. Where clients mark retries, the mark tells.
 #[test]
 fn a_first_attempt_with_a_short_timeout_is_no_retry() {
--- a/crates/dispatch-core/tests/odd.rs
+++ b/crates/dispatch-core/tests/odd.rs
@@ -5,7 +5,7 @@
 use common::*;
 use dispatch_core::api::*;
 
-/// Sends requests at a steady pace and answers each attempt after a tenth of a second as told.
+/// Sends requests at a steady pace and answers each attempt after a tenth of a second with the given outcome.
 fn play(d: &mut Driver, from: u64, count: u64, answer: impl Fn(WorkerId) -> Outcome) -> usize {
     for id in from..from + count {
         d.request(request(id));
@@ -159,7 +159,7 @@
     assert!(served > 60, "{served} of 100 served at once when the network is back");
 }
 
-/// An old list comes late: a restart that it does not know is not undone, and the newer word follows.
+/// An old list comes late: a restart that it does not know is not undone, and the newer list follows.
 #[test]
 fn keeps_the_rules_on_an_outdated_endpoint_list() {
     let mut d = Driver::new(settings(), 1, &fleet(6));
@@ -183,7 +183,7 @@
     (2..=6).step_by(2).filter(used).count()
 }
 
-/// Requests that no worker can use, from clients that send them again as soon as they are turned away: they are
+/// Requests that no worker can use, from clients that send them again as soon as they are rejected: they are
 /// the clients' fault, and no worker is left out for them (each excluded_since four, and took four from its tenant's bank).
 #[test]
 fn invalid_requests_eject_no_worker() {
--- a/crates/dispatch-core/tests/poll_schedule.rs
+++ b/crates/dispatch-core/tests/poll_schedule.rs
@@ -1,4 +1,4 @@
-//! Discovery is called again early enough for what changes to be known when it counts as told.
+//! Discovery is polled again early enough for changes to be known when they count as notified.
 
 use dispatch_core::backoff::Micros;
 use dispatch_core::poll_schedule::{standby_watch_delay, PollSchedule, NOTIFIED_WITHIN};
@@ -10,7 +10,7 @@
     Settings { instances, polls_endpoint_list: ask_for_list, max_poll_interval: 10.0, ..Settings::default() }
 }
 
-/// Whatever a call cost and however many failed before: from the moment since when nothing may have been heard, the
+/// Whatever a call cost and however many failed before: from the moment on which there is no watch, the
 /// next call begins so early that its answer, which may take 2 s, is there in time.
 #[test]
 fn polls_again_within_the_notification_time() {
@@ -28,7 +28,7 @@
     }
 }
 
-/// What an agent has counts as told at once, so the time that a worker may still get work after it drains is all
+/// What an agent has counts as notified at once, so the time that a worker may still get work after it drains is all
 /// there is.
 #[test]
 fn polls_an_agent_again_within_a_fraction_of_the_grace() {
@@ -49,7 +49,7 @@
 }
 
 /// How many of these dispatchers, whose watches ended at one moment, are answered within so long by a service as it was
-/// measured: it takes so much for a call, also for one that is turned away since it would wait for 2 s.
+/// measured: it takes so much for a call, also for one that is rejected since it would wait for 2 s.
 fn answered(
     instances: u32,
     call: Micros,
--- a/crates/dispatch-core/tests/rules.rs
+++ b/crates/dispatch-core/tests/rules.rs
@@ -208,7 +208,7 @@
         }
         let sent: Vec<(f64, f64)> =
             all.iter().flat_map(|d| d.requests.values()).flat_map(|s| &s.sends).map(|s| (s.0, 0.3)).collect();
-        // A worker of one slot's size would be pushed over by this much; the module plans by the largest job.
+        // A worker of one slot's size would be overloaded by this much; the module plans by the largest job.
         let (share, warm, span, multiple) = (0.2, 20.0, 2.0, 3.0);
         for &(from, _) in &sent {
             let work: f64 = sent.iter().filter(|s| s.0 >= from && s.0 < from + span).map(|s| s.1).sum();
@@ -220,7 +220,7 @@
 }
 
 /// Six in ten of 60 workers have just started, and 100 dispatchers carry the traffic, one of them a third of it: the
-/// cold ones get some of it, and the sum stays within the budget. Some dispatchers restart on the way, and some hear of
+/// ones in slow start get some of it, and the sum stays within the budget. Some dispatchers restart on the way, and some hear of
 /// the workers late.
 #[test]
 fn a_large_fleet_warms_up_within_the_slow_start_budget() {
--- a/crates/dispatch-core/tests/throttle.rs
+++ b/crates/dispatch-core/tests/throttle.rs
@@ -6,7 +6,7 @@
 use dispatch_core::api::*;
 use fastrand::Rng;
 
-/// One tenant whose R stays at 1.5 times its quota, as no attempt ends; nothing gates, as no load is told.
+/// One tenant whose R stays at 1.5 times its quota, as no attempt ends; no job waits for a free worker, as no load is reported.
 fn plain(quota: f64) -> Settings {
     let classes = vec![Class {
         idempotency: Idempotency::Idempotent,
