--- a/crates/coordination/tests/coordination/state_machine.rs
+++ b/crates/coordination/tests/coordination/state_machine.rs
@@ -1,7 +1,7 @@
 //! Commands applied to the state machine, and its snapshots.
 
 use coordination::{Command, CommandDecodeError, CommandOutcome, CommandRejection, LeaseId, StateMachine};
-use disruption_budget::availability_observer::OBSERVER_LEASE;
+use disruption_budget::OBSERVER_LEASE;
 use disruption_budget::{DisruptionCommand, Target, TargetKind};
 
 use crate::cluster::{Cluster, SECOND};
--- a/crates/dispatcher/src/net/planned_drain.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -13,12 +13,10 @@
 use cluster_member::member::Member;
 use cluster_member::wire::{ClientIdentity, Operation, Response};
 use coordination::{FencingToken, LeaseId, Micros};
-use disruption_budget::availability_observer::{
-    AvailabilityObserver, ListedWorker, ReadinessReport, WarmupTracker, OBSERVER_LEASE,
-};
 use disruption_budget::{
-    DisruptionCommand, DisruptionOutcome, DisruptionState, ObservationUrgency, PermitState, Rejection,
-    Target, TargetKind, TargetStatus,
+    AvailabilityObserver, DisruptionCommand, DisruptionOutcome, DisruptionState, FleetMember, ListedWorker,
+    ObservationUrgency, PermitState, ReadinessReport, Rejection, StatusChanges, Target, TargetKind,
+    WarmupTracker, OBSERVER_LEASE,
 };
 use tokio::sync::{watch, Mutex};
 use tokio::time::{interval, Instant, MissedTickBehavior};
@@ -262,13 +260,13 @@
                 Ok(Response::DisruptionState(..)) => {}
                 _ => continue,
             }
-            let Some((token, targets, gone)) = self.observe(&account) else { continue };
+            let Some((token, changes)) = self.observe(&account) else { continue };
             let wanted = match account.observation_urgency() {
                 Some(ObservationUrgency::Immediate) => true,
                 Some(ObservationUrgency::Periodic) => count % UNCHANGED_REPORT_ROUNDS == 0,
                 None => false,
             };
-            if targets.is_empty() && gone.is_empty() && !wanted {
+            if changes.is_empty() && !wanted {
                 continue;
             }
             // The look at the lease comes right before the word; the keepers look at the token besides.
@@ -278,8 +276,8 @@
             let observe = DisruptionCommand::RecordObservation {
                 fencing_token: token.0,
                 known_revision: known,
-                changed: targets,
-                removed: gone,
+                changed: changes.changed,
+                removed: changes.removed,
             };
             let what = serde_json::json!({"duty": OBSERVER_LEASE, "token": token.0});
             self.member.record().put(clock::now(), "acted", what);
@@ -319,21 +317,19 @@
     }
 
     /// Who is not as the account has them.
-    fn observe(&self, account: &DisruptionState) -> Option<(FencingToken, Vec<TargetStatus>, Vec<Target>)> {
+    fn observe(&self, account: &DisruptionState) -> Option<(FencingToken, StatusChanges)> {
         let term = self.term.borrow();
         let term = term.as_ref()?;
         let roster = self.member.roster();
-        let members: Vec<(&str, &str)> =
-            roster.iter().map(|peer| (peer.name.as_str(), peer.zone.as_str())).collect();
+        let members: Vec<FleetMember<'_>> =
+            roster.iter().map(|peer| FleetMember { name: &peer.name, zone: &peer.zone }).collect();
         let now = clock::now();
-        let mut seen = term.observer.borrow().status_changes(now, &members, account)?;
+        let mut changes = term.observer.borrow().status_changes(now, &members, account)?;
         let workers = self.listed_workers();
         // Before a list was heard nothing is known of workers, which is not that they are gone.
-        let (changed, gone) = match workers.is_empty() {
-            true => (Vec::new(), Vec::new()),
-            false => self.warmup.borrow().status_changes(now, &workers, account),
-        };
-        seen.extend(changed);
-        Some((term.token, seen, gone))
+        if !workers.is_empty() {
+            changes.extend(self.warmup.borrow().status_changes(now, &workers, account));
+        }
+        Some((term.token, changes))
     }
 }
