--- a/crates/cluster-member/src/clock.rs
+++ b/crates/cluster-member/src/clock.rs
@@ -13,6 +13,6 @@
 
 /// A number that no other process draws, from the system's own randomness: a seed that is configured would be the same
 /// again after a restart.
-pub fn unique() -> u64 {
+pub fn random_id() -> u64 {
     RandomState::new().build_hasher().finish()
 }
--- a/crates/cluster-member/src/record.rs
+++ b/crates/cluster-member/src/record.rs
@@ -25,18 +25,18 @@
     ///
     /// # Errors
     /// The file cannot be opened.
-    pub fn to(path: &Path) -> std::io::Result<Recorder> {
+    pub fn append_to(path: &Path) -> std::io::Result<Recorder> {
         let file = File::options().create(true).append(true).open(path)?;
         Ok(Recorder(Some(Rc::new(RefCell::new(file)))))
     }
 
     /// Whether records go anywhere.
-    pub fn records(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.0.is_some()
     }
 
     /// Records that at this reading of [`crate::clock::now`] something of this kind was done.
-    pub fn put<T: Serialize>(&self, t: u64, kind: &str, what: T) {
+    pub fn record<T: Serialize>(&self, t: u64, kind: &str, what: T) {
         let Some(file) = &self.0 else { return };
         let Ok(mut line) = serde_json::to_vec(&Line { t, kind, what }) else { return };
         line.push(b'\n');
--- a/crates/cluster-member/src/settings.rs
+++ b/crates/cluster-member/src/settings.rs
@@ -11,23 +11,23 @@
 
 /// How often a watched worker is probed, in milliseconds, into how many sets the workers are cut, after how many
 /// failures in a row one is told to fail, and for how many periods that holds, where the file does not say.
-const EVERY_MS: u64 = 1_000;
-const SETS: u64 = 8;
-const FAILS: u64 = 2;
-const HOLDS: u64 = 4;
+const DEFAULT_PROBE_INTERVAL_MS: u64 = 1_000;
+const DEFAULT_SETS: u64 = 8;
+const DEFAULT_FAILURE_THRESHOLD: u64 = 2;
+const DEFAULT_TTL_INTERVALS: u64 = 4;
 /// The most sets: a member offers so many duties beside others.
-const MOST_SETS: u64 = 100;
+const MAX_SETS: u64 = 100;
 
 /// How long a cold grant is of use, in milliseconds, and the part of what a cold worker bears that may be granted, where
 /// the file does not say. The planned shares of two slices may meet in one span, so more than half is never free.
-const EXPIRY_MS: u64 = 500;
-const PART: f64 = 0.5;
+const DEFAULT_GRANT_TTL_MS: u64 = 500;
+const MAX_GRANTABLE_FRACTION: f64 = 0.5;
 
 /// A text that has to be there, of 1 to 128 bytes.
 ///
 /// # Errors
 /// It is missing, empty or too long.
-pub fn wanted(section: &Section, key: &str) -> HclResult<String> {
+pub fn required_text(section: &Section, key: &str) -> HclResult<String> {
     match section.string(key)? {
         Some(text) if !text.is_empty() && text.len() <= 128 => Ok(text),
         Some(_) => Err(section.error(key, "wanted 1 to 128 bytes")),
@@ -39,8 +39,8 @@
 ///
 /// # Errors
 /// It is missing, or none.
-pub fn address(section: &Section, key: &str) -> HclResult<SocketAddr> {
-    let text = wanted(section, key)?;
+pub fn required_address(section: &Section, key: &str) -> HclResult<SocketAddr> {
+    let text = required_text(section, key)?;
     text.parse().map_err(|_| section.error(key, format!("{text:?} is no address; wanted IP:PORT")))
 }
 
@@ -48,13 +48,13 @@
 ///
 /// # Errors
 /// There are not three or five, or one is wrong.
-pub fn keepers(top: &Section) -> HclResult<BTreeMap<u64, SocketAddr>> {
+pub fn replicas(top: &Section) -> HclResult<BTreeMap<u64, SocketAddr>> {
     let mut keepers = BTreeMap::new();
     for section in top.sections("keeper") {
         let number = section.label().parse::<u64>().ok().filter(|number| (1..=1_000_000).contains(number));
         let number = number
             .ok_or_else(|| section.error("", "wanted a label that is a number from 1, as keeper \"1\""))?;
-        if keepers.insert(number, address(section, "address")?).is_some() {
+        if keepers.insert(number, required_address(section, "address")?).is_some() {
             return Err(section.error("", format!("keeper {number} stands here twice")));
         }
     }
@@ -68,7 +68,7 @@
 ///
 /// # Errors
 /// One is out of bounds, or two do not fit together: the fault names both.
-pub fn times(top: &Section) -> HclResult<Timing> {
+pub fn timing(top: &Section) -> HclResult<Timing> {
     let mut times = Timing::default();
     let Some(section) = top.section("times")? else { return Ok(times) };
     for (key, time) in [
@@ -98,9 +98,10 @@
 ///
 /// # Errors
 /// A figure is out of bounds, or two do not fit together: the fault names both.
-pub fn watching(section: &Section) -> HclResult<HealthCheckConfig> {
-    let period = section.integer("every_ms", 100..=60_000)?.unwrap_or(EVERY_MS) * 1_000;
-    let holds = section.integer("holds_ms", 200..=600_000)?.map_or(HOLDS * period, |ms| ms * 1_000);
+pub fn health_check_config(section: &Section) -> HclResult<HealthCheckConfig> {
+    let period = section.integer("every_ms", 100..=60_000)?.unwrap_or(DEFAULT_PROBE_INTERVAL_MS) * 1_000;
+    let holds =
+        section.integer("holds_ms", 200..=600_000)?.map_or(DEFAULT_TTL_INTERVALS * period, |ms| ms * 1_000);
     if holds < 2 * period {
         return Err(section.error(
             "holds_ms",
@@ -108,10 +109,10 @@
         ));
     }
     Ok(HealthCheckConfig {
-        set_count: section.integer("sets", 1..=MOST_SETS)?.unwrap_or(SETS) as u16,
+        set_count: section.integer("sets", 1..=MAX_SETS)?.unwrap_or(DEFAULT_SETS) as u16,
         zone_count: 1,
         probe_interval: period,
-        failure_threshold: section.integer("fails", 1..=100)?.unwrap_or(FAILS) as u16,
+        failure_threshold: section.integer("fails", 1..=100)?.unwrap_or(DEFAULT_FAILURE_THRESHOLD) as u16,
         report_ttl: holds,
         injected_bug: flaw(section)?,
     })
@@ -121,13 +122,15 @@
 ///
 /// # Errors
 /// A figure is missing or out of bounds.
-pub fn dealing(section: &Section, times: &Timing) -> HclResult<QuotaConfig> {
+pub fn quota_config(section: &Section, times: &Timing) -> HclResult<QuotaConfig> {
     let slots = section.number("slots", 0.1..=1e6)?;
     Ok(QuotaConfig {
         smallest_worker_slots: slots
             .ok_or_else(|| section.error("slots", "is missing: the slots of the smallest kind of worker"))?,
-        grantable_fraction: section.number("part", 0.0..=PART)?.unwrap_or(PART),
-        grant_ttl: section.integer("expiry_ms", 200..=10_000)?.unwrap_or(EXPIRY_MS) * 1_000,
+        grantable_fraction: section
+            .number("part", 0.0..=MAX_GRANTABLE_FRACTION)?
+            .unwrap_or(MAX_GRANTABLE_FRACTION),
+        grant_ttl: section.integer("expiry_ms", 200..=10_000)?.unwrap_or(DEFAULT_GRANT_TTL_MS) * 1_000,
         delivery_timeout: 0,
         skew_ppm: times.max_clock_skew_ppm,
     })
@@ -144,6 +147,6 @@
 }
 
 #[cfg(not(feature = "seeded-bugs"))]
-fn flaw(_: &Section) -> Read<Option<InjectedBug>> {
+fn flaw(_: &Section) -> HclResult<Option<InjectedBug>> {
     Ok(None)
 }
--- a/crates/cluster-member/tests/format.rs
+++ b/crates/cluster-member/tests/format.rs
@@ -410,11 +410,11 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("records.jsonl");
     std::fs::write(&file, "{\"t\":1,\"kind\":\"earlier\"}\n").unwrap();
-    let record = Recorder::to(&file).unwrap();
-    assert!(record.records() && !Recorder::default().records());
-    record.put(1_000_000, "taken", json!({"token": 7, "duty": "list"}));
-    record.clone().put(1_000_001, "started", json!({}));
-    Recorder::default().put(1_000_002, "nowhere", json!({}));
+    let record = Recorder::append_to(&file).unwrap();
+    assert!(record.is_enabled() && !Recorder::default().is_enabled());
+    record.record(1_000_000, "taken", json!({"token": 7, "duty": "list"}));
+    record.clone().record(1_000_001, "started", json!({}));
+    Recorder::default().record(1_000_002, "nowhere", json!({}));
     assert_pinned("records", &std::fs::read_to_string(&file).unwrap());
-    assert!(Recorder::to(folder.path()).is_err());
+    assert!(Recorder::append_to(folder.path()).is_err());
 }
--- a/crates/cluster-member/tests/sessions.rs
+++ b/crates/cluster-member/tests/sessions.rs
@@ -10,9 +10,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cluster_member::coordinator_client::Keepers;
-use cluster_member::effects::{receive, Publisher};
-use cluster_member::member::{Ended, Member, Settings};
+use cluster_member::coordinator_client::CoordinatorClient;
+use cluster_member::effects::{serve_effects, Publisher};
+use cluster_member::member::{Member, MemberConfig, MembershipEnd};
 use cluster_member::record::Recorder;
 use cluster_member::wire::{
     ClientHello, ClientIdentity, Connection, Effect, EffectResponse, Operation, Peer, Request, Response,
@@ -38,18 +38,18 @@
 
 fn member(name: &str, address: SocketAddr, coordinator: SocketAddr, record: &Path) -> Member {
     let times = Timing::default();
-    let settings = Settings {
+    let settings = MemberConfig {
         installation: "north".to_owned(),
         name: name.to_owned(),
         zone: "z1".to_owned(),
         address: address.to_string(),
-        keepers: BTreeMap::from([(1, coordinator)]),
-        bind: None,
-        times,
-        offers: vec![LeaseId::fleet("list")],
+        replicas: BTreeMap::from([(1, coordinator)]),
+        local_address: None,
+        timing: times,
+        eligible_leases: vec![LeaseId::fleet("list")],
         seed: 7,
     };
-    Member::new(settings, LeaseClient::new(times), Recorder::to(record).unwrap())
+    Member::new(settings, LeaseClient::new(times), Recorder::append_to(record).unwrap())
 }
 
 /// The duty "list" is held by session 5 with token 7.
@@ -127,19 +127,25 @@
         let holder = member("holder", coordinator_address, coordinator_address, &holder_file);
         let runs =
             [holder.clone(), receiver.clone()].map(|member| spawn_local(async move { member.run().await }));
-        spawn_local(receive(receiver.clone(), effects, |effect| [b"seen ", &effect.body[..]].concat()));
-        until("the holder knows the receiver", || !holder.roster().is_empty()).await;
+        spawn_local(serve_effects(receiver.clone(), effects, |effect| [b"seen ", &effect.body[..]].concat()));
+        until("the holder knows the receiver", || !holder.members().is_empty()).await;
         until("the receiver has a session", || records(&receiver_file).contains("session")).await;
-        assert_eq!(holder.owned(), [(LeaseId::fleet("list"), FencingToken(7))]);
-        assert!(holder.may_act(&LeaseId::fleet("list"), FencingToken(7)) && receiver.owned().is_empty());
+        assert_eq!(holder.held_leases(), [(LeaseId::fleet("list"), FencingToken(7))]);
+        assert!(
+            holder.holds_lease(&LeaseId::fleet("list"), FencingToken(7)) && receiver.held_leases().is_empty()
+        );
 
         let said: Rc<RefCell<Vec<Vec<u8>>>> = Rc::default();
         let hears = said.clone();
-        let mut publisher =
-            Publisher::hearing(&holder, LeaseId::fleet("list"), FencingToken(7), move |answer| {
+        let mut publisher = Publisher::with_response_handler(
+            &holder,
+            LeaseId::fleet("list"),
+            FencingToken(7),
+            move |answer| {
                 hears.borrow_mut().push(answer.to_vec());
-            });
-        assert_eq!((publisher.say(b"one".to_vec()), publisher.token()), (1, FencingToken(7)));
+            },
+        );
+        assert_eq!((publisher.publish(b"one".to_vec()), publisher.token()), (1, FencingToken(7)));
         until("the receiver has answered", || !said.borrow().is_empty()).await;
         assert_eq!(*said.borrow(), [b"seen one".to_vec()]);
         drop(publisher);
@@ -175,7 +181,7 @@
             "turned away: it does not speak with the likes of this at that address"
         );
 
-        holder.release(LeaseId::fleet("list"), FencingToken(7));
+        holder.release_lease(LeaseId::fleet("list"), FencingToken(7));
         until("the term is given back", || {
             asked.borrow().iter().any(|ask| matches!(ask, Operation::ReleaseLease { .. }))
         })
@@ -183,7 +189,7 @@
         holder.leave();
         receiver.leave();
         for run in runs {
-            assert_eq!(timeout(LIMIT, run).await.unwrap().unwrap(), Ended::Left);
+            assert_eq!(timeout(LIMIT, run).await.unwrap().unwrap(), MembershipEnd::Left);
         }
     };
     timeout(LIMIT, LocalSet::new().run_until(test)).await.unwrap();
@@ -214,10 +220,10 @@
 async fn a_membership_ends_where_the_coordinators_say_so() {
     let folder = tempfile::tempdir().unwrap();
     for (reason, end) in [
-        (CommandRejection::Superseded { incarnation: 9 }, Ended::Superseded { incarnation: 9 }),
+        (CommandRejection::Superseded { incarnation: 9 }, MembershipEnd::Superseded { incarnation: 9 }),
         (
             CommandRejection::LimitExceeded("sessions".to_owned()),
-            Ended::Refused("no room: sessions".to_owned()),
+            MembershipEnd::Rejected("no room: sessions".to_owned()),
         ),
     ] {
         let (coordinator, address) = listen().await;
@@ -229,10 +235,10 @@
         assert_eq!(timeout(LIMIT, LocalSet::new().run_until(test)).await.unwrap(), end);
     }
     let (_, address) = listen().await;
-    let mut alone = member("d1", address, address, &folder.path().join("records")).settings().clone();
-    alone.keepers.clear();
+    let mut alone = member("d1", address, address, &folder.path().join("records")).config().clone();
+    alone.replicas.clear();
     let alone = Member::new(alone, LeaseClient::new(Timing::default()), Recorder::default());
-    assert_eq!(alone.run().await, Ended::Refused("no keeper is named".to_owned()));
+    assert_eq!(alone.run().await, MembershipEnd::Rejected("no keeper is named".to_owned()));
 }
 
 /// What a call of the coordinators says where it fails: operators read it on the console.
@@ -241,11 +247,11 @@
     let call = |respond: fn(&Request) -> Option<Response>, milliseconds: u64| async move {
         let (coordinator, address) = listen().await;
         let mut keepers =
-            Keepers::new("north", ClientIdentity::Operator, BTreeMap::from([(1, address)]), None);
+            CoordinatorClient::new("north", ClientIdentity::Operator, BTreeMap::from([(1, address)]), None);
         let by = Instant::now() + Duration::from_millis(milliseconds);
         let test = async {
             spawn_local(play_coordinator(coordinator, respond));
-            keepers.ask(&Operation::Status, by).await.map_err(|error| error.to_string())
+            keepers.call(&Operation::Status, by).await.map_err(|error| error.to_string())
         };
         LocalSet::new().run_until(test).await
     };
@@ -263,9 +269,10 @@
 
     let (listener, address) = listen().await;
     drop(listener);
-    let mut nobody = Keepers::new("north", ClientIdentity::Operator, BTreeMap::from([(3, address)]), None);
+    let mut nobody =
+        CoordinatorClient::new("north", ClientIdentity::Operator, BTreeMap::from([(3, address)]), None);
     let by = Instant::now() + Duration::from_millis(100);
-    let error = nobody.ask(&Operation::Status, by).await.unwrap_err().to_string();
+    let error = nobody.call(&Operation::Status, by).await.unwrap_err().to_string();
     assert_eq!(error, "keeper 3: Connection refused (os error 111)");
 }
 
@@ -280,10 +287,10 @@
         }));
         spawn_local(play_coordinator(second, |_| Some(Response::Done)));
         let who = ClientIdentity::Member { name: "d1".to_owned() };
-        let mut keepers = Keepers::new("north", who, BTreeMap::from([(1, first_address)]), None);
+        let mut keepers = CoordinatorClient::new("north", who, BTreeMap::from([(1, first_address)]), None);
         let by = Instant::now() + LIMIT;
-        assert_eq!(keepers.ask(&Operation::Status, by).await, Ok(Response::Done));
-        assert_eq!(keepers.ask(&Operation::Status, by).await, Ok(Response::Done));
+        assert_eq!(keepers.call(&Operation::Status, by).await, Ok(Response::Done));
+        assert_eq!(keepers.call(&Operation::Status, by).await, Ok(Response::Done));
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/cluster-member/tests/settings.rs
+++ b/crates/cluster-member/tests/settings.rs
@@ -66,13 +66,13 @@
 fn values(text: &str) -> Result<String, HclError> {
     let top = Section::parse("member.hcl", text)?;
     let mut lines = vec![
-        format!("installation: {}", settings::wanted(&top, "installation")?),
-        format!("listen: {}", settings::address(&top, "listen")?),
+        format!("installation: {}", settings::required_text(&top, "installation")?),
+        format!("listen: {}", settings::required_address(&top, "listen")?),
     ];
-    for (number, address) in settings::keepers(&top)? {
+    for (number, address) in settings::replicas(&top)? {
         lines.push(format!("coordinator {number}: {address}"));
     }
-    let times = settings::times(&top)?;
+    let times = settings::timing(&top)?;
     lines.extend([
         format!("lease: {} us", times.lease_duration),
         format!("renew: {} us", times.renewal_interval),
@@ -84,7 +84,7 @@
         format!("skew: {} ppm", times.max_clock_skew_ppm),
     ]);
     if let Some(section) = top.section("watch")? {
-        let watching = settings::watching(section)?;
+        let watching = settings::health_check_config(section)?;
         lines.extend([
             format!("sets: {}, zones: {}", watching.set_count, watching.zone_count),
             format!("period: {} us", watching.probe_interval),
@@ -94,7 +94,7 @@
         ]);
     }
     if let Some(section) = top.section("cold")? {
-        let dealing = settings::dealing(section, &times)?;
+        let dealing = settings::quota_config(section, &times)?;
         lines.extend([
             format!("slots: {}", dealing.smallest_worker_slots),
             format!("part: {}", dealing.grantable_fraction),
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -59,10 +59,10 @@
 /// Something in it is wrong.
 pub fn parse(file: &str, text: &str) -> Result<Config, HclError> {
     let top = Section::parse(file, text)?;
-    let installation = settings::wanted(&top, "installation")?;
-    let keepers = settings::keepers(&top)?;
+    let installation = settings::required_text(&top, "installation")?;
+    let keepers = settings::replicas(&top)?;
     let first_token = top.integer("first_token", 1..=u64::MAX / 2)?.unwrap_or(1);
-    let times = settings::times(&top)?;
+    let times = settings::timing(&top)?;
     let serve = top.section("serve")?.map(|section| serve(section, &keepers)).transpose()?;
     top.deny_unknown_keys()?;
     Ok(Config { installation, keepers, first_token, times, serve })
@@ -75,7 +75,7 @@
         return Err(section.error("keeper", format!("there is no block keeper \"{keeper}\"")));
     };
     let listen = match section.value("listen") {
-        Some(_) => settings::address(section, "listen")?,
+        Some(_) => settings::required_address(section, "listen")?,
         None => *address,
     };
     let bind = section.string("bind")?.map(|text| {
@@ -84,7 +84,7 @@
     Ok(Serve {
         keeper,
         listen,
-        store: settings::wanted(section, "store")?.into(),
+        store: settings::required_text(section, "store")?.into(),
         bind: bind.transpose()?,
         flaw: flaw(section)?,
         speaks: section
--- a/crates/coordinator/src/ctl.rs
+++ b/crates/coordinator/src/ctl.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-use cluster_member::coordinator_client::Keepers;
+use cluster_member::coordinator_client::CoordinatorClient;
 use cluster_member::wire::{
     ClientHello, ClientIdentity, Connection, CoordinatorMessage, Operation, ReplicaStatus, Request, Response,
     SCHEMA_VERSION,
@@ -114,8 +114,8 @@
 /// Asks the keeper that leads.
 async fn ask_leader(config: &Config, ask: Operation) -> Result<Response, String> {
     let mut keepers =
-        Keepers::new(&config.installation, ClientIdentity::Operator, config.keepers.clone(), None);
-    let answer = keepers.ask(&ask, tokio::time::Instant::now() + CALL).await;
+        CoordinatorClient::new(&config.installation, ClientIdentity::Operator, config.keepers.clone(), None);
+    let answer = keepers.call(&ask, tokio::time::Instant::now() + CALL).await;
     answer.map_err(|why| format!("{why}: a majority of the keepers has to be there and reach each other"))
 }
 
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -212,7 +212,7 @@
         "bootstrap" => {
             let here = here(config)?;
             let voters: Vec<u64> = config.keepers.keys().copied().collect();
-            let disk = cluster_member::clock::unique();
+            let disk = cluster_member::clock::random_id();
             if args.joining {
                 disk::bootstrap_joining(&here.store, &config.installation, here.keeper, disk)?;
                 return Ok(format!(
@@ -233,7 +233,7 @@
         }
         "serve" => {
             let record = match &args.record {
-                Some(path) => Recorder::to(path)
+                Some(path) => Recorder::append_to(path)
                     .map_err(|error| Stop::Start(format!("--record: {}: {error}", path.display())))?,
                 None => Recorder::default(),
             };
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -52,8 +52,8 @@
     let (disk, found) = Disk::open(&serve.store, &config.installation, serve.keeper)?;
     let identity = found.identity;
     let tick = (config.times.heartbeat_interval / 2).clamp(5_000, 50_000);
-    let mut node = Node::new(disk, found, config.times, tick, clock::unique())?;
-    node.digest(record.records());
+    let mut node = Node::new(disk, found, config.times, tick, clock::random_id())?;
+    node.digest(record.is_enabled());
     // Each version of the messages came with the entries of that version.
     node.know_up_to(speaks.min(COMMAND_VERSION));
     node.account_flaw(serve.flaw);
@@ -63,7 +63,7 @@
     let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .map_err(|error| Stop::Start(error.to_string()))?;
     tracing::info!(keeper = serve.keeper, boots = identity.start_count, term = identity.raft_term, listen = %serve.listen, "keeps");
-    record.put(
+    record.record(
         clock::now(),
         "started",
         serde_json::json!({"keeper": serve.keeper, "boots": identity.start_count}),
@@ -242,11 +242,11 @@
                         }
                         _ => {}
                     }
-                    self.record.put(now, "applied", what);
+                    self.record.record(now, "applied", what);
                 }
                 Out::Leads(term) => {
                     tracing::info!(?term, "{}", if term.is_some() { "leads" } else { "leads no longer" });
-                    self.record.put(clock::now(), "leads", serde_json::json!({"term": term}));
+                    self.record.record(clock::now(), "leads", serde_json::json!({"term": term}));
                 }
             }
         }
--- a/crates/dispatcher/src/net/cold.rs
+++ b/crates/dispatcher/src/net/cold.rs
@@ -62,7 +62,7 @@
         usual: Rc<Cell<f64>>,
         seed: u64,
     ) -> Colds {
-        let process = clock::unique();
+        let process = clock::random_id();
         Colds {
             how,
             warming,
@@ -104,7 +104,7 @@
         for (worker, work, until) in self.purse.borrow_mut().accept(token, version, grants, now) {
             let at = self.pool.clock.now() + until.saturating_sub(now);
             let what = serde_json::json!({"worker": worker, "work": work, "until": until, "token": token.0});
-            self.member.record().put(now, "granted", what);
+            self.member.recorder().record(now, "granted", what);
             self.metrics.granted.inc_by(work);
             self.pool.handle.tell(Input::Granted(WorkerId(worker), work, at));
         }
@@ -146,7 +146,7 @@
 
     fn own(&self, now: Micros) {
         let duty = LeaseId::fleet(SLOW_START_LEASE);
-        let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
+        let owned = self.member.held_leases().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
             Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
@@ -154,7 +154,7 @@
                 tracing::info!(token = token.0, "hands out what cold workers bear");
                 let dealer = Rc::new(RefCell::new(QuotaAllocator::new(self.how, self.warming, now)));
                 let hears = dealer.clone();
-                let publisher = Publisher::hearing(&self.member, duty, token, move |said| {
+                let publisher = Publisher::with_response_handler(&self.member, duty, token, move |said| {
                     if let Some(used) = UsageReport::decode(said) {
                         hears.borrow_mut().record_usage(used, clock::now());
                     }
@@ -181,9 +181,9 @@
             self.metrics.dealt.set(dealer.total_granted());
             grants
         };
-        let version = term.publisher.say(grants.encode());
+        let version = term.publisher.publish(grants.encode());
         // Our own part, by the same rules as everybody's: the lease is looked at immediately before.
-        if self.member.may_act(&LeaseId::fleet(SLOW_START_LEASE), term.token) {
+        if self.member.holds_lease(&LeaseId::fleet(SLOW_START_LEASE), term.token) {
             self.granted(term.token, version, &grants);
         }
     }
--- a/crates/dispatcher/src/net/fleet.rs
+++ b/crates/dispatcher/src/net/fleet.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 use cluster_member::clock;
-use cluster_member::effects::{receive, Publisher};
+use cluster_member::effects::{serve_effects, Publisher};
 use cluster_member::endpoint_list::{DiscoveryFallback, EndpointSnapshot, WatchEvent, ENDPOINT_LIST_LEASE};
 use cluster_member::health_check::HealthCheckConfig;
-use cluster_member::member::{Ended, Member, Settings};
+use cluster_member::member::{Member, MemberConfig, MembershipEnd};
 use cluster_member::record::Recorder;
 use cluster_member::slow_start::{QuotaConfig, SlowStartProfile, SLOW_START_LEASE};
 use coordination::{LeaseClient, LeaseId, Micros};
@@ -88,21 +88,21 @@
     offers.extend(settings.account.map(|_| LeaseId::fleet(OBSERVER_LEASE)));
     offers.extend(watch.iter().flat_map(|how| how.leases()));
     let zone = config.names.zones.get(config.settings.zone as usize).cloned().unwrap_or_default();
-    let member = Settings {
+    let member = MemberConfig {
         installation: settings.installation.clone(),
         name: config.name.clone(),
         zone: zone.clone(),
         address: address.to_string(),
-        keepers: settings.keepers.clone(),
-        bind: settings.bind,
-        times: settings.times,
-        offers,
+        replicas: settings.keepers.clone(),
+        local_address: settings.bind,
+        timing: settings.times,
+        eligible_leases: offers,
         // Another number than the module's: the two draw different things.
         seed: config.seed ^ 0x000f_1ee7,
     };
-    let record = settings.record.as_deref().map_or(Ok(Recorder::default()), Recorder::to)?;
+    let record = settings.record.as_deref().map_or(Ok(Recorder::default()), Recorder::append_to)?;
     let member = Member::new(member, LeaseClient::new(settings.times), record);
-    member.record().put(clock::now(), "started", serde_json::json!({}));
+    member.recorder().record(clock::now(), "started", serde_json::json!({}));
     let (sender, news) = mpsc::channel(NEWS);
     let watchers =
         watch.map(|how| Rc::new(Watchers::new(how, zone, member.clone(), pool.clone(), metrics.clone())));
@@ -119,7 +119,7 @@
     });
     leave.iter().for_each(|leave| drop(spawn_local(leave.clone().rounds())));
     let (leaver, watches) = (leave.clone(), watchers.clone());
-    spawn_local(receive(member.clone(), listener, move |effect| match effect.lease.name.as_str() {
+    spawn_local(serve_effects(member.clone(), listener, move |effect| match effect.lease.name.as_str() {
         ENDPOINT_LIST_LEASE => {
             if let Ok(news) = serde_json::from_slice::<WatchEvent>(&effect.body) {
                 // The latest counts; where the queue is full, the next one says more than this.
@@ -173,7 +173,7 @@
 /// Stays a member for as long as the keepers let it.
 async fn stay(member: Member) {
     match member.run().await {
-        Ended::Left => tracing::info!("left the fleet"),
+        MembershipEnd::Left => tracing::info!("left the fleet"),
         ended => tracing::error!(?ended, "no member of the fleet any more; goes on by itself"),
     }
 }
@@ -185,7 +185,7 @@
     loop {
         rounds.tick().await;
         let now = clock::now();
-        let holder = member.holder().borrow();
+        let holder = member.lease_client().borrow();
         let counts = holder.effect_counts();
         metrics.session.set(i64::from(holder.active_session(now).is_some()));
         metrics.owned.set(holder.held_leases(now).len() as i64);
@@ -270,7 +270,7 @@
     async fn rounds(self: Rc<Self>) {
         let mut rounds = interval(ROUND);
         rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut changes = self.member.changes();
+        let mut changes = self.member.subscribe();
         loop {
             tokio::select! {
                 _ = rounds.tick() => {}
@@ -285,7 +285,7 @@
     /// Notices whether this member owns the duty, and gives it back where discovery is silent here.
     fn own(&self) {
         let duty = LeaseId::fleet(ENDPOINT_LIST_LEASE);
-        let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
+        let owned = self.member.held_leases().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
             Some((duty, token)) => {
@@ -300,7 +300,7 @@
                 {
                     tracing::warn!(token = token.0, "discovery is silent here; gives the list back");
                     self.heard.set(clock::now());
-                    self.member.release(duty, token);
+                    self.member.release_lease(duty, token);
                 }
             }
             None => *term = None,
@@ -314,7 +314,7 @@
         let ledger = self.ledger.borrow();
         let Some(list) = ledger.complete_list() else { return };
         self.due.set(false);
-        let state = (ledger.revision(), self.member.roster().len());
+        let state = (ledger.revision(), self.member.members().len());
         let whole = self.told.replace(state) != state;
         let members = state.1 as u64;
         let revision = serde_json::json!({"revision": state.0});
@@ -324,7 +324,7 @@
             list: if whole { list } else { revision },
         };
         if let Ok(body) = serde_json::to_vec(&news) {
-            term.say(body);
+            term.publish(body);
         }
     }
 }
--- a/crates/dispatcher/src/net/leave.rs
+++ b/crates/dispatcher/src/net/leave.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use cluster_member::clock;
-use cluster_member::coordinator_client::Keepers;
+use cluster_member::coordinator_client::CoordinatorClient;
 use cluster_member::effects::Publisher;
 use cluster_member::member::Member;
 use cluster_member::wire::{ClientIdentity, Operation, Response};
@@ -103,21 +103,22 @@
         *self.workers.borrow_mut() = Some(workers);
     }
 
-    fn keepers(&self) -> Keepers {
-        let settings = self.member.settings();
+    fn keepers(&self) -> CoordinatorClient {
+        let settings = self.member.config();
         let who = ClientIdentity::Member { name: settings.name.clone() };
-        Keepers::new(&settings.installation, who, settings.keepers.clone(), settings.bind)
+        CoordinatorClient::new(&settings.installation, who, settings.replicas.clone(), settings.local_address)
     }
 
     /// Which life of this dispatcher it is: higher with every session and every return.
     fn number(&self) -> u64 {
-        let session = self.member.holder().borrow().last_session().map_or(0, |session| session.incarnation);
+        let session =
+            self.member.lease_client().borrow().last_session().map_or(0, |session| session.incarnation);
         session << 20 | self.returns.get()
     }
 
     fn readiness_report(&self) -> ReadinessReport {
         let serving = *self.own.phase.borrow() == Phase::Serving && *self.own.mode.borrow() == Mode::Active;
-        let settings = self.member.settings();
+        let settings = self.member.config();
         ReadinessReport {
             name: settings.name.clone(),
             zone: settings.zone.clone(),
@@ -155,7 +156,7 @@
 
     async fn decide(&self, reason: &str, force: bool) -> Result<(), Denied> {
         let by = Instant::now() + DECIDED;
-        let (mut keepers, name) = (self.keepers(), &self.member.settings().name);
+        let (mut keepers, name) = (self.keepers(), &self.member.config().name);
         let number = self.number();
         let target = Target { kind: TargetKind::Dispatcher, name: name.clone() };
         let request = DisruptionCommand::RequestPermit {
@@ -164,12 +165,12 @@
             requester: format!("dispatcher/{name}"),
             force,
         };
-        let permit = match keepers.ask(&Operation::ChangeDisruptionState(request), by).await {
+        let permit = match keepers.call(&Operation::ChangeDisruptionState(request), by).await {
             Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested(
                 permit,
                 PermitState::Waiting,
             ))) => {
-                let held = match keepers.ask(&Operation::DisruptionState { known_revision: 0 }, by).await {
+                let held = match keepers.call(&Operation::DisruptionState { known_revision: 0 }, by).await {
                     Ok(Response::DisruptionState(_, Some(account))) => account
                         .blocking_budget(permit)
                         .map(|budget| format!(": budget {:?} is used up", budget.name)),
@@ -198,7 +199,7 @@
             }
         };
         let begin = DisruptionCommand::BeginPermit { permit, incarnation: number };
-        match keepers.ask(&Operation::ChangeDisruptionState(begin), by).await {
+        match keepers.call(&Operation::ChangeDisruptionState(begin), by).await {
             Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitBegun(_))) => {}
             Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(Rejection::UnknownPermit))) => {
                 return denied("the permit before this one is not over yet", AGAIN.0)
@@ -210,7 +211,7 @@
         }
         // Whoever was stopped meanwhile may have been seen as another life: then the permit may be over.
         let now = clock::now();
-        if self.member.holder().borrow().active_session(now).is_none() || self.number() != number {
+        if self.member.lease_client().borrow().active_session(now).is_none() || self.number() != number {
             return denied("this dispatcher lost its session meanwhile", AGAIN.0);
         }
         if force {
@@ -222,13 +223,13 @@
 
     fn go(&self, permit: Option<u64>) {
         self.own.mode.send_replace(Mode::Standby);
-        self.member.record().put(clock::now(), "standby", serde_json::json!({"permit": permit}));
+        self.member.recorder().record(clock::now(), "standby", serde_json::json!({"permit": permit}));
     }
 
     /// Returned from standby: another life.
     pub(super) fn returned(&self) {
         self.returns.set(self.returns.get() + 1);
-        self.member.record().put(clock::now(), "active", serde_json::json!({"number": self.number()}));
+        self.member.recorder().record(clock::now(), "active", serde_json::json!({"number": self.number()}));
     }
 
     /// Asks all how they are and tells the account, while that duty is ours, for as long as the program runs.
@@ -246,7 +247,7 @@
             }
             count = count.wrapping_add(1);
             let by = Instant::now() + DECIDED;
-            match keepers.ask(&Operation::DisruptionState { known_revision: known }, by).await {
+            match keepers.call(&Operation::DisruptionState { known_revision: known }, by).await {
                 Ok(Response::DisruptionState(revision, Some(new))) => (known, account) = (revision, *new),
                 Ok(Response::DisruptionState(..)) => {}
                 _ => continue,
@@ -261,7 +262,7 @@
                 continue;
             }
             // The look at the lease comes right before the word; the keepers look at the token besides.
-            if !self.member.may_act(&LeaseId::fleet(OBSERVER_LEASE), token) {
+            if !self.member.holds_lease(&LeaseId::fleet(OBSERVER_LEASE), token) {
                 continue;
             }
             let observe = DisruptionCommand::RecordObservation {
@@ -271,8 +272,8 @@
                 removed: gone,
             };
             let what = serde_json::json!({"duty": OBSERVER_LEASE, "token": token.0});
-            self.member.record().put(clock::now(), "acted", what);
-            let _ = keepers.ask(&Operation::ChangeDisruptionState(observe), by).await;
+            self.member.recorder().record(clock::now(), "acted", what);
+            let _ = keepers.call(&Operation::ChangeDisruptionState(observe), by).await;
         }
     }
 
@@ -284,7 +285,7 @@
         let now = clock::now();
         self.warmup.borrow_mut().update_list(now, &self.listed());
         let duty = LeaseId::fleet(OBSERVER_LEASE);
-        let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
+        let owned = self.member.held_leases().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
             Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
@@ -292,7 +293,7 @@
                 tracing::info!(token = token.0, "observes the fleet for the account of who may be out");
                 let observer = Rc::new(RefCell::new(AvailabilityObserver::new(self.holds, now)));
                 let received = observer.clone();
-                let publisher = Publisher::hearing(&self.member, duty, token, move |said| {
+                let publisher = Publisher::with_response_handler(&self.member, duty, token, move |said| {
                     if let Some(report) = ReadinessReport::decode(said) {
                         received.borrow_mut().record_report(report, clock::now());
                     }
@@ -302,7 +303,7 @@
             None => *term = None,
         }
         if let Some(term) = term.as_mut() {
-            term.publisher.say(Vec::new());
+            term.publisher.publish(Vec::new());
             term.observer.borrow_mut().record_report(self.readiness_report(), now);
         }
     }
@@ -311,7 +312,7 @@
     fn look(&self, account: &DisruptionState) -> Option<(FencingToken, Vec<TargetStatus>, Vec<Target>)> {
         let term = self.term.borrow();
         let term = term.as_ref()?;
-        let roster = self.member.roster();
+        let roster = self.member.members();
         let members: Vec<(&str, &str)> =
             roster.iter().map(|peer| (peer.name.as_str(), peer.zone.as_str())).collect();
         let now = clock::now();
--- a/crates/dispatcher/src/net/watchers.rs
+++ b/crates/dispatcher/src/net/watchers.rs
@@ -103,7 +103,7 @@
     fn own(&self) {
         let owned: BTreeMap<u16, FencingToken> = self
             .member
-            .owned()
+            .held_leases()
             .into_iter()
             .filter_map(|(duty, token)| Some((self.how.set_of_lease(&duty)?, token)))
             .collect();
@@ -152,11 +152,11 @@
         let may = || {
             // The last thing before the write: a look at the lease by the clock, and the time for the next one.
             let now = clock::now();
-            let looked = self.member.holder().borrow().holds_lease(&duty, token, now);
+            let looked = self.member.lease_client().borrow().holds_lease(&duty, token, now);
             let may = looked || self.how.injected_bug == Some(InjectedBug::SkipLeaseCheck);
             if may {
                 let what = serde_json::json!({"duty": duty.to_string(), "token": token.0, "worker": worker});
-                self.member.record().put(now, "acted", what);
+                self.member.recorder().record(now, "acted", what);
                 self.with(set, token, |term| term.rounds.probe_sent(worker, now));
                 self.metrics.probes.inc();
             }
@@ -181,7 +181,7 @@
         for (set, term) in self.terms.borrow_mut().iter_mut() {
             let now = clock::now();
             let Some(report) = term.rounds.next_report(now, &self.zones.borrow()) else { continue };
-            term.publisher.say(report.encode());
+            term.publisher.publish(report.encode());
             self.sightings.borrow_mut().record(*set, term.token, report, now);
         }
     }
@@ -196,7 +196,7 @@
         }
         let tell = |worker: u64, ago: Micros, holds: Micros| {
             let what = serde_json::json!({"worker": worker, "holds": holds});
-            self.member.record().put(now, "against", what);
+            self.member.recorder().record(now, "against", what);
             self.pool.handle.tell(Input::Sighted(WorkerId(worker), ago, holds));
         };
         for worker in told.keys().filter(|worker| !against.contains_key(worker)) {
--- a/crates/dispatcher/src/own.rs
+++ b/crates/dispatcher/src/own.rs
@@ -131,16 +131,16 @@
     let bind = section.string("bind")?.map(|text| {
         text.parse::<IpAddr>().map_err(|_| section.error("bind", format!("{text:?} is no IP address")))
     });
-    let times = settings::times(section)?;
+    let times = settings::timing(section)?;
     Ok(Fleet {
-        installation: settings::wanted(section, "installation")?,
-        listen: settings::address(section, "listen")?,
+        installation: settings::required_text(section, "installation")?,
+        listen: settings::required_address(section, "listen")?,
         address: match section.value("address") {
-            Some(_) => Some(settings::address(section, "address")?),
+            Some(_) => Some(settings::required_address(section, "address")?),
             None => None,
         },
         bind: bind.transpose()?,
-        keepers: settings::keepers(section)?,
+        keepers: settings::replicas(section)?,
         times,
         list: section.boolean("list")?.unwrap_or(true),
         source: section.string("source")?,
@@ -151,8 +151,8 @@
             .section("account")?
             .map(|account| Ok(account.integer("holds_ms", 300..=60_000)?.unwrap_or(HOLDS_MS) * 1_000))
             .transpose()?,
-        cold: section.section("cold")?.map(|cold| settings::dealing(cold, &times)).transpose()?,
-        watch: section.section("watch")?.map(settings::watching).transpose()?,
+        cold: section.section("cold")?.map(|cold| settings::quota_config(cold, &times)).transpose()?,
+        watch: section.section("watch")?.map(settings::health_check_config).transpose()?,
     })
 }
 
--- a/crates/emulator/src/cluster/lightweight_member.rs
+++ b/crates/emulator/src/cluster/lightweight_member.rs
@@ -5,8 +5,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use cluster_member::effects::{receive, Publisher};
-use cluster_member::member::{Ended, Member, Settings};
+use cluster_member::effects::{serve_effects, Publisher};
+use cluster_member::member::{self, Member, MembershipEnd};
 use cluster_member::record::Recorder;
 use coordination::{InjectedBug, LeaseClient, LeaseId, Timing};
 use serde::{Deserialize, Serialize};
@@ -67,26 +67,26 @@
     let flaw: Option<InjectedBug> =
         bug.and_then(|name| InjectedBug::names().iter().find(|(known, _)| *known == name)).map(|(_, f)| *f);
     let record = match &light.record {
-        Some(path) => Recorder::to(path).map_err(|error| format!("{}: {error}", path.display()))?,
+        Some(path) => Recorder::append_to(path).map_err(|error| format!("{}: {error}", path.display()))?,
         None => Recorder::default(),
     };
     let offers: Result<Vec<LeaseId>, String> = light.leases.iter().map(|duty| duty.parse()).collect();
     let listener =
         TcpListener::bind(light.listen).await.map_err(|error| format!("{}: {error}", light.listen))?;
-    let settings = Settings {
+    let settings = member::MemberConfig {
         installation: light.installation,
         name: light.name,
         zone: String::new(),
         address: light.address.to_string(),
-        keepers: light.coordinators,
-        bind: light.bind,
-        times: light.times,
-        offers: offers?,
+        replicas: light.coordinators,
+        local_address: light.bind,
+        timing: light.times,
+        eligible_leases: offers?,
         seed: light.seed,
     };
     let member = Member::new(settings, LeaseClient::new(light.times).with_injected_bug(flaw), record);
-    member.record().put(cluster_member::clock::now(), "started", serde_json::json!({}));
-    tokio::task::spawn_local(receive(member.clone(), listener, |_| Vec::new()));
+    member.recorder().record(cluster_member::clock::now(), "started", serde_json::json!({}));
+    tokio::task::spawn_local(serve_effects(member.clone(), listener, |_| Vec::new()));
     tokio::task::spawn_local(publish_effects(member.clone()));
     let mut terminate = signal(SignalKind::terminate()).map_err(|error| error.to_string())?;
     let leaver = member.clone();
@@ -95,8 +95,8 @@
         leaver.leave();
     });
     match member.run().await {
-        Ended::Left => Ok(()),
-        Ended::Superseded { .. } | Ended::Refused(_) => {
+        MembershipEnd::Left => Ok(()),
+        MembershipEnd::Superseded { .. } | MembershipEnd::Rejected(_) => {
             // No member any more, and alive: it would go on with its own work.
             sleep(Duration::from_secs(3_600)).await;
             Ok(())
@@ -108,14 +108,14 @@
 async fn publish_effects(member: Member) {
     let mut terms: BTreeMap<LeaseId, Publisher> = BTreeMap::new();
     loop {
-        let owned = member.owned();
+        let owned = member.held_leases();
         terms.retain(|duty, term| owned.iter().any(|(owned, token)| owned == duty && *token == term.token()));
         for (duty, token) in owned {
             terms.entry(duty.clone()).or_insert_with(|| Publisher::new(&member, duty, token));
         }
         for _ in 0..EFFECTS_PER_ROUND {
             terms.values_mut().for_each(|term| {
-                term.say(Vec::new());
+                term.publish(Vec::new());
             });
             sleep(EFFECT_INTERVAL).await;
         }
--- a/crates/emulator/src/cluster/schedule.rs
+++ b/crates/emulator/src/cluster/schedule.rs
@@ -158,7 +158,7 @@
             recovery_time: head.number("calm_s", 3.0..=60.0)?.unwrap_or(5.0),
             fault_interval: head.number("between_s", 0.2..=600.0)?.unwrap_or(4.0),
             arms: arms?,
-            times: cluster_member::settings::times(head)?,
+            times: cluster_member::settings::timing(head)?,
         };
         head.keyword("drive", &[("fleet", ())])?;
         if plan.arms.is_empty() {
--- a/crates/emulator/tests/discovery_leader.rs
+++ b/crates/emulator/tests/discovery_leader.rs
@@ -198,20 +198,20 @@
 /// Found when a rig was ended in the middle: members whose keepers refused at once never ended at SIGTERM.
 #[test]
 fn a_member_without_keepers_ends_when_it_is_told_to() {
-    use cluster_member::member::{Ended, Member, Settings};
+    use cluster_member::member::{Member, MemberConfig, MembershipEnd};
     use cluster_member::record::Recorder;
     use coordination::{LeaseClient, Timing};
     play(async {
         let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-        let settings = Settings {
+        let settings = MemberConfig {
             installation: "test".into(),
             name: "m".into(),
             zone: String::new(),
             address: nobody.to_string(),
-            keepers: [(1, nobody), (2, nobody), (3, nobody)].into(),
-            bind: None,
-            times: Timing::default(),
-            offers: Vec::new(),
+            replicas: [(1, nobody), (2, nobody), (3, nobody)].into(),
+            local_address: None,
+            timing: Timing::default(),
+            eligible_leases: Vec::new(),
             seed: 1,
         };
         let member = Member::new(settings, LeaseClient::new(Timing::default()), Recorder::default());
@@ -221,6 +221,6 @@
             leaver.leave();
         });
         let ended = tokio::time::timeout(Duration::from_secs(10), member.run()).await;
-        assert_eq!(ended, Ok(Ended::Left));
+        assert_eq!(ended, Ok(MembershipEnd::Left));
     });
 }
