--- /dev/null
+++ b/crates/cluster-member/src/health_check/scheduler.rs
@@ -0,0 +1,254 @@
+//! When the workers of one set are probed, and what is reported of them, in one term of the set's lease.
+
+use std::collections::BTreeMap;
+
+use coordination::Micros;
+
+use super::{FailingWorker, HealthCheckConfig, HealthReport, InjectedBug, ZoneReport};
+
+/// Between two reports of one lease holder there is at least this, in microseconds.
+const MIN_REPORT_INTERVAL: Micros = 100_000;
+/// Workers that are new are probed first within this part of an interval after the first, so that they do not all meet.
+const INITIAL_SPREAD_DIVISOR: u64 = 4;
+/// A worker was seen healthy of late within so many intervals.
+const RECENT_INTERVALS: u64 = 2;
+
+/// When some worker of each zone was last seen healthy, over all sets that one process checks.
+#[derive(Debug, Clone, Default)]
+pub struct ZoneLiveness(BTreeMap<String, Micros>);
+
+impl ZoneLiveness {
+    fn record_healthy(&mut self, zone: &str, now: Micros) {
+        self.0.insert(zone.to_owned(), now);
+    }
+
+    fn healthy_since(&self, zone: &str, since: Micros) -> bool {
+        self.0.get(zone).is_some_and(|last| *last >= since)
+    }
+
+    fn any_healthy_since(&self, since: Micros) -> bool {
+        self.0.values().any(|last| *last >= since)
+    }
+}
+
+/// One worker as its observer knows it.
+#[derive(Debug, Clone, PartialEq, Eq)]
+struct WorkerProbeState {
+    zone: String,
+    next_probe: Micros,
+    in_flight: bool,
+    consecutive_failures: u16,
+    first_failure: Micros,
+    /// Another worker of its zone was seen healthy between the first and the last failure.
+    zone_reachable: bool,
+    /// When a probe last had a result, healthy or not.
+    last_result: Option<Micros>,
+}
+
+/// What is reported of a worker: where it changes, a report is due.
+#[derive(PartialEq)]
+struct ReportedState {
+    failing: bool,
+    zone_reachable: bool,
+}
+
+impl WorkerProbeState {
+    fn new(zone: &str, next_probe: Micros) -> WorkerProbeState {
+        WorkerProbeState {
+            zone: zone.to_owned(),
+            next_probe,
+            in_flight: false,
+            consecutive_failures: 0,
+            first_failure: 0,
+            zone_reachable: false,
+            last_result: None,
+        }
+    }
+
+    fn reported(&self, failure_threshold: u16) -> ReportedState {
+        ReportedState {
+            failing: self.consecutive_failures >= failure_threshold,
+            zone_reachable: self.zone_reachable,
+        }
+    }
+
+    fn record_healthy(&mut self, now: Micros) {
+        self.consecutive_failures = 0;
+        self.zone_reachable = false;
+        self.last_result = Some(now);
+    }
+
+    fn record_failure(&mut self, now: Micros, zones: &ZoneLiveness) {
+        if self.consecutive_failures == 0 {
+            self.first_failure = now;
+        }
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        // Healthy workers are looked for at each failure and not later: those seen when a cut has healed say nothing of
+        // what failed during it.
+        self.zone_reachable |=
+            self.consecutive_failures > 1 && zones.healthy_since(&self.zone, self.first_failure);
+        self.last_result = Some(now);
+    }
+}
+
+/// The numbers of workers of a set.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct WorkerCounts {
+    /// All of them.
+    pub checked: usize,
+    /// Those that fail.
+    pub failing: usize,
+}
+
+/// The probes and reports of one set, in one term.
+#[derive(Debug, Clone)]
+pub struct HealthCheckScheduler {
+    config: HealthCheckConfig,
+    /// The observer's own zone.
+    zone: String,
+    workers: BTreeMap<u64, WorkerProbeState>,
+    last_report: Option<Micros>,
+    /// What is reported of a worker has changed since the last report.
+    changed: bool,
+}
+
+impl HealthCheckScheduler {
+    /// A term begins. `zone` is the observer's own.
+    pub fn new(config: HealthCheckConfig, zone: &str) -> HealthCheckScheduler {
+        HealthCheckScheduler {
+            config,
+            zone: zone.to_owned(),
+            workers: BTreeMap::new(),
+            last_report: None,
+            changed: false,
+        }
+    }
+
+    /// Takes in the workers of the set as they are now, with their zones. What is new is probed an interval from now, since
+    /// another lease holder may have probed it until now.
+    pub fn update_workers<'a>(&mut self, now: Micros, workers: impl Iterator<Item = (u64, &'a str)>) {
+        let workers: BTreeMap<u64, &str> = workers.collect();
+        self.workers.retain(|id, _| workers.contains_key(id));
+        let new: Vec<(u64, &str)> =
+            workers.into_iter().filter(|(id, _)| !self.workers.contains_key(id)).collect();
+        let step = self.config.probe_interval / INITIAL_SPREAD_DIVISOR / new.len().max(1) as u64;
+        let mut next_probe = now + self.initial_delay();
+        for (id, zone) in new {
+            self.workers.insert(id, WorkerProbeState::new(zone, next_probe));
+            next_probe += step;
+        }
+    }
+
+    fn initial_delay(&self) -> Micros {
+        if self.config.injected_bug == Some(InjectedBug::ProbeAtOnce) {
+            0
+        } else {
+            self.config.probe_interval
+        }
+    }
+
+    /// The workers to be probed now. Each is given out once until its probe has finished.
+    pub fn due_probes(&mut self, now: Micros) -> Vec<u64> {
+        let mut due = Vec::new();
+        for (id, worker) in &mut self.workers {
+            if !worker.in_flight && worker.next_probe <= now {
+                worker.in_flight = true;
+                due.push(*id);
+            }
+        }
+        due
+    }
+
+    /// A probe is about to be sent: the next is an interval later.
+    pub fn probe_sent(&mut self, worker: u64, now: Micros) {
+        if let Some(worker) = self.workers.get_mut(&worker) {
+            worker.next_probe = now + self.config.probe_interval;
+        }
+    }
+
+    /// A probe has finished: the worker is healthy, or fails, or nothing was learnt of it (`None`).
+    pub fn probe_finished(
+        &mut self,
+        worker: u64,
+        healthy: Option<bool>,
+        now: Micros,
+        zones: &mut ZoneLiveness,
+    ) {
+        let Some(worker) = self.workers.get_mut(&worker) else { return };
+        worker.in_flight = false;
+        if worker.next_probe <= now {
+            // Nothing was sent.
+            worker.next_probe = now + self.config.probe_interval;
+        }
+        let Some(healthy) = healthy else { return };
+        let before = worker.reported(self.config.failure_threshold);
+        if healthy {
+            worker.record_healthy(now);
+            zones.record_healthy(&worker.zone, now);
+        } else {
+            worker.record_failure(now, zones);
+        }
+        self.changed |= before != worker.reported(self.config.failure_threshold);
+    }
+
+    /// The report to be sent now, if one is due.
+    pub fn next_report(&mut self, now: Micros, zones: &ZoneLiveness) -> Option<HealthReport> {
+        if !self.report_due(now) {
+            return None;
+        }
+        self.last_report = Some(now);
+        self.changed = false;
+        Some(self.report(now, zones))
+    }
+
+    fn report_due(&self, now: Micros) -> bool {
+        let Some(last) = self.last_report else {
+            return self.workers.values().any(|worker| worker.last_result.is_some());
+        };
+        let since = now.saturating_sub(last);
+        since >= self.config.probe_interval || (self.changed && since >= MIN_REPORT_INTERVAL)
+    }
+
+    fn report(&self, now: Micros, zones: &ZoneLiveness) -> HealthReport {
+        let recent = now.saturating_sub(RECENT_INTERVALS * self.config.probe_interval);
+        let mut report = HealthReport {
+            observer_zone: self.zone.clone(),
+            sent_at: now,
+            sees_healthy_worker: zones.any_healthy_since(recent),
+            zones: Vec::new(),
+            failing: Vec::new(),
+        };
+        for (id, worker) in &self.workers {
+            let Some(last_result) = worker.last_result else { continue };
+            let zone_index = zone_index(&mut report.zones, &worker.zone, zones, recent);
+            if worker.consecutive_failures < self.config.failure_threshold {
+                continue;
+            }
+            report.zones[zone_index].failing_count += 1;
+            report.failing.push(FailingWorker {
+                worker: *id,
+                zone_index: zone_index as u16,
+                consecutive_failures: worker.consecutive_failures,
+                age: now.saturating_sub(last_result),
+                zone_reachable: worker.zone_reachable,
+            });
+        }
+        report
+    }
+
+    /// The numbers of workers that are checked and that fail.
+    pub fn worker_counts(&self) -> WorkerCounts {
+        let fails = |worker: &&WorkerProbeState| worker.consecutive_failures >= self.config.failure_threshold;
+        WorkerCounts { checked: self.workers.len(), failing: self.workers.values().filter(fails).count() }
+    }
+}
+
+/// The index of a zone in a report, which it is added to where it is not there yet.
+fn zone_index(reported: &mut Vec<ZoneReport>, zone: &str, zones: &ZoneLiveness, recent: Micros) -> usize {
+    if let Some(index) = reported.iter().position(|known| known.name == zone) {
+        return index;
+    }
+    let reachable = zones.healthy_since(zone, recent);
+    reported.push(ZoneReport { name: zone.to_owned(), reachable, failing_count: 0 });
+    reported.len() - 1
+}
--- a/crates/cluster-member/src/lib.rs
+++ b/crates/cluster-member/src/lib.rs
@@ -5,6 +5,7 @@
 
 pub mod clock;
 pub mod coordinator_client;
+pub mod discovery_fallback;
 pub mod effects;
 pub mod endpoint_list;
 pub mod health_check;
--- a/crates/dispatcher/src/net/cluster/health_checks.rs
+++ b/crates/dispatcher/src/net/cluster/health_checks.rs
@@ -151,7 +151,7 @@
                 term.health_checks.insert(worker, task.abort_handle());
             }
             let counts = term.rounds.worker_counts();
-            (watched, failing) = (watched + counts.0, failing + counts.1);
+            (watched, failing) = (watched + counts.checked, failing + counts.failing);
         }
         self.metrics.workers_checked.set(watched as i64);
         self.metrics.workers_failing.set(failing as i64);
--- a/crates/dispatcher/src/net/cluster/mod.rs
+++ b/crates/dispatcher/src/net/cluster/mod.rs
@@ -13,8 +13,9 @@
 use std::time::Duration;
 
 use cluster_member::clock;
+use cluster_member::discovery_fallback::DiscoveryFallback;
 use cluster_member::effects::{serve_effects, Publisher};
-use cluster_member::endpoint_list::{DiscoveryFallback, EndpointSnapshot, WatchEvent, ENDPOINT_LIST_LEASE};
+use cluster_member::endpoint_list::{EndpointSnapshot, WatchEvent, ENDPOINT_LIST_LEASE};
 use cluster_member::health_check::HealthCheckConfig;
 use cluster_member::member::{Member, MemberConfig, MembershipEnd};
 use cluster_member::record::Recorder;
--- a/crates/dispatcher/src/net/cluster/slow_start.rs
+++ b/crates/dispatcher/src/net/cluster/slow_start.rs
@@ -101,8 +101,9 @@
 
     fn apply_grants(&self, token: FencingToken, version: u64, grants: &QuotaGrants) {
         let now = clock::now();
-        for (worker, work, until) in self.purse.borrow_mut().accept(token, version, grants, now) {
-            let at = self.pool.clock.now() + until.saturating_sub(now);
+        for usable in self.purse.borrow_mut().accept(token, version, grants, now) {
+            let at = self.pool.clock.now() + usable.expires_at.saturating_sub(now);
+            let (worker, work, until) = (usable.worker, usable.work, usable.expires_at);
             let what = serde_json::json!({"worker": worker, "work": work, "until": until, "token": token.0});
             self.member.recorder().record(now, "granted", what);
             self.metrics.quota_granted.inc_by(work);
