--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -151,7 +151,7 @@
         let (max_unavailable, min_available) =
             (parse_amount(section, "most_out")?, parse_amount(section, "least_in")?);
         let budget = Budget { name, kind, scope, max_unavailable, min_available };
-        budget.validate().map_err(|fault| section.error(fault.key, fault.reason))?;
+        budget.validate().map_err(|fault| section.error(fault.key, fault.problem.to_string()))?;
         budgets.push(budget);
     }
     top.deny_unknown_keys()?;
