--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -52,8 +52,8 @@
     let (store, recovered) = Store::open(&serve.store_directory, &config.installation, serve.coordinator_id)?;
     let identity = recovered.identity;
     let tick = (config.times.heartbeat_interval / 2).clamp(5_000, 50_000);
-    let mut replica = Replica::new(store, recovered, config.times, tick, clock::unique())?;
-    replica.enable_digests(record.records());
+    let mut replica = Replica::new(store, recovered, config.times, tick, clock::random_id())?;
+    replica.enable_digests(record.is_enabled());
     // Each version of the messages came with the entries of that version.
     replica.set_supported_version(protocol_version.min(COMMAND_VERSION));
     replica.inject_disruption_bug(serve.injected_bug);
@@ -63,7 +63,7 @@
     let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
         .map_err(|error| CoordinatorError::Startup(error.to_string()))?;
     tracing::info!(coordinator = serve.coordinator_id, starts = identity.start_count, term = identity.raft_term, listen = %serve.listen, "coordinator started");
-    record.put(
+    record.record(
         clock::now(),
         "started",
         serde_json::json!({"keeper": serve.coordinator_id, "boots": identity.start_count}),
@@ -267,7 +267,7 @@
                         }
                         _ => {}
                     }
-                    self.record.put(now, "applied", entry);
+                    self.record.record(now, "applied", entry);
                 }
                 Output::LeadershipChanged(term) => {
                     tracing::info!(
@@ -275,7 +275,7 @@
                         "{}",
                         if term.is_some() { "became leader" } else { "lost leadership" }
                     );
-                    self.record.put(clock::now(), "leads", serde_json::json!({"term": term}));
+                    self.record.record(clock::now(), "leads", serde_json::json!({"term": term}));
                 }
             }
         }
