--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -144,7 +144,7 @@
     match runtime.and_then(|runtime| tokio::task::LocalSet::new().block_on(&runtime, run)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            tracing::error!(%error, "the program ends");
+            tracing::error!(%error, "stopped by an error");
             ExitCode::FAILURE
         }
     }
--- a/crates/dispatcher/src/net/cluster/health_checks.rs
+++ b/crates/dispatcher/src/net/cluster/health_checks.rs
@@ -86,7 +86,7 @@
                 self.sightings.borrow_mut().record(set, effect.token, report, clock::now());
                 self.notify_engine();
             }
-            None => tracing::warn!(duty = %effect.lease, "what a watcher says cannot be read"),
+            None => tracing::warn!(lease = %effect.lease, "health report cannot be decoded"),
         }
     }
 
@@ -121,7 +121,7 @@
         terms.retain(|set, term| owned.get(set) == Some(&term.token));
         for (set, token) in owned {
             terms.entry(set).or_insert_with(|| {
-                tracing::info!(set, token = token.0, "watches workers for the fleet");
+                tracing::info!(set, token = token.0, "holds a health-check lease");
                 let duty = coordination::LeaseId::worker_set(&self.config.lease_name(), set);
                 Term {
                     token,
@@ -210,12 +210,12 @@
             self.pool.handle.send(Input::UnhealthyReported(WorkerId(worker), ago, holds));
         };
         for worker in told.keys().filter(|worker| !against.contains_key(worker)) {
-            tracing::info!(worker, "no watcher holds anything against this worker any more");
+            tracing::info!(worker, "worker no longer reported unhealthy");
             tell(*worker, 0, 0);
         }
         for (worker, one) in against.iter().filter(|(worker, one)| told.get(worker) != Some(one)) {
             if !told.contains_key(worker) {
-                tracing::info!(worker, "a watcher sees this worker fail");
+                tracing::info!(worker, "worker reported unhealthy");
             }
             tell(*worker, now.saturating_sub(one.last_failure), one.expires_at.saturating_sub(now));
         }
--- a/crates/dispatcher/src/net/cluster/mod.rs
+++ b/crates/dispatcher/src/net/cluster/mod.rs
@@ -107,14 +107,15 @@
     let member = Member::new(member, LeaseClient::new(settings.times), record);
     member.record().put(clock::now(), "started", serde_json::json!({}));
     let (sender, news) = mpsc::channel(WATCH_EVENT_QUEUE);
-    let watchers =
-        watch.map(|how| {
+    let watchers = watch.map(|how| {
         Rc::new(ClusterHealthChecks::new(how, zone, member.clone(), pool.clone(), metrics.clone()))
     });
     watchers.iter().for_each(|watchers| drop(spawn_local(watchers.clone().run())));
     let colds = settings.slow_start.map(|how| {
-        let both =
-            (QuotaConfig { delivery_timeout: config.dial_timeout + MAX_WRITE_DELAY, ..how }, slow_start_profile(config));
+        let both = (
+            QuotaConfig { delivery_timeout: config.dial_timeout + MAX_WRITE_DELAY, ..how },
+            slow_start_profile(config),
+        );
         Rc::new(SlowStartQuota::new(
             both,
             member.clone(),
@@ -186,8 +187,8 @@
 /// Stays a member for as long as the keepers let it.
 async fn run_member(member: Member) {
     match member.run().await {
-        Ended::Left => tracing::info!("left the fleet"),
-        ended => tracing::error!(?ended, "no member of the fleet any more; goes on by itself"),
+        Ended::Left => tracing::info!("left the cluster"),
+        ended => tracing::error!(?ended, "no longer a cluster member; continuing without it"),
     }
 }
 
@@ -275,7 +276,7 @@
             tracing::info!(
                 owns,
                 "{}",
-                if asks { "asks discovery by itself" } else { "relies on the fleet's list" }
+                if asks { "polls discovery itself" } else { "relies on the shared list" }
             );
         }
     }
@@ -303,7 +304,7 @@
         match owned {
             Some((duty, token)) => {
                 if term.as_ref().is_none_or(|term| term.token() != token) {
-                    tracing::info!(token = token.0, "asks discovery for the fleet");
+                    tracing::info!(token = token.0, "holds the list lease");
                     *term = Some(Publisher::new(&self.member, duty.clone(), token));
                     self.published.set((0, 0));
                     self.discovery_heard_at.set(clock::now());
@@ -311,7 +312,7 @@
                 if clock::now().saturating_sub(self.discovery_heard_at.get())
                     > self.settings.list_silence + self.settings.list_silence / 2
                 {
-                    tracing::warn!(token = token.0, "discovery is silent here; gives the list back");
+                    tracing::warn!(token = token.0, "discovery is silent; releasing the list lease");
                     self.discovery_heard_at.set(clock::now());
                     self.member.release(duty, token);
                 }
--- a/crates/dispatcher/src/net/cluster/slow_start.rs
+++ b/crates/dispatcher/src/net/cluster/slow_start.rs
@@ -64,16 +64,13 @@
     ) -> SlowStartQuota {
         let process = clock::unique();
         SlowStartQuota {
-            config:
-            how,
-            profile:
-            warming,
+            config: how,
+            profile: warming,
             member,
             pool,
             metrics,
             process,
-            usual_job_cost:
-            usual,
+            usual_job_cost: usual,
             jobs_per_s: Cell::default(),
             attempts_counted: Cell::default(),
             ages: RefCell::default(),
@@ -87,7 +84,7 @@
     pub(super) fn handle_grants(&self, effect: &Effect) -> Vec<u8> {
         match QuotaGrants::decode(&effect.body) {
             Some(grants) => self.apply_grants(effect.token, effect.sequence, &grants),
-            None => tracing::warn!("what is granted of cold workers cannot be read"),
+            None => tracing::warn!("slow-start quota cannot be decoded"),
         }
         self.usage_report().encode()
     }
@@ -154,7 +151,7 @@
         match owned {
             Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
             Some((duty, token)) => {
-                tracing::info!(token = token.0, "hands out what cold workers bear");
+                tracing::info!(token = token.0, "holds the slow-start lease");
                 let dealer = Rc::new(RefCell::new(QuotaAllocator::new(self.config, self.profile, now)));
                 let hears = dealer.clone();
                 let publisher = Publisher::hearing(&self.member, duty, token, move |said| {
--- a/crates/dispatcher/src/net/discovery.rs
+++ b/crates/dispatcher/src/net/discovery.rs
@@ -162,7 +162,7 @@
 ) {
     while let Some(news) = news.recv().await {
         if !lists.is_same_source(&news) {
-            tracing::debug!(source = news.source, "the fleet's list is of another source");
+            tracing::debug!(source = news.source, "shared list of another source ignored");
             continue;
         }
         if news.is_complete() && news.revision() > told.newest_revision.get() {
@@ -174,7 +174,7 @@
                     ready.send_replace(true);
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "the fleet's list cannot be read");
+                    tracing::warn!(%error, "shared list cannot be decoded");
                     continue;
                 }
             }
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -113,7 +113,7 @@
     };
     // As with the console: the dispatcher serves without it.
     let fleet = fleet.unwrap_or_else(|error| {
-        tracing::error!(%error, "cannot listen for the fleet; goes on by itself");
+        tracing::error!(%error, "cannot listen for the cluster; continuing without it");
         None
     });
     let mut pool = spawn_local(worker::run(pool, orders));
@@ -164,7 +164,7 @@
         let old = config.borrow().clone();
         match (reload.read)(&old) {
             Ok(new) => {
-                tracing::info!(discovery = %new.discovery, "configuration read again");
+                tracing::info!(discovery = %new.discovery, "configuration reloaded");
                 metrics.reloads_ok.inc();
                 new.names.classes.iter().for_each(|class| metrics.register_class(&class.name));
                 handle.send(Input::Configure(Box::new(new.settings.clone())));
--- a/crates/dispatcher/src/net/planned_drain.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -156,7 +156,7 @@
             Ok(()) => tracing::info!(reason, force, "standby: no new work is invited"),
             Err(denied) => {
                 self.metrics.drains_rejected.inc();
-                tracing::info!(reason, why = denied.reason, "standby is refused");
+                tracing::info!(reason, why = denied.reason, "drain rejected");
             }
         }
         decided
@@ -196,7 +196,7 @@
                 return rejected(format!("an answer that was not asked for: {other:?}"), RETRY_AFTER_S.1)
             }
             Err(why) if force => {
-                tracing::warn!(why, "standby is forced without the keepers");
+                tracing::warn!(why, "drain forced without the coordinators");
                 self.metrics.drains_forced.inc();
                 self.switch_to_standby(None);
                 return Ok(());
@@ -300,7 +300,7 @@
         match owned {
             Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
             Some((duty, token)) => {
-                tracing::info!(token = token.0, "observes the fleet for the account of who may be out");
+                tracing::info!(token = token.0, "holds the observer lease");
                 let observer = Rc::new(RefCell::new(AvailabilityObserver::new(self.readiness_validity, now)));
                 let received = observer.clone();
                 let publisher = Publisher::hearing(&self.member, duty, token, move |said| {
--- a/crates/dispatcher/src/settings_file.rs
+++ b/crates/dispatcher/src/settings_file.rs
@@ -153,7 +153,8 @@
         readiness_validity: section
             .section("account")?
             .map(|account| {
-                Ok(account.integer("holds_ms", 300..=60_000)?.unwrap_or(DEFAULT_READINESS_VALIDITY_MS) * 1_000)
+                Ok(account.integer("holds_ms", 300..=60_000)?.unwrap_or(DEFAULT_READINESS_VALIDITY_MS)
+                    * 1_000)
             })
             .transpose()?,
         slow_start: section.section("cold")?.map(|cold| settings::dealing(cold, &times)).transpose()?,
--- a/crates/dispatcher/tests/pinned_settings.rs
+++ b/crates/dispatcher/tests/pinned_settings.rs
@@ -49,8 +49,7 @@
     assert_eq!(config.names.tenants, ["web", "till"]);
     assert_eq!(config.names.zones, ["north", "south"]);
     assert_eq!(config.names.kinds, ["small", "large"]);
-    let classes: Vec<_> =
-        config
+    let classes: Vec<_> = config
         .names
         .classes
         .iter()
--- a/crates/emulator/src/cluster/cluster_harness.rs
+++ b/crates/emulator/src/cluster/cluster_harness.rs
@@ -461,7 +461,7 @@
 
     /// The dispatcher that said last that it asks for the fleet, from nought.
     pub fn discovery_leader(&self) -> Option<usize> {
-        self.last_logged_by("asks discovery for the fleet")
+        self.last_logged_by("holds the list lease")
     }
 
     /// The dispatcher whose log has these words with the highest token, from nought.
--- a/crates/emulator/src/cluster/slow_start.rs
+++ b/crates/emulator/src/cluster/slow_start.rs
@@ -147,7 +147,7 @@
     }
     if plan.kill {
         fleet.kill_coordinator(fleet.leader());
-        if let Some(owner) = fleet.last_logged_by("hands out what cold workers bear") {
+        if let Some(owner) = fleet.last_logged_by("holds the slow-start lease") {
             fleet.kill_dispatcher(owner);
         }
     }
