--- a/crates/cluster-member/src/settings.rs
+++ b/crates/cluster-member/src/settings.rs
@@ -110,11 +110,9 @@
     Ok(HealthCheckConfig {
         set_count: section.integer("sets", 1..=MOST_SETS)?.unwrap_or(SETS) as u16,
         zone_count: 1,
-        probe_interval:
-        period,
+        probe_interval: period,
         failure_threshold: section.integer("fails", 1..=100)?.unwrap_or(FAILS) as u16,
-        report_ttl:
-        holds,
+        report_ttl: holds,
         injected_bug: flaw(section)?,
     })
 }
