--- a/crates/dispatcher/src/net/client.rs
+++ b/crates/dispatcher/src/net/client.rs
@@ -11,8 +11,9 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
-use super::console::{InFlight, Metrics, Mode, Outcome};
 use super::http::{reason, text, Decoder, Framing, Head, Malformed, Piece, Start, MAX_BODY};
+use super::metrics::{InFlight, Metrics, Outcome};
+use super::mode::Mode;
 use super::shutdown::ShutdownPhase;
 use super::{has_unread_bytes, read_more, write_all, ConfigReceiver};
 use crate::engine::{micros, Answer, Handle, Input, InvalidRequest, Job, Micros, Payload};
--- a/crates/dispatcher/src/net/cluster/health_checks.rs
+++ b/crates/dispatcher/src/net/cluster/health_checks.rs
@@ -19,8 +19,8 @@
 
 use super::PUBLISH_INTERVAL;
 use crate::engine::Input;
-use crate::net::console::ClusterMetrics;
 use crate::net::health_check;
+use crate::net::metrics::ClusterMetrics;
 use crate::net::worker::Pool;
 use dispatch_core::api::WorkerId;
 
--- a/crates/dispatcher/src/net/cluster/mod.rs
+++ b/crates/dispatcher/src/net/cluster/mod.rs
@@ -28,7 +28,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, MissedTickBehavior};
 
-use super::console::ClusterMetrics;
+use super::metrics::ClusterMetrics;
 use super::planned_drain::{LocalStatus, PlannedDrain};
 use super::shutdown::ShutdownPhase;
 use super::worker::Pool;
--- a/crates/dispatcher/src/net/cluster/slow_start.rs
+++ b/crates/dispatcher/src/net/cluster/slow_start.rs
@@ -17,7 +17,7 @@
 
 use super::PUBLISH_INTERVAL;
 use crate::engine::Input;
-use crate::net::console::ClusterMetrics;
+use crate::net::metrics::ClusterMetrics;
 use crate::net::worker::Pool;
 use dispatch_core::api::WorkerId;
 
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -10,6 +10,8 @@
 mod health_check;
 pub mod http;
 pub mod json_framing;
+pub mod metrics;
+pub mod mode;
 pub mod planned_drain;
 pub mod shutdown;
 pub mod socket_activation;
@@ -82,9 +84,9 @@
     reload: shutdown::Reload,
 ) -> std::io::Result<()> {
     let clock = Clock::start();
-    let metrics = Rc::new(console::Metrics::new());
+    let metrics = Rc::new(metrics::Metrics::new());
     config.names.classes.iter().for_each(|class| metrics.register_class(&class.name));
-    let (mode, modes) = watch::channel(console::Mode::Active);
+    let (mode, modes) = watch::channel(mode::Mode::Active);
     let (handle, inputs) = Handle::channel();
     let (commands, orders) = mpsc::unbounded_channel();
     let mut engine =
@@ -133,7 +135,7 @@
                 let (heard, phase, since) = (is_ready.clone(), phase.clone(), tokio::time::Instant::now());
                 // Standby is told apart by the console itself, which names it in its answer.
                 let ready = Box::new(move || {
-                    client::is_ready(*heard.borrow(), since, *phase.borrow(), console::Mode::Active)
+                    client::is_ready(*heard.borrow(), since, *phase.borrow(), mode::Mode::Active)
                 });
                 let console =
                     console::Console { metrics: metrics.clone(), mode, ready, planned_drain: leave };
@@ -158,7 +160,7 @@
     mut reload: shutdown::Reload,
     config: watch::Sender<Rc<Config>>,
     handle: Handle,
-    metrics: Rc<console::Metrics>,
+    metrics: Rc<metrics::Metrics>,
 ) {
     while reload.requests.recv().await.is_some() {
         let old = config.borrow().clone();
--- a/crates/dispatcher/src/net/planned_drain.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -23,7 +23,8 @@
 use tokio::sync::{watch, Mutex};
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
-use super::console::{ClusterMetrics, Mode};
+use super::metrics::ClusterMetrics;
+use super::mode::Mode;
 use super::shutdown::ShutdownPhase;
 
 /// How often all are asked how they are.
--- a/crates/dispatcher/src/net/worker.rs
+++ b/crates/dispatcher/src/net/worker.rs
@@ -17,9 +17,9 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{interval_at, timeout, timeout_at, Instant};
 
-use super::console::{self, Metrics};
 use super::health_check;
 use super::http::{Decoder, Lines, Piece, MAX_BODY};
+use super::metrics::{self, Metrics};
 use super::{read_more, read_response_head, write_all, ConfigReceiver};
 use crate::engine::{AttemptStage, Clock, Command, Handle, Input, Micros, Payload};
 use dispatch_core::api::{ListScope, LoadReport, Outcome, RequestId, WorkerId, WorkerState};
@@ -335,7 +335,7 @@
     let written = write_all(&mut stream, &mut message).await;
     if !message.has_remaining() {
         end.stage = AttemptStage::Written;
-        pool.metrics.count(&payload.class, console::Outcome::Attempt);
+        pool.metrics.count(&payload.class, metrics::Outcome::Attempt);
     }
     if written.is_err() {
         // A kept connection that takes no write is no fault of the worker's, and nothing was sent.
--- a/crates/dispatcher/tests/console.rs
+++ b/crates/dispatcher/tests/console.rs
@@ -2,7 +2,9 @@
 
 use std::rc::Rc;
 
-use dispatcher::net::console::{self, answer, Console, Metrics, Mode, Outcome};
+use dispatcher::net::console::{self, answer, Console};
+use dispatcher::net::metrics::{InFlight, Metrics, Outcome};
+use dispatcher::net::mode::Mode;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
 
@@ -71,7 +73,7 @@
     (0..9).for_each(|_| metrics.count("stock-lookup", Outcome::Attempt));
     metrics.reloads_failed.inc();
     metrics.workers_known.set(12);
-    let held = console::InFlight::new(metrics);
+    let held = InFlight::new(metrics);
     let message = answer(&console, b"GET", b"/status/metrics");
     assert_eq!(status(&message), 200);
     let text = String::from_utf8(message).unwrap();
--- a/crates/dispatcher/tests/pinned_console.rs
+++ b/crates/dispatcher/tests/pinned_console.rs
@@ -3,7 +3,9 @@
 
 use std::rc::Rc;
 
-use dispatcher::net::console::{self, answer, Console, Metrics, Mode, Outcome};
+use dispatcher::net::console::{answer, Console};
+use dispatcher::net::metrics::{InFlight, Metrics, Outcome};
+use dispatcher::net::mode::Mode;
 use tokio::sync::watch;
 
 /// Metrics of a member of a fleet, each with a value of its own.
@@ -62,7 +64,7 @@
 #[test]
 fn answers_to_calls() {
     let console = console(Rc::new(Metrics::new()), true);
-    let _held = console::InFlight::new(&console.metrics);
+    let _held = InFlight::new(&console.metrics);
     let mut seen = String::new();
     for (method, target) in [
         ("GET", "/status"),
