--- a/crates/dispatcher/src/net/cluster/health_checks.rs
+++ b/crates/dispatcher/src/net/cluster/health_checks.rs
@@ -19,9 +19,9 @@
 
 use super::PUBLISH_INTERVAL;
 use crate::engine::Input;
-use crate::net::health_check;
 use crate::net::metrics::ClusterMetrics;
-use crate::net::worker::Pool;
+use crate::net::worker::health_check;
+use crate::net::worker::pool::Pool;
 use dispatch_core::api::WorkerId;
 
 /// One set in one term of ours.
--- a/crates/dispatcher/src/net/cluster/mod.rs
+++ b/crates/dispatcher/src/net/cluster/mod.rs
@@ -31,7 +31,7 @@
 use super::metrics::ClusterMetrics;
 use super::planned_drain::{LocalStatus, PlannedDrain};
 use super::shutdown::ShutdownPhase;
-use super::worker::Pool;
+use super::worker::pool::Pool;
 use crate::config::Config;
 use crate::engine::micros;
 use crate::settings_file::ClusterSettings;
--- a/crates/dispatcher/src/net/cluster/slow_start.rs
+++ b/crates/dispatcher/src/net/cluster/slow_start.rs
@@ -18,7 +18,7 @@
 use super::PUBLISH_INTERVAL;
 use crate::engine::Input;
 use crate::net::metrics::ClusterMetrics;
-use crate::net::worker::Pool;
+use crate::net::worker::pool::Pool;
 use dispatch_core::api::WorkerId;
 
 /// Grants are made every so many rounds.
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -7,7 +7,6 @@
 mod cluster;
 pub mod console;
 pub mod discovery;
-mod health_check;
 pub mod http;
 pub mod json_framing;
 pub mod metrics;
@@ -96,7 +95,7 @@
     }
     let at = config.console;
     let (config, configs) = watch::channel(Rc::new(config));
-    let pool = worker::Pool::new(configs.clone(), clock, handle.clone(), metrics.clone());
+    let pool = worker::pool::Pool::new(configs.clone(), clock, handle.clone(), metrics.clone());
     let first = configs.borrow().clone();
     let (ready, is_ready) = watch::channel(false);
     let fleet = match &first.cluster {
--- a/crates/dispatcher/src/net/health_check.rs
+++ b/crates/dispatcher/src/net/worker/health_check.rs
@@ -11,10 +11,10 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use super::http::{Decoder, Framing, Piece, MAX_BODY};
-use super::worker::{connect, Pool, Worker};
-use super::{read_more, read_response_head, write_all};
+use super::pool::{connect, Pool, Worker};
 use crate::engine::Input;
+use crate::net::http::{Decoder, Framing, Piece, MAX_BODY};
+use crate::net::{read_more, read_response_head, write_all};
 use dispatch_core::api::{LoadReport, LoadReports, WorkerId};
 
 /// A probe is given up after this many times what a connection may take to come up: the settings tell no time for
@@ -37,7 +37,7 @@
 }
 
 /// Begins a probe of the worker; where one is out already, its end is the answer to both.
-pub(super) fn start(pool: &Rc<Pool>, worker: WorkerId) {
+pub(crate) fn start(pool: &Rc<Pool>, worker: WorkerId) {
     if pool.health_checks.borrow().contains_key(&worker) {
         return;
     }
@@ -85,7 +85,7 @@
 /// Looks at a worker on behalf of the fleet: over a connection of its own, so that a kept one that the worker has
 /// closed meanwhile is not taken for a failure. `may` is asked immediately before the write; without its yes nothing
 /// is written. None where nothing was learnt of the worker.
-pub(super) async fn check_on_new_connection(
+pub(crate) async fn check_on_new_connection(
     pool: &Rc<Pool>,
     worker: WorkerId,
     may: impl FnOnce() -> bool,
