--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -2,18 +2,21 @@
 //!
 //! The platform hands over a JSON file (`BALANCER_CONFIG`) and repeats the name and the addresses in variables
 //! of their own, which win. Messages name the faulty key. A file that is read again while the program runs is
-//! taken in whole or not at all (our own settings of `own.rs` with it), and there `discovery` wins over its
+//! taken in whole or not at all (our own settings of `settings_file.rs` with it), and there `discovery` wins over its
 //! variable, which cannot change any more.
 
-use std::fmt;
 use std::net::SocketAddr;
 
-use rustc_hash::FxHashMap;
 use serde_json::Value;
 
+pub use crate::config_error::ConfigError;
+pub use crate::endpoint_list::{parse_endpoint_list, EndpointList};
+pub use crate::names::{ClassInfo, Names};
+
+use crate::config_error::invalid;
 use crate::engine::{micros, ListedEndpoint, Micros};
 use crate::settings_file::{ClusterSettings, LocalSettings};
-use dispatch_core::api::{Endpoint, Idempotency, ListScope, Settings, WorkerState};
+use dispatch_core::api::{Idempotency, Settings};
 use dispatch_core::hashing::worker_id;
 use dispatch_core::settings::parse_settings;
 use dispatch_core::settings_pairs::{InvalidValue, SettingsPairs};
@@ -35,51 +38,6 @@
 /// A client's patience in seconds where neither it nor the class tells.
 const DEFAULT_TIMEOUT_S: f64 = 10.0;
 
-/// What is wrong with a configuration.
-#[derive(Debug, PartialEq, Eq)]
-pub struct ConfigError {
-    /// The key at fault.
-    pub key: String,
-    /// What is wrong with it.
-    pub problem: String,
-}
-
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.key, self.problem)
-    }
-}
-
-impl std::error::Error for ConfigError {}
-
-fn invalid<T>(key: &str, problem: impl Into<String>) -> Result<T, ConfigError> {
-    Err(ConfigError { key: key.to_owned(), problem: problem.into() })
-}
-
-/// What is told of a class beyond what the module needs.
-#[derive(Clone, Debug)]
-pub struct ClassInfo {
-    /// Its name, the first part of the path.
-    pub name: String,
-    /// How long clients wait where they do not say.
-    pub timeout: Micros,
-    /// A job of it comes with an idempotency key.
-    pub requires_idempotency_key: bool,
-}
-
-/// The names of the settings, and the positions in their lists by which the module knows them.
-#[derive(Clone, Debug, Default)]
-pub struct Names {
-    /// The classes.
-    pub classes: Vec<ClassInfo>,
-    /// The tenants.
-    pub tenants: Vec<String>,
-    /// The zones.
-    pub zones: Vec<String>,
-    /// The kinds of machine.
-    pub kinds: Vec<String>,
-}
-
 /// A checked configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
@@ -317,69 +275,3 @@
         None => Ok(names),
     }
 }
-
-/// What discovery tells at once: the whole list, or the entries that changed.
-#[derive(Debug)]
-pub struct EndpointList {
-    /// The version.
-    pub revision: u64,
-    /// What part of the list it is.
-    pub scope: ListScope,
-    /// The entries.
-    pub endpoints: Vec<ListedEndpoint>,
-}
-
-/// Reads the list of workers in discovery's form.
-///
-/// # Errors
-/// The first key that is missing or faulty.
-pub fn parse_endpoint_list(value: &Value, names: &Names) -> Result<EndpointList, ConfigError> {
-    let Some(revision) = value["revision"].as_u64() else {
-        return invalid("revision", format!("expected a whole number, found {}", value["revision"]));
-    };
-    let Some(members) = value["members"].as_array() else {
-        return invalid("members", "expected a list");
-    };
-    let mut list = EndpointList {
-        revision,
-        scope: ListScope::Incremental,
-        endpoints: Vec::with_capacity(members.len()),
-    };
-    if value["complete"].as_bool().unwrap_or(false) {
-        list.scope = ListScope::Full;
-    }
-    let place: FxHashMap<&str, u32> = names.zones.iter().map(String::as_str).zip(0..).collect();
-    let kinds: FxHashMap<&str, u32> = names.kinds.iter().map(String::as_str).zip(0..).collect();
-    for (i, entry) in members.iter().enumerate() {
-        let at = |key: &str| format!("members.{i}.{key}");
-        let Some(id) = entry["id"].as_str() else { return invalid(&at("id"), "missing") };
-        let state = match entry["phase"].as_str() {
-            Some("in_service") => WorkerState::Serving,
-            Some("terminating") => WorkerState::Draining,
-            Some("terminated") => WorkerState::Removed,
-            _ => {
-                let problem = "expected in_service, terminating or terminated, found ";
-                return invalid(&at("phase"), format!("{problem}{}", entry["phase"]));
-            }
-        };
-        let address = entry["host_port"].as_str().and_then(|v| v.parse().ok());
-        if address.is_none() && state == WorkerState::Serving {
-            return invalid(&at("host_port"), format!("expected an address, found {}", entry["host_port"]));
-        }
-        // A name that the settings do not hold is a zone or kind of its own, and of nobody here.
-        let number = |names: &FxHashMap<&str, u32>, key: &str| {
-            let unknown = names.len() as u32;
-            entry[key].as_str().map_or(unknown, |name| names.get(name).copied().unwrap_or(unknown))
-        };
-        let member = Endpoint {
-            worker: worker_id(id),
-            kind: number(&kinds, "flavor"),
-            zone: number(&place, "locality"),
-            cell: entry["cell"].as_u64().unwrap_or(0) as u32,
-            started_at: entry["up_since_ms"].as_f64().unwrap_or(0.0) / 1e3,
-            state,
-        };
-        list.endpoints.push(ListedEndpoint { endpoint: member, address });
-    }
-    Ok(list)
-}
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,8 +1,11 @@
 #![doc = include_str!("../../../README.md")]
 
 pub mod config;
+mod config_error;
+mod endpoint_list;
 pub mod engine;
 pub mod log;
+mod names;
 pub mod net;
 pub mod settings_file;
 
--- a/crates/dispatcher/src/net/cluster/health_checks.rs
+++ b/crates/dispatcher/src/net/cluster/health_checks.rs
@@ -17,7 +17,7 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{interval, MissedTickBehavior};
 
-use super::PUBLISH_INTERVAL;
+use super::timing::PUBLISH_INTERVAL;
 use crate::engine::Input;
 use crate::net::metrics::ClusterMetrics;
 use crate::net::worker::health_check;
--- a/crates/dispatcher/src/net/cluster/mod.rs
+++ b/crates/dispatcher/src/net/cluster/mod.rs
@@ -6,11 +6,11 @@
 
 mod health_checks;
 mod slow_start;
+mod timing;
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
 
 use cluster_member::clock;
 use cluster_member::effects::{receive, Publisher};
@@ -37,9 +37,8 @@
 use crate::settings_file::ClusterSettings;
 use health_checks::ClusterHealthChecks;
 use slow_start::SlowStartQuota;
+use timing::PUBLISH_INTERVAL;
 
-/// What changed within this is told together.
-pub(super) const PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a job may take from being decided on to its last byte, beside the time for a connection.
 const MAX_WRITE_DELAY: Micros = 100_000;
 /// News that wait for the one who follows discovery, at the most.
--- a/crates/dispatcher/src/net/cluster/slow_start.rs
+++ b/crates/dispatcher/src/net/cluster/slow_start.rs
@@ -15,7 +15,7 @@
 use coordination::{FencingToken, LeaseId, Micros};
 use tokio::time::{interval, MissedTickBehavior};
 
-use super::PUBLISH_INTERVAL;
+use super::timing::PUBLISH_INTERVAL;
 use crate::engine::Input;
 use crate::net::metrics::ClusterMetrics;
 use crate::net::worker::pool::Pool;
--- a/crates/dispatcher/src/settings_file.rs
+++ b/crates/dispatcher/src/settings_file.rs
@@ -16,7 +16,7 @@
 use dispatch_core::api::CapacityReservation;
 use hcl_config::{HclResult, Section};
 
-use crate::config::ConfigError;
+use crate::config_error::ConfigError;
 
 /// The file where none is named.
 const DEFAULT_FILE: &str = "cairncrank.hcl";
