--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -4,7 +4,7 @@
 
 use dispatcher::config::{Config, ConfigError};
 use dispatcher::log;
-use dispatcher::net::{self, shutdown, socket_activation};
+use dispatcher::net::{self, reload, shutdown, socket_activation};
 use dispatcher::settings_file;
 use lexopt::prelude::{Long, Short, Value};
 use lexopt::ValueExt as _;
@@ -132,7 +132,7 @@
     let run = async {
         // Caught first: a signal that comes while the rest starts must not kill.
         let phase = shutdown::listen_for_termination(config.longest_timeout)?;
-        let reload = shutdown::listen_for_reload(move |old| old.reload(&variable))?;
+        let reload = reload::listen_for_reload(move |old| old.reload(&variable))?;
         // The platform may hold the address itself and hand it over, so that two processes serve it in turn.
         let listener = match inherited {
             Some(listener) => tokio::net::TcpListener::from_std(listener)?,
--- a/crates/dispatcher/src/net/client.rs
+++ b/crates/dispatcher/src/net/client/connection.rs
@@ -1,29 +1,23 @@
-//! Clients: their connections, their requests as jobs, and the answers.
+//! One client connection: requests are read, handed in as jobs and answered, one after the other.
 
-use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
 use tokio::io::{AsyncWriteExt, Interest};
-use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::watch;
-use tokio::task::JoinSet;
+use tokio::net::TcpStream;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
-use super::http::{reason, text, Decoder, Framing, Head, Malformed, Piece, Start, MAX_BODY};
-use super::metrics::{InFlight, Metrics, Outcome};
-use super::mode::Mode;
-use super::shutdown::ShutdownPhase;
-use super::{has_unread_bytes, read_more, write_all, ConfigReceiver};
-use crate::engine::{micros, Answer, Handle, Input, InvalidRequest, Job, Micros, Payload};
-use dispatch_core::api::{Request, RequestId};
+use super::request::{parse_job, RequestRejection};
+use super::response::encode_response;
+use super::{is_ready, ClientContext};
+use crate::engine::{Answer, InvalidRequest, Job};
+use crate::net::http::{Decoder, Framing, Head, Malformed, Piece, Start, MAX_BODY};
+use crate::net::metrics::{InFlight, Outcome};
+use crate::net::mode::Mode;
+use crate::net::shutdown::ShutdownPhase;
+use crate::net::{has_unread_bytes, read_more, write_all};
 
-use dispatch_core::hashing::hash_bytes;
-
-/// From this part of the connections on, in hundredths, idle ones are closed and new ones refused: a
-/// dispatcher without descriptors could neither accept nor reach a worker.
-const CROWDED_PERCENT: usize = 90;
 /// A client asks its first request within this from connecting on, and sends each whole one within this from its
 /// first byte on, head and body together. Clients that never end a request, or never begin one, have no claim to
 /// a descriptor; their error or close is due within 3 s.
@@ -36,123 +30,15 @@
 /// unread bytes is reset, and the answer lost.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 const LINGER_BYTES: usize = 4 * MAX_BODY;
-/// No id or key is longer.
-const MAX_ID_BYTES: usize = 256;
 /// More than this is not read ahead of an answer.
 const READ_AHEAD_BYTES: usize = 16 * 1024;
 /// So often it is looked at whether a client has left that has sent more than is read ahead.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// A connection on which nothing was asked yet has this long for it before it is closed as idle.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(400);
-/// While the program ends: no connection for this long, and the listener is closed.
-const LAST_ACCEPT_TIMEOUT: Duration = Duration::from_millis(150);
-/// After an accept that failed.
-const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Without word of discovery, the list as last held serves after this.
-pub(super) const INITIAL_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 /// What a refused client is told where the module was not asked, in seconds.
 const CROWDED_RETRY_AFTER_S: f64 = 1.0;
 
-/// What the connections share.
-struct ClientContext {
-    config: ConfigReceiver,
-    handle: Handle,
-    phase: watch::Receiver<ShutdownPhase>,
-    ready: watch::Receiver<bool>,
-    crowded: watch::Sender<bool>,
-    started_at: Instant,
-    /// Set by the operators' console.
-    mode: watch::Receiver<Mode>,
-    metrics: Rc<Metrics>,
-}
-
-/// Whether the process says yes to the health check and to the console's status: it has heard of its workers, or
-/// waited long enough for them to serve with the list as last held; it serves; it is not in standby.
-pub(crate) fn is_ready(heard: bool, since: Instant, phase: ShutdownPhase, mode: Mode) -> bool {
-    (heard || since.elapsed() >= INITIAL_LIST_TIMEOUT)
-        && phase == ShutdownPhase::Serving
-        && mode == Mode::Active
-}
-
-impl ClientContext {
-    fn standby(&self) -> bool {
-        *self.mode.borrow() == Mode::Standby
-    }
-}
-
-/// Accepts and serves clients until the program has been told to end and all is answered.
-pub async fn accept(
-    configs: ConfigReceiver,
-    listener: TcpListener,
-    handle: Handle,
-    mut phase: watch::Receiver<ShutdownPhase>,
-    ready: watch::Receiver<bool>,
-    mode: watch::Receiver<Mode>,
-    metrics: Rc<Metrics>,
-) {
-    let (crowded, _) = watch::channel(false);
-    let since = Instant::now();
-    let shared = Rc::new(ClientContext {
-        config: configs,
-        handle: handle.clone(),
-        phase: phase.clone(),
-        ready,
-        crowded,
-        started_at: since,
-        mode,
-        metrics,
-    });
-    let mut listener = Some(listener);
-    let mut tasks = JoinSet::new();
-    let mut told = false;
-    loop {
-        let now = *phase.borrow_and_update();
-        if now >= ShutdownPhase::Finishing && !std::mem::replace(&mut told, true) {
-            handle.send(Input::Shutdown);
-        }
-        if now == ShutdownPhase::Finished || listener.is_none() && tasks.is_empty() {
-            return;
-        }
-        let most = shared.config.borrow().client_sockets;
-        let crowd = most * CROWDED_PERCENT / 100;
-        let crowd_now = tasks.len() >= crowd;
-        shared.crowded.send_if_modified(|c| std::mem::replace(c, crowd_now) != crowd_now);
-        let accepted = async {
-            match &listener {
-                Some(listener) if now < ShutdownPhase::Closing => Some(listener.accept().await),
-                Some(listener) => timeout(LAST_ACCEPT_TIMEOUT, listener.accept()).await.ok(),
-                None => std::future::pending().await,
-            }
-        };
-        tokio::select! {
-            biased;
-            // First, so that what has ended is not counted against what comes.
-            Some(done) = tasks.join_next() => {
-                if done.is_err() {
-                    tracing::error!("a connection's task panicked; its connection is closed");
-                }
-            }
-            accepted = accepted, if tasks.len() < most => match accepted {
-                Some(Ok((stream, _))) => {
-                    let _ = stream.set_nodelay(true);
-                    tasks.spawn_local(Connection::serve(stream, shared.clone(), crowd_now));
-                }
-                Some(Err(error)) => {
-                    tracing::warn!(%error, "cannot accept");
-                    sleep(ACCEPT_RETRY_DELAY).await;
-                }
-                None => listener = None,
-            },
-            changed = phase.changed() => {
-                if changed.is_err() {
-                    // Whoever told the phase is gone: none will follow.
-                    return;
-                }
-            }
-        }
-    }
-}
-
 /// Waits for the other side to end its sending where more has come than is read ahead: the end lies behind bytes that
 /// nobody reads now, and wakes nobody, but the system tells of it.
 async fn read_closed(stream: &TcpStream) {
@@ -161,15 +47,6 @@
     }
 }
 
-/// Why a request is not taken.
-struct RequestRejection(u16, &'static str);
-
-impl From<Malformed> for RequestRejection {
-    fn from(malformed: Malformed) -> Self {
-        RequestRejection(malformed.status(), reason(malformed.status()))
-    }
-}
-
 /// Why a conversation ends.
 enum ConnectionEnd {
     /// In good order: after an answer, or between requests.
@@ -191,7 +68,7 @@
     ConnectionEnd::Reject(RequestRejection(408, "the request did not come in time"));
 
 /// One client connection.
-struct Connection {
+pub(super) struct Connection {
     stream: TcpStream,
     buf: BytesMut,
     context: Rc<ClientContext>,
@@ -204,7 +81,7 @@
 }
 
 impl Connection {
-    async fn serve(stream: TcpStream, shared: Rc<ClientContext>, surplus: bool) {
+    pub(super) async fn serve(stream: TcpStream, shared: Rc<ClientContext>, surplus: bool) {
         let mut connection = Connection {
             stream,
             buf: BytesMut::new(),
@@ -252,7 +129,10 @@
         let head = self.read_head().await?;
         self.awaiting_first_request = false;
         let Start::Request(method, target) = &head.start else { return Err(ConnectionEnd::Lost) };
-        let job = self.parse_job(&head, method, target);
+        let job = {
+            let config = self.context.config.borrow().clone();
+            parse_job(&config, &head, method, target)
+        };
         let body = match timeout_at(self.request_started_at + REQUEST_TIMEOUT, self.read_body(&head)).await {
             Ok(body) => body?,
             Err(_) => return Err(REQUEST_TOO_SLOW),
@@ -452,147 +332,4 @@
             }
         }
     }
-
-    /// What the head asks for: a job, or none where it asks whether the dispatcher is ready.
-    fn parse_job(
-        &self,
-        head: &Head,
-        method: &Bytes,
-        target: &Bytes,
-    ) -> Result<Option<Box<Job>>, RequestRejection> {
-        let config = self.context.config.borrow().clone();
-        let names = &config.names;
-        let target_text =
-            text(target).filter(|t| t.starts_with('/') && t.bytes().all(|b| b.is_ascii_graphic()));
-        let target_text = target_text.ok_or(RequestRejection(400, "the target must be a path"))?;
-        let (path, query) = target_text.split_once('?').unwrap_or((target_text, ""));
-        if path == "/healthz" {
-            return match &method[..] {
-                b"GET" => Ok(None),
-                _ => Err(RequestRejection(405, "ask for this with GET")),
-            };
-        }
-        let name = path[1..].split('/').next().unwrap_or("");
-        let class = names.classes.iter().position(|c| c.name == name);
-        let class = class.ok_or(RequestRejection(404, "there is no such class of request"))?;
-        let info = &names.classes[class];
-        if &method[..] != b"POST" {
-            return Err(RequestRejection(405, "jobs come by POST"));
-        }
-        // Of two values a worker might heed the other one.
-        let one = |name: &str| {
-            head.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes())).count() < 2
-        };
-        let once =
-            ["Request-Id", "Idempotency-Key", "Tenant", "Request-Timeout-Ms", "Work-Hint", "Client-Retry"];
-        if !once.into_iter().all(one) {
-            return Err(RequestRejection(400, "a header that must come once comes again"));
-        }
-        let id = head.header("Request-Id").filter(|id| !id.is_empty());
-        let id = id.ok_or(RequestRejection(400, "Request-Id is missing"))?.clone();
-        let idempotency_key = head.header("Idempotency-Key").filter(|k| !k.is_empty()).cloned();
-        // These reach a worker as they are. On what it cannot read it closes, whatever else waits there.
-        let plain = |bytes: &Bytes| bytes.len() <= MAX_ID_BYTES && bytes.iter().all(u8::is_ascii_graphic);
-        if !plain(&id) || !idempotency_key.as_ref().is_none_or(plain) {
-            return Err(RequestRejection(400, "Request-Id and Idempotency-Key are plain words"));
-        }
-        if info.requires_idempotency_key && idempotency_key.is_none() {
-            return Err(RequestRejection(400, "Idempotency-Key is missing"));
-        }
-        let tenant = match head.header_text("Tenant") {
-            _ if names.tenants.is_empty() => 0,
-            Some(tenant) => {
-                let place = names.tenants.iter().position(|t| t == tenant);
-                place.ok_or(RequestRejection(400, "there is no such Tenant"))?
-            }
-            None => return Err(RequestRejection(400, "Tenant is missing")),
-        };
-        let patience = match head.header_text("Request-Timeout-Ms") {
-            // No client waits longer than its class lets it.
-            Some(v) => {
-                parse_number::<Micros>(v, "Request-Timeout-Ms")?.saturating_mul(1000).min(info.timeout)
-            }
-            None => info.timeout,
-        };
-        // Whole microseconds of running on a standard core.
-        let hint = match head.header("Work-Hint").map(|v| text(v).unwrap_or("")) {
-            Some(v) => Some(parse_number::<u64>(v, "Work-Hint")?).filter(|v| *v > 0),
-            None => None,
-        };
-        let mut request = Request {
-            id: RequestId(0),
-            class: class as u32,
-            tenant: tenant as u32,
-            slots: 1.0,
-            memory: 0.0,
-            timeout: 0.0,
-            is_retry: head.header_text("Client-Retry") == Some("1"),
-            expected_run_time: hint.map(|micros| micros as f64 / 1e6),
-            affinity_key: query
-                .split('&')
-                .find_map(|p| p.strip_prefix("sid="))
-                .filter(|k| !k.is_empty())
-                .map(affinity_key),
-        };
-        for (name, value) in head.header_text("Request-Info").unwrap_or("").split(',').filter_map(parse_pair)
-        {
-            let figure = || parse_number::<f64>(value, "Request-Info").map(|v| v.clamp(0.0, 1e9));
-            match name {
-                "slots" | "cores-needed" => request.slots = figure()?,
-                "memory" | "ram-units" => request.memory = figure()?,
-                "hint" | "expected-s" => request.expected_run_time = Some(figure()?).filter(|v| *v > 0.0),
-                _ => {}
-            }
-        }
-        let payload = Payload {
-            id,
-            method: method.clone(),
-            target: target.clone(),
-            idempotency_key,
-            body: Bytes::new(),
-            class: info.name.as_str().into(),
-            concluded: Cell::default(),
-        };
-        Ok(Some(Box::new(Job { request, timeout: patience, payload })))
-    }
-}
-
-fn parse_pair(text: &str) -> Option<(&str, &str)> {
-    text.split_once('=').map(|(name, value)| (name.trim(), value.trim()))
-}
-
-fn parse_number<T: std::str::FromStr + PartialOrd + Default>(
-    text: &str,
-    header: &str,
-) -> Result<T, RequestRejection> {
-    let malformed = match header {
-        "Request-Info" => RequestRejection(400, "Request-Info holds what is no number"),
-        "Work-Hint" => RequestRejection(400, "Work-Hint is no whole number of microseconds"),
-        _ => RequestRejection(400, "Request-Timeout-Ms is no whole number"),
-    };
-    // Also false for what is neither: not a number.
-    match text.trim().parse::<T>() {
-        Ok(v) if v >= T::default() => Ok(v),
-        _ => Err(malformed),
-    }
-}
-
-/// A key as the module knows it: the same at every dispatcher.
-fn affinity_key(text: &str) -> u64 {
-    u64::from_str_radix(text, 16).unwrap_or_else(|_| hash_bytes(text.as_bytes()))
-}
-
-/// A response, as its head and its body.
-fn encode_response(status: u16, retry_after: Option<f64>, keep: bool, body: Bytes) -> (Bytes, Bytes) {
-    let mut head = format!("HTTP/1.1 {status} {}\r\nContent-Length: {}\r\n", reason(status), body.len());
-    if let Some(after) = retry_after {
-        // Rounded up: a client that comes back early is declined again.
-        let millis = micros(after).div_ceil(1000);
-        head.push_str(&format!("Retry-After: {}.{:03}\r\n", millis / 1000, millis % 1000));
-    }
-    if !keep {
-        head.push_str("Connection: close\r\n");
-    }
-    head.push_str("\r\n");
-    (Bytes::from(head), body)
 }
--- /dev/null
+++ b/crates/dispatcher/src/net/client/mod.rs
@@ -0,0 +1,130 @@
+//! Clients: their connections, their requests as jobs, and the answers.
+
+mod connection;
+mod request;
+mod response;
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+use tokio::task::JoinSet;
+use tokio::time::{sleep, timeout, Instant};
+
+use super::metrics::Metrics;
+use super::mode::Mode;
+use super::shutdown::ShutdownPhase;
+use super::ConfigReceiver;
+use crate::engine::{Handle, Input};
+use connection::Connection;
+
+/// From this part of the connections on, in hundredths, idle ones are closed and new ones refused: a
+/// dispatcher without descriptors could neither accept nor reach a worker.
+const CROWDED_PERCENT: usize = 90;
+/// While the program ends: no connection for this long, and the listener is closed.
+const LAST_ACCEPT_TIMEOUT: Duration = Duration::from_millis(150);
+/// After an accept that failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Without word of discovery, the list as last held serves after this.
+pub(super) const INITIAL_LIST_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// What the connections share.
+struct ClientContext {
+    config: ConfigReceiver,
+    handle: Handle,
+    phase: watch::Receiver<ShutdownPhase>,
+    ready: watch::Receiver<bool>,
+    crowded: watch::Sender<bool>,
+    started_at: Instant,
+    /// Set by the operators' console.
+    mode: watch::Receiver<Mode>,
+    metrics: Rc<Metrics>,
+}
+
+/// Whether the process says yes to the health check and to the console's status: it has heard of its workers, or
+/// waited long enough for them to serve with the list as last held; it serves; it is not in standby.
+pub(crate) fn is_ready(heard: bool, since: Instant, phase: ShutdownPhase, mode: Mode) -> bool {
+    (heard || since.elapsed() >= INITIAL_LIST_TIMEOUT)
+        && phase == ShutdownPhase::Serving
+        && mode == Mode::Active
+}
+
+impl ClientContext {
+    fn standby(&self) -> bool {
+        *self.mode.borrow() == Mode::Standby
+    }
+}
+
+/// Accepts and serves clients until the program has been told to end and all is answered.
+pub async fn accept(
+    configs: ConfigReceiver,
+    listener: TcpListener,
+    handle: Handle,
+    mut phase: watch::Receiver<ShutdownPhase>,
+    ready: watch::Receiver<bool>,
+    mode: watch::Receiver<Mode>,
+    metrics: Rc<Metrics>,
+) {
+    let (crowded, _) = watch::channel(false);
+    let since = Instant::now();
+    let shared = Rc::new(ClientContext {
+        config: configs,
+        handle: handle.clone(),
+        phase: phase.clone(),
+        ready,
+        crowded,
+        started_at: since,
+        mode,
+        metrics,
+    });
+    let mut listener = Some(listener);
+    let mut tasks = JoinSet::new();
+    let mut told = false;
+    loop {
+        let now = *phase.borrow_and_update();
+        if now >= ShutdownPhase::Finishing && !std::mem::replace(&mut told, true) {
+            handle.send(Input::Shutdown);
+        }
+        if now == ShutdownPhase::Finished || listener.is_none() && tasks.is_empty() {
+            return;
+        }
+        let most = shared.config.borrow().client_sockets;
+        let crowd = most * CROWDED_PERCENT / 100;
+        let crowd_now = tasks.len() >= crowd;
+        shared.crowded.send_if_modified(|c| std::mem::replace(c, crowd_now) != crowd_now);
+        let accepted = async {
+            match &listener {
+                Some(listener) if now < ShutdownPhase::Closing => Some(listener.accept().await),
+                Some(listener) => timeout(LAST_ACCEPT_TIMEOUT, listener.accept()).await.ok(),
+                None => std::future::pending().await,
+            }
+        };
+        tokio::select! {
+            biased;
+            // First, so that what has ended is not counted against what comes.
+            Some(done) = tasks.join_next() => {
+                if done.is_err() {
+                    tracing::error!("a connection's task panicked; its connection is closed");
+                }
+            }
+            accepted = accepted, if tasks.len() < most => match accepted {
+                Some(Ok((stream, _))) => {
+                    let _ = stream.set_nodelay(true);
+                    tasks.spawn_local(Connection::serve(stream, shared.clone(), crowd_now));
+                }
+                Some(Err(error)) => {
+                    tracing::warn!(%error, "cannot accept");
+                    sleep(ACCEPT_RETRY_DELAY).await;
+                }
+                None => listener = None,
+            },
+            changed = phase.changed() => {
+                if changed.is_err() {
+                    // Whoever told the phase is gone: none will follow.
+                    return;
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/net/client/response.rs
@@ -0,0 +1,26 @@
+//! Responses to clients.
+
+use bytes::Bytes;
+
+use crate::engine::micros;
+use crate::net::http::reason;
+
+/// A response, as its head and its body.
+pub(super) fn encode_response(
+    status: u16,
+    retry_after: Option<f64>,
+    keep: bool,
+    body: Bytes,
+) -> (Bytes, Bytes) {
+    let mut head = format!("HTTP/1.1 {status} {}\r\nContent-Length: {}\r\n", reason(status), body.len());
+    if let Some(after) = retry_after {
+        // Rounded up: a client that comes back early is declined again.
+        let millis = micros(after).div_ceil(1000);
+        head.push_str(&format!("Retry-After: {}.{:03}\r\n", millis / 1000, millis % 1000));
+    }
+    if !keep {
+        head.push_str("Connection: close\r\n");
+    }
+    head.push_str("\r\n");
+    (Bytes::from(head), body)
+}
--- /dev/null
+++ b/crates/dispatcher/src/net/discovery/mod.rs
@@ -0,0 +1,144 @@
+//! Follows discovery: a watch that is opened again from the last revision whenever it ends or falls silent,
+//! and elsewhere once the configuration names another address.
+
+mod connection;
+mod notified;
+mod watch_session;
+
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+
+use cluster_member::endpoint_list::WatchEvent;
+use tokio::sync::{mpsc, watch};
+use tokio::task::spawn_local;
+use tokio::time::timeout;
+
+use super::cluster::SharedList;
+use super::ConfigReceiver;
+use crate::config::{self, Config};
+use crate::engine::{Handle, Input, Micros};
+use dispatch_core::poll_schedule::PollSchedule;
+use notified::NotifiedState;
+use watch_session::{source_changed, Watch, WatchEnded};
+
+/// Watches for ever. `ready` turns true with the first list. In a fleet it pauses while another member's word is
+/// relied on.
+pub(super) async fn run_watch(
+    mut configs: ConfigReceiver,
+    handle: Handle,
+    ready: watch::Sender<bool>,
+    fleet: Option<(Rc<SharedList>, mpsc::Receiver<WatchEvent>)>,
+) {
+    let (known, mut members) = configs.borrow().saved_list.clone();
+    let told = NotifiedState {
+        revision: Cell::default(),
+        newest_revision: Cell::default(),
+        states: RefCell::default(),
+    };
+    told.record(known.unwrap_or(0), &mut members);
+    // Where nothing was held before, all must be asked for. What was held may well be of revision 0: to ask for all
+    // first would make two calls of one, of every dispatcher of a fleet at its start.
+    told.revision.set(known);
+    let told = Rc::new(told);
+    let lists = fleet.map(|(lists, news)| {
+        spawn_local(follow_cluster_list(
+            lists.clone(),
+            news,
+            told.clone(),
+            configs.clone(),
+            handle.clone(),
+            ready.clone(),
+        ));
+        lists
+    });
+    // Without a fleet the sender is gone, and it stays at asking.
+    let mut asks = lists.as_ref().map_or_else(|| watch::channel(true).1, |lists| lists.polls_discovery());
+    let mut failing = false;
+    let calls = |config: &Config| PollSchedule::new(&config.settings, config.drain_grace, config.seed);
+    let mut pauses = calls(&configs.borrow());
+    loop {
+        if !*asks.borrow() {
+            let before = configs.borrow().clone();
+            tokio::select! {
+                _ = asks.wait_for(|asks| *asks) => {}
+                _ = configs.wait_for(|now| source_changed(&before, now)) => {}
+            }
+            if source_changed(&before, &configs.borrow()) {
+                told.revision.set(None);
+                lists.iter().for_each(|lists| lists.source_changed(configs.borrow().discovery));
+            }
+            continue;
+        }
+        let config = configs.borrow_and_update().clone();
+        let before = told.revision.get();
+        let watch = Watch {
+            config: config.clone(),
+            handle: handle.clone(),
+            notified: told.clone(),
+            shared_list: lists.clone(),
+        };
+        // A task of its own: a panic ends this watch, not the following.
+        let watch = spawn_local(watch.run(configs.clone(), ready.clone(), asks.clone()));
+        let WatchEnded { reason: why, answered, retry_after: wanted, without_watch_since: deaf_since } =
+            watch.await.unwrap_or_else(|panic| WatchEnded::now(panic.to_string()));
+        if source_changed(&config, &configs.borrow()) {
+            // Revisions are those of the place that told them: elsewhere the same number may stand for more.
+            told.revision.set(None);
+            failing = false;
+            pauses = calls(&configs.borrow());
+            lists.iter().for_each(|lists| lists.source_changed(configs.borrow().discovery));
+            continue;
+        }
+        if !*asks.borrow() {
+            failing = false;
+            continue;
+        }
+        if told.revision.get() == before && !failing {
+            tracing::warn!("discovery: {why}");
+        }
+        failing = told.revision.get() == before;
+        if answered {
+            pauses.record_success();
+        }
+        let deaf = deaf_since.elapsed().as_micros() as Micros;
+        let pause = Duration::from_micros(pauses.next_delay(deaf, wanted));
+        let _ = timeout(pause, configs.wait_for(|now| source_changed(&config, now))).await;
+    }
+}
+
+/// Takes what an owner in the fleet says of the list. What is not newer than what is known here changes nothing, so
+/// that neither a late word nor one that lags behind brings anything back.
+async fn follow_cluster_list(
+    lists: Rc<SharedList>,
+    mut news: mpsc::Receiver<WatchEvent>,
+    told: Rc<NotifiedState>,
+    configs: ConfigReceiver,
+    handle: Handle,
+    ready: watch::Sender<bool>,
+) {
+    while let Some(news) = news.recv().await {
+        if !lists.is_same_source(&news) {
+            tracing::debug!(source = news.source, "shared list of another source ignored");
+            continue;
+        }
+        if news.is_complete() && news.revision() > told.newest_revision.get() {
+            let list = config::parse_endpoint_list(&news.list, &configs.borrow().names);
+            match list {
+                Ok(mut list) => {
+                    told.record(list.revision, &mut list.endpoints);
+                    handle.send(Input::EndpointList(list.scope, list.endpoints));
+                    ready.send_replace(true);
+                }
+                Err(error) => {
+                    tracing::warn!(%error, "shared list cannot be decoded");
+                    continue;
+                }
+            }
+        }
+        // One that knows less than the owner goes on by itself until it is told the whole.
+        if told.newest_revision.get() >= news.revision() && *ready.borrow() {
+            lists.accept_event(&news);
+        }
+    }
+}
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -12,6 +12,7 @@
 pub mod metrics;
 pub mod mode;
 pub mod planned_drain;
+pub mod reload;
 pub mod shutdown;
 pub mod socket_activation;
 
@@ -80,7 +81,7 @@
     config: Config,
     listener: tokio::net::TcpListener,
     phase: watch::Receiver<shutdown::ShutdownPhase>,
-    reload: shutdown::Reload,
+    reload: reload::Reload,
 ) -> std::io::Result<()> {
     let clock = Clock::start();
     let metrics = Rc::new(metrics::Metrics::new());
@@ -156,7 +157,7 @@
 /// Takes in each configuration that is to replace the one before. All parts have it before any of them runs
 /// again, so that no job is read by the names of one and decided by the settings of the other.
 async fn reload_on_request(
-    mut reload: shutdown::Reload,
+    mut reload: reload::Reload,
     config: watch::Sender<Rc<Config>>,
     handle: Handle,
     metrics: Rc<metrics::Metrics>,
--- a/crates/dispatcher/tests/scenario/mod.rs
+++ b/crates/dispatcher/tests/scenario/mod.rs
@@ -40,7 +40,7 @@
 use bytes::BytesMut;
 use dispatcher::config::Config;
 use dispatcher::net::http::{Decoder, Head, Piece, Start};
-use dispatcher::net::{self, shutdown};
+use dispatcher::net::{self, reload, shutdown};
 use serde_json::{json, Value};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -173,7 +173,7 @@
         let address = front.local_addr().expect("an address");
         let (phase, phases) = watch::channel(shutdown::ShutdownPhase::Serving);
         let program =
-            spawn_local(net::serve(config, front, phases, shutdown::Reload { requests: asked, read }));
+            spawn_local(net::serve(config, front, phases, reload::Reload { requests: asked, read }));
         Stage {
             parties: HashMap::new(),
             front: address,
