--- a/crates/dispatcher/src/net/cluster/mod.rs
+++ b/crates/dispatcher/src/net/cluster/mod.rs
@@ -6,11 +6,11 @@
 
 mod health_checks;
 mod slow_start;
+mod timing;
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
 
 use cluster_member::clock;
 use cluster_member::discovery_fallback::DiscoveryFallback;
@@ -29,18 +29,16 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, MissedTickBehavior};
 
-use super::console::ClusterMetrics;
+use super::metrics::ClusterMetrics;
 use super::planned_drain::{LocalStatus, PlannedDrain};
 use super::shutdown::ShutdownPhase;
-use super::worker::Pool;
+use super::worker::pool::Pool;
 use crate::config::Config;
 use crate::engine::micros;
 use crate::settings_file::ClusterSettings;
 use health_checks::ClusterHealthChecks;
 use slow_start::SlowStartQuota;
-
-/// What changed within this is told together.
-pub(super) const PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
+use timing::PUBLISH_INTERVAL;
 /// How long a job may take from being decided on to its last byte, beside the time for a connection.
 const MAX_WRITE_DELAY: Micros = 100_000;
 /// News that wait for the one who follows discovery, at the most.
@@ -188,8 +186,8 @@
 /// Stays a member for as long as the keepers let it.
 async fn run_member(member: Member) {
     match member.run().await {
-        MembershipEnd::Left => tracing::info!("left the fleet"),
-        ended => tracing::error!(?ended, "no member of the fleet any more; goes on by itself"),
+        MembershipEnd::Left => tracing::info!("left the cluster"),
+        ended => tracing::error!(?ended, "no longer a cluster member; continuing without it"),
     }
 }
 
@@ -277,7 +275,7 @@
             tracing::info!(
                 owns,
                 "{}",
-                if asks { "asks discovery by itself" } else { "relies on the fleet's list" }
+                if asks { "polls discovery itself" } else { "relies on the shared list" }
             );
         }
     }
@@ -305,7 +303,7 @@
         match owned {
             Some((duty, token)) => {
                 if term.as_ref().is_none_or(|term| term.token() != token) {
-                    tracing::info!(token = token.0, "asks discovery for the fleet");
+                    tracing::info!(token = token.0, "holds the list lease");
                     *term = Some(Publisher::new(&self.member, duty.clone(), token));
                     self.published.set((0, 0));
                     self.discovery_heard_at.set(clock::now());
@@ -313,7 +311,7 @@
                 if clock::now().saturating_sub(self.discovery_heard_at.get())
                     > self.settings.list_silence + self.settings.list_silence / 2
                 {
-                    tracing::warn!(token = token.0, "discovery is silent here; gives the list back");
+                    tracing::warn!(token = token.0, "discovery is silent; releasing the list lease");
                     self.discovery_heard_at.set(clock::now());
                     self.member.release_lease(duty, token);
                 }
--- a/crates/dispatcher/src/net/cluster/slow_start.rs
+++ b/crates/dispatcher/src/net/cluster/slow_start.rs
@@ -15,10 +15,10 @@
 use coordination::{FencingToken, LeaseId, Micros};
 use tokio::time::{interval, MissedTickBehavior};
 
-use super::PUBLISH_INTERVAL;
+use super::timing::PUBLISH_INTERVAL;
 use crate::engine::Input;
-use crate::net::console::ClusterMetrics;
-use crate::net::worker::Pool;
+use crate::net::metrics::ClusterMetrics;
+use crate::net::worker::pool::Pool;
 use dispatch_core::api::WorkerId;
 
 /// Grants are made every so many rounds.
@@ -84,7 +84,7 @@
     pub(super) fn handle_grants(&self, effect: &Effect) -> Vec<u8> {
         match QuotaGrants::decode(&effect.body) {
             Some(grants) => self.apply_grants(effect.token, effect.sequence, &grants),
-            None => tracing::warn!("what is granted of cold workers cannot be read"),
+            None => tracing::warn!("slow-start quota cannot be decoded"),
         }
         self.usage_report().encode()
     }
@@ -152,7 +152,7 @@
         match owned {
             Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
             Some((duty, token)) => {
-                tracing::info!(token = token.0, "hands out what cold workers bear");
+                tracing::info!(token = token.0, "holds the slow-start lease");
                 let dealer = Rc::new(RefCell::new(QuotaAllocator::new(self.config, self.profile, now)));
                 let hears = dealer.clone();
                 let publisher = Publisher::with_response_handler(&self.member, duty, token, move |said| {
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -7,10 +7,12 @@
 mod cluster;
 pub mod console;
 pub mod discovery;
-mod health_check;
 pub mod http;
 pub mod json_framing;
+pub mod metrics;
+pub mod mode;
 pub mod planned_drain;
+pub mod reload;
 pub mod shutdown;
 pub mod socket_activation;
 
@@ -79,12 +81,12 @@
     config: Config,
     listener: tokio::net::TcpListener,
     phase: watch::Receiver<shutdown::ShutdownPhase>,
-    reload: shutdown::Reload,
+    reload: reload::Reload,
 ) -> std::io::Result<()> {
     let clock = Clock::start();
-    let metrics = Rc::new(console::Metrics::new());
+    let metrics = Rc::new(metrics::Metrics::new());
     config.names.classes.iter().for_each(|class| metrics.register_class(&class.name));
-    let (mode, modes) = watch::channel(console::Mode::Active);
+    let (mode, modes) = watch::channel(mode::Mode::Active);
     let (handle, inputs) = Handle::channel();
     let (commands, orders) = mpsc::unbounded_channel();
     let mut engine =
@@ -94,7 +96,7 @@
     }
     let at = config.console;
     let (config, configs) = watch::channel(Rc::new(config));
-    let pool = worker::Pool::new(configs.clone(), clock, handle.clone(), metrics.clone());
+    let pool = worker::pool::Pool::new(configs.clone(), clock, handle.clone(), metrics.clone());
     let first = configs.borrow().clone();
     let (ready, is_ready) = watch::channel(false);
     let fleet = match &first.cluster {
@@ -113,7 +115,7 @@
     };
     // As with the console: the dispatcher serves without it.
     let fleet = fleet.unwrap_or_else(|error| {
-        tracing::error!(%error, "cannot listen for the fleet; goes on by itself");
+        tracing::error!(%error, "cannot listen for the cluster; continuing without it");
         None
     });
     let mut pool = spawn_local(worker::run(pool, orders));
@@ -133,7 +135,7 @@
                 let (heard, phase, since) = (is_ready.clone(), phase.clone(), tokio::time::Instant::now());
                 // Standby is told apart by the console itself, which names it in its answer.
                 let ready = Box::new(move || {
-                    client::is_ready(*heard.borrow(), since, *phase.borrow(), console::Mode::Active)
+                    client::is_ready(*heard.borrow(), since, *phase.borrow(), mode::Mode::Active)
                 });
                 let console =
                     console::Console { metrics: metrics.clone(), mode, ready, planned_drain: leave };
@@ -155,16 +157,16 @@
 /// Takes in each configuration that is to replace the one before. All parts have it before any of them runs
 /// again, so that no job is read by the names of one and decided by the settings of the other.
 async fn reload_on_request(
-    mut reload: shutdown::Reload,
+    mut reload: reload::Reload,
     config: watch::Sender<Rc<Config>>,
     handle: Handle,
-    metrics: Rc<console::Metrics>,
+    metrics: Rc<metrics::Metrics>,
 ) {
     while reload.requests.recv().await.is_some() {
         let old = config.borrow().clone();
         match (reload.read)(&old) {
             Ok(new) => {
-                tracing::info!(discovery = %new.discovery, "configuration read again");
+                tracing::info!(discovery = %new.discovery, "configuration reloaded");
                 metrics.reloads_ok.inc();
                 new.names.classes.iter().for_each(|class| metrics.register_class(&class.name));
                 handle.send(Input::Configure(Box::new(new.settings.clone())));
