--- a/crates/disruption-budget/src/command.rs
+++ b/crates/disruption-budget/src/command.rs
@@ -44,7 +44,7 @@
         /// The target's incarnation as the requester knows it; 0 where it has none.
         incarnation: u64,
     },
-    /// The step is complete and its target was told to come back: the permit is closed when it is seen available.
+    /// The step is complete and its target was asked to come back: the permit is closed when it is seen available.
     CompletePermit {
         /// The permit.
         permit: PermitId,
@@ -69,7 +69,7 @@
     DeregisterTarget {
         /// The target.
         target: Target,
-        /// Who says so.
+        /// Who declares it.
         operator: String,
     },
 }
--- a/crates/disruption-budget/src/permit.rs
+++ b/crates/disruption-budget/src/permit.rs
@@ -12,7 +12,7 @@
 /// How far a permit has come. The order of variants is part of the stored format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PermitState {
-    /// It waits for room in the budgets.
+    /// It waits until the budgets allow it.
     Waiting,
     /// Its step may begin.
     Granted,
@@ -43,7 +43,7 @@
     pub state: PermitState,
     /// The target's incarnation when the permit was granted or begun: only a higher one proves that it came back.
     pub incarnation: u64,
-    /// The log entry in which the requester said that the step is complete and the target was told to come back.
+    /// The log entry in which the requester said that the step is complete and the target was asked to come back.
     pub completed_at: Option<u64>,
     /// It was granted whatever the budgets say, because the requester forced it.
     pub forced: bool,
--- a/crates/disruption-budget/src/state/budgets.rs
+++ b/crates/disruption-budget/src/state/budgets.rs
@@ -109,17 +109,14 @@
                 let totals = groups.entry(budget.group_of(record)).or_default();
                 totals.add(record.disruption(planned_targets.contains(target)));
             }
-            let in_order = groups.into_iter();
-            usage.extend(in_order.map(|(group, totals)| BudgetUsage {
-                budget,
-                group: group.to_owned(),
-                totals,
-            }));
+            for (group, totals) in groups {
+                usage.push(BudgetUsage { budget, group: group.to_owned(), totals });
+            }
         }
         usage
     }
 
-    /// The first budget that does not allow a waiting permit; none where no budget does, or no such permit waits.
+    /// The first budget that does not allow a waiting permit; none where all allow it, or no such permit waits.
     pub fn blocking_budget(&self, id: PermitId) -> Option<&Budget> {
         let permit = self.permits.get(&id).filter(|permit| permit.state == PermitState::Waiting)?;
         self.budget_exceeded_by_disruption(&permit.target)
--- a/crates/disruption-budget/src/state/observation.rs
+++ b/crates/disruption-budget/src/state/observation.rs
@@ -5,6 +5,7 @@
 use crate::{Availability, InjectedBug, Permit, PermitId, PermitState, Target, TargetStatus};
 
 impl DisruptionState {
+    /// Takes over the observed statuses, then closes, revokes and grants permits, in this order.
     pub(super) fn record_observation(
         &mut self,
         fencing_token: u64,
--- a/crates/disruption-budget/src/state/permits.rs
+++ b/crates/disruption-budget/src/state/permits.rs
@@ -5,6 +5,7 @@
 use crate::{ForcedPermits, InjectedBug, Permit, PermitId, PermitState, Target};
 
 impl DisruptionState {
+    /// Opens a permit numbered `index`, unless the requester has one for the target.
     pub(super) fn request_permit(
         &mut self,
         index: u64,
@@ -73,6 +74,7 @@
         self.targets.get(target).map_or(0, |record| record.incarnation)
     }
 
+    /// Begins a granted permit; repeated, it has the same result until the target comes back.
     pub(super) fn begin_permit(
         &mut self,
         id: PermitId,
@@ -103,6 +105,7 @@
         }
     }
 
+    /// Notes the entry in which the requester said that the step is complete; only the first one counts.
     pub(super) fn complete_permit(
         &mut self,
         index: u64,
@@ -116,6 +119,7 @@
         Ok(DisruptionOutcome::Applied)
     }
 
+    /// Closes a permit that was not begun.
     pub(super) fn cancel_permit(&mut self, id: PermitId) -> Result<DisruptionOutcome, Rejection> {
         let permit = self.permits.get(&id).ok_or(Rejection::UnknownPermit)?;
         if permit.state == PermitState::Begun {
@@ -125,12 +129,13 @@
         Ok(DisruptionOutcome::Applied)
     }
 
+    /// Forgets a target, and closes its permits whatever their state.
     pub(super) fn deregister_target(&mut self, target: &Target) -> Result<DisruptionOutcome, Rejection> {
-        let was_known = self.targets.remove(target).is_some();
+        let was_registered = self.targets.remove(target).is_some();
         let open_before = self.permits.len();
         self.permits.retain(|_, permit| permit.target != *target);
         let had_permit = self.permits.len() < open_before;
-        if was_known || had_permit {
+        if was_registered || had_permit {
             Ok(DisruptionOutcome::Applied)
         } else {
             Err(Rejection::UnknownTarget)
--- a/crates/disruption-budget/src/worker_warmup.rs
+++ b/crates/disruption-budget/src/worker_warmup.rs
@@ -98,15 +98,15 @@
         }
     }
 
-    /// A worker of the first list is as warm as the state has it, or else as one that started when it was first seen.
+    /// A worker of the first list counts as available where the state has it so, or else as started when it was first seen.
     fn availability(&self, now: Micros, worker: &ListedWorker, known: Option<Availability>) -> Availability {
         if !worker.in_service || worker.unhealthy {
             return Availability::Unavailable;
         }
         let Some(start) = self.starts.get(&worker.name) else { return Availability::Unavailable };
         let age = now.saturating_sub(start.first_seen);
-        let known_as_warm = start.in_first_list && known == Some(Availability::Available);
-        if age >= self.duration || known_as_warm {
+        let is_known_available = start.in_first_list && known == Some(Availability::Available);
+        if age >= self.duration || is_known_available {
             return Availability::Available;
         }
         let share =
