--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -216,7 +216,7 @@
         "bootstrap" => {
             let serve = serve_config(config)?;
             let voters: Vec<u64> = config.coordinators.keys().copied().collect();
-            let disk = cluster_member::clock::unique();
+            let disk = cluster_member::clock::random_id();
             if args.joining {
                 store::bootstrap_joining(
                     &serve.store_directory,
@@ -246,7 +246,7 @@
         }
         "serve" => {
             let record = match &args.record {
-                Some(path) => Recorder::to(path).map_err(|error| {
+                Some(path) => Recorder::append_to(path).map_err(|error| {
                     CoordinatorError::Startup(format!("--record: {}: {error}", path.display()))
                 })?,
                 None => Recorder::default(),
