--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -205,9 +205,7 @@
                 "permit {permit} waits for its turn{held}; ask again within a minute"
             )))
         }
-        DisruptionOutcome::PermitRequested(permit, state) => {
-            Ok(format!("{permit} {}\n", format!("{state:?}").to_lowercase()))
-        }
+        DisruptionOutcome::PermitRequested(permit, state) => Ok(format!("{permit} {state}\n")),
         DisruptionOutcome::PermitBegun(permit) => Ok(format!("{permit} begun\n")),
         _ => Ok(String::new()),
     }
@@ -218,7 +216,7 @@
         "bootstrap" => {
             let serve = serve_config(config)?;
             let voters: Vec<u64> = config.coordinators.keys().copied().collect();
-            let disk = cluster_member::clock::unique();
+            let disk = cluster_member::clock::random_id();
             if args.joining {
                 store::bootstrap_joining(
                     &serve.store_directory,
@@ -248,7 +246,7 @@
         }
         "serve" => {
             let record = match &args.record {
-                Some(path) => Recorder::to(path).map_err(|error| {
+                Some(path) => Recorder::append_to(path).map_err(|error| {
                     CoordinatorError::Startup(format!("--record: {}: {error}", path.display()))
                 })?,
                 None => Recorder::default(),
@@ -342,9 +340,11 @@
             // Whoever does not say what version was seen has just looked.
             let seen = match args.seen {
                 Some(seen) => seen,
-                None => {
-                    operator::disruption_state(config).await.map_err(CoordinatorError::Startup)?.1.budgets().0
-                }
+                None => operator::disruption_state(config)
+                    .await
+                    .map_err(CoordinatorError::Startup)?
+                    .1
+                    .budgets_version(),
             };
             let count = budgets.len();
             operator::change_disruption_state(
--- a/crates/dispatcher/src/net/cluster/health_checks.rs
+++ b/crates/dispatcher/src/net/cluster/health_checks.rs
@@ -17,11 +17,11 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{interval, MissedTickBehavior};
 
-use super::PUBLISH_INTERVAL;
+use super::timing::PUBLISH_INTERVAL;
 use crate::engine::Input;
-use crate::net::console::ClusterMetrics;
-use crate::net::health_check;
-use crate::net::worker::Pool;
+use crate::net::metrics::ClusterMetrics;
+use crate::net::worker::health_check;
+use crate::net::worker::pool::Pool;
 use dispatch_core::api::WorkerId;
 
 /// One set in one term of ours.
@@ -86,7 +86,7 @@
                 self.sightings.borrow_mut().record(set, effect.token, report, clock::now());
                 self.notify_engine();
             }
-            None => tracing::warn!(duty = %effect.lease, "what a watcher says cannot be read"),
+            None => tracing::warn!(lease = %effect.lease, "health report cannot be decoded"),
         }
     }
 
@@ -113,7 +113,7 @@
     fn update_terms(&self) {
         let owned: BTreeMap<u16, FencingToken> = self
             .member
-            .owned()
+            .held_leases()
             .into_iter()
             .filter_map(|(duty, token)| Some((self.config.set_of_lease(&duty)?, token)))
             .collect();
@@ -121,7 +121,7 @@
         terms.retain(|set, term| owned.get(set) == Some(&term.token));
         for (set, token) in owned {
             terms.entry(set).or_insert_with(|| {
-                tracing::info!(set, token = token.0, "watches workers for the fleet");
+                tracing::info!(set, token = token.0, "holds a health-check lease");
                 let duty = coordination::LeaseId::worker_set(&self.config.lease_name(), set);
                 Term {
                     token,
@@ -151,7 +151,7 @@
                 term.health_checks.insert(worker, task.abort_handle());
             }
             let counts = term.rounds.worker_counts();
-            (watched, failing) = (watched + counts.0, failing + counts.1);
+            (watched, failing) = (watched + counts.checked, failing + counts.failing);
         }
         self.metrics.workers_checked.set(watched as i64);
         self.metrics.workers_failing.set(failing as i64);
@@ -162,11 +162,11 @@
         let may = || {
             // The last thing before the write: a look at the lease by the clock, and the time for the next one.
             let now = clock::now();
-            let looked = self.member.holder().borrow().holds_lease(&duty, token, now);
+            let looked = self.member.lease_client().borrow().holds_lease(&duty, token, now);
             let may = looked || self.config.injected_bug == Some(InjectedBug::SkipLeaseCheck);
             if may {
                 let what = serde_json::json!({"duty": duty.to_string(), "token": token.0, "worker": worker});
-                self.member.record().put(now, "acted", what);
+                self.member.recorder().record(now, "acted", what);
                 self.with_term(set, token, |term| term.rounds.probe_sent(worker, now));
                 self.metrics.health_checks.inc();
             }
@@ -191,7 +191,7 @@
         for (set, term) in self.terms.borrow_mut().iter_mut() {
             let now = clock::now();
             let Some(report) = term.rounds.next_report(now, &self.zones.borrow()) else { continue };
-            term.publisher.say(report.encode());
+            term.publisher.publish(report.encode());
             self.sightings.borrow_mut().record(*set, term.token, report, now);
         }
     }
@@ -206,16 +206,16 @@
         }
         let tell = |worker: u64, ago: Micros, holds: Micros| {
             let what = serde_json::json!({"worker": worker, "holds": holds});
-            self.member.record().put(now, "against", what);
+            self.member.recorder().record(now, "against", what);
             self.pool.handle.send(Input::UnhealthyReported(WorkerId(worker), ago, holds));
         };
         for worker in told.keys().filter(|worker| !against.contains_key(worker)) {
-            tracing::info!(worker, "no watcher holds anything against this worker any more");
+            tracing::info!(worker, "worker no longer reported unhealthy");
             tell(*worker, 0, 0);
         }
         for (worker, one) in against.iter().filter(|(worker, one)| told.get(worker) != Some(one)) {
             if !told.contains_key(worker) {
-                tracing::info!(worker, "a watcher sees this worker fail");
+                tracing::info!(worker, "worker reported unhealthy");
             }
             tell(*worker, now.saturating_sub(one.last_failure), one.expires_at.saturating_sub(now));
         }
