--- a/crates/emulator/src/cluster/cluster_harness.rs
+++ b/crates/emulator/src/cluster/cluster_harness.rs
@@ -366,9 +366,10 @@
             .output()
             .await
             .map_err(with_context(self.binaries.coordinator.display()))?;
-        match made.status.success() {
-            true => Ok(String::from_utf8_lossy(&made.stdout).into_owned()),
-            false => Err(String::from_utf8_lossy(&made.stderr).into_owned()),
+        if made.status.success() {
+            Ok(String::from_utf8_lossy(&made.stdout).into_owned())
+        } else {
+            Err(String::from_utf8_lossy(&made.stderr).into_owned())
         }
     }
 
--- a/crates/emulator/src/cluster/fault_proxy.rs
+++ b/crates/emulator/src/cluster/fault_proxy.rs
@@ -115,10 +115,7 @@
     };
     let Ok(other) = TcpStream::connect(target).await else { return };
     let _ = (stream.set_nodelay(true), other.set_nodelay(true));
-    let second = match double {
-        true => TcpStream::connect(target).await.ok(),
-        false => None,
-    };
+    let second = if double { TcpStream::connect(target).await.ok() } else { None };
     let (near_read, near_write) = stream.into_split();
     let (far_read, far_write) = other.into_split();
     let (second_read, second_write) = second.map(TcpStream::into_split).unzip();
--- a/crates/emulator/src/cluster/lease_harness.rs
+++ b/crates/emulator/src/cluster/lease_harness/mod.rs
@@ -1,5 +1,8 @@
 //! Plays one schedule: real keepers and members, every link between two of them through a proxy, faults as drawn.
 
+mod faults;
+mod recovery;
+
 use std::collections::BTreeMap;
 use std::fs;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -15,12 +18,13 @@
 use tokio::net::TcpListener;
 use tokio::process::{Child, Command};
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
-use tokio::time::{sleep, sleep_until, timeout, Instant};
+use tokio::time::{sleep, timeout, Instant};
 
+use self::recovery::Recovery;
 use super::fault_proxy::{self, FaultyNetwork, NodeId, SharedNetwork};
 use super::lightweight_member::MemberConfig;
 use super::record_checker::{self, InjectedFault, Records, Violations, RULES};
-use super::schedule::{Arm, ClusterExperiment, FaultKind, ScheduledFault};
+use super::schedule::{Arm, ClusterExperiment, FaultKind};
 
 /// The programs.
 #[derive(Debug, Clone)]
@@ -90,21 +94,6 @@
     random: Pcg64,
 }
 
-/// What ends a fault.
-enum Recovery {
-    Start(NodeId),
-    Resume(u32),
-    /// The ends of a cut, of a delay, and of what was wrong with all links; what else is wrong with them stays. (A cut
-    /// that ended with another fault looked like a takeover of 6 s: seed 3018.)
-    Reconnect(Vec<(NodeId, NodeId)>),
-    ClearDelay(Vec<(NodeId, NodeId)>),
-    Pause(NodeId, f64),
-    ClearLinkFaults,
-    Kill(NodeId),
-    /// The steps to an old disk: copied, started once more, put back.
-    RestoreOldDisk(NodeId, u8),
-}
-
 fn with_context(what: impl std::fmt::Display) -> impl FnOnce(std::io::Error) -> String {
     move |error| format!("{what}: {error}")
 }
@@ -425,281 +414,6 @@
         Ok(())
     }
 
-    /// Waits, and ends faults whose time is over meanwhile.
-    async fn recover_until(&mut self, until: Instant) -> Result<(), String> {
-        loop {
-            let next = self.recoveries.iter().map(|(at, _)| *at).min().filter(|at| *at <= until);
-            let Some(next) = next else { break };
-            sleep_until(next).await;
-            let at = self.recoveries.iter().position(|(at, _)| *at == next).unwrap_or(0);
-            let (_, later) = self.recoveries.remove(at);
-            self.recover(later).await?;
-        }
-        sleep_until(until).await;
-        Ok(())
-    }
-
-    async fn recover(&mut self, later: Recovery) -> Result<(), String> {
-        match later {
-            Recovery::Start(name) => {
-                if self.processes[name]
-                    .child
-                    .as_mut()
-                    .is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
-                {
-                    self.processes[name].child = None;
-                }
-                self.start(name)?;
-            }
-            Recovery::Resume(id) => {
-                let pid = i32::try_from(id).ok().and_then(Pid::from_raw);
-                // Only while it is a child of this rig: the number may be somebody else's after its end.
-                let ours = self
-                    .processes
-                    .iter()
-                    .any(|process| process.child.as_ref().and_then(Child::id) == Some(id));
-                if let Some(pid) = pid.filter(|_| ours) {
-                    let _ = kill_process(pid, Signal::CONT);
-                }
-            }
-            Recovery::Reconnect(pairs) => {
-                let mut net = self.network.borrow_mut();
-                pairs
-                    .into_iter()
-                    .for_each(|(from, to)| net.update_link(from, to, |trouble| trouble.partitioned = false));
-            }
-            Recovery::ClearDelay(pairs) => {
-                let mut net = self.network.borrow_mut();
-                let quick = |trouble: &mut fault_proxy::LinkFault| trouble.delay = Duration::ZERO;
-                pairs.into_iter().for_each(|(from, to)| net.update_link(from, to, quick));
-            }
-            Recovery::Pause(name, lasts) => {
-                if let Some(id) = self.signal(name, Signal::STOP) {
-                    self.recover_after(lasts, Recovery::Resume(id));
-                }
-            }
-            Recovery::ClearLinkFaults => self.network.borrow_mut().clear_all_but_partitions(),
-            Recovery::Kill(name) => self.kill(name).await,
-            Recovery::RestoreOldDisk(name, step) => self.restore_old_disk(name, step).await?,
-        }
-        Ok(())
-    }
-
-    fn recover_after(&mut self, after: f64, later: Recovery) {
-        self.recoveries.push((Instant::now() + Duration::from_secs_f64(after), later));
-    }
-
-    fn partition(&mut self, pairs: Vec<(NodeId, NodeId)>, lasts: f64) {
-        {
-            let mut net = self.network.borrow_mut();
-            pairs
-                .iter()
-                .for_each(|(from, to)| net.update_link(*from, *to, |trouble| trouble.partitioned = true));
-        }
-        self.recover_after(lasts, Recovery::Reconnect(pairs));
-    }
-
-    async fn inject(&mut self, fault: ScheduledFault) -> Result<(), String> {
-        let (owner, token) = match self.lease_holder()? {
-            Some((owner, token)) => (owner, Some(token)),
-            None => (self.members().start, None),
-        };
-        let member = self.members().start + fault.target_choice % self.arm.members;
-        let keeper = fault.target_choice % self.arm.coordinators;
-        let (members, keepers) = (self.members(), self.coordinators());
-        let of_owner = matches!(
-            fault.kind,
-            FaultKind::KillHolder
-                | FaultKind::PauseHolder
-                | FaultKind::TerminateHolder
-                | FaultKind::PartitionHolderFromCoordinators
-                | FaultKind::PartitionHolderFromMembers
-                | FaultKind::HolderHearsNoCoordinator
-                | FaultKind::PauseHolderDuringRenewal
-        );
-        let t = clock::now();
-        let until = t + (fault.duration * 1e6) as u64;
-        // The owner of a stop while it asks goes on for the first second.
-        let t = if fault.kind == FaultKind::PauseHolderDuringRenewal { t + 1_000_000 } else { t };
-        self.injected.push(InjectedFault {
-            time: t,
-            kind: fault.kind,
-            until,
-            holder_token: token.filter(|_| of_owner),
-        });
-        let both = |one: NodeId, others: std::ops::Range<NodeId>| -> Vec<(NodeId, NodeId)> {
-            others.filter(|other| *other != one).flat_map(|other| [(one, other), (other, one)]).collect()
-        };
-        match fault.kind {
-            FaultKind::KillHolder | FaultKind::KillMember | FaultKind::KillLeader => {
-                let whom = match fault.kind {
-                    FaultKind::KillHolder => owner,
-                    FaultKind::KillMember => member,
-                    _ => self.leader()?,
-                };
-                self.kill(whom).await;
-                if !self.processes[whom].not_restartable {
-                    self.recover_after(fault.duration, Recovery::Start(whom));
-                }
-            }
-            FaultKind::TerminateHolder => {
-                self.signal(owner, Signal::TERM);
-                self.recover_after(fault.duration.max(0.5), Recovery::Start(owner));
-            }
-            FaultKind::PauseHolder | FaultKind::PauseMember | FaultKind::PauseLeader => {
-                let whom = match fault.kind {
-                    FaultKind::PauseHolder => owner,
-                    FaultKind::PauseMember => member,
-                    _ => self.leader()?,
-                };
-                if let Some(id) = self.signal(whom, Signal::STOP) {
-                    self.recover_after(fault.duration, Recovery::Resume(id));
-                }
-            }
-            FaultKind::PauseHolderDuringRenewal => {
-                let pairs: Vec<(NodeId, NodeId)> = keepers.map(|keeper| (keeper, owner)).collect();
-                for (from, to) in &pairs {
-                    self.network
-                        .borrow_mut()
-                        .update_link(*from, *to, |trouble| trouble.delay = Duration::from_millis(300));
-                }
-                // Renewals go on all the time; after this one of them is under way most likely.
-                self.recover_after(1.0, Recovery::Pause(owner, fault.duration - 1.0));
-                self.recover_after(fault.duration + 0.5, Recovery::ClearDelay(pairs));
-            }
-            FaultKind::PartitionHolderFromCoordinators => {
-                self.partition(both(owner, keepers), fault.duration)
-            }
-            FaultKind::PartitionHolderFromMembers => self.partition(both(owner, members), fault.duration),
-            FaultKind::HolderHearsNoCoordinator => {
-                self.partition(keepers.map(|keeper| (keeper, owner)).collect(), fault.duration)
-            }
-            FaultKind::RestartHalfOfMembers => {
-                let half: Vec<NodeId> =
-                    members.filter(|name| (name + fault.target_choice) % 2 == 0).collect();
-                for (at, name) in half.iter().enumerate() {
-                    let after = 2.0 * at as f64 / half.len() as f64;
-                    self.recover_after(after, Recovery::Kill(*name));
-                    self.recover_after(after + 0.1, Recovery::Start(*name));
-                }
-            }
-            FaultKind::DuplicateMember => self.start_duplicate_member(owner, fault.duration)?,
-            FaultKind::PartitionCoordinator => self.partition(both(keeper, keepers), fault.duration),
-            FaultKind::CoordinatorNotHeard => {
-                let others = keepers.filter(|other| *other != keeper);
-                self.partition(others.map(|other| (keeper, other)).collect(), fault.duration);
-            }
-            FaultKind::KillAllCoordinators => {
-                for name in keepers {
-                    self.kill(name).await;
-                    if !self.processes[name].not_restartable {
-                        self.recover_after(fault.duration, Recovery::Start(name));
-                    }
-                }
-            }
-            FaultKind::SlowNetwork | FaultKind::DuplicateConnections | FaultKind::NarrowBandwidth => {
-                let count = self.processes.len();
-                {
-                    let mut net = self.network.borrow_mut();
-                    let pairs = (0..count).flat_map(|from| (0..count).map(move |to| (from, to)));
-                    for (from, to) in pairs.filter(|(from, to)| from != to) {
-                        net.update_link(from, to, |trouble| match fault.kind {
-                            FaultKind::SlowNetwork => {
-                                trouble.delay = Duration::from_millis(200);
-                                trouble.reset_probability = 0.05;
-                            }
-                            FaultKind::DuplicateConnections => trouble.duplicate_probability = 0.25,
-                            _ if from == keeper || to == keeper => trouble.bytes_per_second = 4_000,
-                            _ => {}
-                        });
-                    }
-                }
-                self.recover_after(fault.duration, Recovery::ClearLinkFaults);
-            }
-            FaultKind::FullDisk | FaultKind::FewDescriptors => {
-                let leader = self.leader()?;
-                if !self.processes[leader].not_restartable {
-                    self.kill(leader).await;
-                    let bound = if fault.kind == FaultKind::FullDisk { "-f 256" } else { "-n 24" };
-                    self.start_with(leader, Some(bound))?;
-                    self.recover_after(fault.duration, Recovery::Kill(leader));
-                    self.recover_after(fault.duration + 0.05, Recovery::Start(leader));
-                }
-            }
-            FaultKind::RestoreOldDisk => self.restore_old_disk(keeper, 0).await?,
-            FaultKind::LoseDisk => {
-                self.kill(keeper).await;
-                let store = self.path(keeper, "store");
-                fs::remove_dir_all(&store).map_err(with_context(store.display()))?;
-                self.processes[keeper].not_restartable = true;
-                self.start(keeper)?;
-            }
-        }
-        Ok(())
-    }
-
-    /// Copies a keeper's disk, lets it start twice more, and puts the copy back.
-    async fn restore_old_disk(&mut self, name: NodeId, step: u8) -> Result<(), String> {
-        let (store, copy) = (self.path(name, "store"), self.path(name, "copy"));
-        if self.processes[name].not_restartable {
-            return Ok(());
-        }
-        self.kill(name).await;
-        match step {
-            0 => {
-                fs::create_dir_all(&copy).map_err(with_context(copy.display()))?;
-                fs::copy(store.join("keeper.redb"), copy.join("keeper.redb"))
-                    .map_err(with_context(copy.display()))?;
-            }
-            2 => {
-                fs::copy(copy.join("keeper.redb"), store.join("keeper.redb"))
-                    .map_err(with_context(store.display()))?;
-                self.processes[name].not_restartable = true;
-            }
-            _ => {}
-        }
-        self.start(name)?;
-        if step < 2 {
-            self.recover_after(0.8, Recovery::RestoreOldDisk(name, step + 1));
-        }
-        Ok(())
-    }
-
-    /// Starts a second process of a member's name, at an address of its own, and kills it later.
-    fn start_duplicate_member(&mut self, of: NodeId, lasts: f64) -> Result<(), String> {
-        let Role::Member { config: light } = &self.processes[of].role else { return Ok(()) };
-        let name = self.processes.len();
-        if name >= 100 {
-            return Ok(());
-        }
-        let ip = IpAddr::V4(Ipv4Addr::new(127, self.address_block[0], self.address_block[1], 1 + name as u8));
-        let probe = std::net::TcpListener::bind((ip, 0)).map_err(with_context("a free port"))?;
-        let listen = probe.local_addr().map_err(with_context("a free port"))?;
-        drop(probe);
-        let record = self.dir.join(format!("{}-twin{name}.jsonl", light.name));
-        let seed = light.seed ^ (name as u64) << 40;
-        let twin = MemberConfig {
-            listen,
-            address: listen,
-            bind: Some(ip),
-            record: Some(record),
-            seed,
-            ..(**light).clone()
-        };
-        self.processes.push(Process {
-            role: Role::Member { config: Box::new(twin) },
-            listen,
-            child: None,
-            not_restartable: true,
-        });
-        self.start(name)?;
-        self.recover_after(lasts, Recovery::Kill(name));
-        // The first one is no member any more and does not become one again by itself; it is started anew after it.
-        self.recover_after(lasts + 0.1, Recovery::Kill(of));
-        self.recover_after(lasts + 0.2, Recovery::Start(of));
-        Ok(())
-    }
-
     fn records(&self) -> Result<Records, String> {
         let mut records = self.coordinator_records()?;
         for entry in fs::read_dir(&self.dir).map_err(with_context(self.dir.display()))? {
--- a/crates/emulator/src/cluster/shared_health_checks/traffic.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/traffic.rs
@@ -46,9 +46,10 @@
         let id = head.get("request-id").unwrap_or_default().to_owned();
         let runs = {
             let mut notes = notes.borrow_mut();
-            match probe {
-                true => notes.probes[worker].push((now, dispatcher)),
-                false => notes.jobs[worker].push((now, dispatcher, id.parse().unwrap_or(0))),
+            if probe {
+                notes.probes[worker].push((now, dispatcher));
+            } else {
+                notes.jobs[worker].push((now, dispatcher, id.parse().unwrap_or(0)));
             }
             notes.workers[worker].clone()
         };
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -297,10 +297,10 @@
     bar.finish_and_clear();
     results.write(out).map_err(|error| format!("{}: {error}", out.display()))?;
     print!("{}", results.table());
-    match results.broken() {
-        true => Err("rules were broken, see above and results.json".to_owned()),
-        false => Ok(()),
+    if results.broken() {
+        return Err("rules were broken, see above and results.json".to_owned());
     }
+    Ok(())
 }
 
 fn dispatch_latency(length: u64, out: &Path) -> Result<(), String> {
@@ -481,9 +481,10 @@
 fn beside(name: &str) -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|error| error.to_string())?;
     let program = own.with_file_name(format!("{name}{}", std::env::consts::EXE_SUFFIX));
-    match program.is_file() {
-        true => Ok(program),
-        false => Err(format!("--program: there is no {}; build it, or name another", program.display())),
+    if program.is_file() {
+        Ok(program)
+    } else {
+        Err(format!("--program: there is no {}; build it, or name another", program.display()))
     }
 }
 
--- a/crates/emulator/src/router.rs
+++ b/crates/emulator/src/router.rs
@@ -40,9 +40,10 @@
 
 /// The same on a machine whose clock is ahead by so many seconds.
 pub fn with_clock_ahead(seconds: Seconds, router: Box<dyn Router>) -> Box<dyn Router> {
-    match seconds > 0.0 {
-        true => Box::new(ClockAhead { seconds, router }),
-        false => router,
+    if seconds > 0.0 {
+        Box::new(ClockAhead { seconds, router })
+    } else {
+        router
     }
 }
 
@@ -174,9 +175,10 @@
                     || self.idempotency(request) == Idempotency::Idempotent;
                 self.open_requests.remove(&request);
                 let wait = self.settings.max_retry_after.min(0.3);
-                actions.push(match harmless {
-                    true => Action::Reject { request, retry_after: Some(wait) },
-                    false => Action::Fail { request },
+                actions.push(if harmless {
+                    Action::Reject { request, retry_after: Some(wait) }
+                } else {
+                    Action::Fail { request }
                 });
             }
         }
--- a/crates/emulator/src/virtual_time/simulation/clients.rs
+++ b/crates/emulator/src/virtual_time/simulation/clients.rs
@@ -16,7 +16,7 @@
     pub(super) fn schedule_submission(&mut self, job: u32, is_retry: bool, at: Micros, deadline: Micros) {
         self.pending_submissions += 1;
         let submission = self.submissions.len() as u32;
-        self.submissions.push(Submission { job, is_retry: is_retry, deadline });
+        self.submissions.push(Submission { job, is_retry, deadline });
         self.schedule(at, SimulationEvent::Submit(submission));
     }
 
