--- a/crates/emulator/src/metrics.rs
+++ b/crates/emulator/src/metrics.rs
@@ -1,25 +1,16 @@
-//! What a run is judged by: service by size, class and tenant, lateness, and large jobs that starved.
+//! What a run is evaluated by: service by size, class and tenant, lateness, and large jobs that starved.
+
+mod evaluation;
+mod starvation;
 
 use std::collections::BTreeMap;
 
-use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
 use crate::checker::RuleViolations;
-use crate::day::{micros, Day, Micros, DAY_START};
+use crate::day::{micros, Day, Micros};
 use crate::spec::Experiment;
 
-/// The worst window is this long.
-const WORST_WINDOW: Micros = 10_000_000;
-/// What the operators weigh: the whole day, its worst window, its worst class, its worst tenant.
-const GOAL: (f64, f64, f64, f64) = (0.55, 0.15, 0.05, 0.25);
-/// Prices, as parts of the service: all failing late only, a connection for each request, all work wasted.
-const LATE_FAILURE_PRICE: f64 = 0.076;
-const CONNECTION_PRICE: f64 = 0.05;
-const WASTED_SEND_PRICE: f64 = 0.016;
-/// The longest lateness that the histogram tells apart, in milliseconds.
-const MAX_LATENESS_MS: u64 = 600_000;
-
 /// Worth answered in time (or late, at its part) over worth asked for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WeightedService {
@@ -160,168 +151,9 @@
     pub events: u64,
 }
 
-impl RunMetrics {
-    /// Judges a record.
-    pub fn evaluate(experiment: &Experiment, day: &Day, record: &RunRecord) -> RunMetrics {
-        let mut f =
-            RunMetrics { rules: record.violations, jobs: day.jobs.len() as u64, ..RunMetrics::default() };
-        (f.tries, f.sends, f.connects, f.events) =
-            (record.submissions, record.sends, record.new_connections, record.events);
-        let mut windows: BTreeMap<Micros, WeightedService> = BTreeMap::new();
-        let mut lateness = Histogram::<u64>::new_with_max(MAX_LATENESS_MS, 3).ok();
-        let (mut late, mut refused, mut failed, mut late_fails) = (0u64, 0u64, 0u64, 0u64);
-        let mut late_large = Vec::new();
-        let mut last_run: Vec<Option<&JobRun>> = vec![None; day.jobs.len()];
-        record.runs.iter().for_each(|ran| last_run[ran.job as usize] = Some(ran));
-        for (n, job) in day.jobs.iter().enumerate() {
-            let class = &experiment.traffic.classes[job.class as usize];
-            let wanted = job.arrival + latency_objective(experiment, day, n);
-            let end = record.outcomes.get(n).copied().flatten();
-            if end == Some(JobOutcome::ClientLeft) {
-                // Nobody waits for it any more: neither asked for nor earned.
-                continue;
-            }
-            let earned = match end {
-                Some(JobOutcome::Served(at)) if at <= wanted => job.value,
-                Some(JobOutcome::Served(_)) => job.value * class.late_weight,
-                _ => 0.0,
-            };
-            match end {
-                Some(JobOutcome::Served(at)) => {
-                    if let Some(lateness) = &mut lateness {
-                        lateness.saturating_record(at.saturating_sub(wanted) / 1000);
-                    }
-                    late += u64::from(at > wanted);
-                }
-                Some(JobOutcome::Rejected(at)) => {
-                    refused += 1;
-                    late_fails += u64::from(at > wanted);
-                }
-                Some(JobOutcome::Failed(at)) => {
-                    failed += 1;
-                    late_fails += u64::from(at > wanted);
-                }
-                _ => failed += 1,
-            }
-            let short = job.value - earned;
-            match end {
-                Some(JobOutcome::Served(_)) if short > 0.0 => {
-                    let run = last_run[n].map_or(0, |ran| ran.ended_at.saturating_sub(ran.started_at));
-                    let sent = record.first_sent.get(n).copied().flatten().unwrap_or(job.arrival);
-                    let queued = last_run[n].map_or(0, |ran| ran.started_at.saturating_sub(sent));
-                    let by = wanted - job.arrival;
-                    let why = if run > by {
-                        &mut f.lost.slow
-                    } else if run + queued > by {
-                        &mut f.lost.queued
-                    } else {
-                        &mut f.lost.held
-                    };
-                    *why += short;
-                }
-                Some(JobOutcome::Rejected(_)) => f.lost.refused += short,
-                _ => f.lost.failed += short,
-            }
-            let large = job.slots >= experiment.large_slots;
-            f.all.add(job.value, earned);
-            if large { &mut f.large } else { &mut f.small }.add(job.value, earned);
-            f.classes.entry(class.name.clone()).or_default().add(job.value, earned);
-            if let Some(tenant) = experiment.traffic.tenants.get(job.tenant as usize) {
-                f.tenants.entry(tenant.name.clone()).or_default().add(job.value, earned);
-            }
-            windows.entry((job.arrival - DAY_START) / WORST_WINDOW).or_default().add(job.value, earned);
-            if large {
-                f.large_jobs += 1;
-                let admitted = record.admitted.get(n).copied().unwrap_or(false);
-                f.large_admitted += u64::from(admitted);
-                if admitted && !matches!(end, Some(JobOutcome::Served(at)) if at <= wanted) {
-                    late_large.push(n);
-                }
-            }
-        }
-        let asked = f.all.asked.max(1e-9);
-        let lost = &mut f.lost;
-        for why in [&mut lost.refused, &mut lost.failed, &mut lost.held, &mut lost.queued, &mut lost.slow] {
-            *why /= asked;
-        }
-        let jobs = (f.jobs as f64).max(1.0);
-        (f.late, f.refused, f.failed) = (late as f64 / jobs, refused as f64 / jobs, failed as f64 / jobs);
-        f.late_p99_ms = lateness.map_or(0.0, |l| l.value_at_quantile(0.99) as f64);
-        f.large_late = late_large.len() as u64;
-        let runs = RunIndex::of(day, record);
-        let starved =
-            late_large.iter().filter(|n| runs.starved(**n, latency_objective(experiment, day, **n)));
-        f.large_starved = starved.count() as u64;
-        let least = |parts: &mut dyn Iterator<Item = &WeightedService>| {
-            parts.map(|p| p.service()).fold(f64::INFINITY, f64::min).min(1.0)
-        };
-        // The last window may hold a handful of jobs only.
-        let whole = day.last_arrival.saturating_sub(DAY_START) / WORST_WINDOW;
-        let worst_window = least(&mut windows.range(..whole.max(1)).map(|(_, part)| part));
-        f.goal = GOAL.0 * f.all.service()
-            + GOAL.1 * worst_window
-            + GOAL.2 * least(&mut f.classes.values())
-            + GOAL.3 * least(&mut f.tenants.values())
-            - experiment.rules.cross_zone_price * record.cross_zone_sends as f64 / jobs
-            - LATE_FAILURE_PRICE * late_fails as f64 / jobs
-            - CONNECTION_PRICE * record.new_connections as f64 / jobs
-            - WASTED_SEND_PRICE * (record.sends as f64 / jobs - 1.0).max(0.0);
-        f
-    }
-}
-
 /// How long after its arrival a job is wanted.
 pub fn latency_objective(experiment: &Experiment, day: &Day, n: usize) -> Micros {
     let job = &day.jobs[n];
     let class = &experiment.traffic.classes[job.class as usize];
     micros((class.latency_objective + class.stretch * job.work).min(class.timeout))
 }
-
-/// What ran, by the order of starts, by job and by worker.
-struct RunIndex<'a> {
-    day: &'a Day,
-    record: &'a RunRecord,
-    by_worker: Vec<Vec<&'a JobRun>>,
-    first_start: Vec<Micros>,
-}
-
-impl<'a> RunIndex<'a> {
-    fn of(day: &'a Day, record: &'a RunRecord) -> RunIndex<'a> {
-        let mut by_worker = vec![Vec::new(); record.workers.len()];
-        let mut first_start = vec![Micros::MAX; day.jobs.len()];
-        for ran in &record.runs {
-            by_worker[ran.worker as usize].push(ran);
-            let first = &mut first_start[ran.job as usize];
-            *first = ran.started_at.min(*first);
-        }
-        RunIndex { day, record, by_worker, first_start }
-    }
-
-    /// A large job starved if it was late although, while it waited and could still have been in time there, a warm
-    /// worker that took jobs began a smaller job that was handed in after it, with room for the large one but for
-    /// such smaller jobs.
-    fn starved(&self, n: usize, wanted: Micros) -> bool {
-        let job = &self.day.jobs[n];
-        let by = job.arrival + wanted;
-        let began = self.first_start[n].min(by);
-        let later_and_smaller = |ran: &JobRun| {
-            let other = &self.day.jobs[ran.job as usize];
-            other.arrival > job.arrival && other.slots < job.slots
-        };
-        // Records are in the order of their starts.
-        let first = self.record.runs.partition_point(|ran| ran.started_at <= job.arrival);
-        let starts = self.record.runs[first..].iter().take_while(|ran| ran.started_at < began);
-        starts.filter(|ran| later_and_smaller(ran)).any(|start| {
-            let (speed, slots, warm_from, until) = self.record.workers[start.worker as usize];
-            let would_end = start.started_at + micros(job.work / speed.max(1e-6));
-            if would_end > by || slots < job.slots || !(warm_from..until).contains(&start.started_at) {
-                return false;
-            }
-            let there = &self.by_worker[start.worker as usize];
-            let before = there.partition_point(|ran| ran.started_at <= start.started_at);
-            let at_once = there[..before].iter().filter(|ran| start.started_at < ran.ended_at);
-            let others = at_once.filter(|ran| !later_and_smaller(ran));
-            others.map(|ran| self.day.jobs[ran.job as usize].slots).sum::<u32>() + job.slots <= slots
-        })
-    }
-}
