--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -25,6 +25,8 @@
 const DEFAULT_SOCKETS: usize = 1024;
 /// Descriptors kept back for files, the runtime, the listener and discovery.
 const RESERVED_SOCKETS: usize = 40;
+/// The program does not start with fewer descriptors.
+const MIN_SOCKETS: usize = 2 * RESERVED_SOCKETS;
 /// The part of the descriptors that clients may hold, in hundredths; workers have the rest.
 const CLIENT_SOCKETS_PERCENT: usize = 60;
 /// Seconds for a connection to come up, and for which an idle one is kept, where not told.
@@ -184,24 +186,9 @@
         if module.zone as usize >= names.zones.len().max(1) {
             return invalid("settings.zone", format!("there is no zone number {}", module.zone));
         }
-        let sockets = match &root["limits"]["sockets"] {
-            Value::Null => DEFAULT_SOCKETS,
-            v => {
-                match v.as_u64().and_then(|v| usize::try_from(v).ok()).filter(|v| *v >= 2 * RESERVED_SOCKETS)
-                {
-                    Some(v) => v,
-                    None => return invalid("limits.sockets", format!("expected {} or more, found {v}", 80)),
-                }
-            }
-        };
+        let sockets = parse_socket_limit(&root["limits"]["sockets"])?;
         let client_sockets = (sockets - RESERVED_SOCKETS) * CLIENT_SOCKETS_PERCENT / 100;
-        let known = match &root["known"] {
-            Value::Null => (None, Vec::new()),
-            known => match parse_endpoint_list(known, &names) {
-                Ok(list) => (Some(list.revision), list.endpoints),
-                Err(error) => return invalid(&format!("known.{}", error.key), error.problem),
-            },
-        };
+        let saved_list = parse_saved_list(&root["known"], &names)?;
         let keepalive = pairs.non_negative("caps.keepalive-s", DEFAULT_KEEPALIVE_S)?;
         Ok(Config {
             name: told("BALANCER_NAME", "name").map_or_else(|| "cairncrank".to_owned(), |(_, v)| v),
@@ -228,7 +215,7 @@
                 .max()
                 .unwrap_or(micros(DEFAULT_TIMEOUT_S)),
             names,
-            saved_list: known,
+            saved_list,
             cluster: None,
         })
     }
@@ -243,6 +230,29 @@
     }
 }
 
+/// How many descriptors the program may have.
+fn parse_socket_limit(value: &Value) -> Result<usize, ConfigError> {
+    if value.is_null() {
+        return Ok(DEFAULT_SOCKETS);
+    }
+    let limit = value.as_u64().and_then(|limit| usize::try_from(limit).ok());
+    match limit.filter(|limit| *limit >= MIN_SOCKETS) {
+        Some(limit) => Ok(limit),
+        None => invalid("limits.sockets", format!("expected {MIN_SOCKETS} or more, found {value}")),
+    }
+}
+
+/// The list as last held before the start, and its revision.
+fn parse_saved_list(value: &Value, names: &Names) -> Result<(Option<u64>, Vec<ListedEndpoint>), ConfigError> {
+    if value.is_null() {
+        return Ok((None, Vec::new()));
+    }
+    match parse_endpoint_list(value, names) {
+        Ok(list) => Ok((Some(list.revision), list.endpoints)),
+        Err(error) => invalid(&format!("known.{}", error.key), error.problem),
+    }
+}
+
 /// A seed in hexadecimal digits or as a number; any other text serves as well.
 fn parse_seed(value: &Value) -> Result<u64, ConfigError> {
     match value {
--- a/crates/dispatcher/src/net/client/connection.rs
+++ b/crates/dispatcher/src/net/client/connection.rs
@@ -9,8 +9,8 @@
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
 use super::request::{parse_job, RequestRejection};
-use super::response::encode_response;
-use super::{is_ready, ClientContext};
+use super::response::{encode_answer, encode_response};
+use super::ClientContext;
 use crate::engine::{Answer, InvalidRequest, Job};
 use crate::net::http::{Decoder, Framing, Head, Malformed, Piece, Start, MAX_BODY};
 use crate::net::metrics::{InFlight, Outcome};
@@ -138,16 +138,7 @@
             Err(_) => return Err(REQUEST_TOO_SLOW),
         };
         let answer = match job {
-            Ok(None) => {
-                let shared = &self.context;
-                let ready = is_ready(
-                    *shared.ready.borrow(),
-                    shared.started_at,
-                    *shared.phase.borrow(),
-                    *shared.mode.borrow(),
-                );
-                Ok(if ready { Answer::Served(Bytes::from_static(b"ready\n")) } else { Answer::Refused(None) })
-            }
+            Ok(None) => Ok(self.context.readiness()),
             Ok(Some(job)) if self.over_limit => {
                 self.context.metrics.count(&job.payload.class, Outcome::Refused);
                 Ok(Answer::Refused(Some(CROWDED_RETRY_AFTER_S)))
@@ -172,18 +163,7 @@
             && *self.context.phase.borrow() <= ShutdownPhase::Draining
             && !self.context.standby();
         let message = match answer {
-            Ok(Answer::Served(result)) => encode_response(200, None, keep, result),
-            Ok(Answer::Refused(after)) => {
-                encode_response(503, after, keep, Bytes::from_static(b"try again later\n"))
-            }
-            Ok(Answer::Rejected(fault)) => {
-                let (status, words) = match fault {
-                    InvalidRequest::DuplicateId => (409, "a request of this id is open"),
-                    InvalidRequest::Unusable => (400, "no worker can use this request"),
-                };
-                encode_response(status, None, keep, Bytes::from_static(words.as_bytes()))
-            }
-            Ok(Answer::Failed) => encode_response(502, None, keep, Bytes::from_static(b"the job failed\n")),
+            Ok(answer) => encode_answer(answer, keep),
             Err(RequestRejection(status, words)) => {
                 encode_response(status, None, keep, Bytes::from_static(words.as_bytes()))
             }
@@ -233,9 +213,10 @@
                 },
                 // A client whose request crosses this sends it again: what comes from here on is read and dropped, since
                 // a close over bytes that nobody has read resets the connection and takes the last answer along.
-                () = dismissed, if idle && !surplus => match has_unread_bytes(&self.stream) {
-                    true => tokio::task::yield_now().await,
-                    false => return Err(ConnectionEnd::Close),
+                () = dismissed, if idle && !surplus => if has_unread_bytes(&self.stream) {
+                    tokio::task::yield_now().await;
+                } else {
+                    return Err(ConnectionEnd::Close);
                 },
                 () = async { tokio::select! { () = sleep_until(begun + REQUEST_TIMEOUT) => {} () = squeezed => {} } },
                     if !idle || surplus =>
@@ -243,9 +224,10 @@
                     return Err(REQUEST_TOO_SLOW);
                 }
                 () = sleep_until(begun + REQUEST_TIMEOUT), if idle && fresh && !surplus => {
-                    match has_unread_bytes(&self.stream) {
-                        true => tokio::task::yield_now().await,
-                        false => return Err(ConnectionEnd::Close),
+                    if has_unread_bytes(&self.stream) {
+                        tokio::task::yield_now().await;
+                    } else {
+                        return Err(ConnectionEnd::Close);
                     }
                 }
             }
--- a/crates/dispatcher/src/net/client/mod.rs
+++ b/crates/dispatcher/src/net/client/mod.rs
@@ -7,6 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use bytes::Bytes;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
@@ -16,7 +17,7 @@
 use super::mode::Mode;
 use super::shutdown::ShutdownPhase;
 use super::ConfigReceiver;
-use crate::engine::{Handle, Input};
+use crate::engine::{Answer, Handle, Input};
 use connection::Connection;
 
 /// From this part of the connections on, in hundredths, idle ones are closed and new ones refused: a
@@ -51,6 +52,24 @@
 }
 
 impl ClientContext {
+    /// The answer to a health check.
+    fn readiness(&self) -> Answer {
+        let ready =
+            is_ready(*self.ready.borrow(), self.started_at, *self.phase.borrow(), *self.mode.borrow());
+        if ready {
+            Answer::Served(Bytes::from_static(b"ready\n"))
+        } else {
+            Answer::Refused(None)
+        }
+    }
+
+    /// Takes note of how many connections are open, of so many at the most; true where they are too many.
+    fn update_crowded(&self, open: usize, most: usize) -> bool {
+        let crowded = open >= most * CROWDED_PERCENT / 100;
+        self.crowded.send_if_modified(|before| std::mem::replace(before, crowded) != crowded);
+        crowded
+    }
+
     fn standby(&self) -> bool {
         *self.mode.borrow() == Mode::Standby
     }
@@ -80,19 +99,17 @@
     });
     let mut listener = Some(listener);
     let mut tasks = JoinSet::new();
-    let mut told = false;
+    let mut shutdown_sent = false;
     loop {
         let now = *phase.borrow_and_update();
-        if now >= ShutdownPhase::Finishing && !std::mem::replace(&mut told, true) {
+        if now >= ShutdownPhase::Finishing && !std::mem::replace(&mut shutdown_sent, true) {
             handle.send(Input::Shutdown);
         }
         if now == ShutdownPhase::Finished || listener.is_none() && tasks.is_empty() {
             return;
         }
         let most = shared.config.borrow().client_sockets;
-        let crowd = most * CROWDED_PERCENT / 100;
-        let crowd_now = tasks.len() >= crowd;
-        shared.crowded.send_if_modified(|c| std::mem::replace(c, crowd_now) != crowd_now);
+        let crowded = shared.update_crowded(tasks.len(), most);
         let accepted = async {
             match &listener {
                 Some(listener) if now < ShutdownPhase::Closing => Some(listener.accept().await),
@@ -111,7 +128,7 @@
             accepted = accepted, if tasks.len() < most => match accepted {
                 Some(Ok((stream, _))) => {
                     let _ = stream.set_nodelay(true);
-                    tasks.spawn_local(Connection::serve(stream, shared.clone(), crowd_now));
+                    tasks.spawn_local(Connection::serve(stream, shared.clone(), crowded));
                 }
                 Some(Err(error)) => {
                     tracing::warn!(%error, "cannot accept");
--- a/crates/dispatcher/src/net/client/request.rs
+++ b/crates/dispatcher/src/net/client/request.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 
-use crate::config::Config;
+use crate::config::{Config, Names};
 use crate::engine::{Job, Micros, Payload};
 use crate::net::http::{reason, text, Head, Malformed};
 use dispatch_core::api::{Request, RequestId};
@@ -12,6 +12,9 @@
 
 /// No id or key is longer.
 const MAX_ID_BYTES: usize = 256;
+/// Headers that a request has once at the most.
+const SINGLE_HEADERS: [&str; 6] =
+    ["Request-Id", "Idempotency-Key", "Tenant", "Request-Timeout-Ms", "Work-Hint", "Client-Retry"];
 
 /// Why a request is not taken.
 pub(super) struct RequestRejection(pub(super) u16, pub(super) &'static str);
@@ -46,33 +49,13 @@
     if &method[..] != b"POST" {
         return Err(RequestRejection(405, "jobs come by POST"));
     }
-    // Of two values a worker might heed the other one.
-    let one =
-        |name: &str| head.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes())).count() < 2;
-    let once = ["Request-Id", "Idempotency-Key", "Tenant", "Request-Timeout-Ms", "Work-Hint", "Client-Retry"];
-    if !once.into_iter().all(one) {
-        return Err(RequestRejection(400, "a header that must come once comes again"));
-    }
-    let id = head.header("Request-Id").filter(|id| !id.is_empty());
-    let id = id.ok_or(RequestRejection(400, "Request-Id is missing"))?.clone();
-    let idempotency_key = head.header("Idempotency-Key").filter(|k| !k.is_empty()).cloned();
-    // These reach a worker as they are. On what it cannot read it closes, whatever else waits there.
-    let plain = |bytes: &Bytes| bytes.len() <= MAX_ID_BYTES && bytes.iter().all(u8::is_ascii_graphic);
-    if !plain(&id) || !idempotency_key.as_ref().is_none_or(plain) {
-        return Err(RequestRejection(400, "Request-Id and Idempotency-Key are plain words"));
-    }
+    check_headers_come_once(head)?;
+    let (id, idempotency_key) = parse_ids(head)?;
     if info.requires_idempotency_key && idempotency_key.is_none() {
         return Err(RequestRejection(400, "Idempotency-Key is missing"));
     }
-    let tenant = match head.header_text("Tenant") {
-        _ if names.tenants.is_empty() => 0,
-        Some(tenant) => {
-            let place = names.tenants.iter().position(|t| t == tenant);
-            place.ok_or(RequestRejection(400, "there is no such Tenant"))?
-        }
-        None => return Err(RequestRejection(400, "Tenant is missing")),
-    };
-    let patience = match head.header_text("Request-Timeout-Ms") {
+    let tenant = parse_tenant(head, names)?;
+    let timeout = match head.header_text("Request-Timeout-Ms") {
         // No client waits longer than its class lets it.
         Some(v) => parse_number::<Micros>(v, "Request-Timeout-Ms")?.saturating_mul(1000).min(info.timeout),
         None => info.timeout,
@@ -85,7 +68,7 @@
     let mut request = Request {
         id: RequestId(0),
         class: class as u32,
-        tenant: tenant as u32,
+        tenant,
         slots: 1.0,
         memory: 0.0,
         timeout: 0.0,
@@ -97,15 +80,7 @@
             .filter(|k| !k.is_empty())
             .map(affinity_key),
     };
-    for (name, value) in head.header_text("Request-Info").unwrap_or("").split(',').filter_map(parse_pair) {
-        let figure = || parse_number::<f64>(value, "Request-Info").map(|v| v.clamp(0.0, 1e9));
-        match name {
-            "slots" | "cores-needed" => request.slots = figure()?,
-            "memory" | "ram-units" => request.memory = figure()?,
-            "hint" | "expected-s" => request.expected_run_time = Some(figure()?).filter(|v| *v > 0.0),
-            _ => {}
-        }
-    }
+    apply_request_info(&mut request, head)?;
     let payload = Payload {
         id,
         method: method.clone(),
@@ -115,7 +90,54 @@
         class: info.name.as_str().into(),
         concluded: Cell::default(),
     };
-    Ok(Some(Box::new(Job { request, timeout: patience, payload })))
+    Ok(Some(Box::new(Job { request, timeout, payload })))
+}
+
+/// Of two values a worker might heed the other one.
+fn check_headers_come_once(head: &Head) -> Result<(), RequestRejection> {
+    let comes_once =
+        |name: &str| head.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes())).count() < 2;
+    if !SINGLE_HEADERS.into_iter().all(comes_once) {
+        return Err(RequestRejection(400, "a header that must come once comes again"));
+    }
+    Ok(())
+}
+
+/// The request's id, and its idempotency key where it has one. They reach a worker as they are. On what it cannot read
+/// it closes, whatever else waits there.
+fn parse_ids(head: &Head) -> Result<(Bytes, Option<Bytes>), RequestRejection> {
+    let id = head.header("Request-Id").filter(|id| !id.is_empty());
+    let id = id.ok_or(RequestRejection(400, "Request-Id is missing"))?.clone();
+    let idempotency_key = head.header("Idempotency-Key").filter(|k| !k.is_empty()).cloned();
+    let plain = |bytes: &Bytes| bytes.len() <= MAX_ID_BYTES && bytes.iter().all(u8::is_ascii_graphic);
+    if !plain(&id) || !idempotency_key.as_ref().is_none_or(plain) {
+        return Err(RequestRejection(400, "Request-Id and Idempotency-Key are plain words"));
+    }
+    Ok((id, idempotency_key))
+}
+
+/// The tenant by its place in the settings; the first where there are none.
+fn parse_tenant(head: &Head, names: &Names) -> Result<u32, RequestRejection> {
+    if names.tenants.is_empty() {
+        return Ok(0);
+    }
+    let tenant = head.header_text("Tenant").ok_or(RequestRejection(400, "Tenant is missing"))?;
+    let place = names.tenants.iter().position(|known| known == tenant);
+    place.map(|place| place as u32).ok_or(RequestRejection(400, "there is no such Tenant"))
+}
+
+/// Takes what `Request-Info` says of the work over into the request.
+fn apply_request_info(request: &mut Request, head: &Head) -> Result<(), RequestRejection> {
+    for (name, value) in head.header_text("Request-Info").unwrap_or("").split(',').filter_map(parse_pair) {
+        let figure = || parse_number::<f64>(value, "Request-Info").map(|v| v.clamp(0.0, 1e9));
+        match name {
+            "slots" | "cores-needed" => request.slots = figure()?,
+            "memory" | "ram-units" => request.memory = figure()?,
+            "hint" | "expected-s" => request.expected_run_time = Some(figure()?).filter(|v| *v > 0.0),
+            _ => {}
+        }
+    }
+    Ok(())
 }
 
 fn parse_pair(text: &str) -> Option<(&str, &str)> {
--- a/crates/dispatcher/src/net/client/response.rs
+++ b/crates/dispatcher/src/net/client/response.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 
-use crate::engine::micros;
+use crate::engine::{micros, Answer, InvalidRequest};
 use crate::net::http::reason;
 
 /// A response, as its head and its body.
@@ -24,3 +24,18 @@
     head.push_str("\r\n");
     (Bytes::from(head), body)
 }
+
+/// The response that gives a client its final answer.
+pub(super) fn encode_answer(answer: Answer, keep: bool) -> (Bytes, Bytes) {
+    match answer {
+        Answer::Served(result) => encode_response(200, None, keep, result),
+        Answer::Refused(after) => encode_response(503, after, keep, Bytes::from_static(b"try again later\n")),
+        Answer::Rejected(InvalidRequest::DuplicateId) => {
+            encode_response(409, None, keep, Bytes::from_static(b"a request of this id is open"))
+        }
+        Answer::Rejected(InvalidRequest::Unusable) => {
+            encode_response(400, None, keep, Bytes::from_static(b"no worker can use this request"))
+        }
+        Answer::Failed => encode_response(502, None, keep, Bytes::from_static(b"the job failed\n")),
+    }
+}
--- a/crates/dispatcher/src/net/cluster/mod.rs
+++ b/crates/dispatcher/src/net/cluster/mod.rs
@@ -19,6 +19,7 @@
 use cluster_member::member::{Ended, Member, Settings};
 use cluster_member::record::Recorder;
 use cluster_member::slow_start::{QuotaConfig, SlowStartProfile, SLOW_START_LEASE};
+use cluster_member::wire::Effect;
 use coordination::{LeaseClient, LeaseId, Micros};
 use dispatch_core::hashing::worker_id;
 use disruption_budget::availability_observer::{ListedWorker, WarmupTracker, OBSERVER_LEASE};
@@ -44,6 +45,10 @@
 /// News that wait for the one who follows discovery, at the most.
 const WATCH_EVENT_QUEUE: usize = 16;
 
+/// Told apart from the decision module's seed and from each other: each draws different things.
+const MEMBER_SEED: u64 = 0x000f_1ee7;
+const SLOW_START_SEED: u64 = 0xc01d;
+
 /// The duty "list" at this member.
 pub(super) struct SharedList {
     settings: ClusterSettings,
@@ -84,24 +89,8 @@
     let address = settings.advertised_address.map_or_else(|| listener.local_addr(), Ok)?;
     let zones = config.names.zones.len().clamp(1, usize::from(u16::MAX)) as u16;
     let watch = settings.health_checks.map(|how| HealthCheckConfig { zone_count: zones, ..how });
-    let mut offers: Vec<LeaseId> =
-        settings.shared_list.then(|| LeaseId::fleet(ENDPOINT_LIST_LEASE)).into_iter().collect();
-    offers.extend(settings.slow_start.map(|_| LeaseId::fleet(SLOW_START_LEASE)));
-    offers.extend(settings.readiness_validity.map(|_| LeaseId::fleet(OBSERVER_LEASE)));
-    offers.extend(watch.iter().flat_map(|how| how.leases()));
     let zone = config.names.zones.get(config.settings.zone as usize).cloned().unwrap_or_default();
-    let member = Settings {
-        installation: settings.installation.clone(),
-        name: config.name.clone(),
-        zone: zone.clone(),
-        address: address.to_string(),
-        keepers: settings.coordinators.clone(),
-        bind: settings.bind_address,
-        times: settings.times,
-        offers,
-        // Another number than the module's: the two draw different things.
-        seed: config.seed ^ 0x000f_1ee7,
-    };
+    let member = member_settings(settings, config, &zone, address, offered_leases(settings, watch));
     let record = settings.record.as_deref().map_or(Ok(Recorder::default()), Recorder::to)?;
     let member = Member::new(member, LeaseClient::new(settings.times), record);
     member.record().put(clock::now(), "started", serde_json::json!({}));
@@ -111,18 +100,10 @@
     });
     watchers.iter().for_each(|watchers| drop(spawn_local(watchers.clone().run())));
     let colds = settings.slow_start.map(|how| {
-        let both = (
-            QuotaConfig { delivery_timeout: config.dial_timeout + MAX_WRITE_DELAY, ..how },
-            slow_start_profile(config),
-        );
-        Rc::new(SlowStartQuota::new(
-            both,
-            member.clone(),
-            pool.clone(),
-            metrics.clone(),
-            usual,
-            config.seed ^ 0xc01d,
-        ))
+        let delivery_timeout = config.dial_timeout + MAX_WRITE_DELAY;
+        let both = (QuotaConfig { delivery_timeout, ..how }, slow_start_profile(config));
+        let seed = config.seed ^ SLOW_START_SEED;
+        Rc::new(SlowStartQuota::new(both, member.clone(), pool.clone(), metrics.clone(), usual, seed))
     });
     colds.iter().for_each(|colds| drop(spawn_local(colds.clone().run())));
     let leave = settings.readiness_validity.map(|holds| {
@@ -131,37 +112,16 @@
         Rc::new(PlannedDrain::new(holds, member.clone(), own, metrics.clone(), warmup))
     });
     leave.iter().for_each(|leave| drop(spawn_local(leave.clone().run())));
-    let (leaver, watches) = (leave.clone(), watchers.clone());
-    spawn_local(receive(member.clone(), listener, move |effect| match effect.lease.name.as_str() {
-        ENDPOINT_LIST_LEASE => {
-            if let Ok(news) = serde_json::from_slice::<WatchEvent>(&effect.body) {
-                // The latest counts; where the queue is full, the next one says more than this.
-                let _ = sender.try_send(news);
-            }
-            Vec::new()
-        }
-        OBSERVER_LEASE => leaver.as_ref().map_or_else(Vec::new, |leave| leave.encoded_readiness()),
-        SLOW_START_LEASE => colds.as_ref().map_or_else(Vec::new, |colds| colds.handle_grants(&effect)),
-        _ => {
-            watchers.iter().for_each(|watchers| watchers.handle_report(&effect));
-            Vec::new()
-        }
-    }));
+    let watches = watchers.clone();
+    let handlers = EffectHandlers {
+        events: sender,
+        planned_drain: leave.clone(),
+        slow_start: colds,
+        health_checks: watchers,
+    };
+    spawn_local(receive(member.clone(), listener, move |effect| handlers.handle(&effect)));
     spawn_local(update_metrics(member.clone(), metrics));
-    let source = settings.list_source.clone().unwrap_or_else(|| config.discovery.to_string());
-    let reliance = DiscoveryFallback::with_seed(settings.list_silence, settings.fallback_per_s, config.seed);
-    let lists = Rc::new(SharedList {
-        settings: settings.clone(),
-        source: RefCell::new(source),
-        member: member.clone(),
-        ledger: RefCell::default(),
-        reliance: RefCell::new(reliance),
-        polls_discovery: watch::Sender::new(true),
-        term: RefCell::default(),
-        publish_due: Cell::default(),
-        published: Cell::default(),
-        discovery_heard_at: Cell::default(),
-    });
+    let lists = Rc::new(SharedList::new(settings, config, member.clone()));
     if let Some(leave) = &leave {
         let ledger = lists.clone();
         leave.observe_workers(Box::new(move || ledger.workers(watches.as_deref())));
@@ -172,6 +132,69 @@
     Ok(ClusterHandle { shared_list: lists, events: news, planned_drain: leave })
 }
 
+/// The leases that this member can hold.
+fn offered_leases(settings: &ClusterSettings, health_checks: Option<HealthCheckConfig>) -> Vec<LeaseId> {
+    let mut offers: Vec<LeaseId> =
+        settings.shared_list.then(|| LeaseId::fleet(ENDPOINT_LIST_LEASE)).into_iter().collect();
+    offers.extend(settings.slow_start.map(|_| LeaseId::fleet(SLOW_START_LEASE)));
+    offers.extend(settings.readiness_validity.map(|_| LeaseId::fleet(OBSERVER_LEASE)));
+    offers.extend(health_checks.iter().flat_map(|how| how.leases()));
+    offers
+}
+
+fn member_settings(
+    settings: &ClusterSettings,
+    config: &Config,
+    zone: &str,
+    address: SocketAddr,
+    offers: Vec<LeaseId>,
+) -> Settings {
+    Settings {
+        installation: settings.installation.clone(),
+        name: config.name.clone(),
+        zone: zone.to_owned(),
+        address: address.to_string(),
+        keepers: settings.coordinators.clone(),
+        bind: settings.bind_address,
+        times: settings.times,
+        offers,
+        seed: config.seed ^ MEMBER_SEED,
+    }
+}
+
+/// Who takes the effects of lease holders, by lease.
+struct EffectHandlers {
+    events: mpsc::Sender<WatchEvent>,
+    planned_drain: Option<Rc<PlannedDrain>>,
+    slow_start: Option<Rc<SlowStartQuota>>,
+    health_checks: Option<Rc<ClusterHealthChecks>>,
+}
+
+impl EffectHandlers {
+    /// Takes an effect whose token was found good; returns what its sender is answered.
+    fn handle(&self, effect: &Effect) -> Vec<u8> {
+        match effect.lease.name.as_str() {
+            ENDPOINT_LIST_LEASE => {
+                if let Ok(event) = serde_json::from_slice::<WatchEvent>(&effect.body) {
+                    // The latest counts; where the queue is full, the next one says more than this.
+                    let _ = self.events.try_send(event);
+                }
+                Vec::new()
+            }
+            OBSERVER_LEASE => {
+                self.planned_drain.as_ref().map_or_else(Vec::new, |drain| drain.encoded_readiness())
+            }
+            SLOW_START_LEASE => {
+                self.slow_start.as_ref().map_or_else(Vec::new, |quota| quota.handle_grants(effect))
+            }
+            _ => {
+                self.health_checks.iter().for_each(|checks| checks.handle_report(effect));
+                Vec::new()
+            }
+        }
+    }
+}
+
 /// What the platform says of cold workers.
 fn slow_start_profile(config: &Config) -> SlowStartProfile {
     let settings = &config.settings;
@@ -213,6 +236,24 @@
 }
 
 impl SharedList {
+    fn new(settings: &ClusterSettings, config: &Config, member: Member) -> SharedList {
+        let source = settings.list_source.clone().unwrap_or_else(|| config.discovery.to_string());
+        let reliance =
+            DiscoveryFallback::with_seed(settings.list_silence, settings.fallback_per_s, config.seed);
+        SharedList {
+            settings: settings.clone(),
+            source: RefCell::new(source),
+            member,
+            ledger: RefCell::default(),
+            reliance: RefCell::new(reliance),
+            polls_discovery: watch::Sender::new(true),
+            term: RefCell::default(),
+            publish_due: Cell::default(),
+            published: Cell::default(),
+            discovery_heard_at: Cell::default(),
+        }
+    }
+
     /// The workers of the list, as watchers see them.
     fn workers(&self, watchers: Option<&ClusterHealthChecks>) -> Vec<ListedWorker> {
         let ledger = self.ledger.borrow();
--- a/crates/dispatcher/src/net/discovery/mod.rs
+++ b/crates/dispatcher/src/net/discovery/mod.rs
@@ -5,7 +5,6 @@
 mod notified;
 mod watch_session;
 
-use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -31,25 +30,10 @@
     fleet: Option<(Rc<SharedList>, mpsc::Receiver<WatchEvent>)>,
 ) {
     let (known, mut members) = configs.borrow().saved_list.clone();
-    let told = NotifiedState {
-        revision: Cell::default(),
-        newest_revision: Cell::default(),
-        states: RefCell::default(),
-    };
-    told.record(known.unwrap_or(0), &mut members);
-    // Where nothing was held before, all must be asked for. What was held may well be of revision 0: to ask for all
-    // first would make two calls of one, of every dispatcher of a fleet at its start.
-    told.revision.set(known);
-    let told = Rc::new(told);
+    let told = Rc::new(NotifiedState::from_saved(known, &mut members));
     let lists = fleet.map(|(lists, news)| {
-        spawn_local(follow_cluster_list(
-            lists.clone(),
-            news,
-            told.clone(),
-            configs.clone(),
-            handle.clone(),
-            ready.clone(),
-        ));
+        let (told, configs) = (told.clone(), configs.clone());
+        spawn_local(follow_cluster_list(lists.clone(), news, told, configs, handle.clone(), ready.clone()));
         lists
     });
     // Without a fleet the sender is gone, and it stays at asking.
@@ -72,12 +56,7 @@
         }
         let config = configs.borrow_and_update().clone();
         let before = told.revision.get();
-        let watch = Watch {
-            config: config.clone(),
-            handle: handle.clone(),
-            notified: told.clone(),
-            shared_list: lists.clone(),
-        };
+        let watch = Watch::new(&config, &handle, &told, &lists);
         // A task of its own: a panic ends this watch, not the following.
         let watch = spawn_local(watch.run(configs.clone(), ready.clone(), asks.clone()));
         let WatchEnded { reason: why, answered, retry_after: wanted, without_watch_since: deaf_since } =
--- a/crates/dispatcher/src/net/discovery/notified.rs
+++ b/crates/dispatcher/src/net/discovery/notified.rs
@@ -18,6 +18,20 @@
 }
 
 impl NotifiedState {
+    /// The state that the list as last held before the start leaves.
+    pub(super) fn from_saved(revision: Option<u64>, endpoints: &mut [ListedEndpoint]) -> NotifiedState {
+        let state = NotifiedState {
+            revision: Cell::default(),
+            newest_revision: Cell::default(),
+            states: RefCell::default(),
+        };
+        state.record(revision.unwrap_or(0), endpoints);
+        // Where nothing was held before, all must be asked for. What was held may well be of revision 0: to ask for all
+        // first would make two calls of one, of every dispatcher of a fleet at its start.
+        state.revision.set(revision);
+        state
+    }
+
     /// Takes note of a list. One that is older than what was told before comes of a place that lags behind: it
     /// must not bring back a worker of which this program knows that it drains or is gone.
     pub(super) fn record(&self, revision: u64, members: &mut [ListedEndpoint]) {
--- a/crates/dispatcher/src/net/discovery/watch_session.rs
+++ b/crates/dispatcher/src/net/discovery/watch_session.rs
@@ -65,6 +65,20 @@
 }
 
 impl Watch {
+    pub(super) fn new(
+        config: &Rc<Config>,
+        handle: &Handle,
+        notified: &Rc<NotifiedState>,
+        shared_list: &Option<Rc<SharedList>>,
+    ) -> Watch {
+        Watch {
+            config: config.clone(),
+            handle: handle.clone(),
+            notified: notified.clone(),
+            shared_list: shared_list.clone(),
+        }
+    }
+
     /// Follows it to its end, or until the configuration names another place or the fleet is relied on.
     pub(super) async fn run(
         self,
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -129,20 +129,9 @@
     let mut follow = spawn_local(discovery::run_watch(configs.clone(), handle.clone(), ready, fleet));
     let mut renew = spawn_local(reload_on_request(reload, config, handle.clone(), metrics.clone()));
     if let Some(at) = at {
-        // Without its console the dispatcher still serves; the operators see the error in the log.
-        match tokio::net::TcpListener::bind(at).await {
-            Ok(listener) => {
-                let (heard, phase, since) = (is_ready.clone(), phase.clone(), tokio::time::Instant::now());
-                // Standby is told apart by the console itself, which names it in its answer.
-                let ready = Box::new(move || {
-                    client::is_ready(*heard.borrow(), since, *phase.borrow(), mode::Mode::Active)
-                });
-                let console =
-                    console::Console { metrics: metrics.clone(), mode, ready, planned_drain: leave };
-                spawn_local(console::serve(listener, Rc::new(console)));
-            }
-            Err(error) => tracing::error!(%error, %at, "the console cannot listen"),
-        }
+        // The sender kept here outlives a console that cannot listen: without any the mode would count as left.
+        let console = (metrics.clone(), mode.clone(), leave);
+        start_console(at, console, is_ready.clone(), phase.clone()).await;
     }
     // None of the four ends while clients are served: without any of them the program must not go on as if.
     tokio::select! {
@@ -154,6 +143,32 @@
     }
 }
 
+/// Listens for the operators' calls. Without its console the dispatcher still serves; the operators see the error in the
+/// log.
+async fn start_console(
+    at: std::net::SocketAddr,
+    (metrics, mode, planned_drain): (
+        Rc<metrics::Metrics>,
+        watch::Sender<mode::Mode>,
+        Option<Rc<planned_drain::PlannedDrain>>,
+    ),
+    heard: watch::Receiver<bool>,
+    phase: watch::Receiver<shutdown::ShutdownPhase>,
+) {
+    match tokio::net::TcpListener::bind(at).await {
+        Ok(listener) => {
+            let since = tokio::time::Instant::now();
+            // Standby is told apart by the console itself, which names it in its answer.
+            let ready = Box::new(move || {
+                client::is_ready(*heard.borrow(), since, *phase.borrow(), mode::Mode::Active)
+            });
+            let console = console::Console { metrics, mode, ready, planned_drain };
+            spawn_local(console::serve(listener, Rc::new(console)));
+        }
+        Err(error) => tracing::error!(%error, %at, "the console cannot listen"),
+    }
+}
+
 /// Takes in each configuration that is to replace the one before. All parts have it before any of them runs
 /// again, so that no job is read by the names of one and decided by the settings of the other.
 async fn reload_on_request(
--- a/crates/dispatcher/src/net/planned_drain.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -33,8 +33,10 @@
 const UNCHANGED_REPORT_ROUNDS: u32 = 5;
 /// The most time that a standby takes to be granted or refused.
 const DECISION_TIMEOUT: Duration = Duration::from_millis(800);
-/// When to ask again for what has to wait, and for what needs a majority first, in seconds.
-const RETRY_AFTER_S: (u32, u32) = (1, 5);
+/// When to ask again for what has to wait, in seconds.
+const RETRY_AFTER_WAIT_S: u32 = 1;
+/// When to ask again for what needs a majority first, in seconds.
+const RETRY_AFTER_MAJORITY_S: u32 = 5;
 
 /// Why a standby is not granted, and when to ask again, in seconds.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -86,6 +88,38 @@
     Err(DrainRejected { reason: reason.into(), retry_after_s })
 }
 
+/// The rejection of a permit that waits, with the budget that it waits for.
+async fn waits_for_turn(keepers: &mut Keepers, permit: u64, by: Instant) -> Result<(), DrainRejected> {
+    let held = match keepers.ask(&Operation::DisruptionState { known_revision: 0 }, by).await {
+        Ok(Response::DisruptionState(_, Some(account))) => {
+            account.blocking_budget(permit).map(|budget| format!(": budget {:?} is used up", budget.name))
+        }
+        _ => None,
+    };
+    let held = held.unwrap_or_default();
+    rejected(format!("permit {permit} waits for its turn{held}"), RETRY_AFTER_WAIT_S)
+}
+
+/// Begins a permit that was granted.
+async fn begin_permit(
+    keepers: &mut Keepers,
+    permit: u64,
+    incarnation: u64,
+    by: Instant,
+) -> Result<(), DrainRejected> {
+    let begin = DisruptionCommand::BeginPermit { permit, incarnation };
+    match keepers.ask(&Operation::ChangeDisruptionState(begin), by).await {
+        Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitBegun(_))) => Ok(()),
+        Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(Rejection::UnknownPermit))) => {
+            rejected("the permit before this one is not over yet", RETRY_AFTER_WAIT_S)
+        }
+        Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(why))) => {
+            rejected(why.to_string(), RETRY_AFTER_WAIT_S)
+        }
+        other => rejected(format!("the permit could not be begun: {other:?}"), RETRY_AFTER_WAIT_S),
+    }
+}
+
 impl PlannedDrain {
     pub(super) fn new(
         readiness_validity: Micros,
@@ -150,7 +184,7 @@
             return Ok(());
         }
         let Ok(_one) = self.decision.try_lock() else {
-            return rejected("another call for standby is being decided on", RETRY_AFTER_S.0);
+            return rejected("another call for standby is being decided on", RETRY_AFTER_WAIT_S);
         };
         let decided = self.request_permit(reason, force).await;
         match &decided {
@@ -179,22 +213,18 @@
                 permit,
                 PermitState::Waiting,
             ))) => {
-                let held = match keepers.ask(&Operation::DisruptionState { known_revision: 0 }, by).await {
-                    Ok(Response::DisruptionState(_, Some(account))) => account
-                        .blocking_budget(permit)
-                        .map(|budget| format!(": budget {:?} is used up", budget.name)),
-                    _ => None,
-                };
-                let held = held.unwrap_or_default();
-                return rejected(format!("permit {permit} waits for its turn{held}"), RETRY_AFTER_S.0);
+                return waits_for_turn(&mut keepers, permit, by).await;
             }
             Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested(permit, _))) => permit,
             Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(why))) => {
-                return rejected(why.to_string(), RETRY_AFTER_S.1)
+                return rejected(why.to_string(), RETRY_AFTER_MAJORITY_S)
             }
-            Ok(Response::Rejected(reason)) => return rejected(reason.to_string(), RETRY_AFTER_S.1),
+            Ok(Response::Rejected(reason)) => return rejected(reason.to_string(), RETRY_AFTER_MAJORITY_S),
             Ok(other) => {
-                return rejected(format!("an answer that was not asked for: {other:?}"), RETRY_AFTER_S.1)
+                return rejected(
+                    format!("an answer that was not asked for: {other:?}"),
+                    RETRY_AFTER_MAJORITY_S,
+                )
             }
             Err(why) if force => {
                 tracing::warn!(why, "drain forced without the coordinators");
@@ -205,25 +235,15 @@
             Err(why) => {
                 return rejected(
                     format!("no majority of the keepers answers ({why}); serving goes on"),
-                    RETRY_AFTER_S.1,
+                    RETRY_AFTER_MAJORITY_S,
                 )
             }
         };
-        let begin = DisruptionCommand::BeginPermit { permit, incarnation: number };
-        match keepers.ask(&Operation::ChangeDisruptionState(begin), by).await {
-            Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitBegun(_))) => {}
-            Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(Rejection::UnknownPermit))) => {
-                return rejected("the permit before this one is not over yet", RETRY_AFTER_S.0)
-            }
-            Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(why))) => {
-                return rejected(why.to_string(), RETRY_AFTER_S.0)
-            }
-            other => return rejected(format!("the permit could not be begun: {other:?}"), RETRY_AFTER_S.0),
-        }
+        begin_permit(&mut keepers, permit, number, by).await?;
         // Whoever was stopped meanwhile may have been seen as another life: then the permit may be over.
         let now = clock::now();
         if self.member.holder().borrow().active_session(now).is_none() || self.incarnation() != number {
-            return rejected("this dispatcher lost its session meanwhile", RETRY_AFTER_S.0);
+            return rejected("this dispatcher lost its session meanwhile", RETRY_AFTER_WAIT_S);
         }
         if force {
             self.metrics.drains_forced.inc();
@@ -330,9 +350,10 @@
         let mut seen = term.observer.borrow().status_changes(now, &members, account)?;
         let workers = self.listed_workers();
         // Before a list was heard nothing is known of workers, which is not that they are gone.
-        let (changed, gone) = match workers.is_empty() {
-            true => (Vec::new(), Vec::new()),
-            false => self.warmup.borrow().status_changes(now, &workers, account),
+        let (changed, gone) = if workers.is_empty() {
+            (Vec::new(), Vec::new())
+        } else {
+            self.warmup.borrow().status_changes(now, &workers, account)
         };
         seen.extend(changed);
         Some((term.token, seen, gone))
--- a/crates/dispatcher/tests/scenario/mod.rs
+++ b/crates/dispatcher/tests/scenario/mod.rs
@@ -124,6 +124,7 @@
 }
 
 impl Stage {
+    #[expect(clippy::too_many_lines, reason = "one configuration, read in one piece")]
     async fn set(script: &str) -> Stage {
         let (to_workers, at_workers) = mpsc::unbounded_channel();
         let (to_discovery, at_discovery) = mpsc::unbounded_channel();
@@ -193,6 +194,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "one arm for each step of the language")]
     async fn step(&mut self, step: &str) {
         let _ = writeln!(self.transcript, "{step}");
         let words: Vec<&str> = step.split_whitespace().collect();
--- a/examples/scheduler.rs
+++ b/examples/scheduler.rs
@@ -10,6 +10,7 @@
 };
 use dispatcher::{Action, Dispatcher, Event, Settings};
 
+#[expect(clippy::too_many_lines, reason = "an example reads from top to bottom")]
 fn main() {
     let settings = Settings {
         classes: vec![Class {
