--- a/crates/dispatcher/src/net/cluster/mod.rs
+++ b/crates/dispatcher/src/net/cluster/mod.rs
@@ -13,16 +13,17 @@
 use std::rc::Rc;
 
 use cluster_member::clock;
-use cluster_member::effects::{receive, Publisher};
-use cluster_member::endpoint_list::{DiscoveryFallback, EndpointSnapshot, WatchEvent, ENDPOINT_LIST_LEASE};
+use cluster_member::discovery_fallback::DiscoveryFallback;
+use cluster_member::effects::{serve_effects, Publisher};
+use cluster_member::endpoint_list::{EndpointSnapshot, WatchEvent, ENDPOINT_LIST_LEASE};
 use cluster_member::health_check::HealthCheckConfig;
-use cluster_member::member::{Ended, Member, Settings};
+use cluster_member::member::{Member, MemberConfig, MembershipEnd};
 use cluster_member::record::Recorder;
 use cluster_member::slow_start::{QuotaConfig, SlowStartProfile, SLOW_START_LEASE};
 use cluster_member::wire::Effect;
 use coordination::{LeaseClient, LeaseId, Micros};
 use dispatch_core::hashing::worker_id;
-use disruption_budget::availability_observer::{ListedWorker, WarmupTracker, OBSERVER_LEASE};
+use disruption_budget::{ListedWorker, WarmupTracker, OBSERVER_LEASE};
 use serde_json::Value;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
@@ -39,7 +40,6 @@
 use health_checks::ClusterHealthChecks;
 use slow_start::SlowStartQuota;
 use timing::PUBLISH_INTERVAL;
-
 /// How long a job may take from being decided on to its last byte, beside the time for a connection.
 const MAX_WRITE_DELAY: Micros = 100_000;
 /// News that wait for the one who follows discovery, at the most.
@@ -90,10 +90,10 @@
     let zones = config.names.zones.len().clamp(1, usize::from(u16::MAX)) as u16;
     let watch = settings.health_checks.map(|how| HealthCheckConfig { zone_count: zones, ..how });
     let zone = config.names.zones.get(config.settings.zone as usize).cloned().unwrap_or_default();
-    let member = member_settings(settings, config, &zone, address, offered_leases(settings, watch));
-    let record = settings.record.as_deref().map_or(Ok(Recorder::default()), Recorder::to)?;
+    let member = member_config(settings, config, &zone, address, offered_leases(settings, watch));
+    let record = settings.record.as_deref().map_or(Ok(Recorder::default()), Recorder::append_to)?;
     let member = Member::new(member, LeaseClient::new(settings.times), record);
-    member.record().put(clock::now(), "started", serde_json::json!({}));
+    member.recorder().record(clock::now(), "started", serde_json::json!({}));
     let (sender, news) = mpsc::channel(WATCH_EVENT_QUEUE);
     let watchers = watch.map(|how| {
         Rc::new(ClusterHealthChecks::new(how, zone, member.clone(), pool.clone(), metrics.clone()))
@@ -119,7 +119,7 @@
         slow_start: colds,
         health_checks: watchers,
     };
-    spawn_local(receive(member.clone(), listener, move |effect| handlers.handle(&effect)));
+    spawn_local(serve_effects(member.clone(), listener, move |effect| handlers.handle(&effect)));
     spawn_local(update_metrics(member.clone(), metrics));
     let lists = Rc::new(SharedList::new(settings, config, member.clone()));
     if let Some(leave) = &leave {
@@ -142,22 +142,22 @@
     offers
 }
 
-fn member_settings(
+fn member_config(
     settings: &ClusterSettings,
     config: &Config,
     zone: &str,
     address: SocketAddr,
     offers: Vec<LeaseId>,
-) -> Settings {
-    Settings {
+) -> MemberConfig {
+    MemberConfig {
         installation: settings.installation.clone(),
         name: config.name.clone(),
         zone: zone.to_owned(),
         address: address.to_string(),
-        keepers: settings.coordinators.clone(),
-        bind: settings.bind_address,
-        times: settings.times,
-        offers,
+        replicas: settings.coordinators.clone(),
+        local_address: settings.bind_address,
+        timing: settings.times,
+        eligible_leases: offers,
         seed: config.seed ^ MEMBER_SEED,
     }
 }
@@ -209,7 +209,7 @@
 /// Stays a member for as long as the keepers let it.
 async fn run_member(member: Member) {
     match member.run().await {
-        Ended::Left => tracing::info!("left the cluster"),
+        MembershipEnd::Left => tracing::info!("left the cluster"),
         ended => tracing::error!(?ended, "no longer a cluster member; continuing without it"),
     }
 }
@@ -221,7 +221,7 @@
     loop {
         rounds.tick().await;
         let now = clock::now();
-        let holder = member.holder().borrow();
+        let holder = member.lease_client().borrow();
         let counts = holder.effect_counts();
         metrics.session.set(i64::from(holder.active_session(now).is_some()));
         metrics.leases_held.set(holder.held_leases(now).len() as i64);
@@ -324,7 +324,7 @@
     async fn run(self: Rc<Self>) {
         let mut rounds = interval(PUBLISH_INTERVAL);
         rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut changes = self.member.changes();
+        let mut changes = self.member.subscribe();
         loop {
             tokio::select! {
                 _ = rounds.tick() => {}
@@ -339,7 +339,7 @@
     /// Notices whether this member owns the duty, and gives it back where discovery is silent here.
     fn update_term(&self) {
         let duty = LeaseId::fleet(ENDPOINT_LIST_LEASE);
-        let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
+        let owned = self.member.held_leases().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
             Some((duty, token)) => {
@@ -354,7 +354,7 @@
                 {
                     tracing::warn!(token = token.0, "discovery is silent; releasing the list lease");
                     self.discovery_heard_at.set(clock::now());
-                    self.member.release(duty, token);
+                    self.member.release_lease(duty, token);
                 }
             }
             None => *term = None,
@@ -368,7 +368,7 @@
         let ledger = self.ledger.borrow();
         let Some(list) = ledger.complete_list() else { return };
         self.publish_due.set(false);
-        let state = (ledger.revision(), self.member.roster().len());
+        let state = (ledger.revision(), self.member.members().len());
         let whole = self.published.replace(state) != state;
         let members = state.1 as u64;
         let revision = serde_json::json!({"revision": state.0});
@@ -378,7 +378,7 @@
             list: if whole { list } else { revision },
         };
         if let Ok(body) = serde_json::to_vec(&news) {
-            term.say(body);
+            term.publish(body);
         }
     }
 }
--- a/crates/dispatcher/src/net/planned_drain.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -8,17 +8,15 @@
 use std::time::Duration;
 
 use cluster_member::clock;
-use cluster_member::coordinator_client::Keepers;
+use cluster_member::coordinator_client::CoordinatorClient;
 use cluster_member::effects::Publisher;
 use cluster_member::member::Member;
 use cluster_member::wire::{ClientIdentity, Operation, Response};
 use coordination::{FencingToken, LeaseId, Micros};
-use disruption_budget::availability_observer::{
-    AvailabilityObserver, ListedWorker, ReadinessReport, WarmupTracker, OBSERVER_LEASE,
-};
 use disruption_budget::{
-    DisruptionCommand, DisruptionOutcome, DisruptionState, ObservationUrgency, PermitState, Rejection,
-    Target, TargetKind, TargetStatus,
+    AvailabilityObserver, DisruptionCommand, DisruptionOutcome, DisruptionState, FleetMember, ListedWorker,
+    ObservationUrgency, PermitState, ReadinessReport, Rejection, StatusChanges, Target, TargetKind,
+    WarmupTracker, OBSERVER_LEASE,
 };
 use tokio::sync::{watch, Mutex};
 use tokio::time::{interval, Instant, MissedTickBehavior};
@@ -89,8 +87,12 @@
 }
 
 /// The rejection of a permit that waits, with the budget that it waits for.
-async fn waits_for_turn(keepers: &mut Keepers, permit: u64, by: Instant) -> Result<(), DrainRejected> {
-    let held = match keepers.ask(&Operation::DisruptionState { known_revision: 0 }, by).await {
+async fn waits_for_turn(
+    coordinators: &mut CoordinatorClient,
+    permit: u64,
+    by: Instant,
+) -> Result<(), DrainRejected> {
+    let held = match coordinators.call(&Operation::DisruptionState { known_revision: 0 }, by).await {
         Ok(Response::DisruptionState(_, Some(account))) => {
             account.blocking_budget(permit).map(|budget| format!(": budget {:?} is used up", budget.name))
         }
@@ -102,13 +104,13 @@
 
 /// Begins a permit that was granted.
 async fn begin_permit(
-    keepers: &mut Keepers,
+    coordinators: &mut CoordinatorClient,
     permit: u64,
     incarnation: u64,
     by: Instant,
 ) -> Result<(), DrainRejected> {
     let begin = DisruptionCommand::BeginPermit { permit, incarnation };
-    match keepers.ask(&Operation::ChangeDisruptionState(begin), by).await {
+    match coordinators.call(&Operation::ChangeDisruptionState(begin), by).await {
         Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitBegun(_))) => Ok(()),
         Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(Rejection::UnknownPermit))) => {
             rejected("the permit before this one is not over yet", RETRY_AFTER_WAIT_S)
@@ -146,22 +148,23 @@
         *self.workers.borrow_mut() = Some(workers);
     }
 
-    fn coordinators(&self) -> Keepers {
-        let settings = self.member.settings();
+    fn coordinators(&self) -> CoordinatorClient {
+        let settings = self.member.config();
         let who = ClientIdentity::Member { name: settings.name.clone() };
-        Keepers::new(&settings.installation, who, settings.keepers.clone(), settings.bind)
+        CoordinatorClient::new(&settings.installation, who, settings.replicas.clone(), settings.local_address)
     }
 
     /// Which life of this dispatcher it is: higher with every session and every return.
     fn incarnation(&self) -> u64 {
-        let session = self.member.holder().borrow().last_session().map_or(0, |session| session.incarnation);
+        let session =
+            self.member.lease_client().borrow().last_session().map_or(0, |session| session.incarnation);
         session << 20 | self.returns_from_standby.get()
     }
 
     fn readiness_report(&self) -> ReadinessReport {
         let serving = *self.status.phase.borrow() == ShutdownPhase::Serving
             && *self.status.mode.borrow() == Mode::Active;
-        let settings = self.member.settings();
+        let settings = self.member.config();
         ReadinessReport {
             name: settings.name.clone(),
             zone: settings.zone.clone(),
@@ -199,7 +202,7 @@
 
     async fn request_permit(&self, reason: &str, force: bool) -> Result<(), DrainRejected> {
         let by = Instant::now() + DECISION_TIMEOUT;
-        let (mut keepers, name) = (self.coordinators(), &self.member.settings().name);
+        let (mut coordinators, name) = (self.coordinators(), &self.member.config().name);
         let number = self.incarnation();
         let target = Target { kind: TargetKind::Dispatcher, name: name.clone() };
         let request = DisruptionCommand::RequestPermit {
@@ -208,12 +211,12 @@
             requester: format!("dispatcher/{name}"),
             force,
         };
-        let permit = match keepers.ask(&Operation::ChangeDisruptionState(request), by).await {
+        let permit = match coordinators.call(&Operation::ChangeDisruptionState(request), by).await {
             Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested(
                 permit,
                 PermitState::Waiting,
             ))) => {
-                return waits_for_turn(&mut keepers, permit, by).await;
+                return waits_for_turn(&mut coordinators, permit, by).await;
             }
             Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested(permit, _))) => permit,
             Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(why))) => {
@@ -239,10 +242,10 @@
                 )
             }
         };
-        begin_permit(&mut keepers, permit, number, by).await?;
+        begin_permit(&mut coordinators, permit, number, by).await?;
         // Whoever was stopped meanwhile may have been seen as another life: then the permit may be over.
         let now = clock::now();
-        if self.member.holder().borrow().active_session(now).is_none() || self.incarnation() != number {
+        if self.member.lease_client().borrow().active_session(now).is_none() || self.incarnation() != number {
             return rejected("this dispatcher lost its session meanwhile", RETRY_AFTER_WAIT_S);
         }
         if force {
@@ -254,20 +257,24 @@
 
     fn switch_to_standby(&self, permit: Option<u64>) {
         self.status.mode.send_replace(Mode::Standby);
-        self.member.record().put(clock::now(), "standby", serde_json::json!({"permit": permit}));
+        self.member.recorder().record(clock::now(), "standby", serde_json::json!({"permit": permit}));
     }
 
     /// Returned from standby: another life.
     pub(super) fn record_return(&self) {
         self.returns_from_standby.set(self.returns_from_standby.get() + 1);
-        self.member.record().put(clock::now(), "active", serde_json::json!({"number": self.incarnation()}));
+        self.member.recorder().record(
+            clock::now(),
+            "active",
+            serde_json::json!({"number": self.incarnation()}),
+        );
     }
 
     /// Asks all how they are and tells the account, while that duty is ours, for as long as the program runs.
     pub(super) async fn run(self: Rc<Self>) {
         let mut rounds = interval(OBSERVATION_INTERVAL);
         rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut keepers = self.coordinators();
+        let mut coordinators = self.coordinators();
         let (mut known, mut account, mut count) = (0, DisruptionState::default(), 0u32);
         loop {
             rounds.tick().await;
@@ -278,33 +285,33 @@
             }
             count = count.wrapping_add(1);
             let by = Instant::now() + DECISION_TIMEOUT;
-            match keepers.ask(&Operation::DisruptionState { known_revision: known }, by).await {
+            match coordinators.call(&Operation::DisruptionState { known_revision: known }, by).await {
                 Ok(Response::DisruptionState(revision, Some(new))) => (known, account) = (revision, *new),
                 Ok(Response::DisruptionState(..)) => {}
                 _ => continue,
             }
-            let Some((token, targets, gone)) = self.observe(&account) else { continue };
+            let Some((token, changes)) = self.observe(&account) else { continue };
             let wanted = match account.observation_urgency() {
                 Some(ObservationUrgency::Immediate) => true,
                 Some(ObservationUrgency::Periodic) => count % UNCHANGED_REPORT_ROUNDS == 0,
                 None => false,
             };
-            if targets.is_empty() && gone.is_empty() && !wanted {
+            if changes.is_empty() && !wanted {
                 continue;
             }
             // The look at the lease comes right before the word; the keepers look at the token besides.
-            if !self.member.may_act(&LeaseId::fleet(OBSERVER_LEASE), token) {
+            if !self.member.holds_lease(&LeaseId::fleet(OBSERVER_LEASE), token) {
                 continue;
             }
             let observe = DisruptionCommand::RecordObservation {
                 fencing_token: token.0,
                 known_revision: known,
-                changed: targets,
-                removed: gone,
+                changed: changes.changed,
+                removed: changes.removed,
             };
             let what = serde_json::json!({"duty": OBSERVER_LEASE, "token": token.0});
-            self.member.record().put(clock::now(), "acted", what);
-            let _ = keepers.ask(&Operation::ChangeDisruptionState(observe), by).await;
+            self.member.recorder().record(clock::now(), "acted", what);
+            let _ = coordinators.call(&Operation::ChangeDisruptionState(observe), by).await;
         }
     }
 
@@ -316,7 +323,7 @@
         let now = clock::now();
         self.warmup.borrow_mut().update_list(now, &self.listed_workers());
         let duty = LeaseId::fleet(OBSERVER_LEASE);
-        let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
+        let owned = self.member.held_leases().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
             Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
@@ -324,7 +331,7 @@
                 tracing::info!(token = token.0, "holds the observer lease");
                 let observer = Rc::new(RefCell::new(AvailabilityObserver::new(self.readiness_validity, now)));
                 let received = observer.clone();
-                let publisher = Publisher::hearing(&self.member, duty, token, move |said| {
+                let publisher = Publisher::with_response_handler(&self.member, duty, token, move |said| {
                     if let Some(report) = ReadinessReport::decode(said) {
                         received.borrow_mut().record_report(report, clock::now());
                     }
@@ -334,28 +341,25 @@
             None => *term = None,
         }
         if let Some(term) = term.as_mut() {
-            term.publisher.say(Vec::new());
+            term.publisher.publish(Vec::new());
             term.observer.borrow_mut().record_report(self.readiness_report(), now);
         }
     }
 
     /// Who is not as the account has them.
-    fn observe(&self, account: &DisruptionState) -> Option<(FencingToken, Vec<TargetStatus>, Vec<Target>)> {
+    fn observe(&self, account: &DisruptionState) -> Option<(FencingToken, StatusChanges)> {
         let term = self.term.borrow();
         let term = term.as_ref()?;
-        let roster = self.member.roster();
-        let members: Vec<(&str, &str)> =
-            roster.iter().map(|peer| (peer.name.as_str(), peer.zone.as_str())).collect();
+        let roster = self.member.members();
+        let members: Vec<FleetMember<'_>> =
+            roster.iter().map(|peer| FleetMember { name: &peer.name, zone: &peer.zone }).collect();
         let now = clock::now();
-        let mut seen = term.observer.borrow().status_changes(now, &members, account)?;
+        let mut changes = term.observer.borrow().status_changes(now, &members, account)?;
         let workers = self.listed_workers();
         // Before a list was heard nothing is known of workers, which is not that they are gone.
-        let (changed, gone) = if workers.is_empty() {
-            (Vec::new(), Vec::new())
-        } else {
-            self.warmup.borrow().status_changes(now, &workers, account)
-        };
-        seen.extend(changed);
-        Some((term.token, seen, gone))
+        if !workers.is_empty() {
+            changes.extend(self.warmup.borrow().status_changes(now, &workers, account));
+        }
+        Some((term.token, changes))
     }
 }
--- a/crates/dispatcher/src/settings_file.rs
+++ b/crates/dispatcher/src/settings_file.rs
@@ -94,7 +94,7 @@
         match std::fs::read_to_string(&path) {
             Ok(text) => LocalSettings::parse(&file, &text).map_err(|fault| ConfigError {
                 key: format!("{}:{}: {}", fault.file, fault.line, fault.key),
-                problem: fault.problem,
+                problem: fault.problem.to_string(),
             }),
             Err(error) if error.kind() == ErrorKind::NotFound && named.is_none() => {
                 Ok(LocalSettings::default())
@@ -133,16 +133,16 @@
     let bind = section.string("bind")?.map(|text| {
         text.parse::<IpAddr>().map_err(|_| section.error("bind", format!("{text:?} is no IP address")))
     });
-    let times = settings::times(section)?;
+    let times = settings::timing(section)?;
     Ok(ClusterSettings {
-        installation: settings::wanted(section, "installation")?,
-        listen: settings::address(section, "listen")?,
+        installation: settings::required_text(section, "installation")?,
+        listen: settings::required_address(section, "listen")?,
         advertised_address: match section.value("address") {
-            Some(_) => Some(settings::address(section, "address")?),
+            Some(_) => Some(settings::required_address(section, "address")?),
             None => None,
         },
         bind_address: bind.transpose()?,
-        coordinators: settings::keepers(section)?,
+        coordinators: settings::replicas(section)?,
         times,
         shared_list: section.boolean("list")?.unwrap_or(true),
         list_source: section.string("source")?,
@@ -157,8 +157,8 @@
                     * 1_000)
             })
             .transpose()?,
-        slow_start: section.section("cold")?.map(|cold| settings::dealing(cold, &times)).transpose()?,
-        health_checks: section.section("watch")?.map(settings::watching).transpose()?,
+        slow_start: section.section("cold")?.map(|cold| settings::quota_config(cold, &times)).transpose()?,
+        health_checks: section.section("watch")?.map(settings::health_check_config).transpose()?,
     })
 }
 
