--- a/crates/coordinator/src/replica/requests.rs
+++ b/crates/coordinator/src/replica/requests.rs
@@ -225,7 +225,7 @@
     /// Answers the client whose command was applied.
     pub(super) fn reply_to_proposal(&mut self, requester: Requester, outcome: &CommandOutcome, now: Micros) {
         let response = match outcome {
-            CommandOutcome::SessionOpened(session, incarnation) => {
+            CommandOutcome::SessionOpened { session, incarnation } => {
                 self.join_response(requester.connection, *session, *incarnation, now)
             }
             CommandOutcome::Rejected(reason) => Response::Rejected(reason.clone()),
--- a/crates/coordinator/src/server/log.rs
+++ b/crates/coordinator/src/server/log.rs
@@ -14,10 +14,10 @@
 /// Logs what came of a command.
 pub(super) fn applied(command: &Command, outcome: &CommandOutcome) {
     match outcome {
-        CommandOutcome::LeaseGranted(lease, owner) => {
-            tracing::info!(%lease, token = owner.token.0, session = owner.session.0, "lease granted");
+        CommandOutcome::LeaseGranted { lease, holder } => {
+            tracing::info!(%lease, token = holder.token.0, session = holder.session.0, "lease granted");
         }
-        CommandOutcome::SessionOpened(session, incarnation) => {
+        CommandOutcome::SessionOpened { session, incarnation } => {
             if let Command::OpenSession { name, .. } = command {
                 tracing::info!(name, session = session.0, incarnation, "session opened");
             }
@@ -31,7 +31,7 @@
                 disruption_changed(change, outcome);
             }
         }
-        CommandOutcome::LeaseReleased(lease, token) => {
+        CommandOutcome::LeaseReleased { lease, token } => {
             tracing::info!(%lease, token = token.0, "lease released")
         }
         CommandOutcome::Rejected(reason) => tracing::debug!(%reason, ?command, "command rejected"),
--- a/crates/coordinator/src/server/record.rs
+++ b/crates/coordinator/src/server/record.rs
@@ -57,13 +57,13 @@
 ) {
     let mut entry = Applied { index, digest, ..Applied::default() };
     match outcome {
-        CommandOutcome::LeaseGranted(lease, owner) => {
+        CommandOutcome::LeaseGranted { lease, holder } => {
             entry.granted = Some(lease.to_string());
-            entry.token = Some(owner.token.0);
-            entry.session = Some(owner.session.0);
+            entry.token = Some(holder.token.0);
+            entry.session = Some(holder.session.0);
         }
         CommandOutcome::SessionEnded(session) => entry.ended = Some(session.0),
-        CommandOutcome::SessionOpened(session, _) => {
+        CommandOutcome::SessionOpened { session, .. } => {
             entry.joined = Some(session.0);
             if let Command::OpenSession { name, .. } = command {
                 entry.name = Some(name);
--- a/crates/dispatch-core/tests/poll_schedule.rs
+++ b/crates/dispatch-core/tests/poll_schedule.rs
@@ -1,4 +1,4 @@
-//! Discovery is called again early enough for what changes to be known when it counts as told.
+//! Discovery is polled again early enough for changes to be known when they count as notified.
 
 use dispatch_core::backoff::Micros;
 use dispatch_core::poll_schedule::{standby_watch_delay, PollSchedule, NOTIFIED_WITHIN};
@@ -10,10 +10,10 @@
     Settings { instances, polls_endpoint_list: ask_for_list, max_poll_interval: 10.0, ..Settings::default() }
 }
 
-/// Whatever a call cost and however many failed before: from the moment since when nothing may have been heard, the
+/// Whatever a call cost and however many failed before: from the moment on which there is no watch, the
 /// next call begins so early that its answer, which may take 2 s, is there in time.
 #[test]
-fn the_next_call_fits_into_the_time_within_which_a_change_counts_as_told() {
+fn polls_again_within_the_notification_time() {
     for instances in [1, 6, 30, 300] {
         for seed in 0..50 {
             let mut calls = PollSchedule::new(&settings(instances, true), GRACE, seed);
@@ -28,10 +28,10 @@
     }
 }
 
-/// What an agent has counts as told at once, so the time that a worker may still get work after it drains is all
+/// What an agent has counts as notified at once, so the time that a worker may still get work after it drains is all
 /// there is.
 #[test]
-fn an_agent_is_asked_again_within_a_fraction_of_the_grace() {
+fn polls_an_agent_again_within_a_fraction_of_the_grace() {
     for seed in 0..50 {
         let mut calls = PollSchedule::new(&settings(300, false), GRACE, seed);
         assert!((0..20).all(|_| calls.next_delay(0, None) <= 100_000));
@@ -40,7 +40,7 @@
 
 /// Settings may tell no grace, or one without measure: there is a pause all the same, and an agent has a moment to answer.
 #[test]
-fn a_grace_of_nothing_or_of_for_ever_leaves_pauses() {
+fn keeps_pauses_for_a_grace_of_nothing_or_for_ever() {
     for grace in [0, Micros::MAX] {
         let mut calls = PollSchedule::new(&settings(1, false), grace, 1);
         assert!((0..20).map(|_| calls.next_delay(0, None)).max() > Some(5_000));
@@ -49,7 +49,7 @@
 }
 
 /// How many of these dispatchers, whose watches ended at one moment, are answered within so long by a service as it was
-/// measured: it takes so much for a call, also for one that is turned away since it would wait for 2 s.
+/// measured: it takes so much for a call, also for one that is rejected since it would wait for 2 s.
 fn answered(
     instances: u32,
     call: Micros,
