--- a/crates/coordination/src/state_machine/mod.rs
+++ b/crates/coordination/src/state_machine/mod.rs
@@ -10,7 +10,7 @@
 
 use std::collections::BTreeMap;
 
-use disruption_budget::availability_observer::OBSERVER_LEASE;
+use disruption_budget::OBSERVER_LEASE;
 use disruption_budget::{DisruptionCommand, DisruptionState};
 use serde::{Deserialize, Serialize};
 
--- a/crates/coordinator/src/cli/commands.rs
+++ b/crates/coordinator/src/cli/commands.rs
@@ -133,7 +133,7 @@
     let expected_version = match arguments.seen_version {
         Some(version) => version,
         // An operator who does not say what version was seen has just looked.
-        None => operator_client::disruption_state(config).await?.state.budgets().0,
+        None => operator_client::disruption_state(config).await?.state.budgets_version(),
     };
     let count = budgets.len();
     operator_client::change_disruption_state(
@@ -153,9 +153,7 @@
             let budget = snapshot.state.blocking_budget(permit).map(|budget| budget.name.clone());
             Err(CommandError::PermitWaiting { permit, budget })
         }
-        DisruptionOutcome::PermitRequested(permit, state) => {
-            Ok(format!("{permit} {}\n", output::permit_state(state)))
-        }
+        DisruptionOutcome::PermitRequested(permit, state) => Ok(format!("{permit} {state}\n")),
         DisruptionOutcome::PermitBegun(permit) => Ok(format!("{permit} begun\n")),
         _ => Ok(String::new()),
     }
--- a/crates/coordinator/src/cli/output.rs
+++ b/crates/coordinator/src/cli/output.rs
@@ -4,9 +4,7 @@
 
 use cluster_member::wire::{LeaseStatus, MemberStatus, ReplicaStatus};
 use coordinator::operator_client::DisruptionSnapshot;
-use disruption_budget::{
-    Availability, Budget, DisruptionState, DisruptionTotals, Permit, PermitId, PermitState, TargetStatus,
-};
+use disruption_budget::{Availability, BudgetUsage, DisruptionState, Permit, PermitId, TargetStatus};
 use serde::Serialize;
 use serde_json::{json, Value};
 
@@ -56,24 +54,11 @@
     }
 }
 
-/// How far a permit is.
-pub(super) fn permit_state(state: PermitState) -> &'static str {
-    match state {
-        PermitState::Waiting => "waiting",
-        PermitState::Granted => "granted",
-        PermitState::Begun => "begun",
-    }
-}
-
 /// The state of budgets and permits, for programs.
 pub(super) fn disruption_state_json(snapshot: &DisruptionSnapshot) -> String {
     let state = &snapshot.state;
-    let (version, _) = state.budgets();
-    let budgets: Vec<Value> = state
-        .budget_usage()
-        .into_iter()
-        .map(|(budget, place, usage)| budget_json(budget, &place, usage))
-        .collect();
+    let version = state.budgets_version();
+    let budgets: Vec<Value> = state.budget_usage().into_iter().map(|usage| budget_json(&usage)).collect();
     let permits: Vec<Value> =
         state.permits().iter().map(|(id, permit)| permit_json(state, *id, permit)).collect();
     let targets: Vec<Value> = state.targets().map(|target| target_json(&target)).collect();
@@ -87,13 +72,13 @@
     json!({"revision": snapshot.revision, "account": account}).to_string() + "\n"
 }
 
-fn budget_json(budget: &Budget, place: &str, usage: DisruptionTotals) -> Value {
+fn budget_json(usage: &BudgetUsage<'_>) -> Value {
     json!({
-        "budget": budget.name,
-        "place": place,
-        "targets": usage.targets,
-        "out_by_plan": usage.planned as f64 / WEIGHT_UNIT,
-        "out_otherwise": usage.unplanned as f64 / WEIGHT_UNIT,
+        "budget": usage.budget.name,
+        "place": usage.group,
+        "targets": usage.totals.targets,
+        "out_by_plan": usage.totals.planned as f64 / WEIGHT_UNIT,
+        "out_otherwise": usage.totals.unplanned as f64 / WEIGHT_UNIT,
     })
 }
 
@@ -101,7 +86,7 @@
     json!({
         "permit": id,
         "target": permit.target.to_string(),
-        "state": permit_state(permit.state),
+        "state": permit.state.to_string(),
         "asker": permit.requester,
         "reason": permit.reason,
         "done": permit.completed_at.is_some(),
@@ -128,12 +113,11 @@
 /// The state of budgets and permits, for operators.
 pub(super) fn disruption_state_text(state: &DisruptionState) -> String {
     let mut text = String::new();
-    let (version, budgets) = state.budgets();
-    let _ = writeln!(text, "budgets, version {version}:");
-    for (budget, place, usage) in state.budget_usage() {
-        text += &budget_line(budget, &place, usage);
+    let _ = writeln!(text, "budgets, version {}:", state.budgets_version());
+    for usage in state.budget_usage() {
+        text += &budget_line(&usage);
     }
-    if budgets.is_empty() {
+    if state.budgets().is_empty() {
         text += "  none: every permit is granted while one other target is in\n";
     }
     for (id, permit) in state.permits() {
@@ -146,15 +130,16 @@
     text
 }
 
-fn budget_line(budget: &Budget, place: &str, usage: DisruptionTotals) -> String {
-    let place = if place.is_empty() { String::new() } else { format!(" {place}") };
-    let by_plan = usage.planned as f64 / WEIGHT_UNIT;
-    let unplanned = usage.unplanned as f64 / WEIGHT_UNIT;
+fn budget_line(usage: &BudgetUsage<'_>) -> String {
+    let BudgetUsage { budget, group, totals } = usage;
+    let group = if group.is_empty() { String::new() } else { format!(" {group}") };
+    let by_plan = totals.planned as f64 / WEIGHT_UNIT;
+    let unplanned = totals.unplanned as f64 / WEIGHT_UNIT;
     let fault =
-        budget.validate_for(usage.targets).map_or_else(|fault| format!("; {fault}"), |()| String::new());
+        budget.validate_for(totals.targets).map_or_else(|fault| format!("; {fault}"), |()| String::new());
     format!(
-        "  {}{place}: {by_plan} out by plan, {unplanned} otherwise, of {}{fault}\n",
-        budget.name, usage.targets
+        "  {}{group}: {by_plan} out by plan, {unplanned} otherwise, of {}{fault}\n",
+        budget.name, totals.targets
     )
 }
 
@@ -163,7 +148,7 @@
     format!(
         "permit {id}: {}, {}{}{}{}; {}: {}\n",
         permit.target,
-        permit_state(permit.state),
+        permit.state,
         if permit.completed_at.is_some() { ", done" } else { "" },
         if permit.forced { ", forced" } else { "" },
         held_by.unwrap_or_default(),
--- a/crates/coordinator/src/config/budgets.rs
+++ b/crates/coordinator/src/config/budgets.rs
@@ -53,7 +53,7 @@
         max_unavailable: parse_amount(section, "most_out")?,
         min_available: parse_amount(section, "least_in")?,
     };
-    budget.validate().map_err(|fault| section.error(fault.key, fault.reason))?;
+    budget.validate().map_err(|fault| section.error(fault.key, fault.problem.to_string()))?;
     Ok(budget)
 }
 
--- a/crates/coordinator/src/replica/leadership.rs
+++ b/crates/coordinator/src/replica/leadership.rs
@@ -1,7 +1,7 @@
 //! Whether this replica leads, and giving the leadership away.
 
 use coordination::{LeaderState, Micros};
-use disruption_budget::permit_timeouts::PermitTimeouts;
+use disruption_budget::PermitTimeouts;
 use raft::StateRole;
 
 use super::{Output, Replica};
--- a/crates/coordinator/src/replica/mod.rs
+++ b/crates/coordinator/src/replica/mod.rs
@@ -30,7 +30,7 @@
 use coordination::{
     Command, CommandOutcome, LeaderState, Micros, Revision, SessionId, StateMachine, Timing, COMMAND_VERSION,
 };
-use disruption_budget::permit_timeouts::PermitTimeouts;
+use disruption_budget::PermitTimeouts;
 use hdrhistogram::Histogram;
 use raft::eraftpb::{ConfState, Message};
 use raft::{Config, RawNode};
