--- a/crates/coordinator/src/cli/commands.rs
+++ b/crates/coordinator/src/cli/commands.rs
@@ -53,7 +53,7 @@
     let serve = serve_config(config)?;
     let (directory, id) = (&serve.store_directory, serve.coordinator_id);
     let installation = &config.installation;
-    let disk_id = clock::unique();
+    let disk_id = clock::random_id();
     if arguments.joining {
         store::bootstrap_joining(directory, installation, id, disk_id)?;
         return Ok(format!("{}: the store of keeper {id}, which is to join\n", directory.display()));
@@ -65,9 +65,8 @@
 
 async fn serve(arguments: &Arguments, config: &Config) -> Result<String, CommandError> {
     let recorder = match &arguments.record_file {
-        Some(file) => {
-            Recorder::to(file).map_err(|source| CommandError::RecordFile { file: file.clone(), source })?
-        }
+        Some(file) => Recorder::append_to(file)
+            .map_err(|source| CommandError::RecordFile { file: file.clone(), source })?,
         None => Recorder::default(),
     };
     server::serve(config, serve_config(config)?, recorder).await?;
--- a/crates/coordinator/src/config/mod.rs
+++ b/crates/coordinator/src/config/mod.rs
@@ -94,10 +94,10 @@
 /// Something in it is wrong; the text names file, line and key.
 pub fn parse(file: &str, text: &str) -> Result<Config, HclError> {
     let top = Section::parse(file, text)?;
-    let installation = settings::wanted(&top, "installation")?;
-    let coordinators = settings::keepers(&top)?;
+    let installation = settings::required_text(&top, "installation")?;
+    let coordinators = settings::replicas(&top)?;
     let first_token = top.integer("first_token", 1..=MAX_FIRST_TOKEN)?.unwrap_or(DEFAULT_FIRST_TOKEN);
-    let times = settings::times(&top)?;
+    let times = settings::timing(&top)?;
     let serve = top.section("serve")?.map(|section| parse_serve(section, &coordinators)).transpose()?;
     top.deny_unknown_keys()?;
     Ok(Config { installation, coordinators, first_token, times, serve })
@@ -110,11 +110,11 @@
         return Err(section.error("keeper", format!("there is no block keeper \"{coordinator_id}\"")));
     };
     let listen = match section.value("listen") {
-        Some(_) => settings::address(section, "listen")?,
+        Some(_) => settings::required_address(section, "listen")?,
         None => *address,
     };
     let bind_text = section.string("bind")?;
-    let store_directory = settings::wanted(section, "store")?.into();
+    let store_directory = settings::required_text(section, "store")?.into();
     let bind_address = bind_text.map(|text| parse_bind_address(section, &text)).transpose()?;
     let injected_bug = parse_injected_bug(section)?;
     let versions = u64::from(OLDEST_SCHEMA_VERSION)..=u64::from(SCHEMA_VERSION);
--- a/crates/coordinator/src/operator_client.rs
+++ b/crates/coordinator/src/operator_client.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cluster_member::coordinator_client::Keepers;
+use cluster_member::coordinator_client::CoordinatorClient;
 use cluster_member::wire::{
     ClientHello, ClientIdentity, Connection, CoordinatorMessage, Operation, ReplicaStatus, Request, Response,
     SCHEMA_VERSION,
@@ -187,9 +187,13 @@
 
 /// Asks the coordinator that leads.
 async fn call_leader(config: &Config, operation: Operation) -> Result<Response, OperatorError> {
-    let mut coordinators =
-        Keepers::new(&config.installation, ClientIdentity::Operator, config.coordinators.clone(), None);
-    let response = coordinators.ask(&operation, Instant::now() + CALL_TIMEOUT).await;
+    let mut coordinators = CoordinatorClient::new(
+        &config.installation,
+        ClientIdentity::Operator,
+        config.coordinators.clone(),
+        None,
+    );
+    let response = coordinators.call(&operation, Instant::now() + CALL_TIMEOUT).await;
     response.map_err(OperatorError::LeaderUnavailable)
 }
 
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -112,8 +112,8 @@
     tick: Micros,
 ) -> Result<Replica, CoordinatorError> {
     let (store, recovered) = Store::open(&serve.store_directory, &config.installation, serve.coordinator_id)?;
-    let mut replica = Replica::new(store, recovered, config.times, tick, clock::unique())?;
-    replica.enable_digests(recorder.records());
+    let mut replica = Replica::new(store, recovered, config.times, tick, clock::random_id())?;
+    replica.enable_digests(recorder.is_enabled());
     // Each version of the messages came with the commands of the same version.
     replica.set_supported_version(serve.protocol_version.min(COMMAND_VERSION));
     replica.inject_disruption_bug(serve.injected_bug);
--- a/crates/coordinator/src/server/record.rs
+++ b/crates/coordinator/src/server/record.rs
@@ -39,12 +39,12 @@
 
 /// Records that the process started.
 pub(super) fn started(recorder: &Recorder, coordinator_id: u64, boots: u64) {
-    recorder.put(clock::now(), "started", Started { keeper: coordinator_id, boots });
+    recorder.record(clock::now(), "started", Started { keeper: coordinator_id, boots });
 }
 
 /// Records that this coordinator leads in this term, or leads no longer.
 pub(super) fn leadership_changed(recorder: &Recorder, leading_term: Option<u64>) {
-    recorder.put(clock::now(), "leads", LeadershipChanged { term: leading_term });
+    recorder.record(clock::now(), "leads", LeadershipChanged { term: leading_term });
 }
 
 /// Records that an entry was applied.
@@ -75,5 +75,5 @@
         }) => entry.permits = granted,
         _ => {}
     }
-    recorder.put(clock::now(), "applied", entry);
+    recorder.record(clock::now(), "applied", entry);
 }
--- a/crates/dispatcher/src/net/planned_drain.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use cluster_member::clock;
-use cluster_member::coordinator_client::Keepers;
+use cluster_member::coordinator_client::CoordinatorClient;
 use cluster_member::effects::Publisher;
 use cluster_member::member::Member;
 use cluster_member::wire::{ClientIdentity, Operation, Response};
@@ -21,7 +21,8 @@
 use tokio::sync::{watch, Mutex};
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
-use super::console::{ClusterMetrics, Mode};
+use super::metrics::ClusterMetrics;
+use super::mode::Mode;
 use super::shutdown::ShutdownPhase;
 
 /// How often all are asked how they are.
@@ -109,22 +110,23 @@
         *self.workers.borrow_mut() = Some(workers);
     }
 
-    fn coordinators(&self) -> Keepers {
-        let settings = self.member.settings();
+    fn coordinators(&self) -> CoordinatorClient {
+        let settings = self.member.config();
         let who = ClientIdentity::Member { name: settings.name.clone() };
-        Keepers::new(&settings.installation, who, settings.keepers.clone(), settings.bind)
+        CoordinatorClient::new(&settings.installation, who, settings.replicas.clone(), settings.local_address)
     }
 
     /// Which life of this dispatcher it is: higher with every session and every return.
     fn incarnation(&self) -> u64 {
-        let session = self.member.holder().borrow().last_session().map_or(0, |session| session.incarnation);
+        let session =
+            self.member.lease_client().borrow().last_session().map_or(0, |session| session.incarnation);
         session << 20 | self.returns_from_standby.get()
     }
 
     fn readiness_report(&self) -> ReadinessReport {
         let serving = *self.status.phase.borrow() == ShutdownPhase::Serving
             && *self.status.mode.borrow() == Mode::Active;
-        let settings = self.member.settings();
+        let settings = self.member.config();
         ReadinessReport {
             name: settings.name.clone(),
             zone: settings.zone.clone(),
@@ -154,7 +156,7 @@
             Ok(()) => tracing::info!(reason, force, "standby: no new work is invited"),
             Err(denied) => {
                 self.metrics.drains_rejected.inc();
-                tracing::info!(reason, why = denied.reason, "standby is refused");
+                tracing::info!(reason, why = denied.reason, "drain rejected");
             }
         }
         decided
@@ -162,7 +164,7 @@
 
     async fn request_permit(&self, reason: &str, force: bool) -> Result<(), DrainRejected> {
         let by = Instant::now() + DECISION_TIMEOUT;
-        let (mut keepers, name) = (self.coordinators(), &self.member.settings().name);
+        let (mut keepers, name) = (self.coordinators(), &self.member.config().name);
         let number = self.incarnation();
         let target = Target { kind: TargetKind::Dispatcher, name: name.clone() };
         let request = DisruptionCommand::RequestPermit {
@@ -171,12 +173,12 @@
             requester: format!("dispatcher/{name}"),
             force,
         };
-        let permit = match keepers.ask(&Operation::ChangeDisruptionState(request), by).await {
+        let permit = match keepers.call(&Operation::ChangeDisruptionState(request), by).await {
             Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested(
                 permit,
                 PermitState::Waiting,
             ))) => {
-                let held = match keepers.ask(&Operation::DisruptionState { known_revision: 0 }, by).await {
+                let held = match keepers.call(&Operation::DisruptionState { known_revision: 0 }, by).await {
                     Ok(Response::DisruptionState(_, Some(account))) => account
                         .blocking_budget(permit)
                         .map(|budget| format!(": budget {:?} is used up", budget.name)),
@@ -194,7 +196,7 @@
                 return rejected(format!("an answer that was not asked for: {other:?}"), RETRY_AFTER_S.1)
             }
             Err(why) if force => {
-                tracing::warn!(why, "standby is forced without the keepers");
+                tracing::warn!(why, "drain forced without the coordinators");
                 self.metrics.drains_forced.inc();
                 self.switch_to_standby(None);
                 return Ok(());
@@ -207,7 +209,7 @@
             }
         };
         let begin = DisruptionCommand::BeginPermit { permit, incarnation: number };
-        match keepers.ask(&Operation::ChangeDisruptionState(begin), by).await {
+        match keepers.call(&Operation::ChangeDisruptionState(begin), by).await {
             Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitBegun(_))) => {}
             Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(Rejection::UnknownPermit))) => {
                 return rejected("the permit before this one is not over yet", RETRY_AFTER_S.0)
@@ -219,7 +221,7 @@
         }
         // Whoever was stopped meanwhile may have been seen as another life: then the permit may be over.
         let now = clock::now();
-        if self.member.holder().borrow().active_session(now).is_none() || self.incarnation() != number {
+        if self.member.lease_client().borrow().active_session(now).is_none() || self.incarnation() != number {
             return rejected("this dispatcher lost its session meanwhile", RETRY_AFTER_S.0);
         }
         if force {
@@ -231,13 +233,17 @@
 
     fn switch_to_standby(&self, permit: Option<u64>) {
         self.status.mode.send_replace(Mode::Standby);
-        self.member.record().put(clock::now(), "standby", serde_json::json!({"permit": permit}));
+        self.member.recorder().record(clock::now(), "standby", serde_json::json!({"permit": permit}));
     }
 
     /// Returned from standby: another life.
     pub(super) fn record_return(&self) {
         self.returns_from_standby.set(self.returns_from_standby.get() + 1);
-        self.member.record().put(clock::now(), "active", serde_json::json!({"number": self.incarnation()}));
+        self.member.recorder().record(
+            clock::now(),
+            "active",
+            serde_json::json!({"number": self.incarnation()}),
+        );
     }
 
     /// Asks all how they are and tells the account, while that duty is ours, for as long as the program runs.
@@ -255,7 +261,7 @@
             }
             count = count.wrapping_add(1);
             let by = Instant::now() + DECISION_TIMEOUT;
-            match keepers.ask(&Operation::DisruptionState { known_revision: known }, by).await {
+            match keepers.call(&Operation::DisruptionState { known_revision: known }, by).await {
                 Ok(Response::DisruptionState(revision, Some(new))) => (known, account) = (revision, *new),
                 Ok(Response::DisruptionState(..)) => {}
                 _ => continue,
@@ -270,7 +276,7 @@
                 continue;
             }
             // The look at the lease comes right before the word; the keepers look at the token besides.
-            if !self.member.may_act(&LeaseId::fleet(OBSERVER_LEASE), token) {
+            if !self.member.holds_lease(&LeaseId::fleet(OBSERVER_LEASE), token) {
                 continue;
             }
             let observe = DisruptionCommand::RecordObservation {
@@ -280,8 +286,8 @@
                 removed: changes.removed,
             };
             let what = serde_json::json!({"duty": OBSERVER_LEASE, "token": token.0});
-            self.member.record().put(clock::now(), "acted", what);
-            let _ = keepers.ask(&Operation::ChangeDisruptionState(observe), by).await;
+            self.member.recorder().record(clock::now(), "acted", what);
+            let _ = keepers.call(&Operation::ChangeDisruptionState(observe), by).await;
         }
     }
 
@@ -293,15 +299,15 @@
         let now = clock::now();
         self.warmup.borrow_mut().update_list(now, &self.listed_workers());
         let duty = LeaseId::fleet(OBSERVER_LEASE);
-        let owned = self.member.owned().into_iter().find(|(owned, _)| *owned == duty);
+        let owned = self.member.held_leases().into_iter().find(|(owned, _)| *owned == duty);
         let mut term = self.term.borrow_mut();
         match owned {
             Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
             Some((duty, token)) => {
-                tracing::info!(token = token.0, "observes the fleet for the account of who may be out");
+                tracing::info!(token = token.0, "holds the observer lease");
                 let observer = Rc::new(RefCell::new(AvailabilityObserver::new(self.readiness_validity, now)));
                 let received = observer.clone();
-                let publisher = Publisher::hearing(&self.member, duty, token, move |said| {
+                let publisher = Publisher::with_response_handler(&self.member, duty, token, move |said| {
                     if let Some(report) = ReadinessReport::decode(said) {
                         received.borrow_mut().record_report(report, clock::now());
                     }
@@ -311,7 +317,7 @@
             None => *term = None,
         }
         if let Some(term) = term.as_mut() {
-            term.publisher.say(Vec::new());
+            term.publisher.publish(Vec::new());
             term.observer.borrow_mut().record_report(self.readiness_report(), now);
         }
     }
@@ -320,7 +326,7 @@
     fn observe(&self, account: &DisruptionState) -> Option<(FencingToken, StatusChanges)> {
         let term = self.term.borrow();
         let term = term.as_ref()?;
-        let roster = self.member.roster();
+        let roster = self.member.members();
         let members: Vec<FleetMember<'_>> =
             roster.iter().map(|peer| FleetMember { name: &peer.name, zone: &peer.zone }).collect();
         let now = clock::now();
--- a/crates/dispatcher/src/settings_file.rs
+++ b/crates/dispatcher/src/settings_file.rs
@@ -16,7 +16,7 @@
 use dispatch_core::api::CapacityReservation;
 use hcl_config::{HclResult, Section};
 
-use crate::config::ConfigError;
+use crate::config_error::ConfigError;
 
 /// The file where none is named.
 const DEFAULT_FILE: &str = "cairncrank.hcl";
@@ -133,16 +133,16 @@
     let bind = section.string("bind")?.map(|text| {
         text.parse::<IpAddr>().map_err(|_| section.error("bind", format!("{text:?} is no IP address")))
     });
-    let times = settings::times(section)?;
+    let times = settings::timing(section)?;
     Ok(ClusterSettings {
-        installation: settings::wanted(section, "installation")?,
-        listen: settings::address(section, "listen")?,
+        installation: settings::required_text(section, "installation")?,
+        listen: settings::required_address(section, "listen")?,
         advertised_address: match section.value("address") {
-            Some(_) => Some(settings::address(section, "address")?),
+            Some(_) => Some(settings::required_address(section, "address")?),
             None => None,
         },
         bind_address: bind.transpose()?,
-        coordinators: settings::keepers(section)?,
+        coordinators: settings::replicas(section)?,
         times,
         shared_list: section.boolean("list")?.unwrap_or(true),
         list_source: section.string("source")?,
@@ -157,8 +157,8 @@
                     * 1_000)
             })
             .transpose()?,
-        slow_start: section.section("cold")?.map(|cold| settings::dealing(cold, &times)).transpose()?,
-        health_checks: section.section("watch")?.map(settings::watching).transpose()?,
+        slow_start: section.section("cold")?.map(|cold| settings::quota_config(cold, &times)).transpose()?,
+        health_checks: section.section("watch")?.map(settings::health_check_config).transpose()?,
     })
 }
 
