--- a/crates/coordinator/src/cli/commands.rs
+++ b/crates/coordinator/src/cli/commands.rs
@@ -53,13 +53,13 @@
     let serve = serve_config(config)?;
     let (directory, id) = (&serve.store_directory, serve.coordinator_id);
     let installation = &config.installation;
-    let disk_id = clock::random_id();
+    let store_id = clock::random_id();
     if arguments.joining {
-        store::bootstrap_joining(directory, installation, id, disk_id)?;
+        store::bootstrap_joining(directory, installation, id, store_id)?;
         return Ok(format!("{}: the store of keeper {id}, which is to join\n", directory.display()));
     }
     let voters: Vec<u64> = config.coordinators.keys().copied().collect();
-    store::bootstrap(directory, installation, id, &voters, config.first_token, disk_id)?;
+    store::bootstrap(directory, installation, id, &voters, config.first_token, store_id)?;
     Ok(format!("{}: an empty store of keeper {id}\n", directory.display()))
 }
 
--- a/crates/coordinator/src/config/mod.rs
+++ b/crates/coordinator/src/config/mod.rs
@@ -34,8 +34,8 @@
     pub coordinators: BTreeMap<u64, SocketAddr>,
     /// The lowest token that is ever granted.
     pub first_token: u64,
-    /// The times.
-    pub times: Timing,
+    /// Lease, election and heartbeat times.
+    pub timing: Timing,
     /// This coordinator, where the file is of one that serves.
     pub serve: Option<ServeConfig>,
 }
@@ -97,10 +97,10 @@
     let installation = settings::required_text(&top, "installation")?;
     let coordinators = settings::replicas(&top)?;
     let first_token = top.integer("first_token", 1..=MAX_FIRST_TOKEN)?.unwrap_or(DEFAULT_FIRST_TOKEN);
-    let times = settings::timing(&top)?;
+    let timing = settings::timing(&top)?;
     let serve = top.section("serve")?.map(|section| parse_serve(section, &coordinators)).transpose()?;
     top.deny_unknown_keys()?;
-    Ok(Config { installation, coordinators, first_token, times, serve })
+    Ok(Config { installation, coordinators, first_token, timing, serve })
 }
 
 fn parse_serve(section: &Section, coordinators: &BTreeMap<u64, SocketAddr>) -> Result<ServeConfig, HclError> {
--- a/crates/coordinator/src/replica/leadership.rs
+++ b/crates/coordinator/src/replica/leadership.rs
@@ -57,7 +57,7 @@
         }
         self.leading_term = leading_term;
         self.outputs.push(Output::LeadershipChanged { leading_term });
-        self.leader_state = leading_term.map(|_| LeaderState::new(self.times, now, &self.state));
+        self.leader_state = leading_term.map(|_| LeaderState::new(self.timing, now, &self.state));
         self.permit_timeouts = PermitTimeouts::default();
         self.permit_timeouts.update(now, self.state.disruption());
         self.propose_start_counts();
--- a/crates/coordinator/src/replica/membership.rs
+++ b/crates/coordinator/src/replica/membership.rs
@@ -55,7 +55,7 @@
         let Some(replacement) = self.state.replacement_in_progress().filter(|_| self.is_leader()) else {
             return;
         };
-        let recent = |proposed_at: Micros| now.saturating_sub(proposed_at) < self.times.election_timeout;
+        let recent = |proposed_at: Micros| now.saturating_sub(proposed_at) < self.timing.election_timeout;
         if self.raw_node.raft.has_pending_conf() || self.configuration_proposed_at.is_some_and(recent) {
             return;
         }
--- a/crates/coordinator/src/replica/mod.rs
+++ b/crates/coordinator/src/replica/mod.rs
@@ -96,7 +96,7 @@
     store: Store,
     identity: StoreIdentity,
     state: StateMachine,
-    times: Timing,
+    timing: Timing,
     /// The highest version of commands that this replica applies.
     supported_version: u16,
     peers: PeerRegistry,
@@ -147,14 +147,14 @@
     pub fn new(
         store: Store,
         recovered: RecoveredState,
-        times: Timing,
+        timing: Timing,
         tick: Micros,
         process_nonce: u64,
     ) -> Result<Replica, CoordinatorError> {
         let identity = recovered.identity;
         let state = apply::restore_state(&recovered.snapshot)?;
         let configuration = recovered.snapshot.get_metadata().get_conf_state().clone();
-        let raft_config = raft_config(identity, times, tick, recovered.snapshot.get_metadata().index);
+        let raft_config = raft_config(identity, timing, tick, recovered.snapshot.get_metadata().index);
         let peers = PeerRegistry::new(recovered.peers);
         let storage = RaftStorage::new(recovered.hard_state, recovered.snapshot, &recovered.entries)?;
         let logger = slog::Logger::root(slog::Discard, slog::o!());
@@ -164,7 +164,7 @@
             identity,
             notified_revision: state.lease_revision(),
             state,
-            times,
+            timing,
             supported_version: COMMAND_VERSION,
             peers,
             configuration,
@@ -247,7 +247,7 @@
     fn propose_expirations(&mut self, now: Micros) {
         let Some(leader_state) = &mut self.leader_state else { return };
         // A proposal takes a moment to be agreed on; until then its permit is due again.
-        if now.saturating_sub(self.permit_expiry_proposed_at) > self.times.heartbeat_interval {
+        if now.saturating_sub(self.permit_expiry_proposed_at) > self.timing.heartbeat_interval {
             for change in self.permit_timeouts.expired(now) {
                 self.permit_expiry_proposed_at = now;
                 let _ = self.raw_node.propose(Vec::new(), Command::Disruption(change).encode());
@@ -269,11 +269,11 @@
     }
 }
 
-fn raft_config(identity: StoreIdentity, times: Timing, tick: Micros, applied: Revision) -> Config {
+fn raft_config(identity: StoreIdentity, timing: Timing, tick: Micros, applied: Revision) -> Config {
     Config {
         id: identity.replica_id,
-        election_tick: times.election_timeout.div_ceil(tick).max(MIN_ELECTION_TICKS) as usize,
-        heartbeat_tick: (times.heartbeat_interval / tick).max(1) as usize,
+        election_tick: timing.election_timeout.div_ceil(tick).max(MIN_ELECTION_TICKS) as usize,
+        heartbeat_tick: (timing.heartbeat_interval / tick).max(1) as usize,
         applied,
         max_size_per_msg: MAX_ENTRIES_MESSAGE_BYTES,
         max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
--- a/crates/coordinator/src/replica/read_index.rs
+++ b/crates/coordinator/src/replica/read_index.rs
@@ -78,7 +78,7 @@
     /// Gives up a round that a majority did not confirm within the election timeout.
     pub(super) fn abandon_expired_round(&mut self, now: Micros) {
         let expired =
-            |round: &ReadIndexRound| now.saturating_sub(round.started_at) > self.times.election_timeout;
+            |round: &ReadIndexRound| now.saturating_sub(round.started_at) > self.timing.election_timeout;
         if !self.renewals.round.as_ref().is_some_and(expired) {
             return;
         }
@@ -106,8 +106,8 @@
         while self.renewals.confirmed.front().is_some_and(|confirmed| confirmed.read_index <= applied) {
             let Some(confirmed) = self.renewals.confirmed.pop_front() else { return };
             for renewal in confirmed.renewals {
-                let Some(answer) = self.renewal_response(&renewal, now) else { return };
-                self.reply(renewal.requester, answer);
+                let Some(response) = self.renewal_response(&renewal, now) else { return };
+                self.reply(renewal.requester, response);
             }
         }
     }
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -68,7 +68,7 @@
 /// # Errors
 /// The coordinator cannot start, or has to stop.
 pub async fn serve(config: &Config, serve: &ServeConfig, recorder: Recorder) -> Result<(), CoordinatorError> {
-    let tick = (config.times.heartbeat_interval / 2).clamp(MIN_TICK, MAX_TICK);
+    let tick = (config.timing.heartbeat_interval / 2).clamp(MIN_TICK, MAX_TICK);
     let replica = open_replica(config, serve, &recorder, tick)?;
     let listener = TcpListener::bind(serve.listen)
         .await
@@ -102,7 +102,7 @@
     let mut event_loop = EventLoop::new(replica, peers, recorder, events, identity_sender);
     let mut sources = event_loop::Sources { queue, ticks, terminate };
     event_loop.run(&mut sources).await?;
-    event_loop.shut_down(&mut sources, Duration::from_micros(config.times.election_timeout)).await
+    event_loop.shut_down(&mut sources, Duration::from_micros(config.timing.election_timeout)).await
 }
 
 fn open_replica(
@@ -112,7 +112,7 @@
     tick: Micros,
 ) -> Result<Replica, CoordinatorError> {
     let (store, recovered) = Store::open(&serve.store_directory, &config.installation, serve.coordinator_id)?;
-    let mut replica = Replica::new(store, recovered, config.times, tick, clock::random_id())?;
+    let mut replica = Replica::new(store, recovered, config.timing, tick, clock::random_id())?;
     replica.enable_digests(recorder.is_enabled());
     // Each version of the messages came with the commands of the same version.
     replica.set_supported_version(serve.protocol_version.min(COMMAND_VERSION));
--- a/crates/coordinator/src/server/record.rs
+++ b/crates/coordinator/src/server/record.rs
@@ -7,8 +7,10 @@
 
 #[derive(Serialize)]
 struct Started {
-    boots: u64,
-    keeper: u64,
+    #[serde(rename = "boots")]
+    start_count: u64,
+    #[serde(rename = "keeper")]
+    coordinator_id: u64,
 }
 
 #[derive(Serialize)]
@@ -38,8 +40,8 @@
 }
 
 /// Records that the process started.
-pub(super) fn started(recorder: &Recorder, coordinator_id: u64, boots: u64) {
-    recorder.record(clock::now(), "started", Started { keeper: coordinator_id, boots });
+pub(super) fn started(recorder: &Recorder, coordinator_id: u64, start_count: u64) {
+    recorder.record(clock::now(), "started", Started { start_count, coordinator_id });
 }
 
 /// Records that this coordinator leads in this term, or leads no longer.
--- a/crates/coordinator/src/store/bootstrap.rs
+++ b/crates/coordinator/src/store/bootstrap.rs
@@ -18,7 +18,7 @@
 const FIRST_TERM: u64 = 1;
 
 /// Sets up the store of a coordinator of a new installation: these voters, no session, this token to be granted first.
-/// `disk_id` is a number that no other store has.
+/// `store_id` is a number that no other store has.
 ///
 /// # Errors
 /// There is a store already, or it cannot be written.
@@ -28,7 +28,7 @@
     coordinator_id: u64,
     voters: &[u64],
     first_token: u64,
-    disk_id: u64,
+    store_id: u64,
 ) -> Result<(), StoreError> {
     let mut state = StateMachine::new(first_token);
     state.skip_entry(FIRST_INDEX);
@@ -37,7 +37,7 @@
     snapshot.mut_metadata().term = FIRST_TERM;
     snapshot.mut_metadata().set_conf_state(ConfState::from((voters.to_vec(), Vec::new())));
     snapshot.set_data(state.snapshot().into());
-    create(directory, header(installation, coordinator_id, disk_id), &snapshot)
+    create(directory, header(installation, coordinator_id, store_id), &snapshot)
 }
 
 /// Sets up the store of a coordinator that is to take another's place. It knows nothing, votes for nobody, and receives
@@ -49,20 +49,20 @@
     directory: &Path,
     installation: &str,
     coordinator_id: u64,
-    disk_id: u64,
+    store_id: u64,
 ) -> Result<(), StoreError> {
     let mut snapshot = Snapshot::default();
     snapshot.set_data(StateMachine::new(1).snapshot().into());
-    create(directory, header(installation, coordinator_id, disk_id), &snapshot)
+    create(directory, header(installation, coordinator_id, store_id), &snapshot)
 }
 
-fn header(installation: &str, coordinator_id: u64, disk_id: u64) -> StoreHeader {
+fn header(installation: &str, coordinator_id: u64, store_id: u64) -> StoreHeader {
     StoreHeader {
         format: STORE_FORMAT,
         installation: installation.to_owned(),
         coordinator_id,
-        disk_id,
-        boots: 0,
+        store_id,
+        start_count: 0,
     }
 }
 
--- a/crates/coordinator/src/store/format.rs
+++ b/crates/coordinator/src/store/format.rs
@@ -25,7 +25,7 @@
     pub(super) installation: String,
     pub(super) coordinator_id: u64,
     /// A number drawn when the store was set up.
-    pub(super) disk_id: u64,
+    pub(super) store_id: u64,
     /// How often a process started on it.
-    pub(super) boots: u64,
+    pub(super) start_count: u64,
 }
--- a/crates/coordinator/src/store/mod.rs
+++ b/crates/coordinator/src/store/mod.rs
@@ -133,7 +133,7 @@
                 installation: installation.to_owned(),
             });
         }
-        header.boots += 1;
+        header.start_count += 1;
         store.write_header(&header)?;
         Ok((store, header))
     }
@@ -183,8 +183,8 @@
         }
         let identity = StoreIdentity {
             replica_id: header.coordinator_id,
-            store_id: header.disk_id,
-            start_count: header.boots,
+            store_id: header.store_id,
+            start_count: header.start_count,
             raft_term: hard_state.term.max(snapshot.get_metadata().term),
         };
         Ok(RecoveredState { identity, hard_state, snapshot, entries, peers })
--- a/crates/coordinator/tests/compatibility/settings.rs
+++ b/crates/coordinator/tests/compatibility/settings.rs
@@ -44,7 +44,7 @@
         election_timeout: 480_000,
         heartbeat_interval: 90_000,
     };
-    assert_eq!(config.times, times);
+    assert_eq!(config.timing, times);
     let serve = config.serve.unwrap();
     assert_eq!(serve.coordinator_id, 7);
     assert_eq!(serve.listen.to_string(), "0.0.0.0:7101");
@@ -58,7 +58,7 @@
 #[test]
 fn keys_that_are_left_out_have_their_defaults() {
     let config = parse("keeper.hcl", &format!("{MEMBERS}{SERVE}")).unwrap();
-    assert_eq!((config.first_token, config.times), (1, Timing::default()));
+    assert_eq!((config.first_token, config.timing), (1, Timing::default()));
     let serve = config.serve.unwrap();
     assert_eq!(serve.listen.to_string(), "192.0.2.11:7100");
     assert_eq!(
--- a/crates/coordinator/tests/config.rs
+++ b/crates/coordinator/tests/config.rs
@@ -26,7 +26,7 @@
     let config = parse("keeper.hcl", &format!("{KEEPERS}{more}")).unwrap();
     let serve = config.serve.unwrap();
     assert_eq!((serve.coordinator_id, serve.listen.port(), config.first_token), (2, 7102, 50));
-    assert_eq!((config.times.lease_duration, config.times.renewal_interval), (2_000_000, 400_000));
+    assert_eq!((config.timing.lease_duration, config.timing.renewal_interval), (2_000_000, 400_000));
 }
 
 #[test]
