--- a/crates/coordinator/src/replica/read_index.rs
+++ b/crates/coordinator/src/replica/read_index.rs
@@ -15,9 +15,9 @@
     pub(super) requester: Requester,
     pub(super) session: SessionId,
     /// The revision of the last view that the member applied.
-    pub(super) seen_revision: Revision,
+    pub(super) known_view: Revision,
     /// The revision of the member list that it has, where it wants one.
-    pub(super) member_revision: Option<Revision>,
+    pub(super) known_members: Option<Revision>,
 }
 
 /// Renewals that wait for a majority to confirm that this replica leads.
@@ -115,13 +115,13 @@
     /// The response to a confirmed renewal; nothing where this replica leads no longer.
     fn renewal_response(&mut self, renewal: &PendingRenewal, now: Micros) -> Option<Response> {
         let leader_state = self.leader_state.as_mut()?;
-        let renewed = leader_state.renew_session(renewal.session, renewal.seen_revision, now, &self.state);
+        let renewed = leader_state.renew_session(renewal.session, renewal.known_view, now, &self.state);
         if let Err(reason) = renewed {
             return Some(Response::Rejected(reason));
         }
-        let view_changed = self.state.lease_revision() > renewal.seen_revision;
+        let view_changed = self.state.lease_revision() > renewal.known_view;
         let roster_revision = self.state.membership_revision();
-        let members_changed = renewal.member_revision.is_some_and(|known| known < roster_revision);
+        let members_changed = renewal.known_members.is_some_and(|known| known < roster_revision);
         Some(Response::SessionRenewed {
             view: view_changed.then(|| self.state.view()),
             members: members_changed.then(|| (roster_revision, self.roster())),
--- a/crates/coordinator/src/replica/requests.rs
+++ b/crates/coordinator/src/replica/requests.rs
@@ -121,7 +121,7 @@
     fn handle_as_leader(&mut self, requester: Requester, operation: Operation, now: Micros) {
         match operation {
             Operation::OpenSession { name, boot_id, zone, address, eligible_leases } => {
-                let short_lived = self.is_short_life(&name, now);
+                let short_lived = self.is_short_session(&name, now);
                 self.propose(
                     requester,
                     Command::OpenSession { name, boot_id, zone, address, eligible_leases, short_lived },
@@ -130,14 +130,9 @@
             }
             Operation::RenewSession { session, known_view, known_members } => {
                 self.client_sessions.insert(requester.connection, session);
-                self.renewals.push(PendingRenewal {
-                    requester,
-                    session,
-                    seen_revision: known_view,
-                    member_revision: known_members,
-                });
+                self.renewals.push(PendingRenewal { requester, session, known_view, known_members });
             }
-            Operation::CloseSession { session } => self.leave(requester, session, now),
+            Operation::CloseSession { session } => self.close_session(requester, session, now),
             Operation::ReleaseLease { lease, token } => self.release_lease(requester, lease, token, now),
             Operation::ReplaceReplica { old, new, address } => {
                 self.replace(requester, old, new, address, now)
@@ -151,20 +146,20 @@
         }
     }
 
-    fn leave(&mut self, requester: Requester, session: SessionId, now: Micros) {
+    fn close_session(&mut self, requester: Requester, session: SessionId, now: Micros) {
         let name = self.state.sessions().get(&session).map(|session| session.name.clone());
-        let short_lived = self.is_short_life(&name.unwrap_or_default(), now);
+        let short_lived = self.is_short_session(&name.unwrap_or_default(), now);
         self.propose(requester, Command::CloseSession { session, short_lived }, now);
     }
 
-    fn is_short_life(&self, name: &str, now: Micros) -> bool {
+    fn is_short_session(&self, name: &str, now: Micros) -> bool {
         self.leader_state.as_ref().is_some_and(|leader| leader.is_short_session(name, now, &self.state))
     }
 
     /// Ends the term with this token, or the running one where none is named.
     fn release_lease(&mut self, requester: Requester, id: LeaseId, token: Option<FencingToken>, now: Micros) {
         let lease = self.state.leases().get(&id);
-        let running = lease.and_then(|lease| lease.holder).map(|owner| owner.token);
+        let running = lease.and_then(|lease| lease.holder).map(|holder| holder.token);
         match token.or(running) {
             Some(token) => self.propose(
                 requester,
--- a/crates/coordinator/tests/compatibility/support.rs
+++ b/crates/coordinator/tests/compatibility/support.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
-use std::process::{Command as Process, Output, Stdio};
+use std::process::{Child, Command as Process, Output, Stdio};
 use std::sync::{Arc, Mutex, RwLock, RwLockReadGuard};
 
 use cluster_member::wire::{
@@ -107,13 +107,15 @@
 
 /// Runs the program; without settings file.
 pub fn run_program(arguments: &[&str]) -> Output {
+    start_program(arguments).wait_with_output().unwrap()
+}
+
+/// Starts the program; without settings file.
+pub fn start_program(arguments: &[&str]) -> Child {
     let mut process = Process::new(PROGRAM_PATH);
     process.args(arguments).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
-    let child = {
-        let _starting = PROCESS_START.write().unwrap();
-        process.spawn().unwrap()
-    };
-    child.wait_with_output().unwrap()
+    let _starting = PROCESS_START.write().unwrap();
+    process.spawn().unwrap()
 }
 
 /// A process that starts has for a moment all files that are open here, and with them the locks on stores. Whoever opens a
