--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -60,9 +60,9 @@
 }
 
 fn eligible_leases() -> Vec<LeaseId> {
-    let mut offers = vec![LeaseId::fleet("list"), LeaseId::zone("cold", "z0"), LeaseId::zone("cold", "z1")];
-    offers.extend((0..6).map(|set| LeaseId::worker_set("watch", set)));
-    offers
+    let mut leases = vec![LeaseId::fleet("list"), LeaseId::zone("cold", "z0"), LeaseId::zone("cold", "z1")];
+    leases.extend((0..6).map(|set| LeaseId::worker_set("watch", set)));
+    leases
 }
 
 impl Cluster {
@@ -146,8 +146,8 @@
         match self.members[at].session {
             None => self.open_session(now, at),
             Some(session) if self.random.one_in(300) => {
-                let short = self.leader.is_short_session(&self.members[at].name, now, &self.state);
-                self.apply(now, &Command::CloseSession { session, short_lived: short });
+                let short_lived = self.leader.is_short_session(&self.members[at].name, now, &self.state);
+                self.apply(now, &Command::CloseSession { session, short_lived });
                 self.members[at].client.on_session_ended();
                 self.members[at].session = None;
             }
@@ -167,32 +167,32 @@
                 self.apply(now, &command);
             }
         }
-        let owned =
-            self.state.leases().iter().filter_map(|(id, duty)| Some((id.clone(), duty.holder?.token)));
-        let owned: Vec<(LeaseId, FencingToken)> = owned.collect();
-        if !owned.is_empty() && self.random.one_in(50) {
-            let (duty, token) = owned[self.random.below(owned.len() as u64) as usize].clone();
-            let unsettle = self.random.one_in(2);
-            self.apply(now, &Command::ReleaseLease { lease: duty, token, reset_stability: unsettle });
+        let held =
+            self.state.leases().iter().filter_map(|(id, lease)| Some((id.clone(), lease.holder?.token)));
+        let held: Vec<(LeaseId, FencingToken)> = held.collect();
+        if !held.is_empty() && self.random.one_in(50) {
+            let (lease, token) = held[self.random.below(held.len() as u64) as usize].clone();
+            let reset_stability = self.random.one_in(2);
+            self.apply(now, &Command::ReleaseLease { lease, token, reset_stability });
         }
     }
 
-    /// Every owner that may act does so at every member, also with the token before its own.
+    /// Every holder makes effects at every member, also with the token before its own.
     fn effects(&mut self, now: u64) {
         for at in 0..self.members.len() {
-            for (duty, token) in self.members[at].client.held_leases(now) {
-                assert!(self.members[at].client.holds_lease(&duty, token, now));
-                assert!(!self.members[at].client.holds_lease(&duty, FencingToken(token.0 + 1), now));
+            for (lease, token) in self.members[at].client.held_leases(now) {
+                assert!(self.members[at].client.holds_lease(&lease, token, now));
+                assert!(!self.members[at].client.holds_lease(&lease, FencingToken(token.0 + 1), now));
                 for to in 0..self.members.len() {
                     let token = FencingToken(token.0 - self.random.below(2));
-                    let verdict = self.members[to].client.accept_effect(&duty, token, now);
+                    let verdict = self.members[to].client.accept_effect(&lease, token, now);
                     let kind = match verdict {
                         Ok(()) => "taken",
                         Err(EffectRejection::NoSession) => "without session",
                         Err(EffectRejection::StaleToken { .. }) => "old token",
                         Err(EffectRejection::UnknownLease) => "unknown",
                     };
-                    self.trace.note(kind, duty.to_string().as_bytes());
+                    self.trace.note(kind, lease.to_string().as_bytes());
                 }
             }
         }
--- a/crates/coordination/tests/format.rs
+++ b/crates/coordination/tests/format.rs
@@ -32,16 +32,22 @@
     Target { kind: TargetKind::Worker, name: name.to_owned() }
 }
 
-fn join(name: &str, boot: u64, zone: &str, offers: Vec<LeaseId>, short: bool) -> Command {
-    let (name, zone, address) = (name.to_owned(), zone.to_owned(), format!("10.0.0.{boot}:7000"));
-    Command::OpenSession { name, boot_id: boot, zone, address, eligible_leases: offers, short_lived: short }
+fn open_session_command(
+    name: &str,
+    boot_id: u64,
+    zone: &str,
+    eligible_leases: Vec<LeaseId>,
+    short_lived: bool,
+) -> Command {
+    let (name, zone, address) = (name.to_owned(), zone.to_owned(), format!("10.0.0.{boot_id}:7000"));
+    Command::OpenSession { name, boot_id, zone, address, eligible_leases, short_lived }
 }
 
 fn version_1_commands() -> Vec<(&'static str, Command)> {
-    let offers =
+    let eligible_leases =
         vec![LeaseId::fleet("list"), LeaseId::zone("cold", "north"), LeaseId::worker_set("watch", 300)];
     vec![
-        ("0 join", join("a", 200, "north", offers, true)),
+        ("0 join", open_session_command("a", 200, "north", eligible_leases, true)),
         ("1 leave", Command::CloseSession { session: SessionId(5), short_lived: true }),
         ("2 end", Command::ExpireSession { session: SessionId(300), short_lived: false }),
         ("3 settle", Command::MarkSessionStable { session: SessionId(7) }),
@@ -111,7 +117,7 @@
     TargetStatus { target, zone: "north".to_owned(), pool: "batch".to_owned(), availability, incarnation }
 }
 
-fn ask(name: &str, force: bool) -> DisruptionCommand {
+fn request_permit(name: &str, force: bool) -> DisruptionCommand {
     DisruptionCommand::RequestPermit {
         target: worker(name),
         reason: "kernel".to_owned(),
@@ -132,7 +138,7 @@
             "9.0 budgets",
             Command::Disruption(DisruptionCommand::SetBudgets { expected_version: 300, budgets: budgets() }),
         ),
-        ("9.1 ask", Command::Disruption(ask("w1", true))),
+        ("9.1 ask", Command::Disruption(request_permit("w1", true))),
         ("9.2 begin", Command::Disruption(DisruptionCommand::BeginPermit { permit: 6, incarnation: 2 })),
         ("9.3 done", Command::Disruption(DisruptionCommand::CompletePermit { permit: 6 })),
         ("9.4 void", Command::Disruption(DisruptionCommand::CancelPermit { permit: 7 })),
@@ -186,44 +192,44 @@
         self.state.apply(self.index, command)
     }
 
-    fn joined(&mut self, command: &Command) -> SessionId {
+    fn open_session(&mut self, command: &Command) -> SessionId {
         match self.apply(command) {
             CommandOutcome::SessionOpened { session, .. } => session,
             other => panic!("{other:?}"),
         }
     }
 
-    fn granted(&mut self, duty: &LeaseId, session: SessionId) -> FencingToken {
-        let fenced = self.state.leases()[duty].fencing_revision;
-        match self.apply(&Command::GrantLease { lease: duty.clone(), session, fencing_revision: fenced }) {
-            CommandOutcome::LeaseGranted { holder: owner, .. } => owner.token,
+    fn grant_lease(&mut self, lease: &LeaseId, session: SessionId) -> FencingToken {
+        let fencing_revision = self.state.leases()[lease].fencing_revision;
+        match self.apply(&Command::GrantLease { lease: lease.clone(), session, fencing_revision }) {
+            CommandOutcome::LeaseGranted { holder, .. } => holder.token,
             other => panic!("{other:?}"),
         }
     }
 }
 
-/// Sessions that are settled, superseded and gone; duties of all scopes, owned, free and given back.
+/// Sessions that are stable, superseded and ended; leases of all scopes, held, free and released.
 fn version_1_log() -> Log {
     let mut log = Log { state: StateMachine::new(70), index: 0 };
     let (list, account) = (LeaseId::fleet("list"), LeaseId::fleet("account"));
-    let (cold, set) = (LeaseId::zone("cold", "north"), LeaseId::worker_set("watch", 300));
-    let all = vec![list.clone(), account.clone(), cold, set.clone()];
-    let first = log.joined(&join("a", 1, "north", all.clone(), false));
-    let second = log.joined(&join("b", 2, "south", all.clone(), false));
+    let (slow_start, watch) = (LeaseId::zone("cold", "north"), LeaseId::worker_set("watch", 300));
+    let all = vec![list.clone(), account.clone(), slow_start, watch.clone()];
+    let first = log.open_session(&open_session_command("a", 1, "north", all.clone(), false));
+    let second = log.open_session(&open_session_command("b", 2, "south", all.clone(), false));
     for session in [first, second] {
         assert_eq!(
             log.apply(&Command::MarkSessionStable { session }),
             CommandOutcome::SessionStable(session)
         );
     }
-    log.granted(&list, first);
-    log.granted(&account, second);
-    let token = log.granted(&set, second);
-    log.apply(&Command::ReleaseLease { lease: set, token, reset_stability: false });
-    // A second process of a name supersedes the first, after a short life.
-    log.joined(&join("a", 3, "north", all.clone(), true));
+    log.grant_lease(&list, first);
+    log.grant_lease(&account, second);
+    let token = log.grant_lease(&watch, second);
+    log.apply(&Command::ReleaseLease { lease: watch, token, reset_stability: false });
+    // A second process of a name supersedes the first, after a short session.
+    log.open_session(&open_session_command("a", 3, "north", all.clone(), true));
     // A third name comes and goes again.
-    let third = log.joined(&join("c", 4, "", vec![], false));
+    let third = log.open_session(&open_session_command("c", 4, "", vec![], false));
     assert_eq!(
         log.apply(&Command::ExpireSession { session: third, short_lived: true }),
         CommandOutcome::SessionEnded(third)
@@ -237,7 +243,7 @@
     log
 }
 
-/// The same with a replacement of a keeper that is over and one on its way.
+/// The same with a replacement of a replica that is completed and one in progress.
 fn version_2_log() -> Log {
     let mut log = version_1_log();
     let replace = |old, new| Command::ReplaceReplica { old, new, address: format!("10.0.0.{new}:7100") };
@@ -268,13 +274,14 @@
         changed: targets,
         removed: vec![],
     });
-    let disruption_budget::DisruptionOutcome::PermitRequested(permit, _) = change(ask("w1", true)) else {
+    let disruption_budget::DisruptionOutcome::PermitRequested(permit, _) = change(request_permit("w1", true))
+    else {
         panic!("no permit")
     };
     change(DisruptionCommand::BeginPermit { permit, incarnation: 1 });
     change(DisruptionCommand::CompletePermit { permit });
-    change(ask("w2", true));
-    change(ask("w3", false));
+    change(request_permit("w2", true));
+    change(request_permit("w3", false));
     log
 }
 
@@ -289,7 +296,7 @@
         state.next_token().0
     );
     for (id, session) in state.sessions() {
-        let offers: Vec<String> = session.eligible_leases.iter().map(LeaseId::to_string).collect();
+        let eligible: Vec<String> = session.eligible_leases.iter().map(LeaseId::to_string).collect();
         let _ = writeln!(
             text,
             "session {}: name {:?} incarnation {} boot {} zone {:?} address {:?} offers {} stable {} superseded {}",
@@ -299,7 +306,7 @@
             session.boot_id,
             session.zone,
             session.address,
-            offers.join(" "),
+            eligible.join(" "),
             session.stable,
             session.superseded
         );
@@ -308,12 +315,12 @@
         let (short, incarnation) = (state.consecutive_short_sessions(name), state.incarnation_of(name));
         let _ = writeln!(text, "name {name}: short sessions {short} incarnation {incarnation}");
     }
-    for (id, duty) in state.leases() {
-        let owner = duty.holder.map(|owner| (owner.session.0, owner.token.0));
+    for (id, lease) in state.leases() {
+        let holder = lease.holder.map(|holder| (holder.session.0, holder.token.0));
         let _ = writeln!(
             text,
-            "lease {id}: minimum {} fenced {} holder {owner:?}",
-            duty.minimum_token.0, duty.fencing_revision
+            "lease {id}: minimum {} fenced {} holder {holder:?}",
+            lease.minimum_token.0, lease.fencing_revision
         );
     }
     let replacing = state.replacement_in_progress().map(|replacing| (replacing.old, replacing.new));
@@ -343,40 +350,40 @@
     }
 }
 
-/// What the state shows to nobody is kept too: processes of a name, and numbers of keepers that were used.
+/// Values without an accessor are kept too: processes of a name, and numbers of replicas that were used.
 #[test]
 fn a_restored_snapshot_decides_as_the_state_that_it_was_taken_of() {
     let log = version_3_log();
     let mut restored = Log { state: StateMachine::restore(&log.state.snapshot()).unwrap(), index: log.index };
-    let old_process = restored.apply(&join("a", 1, "north", vec![], false));
+    let old_process = restored.apply(&open_session_command("a", 1, "north", vec![], false));
     assert_eq!(old_process, CommandOutcome::Rejected(CommandRejection::Superseded { incarnation: 2 }));
     let used_number = Command::ReplaceReplica { old: 2, new: 3, address: "10.0.0.3:7100".to_owned() };
     assert!(matches!(
         restored.apply(&used_number),
         CommandOutcome::Rejected(CommandRejection::InvalidReplacement(_))
     ));
-    restored.joined(&join("c", 5, "", vec![], false));
+    restored.open_session(&open_session_command("c", 5, "", vec![], false));
     assert_eq!(restored.state.consecutive_short_sessions("c"), 1, "the session before was short");
 }
 
 #[test]
 fn messages_keep_their_bytes() {
-    let owner = LeaseHolder { session: SessionId(300), token: FencingToken(7) };
+    let holder = LeaseHolder { session: SessionId(300), token: FencingToken(7) };
     let seats = vec![
-        LeaseView { lease: LeaseId::fleet("list"), minimum_token: FencingToken(7), holder: Some(owner) },
+        LeaseView { lease: LeaseId::fleet("list"), minimum_token: FencingToken(7), holder: Some(holder) },
         LeaseView { lease: LeaseId::zone("cold", "north"), minimum_token: FencingToken(300), holder: None },
         LeaseView { lease: LeaseId::worker_set("watch", 300), minimum_token: FencingToken(1), holder: None },
     ];
     let counts = EffectCounts { accepted: 1, stale_tokens: 2, without_session: 3, unknown_leases: 4 };
-    let mut text = lines(&reasons(), postcard_hex);
-    text += &lines(&refusals(), postcard_hex);
+    let mut text = lines(&command_rejections(), postcard_hex);
+    text += &lines(&effect_rejections(), postcard_hex);
     let _ = writeln!(text, "view: {}", postcard_hex(&ClusterView { revision: 513, leases: seats }));
     let _ = writeln!(text, "counts: {}", postcard_hex(&counts));
     let _ = writeln!(text, "times: {}", postcard_hex(&Timing::default()));
     insta::assert_snapshot!("messages", text);
 }
 
-fn reasons() -> Vec<(&'static str, CommandRejection)> {
+fn command_rejections() -> Vec<(&'static str, CommandRejection)> {
     vec![
         ("rejection 0", CommandRejection::NoSuchSession),
         ("rejection 1", CommandRejection::Superseded { incarnation: 300 }),
@@ -388,7 +395,7 @@
     ]
 }
 
-fn refusals() -> Vec<(&'static str, EffectRejection)> {
+fn effect_rejections() -> Vec<(&'static str, EffectRejection)> {
     vec![
         ("effect rejection 0", EffectRejection::NoSession),
         ("effect rejection 1", EffectRejection::StaleToken { minimum_token: FencingToken(300) }),
@@ -425,8 +432,8 @@
 #[test]
 fn texts_stay() {
     let shown = |label: &str, text: &dyn Display| format!("{label}: {text}\n");
-    let mut text = lines(&reasons(), CommandRejection::to_string);
-    text += &lines(&refusals(), EffectRejection::to_string);
+    let mut text = lines(&command_rejections(), CommandRejection::to_string);
+    text += &lines(&effect_rejections(), EffectRejection::to_string);
     text += &lines(&ids(), LeaseId::to_string);
     for wrong in ["", "@zone/a", "list@", "list@zone/", "list@set/x", "list@set/70000", "list@shop/a"] {
         text += &shown(&format!("id {wrong:?}"), &wrong.parse::<LeaseId>().unwrap_err());
@@ -455,11 +462,11 @@
     log.apply(&Command::RecordReplicaStart { replica: 1, starts: 7 });
     let mut text = String::new();
     for (label, command) in [
-        ("empty name", join("", 1, "", vec![], false)),
-        ("long name", join(&long, 1, "", vec![], false)),
-        ("long zone", join("a", 1, &long, vec![], false)),
-        ("long lease", join("a", 1, "", vec![LeaseId::fleet(&long)], false)),
-        ("many offers", join("a", 1, "", many, false)),
+        ("empty name", open_session_command("", 1, "", vec![], false)),
+        ("long name", open_session_command(&long, 1, "", vec![], false)),
+        ("long zone", open_session_command("a", 1, &long, vec![], false)),
+        ("long lease", open_session_command("a", 1, "", vec![LeaseId::fleet(&long)], false)),
+        ("many offers", open_session_command("a", 1, "", many, false)),
         ("empty address", address("")),
         ("long address", address(&long)),
         ("used number", Command::ReplaceReplica { old: 2, new: 1, address: "10.0.0.1:7100".to_owned() }),
@@ -470,12 +477,12 @@
         ("over", Command::CompleteReplacement { old: 1 }),
         ("again", Command::ReplaceReplica { old: 1, new: 4, address: "10.0.0.1:7100".to_owned() }),
     ] {
-        let told = match log.apply(&command) {
+        let result = match log.apply(&command) {
             CommandOutcome::Rejected(reason) => reason.to_string(),
             CommandOutcome::Acknowledged => "done".to_owned(),
             other => panic!("{label}: {other:?}"),
         };
-        let _ = writeln!(text, "{label}: {told}");
+        let _ = writeln!(text, "{label}: {result}");
     }
     insta::assert_snapshot!("limits", text);
 }
