--- a/crates/dispatch-core/src/api/settings.rs
+++ b/crates/dispatch-core/src/api/settings.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether a client that was rejected so long after a send that may have run may send the job again: it may then
-    /// meet any worker.
+    /// reach any worker.
     pub fn allows_client_retry(&self, after: Seconds) -> bool {
         let any_worker =
             matches!(self.idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All));
--- a/crates/dispatch-core/src/fleet.rs
+++ b/crates/dispatch-core/src/fleet.rs
@@ -66,7 +66,7 @@
     pub slow_start: SlowStartBudget,
     /// A probe is on its way.
     pub probing: bool,
-    /// Until when a connection of ours is thought to stand idle there.
+    /// Until when we expect to have an idle connection there.
     pub idle_connection_until: Seconds,
     pub health: OutlierDetector,
 }
--- a/crates/dispatch-core/src/key_rates.rs
+++ b/crates/dispatch-core/src/key_rates.rs
@@ -24,7 +24,7 @@
         count * (-(now - counted_at) / MEMORY).exp() / MEMORY
     }
 
-    /// Forgets keys that nobody asks for any more.
+    /// Forgets keys that are not asked for any more.
     pub(crate) fn evict_old(&mut self, now: Seconds) {
         self.0.retain(|_, (_, counted_at)| now - *counted_at < 2.0 * MEMORY);
     }
--- a/crates/dispatch-core/src/load.rs
+++ b/crates/dispatch-core/src/load.rs
@@ -15,7 +15,7 @@
 const REPORT_DELAY_WINDOWS: f64 = 0.5;
 /// Learning rate of the slots of a kind, from the largest figures seen.
 const SLOTS_LEARNING_RATE: f64 = 0.5;
-/// A report counts for this part beside what was thought before: it is a sample, late and noisy.
+/// The weight of a report beside the estimate before it: it is a sample, late and noisy.
 const REPORT_WEIGHT: f64 = 0.5;
 /// A cohort's mean load moves by one part in this many observations at first.
 const INITIAL_COHORT_SAMPLES: f64 = 24.0;
--- a/crates/dispatch-core/src/outlier_detection.rs
+++ b/crates/dispatch-core/src/outlier_detection.rs
@@ -88,7 +88,7 @@
 
 /// Whether a whole zone seems to be lost: its workers fail one after another, and none gives a sign of life.
 ///
-/// A dispatcher with little traffic meets each worker of a large fleet twice a minute. Learnt worker by worker, the
+/// A dispatcher with little traffic uses each worker of a large fleet twice a minute. Learnt worker by worker, the
 /// loss of a zone costs it two failures for each of them, all of which wait for a connection that never comes up. A
 /// few different workers that fail in a row, with no sign of any other between, tell of the zone at once. It is then
 /// the last choice for a while, twice as long each time; one sign of life of any worker there ends that.
--- a/crates/dispatch-core/src/policy/attempts.rs
+++ b/crates/dispatch-core/src/policy/attempts.rs
@@ -10,13 +10,13 @@
 
 /// An admitted job waits for a free worker for this part of the time it has.
 pub(super) const PLACEMENT_WAIT: f64 = 0.1;
-/// After so many attempts a job goes on only to a worker that is thought free: the rest rejects it as well.
+/// After so many attempts a job goes on only to a worker that seems free: the others would reject it as well.
 const BLIND_ATTEMPTS: usize = 2;
 /// A job that waits at a worker for more than this part of the time it has counts as rejected.
 const CONGESTED_WAIT: f64 = 0.5;
-/// So many jobs that cannot be in time are sent all the same: what is believed must be open to refutation.
+/// This part of the jobs that cannot be in time is sent all the same, to correct estimates that are wrong.
 const UNREACHABLE_SEND_RATE: f64 = 1.0 / 16.0;
-/// So many admitted jobs are tried at one event.
+/// At most this many admitted jobs are tried at one event.
 pub(super) const MAX_PLACEMENTS: usize = 3;
 /// A worker that rejected a job as overloaded holds about this many times its slots.
 const OVERLOADED_UTILIZATION: f64 = 1.5;
--- a/crates/dispatch-core/src/policy/placement.rs
+++ b/crates/dispatch-core/src/policy/placement.rs
@@ -11,21 +11,22 @@
 /// them choose the best of many the more they choose alike: there two for each dispatcher, within these.
 pub(super) const MAX_SAMPLE: usize = 6;
 const MIN_SAMPLE: usize = 2;
-/// A wait costs this many times a run of its length: what starts late is late. And how much an emptier worker
-/// is preferred among those that seem free: what is known is late too.
+/// What a wait costs, in runs of its length: what starts late is late.
 const WAIT_COST: f64 = 4.0;
+/// How much an emptier worker is preferred among those that seem free, since load reports are late.
 const UTILIZATION_COST: f64 = 0.6;
-/// Where probes may be sent, what is known of a worker is recent for this part of a window.
+/// Where probes may be sent, the load of a worker is known for this part of a window after a report.
 const FRESH_WINDOWS: f64 = 0.25;
-/// Workers probed for one job that waits, and what the probes may cost, in parts of the service.
+/// Workers probed for one job that waits.
 const PROBES_PER_JOB: f64 = 3.0;
+/// What the probes for one job may cost, in parts of the service.
 const MAX_PROBE_COST: f64 = 0.01;
 /// Workers on the ring that a key may go to, and the further ones it uses for each worker that it could fill.
 const KEY_HOMES: usize = 3;
 const KEY_SPREAD: f64 = 0.3;
 /// A worker of a zone that seems lost is the last choice.
 const LOST_ZONE_COST: Seconds = 1e3;
-/// What being late costs, in runs, where it is sure.
+/// What being late costs, in runs, where it is certain.
 const LATENESS_COST: f64 = 80.0;
 /// A price, which is in parts of the service, as running time: what is late is lost.
 const PRICE_COST: f64 = 5.0;
--- a/crates/dispatch-core/src/policy/slow_start.rs
+++ b/crates/dispatch-core/src/policy/slow_start.rs
@@ -8,7 +8,7 @@
 use crate::job::{Candidate, Job};
 use crate::slow_start::{planned_share, time_slice, SlowStartTurns};
 
-/// The part of the budget that is planned for: running times vary, and sends of two slices may meet.
+/// The part of the budget that is planned for: running times vary, and sends of two slices may overlap.
 const PLANNED_BUDGET_SHARE: f64 = 0.25;
 
 impl Dispatcher {
@@ -48,7 +48,7 @@
             && (worker.slow_start.granted_work(self.now) > 0.0 || self.planned_budget(worker).1 > 0.0)
     }
 
-    /// Looks at some workers in slow start of which a part is ours: a sample of all would hardly meet them.
+    /// Looks at some workers in slow start of which a part is ours: a sample of all hardly contains them.
     pub(super) fn consider_warming_up(&mut self, job: &Job, best: &mut Option<Candidate>) {
         let time_slice = self.time_slice();
         if self.slow_start_turns.time_slice != time_slice {
--- a/crates/dispatch-core/src/queueing.rs
+++ b/crates/dispatch-core/src/queueing.rs
@@ -12,7 +12,7 @@
 /// No wait counts for more, in running times.
 const MAX_WAIT: f64 = 8.0;
 
-/// How long jobs really waited at workers that were thought to be so full.
+/// How long jobs really waited, by the expected utilization of their workers.
 #[derive(Clone, Debug)]
 pub(crate) struct QueueingCurve([Step; STEPS]);
 
--- a/crates/dispatch-core/src/run_time.rs
+++ b/crates/dispatch-core/src/run_time.rs
@@ -1,4 +1,4 @@
-//! Running times: what a job is thought to take on a worker, learnt from the jobs that ended.
+//! Running times: how long a job is expected to take on a worker, learnt from the jobs that ended.
 //!
 //! A running time is the product of the job's own work and of slowdowns: of the fleet as a whole, of the kind of
 //! machine, of the worker. All are kept as logarithms, so that a worker that is twice as slow counts as much as one that
