--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -59,10 +59,10 @@
 /// Something in it is wrong.
 pub fn parse(file: &str, text: &str) -> Result<Config, HclError> {
     let top = Section::parse(file, text)?;
-    let installation = settings::wanted(&top, "installation")?;
-    let coordinators = settings::keepers(&top)?;
+    let installation = settings::required_text(&top, "installation")?;
+    let coordinators = settings::replicas(&top)?;
     let first_token = top.integer("first_token", 1..=u64::MAX / 2)?.unwrap_or(1);
-    let times = settings::times(&top)?;
+    let times = settings::timing(&top)?;
     let serve = top.section("serve")?.map(|section| parse_serve(section, &coordinators)).transpose()?;
     top.deny_unknown_keys()?;
     Ok(Config { installation, coordinators, first_token, times, serve })
@@ -75,7 +75,7 @@
         return Err(section.error("keeper", format!("there is no block keeper \"{coordinator_id}\"")));
     };
     let listen = match section.value("listen") {
-        Some(_) => settings::address(section, "listen")?,
+        Some(_) => settings::required_address(section, "listen")?,
         None => *address,
     };
     let bind = section.string("bind")?.map(|text| {
@@ -84,7 +84,7 @@
     Ok(ServeConfig {
         coordinator_id,
         listen,
-        store_directory: settings::wanted(section, "store")?.into(),
+        store_directory: settings::required_text(section, "store")?.into(),
         bind_address: bind.transpose()?,
         injected_bug: parse_injected_bug(section)?,
         protocol_version: section
@@ -151,7 +151,7 @@
         let (max_unavailable, min_available) =
             (parse_amount(section, "most_out")?, parse_amount(section, "least_in")?);
         let budget = Budget { name, kind, scope, max_unavailable, min_available };
-        budget.validate().map_err(|fault| section.error(fault.key, fault.reason))?;
+        budget.validate().map_err(|fault| section.error(fault.key, fault.problem.to_string()))?;
         budgets.push(budget);
     }
     top.deny_unknown_keys()?;
