--- a/crates/cluster-member/src/coordinator_client.rs
+++ b/crates/cluster-member/src/coordinator_client.rs
@@ -1,4 +1,4 @@
-//! Asking the keepers: whichever leads, on a connection of one's own, within a time.
+//! Calls to the coordinator: to whichever replica leads, on a connection of the client's own, within a deadline.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -8,15 +8,44 @@
 use tokio::time::{sleep, timeout_at, Instant};
 
 use crate::wire::{
-    ClientHello, ClientIdentity, Connection, CoordinatorMessage, Operation, Request, Response, SCHEMA_VERSION,
+    ClientHello, ClientIdentity, Connection, ConnectionError, CoordinatorMessage, LeaderHint, Operation,
+    Request, Response, SCHEMA_VERSION,
 };
 
-/// One keeper gets so long for an answer before another one is asked.
+/// One replica has so long for a response before another one is called.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Before the next keeper is asked.
+/// The pause before the next replica is called.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The keepers of an installation, for whoever asks them something now and then.
+/// Why a call got no response. What it was to change may have been changed.
+#[derive(Debug, thiserror::Error)]
+pub enum CallError {
+    /// The deadline had passed before a replica was called.
+    #[error("no time was left")]
+    DeadlinePassed,
+    /// The last replica that responded knows no leader: there may be no majority. A later call may succeed.
+    #[error("no keeper leads")]
+    NoLeader,
+    /// The leader takes no further requests for now. A later call may succeed.
+    #[error("the keeper that leads is busy")]
+    LeaderBusy,
+    /// The connection to the last replica that was called failed.
+    #[error("keeper {replica}: {error}")]
+    Connection {
+        /// The replica.
+        replica: u64,
+        /// What failed.
+        error: ConnectionError,
+    },
+    /// The last replica that was called did not respond in time.
+    #[error("keeper {replica}: no answer")]
+    NoResponse {
+        /// The replica.
+        replica: u64,
+    },
+}
+
+/// A client of the coordinator, for calls now and then.
 #[derive(Debug)]
 pub struct CoordinatorClient {
     installation: String,
@@ -24,100 +53,109 @@
     local_address: Option<IpAddr>,
     replicas: BTreeMap<u64, SocketAddr>,
     connection: Option<Connection>,
+    /// The replica that is called next.
     current: u64,
     last_request_id: u64,
 }
 
 impl CoordinatorClient {
-    /// Asked by whom, and from which address.
+    /// A client of this identity, whose connections come from this local address.
     pub fn new(
         installation: &str,
-        who: ClientIdentity,
-        keepers: BTreeMap<u64, SocketAddr>,
-        bind: Option<IpAddr>,
+        identity: ClientIdentity,
+        replicas: BTreeMap<u64, SocketAddr>,
+        local_address: Option<IpAddr>,
     ) -> CoordinatorClient {
-        let at = keepers.keys().next().copied().unwrap_or(0);
+        let current = replicas.keys().next().copied().unwrap_or(0);
         CoordinatorClient {
             installation: installation.to_owned(),
-            identity: who,
-            local_address: bind,
-            replicas: keepers,
+            identity,
+            local_address,
+            replicas,
             connection: None,
-            current: at,
+            current,
             last_request_id: 0,
         }
     }
 
-    /// Asks whichever keeper leads. What changes something may have been done although no answer came.
+    /// Calls whichever replica leads. What changes something may have been done although no response came.
     ///
     /// # Errors
-    /// No keeper that leads answers by then: a majority is not there, or not reached.
-    pub async fn call(&mut self, ask: &Operation, by: Instant) -> Result<Response, String> {
-        let mut why = String::from("no time was left");
-        while Instant::now() < by {
-            let call = by.min(Instant::now() + ATTEMPT_TIMEOUT);
-            match timeout_at(call, self.call_current(ask)).await {
+    /// No replica that leads responds by the deadline: a majority is not there, or not reached.
+    pub async fn call(&mut self, operation: &Operation, deadline: Instant) -> Result<Response, CallError> {
+        let mut last_error = CallError::DeadlinePassed;
+        while Instant::now() < deadline {
+            let replica = self.current;
+            let attempt_deadline = deadline.min(Instant::now() + ATTEMPT_TIMEOUT);
+            match timeout_at(attempt_deadline, self.call_current(operation)).await {
                 Ok(Ok(Response::NotLeader { leader, address })) => {
-                    why = "no keeper leads".to_owned();
-                    self.connection = None;
-                    match leader.filter(|leader| *leader != self.current) {
-                        Some(leader) => {
-                            if let Some(address) = address.and_then(|address| address.parse().ok()) {
-                                self.replicas.insert(leader, address);
-                            }
-                            self.current = leader;
-                            continue;
-                        }
-                        None => self.select_next(),
+                    last_error = CallError::NoLeader;
+                    if self.follow_leader(LeaderHint::new(leader, address.as_deref())) {
+                        continue;
                     }
                 }
-                Ok(Ok(Response::Busy)) => why = "the keeper that leads is busy".to_owned(),
-                Ok(Ok(answer)) => return Ok(answer),
+                Ok(Ok(Response::Busy)) => last_error = CallError::LeaderBusy,
+                Ok(Ok(response)) => return Ok(response),
                 Ok(Err(error)) => {
-                    why = format!("keeper {}: {error}", self.current);
+                    last_error = CallError::Connection { replica, error };
                     self.select_next();
                 }
                 Err(_) => {
-                    why = format!("keeper {}: no answer", self.current);
+                    last_error = CallError::NoResponse { replica };
                     self.select_next();
                 }
             }
-            sleep(RETRY_DELAY.min(by.saturating_duration_since(Instant::now()))).await;
+            sleep(RETRY_DELAY.min(deadline.saturating_duration_since(Instant::now()))).await;
         }
-        Err(why)
+        Err(last_error)
     }
 
-    /// The next keeper, and a connection to it.
+    /// Selects the leader that the current replica names, and says whether it is another one; else selects the next.
+    fn follow_leader(&mut self, leader: Option<LeaderHint>) -> bool {
+        self.connection = None;
+        let Some(leader) = leader.filter(|leader| leader.replica_id != self.current) else {
+            self.select_next();
+            return false;
+        };
+        if let Some(address) = leader.address {
+            self.replicas.insert(leader.replica_id, address);
+        }
+        self.current = leader.replica_id;
+        true
+    }
+
+    /// Selects the next replica by number, on a connection to be made.
     fn select_next(&mut self) {
         self.connection = None;
         let next = self.replicas.range(self.current + 1..).next().or(self.replicas.iter().next());
-        self.current = next.map_or(0, |(number, _)| *number);
+        self.current = next.map_or(0, |(replica, _)| *replica);
     }
 
-    async fn call_current(&mut self, ask: &Operation) -> io::Result<Response> {
-        let mut link = match self.connection.take() {
-            Some(link) => link,
-            None => {
-                let address = self.replicas.get(&self.current).copied().ok_or(io::ErrorKind::NotFound)?;
-                let (installation, who) = (self.installation.clone(), self.identity.clone());
-                Connection::connect(
-                    address,
-                    self.local_address,
-                    &ClientHello { schema_version: SCHEMA_VERSION, installation, identity: who },
-                )
-                .await?
-                .0
-            }
+    async fn call_current(&mut self, operation: &Operation) -> Result<Response, ConnectionError> {
+        let mut connection = match self.connection.take() {
+            Some(connection) => connection,
+            None => self.connect_current().await?,
         };
         self.last_request_id += 1;
-        link.send(&Request { id: self.last_request_id, operation: ask.clone() }).await?;
+        connection.send(&Request { id: self.last_request_id, operation: operation.clone() }).await?;
         loop {
-            if let CoordinatorMessage::Response(id, answer) = link.receive().await? {
+            if let CoordinatorMessage::Response(id, response) = connection.receive().await? {
                 if id == self.last_request_id {
-                    self.connection = Some(link);
-                    return Ok(answer);
+                    self.connection = Some(connection);
+                    return Ok(response);
                 }
             }
         }
     }
+
+    async fn connect_current(&self) -> Result<Connection, ConnectionError> {
+        let address = self.replicas.get(&self.current).copied().ok_or(io::ErrorKind::NotFound)?;
+        let hello = ClientHello {
+            schema_version: SCHEMA_VERSION,
+            installation: self.installation.clone(),
+            identity: self.identity.clone(),
+        };
+        let (connection, _) = Connection::connect(address, self.local_address, &hello).await?;
+        Ok(connection)
+    }
 }
--- /dev/null
+++ b/crates/cluster-member/src/effects/publisher.rs
@@ -0,0 +1,187 @@
+//! The lease holder's side: the latest effect of a term, sent to every other member.
+
+use std::collections::BTreeMap;
+use std::fmt;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use coordination::{FencingToken, InjectedBug, LeaseId};
+use tokio::sync::watch;
+use tokio::task::JoinHandle;
+use tokio::time::{sleep, timeout};
+
+use crate::clock;
+use crate::member::Member;
+use crate::wire::{
+    encode, ClientHello, ClientIdentity, Connection, ConnectionError, Effect, EffectResponse, Peer,
+    SCHEMA_VERSION,
+};
+
+/// How long a lease holder waits for a receiver's response before it connects anew.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The pause before a lease holder connects anew.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+
+/// The latest effect of a term.
+#[derive(Debug, Clone, Default)]
+struct PublishedEffect {
+    /// Counted from one within the term.
+    sequence: u64,
+    body: Rc<Vec<u8>>,
+}
+
+/// Gets what receivers send back when they accept an effect.
+type ResponseHandler = Box<dyn Fn(&[u8])>;
+
+/// A term of a lease, and who gets what receivers respond to its effects.
+struct Term {
+    lease: LeaseId,
+    token: FencingToken,
+    on_response: ResponseHandler,
+}
+
+/// The effects of one term, sent to every other member. Ends when dropped.
+pub struct Publisher {
+    member: Member,
+    term: Rc<Term>,
+    latest: watch::Sender<PublishedEffect>,
+    receivers: BTreeMap<Peer, JoinHandle<()>>,
+}
+
+impl fmt::Debug for Publisher {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Publisher")
+            .field("lease", &self.term.lease)
+            .field("token", &self.term.token)
+            .finish_non_exhaustive()
+    }
+}
+
+impl Publisher {
+    /// For the term that this member holds with this token.
+    pub fn new(member: &Member, lease: LeaseId, token: FencingToken) -> Publisher {
+        Publisher::with_response_handler(member, lease, token, |_| {})
+    }
+
+    /// The same; `on_response` gets what receivers send back when they accept an effect.
+    pub fn with_response_handler(
+        member: &Member,
+        lease: LeaseId,
+        token: FencingToken,
+        on_response: impl Fn(&[u8]) + 'static,
+    ) -> Publisher {
+        Publisher {
+            member: member.clone(),
+            term: Rc::new(Term { lease, token, on_response: Box::new(on_response) }),
+            latest: watch::Sender::default(),
+            receivers: BTreeMap::new(),
+        }
+    }
+
+    /// The term's token.
+    pub fn token(&self) -> FencingToken {
+        self.term.token
+    }
+
+    /// Sends an effect to all members that are known now, and returns its sequence number. What was published before and
+    /// not sent yet is left out; what was sent and got no response may come twice.
+    pub fn publish(&mut self, body: Vec<u8>) -> u64 {
+        let own_name = &self.member.config().name;
+        let peers: Vec<Peer> =
+            self.member.members().into_iter().filter(|peer| peer.name != *own_name).collect();
+        self.stop_receivers_not_in(&peers);
+        self.latest.send_modify(|latest| {
+            *latest = PublishedEffect { sequence: latest.sequence + 1, body: Rc::new(body) };
+        });
+        for peer in peers {
+            self.receivers.entry(peer.clone()).or_insert_with(|| {
+                let (member, term, latest) =
+                    (self.member.clone(), self.term.clone(), self.latest.subscribe());
+                tokio::task::spawn_local(publish_to(member, peer, term, latest))
+            });
+        }
+        self.latest.borrow().sequence
+    }
+
+    /// Stops sending to those that are no members any more. `peers` is sorted.
+    fn stop_receivers_not_in(&mut self, peers: &[Peer]) {
+        self.receivers.retain(|peer, task| {
+            let wanted = peers.binary_search(peer).is_ok() && !task.is_finished();
+            if !wanted {
+                task.abort();
+            }
+            wanted
+        });
+    }
+}
+
+impl Drop for Publisher {
+    fn drop(&mut self) {
+        self.receivers.values().for_each(JoinHandle::abort);
+    }
+}
+
+/// Sends to one receiver, on one connection after the other, for as long as the publisher lasts.
+async fn publish_to(
+    member: Member,
+    peer: Peer,
+    term: Rc<Term>,
+    mut latest: watch::Receiver<PublishedEffect>,
+) {
+    let Ok(address) = peer.address.parse::<SocketAddr>() else { return };
+    latest.mark_changed();
+    loop {
+        if let Err(error) = publish_over_connection(&member, address, &term, &mut latest).await {
+            tracing::debug!(to = peer.name, %error, "a receiver is not reached");
+        }
+        if latest.has_changed().is_err() {
+            return;
+        }
+        sleep(RECONNECT_DELAY).await;
+        // What was sent last may not have arrived.
+        latest.mark_changed();
+    }
+}
+
+/// Sends to one receiver until the connection fails or the publisher ends.
+async fn publish_over_connection(
+    member: &Member,
+    address: SocketAddr,
+    term: &Term,
+    latest: &mut watch::Receiver<PublishedEffect>,
+) -> Result<(), ConnectionError> {
+    let (mut connection, _) =
+        Connection::connect(address, member.config().local_address, &client_hello(member)).await?;
+    let checks_once = member.lease_client().borrow().injected_bug() == Some(InjectedBug::SkipExpiryCheck);
+    let mut checked = false;
+    while latest.changed().await.is_ok() {
+        let PublishedEffect { sequence, body } = latest.borrow_and_update().clone();
+        let effect = Effect { lease: term.lease.clone(), token: term.token, sequence, body: body.to_vec() };
+        let encoded = encode(&effect)?;
+        // The look at the clock is the last thing before the write.
+        let now = clock::now();
+        let skips_check = checks_once && checked;
+        if !skips_check && !member.lease_client().borrow().holds_lease(&term.lease, term.token, now) {
+            continue;
+        }
+        checked = true;
+        let record = serde_json::json!({"duty": term.lease.to_string(), "token": term.token.0});
+        member.recorder().record(now, "acted", record);
+        connection.send_encoded(encoded).await?;
+        match timeout(RESPONSE_TIMEOUT, connection.receive::<EffectResponse>()).await?? {
+            EffectResponse::Accepted(response) => (term.on_response)(&response),
+            EffectResponse::Rejected(rejection) => {
+                tracing::warn!(lease = %term.lease, token = term.token.0, %rejection, "an effect of this process was rejected");
+            }
+        }
+    }
+    Ok(())
+}
+
+fn client_hello(member: &Member) -> ClientHello {
+    let config = member.config();
+    let incarnation = member.lease_client().borrow().last_session().map_or(0, |session| session.incarnation);
+    let identity = ClientIdentity::LeaseHolder { name: config.name.clone(), incarnation };
+    ClientHello { schema_version: SCHEMA_VERSION, installation: config.installation.clone(), identity }
+}
--- /dev/null
+++ b/crates/cluster-member/src/member/session.rs
@@ -0,0 +1,277 @@
+//! A member's connection to one replica: opens its session, renews it, and takes in what the replica sends.
+
+use std::time::Duration;
+
+use coordination::{ClusterView, CommandRejection, Micros, SessionId};
+use serde::Serialize;
+use tokio::time::{sleep_until, timeout, timeout_at, Instant};
+
+use super::{Member, MembershipEnd, Replica};
+use crate::clock;
+use crate::wire::{
+    ClientHello, ClientIdentity, Connection, ConnectionError, CoordinatorMessage, LeaderHint, MemberList,
+    Operation, Request, Response, SCHEMA_VERSION,
+};
+
+/// What became of a connection to a replica.
+pub(super) enum SessionOutcome {
+    /// Another replica is to be tried, the leader if it is named.
+    TryAnother(Option<LeaderHint>),
+    /// The membership is over.
+    Ended(MembershipEnd),
+}
+
+/// What is done after a response.
+enum NextStep {
+    /// The next request is due at once.
+    RequestNow,
+    /// The session is good until its next renewal.
+    AwaitRenewal,
+    /// The connection is of no further use.
+    Stop(SessionOutcome),
+}
+
+/// The next request of a member, and the session that it is for.
+struct PlannedRequest {
+    session: Option<SessionId>,
+    operation: Operation,
+    /// The member was requested to leave when this was planned.
+    leaving: bool,
+}
+
+/// What is recorded of a new session.
+#[derive(Serialize)]
+struct SessionRecord {
+    incarnation: u64,
+    session: u64,
+}
+
+impl Member {
+    /// Keeps the session at one replica, until that fails or is over.
+    pub(super) async fn run_session(
+        &self,
+        replica: Replica,
+        boot_id: u64,
+    ) -> Result<SessionOutcome, ConnectionError> {
+        let Some(mut connection) = self.connect(replica).await? else {
+            return Ok(SessionOutcome::TryAnother(None));
+        };
+        let mut request_id = 0;
+        loop {
+            let Some(planned) = self.plan_request(boot_id) else {
+                return Ok(SessionOutcome::Ended(MembershipEnd::Left));
+            };
+            request_id += 1;
+            let requested_at = clock::now();
+            let request = Request { id: request_id, operation: planned.operation.clone() };
+            connection.send(&request).await?;
+            let (response, view_changed) = self.receive_response(&mut connection, request_id).await?;
+            match self.apply_response(&planned, requested_at, response) {
+                NextStep::Stop(outcome) => return Ok(outcome),
+                NextStep::AwaitRenewal if !view_changed => {
+                    self.await_renewal(&mut connection, requested_at).await?;
+                }
+                NextStep::AwaitRenewal | NextStep::RequestNow => {}
+            }
+        }
+    }
+
+    fn call_timeout(&self) -> Duration {
+        Duration::from_micros(self.config.timing.call_timeout)
+    }
+
+    /// Connects to a replica; `None` where it rejects the handshake.
+    async fn connect(&self, replica: Replica) -> Result<Option<Connection>, ConnectionError> {
+        let hello = ClientHello {
+            schema_version: SCHEMA_VERSION,
+            installation: self.config.installation.clone(),
+            identity: ClientIdentity::Member { name: self.config.name.clone() },
+        };
+        let connecting = Connection::connect(replica.address, self.config.local_address, &hello);
+        match timeout(self.call_timeout(), connecting).await? {
+            Ok((connection, _)) => Ok(Some(connection)),
+            Err(ConnectionError::Rejected(rejection)) => {
+                tracing::warn!(replica = replica.id, %rejection, "a replica rejected this member's connection");
+                Ok(None)
+            }
+            Err(error) => Err(error),
+        }
+    }
+
+    /// The request that is due; `None` where this member is to leave and has no session.
+    fn plan_request(&self, boot_id: u64) -> Option<PlannedRequest> {
+        let now = clock::now();
+        // A session that has expired by this clock is given up: what was known may be old, and a new one learns anew.
+        let session = self.lease_client.borrow().active_session(now).map(|session| session.id);
+        let leaving = *self.leave_requested.borrow();
+        let operation = match session {
+            None if leaving => return None,
+            None => self.open_session(boot_id),
+            Some(session) if leaving => Operation::CloseSession { session },
+            Some(session) => {
+                self.release_lease_operation().unwrap_or_else(|| self.renew_session(session, now))
+            }
+        };
+        Some(PlannedRequest { session, operation, leaving })
+    }
+
+    fn open_session(&self, boot_id: u64) -> Operation {
+        Operation::OpenSession {
+            name: self.config.name.clone(),
+            boot_id,
+            zone: self.config.zone.clone(),
+            address: self.config.address.clone(),
+            eligible_leases: self.config.eligible_leases.clone(),
+        }
+    }
+
+    /// Only those that hold a lease ask for the members.
+    fn renew_session(&self, session: SessionId, now: Micros) -> Operation {
+        let lease_client = self.lease_client.borrow();
+        let holds_any = !lease_client.held_leases(now).is_empty();
+        Operation::RenewSession {
+            session,
+            known_view: lease_client.applied_revision(),
+            known_members: holds_any.then(|| self.members.borrow().revision),
+        }
+    }
+
+    fn release_lease_operation(&self) -> Option<Operation> {
+        let (lease, token) = self.pending_releases.borrow().first()?.clone();
+        Some(Operation::ReleaseLease { lease, token: Some(token) })
+    }
+
+    /// The response to a request, and whether a view that came before it was a new one.
+    async fn receive_response(
+        &self,
+        connection: &mut Connection,
+        request_id: u64,
+    ) -> Result<(Response, bool), ConnectionError> {
+        let mut view_changed = false;
+        let deadline = Instant::now() + self.call_timeout();
+        loop {
+            match timeout_at(deadline, connection.receive()).await?? {
+                CoordinatorMessage::Response(id, response) if id == request_id => {
+                    return Ok((response, view_changed));
+                }
+                CoordinatorMessage::Response(..) => {}
+                CoordinatorMessage::ViewChanged(session, view) => {
+                    view_changed |= self.apply_view(session, view);
+                }
+            }
+        }
+    }
+
+    /// Waits until the next renewal is due, or a new view is to be acknowledged, or something is to be requested.
+    async fn await_renewal(
+        &self,
+        connection: &mut Connection,
+        requested_at: Micros,
+    ) -> Result<(), ConnectionError> {
+        // By the clock of leases, counted from when the last renewal was requested.
+        let due_in = (requested_at + self.config.timing.renewal_interval).saturating_sub(clock::now());
+        let due = Instant::now() + Duration::from_micros(due_in);
+        let mut leave_requested = self.leave_requested.subscribe();
+        let mut pending_releases = self.pending_releases.subscribe();
+        loop {
+            tokio::select! {
+                message = connection.receive() => {
+                    if let CoordinatorMessage::ViewChanged(session, view) = message? {
+                        if self.apply_view(session, view) {
+                            return Ok(());
+                        }
+                    }
+                }
+                () = sleep_until(due) => return Ok(()),
+                _ = leave_requested.wait_for(|requested| *requested) => return Ok(()),
+                _ = pending_releases.wait_for(|releases| !releases.is_empty()) => return Ok(()),
+            }
+        }
+    }
+
+    /// Takes in a view, and says whether it is a new one.
+    fn apply_view(&self, session: SessionId, view: ClusterView) -> bool {
+        let is_new = self.lease_client.borrow_mut().on_view_changed(session, view);
+        if is_new {
+            self.notify_change();
+        }
+        is_new
+    }
+
+    /// Takes in a response.
+    fn apply_response(&self, planned: &PlannedRequest, requested_at: Micros, response: Response) -> NextStep {
+        let over = matches!(response, Response::Done | Response::Rejected(_));
+        if planned.leaving && over {
+            return NextStep::Stop(SessionOutcome::Ended(MembershipEnd::Left));
+        }
+        if matches!(planned.operation, Operation::ReleaseLease { .. }) && over {
+            // Done, or the term was over already.
+            self.pending_releases.send_modify(|releases| drop(releases.remove(0)));
+            return NextStep::RequestNow;
+        }
+        match response {
+            Response::SessionOpened { session, incarnation, view } => {
+                self.session_opened(session, incarnation, requested_at, view);
+            }
+            Response::SessionRenewed { view, members } => {
+                self.session_renewed(planned.session, requested_at, view, members);
+            }
+            Response::Rejected(CommandRejection::NoSuchSession) => {
+                self.lease_client.borrow_mut().on_session_ended()
+            }
+            Response::Rejected(reason) => {
+                return NextStep::Stop(SessionOutcome::Ended(self.rejected(reason)))
+            }
+            Response::NotLeader { leader, address } => {
+                let leader = LeaderHint::new(leader, address.as_deref());
+                return NextStep::Stop(SessionOutcome::TryAnother(leader));
+            }
+            Response::Busy
+            | Response::Done
+            | Response::Status(_)
+            | Response::DisruptionState(..)
+            | Response::DisruptionStateChanged(_) => {
+                return NextStep::Stop(SessionOutcome::TryAnother(None));
+            }
+        }
+        self.notify_change();
+        NextStep::AwaitRenewal
+    }
+
+    fn session_opened(&self, session: SessionId, incarnation: u64, requested_at: Micros, view: ClusterView) {
+        let now = clock::now();
+        self.lease_client.borrow_mut().on_session_opened(session, incarnation, requested_at, now, view);
+        *self.members.borrow_mut() = MemberList::default();
+        tracing::info!(name = self.config.name, session = session.0, incarnation, "a session was opened");
+        self.recorder.record(now, "session", SessionRecord { incarnation, session: session.0 });
+    }
+
+    fn session_renewed(
+        &self,
+        session: Option<SessionId>,
+        requested_at: Micros,
+        view: Option<ClusterView>,
+        members: Option<MemberList>,
+    ) {
+        if let Some(session) = session {
+            self.lease_client.borrow_mut().on_session_renewed(session, requested_at, clock::now(), view);
+        }
+        if let Some(members) = members {
+            *self.members.borrow_mut() = members;
+        }
+    }
+
+    /// The end of a membership that the coordinator rejects.
+    fn rejected(&self, reason: CommandRejection) -> MembershipEnd {
+        match reason {
+            CommandRejection::Superseded { incarnation } => {
+                tracing::error!(
+                    incarnation,
+                    "another process of the same name is there; this one is no member any more"
+                );
+                MembershipEnd::Superseded { incarnation }
+            }
+            reason => MembershipEnd::Rejected(reason),
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster-member/src/wire/mod.rs
@@ -0,0 +1,25 @@
+//! The messages between processes, and the connections that carry them: postcard in frames with their length before them.
+//!
+//! The order of variants and fields is the format. A connection begins with a [`ClientHello`] and a [`ServerHello`]; both
+//! ends then use the schema version of the hello. What a later version adds is not sent to an end of an older one, which
+//! would not have asked for it.
+
+mod codec;
+mod connection;
+mod effect;
+mod handshake;
+mod messages;
+mod status;
+
+pub use codec::{decode, encode, MessageError, MAX_FRAME_BYTES};
+pub use connection::{Connection, ConnectionError, ConnectionReader, ConnectionWriter, IO_TIMEOUT};
+pub use effect::{Effect, EffectResponse};
+pub use handshake::{
+    validate_client_hello, validate_client_hello_for_version, ClientHello, ClientIdentity,
+    HandshakeRejection, ServerHello, StoreIdentity, OLDEST_SCHEMA_VERSION, SCHEMA_VERSION,
+};
+pub use messages::{CoordinatorMessage, LeaderHint, MemberList, Operation, Request, Response};
+pub use status::{
+    CommitLatency, HolderStatus, LeaseStatus, MemberStatus, Peer, ReplacementStatus, ReplicaStarts,
+    ReplicaStatus,
+};
--- a/crates/cluster-member/tests/connection.rs
+++ b/crates/cluster-member/tests/connection.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 
 use cluster_member::wire::{
-    encode, handshake_rejection, validate_client_hello, validate_client_hello_for_version, ClientHello,
-    ClientIdentity, Connection, HandshakeRejection, Operation, Request, ServerHello, SCHEMA_VERSION,
+    encode, validate_client_hello, validate_client_hello_for_version, ClientHello, ClientIdentity,
+    Connection, HandshakeRejection, Operation, Request, ServerHello, SCHEMA_VERSION,
 };
 use support::{assert_pinned, hex};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -108,7 +108,7 @@
             link.send_server_hello(&welcome).await.unwrap();
         });
         let error = Connection::connect(address, None, &hello(SCHEMA_VERSION)).await.unwrap_err();
-        assert_eq!(handshake_rejection(&error), Some(&why));
+        assert_eq!(error.handshake_rejection(), Some(&why));
         assert_eq!(error.to_string(), text);
     }
 }
@@ -118,12 +118,12 @@
     let (listener, address) = listen().await;
     drop(listener);
     let error = Connection::connect(address, None, &hello(SCHEMA_VERSION)).await.unwrap_err();
-    assert_eq!(handshake_rejection(&error), None);
+    assert_eq!(error.handshake_rejection(), None);
     assert_eq!(error.to_string(), "Connection refused (os error 111)");
     let (listener, address) = listen().await;
     tokio::spawn(async move { drop(listener.accept().await.unwrap()) });
     let error = Connection::connect(address, None, &hello(SCHEMA_VERSION)).await.unwrap_err();
-    assert_eq!(handshake_rejection(&error), None);
+    assert_eq!(error.handshake_rejection(), None);
     let (listener, address) = listen().await;
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
@@ -132,7 +132,7 @@
         let _ = stream.read_u8().await;
     });
     let error = Connection::connect(address, None, &hello(SCHEMA_VERSION)).await.unwrap_err();
-    assert_eq!(handshake_rejection(&error), None);
+    assert_eq!(error.handshake_rejection(), None);
     assert_eq!(error.to_string(), "Serde Deserialization Error");
 }
 
--- a/crates/cluster-member/tests/format.rs
+++ b/crates/cluster-member/tests/format.rs
@@ -7,9 +7,9 @@
 use cluster_member::record::Recorder;
 use cluster_member::slow_start::{Grant, QuotaGrants, UsageReport, SLOW_START_LEASE};
 use cluster_member::wire::{
-    encode, ClientHello, ClientIdentity, CoordinatorMessage, Effect, EffectResponse, HandshakeRejected,
-    HandshakeRejection, Operation, Peer, ReplicaStatus, Request, Response, ServerHello, StoreIdentity,
-    IO_TIMEOUT, MAX_FRAME_BYTES, OLDEST_SCHEMA_VERSION, SCHEMA_VERSION,
+    encode, ClientHello, ClientIdentity, ConnectionError, CoordinatorMessage, Effect, EffectResponse,
+    HandshakeRejection, MemberList, Operation, Peer, ReplicaStatus, Request, Response, ServerHello,
+    StoreIdentity, IO_TIMEOUT, MAX_FRAME_BYTES, OLDEST_SCHEMA_VERSION, SCHEMA_VERSION,
 };
 use coordination::{
     ClusterView, CommandRejection, EffectRejection, FencingToken, LeaseHolder, LeaseId, LeaseScope,
@@ -220,7 +220,10 @@
         ("renewed".to_owned(), Response::SessionRenewed { view: None, members: None }),
         (
             "renewed with news".to_owned(),
-            Response::SessionRenewed { view: Some(view()), members: Some((900, vec![peer()])) },
+            Response::SessionRenewed {
+                view: Some(view()),
+                members: Some(MemberList { revision: 900, members: vec![peer()] }),
+            },
         ),
         ("done".to_owned(), Response::Done),
         ("not the leader".to_owned(), Response::NotLeader { leader: None, address: None }),
@@ -394,7 +397,10 @@
 fn display_texts() {
     let mut text = String::new();
     for (label, turned) in handshake_rejections() {
-        text += &format!("{label}: {turned}\n{label}, as an error: {}\n", HandshakeRejected(turned.clone()));
+        text += &format!(
+            "{label}: {turned}\n{label}, as an error: {}\n",
+            ConnectionError::Rejected(turned.clone())
+        );
     }
     for (label, reason) in reject_reasons() {
         text += &format!("request rejected, {label}: {reason}\n");
--- a/crates/cluster-member/tests/sessions.rs
+++ b/crates/cluster-member/tests/sessions.rs
@@ -15,8 +15,8 @@
 use cluster_member::member::{Member, MemberConfig, MembershipEnd};
 use cluster_member::record::Recorder;
 use cluster_member::wire::{
-    ClientHello, ClientIdentity, Connection, Effect, EffectResponse, Operation, Peer, Request, Response,
-    SCHEMA_VERSION,
+    ClientHello, ClientIdentity, Connection, Effect, EffectResponse, MemberList, Operation, Peer, Request,
+    Response, SCHEMA_VERSION,
 };
 use coordination::{
     ClusterView, CommandRejection, FencingToken, LeaseClient, LeaseHolder, LeaseId, LeaseView, SessionId,
@@ -85,6 +85,85 @@
     text.lines().map(line).collect()
 }
 
+/// What a coordinator responds to the holder, which learns of one other member.
+fn respond_to_holder(request: &Request, other: &Peer) -> Response {
+    match &request.operation {
+        Operation::OpenSession { .. } => {
+            Response::SessionOpened { session: SessionId(5), incarnation: 2, view: view() }
+        }
+        Operation::RenewSession { known_members: Some(0), .. } => Response::SessionRenewed {
+            view: None,
+            members: Some(MemberList { revision: 4, members: vec![other.clone()] }),
+        },
+        Operation::RenewSession { .. } => Response::SessionRenewed { view: None, members: None },
+        _ => Response::Done,
+    }
+}
+
+/// What a coordinator responds to the receiver.
+fn respond_to_receiver(request: &Request) -> Response {
+    match &request.operation {
+        Operation::OpenSession { .. } => {
+            Response::SessionOpened { session: SessionId(8), incarnation: 1, view: view() }
+        }
+        Operation::RenewSession { .. } => Response::SessionRenewed { view: None, members: None },
+        _ => Response::Done,
+    }
+}
+
+/// The holder publishes an effect, and hears what the receiver responds.
+async fn publish_one_effect(holder: &Member) {
+    let responses: Rc<RefCell<Vec<Vec<u8>>>> = Rc::default();
+    let received = responses.clone();
+    let on_response = move |response: &[u8]| received.borrow_mut().push(response.to_vec());
+    let lease = LeaseId::fleet("list");
+    let mut publisher = Publisher::with_response_handler(holder, lease, FencingToken(7), on_response);
+    assert_eq!((publisher.publish(b"one".to_vec()), publisher.token()), (1, FencingToken(7)));
+    until("the receiver has answered", || !responses.borrow().is_empty()).await;
+    assert_eq!(*responses.borrow(), [b"seen one".to_vec()]);
+}
+
+/// A holder of an earlier term, one of a lease that nobody knows, and a client of another kind are rejected.
+async fn send_what_is_rejected(receiver: SocketAddr) {
+    let identity = ClientIdentity::LeaseHolder { name: "late".to_owned(), incarnation: 1 };
+    let hello = ClientHello { schema_version: SCHEMA_VERSION, installation: "north".to_owned(), identity };
+    let (mut connection, name) = Connection::connect(receiver, None, &hello).await.unwrap();
+    assert_eq!(name, "receiver");
+    let mut texts = Vec::new();
+    for (lease, token) in [("list", 5), ("other", 5)] {
+        let (lease, token) = (LeaseId::fleet(lease), FencingToken(token));
+        let effect = Effect { lease: lease.clone(), token, sequence: 3, body: Vec::new() };
+        connection.send(&effect).await.unwrap();
+        match connection.receive().await.unwrap() {
+            EffectResponse::Rejected(rejection) => texts.push(rejection.to_string()),
+            EffectResponse::Accepted(_) => panic!("{lease} with token {} was accepted", token.0),
+        }
+    }
+    assert_eq!(texts, ["the term is over: tokens below 7 are refused", "the receiver knows no such duty"]);
+    let operator = ClientHello { identity: ClientIdentity::Operator, ..hello };
+    let error = Connection::connect(receiver, None, &operator).await.unwrap_err();
+    assert_eq!(error.to_string(), "turned away: it does not speak with the likes of this at that address");
+}
+
+/// The operations that the holder requested, in order.
+fn check_operations(mut operations: Vec<Operation>) {
+    assert!(
+        matches!(&operations[0], Operation::OpenSession { name, zone, .. } if name == "holder" && zone == "z1")
+    );
+    assert_eq!(
+        operations[1],
+        Operation::RenewSession { session: SessionId(5), known_view: 9, known_members: Some(0) }
+    );
+    operations.retain(|operation| !matches!(operation, Operation::RenewSession { .. }));
+    assert_eq!(
+        operations[1..],
+        [
+            Operation::ReleaseLease { lease: LeaseId::fleet("list"), token: Some(FencingToken(7)) },
+            Operation::CloseSession { session: SessionId(5) }
+        ]
+    );
+}
+
 #[tokio::test]
 async fn a_lease_holder_publishes_and_a_receiver_checks_tokens() {
     let folder = tempfile::tempdir().unwrap();
@@ -92,37 +171,16 @@
     let (coordinator, coordinator_address) = listen().await;
     let (receiver_coordinator, receiver_coordinator_address) = listen().await;
     let (effects, effects_address) = listen().await;
-    let asked: Rc<RefCell<Vec<Operation>>> = Rc::default();
-    let seen = asked.clone();
+    let requested: Rc<RefCell<Vec<Operation>>> = Rc::default();
+    let requests = requested.clone();
     let test = async {
-        let peer = Peer {
-            name: "receiver".to_owned(),
-            incarnation: 1,
-            zone: "z1".to_owned(),
-            address: effects_address.to_string(),
-        };
+        let (name, zone) = ("receiver".to_owned(), "z1".to_owned());
+        let other = Peer { name, incarnation: 1, zone, address: effects_address.to_string() };
         spawn_local(play_coordinator(coordinator, move |request: &Request| {
-            seen.borrow_mut().push(request.operation.clone());
-            Some(match &request.operation {
-                Operation::OpenSession { .. } => {
-                    Response::SessionOpened { session: SessionId(5), incarnation: 2, view: view() }
-                }
-                Operation::RenewSession { known_members: Some(0), .. } => {
-                    Response::SessionRenewed { view: None, members: Some((4, vec![peer.clone()])) }
-                }
-                Operation::RenewSession { .. } => Response::SessionRenewed { view: None, members: None },
-                _ => Response::Done,
-            })
-        }));
-        spawn_local(play_coordinator(receiver_coordinator, |request| {
-            Some(match &request.operation {
-                Operation::OpenSession { .. } => {
-                    Response::SessionOpened { session: SessionId(8), incarnation: 1, view: view() }
-                }
-                Operation::RenewSession { .. } => Response::SessionRenewed { view: None, members: None },
-                _ => Response::Done,
-            })
+            requests.borrow_mut().push(request.operation.clone());
+            Some(respond_to_holder(request, &other))
         }));
+        spawn_local(play_coordinator(receiver_coordinator, |request| Some(respond_to_receiver(request))));
         let receiver = member("receiver", effects_address, receiver_coordinator_address, &receiver_file);
         let holder = member("holder", coordinator_address, coordinator_address, &holder_file);
         let runs =
@@ -130,62 +188,16 @@
         spawn_local(serve_effects(receiver.clone(), effects, |effect| [b"seen ", &effect.body[..]].concat()));
         until("the holder knows the receiver", || !holder.members().is_empty()).await;
         until("the receiver has a session", || records(&receiver_file).contains("session")).await;
-        assert_eq!(holder.held_leases(), [(LeaseId::fleet("list"), FencingToken(7))]);
-        assert!(
-            holder.holds_lease(&LeaseId::fleet("list"), FencingToken(7)) && receiver.held_leases().is_empty()
-        );
-
-        let said: Rc<RefCell<Vec<Vec<u8>>>> = Rc::default();
-        let hears = said.clone();
-        let mut publisher = Publisher::with_response_handler(
-            &holder,
-            LeaseId::fleet("list"),
-            FencingToken(7),
-            move |answer| {
-                hears.borrow_mut().push(answer.to_vec());
-            },
-        );
-        assert_eq!((publisher.publish(b"one".to_vec()), publisher.token()), (1, FencingToken(7)));
-        until("the receiver has answered", || !said.borrow().is_empty()).await;
-        assert_eq!(*said.borrow(), [b"seen one".to_vec()]);
-        drop(publisher);
+        let list = LeaseId::fleet("list");
+        assert_eq!(holder.held_leases(), [(list.clone(), FencingToken(7))]);
+        assert!(holder.holds_lease(&list, FencingToken(7)) && receiver.held_leases().is_empty());
 
-        // A holder of an earlier term, and one of a duty that nobody knows.
-        let who = ClientIdentity::LeaseHolder { name: "late".to_owned(), incarnation: 1 };
-        let hello =
-            ClientHello { schema_version: SCHEMA_VERSION, installation: "north".to_owned(), identity: who };
-        let (mut link, name) = Connection::connect(effects_address, None, &hello).await.unwrap();
-        assert_eq!(name, "receiver");
-        let mut texts = Vec::new();
-        for (duty, token) in [("list", 5), ("other", 5)] {
-            let effect = Effect {
-                lease: LeaseId::fleet(duty),
-                token: FencingToken(token),
-                sequence: 3,
-                body: Vec::new(),
-            };
-            link.send(&effect).await.unwrap();
-            match link.receive().await.unwrap() {
-                EffectResponse::Rejected(why) => texts.push(why.to_string()),
-                EffectResponse::Accepted(_) => panic!("{duty} with token {token} was taken"),
-            }
-        }
-        assert_eq!(
-            texts,
-            ["the term is over: tokens below 7 are refused", "the receiver knows no such duty"]
-        );
-        let operator = ClientHello { identity: ClientIdentity::Operator, ..hello };
-        let error = Connection::connect(effects_address, None, &operator).await.unwrap_err();
-        assert_eq!(
-            error.to_string(),
-            "turned away: it does not speak with the likes of this at that address"
-        );
+        publish_one_effect(&holder).await;
+        send_what_is_rejected(effects_address).await;
 
-        holder.release_lease(LeaseId::fleet("list"), FencingToken(7));
-        until("the term is given back", || {
-            asked.borrow().iter().any(|ask| matches!(ask, Operation::ReleaseLease { .. }))
-        })
-        .await;
+        holder.release_lease(list, FencingToken(7));
+        let released = |operation: &Operation| matches!(operation, Operation::ReleaseLease { .. });
+        until("the term is given back", || requested.borrow().iter().any(released)).await;
         holder.leave();
         receiver.leave();
         for run in runs {
@@ -193,24 +205,7 @@
         }
     };
     timeout(LIMIT, LocalSet::new().run_until(test)).await.unwrap();
-
-    let mut asked = asked.take();
-    assert!(
-        matches!(&mut asked[0], Operation::OpenSession { name, zone, .. } if name == "holder" && zone == "z1")
-    );
-    assert_eq!(
-        asked[1],
-        Operation::RenewSession { session: SessionId(5), known_view: 9, known_members: Some(0) }
-    );
-    let renewals = |ask: &Operation| matches!(ask, Operation::RenewSession { .. });
-    asked.retain(|ask| !renewals(ask));
-    assert_eq!(
-        asked[1..],
-        [
-            Operation::ReleaseLease { lease: LeaseId::fleet("list"), token: Some(FencingToken(7)) },
-            Operation::CloseSession { session: SessionId(5) }
-        ]
-    );
+    check_operations(requested.take());
     let text = format!("holder\n{}receiver\n{}", records(&holder_file), records(&receiver_file));
     assert_pinned("session_records", &text);
 }
@@ -223,7 +218,7 @@
         (CommandRejection::Superseded { incarnation: 9 }, MembershipEnd::Superseded { incarnation: 9 }),
         (
             CommandRejection::LimitExceeded("sessions".to_owned()),
-            MembershipEnd::Rejected("no room: sessions".to_owned()),
+            MembershipEnd::Rejected(CommandRejection::LimitExceeded("sessions".to_owned())),
         ),
     ] {
         let (coordinator, address) = listen().await;
@@ -238,7 +233,7 @@
     let mut alone = member("d1", address, address, &folder.path().join("records")).config().clone();
     alone.replicas.clear();
     let alone = Member::new(alone, LeaseClient::new(Timing::default()), Recorder::default());
-    assert_eq!(alone.run().await, MembershipEnd::Rejected("no keeper is named".to_owned()));
+    assert_eq!(alone.run().await, MembershipEnd::NoReplicas);
 }
 
 /// What a call of the coordinators says where it fails: operators read it on the console.
@@ -289,8 +284,8 @@
         let who = ClientIdentity::Member { name: "d1".to_owned() };
         let mut keepers = CoordinatorClient::new("north", who, BTreeMap::from([(1, first_address)]), None);
         let by = Instant::now() + LIMIT;
-        assert_eq!(keepers.call(&Operation::Status, by).await, Ok(Response::Done));
-        assert_eq!(keepers.call(&Operation::Status, by).await, Ok(Response::Done));
+        assert_eq!(keepers.call(&Operation::Status, by).await.unwrap(), Response::Done);
+        assert_eq!(keepers.call(&Operation::Status, by).await.unwrap(), Response::Done);
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/coordinator/src/cli/metrics.rs
+++ b/crates/coordinator/src/cli/metrics.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use cluster_member::wire::{LeaseStatus, ReplicaStatus};
+use cluster_member::wire::{CommitLatency, LeaseStatus, ReplicaStatus};
 
 const PREFIX: &str = "cairncrank_keeper_";
 
@@ -48,13 +48,14 @@
 }
 
 fn commit_latencies(status: &ReplicaStatus) -> [Sample; 3] {
-    let (median, percentile_99, longest) = status.commit_latency;
-    [("0.5", median), ("0.99", percentile_99), ("1", longest)]
+    let CommitLatency { p50_us, p99_us, max_us } = status.commit_latency;
+    [("0.5", p50_us), ("0.99", p99_us), ("1", max_us)]
         .map(|(quantile, value)| Sample { labels: format!("{{quantile=\"{quantile}\"}}"), value })
 }
 
 fn running_token(lease: &LeaseStatus) -> Sample {
-    let (owner, value) = lease.holder.as_ref().map_or(("", 0), |(owner, token)| (owner.as_str(), token.0));
+    let (owner, value) =
+        lease.holder.as_ref().map_or(("", 0), |holder| (holder.member.as_str(), holder.token.0));
     Sample { labels: format!("{{duty={:?},owner={owner:?}}}", lease.lease.to_string()), value }
 }
 
--- a/crates/coordinator/src/cli/output.rs
+++ b/crates/coordinator/src/cli/output.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use cluster_member::wire::{LeaseStatus, MemberStatus, ReplicaStatus};
+use cluster_member::wire::{CommitLatency, LeaseStatus, MemberStatus, ReplicaStatus};
 use coordinator::operator_client::DisruptionSnapshot;
 use disruption_budget::{Availability, BudgetUsage, DisruptionState, Permit, PermitId, TargetStatus};
 use serde::Serialize;
@@ -21,10 +21,10 @@
 /// One coordinator, for `status`.
 pub(super) fn status_line(coordinator: u64, status: &ReplicaStatus) -> String {
     let role = if status.is_leader { "leads" } else { "follows" };
-    let (median, percentile_99, _) = status.commit_latency;
+    let CommitLatency { p50_us, p99_us, .. } = status.commit_latency;
     format!(
-        "keeper {coordinator}: {role}, term {}, applied {} of {}, {} members, commit p50 {median} us p99 \
-         {percentile_99} us\n",
+        "keeper {coordinator}: {role}, term {}, applied {} of {}, {} members, commit p50 {p50_us} us p99 \
+         {p99_us} us\n",
         status.raft_term,
         status.applied_index,
         status.committed_index,
@@ -49,7 +49,7 @@
 /// One lease, for `duties`.
 pub(super) fn lease_line(lease: &LeaseStatus) -> String {
     match &lease.holder {
-        Some((name, token)) => format!("{}: {name}, token {}\n", lease.lease, token.0),
+        Some(holder) => format!("{}: {}, token {}\n", lease.lease, holder.member, holder.token.0),
         None => format!("{}: nobody, tokens below {} are over\n", lease.lease, lease.minimum_token.0),
     }
 }
--- a/crates/coordinator/src/operator_client.rs
+++ b/crates/coordinator/src/operator_client.rs
@@ -1,14 +1,13 @@
 //! What an operator asks the coordinators.
 
 use std::fmt;
-use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cluster_member::coordinator_client::CoordinatorClient;
+use cluster_member::coordinator_client::{CallError, CoordinatorClient};
 use cluster_member::wire::{
-    ClientHello, ClientIdentity, Connection, CoordinatorMessage, Operation, ReplicaStatus, Request, Response,
-    SCHEMA_VERSION,
+    ClientHello, ClientIdentity, Connection, ConnectionError, CoordinatorMessage, Operation, ReplicaStatus,
+    Request, Response, SCHEMA_VERSION,
 };
 use coordination::{CommandRejection, FencingToken, LeaseId, Revision};
 use disruption_budget::{DisruptionCommand, DisruptionOutcome, DisruptionState, Rejection};
@@ -37,7 +36,7 @@
         /// Where it was tried.
         address: SocketAddr,
         /// What went wrong.
-        source: io::Error,
+        source: ConnectionError,
     },
     /// A coordinator does not respond.
     #[error("keeper {coordinator} at {address}: no answer within {} s", CALL_TIMEOUT.as_secs())]
@@ -66,7 +65,7 @@
     },
     /// No coordinator that leads responds.
     #[error("{0}: a majority of the keepers has to be there and reach each other")]
-    LeaderUnavailable(String),
+    LeaderUnavailable(CallError),
     /// The leader rejects the request.
     #[error("{0}")]
     Rejected(CommandRejection),
@@ -174,7 +173,11 @@
     }
 }
 
-async fn exchange(address: SocketAddr, hello: &ClientHello, operation: Operation) -> io::Result<Response> {
+async fn exchange(
+    address: SocketAddr,
+    hello: &ClientHello,
+    operation: Operation,
+) -> Result<Response, ConnectionError> {
     const REQUEST_ID: u64 = 1;
     let (mut link, _) = Connection::connect(address, None, hello).await?;
     link.send(&Request { id: REQUEST_ID, operation }).await?;
--- a/crates/coordinator/src/replica/read_index.rs
+++ b/crates/coordinator/src/replica/read_index.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use cluster_member::wire::{Peer, Response};
+use cluster_member::wire::{MemberList, Peer, Response};
 use coordination::{Micros, Revision, SessionId};
 use raft::ReadState;
 
@@ -124,7 +124,8 @@
         let members_changed = renewal.member_revision.is_some_and(|known| known < roster_revision);
         Some(Response::SessionRenewed {
             view: view_changed.then(|| self.state.view()),
-            members: members_changed.then(|| (roster_revision, self.roster())),
+            members: members_changed
+                .then(|| MemberList { revision: roster_revision, members: self.roster() }),
         })
     }
 
--- a/crates/coordinator/src/replica/status.rs
+++ b/crates/coordinator/src/replica/status.rs
@@ -2,7 +2,10 @@
 
 use std::collections::BTreeSet;
 
-use cluster_member::wire::{LeaseStatus, MemberStatus, Peer, ReplicaStatus};
+use cluster_member::wire::{
+    CommitLatency, HolderStatus, LeaseStatus, MemberStatus, Peer, ReplacementStatus, ReplicaStarts,
+    ReplicaStatus,
+};
 use coordination::{FencingToken, LeaseHolder, ReplicaReplacement, Session};
 use raft::Storage;
 
@@ -24,21 +27,25 @@
             first_log_index: self.raw_node.store().first_index().unwrap_or(0),
             start_count: self.identity.start_count,
             election_count: self.election_count,
-            commit_latency: (latency(0.5), latency(0.99), self.commit_latency.max()),
+            commit_latency: CommitLatency {
+                p50_us: latency(0.5),
+                p99_us: latency(0.99),
+                max_us: self.commit_latency.max(),
+            },
             members: self.member_statuses(),
             leases: self.lease_statuses(),
             replicas: self
                 .state
                 .replica_starts()
                 .iter()
-                .map(|(replica, starts)| (*replica, *starts))
+                .map(|(replica, starts)| ReplicaStarts { replica_id: *replica, start_count: *starts })
                 .collect(),
             voters: self.voters(),
             learners: self.configuration.get_learners().to_vec(),
             replacement: self
                 .state
                 .replacement_in_progress()
-                .map(|ReplicaReplacement { old, new }| (old, new)),
+                .map(|ReplicaReplacement { old, new }| ReplacementStatus { old, new }),
         }
     }
 
@@ -56,7 +63,7 @@
     fn lease_statuses(&self) -> Vec<LeaseStatus> {
         let holder = |owner: LeaseHolder| {
             let name = self.state.sessions().get(&owner.session).map(|session| session.name.clone());
-            (name.unwrap_or_default(), owner.token)
+            HolderStatus { member: name.unwrap_or_default(), token: owner.token }
         };
         let leases = self.state.leases().iter();
         let statuses = leases.map(|(id, lease)| LeaseStatus {
--- a/crates/coordinator/src/server/listener.rs
+++ b/crates/coordinator/src/server/listener.rs
@@ -1,14 +1,13 @@
 //! Incoming connections: the handshake, then messages of Raft from a peer, or requests of a member or an operator.
 
-use std::io;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
 use bytes::Bytes;
 use cluster_member::wire::{
-    validate_client_hello_for_version, ClientHello, ClientIdentity, Connection, HandshakeRejection, Request,
-    ServerHello, StoreIdentity, IO_TIMEOUT,
+    validate_client_hello_for_version, ClientHello, ClientIdentity, Connection, ConnectionError,
+    HandshakeRejection, Request, ServerHello, StoreIdentity, IO_TIMEOUT,
 };
 use futures_util::SinkExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -71,7 +70,7 @@
         stream: TcpStream,
         connection: ConnectionId,
         full: bool,
-    ) -> io::Result<()> {
+    ) -> Result<(), ConnectionError> {
         let (mut link, hello) = Connection::accept(stream).await?;
         if let Err(reason) = self.check(&hello, full) {
             tracing::warn!(?hello, %reason, "connection rejected");
@@ -103,7 +102,7 @@
         mut link: Connection,
         identity: StoreIdentity,
         protocol_version: u16,
-    ) -> io::Result<()> {
+    ) -> Result<(), ConnectionError> {
         let (response, welcome) = oneshot::channel();
         let _ = self.events.send(Event::PeerHandshake { identity, protocol_version, response }).await;
         let Ok(welcome) = welcome.await else { return Ok(()) };
--- a/crates/coordinator/src/server/peer_link.rs
+++ b/crates/coordinator/src/server/peer_link.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use cluster_member::wire::{
-    handshake_rejection, ClientHello, ClientIdentity, Connection, StoreIdentity, IO_TIMEOUT,
+    ClientHello, ClientIdentity, Connection, ConnectionError, StoreIdentity, IO_TIMEOUT,
 };
 use futures_util::SinkExt;
 use tokio::sync::{mpsc, watch};
@@ -53,14 +53,11 @@
                     forward_messages(link, &mut messages).await;
                     let _ = events.send(Event::PeerUnreachable { peer: self.peer }).await;
                 }
-                Err(error) => match handshake_rejection(&error) {
-                    Some(rejection) => {
-                        let rejection = rejection.clone();
-                        let _ = events.send(Event::RejectedByPeer { peer: self.peer, rejection }).await;
-                        sleep(REJECTED_DELAY).await;
-                    }
-                    None => tracing::debug!(coordinator = self.peer, %error, "peer unreachable"),
-                },
+                Err(ConnectionError::Rejected(rejection)) => {
+                    let _ = events.send(Event::RejectedByPeer { peer: self.peer, rejection }).await;
+                    sleep(REJECTED_DELAY).await;
+                }
+                Err(error) => tracing::debug!(coordinator = self.peer, %error, "peer unreachable"),
             }
             sleep(Duration::from_millis(fastrand::u64(RECONNECT_DELAY_MS))).await;
         }
--- a/crates/coordinator/tests/compatibility/command_line.rs
+++ b/crates/coordinator/tests/compatibility/command_line.rs
@@ -1,7 +1,7 @@
 //! The command line: usage, and what each command prints for fixed answers of the coordinators.
 
 use cluster_member::wire::{
-    HandshakeRejection, LeaseStatus, MemberStatus, Operation, Peer, ReplicaStatus, Response,
+    HandshakeRejection, LeaseStatus, MemberStatus, Operation, Peer, ReplicaStarts, ReplicaStatus, Response,
 };
 use coordination::{CommandRejection, FencingToken, LeaseId, Revision, SessionId};
 use disruption_budget::{
@@ -41,7 +41,7 @@
         first_log_index: 900,
         start_count: 5,
         election_count: 6,
-        commit_latency: (310, 4_200, 9_900),
+        commit_latency: (310, 4_200, 9_900).into(),
         members: vec![
             member(41, "berlin", true, false),
             member(42, "cairo", false, false),
@@ -50,7 +50,7 @@
         leases: vec![
             LeaseStatus {
                 lease: LeaseId::fleet("list"),
-                holder: Some(("berlin".to_owned(), FencingToken(61))),
+                holder: Some(("berlin".to_owned(), FencingToken(61)).into()),
                 minimum_token: FencingToken(61),
                 fencing_revision: 1_100,
             },
@@ -62,15 +62,15 @@
             },
             LeaseStatus {
                 lease: LeaseId::worker_set("watch", 3),
-                holder: Some((String::new(), FencingToken(58))),
+                holder: Some((String::new(), FencingToken(58)).into()),
                 minimum_token: FencingToken(58),
                 fencing_revision: 1_102,
             },
         ],
-        replicas: vec![(1, 5), (2, 8), (3, 9)],
+        replicas: [(1, 5), (2, 8), (3, 9)].map(ReplicaStarts::from).to_vec(),
         voters: vec![1, 2, 3],
         learners: vec![4],
-        replacement: Some((3, 4)),
+        replacement: Some((3, 4).into()),
     }
 }
 
--- a/crates/coordinator/tests/compatibility/store.rs
+++ b/crates/coordinator/tests/compatibility/store.rs
@@ -365,12 +365,12 @@
         assert_eq!(status.leases.len(), expected.leases().len(), "{version}");
         for (status, (id, lease)) in status.leases.iter().zip(expected.leases()) {
             let owner: Option<(FencingToken, Revision)> =
-                status.holder.as_ref().map(|(_, token)| (*token, status.fencing_revision));
+                status.holder.as_ref().map(|holder| (holder.token, status.fencing_revision));
             assert_eq!(status.lease, *id, "{version}");
             assert_eq!(owner, lease.holder.map(|owner| (owner.token, lease.fencing_revision)), "{version}");
             assert_eq!(status.minimum_token, lease.minimum_token, "{version}");
         }
         let replaced = expected.replacement_in_progress().map(|replacing| (replacing.old, replacing.new));
-        assert_eq!(status.replacement, replaced, "{version}");
+        assert_eq!(status.replacement.map(<(u64, u64)>::from), replaced, "{version}");
     }
 }
--- a/crates/coordinator/tests/compatibility/support.rs
+++ b/crates/coordinator/tests/compatibility/support.rs
@@ -8,8 +8,8 @@
 use std::sync::{Arc, Mutex, RwLock, RwLockReadGuard};
 
 use cluster_member::wire::{
-    ClientIdentity, Connection, CoordinatorMessage, HandshakeRejection, Operation, Request, Response,
-    ServerHello,
+    ClientIdentity, Connection, ConnectionError, CoordinatorMessage, HandshakeRejection, Operation, Request,
+    Response, ServerHello,
 };
 use coordinator::store::{RetainedLog, SnapshotWrite, Store, WriteBatch};
 use raft::eraftpb::Snapshot;
@@ -159,7 +159,7 @@
     stream: tokio::net::TcpStream,
     script: &Script,
     requests: &Mutex<Vec<(u64, Operation)>>,
-) -> std::io::Result<()> {
+) -> Result<(), ConnectionError> {
     let (mut link, hello) = Connection::accept(stream).await?;
     let answers = match script {
         Script::Answers(answers) => answers,
--- a/crates/dispatcher/src/net/planned_drain.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -196,7 +196,7 @@
                 return rejected(format!("an answer that was not asked for: {other:?}"), RETRY_AFTER_S.1)
             }
             Err(why) if force => {
-                tracing::warn!(why, "drain forced without the coordinators");
+                tracing::warn!(%why, "drain forced without the coordinators");
                 self.metrics.drains_forced.inc();
                 self.switch_to_standby(None);
                 return Ok(());
@@ -209,7 +209,8 @@
             }
         };
         let begin = DisruptionCommand::BeginPermit { permit, incarnation: number };
-        match keepers.call(&Operation::ChangeDisruptionState(begin), by).await {
+        let begun = keepers.call(&Operation::ChangeDisruptionState(begin), by).await;
+        match begun.map_err(|error| error.to_string()) {
             Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitBegun(_))) => {}
             Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(Rejection::UnknownPermit))) => {
                 return rejected("the permit before this one is not over yet", RETRY_AFTER_S.0)
--- a/crates/emulator/src/cluster/lightweight_member.rs
+++ b/crates/emulator/src/cluster/lightweight_member.rs
@@ -97,7 +97,7 @@
     });
     match member.run().await {
         MembershipEnd::Left => Ok(()),
-        MembershipEnd::Superseded { .. } | MembershipEnd::Rejected(_) => {
+        MembershipEnd::Superseded { .. } | MembershipEnd::Rejected(_) | MembershipEnd::NoReplicas => {
             // No member any more, and alive: it would go on with its own work.
             sleep(Duration::from_secs(3_600)).await;
             Ok(())
