--- a/crates/coordinator/tests/compatibility/support.rs
+++ b/crates/coordinator/tests/compatibility/support.rs
@@ -4,14 +4,14 @@
 use std::fmt::Write as _;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
-use std::process::{Command as Process, Output, Stdio};
+use std::process::{Child, Command as Process, Output, Stdio};
 use std::sync::{Arc, Mutex, RwLock, RwLockReadGuard};
 
 use cluster_member::wire::{
-    ClientIdentity, Connection, CoordinatorMessage, HandshakeRejection, Operation, Request, Response,
-    ServerHello,
+    ClientIdentity, Connection, ConnectionError, CoordinatorMessage, HandshakeRejection, Operation, Request,
+    Response, ServerHello,
 };
-use coordinator::store::{Store, WriteBatch};
+use coordinator::store::{RetainedLog, SnapshotWrite, Store, WriteBatch};
 use raft::eraftpb::Snapshot;
 
 const PROGRAM_PATH: &str = env!("CARGO_BIN_EXE_coordinator");
@@ -107,13 +107,15 @@
 
 /// Runs the program; without settings file.
 pub fn run_program(arguments: &[&str]) -> Output {
+    start_program(arguments).wait_with_output().unwrap()
+}
+
+/// Starts the program; without settings file.
+pub fn start_program(arguments: &[&str]) -> Child {
     let mut process = Process::new(PROGRAM_PATH);
     process.args(arguments).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
-    let child = {
-        let _starting = PROCESS_START.write().unwrap();
-        process.spawn().unwrap()
-    };
-    child.wait_with_output().unwrap()
+    let _starting = PROCESS_START.write().unwrap();
+    process.spawn().unwrap()
 }
 
 /// A process that starts has for a moment all files that are open here, and with them the locks on stores. Whoever opens a
@@ -159,7 +161,7 @@
     stream: tokio::net::TcpStream,
     script: &Script,
     requests: &Mutex<Vec<(u64, Operation)>>,
-) -> std::io::Result<()> {
+) -> Result<(), ConnectionError> {
     let (mut link, hello) = Connection::accept(stream).await?;
     let answers = match script {
         Script::Answers(answers) => answers,
@@ -177,8 +179,8 @@
 
 /// Writes a snapshot that replaces the whole log.
 pub fn write_snapshot(store: &Store, snapshot: &Snapshot) {
-    let written = Some((snapshot, snapshot.get_metadata().index));
-    store.write(&WriteBatch { snapshot: written, clear_log: true, ..WriteBatch::default() }).unwrap();
+    let written = SnapshotWrite { snapshot, retained: RetainedLog::Nothing };
+    store.write(&WriteBatch { snapshot: Some(written), ..WriteBatch::default() }).unwrap();
 }
 
 /// Writes the file of a fixture to `file`. Rows of zeros are left out of the fixture, and rows that are there several times in a
--- a/crates/dispatcher/src/net/planned_drain.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -110,7 +110,8 @@
     by: Instant,
 ) -> Result<(), DrainRejected> {
     let begin = DisruptionCommand::BeginPermit { permit, incarnation };
-    match coordinators.call(&Operation::ChangeDisruptionState(begin), by).await {
+    let begun = coordinators.call(&Operation::ChangeDisruptionState(begin), by).await;
+    match begun.map_err(|error| error.to_string()) {
         Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitBegun(_))) => Ok(()),
         Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(Rejection::UnknownPermit))) => {
             rejected("the permit before this one is not over yet", RETRY_AFTER_WAIT_S)
@@ -230,7 +231,7 @@
                 )
             }
             Err(why) if force => {
-                tracing::warn!(why, "drain forced without the coordinators");
+                tracing::warn!(%why, "drain forced without the coordinators");
                 self.metrics.drains_forced.inc();
                 self.switch_to_standby(None);
                 return Ok(());
