--- a/crates/coordinator/src/cli/error.rs
+++ b/crates/coordinator/src/cli/error.rs
@@ -40,7 +40,7 @@
     /// The runtime cannot be set up.
     #[error("{0}")]
     Runtime(#[source] io::Error),
-    /// The coordinators do not carry out what was asked for.
+    /// The coordinators reject the operation, or are not reached.
     #[error(transparent)]
     Operator(#[from] OperatorError),
     /// A coordinator does not start, or has stopped.
@@ -51,7 +51,7 @@
     PermitWaiting {
         /// The permit.
         permit: u64,
-        /// The budget that does not allow it, where that is known.
+        /// The budget that does not allow it, if one is at its limit.
         budget: Option<String>,
     },
 }
--- a/crates/coordinator/src/cli/metrics.rs
+++ b/crates/coordinator/src/cli/metrics.rs
@@ -6,7 +6,7 @@
 
 const PREFIX: &str = "cairncrank_keeper_";
 
-/// The type that Prometheus is told.
+/// The type of a metric.
 enum Kind {
     Gauge,
     Counter,
--- a/crates/coordinator/src/config/mod.rs
+++ b/crates/coordinator/src/config/mod.rs
@@ -40,7 +40,7 @@
     pub serve: Option<ServeConfig>,
 }
 
-/// What one coordinator is told beside what all are.
+/// The settings of one coordinator, beside those that all have in common.
 #[derive(Debug, Clone)]
 pub struct ServeConfig {
     /// Its number.
--- a/crates/coordinator/src/operator_client.rs
+++ b/crates/coordinator/src/operator_client.rs
@@ -17,9 +17,9 @@
 
 /// How long a coordinator has for a response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a replacement may take before the operator is told to ask again.
+/// How long the client waits for a replacement to finish.
 const REPLACEMENT_TIMEOUT: Duration = Duration::from_secs(60);
-/// How often the leader is asked how far a replacement is.
+/// How often the client polls the progress of a replacement.
 const REPLACEMENT_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Why an operator's request was not carried out.
--- a/crates/coordinator/src/replica/mod.rs
+++ b/crates/coordinator/src/replica/mod.rs
@@ -54,7 +54,7 @@
 const MAX_ENTRIES_MESSAGE_BYTES: u64 = 1 << 20;
 /// The most messages of log entries to one peer that are not acknowledged.
 const MAX_INFLIGHT_MESSAGES: usize = 256;
-/// The longest commit latency that is told apart, in microseconds, and the decimal digits kept of each.
+/// Upper bound of the commit latencies that are recorded, in microseconds, and their significant digits.
 const MAX_COMMIT_LATENCY: u64 = 600_000_000;
 const COMMIT_LATENCY_DIGITS: u8 = 2;
 
@@ -76,7 +76,7 @@
     Applied {
         /// Its position in the log.
         index: Revision,
-        /// What it asked for.
+        /// The command.
         command: Command,
         /// What came of it.
         outcome: CommandOutcome,
@@ -118,7 +118,7 @@
     /// The revision of the view that clients were notified of last.
     notified_revision: Revision,
     leading_term: Option<u64>,
-    /// The number of the leader, or 0 where it is not known.
+    /// The number of the leader, or 0 where there is none.
     leader_id: u64,
     election_count: u64,
     commit_latency: Histogram<u64>,
--- a/crates/coordinator/src/replica/peers.rs
+++ b/crates/coordinator/src/replica/peers.rs
@@ -1,4 +1,4 @@
-//! The other coordinators: which of them are accepted, what is known of their stores, and their messages.
+//! The other coordinators: their handshakes, the identities of their stores, and their messages.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 /// Why a peer was not accepted.
 #[derive(Debug, thiserror::Error)]
 pub enum HandshakeError {
-    /// The peer is rejected and told why. This coordinator goes on.
+    /// The peer is rejected with this reason. This coordinator continues.
     #[error("{0}")]
     Rejected(HandshakeRejection),
     /// This coordinator has to stop.
@@ -23,7 +23,7 @@
     Failed(#[from] CoordinatorError),
 }
 
-/// What is known of the peers.
+/// The identities and protocol versions of the peers.
 pub(super) struct PeerRegistry {
     /// Their stores, by the number of the peer.
     identities: BTreeMap<u64, StoreIdentity>,
@@ -62,14 +62,14 @@
         self.unsaved.push(changed);
     }
 
-    /// What was known of the store of the peer that says this of itself.
+    /// The recorded identity of the peer that claims this one.
     fn recorded(&self, claimed: StoreIdentity) -> StoreIdentity {
         let unseen = StoreIdentity { start_count: 0, raft_term: 0, ..claimed };
         self.identities.get(&claimed.replica_id).copied().unwrap_or(unseen)
     }
 }
 
-/// Rejects a store that is not the one that was known, or an old copy of it: with fewer starts, or a lower term.
+/// Rejects a store that is not the recorded one, or an old copy of it: with fewer starts, or a lower term.
 /// `agreed_start_count` is how often the log says that it was started.
 fn check_identity(
     claimed: StoreIdentity,
--- a/crates/coordinator/src/replica/read_index.rs
+++ b/crates/coordinator/src/replica/read_index.rs
@@ -53,7 +53,7 @@
         self.queued.len()
     }
 
-    /// Takes out all renewals, and returns who asked for them.
+    /// Removes all renewals, and returns their requesters.
     pub(super) fn drain(&mut self) -> Vec<Requester> {
         let RenewalQueue { queued, round, confirmed } = std::mem::take(self);
         let in_round = round.into_iter().flat_map(|round| round.renewals);
--- a/crates/coordinator/src/replica/requests.rs
+++ b/crates/coordinator/src/replica/requests.rs
@@ -187,9 +187,9 @@
         }
     }
 
-    fn reply_with_disruption_state(&mut self, requester: Requester, known: Revision) {
+    fn reply_with_disruption_state(&mut self, requester: Requester, known_revision: Revision) {
         let revision = self.state.disruption_revision();
-        let state = (revision > known).then(|| Box::new(self.state.disruption().clone()));
+        let state = (revision > known_revision).then(|| Box::new(self.state.disruption().clone()));
         self.reply(requester, Response::DisruptionState(revision, state));
     }
 
@@ -260,7 +260,7 @@
         self.outputs.push(Output::SendToClient { connection, message });
     }
 
-    /// The response of a replica that does not lead: who does, where that is known.
+    /// The response of a replica that does not lead: the number and address of the leader, where there is one.
     pub(super) fn not_leader_response(&self) -> Response {
         let leader =
             Some(self.leader_id).filter(|leader| *leader != 0 && *leader != self.identity.replica_id);
--- a/crates/coordinator/src/server/event_loop.rs
+++ b/crates/coordinator/src/server/event_loop.rs
@@ -251,7 +251,7 @@
             Ok(packed) => packed,
             Err(error) => return tracing::error!(%error, "response exceeds the longest frame"),
         };
-        // A client that does not read what it asked for is disconnected; it connects again and learns everything anew.
+        // A client that does not read its responses is disconnected; it reconnects and synchronizes again.
         if outgoing.try_send(packed).is_err() {
             self.clients.remove(&connection);
             let _ = self.events.try_send(Event::ConnectionClosed { connection });
--- a/crates/coordinator/src/server/listener.rs
+++ b/crates/coordinator/src/server/listener.rs
@@ -20,7 +20,7 @@
 
 /// The most messages that wait for a client to read them.
 const CLIENT_QUEUE_LENGTH: usize = 64;
-/// The most connections beyond the bound that are being told so; further ones are closed at once.
+/// The most connections beyond the limit that are rejected with a reason; further ones are closed at once.
 const MAX_REJECTIONS: usize = 32;
 /// The pause after a connection could not be accepted, as where file descriptors have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -30,7 +30,7 @@
 pub(super) struct Listener {
     pub(super) installation: Rc<str>,
     pub(super) protocol_version: u16,
-    /// What clients are told that this coordinator is called.
+    /// The name of this coordinator in its handshakes.
     pub(super) name: Rc<str>,
     /// One for each connection that may be open.
     pub(super) connection_permits: Arc<Semaphore>,
--- a/crates/coordinator/src/store/format.rs
+++ b/crates/coordinator/src/store/format.rs
@@ -11,7 +11,7 @@
 pub(super) const META_TABLE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
 /// Entries of the log, by index.
 pub(super) const LOG_TABLE: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
-/// What is known of the peers' stores, by the number of the peer.
+/// The identities of the peers' stores, by the number of the peer.
 pub(super) const PEERS_TABLE: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("peers");
 
 pub(super) const HEADER_KEY: &str = "label";
--- a/crates/coordinator/src/store/mod.rs
+++ b/crates/coordinator/src/store/mod.rs
@@ -34,7 +34,7 @@
     pub snapshot: Snapshot,
     /// The entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// What is known of the peers' stores, by the number of the peer.
+    /// The identities of the peers' stores, by the number of the peer.
     pub peers: BTreeMap<u64, StoreIdentity>,
 }
 
@@ -55,7 +55,7 @@
     pub entries: &'a [Entry],
     /// A new snapshot.
     pub snapshot: Option<SnapshotWrite<'a>>,
-    /// What is known of the peers' stores.
+    /// The identities of the peers' stores.
     pub peers: &'a [StoreIdentity],
 }
 
