--- a/crates/dispatcher/src/net/planned_drain.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -31,8 +31,10 @@
 const UNCHANGED_REPORT_ROUNDS: u32 = 5;
 /// The most time that a standby takes to be granted or refused.
 const DECISION_TIMEOUT: Duration = Duration::from_millis(800);
-/// When to ask again for what has to wait, and for what needs a majority first, in seconds.
-const RETRY_AFTER_S: (u32, u32) = (1, 5);
+/// When to ask again for what has to wait, in seconds.
+const RETRY_AFTER_WAIT_S: u32 = 1;
+/// When to ask again for what needs a majority first, in seconds.
+const RETRY_AFTER_MAJORITY_S: u32 = 5;
 
 /// Why a standby is not granted, and when to ask again, in seconds.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -84,6 +86,43 @@
     Err(DrainRejected { reason: reason.into(), retry_after_s })
 }
 
+/// The rejection of a permit that waits, with the budget that it waits for.
+async fn waits_for_turn(
+    coordinators: &mut CoordinatorClient,
+    permit: u64,
+    by: Instant,
+) -> Result<(), DrainRejected> {
+    let held = match coordinators.call(&Operation::DisruptionState { known_revision: 0 }, by).await {
+        Ok(Response::DisruptionState(_, Some(account))) => {
+            account.blocking_budget(permit).map(|budget| format!(": budget {:?} is used up", budget.name))
+        }
+        _ => None,
+    };
+    let held = held.unwrap_or_default();
+    rejected(format!("permit {permit} waits for its turn{held}"), RETRY_AFTER_WAIT_S)
+}
+
+/// Begins a permit that was granted.
+async fn begin_permit(
+    coordinators: &mut CoordinatorClient,
+    permit: u64,
+    incarnation: u64,
+    by: Instant,
+) -> Result<(), DrainRejected> {
+    let begin = DisruptionCommand::BeginPermit { permit, incarnation };
+    let begun = coordinators.call(&Operation::ChangeDisruptionState(begin), by).await;
+    match begun.map_err(|error| error.to_string()) {
+        Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitBegun(_))) => Ok(()),
+        Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(Rejection::UnknownPermit))) => {
+            rejected("the permit before this one is not over yet", RETRY_AFTER_WAIT_S)
+        }
+        Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(why))) => {
+            rejected(why.to_string(), RETRY_AFTER_WAIT_S)
+        }
+        other => rejected(format!("the permit could not be begun: {other:?}"), RETRY_AFTER_WAIT_S),
+    }
+}
+
 impl PlannedDrain {
     pub(super) fn new(
         readiness_validity: Micros,
@@ -149,7 +188,7 @@
             return Ok(());
         }
         let Ok(_one) = self.decision.try_lock() else {
-            return rejected("another call for standby is being decided on", RETRY_AFTER_S.0);
+            return rejected("another call for standby is being decided on", RETRY_AFTER_WAIT_S);
         };
         let decided = self.request_permit(reason, force).await;
         match &decided {
@@ -164,7 +203,7 @@
 
     async fn request_permit(&self, reason: &str, force: bool) -> Result<(), DrainRejected> {
         let by = Instant::now() + DECISION_TIMEOUT;
-        let (mut keepers, name) = (self.coordinators(), &self.member.config().name);
+        let (mut coordinators, name) = (self.coordinators(), &self.member.config().name);
         let number = self.incarnation();
         let target = Target { kind: TargetKind::Dispatcher, name: name.clone() };
         let request = DisruptionCommand::RequestPermit {
@@ -173,27 +212,23 @@
             requester: format!("dispatcher/{name}"),
             force,
         };
-        let permit = match keepers.call(&Operation::ChangeDisruptionState(request), by).await {
+        let permit = match coordinators.call(&Operation::ChangeDisruptionState(request), by).await {
             Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested(
                 permit,
                 PermitState::Waiting,
             ))) => {
-                let held = match keepers.call(&Operation::DisruptionState { known_revision: 0 }, by).await {
-                    Ok(Response::DisruptionState(_, Some(account))) => account
-                        .blocking_budget(permit)
-                        .map(|budget| format!(": budget {:?} is used up", budget.name)),
-                    _ => None,
-                };
-                let held = held.unwrap_or_default();
-                return rejected(format!("permit {permit} waits for its turn{held}"), RETRY_AFTER_S.0);
+                return waits_for_turn(&mut coordinators, permit, by).await;
             }
             Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested(permit, _))) => permit,
             Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(why))) => {
-                return rejected(why.to_string(), RETRY_AFTER_S.1)
+                return rejected(why.to_string(), RETRY_AFTER_MAJORITY_S)
             }
-            Ok(Response::Rejected(reason)) => return rejected(reason.to_string(), RETRY_AFTER_S.1),
+            Ok(Response::Rejected(reason)) => return rejected(reason.to_string(), RETRY_AFTER_MAJORITY_S),
             Ok(other) => {
-                return rejected(format!("an answer that was not asked for: {other:?}"), RETRY_AFTER_S.1)
+                return rejected(
+                    format!("an answer that was not asked for: {other:?}"),
+                    RETRY_AFTER_MAJORITY_S,
+                )
             }
             Err(why) if force => {
                 tracing::warn!(%why, "drain forced without the coordinators");
@@ -204,26 +239,15 @@
             Err(why) => {
                 return rejected(
                     format!("no majority of the keepers answers ({why}); serving goes on"),
-                    RETRY_AFTER_S.1,
+                    RETRY_AFTER_MAJORITY_S,
                 )
             }
         };
-        let begin = DisruptionCommand::BeginPermit { permit, incarnation: number };
-        let begun = keepers.call(&Operation::ChangeDisruptionState(begin), by).await;
-        match begun.map_err(|error| error.to_string()) {
-            Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitBegun(_))) => {}
-            Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(Rejection::UnknownPermit))) => {
-                return rejected("the permit before this one is not over yet", RETRY_AFTER_S.0)
-            }
-            Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(why))) => {
-                return rejected(why.to_string(), RETRY_AFTER_S.0)
-            }
-            other => return rejected(format!("the permit could not be begun: {other:?}"), RETRY_AFTER_S.0),
-        }
+        begin_permit(&mut coordinators, permit, number, by).await?;
         // Whoever was stopped meanwhile may have been seen as another life: then the permit may be over.
         let now = clock::now();
         if self.member.lease_client().borrow().active_session(now).is_none() || self.incarnation() != number {
-            return rejected("this dispatcher lost its session meanwhile", RETRY_AFTER_S.0);
+            return rejected("this dispatcher lost its session meanwhile", RETRY_AFTER_WAIT_S);
         }
         if force {
             self.metrics.drains_forced.inc();
@@ -251,7 +275,7 @@
     pub(super) async fn run(self: Rc<Self>) {
         let mut rounds = interval(OBSERVATION_INTERVAL);
         rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut keepers = self.coordinators();
+        let mut coordinators = self.coordinators();
         let (mut known, mut account, mut count) = (0, DisruptionState::default(), 0u32);
         loop {
             rounds.tick().await;
@@ -262,7 +286,7 @@
             }
             count = count.wrapping_add(1);
             let by = Instant::now() + DECISION_TIMEOUT;
-            match keepers.call(&Operation::DisruptionState { known_revision: known }, by).await {
+            match coordinators.call(&Operation::DisruptionState { known_revision: known }, by).await {
                 Ok(Response::DisruptionState(revision, Some(new))) => (known, account) = (revision, *new),
                 Ok(Response::DisruptionState(..)) => {}
                 _ => continue,
@@ -288,7 +312,7 @@
             };
             let what = serde_json::json!({"duty": OBSERVER_LEASE, "token": token.0});
             self.member.recorder().record(clock::now(), "acted", what);
-            let _ = keepers.call(&Operation::ChangeDisruptionState(observe), by).await;
+            let _ = coordinators.call(&Operation::ChangeDisruptionState(observe), by).await;
         }
     }
 
