--- a/crates/dispatcher/src/log.rs
+++ b/crates/dispatcher/src/log.rs
@@ -1,7 +1,7 @@
 //! The log: `tracing` events as lines of text or JSON on standard error, so many a second at the most, written by a
 //! thread of their own.
 //!
-//! Under overload a dispatcher that logs each mishap would spend its core on telling so, and one that waits for a
+//! Under overload a dispatcher that logs each fault would spend its core on telling so, and one that waits for a
 //! reader that does not read would stand still. Lines over the bound are counted before they are formatted, and the
 //! next line that is written says how many were left out. Between the program and the thread that writes, so many
 //! lines wait at the most; what finds no room is left out as well.
@@ -18,11 +18,31 @@
 use tracing_subscriber::layer::{Context, Filter, SubscriberExt as _};
 use tracing_subscriber::{Layer as _, Registry};
 
-/// The most lines in one second, and the most that wait to be written.
-const MAX_LINES_PER_SECOND: u32 = 20;
-const MAX_QUEUED_LINES: usize = 64;
+/// The most lines written in one second.
+pub const MAX_LINES_PER_SECOND: u32 = 20;
+/// The most lines that wait to be written.
+pub const MAX_QUEUED_LINES: usize = 64;
 /// A longer line is cut: what a peer sends may stand in it.
-const MAX_LINE_BYTES: usize = 1024;
+pub const MAX_LINE_BYTES: usize = 1024;
+
+/// Why a word given for the log cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum LogArgumentError {
+    /// It names no format of lines.
+    #[error("expected text or json, found '{0}'")]
+    Format(String),
+    /// It is no level, or no target with a level.
+    #[error("'{words}': {error}")]
+    Levels {
+        /// What was given.
+        words: String,
+        /// Where it is wrong.
+        error: tracing_subscriber::filter::ParseError,
+    },
+    /// Nothing was given.
+    #[error("expected a level such as info, or target=level")]
+    NoLevel,
+}
 
 /// How lines look.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -35,13 +55,13 @@
 }
 
 impl FromStr for Format {
-    type Err = String;
+    type Err = LogArgumentError;
 
-    fn from_str(word: &str) -> Result<Self, String> {
+    fn from_str(word: &str) -> Result<Self, LogArgumentError> {
         match word {
             "text" => Ok(Format::Text),
             "json" => Ok(Format::Json),
-            other => Err(format!("expected text or json, found '{other}'")),
+            other => Err(LogArgumentError::Format(other.to_owned())),
         }
     }
 }
@@ -59,11 +79,13 @@
 /// present ones, which win where both are given.
 ///
 /// # Errors
-/// What is no level and no target, in words.
-pub fn parse_levels(words: &str) -> Result<Targets, String> {
-    let targets = words.parse::<Targets>().map_err(|error| format!("'{words}': {error}"))?;
+/// What is no level and no target.
+pub fn parse_levels(words: &str) -> Result<Targets, LogArgumentError> {
+    let targets = words
+        .parse::<Targets>()
+        .map_err(|error| LogArgumentError::Levels { words: words.to_owned(), error })?;
     if words.trim().is_empty() {
-        return Err("expected a level such as info, or target=level".to_owned());
+        return Err(LogArgumentError::NoLevel);
     }
     let former = targets
         .iter()
@@ -96,7 +118,7 @@
 
 /// The bound of lines a second.
 #[derive(Debug)]
-struct RateLimit(Mutex<Window>);
+pub struct RateLimit(Mutex<Window>);
 
 #[derive(Debug)]
 struct Window {
@@ -105,8 +127,15 @@
     dropped: u32,
 }
 
+impl Default for RateLimit {
+    fn default() -> Self {
+        Self::new()
+    }
+}
+
 impl RateLimit {
-    fn new() -> RateLimit {
+    /// A second in which no line was written yet.
+    pub fn new() -> RateLimit {
         RateLimit(Mutex::new(Window { started_at: Instant::now(), lines: 0, dropped: 0 }))
     }
 
@@ -116,26 +145,27 @@
     }
 
     /// Takes a line's place in this second, or counts it as left out.
-    fn admit(&self, now: Instant) -> bool {
+    pub fn admit(&self, now: Instant) -> bool {
         let mut window = self.window();
         if now.duration_since(window.started_at) >= Duration::from_secs(1) {
             (window.started_at, window.lines) = (now, 0);
         }
-        let room = window.lines < MAX_LINES_PER_SECOND;
-        if room {
+        let admitted = window.lines < MAX_LINES_PER_SECOND;
+        if admitted {
             window.lines += 1;
         } else {
             window.dropped = window.dropped.saturating_add(1);
         }
-        room
+        admitted
     }
 
-    fn take_dropped(&self) -> u32 {
+    /// How many lines were left out since this was asked last.
+    pub fn take_dropped(&self) -> u32 {
         std::mem::take(&mut self.window().dropped)
     }
 }
 
-/// Keeps events that the budget has no room for from being formatted.
+/// Keeps events over the limit from being formatted.
 struct RateLimitFilter(Arc<RateLimit>);
 
 impl<S: Subscriber> Filter<S> for RateLimitFilter {
@@ -149,13 +179,20 @@
 }
 
 /// Hands whole lines to the thread that writes.
-#[derive(Clone)]
-struct LineWriter {
+#[derive(Clone, Debug)]
+pub struct LineWriter {
     writer: NonBlocking,
     rate_limit: Arc<RateLimit>,
     format: Format,
 }
 
+impl LineWriter {
+    /// Writes lines in this format, and how many the limit left out before each.
+    pub fn new(writer: NonBlocking, rate_limit: Arc<RateLimit>, format: Format) -> LineWriter {
+        LineWriter { writer, rate_limit, format }
+    }
+}
+
 impl<'a> MakeWriter<'a> for LineWriter {
     type Writer = LineWriter;
 
@@ -166,11 +203,11 @@
 
 impl Write for LineWriter {
     fn write(&mut self, event: &[u8]) -> io::Result<usize> {
-        let left_out = self.rate_limit.take_dropped();
-        if left_out > 0 {
+        let dropped = self.rate_limit.take_dropped();
+        if dropped > 0 {
             let line = match self.format {
-                Format::Text => format!("{left_out} lines left out\n"),
-                Format::Json => format!("{{\"level\":\"WARN\",\"left_out\":{left_out}}}\n"),
+                Format::Text => format!("{dropped} lines left out\n"),
+                Format::Json => format!("{{\"level\":\"WARN\",\"left_out\":{dropped}}}\n"),
             };
             self.writer.write_all(line.as_bytes())?;
         }
@@ -201,15 +238,15 @@
 ) -> (impl Subscriber + Send + Sync, WorkerGuard) {
     let (writer, guard) =
         NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_LINES).finish(sink);
-    let budget = Arc::new(RateLimit::new());
-    let lines = LineWriter { writer, rate_limit: Arc::clone(&budget), format };
+    let rate_limit = Arc::new(RateLimit::new());
+    let lines = LineWriter::new(writer, Arc::clone(&rate_limit), format);
     let plain = tracing_subscriber::fmt::layer().with_writer(lines).with_ansi(false);
     let layer = match format {
         Format::Text => plain.boxed(),
         Format::Json => plain.json().flatten_event(true).with_span_list(false).boxed(),
     };
-    // The levels stand outside: what they leave out takes no place in the budget.
-    (Registry::default().with(layer.with_filter(RateLimitFilter(budget)).with_filter(levels)), guard)
+    // The levels stand outside: what they leave out takes no place under the limit.
+    (Registry::default().with(layer.with_filter(RateLimitFilter(rate_limit)).with_filter(levels)), guard)
 }
 
 /// Sends the program's events to standard error. The guard belongs to the end of `main`.
@@ -219,90 +256,3 @@
     let _ = tracing::subscriber::set_global_default(subscriber);
     guard
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[derive(Clone, Default)]
-    struct Sink(Arc<Mutex<Vec<u8>>>);
-
-    impl Write for Sink {
-        fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-            self.0.lock().expect("no panic while writing").extend_from_slice(bytes);
-            Ok(bytes.len())
-        }
-        fn flush(&mut self) -> io::Result<()> {
-            Ok(())
-        }
-    }
-
-    fn logged(levels: &str, format: Format, say: impl FnOnce()) -> Vec<String> {
-        let sink = Sink::default();
-        let (subscriber, guard) =
-            subscriber(sink.clone(), super::parse_levels(levels).expect("levels"), format);
-        tracing::subscriber::with_default(subscriber, say);
-        drop(guard);
-        let text = String::from_utf8(sink.0.lock().expect("written").clone()).expect("text");
-        text.lines().map(str::to_owned).collect()
-    }
-
-    #[test]
-    fn levels_are_by_target() {
-        let lines = logged("warn,loud=debug", Format::Text, || {
-            tracing::info!("hidden");
-            tracing::debug!(target: "loud", worker = 3, "shown");
-        });
-        assert_eq!(lines.len(), 1, "{lines:?}");
-        assert!(lines[0].contains("shown worker=3"), "{lines:?}");
-    }
-
-    #[test]
-    fn what_a_peer_sends_stays_in_one_json_line() {
-        let lines = logged("info", Format::Json, || tracing::warn!("a\r\n{}", "b".repeat(5000)));
-        assert_eq!(lines.len(), 1);
-        assert!(lines[0].len() <= MAX_LINE_BYTES && lines[0].contains("\"level\":\"WARN\""), "{lines:?}");
-    }
-
-    /// An attack that causes a line each time gets the bound of lines; those left out take no place by level.
-    #[test]
-    fn lines_a_second_are_bounded_and_the_rest_is_counted() {
-        let budget = RateLimit::new();
-        let start = Instant::now();
-        let taken = (0..10_000).filter(|_| budget.admit(start)).count();
-        assert_eq!(taken, MAX_LINES_PER_SECOND as usize);
-        assert!(budget.admit(start + Duration::from_millis(1001)), "the next second has room");
-        assert_eq!((budget.take_dropped(), budget.take_dropped()), (10_000 - MAX_LINES_PER_SECOND, 0));
-    }
-
-    /// A reader that does not read holds up the thread that writes, and nothing else.
-    #[test]
-    fn a_reader_that_does_not_read_stops_nobody() {
-        struct Stuck(std::sync::mpsc::Receiver<()>);
-        impl Write for Stuck {
-            fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-                let _ = self.0.recv();
-                Ok(bytes.len())
-            }
-            fn flush(&mut self) -> io::Result<()> {
-                Ok(())
-            }
-        }
-        let (release, stuck) = std::sync::mpsc::channel();
-        let (writer, guard) = NonBlockingBuilder::default()
-            .lossy(true)
-            .buffered_lines_limit(MAX_QUEUED_LINES)
-            .finish(Stuck(stuck));
-        let mut lines = LineWriter {
-            writer: writer.clone(),
-            rate_limit: Arc::new(RateLimit::new()),
-            format: Format::Text,
-        };
-        for _ in 0..10 * MAX_QUEUED_LINES {
-            lines.write_all(b"a line\n").expect("never fails");
-        }
-        assert!(writer.error_counter().dropped_lines() >= 8 * MAX_QUEUED_LINES);
-        drop(release);
-        drop(guard);
-    }
-}
