--- a/crates/cluster-member/src/lib.rs
+++ b/crates/cluster-member/src/lib.rs
@@ -1,7 +1,9 @@
-//! Being a member of a fleet: the messages between members and keepers, framed connections, the session, and effects
-//! of owners that reach receivers with their token.
+//! A member of the cluster: the messages between members and the coordinator, framed connections, the session, and effects
+//! of lease holders that reach receivers with their fencing token; and what three kinds of lease are for, as pure logic:
+//! the endpoint list, health checks and slow start.
 //!
-//! Nothing here is on the way of a request: a member that reaches no keeper goes on as if there were no fleet.
+//! Nothing here is on the way of a request: a member that reaches no replica of the coordinator goes on as if there were
+//! no cluster.
 
 pub mod clock;
 pub mod coordinator_client;
--- a/crates/cluster-member/src/record.rs
+++ b/crates/cluster-member/src/record.rs
@@ -1,23 +1,26 @@
-//! Records of what a process did and took, a JSON object a line, for whoever checks them afterwards.
+//! Records of what a process did and accepted, a JSON object a line, for programs that check them afterwards.
 
 use std::cell::RefCell;
 use std::fs::File;
-use std::io::Write;
+use std::io::{self, Write};
 use std::path::Path;
 use std::rc::Rc;
 
+use coordination::Micros;
 use serde::Serialize;
 
-/// Where records go, or nowhere. Each is written at once and whole, so that a killed process leaves what it did.
+/// Writes records to a file, or nowhere. Each is written at once and complete, so that a killed process leaves what it did.
 #[derive(Debug, Clone, Default)]
 pub struct Recorder(Option<Rc<RefCell<File>>>);
 
+/// One line of the file.
 #[derive(Serialize)]
 struct Line<'a, T> {
-    t: u64,
+    #[serde(rename = "t")]
+    time: Micros,
     kind: &'a str,
     #[serde(flatten)]
-    what: T,
+    fields: T,
 }
 
 impl Recorder {
@@ -25,7 +28,7 @@
     ///
     /// # Errors
     /// The file cannot be opened.
-    pub fn append_to(path: &Path) -> std::io::Result<Recorder> {
+    pub fn append_to(path: &Path) -> io::Result<Recorder> {
         let file = File::options().create(true).append(true).open(path)?;
         Ok(Recorder(Some(Rc::new(RefCell::new(file)))))
     }
@@ -35,12 +38,12 @@
         self.0.is_some()
     }
 
-    /// Records that at this reading of [`crate::clock::now`] something of this kind was done.
-    pub fn record<T: Serialize>(&self, t: u64, kind: &str, what: T) {
+    /// Records that something of this kind was done at this reading of [`crate::clock::now`], with fields that say more.
+    pub fn record<T: Serialize>(&self, time: Micros, kind: &str, fields: T) {
         let Some(file) = &self.0 else { return };
-        let Ok(mut line) = serde_json::to_vec(&Line { t, kind, what }) else { return };
+        let Ok(mut line) = serde_json::to_vec(&Line { time, kind, fields }) else { return };
         line.push(b'\n');
-        // A record that cannot be written is missed by the checker, and the process goes on.
+        // A record that cannot be written is missing for the checker, and the process goes on.
         let _ = file.borrow_mut().write_all(&line);
     }
 }
--- a/crates/cluster-member/src/settings.rs
+++ b/crates/cluster-member/src/settings.rs
@@ -1,4 +1,4 @@
-//! What members and keepers are told alike, from HCL.
+//! Settings that members and coordinators share, from HCL.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,18 +9,36 @@
 use crate::health_check::{HealthCheckConfig, InjectedBug};
 use crate::slow_start::QuotaConfig;
 
-/// How often a watched worker is probed, in milliseconds, into how many sets the workers are cut, after how many
-/// failures in a row one is told to fail, and for how many periods that holds, where the file does not say.
+/// Bytes of a text that has to be there.
+const MAX_TEXT_BYTES: usize = 128;
+/// The highest number of a replica.
+const MAX_REPLICA_ID: u64 = 1_000_000;
+/// The most milliseconds that any time may have.
+const MAX_TIME_MS: u64 = 600_000;
+/// The most by which two clocks' rates may differ, in parts of a million.
+const MAX_SKEW_PPM: u64 = 100_000;
+/// Microseconds in a millisecond.
+const MICROS_PER_MILLI: u64 = 1_000;
+
+/// How often a worker is probed, in milliseconds, where the file does not say.
 const DEFAULT_PROBE_INTERVAL_MS: u64 = 1_000;
+/// Into how many sets the workers are cut, where the file does not say.
 const DEFAULT_SETS: u64 = 8;
+/// The most sets: a member is eligible for so many leases beside others.
+const MAX_SETS: u64 = 100;
+/// After how many failures in a row a worker is reported, where the file does not say.
 const DEFAULT_FAILURE_THRESHOLD: u64 = 2;
+/// The most failures in a row that may be asked for.
+const MAX_FAILURE_THRESHOLD: u64 = 100;
+/// For how many probe intervals a report counts, where the file does not say.
 const DEFAULT_TTL_INTERVALS: u64 = 4;
-/// The most sets: a member offers so many duties beside others.
-const MAX_SETS: u64 = 100;
+/// The fewest probe intervals for which a report may count.
+const MIN_TTL_INTERVALS: u64 = 2;
 
-/// How long a cold grant is of use, in milliseconds, and the part of what a cold worker bears that may be granted, where
-/// the file does not say. The planned shares of two slices may meet in one span, so more than half is never free.
+/// How long a grant may be used, in milliseconds, where the file does not say.
 const DEFAULT_GRANT_TTL_MS: u64 = 500;
+/// The fraction of what a worker in slow start tolerates that may be granted, at most and where the file does not say. The
+/// planned shares of two slices may meet in one window, so more than half is never free.
 const MAX_GRANTABLE_FRACTION: f64 = 0.5;
 
 /// A text that has to be there, of 1 to 128 bytes.
@@ -29,8 +47,8 @@
 /// It is missing, empty or too long.
 pub fn required_text(section: &Section, key: &str) -> HclResult<String> {
     match section.string(key)? {
-        Some(text) if !text.is_empty() && text.len() <= 128 => Ok(text),
-        Some(_) => Err(section.error(key, "wanted 1 to 128 bytes")),
+        Some(text) if !text.is_empty() && text.len() <= MAX_TEXT_BYTES => Ok(text),
+        Some(_) => Err(section.error(key, format!("wanted 1 to {MAX_TEXT_BYTES} bytes"))),
         None => Err(section.error(key, "is missing")),
     }
 }
@@ -49,104 +67,108 @@
 /// # Errors
 /// There are not three or five, or one is wrong.
 pub fn replicas(top: &Section) -> HclResult<BTreeMap<u64, SocketAddr>> {
-    let mut keepers = BTreeMap::new();
+    let mut replicas = BTreeMap::new();
     for section in top.sections("keeper") {
-        let number = section.label().parse::<u64>().ok().filter(|number| (1..=1_000_000).contains(number));
-        let number = number
+        let replica_id = section.label().parse::<u64>().ok().filter(|id| (1..=MAX_REPLICA_ID).contains(id));
+        let replica_id = replica_id
             .ok_or_else(|| section.error("", "wanted a label that is a number from 1, as keeper \"1\""))?;
-        if keepers.insert(number, required_address(section, "address")?).is_some() {
-            return Err(section.error("", format!("keeper {number} stands here twice")));
+        if replicas.insert(replica_id, required_address(section, "address")?).is_some() {
+            return Err(section.error("", format!("keeper {replica_id} stands here twice")));
         }
     }
-    match keepers.len() {
-        3 | 5 => Ok(keepers),
+    match replicas.len() {
+        3 | 5 => Ok(replicas),
         found => Err(top.error("keeper", format!("wanted three or five keepers, found {found}"))),
     }
 }
 
-/// The times in a block `times`, in milliseconds, checked against each other.
+/// The times in the block `times`, in milliseconds, checked against each other.
 ///
 /// # Errors
-/// One is out of bounds, or two do not fit together: the fault names both.
+/// One is out of bounds, or two do not fit together: the error names both.
 pub fn timing(top: &Section) -> HclResult<Timing> {
-    let mut times = Timing::default();
-    let Some(section) = top.section("times")? else { return Ok(times) };
+    let mut timing = Timing::default();
+    let Some(section) = top.section("times")? else { return Ok(timing) };
     for (key, time) in [
-        ("lease_ms", &mut times.lease_duration),
-        ("renew_ms", &mut times.renewal_interval),
-        ("call_ms", &mut times.call_timeout),
-        ("stay_ms", &mut times.stability_period),
-        ("short_ms", &mut times.short_session_limit),
-        ("election_ms", &mut times.election_timeout),
-        ("heartbeat_ms", &mut times.heartbeat_interval),
+        ("lease_ms", &mut timing.lease_duration),
+        ("renew_ms", &mut timing.renewal_interval),
+        ("call_ms", &mut timing.call_timeout),
+        ("stay_ms", &mut timing.stability_period),
+        ("short_ms", &mut timing.short_session_limit),
+        ("election_ms", &mut timing.election_timeout),
+        ("heartbeat_ms", &mut timing.heartbeat_interval),
     ] {
-        if let Some(ms) = section.integer(key, 1..=600_000)? {
-            *time = ms * 1_000;
+        if let Some(ms) = section.integer(key, 1..=MAX_TIME_MS)? {
+            *time = ms * MICROS_PER_MILLI;
         }
     }
-    if let Some(skew) = section.integer("skew_ppm", 0..=100_000)? {
-        times.max_clock_skew_ppm = skew;
+    if let Some(skew) = section.integer("skew_ppm", 0..=MAX_SKEW_PPM)? {
+        timing.max_clock_skew_ppm = skew;
     }
-    times.validate().map_err(|fault| {
-        let (key, against) = (format!("{}_ms", fault.key), format!("{}_ms", fault.against));
-        section.error(&key, format!("does not fit to {against}: {}", fault.problem))
+    timing.validate().map_err(|error| {
+        let (key, against) = (format!("{}_ms", error.key), format!("{}_ms", error.against));
+        section.error(&key, format!("does not fit to {against}: {}", error.problem))
     })?;
-    Ok(times)
+    Ok(timing)
 }
 
-/// The block `watch`: how workers are watched by one member each. The number of zones is filled in by whoever knows it.
+/// The block `watch`: how workers are checked. The number of zones is filled in by the caller, who knows it.
 ///
 /// # Errors
-/// A figure is out of bounds, or two do not fit together: the fault names both.
+/// A figure is out of bounds, or two do not fit together: the error names both.
 pub fn health_check_config(section: &Section) -> HclResult<HealthCheckConfig> {
-    let period = section.integer("every_ms", 100..=60_000)?.unwrap_or(DEFAULT_PROBE_INTERVAL_MS) * 1_000;
-    let holds =
-        section.integer("holds_ms", 200..=600_000)?.map_or(DEFAULT_TTL_INTERVALS * period, |ms| ms * 1_000);
-    if holds < 2 * period {
+    let interval_ms = section.integer("every_ms", 100..=60_000)?.unwrap_or(DEFAULT_PROBE_INTERVAL_MS);
+    let ttl_ms = section.integer("holds_ms", 200..=MAX_TIME_MS)?;
+    let ttl_ms = ttl_ms.unwrap_or(DEFAULT_TTL_INTERVALS * interval_ms);
+    if ttl_ms < MIN_TTL_INTERVALS * interval_ms {
         return Err(section.error(
             "holds_ms",
             "does not fit to every_ms: wanted at least twice as long, or what is said lapses between two probes",
         ));
     }
+    let set_count = section.integer("sets", 1..=MAX_SETS)?.unwrap_or(DEFAULT_SETS);
+    let failure_threshold = section.integer("fails", 1..=MAX_FAILURE_THRESHOLD)?;
     Ok(HealthCheckConfig {
-        set_count: section.integer("sets", 1..=MAX_SETS)?.unwrap_or(DEFAULT_SETS) as u16,
+        set_count: set_count as u16,
         zone_count: 1,
-        probe_interval: period,
-        failure_threshold: section.integer("fails", 1..=100)?.unwrap_or(DEFAULT_FAILURE_THRESHOLD) as u16,
-        report_ttl: holds,
-        injected_bug: flaw(section)?,
+        probe_interval: interval_ms * MICROS_PER_MILLI,
+        failure_threshold: failure_threshold.unwrap_or(DEFAULT_FAILURE_THRESHOLD) as u16,
+        report_ttl: ttl_ms * MICROS_PER_MILLI,
+        injected_bug: injected_bug(section)?,
     })
 }
 
-/// The block `cold`: how the budgets of cold workers are handed out by one member.
+/// The block `cold`: how quotas of workers in slow start are granted. The time for deliveries is filled in by the caller,
+/// who knows it.
 ///
 /// # Errors
 /// A figure is missing or out of bounds.
-pub fn quota_config(section: &Section, times: &Timing) -> HclResult<QuotaConfig> {
+pub fn quota_config(section: &Section, timing: &Timing) -> HclResult<QuotaConfig> {
     let slots = section.number("slots", 0.1..=1e6)?;
+    let slots = slots
+        .ok_or_else(|| section.error("slots", "is missing: the slots of the smallest kind of worker"))?;
+    let fraction = section.number("part", 0.0..=MAX_GRANTABLE_FRACTION)?;
+    let ttl_ms = section.integer("expiry_ms", 200..=10_000)?.unwrap_or(DEFAULT_GRANT_TTL_MS);
     Ok(QuotaConfig {
-        smallest_worker_slots: slots
-            .ok_or_else(|| section.error("slots", "is missing: the slots of the smallest kind of worker"))?,
-        grantable_fraction: section
-            .number("part", 0.0..=MAX_GRANTABLE_FRACTION)?
-            .unwrap_or(MAX_GRANTABLE_FRACTION),
-        grant_ttl: section.integer("expiry_ms", 200..=10_000)?.unwrap_or(DEFAULT_GRANT_TTL_MS) * 1_000,
+        smallest_worker_slots: slots,
+        grantable_fraction: fraction.unwrap_or(MAX_GRANTABLE_FRACTION),
+        grant_ttl: ttl_ms * MICROS_PER_MILLI,
         delivery_timeout: 0,
-        skew_ppm: times.max_clock_skew_ppm,
+        skew_ppm: timing.max_clock_skew_ppm,
     })
 }
 
-/// A flaw put in on purpose. Only a build for such tests knows the key.
+/// A bug put in on purpose. Only a build for experiments knows the key.
 #[cfg(feature = "seeded-bugs")]
-fn flaw(section: &Section) -> HclResult<Option<InjectedBug>> {
+fn injected_bug(section: &Section) -> HclResult<Option<InjectedBug>> {
     let Some(name) = section.string("flaw")? else { return Ok(None) };
-    let known = InjectedBug::NAMES.iter().find(|(known, _)| *known == name);
-    known
-        .map(|(_, flaw)| Some(*flaw))
-        .ok_or_else(|| section.error("flaw", format!("there is no flaw {name:?}")))
+    match InjectedBug::NAMES.iter().find(|(known, _)| *known == name) {
+        Some((_, bug)) => Ok(Some(*bug)),
+        None => Err(section.error("flaw", format!("there is no flaw {name:?}"))),
+    }
 }
 
 #[cfg(not(feature = "seeded-bugs"))]
-fn flaw(_: &Section) -> HclResult<Option<InjectedBug>> {
+fn injected_bug(_: &Section) -> HclResult<Option<InjectedBug>> {
     Ok(None)
 }
