--- a/crates/cluster-member/tests/connection.rs
+++ b/crates/cluster-member/tests/connection.rs
@@ -54,11 +54,11 @@
         text += &format!("encoded before: {}\n", hex(&read_frame(&mut stream).await));
         text
     });
-    let (mut link, name) = Connection::connect(address, None, &hello(SCHEMA_VERSION)).await.unwrap();
+    let (mut connection, name) = Connection::connect(address, None, &hello(SCHEMA_VERSION)).await.unwrap();
     assert_eq!(name, "k");
     let request = Request { id: 300, operation: Operation::Status };
-    link.send(&request).await.unwrap();
-    link.send_encoded(encode(&request).unwrap()).await.unwrap();
+    connection.send(&request).await.unwrap();
+    connection.send_encoded(encode(&request).unwrap()).await.unwrap();
     assert_pinned("frames", &server.await.unwrap());
 }
 
@@ -103,9 +103,9 @@
         let welcome = ServerHello::Rejected(why.clone());
         tokio::spawn(async move {
             let (stream, _) = listener.accept().await.unwrap();
-            let (mut link, heard) = Connection::accept(stream).await.unwrap();
+            let (mut connection, heard) = Connection::accept(stream).await.unwrap();
             assert_eq!(heard, hello(SCHEMA_VERSION));
-            link.send_server_hello(&welcome).await.unwrap();
+            connection.send_server_hello(&welcome).await.unwrap();
         });
         let error = Connection::connect(address, None, &hello(SCHEMA_VERSION)).await.unwrap_err();
         assert_eq!(error.handshake_rejection(), Some(&why));
@@ -148,11 +148,11 @@
         write_frame(&mut stream, &encode(&hello).unwrap()).await;
         let accepted = Connection::accept(listener.accept().await.unwrap().0).await;
         assert_eq!(accepted.is_ok(), fits);
-        let Ok((mut link, _)) = accepted else { continue };
-        link.send_server_hello(&ServerHello::Accepted { name: "k".to_owned() }).await.unwrap();
+        let Ok((mut connection, _)) = accepted else { continue };
+        connection.send_server_hello(&ServerHello::Accepted { name: "k".to_owned() }).await.unwrap();
         let long = "x".repeat(100_000);
         write_frame(&mut stream, &encode(&long).unwrap()).await;
-        assert_eq!(link.receive::<String>().await.unwrap(), long);
+        assert_eq!(connection.receive::<String>().await.unwrap(), long);
     }
 }
 
--- a/crates/cluster-member/tests/format.rs
+++ b/crates/cluster-member/tests/format.rs
@@ -157,8 +157,8 @@
 #[test]
 fn server_hello() {
     let mut text = encoded("accepted", &ServerHello::Accepted { name: "coordinator 1".to_owned() });
-    for (label, turned) in handshake_rejections() {
-        text += &encoded(&format!("rejected, {label}"), &ServerHello::Rejected(turned));
+    for (label, rejection) in handshake_rejections() {
+        text += &encoded(&format!("rejected, {label}"), &ServerHello::Rejected(rejection));
     }
     assert_pinned("server_hello", &text);
 }
@@ -204,8 +204,8 @@
         ),
     ];
     let mut text = String::new();
-    for (label, ask) in operations {
-        text += &encoded(label, &Request { id: 300, operation: ask });
+    for (label, operation) in operations {
+        text += &encoded(label, &Request { id: 300, operation });
     }
     assert_pinned("requests", &text);
 }
@@ -325,21 +325,21 @@
 
 #[test]
 fn endpoint_list_events() {
-    let mut ledger = EndpointSnapshot::default();
+    let mut snapshot = EndpointSnapshot::default();
     let member = |id: &str, phase: &str| json!({"id": id, "phase": phase, "locality": "north", "more": [1]});
-    ledger.apply(&json!({"revision": 4, "complete": true, "members": [member("b", "in_service"), member("a", "in_service")]}));
-    ledger.apply(
+    snapshot.apply(&json!({"revision": 4, "complete": true, "members": [member("b", "in_service"), member("a", "in_service")]}));
+    snapshot.apply(
         &json!({"revision": 5, "complete": false, "members": [member("b", "terminated"), member("c", "starting")]}),
     );
     let whole = WatchEvent {
         source: "127.0.0.1:7000".to_owned(),
         member_count: 3,
-        list: ledger.complete_list().unwrap(),
+        list: snapshot.complete_list().unwrap(),
     };
     let unchanged = WatchEvent {
         source: "127.0.0.1:7000".to_owned(),
         member_count: 3,
-        list: json!({"revision": ledger.revision()}),
+        list: json!({"revision": snapshot.revision()}),
     };
     assert!(whole.is_complete() && !unchanged.is_complete());
     assert_eq!((whole.revision(), unchanged.revision()), (5, 5));
@@ -354,7 +354,7 @@
 
 #[test]
 fn leases_and_the_sets_of_workers() {
-    let watching = HealthCheckConfig {
+    let config = HealthCheckConfig {
         set_count: 8,
         zone_count: 3,
         probe_interval: 1_000_000,
@@ -363,16 +363,16 @@
         injected_bug: None,
     };
     let mut text = format!("list: {ENDPOINT_LIST_LEASE}\nslow start: {SLOW_START_LEASE}\nhealth checks:");
-    for duty in watching.leases() {
-        text += &format!(" {duty}={:?}", watching.set_of_lease(&duty));
+    for duty in config.leases() {
+        text += &format!(" {duty}={:?}", config.set_of_lease(&duty));
     }
     text += "\n";
     for (sets, zones) in [(8, 3), (8, 1), (2, 5), (100, 7)] {
-        let watching = HealthCheckConfig { set_count: sets, zone_count: zones, ..watching };
-        text += &format!("{}:", watching.lease_name());
+        let config = HealthCheckConfig { set_count: sets, zone_count: zones, ..config };
+        text += &format!("{}:", config.lease_name());
         for worker in [0, 1, 70_000, u64::MAX] {
             for zone in 0..3 {
-                text += &format!(" {}", watching.set_of_worker(worker, zone));
+                text += &format!(" {}", config.set_of_worker(worker, zone));
             }
         }
         text += "\n";
@@ -396,10 +396,10 @@
 #[test]
 fn display_texts() {
     let mut text = String::new();
-    for (label, turned) in handshake_rejections() {
+    for (label, rejection) in handshake_rejections() {
         text += &format!(
-            "{label}: {turned}\n{label}, as an error: {}\n",
-            ConnectionError::Rejected(turned.clone())
+            "{label}: {rejection}\n{label}, as an error: {}\n",
+            ConnectionError::Rejected(rejection.clone())
         );
     }
     for (label, reason) in reject_reasons() {
--- a/crates/cluster-member/tests/sessions.rs
+++ b/crates/cluster-member/tests/sessions.rs
@@ -123,7 +123,7 @@
     assert_eq!(*responses.borrow(), [b"seen one".to_vec()]);
 }
 
-/// A holder of an earlier term, one of a lease that nobody knows, and a client of another kind are rejected.
+/// A holder of an earlier term, one of a lease that unreachable knows, and a client of another kind are rejected.
 async fn send_what_is_rejected(receiver: SocketAddr) {
     let identity = ClientIdentity::LeaseHolder { name: "late".to_owned(), incarnation: 1 };
     let hello = ClientHello { schema_version: SCHEMA_VERSION, installation: "north".to_owned(), identity };
@@ -241,12 +241,12 @@
 async fn a_call_that_fails_says_why() {
     let call = |respond: fn(&Request) -> Option<Response>, milliseconds: u64| async move {
         let (coordinator, address) = listen().await;
-        let mut keepers =
+        let mut client =
             CoordinatorClient::new("north", ClientIdentity::Operator, BTreeMap::from([(1, address)]), None);
         let by = Instant::now() + Duration::from_millis(milliseconds);
         let test = async {
             spawn_local(play_coordinator(coordinator, respond));
-            keepers.call(&Operation::Status, by).await.map_err(|error| error.to_string())
+            client.call(&Operation::Status, by).await.map_err(|error| error.to_string())
         };
         LocalSet::new().run_until(test).await
     };
@@ -264,10 +264,10 @@
 
     let (listener, address) = listen().await;
     drop(listener);
-    let mut nobody =
+    let mut unreachable =
         CoordinatorClient::new("north", ClientIdentity::Operator, BTreeMap::from([(3, address)]), None);
     let by = Instant::now() + Duration::from_millis(100);
-    let error = nobody.call(&Operation::Status, by).await.unwrap_err().to_string();
+    let error = unreachable.call(&Operation::Status, by).await.unwrap_err().to_string();
     assert_eq!(error, "keeper 3: Connection refused (os error 111)");
 }
 
@@ -282,10 +282,10 @@
         }));
         spawn_local(play_coordinator(second, |_| Some(Response::Done)));
         let who = ClientIdentity::Member { name: "d1".to_owned() };
-        let mut keepers = CoordinatorClient::new("north", who, BTreeMap::from([(1, first_address)]), None);
+        let mut client = CoordinatorClient::new("north", who, BTreeMap::from([(1, first_address)]), None);
         let by = Instant::now() + LIMIT;
-        assert_eq!(keepers.call(&Operation::Status, by).await.unwrap(), Response::Done);
-        assert_eq!(keepers.call(&Operation::Status, by).await.unwrap(), Response::Done);
+        assert_eq!(client.call(&Operation::Status, by).await.unwrap(), Response::Done);
+        assert_eq!(client.call(&Operation::Status, by).await.unwrap(), Response::Done);
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/cluster-member/tests/settings.rs
+++ b/crates/cluster-member/tests/settings.rs
@@ -84,22 +84,22 @@
         format!("skew: {} ppm", times.max_clock_skew_ppm),
     ]);
     if let Some(section) = top.section("watch")? {
-        let watching = settings::health_check_config(section)?;
+        let config = settings::health_check_config(section)?;
         lines.extend([
-            format!("sets: {}, zones: {}", watching.set_count, watching.zone_count),
-            format!("period: {} us", watching.probe_interval),
-            format!("failures: {}", watching.failure_threshold),
-            format!("holds: {} us", watching.report_ttl),
-            format!("bug: {}", watching.injected_bug.is_some()),
+            format!("sets: {}, zones: {}", config.set_count, config.zone_count),
+            format!("period: {} us", config.probe_interval),
+            format!("failures: {}", config.failure_threshold),
+            format!("holds: {} us", config.report_ttl),
+            format!("bug: {}", config.injected_bug.is_some()),
         ]);
     }
     if let Some(section) = top.section("cold")? {
-        let dealing = settings::quota_config(section, &times)?;
+        let quota = settings::quota_config(section, &times)?;
         lines.extend([
-            format!("slots: {}", dealing.smallest_worker_slots),
-            format!("part: {}", dealing.grantable_fraction),
-            format!("expiry: {} us, written: {} us", dealing.grant_ttl, dealing.delivery_timeout),
-            format!("skew: {} ppm", dealing.skew_ppm),
+            format!("slots: {}", quota.smallest_worker_slots),
+            format!("part: {}", quota.grantable_fraction),
+            format!("expiry: {} us, written: {} us", quota.grant_ttl, quota.delivery_timeout),
+            format!("skew: {} ppm", quota.skew_ppm),
         ]);
     }
     top.deny_unknown_keys()?;
--- a/crates/cluster-member/tests/support/mod.rs
+++ b/crates/cluster-member/tests/support/mod.rs
@@ -38,11 +38,14 @@
 pub async fn play_coordinator(listener: TcpListener, mut respond: impl FnMut(&Request) -> Option<Response>) {
     loop {
         let (stream, _) = listener.accept().await.unwrap();
-        let (mut link, _) = Connection::accept(stream).await.unwrap();
-        link.send_server_hello(&ServerHello::Accepted { name: "coordinator 1".to_owned() }).await.unwrap();
-        while let Ok(request) = link.receive::<Request>().await {
+        let (mut connection, _) = Connection::accept(stream).await.unwrap();
+        connection
+            .send_server_hello(&ServerHello::Accepted { name: "coordinator 1".to_owned() })
+            .await
+            .unwrap();
+        while let Ok(request) = connection.receive::<Request>().await {
             let Some(response) = respond(&request) else { continue };
-            if link.send(&CoordinatorMessage::Response(request.id, response)).await.is_err() {
+            if connection.send(&CoordinatorMessage::Response(request.id, response)).await.is_err() {
                 break;
             }
         }
