--- a/crates/coordinator/src/operator_client.rs
+++ b/crates/coordinator/src/operator_client.rs
@@ -80,7 +80,7 @@
         /// Why.
         reason: CommandRejection,
     },
-    /// The leader could not end the term of a lease now. Operation again.
+    /// The leader could not end the term of a lease now. Ask again.
     #[error("{lease}: not done: {}; ask again", response_text(.response))]
     ReleaseIncomplete {
         /// The lease.
@@ -105,7 +105,7 @@
     NotStarted,
     /// It is under way.
     UnderWay {
-        /// ClientIdentity votes.
+        /// Who votes.
         voters: Vec<u64>,
         /// ClientIdentity learns.
         learners: Vec<u64>,
--- a/crates/coordinator/src/replica/mod.rs
+++ b/crates/coordinator/src/replica/mod.rs
@@ -100,7 +100,7 @@
     /// The highest version of commands that this replica applies.
     supported_version: u16,
     peers: PeerRegistry,
-    /// ClientIdentity votes and who learns, as applied.
+    /// Who votes and who learns, as applied.
     configuration: ConfState,
     /// Set when it changed: the next snapshot has to contain the change.
     configuration_changed: bool,
--- a/crates/coordinator/src/replica/requests.rs
+++ b/crates/coordinator/src/replica/requests.rs
@@ -20,7 +20,7 @@
 /// The first version of commands and messages that knows permits.
 const FIRST_VERSION_WITH_PERMITS: u16 = 3;
 
-/// ClientIdentity waits for a response.
+/// Who waits for a response.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Requester {
     pub(super) connection: ConnectionId,
