--- a/crates/coordinator/src/cli/commands.rs
+++ b/crates/coordinator/src/cli/commands.rs
@@ -12,7 +12,7 @@
 use super::error::CommandError;
 use super::{metrics, output};
 
-/// ClientIdentity is noted to have deregistered a target, where the operator does not say.
+/// Who is noted to have deregistered a target, where the operator does not say.
 const DEFAULT_REQUESTER: &str = "an operator";
 
 /// Carries out a command that needs the settings.
--- a/crates/coordinator/src/cli/error.rs
+++ b/crates/coordinator/src/cli/error.rs
@@ -46,7 +46,7 @@
     /// A coordinator does not start, or has stopped.
     #[error(transparent)]
     Coordinator(#[from] CoordinatorError),
-    /// The permit is not granted yet. Operation again, or it is cancelled.
+    /// The permit is not granted yet. Retry within a minute, or it is cancelled.
     #[error("permit {permit} waits for its turn{}; ask again within a minute", blocked_by(.budget))]
     PermitWaiting {
         /// The permit.
--- a/crates/coordinator/src/operator_client.rs
+++ b/crates/coordinator/src/operator_client.rs
@@ -80,7 +80,7 @@
         /// Why.
         reason: CommandRejection,
     },
-    /// The leader could not end the term of a lease now. Operation again.
+    /// The leader could not end the term of a lease now. Retry.
     #[error("{lease}: not done: {}; ask again", response_text(.response))]
     ReleaseIncomplete {
         /// The lease.
@@ -105,9 +105,9 @@
     NotStarted,
     /// It is under way.
     UnderWay {
-        /// ClientIdentity votes.
+        /// Who votes.
         voters: Vec<u64>,
-        /// ClientIdentity learns.
+        /// Who learns.
         learners: Vec<u64>,
     },
     /// The leader did not accept it yet.
--- a/crates/coordinator/src/replica/membership.rs
+++ b/crates/coordinator/src/replica/membership.rs
@@ -1,4 +1,4 @@
-//! ReplicaReplacement a coordinator by a new one, through a joint configuration.
+//! Replacing a coordinator by a new one, through a joint configuration.
 //!
 //! The new coordinator learns first. When it has caught up, both change at once, through a configuration in which majorities of the
 //! old and of the new voters have to agree. Then that configuration is left, and the replacement is over. Each step follows from
--- a/crates/coordinator/src/replica/mod.rs
+++ b/crates/coordinator/src/replica/mod.rs
@@ -10,15 +10,17 @@
 //! | `leadership` | whether this replica leads, and giving the leadership away |
 //! | `membership` | replacing a coordinator by a new one |
 //! | `peers` | which peers are accepted, and their messages |
+//! | `proposals` | proposals of this process, and the clients that wait for them |
 //! | `raft_storage` | the log in memory, as Raft reads it |
 //! | `read_index` | renewals, confirmed by a majority before they are answered |
-//! | `requests` | requests of clients, proposals and their responses |
+//! | `requests` | requests of clients, and their responses |
 //! | `status` | what an operator is shown |
 
 mod apply;
 mod leadership;
 mod membership;
 mod peers;
+mod proposals;
 mod raft_storage;
 mod read_index;
 mod requests;
@@ -41,9 +43,9 @@
 pub use peers::{decode_message, encode_message, HandshakeError};
 
 use peers::PeerRegistry;
+use proposals::PendingProposals;
 use raft_storage::RaftStorage;
 use read_index::RenewalQueue;
-use requests::PendingProposals;
 
 /// A connection of a client: a member or an operator.
 pub type ConnectionId = u64;
@@ -100,7 +102,7 @@
     /// The highest version of commands that this replica applies.
     supported_version: u16,
     peers: PeerRegistry,
-    /// ClientIdentity votes and who learns, as applied.
+    /// Who votes and who learns, as applied.
     configuration: ConfState,
     /// Set when it changed: the next snapshot has to contain the change.
     configuration_changed: bool,
--- a/crates/coordinator/src/replica/read_index.rs
+++ b/crates/coordinator/src/replica/read_index.rs
@@ -7,7 +7,7 @@
 use coordination::{Micros, Revision, SessionId};
 use raft::ReadState;
 
-use super::requests::Requester;
+use super::proposals::Requester;
 use super::{status, Replica};
 
 /// A renewal that was not answered yet.
--- a/crates/coordinator/src/replica/requests.rs
+++ b/crates/coordinator/src/replica/requests.rs
@@ -1,93 +1,21 @@
 //! Requests of clients: answered from the state, or proposed and answered once their entry is applied.
 
-use std::collections::BTreeMap;
-
 use cluster_member::wire::{CoordinatorMessage, Operation, Request, Response};
 use coordination::{
     Command, CommandOutcome, CommandRejection, FencingToken, LeaseId, Micros, Revision, SessionId,
 };
 use disruption_budget::DisruptionCommand;
-use serde::{Deserialize, Serialize};
 
+use super::proposals::{PendingProposal, Requester};
 use super::read_index::PendingRenewal;
 use super::{ConnectionId, Output, Replica};
 use crate::error::CoordinatorError;
 
 /// The most requests that wait for an entry to be applied or for a read index.
 const MAX_PENDING_REQUESTS: usize = 8_192;
-/// How long a proposal waits for its entry, in microseconds. Its client has given up by then.
-const PROPOSAL_TIMEOUT: Micros = 5_000_000;
 /// The first version of commands and messages that knows permits.
 const FIRST_VERSION_WITH_PERMITS: u16 = 3;
 
-/// ClientIdentity waits for a response.
-#[derive(Debug, Clone, Copy)]
-pub(super) struct Requester {
-    pub(super) connection: ConnectionId,
-    /// The number that the client gave to the request.
-    pub(super) request_id: u64,
-}
-
-/// A proposal whose client waits for it to be applied.
-pub(super) struct PendingProposal {
-    pub(super) requester: Requester,
-    pub(super) proposed_at: Micros,
-}
-
-/// What Raft carries beside an entry or a read index, so that this process knows its own again. These bytes are in the
-/// log.
-#[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub(super) struct RequestContext {
-    process_nonce: u64,
-    pub(super) request: u64,
-}
-
-impl RequestContext {
-    pub(super) fn encode(self) -> Vec<u8> {
-        postcard::to_stdvec(&self).unwrap_or_default()
-    }
-}
-
-/// The proposals of this process that were not applied yet.
-pub(super) struct PendingProposals {
-    process_nonce: u64,
-    last_request: u64,
-    pending: BTreeMap<u64, PendingProposal>,
-}
-
-impl PendingProposals {
-    pub(super) fn new(process_nonce: u64) -> PendingProposals {
-        PendingProposals { process_nonce, last_request: 0, pending: BTreeMap::new() }
-    }
-
-    /// The context of the next proposal or read index.
-    pub(super) fn next_context(&mut self) -> RequestContext {
-        self.last_request += 1;
-        RequestContext { process_nonce: self.process_nonce, request: self.last_request }
-    }
-
-    /// The number of the request that has this context, if it is this process's.
-    pub(super) fn own_request(&self, context: &[u8]) -> Option<u64> {
-        let context: RequestContext = postcard::from_bytes(context).ok()?;
-        (context.process_nonce == self.process_nonce).then_some(context.request)
-    }
-
-    /// The proposal that has this context, if its client waits for it.
-    pub(super) fn remove(&mut self, context: &[u8]) -> Option<PendingProposal> {
-        let request = self.own_request(context)?;
-        self.pending.remove(&request)
-    }
-
-    pub(super) fn remove_expired(&mut self, now: Micros) {
-        self.pending.retain(|_, proposal| now.saturating_sub(proposal.proposed_at) <= PROPOSAL_TIMEOUT);
-    }
-
-    /// Takes out all proposals, and returns who waits for them.
-    pub(super) fn drain(&mut self) -> Vec<Requester> {
-        std::mem::take(&mut self.pending).into_values().map(|proposal| proposal.requester).collect()
-    }
-}
-
 impl Replica {
     /// Handles the request of a client. The response follows as [`Output::SendToClient`], now or with a later call.
     ///
@@ -110,7 +38,7 @@
             self.reply(requester, response);
             return Ok(());
         }
-        if self.proposals.pending.len() + self.renewals.queued() >= MAX_PENDING_REQUESTS {
+        if self.proposals.len() + self.renewals.queued() >= MAX_PENDING_REQUESTS {
             self.reply(requester, Response::Busy);
             return Ok(());
         }
@@ -210,8 +138,7 @@
         let context = self.proposals.next_context();
         match self.raw_node.propose(context.encode(), command.encode()) {
             Ok(()) => {
-                let proposal = PendingProposal { requester, proposed_at: now };
-                self.proposals.pending.insert(context.request, proposal);
+                self.proposals.insert(context, PendingProposal { requester, proposed_at: now });
             }
             Err(_) => self.reply(requester, Response::Busy),
         }
--- a/crates/coordinator/src/replica/status.rs
+++ b/crates/coordinator/src/replica/status.rs
@@ -75,7 +75,7 @@
         statuses.collect()
     }
 
-    /// ClientIdentity votes, in order; while a coordinator is replaced, in either configuration.
+    /// Who votes, in order; while a coordinator is replaced, in either configuration.
     fn voters(&self) -> Vec<u64> {
         let voters = self.configuration.get_voters().iter().chain(self.configuration.get_voters_outgoing());
         let distinct: BTreeSet<u64> = voters.copied().collect();
