--- a/crates/coordinator/src/operator_client.rs
+++ b/crates/coordinator/src/operator_client.rs
@@ -80,7 +80,7 @@
         /// Why.
         reason: CommandRejection,
     },
-    /// The leader could not end the term of a lease now. Ask again.
+    /// The leader could not end the term of a lease now. Retry.
     #[error("{lease}: not done: {}; ask again", response_text(.response))]
     ReleaseIncomplete {
         /// The lease.
@@ -107,7 +107,7 @@
     UnderWay {
         /// Who votes.
         voters: Vec<u64>,
-        /// ClientIdentity learns.
+        /// Who learns.
         learners: Vec<u64>,
     },
     /// The leader did not accept it yet.
