--- /dev/null
+++ b/crates/emulator/src/cli/cluster.rs
@@ -0,0 +1,179 @@
+//! Subcommands that start coordinators and dispatchers as processes and measure or check them.
+
+use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
+use std::thread::JoinHandle;
+use std::time::Duration;
+
+use emulator::cluster::cluster_harness::Binaries;
+use emulator::cluster::{dispatch_latency, planned_drains, scaling_cost, shared_health_checks, slow_start};
+use rayon::prelude::*;
+
+use super::arguments::{DrainsArgs, JoiningArgs, WatchingArgs, WorthArgs};
+use super::output::{print_names, write_json, write_schedules};
+use super::programs::cluster_binaries;
+use super::protocol::LIST;
+use super::CliError;
+
+/// The settings of members that share health checks in the measurement of idle dispatchers.
+const SHARED_HEALTH_CHECKS: &str = "watch {\n  sets = 6\n}\n";
+
+/// The shortest time from the start of one fault to that of the next, in seconds.
+const SHORTEST_FAULT_INTERVAL_S: f64 = 0.5;
+
+/// The fewest jobs a second at each dispatcher.
+const LOWEST_RATE: f64 = 0.1;
+
+/// The most jobs a second at each dispatcher.
+const HIGHEST_RATE: f64 = 1_000.0;
+
+/// Measures what clients see with the cluster off and on while coordinators fail.
+pub fn dispatch_latency(length_s: u64, out: &Path) -> Result<(), CliError> {
+    let binaries = cluster_binaries()?;
+    let length = Duration::from_secs(length_s);
+    let arms = dispatch_latency::play(out, &binaries, length).map_err(CliError::Cluster)?;
+    let text = serde_json::to_string_pretty(&arms)?;
+    std::fs::write(out.join("waits.json"), &text).map_err(CliError::file(out))?;
+    println!("{text}");
+    Ok(())
+}
+
+/// Measures the requests of idle dispatchers, as members and sharing nothing.
+pub fn scaling_cost(arguments: &WorthArgs) -> Result<(), CliError> {
+    let binaries = cluster_binaries()?;
+    let length = Duration::from_secs(arguments.length_s);
+    let settings = if arguments.list_only { "" } else { SHARED_HEALTH_CHECKS };
+    let mut sides: BTreeMap<String, scaling_cost::Side> = BTreeMap::new();
+    for count in &arguments.members {
+        for (name, settings) in [("nothing shared", None), ("members", Some(settings))] {
+            let dir = arguments.out.join(format!("{count}-{}", settings.map_or("off", |_| "on")));
+            let side = scaling_cost::play(&dir, &binaries, (*count).into(), settings, length)
+                .map_err(CliError::Cluster)?;
+            println!("{count} {name}: {side:?}");
+            sides.insert(format!("{count} {name}"), side);
+        }
+    }
+    write_json(&arguments.out.join("worth.json"), &sides)
+}
+
+/// Plays schedules of planned drains, or lists the injected bugs of the disruption budget.
+pub fn planned_drains(arguments: &DrainsArgs) -> Result<(), CliError> {
+    let known: Vec<&str> = disruption_budget::InjectedBug::names().iter().map(|(name, _)| *name).collect();
+    match arguments.seeded_bug.as_deref() {
+        Some(LIST) => {
+            print_names(&known);
+            return Ok(());
+        }
+        Some(other) if !known.contains(&other) => return Err(CliError::UnknownBug { known }),
+        _ => {}
+    }
+    let binaries = cluster_binaries()?;
+    let base = planned_drains::Plan {
+        dispatchers: arguments.dispatchers.into(),
+        length: Duration::from_secs(arguments.length_s),
+        injected_bug: arguments.seeded_bug.clone(),
+        ..planned_drains::Plan::default()
+    };
+    let results = run_schedules(arguments.at_once, arguments.seed, arguments.seeds, |seed| {
+        let dir = arguments.out.join(format!("seed-{seed}"));
+        let coordinators = coordinator_count(arguments.keepers, seed);
+        let plan = planned_drains::Plan { seed, coordinators, ..base.clone() };
+        planned_drains::play(&dir, &binaries, &plan).map_err(CliError::Cluster)
+    })?;
+    print!("{}", planned_drains::table(&results));
+    write_schedules(&arguments.out.join("drains.json"), &results, |result| result.rules.is_empty())
+}
+
+/// Plays schedules of faults while dispatchers check workers for each other.
+pub fn shared_health_checks(arguments: &WatchingArgs) -> Result<(), CliError> {
+    let binaries = cluster_binaries()?;
+    let base = shared_health_checks::Plan {
+        dispatchers: arguments.dispatchers.into(),
+        workers: arguments.workers.into(),
+        length: Duration::from_secs(arguments.length_s),
+        fault_interval: Duration::from_secs_f64(arguments.every_s.max(SHORTEST_FAULT_INTERVAL_S)),
+        only_kills: arguments.only_kills,
+        share_health_checks: !arguments.off,
+        rate: arguments.rate.clamp(LOWEST_RATE, HIGHEST_RATE),
+        injected_bug: arguments.seeded_bug.clone(),
+        ..shared_health_checks::Plan::default()
+    };
+    let results = run_schedules(arguments.at_once, arguments.seed, arguments.seeds, |seed| {
+        let dir = arguments.out.join(format!("seed-{seed}"));
+        let coordinators = coordinator_count(arguments.keepers, seed);
+        let plan = shared_health_checks::Plan { seed, coordinators, ..base.clone() };
+        shared_health_checks::play(&dir, &binaries, &plan).map_err(CliError::Cluster)
+    })?;
+    print!("{}", shared_health_checks::table(&results));
+    write_schedules(&arguments.out.join("watching.json"), &results, |result| result.rules.is_empty())
+}
+
+/// So many coordinators as were asked for; for 0, 3 and 5 in turn by seed.
+fn coordinator_count(asked: u16, seed: u64) -> usize {
+    match asked {
+        0 if seed % 2 == 0 => 3,
+        0 => 5,
+        coordinators => coordinators.into(),
+    }
+}
+
+/// Plays schedules by seed, so many side by side.
+fn run_schedules<T: Send>(
+    at_once: u16,
+    first: u64,
+    seeds: u64,
+    play: impl Fn(u64) -> Result<T, CliError> + Sync,
+) -> Result<BTreeMap<u64, T>, CliError> {
+    let pool = rayon::ThreadPoolBuilder::new().num_threads(at_once.into()).build()?;
+    let seeds: Vec<u64> = (first..first.saturating_add(seeds)).collect();
+    let play = |seed: u64| play(seed).map(|result| (seed, result));
+    pool.install(|| seeds.into_par_iter().with_max_len(1).map(play).collect())
+}
+
+/// Plays days of slow starts, both arms of a seed side by side.
+pub fn slow_start(arguments: &JoiningArgs) -> Result<(), CliError> {
+    let binaries = cluster_binaries()?;
+    let base = slow_start::Plan {
+        dispatchers: arguments.dispatchers.into(),
+        rate: arguments.rate,
+        kill: arguments.kill,
+        ..slow_start::Plan::default()
+    };
+    let mut days: BTreeMap<String, slow_start::DayResult> = BTreeMap::new();
+    for seed in arguments.seed..arguments.seed.saturating_add(arguments.seeds) {
+        // Both arms at once, so that what else the machine does meets both.
+        let arms = [false, true].map(|grants| {
+            let plan = slow_start::Plan { grants, seed, ..base.clone() };
+            spawn_slow_start(plan, arguments.out.clone(), binaries.clone())
+        });
+        for arm in arms {
+            let (name, day) = arm.join().map_err(|_| CliError::LanePanicked)??;
+            println!(
+                "{name}: used {:.3}, fullest {:.3}, fallen {}, in time {:.3}, served {:.3}, granted {:.1}, answers {:?}",
+                day.used_share, day.peak_load, day.overloads, day.in_time, day.served, day.granted_work, day.answers
+            );
+            days.insert(name, day);
+        }
+    }
+    write_json(&arguments.out.join("joining.json"), &days)?;
+    match days.into_iter().find(|(_, day)| day.overloads > 0 || !day.violations.is_empty()) {
+        Some((name, day)) => {
+            Err(CliError::DayViolated { name, overloads: day.overloads, violations: day.violations })
+        }
+        None => Ok(()),
+    }
+}
+
+/// Plays one arm of a day of slow starts on a thread of its own; gives its name and its result.
+fn spawn_slow_start(
+    plan: slow_start::Plan,
+    out: PathBuf,
+    binaries: Binaries,
+) -> JoinHandle<Result<(String, slow_start::DayResult), CliError>> {
+    std::thread::spawn(move || {
+        let arm = if plan.grants { "granted" } else { "planned" };
+        let dir = out.join(format!("seed-{}-{arm}", plan.seed));
+        let day = slow_start::play(&dir, &binaries, &plan).map_err(CliError::Cluster)?;
+        Ok((format!("{} {arm}", plan.seed), day))
+    })
+}
--- /dev/null
+++ b/crates/emulator/src/cli/programs.rs
@@ -0,0 +1,30 @@
+//! The programs that stand beside this one.
+
+use std::path::PathBuf;
+
+use emulator::cluster::cluster_harness::Binaries;
+use emulator::cluster::lease_harness::Programs;
+
+use super::CliError;
+
+/// The program of this name beside this one.
+pub fn sibling(name: &str) -> Result<PathBuf, CliError> {
+    let own = std::env::current_exe().map_err(CliError::OwnPath)?;
+    let program = own.with_file_name(format!("{name}{}", std::env::consts::EXE_SUFFIX));
+    if program.is_file() {
+        Ok(program)
+    } else {
+        Err(CliError::MissingProgram(program))
+    }
+}
+
+/// What a cluster of dispatchers is started from.
+pub fn cluster_binaries() -> Result<Binaries, CliError> {
+    Ok(Binaries { dispatcher: sibling("dispatcher")?, coordinator: sibling("coordinator")? })
+}
+
+/// What a cluster of members without jobs is started from.
+pub fn lease_programs() -> Result<Programs, CliError> {
+    let own = std::env::current_exe().map_err(CliError::OwnPath)?;
+    Ok(Programs { coordinator: sibling("coordinator")?, emulator: own })
+}
