--- a/crates/coordinator/src/replica/read_index.rs
+++ b/crates/coordinator/src/replica/read_index.rs
@@ -7,7 +7,7 @@
 use coordination::{Micros, Revision, SessionId};
 use raft::ReadState;
 
-use super::requests::Requester;
+use super::proposals::Requester;
 use super::{status, Replica};
 
 /// A renewal that was not answered yet.
@@ -53,7 +53,7 @@
         self.queued.len()
     }
 
-    /// Takes out all renewals, and returns who asked for them.
+    /// Removes all renewals, and returns their requesters.
     pub(super) fn drain(&mut self) -> Vec<Requester> {
         let RenewalQueue { queued, round, confirmed } = std::mem::take(self);
         let in_round = round.into_iter().flat_map(|round| round.renewals);
