--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -1,4 +1,4 @@
-//! Holds dispatchers to the four rules, by what the stand-ins saw: clients their answers, workers the jobs that
+//! Holds dispatchers to the four rules, by what the emulated parties saw: clients their answers, workers the jobs that
 //! reached them, discovery what it told. A dispatcher's own word counts for nothing here.
 
 use dispatch_core::api::{Idempotency, KeyScope};
--- a/crates/emulator/src/cluster/cluster_harness.rs
+++ b/crates/emulator/src/cluster/cluster_harness.rs
@@ -1,4 +1,4 @@
-//! Keepers and real dispatchers as processes, with one discovery for all of them: what a fleet is set up as.
+//! Coordinators and real dispatchers as processes, with one discovery for all of them: what a fleet is set up as.
 
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -65,7 +65,7 @@
     coordinators: Vec<Option<Process>>,
     dispatchers: Vec<Option<Process>>,
     consoles: Vec<SocketAddr>,
-    /// The links between keepers and members, where they pass a proxy: keepers by their number, dispatchers as
+    /// The links between coordinators and members, where they pass a proxy: coordinators by their number, dispatchers as
     /// [`member`].
     pub network: Option<SharedNetwork>,
     /// Where clients reach the dispatchers.
@@ -87,11 +87,11 @@
     pub cluster_settings: Option<&'a str>,
     /// One discovery for all, or one for each.
     pub discoveries: &'a [EmulatedDiscovery],
-    /// Whether every link between keepers and members passes a proxy, drawn by this seed.
+    /// Whether every link between coordinators and members passes a proxy, drawn by this seed.
     pub proxy_seed: Option<u64>,
 }
 
-/// Plays something of processes and stand-ins below this folder, on a thread of its own runtime.
+/// Plays something of processes and emulated parties below this folder, on a thread of its own runtime.
 ///
 /// # Errors
 /// The folder or the runtime cannot be made, or what is played says so.
@@ -101,14 +101,16 @@
     LocalSet::new().block_on(&runtime.map_err(with_context("a runtime"))?, play)
 }
 
-/// What so many keepers and dispatchers recorded below a folder.
+/// What so many coordinators and dispatchers recorded below a folder.
 ///
 /// # Errors
 /// A record cannot be read.
-pub fn read_records(dir: &Path, keepers: usize, dispatchers: usize) -> Result<Records, String> {
+pub fn read_records(dir: &Path, coordinators: usize, dispatchers: usize) -> Result<Records, String> {
     let mut records = Records::default();
-    for keeper in 1..=keepers as u64 {
-        records.coordinators.insert(keeper, record_checker::read(&dir.join(format!("k{keeper}.jsonl")))?);
+    for coordinator in 1..=coordinators as u64 {
+        records
+            .coordinators
+            .insert(coordinator, record_checker::read(&dir.join(format!("k{coordinator}.jsonl")))?);
     }
     for n in 0..dispatchers {
         records.members.insert(format!("d{n}"), record_checker::read(&dir.join(format!("d{n}.jsonl")))?);
@@ -152,20 +154,20 @@
     Some((status, after, body.to_owned()))
 }
 
-/// The name of a dispatcher to the proxies, after those of the keepers.
+/// The name of a dispatcher to the proxies, after those of the coordinators.
 #[must_use]
 pub fn member_node(dispatcher: usize) -> NodeId {
     10 + dispatcher
 }
 
 /// A proxy before this address, where there are any, and where it is.
-fn proxy_before(net: Option<&SharedNetwork>, name: NodeId, at: SocketAddr) -> Result<SocketAddr, String> {
-    let Some(net) = net else { return Ok(at) };
+fn proxy_before(network: Option<&SharedNetwork>, name: NodeId, at: SocketAddr) -> Result<SocketAddr, String> {
+    let Some(network) = network else { return Ok(at) };
     let listener = std::net::TcpListener::bind("127.0.0.1:0").map_err(with_context("a proxy"))?;
     listener.set_nonblocking(true).map_err(with_context("a proxy"))?;
     let door = listener.local_addr().map_err(with_context("a proxy"))?;
     let listener = TcpListener::from_std(listener).map_err(with_context("a proxy"))?;
-    spawn_local(run_proxy(net.clone(), listener, name, at));
+    spawn_local(run_proxy(network.clone(), listener, name, at));
     Ok(door)
 }
 
@@ -245,7 +247,7 @@
 }
 
 impl ClusterHarness {
-    /// Sets keepers and dispatchers up below a folder and starts them. `config` is a dispatcher's, without
+    /// Sets coordinators and dispatchers up below a folder and starts them. `config` is a dispatcher's, without
     /// name and addresses.
     ///
     /// # Errors
@@ -269,11 +271,11 @@
         let doors: Vec<SocketAddr> = (0..count).map(|_| addresses.next_address()).collect();
         let names = (1..=count).chain((0..dispatchers).map(member_node));
         let names = names.map(|name| (addresses.source_address(name).into(), name)).collect();
-        let net = proxied.map(|seed| FaultyNetwork::new(names, seed));
+        let network = proxied.map(|seed| FaultyNetwork::new(names, seed));
         // What others are told of an address: the proxy before it, where there is one.
         let seen: Result<Vec<SocketAddr>, String> =
-            (1..).zip(&doors).map(|(name, at)| proxy_before(net.as_ref(), name, *at)).collect();
-        let keepers = coordinator_blocks(&seen?);
+            (1..).zip(&doors).map(|(name, at)| proxy_before(network.as_ref(), name, *at)).collect();
+        let coordinators = coordinator_blocks(&seen?);
         for number in 1..=count {
             let serve = format!(
                 "serve {{\n  keeper = {number}\n  store = \"{}\"\n  listen = \"{}\"\n  bind = \"{}\"\n}}\n",
@@ -281,7 +283,7 @@
                 doors[number - 1],
                 addresses.source_address(number),
             );
-            bootstrap(dir, &binaries, number, format!("installation = \"test\"\n{keepers}{serve}"))?;
+            bootstrap(dir, &binaries, number, format!("installation = \"test\"\n{coordinators}{serve}"))?;
         }
         config["known"] = json!({"revision": 0, "complete": true, "members": []});
         let (mut consoles, mut listen) = (Vec::new(), Vec::new());
@@ -293,10 +295,10 @@
             write(&dir.join(format!("d{n}.json")), text)?;
             let at = addresses.next_address();
             let settings = together.map_or(Ok(String::new()), |settings| {
-                let address = proxy_before(net.as_ref(), member_node(n), at)?;
+                let address = proxy_before(network.as_ref(), member_node(n), at)?;
                 let record = dir.join(format!("d{n}.jsonl"));
                 let bind = addresses.source_address(member_node(n));
-                Ok::<_, String>(member_settings((at, address, bind), &record, &keepers, settings))
+                Ok::<_, String>(member_settings((at, address, bind), &record, &coordinators, settings))
             })?;
             write(&dir.join(format!("d{n}.hcl")), settings)?;
         }
@@ -307,7 +309,7 @@
             coordinators: (0..count).map(|_| None).collect(),
             dispatchers: (0..dispatchers).map(|_| None).collect(),
             consoles,
-            network: net,
+            network: network,
             listen,
         };
         if together.is_some() {
@@ -329,7 +331,7 @@
         child.map(Process).map_err(with_context(program.display()))
     }
 
-    /// Starts keeper `n`, from one.
+    /// Starts coordinator `n`, from one.
     ///
     /// # Errors
     /// It cannot be started.
@@ -352,7 +354,7 @@
         Ok(())
     }
 
-    /// Sets a key in the block `serve` of keeper `n`, from one; it counts from its next start.
+    /// Sets a key in the block `serve` of coordinator `n`, from one; it counts from its next start.
     ///
     /// # Errors
     /// The file cannot be changed.
@@ -364,7 +366,7 @@
         write(&file, text.replacen("serve {\n", &format!("serve {{\n  {key} = {value}\n"), 1))
     }
 
-    /// Kills keeper `n`, from one, and removes its store.
+    /// Kills coordinator `n`, from one, and removes its store.
     ///
     /// # Errors
     /// It cannot be removed.
@@ -374,12 +376,12 @@
         std::fs::remove_dir_all(&store).map_err(with_context(store.display()))
     }
 
-    /// The exit code of keeper `n`, from one, where it ended by itself.
+    /// The exit code of coordinator `n`, from one, where it ended by itself.
     pub fn coordinator_exit_code(&mut self, n: usize) -> Option<i32> {
         self.coordinators[n - 1].as_mut()?.0.try_wait().ok()?.and_then(|status| status.code())
     }
 
-    /// The log of keeper `n`, from one.
+    /// The log of coordinator `n`, from one.
     pub fn coordinator_log(&self, n: usize) -> String {
         std::fs::read_to_string(self.dir.join(format!("k{n}.log"))).unwrap_or_default()
     }
@@ -394,7 +396,7 @@
         self.consoles[n]
     }
 
-    /// Runs `coordinator` with the configuration of keeper `n`, from one, and returns what it says, or why it
+    /// Runs `coordinator` with the configuration of coordinator `n`, from one, and returns what it says, or why it
     /// failed.
     ///
     /// # Errors
@@ -415,7 +417,7 @@
         }
     }
 
-    /// Kills keeper `lost` and removes its store; sets up and starts keeper `new`, which is to take its place. Returns
+    /// Kills coordinator `lost` and removes its store; sets up and starts coordinator `new`, which is to take its place. Returns
     /// where the new one is.
     ///
     /// # Errors
@@ -441,7 +443,7 @@
         Ok(at)
     }
 
-    /// Kills keeper `n`, from one.
+    /// Kills coordinator `n`, from one.
     pub fn kill_coordinator(&mut self, n: usize) {
         self.coordinators[n - 1] = None;
     }
@@ -477,7 +479,7 @@
         send_signal(&self.dispatchers[n], signal)
     }
 
-    /// Sends a signal to keeper `n`, from one.
+    /// Sends a signal to coordinator `n`, from one.
     ///
     /// # Errors
     /// It does not run.
@@ -485,7 +487,7 @@
         send_signal(&self.coordinators[n - 1], signal)
     }
 
-    /// The numbers of the processes that run, of keepers and of dispatchers.
+    /// The numbers of the processes that run, of coordinators and of dispatchers.
     pub fn process_ids(&self) -> (Vec<u32>, Vec<u32>) {
         let ids = |all: &[Option<Process>]| all.iter().flatten().map(|process| process.0.id()).collect();
         (ids(&self.coordinators), ids(&self.dispatchers))
@@ -504,7 +506,7 @@
         self.signal_dispatcher(n, Signal::HUP)
     }
 
-    /// The keeper that said last that it leads, from one.
+    /// The coordinator that said last that it leads, from one.
     pub fn leader(&self) -> usize {
         let term = |n: &usize| {
             let log = std::fs::read_to_string(self.dir.join(format!("k{n}.log"))).unwrap_or_default();
--- a/crates/emulator/src/cluster/dispatch_latency.rs
+++ b/crates/emulator/src/cluster/dispatch_latency.rs
@@ -1,5 +1,5 @@
-//! Whether dispatching waits for the fleet: the same traffic with the fleet off, on, on while its keepers' leader is
-//! killed again and again, and on with all keepers gone, side by side.
+//! Whether dispatching waits for the fleet: the same traffic with the fleet off, on, on while its coordinators' leader is
+//! killed again and again, and on with all coordinators gone, side by side.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
 /// Jobs a second at each dispatcher, over so many kept connections.
 const RATE: u64 = 100;
 const CONNECTIONS: u64 = 8;
-/// How long a stand-in worker runs a job.
+/// How long a emulated worker runs a job.
 const RUN_TIME: Duration = Duration::from_millis(5);
 /// How often the coordinators' leader is killed.
 const KILL_INTERVAL: Duration = Duration::from_secs(5);
@@ -35,7 +35,7 @@
 /// A client gives up after this.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What is done to the keepers.
+/// What is done to the coordinators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Arm {
     Off,
@@ -66,7 +66,7 @@
     pub max_ms: f64,
     /// The longest time in which one dispatcher's clients got no answer at all.
     pub worst_gap_ms: f64,
-    /// How often leaders of the keepers were killed.
+    /// How often leaders of the coordinators were killed.
     pub killed: u64,
     /// Watches open at discovery at the end.
     pub watches: u64,
@@ -129,10 +129,10 @@
         discoveries: &[discovery],
         proxy_seed: None,
     };
-    let mut fleet = ClusterHarness::start(dir, binaries, settings(), setup).await?;
-    fleet.wait_for_workers(WORKERS).await?;
+    let mut cluster = ClusterHarness::start(dir, binaries, settings(), setup).await?;
+    cluster.wait_for_workers(WORKERS).await?;
     if arm != Arm::Off {
-        fleet.wait_for_watches(1).await?;
+        cluster.wait_for_watches(1).await?;
     }
     let now = Instant::now();
     let times = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(|error| error.to_string())?;
@@ -141,13 +141,13 @@
     // The first seconds fill the banks of tokens, and count in no arm.
     let warm = now + Duration::from_secs(2);
     let end = warm + length;
-    for (dispatcher, address) in fleet.listen.iter().enumerate() {
+    for (dispatcher, address) in cluster.listen.iter().enumerate() {
         for connection in 0..CONNECTIONS {
             spawn_local(run_client(tally.clone(), (dispatcher, connection), *address, (warm, end)));
         }
     }
     tokio::time::sleep_until(warm).await;
-    let killed = disturb_coordinators(&mut fleet, arm, end).await?;
+    let killed = disturb_coordinators(&mut cluster, arm, end).await?;
     tokio::time::sleep_until(end + Duration::from_millis(500)).await;
     let tally = tally.borrow();
     let ms = |quantile| tally.times.value_at_quantile(quantile) as f64 / 1e3;
@@ -159,24 +159,24 @@
         max_ms: tally.times.max() as f64 / 1e3,
         worst_gap_ms: tally.gap.as_secs_f64() * 1e3,
         killed,
-        watches: fleet.discovery.connection_counts().1,
+        watches: cluster.discovery.connection_counts().1,
     })
 }
 
 /// Does to the coordinators what the arm says, until the end; returns how often a leader was killed.
-async fn disturb_coordinators(fleet: &mut ClusterHarness, arm: Arm, end: Instant) -> Result<u64, String> {
+async fn disturb_coordinators(cluster: &mut ClusterHarness, arm: Arm, end: Instant) -> Result<u64, String> {
     let mut killed = 0;
     match arm {
         Arm::Off | Arm::On => {}
-        Arm::NoCoordinators => (1..=3).for_each(|n| fleet.kill_coordinator(n)),
+        Arm::NoCoordinators => (1..=3).for_each(|n| cluster.kill_coordinator(n)),
         Arm::LeaderKilled => {
             while Instant::now() + KILL_INTERVAL < end {
                 sleep(KILL_INTERVAL - LEADER_RESTART).await;
-                let leader = fleet.leader();
-                fleet.kill_coordinator(leader);
+                let leader = cluster.leader();
+                cluster.kill_coordinator(leader);
                 killed += 1;
                 sleep(LEADER_RESTART).await;
-                fleet.start_coordinator(leader)?;
+                cluster.start_coordinator(leader)?;
             }
         }
     }
@@ -201,7 +201,7 @@
     })
 }
 
-/// A stand-in worker: says that it starts, runs, says that it is done.
+/// A emulated worker: says that it starts, runs, says that it is done.
 async fn serve_worker(listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         spawn_local(async move {
--- a/crates/emulator/src/cluster/emulated_discovery.rs
+++ b/crates/emulator/src/cluster/emulated_discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a discovery service that all dispatchers of a fleet ask. It counts who asks.
+//! A emulated for a discovery service that all dispatchers of a fleet ask. It counts who asks.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/emulator/src/cluster/fault_proxy.rs
+++ b/crates/emulator/src/cluster/fault_proxy.rs
@@ -1,7 +1,7 @@
 //! A proxy between processes that breaks what passes: delay, stall and cut by direction, reset in the middle of a
 //! frame, a second connection that says the same again, a narrow line.
 //!
-//! Who connects is known by the address that it comes from, since each process of a rig has one of its own.
+//! Who connects is known by the address that it comes from, since each process of a harness has one of its own.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -33,10 +33,10 @@
     pub duplicate_probability: f64,
 }
 
-/// Who a process is to the proxies of a rig.
+/// Who a process is to the proxies of a harness.
 pub type NodeId = usize;
 
-/// The directions that are in trouble.
+/// The directions that are in fault.
 #[derive(Debug)]
 pub struct FaultyNetwork {
     link_faults: BTreeMap<(NodeId, NodeId), LinkFault>,
@@ -50,11 +50,11 @@
     pub bytes: u64,
 }
 
-/// All proxies of a rig share it.
+/// All proxies of a harness share it.
 pub type SharedNetwork = Rc<RefCell<FaultyNetwork>>;
 
 impl FaultyNetwork {
-    /// A net without troubles, where connections from these addresses are known.
+    /// A net without faults, where connections from these addresses are known.
     pub fn new(names: BTreeMap<IpAddr, NodeId>, seed: u64) -> SharedNetwork {
         let random = Pcg64::seed_from_u64(seed);
         Rc::new(RefCell::new(FaultyNetwork {
@@ -72,14 +72,14 @@
         change(self.link_faults.entry((from, to)).or_default());
     }
 
-    /// Ends all troubles but cuts.
+    /// Ends all faults but cuts.
     pub fn clear_all_but_partitions(&mut self) {
-        for trouble in self.link_faults.values_mut() {
-            *trouble = LinkFault { partitioned: trouble.partitioned, ..LinkFault::default() };
+        for link in self.link_faults.values_mut() {
+            *link = LinkFault { partitioned: link.partitioned, ..LinkFault::default() };
         }
     }
 
-    /// Ends all troubles.
+    /// Ends all faults.
     pub fn clear_faults(&mut self) {
         self.link_faults.clear();
     }
@@ -90,27 +90,29 @@
 }
 
 /// Stands before a process for as long as the listener lasts.
-pub async fn run_proxy(net: SharedNetwork, listener: TcpListener, name: NodeId, target: SocketAddr) {
+pub async fn run_proxy(network: SharedNetwork, listener: TcpListener, name: NodeId, target: SocketAddr) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
             sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let from = net.borrow().nodes.get(&from.ip()).copied();
+        let from = network.borrow().nodes.get(&from.ip()).copied();
         // A stranger, such as an operator's tool, passes untouched, as from itself.
-        spawn_local(relay(net.clone(), stream, from.unwrap_or(name), name, target));
+        spawn_local(relay(network.clone(), stream, from.unwrap_or(name), name, target));
     }
 }
 
-async fn relay(net: SharedNetwork, stream: TcpStream, from: NodeId, to: NodeId, target: SocketAddr) {
+async fn relay(network: SharedNetwork, stream: TcpStream, from: NodeId, to: NodeId, target: SocketAddr) {
     let (reset, double) = {
-        let mut net = net.borrow_mut();
-        let trouble = net.link(from, to);
-        let reset =
-            net.random.random_bool(trouble.reset_probability).then(|| net.random.random_range(1..200usize));
-        let double = net.random.random_bool(trouble.duplicate_probability);
-        net.resets += u64::from(reset.is_some());
-        net.duplicates += u64::from(double);
+        let mut network = network.borrow_mut();
+        let link = network.link(from, to);
+        let reset = network
+            .random
+            .random_bool(link.reset_probability)
+            .then(|| network.random.random_range(1..200usize));
+        let double = network.random.random_bool(link.duplicate_probability);
+        network.resets += u64::from(reset.is_some());
+        network.duplicates += u64::from(double);
         (reset, double)
     };
     let Ok(other) = TcpStream::connect(target).await else { return };
@@ -126,8 +128,8 @@
             while matches!(read.read(&mut sink).await, Ok(n) if n > 0) {}
         });
     }
-    let there = copy_one_way(net.clone(), (from, to), near_read, far_write, second_write, reset);
-    let back = copy_one_way(net.clone(), (to, from), far_read, near_write, None, None);
+    let there = copy_one_way(network.clone(), (from, to), near_read, far_write, second_write, reset);
+    let back = copy_one_way(network.clone(), (to, from), far_read, near_write, None, None);
     // Either end closing ends both, as does the reset.
     tokio::select! {
         () = there => {}
@@ -136,7 +138,7 @@
 }
 
 async fn copy_one_way(
-    net: SharedNetwork,
+    network: SharedNetwork,
     (from, to): (NodeId, NodeId),
     mut read: OwnedReadHalf,
     mut write: OwnedWriteHalf,
@@ -144,7 +146,7 @@
     reset: Option<usize>,
 ) {
     let (sender, mut chunks) = mpsc::channel::<(Instant, Vec<u8>)>(64);
-    let delays = net.clone();
+    let delays = network.clone();
     // It owns the sender: with the end of what is read the writer ends too, and the connection closes.
     let reader = async move {
         let mut buffer = vec![0; 16_384];
@@ -163,7 +165,7 @@
     let writer = async {
         while let Some((due, mut chunk)) = chunks.recv().await {
             sleep_until(due).await;
-            while net.borrow().link(from, to).partitioned {
+            while network.borrow().link(from, to).partitioned {
                 sleep(Duration::from_millis(5)).await;
             }
             if let Some(left) = &mut left {
@@ -174,8 +176,8 @@
                 }
                 *left -= chunk.len();
             }
-            let rate = net.borrow().link(from, to).bytes_per_second;
-            net.borrow_mut().bytes += chunk.len() as u64;
+            let rate = network.borrow().link(from, to).bytes_per_second;
+            network.borrow_mut().bytes += chunk.len() as u64;
             let piece = if rate == 0 { chunk.len() } else { (rate / 50).max(1) as usize };
             for piece in chunk.chunks(piece) {
                 if write.write_all(piece).await.is_err() {
--- a/crates/emulator/src/cluster/lease_harness/mod.rs
+++ b/crates/emulator/src/cluster/lease_harness/mod.rs
@@ -1,4 +1,4 @@
-//! Plays one schedule: real keepers and members, every link between two of them through a proxy, faults as drawn.
+//! Plays one schedule: real coordinators and members, every link between two of them through a proxy, faults as drawn.
 
 mod faults;
 mod recovery;
@@ -31,7 +31,7 @@
 pub struct Programs {
     /// `coordinator`.
     pub coordinator: PathBuf,
-    /// This tool, which also is the light member.
+    /// This tool, which also is the lightweight member.
     pub emulator: PathBuf,
 }
 
@@ -61,7 +61,7 @@
 /// Each schedule of this process gets addresses of its own.
 static NEXT_ADDRESS_BLOCK: AtomicU8 = AtomicU8::new(0);
 
-/// The installation's name in all rigs.
+/// The installation's name in all harnesses.
 const INSTALLATION: &str = "rig";
 const LEASE: &str = "pulse";
 
@@ -112,7 +112,7 @@
 /// Plays the schedule of a seed. What the processes leave is in a folder of its own below `out`.
 ///
 /// # Errors
-/// The rig itself could not do its work; a broken rule is no error here.
+/// The harness itself could not do its work; a broken rule is no error here.
 pub fn play(
     plan: &ClusterExperiment,
     arm: &Arm,
@@ -126,11 +126,11 @@
         .build()
         .map_err(with_context("runtime"))?;
     LocalSet::new().block_on(&runtime, async {
-        let mut rig = LeaseHarness::new(plan, arm, seed, programs, out, bug).await?;
-        let played = rig.run_schedule(seed).await;
-        rig.shut_down().await;
+        let mut harness = LeaseHarness::new(plan, arm, seed, programs, out, bug).await?;
+        let played = harness.run_schedule(seed).await;
+        harness.shut_down().await;
         played?;
-        rig.evaluate(seed)
+        harness.evaluate(seed)
     })
 }
 
@@ -149,16 +149,16 @@
         let base = address_block();
         let count = arm.coordinators + arm.members;
         let ip = |last: usize| IpAddr::V4(Ipv4Addr::new(127, base[0], base[1], last as u8));
-        let net = FaultyNetwork::new((0..count).map(|name| (ip(1 + name), name)).collect(), seed);
+        let network = FaultyNetwork::new((0..count).map(|name| (ip(1 + name), name)).collect(), seed);
         let (mut targets, mut doors, mut tasks) = (Vec::new(), Vec::new(), Vec::new());
         for name in 0..count {
             let target = free_address(ip(1 + name))?;
             let door = TcpListener::bind((ip(101 + name), 0)).await.map_err(with_context("a proxy"))?;
             doors.push(door.local_addr().map_err(with_context("a proxy"))?);
             targets.push(target);
-            tasks.push(spawn_local(fault_proxy::run_proxy(net.clone(), door, name, target)));
+            tasks.push(spawn_local(fault_proxy::run_proxy(network.clone(), door, name, target)));
         }
-        let keepers: BTreeMap<u64, SocketAddr> =
+        let coordinators: BTreeMap<u64, SocketAddr> =
             (0..arm.coordinators).map(|name| (name as u64 + 1, doors[name])).collect();
         let member = |name: NodeId| MemberConfig {
             installation: INSTALLATION.to_owned(),
@@ -166,7 +166,7 @@
             listen: targets[name],
             address: doors[name],
             bind: Some(ip(1 + name)),
-            coordinators: keepers.clone(),
+            coordinators: coordinators.clone(),
             leases: vec![LEASE.to_owned()],
             times: plan.times,
             record: Some(dir.join(format!("m{}.jsonl", name - arm.coordinators))),
@@ -183,12 +183,12 @@
         };
         let processes = targets.iter().enumerate().map(process).collect();
         let random = Pcg64::seed_from_u64(seed ^ 0x5eed);
-        let mut rig = LeaseHarness {
+        let mut harness = LeaseHarness {
             dir,
             programs,
             plan,
             arm,
-            network: net,
+            network: network,
             processes,
             injected_bug: bug,
             address_block: base,
@@ -198,8 +198,8 @@
             violations: Violations::new(),
             random,
         };
-        rig.start_all(&keepers)?;
-        Ok(rig)
+        harness.start_all(&coordinators)?;
+        Ok(harness)
     }
 
     /// Makes the coordinators' stores and starts all processes.
@@ -236,11 +236,11 @@
     fn write_coordinator_config(
         &self,
         name: NodeId,
-        keepers: &BTreeMap<u64, SocketAddr>,
+        coordinators: &BTreeMap<u64, SocketAddr>,
     ) -> Result<(), String> {
         let process = &self.processes[name];
         let mut text = format!("installation = \"{INSTALLATION}\"\n");
-        for (number, door) in keepers {
+        for (number, door) in coordinators {
             text += &format!("keeper \"{number}\" {{\n  address = \"{door}\"\n}}\n");
         }
         let times = &self.plan.times;
@@ -271,7 +271,7 @@
         self.start_with(name, None)
     }
 
-    /// Starts a process; a keeper perhaps with a bound: on the size of its files, as if its disk were full, or on its
+    /// Starts a process; a coordinator perhaps with a bound: on the size of its files, as if its disk were full, or on its
     /// descriptors.
     fn start_with(&mut self, name: NodeId, bound: Option<&str>) -> Result<(), String> {
         if self.processes[name].child.is_some() {
@@ -295,7 +295,7 @@
                     }
                 };
                 command.args(["serve", "--config"]).arg(self.path(name, "hcl"));
-                // The record is on the full disk too, where there is one: what it misses, other keepers recorded.
+                // The record is on the full disk too, where there is one: what it misses, other coordinators recorded.
                 command.arg("--record").arg(self.dir.join(format!("k{number}.jsonl")));
                 command
             }
@@ -347,11 +347,11 @@
     fn coordinator_records(&self) -> Result<Records, String> {
         let read =
             |number: u64| Ok((number, record_checker::read(&self.dir.join(format!("k{number}.jsonl")))?));
-        let keepers: Result<_, String> = (1..=self.arm.coordinators as u64).map(read).collect();
-        Ok(Records { coordinators: keepers?, members: BTreeMap::new() })
+        let coordinators: Result<_, String> = (1..=self.arm.coordinators as u64).map(read).collect();
+        Ok(Records { coordinators: coordinators?, members: BTreeMap::new() })
     }
 
-    /// Who owned the duty last, by the keepers' records, and in which term.
+    /// Who owned the lease last, by the coordinators' records, and in which term.
     fn lease_holder(&self) -> Result<Option<(NodeId, u64)>, String> {
         let records = self.coordinator_records()?;
         let Some((token, session)) = record_checker::newest_grant(&records) else { return Ok(None) };
--- a/crates/emulator/src/cluster/lease_model.rs
+++ b/crates/emulator/src/cluster/lease_model.rs
@@ -1,7 +1,7 @@
-//! The ownership protocol, checked in every order of events up to a bound, on the very modules that the processes run.
+//! The leases protocol, checked in every order of events up to a bound, on the very modules that the processes run.
 //!
-//! The keepers are one agreed log here (what Raft gives); their leader may change at any moment. Time is a counter
-//! that all see. Messages may be delivered in any order, late or never. An owner may stop between its look at the
+//! The coordinators are one agreed log here (what Raft gives); their leader may change at any moment. Time is a counter
+//! that all see. Messages may be delivered in any order, late or never. An holder may stop between its look at the
 //! clock and the effect.
 
 use std::collections::BTreeSet;
@@ -17,11 +17,11 @@
 pub struct Bounds {
     /// How far the clock goes.
     pub time: u64,
-    /// Members, the first of which owns the duty at the start.
+    /// Members, the first of which owns the lease at the start.
     pub members: u64,
     /// Messages on their way at once.
     pub messages: usize,
-    /// How often the leading keeper changes.
+    /// How often the leading coordinator changes.
     pub leaders: u8,
 }
 
@@ -31,10 +31,10 @@
     }
 }
 
-/// The protocol with a flaw or without.
+/// The protocol with a bug or without.
 #[derive(Debug, Clone)]
 pub struct LeaseProtocol {
-    /// The flaw put in.
+    /// The bug put in.
     pub injected_bug: Option<InjectedBug>,
     /// How far to look.
     pub bounds: Bounds,
@@ -43,7 +43,7 @@
 /// A message on its way.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// The keepers' answer to what was asked then, with the revision and the floor and owner that it shows.
+    /// The coordinators' answer to what was asked then, with the revision and the floor and holder that it shows.
     RenewalReply(usize, u64, Option<ViewSummary>),
     /// An effect of a term, to a receiver.
     Effect(usize, FencingToken),
@@ -79,18 +79,18 @@
 pub enum Event {
     /// The clock goes on.
     Tick,
-    /// A member asks for its renewal, and the keepers confirm it. (If it were long on its way to them, they would
+    /// A member asks for its renewal, and the coordinators confirm it. (If it were long on its way to them, they would
     /// count from later: that is on the safe side, so it is left out.)
     Renew(usize),
     /// A message arrives.
     Deliver(Message),
-    /// The leading keeper does what is due.
+    /// The leading coordinator does what is due.
     Decide,
-    /// Another keeper leads.
+    /// Another coordinator leads.
     NewLeader,
-    /// An owner looks whether it may act.
+    /// An holder looks whether it may act.
     CheckLease(usize),
-    /// An owner that has looked acts, towards a receiver.
+    /// An holder that has looked acts, towards a receiver.
     Act(usize, usize),
 }
 
@@ -142,7 +142,7 @@
     type State = Fleet;
     type Action = Event;
 
-    /// Members that joined, one of them the owner of the only duty.
+    /// Members that joined, one of them the holder of the only lease.
     fn init_states(&self) -> Vec<Fleet> {
         let times = Timing {
             lease_duration: 2,
--- a/crates/emulator/src/cluster/lightweight_member.rs
+++ b/crates/emulator/src/cluster/lightweight_member.rs
@@ -1,4 +1,4 @@
-//! A member without jobs: the real session, the real links, and a duty whose effects say nothing but their token.
+//! A member without jobs: the real session, the real links, and a lease whose effects say nothing but their token.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -14,12 +14,12 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::sleep;
 
-/// How often an owner has something to say, and in how many pieces with how much time between them.
+/// How often an holder has something to say, and in how many pieces with how much time between them.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
 const EFFECTS_PER_ROUND: u32 = 5;
 const EFFECT_INTERVAL: Duration = Duration::from_millis(4);
 
-/// What a light member is told, as JSON.
+/// What a lightweight member is told, as JSON.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MemberConfig {
     /// The installation.
@@ -32,24 +32,24 @@
     pub address: SocketAddr,
     /// The address that its connections come from.
     pub bind: Option<IpAddr>,
-    /// The keepers.
+    /// The coordinators.
     #[serde(rename = "keepers")]
     pub coordinators: BTreeMap<u64, SocketAddr>,
-    /// The duties that it offers.
+    /// The leases that it offers.
     #[serde(rename = "duties")]
     pub leases: Vec<String>,
-    /// The times, as the keepers have them.
+    /// The times, as the coordinators have them.
     pub times: Timing,
     /// Where it records.
     pub record: Option<PathBuf>,
-    /// A flaw put in, by name.
+    /// A bug put in, by name.
     #[serde(rename = "bug")]
     pub injected_bug: Option<String>,
     /// Its seed.
     pub seed: u64,
 }
 
-/// Runs a light member until it is told to end.
+/// Runs a lightweight member until it is told to end.
 ///
 /// # Errors
 /// It cannot start.
@@ -105,7 +105,7 @@
     }
 }
 
-/// Does the rounds of every duty that this member owns.
+/// Does the rounds of every lease that this member owns.
 async fn publish_effects(member: Member) {
     let mut terms: BTreeMap<LeaseId, Publisher> = BTreeMap::new();
     loop {
--- a/crates/emulator/src/cluster/planned_drains.rs
+++ b/crates/emulator/src/cluster/planned_drains.rs
@@ -1,13 +1,13 @@
-//! Planned drains of dispatchers, agreed across the fleet, with faults: real keepers and dispatchers, operators that ask
-//! for standby at the consoles, and a proxy on every link between keepers and members.
+//! Planned drains of dispatchers, agreed across the fleet, with faults: real coordinators and dispatchers, operators that ask
+//! for standby at the consoles, and a proxy on every link between coordinators and members.
 //!
-//! The rules, checked by the records of dispatchers and keepers and by what the rig did:
+//! The rules, checked by the records of dispatchers and coordinators and by what the harness did:
 //!
 //! 1. never more dispatchers in standby by plan than the budgets allow, by fleet and by zone;
 //! 2. no permit is granted while what is lost, and known to be, has used the budget up;
-//! 3. a call for standby is answered within its time, whatever the keepers do;
+//! 3. a call for standby is answered within its time, whatever the coordinators do;
 //! 4. when all is healed everybody who asks gets its turn;
-//! 5. the rules of ownership.
+//! 5. the rules of leases.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -44,13 +44,13 @@
 const MOST: (usize, usize) = (2, 1);
 /// A call is decided within 0.8 s; the rest is the machine's.
 const DECISION_TIMEOUT: u64 = 1_500_000;
-/// A loss that lasts this long is known to the account: what a dispatcher said last holds 1 s, an owner may change.
+/// A loss that lasts this long is known to the account: what a dispatcher said last holds 1 s, an holder may change.
 const LOSS_KNOWN_AFTER: u64 = 6_000_000;
 
 /// What is played.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Keepers, three or five.
+    /// Coordinators, three or five.
     pub coordinators: usize,
     /// Dispatchers, in three zones in turn.
     pub dispatchers: usize,
@@ -60,7 +60,7 @@
     pub fault_interval: Duration,
     /// After how long a worker is warm, in seconds.
     pub warm_up_s: f64,
-    /// A flaw in the keepers' account.
+    /// A bug in the coordinators' account.
     pub injected_bug: Option<String>,
     /// Draws the faults and the operators' calls.
     pub seed: u64,
@@ -92,24 +92,24 @@
     /// SIGSTOP to a dispatcher right after its operator called, SIGCONT later.
     #[serde(rename = "stop-asker")]
     PauseRequester,
-    /// What keepers say to a dispatcher is late by 0.3 s, and it is called meanwhile.
+    /// What coordinators say to a dispatcher is late by 0.3 s, and it is called meanwhile.
     #[serde(rename = "slow-asker")]
     SlowRequester,
     /// SIGKILL to a dispatcher that stays away for long.
     #[serde(rename = "lose")]
     LoseDispatcher,
-    /// A dispatcher reaches no keeper and is not reached.
+    /// A dispatcher reaches no coordinator and is not reached.
     #[serde(rename = "cut-keepers")]
     PartitionFromCoordinators,
     /// A dispatcher and the others do not reach each other.
     #[serde(rename = "cut-members")]
     PartitionFromMembers,
-    /// The keepers' leader is killed, and comes back.
+    /// The coordinators' leader is killed, and comes back.
     KillLeader,
-    /// The keepers' leader is stopped, and goes on.
+    /// The coordinators' leader is stopped, and goes on.
     #[serde(rename = "stop-leader")]
     PauseLeader,
-    /// All keepers are killed at once, and come back.
+    /// All coordinators are killed at once, and come back.
     #[serde(rename = "kill-all-keepers")]
     KillAllCoordinators,
     /// Every link is 50 ms slower each way, and one connection in twenty is reset.
@@ -154,7 +154,7 @@
     pub lease_terms: u64,
 }
 
-/// What the rig did and saw.
+/// What the harness did and saw.
 #[derive(Debug, Default)]
 struct Observations {
     /// By dispatcher: from when to when it was killed, stopped, or cut off.
@@ -197,37 +197,37 @@
         discoveries: &[EmulatedDiscovery::new(4)],
         proxy_seed: Some(plan.seed),
     };
-    let mut fleet = ClusterHarness::start(dir, binaries, settings(plan), setup).await?;
+    let mut cluster = ClusterHarness::start(dir, binaries, settings(plan), setup).await?;
     if let Some(flaw) = &plan.injected_bug {
-        for keeper in 1..=plan.coordinators {
-            fleet.set_coordinator_setting(keeper, "flaw", &format!("\"{flaw}\""))?;
-            fleet.kill_coordinator(keeper);
-            fleet.start_coordinator(keeper)?;
+        for coordinator in 1..=plan.coordinators {
+            cluster.set_coordinator_setting(coordinator, "flaw", &format!("\"{flaw}\""))?;
+            cluster.kill_coordinator(coordinator);
+            cluster.start_coordinator(coordinator)?;
         }
     }
-    fleet.wait_for_workers(4).await?;
+    cluster.wait_for_workers(4).await?;
     let file = dir.join("budgets.hcl");
     std::fs::write(&file, budgets).map_err(|error| format!("{}: {error}", file.display()))?;
     let path = file.display().to_string();
     let until = Instant::now() + Duration::from_secs(10);
-    while let Err(why) = fleet.run_coordinator_command(1, &["budgets", "--set", &path]).await {
+    while let Err(why) = cluster.run_coordinator_command(1, &["budgets", "--set", &path]).await {
         if Instant::now() > until {
             return Err(why);
         }
         sleep(Duration::from_millis(100)).await;
     }
-    while available_dispatchers(&fleet).await != plan.dispatchers {
+    while available_dispatchers(&cluster).await != plan.dispatchers {
         if Instant::now() > until {
-            return Err(format!("not all are in\n{}", fleet.logs()));
+            return Err(format!("not all are in\n{}", cluster.logs()));
         }
         sleep(Duration::from_millis(50)).await;
     }
-    Ok(fleet)
+    Ok(cluster)
 }
 
 /// How many dispatchers the account has as in.
-async fn available_dispatchers(fleet: &ClusterHarness) -> usize {
-    let said = fleet.run_coordinator_command(1, &["account", "--json"]).await.unwrap_or_default();
+async fn available_dispatchers(cluster: &ClusterHarness) -> usize {
+    let said = cluster.run_coordinator_command(1, &["account", "--json"]).await.unwrap_or_default();
     let all: serde_json::Value = serde_json::from_str(&said).unwrap_or_default();
     let targets = all["account"]["targets"].as_array();
     let inside = |target: &&serde_json::Value| {
@@ -260,31 +260,32 @@
          budget \"zones\" {{\n  targets = \"dispatchers\"\n  of = \"each-zone\"\n  most_out = {}\n}}\n",
         MOST.0, MOST.1
     );
-    let mut fleet = start_cluster(dir, binaries, plan, &budgets).await?;
-    let notes = SharedObservations::default();
+    let mut cluster = start_cluster(dir, binaries, plan, &budgets).await?;
+    let observations = SharedObservations::default();
     {
-        let mut notes = notes.borrow_mut();
-        (notes.had_turn, notes.call_now) = (vec![false; plan.dispatchers], vec![false; plan.dispatchers]);
+        let mut observations = observations.borrow_mut();
+        (observations.had_turn, observations.call_now) =
+            (vec![false; plan.dispatchers], vec![false; plan.dispatchers]);
     }
     for n in 0..plan.dispatchers {
-        spawn_local(run_operator(notes.clone(), n, fleet.console_address(n), plan.seed));
+        spawn_local(run_operator(observations.clone(), n, cluster.console_address(n), plan.seed));
     }
     let mut found: BTreeMap<&str, Vec<String>> = BTreeMap::new();
-    let faults = inject_faults(&mut fleet, &notes, plan).await?;
+    let faults = inject_faults(&mut cluster, &observations, plan).await?;
     // All is healed: everybody gets its turn.
-    notes.borrow_mut().had_turn.fill(false);
+    observations.borrow_mut().had_turn.fill(false);
     let until = Instant::now() + Duration::from_secs(30);
-    while Instant::now() < until && notes.borrow().had_turn.contains(&false) {
+    while Instant::now() < until && observations.borrow().had_turn.contains(&false) {
         sleep(Duration::from_millis(100)).await;
     }
-    for (n, _) in notes.borrow().had_turn.iter().enumerate().filter(|(_, turn)| !**turn) {
+    for (n, _) in observations.borrow().had_turn.iter().enumerate().filter(|(_, turn)| !**turn) {
         found.entry(RULES[3]).or_default().push(format!("d{n} did not within 30 s"));
     }
-    notes.borrow_mut().ended_at = Some(clock::now());
-    drop(fleet);
+    observations.borrow_mut().ended_at = Some(clock::now());
+    drop(cluster);
     let records = read_records(dir, plan.coordinators, plan.dispatchers)?;
-    let notes = notes.borrow();
-    let mut drained = evaluate(&records, &notes, found);
+    let observations = observations.borrow();
+    let mut drained = evaluate(&records, &observations, found);
     for fault in faults {
         let name = serde_json::to_value(fault).ok();
         let name = name.as_ref().and_then(|name| name.as_str()).unwrap_or_default().to_owned();
@@ -294,20 +295,20 @@
 }
 
 /// Empties a dispatcher now and then: asks for standby until it is granted, waits, and makes it active again.
-async fn run_operator(notes: SharedObservations, n: usize, console: std::net::SocketAddr, seed: u64) {
+async fn run_operator(observations: SharedObservations, n: usize, console: std::net::SocketAddr, seed: u64) {
     let mut random = Pcg64::seed_from_u64(seed ^ (n as u64) << 24);
-    let over = || notes.borrow().ended_at.is_some();
+    let over = || observations.borrow().ended_at.is_some();
     while !over() {
         let pause = Duration::from_millis(random.random_range(200..1_500));
         let until = Instant::now() + pause;
-        while Instant::now() < until && !notes.borrow().call_now[n] {
+        while Instant::now() < until && !observations.borrow().call_now[n] {
             sleep(Duration::from_millis(20)).await;
         }
         loop {
             let from = clock::now();
             let answer = call_console(console, "POST", "/standby").await;
             let status = answer.as_ref().map_or(0, |(status, ..)| *status);
-            notes.borrow_mut().calls.push((n, from, clock::now(), status));
+            observations.borrow_mut().calls.push((n, from, clock::now(), status));
             if status == 200 || over() {
                 break;
             }
@@ -319,7 +320,7 @@
         while !over() && call_console(console, "POST", "/active").await.is_none_or(|(s, ..)| s != 200) {
             sleep(Duration::from_millis(100)).await;
         }
-        notes.borrow_mut().had_turn[n] = true;
+        observations.borrow_mut().had_turn[n] = true;
     }
 }
 
@@ -416,7 +417,7 @@
 }
 
 /// From when to when dispatchers were in standby by permit, by their records: until they were active, or killed.
-fn planned_standbys(records: &Records, notes: &Observations) -> Vec<(usize, u64, u64)> {
+fn planned_standbys(records: &Records, observations: &Observations) -> Vec<(usize, u64, u64)> {
     let mut standbys = Vec::new();
     for (name, lines) in &records.members {
         let Some(n) = name.strip_prefix('d').and_then(|n| n.parse::<usize>().ok()) else { continue };
@@ -424,7 +425,7 @@
         let mut end = |began: &mut Option<u64>, at: u64| {
             if let Some(from) = began.take() {
                 // Killed in the middle: it was out from then on as well, but not by plan.
-                let killed = notes.killed.iter().filter(|(whom, at, _)| *whom == n && *at > from);
+                let killed = observations.killed.iter().filter(|(whom, at, _)| *whom == n && *at > from);
                 let until = killed.map(|(_, at, _)| *at).fold(at, u64::min);
                 standbys.push((n, from, until));
             }
@@ -445,11 +446,11 @@
 
 fn evaluate(
     records: &Records,
-    notes: &Observations,
+    observations: &Observations,
     mut found: BTreeMap<&'static str, Vec<String>>,
 ) -> ScheduleResult {
     let mut drained = ScheduleResult { budget: MOST, ..ScheduleResult::default() };
-    let standbys = planned_standbys(records, notes);
+    let standbys = planned_standbys(records, observations);
     drained.drains = standbys.len() as u64;
     for (n, from, _) in &standbys {
         let at_once = standbys.iter().filter(|(_, start, end)| (*start..*end).contains(from));
@@ -462,7 +463,7 @@
             found.entry(RULES[0]).or_default().push(format!("{} at {from}", who.join(", ")));
         }
     }
-    // A permit, once, by the first keeper that recorded it.
+    // A permit, once, by the first coordinator that recorded it.
     let mut granted: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
     for line in records.coordinators.values().flatten().filter(|line| line.kind == "applied") {
         let Some(index) = line.fields.get("index").and_then(serde_json::Value::as_u64) else { continue };
@@ -473,7 +474,8 @@
     }
     for (at, count) in granted.values() {
         // Lost for so long that the account knows, and still.
-        let lost = notes.killed.iter().filter(|(_, from, until)| from + LOSS_KNOWN_AFTER < *at && at < until);
+        let lost =
+            observations.killed.iter().filter(|(_, from, until)| from + LOSS_KNOWN_AFTER < *at && at < until);
         let lost: Vec<usize> = lost.map(|(n, ..)| *n).collect();
         let out =
             standbys.iter().filter(|(n, from, until)| (*from..*until).contains(at) && !lost.contains(n));
@@ -483,14 +485,14 @@
             found.entry(RULES[1]).or_default().push(text);
         }
     }
-    for (n, from, at, status) in &notes.calls {
+    for (n, from, at, status) in &observations.calls {
         *drained.calls.entry(*status).or_default() += 1;
         let hurt =
-            notes.killed.iter().chain(&notes.paused).any(|(whom, start, end)| {
+            observations.killed.iter().chain(&observations.paused).any(|(whom, start, end)| {
                 whom == n && *start <= *at && *from <= end.saturating_add(2_000_000)
             });
         // What was under way when all was ended is nobody's.
-        if hurt || notes.ended_at.is_some_and(|over| *at >= over) {
+        if hurt || observations.ended_at.is_some_and(|over| *at >= over) {
             continue;
         }
         drained.longest_call_ms = drained.longest_call_ms.max((at - from) as f64 / 1e3);
@@ -548,13 +550,13 @@
 mod tests {
     use super::*;
 
-    fn rules(notes: &Observations, keeper: &str, members: &[(&str, &str)]) -> Vec<String> {
+    fn rules(observations: &Observations, coordinator: &str, members: &[(&str, &str)]) -> Vec<String> {
         let lines = |text: &str| text.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
         let records = Records {
-            coordinators: [(1, lines(keeper))].into(),
+            coordinators: [(1, lines(coordinator))].into(),
             members: members.iter().map(|(name, text)| ((*name).to_owned(), lines(text))).collect(),
         };
-        evaluate(&records, notes, BTreeMap::new()).rules.into_keys().collect()
+        evaluate(&records, observations, BTreeMap::new()).rules.into_keys().collect()
     }
 
     /// d0 and d3 are of one zone.
@@ -562,8 +564,9 @@
     fn two_of_a_zone_by_permit_are_found_and_one_after_another_or_by_force_are_not() {
         let out = r#"{"t":100,"kind":"standby","permit":5}
 {"t":900,"kind":"active","number":1}"#;
-        let found =
-            |of: &str, other: &str, notes: &Observations| rules(notes, "", &[("d0", out), (of, other)]);
+        let found = |of: &str, other: &str, observations: &Observations| {
+            rules(observations, "", &[("d0", out), (of, other)])
+        };
         let during = r#"{"t":500,"kind":"standby","permit":7}"#;
         assert_eq!(found("d3", during, &Observations::default()), [RULES[0]]);
         assert!(found("d1", during, &Observations::default()).is_empty(), "another zone, and two in all");
--- a/crates/emulator/src/cluster/record_checker.rs
+++ b/crates/emulator/src/cluster/record_checker.rs
@@ -1,6 +1,6 @@
 //! Checks of a schedule by the records that its processes left, and by nothing else.
 //!
-//! All records of a machine have one clock. A keeper records a grant after it was agreed, an owner and a receiver
+//! All records of a machine have one clock. A coordinator records a grant after it was agreed, an holder and a receiver
 //! record the reading of the clock on which they decided. So whatever decided later than a record of a later grant
 //! broke the rule, and no order of writing can make a sound run look broken.
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// What the rig did, by the same clock.
+/// What the harness did, by the same clock.
 #[derive(Debug, Clone)]
 pub struct InjectedFault {
     /// When.
@@ -46,14 +46,14 @@
     pub kind: FaultKind,
     /// Until when.
     pub until: u64,
-    /// The term that the owner had whom it was done to, where it was done to an owner.
+    /// The term that the holder had whom it was done to, where it was done to an holder.
     pub holder_token: Option<u64>,
 }
 
 /// Records by process.
 #[derive(Debug, Default)]
 pub struct Records {
-    /// Keepers, by number.
+    /// Coordinators, by number.
     pub coordinators: BTreeMap<u64, Vec<RecordLine>>,
     /// Members, by name.
     pub members: BTreeMap<String, Vec<RecordLine>>,
@@ -93,7 +93,7 @@
     whole.lines().enumerate().map(line).collect()
 }
 
-/// A grant, as the first keeper recorded it.
+/// A grant, as the first coordinator recorded it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Grant {
     index: u64,
@@ -225,8 +225,8 @@
     }
 }
 
-/// The duties whose history is not that of one register that holds the newest token: a grant writes it, at some moment
-/// after the grant before and before a keeper recorded it; an effect that is taken reads it, at that moment. Of what one
+/// The leases whose history is not that of one register that holds the newest token: a grant writes it, at some moment
+/// after the grant before and before a coordinator recorded it; an effect that is taken reads it, at that moment. Of what one
 /// process took in one term the first and the last count. By the tester of `stateright`, as a second opinion: it knows
 /// nothing of tokens that only grow.
 fn non_linearizable_leases(records: &Records, grants: &[Grant]) -> Vec<String> {
@@ -278,7 +278,7 @@
     broken.map(str::to_owned).collect()
 }
 
-/// From a fault at an owner to the first effect of a later term that somebody took, in microseconds, by kind.
+/// From a fault at an holder to the first effect of a later term that somebody took, in microseconds, by kind.
 ///
 /// Only the first fault of a term counts, and only one that has to end it: a stop or a cut that is shorter than the
 /// lease may go by unnoticed, and so may not hearing members.
@@ -325,25 +325,25 @@
     records.members.values().flatten().any(|line| line.kind == "taken" && line.time > t)
 }
 
-/// The highest token that a keeper has recorded as granted.
+/// The highest token that a coordinator has recorded as granted.
 pub fn newest_grant(records: &Records) -> Option<(u64, u64)> {
     let lines = records.coordinators.values().flatten().filter(|line| line.kind == "applied");
     lines.filter_map(|line| Some((line.number("token")?, line.number("session")?))).max()
 }
 
-/// The member of a session, by the keepers' records.
+/// The member of a session, by the coordinators' records.
 pub fn member_of_session(records: &Records, session: u64) -> Option<String> {
     let lines = records.coordinators.values().flatten().filter(|line| line.number("joined") == Some(session));
     lines.filter_map(|line| line.text("name")).next().map(str::to_owned)
 }
 
-/// The keeper that recorded last that it leads.
+/// The coordinator that recorded last that it leads.
 pub fn leader(records: &Records) -> Option<u64> {
     let leads = |line: &&RecordLine| line.kind == "leads" && line.number("term").is_some();
-    let last = |(keeper, lines): (&u64, &Vec<RecordLine>)| {
-        Some((lines.iter().rfind(leads)?.number("term")?, *keeper))
+    let last = |(coordinator, lines): (&u64, &Vec<RecordLine>)| {
+        Some((lines.iter().rfind(leads)?.number("term")?, *coordinator))
     };
-    records.coordinators.iter().filter_map(last).max().map(|(_, keeper)| keeper)
+    records.coordinators.iter().filter_map(last).max().map(|(_, coordinator)| coordinator)
 }
 
 /// How many terms were granted.
--- a/crates/emulator/src/cluster/results.rs
+++ b/crates/emulator/src/cluster/results.rs
@@ -61,7 +61,7 @@
     pub refused_tokens: u64,
     /// Terms that were granted.
     pub terms: u64,
-    /// From a fault at an owner to the first effect of the next term.
+    /// From a fault at an holder to the first effect of the next term.
     pub takeover_s: Quantiles,
     /// The same by kind of fault.
     pub takeover_by_cause_s: BTreeMap<&'static str, Quantiles>,
@@ -76,7 +76,7 @@
     pub experiment: String,
     /// `fleet`.
     pub drive: &'static str,
-    /// The flaw put in, if there was one.
+    /// The bug put in, if there was one.
     pub seeded_bug: Option<String>,
     /// By arm.
     pub arms: BTreeMap<String, ArmResult>,
@@ -125,7 +125,7 @@
 /// Plays all schedules, so many at once, each in a lane of its own.
 ///
 /// # Errors
-/// The rig could not do its work.
+/// The harness could not do its work.
 pub fn run(
     plan: &ClusterExperiment,
     seeds: &[u64],
--- a/crates/emulator/src/cluster/scaling_cost.rs
+++ b/crates/emulator/src/cluster/scaling_cost.rs
@@ -1,5 +1,5 @@
 //! What a fleet saves and what it costs, by its size: the same idle dispatchers that share nothing, and as members, one
-//! side after the other, with real keepers and every link between keepers and members through a proxy that counts.
+//! side after the other, with real coordinators and every link between coordinators and members through a proxy that counts.
 
 use std::cell::Cell;
 use std::path::Path;
@@ -36,13 +36,13 @@
     pub told_per_s: f64,
     /// Probes at all workers together a second.
     pub probes_per_s: f64,
-    /// Bytes a second between keepers and members, and between members, both ways.
+    /// Bytes a second between coordinators and members, and between members, both ways.
     pub bytes_per_s: f64,
-    /// Part of a core that the busiest keeper used, and the mean and the busiest member.
+    /// Part of a core that the busiest coordinator used, and the mean and the busiest member.
     pub keeper_cpu: f64,
     /// See [`Side::keeper_cpu`].
     pub member_cpu: (f64, f64),
-    /// Megabytes resident, the largest keeper and the largest member.
+    /// Megabytes resident, the largest coordinator and the largest member.
     pub memory_mb: (f64, f64),
     /// Descriptors open in the member that had most.
     pub descriptors: usize,
@@ -58,17 +58,17 @@
     dir: &Path,
     binaries: &Binaries,
     members: usize,
-    fleet: Option<&str>,
+    cluster: Option<&str>,
     length: Duration,
 ) -> Result<Side, String> {
-    run_in_folder(dir, measure(dir, binaries.clone(), members, fleet, length))
+    run_in_folder(dir, measure(dir, binaries.clone(), members, cluster, length))
 }
 
 async fn measure(
     dir: &Path,
     binaries: Binaries,
     members: usize,
-    fleet: Option<&str>,
+    cluster: Option<&str>,
     length: Duration,
 ) -> Result<Side, String> {
     let (discovery, probes) = (EmulatedDiscovery::new(0), Rc::new(Cell::new(0u64)));
@@ -81,21 +81,21 @@
     let setup = ClusterSpec {
         coordinators: 3,
         dispatchers: members,
-        cluster_settings: fleet,
+        cluster_settings: cluster,
         discoveries,
         proxy_seed: Some(1),
     };
-    let together = ClusterHarness::start(dir, binaries, settings(members, fleet.is_none()), setup).await?;
+    let together = ClusterHarness::start(dir, binaries, settings(members, cluster.is_none()), setup).await?;
     together.wait_for_workers(WORKERS).await?;
-    if fleet.is_some() {
+    if cluster.is_some() {
         together.wait_for_watches(1).await?;
     }
     // Members settle and sets are evened out before anything counts.
     sleep(Duration::from_secs(10)).await;
-    let (keepers, dispatchers) = together.process_ids();
+    let (coordinators, dispatchers) = together.process_ids();
     let used = |ids: &[u32]| -> Vec<f64> { ids.iter().map(|id| cpu(*id)).collect() };
     let before =
-        (used(&keepers), used(&dispatchers), discovery.message_counts(), probes.get(), bytes(&together));
+        (used(&coordinators), used(&dispatchers), discovery.message_counts(), probes.get(), bytes(&together));
     let changes = (length.as_secs_f64() / CHANGE_INTERVAL.as_secs_f64()) as usize;
     let mut known = Duration::ZERO;
     for change in 0..changes {
@@ -109,7 +109,8 @@
     let part = |now: Vec<f64>, then: &[f64]| -> Vec<f64> {
         now.iter().zip(then).map(|(now, then)| (now - then) / seconds).collect()
     };
-    let (of_keepers, of_members) = (part(used(&keepers), &before.0), part(used(&dispatchers), &before.1));
+    let (of_keepers, of_members) =
+        (part(used(&coordinators), &before.0), part(used(&dispatchers), &before.1));
     let most = |all: &[f64]| all.iter().copied().fold(0.0, f64::max);
     let per_s = |now: u64, then: u64| (now - then) as f64 / seconds;
     let largest = |ids: &[u32]| ids.iter().map(|id| resident_mb(*id)).fold(0.0, f64::max);
@@ -122,14 +123,14 @@
         bytes_per_s: per_s(bytes(&together), before.4),
         keeper_cpu: most(&of_keepers),
         member_cpu: (of_members.iter().sum::<f64>() / members as f64, most(&of_members)),
-        memory_mb: (largest(&keepers), largest(&dispatchers)),
+        memory_mb: (largest(&coordinators), largest(&dispatchers)),
         descriptors: dispatchers.iter().map(|id| descriptors(*id)).max().unwrap_or(0),
         known_s: known.as_secs_f64(),
     })
 }
 
 fn bytes(together: &ClusterHarness) -> u64 {
-    together.network.as_ref().map_or(0, |net| net.borrow().bytes)
+    together.network.as_ref().map_or(0, |network| network.borrow().bytes)
 }
 
 /// Seconds of processor time that a process has used.
@@ -168,7 +169,7 @@
     })
 }
 
-/// A stand-in worker that is asked how it is, and nothing else.
+/// A emulated worker that is asked how it is, and nothing else.
 async fn serve_worker(probes: Rc<Cell<u64>>, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         let probes = probes.clone();
--- a/crates/emulator/src/cluster/schedule.rs
+++ b/crates/emulator/src/cluster/schedule.rs
@@ -1,4 +1,4 @@
-//! What an experiment of the drive `fleet` says, and the schedules of faults that a seed draws from it.
+//! What an experiment of the mode `fleet` says, and the schedules of faults that a seed draws from it.
 
 use coordination::Timing;
 use hcl_config::{HclError as HclFault, Section};
@@ -41,19 +41,19 @@
 /// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultKind {
-    /// An owner is killed, and started again later.
+    /// An holder is killed, and started again later.
     KillHolder,
-    /// An owner is stopped for so long, then continued.
+    /// An holder is stopped for so long, then continued.
     PauseHolder,
-    /// What keepers answer an owner is late by 300 ms, and while it waits the owner is stopped, then continued.
+    /// What coordinators answer an holder is late by 300 ms, and while it waits the holder is stopped, then continued.
     PauseHolderDuringRenewal,
-    /// An owner ends in good order, and is started again.
+    /// An holder ends in good order, and is started again.
     TerminateHolder,
-    /// An owner reaches no keeper, but members.
+    /// An holder reaches no coordinator, but members.
     PartitionHolderFromCoordinators,
-    /// An owner reaches no member, but keepers.
+    /// An holder reaches no member, but coordinators.
     PartitionHolderFromMembers,
-    /// An owner reaches keepers, but hears nothing of them.
+    /// An holder reaches coordinators, but hears nothing of them.
     HolderHearsNoCoordinator,
     /// Some member is killed and started again.
     KillMember,
@@ -63,29 +63,29 @@
     RestartHalfOfMembers,
     /// A second process of a member's name is started, for a while.
     DuplicateMember,
-    /// The leading keeper is killed and started again.
+    /// The leading coordinator is killed and started again.
     KillLeader,
-    /// The leading keeper is stopped, then continued.
+    /// The leading coordinator is stopped, then continued.
     PauseLeader,
-    /// Some keeper is cut off from the others.
+    /// Some coordinator is cut off from the others.
     PartitionCoordinator,
-    /// A keeper is not heard by the others, but hears them.
+    /// A coordinator is not heard by the others, but hears them.
     CoordinatorNotHeard,
-    /// All keepers are killed at once and come back.
+    /// All coordinators are killed at once and come back.
     KillAllCoordinators,
     /// Every link is late by 200 ms each way and one connection in twenty is reset.
     SlowNetwork,
     /// One connection in four is doubled.
     DuplicateConnections,
-    /// Every line to and from one keeper is narrow.
+    /// Every line to and from one coordinator is narrow.
     NarrowBandwidth,
-    /// The leading keeper's disk is full, for a while.
+    /// The leading coordinator's disk is full, for a while.
     FullDisk,
-    /// The leading keeper has hardly any descriptors, for a while.
+    /// The leading coordinator has hardly any descriptors, for a while.
     FewDescriptors,
-    /// A keeper comes back with a copy of its disk that is some starts old.
+    /// A coordinator comes back with a copy of its disk that is some starts old.
     RestoreOldDisk,
-    /// A keeper comes back without its disk.
+    /// A coordinator comes back without its disk.
     LoseDisk,
 }
 
@@ -122,7 +122,7 @@
         FAULT_KINDS.iter().find(|(_, kind)| *kind == self).map_or("", |(name, _)| name)
     }
 
-    /// Whether it can only be once in a schedule, since a keeper does not come back from it.
+    /// Whether it can only be once in a schedule, since a coordinator does not come back from it.
     fn only_once(self) -> bool {
         matches!(self, FaultKind::RestoreOldDisk | FaultKind::LoseDisk)
     }
@@ -168,7 +168,7 @@
         Ok(plan)
     }
 
-    /// Whether an experiment's text is one of this drive.
+    /// Whether an experiment's text is one of this execution mode.
     pub fn is_cluster_experiment(file: &str, text: &str) -> bool {
         let top = Section::parse(file, text).ok();
         let drive = top.and_then(|top| {
@@ -182,14 +182,14 @@
         let mut random = Pcg64::seed_from_u64(seed);
         let mut kinds = arm.fault_kinds.clone();
         let mut faults = Vec::new();
-        // Members settle first: a fleet without an owner has nothing to lose.
+        // Members settle first: a fleet without an holder has nothing to lose.
         let mut at = 3.0;
         while at < self.length {
             let Some(&kind) = kinds.choose(&mut random) else { break };
             if kind.only_once() {
                 kinds.retain(|other| !other.only_once());
             }
-            let lasts: f64 = match kind {
+            let duration: f64 = match kind {
                 // Both shorter and longer than a lease; a few very long.
                 FaultKind::PauseHolder | FaultKind::PauseMember | FaultKind::PauseLeader => {
                     match random.random_range(0..10) {
@@ -211,7 +211,7 @@
             faults.push(ScheduledFault {
                 at,
                 kind,
-                duration: lasts,
+                duration: duration,
                 target_choice: random.random_range(0..1_000),
             });
             at += random.random_range(0.3..1.7) * self.fault_interval;
@@ -221,8 +221,8 @@
 }
 
 fn arm(section: &Section) -> Result<Arm, HclFault> {
-    let keepers = section.integer("keepers", 3..=5)?.unwrap_or(3) as usize;
-    if keepers == 4 {
+    let coordinators = section.integer("keepers", 3..=5)?.unwrap_or(3) as usize;
+    if coordinators == 4 {
         return Err(section.error("keepers", "wanted 3 or 5"));
     }
     let mut kinds = Vec::new();
@@ -236,7 +236,7 @@
     }
     Ok(Arm {
         name: section.label().to_owned(),
-        coordinators: keepers,
+        coordinators: coordinators,
         members: section.integer("members", 2..=100)?.unwrap_or(8) as usize,
         fault_kinds: kinds,
     })
--- a/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
@@ -19,7 +19,7 @@
 
 pub(super) fn evaluate(
     plan: &Plan,
-    notes: &Observations,
+    observations: &Observations,
     records: &Records,
     done: &[InjectedFault],
     (begun, until): (u64, u64),
@@ -33,13 +33,13 @@
         *played.faults.entry(name).or_default() += 1;
     }
     if plan.share_health_checks {
-        check_probes(plan, notes, done, (begun, until), &mut played, &mut found);
+        check_probes(plan, observations, done, (begun, until), &mut played, &mut found);
         check_verdicts(plan, records, done, &mut played, &mut found);
     }
-    check_drains(notes, done, &mut found);
-    check_cold_workers(notes, &mut played, &mut found);
-    check_idempotency(notes, &mut found);
-    for (dispatcher, from, at, status, _) in &notes.answers {
+    check_drains(observations, done, &mut found);
+    check_cold_workers(observations, &mut played, &mut found);
+    check_idempotency(observations, &mut found);
+    for (dispatcher, from, at, status, _) in &observations.answers {
         played.jobs += 1;
         // A dispatcher that was not running or stopped owes nothing; one that begins takes a moment.
         let hurt = done.iter().any(|done| {
@@ -62,8 +62,9 @@
         }
     }
     for fault in done.iter().filter(|done| done.fault == Fault::HangWorker) {
-        let late =
-            notes.jobs[fault.target].iter().filter(|job| (fault.began_at..fault.ended_at).contains(&job.0));
+        let late = observations.jobs[fault.target]
+            .iter()
+            .filter(|job| (fault.began_at..fault.ended_at).contains(&job.0));
         played.jobs_at_hung += late.count() as u64;
     }
     for (rule, texts) in record_checker::check(records) {
@@ -77,7 +78,7 @@
 /// Rules 1 and 2.
 pub(super) fn check_probes(
     plan: &Plan,
-    notes: &Observations,
+    observations: &Observations,
     done: &[InjectedFault],
     (begun, until): (u64, u64),
     played: &mut ScheduleResult,
@@ -85,7 +86,7 @@
 ) {
     let (period, longest) = (plan.probe_period.as_micros() as u64, plan.max_unprobed.as_micros() as u64);
     let (mut closest, mut widest) = (u64::MAX, 0);
-    for (worker, at) in notes.probes.iter().enumerate() {
+    for (worker, at) in observations.probes.iter().enumerate() {
         played.probes += at.len() as u64;
         for pair in at.windows(2) {
             let apart = pair[1].0 - pair[0].0;
@@ -121,7 +122,7 @@
                     Fault::PartitionZone => done.zone == worker % ZONES.len(),
                     // It is not there for a while.
                     Fault::DrainWorker => done.target == worker,
-                    // Nobody can be given a duty until the keepers are back, and then sessions begin anew.
+                    // Nobody can be given a lease until the coordinators are back, and then sessions begin anew.
                     Fault::KillAllCoordinators | Fault::RollingRestart => true,
                     _ => false,
                 };
@@ -143,13 +144,13 @@
 
 /// Rule 7.
 pub(super) fn check_drains(
-    notes: &Observations,
+    observations: &Observations,
     done: &[InjectedFault],
     found: &mut BTreeMap<&str, Vec<String>>,
 ) {
     let grace = DRAIN_GRACE.as_micros() as u64 + ARRIVAL_JITTER;
     for drain in done.iter().filter(|done| done.fault == Fault::DrainWorker) {
-        let late = notes.jobs[drain.target]
+        let late = observations.jobs[drain.target]
             .iter()
             .filter(|job| (drain.began_at + grace..drain.ended_at).contains(&job.0));
         for (at, dispatcher, _) in late {
@@ -177,11 +178,11 @@
 
 /// Rule 8.
 pub(super) fn check_cold_workers(
-    notes: &Observations,
+    observations: &Observations,
     played: &mut ScheduleResult,
     found: &mut BTreeMap<&str, Vec<String>>,
 ) {
-    for (at, worker) in notes.workers.iter().chain(&notes.replaced_workers).enumerate() {
+    for (at, worker) in observations.workers.iter().chain(&observations.replaced_workers).enumerate() {
         if worker.started_at().is_none() {
             continue;
         }
@@ -199,16 +200,16 @@
     }
 }
 
-/// Rule 9, by the checker that the other drives have. What a worker heard whole may have run.
-pub(super) fn check_idempotency(notes: &Observations, found: &mut BTreeMap<&str, Vec<String>>) {
-    let jobs = notes.jobs.iter().enumerate();
+/// Rule 9, by the checker that the other execution modes have. What a worker heard whole may have run.
+pub(super) fn check_idempotency(observations: &Observations, found: &mut BTreeMap<&str, Vec<String>>) {
+    let jobs = observations.jobs.iter().enumerate();
     let mut events: Vec<(u64, u64, Option<usize>, u16)> = jobs
         .flat_map(|(worker, jobs)| jobs.iter().map(move |(at, _, id)| (*at, *id, Some(worker), 0)))
-        .chain(notes.answers.iter().map(|(_, _, at, status, id)| (*at, *id, None, *status)))
+        .chain(observations.answers.iter().map(|(_, _, at, status, id)| (*at, *id, None, *status)))
         .collect();
     events.sort_unstable();
     let mut checker = RuleChecker::new(RuleLimits { drain_grace: u64::MAX, answer_slack: u64::MAX / 2 });
-    for (_, from, _, _, id) in &notes.answers {
+    for (_, from, _, _, id) in &observations.answers {
         let repeat = CLASSES[*id as usize % CLASSES.len()].1;
         checker.record_accepted(*id, repeat, u64::MAX / 2, *from);
     }
--- a/crates/emulator/src/cluster/shared_health_checks/faults.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/faults.rs
@@ -232,15 +232,15 @@
 }
 
 /// The worker that got the most jobs in the last two seconds, or this one where none got any.
-pub(super) fn busiest_worker(notes: &Observations, else_this: usize) -> usize {
+pub(super) fn busiest_worker(observations: &Observations, else_this: usize) -> usize {
     let since = clock::now().saturating_sub(2_000_000);
     let lately = |at: &Vec<(u64, usize, u64)>| at.iter().rev().take_while(|at| at.0 > since).count();
-    let most = notes.jobs.iter().map(lately).enumerate().map(|(worker, jobs)| (jobs, worker)).max();
+    let most = observations.jobs.iter().map(lately).enumerate().map(|(worker, jobs)| (jobs, worker)).max();
     most.filter(|(jobs, _)| *jobs > 0).map_or(else_this, |(_, worker)| worker)
 }
 
-pub(super) fn set_zone_partition(net: &SharedNetwork, workers: usize, zone: usize, cut: bool) {
+pub(super) fn set_zone_partition(network: &SharedNetwork, workers: usize, zone: usize, cut: bool) {
     for worker in (0..workers).filter(|worker| worker % ZONES.len() == zone) {
-        net.borrow_mut().update_link(worker, worker, |trouble| trouble.partitioned = cut);
+        network.borrow_mut().update_link(worker, worker, |link| link.partitioned = cut);
     }
 }
--- a/crates/emulator/src/cluster/shared_health_checks/mod.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/mod.rs
@@ -1,15 +1,15 @@
-//! Dispatchers that watch workers for each other, with faults between them: real keepers and dispatchers, stand-in
+//! Dispatchers that watch workers for each other, with faults between them: real coordinators and dispatchers, emulated
 //! workers that record who probed them, clients that account for every job, and a proxy on every link from a
 //! dispatcher to a worker.
 //!
-//! The rules, checked by the records of stand-ins, keepers and members alone:
+//! The rules, checked by the records of emulated parties, coordinators and members alone:
 //!
 //! 1. no worker is probed more often than once a period, over all dispatchers;
 //! 2. no worker goes unprobed for longer than stated, while somebody can reach it;
 //! 3. nothing is held against a worker that was well all the time;
 //! 4. a worker that fails for long is known as such everywhere;
 //! 5. every job of the clients gets one whole answer, within its time;
-//! 6. the rules of ownership, as in the drive `fleet`;
+//! 6. the rules of leases, as in the mode `fleet`;
 //! 7. a worker that drains gets no new job later than the grace after its drain was told;
 //! 8. no cold worker is pushed over, by all dispatchers together;
 //! 9. a job that may run once only reaches no second worker, and is not refused after it reached one.
@@ -61,7 +61,7 @@
 /// The clients' patience, and by how much an answer may be later.
 const DEADLINE: Duration = Duration::from_secs(3);
 const ANSWER_SLACK: Duration = Duration::from_millis(50);
-/// How long a stand-in worker runs a job.
+/// How long a emulated worker runs a job.
 const RUN_TIME: Duration = Duration::from_millis(100);
 /// Slots of each worker.
 const SLOTS: usize = 4;
@@ -76,7 +76,7 @@
 /// What is played.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Keepers, three or five.
+    /// Coordinators, three or five.
     pub coordinators: usize,
     /// Dispatchers, in three zones in turn.
     pub dispatchers: usize,
@@ -96,7 +96,7 @@
     pub rate: f64,
     /// Whether workers are watched; without, the same faults for comparison.
     pub share_health_checks: bool,
-    /// A flaw to put in.
+    /// A bug to put in.
     pub injected_bug: Option<String>,
     /// Draws the faults.
     pub seed: u64,
@@ -143,33 +143,33 @@
     /// A worker takes connections and says nothing.
     #[serde(rename = "hang")]
     HangWorker,
-    /// The keepers' leader is killed and started again.
+    /// The coordinators' leader is killed and started again.
     KillLeader,
-    /// A dispatcher reaches no keeper, and is not reached by them.
+    /// A dispatcher reaches no coordinator, and is not reached by them.
     #[serde(rename = "cut-keepers")]
     PartitionFromCoordinators,
-    /// A dispatcher reaches the keepers and hears nothing of them.
+    /// A dispatcher reaches the coordinators and hears nothing of them.
     #[serde(rename = "hears-no-keeper")]
     HearsNoCoordinator,
-    /// A dispatcher and the others do not reach each other; the keepers they do.
+    /// A dispatcher and the others do not reach each other; the coordinators they do.
     #[serde(rename = "cut-members")]
     PartitionFromMembers,
-    /// Every link between members and keepers is 50 ms slower each way, and one connection in twenty is reset.
+    /// Every link between members and coordinators is 50 ms slower each way, and one connection in twenty is reset.
     #[serde(rename = "slow-net")]
     SlowNetwork,
-    /// The keepers' leader is stopped, and goes on later with what it had in mind.
+    /// The coordinators' leader is stopped, and goes on later with what it had in mind.
     #[serde(rename = "stop-leader")]
     PauseLeader,
-    /// A keeper and the others do not reach each other; members reach all of them.
+    /// A coordinator and the others do not reach each other; members reach all of them.
     #[serde(rename = "cut-keeper")]
     PartitionCoordinator,
-    /// All keepers are killed at once and come back.
+    /// All coordinators are killed at once and come back.
     #[serde(rename = "kill-all-keepers")]
     KillAllCoordinators,
     /// A worker drains, ends, and comes back cold.
     #[serde(rename = "drain")]
     DrainWorker,
-    /// All dispatchers and keepers are started anew, one after another.
+    /// All dispatchers and coordinators are started anew, one after another.
     #[serde(rename = "roll")]
     RollingRestart,
 }
@@ -222,7 +222,7 @@
     pub lease_terms: u64,
 }
 
-/// What stand-ins and clients recorded.
+/// What emulated parties and clients recorded.
 #[derive(Debug, Default)]
 struct Observations {
     /// By worker: when a probe came, and of which dispatcher.
@@ -248,16 +248,16 @@
 }
 
 async fn run_schedule(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<ScheduleResult, String> {
-    let notes = SharedObservations::default();
+    let observations = SharedObservations::default();
     {
-        let mut notes = notes.borrow_mut();
-        notes.probes = vec![Vec::new(); plan.workers];
-        notes.jobs = vec![Vec::new(); plan.workers];
-        notes.hung = vec![false; plan.workers];
+        let mut observations = observations.borrow_mut();
+        observations.probes = vec![Vec::new(); plan.workers];
+        observations.jobs = vec![Vec::new(); plan.workers];
+        observations.hung = vec![false; plan.workers];
         let worker = |n: usize| WorkerModel::new((SLOTS, RUN_TIME), false, plan.seed ^ n as u64);
-        notes.workers = (0..plan.workers).map(worker).collect();
+        observations.workers = (0..plan.workers).map(worker).collect();
     }
-    let (discoveries, nets) = start_workers(&notes, plan).await?;
+    let (discoveries, nets) = start_workers(&observations, plan).await?;
     let block = format!(
         "list = false\ncold {{\nslots = {SLOTS}\n}}\nwatch {{\nevery_ms = {}\nsets = 6\n{}}}\n",
         plan.probe_period.as_millis(),
@@ -271,21 +271,21 @@
         discoveries: &discoveries,
         proxy_seed: Some(plan.seed),
     };
-    let mut fleet = ClusterHarness::start(dir, binaries, settings(plan), setup).await?;
-    fleet.wait_for_workers(plan.workers).await?;
+    let mut cluster = ClusterHarness::start(dir, binaries, settings(plan), setup).await?;
+    cluster.wait_for_workers(plan.workers).await?;
     let start = Instant::now();
     let end = start + plan.length;
     // Members settle, and sets are evened out, before anything counts.
     let begun = clock::now() + 5_000_000;
-    for (dispatcher, address) in fleet.listen.iter().enumerate() {
-        spawn_local(run_clients(notes.clone(), dispatcher, *address, plan.rate, end));
+    for (dispatcher, address) in cluster.listen.iter().enumerate() {
+        spawn_local(run_clients(observations.clone(), dispatcher, *address, plan.rate, end));
     }
     sleep(Duration::from_secs(5)).await;
     let targets = Targets {
-        cluster: &mut fleet,
+        cluster: &mut cluster,
         worker_links: &nets,
         discoveries: &discoveries,
-        observations: &notes,
+        observations: &observations,
         plan,
     };
     let done = inject_faults(targets, end).await?;
@@ -293,10 +293,10 @@
     let until = clock::now();
     sleep(DEADLINE + ANSWER_SLACK + Duration::from_millis(200)).await;
     // Ended in good order, so that nothing is cut in the middle of a record.
-    drop(fleet);
+    drop(cluster);
     let records = read_records(dir, plan.coordinators, plan.dispatchers)?;
-    let notes = notes.borrow();
-    Ok(evaluate(plan, &notes, &records, &done, (begun, until)))
+    let observations = observations.borrow();
+    Ok(evaluate(plan, &observations, &records, &done, (begun, until)))
 }
 
 /// Starts the workers, each behind a proxy for every dispatcher, and a discovery for each dispatcher that names them.
--- a/crates/emulator/src/cluster/shared_health_checks/tests.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/tests.rs
@@ -11,7 +11,7 @@
 const DRAIN: InjectedFault =
     InjectedFault { fault: Fault::DrainWorker, target: 0, zone: 0, began_at: 1_000_000, ended_at: 4_000_000 };
 
-fn notes(jobs: &[(u64, usize, u64)]) -> Observations {
+fn observations(jobs: &[(u64, usize, u64)]) -> Observations {
     Observations { jobs: vec![jobs.to_vec()], ..Observations::default() }
 }
 
@@ -19,7 +19,7 @@
 fn a_job_at_a_worker_that_drains_is_found_unless_its_sender_was_held() {
     let found = |jobs: &[(u64, usize, u64)], others: &[InjectedFault]| {
         let (mut found, done) = (BTreeMap::new(), [&[DRAIN], others].concat());
-        check_drains(&notes(jobs), &done, &mut found);
+        check_drains(&observations(jobs), &done, &mut found);
         found.contains_key(RULES[6])
     };
     assert!(!found(&[(1_590_000, 1, 1), (4_100_000, 1, 2)], &[]));
@@ -44,8 +44,8 @@
             worker.accept_job(now);
         });
         let (mut found, mut played) = (BTreeMap::new(), ScheduleResult::default());
-        let notes = Observations { workers: vec![worker], ..Observations::default() };
-        check_cold_workers(&notes, &mut played, &mut found);
+        let observations = Observations { workers: vec![worker], ..Observations::default() };
+        check_cold_workers(&observations, &mut played, &mut found);
         assert_eq!(found.contains_key(RULES[7]), broken, "{since} {sends}");
     }
 }
@@ -53,13 +53,13 @@
 #[test]
 fn a_job_that_may_run_once_at_two_workers_or_refused_after_one_is_found() {
     let found = |id: u64, sends: &[u64], status: u16| {
-        let mut notes = Observations { jobs: vec![Vec::new(); 2], ..Observations::default() };
+        let mut observations = Observations { jobs: vec![Vec::new(); 2], ..Observations::default() };
         for (worker, at) in sends.iter().enumerate() {
-            notes.jobs[worker].push((*at, 0, id));
+            observations.jobs[worker].push((*at, 0, id));
         }
-        notes.answers.push((0, 1, 900, status, id));
+        observations.answers.push((0, 1, 900, status, id));
         let mut found = BTreeMap::new();
-        check_idempotency(&notes, &mut found);
+        check_idempotency(&observations, &mut found);
         found.contains_key(RULES[8])
     };
     assert!(!found(1, &[100], 200) && !found(1, &[100], 502) && !found(1, &[], 503));
--- a/crates/emulator/src/cluster/shared_health_checks/traffic.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/traffic.rs
@@ -15,24 +15,24 @@
 use crate::cluster::dispatch_latency::submit_job;
 use crate::sockets::http::{self, chunk, CHUNKED, LAST_CHUNK};
 
-/// A stand-in worker's door for one dispatcher.
+/// A emulated worker's door for one dispatcher.
 pub(super) async fn serve_worker(
-    notes: SharedObservations,
+    observations: SharedObservations,
     worker: usize,
     dispatcher: usize,
     listener: TcpListener,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
-        let notes = notes.clone();
+        let observations = observations.clone();
         spawn_local(async move {
             // A connection that breaks is the other side's matter.
-            let _ = serve(&notes, worker, dispatcher, stream).await;
+            let _ = serve(&observations, worker, dispatcher, stream).await;
         });
     }
 }
 
 pub(super) async fn serve(
-    notes: &SharedObservations,
+    observations: &SharedObservations,
     worker: usize,
     dispatcher: usize,
     mut stream: TcpStream,
@@ -45,20 +45,20 @@
         let probe = head.path.contains("/healthz");
         let id = head.get("request-id").unwrap_or_default().to_owned();
         let runs = {
-            let mut notes = notes.borrow_mut();
+            let mut observations = observations.borrow_mut();
             if probe {
-                notes.probes[worker].push((now, dispatcher));
+                observations.probes[worker].push((now, dispatcher));
             } else {
-                notes.jobs[worker].push((now, dispatcher, id.parse().unwrap_or(0)));
+                observations.jobs[worker].push((now, dispatcher, id.parse().unwrap_or(0)));
             }
-            notes.workers[worker].clone()
+            observations.workers[worker].clone()
         };
         // One that was pushed over closes what comes.
         if !probe && !runs.accept_job(Instant::now()) {
             return Ok(());
         }
         // One that hangs takes what comes and says nothing until the other side gives up.
-        while notes.borrow().hung[worker] {
+        while observations.borrow().hung[worker] {
             sleep(Duration::from_millis(20)).await;
         }
         if probe {
@@ -76,7 +76,7 @@
 
 /// Hands jobs to a dispatcher, each on a connection of its own, and notes what comes of them.
 pub(super) async fn run_clients(
-    notes: SharedObservations,
+    observations: SharedObservations,
     dispatcher: usize,
     address: SocketAddr,
     rate: f64,
@@ -88,14 +88,14 @@
     while Instant::now() < end {
         beats.tick().await;
         count += 1;
-        let (notes, id) = (notes.clone(), (dispatcher as u64) << 32 | count);
+        let (observations, id) = (observations.clone(), (dispatcher as u64) << 32 | count);
         spawn_local(async move {
             let from = clock::now();
             let answer =
                 timeout(DEADLINE + 10 * ANSWER_SLACK, submit_job(&mut None, address, (class_of(id), id)))
                     .await;
             let status = answer.ok().and_then(Result::ok).unwrap_or(0);
-            notes.borrow_mut().answers.push((dispatcher, from, clock::now(), status, id));
+            observations.borrow_mut().answers.push((dispatcher, from, clock::now(), status, id));
         });
     }
 }
--- a/crates/emulator/src/cluster/slow_start.rs
+++ b/crates/emulator/src/cluster/slow_start.rs
@@ -1,7 +1,7 @@
 //! A day on which most workers are replaced by cold ones, with many dispatchers of little traffic each: what cold
 //! workers get, by their own records, and whether one is pushed over.
 //!
-//! The stand-in workers are slow while they are cold and fall when all dispatchers together send more than they bear.
+//! The emulated workers are slow while they are cold and fall when all dispatchers together send more than they bear.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -45,9 +45,9 @@
     pub rate: f64,
     /// From the first cold worker on.
     pub length: Duration,
-    /// Whether one owner hands the cold budgets out.
+    /// Whether one holder hands the cold budgets out.
     pub grants: bool,
-    /// The keepers' leader is killed, and the owner with it, in the middle.
+    /// The coordinators' leader is killed, and the holder with it, in the middle.
     pub kill: bool,
     /// Draws when jobs come.
     pub seed: u64,
@@ -90,7 +90,7 @@
     /// Work that members recorded as granted, in slots by seconds.
     #[serde(rename = "granted")]
     pub granted_work: f64,
-    /// Violations of the rules of ownership.
+    /// Violations of the rules of leases.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
 }
@@ -120,8 +120,8 @@
         discoveries: std::slice::from_ref(&discovery),
         proxy_seed: None,
     };
-    let mut fleet = ClusterHarness::start(dir, binaries, settings(plan), setup).await?;
-    fleet.wait_for_workers(stay + replaced).await?;
+    let mut cluster = ClusterHarness::start(dir, binaries, settings(plan), setup).await?;
+    cluster.wait_for_workers(stay + replaced).await?;
     let tally = Rc::new(RefCell::new(Vec::new()));
     let start = Instant::now();
     // Time in which paces and rates are learnt.
@@ -129,7 +129,7 @@
     let end = warm + plan.length;
     let heavy = |n: usize| if n % 4 == 0 { 5.0 } else { 1.0 };
     let all: f64 = (0..plan.dispatchers).map(heavy).sum();
-    for (n, address) in fleet.listen.iter().enumerate() {
+    for (n, address) in cluster.listen.iter().enumerate() {
         let rate = plan.rate * heavy(n) / all;
         spawn_local(run_clients(tally.clone(), (n as u64, *address), rate, plan.seed, end));
     }
@@ -146,13 +146,13 @@
         sleep(Duration::from_millis(500)).await;
     }
     if plan.kill {
-        fleet.kill_coordinator(fleet.leader());
-        if let Some(owner) = fleet.last_logged_by("holds the slow-start lease") {
-            fleet.kill_dispatcher(owner);
+        cluster.kill_coordinator(cluster.leader());
+        if let Some(owner) = cluster.last_logged_by("holds the slow-start lease") {
+            cluster.kill_dispatcher(owner);
         }
     }
     sleep_until(end + DEADLINE).await;
-    drop(fleet);
+    drop(cluster);
     let records = read_records(dir, 3, plan.dispatchers)?;
     let tally = tally.borrow();
     Ok(evaluate(&cold, &tally, &records, (warm, end)))
--- a/crates/emulator/src/cluster/virtual_time_soak.rs
+++ b/crates/emulator/src/cluster/virtual_time_soak.rs
@@ -1,8 +1,8 @@
-//! Many hours of a fleet in virtual time, on the modules that the processes run: members and keepers with clocks of
+//! Many hours of a fleet in virtual time, on the modules that the processes run: members and coordinators with clocks of
 //! their own rates, messages that are late, lost or overtake, members that stop, die and come back, leaders that change.
 //!
-//! The keepers are one agreed log here, as Raft gives it; what Raft itself does is for the tests with nodes and for the
-//! rig.
+//! The coordinators are one agreed log here, as Raft gives it; what Raft itself does is for the tests with nodes and for the
+//! harness.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -18,9 +18,9 @@
 
 const SECOND: u64 = 1_000_000;
 const MEMBERS: usize = 8;
-/// How often an owner acts, towards every other member.
+/// How often an holder acts, towards every other member.
 const ACT_INTERVAL: u64 = SECOND / 5;
-/// How often the leading keeper looks at what is due.
+/// How often the leading coordinator looks at what is due.
 const TICK_INTERVAL: u64 = 40_000;
 
 /// What many hours gave.
@@ -44,7 +44,7 @@
     /// Effects of an ended term that were taken.
     #[serde(rename = "late")]
     pub late_effects: u64,
-    /// Looks that let an owner act when a later term was granted.
+    /// Looks that let an holder act when a later term was granted.
     #[serde(rename = "doubly_owned")]
     pub overlapping_holders: u64,
     /// Tokens that went back at a receiver.
@@ -117,7 +117,7 @@
     boot: u64,
     /// It runs from here on; what reaches it before waits.
     resumes_at: u64,
-    /// Messages to and from keepers before this are lost.
+    /// Messages to and from coordinators before this are lost.
     disconnected_until: u64,
     /// Counts processes of this member: what was meant for an earlier one is lost.
     incarnation: u64,
@@ -177,7 +177,7 @@
     state: StateMachine,
     warden: LeaderState,
     leader_clock: Clock,
-    /// No keeper leads before this.
+    /// No coordinator leads before this.
     leader_since: u64,
     index: u64,
     members: Vec<Member>,
@@ -195,7 +195,7 @@
             start: random.random_range(0..1 << 40),
             rate: 1.0 + random.random_range(-skew..=skew),
         };
-        let keeper = clock();
+        let coordinator = clock();
         let member = |at: usize| Member {
             clock: Clock { start: 0, rate: 1.0 },
             holder: LeaseClient::new(times).with_injected_bug(flaw),
@@ -207,7 +207,7 @@
             last_renewal: 0,
         };
         let members: Vec<Member> = (0..MEMBERS).map(|at| Member { clock: clock(), ..member(at) }).collect();
-        let warden = LeaderState::new(times, keeper.at(0), &state);
+        let warden = LeaderState::new(times, coordinator.at(0), &state);
         let mut world = Simulation {
             random,
             times,
@@ -218,7 +218,7 @@
             queue: BinaryHeap::new(),
             state,
             warden,
-            leader_clock: keeper,
+            leader_clock: coordinator,
             leader_since: 0,
             index: 0,
             members,
@@ -475,7 +475,7 @@
                 member.resumes_at = self.now + long;
             }
             _ => {
-                // Another keeper leads after a while, with a clock of its own.
+                // Another coordinator leads after a while, with a clock of its own.
                 self.leader_since = self.now + long.min(3 * SECOND);
                 let rate = 1.0 + self.random.random_range(-self.skew..=self.skew);
                 self.leader_clock = Clock { start: self.random.random_range(0..1 << 40), rate };
--- a/crates/emulator/src/cluster/worker_model.rs
+++ b/crates/emulator/src/cluster/worker_model.rs
@@ -1,4 +1,4 @@
-//! What a stand-in worker bears: slots, a pace that grows while it is cold, and a fall where it is sent too much.
+//! What a emulated worker bears: slots, a pace that grows while it is cold, and a fall where it is sent too much.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/crates/emulator/src/day/faults.rs
+++ b/crates/emulator/src/day/faults.rs
@@ -74,7 +74,7 @@
         bursts
     }
 
-    /// Draws mishaps that go through the fleet batch by batch, the batches evenly over the time.
+    /// Draws fault that go through the fleet batch by batch, the batches evenly over the time.
     fn draw_rolling_fault(
         &mut self,
         spec: &FaultSpec,
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! One model of workers, clients and the worker list ([`worker`], [`day`]) is driven in virtual time
 //! ([`virtual_time`]) with the real decision module in each dispatcher, and in real time over sockets ([`sockets`])
-//! against the real program. What is judged comes from the stand-ins' own
+//! against the real program. What is judged comes from the emulated parties' own
 //! records, never from a dispatcher's word ([`checker`]).
 
 pub mod checker;
--- a/crates/emulator/src/metrics.rs
+++ b/crates/emulator/src/metrics.rs
@@ -77,14 +77,14 @@
     pub slow: f64,
 }
 
-/// What a drive hands over of a day.
+/// What a execution mode hands over of a day.
 #[derive(Debug, Default)]
 pub struct RunRecord {
     /// How each job ended.
     pub outcomes: Vec<Option<JobOutcome>>,
     /// When each job was first sent to a worker.
     pub first_sent: Vec<Option<Micros>>,
-    /// Whether each job was let in: it was not turned away on arrival.
+    /// Whether each job was let in: it was not rejected on arrival.
     pub admitted: Vec<bool>,
     /// What ran.
     pub runs: Vec<JobRun>,
--- a/crates/emulator/src/router.rs
+++ b/crates/emulator/src/router.rs
@@ -1,6 +1,6 @@
 //! Who decides in an arm: the decision module itself, or one of the policies that it is compared with.
 //!
-//! All of them are told the same events and answer with the same actions, so the drives know one kind of router.
+//! All of them are told the same events and answer with the same actions, so the execution modes know one kind of router.
 
 use dispatch_core::api::{
     Action, Endpoint, Event, Idempotency, ListScope, Outcome, Request, RequestId, Seconds, Settings,
--- a/crates/emulator/src/sockets/client.rs
+++ b/crates/emulator/src/sockets/client.rs
@@ -22,18 +22,18 @@
 type Pool = std::rc::Rc<std::cell::RefCell<Vec<Vec<(u32, TcpStream)>>>>;
 
 /// Hands in all jobs of the day and waits for their ends.
-pub(super) async fn play(world: SharedEnvironment) {
-    let hosts = world.borrow().agents.len();
+pub(super) async fn play(environment: SharedEnvironment) {
+    let hosts = environment.borrow().agents.len();
     let pool: Pool = std::rc::Rc::new(std::cell::RefCell::new((0..hosts).map(|_| Vec::new()).collect()));
     let mut open = JoinSet::new();
-    let jobs = world.borrow().day.jobs.len();
+    let jobs = environment.borrow().day.jobs.len();
     for job in 0..jobs {
         let due = {
-            let shared = world.borrow();
+            let shared = environment.borrow();
             shared.instant(shared.day.jobs[job].arrival)
         };
         tokio::time::sleep_until(due).await;
-        open.spawn_local(run_job(world.clone(), pool.clone(), job as u32));
+        open.spawn_local(run_job(environment.clone(), pool.clone(), job as u32));
         while open.try_join_next().is_some() {}
     }
     while open.join_next().await.is_some() {}
@@ -55,9 +55,9 @@
 }
 
 /// One client with its job, and its retry.
-async fn run_job(world: SharedEnvironment, pool: Pool, job: u32) {
+async fn run_job(environment: SharedEnvironment, pool: Pool, job: u32) {
     let (deadline, leaves, retries, honours, safe) = {
-        let shared = world.borrow();
+        let shared = environment.borrow();
         let plan = &shared.day.jobs[job as usize];
         let class = &shared.experiment.traffic.classes[plan.class as usize];
         let deadline = plan.arrival + shared.timeout(job);
@@ -71,8 +71,8 @@
     };
     let mut second = false;
     loop {
-        let ended = submit(&world, &pool, job, deadline, leaves).await;
-        let now = world.borrow().now();
+        let ended = submit(&environment, &pool, job, deadline, leaves).await;
+        let now = environment.borrow().now();
         let (end, again, after) = match ended {
             SubmissionOutcome::Served => (JobOutcome::Served(now), false, None),
             SubmissionOutcome::Rejected(after) => (JobOutcome::Rejected(now), true, after),
@@ -85,8 +85,8 @@
         let wait = retries.filter(|_| again && !second);
         let asked = after.filter(|_| honours).map_or(0, micros);
         let at = wait.map(|wait| now + wait.max(asked)).filter(|at| at + MIN_RETRY_TIME <= deadline);
-        let Some(at) = at else { return world.borrow_mut().record_outcome(job, end) };
-        let due = world.borrow().instant(at);
+        let Some(at) = at else { return environment.borrow_mut().record_outcome(job, end) };
+        let due = environment.borrow().instant(at);
         tokio::time::sleep_until(due).await;
         second = true;
     }
@@ -94,47 +94,48 @@
 
 /// One try: on a kept connection, or once more on a new one where the dispatcher had closed the kept one.
 async fn submit(
-    world: &SharedEnvironment,
+    environment: &SharedEnvironment,
     pool: &Pool,
     job: u32,
     deadline: Micros,
     leaves: Option<Micros>,
 ) -> SubmissionOutcome {
-    let host = world.borrow().day.jobs[job as usize].dispatcher as usize;
+    let host = environment.borrow().day.jobs[job as usize].dispatcher as usize;
     let id = {
-        let mut shared = world.borrow_mut();
+        let mut shared = environment.borrow_mut();
         shared.submissions.push(job);
         shared.submissions.len() as u64
     };
     let until = leaves.unwrap_or(Micros::MAX).min(deadline + GIVE_UP_AFTER);
-    let due = world.borrow().instant(until);
+    let due = environment.borrow().instant(until);
     let mut taken = None;
     let tried = tokio::time::timeout_at(due, async {
-        let kept =
-            pool.borrow_mut()[host].pop().filter(|(life, _)| *life == world.borrow().incarnations[host].0);
+        let kept = pool.borrow_mut()[host]
+            .pop()
+            .filter(|(life, _)| *life == environment.borrow().incarnations[host].0);
         if let Some((life, stream)) = kept {
-            match exchange(world, pool, host, job, id, deadline, (life, stream), &mut taken).await {
+            match exchange(environment, pool, host, job, id, deadline, (life, stream), &mut taken).await {
                 Ok(ended) => return ended,
                 // Closed between two requests: sent once more, on a new connection.
-                Err(_) if world.borrow().incarnations[host] == (life, true) => {}
+                Err(_) if environment.borrow().incarnations[host] == (life, true) => {}
                 Err(_) => return SubmissionOutcome::DispatcherKilled,
             }
         }
         let (life, port) = {
-            let shared = world.borrow();
+            let shared = environment.borrow();
             (shared.incarnations[host].0, shared.listen[host])
         };
         let Ok(stream) = TcpStream::connect(("127.0.0.1", port)).await else {
             return SubmissionOutcome::Unreachable;
         };
-        match exchange(world, pool, host, job, id, deadline, (life, stream), &mut taken).await {
+        match exchange(environment, pool, host, job, id, deadline, (life, stream), &mut taken).await {
             Ok(ended) => ended,
-            Err(_) if world.borrow().incarnations[host] == (life, true) => SubmissionOutcome::Failed,
+            Err(_) if environment.borrow().incarnations[host] == (life, true) => SubmissionOutcome::Failed,
             Err(_) => SubmissionOutcome::DispatcherKilled,
         }
     })
     .await;
-    let mut shared = world.borrow_mut();
+    let mut shared = environment.borrow_mut();
     let ended = tried.unwrap_or(if leaves.is_some_and(|at| at < deadline) {
         SubmissionOutcome::ClientLeft
     } else {
@@ -152,7 +153,7 @@
 /// Writes a request and reads its answer.
 #[allow(clippy::too_many_arguments, reason = "all of it is one request")]
 async fn exchange(
-    world: &SharedEnvironment,
+    environment: &SharedEnvironment,
     pool: &Pool,
     host: usize,
     job: u32,
@@ -162,10 +163,10 @@
     taken: &mut Option<u64>,
 ) -> io::Result<SubmissionOutcome> {
     stream.set_nodelay(true)?;
-    let message = request(&world.borrow(), job, id, deadline);
+    let message = request(&environment.borrow(), job, id, deadline);
     stream.write_all(message.as_bytes()).await?;
     if taken.replace(id).is_none() {
-        let mut shared = world.borrow_mut();
+        let mut shared = environment.borrow_mut();
         let class = &shared.experiment.traffic.classes[shared.day.jobs[job as usize].class as usize];
         let (repeat, window) = (class.idempotency, micros(class.retry_window));
         shared.checker.record_accepted(id, repeat, window, deadline);
@@ -176,7 +177,7 @@
     };
     let body = http::body(&mut stream, &mut buffer, &head).await?;
     let refused = matches!(head.status, 429 | 503);
-    let mut shared = world.borrow_mut();
+    let mut shared = environment.borrow_mut();
     let now = shared.now();
     shared.checker.record_answer(id, refused, now);
     let after = head.get("retry-after").and_then(|v| v.parse().ok());
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -16,12 +16,12 @@
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Serves a dispatcher's agent.
-pub(super) async fn serve(world: SharedEnvironment, host: usize, listener: TcpListener) {
+pub(super) async fn serve(environment: SharedEnvironment, host: usize, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
-        let world = world.clone();
+        let environment = environment.clone();
         spawn_local(async move {
             // A connection that breaks is the other side's matter.
-            let _ = connection(&world, host, stream).await;
+            let _ = connection(&environment, host, stream).await;
         });
     }
 }
@@ -60,36 +60,36 @@
     }
 }
 
-async fn connection(world: &SharedEnvironment, host: usize, mut stream: TcpStream) -> io::Result<()> {
+async fn connection(environment: &SharedEnvironment, host: usize, mut stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut buffer = BytesMut::new();
     let Some(head) = http::head(&mut stream, &mut buffer, true, || {}).await? else { return Ok(()) };
     let _ = http::body(&mut stream, &mut buffer, &head).await?;
-    let whole = list(&world.borrow(), host, 0).to_string();
+    let whole = list(&environment.borrow(), host, 0).to_string();
     if !head.path.contains("stream=1") {
-        record_drain_notices(&mut world.borrow_mut(), host, 0);
+        record_drain_notices(&mut environment.borrow_mut(), host, 0);
         let length = whole.len();
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{whole}");
         return stream.write_all(answer.as_bytes()).await;
     }
-    let mut revision = world.borrow().agents[host].revision;
-    record_drain_notices(&mut world.borrow_mut(), host, 0);
+    let mut revision = environment.borrow().agents[host].revision;
+    record_drain_notices(&mut environment.borrow_mut(), host, 0);
     stream.write_all(&[CHUNKED, chunk(&whole).as_slice()].concat()).await?;
     loop {
-        let changed = world.borrow().agents[host].changed.clone();
+        let changed = environment.borrow().agents[host].changed.clone();
         let news = changed.notified();
         tokio::pin!(news);
         news.as_mut().enable();
-        if world.borrow().agents[host].revision == revision {
+        if environment.borrow().agents[host].revision == revision {
             let quiet = tokio::time::timeout(KEEPALIVE_INTERVAL, news).await.is_err();
             if quiet {
                 stream.write_all(&chunk("")).await?;
                 continue;
             }
         }
-        let line = list(&world.borrow(), host, revision).to_string();
-        let before = std::mem::replace(&mut revision, world.borrow().agents[host].revision);
-        record_drain_notices(&mut world.borrow_mut(), host, before);
+        let line = list(&environment.borrow(), host, revision).to_string();
+        let before = std::mem::replace(&mut revision, environment.borrow().agents[host].revision);
+        record_drain_notices(&mut environment.borrow_mut(), host, before);
         stream.write_all(&chunk(&line)).await?;
     }
 }
--- a/crates/emulator/src/sockets/http.rs
+++ b/crates/emulator/src/sockets/http.rs
@@ -1,4 +1,4 @@
-//! As much HTTP/1.1 as the stand-ins need, on httparse: a message at a time out of a buffer.
+//! As much HTTP/1.1 as the emulated parties need, on httparse: a message at a time out of a buffer.
 
 use std::io;
 
@@ -6,7 +6,7 @@
 use tokio::io::AsyncReadExt as _;
 use tokio::net::TcpStream;
 
-/// The largest head and the largest body that a stand-in reads.
+/// The largest head and the largest body that a emulated reads.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 const MAX_HEADERS: usize = 64;
 
--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -1,7 +1,7 @@
-//! The drive over sockets: the same day and the same worker model in real time, against the real program.
+//! The run over sockets: the same day and the same worker model in real time, against the real program.
 //!
 //! Each dispatcher of the day is a child process; workers, discovery and clients are tasks here, on loopback and free
-//! ports. Every worker listens once for each dispatcher, so that the stand-ins know who sent what without asking.
+//! ports. Every worker listens once for each dispatcher, so that the emulated parties know who sent what without asking.
 
 mod client;
 mod discovery;
@@ -59,7 +59,7 @@
     run: Option<u32>,
 }
 
-/// What all stand-ins share.
+/// What all emulated parties share.
 struct Environment {
     experiment: Experiment,
     day: Day,
@@ -113,8 +113,8 @@
     /// Passes on what a worker said, and wakes its driver.
     fn process_job_events(&mut self, w: usize) {
         let now = self.now();
-        let mut notes = std::mem::take(&mut self.job_events);
-        for note in notes.drain(..) {
+        let mut events = std::mem::take(&mut self.job_events);
+        for note in events.drain(..) {
             let n = match note {
                 JobEvent::Started(n)
                 | JobEvent::Progress(n, _)
@@ -141,14 +141,14 @@
             // A connection that is closed needs no word.
             let _ = attempt.events.send(note);
         }
-        self.job_events = notes;
+        self.job_events = events;
         self.wake[w].notify_one();
     }
 
     fn with_worker(&mut self, w: usize, change: impl FnOnce(&mut Worker, Micros, &mut Vec<JobEvent>)) {
-        let (now, mut notes) = (self.now(), std::mem::take(&mut self.job_events));
-        change(&mut self.workers[w], now, &mut notes);
-        self.job_events = notes;
+        let (now, mut events) = (self.now(), std::mem::take(&mut self.job_events));
+        change(&mut self.workers[w], now, &mut events);
+        self.job_events = events;
         self.process_job_events(w);
     }
 
@@ -156,7 +156,7 @@
     fn kill_worker(&mut self, w: usize) {
         self.processes[w] += 1;
         self.record.workers[w].3 = self.now();
-        self.with_worker(w, |worker, now, notes| worker.end(now, notes));
+        self.with_worker(w, |worker, now, events| worker.end(now, events));
         self.ended[w].notify_waiters();
     }
 
@@ -175,17 +175,17 @@
 }
 
 /// A change of the list goes out with the others of its period, to each dispatcher by its own delay.
-fn publish(world: &SharedEnvironment, w: usize, phase: &'static str, after: Micros) {
-    let shared = world.borrow();
+fn publish(environment: &SharedEnvironment, w: usize, phase: &'static str, after: Micros) {
+    let shared = environment.borrow();
     let period = shared.day.discovery.publish_period.max(1);
     let at = (shared.now() + after).div_ceil(period) * period;
     let since = shared.workers[w].started_at;
     for host in 0..shared.agents.len() {
         let due = shared.instant(at + shared.day.dispatchers[host].list_delay);
-        let world = world.clone();
+        let environment = environment.clone();
         spawn_local(async move {
             tokio::time::sleep_until(due).await;
-            let agent = &mut world.borrow_mut().agents[host];
+            let agent = &mut environment.borrow_mut().agents[host];
             agent.revision += 1;
             let revision = agent.revision;
             agent.entries.insert(w, ListEntry { revision, phase, started_at: since });
@@ -205,64 +205,64 @@
 
 async fn run(experiment: Experiment, arm: Arm, day: Day, program: &Path) -> io::Result<RunRecord> {
     let hosts = day.dispatchers.len();
-    let world: SharedEnvironment = Rc::new(RefCell::new(Environment::new(experiment, day)));
-    let workers = world.borrow().workers.len();
+    let environment: SharedEnvironment = Rc::new(RefCell::new(Environment::new(experiment, day)));
+    let workers = environment.borrow().workers.len();
     for w in 0..workers {
-        worker::serve(&world, w).await?;
+        worker::serve(&environment, w).await?;
     }
     let mut programs = Vec::new();
     for host in 0..hosts {
-        programs.push(program::DispatcherProcess::prepare(&world, &arm, host, program).await?);
+        programs.push(program::DispatcherProcess::prepare(&environment, &arm, host, program).await?);
     }
     for program in &mut programs {
-        program.start(&world)?;
+        program.start(&environment)?;
     }
     for program in &programs {
-        program.wait_until_ready(&world, READY_TIMEOUT).await?;
+        program.wait_until_ready(&environment, READY_TIMEOUT).await?;
     }
     tokio::time::sleep(SETTLE_TIME).await;
-    world.borrow_mut().start_clock();
-    let clients = spawn_local(client::play(world.clone()));
-    let end = world.borrow().instant(world.borrow().day.last_arrival);
-    run_faults(&world, &mut programs).await?;
+    environment.borrow_mut().start_clock();
+    let clients = spawn_local(client::play(environment.clone()));
+    let end = environment.borrow().instant(environment.borrow().day.last_arrival);
+    run_faults(&environment, &mut programs).await?;
     tokio::time::sleep_until(end).await;
     let _ = tokio::time::timeout(MAX_TAIL, clients).await;
     for program in &mut programs {
-        program.kill(&world);
+        program.kill(&environment);
     }
     drop(programs);
-    let record = world.borrow_mut().take_record();
+    let record = environment.borrow_mut().take_record();
     Ok(record)
 }
 
 /// Injects the faults of the day at their times; dispatchers that were killed are started again.
 async fn run_faults(
-    world: &SharedEnvironment,
+    environment: &SharedEnvironment,
     programs: &mut [program::DispatcherProcess],
 ) -> io::Result<()> {
-    let faults = world.borrow().day.faults.clone();
+    let faults = environment.borrow().day.faults.clone();
     let mut restarts = tokio::task::JoinSet::new();
     for (at, fault) in faults {
-        let due = world.borrow().instant(at);
+        let due = environment.borrow().instant(at);
         tokio::time::sleep_until(due).await;
         match fault {
             Fault::RestartDispatcher(host, duration) => {
-                programs[host].kill(world);
+                programs[host].kill(environment);
                 // It is started again below, in the order of time.
                 restarts.spawn_local(async move {
                     tokio::time::sleep(Duration::from_micros(duration)).await;
                     host
                 });
             }
-            other => inject_fault(world, other),
+            other => inject_fault(environment, other),
         }
         while let Some(Ok(host)) = restarts.try_join_next() {
-            programs[host].start(world)?;
+            programs[host].start(environment)?;
         }
     }
     while let Some(restart) = restarts.join_next().await {
         if let Ok(host) = restart {
-            programs[host].start(world)?;
+            programs[host].start(environment)?;
         }
     }
     Ok(())
@@ -342,62 +342,62 @@
     }
 }
 
-fn inject_fault(world: &SharedEnvironment, mishap: Fault) {
-    match mishap {
+fn inject_fault(environment: &SharedEnvironment, fault: Fault) {
+    match fault {
         Fault::HangWorker(w, hung) => {
-            world.borrow_mut().with_worker(w, |worker, now, notes| worker.set_hung(hung, now, notes));
+            environment.borrow_mut().with_worker(w, |worker, now, events| worker.set_hung(hung, now, events));
         }
         Fault::NoisyNeighbour(w, part) => {
-            world.borrow_mut().with_worker(w, |worker, now, _| worker.set_stolen_share(part, now));
+            environment.borrow_mut().with_worker(w, |worker, now, _| worker.set_stolen_share(part, now));
         }
-        Fault::ReplaceWorker(w, lasts) => {
-            if world.borrow().workers[w].phase != Phase::Serving {
+        Fault::ReplaceWorker(w, duration) => {
+            if environment.borrow().workers[w].phase != Phase::Serving {
                 return;
             }
-            let notice = world.borrow().day.discovery.drain_notice;
+            let notice = environment.borrow().day.discovery.drain_notice;
             let next = {
-                let mut shared = world.borrow_mut();
+                let mut shared = environment.borrow_mut();
                 shared.record.workers[w].3 = shared.now();
-                shared.with_worker(w, |worker, now, notes| worker.drain(now, notes));
+                shared.with_worker(w, |worker, now, events| worker.drain(now, events));
                 let plan = shared.workers[w].plan.clone();
-                let since = shared.now() + lasts;
+                let since = shared.now() + duration;
                 let mut successor = Worker::new(plan, Some(since), since, progress_interval());
                 successor.phase = Phase::Ended;
                 shared.add_worker(successor)
             };
-            publish(world, w, "terminating", notice);
-            let world = world.clone();
+            publish(environment, w, "terminating", notice);
+            let environment = environment.clone();
             spawn_local(async move {
-                tokio::time::sleep(Duration::from_micros(lasts)).await;
-                world.borrow_mut().kill_worker(w);
-                publish(&world, w, "terminated", notice);
-                start_worker(&world, next).await;
+                tokio::time::sleep(Duration::from_micros(duration)).await;
+                environment.borrow_mut().kill_worker(w);
+                publish(&environment, w, "terminated", notice);
+                start_worker(&environment, next).await;
             });
         }
-        Fault::CrashWorker(w, lasts) => {
-            world.borrow_mut().kill_worker(w);
-            let world = world.clone();
+        Fault::CrashWorker(w, duration) => {
+            environment.borrow_mut().kill_worker(w);
+            let environment = environment.clone();
             spawn_local(async move {
-                tokio::time::sleep(Duration::from_micros(lasts)).await;
-                start_worker(&world, w).await;
+                tokio::time::sleep(Duration::from_micros(duration)).await;
+                start_worker(&environment, w).await;
             });
         }
         Fault::RestartDispatcher(..) => {}
     }
 }
 
-async fn start_worker(world: &SharedEnvironment, w: usize) {
+async fn start_worker(environment: &SharedEnvironment, w: usize) {
     {
-        let mut shared = world.borrow_mut();
+        let mut shared = environment.borrow_mut();
         let now = shared.now();
         let plan = shared.workers[w].plan.clone();
         let warm = micros(plan.warm_up);
         shared.workers[w] = Worker::new(plan, Some(now), now, progress_interval());
         (shared.record.workers[w].2, shared.record.workers[w].3) = (now + warm, Micros::MAX);
     }
-    if worker::serve(world, w).await.is_ok() {
-        let add = world.borrow().day.discovery.start_notice;
-        publish(world, w, "in_service", add);
+    if worker::serve(environment, w).await.is_ok() {
+        let add = environment.borrow().day.discovery.start_notice;
+        publish(environment, w, "in_service", add);
     }
 }
 
--- a/crates/emulator/src/sockets/program.rs
+++ b/crates/emulator/src/sockets/program.rs
@@ -41,20 +41,20 @@
 impl DispatcherProcess {
     /// Opens the agent's listener and picks the address of the dispatcher.
     pub(super) async fn prepare(
-        world: &SharedEnvironment,
+        environment: &SharedEnvironment,
         arm: &Arm,
         host: usize,
         path: &Path,
     ) -> io::Result<DispatcherProcess> {
         let agent = TcpListener::bind("127.0.0.1:0").await?;
         let discovery = agent.local_addr()?.port();
-        spawn_local(discovery::serve(world.clone(), host, agent));
+        spawn_local(discovery::serve(environment.clone(), host, agent));
         // The port is free now and stays so, unless somebody else is given it in this moment.
         let listen = Probe::bind("127.0.0.1:0")?.local_addr()?.port();
-        world.borrow_mut().listen.push(listen);
+        environment.borrow_mut().listen.push(listen);
         let file = format!("emulator-{}-{listen}.json", std::process::id());
         let config = std::env::temp_dir().join(file);
-        let settings = settings(world, arm, host);
+        let settings = settings(environment, arm, host);
         let own = config.with_extension("hcl");
         let own_text = match arm.capacity_reservation {
             Some(room) => {
@@ -75,8 +75,8 @@
     }
 
     /// Starts the process with the list as its agent has it.
-    pub(super) fn start(&mut self, world: &SharedEnvironment) -> io::Result<()> {
-        let mut shared = world.borrow_mut();
+    pub(super) fn start(&mut self, environment: &SharedEnvironment) -> io::Result<()> {
+        let mut shared = environment.borrow_mut();
         let listen = format!("127.0.0.1:{}", shared.listen[self.host]);
         let seed =
             shared.day.seed ^ (self.host as u64) << 32 ^ u64::from(shared.incarnations[self.host].0) << 48;
@@ -113,10 +113,10 @@
     /// Waits until it says that it is ready.
     pub(super) async fn wait_until_ready(
         &self,
-        world: &SharedEnvironment,
+        environment: &SharedEnvironment,
         within: Duration,
     ) -> io::Result<()> {
-        let address = ("127.0.0.1", world.borrow().listen[self.host]);
+        let address = ("127.0.0.1", environment.borrow().listen[self.host]);
         let until = Instant::now() + within;
         while Instant::now() < until {
             if let Ok(mut stream) = TcpStream::connect(address).await {
@@ -136,11 +136,11 @@
     }
 
     /// Kills the process outright; what it had taken is excused.
-    pub(super) fn kill(&mut self, world: &SharedEnvironment) {
+    pub(super) fn kill(&mut self, environment: &SharedEnvironment) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
             let _ = child.wait();
-            let life = &mut world.borrow_mut().incarnations[self.host];
+            let life = &mut environment.borrow_mut().incarnations[self.host];
             *life = (life.0 + 1, false);
         }
     }
@@ -158,8 +158,8 @@
 }
 
 /// The settings as the platform would tell them.
-fn settings(world: &SharedEnvironment, arm: &Arm, host: usize) -> Value {
-    let shared = world.borrow();
+fn settings(environment: &SharedEnvironment, arm: &Arm, host: usize) -> Value {
+    let shared = environment.borrow();
     let (experiment, day) = (&shared.experiment, &shared.day);
     let rules = &experiment.rules;
     let repeat = |repeat: Idempotency| match repeat {
--- a/crates/emulator/src/sockets/worker.rs
+++ b/crates/emulator/src/sockets/worker.rs
@@ -16,27 +16,27 @@
 use crate::day::{micros, Micros};
 use crate::worker::{AssignedJob, JobEvent, OverloadLimit, Phase};
 
-/// Opens a worker's listeners, one for each dispatcher, and drives its model until its process ends.
-pub(super) async fn serve(world: &SharedEnvironment, w: usize) -> io::Result<()> {
-    let hosts = world.borrow().agents.len();
+/// Opens a worker's listeners, one for each dispatcher, and execution modes its model until its process ends.
+pub(super) async fn serve(environment: &SharedEnvironment, w: usize) -> io::Result<()> {
+    let hosts = environment.borrow().agents.len();
     let mut ports = Vec::new();
     for host in 0..hosts {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         ports.push(listener.local_addr()?.port());
-        spawn_local(listen(world.clone(), w, host, listener));
+        spawn_local(listen(environment.clone(), w, host, listener));
     }
-    world.borrow_mut().ports[w] = ports;
-    spawn_local(run_model(world.clone(), w));
+    environment.borrow_mut().ports[w] = ports;
+    spawn_local(run_model(environment.clone(), w));
     Ok(())
 }
 
 /// Wakes the model when it is due.
-async fn run_model(world: SharedEnvironment, w: usize) {
-    let process = world.borrow().processes[w];
-    let due = world.borrow().wake[w].clone();
-    while world.borrow().processes[w] == process {
+async fn run_model(environment: SharedEnvironment, w: usize) {
+    let process = environment.borrow().processes[w];
+    let due = environment.borrow().wake[w].clone();
+    while environment.borrow().processes[w] == process {
         let next = {
-            let shared = world.borrow();
+            let shared = environment.borrow();
             shared.workers[w].next_event().map(|at| shared.instant(at))
         };
         let sleep = async {
@@ -48,17 +48,17 @@
         tokio::select! {
             () = due.notified() => {}
             () = sleep => {
-                if world.borrow().processes[w] == process {
-                    world.borrow_mut().with_worker(w, |worker, now, notes| worker.wake(now, notes));
+                if environment.borrow().processes[w] == process {
+                    environment.borrow_mut().with_worker(w, |worker, now, events| worker.wake(now, events));
                 }
             }
         }
     }
 }
 
-async fn listen(world: SharedEnvironment, w: usize, host: usize, listener: TcpListener) {
-    let process = world.borrow().processes[w];
-    let ended = world.borrow().ended[w].clone();
+async fn listen(environment: SharedEnvironment, w: usize, host: usize, listener: TcpListener) {
+    let process = environment.borrow().processes[w];
+    let ended = environment.borrow().ended[w].clone();
     loop {
         let stream = tokio::select! {
             () = ended.notified() => return,
@@ -67,25 +67,25 @@
                 Err(_) => continue,
             },
         };
-        if world.borrow().processes[w] != process {
+        if environment.borrow().processes[w] != process {
             return;
         }
         {
-            let mut shared = world.borrow_mut();
+            let mut shared = environment.borrow_mut();
             if shared.connections[w] >= shared.workers[w].plan.max_connections {
                 continue;
             }
             shared.connections[w] += 1;
             shared.record.new_connections += 1;
         }
-        let (world, ended) = (world.clone(), ended.clone());
+        let (environment, ended) = (environment.clone(), ended.clone());
         spawn_local(async move {
             tokio::select! {
                 // The process ends, and its connections with it.
                 () = ended.notified() => {}
-                _ = connection(&world, w, host, stream) => {}
+                _ = connection(&environment, w, host, stream) => {}
             }
-            let count = &mut world.borrow_mut().connections[w];
+            let count = &mut environment.borrow_mut().connections[w];
             *count = count.saturating_sub(1);
         });
     }
@@ -93,14 +93,14 @@
 
 /// Serves the requests of a connection, one at a time.
 async fn connection(
-    world: &SharedEnvironment,
+    environment: &SharedEnvironment,
     w: usize,
     host: usize,
     mut stream: TcpStream,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let (way, shake, idle) = {
-        let shared = world.borrow();
+        let shared = environment.borrow();
         let net = &shared.day.network;
         let way = shared.network_delay(host, w);
         (way, 2 * way.mul_f64(net.handshake_rtts) + Duration::from_micros(micros(net.handshake)), net.idle)
@@ -109,21 +109,21 @@
     let mut buffer = BytesMut::with_capacity(4096);
     loop {
         let mut first: Option<Micros> = None;
-        let begins = http::head(&mut stream, &mut buffer, true, || first = Some(world.borrow().now()));
+        let begins = http::head(&mut stream, &mut buffer, true, || first = Some(environment.borrow().now()));
         let Ok(head) = tokio::time::timeout(Duration::from_micros(idle), begins).await else { return Ok(()) };
         let Some(head) = head? else { return Ok(()) };
         let _ = http::body(&mut stream, &mut buffer, &head).await?;
         // The last byte has come: from here on it counts.
-        let begun = first.unwrap_or_else(|| world.borrow().now());
+        let begun = first.unwrap_or_else(|| environment.borrow().now());
         let id = head.get("request-id").and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or(0);
-        let Some((n, mut notes)) = record_attempt(world, w, host, id, begun) else {
+        let Some((n, mut events)) = record_attempt(environment, w, host, id, begun) else {
             stream.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await?;
             continue;
         };
         tokio::time::sleep(way).await;
-        offer_job(world, w, host, n);
-        let mut called_off = CancelOnDrop { world, w, n, complete: false };
-        if !write_events(world, w, &mut stream, &mut buffer, id, way, &mut notes).await? {
+        offer_job(environment, w, host, n);
+        let mut called_off = CancelOnDrop { environment, w, n, complete: false };
+        if !write_events(environment, w, &mut stream, &mut buffer, id, way, &mut events).await? {
             return Ok(());
         }
         called_off.complete = true;
@@ -132,7 +132,7 @@
 
 /// An attempt whose connection is closed is given up.
 struct CancelOnDrop<'a> {
-    world: &'a SharedEnvironment,
+    environment: &'a SharedEnvironment,
     w: usize,
     n: usize,
     complete: bool,
@@ -142,8 +142,8 @@
     fn drop(&mut self) {
         if !self.complete {
             let n = self.n;
-            self.world.borrow_mut().with_worker(self.w, |worker, now, notes| {
-                worker.cancel(n, now, notes);
+            self.environment.borrow_mut().with_worker(self.w, |worker, now, events| {
+                worker.cancel(n, now, events);
             });
         }
     }
@@ -151,13 +151,13 @@
 
 /// Notes a request that came whole, for the checker.
 fn record_attempt(
-    world: &SharedEnvironment,
+    environment: &SharedEnvironment,
     w: usize,
     host: usize,
     id: u64,
     begun: Micros,
 ) -> Option<(usize, mpsc::UnboundedReceiver<JobEvent>)> {
-    let mut shared = world.borrow_mut();
+    let mut shared = environment.borrow_mut();
     let job = *shared.submissions.get(usize::try_from(id.checked_sub(1)?).ok()?)?;
     let place = (shared.workers[w].plan.zone, shared.workers[w].plan.rack);
     let life = shared.incarnation_id(host);
@@ -167,14 +167,14 @@
     shared.record.admitted[job as usize] = true;
     let first = &mut shared.record.first_sent[job as usize];
     *first = first.or(Some(begun));
-    let (sender, notes) = mpsc::unbounded_channel();
+    let (sender, events) = mpsc::unbounded_channel();
     shared.attempts.push(Attempt { events: sender, request: id, job, checker_send: send, run: None });
-    Some((shared.attempts.len() - 1, notes))
+    Some((shared.attempts.len() - 1, events))
 }
 
 /// The request reaches the model.
-fn offer_job(world: &SharedEnvironment, w: usize, host: usize, n: usize) {
-    let mut guard = world.borrow_mut();
+fn offer_job(environment: &SharedEnvironment, w: usize, host: usize, n: usize) {
+    let mut guard = environment.borrow_mut();
     let shared = &mut *guard;
     if shared.workers[w].phase == Phase::Ended {
         return;
@@ -196,30 +196,30 @@
     let rules = &shared.experiment.rules;
     let fall = OverloadLimit { multiple: rules.overload_multiple, window: micros(rules.overload_window) };
     let mut fallen = None;
-    shared.with_worker(w, |worker, now, notes| fallen = worker.offer(task, now, fall, notes));
+    shared.with_worker(w, |worker, now, events| fallen = worker.offer(task, now, fall, events));
     if let Some(fallen) = fallen {
         shared.checker.record_cold_overload(fallen.by_informed_senders);
         shared.kill_worker(w);
         let silent = shared.day.discovery.death_notice;
         drop(guard);
-        super::publish(world, w, "terminated", silent);
+        super::publish(environment, w, "terminated", silent);
     }
 }
 
 /// Writes what the worker says of an attempt; false where the connection is of no more use.
 async fn write_events(
-    world: &SharedEnvironment,
+    environment: &SharedEnvironment,
     w: usize,
     stream: &mut TcpStream,
     buffer: &mut BytesMut,
     id: u64,
     way: Duration,
-    notes: &mut mpsc::UnboundedReceiver<JobEvent>,
+    events: &mut mpsc::UnboundedReceiver<JobEvent>,
 ) -> io::Result<bool> {
     let mut begun = false;
     loop {
         let note = tokio::select! {
-            note = notes.recv() => note,
+            note = events.recv() => note,
             // Nothing is sent while an answer is awaited: what comes is the end.
             end = readable(stream) => { end?; None }
         };
@@ -234,7 +234,7 @@
             JobEvent::Done(_) => (line("done", &format!(",\"result\":\"{id:016x} by w-{w}\"")), true),
             JobEvent::Failed(_) => (line("failed", ""), true),
             JobEvent::Rejected(n) => {
-                let mut shared = world.borrow_mut();
+                let mut shared = environment.borrow_mut();
                 let (request, send) = (shared.attempts[n].request, shared.attempts[n].checker_send);
                 shared.checker.record_never_ran(request, send);
                 (line("returned", ""), true)
--- a/crates/emulator/src/virtual_time/mod.rs
+++ b/crates/emulator/src/virtual_time/mod.rs
@@ -1,4 +1,4 @@
-//! The drive in virtual time: one queue of events, no clock, no threads. The same day and router give the same run.
+//! The run in virtual time: one queue of events, no clock, no threads. The same day and router give the same run.
 
 mod simulation;
 
--- a/crates/emulator/src/virtual_time/simulation/faults.rs
+++ b/crates/emulator/src/virtual_time/simulation/faults.rs
@@ -58,7 +58,7 @@
         self.publish(self.list_entry(w), self.day.discovery.start_notice);
     }
 
-    /// A dispatcher is killed outright, and comes back with nothing but its last list.
+    /// A dispatcher is killed, and comes back with nothing but its last list.
     pub(super) fn restart_dispatcher(&mut self, host: u32, duration: Micros) {
         let h = &mut self.dispatchers[host as usize];
         if h.router.take().is_none() {
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -45,7 +45,7 @@
     Done(AttemptId),
     /// It ended in an error.
     Failed(AttemptId),
-    /// Turned away or handed back unstarted.
+    /// Rejected or handed back unstarted.
     Rejected(AttemptId),
     /// It was killed.
     Lost(AttemptId),
