--- a/crates/emulator/src/cluster/cluster_harness.rs
+++ b/crates/emulator/src/cluster/cluster_harness.rs
@@ -309,7 +309,7 @@
             coordinators: (0..count).map(|_| None).collect(),
             dispatchers: (0..dispatchers).map(|_| None).collect(),
             consoles,
-            network: network,
+            network,
             listen,
         };
         if together.is_some() {
--- a/crates/emulator/src/cluster/lease_harness/mod.rs
+++ b/crates/emulator/src/cluster/lease_harness/mod.rs
@@ -188,7 +188,7 @@
             programs,
             plan,
             arm,
-            network: network,
+            network,
             processes,
             injected_bug: bug,
             address_block: base,
--- a/crates/emulator/src/cluster/schedule.rs
+++ b/crates/emulator/src/cluster/schedule.rs
@@ -208,12 +208,7 @@
                 }
                 _ => random.random_range(1.0..8.0),
             };
-            faults.push(ScheduledFault {
-                at,
-                kind,
-                duration: duration,
-                target_choice: random.random_range(0..1_000),
-            });
+            faults.push(ScheduledFault { at, kind, duration, target_choice: random.random_range(0..1_000) });
             at += random.random_range(0.3..1.7) * self.fault_interval;
         }
         faults
@@ -236,7 +231,7 @@
     }
     Ok(Arm {
         name: section.label().to_owned(),
-        coordinators: coordinators,
+        coordinators,
         members: section.integer("members", 2..=100)?.unwrap_or(8) as usize,
         fault_kinds: kinds,
     })
--- a/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
@@ -200,7 +200,7 @@
     }
 }
 
-/// Rule 9, by the checker that the other execution modes have. What a worker heard whole may have run.
+/// Rule 9, by the checker that the runs of experiments have. What a worker heard whole may have run.
 pub(super) fn check_idempotency(observations: &Observations, found: &mut BTreeMap<&str, Vec<String>>) {
     let jobs = observations.jobs.iter().enumerate();
     let mut events: Vec<(u64, u64, Option<usize>, u16)> = jobs
--- a/crates/emulator/src/metrics.rs
+++ b/crates/emulator/src/metrics.rs
@@ -77,7 +77,7 @@
     pub slow: f64,
 }
 
-/// What a execution mode hands over of a day.
+/// What a run hands over of a day.
 #[derive(Debug, Default)]
 pub struct RunRecord {
     /// How each job ended.
--- a/crates/emulator/src/sockets/worker.rs
+++ b/crates/emulator/src/sockets/worker.rs
@@ -16,7 +16,7 @@
 use crate::day::{micros, Micros};
 use crate::worker::{AssignedJob, JobEvent, OverloadLimit, Phase};
 
-/// Opens a worker's listeners, one for each dispatcher, and execution modes its model until its process ends.
+/// Opens a worker's listeners, one for each dispatcher, and runs its model until its process ends.
 pub(super) async fn serve(environment: &SharedEnvironment, w: usize) -> io::Result<()> {
     let hosts = environment.borrow().agents.len();
     let mut ports = Vec::new();
