--- a/crates/emulator/src/report/chart.rs
+++ b/crates/emulator/src/report/chart.rs
@@ -9,8 +9,11 @@
 
 use super::{ArmResult, CaseFigure, Mean, Results};
 
-/// Width and height of a chart, in pixels.
-const SIZE_PX: (u32, u32) = (900, 520);
+/// Width of a chart, in pixels.
+const WIDTH_PX: u32 = 900;
+
+/// Height of a chart, in pixels.
+const HEIGHT_PX: u32 = 520;
 
 type Backend<'a> = SVGBackend<'a>;
 type Axes<'a, 'b> = ChartContext<'a, Backend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
@@ -27,7 +30,7 @@
         .first()
         .map(|arm| arm.cases.iter().map(|case| case.name.clone()).collect())
         .unwrap_or_default();
-    let root = SVGBackend::new(path, SIZE_PX).into_drawing_area();
+    let root = SVGBackend::new(path, (WIDTH_PX, HEIGHT_PX)).into_drawing_area();
     root.fill(&WHITE)?;
     let caption = format!("{}: {title}", results.experiment);
     let mut chart = axes(&root, &caption, &cases, value_range(results, figure))?;
