--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -84,9 +84,9 @@
     /// The first key that is missing or faulty.
     pub fn from_environment(var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let mut config = Config::parse(&Config::read_file(&var)?, &var)?;
-        let own = LocalSettings::load(var)?;
-        config.settings.capacity_reservation = own.capacity_reservation;
-        config.cluster = own.cluster;
+        let local = LocalSettings::load(var)?;
+        config.settings.capacity_reservation = local.capacity_reservation;
+        config.cluster = local.cluster;
         Ok(config)
     }
 
@@ -96,12 +96,12 @@
     /// The first key that is missing or faulty, or that a running program cannot change.
     pub fn reload(&self, var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let mut config = self.replace(&Config::read_file(&var)?, &var)?;
-        let own = LocalSettings::load(var)?;
-        if own.cluster != self.cluster {
+        let local = LocalSettings::load(var)?;
+        if local.cluster != self.cluster {
             return invalid("fleet", "cannot change while the program runs");
         }
-        config.settings.capacity_reservation = own.capacity_reservation;
-        config.cluster = own.cluster;
+        config.settings.capacity_reservation = local.capacity_reservation;
+        config.cluster = local.cluster;
         Ok(config)
     }
 
@@ -166,8 +166,8 @@
             Err(error) => return invalid("configuration", format!("is not JSON: {error}")),
         };
         let told = |name: &str, key: &str| {
-            let own = var(name).map(|v| (name.to_owned(), v));
-            own.or_else(|| root[key].as_str().map(|v| (key.to_owned(), v.to_owned())))
+            let local = var(name).map(|v| (name.to_owned(), v));
+            local.or_else(|| root[key].as_str().map(|v| (key.to_owned(), v.to_owned())))
         };
         let address = |name: &str, key: &str| match told(name, key) {
             None => invalid(key, "missing; expected an address such as 127.0.0.1:7070"),
@@ -266,9 +266,9 @@
 fn parse_names(pairs: &SettingsPairs<'_>, module: &Settings) -> Result<Names, ConfigError> {
     let mut classes = Vec::new();
     for (i, name) in pairs.names("profiles")?.into_iter().enumerate() {
-        let patience = micros(pairs.non_negative(&format!("profiles.{i}.deadline-s"), DEFAULT_TIMEOUT_S)?);
+        let timeout = micros(pairs.non_negative(&format!("profiles.{i}.deadline-s"), DEFAULT_TIMEOUT_S)?);
         let keyed = matches!(module.classes[i].idempotency, Idempotency::WithKey(_));
-        classes.push(ClassInfo { name, timeout: patience, requires_idempotency_key: keyed });
+        classes.push(ClassInfo { name, timeout, requires_idempotency_key: keyed });
     }
     let tenants = pairs.names("projects")?;
     let listed = |path: &str| pairs.list(path).map(str::to_owned).collect();
--- a/crates/dispatcher/src/engine/requests.rs
+++ b/crates/dispatcher/src/engine/requests.rs
@@ -44,8 +44,8 @@
     pub(super) fn release_held_requests(&mut self) {
         for request in self.held_for_initial_list.take().unwrap_or_default() {
             if let Some(open) = self.requests.get(request.id).filter(|open| open.answer_sender.is_some()) {
-                let patience = seconds(open.deadline.saturating_sub(self.now));
-                self.notify_policy(Event::Request(Request { timeout: patience, ..request }));
+                let timeout = seconds(open.deadline.saturating_sub(self.now));
+                self.notify_policy(Event::Request(Request { timeout, ..request }));
             }
         }
     }
--- a/crates/dispatcher/src/net/client/connection.rs
+++ b/crates/dispatcher/src/net/client/connection.rs
@@ -81,12 +81,12 @@
 }
 
 impl Connection {
-    pub(super) async fn serve(stream: TcpStream, shared: Rc<ClientContext>, surplus: bool) {
+    pub(super) async fn serve(stream: TcpStream, context: Rc<ClientContext>, over_limit: bool) {
         let mut connection = Connection {
             stream,
             buf: BytesMut::new(),
-            context: shared,
-            over_limit: surplus,
+            context,
+            over_limit,
             awaiting_first_request: true,
             request_started_at: Instant::now(),
         };
@@ -199,11 +199,11 @@
             };
             // A head that stops half-way holds a descriptor that others need.
             let mut still_crowded = self.context.crowded.subscribe();
-            let squeezed = async {
+            let crowded_timeout = async {
                 let _ = still_crowded.wait_for(|c| *c).await;
                 sleep_until(begun + CROWDED_REQUEST_TIMEOUT).await;
             };
-            let surplus = self.over_limit;
+            let over_limit = self.over_limit;
             tokio::select! {
                 biased;
                 read = read_more(&mut self.stream, &mut self.buf) => match read {
@@ -213,17 +213,17 @@
                 },
                 // A client whose request crosses this sends it again: what comes from here on is read and dropped, since
                 // a close over bytes that nobody has read resets the connection and takes the last answer along.
-                () = dismissed, if idle && !surplus => if has_unread_bytes(&self.stream) {
+                () = dismissed, if idle && !over_limit => if has_unread_bytes(&self.stream) {
                     tokio::task::yield_now().await;
                 } else {
                     return Err(ConnectionEnd::Close);
                 },
-                () = async { tokio::select! { () = sleep_until(begun + REQUEST_TIMEOUT) => {} () = squeezed => {} } },
-                    if !idle || surplus =>
+                () = async { tokio::select! { () = sleep_until(begun + REQUEST_TIMEOUT) => {} () = crowded_timeout => {} } },
+                    if !idle || over_limit =>
                 {
                     return Err(REQUEST_TOO_SLOW);
                 }
-                () = sleep_until(begun + REQUEST_TIMEOUT), if idle && fresh && !surplus => {
+                () = sleep_until(begun + REQUEST_TIMEOUT), if idle && fresh && !over_limit => {
                     if has_unread_bytes(&self.stream) {
                         tokio::task::yield_now().await;
                     } else {
--- a/crates/dispatcher/src/net/client/mod.rs
+++ b/crates/dispatcher/src/net/client/mod.rs
@@ -45,8 +45,8 @@
 
 /// Whether the process says yes to the health check and to the console's status: it has heard of its workers, or
 /// waited long enough for them to serve with the list as last held; it serves; it is not in standby.
-pub(crate) fn is_ready(heard: bool, since: Instant, phase: ShutdownPhase, mode: Mode) -> bool {
-    (heard || since.elapsed() >= INITIAL_LIST_TIMEOUT)
+pub(crate) fn is_ready(heard: bool, started_at: Instant, phase: ShutdownPhase, mode: Mode) -> bool {
+    (heard || started_at.elapsed() >= INITIAL_LIST_TIMEOUT)
         && phase == ShutdownPhase::Serving
         && mode == Mode::Active
 }
@@ -86,14 +86,14 @@
     metrics: Rc<Metrics>,
 ) {
     let (crowded, _) = watch::channel(false);
-    let since = Instant::now();
-    let shared = Rc::new(ClientContext {
+    let started_at = Instant::now();
+    let context = Rc::new(ClientContext {
         config: configs,
         handle: handle.clone(),
         phase: phase.clone(),
         ready,
         crowded,
-        started_at: since,
+        started_at,
         mode,
         metrics,
     });
@@ -108,8 +108,8 @@
         if now == ShutdownPhase::Finished || listener.is_none() && tasks.is_empty() {
             return;
         }
-        let most = shared.config.borrow().client_sockets;
-        let crowded = shared.update_crowded(tasks.len(), most);
+        let most = context.config.borrow().client_sockets;
+        let crowded = context.update_crowded(tasks.len(), most);
         let accepted = async {
             match &listener {
                 Some(listener) if now < ShutdownPhase::Closing => Some(listener.accept().await),
@@ -128,7 +128,7 @@
             accepted = accepted, if tasks.len() < most => match accepted {
                 Some(Ok((stream, _))) => {
                     let _ = stream.set_nodelay(true);
-                    tasks.spawn_local(Connection::serve(stream, shared.clone(), crowded));
+                    tasks.spawn_local(Connection::serve(stream, context.clone(), crowded));
                 }
                 Some(Err(error)) => {
                     tracing::warn!(%error, "cannot accept");
--- a/crates/dispatcher/src/net/cluster/health_checks.rs
+++ b/crates/dispatcher/src/net/cluster/health_checks.rs
@@ -50,7 +50,7 @@
     terms: RefCell<BTreeMap<u16, Term>>,
     /// What all our sets say of each zone.
     zones: RefCell<ZoneLiveness>,
-    sightings: RefCell<HealthReports>,
+    reports: RefCell<HealthReports>,
     /// What the engine was told is held against whom.
     notified: RefCell<BTreeMap<u64, UnhealthyVerdict>>,
 }
@@ -63,19 +63,9 @@
         pool: Rc<Pool>,
         metrics: ClusterMetrics,
     ) -> ClusterHealthChecks {
-        let sightings = RefCell::new(HealthReports::new(how));
-        let (terms, told, zones) = (RefCell::default(), RefCell::default(), RefCell::default());
-        ClusterHealthChecks {
-            config: how,
-            zone,
-            member,
-            pool,
-            metrics,
-            terms,
-            zones,
-            sightings,
-            notified: told,
-        }
+        let reports = RefCell::new(HealthReports::new(how));
+        let (terms, notified, zones) = (RefCell::default(), RefCell::default(), RefCell::default());
+        ClusterHealthChecks { config: how, zone, member, pool, metrics, terms, zones, reports, notified }
     }
 
     /// Another member says what it sees; its token was found good.
@@ -83,7 +73,7 @@
         let Some(set) = self.config.set_of_lease(&effect.lease) else { return };
         match HealthReport::decode(&effect.body) {
             Some(report) => {
-                self.sightings.borrow_mut().record(set, effect.token, report, clock::now());
+                self.reports.borrow_mut().record(set, effect.token, report, clock::now());
                 self.notify_engine();
             }
             None => tracing::warn!(lease = %effect.lease, "health report cannot be decoded"),
@@ -115,18 +105,18 @@
             .member
             .held_leases()
             .into_iter()
-            .filter_map(|(duty, token)| Some((self.config.set_of_lease(&duty)?, token)))
+            .filter_map(|(lease, token)| Some((self.config.set_of_lease(&lease)?, token)))
             .collect();
         let mut terms = self.terms.borrow_mut();
         terms.retain(|set, term| owned.get(set) == Some(&term.token));
         for (set, token) in owned {
             terms.entry(set).or_insert_with(|| {
                 tracing::info!(set, token = token.0, "holds a health-check lease");
-                let duty = coordination::LeaseId::worker_set(&self.config.lease_name(), set);
+                let lease = coordination::LeaseId::worker_set(&self.config.lease_name(), set);
                 Term {
                     token,
                     rounds: HealthCheckScheduler::new(self.config, &self.zone),
-                    publisher: Publisher::new(&self.member, duty, token),
+                    publisher: Publisher::new(&self.member, lease, token),
                     health_checks: BTreeMap::new(),
                 }
             });
@@ -158,14 +148,14 @@
     }
 
     async fn check_worker(self: Rc<Self>, set: u16, token: FencingToken, worker: u64) {
-        let duty = coordination::LeaseId::worker_set(&self.config.lease_name(), set);
+        let lease = coordination::LeaseId::worker_set(&self.config.lease_name(), set);
         let may = || {
             // The last thing before the write: a look at the lease by the clock, and the time for the next one.
             let now = clock::now();
-            let looked = self.member.lease_client().borrow().holds_lease(&duty, token, now);
-            let may = looked || self.config.injected_bug == Some(InjectedBug::SkipLeaseCheck);
+            let holds_lease = self.member.lease_client().borrow().holds_lease(&lease, token, now);
+            let may = holds_lease || self.config.injected_bug == Some(InjectedBug::SkipLeaseCheck);
             if may {
-                let what = serde_json::json!({"duty": duty.to_string(), "token": token.0, "worker": worker});
+                let what = serde_json::json!({"duty": lease.to_string(), "token": token.0, "worker": worker});
                 self.member.recorder().record(now, "acted", what);
                 self.with_term(set, token, |term| term.rounds.probe_sent(worker, now));
                 self.metrics.health_checks.inc();
@@ -192,16 +182,16 @@
             let now = clock::now();
             let Some(report) = term.rounds.next_report(now, &self.zones.borrow()) else { continue };
             term.publisher.publish(report.encode());
-            self.sightings.borrow_mut().record(*set, term.token, report, now);
+            self.reports.borrow_mut().record(*set, term.token, report, now);
         }
     }
 
     /// Tells the engine what is held against whom, where that has changed.
     fn notify_engine(&self) {
         let now = clock::now();
-        let against = self.sightings.borrow().verdicts(now);
-        let mut told = self.notified.borrow_mut();
-        if *told == against {
+        let against = self.reports.borrow().verdicts(now);
+        let mut notified = self.notified.borrow_mut();
+        if *notified == against {
             return;
         }
         let tell = |worker: u64, ago: Micros, holds: Micros| {
@@ -209,17 +199,17 @@
             self.member.recorder().record(now, "against", what);
             self.pool.handle.send(Input::UnhealthyReported(WorkerId(worker), ago, holds));
         };
-        for worker in told.keys().filter(|worker| !against.contains_key(worker)) {
+        for worker in notified.keys().filter(|worker| !against.contains_key(worker)) {
             tracing::info!(worker, "worker no longer reported unhealthy");
             tell(*worker, 0, 0);
         }
-        for (worker, one) in against.iter().filter(|(worker, one)| told.get(worker) != Some(one)) {
-            if !told.contains_key(worker) {
+        for (worker, one) in against.iter().filter(|(worker, one)| notified.get(worker) != Some(one)) {
+            if !notified.contains_key(worker) {
                 tracing::info!(worker, "worker reported unhealthy");
             }
             tell(*worker, now.saturating_sub(one.last_failure), one.expires_at.saturating_sub(now));
         }
         self.metrics.workers_reported_failing.set(against.len() as i64);
-        *told = against;
+        *notified = against;
     }
 }
--- a/crates/dispatcher/src/net/cluster/mod.rs
+++ b/crates/dispatcher/src/net/cluster/mod.rs
@@ -55,8 +55,8 @@
     /// What revisions count at.
     source: RefCell<String>,
     member: Member,
-    ledger: RefCell<EndpointSnapshot>,
-    reliance: RefCell<DiscoveryFallback>,
+    snapshot: RefCell<EndpointSnapshot>,
+    fallback: RefCell<DiscoveryFallback>,
     /// Whether discovery is to be asked from here.
     polls_discovery: watch::Sender<bool>,
     term: RefCell<Option<Publisher>>,
@@ -95,36 +95,31 @@
     let member = Member::new(member, LeaseClient::new(settings.times), record);
     member.recorder().record(clock::now(), "started", serde_json::json!({}));
     let (sender, news) = mpsc::channel(WATCH_EVENT_QUEUE);
-    let watchers = watch.map(|how| {
+    let health_checks = watch.map(|how| {
         Rc::new(ClusterHealthChecks::new(how, zone, member.clone(), pool.clone(), metrics.clone()))
     });
-    watchers.iter().for_each(|watchers| drop(spawn_local(watchers.clone().run())));
-    let colds = settings.slow_start.map(|how| {
+    health_checks.iter().for_each(|health_checks| drop(spawn_local(health_checks.clone().run())));
+    let slow_start = settings.slow_start.map(|how| {
         let delivery_timeout = config.dial_timeout + MAX_WRITE_DELAY;
         let both = (QuotaConfig { delivery_timeout, ..how }, slow_start_profile(config));
         let seed = config.seed ^ SLOW_START_SEED;
         Rc::new(SlowStartQuota::new(both, member.clone(), pool.clone(), metrics.clone(), usual, seed))
     });
-    colds.iter().for_each(|colds| drop(spawn_local(colds.clone().run())));
+    slow_start.iter().for_each(|slow_start| drop(spawn_local(slow_start.clone().run())));
     let leave = settings.readiness_validity.map(|holds| {
         let cold = slow_start_profile(config);
         let warmup = WarmupTracker::new(cold.initial_capacity_fraction, cold.ramp_duration);
         Rc::new(PlannedDrain::new(holds, member.clone(), own, metrics.clone(), warmup))
     });
     leave.iter().for_each(|leave| drop(spawn_local(leave.clone().run())));
-    let watches = watchers.clone();
-    let handlers = EffectHandlers {
-        events: sender,
-        planned_drain: leave.clone(),
-        slow_start: colds,
-        health_checks: watchers,
-    };
+    let watches = health_checks.clone();
+    let handlers = EffectHandlers { events: sender, planned_drain: leave.clone(), slow_start, health_checks };
     spawn_local(serve_effects(member.clone(), listener, move |effect| handlers.handle(&effect)));
     spawn_local(update_metrics(member.clone(), metrics));
     let lists = Rc::new(SharedList::new(settings, config, member.clone()));
     if let Some(leave) = &leave {
-        let ledger = lists.clone();
-        leave.observe_workers(Box::new(move || ledger.workers(watches.as_deref())));
+        let shared_list = lists.clone();
+        leave.observe_workers(Box::new(move || shared_list.workers(watches.as_deref())));
     }
     spawn_local(lists.clone().run());
     spawn_local(run_member(member.clone()));
@@ -238,14 +233,14 @@
 impl SharedList {
     fn new(settings: &ClusterSettings, config: &Config, member: Member) -> SharedList {
         let source = settings.list_source.clone().unwrap_or_else(|| config.discovery.to_string());
-        let reliance =
+        let fallback =
             DiscoveryFallback::with_seed(settings.list_silence, settings.fallback_per_s, config.seed);
         SharedList {
             settings: settings.clone(),
             source: RefCell::new(source),
             member,
-            ledger: RefCell::default(),
-            reliance: RefCell::new(reliance),
+            snapshot: RefCell::default(),
+            fallback: RefCell::new(fallback),
             polls_discovery: watch::Sender::new(true),
             term: RefCell::default(),
             publish_due: Cell::default(),
@@ -255,8 +250,8 @@
     }
 
     /// The workers of the list, as watchers see them.
-    fn workers(&self, watchers: Option<&ClusterHealthChecks>) -> Vec<ListedWorker> {
-        let ledger = self.ledger.borrow();
+    fn workers(&self, health_checks: Option<&ClusterHealthChecks>) -> Vec<ListedWorker> {
+        let snapshot = self.snapshot.borrow();
         let listed = |entry: &Value| {
             let text = |key: &str| entry[key].as_str().unwrap_or_default().to_owned();
             let name = text("id");
@@ -265,11 +260,12 @@
                 pool: text("flavor"),
                 in_service: entry["phase"] == "in_service",
                 start_id: entry["up_since_ms"].as_u64().unwrap_or(0),
-                unhealthy: watchers.is_some_and(|watchers| watchers.is_reported_failing(worker_id(&name))),
+                unhealthy: health_checks
+                    .is_some_and(|health_checks| health_checks.is_reported_failing(worker_id(&name))),
                 name,
             }
         };
-        ledger.entries().map(listed).collect()
+        snapshot.entries().map(listed).collect()
     }
 
     /// Turns true when discovery is to be asked from here, and false when the fleet's list is relied on.
@@ -282,14 +278,14 @@
         self.discovery_heard_at.set(clock::now());
         self.publish_due.set(true);
         if let Some(list) = list {
-            self.ledger.borrow_mut().apply(list);
+            self.snapshot.borrow_mut().apply(list);
         }
     }
 
     /// Discovery is another place from here on, or read by other names: it is asked from here first.
     pub(super) fn source_changed(&self, discovery: SocketAddr) {
-        self.ledger.borrow_mut().clear();
-        self.reliance.borrow_mut().reset();
+        self.snapshot.borrow_mut().clear();
+        self.fallback.borrow_mut().reset();
         self.decide_polling();
         if self.settings.list_source.is_none() {
             *self.source.borrow_mut() = discovery.to_string();
@@ -303,14 +299,14 @@
 
     /// An owner's news were taken in, and all that it knows is known here.
     pub(super) fn accept_event(&self, news: &WatchEvent) {
-        self.ledger.borrow_mut().apply(&news.list);
-        self.reliance.borrow_mut().record_event(clock::now(), news.member_count);
+        self.snapshot.borrow_mut().apply(&news.list);
+        self.fallback.borrow_mut().record_event(clock::now(), news.member_count);
         self.decide_polling();
     }
 
     fn decide_polling(&self) {
         let owns = self.term.borrow().is_some();
-        let asks = self.reliance.borrow().should_poll(clock::now(), owns);
+        let asks = self.fallback.borrow().should_poll(clock::now(), owns);
         let changed = self.polls_discovery.send_if_modified(|old| std::mem::replace(old, asks) != asks);
         if changed {
             tracing::info!(
@@ -338,14 +334,14 @@
 
     /// Notices whether this member owns the duty, and gives it back where discovery is silent here.
     fn update_term(&self) {
-        let duty = LeaseId::fleet(ENDPOINT_LIST_LEASE);
-        let owned = self.member.held_leases().into_iter().find(|(owned, _)| *owned == duty);
+        let lease = LeaseId::fleet(ENDPOINT_LIST_LEASE);
+        let held = self.member.held_leases().into_iter().find(|(held, _)| *held == lease);
         let mut term = self.term.borrow_mut();
-        match owned {
-            Some((duty, token)) => {
+        match held {
+            Some((lease, token)) => {
                 if term.as_ref().is_none_or(|term| term.token() != token) {
                     tracing::info!(token = token.0, "holds the list lease");
-                    *term = Some(Publisher::new(&self.member, duty.clone(), token));
+                    *term = Some(Publisher::new(&self.member, lease.clone(), token));
                     self.published.set((0, 0));
                     self.discovery_heard_at.set(clock::now());
                 }
@@ -354,7 +350,7 @@
                 {
                     tracing::warn!(token = token.0, "discovery is silent; releasing the list lease");
                     self.discovery_heard_at.set(clock::now());
-                    self.member.release_lease(duty, token);
+                    self.member.release_lease(lease, token);
                 }
             }
             None => *term = None,
@@ -365,10 +361,10 @@
     fn publish(&self) {
         let mut term = self.term.borrow_mut();
         let Some(term) = term.as_mut().filter(|_| self.publish_due.get()) else { return };
-        let ledger = self.ledger.borrow();
-        let Some(list) = ledger.complete_list() else { return };
+        let snapshot = self.snapshot.borrow();
+        let Some(list) = snapshot.complete_list() else { return };
         self.publish_due.set(false);
-        let state = (ledger.revision(), self.member.members().len());
+        let state = (snapshot.revision(), self.member.members().len());
         let whole = self.published.replace(state) != state;
         let members = state.1 as u64;
         let revision = serde_json::json!({"revision": state.0});
--- a/crates/dispatcher/src/net/cluster/slow_start.rs
+++ b/crates/dispatcher/src/net/cluster/slow_start.rs
@@ -146,20 +146,21 @@
     }
 
     fn update_term(&self, now: Micros) {
-        let duty = LeaseId::fleet(SLOW_START_LEASE);
-        let owned = self.member.held_leases().into_iter().find(|(owned, _)| *owned == duty);
+        let lease = LeaseId::fleet(SLOW_START_LEASE);
+        let held = self.member.held_leases().into_iter().find(|(held, _)| *held == lease);
         let mut term = self.term.borrow_mut();
-        match owned {
+        match held {
             Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
-            Some((duty, token)) => {
+            Some((lease, token)) => {
                 tracing::info!(token = token.0, "holds the slow-start lease");
                 let dealer = Rc::new(RefCell::new(QuotaAllocator::new(self.config, self.profile, now)));
                 let hears = dealer.clone();
-                let publisher = Publisher::with_response_handler(&self.member, duty, token, move |said| {
-                    if let Some(used) = UsageReport::decode(said) {
-                        hears.borrow_mut().record_usage(used, clock::now());
-                    }
-                });
+                let publisher =
+                    Publisher::with_response_handler(&self.member, lease, token, move |response| {
+                        if let Some(used) = UsageReport::decode(response) {
+                            hears.borrow_mut().record_usage(used, clock::now());
+                        }
+                    });
                 *term = Some(Term { token, dealer, publisher });
             }
             None => *term = None,
--- a/crates/dispatcher/src/net/discovery/mod.rs
+++ b/crates/dispatcher/src/net/discovery/mod.rs
@@ -30,17 +30,23 @@
     fleet: Option<(Rc<SharedList>, mpsc::Receiver<WatchEvent>)>,
 ) {
     let (known, mut members) = configs.borrow().saved_list.clone();
-    let told = Rc::new(NotifiedState::from_saved(known, &mut members));
+    let notified = Rc::new(NotifiedState::from_saved(known, &mut members));
     let lists = fleet.map(|(lists, news)| {
-        let (told, configs) = (told.clone(), configs.clone());
-        spawn_local(follow_cluster_list(lists.clone(), news, told, configs, handle.clone(), ready.clone()));
+        let (notified, configs) = (notified.clone(), configs.clone());
+        spawn_local(follow_cluster_list(
+            lists.clone(),
+            news,
+            notified,
+            configs,
+            handle.clone(),
+            ready.clone(),
+        ));
         lists
     });
     // Without a fleet the sender is gone, and it stays at asking.
     let mut asks = lists.as_ref().map_or_else(|| watch::channel(true).1, |lists| lists.polls_discovery());
     let mut failing = false;
-    let calls = |config: &Config| PollSchedule::new(&config.settings, config.drain_grace, config.seed);
-    let mut pauses = calls(&configs.borrow());
+    let mut schedule = poll_schedule(&configs.borrow());
     loop {
         if !*asks.borrow() {
             let before = configs.borrow().clone();
@@ -49,23 +55,23 @@
                 _ = configs.wait_for(|now| source_changed(&before, now)) => {}
             }
             if source_changed(&before, &configs.borrow()) {
-                told.revision.set(None);
+                notified.revision.set(None);
                 lists.iter().for_each(|lists| lists.source_changed(configs.borrow().discovery));
             }
             continue;
         }
         let config = configs.borrow_and_update().clone();
-        let before = told.revision.get();
-        let watch = Watch::new(&config, &handle, &told, &lists);
+        let before = notified.revision.get();
+        let watch = Watch::new(&config, &handle, &notified, &lists);
         // A task of its own: a panic ends this watch, not the following.
         let watch = spawn_local(watch.run(configs.clone(), ready.clone(), asks.clone()));
-        let WatchEnded { reason: why, answered, retry_after: wanted, without_watch_since: deaf_since } =
+        let WatchEnded { reason: why, answered, retry_after, without_watch_since } =
             watch.await.unwrap_or_else(|panic| WatchEnded::now(panic.to_string()));
         if source_changed(&config, &configs.borrow()) {
             // Revisions are those of the place that told them: elsewhere the same number may stand for more.
-            told.revision.set(None);
+            notified.revision.set(None);
             failing = false;
-            pauses = calls(&configs.borrow());
+            schedule = poll_schedule(&configs.borrow());
             lists.iter().for_each(|lists| lists.source_changed(configs.borrow().discovery));
             continue;
         }
@@ -73,25 +79,29 @@
             failing = false;
             continue;
         }
-        if told.revision.get() == before && !failing {
+        if notified.revision.get() == before && !failing {
             tracing::warn!("discovery: {why}");
         }
-        failing = told.revision.get() == before;
+        failing = notified.revision.get() == before;
         if answered {
-            pauses.record_success();
+            schedule.record_success();
         }
-        let deaf = deaf_since.elapsed().as_micros() as Micros;
-        let pause = Duration::from_micros(pauses.next_delay(deaf, wanted));
+        let without_watch = without_watch_since.elapsed().as_micros() as Micros;
+        let pause = Duration::from_micros(schedule.next_delay(without_watch, retry_after));
         let _ = timeout(pause, configs.wait_for(|now| source_changed(&config, now))).await;
     }
 }
 
+fn poll_schedule(config: &Config) -> PollSchedule {
+    PollSchedule::new(&config.settings, config.drain_grace, config.seed)
+}
+
 /// Takes what an owner in the fleet says of the list. What is not newer than what is known here changes nothing, so
 /// that neither a late word nor one that lags behind brings anything back.
 async fn follow_cluster_list(
     lists: Rc<SharedList>,
     mut news: mpsc::Receiver<WatchEvent>,
-    told: Rc<NotifiedState>,
+    notified: Rc<NotifiedState>,
     configs: ConfigReceiver,
     handle: Handle,
     ready: watch::Sender<bool>,
@@ -101,11 +111,11 @@
             tracing::debug!(source = news.source, "shared list of another source ignored");
             continue;
         }
-        if news.is_complete() && news.revision() > told.newest_revision.get() {
+        if news.is_complete() && news.revision() > notified.newest_revision.get() {
             let list = config::parse_endpoint_list(&news.list, &configs.borrow().names);
             match list {
                 Ok(mut list) => {
-                    told.record(list.revision, &mut list.endpoints);
+                    notified.record(list.revision, &mut list.endpoints);
                     handle.send(Input::EndpointList(list.scope, list.endpoints));
                     ready.send_replace(true);
                 }
@@ -116,7 +126,7 @@
             }
         }
         // One that knows less than the owner goes on by itself until it is told the whole.
-        if told.newest_revision.get() >= news.revision() && *ready.borrow() {
+        if notified.newest_revision.get() >= news.revision() && *ready.borrow() {
             lists.accept_event(&news);
         }
     }
--- a/crates/dispatcher/src/net/planned_drain.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -323,16 +323,16 @@
     fn update_term(&self) {
         let now = clock::now();
         self.warmup.borrow_mut().update_list(now, &self.listed_workers());
-        let duty = LeaseId::fleet(OBSERVER_LEASE);
-        let owned = self.member.held_leases().into_iter().find(|(owned, _)| *owned == duty);
+        let lease = LeaseId::fleet(OBSERVER_LEASE);
+        let held = self.member.held_leases().into_iter().find(|(held, _)| *held == lease);
         let mut term = self.term.borrow_mut();
-        match owned {
+        match held {
             Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
-            Some((duty, token)) => {
+            Some((lease, token)) => {
                 tracing::info!(token = token.0, "holds the observer lease");
                 let observer = Rc::new(RefCell::new(AvailabilityObserver::new(self.readiness_validity, now)));
                 let received = observer.clone();
-                let publisher = Publisher::with_response_handler(&self.member, duty, token, move |said| {
+                let publisher = Publisher::with_response_handler(&self.member, lease, token, move |said| {
                     if let Some(report) = ReadinessReport::decode(said) {
                         received.borrow_mut().record_report(report, clock::now());
                     }
--- a/crates/dispatcher/src/net/worker/attempt.rs
+++ b/crates/dispatcher/src/net/worker/attempt.rs
@@ -234,20 +234,20 @@
     if end.reported || line.trim_ascii().is_empty() {
         return Some(());
     }
-    let told: AnswerLine<'_> = serde_json::from_slice(line).ok()?;
+    let answer: AnswerLine<'_> = serde_json::from_slice(line).ok()?;
     // Where another worker has taken over the address, its word is not that of the one that was chosen.
-    let other = told.from.is_some_and(|from| worker_id(&from) != end.worker);
-    if other || told.id.as_bytes() != payload.id {
+    let other = answer.from.is_some_and(|from| worker_id(&from) != end.worker);
+    if other || answer.id.as_bytes() != payload.id {
         return None;
     }
     let (request, attempt) = (end.request, end.attempt);
-    if let Some(load) = told.load {
+    if let Some(load) = answer.load {
         end.load = end.pool.parse_load_report(|form| form.parse_json(load.get()));
     }
-    match &*told.state {
+    match &*answer.state {
         "started" => end.pool.handle.send(Input::JobStarted(request, attempt)),
-        "running" => end.pool.handle.send(Input::Progress(request, attempt, told.share)),
-        "done" => end.report(Outcome::Ok, result_bytes(line, told.result)?),
+        "running" => end.pool.handle.send(Input::Progress(request, attempt, answer.share)),
+        "done" => end.report(Outcome::Ok, result_bytes(line, answer.result)?),
         "failed" => end.report(Outcome::Error, Bytes::new()),
         "returned" => end.report(Outcome::Overloaded, Bytes::new()),
         "lost" => end.report(Outcome::Reset, Bytes::new()),
