--- a/crates/coordinator/src/cli/error.rs
+++ b/crates/coordinator/src/cli/error.rs
@@ -40,18 +40,18 @@
     /// The runtime cannot be set up.
     #[error("{0}")]
     Runtime(#[source] io::Error),
-    /// The coordinators do not carry out what was asked for.
+    /// The coordinators reject the operation, or are not reached.
     #[error(transparent)]
     Operator(#[from] OperatorError),
     /// A coordinator does not start, or has stopped.
     #[error(transparent)]
     Coordinator(#[from] CoordinatorError),
-    /// The permit is not granted yet. Operation again, or it is cancelled.
+    /// The permit is not granted yet. Retry within a minute, or it is cancelled.
     #[error("permit {permit} waits for its turn{}; ask again within a minute", blocked_by(.budget))]
     PermitWaiting {
         /// The permit.
         permit: u64,
-        /// The budget that does not allow it, where that is known.
+        /// The budget that does not allow it, if one is at its limit.
         budget: Option<String>,
     },
 }
--- a/crates/coordinator/src/replica/mod.rs
+++ b/crates/coordinator/src/replica/mod.rs
@@ -10,15 +10,17 @@
 //! | `leadership` | whether this replica leads, and giving the leadership away |
 //! | `membership` | replacing a coordinator by a new one |
 //! | `peers` | which peers are accepted, and their messages |
+//! | `proposals` | proposals of this process, and the clients that wait for them |
 //! | `raft_storage` | the log in memory, as Raft reads it |
 //! | `read_index` | renewals, confirmed by a majority before they are answered |
-//! | `requests` | requests of clients, proposals and their responses |
+//! | `requests` | requests of clients, and their responses |
 //! | `status` | what an operator is shown |
 
 mod apply;
 mod leadership;
 mod membership;
 mod peers;
+mod proposals;
 mod raft_storage;
 mod read_index;
 mod requests;
@@ -41,9 +43,9 @@
 pub use peers::{decode_message, encode_message, HandshakeError};
 
 use peers::PeerRegistry;
+use proposals::PendingProposals;
 use raft_storage::RaftStorage;
 use read_index::RenewalQueue;
-use requests::PendingProposals;
 
 /// A connection of a client: a member or an operator.
 pub type ConnectionId = u64;
@@ -54,7 +56,7 @@
 const MAX_ENTRIES_MESSAGE_BYTES: u64 = 1 << 20;
 /// The most messages of log entries to one peer that are not acknowledged.
 const MAX_INFLIGHT_MESSAGES: usize = 256;
-/// The longest commit latency that is told apart, in microseconds, and the decimal digits kept of each.
+/// Upper bound of the commit latencies that are recorded, in microseconds, and their significant digits.
 const MAX_COMMIT_LATENCY: u64 = 600_000_000;
 const COMMIT_LATENCY_DIGITS: u8 = 2;
 
@@ -76,7 +78,7 @@
     Applied {
         /// Its position in the log.
         index: Revision,
-        /// What it asked for.
+        /// The command.
         command: Command,
         /// What came of it.
         outcome: CommandOutcome,
@@ -100,7 +102,7 @@
     /// The highest version of commands that this replica applies.
     supported_version: u16,
     peers: PeerRegistry,
-    /// ClientIdentity votes and who learns, as applied.
+    /// Who votes and who learns, as applied.
     configuration: ConfState,
     /// Set when it changed: the next snapshot has to contain the change.
     configuration_changed: bool,
@@ -118,7 +120,7 @@
     /// The revision of the view that clients were notified of last.
     notified_revision: Revision,
     leading_term: Option<u64>,
-    /// The number of the leader, or 0 where it is not known.
+    /// The number of the leader, or 0 where there is none.
     leader_id: u64,
     election_count: u64,
     commit_latency: Histogram<u64>,
--- a/crates/emulator/src/cluster/lease_harness/mod.rs
+++ b/crates/emulator/src/cluster/lease_harness/mod.rs
@@ -1,4 +1,4 @@
-//! Plays one schedule: real keepers and members, every link between two of them through a proxy, faults as drawn.
+//! Plays one schedule: real coordinators and members, every link between two of them through a proxy, faults as drawn.
 
 mod faults;
 mod recovery;
@@ -31,7 +31,7 @@
 pub struct Programs {
     /// `coordinator`.
     pub coordinator: PathBuf,
-    /// This tool, which also is the light member.
+    /// This tool, which also is the lightweight member.
     pub emulator: PathBuf,
 }
 
@@ -61,7 +61,7 @@
 /// Each schedule of this process gets addresses of its own.
 static NEXT_ADDRESS_BLOCK: AtomicU8 = AtomicU8::new(0);
 
-/// The installation's name in all rigs.
+/// The installation's name in all harnesses.
 const INSTALLATION: &str = "rig";
 const LEASE: &str = "pulse";
 
@@ -98,10 +98,21 @@
     move |error| format!("{what}: {error}")
 }
 
+/// The two middle parts of the loopback addresses of one schedule.
+fn address_block() -> [u8; 2] {
+    [16 + (std::process::id() % 200) as u8, NEXT_ADDRESS_BLOCK.fetch_add(1, Ordering::Relaxed)]
+}
+
+/// An address of this host with a free port. The port stays free: nobody else has the host.
+fn free_address(host: IpAddr) -> Result<SocketAddr, String> {
+    let probe = std::net::TcpListener::bind((host, 0)).map_err(with_context("a free port"))?;
+    probe.local_addr().map_err(with_context("a free port"))
+}
+
 /// Plays the schedule of a seed. What the processes leave is in a folder of its own below `out`.
 ///
 /// # Errors
-/// The rig itself could not do its work; a broken rule is no error here.
+/// The harness itself could not do its work; a broken rule is no error here.
 pub fn play(
     plan: &ClusterExperiment,
     arm: &Arm,
@@ -115,11 +126,11 @@
         .build()
         .map_err(with_context("runtime"))?;
     LocalSet::new().block_on(&runtime, async {
-        let mut rig = LeaseHarness::new(plan, arm, seed, programs, out, bug).await?;
-        let played = rig.run_schedule(seed).await;
-        rig.shut_down().await;
+        let mut harness = LeaseHarness::new(plan, arm, seed, programs, out, bug).await?;
+        let played = harness.run_schedule(seed).await;
+        harness.shut_down().await;
         played?;
-        rig.evaluate(seed)
+        harness.evaluate(seed)
     })
 }
 
@@ -135,54 +146,49 @@
         let dir = out.join(format!("{}-{seed}", arm.name));
         let _ = fs::remove_dir_all(&dir);
         fs::create_dir_all(&dir).map_err(with_context(dir.display()))?;
-        let base =
-            [16 + (std::process::id() % 200) as u8, NEXT_ADDRESS_BLOCK.fetch_add(1, Ordering::Relaxed)];
+        let base = address_block();
         let count = arm.coordinators + arm.members;
         let ip = |last: usize| IpAddr::V4(Ipv4Addr::new(127, base[0], base[1], last as u8));
-        let names = (0..count).map(|name| (ip(1 + name), name)).collect();
-        let net = FaultyNetwork::new(names, seed);
+        let network = FaultyNetwork::new((0..count).map(|name| (ip(1 + name), name)).collect(), seed);
         let (mut targets, mut doors, mut tasks) = (Vec::new(), Vec::new(), Vec::new());
         for name in 0..count {
-            // The port stays free: nobody else has this address.
-            let probe =
-                std::net::TcpListener::bind((ip(1 + name), 0)).map_err(with_context("a free port"))?;
-            let target = probe.local_addr().map_err(with_context("a free port"))?;
+            let target = free_address(ip(1 + name))?;
             let door = TcpListener::bind((ip(101 + name), 0)).await.map_err(with_context("a proxy"))?;
             doors.push(door.local_addr().map_err(with_context("a proxy"))?);
             targets.push(target);
-            tasks.push(spawn_local(fault_proxy::run_proxy(net.clone(), door, name, target)));
+            tasks.push(spawn_local(fault_proxy::run_proxy(network.clone(), door, name, target)));
         }
-        let keepers: BTreeMap<u64, SocketAddr> =
+        let coordinators: BTreeMap<u64, SocketAddr> =
             (0..arm.coordinators).map(|name| (name as u64 + 1, doors[name])).collect();
-        let mut processes = Vec::new();
-        for (name, listen) in targets.iter().enumerate() {
-            let task = match name < arm.coordinators {
-                true => Role::Coordinator { number: name as u64 + 1 },
-                false => Role::Member {
-                    config: Box::new(MemberConfig {
-                        installation: INSTALLATION.to_owned(),
-                        name: format!("m{}", name - arm.coordinators),
-                        listen: *listen,
-                        address: doors[name],
-                        bind: Some(ip(1 + name)),
-                        coordinators: keepers.clone(),
-                        leases: vec![LEASE.to_owned()],
-                        times: plan.times,
-                        record: Some(dir.join(format!("m{}.jsonl", name - arm.coordinators))),
-                        injected_bug: bug.map(str::to_owned),
-                        seed: seed ^ (name as u64) << 32,
-                    }),
-                },
+        let member = |name: NodeId| MemberConfig {
+            installation: INSTALLATION.to_owned(),
+            name: format!("m{}", name - arm.coordinators),
+            listen: targets[name],
+            address: doors[name],
+            bind: Some(ip(1 + name)),
+            coordinators: coordinators.clone(),
+            leases: vec![LEASE.to_owned()],
+            times: plan.times,
+            record: Some(dir.join(format!("m{}.jsonl", name - arm.coordinators))),
+            injected_bug: bug.map(str::to_owned),
+            seed: seed ^ (name as u64) << 32,
+        };
+        let process = |(name, listen): (NodeId, &SocketAddr)| {
+            let role = if name < arm.coordinators {
+                Role::Coordinator { number: name as u64 + 1 }
+            } else {
+                Role::Member { config: Box::new(member(name)) }
             };
-            processes.push(Process { role: task, listen: *listen, child: None, not_restartable: false });
-        }
+            Process { role, listen: *listen, child: None, not_restartable: false }
+        };
+        let processes = targets.iter().enumerate().map(process).collect();
         let random = Pcg64::seed_from_u64(seed ^ 0x5eed);
-        let mut rig = LeaseHarness {
+        let mut harness = LeaseHarness {
             dir,
             programs,
             plan,
             arm,
-            network: net,
+            network,
             processes,
             injected_bug: bug,
             address_block: base,
@@ -192,20 +198,32 @@
             violations: Violations::new(),
             random,
         };
-        for name in 0..arm.coordinators {
-            rig.write_coordinator_config(name, &keepers)?;
-            let boot = std::process::Command::new(&programs.coordinator)
-                .args(["bootstrap", "--config"])
-                .arg(rig.path(name, "hcl"))
-                .stdout(Stdio::null())
-                .status()
-                .map_err(with_context(programs.coordinator.display()))?;
-            if !boot.success() {
-                return Err(format!("keeper {}: bootstrap ended with {boot}", name + 1));
-            }
+        harness.start_all(&coordinators)?;
+        Ok(harness)
+    }
+
+    /// Makes the coordinators' stores and starts all processes.
+    fn start_all(&mut self, coordinators: &BTreeMap<u64, SocketAddr>) -> Result<(), String> {
+        for name in self.coordinators() {
+            self.write_coordinator_config(name, coordinators)?;
+            self.bootstrap(name)?;
+        }
+        (0..self.processes.len()).try_for_each(|name| self.start(name))
+    }
+
+    /// Has a coordinator make its store.
+    fn bootstrap(&self, name: NodeId) -> Result<(), String> {
+        let status = std::process::Command::new(&self.programs.coordinator)
+            .args(["bootstrap", "--config"])
+            .arg(self.path(name, "hcl"))
+            .stdout(Stdio::null())
+            .status()
+            .map_err(with_context(self.programs.coordinator.display()))?;
+        if status.success() {
+            Ok(())
+        } else {
+            Err(format!("keeper {}: bootstrap ended with {status}", name + 1))
         }
-        (0..count).try_for_each(|name| rig.start(name))?;
-        Ok(rig)
     }
 
     fn path(&self, name: NodeId, ending: &str) -> PathBuf {
@@ -218,11 +236,11 @@
     fn write_coordinator_config(
         &self,
         name: NodeId,
-        keepers: &BTreeMap<u64, SocketAddr>,
+        coordinators: &BTreeMap<u64, SocketAddr>,
     ) -> Result<(), String> {
         let process = &self.processes[name];
         let mut text = format!("installation = \"{INSTALLATION}\"\n");
-        for (number, door) in keepers {
+        for (number, door) in coordinators {
             text += &format!("keeper \"{number}\" {{\n  address = \"{door}\"\n}}\n");
         }
         let times = &self.plan.times;
@@ -253,7 +271,7 @@
         self.start_with(name, None)
     }
 
-    /// Starts a process; a keeper perhaps with a bound: on the size of its files, as if its disk were full, or on its
+    /// Starts a process; a coordinator perhaps with a bound: on the size of its files, as if its disk were full, or on its
     /// descriptors.
     fn start_with(&mut self, name: NodeId, bound: Option<&str>) -> Result<(), String> {
         if self.processes[name].child.is_some() {
@@ -277,7 +295,7 @@
                     }
                 };
                 command.args(["serve", "--config"]).arg(self.path(name, "hcl"));
-                // The record is on the full disk too, where there is one: what it misses, other keepers recorded.
+                // The record is on the full disk too, where there is one: what it misses, other coordinators recorded.
                 command.arg("--record").arg(self.dir.join(format!("k{number}.jsonl")));
                 command
             }
@@ -329,11 +347,11 @@
     fn coordinator_records(&self) -> Result<Records, String> {
         let read =
             |number: u64| Ok((number, record_checker::read(&self.dir.join(format!("k{number}.jsonl")))?));
-        let keepers: Result<_, String> = (1..=self.arm.coordinators as u64).map(read).collect();
-        Ok(Records { coordinators: keepers?, members: BTreeMap::new() })
+        let coordinators: Result<_, String> = (1..=self.arm.coordinators as u64).map(read).collect();
+        Ok(Records { coordinators: coordinators?, members: BTreeMap::new() })
     }
 
-    /// Who owned the duty last, by the keepers' records, and in which term.
+    /// Who owned the lease last, by the coordinators' records, and in which term.
     fn lease_holder(&self) -> Result<Option<(NodeId, u64)>, String> {
         let records = self.coordinator_records()?;
         let Some((token, session)) = record_checker::newest_grant(&records) else { return Ok(None) };
@@ -353,14 +371,28 @@
             self.inject(fault).await?;
         }
         self.recover_until(start + Duration::from_secs_f64(self.plan.length)).await?;
-        // Everything is healed at once, and then the fleet has to be well again by itself.
+        self.recover_all().await?;
+        let calm = Duration::from_secs_f64(self.plan.recovery_time);
+        sleep(calm).await;
+        let records = self.records()?;
+        if !record_checker::accepted_effect_after(&records, clock::now().saturating_sub(1_000_000)) {
+            let text =
+                format!("nothing was done in the last of {} s after all was healed", self.plan.recovery_time);
+            self.violations.entry(RULES[6]).or_default().push(text);
+        }
+        self.check_coordinators_that_ended();
+        Ok(())
+    }
+
+    /// Ends all faults at once and starts what may run; then the cluster has to be well again by itself.
+    async fn recover_all(&mut self) -> Result<(), String> {
         self.network.borrow_mut().clear_faults();
-        let later: Vec<Recovery> =
-            std::mem::take(&mut self.recoveries).into_iter().map(|(_, later)| later).collect();
-        for later in later {
-            match later {
+        let recoveries: Vec<Recovery> =
+            std::mem::take(&mut self.recoveries).into_iter().map(|(_, recovery)| recovery).collect();
+        for recovery in recoveries {
+            match recovery {
                 Recovery::Resume(_) | Recovery::Kill(_) | Recovery::RestoreOldDisk(..) => {
-                    self.recover(later).await?
+                    self.recover(recovery).await?
                 }
                 _ => {}
             }
@@ -378,14 +410,11 @@
                 self.start(name)?;
             }
         }
-        let calm = Duration::from_secs_f64(self.plan.recovery_time);
-        sleep(calm).await;
-        let records = self.records()?;
-        if !record_checker::accepted_effect_after(&records, clock::now().saturating_sub(1_000_000)) {
-            let text =
-                format!("nothing was done in the last of {} s after all was healed", self.plan.recovery_time);
-            self.violations.entry(RULES[6]).or_default().push(text);
-        }
+        Ok(())
+    }
+
+    /// A coordinator whose disk is good still runs; one with an old disk or none has ended and says so by its code.
+    fn check_coordinators_that_ended(&mut self) {
         for name in self.coordinators() {
             let process = &mut self.processes[name];
             // Found by seed 3008: a store that a full disk had spoilt, unnoticed while the others were a majority.
@@ -411,7 +440,6 @@
             };
             self.violations.entry(RULES[7]).or_default().push(text);
         }
-        Ok(())
     }
 
     fn records(&self) -> Result<Records, String> {
--- a/crates/emulator/src/cluster/record_checker.rs
+++ b/crates/emulator/src/cluster/record_checker.rs
@@ -1,6 +1,6 @@
 //! Checks of a schedule by the records that its processes left, and by nothing else.
 //!
-//! All records of a machine have one clock. A keeper records a grant after it was agreed, an owner and a receiver
+//! All records of a machine have one clock. A coordinator records a grant after it was agreed, an holder and a receiver
 //! record the reading of the clock on which they decided. So whatever decided later than a record of a later grant
 //! broke the rule, and no order of writing can make a sound run look broken.
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// What the rig did, by the same clock.
+/// What the harness did, by the same clock.
 #[derive(Debug, Clone)]
 pub struct InjectedFault {
     /// When.
@@ -46,14 +46,14 @@
     pub kind: FaultKind,
     /// Until when.
     pub until: u64,
-    /// The term that the owner had whom it was done to, where it was done to an owner.
+    /// The term that the holder had whom it was done to, where it was done to an holder.
     pub holder_token: Option<u64>,
 }
 
 /// Records by process.
 #[derive(Debug, Default)]
 pub struct Records {
-    /// Keepers, by number.
+    /// Coordinators, by number.
     pub coordinators: BTreeMap<u64, Vec<RecordLine>>,
     /// Members, by name.
     pub members: BTreeMap<String, Vec<RecordLine>>,
@@ -93,7 +93,7 @@
     whole.lines().enumerate().map(line).collect()
 }
 
-/// A grant, as the first keeper recorded it.
+/// A grant, as the first coordinator recorded it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Grant {
     index: u64,
@@ -117,85 +117,116 @@
     grants.into_values().collect()
 }
 
-/// Checks all rules but the last, which the end of a schedule decides.
+/// Checks all rules but the seventh and the eighth, which the end of a schedule decides.
 pub fn check(records: &Records) -> Violations {
     let mut found = Violations::new();
+    check_digests(records, &mut found);
+    let grants = grants(records);
+    for pair in grants.windows(2).filter(|pair| pair[0].token >= pair[1].token) {
+        let text = format!("entry {} granted {} after {}", pair[1].index, pair[1].token, pair[0].token);
+        found.entry(RULES[1]).or_default().push(text);
+    }
+    for lease in non_linearizable_leases(records, &grants) {
+        found.entry(RULES[9]).or_default().push(lease);
+    }
+    let terms = LeaseTerms::new(&grants);
+    for (member, lines) in &records.members {
+        check_member(member, lines, &terms, &mut found);
+    }
+    found
+}
+
+/// All coordinators are in the same state after the same entry.
+fn check_digests(records: &Records, found: &mut Violations) {
     let mut digests: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
-    for (keeper, lines) in &records.coordinators {
+    for (coordinator, lines) in &records.coordinators {
         for line in lines.iter().filter(|line| line.kind == "applied") {
             let (Some(index), Some(digest)) = (line.number("index"), line.number("digest")) else { continue };
-            let (first, known) = *digests.entry(index).or_insert((*keeper, digest));
+            let (first, known) = *digests.entry(index).or_insert((*coordinator, digest));
             if known != digest {
-                let text = format!("entry {index}: keeper {keeper} is not where keeper {first} is");
+                let text = format!("entry {index}: keeper {coordinator} is not where keeper {first} is");
                 found.entry(RULES[0]).or_default().push(text);
             }
         }
     }
-    let grants = grants(records);
-    for pair in grants.windows(2).filter(|pair| pair[0].token >= pair[1].token) {
-        let text = format!("entry {} granted {} after {}", pair[1].index, pair[1].token, pair[0].token);
-        found.entry(RULES[1]).or_default().push(text);
-    }
-    for duty in non_linearizable_leases(records, &grants) {
-        found.entry(RULES[9]).or_default().push(duty);
-    }
-    let known: BTreeSet<(&str, u64)> =
-        grants.iter().map(|grant| (grant.lease.as_str(), grant.token)).collect();
-    // The moment at which each term was over for good: the next grant of the same duty.
-    let mut ended: BTreeMap<(&str, u64), u64> = BTreeMap::new();
-    for grant in &grants {
-        for older in grants.iter().filter(|older| older.lease == grant.lease && older.token < grant.token) {
-            let at = ended.entry((&older.lease, older.token)).or_insert(grant.time);
-            *at = (*at).min(grant.time);
+}
+
+/// The terms of leases that were granted, and when each was over for good: at the next grant of the same lease.
+struct LeaseTerms<'a> {
+    granted: BTreeSet<(&'a str, u64)>,
+    ended: BTreeMap<(&'a str, u64), u64>,
+}
+
+impl<'a> LeaseTerms<'a> {
+    fn new(grants: &'a [Grant]) -> LeaseTerms<'a> {
+        let mut ended: BTreeMap<(&str, u64), u64> = BTreeMap::new();
+        for grant in grants {
+            let older = grants.iter().filter(|older| older.lease == grant.lease && older.token < grant.token);
+            for older in older {
+                let at = ended.entry((&older.lease, older.token)).or_insert(grant.time);
+                *at = (*at).min(grant.time);
+            }
         }
+        let granted = grants.iter().map(|grant| (grant.lease.as_str(), grant.token)).collect();
+        LeaseTerms { granted, ended }
     }
-    for (member, lines) in &records.members {
-        let mut highest: BTreeMap<&str, u64> = BTreeMap::new();
-        // Sessions of earlier processes that wrote this record.
-        let (mut earlier, mut own) = (BTreeSet::new(), BTreeSet::new());
-        for line in lines {
-            if line.kind == "started" {
-                highest.clear();
-                earlier.append(&mut own);
-            }
-            if let Some(session) = line.number("session").filter(|_| line.kind == "session") {
-                own.insert(session);
-                if earlier.contains(&session) {
-                    let text = format!("{member} has session {session} of a process before it");
-                    found.entry(RULES[8]).or_default().push(text);
-                }
-            }
-            let (Some(duty), Some(token)) = (line.text("duty"), line.number("token")) else { continue };
-            let late =
-                ended.get(&(duty, token)).filter(|ended| line.time > **ended).map(|ended| line.time - ended);
-            let rule = match line.kind.as_str() {
-                "taken" => RULES[2],
-                "acted" => RULES[3],
-                _ => continue,
-            };
-            if !known.contains(&(duty, token)) {
-                found.entry(RULES[5]).or_default().push(format!("{member} {} {duty} {token}", line.kind));
-            }
-            if let Some(late) = late {
-                let text =
-                    format!("{member} {} {duty} token {token} {late} us after the next grant", line.kind);
-                found.entry(rule).or_default().push(text);
+}
+
+/// Checks what one member accepted, sent and was told of its session.
+fn check_member(member: &str, lines: &[RecordLine], terms: &LeaseTerms<'_>, found: &mut Violations) {
+    let mut highest: BTreeMap<&str, u64> = BTreeMap::new();
+    // Sessions of earlier processes that wrote this record, and of the one that writes it.
+    let (mut earlier, mut own) = (BTreeSet::new(), BTreeSet::new());
+    for line in lines {
+        if line.kind == "started" {
+            highest.clear();
+            earlier.append(&mut own);
+        }
+        if let Some(session) = line.number("session").filter(|_| line.kind == "session") {
+            own.insert(session);
+            if earlier.contains(&session) {
+                let text = format!("{member} has session {session} of a process before it");
+                found.entry(RULES[8]).or_default().push(text);
             }
-            if line.kind == "taken" {
-                let highest = highest.entry(duty).or_insert(token);
-                if token < *highest {
-                    let text = format!("{member} took {duty} token {token} after {highest}");
-                    found.entry(RULES[4]).or_default().push(text);
-                }
-                *highest = token.max(*highest);
+        }
+        let (Some(lease), Some(token)) = (line.text("duty"), line.number("token")) else { continue };
+        check_term(member, line, (lease, token), terms, found);
+        if line.kind == "taken" {
+            let highest = highest.entry(lease).or_insert(token);
+            if token < *highest {
+                let text = format!("{member} took {lease} token {token} after {highest}");
+                found.entry(RULES[4]).or_default().push(text);
             }
+            *highest = token.max(*highest);
         }
     }
-    found
 }
 
-/// The duties whose history is not that of one register that holds the newest token: a grant writes it, at some moment
-/// after the grant before and before a keeper recorded it; an effect that is taken reads it, at that moment. Of what one
+/// Whoever acts or accepts does so in a term that was granted and has not ended.
+fn check_term(
+    member: &str,
+    line: &RecordLine,
+    (lease, token): (&str, u64),
+    terms: &LeaseTerms<'_>,
+    found: &mut Violations,
+) {
+    let rule = match line.kind.as_str() {
+        "taken" => RULES[2],
+        "acted" => RULES[3],
+        _ => return,
+    };
+    if !terms.granted.contains(&(lease, token)) {
+        found.entry(RULES[5]).or_default().push(format!("{member} {} {lease} {token}", line.kind));
+    }
+    if let Some(ended) = terms.ended.get(&(lease, token)).filter(|ended| line.time > **ended) {
+        let late = line.time - ended;
+        let text = format!("{member} {} {lease} token {token} {late} us after the next grant", line.kind);
+        found.entry(rule).or_default().push(text);
+    }
+}
+
+/// The leases whose history is not that of one register that holds the newest token: a grant writes it, at some moment
+/// after the grant before and before a coordinator recorded it; an effect that is taken reads it, at that moment. Of what one
 /// process took in one term the first and the last count. By the tester of `stateright`, as a second opinion: it knows
 /// nothing of tokens that only grow.
 fn non_linearizable_leases(records: &Records, grants: &[Grant]) -> Vec<String> {
@@ -247,7 +278,7 @@
     broken.map(str::to_owned).collect()
 }
 
-/// From a fault at an owner to the first effect of a later term that somebody took, in microseconds, by kind.
+/// From a fault at an holder to the first effect of a later term that somebody took, in microseconds, by kind.
 ///
 /// Only the first fault of a term counts, and only one that has to end it: a stop or a cut that is shorter than the
 /// lease may go by unnoticed, and so may not hearing members.
@@ -294,25 +325,25 @@
     records.members.values().flatten().any(|line| line.kind == "taken" && line.time > t)
 }
 
-/// The highest token that a keeper has recorded as granted.
+/// The highest token that a coordinator has recorded as granted.
 pub fn newest_grant(records: &Records) -> Option<(u64, u64)> {
     let lines = records.coordinators.values().flatten().filter(|line| line.kind == "applied");
     lines.filter_map(|line| Some((line.number("token")?, line.number("session")?))).max()
 }
 
-/// The member of a session, by the keepers' records.
+/// The member of a session, by the coordinators' records.
 pub fn member_of_session(records: &Records, session: u64) -> Option<String> {
     let lines = records.coordinators.values().flatten().filter(|line| line.number("joined") == Some(session));
     lines.filter_map(|line| line.text("name")).next().map(str::to_owned)
 }
 
-/// The keeper that recorded last that it leads.
+/// The coordinator that recorded last that it leads.
 pub fn leader(records: &Records) -> Option<u64> {
     let leads = |line: &&RecordLine| line.kind == "leads" && line.number("term").is_some();
-    let last = |(keeper, lines): (&u64, &Vec<RecordLine>)| {
-        Some((lines.iter().rfind(leads)?.number("term")?, *keeper))
+    let last = |(coordinator, lines): (&u64, &Vec<RecordLine>)| {
+        Some((lines.iter().rfind(leads)?.number("term")?, *coordinator))
     };
-    records.coordinators.iter().filter_map(last).max().map(|(_, keeper)| keeper)
+    records.coordinators.iter().filter_map(last).max().map(|(_, coordinator)| coordinator)
 }
 
 /// How many terms were granted.
--- a/crates/emulator/src/cluster/virtual_time_soak.rs
+++ b/crates/emulator/src/cluster/virtual_time_soak.rs
@@ -1,8 +1,8 @@
-//! Many hours of a fleet in virtual time, on the modules that the processes run: members and keepers with clocks of
+//! Many hours of a fleet in virtual time, on the modules that the processes run: members and coordinators with clocks of
 //! their own rates, messages that are late, lost or overtake, members that stop, die and come back, leaders that change.
 //!
-//! The keepers are one agreed log here, as Raft gives it; what Raft itself does is for the tests with nodes and for the
-//! rig.
+//! The coordinators are one agreed log here, as Raft gives it; what Raft itself does is for the tests with nodes and for the
+//! harness.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -18,9 +18,9 @@
 
 const SECOND: u64 = 1_000_000;
 const MEMBERS: usize = 8;
-/// How often an owner acts, towards every other member.
+/// How often an holder acts, towards every other member.
 const ACT_INTERVAL: u64 = SECOND / 5;
-/// How often the leading keeper looks at what is due.
+/// How often the leading coordinator looks at what is due.
 const TICK_INTERVAL: u64 = 40_000;
 
 /// What many hours gave.
@@ -44,7 +44,7 @@
     /// Effects of an ended term that were taken.
     #[serde(rename = "late")]
     pub late_effects: u64,
-    /// Looks that let an owner act when a later term was granted.
+    /// Looks that let an holder act when a later term was granted.
     #[serde(rename = "doubly_owned")]
     pub overlapping_holders: u64,
     /// Tokens that went back at a receiver.
@@ -117,7 +117,7 @@
     boot: u64,
     /// It runs from here on; what reaches it before waits.
     resumes_at: u64,
-    /// Messages to and from keepers before this are lost.
+    /// Messages to and from coordinators before this are lost.
     disconnected_until: u64,
     /// Counts processes of this member: what was meant for an earlier one is lost.
     incarnation: u64,
@@ -177,7 +177,7 @@
     state: StateMachine,
     warden: LeaderState,
     leader_clock: Clock,
-    /// No keeper leads before this.
+    /// No coordinator leads before this.
     leader_since: u64,
     index: u64,
     members: Vec<Member>,
@@ -195,7 +195,7 @@
             start: random.random_range(0..1 << 40),
             rate: 1.0 + random.random_range(-skew..=skew),
         };
-        let keeper = clock();
+        let coordinator = clock();
         let member = |at: usize| Member {
             clock: Clock { start: 0, rate: 1.0 },
             holder: LeaseClient::new(times).with_injected_bug(flaw),
@@ -207,7 +207,7 @@
             last_renewal: 0,
         };
         let members: Vec<Member> = (0..MEMBERS).map(|at| Member { clock: clock(), ..member(at) }).collect();
-        let warden = LeaderState::new(times, keeper.at(0), &state);
+        let warden = LeaderState::new(times, coordinator.at(0), &state);
         let mut world = Simulation {
             random,
             times,
@@ -218,7 +218,7 @@
             queue: BinaryHeap::new(),
             state,
             warden,
-            leader_clock: keeper,
+            leader_clock: coordinator,
             leader_since: 0,
             index: 0,
             members,
@@ -290,7 +290,7 @@
     }
 
     fn handle(&mut self, what: EventKind) {
-        // Whoever is stopped gets to it when it goes on; what a keeper does goes on without it.
+        // A paused member gets to it when it goes on; what a coordinator does goes on without it.
         let whom = match &what {
             EventKind::SendRenewal(at) | EventKind::Act(at) => Some(*at),
             EventKind::ReplyArrives { to, .. }
@@ -313,24 +313,7 @@
             EventKind::RenewalArrives { from, asked, life, session, seen } => {
                 self.handle_renewal((from, asked, life), session, seen)
             }
-            EventKind::ReplyArrives { to, asked, life, said } => {
-                let member = &mut self.members[to];
-                let now = member.clock.at(self.now);
-                // An answer that took longer than a call may was given up, as was one of an earlier process.
-                let late =
-                    asked != member.last_renewal || now.saturating_sub(asked) > self.times.call_timeout;
-                let given_up = late && self.flaw != Some(InjectedBug::LeaseFromResponse);
-                if life != member.incarnation || given_up {
-                    return;
-                }
-                match said {
-                    Reply::Joined(id, incarnation, view) => {
-                        member.holder.on_session_opened(id, incarnation, asked, now, view)
-                    }
-                    Reply::Renewed(id, view) => member.holder.on_session_renewed(id, asked, now, view),
-                    Reply::SessionExpired => member.holder.on_session_ended(),
-                }
-            }
+            EventKind::ReplyArrives { to, asked, life, said } => self.on_reply(to, (asked, life), said),
             EventKind::ViewArrives { to, life, session, view } => {
                 if life == self.members[to].incarnation
                     && self.members[to].holder.on_view_changed(session, view)
@@ -342,19 +325,7 @@
                 self.act(at);
                 self.schedule(ACT_INTERVAL, EventKind::Act(at));
             }
-            EventKind::EffectArrives { to, token } => {
-                let newest = self.newest();
-                let member = &mut self.members[to];
-                let now = member.clock.at(self.now);
-                if member.holder.accept_effect(&self.duty, token, now).is_ok() {
-                    self.result.effects_accepted += 1;
-                    self.result.late_effects += u64::from(token < newest);
-                    self.result.decreasing_tokens += u64::from(token < member.highest_token);
-                    member.highest_token = member.highest_token.max(token);
-                } else {
-                    self.result.effects_rejected += 1;
-                }
-            }
+            EventKind::EffectArrives { to, token } => self.on_effect(to, token),
             EventKind::Tick => {
                 self.schedule(TICK_INTERVAL, EventKind::Tick);
                 if self.now >= self.leader_since {
@@ -367,6 +338,38 @@
         }
     }
 
+    fn on_reply(&mut self, to: usize, (asked, incarnation): (u64, u64), reply: Reply) {
+        let member = &mut self.members[to];
+        let now = member.clock.at(self.now);
+        // An answer that took longer than a call may was given up, as was one of an earlier process.
+        let late = asked != member.last_renewal || now.saturating_sub(asked) > self.times.call_timeout;
+        let given_up = late && self.flaw != Some(InjectedBug::LeaseFromResponse);
+        if incarnation != member.incarnation || given_up {
+            return;
+        }
+        match reply {
+            Reply::Joined(id, incarnation, view) => {
+                member.holder.on_session_opened(id, incarnation, asked, now, view)
+            }
+            Reply::Renewed(id, view) => member.holder.on_session_renewed(id, asked, now, view),
+            Reply::SessionExpired => member.holder.on_session_ended(),
+        }
+    }
+
+    fn on_effect(&mut self, to: usize, token: FencingToken) {
+        let newest = self.newest();
+        let member = &mut self.members[to];
+        let now = member.clock.at(self.now);
+        if member.holder.accept_effect(&self.duty, token, now).is_ok() {
+            self.result.effects_accepted += 1;
+            self.result.late_effects += u64::from(token < newest);
+            self.result.decreasing_tokens += u64::from(token < member.highest_token);
+            member.highest_token = member.highest_token.max(token);
+        } else {
+            self.result.effects_rejected += 1;
+        }
+    }
+
     fn send_renewal(&mut self, from: usize) {
         let member = &mut self.members[from];
         let asked = member.clock.at(self.now);
@@ -472,7 +475,7 @@
                 member.resumes_at = self.now + long;
             }
             _ => {
-                // Another keeper leads after a while, with a clock of its own.
+                // Another coordinator leads after a while, with a clock of its own.
                 self.leader_since = self.now + long.min(3 * SECOND);
                 let rate = 1.0 + self.random.random_range(-self.skew..=self.skew);
                 self.leader_clock = Clock { start: self.random.random_range(0..1 << 40), rate };
