--- a/crates/dispatcher/src/engine/messages.rs
+++ b/crates/dispatcher/src/engine/messages.rs
@@ -118,7 +118,7 @@
     /// An attempt ended; the bytes are the result of one that was served.
     AttemptEnded(RequestId, u32, Outcome, Bytes, Option<LoadReport>),
     /// A probe ended: whether the worker answered that it is well, and what it said of its load. Each
-    /// [`Command::Probe`] is followed by one; where a probe was out already, its end answers both.
+    /// [`Command::HealthCheck`] is followed by one; where a probe was out already, its end answers both.
     HealthCheckEnded(WorkerId, bool, Option<LoadReport>),
     /// One who watches workers for all saw this one fail so long ago, which may be held against it for so long.
     UnhealthyReported(WorkerId, Micros, Micros),
@@ -156,6 +156,6 @@
     HealthCheck(WorkerId),
     /// Close the idle connections to a worker.
     CloseIdle(WorkerId),
-    /// Where workers listen, and whether they take work; with [`Scope::Full`] all others are gone.
+    /// Where workers listen, and whether they take work; with [`ListScope::Full`] all others are gone.
     EndpointList(ListScope, Vec<ListedEndpoint>),
 }
--- a/crates/dispatcher/src/net/metrics.rs
+++ b/crates/dispatcher/src/net/metrics.rs
@@ -43,9 +43,9 @@
     pub quota_granted: Counter,
     /// Work at cold workers that this member granted to all in its last term, in slots by seconds.
     pub quota_allocated: Gauge,
-    /// Calls for standby that the fleet did not allow, and those that somebody forced.
+    /// Calls for standby that the disruption budgets did not allow.
     pub drains_rejected: IntCounter,
-    /// See [`FleetMetrics::denied`].
+    /// Calls for standby that an operator forced.
     pub drains_forced: IntCounter,
 }
 
--- a/crates/emulator/src/cluster/cluster_harness.rs
+++ b/crates/emulator/src/cluster/cluster_harness.rs
@@ -66,7 +66,7 @@
     dispatchers: Vec<Option<Process>>,
     consoles: Vec<SocketAddr>,
     /// The links between coordinators and members, where they pass a proxy: coordinators by their number, dispatchers as
-    /// [`member`].
+    /// [`member_node`].
     pub network: Option<SharedNetwork>,
     /// Where clients reach the dispatchers.
     pub listen: Vec<SocketAddr>,
--- a/crates/emulator/src/cluster/fault_proxy.rs
+++ b/crates/emulator/src/cluster/fault_proxy.rs
@@ -42,9 +42,9 @@
     link_faults: BTreeMap<(NodeId, NodeId), LinkFault>,
     nodes: BTreeMap<IpAddr, NodeId>,
     random: Pcg64,
-    /// Connections that were reset, and that were doubled.
+    /// Connections that were reset.
     pub resets: u64,
-    /// See [`Net::resets`].
+    /// Connections whose bytes were duplicated.
     pub duplicates: u64,
     /// Bytes that were carried, both ways.
     pub bytes: u64,
--- a/crates/emulator/src/cluster/planned_drains/mod.rs
+++ b/crates/emulator/src/cluster/planned_drains/mod.rs
@@ -145,9 +145,9 @@
     pub rules: BTreeMap<String, Vec<String>>,
     /// Faults by kind.
     pub faults: BTreeMap<String, u64>,
-    /// The budgets, of all and of a zone, and the most that were out by plan at once.
+    /// The budgets, of all and of a zone.
     pub budget: (usize, usize),
-    /// See [`Drained::budget`].
+    /// The most that were unavailable by plan at once, of all and of a zone.
     #[serde(rename = "out_by_plan_max")]
     pub max_planned_unavailable: (usize, usize),
     /// Calls for standby by answer: 200, 503, or 0 for none.
--- a/crates/emulator/src/cluster/shared_health_checks/mod.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/mod.rs
@@ -193,26 +193,26 @@
     pub rules: BTreeMap<String, Vec<String>>,
     /// Faults by kind.
     pub faults: BTreeMap<String, u64>,
-    /// Probes at workers, and a second.
+    /// Probes at workers.
     pub probes: u64,
-    /// See [`Watched::probes`].
+    /// Probes per second.
     pub probes_per_s: f64,
-    /// The smallest and the largest time between two probes of a worker that was listed and reachable, in ms.
+    /// The smallest time between two probes of a worker that was listed and reachable, in ms.
     #[serde(rename = "closest_ms")]
     pub min_probe_gap_ms: f64,
-    /// See [`Watched::closest_ms`].
+    /// The largest time between two probes of such a worker, in ms.
     #[serde(rename = "longest_ms")]
     pub max_probe_gap_ms: f64,
     /// From a worker's first silence to its being held against it at each dispatcher, in ms, sorted.
     #[serde(rename = "known_after_ms")]
     pub detected_after_ms: Vec<f64>,
-    /// Jobs handed in, and answers by status: 0 none at all, 1 from a dispatcher that was killed or stopped meanwhile.
+    /// Jobs submitted.
     pub jobs: u64,
-    /// See [`Watched::jobs`].
+    /// Answers by status: 0 none at all, 1 from a dispatcher that was killed or stopped meanwhile.
     pub answers: BTreeMap<u16, u64>,
-    /// Jobs that came to cold workers, and the most in a span as a part of what was borne.
+    /// Jobs that came to workers in slow start.
     pub jobs_at_cold: u64,
-    /// See [`Watched::jobs_at_cold`].
+    /// The most work in one overload window, as a part of what the worker can take.
     #[serde(rename = "fullest")]
     pub peak_cold_load: f64,
     /// Jobs that were sent to workers while these hung.
--- a/crates/emulator/src/cluster/slow_start.rs
+++ b/crates/emulator/src/cluster/slow_start.rs
@@ -79,11 +79,11 @@
     /// The most that was sent in any span, as a part of what was borne.
     #[serde(rename = "fullest")]
     pub peak_load: f64,
-    /// Jobs handed in from the first cold worker on, the part of them that was served in time, and at all.
+    /// Jobs submitted from the start of the first cold worker on.
     pub jobs: u64,
-    /// See [`Joined::jobs`].
+    /// The part of these jobs that was served in time.
     pub in_time: f64,
-    /// See [`Joined::jobs`].
+    /// The part of these jobs that was served at all.
     pub served: f64,
     /// Answers by status; 0 for none.
     pub answers: BTreeMap<u16, u64>,
--- a/crates/emulator/src/cluster/worker_model.rs
+++ b/crates/emulator/src/cluster/worker_model.rs
@@ -10,13 +10,13 @@
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::time::Instant;
 
-/// What the settings tell of cold workers.
+/// The part of its capacity with which a worker starts.
 pub const INITIAL_CAPACITY: f64 = 0.14;
-/// See [`SHARE`].
+/// How long a worker takes to reach its full capacity.
 pub const WARM_UP: Duration = Duration::from_secs(24);
-/// See [`SHARE`].
+/// A worker is overloaded by more than this multiple of what it can do in one window.
 pub const OVERLOAD_MULTIPLE: f64 = 3.0;
-/// See [`SHARE`].
+/// The window over which work is summed up.
 pub const OVERLOAD_WINDOW: Duration = Duration::from_millis(1_500);
 /// How long a worker that was pushed over takes nothing.
 const DOWN_TIME: Duration = Duration::from_secs(5);
