--- a/crates/emulator/tests/sockets.rs
+++ b/crates/emulator/tests/sockets.rs
@@ -59,7 +59,7 @@
 
 #[test]
 fn the_program_serves_a_day_with_a_drain_by_the_rules() {
-    let figures = play("cairncrank");
+    let figures = play("dispatcher");
     assert_eq!(figures.rules.total(), 0, "{figures:?}");
     assert!(figures.jobs > 20 && figures.all.service() > 0.5, "{figures:?}");
     assert!(figures.sends >= figures.jobs / 2 && figures.connects > 0, "{figures:?}");
