--- a/crates/disruption-budget/src/budget.rs
+++ b/crates/disruption-budget/src/budget.rs
@@ -88,25 +88,25 @@
     #[error("0 can never be met: nothing could ever be taken out")]
     NoneUnavailable,
     /// All targets may be unavailable at once.
-    #[error("100 % or more lets the last one go")]
+    #[error("100 % or more allows the last target to be unavailable")]
     AllUnavailable,
     /// All targets must always be available.
     #[error("100 % or more can never be met: nothing could ever be taken out")]
     AllAvailable,
     /// No target has to be available.
-    #[error("0 lets the last one go")]
+    #[error("0 allows the last target to be unavailable")]
     NoneAvailable,
     /// Neither bound is set.
     #[error("a budget needs most_out or least_in")]
     Unbounded,
     /// The percentage of a group rounds down to no target.
-    #[error("of {targets} it is none, rounded down: nothing could ever be taken out")]
+    #[error("in a group of {targets}, it rounds down to none")]
     RoundsToNone {
         /// The targets of the group.
         targets: u64,
     },
     /// All targets of a group must be available.
-    #[error("of {targets} nothing could ever be taken out")]
+    #[error("in a group of {targets}, it never allows a disruption")]
     NoneDisruptable {
         /// The targets of the group.
         targets: u64,
--- a/crates/disruption-budget/src/command.rs
+++ b/crates/disruption-budget/src/command.rs
@@ -100,25 +100,25 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
     /// No such permit is open: it was cancelled, or closed. Request a new one.
-    #[error("no such permit is open: it is void, was taken back, or is over")]
+    #[error("no such permit is open: it expired, was cancelled, or has ended")]
     UnknownPermit,
     /// The state has no such target, nor a permit for it.
-    #[error("no such target is known")]
+    #[error("no such target is registered")]
     UnknownTarget,
     /// The permit waits, or waits again after it was revoked. Retry later.
-    #[error("the permit is not granted, or was taken back")]
+    #[error("the permit is not granted, or was revoked")]
     NotGranted,
     /// The permit was begun: only its target's return closes it, or an operator who deregisters the target.
-    #[error("the permit was begun; it ends when its target is in again")]
+    #[error("the permit was begun; it ends when its target is available again")]
     AlreadyBegun,
     /// The observer has lost its lease to another one.
-    #[error("the observation is of a term before token {newest_token}")]
+    #[error("the observation is of an earlier term: the newest fencing token is {newest_token}")]
     StaleObserver {
         /// The newest fencing token of an observer.
         newest_token: u64,
     },
     /// The budgets were changed since the operator read them. Read them again.
-    #[error("the budgets were changed meanwhile and are at version {version}; look at them again")]
+    #[error("the budgets were changed meanwhile and are at version {version}; read them again")]
     VersionConflict {
         /// Their version.
         version: u64,
@@ -132,7 +132,7 @@
         reason: String,
     },
     /// A limit of this module would be exceeded; the text says which.
-    #[error("no room: {0}")]
+    #[error("limit exceeded: {0}")]
     LimitExceeded(String),
 }
 
--- a/crates/disruption-budget/src/target.rs
+++ b/crates/disruption-budget/src/target.rs
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ParseTargetError {
     /// The text does not start with a known kind and a slash.
-    #[error("{text:?} is no target; wanted dispatcher/NAME or worker/NAME")]
+    #[error("{text:?} is not a target; expected dispatcher/NAME or worker/NAME")]
     UnknownKind {
         /// The whole text.
         text: String,
