--- a/crates/disruption-budget/src/availability_observer.rs
+++ b/crates/disruption-budget/src/availability_observer.rs
@@ -1,4 +1,4 @@
-//! The availability of dispatchers, from their readiness reports and their silence.
+//! Availability of dispatchers, derived from readiness reports and their absence.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,43 +6,43 @@
 
 use crate::{Availability, DisruptionState, Micros, StatusChanges, Target, TargetKind, TargetStatus};
 
-/// The name of the observer's lease, as settings and records have it.
+/// Name of the availability observer's lease in settings and records.
 pub const OBSERVER_LEASE: &str = "account";
 
-/// An observer waits for so many lifetimes of a report in its term before it calls a dispatcher unavailable.
+/// Report lifetimes that a new term waits before a dispatcher without a report counts as unavailable.
 const TERM_GRACE_REPORT_LIFETIMES: Micros = 2;
 
-/// What a dispatcher says of itself when an observer polls it. The order of fields is the format on the wire.
+/// Answer of a dispatcher to an observer's poll. The order of fields is the wire format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadinessReport {
-    /// Its name.
+    /// Name of the dispatcher.
     pub name: String,
-    /// Its zone.
+    /// Zone of the dispatcher.
     pub zone: String,
-    /// Its incarnation: higher with each start and each return from standby.
+    /// Incarnation, raised with each start and each return from standby.
     pub incarnation: u64,
-    /// Whether it is ready and invites work.
+    /// Whether the dispatcher is ready and accepts work.
     pub ready: bool,
 }
 
 impl ReadinessReport {
-    /// The bytes of an answer to a poll.
+    /// Encodes the report as the body of an answer to a poll.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads an answer to a poll; none where the bytes are no report.
+    /// Decodes an answer to a poll; `None` if the bytes are not a report.
     pub fn decode(bytes: &[u8]) -> Option<ReadinessReport> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
-/// A dispatcher in the list of members.
+/// A dispatcher in the list of cluster members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetMember<'a> {
-    /// Its name.
+    /// Name of the dispatcher.
     pub name: &'a str,
-    /// Its zone.
+    /// Zone of the dispatcher.
     pub zone: &'a str,
 }
 
@@ -52,20 +52,20 @@
     report: ReadinessReport,
 }
 
-/// The reports that the holder of the observer's lease received in one term.
+/// Readiness reports that the holder of the observer's lease received in one term.
 #[derive(Debug, Clone)]
 pub struct AvailabilityObserver {
     report_lifetime: Micros,
     term_started: Micros,
     reports: BTreeMap<String, ReceivedReport>,
-    /// The dispatchers that the state had at the last look.
+    /// Dispatchers that the state had at the last call of [`Self::status_changes`].
     registered: BTreeSet<String>,
-    /// Dispatchers that were deregistered in this term and have not reported since, for as long as they are listed.
+    /// Listed dispatchers that were deregistered in this term and have not reported since.
     deregistered: BTreeSet<String>,
 }
 
 impl AvailabilityObserver {
-    /// Starts a term. A report is valid for `report_lifetime`.
+    /// Starts a term in which a report is valid for `report_lifetime`.
     pub fn new(report_lifetime: Micros, now: Micros) -> AvailabilityObserver {
         AvailabilityObserver {
             report_lifetime,
@@ -76,18 +76,18 @@
         }
     }
 
-    /// Takes a dispatcher's report.
+    /// Records a dispatcher's report.
     pub fn record_report(&mut self, report: ReadinessReport, now: Micros) {
         self.deregistered.remove(&report.name);
         self.reports.insert(report.name.clone(), ReceivedReport { received_at: now, report });
     }
 
-    /// The dispatchers whose status differs from the state: of those in the list of members and those that the state
-    /// knows, of which none is ever removed. None before each had time to report in this term.
+    /// Compares the listed and the registered dispatchers with the state. Returns `None` until every dispatcher had time
+    /// to report in this term. No dispatcher is ever removed.
     ///
-    /// A dispatcher that was deregistered stays unknown until it reports again or is listed anew. The list of members is
-    /// older than the state (it comes with a session's renewal) and has a lost dispatcher for as long as its session
-    /// lasts: by the list alone a deregistration would be undone at the next look.
+    /// A deregistered dispatcher is ignored until it reports again or is listed anew. The list of members arrives with
+    /// a session's renewal, so it may be older than the state and contains a lost dispatcher until its session ends:
+    /// without this rule the next observation would undo the deregistration.
     pub fn status_changes(
         &mut self,
         now: Micros,
@@ -114,7 +114,7 @@
         Some(StatusChanges { changed, removed: Vec::new() })
     }
 
-    /// Remembers the dispatchers that the state had at the last look and has no more; what they reported before is void.
+    /// Records dispatchers that were removed from the state since the last call, and discards their reports.
     fn track_deregistered(&mut self, members: &[FleetMember<'_>], known: &BTreeMap<String, TargetStatus>) {
         for name in std::mem::take(&mut self.registered) {
             if !known.contains_key(&name) {
@@ -127,7 +127,7 @@
         self.registered = known.keys().cloned().collect();
     }
 
-    /// A dispatcher's status, by a valid report or its silence.
+    /// Returns a dispatcher's status: by its report, or unavailable without a valid one.
     fn status(
         &self,
         now: Micros,
--- a/crates/disruption-budget/src/budget.rs
+++ b/crates/disruption-budget/src/budget.rs
@@ -1,15 +1,15 @@
-//! Disruption budgets and the arithmetic that decides whether one is exceeded.
+//! Disruption budgets, their validation, and the check whether one is exceeded.
 
 use serde::{Deserialize, Serialize};
 
 use crate::TargetKind;
 
-/// One whole target, in the unit of sums: a target that warms up is unavailable by what it lacks.
-pub(crate) const WHOLE_TARGET_THOUSANDTHS: u64 = 1_000;
+/// Thousandths of one target. A target that warms up counts as unavailable by the capacity that it lacks.
+pub(crate) const THOUSANDTHS_PER_TARGET: u64 = 1_000;
 
-/// The settings key of [`Budget::max_unavailable`].
+/// Settings key of [`Budget::max_unavailable`].
 const MAX_UNAVAILABLE_KEY: &str = "most_out";
-/// The settings key of [`Budget::min_available`].
+/// Settings key of [`Budget::min_available`].
 const MIN_AVAILABLE_KEY: &str = "least_in";
 
 /// The targets that a budget selects, and how they are grouped. The order of variants is part of the stored format.
@@ -30,58 +30,58 @@
 /// A number of targets, or a percentage of a group. The order of variants is part of the stored format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Amount {
-    /// So many targets.
+    /// A number of targets.
     Count(u32),
-    /// So many of a hundred.
+    /// A percentage of the group.
     Percent(u32),
 }
 
 impl Amount {
-    /// The amount of a group of `targets`, rounded down to whole targets, in thousandths of a target.
+    /// Returns the amount for a group of `targets`, rounded down to complete targets, in thousandths of a target.
     fn rounded_down(self, targets: u64) -> u64 {
-        let whole = match self {
+        let complete_targets = match self {
             Amount::Count(count) => u64::from(count),
             Amount::Percent(percent) => targets * u64::from(percent) / 100,
         };
-        whole * WHOLE_TARGET_THOUSANDTHS
+        complete_targets * THOUSANDTHS_PER_TARGET
     }
 
-    /// The amount of a group of `targets`, rounded up to whole targets, in thousandths of a target.
+    /// Returns the amount for a group of `targets`, rounded up to complete targets, in thousandths of a target.
     fn rounded_up(self, targets: u64) -> u64 {
-        let whole = match self {
+        let complete_targets = match self {
             Amount::Count(count) => u64::from(count),
             Amount::Percent(percent) => (targets * u64::from(percent)).div_ceil(100),
         };
-        whole * WHOLE_TARGET_THOUSANDTHS
+        complete_targets * THOUSANDTHS_PER_TARGET
     }
 }
 
 /// A bound on the targets that are unavailable at once. The order of fields is part of the stored format.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Budget {
-    /// Its name, unique among budgets.
+    /// Name, unique among budgets.
     pub name: String,
-    /// The kind of targets that it selects.
+    /// Kind of the selected targets.
     pub kind: TargetKind,
-    /// Which of them it selects, and how they are grouped.
+    /// Selection and grouping of the targets of that kind.
     pub scope: BudgetScope,
-    /// The most that may be unavailable in a group, rounded down to whole targets.
+    /// Maximum that may be unavailable in a group, rounded down to complete targets.
     pub max_unavailable: Option<Amount>,
-    /// The least that must be available in a group, rounded up to whole targets.
+    /// Minimum that must be available in a group, rounded up to complete targets.
     pub min_available: Option<Amount>,
 }
 
-/// What is wrong with a budget.
+/// An invalid budget.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {problem}")]
 pub struct BudgetError {
-    /// The settings key at fault: `most_out` or `least_in`.
+    /// Settings key of the invalid bound: `most_out` or `least_in`.
     pub key: &'static str,
-    /// What is wrong with its value.
+    /// Problem with the value.
     pub problem: BudgetProblem,
 }
 
-/// What is wrong with a budget's bound.
+/// Problem with a bound of a budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BudgetProblem {
     /// No target may ever be unavailable.
@@ -102,13 +102,13 @@
     /// The percentage of a group rounds down to no target.
     #[error("in a group of {targets}, it rounds down to none")]
     RoundsToNone {
-        /// The targets of the group.
+        /// Number of targets in the group.
         targets: u64,
     },
     /// All targets of a group must be available.
     #[error("in a group of {targets}, it never allows a disruption")]
     NoneDisruptable {
-        /// The targets of the group.
+        /// Number of targets in the group.
         targets: u64,
     },
 }
@@ -124,11 +124,11 @@
 }
 
 impl Budget {
-    /// Checks that the budget makes sense for some group: it allows a disruption, and not that of the last target.
+    /// Checks that the budget allows a disruption in a large enough group, but not that of the last target.
     ///
     /// # Errors
     ///
-    /// The bound at fault, where it allows none or all, or no bound is set.
+    /// Returns [`BudgetError`] if a bound allows no disruption or that of all targets, or if no bound is set.
     pub fn validate(&self) -> Result<(), BudgetError> {
         match self.max_unavailable {
             Some(Amount::Count(0) | Amount::Percent(0)) => {
@@ -155,29 +155,29 @@
     ///
     /// # Errors
     ///
-    /// The bound that never allows one in a group of this size.
+    /// Returns [`BudgetError`] with the bound that never allows a disruption in a group of this size.
     pub fn validate_for(&self, targets: u64) -> Result<(), BudgetError> {
-        if self.max_unavailable.is_some_and(|max| max.rounded_down(targets) < WHOLE_TARGET_THOUSANDTHS) {
+        if self.max_unavailable.is_some_and(|max| max.rounded_down(targets) < THOUSANDTHS_PER_TARGET) {
             return Err(BudgetError::max_unavailable(BudgetProblem::RoundsToNone { targets }));
         }
-        let available_after_one = (targets * WHOLE_TARGET_THOUSANDTHS).checked_sub(WHOLE_TARGET_THOUSANDTHS);
+        let available_after_one = (targets * THOUSANDTHS_PER_TARGET).checked_sub(THOUSANDTHS_PER_TARGET);
         if available_after_one.is_none_or(|available| available < self.required_available(targets)) {
             return Err(BudgetError::min_available(BudgetProblem::NoneDisruptable { targets }));
         }
         Ok(())
     }
 
-    /// Whether `unavailable` thousandths of a target may be unavailable in a group of `targets`. One target must be
-    /// available whatever the budget says.
+    /// Returns whether `unavailable` thousandths of a target may be unavailable in a group of `targets`. At least one
+    /// target must be available under every budget.
     pub(crate) fn allows(&self, unavailable: u64, targets: u64) -> bool {
-        let available = (targets * WHOLE_TARGET_THOUSANDTHS).saturating_sub(unavailable);
+        let available = (targets * THOUSANDTHS_PER_TARGET).saturating_sub(unavailable);
         self.max_unavailable.is_none_or(|max| unavailable <= max.rounded_down(targets))
             && available >= self.required_available(targets)
     }
 
-    /// The thousandths of a target that must be available in a group of `targets`.
+    /// Returns the thousandths of a target that must be available in a group of `targets`.
     fn required_available(&self, targets: u64) -> u64 {
         let required = self.min_available.map_or(0, |min| min.rounded_up(targets));
-        required.max(WHOLE_TARGET_THOUSANDTHS)
+        required.max(THOUSANDTHS_PER_TARGET)
     }
 }
--- a/crates/disruption-budget/src/canary_analysis.rs
+++ b/crates/disruption-budget/src/canary_analysis.rs
@@ -1,31 +1,31 @@
-//! Canary analysis: whether a new version fails more often than the old one that runs at the same time in the same zone,
-//! by job class. The test is sequential: its error rates hold however often the verdict is read.
+//! Canary analysis: a sequential test, by job class, whether a new version fails more often than the old version that
+//! runs at the same time in the same zone. Its error rates hold however often the verdict is read.
 //!
-//! In each window both sides had so many jobs, and so many jobs of both sides failed. Given these sums, the number of
-//! failures on the canary's side is a matter of chance while both versions do equally well, whatever made the jobs fail:
-//! it is hypergeometric. So a loss that both sides share is no evidence against the canary. Where the odds of a failure
-//! are higher on the canary's side, the number follows Fisher's noncentral hypergeometric distribution. The product of the
-//! likelihood ratios of the two, over windows, zones and a few odds ratios, is a test martingale: the probability that it
-//! ever exceeds `1 / a` is at most `a` while the canary is no worse (Ville's inequality). The same ratio the other way
-//! round, and the canary's own failure share against an acceptable one, are the evidence that it is good.
+//! Each window gives the number of jobs of both sides and the number of all failures. Given these sums, the number of
+//! failures on the canary's side is hypergeometric while both versions are equally good, whatever made the jobs fail.
+//! So failures that both sides share are no evidence against the canary. If the odds of a failure are higher on the
+//! canary's side, the number follows Fisher's noncentral hypergeometric distribution. The product of the likelihood
+//! ratios of the two, over windows, zones and several odds ratios, is a test martingale: the probability that it ever
+//! exceeds `1 / a` is at most `a` while the canary is no worse (Ville's inequality). The inverse ratio, and the
+//! canary's own failure share against an acceptable one, are the evidence that it is good.
 
 use std::collections::BTreeMap;
 
 use statrs::function::factorial::ln_binomial;
 
-/// The odds ratios, canary against baseline, that the test looks for.
+/// Odds ratios, canary against baseline, that the test can detect.
 const TESTED_ODDS_RATIOS: [f64; 4] = [1.5, 2.0, 4.0, 16.0];
 /// A canary whose failure share is this fraction of the acceptable one passes quickly.
 const CLEARLY_GOOD_FRACTION: f64 = 0.25;
 
-/// How a job failed.
+/// Kind of failure of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FailureKind {
-    /// It was rejected.
+    /// Rejected.
     Rejected,
-    /// It failed, or was lost.
+    /// Failed or lost.
     Failed,
-    /// It was served later than promised.
+    /// Served later than its latency objective allows.
     Late,
 }
 
@@ -36,15 +36,15 @@
 /// Error rates and bounds of the test.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AnalysisSettings {
-    /// The probability that a canary that is no worse ever fails the test.
+    /// Probability that a canary that is no worse ever fails the test.
     pub false_positive_rate: f64,
-    /// The probability that a canary with [`harmful_odds_ratio`](Self::harmful_odds_ratio) ever passes.
+    /// Probability that a canary with [`harmful_odds_ratio`](Self::harmful_odds_ratio) ever passes.
     pub false_negative_rate: f64,
-    /// The ratio of the odds of a failure, canary against baseline, from which a canary is harmful.
+    /// Lowest ratio of the odds of a failure, canary against baseline, at which a canary is harmful.
     pub harmful_odds_ratio: f64,
-    /// The failure share (0 to 1) up to which a canary is good whatever the baseline does.
+    /// Failure share (0 to 1) up to which a canary is good whatever the baseline does.
     pub acceptable_failure_share: f64,
-    /// The baseline's failure share (0 to 1) above which a release pauses.
+    /// Failure share of the baseline (0 to 1) above which a release pauses.
     pub pause_above: f64,
 }
 
@@ -60,16 +60,16 @@
     }
 }
 
-/// The jobs of one side, of one class, in one window and zone.
+/// Jobs of one side, of one class, in one window and zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct JobCounts {
-    /// All jobs.
+    /// Number of all jobs.
     pub jobs: u64,
-    /// Those that were rejected.
+    /// Number of rejected jobs.
     pub rejected: u64,
-    /// Those that failed.
+    /// Number of failed jobs.
     pub failed: u64,
-    /// Those that were served late.
+    /// Number of jobs that were served late.
     pub late: u64,
 }
 
@@ -88,10 +88,10 @@
     }
 }
 
-/// The result of the analysis so far.
+/// Result of the analysis so far.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// There is too little evidence.
+    /// Too little evidence.
     Inconclusive,
     /// No class is worse on the canary.
     Passed,
@@ -99,7 +99,7 @@
     Regressed {
         /// The class.
         class: String,
-        /// How its jobs fail.
+        /// Kind of failure that is more frequent.
         failure: FailureKind,
     },
 }
@@ -115,7 +115,7 @@
     acceptable: f64,
 }
 
-/// The jobs of the baseline in the last window of a zone and class.
+/// Jobs of the baseline in the last window of a zone and class.
 #[derive(Debug, Clone, Copy)]
 struct BaselineWindow {
     jobs: u64,
@@ -129,7 +129,7 @@
     class: String,
 }
 
-/// A job class and how its jobs fail.
+/// A job class and a kind of failure.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct ClassFailure {
     class: String,
@@ -144,7 +144,7 @@
     baseline: BTreeMap<ZoneClass, BaselineWindow>,
 }
 
-/// The failures of one window, of which so many are the canary's.
+/// Jobs and failures of both sides in one window.
 #[derive(Debug, Clone, Copy)]
 struct FailureSplit {
     canary_jobs: u64,
@@ -154,7 +154,7 @@
 }
 
 impl FailureSplit {
-    /// The logarithm of the probability of the split, given the sums, if the odds of a failure on the canary are
+    /// Returns the logarithm of the probability of the split, given the sums, if the odds of a failure on the canary are
     /// `odds_ratio` times the baseline's.
     fn ln_probability(&self, odds_ratio: f64) -> f64 {
         let ln_weight = |canary_failures: u64| {
@@ -169,7 +169,7 @@
     }
 }
 
-/// The logarithm of the mean of values given by their logarithms.
+/// Returns the logarithm of the mean of values that are given by their logarithms.
 fn ln_mean(logarithms: &[f64]) -> f64 {
     let largest = logarithms.iter().copied().fold(f64::NEG_INFINITY, f64::max);
     let sum: f64 = logarithms.iter().map(|logarithm| (logarithm - largest).exp()).sum();
@@ -177,12 +177,12 @@
 }
 
 impl CanaryAnalysis {
-    /// An analysis without evidence.
+    /// Starts an analysis without evidence.
     pub fn new(settings: AnalysisSettings) -> CanaryAnalysis {
         CanaryAnalysis { settings, evidence: BTreeMap::new(), baseline: BTreeMap::new() }
     }
 
-    /// Takes the jobs of both sides in one window, in one zone, of one class.
+    /// Adds the jobs of both sides in one window, in one zone, of one class.
     pub fn record_window(&mut self, zone: &str, class: &str, canary: JobCounts, baseline: JobCounts) {
         let key = ZoneClass { zone: zone.to_owned(), class: class.to_owned() };
         let window = BaselineWindow { jobs: baseline.jobs, failures: baseline.all_failures() };
@@ -202,8 +202,8 @@
         }
     }
 
-    /// The verdict by now. A caller that reads it after each window gets a wrong one no more often than the settings say:
-    /// the error rate is shared by classes and kinds of failure.
+    /// Returns the verdict by now. The error rates of the settings hold for a caller that reads it after each window, and
+    /// for all classes and kinds of failure together.
     pub fn verdict(&self) -> Verdict {
         let tests = self.evidence.len().max(1) as f64;
         let regression_bound = (tests / self.settings.false_positive_rate).ln();
@@ -212,7 +212,7 @@
         if let Some((ClassFailure { class, failure }, _)) = regressed {
             return Verdict::Regressed { class: class.clone(), failure: *failure };
         }
-        // Every class has to pass by itself, so a harmful one passes no more often than it would alone.
+        // Every class has to pass by itself, so the error rate needs no correction for their number.
         let pass_bound = (1.0 / self.settings.false_negative_rate).ln();
         let passes =
             |evidence: &Evidence| ln_mean(&[evidence.no_regression, evidence.acceptable]) > pass_bound;
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Whether the baseline fails so often that a release should not go on now, whatever the cause.
+    /// Returns whether the baseline fails so often that a release should pause, whatever the cause.
     pub fn should_pause(&self) -> bool {
         let jobs: u64 = self.baseline.values().map(|window| window.jobs).sum();
         let failures: u64 = self.baseline.values().map(|window| window.failures).sum();
--- a/crates/disruption-budget/src/command.rs
+++ b/crates/disruption-budget/src/command.rs
@@ -6,88 +6,90 @@
 
 use crate::{Budget, PermitId, PermitState, Target, TargetStatus};
 
-/// The most targets that the state holds.
+/// Maximum number of targets in the state.
 pub const MAX_TARGETS: usize = 4_096;
-/// The most permits that are open at once.
+/// Maximum number of open permits.
 pub const MAX_OPEN_PERMITS: usize = 1_024;
-/// The most budgets.
+/// Maximum number of budgets.
 pub const MAX_BUDGETS: usize = 64;
-/// The most bytes of a name, a zone, a pool or a reason.
+/// Maximum length of a name, a zone, a pool or a reason, in bytes.
 pub const MAX_TEXT_BYTES: usize = 256;
 
 /// A change of the disruption state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum DisruptionCommand {
-    /// Replaces all budgets, unless they were changed since the operator read them.
+    /// Replaces all budgets if they were not changed since the operator read them.
     SetBudgets {
-        /// The version that the operator read.
+        /// Version of the budgets that the operator read.
         expected_version: u64,
-        /// All budgets from now on.
+        /// New budgets, which replace all others.
         budgets: Vec<Budget>,
     },
-    /// Requests a permit. Idempotent: a requester that repeats it gets the number of its open permit, and keeps it from
-    /// timing out.
+    /// Requests a permit. Idempotent: a requester that repeats it gets the number of its open permit and renews the
+    /// permit's timeout.
     RequestPermit {
-        /// The target that is to be taken out of service.
+        /// Target to be taken out of service.
         target: Target,
-        /// The reason, for operators.
+        /// Reason, shown to operators.
         reason: String,
-        /// Who requests it.
+        /// Name of the requester.
         requester: String,
-        /// Whether it is granted at once, whatever the budgets say, and counted as forced.
+        /// Whether the permit is granted at once, without regard to the budgets, and counted as forced.
         force: bool,
     },
-    /// Begins the step of a granted permit, at the incarnation of the target that is named and at no later one.
+    /// Begins a granted permit, for the named incarnation of the target and no later one.
     BeginPermit {
         /// The permit.
         permit: PermitId,
-        /// The target's incarnation as the requester knows it; 0 where it has none.
+        /// Incarnation of the target as known to the requester; 0 if the target has none.
         incarnation: u64,
     },
-    /// The step is complete and its target was asked to come back: the permit is closed when it is seen available.
+    /// Reports that the disruption is complete and the target returns: the permit is closed once the target is
+    /// observed to be available.
     CompletePermit {
         /// The permit.
         permit: PermitId,
     },
-    /// Closes a permit that was not begun: its requester gave it back, or it timed out.
+    /// Closes a permit that was not begun: its requester cancelled it, or it expired.
     CancelPermit {
         /// The permit.
         permit: PermitId,
     },
-    /// What an availability observer saw: all targets are as the state has them, but for these.
+    /// Records an observation: the targets that differ from the state.
     RecordObservation {
-        /// The fencing token of the observer's lease.
+        /// Fencing token of the observer's lease.
         fencing_token: u64,
-        /// The last log entry that the observer had seen applied when it looked.
+        /// Last log entry that the observer had seen applied when it observed the targets.
         known_revision: u64,
         /// Targets that are new, or whose status differs from the state.
         changed: Vec<TargetStatus>,
         /// Targets that are not listed any more.
         removed: Vec<Target>,
     },
-    /// An operator declares a target gone for good: its permits are closed, and it is unknown until it is seen again.
+    /// Removes a target that an operator declares permanently lost, and closes its permits. The target is registered
+    /// again once it is observed again.
     DeregisterTarget {
         /// The target.
         target: Target,
-        /// Who declares it.
+        /// Name of the operator.
         operator: String,
     },
 }
 
-/// The result of a [`DisruptionCommand`].
+/// Result of a [`DisruptionCommand`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum DisruptionOutcome {
-    /// The requester has this open permit, which has come so far.
+    /// The requester has this open permit, in this state.
     PermitRequested(PermitId, PermitState),
-    /// The step of this permit may be carried out now.
+    /// The disruption that this permit allows may be carried out now.
     PermitBegun(PermitId),
     /// The command took effect.
     Applied,
     /// The effects of an observation.
     ObservationRecorded {
-        /// Permits that were granted by it.
+        /// Permits that the observation granted.
         granted: Vec<PermitId>,
-        /// Permits that had been granted and wait again.
+        /// Permits that were granted before and wait again.
         revoked: Vec<PermitId>,
         /// Permits whose targets are proven available again.
         closed: Vec<PermitId>,
@@ -96,48 +98,48 @@
     Rejected(Rejection),
 }
 
-/// Why a [`DisruptionCommand`] changed nothing.
+/// Reason for which a [`DisruptionCommand`] changed nothing.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
-    /// No such permit is open: it was cancelled, or closed. Request a new one.
+    /// No such permit is open: it expired, was cancelled or closed. The requester has to request a new one.
     #[error("no such permit is open: it expired, was cancelled, or has ended")]
     UnknownPermit,
-    /// The state has no such target, nor a permit for it.
+    /// Neither the target nor a permit for it is in the state.
     #[error("no such target is registered")]
     UnknownTarget,
-    /// The permit waits, or waits again after it was revoked. Retry later.
+    /// The permit waits, or waits again after it was revoked. The requester may retry later.
     #[error("the permit is not granted, or was revoked")]
     NotGranted,
-    /// The permit was begun: only its target's return closes it, or an operator who deregisters the target.
+    /// The permit was begun: only its target's return or deregistration closes it.
     #[error("the permit was begun; it ends when its target is available again")]
     AlreadyBegun,
-    /// The observer has lost its lease to another one.
+    /// The observer has lost its lease to another member.
     #[error("the observation is of an earlier term: the newest fencing token is {newest_token}")]
     StaleObserver {
-        /// The newest fencing token of an observer.
+        /// Newest fencing token of an observer.
         newest_token: u64,
     },
-    /// The budgets were changed since the operator read them. Read them again.
+    /// The budgets were changed since the operator read them.
     #[error("the budgets were changed meanwhile and are at version {version}; read them again")]
     VersionConflict {
-        /// Their version.
+        /// Present version of the budgets.
         version: u64,
     },
     /// A budget is invalid.
     #[error("budget {name:?}: {reason}")]
     InvalidBudget {
-        /// The budget's name.
+        /// Name of the budget.
         name: String,
-        /// What is wrong with it, as [`BudgetError`](crate::BudgetError) says it.
+        /// Text of the [`BudgetError`](crate::BudgetError).
         reason: String,
     },
-    /// A limit of this module would be exceeded; the text says which.
+    /// A limit of this module would be exceeded; the text names it.
     #[error("limit exceeded: {0}")]
     LimitExceeded(String),
 }
 
 impl Rejection {
-    /// A text is longer than [`MAX_TEXT_BYTES`].
+    /// Rejects a text that is longer than [`MAX_TEXT_BYTES`].
     pub(crate) fn text_too_long() -> Rejection {
         Rejection::LimitExceeded(format!("a text is longer than {MAX_TEXT_BYTES} bytes"))
     }
--- a/crates/disruption-budget/src/injected_bug.rs
+++ b/crates/disruption-budget/src/injected_bug.rs
@@ -1,20 +1,20 @@
-//! Known mistakes for tests that must find them.
+//! Bugs injected on purpose, for tests that must detect them.
 
-/// A mistake that a build with the feature `seeded-bugs` makes on purpose.
+/// A bug of the disruption state, active only in builds with the feature `seeded-bugs`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum InjectedBug {
-    /// A begun permit is closed as soon as its target is seen available, whatever its incarnation.
+    /// A begun permit is closed as soon as its target is observed to be available, whatever its incarnation.
     AnyIncarnation,
     /// Unplanned losses do not count against budgets.
     PlannedOnly,
     /// A permit is granted by an observation that was made before it was requested.
     StaleObservation,
-    /// To begin a permit that is not open is not rejected.
+    /// A command to begin a permit that is not open succeeds.
     BeginUnknownPermit,
 }
 
 impl InjectedBug {
-    /// All of them, by the name that settings and the command line use.
+    /// Returns all bugs with the names that settings and the command line use.
     #[must_use]
     pub fn names() -> &'static [(&'static str, InjectedBug)] {
         &[
--- a/crates/disruption-budget/src/lib.rs
+++ b/crates/disruption-budget/src/lib.rs
@@ -1,26 +1,27 @@
-//! Disruption budgets: how many dispatchers and workers may be unavailable at once, and who may take one out of service.
+//! Disruption budgets: bounds on the dispatchers and workers that are unavailable at once, and permits to take one out
+//! of service.
 //!
-//! The package is pure: no clock, no I/O, no randomness. The same commands give the same state on every replica. Its model
-//! is Kubernetes' `PodDisruptionBudget`, with permits that are requested, granted and begun one by one.
+//! The package is pure: no clock, no I/O, no randomness. The same commands lead to the same state on every replica. Its
+//! model is Kubernetes' `PodDisruptionBudget`, with permits that are requested, granted and begun one by one.
 //!
-//! A [`Target`] is a dispatcher or a worker. It is *available* while the availability observer has proven it to be, and
-//! unavailable otherwise. Whoever wants to take a target out of service requests a [`Permit`]. The invariants are:
+//! A [`Target`] is a dispatcher or a worker. It is *available* if the latest observation proves it, and unavailable
+//! otherwise. A requester needs a [`Permit`] to take a target out of service. The invariants are:
 //!
-//! 1. **No permit is granted beyond a budget.** All budgets that select a target hold together, and unplanned losses use
-//!    them up first: what is unavailable for any reason and what is permitted to be are counted as one sum.
+//! 1. **No permit is granted beyond a budget.** Every budget that selects a target has to allow the disruption. Targets
+//!    that are unavailable for any reason and targets with a granted permit count together.
 //! 2. **A permit that was not begun can be revoked; one that was begun counts as unavailable** until its target is proven
 //!    available again, or an operator deregisters the target. No timeout ends it. The proof is a target that is available
-//!    with a higher incarnation than it had when the permit was granted, or after the requester said that the step is
-//!    complete. A target that is available because the step was not carried out yet proves nothing.
-//! 3. **To begin is to ask once more.** A permit that was revoked or cancelled meanwhile is rejected then, so a requester
-//!    that was paused for long takes nothing out of service.
+//!    with a higher incarnation than it had when the permit was granted, or after the requester reported that the
+//!    disruption is complete. A target that is available because the disruption was not carried out yet proves nothing.
+//! 3. **Beginning a permit is checked once more.** A permit that was revoked or cancelled meanwhile is rejected, so a
+//!    requester that was paused for long takes no target out of service.
 //! 4. **An observation is valid in its observer's term only**: an observer with an older fencing token changes nothing.
 //! 5. **A permit is granted only by an observation that was made after the permit was requested.**
 //!
 //! [`Budget`] is a bound, [`DisruptionState`] the replicated state, [`DisruptionCommand`] an entry of the replicated log
-//! that changes it. [`PermitTimeouts`] is what the leading coordinator knows of time, [`AvailabilityObserver`] and
-//! [`WarmupTracker`] turn readiness reports and the endpoint list into observations, and [`canary_analysis`] decides whether
-//! a new version fails more often than the old one.
+//! that changes it. [`PermitTimeouts`] expires permits by the leading replica's clock, [`AvailabilityObserver`] and
+//! [`WarmupTracker`] turn readiness reports and the endpoint list into observations, and [`canary_analysis`] decides
+//! whether a new version fails more often than the old one.
 
 mod availability_observer;
 mod budget;
@@ -48,5 +49,5 @@
 pub use target::{ParseTargetError, Target, TargetKind};
 pub use worker_warmup::{ListedWorker, WarmupTracker};
 
-/// Microseconds on a monotonic clock of the process that passes them in; never compared between processes.
+/// Microseconds on the caller's monotonic clock; never compared between processes.
 pub type Micros = u64;
--- a/crates/disruption-budget/src/permit.rs
+++ b/crates/disruption-budget/src/permit.rs
@@ -6,17 +6,17 @@
 
 use crate::Target;
 
-/// A permit's number: the position of the log entry that requested it, so later permits have higher numbers.
+/// Number of a permit: the position of the log entry that requested it, so later permits have higher numbers.
 pub type PermitId = u64;
 
-/// How far a permit has come. The order of variants is part of the stored format.
+/// State of an open permit. The order of variants is part of the stored format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PermitState {
-    /// It waits until the budgets allow it.
+    /// Waits until the budgets allow the disruption.
     Waiting,
-    /// Its step may begin.
+    /// The disruption may begin.
     Granted,
-    /// Its step began: the target counts as unavailable.
+    /// The disruption began: the target counts as unavailable.
     Begun,
 }
 
@@ -33,27 +33,27 @@
 /// An open permit. The order of fields is part of the stored format.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Permit {
-    /// The target that is to be taken out of service.
+    /// Target to be taken out of service.
     pub target: Target,
-    /// The requester's reason, for operators.
+    /// Reason of the requester, shown to operators.
     pub reason: String,
-    /// Who requested it. A requester has at most one open permit for a target.
+    /// Name of the requester, which has at most one open permit for a target.
     pub requester: String,
-    /// How far it has come.
+    /// State of the permit.
     pub state: PermitState,
-    /// The target's incarnation when the permit was granted or begun: only a higher one proves that it came back.
+    /// Incarnation of the target when the permit was granted or begun: only a higher one proves a restart.
     pub incarnation: u64,
-    /// The log entry in which the requester said that the step is complete and the target was asked to come back.
+    /// Log entry in which the requester reported that the disruption is complete and the target returns.
     pub completed_at: Option<u64>,
-    /// It was granted whatever the budgets say, because the requester forced it.
+    /// Whether the requester forced the grant beyond the budgets.
     pub forced: bool,
 }
 
-/// How many permits were forced beyond the budgets. The order of fields is part of the stored format.
+/// Count of the permits that were forced beyond the budgets. The order of fields is part of the stored format.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ForcedPermits {
-    /// How many, since the installation was set up.
+    /// Number of forced permits since the installation was set up.
     pub count: u64,
-    /// Who forced the latest one; empty before the first.
+    /// Requester of the latest one; empty before the first.
     pub last_requester: String,
 }
--- a/crates/disruption-budget/src/permit_timeouts.rs
+++ b/crates/disruption-budget/src/permit_timeouts.rs
@@ -1,18 +1,18 @@
-//! How long open permits have been in their state, by the leading coordinator's clock.
+//! Timeouts of open permits, by the leading replica's clock.
 //!
-//! The times are lost with the lead, and the next leader counts anew: a permit then lasts longer than its timeout, and
-//! never shorter.
+//! The times are lost with the leadership, and the next leader starts them anew: a permit may then last longer than its
+//! timeout, but never shorter.
 
 use std::collections::BTreeMap;
 
 use crate::{DisruptionCommand, DisruptionState, Micros, PermitId, PermitState};
 
-/// How long a permit may be granted and not begun.
+/// Time after its grant at which a permit that was not begun expires.
 pub const BEGIN_TIMEOUT: Micros = 5_000_000;
-/// How long a permit may wait after its requester requested it last.
+/// Time after its latest request at which a waiting permit expires.
 pub const RENEWAL_TIMEOUT: Micros = 60_000_000;
 
-/// Since when a permit is in its state, or was requested again.
+/// State of a permit, and the time at which it entered the state or was renewed.
 #[derive(Debug, Clone, Copy)]
 struct StateEntry {
     state: PermitState,
@@ -28,20 +28,20 @@
         match self.state {
             PermitState::Waiting => self.age(now) > RENEWAL_TIMEOUT,
             PermitState::Granted => self.age(now) > BEGIN_TIMEOUT,
-            // No timeout ends a step that began.
+            // A begun permit counts against budgets until its target is available again.
             PermitState::Begun => false,
         }
     }
 }
 
-/// The ages of all open permits.
+/// Ages of all open permits.
 #[derive(Debug, Clone, Default)]
 pub struct PermitTimeouts {
     entries: BTreeMap<PermitId, StateEntry>,
 }
 
 impl PermitTimeouts {
-    /// Takes over the open permits, after each change of the state and when this coordinator becomes leader.
+    /// Follows the open permits, after each change of the state and when this replica becomes leader.
     pub fn update(&mut self, now: Micros, state: &DisruptionState) {
         let permits = state.permits();
         self.entries.retain(|id, entry| permits.get(id).is_some_and(|permit| permit.state == entry.state));
@@ -57,15 +57,14 @@
         }
     }
 
-    /// The commands that cancel expired permits. A command that was proposed and not committed yet is named again, which
-    /// does no harm: a permit is cancelled once.
+    /// Returns the commands that cancel expired permits. A command that is proposed and not committed yet is returned
+    /// again, which is harmless: a permit is cancelled once.
     pub fn expired(&self, now: Micros) -> Vec<DisruptionCommand> {
         let expired = self.entries.iter().filter(|(_, entry)| entry.is_expired(now));
         expired.map(|(id, _)| DisruptionCommand::CancelPermit { permit: *id }).collect()
     }
 
-    /// Permits that were begun and whose targets are not available again, with the time since then: a long one is most
-    /// likely a target that hangs.
+    /// Returns the begun permits with the time since then. A long time suggests a target that does not return.
     pub fn begun_durations(&self, now: Micros) -> impl Iterator<Item = (PermitId, Micros)> + '_ {
         let begun = self.entries.iter().filter(|(_, entry)| entry.state == PermitState::Begun);
         begun.map(move |(id, entry)| (*id, entry.age(now)))
--- a/crates/disruption-budget/src/state/budgets.rs
+++ b/crates/disruption-budget/src/state/budgets.rs
@@ -1,35 +1,35 @@
-//! Budgets and what counts against them.
+//! Budgets and the disruptions that count against them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{DisruptionState, TargetRecord};
-use crate::budget::WHOLE_TARGET_THOUSANDTHS;
+use crate::budget::THOUSANDTHS_PER_TARGET;
 use crate::command::{check_text_length, DisruptionOutcome, Rejection, MAX_BUDGETS};
 use crate::{Availability, Budget, BudgetScope, InjectedBug, PermitId, PermitState, Target};
 
-/// What is unavailable in a group of targets. All but the number of targets is in thousandths of a target.
+/// Unavailable targets of a group. All sums but the number of targets are in thousandths of a target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct DisruptionTotals {
-    /// The number of targets.
+    /// Number of targets in the group.
     pub targets: u64,
-    /// Unavailable by a permit that is granted or begun.
+    /// Unavailable because of a permit that is granted or begun.
     pub planned: u64,
-    /// Unavailable without one.
+    /// Unavailable without such a permit.
     pub unplanned: u64,
 }
 
-/// What counts against a budget in one of its groups.
+/// Usage of a budget in one of its groups.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BudgetUsage<'a> {
     /// The budget.
     pub budget: &'a Budget,
-    /// The zone or pool of the group; empty where the budget has one group for the fleet.
+    /// Zone or pool of the group; empty if the budget has one group for the fleet.
     pub group: String,
-    /// What is unavailable in the group.
+    /// Unavailable targets of the group.
     pub totals: DisruptionTotals,
 }
 
-/// How much of one target is unavailable, in thousandths.
+/// Unavailable part of one target, in thousandths.
 #[derive(Debug, Clone, Copy)]
 struct Disruption {
     planned: u64,
@@ -37,22 +37,22 @@
 }
 
 impl TargetRecord {
-    /// A target with an active permit counts as unavailable by that permit alone.
+    /// Returns the unavailable part. A target with an active permit counts as planned alone, whatever its availability.
     fn disruption(&self, has_active_permit: bool) -> Disruption {
         if has_active_permit {
-            return Disruption { planned: WHOLE_TARGET_THOUSANDTHS, unplanned: 0 };
+            return Disruption { planned: THOUSANDTHS_PER_TARGET, unplanned: 0 };
         }
         let unplanned = match self.availability {
             Availability::Available => 0,
-            Availability::Unavailable => WHOLE_TARGET_THOUSANDTHS,
-            Availability::WarmingUp(capacity) => WHOLE_TARGET_THOUSANDTHS.saturating_sub(u64::from(capacity)),
+            Availability::Unavailable => THOUSANDTHS_PER_TARGET,
+            Availability::WarmingUp(capacity) => THOUSANDTHS_PER_TARGET.saturating_sub(u64::from(capacity)),
         };
         Disruption { planned: 0, unplanned }
     }
 }
 
 impl Budget {
-    /// Whether the budget selects a target of its kind.
+    /// Returns whether the budget selects this target of its kind.
     fn selects(&self, record: &TargetRecord) -> bool {
         match &self.scope {
             BudgetScope::Fleet | BudgetScope::EachZone | BudgetScope::EachPool => true,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The group in which the budget counts a target of its kind.
+    /// Returns the group in which the budget counts this target of its kind.
     fn group_of<'a>(&self, record: &'a TargetRecord) -> &'a str {
         match self.scope {
             BudgetScope::Fleet => "",
@@ -72,7 +72,7 @@
 }
 
 impl DisruptionState {
-    /// Replaces the budgets. Permits that do not fit any more are revoked with the next observation.
+    /// Replaces the budgets. Grants that exceed the new ones are revoked with the next observation.
     pub(super) fn set_budgets(
         &mut self,
         index: u64,
@@ -97,7 +97,7 @@
         Ok(DisruptionOutcome::Applied)
     }
 
-    /// What counts against each budget, in each of its groups.
+    /// Returns the usage of each budget, in each of its groups.
     pub fn budget_usage(&self) -> Vec<BudgetUsage<'_>> {
         let planned_targets = self.planned_targets();
         let mut usage = Vec::new();
@@ -116,19 +116,20 @@
         usage
     }
 
-    /// The first budget that does not allow a waiting permit; none where all allow it, or no such permit waits.
+    /// Returns the first budget that prevents the grant of a waiting permit; `None` if there is none, or the permit does
+    /// not wait.
     pub fn blocking_budget(&self, id: PermitId) -> Option<&Budget> {
         let permit = self.permits.get(&id).filter(|permit| permit.state == PermitState::Waiting)?;
         self.budget_exceeded_by_disruption(&permit.target)
     }
 
-    /// Whether a target is known and its budgets allow what is unavailable now.
+    /// Returns whether a target is registered and none of its budgets is exceeded now.
     pub(super) fn is_within_budgets(&self, target: &Target) -> bool {
         let Some(record) = self.targets.get(target) else { return false };
         self.exceeded_budget(target, record, 0).is_none()
     }
 
-    /// Whether a target is known and its budgets allow it to be unavailable as well.
+    /// Returns whether a target is registered and its budgets allow it to be unavailable as well.
     pub(super) fn allows_disruption(&self, target: &Target) -> bool {
         self.targets.contains_key(target) && self.budget_exceeded_by_disruption(target).is_none()
     }
@@ -137,11 +138,12 @@
         let record = self.targets.get(target)?;
         let has_active_permit = self.active_permits().any(|permit| permit.target == *target);
         let present = record.disruption(has_active_permit);
-        let additional = WHOLE_TARGET_THOUSANDTHS - present.planned - present.unplanned;
+        let additional = THOUSANDTHS_PER_TARGET - present.planned - present.unplanned;
         self.exceeded_budget(target, record, additional)
     }
 
-    /// The first budget that selects a target and does not allow `additional` thousandths on top of what is unavailable.
+    /// Returns the first budget that selects a target and does not allow `additional` thousandths on top of the present
+    /// disruptions.
     fn exceeded_budget(&self, target: &Target, record: &TargetRecord, additional: u64) -> Option<&Budget> {
         let planned_targets = self.planned_targets();
         let of_kind = self.budgets.iter().filter(|budget| budget.kind == target.kind);
@@ -153,7 +155,7 @@
         })
     }
 
-    /// What is unavailable in a group of a budget.
+    /// Returns the unavailable targets of a group of a budget.
     fn group_totals(
         &self,
         budget: &Budget,
@@ -169,7 +171,7 @@
         totals
     }
 
-    /// The targets of permits that are granted or begun.
+    /// Returns the targets of permits that are granted or begun.
     fn planned_targets(&self) -> BTreeSet<&Target> {
         self.active_permits().map(|permit| &permit.target).collect()
     }
--- a/crates/disruption-budget/src/state/mod.rs
+++ b/crates/disruption-budget/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The replicated state: targets, budgets and open permits.
+//! Disruption state: the replicated targets, budgets and open permits.
 
 mod budgets;
 mod observation;
@@ -15,13 +15,13 @@
 
 pub use budgets::{BudgetUsage, DisruptionTotals};
 
-/// Targets as they were observed last, budgets, and open permits. The order of fields is part of the stored format.
+/// Targets with their last observed status, budgets, and open permits. The order of fields is part of the stored format.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DisruptionState {
-    /// The log entry that set the budgets; 0 before the first.
+    /// Log entry that set the budgets; 0 before the first.
     budgets_version: u64,
     budgets: Vec<Budget>,
-    /// The newest fencing token of an observer.
+    /// Newest fencing token of an observer.
     observer_token: u64,
     targets: BTreeMap<Target, TargetRecord>,
     permits: BTreeMap<PermitId, Permit>,
@@ -39,17 +39,17 @@
     incarnation: u64,
 }
 
-/// How urgently a new observation is wanted though no status has changed.
+/// Urgency of a new observation while no status has changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ObservationUrgency {
     /// At once: a permit waits to be granted or closed.
     Immediate,
-    /// Now and then: a permit is open.
+    /// At intervals: a permit is open.
     Periodic,
 }
 
 impl DisruptionState {
-    /// The state with a known mistake. Ignored in builds without the feature `seeded-bugs`.
+    /// Injects a bug. Ignored in builds without the feature `seeded-bugs`.
     #[must_use]
     pub fn with_injected_bug(self, injected_bug: Option<InjectedBug>) -> DisruptionState {
         if cfg!(feature = "seeded-bugs") {
@@ -59,32 +59,32 @@
         }
     }
 
-    /// The budgets, in the order in which they were set.
+    /// Returns the budgets, in the order in which they were set.
     pub fn budgets(&self) -> &[Budget] {
         &self.budgets
     }
 
-    /// The version of the budgets, which [`DisruptionCommand::SetBudgets`] has to name.
+    /// Returns the version of the budgets, which [`DisruptionCommand::SetBudgets`] has to name.
     pub fn budgets_version(&self) -> u64 {
         self.budgets_version
     }
 
-    /// The open permits, in the order in which they were requested.
+    /// Returns the open permits, in the order in which they were requested.
     pub fn permits(&self) -> &BTreeMap<PermitId, Permit> {
         &self.permits
     }
 
-    /// The permits that are granted or begun.
+    /// Returns the permits that are granted or begun.
     pub fn active_permits(&self) -> impl Iterator<Item = &Permit> {
         self.permits.values().filter(|permit| permit.state != PermitState::Waiting)
     }
 
-    /// The permits that were forced beyond the budgets.
+    /// Returns the count of permits that were forced beyond the budgets.
     pub fn forced(&self) -> &ForcedPermits {
         &self.forced
     }
 
-    /// All targets, as they were observed last.
+    /// Returns all targets with their last observed status.
     pub fn targets(&self) -> impl Iterator<Item = TargetStatus> + '_ {
         self.targets.iter().map(|(target, record)| TargetStatus {
             target: target.clone(),
@@ -95,7 +95,7 @@
         })
     }
 
-    /// Whether a new observation is wanted though no status has changed; none while no permit is open.
+    /// Returns the urgency of a new observation while no status has changed; `None` if no permit is open.
     pub fn observation_urgency(&self) -> Option<ObservationUrgency> {
         let awaits_observation =
             |permit: &Permit| permit.state == PermitState::Waiting || permit.completed_at.is_some();
@@ -105,7 +105,7 @@
         (!self.permits.is_empty()).then_some(ObservationUrgency::Periodic)
     }
 
-    /// Applies the log entry at `index`. The result depends on the state, the index and the command alone.
+    /// Applies the log entry at `index`. The result depends only on the state, the index and the command.
     pub fn apply(&mut self, index: u64, command: &DisruptionCommand) -> DisruptionOutcome {
         self.try_apply(index, command).unwrap_or_else(DisruptionOutcome::Rejected)
     }
--- a/crates/disruption-budget/src/state/observation.rs
+++ b/crates/disruption-budget/src/state/observation.rs
@@ -1,11 +1,11 @@
-//! What an observation changes: the status of targets, then the permits that it closes, revokes and grants.
+//! Effects of an observation: the status of targets, then the permits that it closes, revokes and grants.
 
 use super::{DisruptionState, TargetRecord};
 use crate::command::{check_text_length, DisruptionOutcome, Rejection, MAX_TARGETS};
 use crate::{Availability, InjectedBug, Permit, PermitId, PermitState, Target, TargetStatus};
 
 impl DisruptionState {
-    /// Takes over the observed statuses, then closes, revokes and grants permits, in this order.
+    /// Records the observed statuses, then closes, revokes and grants permits, in this order.
     pub(super) fn record_observation(
         &mut self,
         fencing_token: u64,
@@ -40,7 +40,7 @@
             .try_for_each(|status| check_text_length(&[&status.target.name, &status.zone, &status.pool]))
     }
 
-    /// Forgets a target that is not listed any more; one whose step began goes on counting as unavailable.
+    /// Removes a target that is not listed any more; one with a begun permit stays and counts as unavailable.
     fn remove_target(&mut self, target: &Target) {
         let is_begun = |permit: &Permit| permit.target == *target && permit.state == PermitState::Begun;
         if !self.permits.values().any(is_begun) {
@@ -54,7 +54,7 @@
         let earlier = self.targets.get(&status.target).map_or(0, |record| record.incarnation);
         let of_target = self.permits.values().filter(|permit| permit.target == status.target);
         let newest = of_target.map(|permit| permit.incarnation).fold(earlier, u64::max);
-        // A process that was replaced since proves nothing.
+        // A status of a process that was replaced since proves nothing.
         let is_stale = status.incarnation < newest;
         let record = TargetRecord {
             zone: status.zone.clone(),
@@ -65,7 +65,7 @@
         self.targets.insert(status.target.clone(), record);
     }
 
-    /// Closes begun permits whose targets are proven available again.
+    /// Closes begun permits whose targets are proven to be available again.
     fn close_recovered(&mut self, known_revision: u64) -> Vec<PermitId> {
         let recovered = self.permits.iter().filter(|(_, permit)| self.has_recovered(permit, known_revision));
         let closed: Vec<PermitId> = recovered.map(|(id, _)| *id).collect();
@@ -84,7 +84,7 @@
     }
 
     /// Revokes permits that are granted and not begun, the newest first, while a budget that selects them is exceeded.
-    /// They wait again, in their old order.
+    /// A revoked permit waits again at its former position.
     fn revoke_over_budget(&mut self) -> Vec<PermitId> {
         let mut revoked = Vec::new();
         while let Some(id) = self.newest_over_budget() {
@@ -102,7 +102,7 @@
         newest_first.find(|(_, permit)| !self.is_within_budgets(&permit.target)).map(|(id, _)| *id)
     }
 
-    /// Grants waiting permits that were requested before the observation, in their order, as far as budgets allow.
+    /// Grants waiting permits that were requested before the observation, oldest first, as far as budgets allow.
     fn grant_waiting(&mut self, known_revision: u64) -> Vec<PermitId> {
         let is_waiting = |permit: &Permit| permit.state == PermitState::Waiting;
         let waiting = self.permits.iter().filter(|(_, permit)| is_waiting(permit));
@@ -112,7 +112,7 @@
         candidates.filter(|id| self.try_grant(*id)).collect()
     }
 
-    /// Grants a waiting permit if its target is known, has no other active permit, and its budgets allow one more.
+    /// Grants a waiting permit if its target is registered, has no active permit, and its budgets allow the disruption.
     fn try_grant(&mut self, id: PermitId) -> bool {
         let Some(target) = self.permits.get(&id).map(|permit| permit.target.clone()) else { return false };
         let Some(record) = self.targets.get(&target) else { return false };
--- a/crates/disruption-budget/src/state/permits.rs
+++ b/crates/disruption-budget/src/state/permits.rs
@@ -1,11 +1,11 @@
-//! Permits from their request until they are begun, completed or cancelled.
+//! Commands of requesters and operators: request, begin, complete and cancel a permit, deregister a target.
 
 use super::DisruptionState;
 use crate::command::{check_text_length, DisruptionOutcome, Rejection, MAX_OPEN_PERMITS};
 use crate::{ForcedPermits, InjectedBug, Permit, PermitId, PermitState, Target};
 
 impl DisruptionState {
-    /// Opens a permit numbered `index`, unless the requester has one for the target.
+    /// Opens a permit numbered `index`, unless the requester has an open one for the target.
     pub(super) fn request_permit(
         &mut self,
         index: u64,
@@ -43,7 +43,7 @@
         self.permits.iter().find(|(_, permit)| is_same(permit)).map(|(id, _)| *id)
     }
 
-    /// Repeats the request for an open permit, which may be forced now.
+    /// Repeats the request for an open permit; a waiting one is granted if it is forced now.
     fn repeat_request(
         &mut self,
         id: PermitId,
@@ -74,7 +74,7 @@
         self.targets.get(target).map_or(0, |record| record.incarnation)
     }
 
-    /// Begins a granted permit; repeated, it has the same result until the target comes back.
+    /// Begins a granted permit. Idempotent until the target returns.
     pub(super) fn begin_permit(
         &mut self,
         id: PermitId,
@@ -92,12 +92,12 @@
             PermitState::Waiting => Err(Rejection::NotGranted),
             PermitState::Granted => {
                 permit.state = PermitState::Begun;
-                // The target may have restarted by itself since the grant; only a later return proves anything.
+                // The target may have restarted by itself since the grant: only a later incarnation proves its return.
                 permit.incarnation = permit.incarnation.max(incarnation);
                 Ok(DisruptionOutcome::PermitBegun(id))
             }
-            // A repeated command, since the first answer may have been lost. But a permit is good for one step: where
-            // its target came back since, the next observation closes it.
+            // The first answer to a repeated command may have been lost. But a permit allows one disruption only: if
+            // its target returned since, the next observation closes it.
             PermitState::Begun if permit.completed_at.is_some() || incarnation > permit.incarnation => {
                 Err(Rejection::UnknownPermit)
             }
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Notes the entry in which the requester said that the step is complete; only the first one counts.
+    /// Records the entry in which the requester reported that the disruption is complete; only the first one counts.
     pub(super) fn complete_permit(
         &mut self,
         index: u64,
@@ -129,7 +129,7 @@
         Ok(DisruptionOutcome::Applied)
     }
 
-    /// Forgets a target, and closes its permits whatever their state.
+    /// Removes a target, and closes its permits whatever their state.
     pub(super) fn deregister_target(&mut self, target: &Target) -> Result<DisruptionOutcome, Rejection> {
         let was_registered = self.targets.remove(target).is_some();
         let open_before = self.permits.len();
--- a/crates/disruption-budget/src/status.rs
+++ b/crates/disruption-budget/src/status.rs
@@ -1,36 +1,36 @@
-//! How available a target is, as an observer sees it.
+//! Availability of targets, as an observer sees it.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Target;
 
-/// How available a target is. The order of variants is part of the stored format.
+/// Availability of a target. The order of variants is part of the stored format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Availability {
-    /// It serves with all of its capacity.
+    /// Serves with its full capacity.
     Available,
-    /// It does not serve, or nobody can tell.
+    /// Does not serve, or its state is unknown.
     Unavailable,
-    /// It serves with this part of its capacity, in thousandths.
+    /// Serves with this part of its capacity, in thousandths.
     WarmingUp(u16),
 }
 
-/// A target as an observer saw it. The order of fields is part of the stored format.
+/// Status of a target as observed. The order of fields is part of the stored format.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TargetStatus {
     /// The target.
     pub target: Target,
-    /// Its zone.
+    /// Zone of the target.
     pub zone: String,
-    /// Its pool; empty where it has none.
+    /// Pool of the target; empty if it has none.
     pub pool: String,
-    /// How available it is.
+    /// Availability of the target.
     pub availability: Availability,
-    /// A number that the target raises with each start and each return to service; 0 where it has none.
+    /// Incarnation, raised with each start and each return to service; 0 if the target has none.
     pub incarnation: u64,
 }
 
-/// The difference between what an observer sees and what the replicated state says.
+/// Differences between an observation and the replicated state.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StatusChanges {
     /// Targets that are new, or whose status differs.
@@ -40,7 +40,7 @@
 }
 
 impl StatusChanges {
-    /// Whether nothing differs.
+    /// Returns whether there are no differences.
     pub fn is_empty(&self) -> bool {
         self.changed.is_empty() && self.removed.is_empty()
     }
--- a/crates/disruption-budget/src/target.rs
+++ b/crates/disruption-budget/src/target.rs
@@ -1,25 +1,25 @@
-//! The processes that budgets and permits are about.
+//! Targets: the processes that budgets select and permits take out of service.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// The kind of process a target is. The order of variants is part of the stored format.
+/// Kind of a target. The order of variants is part of the stored format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum TargetKind {
     /// A dispatcher.
     Dispatcher,
-    /// A shop's worker.
+    /// A worker.
     Worker,
 }
 
 /// A process that may be taken out of service, written `dispatcher/NAME` or `worker/NAME`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Target {
-    /// Its kind.
+    /// Kind of process.
     pub kind: TargetKind,
-    /// Its name, unique among targets of its kind.
+    /// Name, unique among targets of the kind.
     pub name: String,
 }
 
@@ -32,19 +32,19 @@
     }
 }
 
-/// Why a text is not a [`Target`].
+/// A text that is not a [`Target`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ParseTargetError {
     /// The text does not start with a known kind and a slash.
     #[error("{text:?} is not a target; expected dispatcher/NAME or worker/NAME")]
     UnknownKind {
-        /// The whole text.
+        /// The complete text.
         text: String,
     },
     /// Nothing follows the slash.
     #[error("{text:?}: the name is missing")]
     MissingName {
-        /// The whole text.
+        /// The complete text.
         text: String,
     },
 }
--- a/crates/disruption-budget/src/worker_warmup.rs
+++ b/crates/disruption-budget/src/worker_warmup.rs
@@ -1,42 +1,42 @@
-//! The availability of workers, from discovery's endpoint list, health checks and the time since each one's start.
+//! Availability of workers, derived from the endpoint list, health checks and the time since each worker's start.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{Availability, DisruptionState, Micros, StatusChanges, Target, TargetKind, TargetStatus};
 
-/// The whole capacity of a worker, in thousandths.
+/// Full capacity of a worker, in thousandths.
 const FULL_CAPACITY_THOUSANDTHS: f64 = 1e3;
-/// Capacity is reported in steps of so many thousandths, since each step is an entry of the replicated log.
+/// Step in which capacity is reported, in thousandths. Each step is an entry of the replicated log.
 const CAPACITY_STEP_THOUSANDTHS: u16 = 100;
 
-/// A worker as the endpoint list and health checks have it.
+/// A worker of the endpoint list, with the result of health checks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedWorker {
-    /// Its name.
+    /// Name of the worker.
     pub name: String,
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: String,
-    /// Its pool.
+    /// Pool of the worker.
     pub pool: String,
-    /// Whether discovery says that it takes new work.
+    /// Whether the endpoint list has it in service, so that it accepts new work.
     pub in_service: bool,
-    /// Identifies its start in discovery's words. Compared for equality only: it comes from the worker's clock, which may
-    /// go back.
+    /// Identifies the worker's start. Compared for equality only: discovery derives it from the worker's clock, which
+    /// may go back.
     pub start_id: u64,
-    /// Whether a health check reports it as failing.
+    /// Whether health checks report it as failing.
     pub unhealthy: bool,
 }
 
-/// When this process first saw a start of a worker.
+/// First sight of a worker's start by this process.
 #[derive(Debug, Clone, Copy)]
 struct ObservedStart {
     start_id: u64,
     first_seen: Micros,
-    /// It was in the first list that this process received: its true age is unknown.
+    /// Whether the worker was in the first list that this process received, so that its age is unknown.
     in_first_list: bool,
 }
 
-/// The warm-up of workers, from when this process first saw each start, by its own clock.
+/// Warm-up of workers, measured from the first sight of each start by this process's clock.
 #[derive(Debug, Clone)]
 pub struct WarmupTracker {
     initial_share: f64,
@@ -46,12 +46,12 @@
 }
 
 impl WarmupTracker {
-    /// A worker has `initial_share` of its capacity (0 to 1) when it starts, and all of it after `duration`.
+    /// Creates a tracker: a worker has `initial_share` of its capacity (0 to 1) at its start, and all after `duration`.
     pub fn new(initial_share: f64, duration: Micros) -> WarmupTracker {
         WarmupTracker { initial_share, duration, starts: BTreeMap::new(), list_received: false }
     }
 
-    /// Takes the endpoint list, whenever it may have changed.
+    /// Records new starts. To be called whenever the endpoint list may have changed.
     pub fn update_list(&mut self, now: Micros, workers: &[ListedWorker]) {
         let earlier = std::mem::take(&mut self.starts);
         for worker in workers {
@@ -67,7 +67,7 @@
         self.list_received |= !workers.is_empty();
     }
 
-    /// The workers whose status differs from the state, and those of the state that are not listed any more.
+    /// Returns the workers whose status differs from the state, and those of the state that are not listed any more.
     pub fn status_changes(
         &self,
         now: Micros,
@@ -92,21 +92,22 @@
             zone: worker.zone.clone(),
             pool: worker.pool.clone(),
             availability: self.availability(now, worker, known.map(|status| status.availability)),
-            // A start in discovery's words orders nothing, so a worker has no incarnation: its permit is closed after
-            // whoever carried out the step said that it is complete.
+            // Starts of a worker have no order, so a worker has no incarnation: its permit is closed only after the
+            // requester reported that the disruption is complete.
             incarnation: 0,
         }
     }
 
-    /// A worker of the first list counts as available where the state has it so, or else as started when it was first seen.
+    /// A worker of the first list counts as available if the state has it as available, and otherwise as started when it
+    /// was first seen.
     fn availability(&self, now: Micros, worker: &ListedWorker, known: Option<Availability>) -> Availability {
         if !worker.in_service || worker.unhealthy {
             return Availability::Unavailable;
         }
         let Some(start) = self.starts.get(&worker.name) else { return Availability::Unavailable };
         let age = now.saturating_sub(start.first_seen);
-        let is_known_available = start.in_first_list && known == Some(Availability::Available);
-        if age >= self.duration || is_known_available {
+        let was_available = start.in_first_list && known == Some(Availability::Available);
+        if age >= self.duration || was_available {
             return Availability::Available;
         }
         let share =
