--- a/crates/disruption-budget/src/availability_observer.rs
+++ b/crates/disruption-budget/src/availability_observer.rs
@@ -35,6 +35,17 @@
     pub fn decode(bytes: &[u8]) -> Option<ReadinessReport> {
         postcard::from_bytes(bytes).ok()
     }
+
+    /// Returns the status of the dispatcher that sent the report.
+    fn status(&self) -> TargetStatus {
+        TargetStatus {
+            target: Target::dispatcher(&self.name),
+            zone: self.zone.clone(),
+            pool: String::new(),
+            availability: if self.ready { Availability::Available } else { Availability::Unavailable },
+            incarnation: self.incarnation,
+        }
+    }
 }
 
 /// A dispatcher in the list of cluster members.
@@ -94,37 +105,37 @@
         members: &[FleetMember<'_>],
         state: &DisruptionState,
     ) -> Option<StatusChanges> {
-        let known: BTreeMap<String, TargetStatus> = state
-            .targets()
-            .filter(|status| status.target.kind == TargetKind::Dispatcher)
-            .map(|status| (status.target.name.clone(), status))
-            .collect();
-        self.track_deregistered(members, &known);
+        let registered = state.targets_by_name(TargetKind::Dispatcher);
+        self.track_deregistered(members, &registered);
         if now.saturating_sub(self.term_started) < TERM_GRACE_REPORT_LIFETIMES * self.report_lifetime {
             return None;
         }
-        let listed = members.iter().map(|member| member.name);
-        let listed = listed.filter(|name| !self.deregistered.contains(*name));
-        let names: BTreeSet<&str> = listed.chain(known.keys().map(String::as_str)).collect();
+        let member_names = members.iter().map(|member| member.name);
+        let active_names = member_names.filter(|name| !self.deregistered.contains(*name));
+        let names: BTreeSet<&str> = active_names.chain(registered.keys().map(String::as_str)).collect();
         let statuses = names.into_iter().map(|name| {
-            let zone = members.iter().find(|member| member.name == name).map(|member| member.zone);
-            self.status(now, name, zone, known.get(name))
+            let member = members.iter().find(|member| member.name == name);
+            self.status(now, name, member, registered.get(name))
         });
-        let changed = statuses.filter(|status| known.get(&status.target.name) != Some(status)).collect();
+        let changed = statuses.filter(|status| registered.get(&status.target.name) != Some(status)).collect();
         Some(StatusChanges { changed, removed: Vec::new() })
     }
 
     /// Records dispatchers that were removed from the state since the last call, and discards their reports.
-    fn track_deregistered(&mut self, members: &[FleetMember<'_>], known: &BTreeMap<String, TargetStatus>) {
+    fn track_deregistered(
+        &mut self,
+        members: &[FleetMember<'_>],
+        registered: &BTreeMap<String, TargetStatus>,
+    ) {
         for name in std::mem::take(&mut self.registered) {
-            if !known.contains_key(&name) {
+            if !registered.contains_key(&name) {
                 self.reports.remove(&name);
                 self.deregistered.insert(name);
             }
         }
-        let is_listed = |name: &String| members.iter().any(|member| member.name == name);
-        self.deregistered.retain(|name| is_listed(name) && !known.contains_key(name));
-        self.registered = known.keys().cloned().collect();
+        let is_member = |name: &String| members.iter().any(|member| member.name == name);
+        self.deregistered.retain(|name| is_member(name) && !registered.contains_key(name));
+        self.registered = registered.keys().cloned().collect();
     }
 
     /// Returns a dispatcher's status: by its report, or unavailable without a valid one.
@@ -132,23 +143,21 @@
         &self,
         now: Micros,
         name: &str,
-        listed_zone: Option<&str>,
-        known: Option<&TargetStatus>,
+        member: Option<&FleetMember<'_>>,
+        registered: Option<&TargetStatus>,
     ) -> TargetStatus {
-        let (availability, zone, incarnation) = match self.valid_report(now, name) {
-            Some(report) => {
-                let availability =
-                    if report.ready { Availability::Available } else { Availability::Unavailable };
-                (availability, report.zone.clone(), report.incarnation)
-            }
-            None => {
-                let known_zone = known.map(|status| status.zone.clone());
-                let zone = listed_zone.map(str::to_owned).or(known_zone).unwrap_or_default();
-                (Availability::Unavailable, zone, known.map_or(0, |status| status.incarnation))
-            }
-        };
-        let target = Target { kind: TargetKind::Dispatcher, name: name.to_owned() };
-        TargetStatus { target, zone, pool: String::new(), availability, incarnation }
+        if let Some(report) = self.valid_report(now, name) {
+            return report.status();
+        }
+        let member_zone = member.map(|member| member.zone);
+        let registered_zone = registered.map(|status| status.zone.as_str());
+        TargetStatus {
+            target: Target::dispatcher(name),
+            zone: member_zone.or(registered_zone).unwrap_or_default().to_owned(),
+            pool: String::new(),
+            availability: Availability::Unavailable,
+            incarnation: registered.map_or(0, |status| status.incarnation),
+        }
     }
 
     fn valid_report(&self, now: Micros, name: &str) -> Option<&ReadinessReport> {
--- a/crates/disruption-budget/src/lib.rs
+++ b/crates/disruption-budget/src/lib.rs
@@ -43,7 +43,7 @@
 };
 pub use injected_bug::InjectedBug;
 pub use permit::{ForcedPermits, Permit, PermitId, PermitState};
-pub use permit_timeouts::{PermitTimeouts, BEGIN_TIMEOUT, RENEWAL_TIMEOUT};
+pub use permit_timeouts::{BegunPermit, PermitTimeouts, BEGIN_TIMEOUT, RENEWAL_TIMEOUT};
 pub use state::{BudgetUsage, DisruptionState, DisruptionTotals, ObservationUrgency};
 pub use status::{Availability, StatusChanges, TargetStatus};
 pub use target::{ParseTargetError, Target, TargetKind};
--- a/crates/disruption-budget/src/permit_timeouts.rs
+++ b/crates/disruption-budget/src/permit_timeouts.rs
@@ -34,6 +34,15 @@
     }
 }
 
+/// A begun permit whose target was not observed to be available again.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct BegunPermit {
+    /// Number of the permit.
+    pub id: PermitId,
+    /// Time since the permit was begun.
+    pub duration: Micros,
+}
+
 /// Ages of all open permits.
 #[derive(Debug, Clone, Default)]
 pub struct PermitTimeouts {
@@ -64,9 +73,9 @@
         expired.map(|(id, _)| DisruptionCommand::CancelPermit { permit: *id }).collect()
     }
 
-    /// Returns the begun permits with the time since then. A long time suggests a target that does not return.
-    pub fn begun_durations(&self, now: Micros) -> impl Iterator<Item = (PermitId, Micros)> + '_ {
+    /// Returns the begun permits. A long duration suggests a target that does not return.
+    pub fn begun_permits(&self, now: Micros) -> impl Iterator<Item = BegunPermit> + '_ {
         let begun = self.entries.iter().filter(|(_, entry)| entry.state == PermitState::Begun);
-        begun.map(move |(id, entry)| (*id, entry.age(now)))
+        begun.map(move |(id, entry)| BegunPermit { id: *id, duration: entry.age(now) })
     }
 }
--- a/crates/disruption-budget/src/state/mod.rs
+++ b/crates/disruption-budget/src/state/mod.rs
@@ -10,7 +10,8 @@
 
 use crate::command::{DisruptionCommand, DisruptionOutcome, Rejection};
 use crate::{
-    Availability, Budget, ForcedPermits, InjectedBug, Permit, PermitId, PermitState, Target, TargetStatus,
+    Availability, Budget, ForcedPermits, InjectedBug, Permit, PermitId, PermitState, Target, TargetKind,
+    TargetStatus,
 };
 
 pub use budgets::{BudgetUsage, DisruptionTotals};
@@ -95,6 +96,12 @@
         })
     }
 
+    /// Returns the targets of a kind with their last observed status, by name.
+    pub(crate) fn targets_by_name(&self, kind: TargetKind) -> BTreeMap<String, TargetStatus> {
+        let of_kind = self.targets().filter(|status| status.target.kind == kind);
+        of_kind.map(|status| (status.target.name.clone(), status)).collect()
+    }
+
     /// Returns the urgency of a new observation while no status has changed; `None` if no permit is open.
     pub fn observation_urgency(&self) -> Option<ObservationUrgency> {
         let awaits_observation =
--- a/crates/disruption-budget/src/state/observation.rs
+++ b/crates/disruption-budget/src/state/observation.rs
@@ -22,7 +22,7 @@
             self.update_target(status);
         }
         let closed = self.close_recovered(known_revision);
-        let revoked = self.revoke_over_budget();
+        let revoked = self.revoke_exceeding_permits();
         let granted = self.grant_waiting(known_revision);
         Ok(DisruptionOutcome::ObservationRecorded { granted, revoked, closed })
     }
@@ -85,9 +85,9 @@
 
     /// Revokes permits that are granted and not begun, the newest first, while a budget that selects them is exceeded.
     /// A revoked permit waits again at its former position.
-    fn revoke_over_budget(&mut self) -> Vec<PermitId> {
+    fn revoke_exceeding_permits(&mut self) -> Vec<PermitId> {
         let mut revoked = Vec::new();
-        while let Some(id) = self.newest_over_budget() {
+        while let Some(id) = self.newest_exceeding_permit() {
             if let Some(permit) = self.permits.get_mut(&id) {
                 permit.state = PermitState::Waiting;
             }
@@ -96,7 +96,7 @@
         revoked
     }
 
-    fn newest_over_budget(&self) -> Option<PermitId> {
+    fn newest_exceeding_permit(&self) -> Option<PermitId> {
         let is_revocable = |permit: &Permit| permit.state == PermitState::Granted && !permit.forced;
         let mut newest_first = self.permits.iter().rev().filter(|(_, permit)| is_revocable(permit));
         newest_first.find(|(_, permit)| !self.is_within_budgets(&permit.target)).map(|(id, _)| *id)
--- a/crates/disruption-budget/src/target.rs
+++ b/crates/disruption-budget/src/target.rs
@@ -23,6 +23,18 @@
     pub name: String,
 }
 
+impl Target {
+    /// Returns the dispatcher of this name.
+    pub(crate) fn dispatcher(name: &str) -> Target {
+        Target { kind: TargetKind::Dispatcher, name: name.to_owned() }
+    }
+
+    /// Returns the worker of this name.
+    pub(crate) fn worker(name: &str) -> Target {
+        Target { kind: TargetKind::Worker, name: name.to_owned() }
+    }
+}
+
 impl fmt::Display for Target {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.kind {
--- a/crates/disruption-budget/src/worker_warmup.rs
+++ b/crates/disruption-budget/src/worker_warmup.rs
@@ -74,24 +74,21 @@
         workers: &[ListedWorker],
         state: &DisruptionState,
     ) -> StatusChanges {
-        let known: BTreeMap<String, TargetStatus> = state
-            .targets()
-            .filter(|status| status.target.kind == TargetKind::Worker)
-            .map(|status| (status.target.name.clone(), status))
-            .collect();
-        let statuses = workers.iter().map(|worker| self.status(now, worker, known.get(&worker.name)));
-        let changed = statuses.filter(|status| known.get(&status.target.name) != Some(status)).collect();
-        let listed: BTreeSet<&str> = workers.iter().map(|worker| worker.name.as_str()).collect();
-        let unlisted = known.values().filter(|status| !listed.contains(status.target.name.as_str()));
+        let registered = state.targets_by_name(TargetKind::Worker);
+        let statuses = workers.iter().map(|worker| self.status(now, worker, registered.get(&worker.name)));
+        let changed = statuses.filter(|status| registered.get(&status.target.name) != Some(status)).collect();
+        let worker_names: BTreeSet<&str> = workers.iter().map(|worker| worker.name.as_str()).collect();
+        let unlisted =
+            registered.values().filter(|status| !worker_names.contains(status.target.name.as_str()));
         StatusChanges { changed, removed: unlisted.map(|status| status.target.clone()).collect() }
     }
 
-    fn status(&self, now: Micros, worker: &ListedWorker, known: Option<&TargetStatus>) -> TargetStatus {
+    fn status(&self, now: Micros, worker: &ListedWorker, registered: Option<&TargetStatus>) -> TargetStatus {
         TargetStatus {
-            target: Target { kind: TargetKind::Worker, name: worker.name.clone() },
+            target: Target::worker(&worker.name),
             zone: worker.zone.clone(),
             pool: worker.pool.clone(),
-            availability: self.availability(now, worker, known.map(|status| status.availability)),
+            availability: self.availability(now, worker, registered.map(|status| status.availability)),
             // Starts of a worker have no order, so a worker has no incarnation: its permit is closed only after the
             // requester reported that the disruption is complete.
             incarnation: 0,
@@ -100,13 +97,18 @@
 
     /// A worker of the first list counts as available if the state has it as available, and otherwise as started when it
     /// was first seen.
-    fn availability(&self, now: Micros, worker: &ListedWorker, known: Option<Availability>) -> Availability {
+    fn availability(
+        &self,
+        now: Micros,
+        worker: &ListedWorker,
+        registered: Option<Availability>,
+    ) -> Availability {
         if !worker.in_service || worker.unhealthy {
             return Availability::Unavailable;
         }
         let Some(start) = self.starts.get(&worker.name) else { return Availability::Unavailable };
         let age = now.saturating_sub(start.first_seen);
-        let was_available = start.in_first_list && known == Some(Availability::Available);
+        let was_available = start.in_first_list && registered == Some(Availability::Available);
         if age >= self.duration || was_available {
             return Availability::Available;
         }
--- a/crates/disruption-budget/tests/permit_timeouts.rs
+++ b/crates/disruption-budget/tests/permit_timeouts.rs
@@ -1,7 +1,8 @@
 //! Timeouts of permits by the leading coordinator's clock.
 
 use disruption_budget::{
-    DisruptionCommand, DisruptionState, PermitTimeouts, Target, TargetKind, BEGIN_TIMEOUT, RENEWAL_TIMEOUT,
+    BegunPermit, DisruptionCommand, DisruptionState, PermitTimeouts, Target, TargetKind, BEGIN_TIMEOUT,
+    RENEWAL_TIMEOUT,
 };
 
 #[test]
@@ -25,5 +26,6 @@
     state.apply(3, &DisruptionCommand::BeginPermit { permit: 1, incarnation: 0 });
     timeouts.update(60_000_002, &state);
     assert!(timeouts.expired(u64::MAX).is_empty());
-    assert_eq!(timeouts.begun_durations(60_000_005).collect::<Vec<_>>(), [(1, 3)]);
+    let begun: Vec<BegunPermit> = timeouts.begun_permits(60_000_005).collect();
+    assert_eq!(begun, [BegunPermit { id: 1, duration: 3 }]);
 }
