--- a/crates/cluster-member/tests/format.rs
+++ b/crates/cluster-member/tests/format.rs
@@ -246,7 +246,10 @@
         ),
         (
             "disruption state changed, since schema 3".to_owned(),
-            Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested(800, PermitState::Granted)),
+            Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested {
+                permit: 800,
+                state: PermitState::Granted,
+            }),
         ),
         (
             "disruption state not changed, since schema 3".to_owned(),
--- a/crates/coordination/tests/format.rs
+++ b/crates/coordination/tests/format.rs
@@ -274,7 +274,8 @@
         changed: targets,
         removed: vec![],
     });
-    let disruption_budget::DisruptionOutcome::PermitRequested(permit, _) = change(request_permit("w1", true))
+    let disruption_budget::DisruptionOutcome::PermitRequested { permit, .. } =
+        change(request_permit("w1", true))
     else {
         panic!("no permit")
     };
--- a/crates/coordinator/src/cli/commands.rs
+++ b/crates/coordinator/src/cli/commands.rs
@@ -147,12 +147,12 @@
 async fn permit(arguments: &Arguments, config: &Config) -> Result<String, CommandError> {
     let outcome = operator_client::change_disruption_state(config, permit_change(arguments)?).await?;
     match outcome {
-        DisruptionOutcome::PermitRequested(permit, PermitState::Waiting) => {
+        DisruptionOutcome::PermitRequested { permit, state: PermitState::Waiting } => {
             let snapshot = operator_client::disruption_state(config).await?;
             let budget = snapshot.state.blocking_budget(permit).map(|budget| budget.name.clone());
             Err(CommandError::PermitWaiting { permit, budget })
         }
-        DisruptionOutcome::PermitRequested(permit, state) => Ok(format!("{permit} {state}\n")),
+        DisruptionOutcome::PermitRequested { permit, state } => Ok(format!("{permit} {state}\n")),
         DisruptionOutcome::PermitBegun(permit) => Ok(format!("{permit} begun\n")),
         _ => Ok(String::new()),
     }
--- a/crates/coordinator/src/replica/requests.rs
+++ b/crates/coordinator/src/replica/requests.rs
@@ -152,7 +152,7 @@
             }
             CommandOutcome::Rejected(reason) => Response::Rejected(reason.clone()),
             CommandOutcome::Disruption(outcome) => {
-                if let disruption_budget::DisruptionOutcome::PermitRequested(permit, _) = outcome {
+                if let disruption_budget::DisruptionOutcome::PermitRequested { permit, .. } = outcome {
                     self.permit_timeouts.renew(*permit, now);
                 }
                 Response::DisruptionStateChanged(outcome.clone())
--- a/crates/coordinator/src/server/log.rs
+++ b/crates/coordinator/src/server/log.rs
@@ -44,13 +44,13 @@
     match (change, outcome) {
         (
             DisruptionCommand::RequestPermit { target, reason, requester, force: true },
-            DisruptionOutcome::PermitRequested(permit, _),
+            DisruptionOutcome::PermitRequested { permit, .. },
         ) => {
             tracing::warn!(%target, reason, requester, permit, "permit forced beyond the budgets");
         }
         (
             DisruptionCommand::RequestPermit { target, reason, requester, .. },
-            DisruptionOutcome::PermitRequested(permit, PermitState::Waiting),
+            DisruptionOutcome::PermitRequested { permit, state: PermitState::Waiting },
         ) => {
             tracing::debug!(%target, reason, requester, permit, "permit requested");
         }
--- a/crates/coordinator/tests/compatibility/command_line.rs
+++ b/crates/coordinator/tests/compatibility/command_line.rs
@@ -243,10 +243,10 @@
         "4",
     ];
     let answers = [
-        DisruptionOutcome::PermitRequested(7, PermitState::Waiting),
-        DisruptionOutcome::PermitRequested(8, PermitState::Waiting),
-        DisruptionOutcome::PermitRequested(3, PermitState::Granted),
-        DisruptionOutcome::PermitRequested(3, PermitState::Begun),
+        DisruptionOutcome::PermitRequested { permit: 7, state: PermitState::Waiting },
+        DisruptionOutcome::PermitRequested { permit: 8, state: PermitState::Waiting },
+        DisruptionOutcome::PermitRequested { permit: 3, state: PermitState::Granted },
+        DisruptionOutcome::PermitRequested { permit: 3, state: PermitState::Begun },
         DisruptionOutcome::PermitBegun(3),
         DisruptionOutcome::Applied,
         DisruptionOutcome::Rejected(Rejection::NotGranted),
--- a/crates/dispatcher/src/net/planned_drain.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -222,13 +222,13 @@
             force,
         };
         let permit = match coordinators.call(&Operation::ChangeDisruptionState(request), by).await {
-            Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested(
+            Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested {
                 permit,
-                PermitState::Waiting,
-            ))) => {
+                state: PermitState::Waiting,
+            })) => {
                 return waits_for_turn(&mut coordinators, permit, by).await;
             }
-            Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested(permit, _))) => permit,
+            Ok(Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested { permit, .. })) => permit,
             Ok(Response::DisruptionStateChanged(DisruptionOutcome::Rejected(why))) => {
                 return rejected(why.to_string(), RETRY_AFTER_MAJORITY_S)
             }
--- a/crates/disruption-budget/src/command.rs
+++ b/crates/disruption-budget/src/command.rs
@@ -80,7 +80,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum DisruptionOutcome {
     /// The requester has this open permit, in this state.
-    PermitRequested(PermitId, PermitState),
+    PermitRequested {
+        /// Number of the permit.
+        permit: PermitId,
+        /// State of the permit.
+        state: PermitState,
+    },
     /// The disruption that this permit allows may be carried out now.
     PermitBegun(PermitId),
     /// The command took effect.
--- a/crates/disruption-budget/src/state/permits.rs
+++ b/crates/disruption-budget/src/state/permits.rs
@@ -35,7 +35,7 @@
             forced: force,
         };
         self.permits.insert(index, permit);
-        Ok(DisruptionOutcome::PermitRequested(index, state))
+        Ok(DisruptionOutcome::PermitRequested { permit: index, state })
     }
 
     fn open_permit(&self, target: &Target, requester: &str) -> Option<PermitId> {
@@ -63,7 +63,7 @@
         if is_forced_now {
             self.count_forced(requester);
         }
-        Ok(DisruptionOutcome::PermitRequested(id, state))
+        Ok(DisruptionOutcome::PermitRequested { permit: id, state })
     }
 
     fn count_forced(&mut self, requester: &str) {
--- a/crates/disruption-budget/tests/model.rs
+++ b/crates/disruption-budget/tests/model.rs
@@ -108,7 +108,7 @@
         let (reason, requester) = (String::new(), process.to_string());
         let request =
             DisruptionCommand::RequestPermit { target: target(process), reason, requester, force: false };
-        if let DisruptionOutcome::PermitRequested(permit, _) = self.apply(&request) {
+        if let DisruptionOutcome::PermitRequested { permit, .. } = self.apply(&request) {
             self.processes[process].requester = Requester::Requested(permit);
         }
     }
--- a/crates/disruption-budget/tests/state.rs
+++ b/crates/disruption-budget/tests/state.rs
@@ -67,7 +67,7 @@
         let (reason, requester) = ("test".into(), format!("requester of {name}"));
         match self.apply(DisruptionCommand::RequestPermit { target: target(name), reason, requester, force })
         {
-            DisruptionOutcome::PermitRequested(permit, _) => permit,
+            DisruptionOutcome::PermitRequested { permit, .. } => permit,
             other => panic!("{other:?}"),
         }
     }
