--- a/crates/coordinator/src/store/error.rs
+++ b/crates/coordinator/src/store/error.rs
@@ -10,7 +10,7 @@
     #[error(
         "{}: there is no store. A keeper does not start without its memory, since it could vote twice. For a new \
          installation run `coordinator bootstrap`; a keeper that lost its disk is replaced by a new one \
-         (docs/operate/keepers.md)",
+         (docs/operate/replicas.md)",
         .file.display()
     )]
     Missing {
--- a/deploy/cairncrank.hcl
+++ b/deploy/cairncrank.hcl
@@ -1,6 +1,6 @@
-# Our own settings for this installation, beside the platform's. Everything here has a default.
+# Local settings for this installation, beside the platform's. Everything here has a default.
 
-# Room for large jobs, see docs/operate/large-jobs.md. Off: measured better in the lab, not yet on the bench.
+# Capacity reservation for large jobs, see docs/operate/large-jobs.md. Off: it gains in the emulator, not yet on the bench.
 room {
   hold       = false
   from_slots = 4
--- a/experiments/cold-300.hcl
+++ b/experiments/cold-300.hcl
@@ -1,7 +1,7 @@
-# The bound of the slow start: what all dispatchers together send to workers that just started, while half of the fleet is
-# replaced and dispatchers restart at the same time. Judged by the stand-in workers' records alone.
+# Slow-start limit: the load that all dispatchers together put on workers in slow start, while half of the fleet is replaced
+# and dispatchers restart at the same time. Evaluated by the emulated workers' records alone.
 experiment "cold-300" {
-  about    = "Workers that just started, 300 dispatchers"
+  about    = "Workers in slow start, 300 dispatchers"
   length_s = 60
 
   fleet {
@@ -15,7 +15,7 @@
   arm "cairncrank" {
     router = "cairncrank"
   }
-  # A router that knows nothing of cold workers: the check has to find it.
+  # A router without slow start: the rule checker has to find its violations.
   arm "round-robin" {
     router = "round-robin"
   }
--- a/experiments/days.hcl
+++ b/experiments/days.hcl
@@ -1,4 +1,4 @@
-# The kinds of day that the fleet has seen, for the module and for the policies it is compared with.
+# Kinds of day seen in service, for the decision module and the reference policies.
 experiment "days" {
   about = "The kinds of day seen in service, for the decision module and reference policies"
 
--- a/experiments/large-jobs.hcl
+++ b/experiments/large-jobs.hcl
@@ -1,6 +1,6 @@
-# A fifth of the jobs needs four slots, which is all that most workers have, and half of the work is theirs.
+# A fifth of the jobs, with half of the work, needs four slots, which is all that most workers have.
 experiment "large-jobs" {
-  about    = "20 % four-slot jobs at 0.6, 0.75 and 0.9 load: is room held for them, and what does it cost the others"
+  about    = "20 % four-slot jobs at 0.6, 0.75 and 0.9 load: effect of reserved workers on large and small jobs"
   length_s = 60
 
   traffic {
--- a/experiments/one-owner-slow.hcl
+++ b/experiments/one-owner-slow.hcl
@@ -1,7 +1,7 @@
-# The same as one-owner on a network of 200 ms each way, with times that fit to it.
+# As one-owner.hcl, on a network with 200 ms of delay each way and timeouts that allow for it.
 #   emulator run experiments/one-owner-slow.hcl --seed 1 --seeds 6 --at-once 6 --out results
 experiment "one-owner-slow" {
-  about     = "Every link late by 200 ms each way, one connection in twenty reset, owners killed meanwhile."
+  about     = "Every link delayed by 200 ms each way, one connection in twenty reset, lease holders killed meanwhile."
   drive     = "fleet"
   length_s  = 30
   calm_s    = 12
--- a/experiments/one-owner.hcl
+++ b/experiments/one-owner.hcl
@@ -1,7 +1,7 @@
-# Who owns a duty, with processes and faults between them. Played with real keepers and light members:
+# One holder for each lease, under faults of processes and links; real coordinators and lightweight members:
 #   emulator run experiments/one-owner.hcl --seed 1 --seeds 20 --at-once 3 --out results
 experiment "one-owner" {
-  about     = "At most one owner at a time, whatever fails; the next owner within seconds."
+  about     = "At most one lease holder at a time under any fault; the next holder within seconds."
   drive     = "fleet"
   length_s  = 20
   calm_s    = 6
@@ -16,7 +16,7 @@
     members = 8
   }
 
-  # Owners that are stopped in the middle of what they do, and go on.
+  # Lease holders that are stopped in the middle of an operation and continued.
   arm "pauses" {
     keepers = 3
     members = 8
--- a/experiments/scale.hcl
+++ b/experiments/scale.hcl
@@ -1,4 +1,4 @@
-# How the cost of the emulator and of the module grows with the fleet: each case is ten times the one before.
+# Cost of the emulator and of the decision module on a large fleet.
 experiment "scale" {
   about    = "A hundred and fifty times the fleet: 2,000 workers, 200 dispatchers, a million jobs"
   length_s = 165
--- a/experiments/wrong-clocks.hcl
+++ b/experiments/wrong-clocks.hcl
@@ -1,7 +1,7 @@
-# What it does where the clocks of half of the machines are wrong: cold turns and the age of workers rest on Unix time.
+# Clocks of half of the machines are wrong: time slices of slow start and the age of workers rest on Unix time.
 #   emulator run experiments/wrong-clocks.hcl --seed 1 --seeds 40 --out results
 experiment "wrong-clocks" {
-  about = "Every second dispatcher's clock is ahead by 2 s, and by an hour, on days with cold workers"
+  about = "Every second dispatcher's clock is ahead by 2 s, and by an hour, on days with workers in slow start"
 
   case "deploy" {
     load     = [0.52, 0.66]
