--- a/crates/cluster-member/src/coordinator_client.rs
+++ b/crates/cluster-member/src/coordinator_client.rs
@@ -143,7 +143,7 @@
         self.last_request_id += 1;
         connection.send(&Request { id: self.last_request_id, operation: operation.clone() }).await?;
         loop {
-            if let CoordinatorMessage::Response(id, response) = connection.receive().await? {
+            if let CoordinatorMessage::Response { id, response } = connection.receive().await? {
                 if id == self.last_request_id {
                     self.connection = Some(connection);
                     return Ok(response);
--- a/crates/cluster-member/src/member/session.rs
+++ b/crates/cluster-member/src/member/session.rs
@@ -151,11 +151,11 @@
         let deadline = Instant::now() + self.call_timeout();
         loop {
             match timeout_at(deadline, connection.receive()).await?? {
-                CoordinatorMessage::Response(id, response) if id == request_id => {
+                CoordinatorMessage::Response { id, response } if id == request_id => {
                     return Ok((response, view_changed));
                 }
-                CoordinatorMessage::Response(..) => {}
-                CoordinatorMessage::ViewChanged(session, view) => {
+                CoordinatorMessage::Response { .. } => {}
+                CoordinatorMessage::ViewChanged { session, view } => {
                     view_changed |= self.apply_view(session, view);
                 }
             }
@@ -176,7 +176,7 @@
         loop {
             tokio::select! {
                 message = connection.receive() => {
-                    if let CoordinatorMessage::ViewChanged(session, view) = message? {
+                    if let CoordinatorMessage::ViewChanged { session, view } = message? {
                         if self.apply_view(session, view) {
                             return Ok(());
                         }
@@ -229,7 +229,7 @@
             Response::Busy
             | Response::Done
             | Response::Status(_)
-            | Response::DisruptionState(..)
+            | Response::DisruptionState { .. }
             | Response::DisruptionStateChanged(_) => {
                 return NextStep::Stop(SessionOutcome::TryAnother(None));
             }
--- a/crates/cluster-member/src/wire/messages.rs
+++ b/crates/cluster-member/src/wire/messages.rs
@@ -77,10 +77,20 @@
 /// What a replica sends to a member or an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CoordinatorMessage {
-    /// The response to the request of this number.
-    Response(u64, Response),
-    /// The cluster view has changed; sent to the member of this session.
-    ViewChanged(SessionId, ClusterView),
+    /// The response to a request.
+    Response {
+        /// Id of the request.
+        id: u64,
+        /// The response.
+        response: Response,
+    },
+    /// The cluster view has changed.
+    ViewChanged {
+        /// Session of the member that is notified.
+        session: SessionId,
+        /// The new view.
+        view: ClusterView,
+    },
 }
 
 /// The response to a request.
@@ -117,8 +127,13 @@
     Rejected(CommandRejection),
     /// The status of the replica.
     Status(Box<ReplicaStatus>),
-    /// The disruption state as of this revision; nothing where the client knows it.
-    DisruptionState(Revision, Option<Box<DisruptionState>>),
+    /// The disruption state.
+    DisruptionState {
+        /// Revision of its last change.
+        revision: Revision,
+        /// The state; `None` if the client has this revision.
+        state: Option<Box<DisruptionState>>,
+    },
     /// What became of a change of the disruption state.
     DisruptionStateChanged(DisruptionOutcome),
 }
--- a/crates/cluster-member/tests/coordinator_client.rs
+++ b/crates/cluster-member/tests/coordinator_client.rs
@@ -34,7 +34,7 @@
                 Some(_) => Response::NotLeader { leader: named_leader, address: None },
                 None => Response::Done,
             };
-            let _ = connection.send(&CoordinatorMessage::Response(id, response)).await;
+            let _ = connection.send(&CoordinatorMessage::Response { id, response }).await;
         }
     });
     (address, calls)
--- a/crates/cluster-member/tests/format.rs
+++ b/crates/cluster-member/tests/format.rs
@@ -239,10 +239,13 @@
     responses.extend([
         ("status".to_owned(), Response::Status(Box::new(status()))),
         ("status of a new coordinator".to_owned(), Response::Status(Box::default())),
-        ("disruption state is known, since schema 3".to_owned(), Response::DisruptionState(700, None)),
+        (
+            "disruption state is known, since schema 3".to_owned(),
+            Response::DisruptionState { revision: 700, state: None },
+        ),
         (
             "disruption state, since schema 3".to_owned(),
-            Response::DisruptionState(701, Some(Box::new(disruption_state()))),
+            Response::DisruptionState { revision: 701, state: Some(Box::new(disruption_state())) },
         ),
         (
             "disruption state changed, since schema 3".to_owned(),
@@ -257,9 +260,12 @@
     ]);
     let mut text = String::new();
     for (label, answer) in responses {
-        text += &encoded(&label, &CoordinatorMessage::Response(300, answer));
+        text += &encoded(&label, &CoordinatorMessage::Response { id: 300, response: answer });
     }
-    text += &encoded("the view has changed", &CoordinatorMessage::ViewChanged(SessionId(512), view()));
+    text += &encoded(
+        "the view has changed",
+        &CoordinatorMessage::ViewChanged { session: SessionId(512), view: view() },
+    );
     assert_pinned("coordinator_messages", &text);
 }
 
--- a/crates/cluster-member/tests/support/mod.rs
+++ b/crates/cluster-member/tests/support/mod.rs
@@ -45,7 +45,7 @@
             .unwrap();
         while let Ok(request) = connection.receive::<Request>().await {
             let Some(response) = respond(&request) else { continue };
-            if connection.send(&CoordinatorMessage::Response(request.id, response)).await.is_err() {
+            if connection.send(&CoordinatorMessage::Response { id: request.id, response }).await.is_err() {
                 break;
             }
         }
--- a/crates/coordinator/src/operator_client.rs
+++ b/crates/coordinator/src/operator_client.rs
@@ -182,7 +182,7 @@
     let (mut link, _) = Connection::connect(address, None, hello).await?;
     link.send(&Request { id: REQUEST_ID, operation }).await?;
     loop {
-        if let CoordinatorMessage::Response(REQUEST_ID, response) = link.receive().await? {
+        if let CoordinatorMessage::Response { id: REQUEST_ID, response } = link.receive().await? {
             return Ok(response);
         }
     }
@@ -276,7 +276,7 @@
 pub async fn disruption_state(config: &Config) -> Result<DisruptionSnapshot, OperatorError> {
     // Of a state that never changed nothing is sent: it is an empty one.
     match call_leader(config, Operation::DisruptionState { known_revision: 0 }).await? {
-        Response::DisruptionState(revision, state) => {
+        Response::DisruptionState { revision, state } => {
             Ok(DisruptionSnapshot { revision, state: state.map(|state| *state).unwrap_or_default() })
         }
         other => Err(OperatorError::UnexpectedLeaderResponse(Box::new(other))),
--- a/crates/coordinator/src/replica/requests.rs
+++ b/crates/coordinator/src/replica/requests.rs
@@ -118,7 +118,7 @@
     fn reply_with_disruption_state(&mut self, requester: Requester, known_revision: Revision) {
         let revision = self.state.disruption_revision();
         let state = (revision > known_revision).then(|| Box::new(self.state.disruption().clone()));
-        self.reply(requester, Response::DisruptionState(revision, state));
+        self.reply(requester, Response::DisruptionState { revision, state });
     }
 
     /// A voter whose version does not know permits: a command that it does not know would stop it.
@@ -183,7 +183,7 @@
 
     pub(super) fn reply(&mut self, requester: Requester, response: Response) {
         let Requester { connection, request_id } = requester;
-        let message = CoordinatorMessage::Response(request_id, response);
+        let message = CoordinatorMessage::Response { id: request_id, response };
         self.outputs.push(Output::SendToClient { connection, message });
     }
 
--- a/crates/coordinator/src/server/event_loop.rs
+++ b/crates/coordinator/src/server/event_loop.rs
@@ -241,7 +241,7 @@
         let session = |connection: &ConnectionId| Some((*connection, self.replica.session_of(*connection)?));
         let members: Vec<(ConnectionId, SessionId)> = self.clients.keys().filter_map(session).collect();
         for (connection, session) in members {
-            self.send_to_client(connection, &CoordinatorMessage::ViewChanged(session, view.clone()));
+            self.send_to_client(connection, &CoordinatorMessage::ViewChanged { session, view: view.clone() });
         }
     }
 
--- a/crates/coordinator/tests/cluster/agreement.rs
+++ b/crates/coordinator/tests/cluster/agreement.rs
@@ -71,7 +71,10 @@
             .take_outputs()
             .into_iter()
             .filter_map(|output| match output {
-                Output::SendToClient { message: CoordinatorMessage::Response(_, answer), .. } => Some(answer),
+                Output::SendToClient {
+                    message: CoordinatorMessage::Response { response: answer, .. },
+                    ..
+                } => Some(answer),
                 _ => None,
             })
             .collect();
--- a/crates/coordinator/tests/cluster/harness.rs
+++ b/crates/coordinator/tests/cluster/harness.rs
@@ -96,9 +96,10 @@
                 for output in replica.take_outputs() {
                     match output {
                         Output::SendToPeer(message) => messages.push((*coordinator, message)),
-                        Output::SendToClient { message: CoordinatorMessage::Response(_, answer), .. } => {
-                            self.responses.push(answer)
-                        }
+                        Output::SendToClient {
+                            message: CoordinatorMessage::Response { response: answer, .. },
+                            ..
+                        } => self.responses.push(answer),
                         Output::Applied { index, outcome, digest, .. } => {
                             let known = self.digests.entry(index).or_insert(digest);
                             assert_eq!(*known, digest, "entry {index} at coordinator {coordinator}");
--- a/crates/coordinator/tests/compatibility/command_line.rs
+++ b/crates/coordinator/tests/compatibility/command_line.rs
@@ -159,7 +159,7 @@
     Installation::answered_by(move |operation| match operation {
         Operation::Status => Response::Status(Box::new(leading())),
         Operation::DisruptionState { .. } => {
-            Response::DisruptionState(ACCOUNT_REVISION, Some(Box::new(account())))
+            Response::DisruptionState { revision: ACCOUNT_REVISION, state: Some(Box::new(account())) }
         }
         _ => answer.clone(),
     })
@@ -211,7 +211,7 @@
     let installation = installation(Response::Busy);
     let all = format!("{}\n{}", installation.run(&["account"]), installation.run(&["account", "--json"]));
     insta::assert_snapshot!("account", all);
-    let empty = Installation::answered_by(|_| Response::DisruptionState(3, None));
+    let empty = Installation::answered_by(|_| Response::DisruptionState { revision: 3, state: None });
     let all = format!("{}\n{}", empty.run(&["account"]), empty.run(&["account", "--json"]));
     insta::assert_snapshot!("empty_account", all);
 }
--- a/crates/coordinator/tests/compatibility/records.rs
+++ b/crates/coordinator/tests/compatibility/records.rs
@@ -79,7 +79,7 @@
 async fn call(connection: &mut Connection, operation: Operation) -> Option<Response> {
     connection.send(&Request { id: 1, operation }).await.ok()?;
     loop {
-        if let CoordinatorMessage::Response(_, response) = connection.receive().await.ok()? {
+        if let CoordinatorMessage::Response { response, .. } = connection.receive().await.ok()? {
             return Some(response);
         }
     }
--- a/crates/coordinator/tests/compatibility/support.rs
+++ b/crates/coordinator/tests/compatibility/support.rs
@@ -173,7 +173,8 @@
     loop {
         let request: Request = link.receive().await?;
         requests.lock().unwrap().push((number, request.operation.clone()));
-        link.send(&CoordinatorMessage::Response(request.id, answers(&request.operation))).await?;
+        link.send(&CoordinatorMessage::Response { id: request.id, response: answers(&request.operation) })
+            .await?;
     }
 }
 
--- a/crates/dispatcher/src/net/planned_drain.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -93,7 +93,7 @@
     by: Instant,
 ) -> Result<(), DrainRejected> {
     let held = match coordinators.call(&Operation::DisruptionState { known_revision: 0 }, by).await {
-        Ok(Response::DisruptionState(_, Some(account))) => {
+        Ok(Response::DisruptionState { state: Some(account), .. }) => {
             account.blocking_budget(permit).map(|budget| format!(": budget {:?} is used up", budget.name))
         }
         _ => None,
@@ -296,8 +296,10 @@
             count = count.wrapping_add(1);
             let by = Instant::now() + DECISION_TIMEOUT;
             match coordinators.call(&Operation::DisruptionState { known_revision: known }, by).await {
-                Ok(Response::DisruptionState(revision, Some(new))) => (known, account) = (revision, *new),
-                Ok(Response::DisruptionState(..)) => {}
+                Ok(Response::DisruptionState { revision, state: Some(new) }) => {
+                    (known, account) = (revision, *new)
+                }
+                Ok(Response::DisruptionState { .. }) => {}
                 _ => continue,
             }
             let Some((token, changes)) = self.observe(&account) else { continue };
