--- a/crates/dispatcher/src/engine/event_loop.rs
+++ b/crates/dispatcher/src/engine/event_loop.rs
@@ -8,10 +8,10 @@
 use tokio::sync::mpsc;
 
 use super::clock::{micros, seconds, Clock, Micros};
-use super::messages::{Answer, Command, Input, ListedEndpoint};
+use super::messages::{Answer, AttemptEnd, AttemptId, Command, Input, ListedEndpoint};
 use super::request_table::RequestTable;
 use super::timers::{Timer, Timers};
-use dispatch_core::api::{Action, Endpoint, Event, ListScope, Outcome, Request, RequestId, Settings};
+use dispatch_core::api::{Action, Endpoint, Event, ListScope, Outcome, Request, Settings};
 use dispatch_core::Dispatcher;
 
 /// The most inputs taken in one turn of the loop.
@@ -33,7 +33,7 @@
     pub(super) timers: Timers,
     pub(super) actions: Vec<Action>,
     /// Ends of attempts that the engine itself caused and the module has not been told yet.
-    pub(super) abandoned_attempts: VecDeque<(RequestId, u32, Outcome)>,
+    pub(super) abandoned_attempts: VecDeque<AttemptEnd>,
     pub(super) commands: mpsc::UnboundedSender<Command>,
     pub(super) shutting_down: bool,
     /// What a usual job asks of a worker, for whoever asked to be kept up to date.
@@ -73,7 +73,7 @@
         };
         engine.dispatcher.start(seconds(engine.now), &mut engine.actions);
         engine.perform_actions();
-        engine.handle_input(Input::EndpointList(ListScope::Cached, known));
+        engine.handle_input(Input::EndpointList { scope: ListScope::Cached, endpoints: known });
         engine
     }
 
@@ -122,10 +122,10 @@
         while let Some(timer) = self.timers.take_due(self.now) {
             match timer {
                 Timer::Policy(token) => self.notify_policy(Event::Timer(token)),
-                Timer::Attempt(request, attempt) => self.abandon_attempt(request, attempt, Outcome::Timeout),
+                Timer::Attempt(attempt) => self.abandon_attempt(attempt, Outcome::Timeout),
                 Timer::Deadline(request) => {
-                    for attempt in 0..self.requests.attempts(request) {
-                        self.abandon_attempt(request, attempt, Outcome::Timeout);
+                    for number in 0..self.requests.attempts(request) {
+                        self.abandon_attempt(AttemptId { request, number }, Outcome::Timeout);
                     }
                     if self.requests.get(request).is_some() {
                         self.timers.set(self.now + OVERDUE_GRACE, Timer::Overdue(request));
@@ -140,7 +140,7 @@
 
     fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Submit(id, job, answer) => self.open_request(id, *job, answer),
+            Input::Submit { id, job, answer_sender } => self.open_request(id, *job, answer_sender),
             Input::ClientDisconnected(id) => {
                 if let Some(open) = self.requests.get_mut(id) {
                     // The module may have answered while the client left.
@@ -150,39 +150,39 @@
                     self.requests.remove_if_finished(id);
                 }
             }
-            Input::JobStarted(request, attempt) => {
-                if self.requests.is_in_flight(request, attempt) {
-                    self.notify_policy(Event::JobStarted { request, attempt });
+            Input::JobStarted(AttemptId { request, number }) => {
+                if self.requests.is_in_flight(AttemptId { request, number }) {
+                    self.notify_policy(Event::JobStarted { request, attempt: number });
                 }
             }
-            Input::Progress(request, attempt, done) => {
-                if self.requests.is_in_flight(request, attempt) {
-                    self.notify_policy(Event::Progress { request, attempt, done });
+            Input::Progress { attempt: AttemptId { request, number }, done } => {
+                if self.requests.is_in_flight(AttemptId { request, number }) {
+                    self.notify_policy(Event::Progress { request, attempt: number, done });
                 }
             }
-            Input::QuotaGranted(worker, work, until) => {
-                self.notify_policy(Event::SlowStartGrant { worker, work, expires_at: seconds(until) });
+            Input::QuotaGranted { worker, work, expires_at } => {
+                self.notify_policy(Event::SlowStartGrant { worker, work, expires_at: seconds(expires_at) });
             }
-            Input::UnhealthyReported(worker, ago, holds) => {
+            Input::UnhealthyReported { worker, observed_ago, valid_for } => {
                 self.notify_policy(Event::UnhealthyVerdict {
                     worker,
-                    observed_ago: seconds(ago),
-                    valid_for: seconds(holds),
+                    observed_ago: seconds(observed_ago),
+                    valid_for: seconds(valid_for),
                 });
             }
-            Input::HealthCheckEnded(worker, ok, load) => {
-                self.notify_policy(Event::ProbeEnded { worker, ok, load })
+            Input::HealthCheckEnded { worker, healthy, load } => {
+                self.notify_policy(Event::ProbeEnded { worker, ok: healthy, load });
             }
-            Input::AttemptEnded(request, attempt, outcome, result, load) => {
-                if self.requests.is_in_flight(request, attempt) {
-                    self.end_attempt(request, attempt, outcome, result, load);
+            Input::AttemptEnded(end) => {
+                if self.requests.is_in_flight(end.attempt) {
+                    self.end_attempt(end);
                 }
             }
-            Input::EndpointList(scope, members) => {
-                let lines: Vec<Endpoint> = members.iter().map(|l| l.endpoint).collect();
+            Input::EndpointList { scope, endpoints: listed } => {
+                let endpoints: Vec<Endpoint> = listed.iter().map(|entry| entry.endpoint).collect();
                 // The way to a worker must be known before the module can choose it, and barred before it asks.
-                let _ = self.commands.send(Command::EndpointList(scope, members));
-                self.notify_policy(Event::EndpointList { scope, endpoints: &lines });
+                let _ = self.commands.send(Command::EndpointList { scope, endpoints: listed });
+                self.notify_policy(Event::EndpointList { scope, endpoints: &endpoints });
                 if scope != ListScope::Cached {
                     self.release_held_requests();
                 }
@@ -217,11 +217,11 @@
             match action {
                 Action::Send { request, worker, timeout } => self.start_attempt(request, worker, timeout),
                 Action::Reject { request, retry_after } => {
-                    self.answer_request(request, Answer::Refused(retry_after))
+                    self.answer_request(request, Answer::Refused { retry_after })
                 }
                 Action::Fail { request } => self.answer_request(request, Answer::Failed),
                 Action::Cancel { request, attempt } => {
-                    self.abandon_attempt(request, attempt, Outcome::Cancelled)
+                    self.abandon_attempt(AttemptId { request, number: attempt }, Outcome::Cancelled);
                 }
                 Action::SetTimer { after, token } => {
                     self.timers.set(self.now + micros(after), Timer::Policy(token));
--- a/crates/dispatcher/src/engine/handle.rs
+++ b/crates/dispatcher/src/engine/handle.rs
@@ -32,8 +32,8 @@
     pub fn submit(&self, job: Job) -> PendingJob {
         let id = RequestId(self.next_id.get());
         self.next_id.set(id.0 + 1);
-        let (sender, answer) = oneshot::channel();
-        self.send(Input::Submit(id, Box::new(job), sender));
+        let (answer_sender, answer) = oneshot::channel();
+        self.send(Input::Submit { id, job: Box::new(job), answer_sender });
         PendingJob { id, answer, answered: false, handle: self.clone() }
     }
 }
--- a/crates/dispatcher/src/engine/messages.rs
+++ b/crates/dispatcher/src/engine/messages.rs
@@ -1,4 +1,4 @@
-//! What reaches the engine, and what it answers and commands.
+//! Messages of the engine: its inputs, its commands to the network layer, and the final answers to jobs.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -12,73 +12,85 @@
     Endpoint, ListScope, LoadReport, Outcome, Request, RequestId, Seconds, Settings, WorkerId, WorkerState,
 };
 
-/// What a job carries to a worker, unchanged.
+/// Parts of a job that reach a worker unchanged.
 #[derive(Clone, Debug, Default)]
 pub struct Payload {
-    /// The id that the client gave it.
+    /// Id that the client gave to the request.
     pub id: Bytes,
-    /// The method.
+    /// HTTP method.
     pub method: Bytes,
     /// Path and query.
     pub target: Bytes,
-    /// By which workers know a repeat.
+    /// Key by which workers recognize a retry.
     pub idempotency_key: Option<Bytes>,
-    /// The body.
+    /// Body of the request.
     pub body: Bytes,
-    /// The name of its class, for the figures.
+    /// Name of the request's class, a label of the metrics.
     pub class: Rc<str>,
-    /// It is answered, or nobody waits for an answer: no attempt is to begin any more. Looked at when one is written.
+    /// Set once the request is answered or its client has left; checked right before an attempt is written.
     pub concluded: Cell<bool>,
 }
 
-/// A job as it came in.
+/// A job as a client submitted it.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// What the module is told of it; `id` and `patience` are filled in by the engine.
+    /// Request for the decision module; the engine fills in `id` and `timeout`.
     pub request: Request,
-    /// How long the client waits.
+    /// Time for which the client waits.
     pub timeout: Micros,
-    /// What a worker gets of it.
+    /// Parts of the job for the worker.
     pub payload: Payload,
 }
 
 /// The final answer to a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// The result of a worker.
+    /// Result of a worker.
     Served(Bytes),
-    /// Declined; trying again does no harm.
-    Refused(Option<Seconds>),
-    /// Failed.
+    /// Admission declined the job and nothing ran, so that a retry is harmless.
+    Refused {
+        /// Time after which the client may try again, if the decision module named one.
+        retry_after: Option<Seconds>,
+    },
+    /// No result; the job may have run.
     Failed,
-    /// Never a job.
+    /// The request itself is at fault.
     Rejected(InvalidRequest),
 }
 
-/// Why a request is no job.
+/// Reason why a request cannot be a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InvalidRequest {
-    /// Another request of this id is open.
+    /// Another open request has the same id.
     DuplicateId,
-    /// A worker says that it cannot be used.
+    /// A worker answered that it cannot use the request.
     Unusable,
 }
 
-/// How far an attempt got before it ended.
+/// Identifies one attempt at a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct AttemptId {
+    /// The request.
+    pub request: RequestId,
+    /// Number of the attempt, from 0 on.
+    pub number: u32,
+}
+
+/// Progress of an attempt at the time at which it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptStage {
-    /// There was no connection.
+    /// No connection was established.
     NotConnected,
-    /// A part of the request was written at the most.
+    /// The request was not written to its last byte.
     PartiallyWritten,
-    /// Its last byte was written.
+    /// The last byte of the request was written.
     Written,
-    /// The worker took the job.
+    /// The worker accepted the job.
     Started,
 }
 
 impl AttemptStage {
-    /// What a connection that breaks at this point means.
+    /// Returns the outcome of an attempt whose connection breaks at this stage.
     pub fn outcome_if_broken(self) -> Outcome {
         if self < AttemptStage::Written {
             Outcome::ConnectFailed
@@ -88,76 +100,137 @@
     }
 }
 
-/// An entry of the worker list, with where the worker listens.
+/// The end of an attempt.
+#[derive(Clone, Debug)]
+pub struct AttemptEnd {
+    /// The attempt.
+    pub attempt: AttemptId,
+    /// Its outcome.
+    pub outcome: Outcome,
+    /// Result of the worker; empty unless the outcome is [`Outcome::Ok`].
+    pub result: Bytes,
+    /// Load report that came with the worker's last response.
+    pub load: Option<LoadReport>,
+}
+
+impl AttemptEnd {
+    /// Returns the end of an attempt without a result or a load report.
+    pub fn without_result(attempt: AttemptId, outcome: Outcome) -> AttemptEnd {
+        AttemptEnd { attempt, outcome, result: Bytes::new(), load: None }
+    }
+}
+
+/// An entry of the endpoint list, with the address on which the worker listens.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedEndpoint {
-    /// What the module is told.
+    /// Entry for the decision module.
     pub endpoint: Endpoint,
-    /// Its address, where it has one.
+    /// Address of the worker, if the list has one.
     pub address: Option<SocketAddr>,
 }
 
 impl ListedEndpoint {
-    /// It takes new work.
+    /// Returns whether the worker takes new work.
     pub fn accepts_work(&self) -> bool {
         self.endpoint.state == WorkerState::Serving
     }
 }
 
-/// What reaches the engine.
+/// A message to the engine.
 #[derive(Debug)]
 pub enum Input {
-    /// A job, and where its answer goes.
-    Submit(RequestId, Box<Job>, oneshot::Sender<Answer>),
-    /// The client left.
+    /// A client submitted a job.
+    Submit {
+        /// Id of the request, drawn by [`Handle::submit`](super::Handle::submit).
+        id: RequestId,
+        /// The job.
+        job: Box<Job>,
+        /// Channel for the final answer.
+        answer_sender: oneshot::Sender<Answer>,
+    },
+    /// The client of a request disconnected.
     ClientDisconnected(RequestId),
-    /// A worker began a job.
-    JobStarted(RequestId, u32),
-    /// A job is done to this part.
-    Progress(RequestId, u32, f64),
-    /// An attempt ended; the bytes are the result of one that was served.
-    AttemptEnded(RequestId, u32, Outcome, Bytes, Option<LoadReport>),
-    /// A probe ended: whether the worker answered that it is well, and what it said of its load. Each
-    /// [`Command::HealthCheck`] is followed by one; where a probe was out already, its end answers both.
-    HealthCheckEnded(WorkerId, bool, Option<LoadReport>),
-    /// One who watches workers for all saw this one fail so long ago, which may be held against it for so long.
-    UnhealthyReported(WorkerId, Micros, Micros),
-    /// One who hands cold budgets out for all granted so much work at this worker until then.
-    QuotaGranted(WorkerId, f64, Micros),
-    /// The worker list, or a part of it.
-    EndpointList(ListScope, Vec<ListedEndpoint>),
-    /// Other settings hold from here on.
+    /// A worker began to run the job of an attempt.
+    JobStarted(AttemptId),
+    /// A worker reported progress of a job.
+    Progress {
+        /// The attempt.
+        attempt: AttemptId,
+        /// Part of the job that is done, from 0 to 1.
+        done: f64,
+    },
+    /// An attempt ended.
+    AttemptEnded(AttemptEnd),
+    /// A health check ended. Each [`Command::HealthCheck`] is followed by one; a check that was in flight already
+    /// answers both.
+    HealthCheckEnded {
+        /// The worker.
+        worker: WorkerId,
+        /// Whether the worker answered that it is healthy.
+        healthy: bool,
+        /// Load report in its answer.
+        load: Option<LoadReport>,
+    },
+    /// The cluster's health checks found a worker unhealthy, or no longer so.
+    UnhealthyReported {
+        /// The worker.
+        worker: WorkerId,
+        /// Time since the last failed health check.
+        observed_ago: Micros,
+        /// Time for which the verdict stays in force; 0 withdraws it.
+        valid_for: Micros,
+    },
+    /// The cluster granted this process work at a worker in slow start.
+    QuotaGranted {
+        /// The worker.
+        worker: WorkerId,
+        /// Work in slot-seconds.
+        work: f64,
+        /// End of the grant.
+        expires_at: Micros,
+    },
+    /// The endpoint list, or a part of it.
+    EndpointList {
+        /// Part of the list that follows.
+        scope: ListScope,
+        /// Entries of that part.
+        endpoints: Vec<ListedEndpoint>,
+    },
+    /// New settings take effect.
     Configure(Box<Settings>),
-    /// The program is to end, and its successor may serve already: give up what is shared by number.
+    /// A graceful shutdown began: shares by instance are released, since a successor may serve already.
     Draining,
-    /// The program ends: answer what is open.
+    /// The process ends: all open requests are answered now.
     Shutdown,
 }
 
-/// What the engine wants done.
+/// A request of the engine to the network layer.
 #[derive(Debug)]
 pub enum Command {
-    /// Send the job to the worker.
+    /// Send a job to a worker.
     Attempt {
-        /// The request.
-        request: RequestId,
-        /// The number of the attempt.
-        attempt: u32,
-        /// Where to.
+        /// The attempt.
+        attempt: AttemptId,
+        /// The worker.
         worker: WorkerId,
-        /// What.
+        /// Parts of the job for the worker.
         payload: Rc<Payload>,
-        /// When the dispatcher stops waiting.
+        /// Time at which the dispatcher stops waiting.
         deadline: Micros,
-        /// Not to be written after this, since an attempt before it may have run: a connection may come up late.
+        /// End of the retry window of an earlier attempt that may have run: nothing is written after it.
         not_after: Micros,
     },
-    /// Give an attempt up.
-    Cancel(RequestId, u32),
-    /// Ask a worker for its load, or where none is reported whether it is well.
+    /// Cancel an attempt.
+    Cancel(AttemptId),
+    /// Poll a worker's load report, or its health if workers report no load.
     HealthCheck(WorkerId),
     /// Close the idle connections to a worker.
     CloseIdle(WorkerId),
-    /// Where workers listen, and whether they take work; with [`ListScope::Full`] all others are gone.
-    EndpointList(ListScope, Vec<ListedEndpoint>),
+    /// Update addresses and states of workers; with [`ListScope::Full`], workers without an entry are removed.
+    EndpointList {
+        /// Part of the list that follows.
+        scope: ListScope,
+        /// Entries of that part.
+        endpoints: Vec<ListedEndpoint>,
+    },
 }
--- a/crates/dispatcher/src/engine/mod.rs
+++ b/crates/dispatcher/src/engine/mod.rs
@@ -15,4 +15,6 @@
 pub use clock::{micros, Clock, Micros};
 pub use event_loop::Engine;
 pub use handle::{Handle, PendingJob};
-pub use messages::{Answer, AttemptStage, Command, Input, InvalidRequest, Job, ListedEndpoint, Payload};
+pub use messages::{
+    Answer, AttemptEnd, AttemptId, AttemptStage, Command, Input, InvalidRequest, Job, ListedEndpoint, Payload,
+};
--- a/crates/dispatcher/src/engine/request_table.rs
+++ b/crates/dispatcher/src/engine/request_table.rs
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 
 use super::clock::Micros;
-use super::messages::{Answer, Payload};
+use super::messages::{Answer, AttemptId, Payload};
 use dispatch_core::api::RequestId;
 
 /// A request in the table.
@@ -83,8 +83,8 @@
     }
 
     /// Whether this attempt was started and has not ended.
-    pub(super) fn is_in_flight(&self, id: RequestId, attempt: u32) -> bool {
-        let attempt = self.get(id).and_then(|open| open.attempts.get(attempt as usize));
+    pub(super) fn is_in_flight(&self, attempt: AttemptId) -> bool {
+        let attempt = self.get(attempt.request).and_then(|open| open.attempts.get(attempt.number as usize));
         attempt.is_some_and(|attempt| attempt.in_flight)
     }
 
--- a/crates/dispatcher/src/engine/requests.rs
+++ b/crates/dispatcher/src/engine/requests.rs
@@ -2,20 +2,19 @@
 
 use std::rc::Rc;
 
-use bytes::Bytes;
 use tokio::sync::oneshot;
 
 use super::clock::{micros, seconds, Micros};
 use super::event_loop::Engine;
-use super::messages::{Answer, Command, InvalidRequest, Job};
+use super::messages::{Answer, AttemptEnd, AttemptId, Command, InvalidRequest, Job};
 use super::request_table::{Attempt, OpenRequest};
 use super::timers::Timer;
-use dispatch_core::api::{Event, LoadReport, Outcome, Request, RequestId, Seconds, WorkerId};
+use dispatch_core::api::{Event, Outcome, Request, RequestId, Seconds, WorkerId};
 
 impl Engine {
     pub(super) fn open_request(&mut self, id: RequestId, job: Job, answer: oneshot::Sender<Answer>) {
         if self.shutting_down {
-            let _ = answer.send(Answer::Refused(None));
+            let _ = answer.send(Answer::Refused { retry_after: None });
             return;
         }
         // Workers know jobs by these ids: a second one would be taken for the first, and a cancel would end both.
@@ -51,32 +50,26 @@
     }
 
     /// Stops waiting for an attempt that is out, and notes its end for the module.
-    pub(super) fn abandon_attempt(&mut self, request: RequestId, attempt: u32, outcome: Outcome) {
-        if self.requests.is_in_flight(request, attempt) {
-            let _ = self.commands.send(Command::Cancel(request, attempt));
-            self.abandoned_attempts.push_back((request, attempt, outcome));
+    pub(super) fn abandon_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
+        if self.requests.is_in_flight(attempt) {
+            let _ = self.commands.send(Command::Cancel(attempt));
+            self.abandoned_attempts.push_back(AttemptEnd::without_result(attempt, outcome));
         }
     }
 
     /// Tells the module of the ends that are noted; what it does then may cause more.
     pub(super) fn report_abandoned_attempts(&mut self) {
-        while let Some((request, attempt, outcome)) = self.abandoned_attempts.pop_front() {
-            if self.requests.is_in_flight(request, attempt) {
-                self.end_attempt(request, attempt, outcome, Bytes::new(), None);
+        while let Some(end) = self.abandoned_attempts.pop_front() {
+            if self.requests.is_in_flight(end.attempt) {
+                self.end_attempt(end);
             }
         }
     }
 
-    pub(super) fn end_attempt(
-        &mut self,
-        request: RequestId,
-        attempt: u32,
-        outcome: Outcome,
-        result: Bytes,
-        load: Option<LoadReport>,
-    ) {
+    pub(super) fn end_attempt(&mut self, end: AttemptEnd) {
+        let AttemptEnd { attempt: AttemptId { request, number }, outcome, result, load } = end;
         let Some(open) = self.requests.get_mut(request) else { return };
-        let ended = &mut open.attempts[attempt as usize];
+        let ended = &mut open.attempts[number as usize];
         (ended.in_flight, ended.may_have_run) = (false, !outcome.never_ran());
         if outcome == Outcome::Ok {
             if let Some(answer) = open.conclude() {
@@ -88,7 +81,7 @@
             }
         }
         let complete = open.answer_sender.is_none();
-        self.notify_policy(Event::AttemptEnded { request, attempt, outcome, complete, load });
+        self.notify_policy(Event::AttemptEnded { request, attempt: number, outcome, complete, load });
         self.requests.remove_if_finished(request);
     }
 
@@ -97,17 +90,20 @@
         let Some(open) = self.requests.get_mut(request) else { return };
         let harmless = !open.attempts.iter().any(|attempt| attempt.may_have_run);
         if let Some(answer) = open.conclude() {
-            let _ = answer.send(if harmless { Answer::Refused(None) } else { Answer::Failed });
+            let _ =
+                answer.send(if harmless { Answer::Refused { retry_after: None } } else { Answer::Failed });
             self.notify_policy(Event::ClientDisconnected(request));
         }
         let attempts = self.requests.attempts(request);
-        (0..attempts).for_each(|attempt| self.abandon_attempt(request, attempt, Outcome::Cancelled));
+        for number in 0..attempts {
+            self.abandon_attempt(AttemptId { request, number }, Outcome::Cancelled);
+        }
         self.requests.remove_if_finished(request);
     }
 
     pub(super) fn start_attempt(&mut self, request: RequestId, worker: WorkerId, timeout: Option<Seconds>) {
         let Some(open) = self.requests.get_mut(request) else { return };
-        let attempt = open.attempts.len() as u32;
+        let attempt = AttemptId { request, number: open.attempts.len() as u32 };
         let may_have_run =
             open.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.sent_at);
         open.attempts.push(Attempt { sent_at: self.now, in_flight: true, may_have_run: true });
@@ -115,24 +111,19 @@
             || self.now >= open.deadline
             || open.attempts.len() > self.max_attempts
         {
-            return self.abandoned_attempts.push_back((request, attempt, Outcome::NotSent));
+            self.abandoned_attempts.push_back(AttemptEnd::without_result(attempt, Outcome::NotSent));
+            return;
         }
         let wanted = timeout.filter(|t| *t != 0.0).map_or(Micros::MAX, |t| self.now + micros(t));
         let deadline = wanted.min(open.deadline);
         if wanted < open.deadline {
-            self.timers.set(wanted, Timer::Attempt(request, attempt));
+            self.timers.set(wanted, Timer::Attempt(attempt));
         }
         let within = self.retry_windows.get(open.class).copied().unwrap_or(0);
         let latest = may_have_run.map_or(Micros::MAX, |sent| sent.saturating_add(within));
         let payload = open.payload.clone();
-        let _ = self.commands.send(Command::Attempt {
-            request,
-            attempt,
-            worker,
-            payload,
-            deadline,
-            not_after: latest,
-        });
+        let _ =
+            self.commands.send(Command::Attempt { attempt, worker, payload, deadline, not_after: latest });
     }
 
     pub(super) fn answer_request(&mut self, request: RequestId, answer: Answer) {
--- a/crates/dispatcher/src/engine/timers.rs
+++ b/crates/dispatcher/src/engine/timers.rs
@@ -4,13 +4,14 @@
 use std::collections::BinaryHeap;
 
 use super::clock::Micros;
+use super::messages::AttemptId;
 use dispatch_core::api::RequestId;
 
 /// What a timer is for. Of timers due at the same time those of the earlier variants fire first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     Policy(u64),
-    Attempt(RequestId, u32),
+    Attempt(AttemptId),
     Deadline(RequestId),
     Overdue(RequestId),
     InitialListTimeout,
--- a/crates/dispatcher/src/net/client/mod.rs
+++ b/crates/dispatcher/src/net/client/mod.rs
@@ -64,7 +64,7 @@
         if ready {
             Answer::Served(Bytes::from_static(b"ready\n"))
         } else {
-            Answer::Refused(None)
+            Answer::Refused { retry_after: None }
         }
     }
 
--- a/crates/dispatcher/src/net/client/response.rs
+++ b/crates/dispatcher/src/net/client/response.rs
@@ -29,7 +29,9 @@
 pub(super) fn encode_answer(answer: Answer, keep: bool) -> (Bytes, Bytes) {
     match answer {
         Answer::Served(result) => encode_response(200, None, keep, result),
-        Answer::Refused(after) => encode_response(503, after, keep, Bytes::from_static(b"try again later\n")),
+        Answer::Refused { retry_after } => {
+            encode_response(503, retry_after, keep, Bytes::from_static(b"try again later\n"))
+        }
         Answer::Rejected(InvalidRequest::DuplicateId) => {
             encode_response(409, None, keep, Bytes::from_static(b"a request of this id is open"))
         }
--- a/crates/dispatcher/src/net/cluster/health_checks.rs
+++ b/crates/dispatcher/src/net/cluster/health_checks.rs
@@ -197,7 +197,11 @@
         let tell = |worker: u64, ago: Micros, holds: Micros| {
             let what = serde_json::json!({"worker": worker, "holds": holds});
             self.member.recorder().record(now, "against", what);
-            self.pool.handle.send(Input::UnhealthyReported(WorkerId(worker), ago, holds));
+            self.pool.handle.send(Input::UnhealthyReported {
+                worker: WorkerId(worker),
+                observed_ago: ago,
+                valid_for: holds,
+            });
         };
         for worker in notified.keys().filter(|worker| !against.contains_key(worker)) {
             tracing::info!(worker, "worker no longer reported unhealthy");
--- a/crates/dispatcher/src/net/cluster/slow_start.rs
+++ b/crates/dispatcher/src/net/cluster/slow_start.rs
@@ -107,7 +107,7 @@
             let what = serde_json::json!({"worker": worker, "work": work, "until": until, "token": token.0});
             self.member.recorder().record(now, "granted", what);
             self.metrics.quota_granted.inc_by(work);
-            self.pool.handle.send(Input::QuotaGranted(WorkerId(worker), work, at));
+            self.pool.handle.send(Input::QuotaGranted { worker: WorkerId(worker), work, expires_at: at });
         }
     }
 
--- a/crates/dispatcher/src/net/discovery/mod.rs
+++ b/crates/dispatcher/src/net/discovery/mod.rs
@@ -116,7 +116,7 @@
             match list {
                 Ok(mut list) => {
                     notified.record(list.revision, &mut list.endpoints);
-                    handle.send(Input::EndpointList(list.scope, list.endpoints));
+                    handle.send(Input::EndpointList { scope: list.scope, endpoints: list.endpoints });
                     ready.send_replace(true);
                 }
                 Err(error) => {
--- a/crates/dispatcher/src/net/discovery/watch_session.rs
+++ b/crates/dispatcher/src/net/discovery/watch_session.rs
@@ -257,7 +257,7 @@
                     if let Some(lists) = &self.shared_list {
                         lists.record_discovery(serde_json::from_slice(text).ok().as_ref());
                     }
-                    self.handle.send(Input::EndpointList(list.scope, list.endpoints));
+                    self.handle.send(Input::EndpointList { scope: list.scope, endpoints: list.endpoints });
                 }
                 Err(error) => {
                     // The state is unknown from here on: ask for all of it.
--- a/crates/dispatcher/src/net/worker/attempt.rs
+++ b/crates/dispatcher/src/net/worker/attempt.rs
@@ -12,11 +12,11 @@
 use tokio::time::{timeout_at, Instant};
 
 use super::pool::{connect, Pool, Worker};
-use crate::engine::{AttemptStage, Input, Micros, Payload};
+use crate::engine::{AttemptEnd, AttemptId, AttemptStage, Input, Micros, Payload};
 use crate::net::http::{Decoder, Lines, Piece, MAX_BODY};
 use crate::net::metrics;
 use crate::net::{read_more, read_response_head, write_all};
-use dispatch_core::api::{LoadReport, Outcome, RequestId, WorkerId};
+use dispatch_core::api::{LoadReport, Outcome, WorkerId};
 use dispatch_core::hashing::worker_id;
 
 /// A line of a worker may be this long: a result as large as a body, with room for escapes.
@@ -29,8 +29,7 @@
 /// Tells the engine of the end of an attempt, exactly once: also of one that panicked.
 struct AttemptGuard {
     pool: Rc<Pool>,
-    request: RequestId,
-    attempt: u32,
+    attempt: AttemptId,
     worker: WorkerId,
     stage: AttemptStage,
     reported: bool,
@@ -41,9 +40,10 @@
 impl AttemptGuard {
     fn report(&mut self, outcome: Outcome, result: Bytes) {
         if !std::mem::replace(&mut self.reported, true) {
-            self.pool.attempts.borrow_mut().remove(&(self.request, self.attempt));
+            self.pool.attempts.borrow_mut().remove(&self.attempt);
             let load = self.load.take();
-            self.pool.handle.send(Input::AttemptEnded(self.request, self.attempt, outcome, result, load));
+            let end = AttemptEnd { attempt: self.attempt, outcome, result, load };
+            self.pool.handle.send(Input::AttemptEnded(end));
         }
     }
 }
@@ -57,7 +57,7 @@
 /// Starts an attempt as a task of its own, which the pool can abort.
 pub(crate) fn start(
     pool: &Rc<Pool>,
-    (request, attempt): (RequestId, u32),
+    attempt: AttemptId,
     (worker, peer): (WorkerId, Option<Rc<Worker>>),
     payload: Rc<Payload>,
     (deadline, not_after): (Micros, Micros),
@@ -65,7 +65,6 @@
     pool.attempts_started.set(pool.attempts_started.get() + 1);
     let guard = AttemptGuard {
         pool: pool.clone(),
-        request,
         attempt,
         worker,
         stage: AttemptStage::NotConnected,
@@ -73,7 +72,7 @@
         load: None,
     };
     let task = spawn_local(run_attempt(peer, payload, (deadline, not_after), guard));
-    pool.attempts.borrow_mut().insert((request, attempt), task.abort_handle());
+    pool.attempts.borrow_mut().insert(attempt, task.abort_handle());
 }
 
 /// One attempt. Whatever way it ends early, `end` tells how far it had come.
@@ -240,13 +239,12 @@
     if other || answer.id.as_bytes() != payload.id {
         return None;
     }
-    let (request, attempt) = (end.request, end.attempt);
     if let Some(load) = answer.load {
         end.load = end.pool.parse_load_report(|form| form.parse_json(load.get()));
     }
     match &*answer.state {
-        "started" => end.pool.handle.send(Input::JobStarted(request, attempt)),
-        "running" => end.pool.handle.send(Input::Progress(request, attempt, answer.share)),
+        "started" => end.pool.handle.send(Input::JobStarted(end.attempt)),
+        "running" => end.pool.handle.send(Input::Progress { attempt: end.attempt, done: answer.share }),
         "done" => end.report(Outcome::Ok, result_bytes(line, answer.result)?),
         "failed" => end.report(Outcome::Error, Bytes::new()),
         "returned" => end.report(Outcome::Overloaded, Bytes::new()),
--- a/crates/dispatcher/src/net/worker/health_check.rs
+++ b/crates/dispatcher/src/net/worker/health_check.rs
@@ -32,7 +32,11 @@
 impl Drop for HealthCheckGuard {
     fn drop(&mut self) {
         self.pool.health_checks.borrow_mut().remove(&self.worker);
-        self.pool.handle.send(Input::HealthCheckEnded(self.worker, self.healthy, self.load.take()));
+        self.pool.handle.send(Input::HealthCheckEnded {
+            worker: self.worker,
+            healthy: self.healthy,
+            load: self.load.take(),
+        });
     }
 }
 
--- a/crates/dispatcher/src/net/worker/mod.rs
+++ b/crates/dispatcher/src/net/worker/mod.rs
@@ -33,12 +33,12 @@
 
 fn execute(pool: &Rc<Pool>, command: Command) {
     match command {
-        Command::Attempt { request, attempt, worker, payload, deadline, not_after } => {
+        Command::Attempt { attempt, worker, payload, deadline, not_after } => {
             let worker = (worker, pool.workers.borrow().get(&worker).cloned());
-            attempt::start(pool, (request, attempt), worker, payload, (deadline, not_after));
+            attempt::start(pool, attempt, worker, payload, (deadline, not_after));
         }
-        Command::Cancel(request, attempt) => {
-            let task = pool.attempts.borrow_mut().remove(&(request, attempt));
+        Command::Cancel(attempt) => {
+            let task = pool.attempts.borrow_mut().remove(&attempt);
             if let Some(task) = task {
                 task.abort();
             }
@@ -49,6 +49,6 @@
                 pool.close_idle(worker);
             }
         }
-        Command::EndpointList(scope, endpoints) => pool.update_workers(scope, &endpoints),
+        Command::EndpointList { scope, endpoints } => pool.update_workers(scope, &endpoints),
     }
 }
--- a/crates/dispatcher/src/net/worker/pool.rs
+++ b/crates/dispatcher/src/net/worker/pool.rs
@@ -12,10 +12,10 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-use crate::engine::{Clock, Handle, ListedEndpoint, Micros};
+use crate::engine::{AttemptId, Clock, Handle, ListedEndpoint, Micros};
 use crate::net::metrics::Metrics;
 use crate::net::ConfigReceiver;
-use dispatch_core::api::{ListScope, LoadReport, RequestId, WorkerId, WorkerState};
+use dispatch_core::api::{ListScope, LoadReport, WorkerId, WorkerState};
 use dispatch_core::load_report::{LoadReportFormat, ParsedLoadReport};
 
 /// A connection on which nothing is out.
@@ -58,7 +58,7 @@
     pub(crate) handle: Handle,
     pub(crate) workers: RefCell<FxHashMap<WorkerId, Rc<Worker>>>,
     /// The attempts that are out.
-    pub(crate) attempts: RefCell<FxHashMap<(RequestId, u32), AbortHandle>>,
+    pub(crate) attempts: RefCell<FxHashMap<AttemptId, AbortHandle>>,
     /// The probes that are out.
     pub(crate) health_checks: RefCell<FxHashMap<WorkerId, AbortHandle>>,
     /// Connections that are open or coming up.
--- a/crates/dispatcher/tests/engine.rs
+++ b/crates/dispatcher/tests/engine.rs
@@ -8,8 +8,8 @@
     WorkerState,
 };
 use dispatcher::engine::{
-    Answer, AttemptStage, Clock, Command, Engine, Handle, Input, InvalidRequest, Job, ListedEndpoint,
-    Payload, PendingJob,
+    Answer, AttemptEnd, AttemptId, AttemptStage, Clock, Command, Engine, Handle, Input, InvalidRequest, Job,
+    ListedEndpoint, Payload, PendingJob,
 };
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
@@ -90,14 +90,14 @@
     }
 
     /// The next attempt that is wanted.
-    async fn attempt(&mut self) -> (RequestId, u32) {
+    async fn attempt(&mut self) -> AttemptId {
         loop {
             match self.commands.recv().await.expect("a command") {
-                Command::Attempt { request, attempt, .. } => return (request, attempt),
-                Command::Cancel(..)
+                Command::Attempt { attempt, .. } => return attempt,
+                Command::Cancel(_)
                 | Command::HealthCheck(_)
                 | Command::CloseIdle(_)
-                | Command::EndpointList(..) => {}
+                | Command::EndpointList { .. } => {}
             }
         }
     }
@@ -108,6 +108,10 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
+fn attempt_ended(attempt: AttemptId, outcome: Outcome, result: Bytes) -> Input {
+    Input::AttemptEnded(AttemptEnd { attempt, outcome, result, load: None })
+}
+
 const HOUR: u64 = 3_600_000_000;
 
 /// Guards against answers held back until near the deadline: with an hour to go, what the throttle declines is
@@ -120,7 +124,7 @@
         let mut refused = 0;
         for ticket in tickets.iter_mut().rev().take(150) {
             match ticket.answer().await {
-                Answer::Refused(Some(after)) if after > 0.0 && after <= 2.0 => refused += 1,
+                Answer::Refused { retry_after: Some(after) } if after > 0.0 && after <= 2.0 => refused += 1,
                 other => panic!("{other:?}"),
             }
         }
@@ -135,19 +139,19 @@
     run(async {
         let mut bench = Bench::start(1000.0);
         let mut ticket = bench.submit(HOUR);
-        let (request, attempt) = bench.attempt().await;
+        let attempt = bench.attempt().await;
         for result in ["first", "second"] {
-            bench.handle.send(Input::AttemptEnded(request, attempt, Outcome::Ok, Bytes::from(result), None));
+            bench.handle.send(attempt_ended(attempt, Outcome::Ok, Bytes::from(result)));
         }
-        bench.handle.send(Input::AttemptEnded(request, attempt, Outcome::Reset, Bytes::new(), None));
-        bench.handle.send(Input::JobStarted(request, attempt));
-        bench.handle.send(Input::AttemptEnded(request, 17, Outcome::Ok, Bytes::new(), None));
-        bench.handle.send(Input::ClientDisconnected(request));
+        bench.handle.send(attempt_ended(attempt, Outcome::Reset, Bytes::new()));
+        bench.handle.send(Input::JobStarted(attempt));
+        bench.handle.send(attempt_ended(AttemptId { number: 17, ..attempt }, Outcome::Ok, Bytes::new()));
+        bench.handle.send(Input::ClientDisconnected(attempt.request));
         assert_eq!(ticket.answer().await, Answer::Served(Bytes::from("first")));
         // It goes on.
         let mut next = bench.submit(HOUR);
-        let (request, attempt) = bench.attempt().await;
-        bench.handle.send(Input::AttemptEnded(request, attempt, Outcome::Ok, Bytes::from("next"), None));
+        let attempt = bench.attempt().await;
+        bench.handle.send(attempt_ended(attempt, Outcome::Ok, Bytes::from("next")));
         assert_eq!(next.answer().await, Answer::Served(Bytes::from("next")));
     });
 }
@@ -159,14 +163,14 @@
     run(async {
         let mut bench = Bench::start(1000.0);
         let mut first = bench.submit_as("a1");
-        let (request, attempt) = bench.attempt().await;
+        let attempt = bench.attempt().await;
         assert_eq!(bench.submit_as("a1").answer().await, Answer::Rejected(InvalidRequest::DuplicateId));
-        bench.handle.send(Input::AttemptEnded(request, attempt, Outcome::Ok, Bytes::from("one"), None));
+        bench.handle.send(attempt_ended(attempt, Outcome::Ok, Bytes::from("one")));
         assert_eq!(first.answer().await, Answer::Served(Bytes::from("one")));
         let mut again = bench.submit_as("a1");
-        let (request, attempt) = bench.attempt().await;
+        let attempt = bench.attempt().await;
         // What a worker cannot use ends here: no other is asked.
-        bench.handle.send(Input::AttemptEnded(request, attempt, Outcome::InvalidRequest, Bytes::new(), None));
+        bench.handle.send(attempt_ended(attempt, Outcome::InvalidRequest, Bytes::new()));
         assert_eq!(again.answer().await, Answer::Rejected(InvalidRequest::Unusable));
     });
 }
@@ -177,13 +181,10 @@
     run(async {
         let mut bench = Bench::start(1000.0);
         let mut ticket = bench.submit(50_000);
-        let (request, attempt) = bench.attempt().await;
-        assert!(matches!(ticket.answer().await, Answer::Refused(_)), "safe to repeat: refused");
+        let attempt = bench.attempt().await;
+        assert!(matches!(ticket.answer().await, Answer::Refused { .. }), "safe to repeat: refused");
         let cancelled = bench.commands.recv().await;
-        assert!(
-            matches!(cancelled, Some(Command::Cancel(r, a)) if (r, a) == (request, attempt)),
-            "{cancelled:?}"
-        );
+        assert!(matches!(cancelled, Some(Command::Cancel(id)) if id == attempt), "{cancelled:?}");
     });
 }
 
@@ -193,13 +194,10 @@
     run(async {
         let mut bench = Bench::start(1000.0);
         let ticket = bench.submit(HOUR);
-        let (request, attempt) = bench.attempt().await;
+        let attempt = bench.attempt().await;
         drop(ticket);
         let cancelled = bench.commands.recv().await;
-        assert!(
-            matches!(cancelled, Some(Command::Cancel(r, a)) if (r, a) == (request, attempt)),
-            "{cancelled:?}"
-        );
+        assert!(matches!(cancelled, Some(Command::Cancel(id)) if id == attempt), "{cancelled:?}");
     });
 }
 
@@ -213,7 +211,7 @@
         bench.attempt().await;
         bench.handle.send(Input::Shutdown);
         assert_eq!(open.answer().await, Answer::Failed);
-        assert_eq!(bench.submit(HOUR).answer().await, Answer::Refused(None));
+        assert_eq!(bench.submit(HOUR).answer().await, Answer::Refused { retry_after: None });
     });
 }
 
@@ -238,13 +236,26 @@
 fn what_comes_before_discovery_is_heard_waits_for_it() {
     run(async {
         let mut bench = Bench::start_unheard(HOUR);
-        assert!(matches!(bench.commands.recv().await, Some(Command::EndpointList(ListScope::Cached, _))));
-        assert_eq!(bench.submit(20_000).answer().await, Answer::Refused(None), "its time is up");
+        assert!(matches!(
+            bench.commands.recv().await,
+            Some(Command::EndpointList { scope: ListScope::Cached, .. })
+        ));
+        assert_eq!(
+            bench.submit(20_000).answer().await,
+            Answer::Refused { retry_after: None },
+            "its time is up"
+        );
         drop(bench.submit(HOUR));
         let mut waits = bench.submit(HOUR);
-        bench.handle.send(Input::EndpointList(ListScope::Full, Vec::new()));
-        assert!(matches!(bench.commands.recv().await, Some(Command::EndpointList(ListScope::Full, _))));
-        assert!(matches!(waits.answer().await, Answer::Refused(Some(_))), "no worker is left");
+        bench.handle.send(Input::EndpointList { scope: ListScope::Full, endpoints: Vec::new() });
+        assert!(matches!(
+            bench.commands.recv().await,
+            Some(Command::EndpointList { scope: ListScope::Full, .. })
+        ));
+        assert!(
+            matches!(waits.answer().await, Answer::Refused { retry_after: Some(_) }),
+            "no worker is left"
+        );
         assert!(bench.commands.try_recv().is_err(), "nothing was sent");
     });
 }
@@ -265,13 +276,13 @@
     run(async {
         let mut bench = Bench::start(1000.0);
         assert!(
-            matches!(bench.commands.recv().await, Some(Command::EndpointList(ListScope::Cached, all)) if all.len() == 1)
+            matches!(bench.commands.recv().await, Some(Command::EndpointList { scope: ListScope::Cached, endpoints: all }) if all.len() == 1)
         );
-        bench.handle.send(Input::EndpointList(ListScope::Full, Vec::new()));
+        bench.handle.send(Input::EndpointList { scope: ListScope::Full, endpoints: Vec::new() });
         assert!(
-            matches!(bench.commands.recv().await, Some(Command::EndpointList(ListScope::Full, all)) if all.is_empty())
+            matches!(bench.commands.recv().await, Some(Command::EndpointList { scope: ListScope::Full, endpoints: all }) if all.is_empty())
         );
-        assert!(matches!(bench.submit(HOUR).answer().await, Answer::Refused(Some(_))));
+        assert!(matches!(bench.submit(HOUR).answer().await, Answer::Refused { retry_after: Some(_) }));
     });
 }
 
@@ -302,12 +313,15 @@
             state: WorkerState::Serving,
         };
         let address = Some(SocketAddr::from(([127, 0, 0, 1], 9)));
-        bench.handle.send(Input::EndpointList(ListScope::Full, vec![ListedEndpoint { endpoint, address }]));
+        bench.handle.send(Input::EndpointList {
+            scope: ListScope::Full,
+            endpoints: vec![ListedEndpoint { endpoint, address }],
+        });
         // The slice of the start is over.
         tokio::time::sleep(std::time::Duration::from_millis(200)).await;
         let mut first = bench.submit(HOUR);
-        let (request, attempt) = bench.attempt().await;
-        bench.handle.send(Input::AttemptEnded(request, attempt, Outcome::Ok, Bytes::from("x"), None));
+        let attempt = bench.attempt().await;
+        bench.handle.send(attempt_ended(attempt, Outcome::Ok, Bytes::from("x")));
         assert_eq!(first.answer().await, Answer::Served(Bytes::from("x")));
         bench.handle.send(Input::Draining);
         let _second = bench.submit(HOUR);
