--- a/crates/dispatcher/src/engine/event_loop.rs
+++ b/crates/dispatcher/src/engine/event_loop.rs
@@ -217,7 +217,7 @@
             match action {
                 Action::Send { request, worker, timeout } => self.start_attempt(request, worker, timeout),
                 Action::Reject { request, retry_after } => {
-                    self.answer_request(request, Answer::Refused { retry_after })
+                    self.answer_request(request, Answer::Rejected { retry_after })
                 }
                 Action::Fail { request } => self.answer_request(request, Answer::Failed),
                 Action::Cancel { request, attempt } => {
--- a/crates/dispatcher/src/engine/messages.rs
+++ b/crates/dispatcher/src/engine/messages.rs
@@ -48,14 +48,14 @@
     /// Result of a worker.
     Served(Bytes),
     /// Admission declined the job and nothing ran, so that a retry is harmless.
-    Refused {
+    Rejected {
         /// Time after which the client may try again, if the decision module named one.
         retry_after: Option<Seconds>,
     },
     /// No result; the job may have run.
     Failed,
     /// The request itself is at fault.
-    Rejected(InvalidRequest),
+    Invalid(InvalidRequest),
 }
 
 /// Reason why a request cannot be a job.
--- a/crates/dispatcher/src/engine/requests.rs
+++ b/crates/dispatcher/src/engine/requests.rs
@@ -14,12 +14,12 @@
 impl Engine {
     pub(super) fn open_request(&mut self, id: RequestId, job: Job, answer: oneshot::Sender<Answer>) {
         if self.shutting_down {
-            let _ = answer.send(Answer::Refused { retry_after: None });
+            let _ = answer.send(Answer::Rejected { retry_after: None });
             return;
         }
         // Workers know jobs by these ids: a second one would be taken for the first, and a cancel would end both.
         if !self.requests.claim_client_id(&job.payload.id) {
-            let _ = answer.send(Answer::Rejected(InvalidRequest::DuplicateId));
+            let _ = answer.send(Answer::Invalid(InvalidRequest::DuplicateId));
             return;
         }
         let deadline = self.now + job.timeout;
@@ -77,7 +77,7 @@
             }
         } else if outcome == Outcome::InvalidRequest {
             if let Some(answer) = open.conclude() {
-                let _ = answer.send(Answer::Rejected(InvalidRequest::Unusable));
+                let _ = answer.send(Answer::Invalid(InvalidRequest::Unusable));
             }
         }
         let complete = open.answer_sender.is_none();
@@ -91,7 +91,7 @@
         let harmless = !open.attempts.iter().any(|attempt| attempt.may_have_run);
         if let Some(answer) = open.conclude() {
             let _ =
-                answer.send(if harmless { Answer::Refused { retry_after: None } } else { Answer::Failed });
+                answer.send(if harmless { Answer::Rejected { retry_after: None } } else { Answer::Failed });
             self.notify_policy(Event::ClientDisconnected(request));
         }
         let attempts = self.requests.attempts(request);
--- a/crates/dispatcher/src/net/client/connection.rs
+++ b/crates/dispatcher/src/net/client/connection.rs
@@ -189,7 +189,7 @@
             Ok(None) => Ok(self.context.readiness()),
             Ok(Some(job)) if self.over_limit => {
                 self.context.metrics.count(&job.payload.class, Outcome::Refused);
-                Ok(Answer::Refused { retry_after: Some(CROWDED_RETRY_AFTER_S) })
+                Ok(Answer::Rejected { retry_after: Some(CROWDED_RETRY_AFTER_S) })
             }
             Ok(Some(mut job)) => {
                 job.payload.body = body;
@@ -197,10 +197,10 @@
                 let answer = self.await_answer(*job).await?;
                 let outcome = match &answer {
                     Answer::Served(_) => Outcome::Served,
-                    Answer::Refused { .. } | Answer::Rejected(InvalidRequest::DuplicateId) => {
+                    Answer::Rejected { .. } | Answer::Invalid(InvalidRequest::DuplicateId) => {
                         Outcome::Refused
                     }
-                    Answer::Failed | Answer::Rejected(InvalidRequest::Unusable) => Outcome::Failed,
+                    Answer::Failed | Answer::Invalid(InvalidRequest::Unusable) => Outcome::Failed,
                 };
                 self.context.metrics.count(&class, outcome);
                 Ok(answer)
--- a/crates/dispatcher/src/net/client/mod.rs
+++ b/crates/dispatcher/src/net/client/mod.rs
@@ -64,7 +64,7 @@
         if ready {
             Answer::Served(Bytes::from_static(b"ready\n"))
         } else {
-            Answer::Refused { retry_after: None }
+            Answer::Rejected { retry_after: None }
         }
     }
 
--- a/crates/dispatcher/src/net/client/response.rs
+++ b/crates/dispatcher/src/net/client/response.rs
@@ -29,13 +29,13 @@
 pub(super) fn encode_answer(answer: Answer, keep: bool) -> (Bytes, Bytes) {
     match answer {
         Answer::Served(result) => encode_response(200, None, keep, result),
-        Answer::Refused { retry_after } => {
+        Answer::Rejected { retry_after } => {
             encode_response(503, retry_after, keep, Bytes::from_static(b"try again later\n"))
         }
-        Answer::Rejected(InvalidRequest::DuplicateId) => {
+        Answer::Invalid(InvalidRequest::DuplicateId) => {
             encode_response(409, None, keep, Bytes::from_static(b"a request of this id is open"))
         }
-        Answer::Rejected(InvalidRequest::Unusable) => {
+        Answer::Invalid(InvalidRequest::Unusable) => {
             encode_response(400, None, keep, Bytes::from_static(b"no worker can use this request"))
         }
         Answer::Failed => encode_response(502, None, keep, Bytes::from_static(b"the job failed\n")),
--- a/crates/dispatcher/tests/engine.rs
+++ b/crates/dispatcher/tests/engine.rs
@@ -124,7 +124,7 @@
         let mut refused = 0;
         for ticket in tickets.iter_mut().rev().take(150) {
             match ticket.answer().await {
-                Answer::Refused { retry_after: Some(after) } if after > 0.0 && after <= 2.0 => refused += 1,
+                Answer::Rejected { retry_after: Some(after) } if after > 0.0 && after <= 2.0 => refused += 1,
                 other => panic!("{other:?}"),
             }
         }
@@ -164,14 +164,14 @@
         let mut bench = Bench::start(1000.0);
         let mut first = bench.submit_as("a1");
         let attempt = bench.attempt().await;
-        assert_eq!(bench.submit_as("a1").answer().await, Answer::Rejected(InvalidRequest::DuplicateId));
+        assert_eq!(bench.submit_as("a1").answer().await, Answer::Invalid(InvalidRequest::DuplicateId));
         bench.handle.send(attempt_ended(attempt, Outcome::Ok, Bytes::from("one")));
         assert_eq!(first.answer().await, Answer::Served(Bytes::from("one")));
         let mut again = bench.submit_as("a1");
         let attempt = bench.attempt().await;
         // What a worker cannot use ends here: no other is asked.
         bench.handle.send(attempt_ended(attempt, Outcome::InvalidRequest, Bytes::new()));
-        assert_eq!(again.answer().await, Answer::Rejected(InvalidRequest::Unusable));
+        assert_eq!(again.answer().await, Answer::Invalid(InvalidRequest::Unusable));
     });
 }
 
@@ -182,7 +182,7 @@
         let mut bench = Bench::start(1000.0);
         let mut ticket = bench.submit(50_000);
         let attempt = bench.attempt().await;
-        assert!(matches!(ticket.answer().await, Answer::Refused { .. }), "safe to repeat: refused");
+        assert!(matches!(ticket.answer().await, Answer::Rejected { .. }), "safe to repeat: refused");
         let cancelled = bench.commands.recv().await;
         assert!(matches!(cancelled, Some(Command::Cancel(id)) if id == attempt), "{cancelled:?}");
     });
@@ -211,7 +211,7 @@
         bench.attempt().await;
         bench.handle.send(Input::Shutdown);
         assert_eq!(open.answer().await, Answer::Failed);
-        assert_eq!(bench.submit(HOUR).answer().await, Answer::Refused { retry_after: None });
+        assert_eq!(bench.submit(HOUR).answer().await, Answer::Rejected { retry_after: None });
     });
 }
 
@@ -242,7 +242,7 @@
         ));
         assert_eq!(
             bench.submit(20_000).answer().await,
-            Answer::Refused { retry_after: None },
+            Answer::Rejected { retry_after: None },
             "its time is up"
         );
         drop(bench.submit(HOUR));
@@ -253,7 +253,7 @@
             Some(Command::EndpointList { scope: ListScope::Full, .. })
         ));
         assert!(
-            matches!(waits.answer().await, Answer::Refused { retry_after: Some(_) }),
+            matches!(waits.answer().await, Answer::Rejected { retry_after: Some(_) }),
             "no worker is left"
         );
         assert!(bench.commands.try_recv().is_err(), "nothing was sent");
@@ -282,7 +282,7 @@
         assert!(
             matches!(bench.commands.recv().await, Some(Command::EndpointList { scope: ListScope::Full, endpoints: all }) if all.is_empty())
         );
-        assert!(matches!(bench.submit(HOUR).answer().await, Answer::Refused { retry_after: Some(_) }));
+        assert!(matches!(bench.submit(HOUR).answer().await, Answer::Rejected { retry_after: Some(_) }));
     });
 }
 
