--- a/crates/emulator/src/cli/cluster.rs
+++ b/crates/emulator/src/cli/cluster.rs
@@ -31,7 +31,7 @@
 pub fn dispatch_latency(length_s: u64, out: &Path) -> Result<(), CliError> {
     let binaries = cluster_binaries()?;
     let length = Duration::from_secs(length_s);
-    let arms = dispatch_latency::play(out, &binaries, length).map_err(CliError::Cluster)?;
+    let arms = dispatch_latency::play(out, &binaries, length)?;
     let text = serde_json::to_string_pretty(&arms)?;
     std::fs::write(out.join("waits.json"), &text).map_err(CliError::file(out))?;
     println!("{text}");
@@ -47,8 +47,7 @@
     for count in &arguments.members {
         for (name, settings) in [("nothing shared", None), ("members", Some(settings))] {
             let dir = arguments.out.join(format!("{count}-{}", settings.map_or("off", |_| "on")));
-            let side = scaling_cost::play(&dir, &binaries, (*count).into(), settings, length)
-                .map_err(CliError::Cluster)?;
+            let side = scaling_cost::play(&dir, &binaries, (*count).into(), settings, length)?;
             println!("{count} {name}: {side:?}");
             sides.insert(format!("{count} {name}"), side);
         }
@@ -78,7 +77,7 @@
         let dir = arguments.out.join(format!("seed-{seed}"));
         let coordinators = coordinator_count(arguments.keepers, seed);
         let plan = planned_drains::Plan { seed, coordinators, ..base.clone() };
-        planned_drains::play(&dir, &binaries, &plan).map_err(CliError::Cluster)
+        Ok(planned_drains::play(&dir, &binaries, &plan)?)
     })?;
     print!("{}", planned_drains::table(&results));
     write_schedules(&arguments.out.join("drains.json"), &results, |result| result.rules.is_empty())
@@ -102,7 +101,7 @@
         let dir = arguments.out.join(format!("seed-{seed}"));
         let coordinators = coordinator_count(arguments.keepers, seed);
         let plan = shared_health_checks::Plan { seed, coordinators, ..base.clone() };
-        shared_health_checks::play(&dir, &binaries, &plan).map_err(CliError::Cluster)
+        Ok(shared_health_checks::play(&dir, &binaries, &plan)?)
     })?;
     print!("{}", shared_health_checks::table(&results));
     write_schedules(&arguments.out.join("watching.json"), &results, |result| result.rules.is_empty())
@@ -173,7 +172,7 @@
     std::thread::spawn(move || {
         let arm = if plan.grants { "granted" } else { "planned" };
         let dir = out.join(format!("seed-{}-{arm}", plan.seed));
-        let day = slow_start::play(&dir, &binaries, &plan).map_err(CliError::Cluster)?;
+        let day = slow_start::play(&dir, &binaries, &plan)?;
         Ok((format!("{} {arm}", plan.seed), day))
     })
 }
--- a/crates/emulator/src/cli/error.rs
+++ b/crates/emulator/src/cli/error.rs
@@ -3,6 +3,7 @@
 use std::io;
 use std::path::PathBuf;
 
+use emulator::cluster::error::ClusterError;
 use hcl_config::HclError;
 
 /// Why a subcommand failed; its text is what the user reads after the name of the program.
@@ -47,8 +48,8 @@
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The harness of the cluster could not do its work.
-    #[error("{0}")]
-    Cluster(String),
+    #[error(transparent)]
+    Cluster(#[from] ClusterError),
     /// A thread that played a schedule panicked.
     #[error("a lane panicked")]
     LanePanicked,
--- a/crates/emulator/src/cli/experiments.rs
+++ b/crates/emulator/src/cli/experiments.rs
@@ -42,8 +42,7 @@
     let bar = progress_bar(seeds.len() * plan.arms.len(), "schedules");
     let bug = arguments.seeded_bug.as_deref();
     let at_once = arguments.at_once.into();
-    let results = run_schedules(&plan, &seeds, &programs, &arguments.out, bug, at_once, &bar)
-        .map_err(CliError::Cluster)?;
+    let results = run_schedules(&plan, &seeds, &programs, &arguments.out, bug, at_once, &bar)?;
     bar.finish_and_clear();
     results.write(&arguments.out).map_err(CliError::file(&arguments.out))?;
     print!("{}", results.table());
--- a/crates/emulator/src/cli/mod.rs
+++ b/crates/emulator/src/cli/mod.rs
@@ -28,7 +28,7 @@
         Command::Watching(arguments) => cluster::shared_health_checks(&arguments),
         Command::Drains(arguments) => cluster::planned_drains(&arguments),
         Command::Joining(arguments) => cluster::slow_start(&arguments),
-        Command::LightMember { file } => lightweight_member::run(&file).map_err(CliError::Cluster),
+        Command::LightMember { file } => Ok(lightweight_member::run(&file)?),
         Command::Hours(arguments) => protocol::soak(&arguments),
         Command::Model(arguments) => protocol::model(&arguments),
     }
--- a/crates/emulator/src/cluster/cluster_harness.rs
+++ b/crates/emulator/src/cluster/cluster_harness.rs
@@ -16,6 +16,7 @@
 use tokio::time::{sleep, timeout, Instant};
 
 use super::emulated_discovery::EmulatedDiscovery;
+use super::error::ClusterError;
 use super::fault_proxy::{run_proxy, FaultyNetwork, NodeId, SharedNetwork};
 use super::record_checker::{self, Records};
 
@@ -33,13 +34,17 @@
     ///
     /// # Errors
     /// They are not there.
-    pub fn beside_tests() -> Result<Binaries, String> {
-        let test = std::env::current_exe().map_err(|error| error.to_string())?;
-        let profile = test.parent().and_then(Path::parent).ok_or("no folder of the profile")?;
+    pub fn beside_tests() -> Result<Binaries, ClusterError> {
+        let test = std::env::current_exe().map_err(ClusterError::io("path of the test program"))?;
+        let profile = test.parent().and_then(Path::parent);
+        let profile = profile.ok_or_else(|| ClusterError::NoProfileFolder(test.clone()))?;
         let built = |name: &str| {
             let program = profile.join(name);
-            let missing = format!("{} is missing: run the tests of the whole workspace", program.display());
-            program.is_file().then_some(program).ok_or(missing)
+            if program.is_file() {
+                Ok(program)
+            } else {
+                Err(ClusterError::MissingProgram(program))
+            }
         };
         Ok(Binaries { dispatcher: built("dispatcher")?, coordinator: built("coordinator")? })
     }
@@ -73,10 +78,6 @@
     pub listen: Vec<SocketAddr>,
 }
 
-fn with_context(what: impl std::fmt::Display) -> impl FnOnce(std::io::Error) -> String {
-    move |error| format!("{what}: {error}")
-}
-
 /// What a fleet is made of.
 #[derive(Debug, Clone, Copy)]
 pub struct ClusterSpec<'a> {
@@ -96,17 +97,20 @@
 ///
 /// # Errors
 /// The folder or the runtime cannot be made, or what is played says so.
-pub fn run_in_folder<T>(dir: &Path, play: impl Future<Output = Result<T, String>>) -> Result<T, String> {
-    std::fs::create_dir_all(dir).map_err(with_context(dir.display()))?;
+pub fn run_in_folder<T>(
+    dir: &Path,
+    play: impl Future<Output = Result<T, ClusterError>>,
+) -> Result<T, ClusterError> {
+    std::fs::create_dir_all(dir).map_err(ClusterError::io(dir.display()))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    LocalSet::new().block_on(&runtime.map_err(with_context("a runtime"))?, play)
+    LocalSet::new().block_on(&runtime.map_err(ClusterError::io("a runtime"))?, play)
 }
 
 /// What so many coordinators and dispatchers recorded below a folder.
 ///
 /// # Errors
 /// A record cannot be read.
-pub fn read_records(dir: &Path, coordinators: usize, dispatchers: usize) -> Result<Records, String> {
+pub fn read_records(dir: &Path, coordinators: usize, dispatchers: usize) -> Result<Records, ClusterError> {
     let mut records = Records::default();
     for coordinator in 1..=coordinators as u64 {
         records
@@ -162,30 +166,42 @@
 }
 
 /// A proxy before this address, where there are any, and where it is.
-fn proxy_before(network: Option<&SharedNetwork>, name: NodeId, at: SocketAddr) -> Result<SocketAddr, String> {
+fn proxy_before(
+    network: Option<&SharedNetwork>,
+    name: NodeId,
+    at: SocketAddr,
+) -> Result<SocketAddr, ClusterError> {
     let Some(network) = network else { return Ok(at) };
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").map_err(with_context("a proxy"))?;
-    listener.set_nonblocking(true).map_err(with_context("a proxy"))?;
-    let door = listener.local_addr().map_err(with_context("a proxy"))?;
-    let listener = TcpListener::from_std(listener).map_err(with_context("a proxy"))?;
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").map_err(ClusterError::io("a proxy"))?;
+    listener.set_nonblocking(true).map_err(ClusterError::io("a proxy"))?;
+    let door = listener.local_addr().map_err(ClusterError::io("a proxy"))?;
+    let listener = TcpListener::from_std(listener).map_err(ClusterError::io("a proxy"))?;
     spawn_local(run_proxy(network.clone(), listener, name, at));
     Ok(door)
 }
 
-fn send_signal(process: &Option<Process>, signal: Signal) -> Result<(), String> {
-    let id = process.as_ref().and_then(|process| i32::try_from(process.0.id()).ok());
-    let pid = id.and_then(Pid::from_raw).ok_or("it does not run")?;
-    kill_process(pid, signal).map_err(|error| error.to_string())
+/// Sends a signal to a process of this name.
+fn send_signal(name: String, process: Option<&Process>, signal: Signal) -> Result<(), ClusterError> {
+    let id = process.and_then(|process| i32::try_from(process.0.id()).ok());
+    let Some(pid) = id.and_then(Pid::from_raw) else {
+        return Err(ClusterError::NotRunning { process: name });
+    };
+    kill_process(pid, signal).map_err(|source| ClusterError::Signal { process: name, source })
+}
+
+/// Returns the error of a command with this text on standard error.
+fn command_error(stderr: &[u8]) -> ClusterError {
+    ClusterError::Command { stderr: String::from_utf8_lossy(stderr).into_owned() }
 }
 
 /// Writes the configuration of a coordinator and has it make its store.
-fn bootstrap(dir: &Path, binaries: &Binaries, number: usize, config: String) -> Result<(), String> {
+fn bootstrap(dir: &Path, binaries: &Binaries, number: usize, config: String) -> Result<(), ClusterError> {
     let file = dir.join(format!("k{number}.hcl"));
     write(&file, config)?;
     let output = Command::new(&binaries.coordinator).args(["bootstrap", "--config"]).arg(&file).output();
-    let output = output.map_err(with_context(binaries.coordinator.display()))?;
+    let output = output.map_err(ClusterError::io(binaries.coordinator.display()))?;
     if !output.status.success() {
-        return Err(String::from_utf8_lossy(&output.stderr).into_owned());
+        return Err(command_error(&output.stderr));
     }
     Ok(())
 }
@@ -199,11 +215,11 @@
 }
 
 /// Serves the discoveries; where each listens.
-async fn serve_discoveries(discoveries: &[EmulatedDiscovery]) -> Result<Vec<SocketAddr>, String> {
+async fn serve_discoveries(discoveries: &[EmulatedDiscovery]) -> Result<Vec<SocketAddr>, ClusterError> {
     let mut addresses = Vec::new();
     for discovery in discoveries {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(with_context("discovery"))?;
-        addresses.push(listener.local_addr().map_err(with_context("discovery"))?);
+        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("discovery"))?;
+        addresses.push(listener.local_addr().map_err(ClusterError::io("discovery"))?);
         spawn_local(discovery.clone().serve(listener));
     }
     Ok(addresses)
@@ -243,8 +259,8 @@
     config.to_string()
 }
 
-fn write(path: &Path, text: String) -> Result<(), String> {
-    std::fs::write(path, text).map_err(with_context(path.display()))
+fn write(path: &Path, text: String) -> Result<(), ClusterError> {
+    std::fs::write(path, text).map_err(ClusterError::io(path.display()))
 }
 
 impl ClusterHarness {
@@ -258,7 +274,7 @@
         binaries: Binaries,
         mut config: Value,
         setup: ClusterSpec<'_>,
-    ) -> Result<ClusterHarness, String> {
+    ) -> Result<ClusterHarness, ClusterError> {
         let ClusterSpec {
             coordinators: count,
             dispatchers,
@@ -268,13 +284,13 @@
         } = setup;
         let mut addresses = AddressAllocator::new();
         let at = serve_discoveries(discoveries).await?;
-        let discovery = discoveries.first().cloned().ok_or("no discovery")?;
+        let discovery = discoveries.first().cloned().ok_or(ClusterError::NoDiscovery)?;
         let doors: Vec<SocketAddr> = (0..count).map(|_| addresses.next_address()).collect();
         let names = (1..=count).chain((0..dispatchers).map(member_node));
         let names = names.map(|name| (addresses.source_address(name).into(), name)).collect();
         let network = proxied.map(|seed| FaultyNetwork::new(names, seed));
         // What others are told of an address: the proxy before it, where there is one.
-        let seen: Result<Vec<SocketAddr>, String> =
+        let seen: Result<Vec<SocketAddr>, ClusterError> =
             (1..).zip(&doors).map(|(name, at)| proxy_before(network.as_ref(), name, *at)).collect();
         let coordinators = coordinator_blocks(&seen?);
         for number in 1..=count {
@@ -299,7 +315,7 @@
                 let address = proxy_before(network.as_ref(), member_node(n), at)?;
                 let record = dir.join(format!("d{n}.jsonl"));
                 let bind = addresses.source_address(member_node(n));
-                Ok::<_, String>(member_settings((at, address, bind), &record, &coordinators, settings))
+                Ok::<_, ClusterError>(member_settings((at, address, bind), &record, &coordinators, settings))
             })?;
             write(&dir.join(format!("d{n}.hcl")), settings)?;
         }
@@ -320,23 +336,23 @@
         Ok(fleet)
     }
 
-    fn spawn(&self, program: &Path, name: &str, arguments: &[PathBuf]) -> Result<Process, String> {
+    fn spawn(&self, program: &Path, name: &str, arguments: &[PathBuf]) -> Result<Process, ClusterError> {
         let log =
             std::fs::File::options().create(true).append(true).open(self.dir.join(format!("{name}.log")));
         let child = Command::new(program)
             .args(arguments)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(log.map_err(with_context("a log"))?)
+            .stderr(log.map_err(ClusterError::io("a log"))?)
             .spawn();
-        child.map(Process).map_err(with_context(program.display()))
+        child.map(Process).map_err(ClusterError::io(program.display()))
     }
 
     /// Starts coordinator `n`, from one.
     ///
     /// # Errors
     /// It cannot be started.
-    pub fn start_coordinator(&mut self, n: usize) -> Result<(), String> {
+    pub fn start_coordinator(&mut self, n: usize) -> Result<(), ClusterError> {
         let file = |ending: &str| self.dir.join(format!("k{n}.{ending}"));
         let arguments = ["serve".into(), "--config".into(), file("hcl"), "--record".into(), file("jsonl")];
         self.coordinators[n - 1] =
@@ -348,7 +364,7 @@
     ///
     /// # Errors
     /// It cannot be started.
-    pub fn start_dispatcher(&mut self, n: usize) -> Result<(), String> {
+    pub fn start_dispatcher(&mut self, n: usize) -> Result<(), ClusterError> {
         let file = |ending: &str| self.dir.join(format!("d{n}.{ending}"));
         let arguments = ["--config".into(), file("json"), "--settings".into(), file("hcl")];
         self.dispatchers[n] = Some(self.spawn(&self.binaries.dispatcher, &format!("d{n}"), &arguments)?);
@@ -359,9 +375,9 @@
     ///
     /// # Errors
     /// The file cannot be changed.
-    pub fn set_coordinator_setting(&self, n: usize, key: &str, value: &str) -> Result<(), String> {
+    pub fn set_coordinator_setting(&self, n: usize, key: &str, value: &str) -> Result<(), ClusterError> {
         let file = self.dir.join(format!("k{n}.hcl"));
-        let text = std::fs::read_to_string(&file).map_err(with_context(file.display()))?;
+        let text = std::fs::read_to_string(&file).map_err(ClusterError::io(file.display()))?;
         let others = text.lines().filter(|line| !line.trim_start().starts_with(&format!("{key} =")));
         let text: String = others.map(|line| format!("{line}\n")).collect();
         write(&file, text.replacen("serve {\n", &format!("serve {{\n  {key} = {value}\n"), 1))
@@ -371,10 +387,10 @@
     ///
     /// # Errors
     /// It cannot be removed.
-    pub fn lose_disk(&mut self, n: usize) -> Result<(), String> {
+    pub fn lose_disk(&mut self, n: usize) -> Result<(), ClusterError> {
         self.kill_coordinator(n);
         let store = self.dir.join(format!("k{n}"));
-        std::fs::remove_dir_all(&store).map_err(with_context(store.display()))
+        std::fs::remove_dir_all(&store).map_err(ClusterError::io(store.display()))
     }
 
     /// The exit code of coordinator `n`, from one, where it ended by itself.
@@ -406,7 +422,11 @@
     ///
     /// # Errors
     /// It failed.
-    pub async fn run_coordinator_command(&self, n: usize, arguments: &[&str]) -> Result<String, String> {
+    pub async fn run_coordinator_command(
+        &self,
+        n: usize,
+        arguments: &[&str],
+    ) -> Result<String, ClusterError> {
         // Without blocking: the proxies that it passes run here.
         let made = tokio::process::Command::new(&self.binaries.coordinator)
             .args(arguments)
@@ -414,11 +434,11 @@
             .arg(self.dir.join(format!("k{n}.hcl")))
             .output()
             .await
-            .map_err(with_context(self.binaries.coordinator.display()))?;
+            .map_err(ClusterError::io(self.binaries.coordinator.display()))?;
         if made.status.success() {
             Ok(String::from_utf8_lossy(&made.stdout).into_owned())
         } else {
-            Err(String::from_utf8_lossy(&made.stderr).into_owned())
+            Err(command_error(&made.stderr))
         }
     }
 
@@ -427,15 +447,16 @@
     ///
     /// # Errors
     /// Something cannot be set up.
-    pub async fn replace_coordinator(&mut self, lost: usize, new: usize) -> Result<SocketAddr, String> {
+    pub async fn replace_coordinator(&mut self, lost: usize, new: usize) -> Result<SocketAddr, ClusterError> {
         self.lose_disk(lost)?;
         let store = self.dir.join(format!("k{lost}"));
         let file = self.dir.join(format!("k{lost}.hcl"));
-        let text = std::fs::read_to_string(&file).map_err(with_context(file.display()))?;
+        let text = std::fs::read_to_string(&file).map_err(ClusterError::io(file.display()))?;
         let at = SocketAddr::from((self.listen[0].ip(), 30_000 + new as u16));
         // The block of the lost one, and its `serve`, become the new one's.
         let block = text.split("keeper \"").find(|block| block.starts_with(&format!("{lost}\"")));
-        let old = block.and_then(|block| block.split('"').nth(2)).ok_or("no block of the lost keeper")?;
+        let old = block.and_then(|block| block.split('"').nth(2));
+        let old = old.ok_or(ClusterError::MissingReplicaBlock { replica: lost })?;
         let text = text
             .replace(&format!("keeper \"{lost}\""), &format!("keeper \"{new}\""))
             .replace(old, &at.to_string())
@@ -480,16 +501,16 @@
     ///
     /// # Errors
     /// It does not run.
-    pub fn signal_dispatcher(&self, n: usize, signal: Signal) -> Result<(), String> {
-        send_signal(&self.dispatchers[n], signal)
+    pub fn signal_dispatcher(&self, n: usize, signal: Signal) -> Result<(), ClusterError> {
+        send_signal(format!("dispatcher {n}"), self.dispatchers[n].as_ref(), signal)
     }
 
     /// Sends a signal to coordinator `n`, from one.
     ///
     /// # Errors
     /// It does not run.
-    pub fn signal_coordinator(&self, n: usize, signal: Signal) -> Result<(), String> {
-        send_signal(&self.coordinators[n - 1], signal)
+    pub fn signal_coordinator(&self, n: usize, signal: Signal) -> Result<(), ClusterError> {
+        send_signal(format!("replica {n}"), self.coordinators[n - 1].as_ref(), signal)
     }
 
     /// The numbers of the processes that run, of coordinators and of dispatchers.
@@ -502,10 +523,11 @@
     ///
     /// # Errors
     /// The file cannot be changed.
-    pub fn change_discovery_address(&self, n: usize, to: SocketAddr) -> Result<(), String> {
+    pub fn change_discovery_address(&self, n: usize, to: SocketAddr) -> Result<(), ClusterError> {
         let file = self.dir.join(format!("d{n}.json"));
-        let text = std::fs::read(&file).map_err(with_context(file.display()))?;
-        let mut config: Value = serde_json::from_slice(&text).map_err(|error| error.to_string())?;
+        let text = std::fs::read(&file).map_err(ClusterError::io(file.display()))?;
+        let mut config: Value = serde_json::from_slice(&text)
+            .map_err(|source| ClusterError::Json { path: file.clone(), source })?;
         config["discovery"] = to.to_string().into();
         write(&file, config.to_string())?;
         self.signal_dispatcher(n, Signal::HUP)
@@ -515,10 +537,10 @@
     ///
     /// # Errors
     /// None has said so yet.
-    pub fn leader(&self) -> Result<usize, String> {
+    pub fn leader(&self) -> Result<usize, ClusterError> {
         let term = |n: usize| last_number(&self.coordinator_log(n), "became leader", "term=");
         let newest = (1..=self.coordinators.len()).filter_map(|n| Some((term(n)?, n))).max();
-        newest.map(|(_, n)| n).ok_or_else(|| format!("no coordinator has become leader\n{}", self.logs()))
+        newest.map(|(_, n)| n).ok_or_else(|| ClusterError::NoLeader { logs: self.logs() })
     }
 
     /// The dispatcher that said last that it asks for the fleet, from nought.
@@ -550,6 +572,11 @@
         coordinators.chain(dispatchers).collect()
     }
 
+    /// Returns the error for a state that was not reached in time, with the logs of all processes.
+    pub(super) fn timeout(&self, awaited: String) -> ClusterError {
+        ClusterError::Timeout { awaited, logs: self.logs() }
+    }
+
     /// How many workers a dispatcher knows, by its console.
     pub async fn known_workers(&self, n: usize) -> Option<usize> {
         let (_, _, text) = self.console(n, "GET", "/status/metrics").await?;
@@ -561,12 +588,12 @@
     ///
     /// # Errors
     /// It takes longer than 20 s.
-    pub async fn wait_for_workers(&self, workers: usize) -> Result<Duration, String> {
+    pub async fn wait_for_workers(&self, workers: usize) -> Result<Duration, ClusterError> {
         let start = Instant::now();
         for n in (0..self.dispatchers.len()).filter(|n| self.dispatchers[*n].is_some()) {
             while self.known_workers(n).await != Some(workers) {
                 if start.elapsed() > Duration::from_secs(20) {
-                    return Err(format!("d{n} does not know {workers}\n{}", self.logs()));
+                    return Err(self.timeout(format!("dispatcher {n} does not know {workers} workers")));
                 }
                 sleep(Duration::from_millis(10)).await;
             }
@@ -579,7 +606,7 @@
     ///
     /// # Errors
     /// It takes longer than 20 s.
-    pub async fn wait_for_balanced_sets(&self, sets: usize) -> Result<Duration, String> {
+    pub async fn wait_for_balanced_sets(&self, sets: usize) -> Result<Duration, ClusterError> {
         let start = Instant::now();
         loop {
             let listed = self.run_coordinator_command(1, &["duties"]).await;
@@ -587,7 +614,8 @@
                 return Ok(start.elapsed());
             }
             if start.elapsed() > Duration::from_secs(20) {
-                return Err(format!("sets are not balanced: {listed:?}\n{}", self.logs()));
+                let leases = listed.unwrap_or_else(|error| error.to_string());
+                return Err(self.timeout(format!("sets of workers are not balanced: {leases}")));
             }
             sleep(Duration::from_millis(50)).await;
         }
@@ -597,15 +625,12 @@
     ///
     /// # Errors
     /// It takes longer than 20 s.
-    pub async fn wait_for_watches(&self, wanted: u64) -> Result<Duration, String> {
+    pub async fn wait_for_watches(&self, wanted: u64) -> Result<Duration, ClusterError> {
         let start = Instant::now();
         while self.discovery.connection_counts().1 != wanted {
             if start.elapsed() > Duration::from_secs(20) {
-                return Err(format!(
-                    "{} watches, not {wanted}\n{}",
-                    self.discovery.connection_counts().1,
-                    self.logs()
-                ));
+                let watches = self.discovery.connection_counts().1;
+                return Err(self.timeout(format!("{watches} watches, not {wanted}")));
             }
             sleep(Duration::from_millis(10)).await;
         }
--- a/crates/emulator/src/cluster/dispatch_latency.rs
+++ b/crates/emulator/src/cluster/dispatch_latency.rs
@@ -1,6 +1,7 @@
 //! Whether dispatching waits for the fleet: the same traffic with the fleet off, on, on while its coordinators' leader is
 //! killed again and again, and on with all coordinators gone, side by side.
 
+use crate::cluster::error::ClusterError;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -88,23 +89,23 @@
     dir: &Path,
     binaries: &Binaries,
     length: Duration,
-) -> Result<BTreeMap<&'static str, LatencyResult>, String> {
+) -> Result<BTreeMap<&'static str, LatencyResult>, ClusterError> {
     let lanes: Vec<_> = ARMS
         .into_iter()
         .enumerate()
         .map(|(at, (name, arm))| {
             let (dir, binaries) = (dir.join(format!("arm-{at}")), binaries.clone());
             std::thread::spawn(move || {
-                std::fs::create_dir_all(&dir).map_err(|error| format!("{}: {error}", dir.display()))?;
+                std::fs::create_dir_all(&dir).map_err(ClusterError::io(dir.display()))?;
                 let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-                let runtime = runtime.map_err(|error| error.to_string())?;
+                let runtime = runtime.map_err(ClusterError::io("a runtime"))?;
                 let played = LocalSet::new().block_on(&runtime, run_arm(&dir, binaries, arm, length));
                 played.map(|waits| (name, waits))
             })
         })
         .collect();
-    let join = |lane: std::thread::JoinHandle<Result<_, String>>| {
-        lane.join().map_err(|_| "a lane panicked".to_owned())?
+    let join = |lane: std::thread::JoinHandle<Result<_, ClusterError>>| {
+        lane.join().map_err(|_| ClusterError::ThreadPanicked)?
     };
     lanes.into_iter().map(join).collect()
 }
@@ -114,12 +115,11 @@
     binaries: Binaries,
     arm: Arm,
     length: Duration,
-) -> Result<LatencyResult, String> {
-    let io = |error: std::io::Error| error.to_string();
+) -> Result<LatencyResult, ClusterError> {
     let discovery = EmulatedDiscovery::new(0);
     for worker in 0..WORKERS {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io)?;
-        discovery.add(worker, listener.local_addr().map_err(io)?);
+        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("a listener"))?;
+        discovery.add(worker, listener.local_addr().map_err(ClusterError::io("a listener"))?);
         spawn_local(serve_worker(listener));
     }
     let setup = ClusterSpec {
@@ -135,7 +135,7 @@
         cluster.wait_for_watches(1).await?;
     }
     let now = Instant::now();
-    let times = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(|error| error.to_string())?;
+    let times = Histogram::new_with_bounds(1, 60_000_000, 3)?;
     let (answers, last) = (BTreeMap::new(), vec![now; DISPATCHERS]);
     let tally = Rc::new(RefCell::new(Tally { times, answers, jobs: 0, last, gap: Duration::ZERO }));
     // The first seconds fill the banks of tokens, and count in no arm.
@@ -164,7 +164,11 @@
 }
 
 /// Does to the coordinators what the arm says, until the end; returns how often a leader was killed.
-async fn disturb_coordinators(cluster: &mut ClusterHarness, arm: Arm, end: Instant) -> Result<u64, String> {
+async fn disturb_coordinators(
+    cluster: &mut ClusterHarness,
+    arm: Arm,
+    end: Instant,
+) -> Result<u64, ClusterError> {
     let mut killed = 0;
     match arm {
         Arm::Off | Arm::On => {}
--- a/crates/emulator/src/cluster/fault_injection.rs
+++ b/crates/emulator/src/cluster/fault_injection.rs
@@ -1,6 +1,7 @@
 //! Faults at the processes of a [`ClusterHarness`] and at the links between them, each begun and ended in two steps, so
 //! that an experiment decides what happens in between.
 
+use crate::cluster::error::ClusterError;
 use std::time::Duration;
 
 use rustix::process::Signal;
@@ -64,7 +65,7 @@
     ///
     /// # Errors
     /// The process that it is for does not run.
-    pub fn begin(self, cluster: &mut ClusterHarness) -> Result<ActiveFault, String> {
+    pub fn begin(self, cluster: &mut ClusterHarness) -> Result<ActiveFault, ClusterError> {
         let mut leader = None;
         match self {
             ClusterFault::KillDispatcher(dispatcher) => cluster.kill_dispatcher(dispatcher),
@@ -104,7 +105,7 @@
     ///
     /// # Errors
     /// A process cannot be started again, or does not run any more.
-    pub fn end(self, cluster: &mut ClusterHarness) -> Result<(), String> {
+    pub fn end(self, cluster: &mut ClusterHarness) -> Result<(), ClusterError> {
         match (self.fault, self.leader) {
             (ClusterFault::KillDispatcher(dispatcher), _) => cluster.start_dispatcher(dispatcher),
             (ClusterFault::PauseDispatcher(dispatcher), _) => {
--- a/crates/emulator/src/cluster/lease_harness/faults.rs
+++ b/crates/emulator/src/cluster/lease_harness/faults.rs
@@ -1,5 +1,6 @@
 //! The faults of a schedule, injected at processes, links and disks.
 
+use crate::cluster::error::ClusterError;
 use std::fs;
 use std::net::{IpAddr, Ipv4Addr};
 use std::ops::Range;
@@ -9,7 +10,7 @@
 use rustix::process::Signal;
 
 use super::recovery::Recovery;
-use super::{free_address, with_context, LeaseHarness, Process, Role};
+use super::{free_address, LeaseHarness, Process, Role};
 use crate::cluster::fault_proxy::NodeId;
 use crate::cluster::lightweight_member::MemberConfig;
 use crate::cluster::record_checker::InjectedFault;
@@ -63,7 +64,7 @@
 }
 
 impl LeaseHarness<'_> {
-    pub(super) async fn inject(&mut self, fault: ScheduledFault) -> Result<(), String> {
+    pub(super) async fn inject(&mut self, fault: ScheduledFault) -> Result<(), ClusterError> {
         let (holder, token) = match self.lease_holder()? {
             Some((holder, token)) => (holder, Some(token)),
             None => (self.members().start, None),
@@ -126,7 +127,7 @@
         });
     }
 
-    fn target(&self, kind: FaultKind, candidates: Candidates) -> Result<NodeId, String> {
+    fn target(&self, kind: FaultKind, candidates: Candidates) -> Result<NodeId, ClusterError> {
         match kind {
             FaultKind::KillHolder | FaultKind::PauseHolder => Ok(candidates.holder),
             FaultKind::KillMember | FaultKind::PauseMember => Ok(candidates.member),
@@ -203,7 +204,7 @@
     }
 
     /// Starts the leading coordinator anew with a bound on its files or descriptors, for a while.
-    async fn limit_leader(&mut self, fault: ScheduledFault) -> Result<(), String> {
+    async fn limit_leader(&mut self, fault: ScheduledFault) -> Result<(), ClusterError> {
         let leader = self.leader()?;
         if self.processes[leader].not_restartable {
             return Ok(());
@@ -216,16 +217,16 @@
         Ok(())
     }
 
-    async fn lose_disk(&mut self, coordinator: NodeId) -> Result<(), String> {
+    async fn lose_disk(&mut self, coordinator: NodeId) -> Result<(), ClusterError> {
         self.kill(coordinator).await;
         let store = self.path(coordinator, "store");
-        fs::remove_dir_all(&store).map_err(with_context(store.display()))?;
+        fs::remove_dir_all(&store).map_err(ClusterError::io(store.display()))?;
         self.processes[coordinator].not_restartable = true;
         self.start(coordinator)
     }
 
     /// Copies a coordinator's disk, lets it start twice more, and puts the copy back.
-    pub(super) async fn restore_old_disk(&mut self, name: NodeId, step: u8) -> Result<(), String> {
+    pub(super) async fn restore_old_disk(&mut self, name: NodeId, step: u8) -> Result<(), ClusterError> {
         let (store, copy) = (self.path(name, "store"), self.path(name, "copy"));
         if self.processes[name].not_restartable {
             return Ok(());
@@ -233,13 +234,13 @@
         self.kill(name).await;
         match step {
             0 => {
-                fs::create_dir_all(&copy).map_err(with_context(copy.display()))?;
+                fs::create_dir_all(&copy).map_err(ClusterError::io(copy.display()))?;
                 fs::copy(store.join(STORE_FILE), copy.join(STORE_FILE))
-                    .map_err(with_context(copy.display()))?;
+                    .map_err(ClusterError::io(copy.display()))?;
             }
             2 => {
                 fs::copy(copy.join(STORE_FILE), store.join(STORE_FILE))
-                    .map_err(with_context(store.display()))?;
+                    .map_err(ClusterError::io(store.display()))?;
                 self.processes[name].not_restartable = true;
             }
             _ => {}
@@ -252,7 +253,7 @@
     }
 
     /// Starts a second process of a member's name, at an address of its own, and kills it later.
-    pub(super) fn start_duplicate_member(&mut self, of: NodeId, duration: f64) -> Result<(), String> {
+    pub(super) fn start_duplicate_member(&mut self, of: NodeId, duration: f64) -> Result<(), ClusterError> {
         let Role::Member { config: light } = &self.processes[of].role else { return Ok(()) };
         let name = self.processes.len();
         if name >= 100 {
--- a/crates/emulator/src/cluster/lease_harness/mod.rs
+++ b/crates/emulator/src/cluster/lease_harness/mod.rs
@@ -21,6 +21,7 @@
 use tokio::time::{sleep, timeout, Instant};
 
 use self::recovery::Recovery;
+use super::error::ClusterError;
 use super::fault_proxy::{self, FaultyNetwork, NodeId, SharedNetwork};
 use super::lightweight_member::MemberConfig;
 use super::record_checker::{self, InjectedFault, Records, Violations, RULES};
@@ -94,19 +95,15 @@
     random: Pcg64,
 }
 
-fn with_context(what: impl std::fmt::Display) -> impl FnOnce(std::io::Error) -> String {
-    move |error| format!("{what}: {error}")
-}
-
 /// The two middle parts of the loopback addresses of one schedule.
 fn address_block() -> [u8; 2] {
     [16 + (std::process::id() % 200) as u8, NEXT_ADDRESS_BLOCK.fetch_add(1, Ordering::Relaxed)]
 }
 
 /// An address of this host with a free port. The port stays free: nobody else has the host.
-fn free_address(host: IpAddr) -> Result<SocketAddr, String> {
-    let probe = std::net::TcpListener::bind((host, 0)).map_err(with_context("a free port"))?;
-    probe.local_addr().map_err(with_context("a free port"))
+fn free_address(host: IpAddr) -> Result<SocketAddr, ClusterError> {
+    let probe = std::net::TcpListener::bind((host, 0)).map_err(ClusterError::io("a free port"))?;
+    probe.local_addr().map_err(ClusterError::io("a free port"))
 }
 
 /// Plays the schedule of a seed. What the processes leave is in a folder of its own below `out`.
@@ -120,11 +117,11 @@
     programs: &Programs,
     out: &Path,
     bug: Option<&str>,
-) -> Result<ScheduleResult, String> {
+) -> Result<ScheduleResult, ClusterError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(with_context("runtime"))?;
+        .map_err(ClusterError::io("runtime"))?;
     LocalSet::new().block_on(&runtime, async {
         let mut harness = LeaseHarness::new(plan, arm, seed, programs, out, bug).await?;
         let played = harness.run_schedule(seed).await;
@@ -142,10 +139,10 @@
         programs: &'a Programs,
         out: &Path,
         bug: Option<&'a str>,
-    ) -> Result<LeaseHarness<'a>, String> {
+    ) -> Result<LeaseHarness<'a>, ClusterError> {
         let dir = out.join(format!("{}-{seed}", arm.name));
         let _ = fs::remove_dir_all(&dir);
-        fs::create_dir_all(&dir).map_err(with_context(dir.display()))?;
+        fs::create_dir_all(&dir).map_err(ClusterError::io(dir.display()))?;
         let base = address_block();
         let count = arm.coordinators + arm.members;
         let ip = |last: usize| IpAddr::V4(Ipv4Addr::new(127, base[0], base[1], last as u8));
@@ -153,8 +150,8 @@
         let (mut targets, mut doors, mut tasks) = (Vec::new(), Vec::new(), Vec::new());
         for name in 0..count {
             let target = free_address(ip(1 + name))?;
-            let door = TcpListener::bind((ip(101 + name), 0)).await.map_err(with_context("a proxy"))?;
-            doors.push(door.local_addr().map_err(with_context("a proxy"))?);
+            let door = TcpListener::bind((ip(101 + name), 0)).await.map_err(ClusterError::io("a proxy"))?;
+            doors.push(door.local_addr().map_err(ClusterError::io("a proxy"))?);
             targets.push(target);
             tasks.push(spawn_local(fault_proxy::run_proxy(network.clone(), door, name, target)));
         }
@@ -203,7 +200,7 @@
     }
 
     /// Makes the coordinators' stores and starts all processes.
-    fn start_all(&mut self, coordinators: &BTreeMap<u64, SocketAddr>) -> Result<(), String> {
+    fn start_all(&mut self, coordinators: &BTreeMap<u64, SocketAddr>) -> Result<(), ClusterError> {
         for name in self.coordinators() {
             self.write_coordinator_config(name, coordinators)?;
             self.bootstrap(name)?;
@@ -212,17 +209,17 @@
     }
 
     /// Has a coordinator make its store.
-    fn bootstrap(&self, name: NodeId) -> Result<(), String> {
+    fn bootstrap(&self, name: NodeId) -> Result<(), ClusterError> {
         let status = std::process::Command::new(&self.programs.coordinator)
             .args(["bootstrap", "--config"])
             .arg(self.path(name, "hcl"))
             .stdout(Stdio::null())
             .status()
-            .map_err(with_context(self.programs.coordinator.display()))?;
+            .map_err(ClusterError::io(self.programs.coordinator.display()))?;
         if status.success() {
             Ok(())
         } else {
-            Err(format!("keeper {}: bootstrap ended with {status}", name + 1))
+            Err(ClusterError::Bootstrap { replica: name + 1, status })
         }
     }
 
@@ -237,7 +234,7 @@
         &self,
         name: NodeId,
         coordinators: &BTreeMap<u64, SocketAddr>,
-    ) -> Result<(), String> {
+    ) -> Result<(), ClusterError> {
         let process = &self.processes[name];
         let mut text = format!("installation = \"{INSTALLATION}\"\n");
         for (number, door) in coordinators {
@@ -264,16 +261,16 @@
             self.path(name, "store").display()
         );
         let path = self.path(name, "hcl");
-        fs::write(&path, text).map_err(with_context(path.display()))
+        fs::write(&path, text).map_err(ClusterError::io(path.display()))
     }
 
-    fn start(&mut self, name: NodeId) -> Result<(), String> {
+    fn start(&mut self, name: NodeId) -> Result<(), ClusterError> {
         self.start_with(name, None)
     }
 
     /// Starts a process; a coordinator perhaps with a bound: on the size of its files, as if its disk were full, or on its
     /// descriptors.
-    fn start_with(&mut self, name: NodeId, bound: Option<&str>) -> Result<(), String> {
+    fn start_with(&mut self, name: NodeId, bound: Option<&str>) -> Result<(), ClusterError> {
         if self.processes[name].child.is_some() {
             return Ok(());
         }
@@ -281,7 +278,7 @@
             .create(true)
             .append(true)
             .open(self.path(name, "log"))
-            .map_err(with_context("a log"))?;
+            .map_err(ClusterError::io("a log"))?;
         let mut command = match &self.processes[name].role {
             Role::Coordinator { number } => {
                 let mut command = match bound {
@@ -301,15 +298,16 @@
             }
             Role::Member { config: light } => {
                 let path = self.path(name, "json");
-                let text = serde_json::to_vec(light).map_err(|error| error.to_string())?;
-                fs::write(&path, text).map_err(with_context(path.display()))?;
+                let text = serde_json::to_vec(light)
+                    .map_err(|source| ClusterError::Json { path: path.clone(), source })?;
+                fs::write(&path, text).map_err(ClusterError::io(path.display()))?;
                 let mut command = Command::new(&self.programs.emulator);
                 command.arg("light-member").arg(path);
                 command
             }
         };
         let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).kill_on_drop(true).spawn();
-        self.processes[name].child = Some(child.map_err(with_context("a process"))?);
+        self.processes[name].child = Some(child.map_err(ClusterError::io("a process"))?);
         Ok(())
     }
 
@@ -344,15 +342,15 @@
         self.arm.coordinators..self.arm.coordinators + self.arm.members
     }
 
-    fn coordinator_records(&self) -> Result<Records, String> {
+    fn coordinator_records(&self) -> Result<Records, ClusterError> {
         let read =
             |number: u64| Ok((number, record_checker::read(&self.dir.join(format!("k{number}.jsonl")))?));
-        let coordinators: Result<_, String> = (1..=self.arm.coordinators as u64).map(read).collect();
+        let coordinators: Result<_, ClusterError> = (1..=self.arm.coordinators as u64).map(read).collect();
         Ok(Records { coordinators: coordinators?, members: BTreeMap::new() })
     }
 
     /// Who owned the lease last, by the coordinators' records, and in which term.
-    fn lease_holder(&self) -> Result<Option<(NodeId, u64)>, String> {
+    fn lease_holder(&self) -> Result<Option<(NodeId, u64)>, ClusterError> {
         let records = self.coordinator_records()?;
         let Some((token, session)) = record_checker::newest_grant(&records) else { return Ok(None) };
         let Some(member) = record_checker::member_of_session(&records, session) else { return Ok(None) };
@@ -360,11 +358,11 @@
         Ok(number.map(|number| (number + self.arm.coordinators, token)))
     }
 
-    fn leader(&self) -> Result<NodeId, String> {
+    fn leader(&self) -> Result<NodeId, ClusterError> {
         Ok(record_checker::leader(&self.coordinator_records()?).map_or(0, |number| number as usize - 1))
     }
 
-    async fn run_schedule(&mut self, seed: u64) -> Result<(), String> {
+    async fn run_schedule(&mut self, seed: u64) -> Result<(), ClusterError> {
         let start = Instant::now();
         for fault in self.plan.draw(self.arm, seed) {
             self.recover_until(start + Duration::from_secs_f64(fault.at)).await?;
@@ -385,7 +383,7 @@
     }
 
     /// Ends all faults at once and starts what may run; then the cluster has to be well again by itself.
-    async fn recover_all(&mut self) -> Result<(), String> {
+    async fn recover_all(&mut self) -> Result<(), ClusterError> {
         self.network.borrow_mut().clear_faults();
         let recoveries: Vec<Recovery> =
             std::mem::take(&mut self.recoveries).into_iter().map(|(_, recovery)| recovery).collect();
@@ -442,10 +440,10 @@
         }
     }
 
-    fn records(&self) -> Result<Records, String> {
+    fn records(&self) -> Result<Records, ClusterError> {
         let mut records = self.coordinator_records()?;
-        for entry in fs::read_dir(&self.dir).map_err(with_context(self.dir.display()))? {
-            let path = entry.map_err(with_context(self.dir.display()))?.path();
+        for entry in fs::read_dir(&self.dir).map_err(ClusterError::io(self.dir.display()))? {
+            let path = entry.map_err(ClusterError::io(self.dir.display()))?.path();
             let stem = path.file_stem().and_then(|stem| stem.to_str()).unwrap_or_default().to_owned();
             if path.extension().is_some_and(|ending| ending == "jsonl") && stem.starts_with('m') {
                 records.members.insert(stem, record_checker::read(&path)?);
@@ -466,7 +464,7 @@
         self.tasks.iter().for_each(JoinHandle::abort);
     }
 
-    fn evaluate(mut self, seed: u64) -> Result<ScheduleResult, String> {
+    fn evaluate(mut self, seed: u64) -> Result<ScheduleResult, ClusterError> {
         let records = self.records()?;
         let mut violations = record_checker::check(&records);
         for (rule, texts) in std::mem::take(&mut self.violations) {
--- a/crates/emulator/src/cluster/lease_harness/recovery.rs
+++ b/crates/emulator/src/cluster/lease_harness/recovery.rs
@@ -1,5 +1,6 @@
 //! The ends of faults: what is done when the time of one is over.
 
+use crate::cluster::error::ClusterError;
 use std::time::Duration;
 
 use rustix::process::{kill_process, Pid, Signal};
@@ -27,7 +28,7 @@
 
 impl LeaseHarness<'_> {
     /// Waits, and ends faults whose time is over meanwhile.
-    pub(super) async fn recover_until(&mut self, until: Instant) -> Result<(), String> {
+    pub(super) async fn recover_until(&mut self, until: Instant) -> Result<(), ClusterError> {
         loop {
             let next = self.recoveries.iter().map(|(at, _)| *at).min().filter(|at| *at <= until);
             let Some(next) = next else { break };
@@ -40,7 +41,7 @@
         Ok(())
     }
 
-    pub(super) async fn recover(&mut self, recovery: Recovery) -> Result<(), String> {
+    pub(super) async fn recover(&mut self, recovery: Recovery) -> Result<(), ClusterError> {
         match recovery {
             Recovery::Start(node) => {
                 if self.processes[node]
--- a/crates/emulator/src/cluster/lightweight_member.rs
+++ b/crates/emulator/src/cluster/lightweight_member.rs
@@ -1,5 +1,6 @@
 //! A member without jobs: the real session, the real links, and a lease whose effects say nothing but their token.
 
+use crate::cluster::error::ClusterError;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -53,27 +54,26 @@
 ///
 /// # Errors
 /// It cannot start.
-pub fn run(file: &Path) -> Result<(), String> {
-    let text = std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
+pub fn run(file: &Path) -> Result<(), ClusterError> {
+    let text = std::fs::read_to_string(file).map_err(ClusterError::io(file.display()))?;
     let light: MemberConfig =
-        serde_json::from_str(&text).map_err(|error| format!("{}: {error}", file.display()))?;
+        serde_json::from_str(&text).map_err(|source| ClusterError::Json { path: file.to_owned(), source })?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|error| error.to_string())?;
+    let runtime = runtime.map_err(ClusterError::io("a runtime"))?;
     tokio::task::LocalSet::new().block_on(&runtime, run_member(light))
 }
 
-async fn run_member(light: MemberConfig) -> Result<(), String> {
+async fn run_member(light: MemberConfig) -> Result<(), ClusterError> {
     let bug = light.injected_bug.as_deref();
     let flaw: Option<InjectedBug> =
         bug.and_then(|name| InjectedBug::names().iter().find(|(known, _)| *known == name)).map(|(_, f)| *f);
     let record = match &light.record {
-        Some(path) => Recorder::append_to(path).map_err(|error| format!("{}: {error}", path.display()))?,
+        Some(path) => Recorder::append_to(path).map_err(ClusterError::io(path.display()))?,
         None => Recorder::default(),
     };
-    let offers: Result<Vec<LeaseId>, String> =
-        light.leases.iter().map(|duty| duty.parse::<LeaseId>().map_err(|error| error.to_string())).collect();
-    let listener =
-        TcpListener::bind(light.listen).await.map_err(|error| format!("{}: {error}", light.listen))?;
+    let offers: Result<Vec<LeaseId>, ClusterError> =
+        light.leases.iter().map(|lease| Ok(lease.parse::<LeaseId>()?)).collect();
+    let listener = TcpListener::bind(light.listen).await.map_err(ClusterError::io(light.listen))?;
     let settings = member::MemberConfig {
         installation: light.installation,
         name: light.name,
@@ -89,7 +89,7 @@
     member.recorder().record(cluster_member::clock::now(), "started", serde_json::json!({}));
     tokio::task::spawn_local(serve_effects(member.clone(), listener, |_| Vec::new()));
     tokio::task::spawn_local(publish_effects(member.clone()));
-    let mut terminate = signal(SignalKind::terminate()).map_err(|error| error.to_string())?;
+    let mut terminate = signal(SignalKind::terminate()).map_err(ClusterError::io("handler of SIGTERM"))?;
     let leaver = member.clone();
     tokio::task::spawn_local(async move {
         terminate.recv().await;
--- a/crates/emulator/src/cluster/mod.rs
+++ b/crates/emulator/src/cluster/mod.rs
@@ -11,6 +11,7 @@
 pub mod cluster_harness;
 pub mod dispatch_latency;
 pub mod emulated_discovery;
+pub mod error;
 pub mod fault_injection;
 pub mod fault_proxy;
 pub mod lease_harness;
--- a/crates/emulator/src/cluster/planned_drains/faults.rs
+++ b/crates/emulator/src/cluster/planned_drains/faults.rs
@@ -1,5 +1,6 @@
 //! Faults of a schedule: drawn by its seed and injected one at a time.
 
+use crate::cluster::error::ClusterError;
 use std::time::Duration;
 
 use cluster_member::clock;
@@ -16,7 +17,7 @@
     cluster: &mut ClusterHarness,
     observations: &SharedObservations,
     plan: &Plan,
-) -> Result<Vec<Fault>, String> {
+) -> Result<Vec<Fault>, ClusterError> {
     let mut random = Pcg64::seed_from_u64(plan.seed);
     let mut injected = Vec::new();
     let end = Instant::now() + plan.length;
@@ -47,7 +48,7 @@
     fault: Fault,
     (target, began_at): (usize, u64),
     duration: Duration,
-) -> Result<(), String> {
+) -> Result<(), ClusterError> {
     let active = fault.at(target).begin(cluster)?;
     let slow_requester = fault == Fault::SlowRequester;
     if slow_requester {
--- a/crates/emulator/src/cluster/planned_drains/mod.rs
+++ b/crates/emulator/src/cluster/planned_drains/mod.rs
@@ -15,6 +15,7 @@
 #[cfg(test)]
 mod tests;
 
+use crate::cluster::error::ClusterError;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -183,7 +184,7 @@
 ///
 /// # Errors
 /// Something could not be set up.
-pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<ScheduleResult, String> {
+pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<ScheduleResult, ClusterError> {
     run_in_folder(dir, run_schedule(dir, binaries.clone(), plan))
 }
 
@@ -196,7 +197,7 @@
     binaries: Binaries,
     plan: &Plan,
     budgets: &str,
-) -> Result<ClusterHarness, String> {
+) -> Result<ClusterHarness, ClusterError> {
     let setup = ClusterSpec {
         coordinators: plan.coordinators,
         dispatchers: plan.dispatchers,
@@ -214,7 +215,7 @@
     }
     cluster.wait_for_workers(4).await?;
     let file = dir.join("budgets.hcl");
-    std::fs::write(&file, budgets).map_err(|error| format!("{}: {error}", file.display()))?;
+    std::fs::write(&file, budgets).map_err(ClusterError::io(file.display()))?;
     let path = file.display().to_string();
     let until = Instant::now() + Duration::from_secs(10);
     while let Err(why) = cluster.run_coordinator_command(1, &["budgets", "--set", &path]).await {
@@ -225,7 +226,7 @@
     }
     while available_dispatchers(&cluster).await != plan.dispatchers {
         if Instant::now() > until {
-            return Err(format!("not all are in\n{}", cluster.logs()));
+            return Err(cluster.timeout("not all targets are available".to_owned()));
         }
         sleep(Duration::from_millis(50)).await;
     }
@@ -261,7 +262,7 @@
     })
 }
 
-async fn run_schedule(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<ScheduleResult, String> {
+async fn run_schedule(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<ScheduleResult, ClusterError> {
     let budgets = format!(
         "budget \"all\" {{\n  targets = \"dispatchers\"\n  most_out = {}\n}}\n\
          budget \"zones\" {{\n  targets = \"dispatchers\"\n  of = \"each-zone\"\n  most_out = {}\n}}\n",
--- a/crates/emulator/src/cluster/record_checker.rs
+++ b/crates/emulator/src/cluster/record_checker.rs
@@ -4,6 +4,7 @@
 //! record the reading of the clock on which they decided. So whatever decided later than a record of a later grant
 //! broke the rule, and no order of writing can make a sound run look broken.
 
+use crate::cluster::error::ClusterError;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
@@ -80,15 +81,19 @@
 ///
 /// # Errors
 /// The file is there and cannot be read, or a line in its middle is none.
-pub fn read(path: &Path) -> Result<Vec<RecordLine>, String> {
+pub fn read(path: &Path) -> Result<Vec<RecordLine>, ClusterError> {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(Vec::new()),
-        Err(error) => return Err(format!("{}: {error}", path.display())),
+        Err(source) => return Err(ClusterError::io(path.display())(source)),
     };
     let whole = text.rsplit_once('\n').map_or("", |(whole, _)| whole);
     let line = |(at, line): (usize, &str)| {
-        serde_json::from_str(line).map_err(|error| format!("{}:{}: {error}", path.display(), at + 1))
+        serde_json::from_str(line).map_err(|source| ClusterError::Record {
+            path: path.to_owned(),
+            line: at + 1,
+            source,
+        })
     };
     whole.lines().enumerate().map(line).collect()
 }
--- a/crates/emulator/src/cluster/results.rs
+++ b/crates/emulator/src/cluster/results.rs
@@ -1,5 +1,6 @@
 //! Adds up the schedules of an experiment: results.json and a table.
 
+use crate::cluster::error::ClusterError;
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::Mutex;
@@ -134,17 +135,20 @@
     bug: Option<&str>,
     lanes: usize,
     bar: &ProgressBar,
-) -> Result<Results, String> {
+) -> Result<Results, ClusterError> {
     let all: Vec<(&Arm, u64)> =
         plan.arms.iter().flat_map(|arm| seeds.iter().map(move |seed| (arm, *seed))).collect();
-    let pool =
-        rayon::ThreadPoolBuilder::new().num_threads(lanes).build().map_err(|error| error.to_string())?;
+    let pool = rayon::ThreadPoolBuilder::new().num_threads(lanes).build()?;
     let said = Mutex::new(());
-    let played: Result<Vec<(&Arm, ScheduleResult)>, String> = pool.install(|| {
+    let played: Result<Vec<(&Arm, ScheduleResult)>, ClusterError> = pool.install(|| {
         let one = |(arm, seed): &(&'_ Arm, u64)| {
             let played = play(plan, arm, *seed, programs, out, bug);
             bar.inc(1);
-            let played = played.map_err(|error| format!("{} seed {seed}: {error}", arm.name))?;
+            let played = played.map_err(|source| ClusterError::Schedule {
+                arm: arm.name.clone(),
+                seed: *seed,
+                source: Box::new(source),
+            })?;
             if !played.violations.is_empty() {
                 let _one = said.lock();
                 bar.suspend(|| report(plan, arm, &played, bug));
--- a/crates/emulator/src/cluster/scaling_cost.rs
+++ b/crates/emulator/src/cluster/scaling_cost.rs
@@ -1,6 +1,7 @@
 //! What a fleet saves and what it costs, by its size: the same idle dispatchers that share nothing, and as members, one
 //! side after the other, with real coordinators and every link between coordinators and members through a proxy that counts.
 
+use crate::cluster::error::ClusterError;
 use std::cell::Cell;
 use std::path::Path;
 use std::rc::Rc;
@@ -60,7 +61,7 @@
     members: usize,
     cluster: Option<&str>,
     length: Duration,
-) -> Result<Side, String> {
+) -> Result<Side, ClusterError> {
     run_in_folder(dir, measure(dir, binaries.clone(), members, cluster, length))
 }
 
@@ -70,11 +71,12 @@
     members: usize,
     cluster: Option<&str>,
     length: Duration,
-) -> Result<Side, String> {
+) -> Result<Side, ClusterError> {
     let (discovery, probes) = (EmulatedDiscovery::new(0), Rc::new(Cell::new(0u64)));
     for worker in 0..WORKERS {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|error| error.to_string())?;
-        discovery.add(worker, listener.local_addr().map_err(|error| error.to_string())?);
+        let listener =
+            TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("a worker's listener"))?;
+        discovery.add(worker, listener.local_addr().map_err(ClusterError::io("a worker's listener"))?);
         spawn_local(serve_worker(probes.clone(), listener));
     }
     let discoveries = std::slice::from_ref(&discovery);
--- a/crates/emulator/src/cluster/shared_health_checks/faults.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/faults.rs
@@ -1,5 +1,6 @@
 //! Faults of a schedule: drawn by its seed or taken from its script, and injected one at a time.
 
+use crate::cluster::error::ClusterError;
 use std::time::Duration;
 
 use cluster_member::clock;
@@ -65,7 +66,7 @@
 pub(super) async fn inject_faults(
     mut targets: Targets<'_>,
     end: Instant,
-) -> Result<Vec<InjectedFault>, String> {
+) -> Result<Vec<InjectedFault>, ClusterError> {
     let plan = targets.plan;
     let mut random = Pcg64::seed_from_u64(plan.seed);
     let mut injected = Vec::new();
@@ -156,7 +157,7 @@
 }
 
 impl Targets<'_> {
-    async fn inject(&mut self, drawn: DrawnFault) -> Result<InjectedFault, String> {
+    async fn inject(&mut self, drawn: DrawnFault) -> Result<InjectedFault, ClusterError> {
         let DrawnFault { fault, target, zone, duration } = drawn;
         let began_at = clock::now();
         let mut affected = target;
@@ -173,7 +174,7 @@
     }
 
     /// Injects a fault of workers or of links to them, or restarts everything in turn.
-    async fn inject_other(&mut self, drawn: DrawnFault) -> Result<(), String> {
+    async fn inject_other(&mut self, drawn: DrawnFault) -> Result<(), ClusterError> {
         let DrawnFault { fault, target, zone, duration } = drawn;
         match fault {
             Fault::PartitionZone => {
@@ -214,7 +215,7 @@
     }
 
     /// Restarts all dispatchers and coordinators, one pair after another.
-    async fn restart_all(&mut self) -> Result<(), String> {
+    async fn restart_all(&mut self) -> Result<(), ClusterError> {
         for dispatcher in 0..self.plan.dispatchers {
             self.cluster.signal_dispatcher(dispatcher, Signal::TERM)?;
             sleep(ROLL_PAUSE).await;
--- a/crates/emulator/src/cluster/shared_health_checks/mod.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/mod.rs
@@ -21,6 +21,7 @@
 mod tests;
 mod traffic;
 
+use crate::cluster::error::ClusterError;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -245,11 +246,11 @@
 ///
 /// # Errors
 /// Something could not be set up.
-pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<ScheduleResult, String> {
+pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<ScheduleResult, ClusterError> {
     run_in_folder(dir, run_schedule(dir, binaries.clone(), plan))
 }
 
-async fn run_schedule(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<ScheduleResult, String> {
+async fn run_schedule(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<ScheduleResult, ClusterError> {
     let observations = SharedObservations::default();
     {
         let mut observations = observations.borrow_mut();
@@ -309,18 +310,21 @@
 async fn start_workers(
     observations: &SharedObservations,
     plan: &Plan,
-) -> Result<(Vec<EmulatedDiscovery>, Vec<SharedNetwork>), String> {
-    let io = |error: std::io::Error| error.to_string();
+) -> Result<(Vec<EmulatedDiscovery>, Vec<SharedNetwork>), ClusterError> {
     let (mut discoveries, mut networks) = (Vec::new(), Vec::new());
     for dispatcher in 0..plan.dispatchers {
         let discovery = EmulatedDiscovery::new(0);
         let network = FaultyNetwork::new(BTreeMap::new(), plan.seed);
         for worker in 0..plan.workers {
-            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io)?;
-            let target = listener.local_addr().map_err(io)?;
+            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("a listener"))?;
+            let target = listener.local_addr().map_err(ClusterError::io("a listener"))?;
             spawn_local(serve_worker(observations.clone(), worker, dispatcher, listener));
-            let proxy = TcpListener::bind("127.0.0.1:0").await.map_err(io)?;
-            discovery.add_in(ZONES[worker % ZONES.len()], worker, proxy.local_addr().map_err(io)?);
+            let proxy = TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("a listener"))?;
+            discovery.add_in(
+                ZONES[worker % ZONES.len()],
+                worker,
+                proxy.local_addr().map_err(ClusterError::io("a listener"))?,
+            );
             spawn_local(run_proxy(network.clone(), proxy, worker, target));
         }
         discoveries.push(discovery);
--- a/crates/emulator/src/cluster/slow_start.rs
+++ b/crates/emulator/src/cluster/slow_start.rs
@@ -3,6 +3,7 @@
 //!
 //! The emulated workers are slow while they are cold and fall when all dispatchers together send more than they bear.
 
+use crate::cluster::error::ClusterError;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -99,17 +100,16 @@
 ///
 /// # Errors
 /// Something could not be set up.
-pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<DayResult, String> {
+pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<DayResult, ClusterError> {
     run_in_folder(dir, run_day(dir, binaries.clone(), plan))
 }
 
-async fn run_day(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<DayResult, String> {
-    let io = |error: std::io::Error| error.to_string();
+async fn run_day(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<DayResult, ClusterError> {
     let discovery = EmulatedDiscovery::new(0);
     let (stay, replaced) = plan.workers;
     for n in 0..stay + replaced {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io)?;
-        discovery.add(n, listener.local_addr().map_err(io)?);
+        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("a listener"))?;
+        discovery.add(n, listener.local_addr().map_err(ClusterError::io("a listener"))?);
         spawn_local(serve_worker(WorkerModel::new((SLOTS, RUN_TIME), false, plan.seed ^ n as u64), listener));
     }
     let block = format!("cold {{\nslots = {SLOTS}\n}}\n");
@@ -137,8 +137,8 @@
     let mut cold = Vec::new();
     for n in 0..replaced {
         let worker = WorkerModel::new((SLOTS, RUN_TIME), true, plan.seed ^ (100 + n as u64));
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io)?;
-        discovery.add_cold("north", 100 + n, listener.local_addr().map_err(io)?);
+        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("a listener"))?;
+        discovery.add_cold("north", 100 + n, listener.local_addr().map_err(ClusterError::io("a listener"))?);
         spawn_local(serve_worker(worker.clone(), listener));
         cold.push(worker);
         // The old one goes as its successor comes.
--- a/crates/emulator/tests/discovery_leader.rs
+++ b/crates/emulator/tests/discovery_leader.rs
@@ -133,7 +133,7 @@
         let refused = fleet
             .run_coordinator_command(4, &["replace", "--keeper", "9", "--with", "4", "--address", &at])
             .await;
-        assert!(refused.unwrap_err().contains("there is no keeper 9"));
+        assert!(refused.unwrap_err().to_string().contains("there is no keeper 9"));
         let lost = lost.to_string();
         let replace = ["replace", "--keeper", &lost, "--with", "4", "--address", &at];
         let said = fleet.run_coordinator_command(4, &replace).await.unwrap();
@@ -179,7 +179,7 @@
             assert!(fleet.coordinator_log(lost).contains("bootstrap"), "{}", fleet.coordinator_log(lost));
         }
         fleet.wait_for_watches(DISPATCHERS as u64).await.unwrap();
-        let said = fleet.run_coordinator_command(3, &["members"]).await.unwrap_err();
+        let said = fleet.run_coordinator_command(3, &["members"]).await.unwrap_err().to_string();
         assert!(said.contains("no keeper leads"), "{said}");
         fleet.discovery.set_unreachable(0, "terminated");
         fleet.wait_for_workers(WORKERS - 1).await.unwrap();
@@ -239,7 +239,7 @@
             assert!(status.contains(&leads), "{leads}\n{status}\n{}", fleet.logs());
             fleet.kill_coordinator(leader);
             let start = Instant::now();
-            while fleet.leader() == Ok(leader) {
+            while fleet.leader().is_ok_and(|present| present == leader) {
                 assert!(start.elapsed() < Duration::from_secs(10), "nobody leads\n{}", fleet.logs());
                 sleep(Duration::from_millis(10)).await;
             }
--- a/crates/emulator/tests/mixed_versions.rs
+++ b/crates/emulator/tests/mixed_versions.rs
@@ -32,7 +32,8 @@
 async fn budgets(fleet: &ClusterHarness, dir: &std::path::Path) -> Result<String, String> {
     let file = dir.join("budgets.hcl");
     std::fs::write(&file, "budget \"b\" {\n  targets = \"dispatchers\"\n  most_out = 1\n}\n").unwrap();
-    fleet.run_coordinator_command(1, &["budgets", "--set", &file.display().to_string()]).await
+    let arguments = ["budgets", "--set", &file.display().to_string()];
+    fleet.run_coordinator_command(1, &arguments).await.map_err(|error| error.to_string())
 }
 
 /// Sets budgets until what is said is as wanted.
@@ -59,7 +60,7 @@
     LocalSet::new().block_on(&runtime, async {
         let mut fleet = mixed(dir.path()).await;
         // The older one and one newer are a majority: whoever of them leads, the duty goes on.
-        let lost = if fleet.leader() == Ok(1) { 1 } else { 2 };
+        let lost = if fleet.leader().unwrap() == 1 { 1 } else { 2 };
         fleet.kill_coordinator(lost);
         let owner = fleet.discovery_leader().unwrap();
         fleet.kill_dispatcher(owner);
--- a/crates/emulator/tests/planned_drains.rs
+++ b/crates/emulator/tests/planned_drains.rs
@@ -103,7 +103,7 @@
             .unwrap();
         granted(&fleet, 2).await;
         let unknown = fleet.run_coordinator_command(1, &["strike-off", "--target", "dispatcher/d9"]).await;
-        assert!(unknown.unwrap_err().contains("no such target"));
+        assert!(unknown.unwrap_err().to_string().contains("no such target"));
     });
 }
 
@@ -149,11 +149,15 @@
         let path = wrong.display().to_string();
         std::fs::write(&wrong, "budget \"b\" {\n  targets = \"workers\"\n  most_out = \"100%\"\n}\n")
             .unwrap();
-        let fault = fleet.run_coordinator_command(1, &["budgets", "--set", &path]).await.unwrap_err();
+        let fault =
+            fleet.run_coordinator_command(1, &["budgets", "--set", &path]).await.unwrap_err().to_string();
         assert!(fault.contains(&path) && fault.contains("most_out") && fault.contains("last one"), "{fault}");
         std::fs::write(&wrong, BUDGETS).unwrap();
-        let stale =
-            fleet.run_coordinator_command(1, &["budgets", "--set", &path, "--seen", "0"]).await.unwrap_err();
+        let stale = fleet
+            .run_coordinator_command(1, &["budgets", "--set", &path, "--seen", "0"])
+            .await
+            .unwrap_err()
+            .to_string();
         assert!(stale.contains("changed meanwhile"), "{stale}");
         fleet.run_coordinator_command(1, &["budgets", "--set", &path]).await.unwrap();
         std::fs::remove_file(&wrong).unwrap();
@@ -197,7 +201,7 @@
         fleet.run_coordinator_command(1, &["permit", "begin", "--permit", &first]).await.unwrap();
         ask(1).await.unwrap_err();
         sleep(Duration::from_millis(800)).await;
-        let why = ask(1).await.unwrap_err();
+        let why = ask(1).await.unwrap_err().to_string();
         assert!(why.contains("waits for its turn") && why.contains("pools"), "{why}");
         // It drains, ends, and is back: cold, so that the next one waits until it is warm.
         for phase in ["terminating", "terminated", "in_service"] {
@@ -209,8 +213,11 @@
         let is_retry = until_granted(1).await;
         assert!(is_retry != first && back.elapsed() > Duration::from_millis(500), "{:?}", back.elapsed());
         fleet.run_coordinator_command(1, &["permit", "void", "--permit", &is_retry]).await.unwrap();
-        let late =
-            fleet.run_coordinator_command(1, &["permit", "begin", "--permit", &is_retry]).await.unwrap_err();
+        let late = fleet
+            .run_coordinator_command(1, &["permit", "begin", "--permit", &is_retry])
+            .await
+            .unwrap_err()
+            .to_string();
         assert!(late.contains("no such permit is open"), "{late}");
     });
 }
