--- a/crates/cluster-member/tests/sessions.rs
+++ b/crates/cluster-member/tests/sessions.rs
@@ -139,7 +139,7 @@
             EffectResponse::Accepted(_) => panic!("{lease} with token {} was accepted", token.0),
         }
     }
-    assert_eq!(texts, ["the term is over: tokens below 7 are refused", "the receiver knows no such duty"]);
+    assert_eq!(texts, ["the term has ended: the minimum token is 7", "the lease is unknown to the receiver"]);
     let operator = ClientHello { identity: ClientIdentity::Operator, ..hello };
     let error = Connection::connect(receiver, None, &operator).await.unwrap_err();
     assert_eq!(error.to_string(), "turned away: it does not speak with the likes of this at that address");
--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -101,8 +101,8 @@
 pub enum CommandDecodeError {
     /// Written by a later program. The replica has to stop: skipping the entry would let its state diverge.
     #[error(
-        "an entry has version {version} and this keeper knows up to {supported}: it stops rather than skip what was \
-         agreed; run a newer keeper"
+        "a log entry has version {version} and this replica supports versions up to {supported}: it stops rather than skip \
+         a committed entry; upgrade this replica"
     )]
     UnsupportedVersion {
         /// The version of the entry.
@@ -111,10 +111,10 @@
         supported: u16,
     },
     /// The bytes are not an entry.
-    #[error("an entry cannot be read: {0}")]
+    #[error("cannot decode the log entry: {0}")]
     Malformed(#[from] postcard::Error),
     /// The entry is followed by more bytes.
-    #[error("an entry cannot be read: {count} bytes too many")]
+    #[error("cannot decode the log entry: {count} trailing bytes")]
     TrailingBytes {
         /// How many.
         count: usize,
--- a/crates/coordination/src/lease_client.rs
+++ b/crates/coordination/src/lease_client.rs
@@ -25,16 +25,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, thiserror::Error, Serialize, Deserialize)]
 pub enum EffectRejection {
     /// The receiver has no session, so its minimum tokens may be outdated. The holder may retry later.
-    #[error("the receiver has no session, so it takes nothing")]
+    #[error("the receiver has no session, so it accepts no effects")]
     NoSession,
     /// The receiver knows of a later term. The holder has to stop.
-    #[error("the term is over: tokens below {} are refused", minimum_token.0)]
+    #[error("the term has ended: the minimum token is {}", minimum_token.0)]
     StaleToken {
         /// The lowest token that would be accepted.
         minimum_token: FencingToken,
     },
     /// The receiver does not know the lease yet. The holder may retry later.
-    #[error("the receiver knows no such duty")]
+    #[error("the lease is unknown to the receiver")]
     UnknownLease,
 }
 
--- a/crates/coordination/src/lease_id.rs
+++ b/crates/coordination/src/lease_id.rs
@@ -55,7 +55,7 @@
 
 /// A text that names no lease.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{text:?} is no duty; wanted NAME, NAME@zone/ZONE or NAME@set/NUMBER")]
+#[error("{text:?} is not a lease; expected NAME, NAME@zone/ZONE or NAME@set/NUMBER")]
 pub struct LeaseIdParseError {
     /// The text as given.
     pub text: String,
--- a/crates/coordination/src/outcome.rs
+++ b/crates/coordination/src/outcome.rs
@@ -49,22 +49,22 @@
     #[error("there is no such session, or it has ended")]
     NoSuchSession,
     /// A later process of the same name has a session; the member has to stop.
-    #[error("process {incarnation} of the same name is there and this one is older")]
+    #[error("superseded by process {incarnation} of the same name")]
     Superseded {
         /// The incarnation of the later process.
         incarnation: u64,
     },
     /// The lease is held, was fenced again, or is unknown.
-    #[error("the duty is not free")]
+    #[error("the lease is not free")]
     LeaseNotFree,
     /// The term with this token is over, or never was.
-    #[error("that term is over")]
+    #[error("the term with this token has ended")]
     NotLeaseHolder,
     /// A limit would be exceeded; names the limit.
-    #[error("no room: {0}")]
+    #[error("limit exceeded: {0}")]
     LimitExceeded(String),
     /// The disk of a replica was already seen with more starts: it is an old copy.
-    #[error("this disk was seen with {starts} starts already")]
+    #[error("the disk is stale: it was already seen with {starts} starts")]
     StaleDisk {
         /// The highest number of starts seen.
         starts: u64,
--- a/crates/coordination/src/state_machine/replicas.rs
+++ b/crates/coordination/src/state_machine/replicas.rs
@@ -47,13 +47,18 @@
             if current == wanted {
                 return Ok(CommandOutcome::Acknowledged);
             }
-            return invalid(format!("keeper {} is being replaced by {} still", current.old, current.new));
+            return invalid(format!(
+                "replica {} is still being replaced by replica {}",
+                current.old, current.new
+            ));
         }
         if old == new || self.is_used_replica_number(new) {
-            return invalid(format!("number {new} was used already; a new keeper has a new number"));
+            return invalid(format!(
+                "replica number {new} was used before; a new replica needs a new number"
+            ));
         }
         if self.replica_changes.retired.contains(&old) {
-            return invalid(format!("keeper {old} was replaced already"));
+            return invalid(format!("replica {old} was already replaced"));
         }
         if address.is_empty() || address.len() > MAX_TEXT_BYTES {
             let reason = format!("an address is empty or over {MAX_TEXT_BYTES} bytes");
--- a/crates/coordination/src/state_machine/sessions.rs
+++ b/crates/coordination/src/state_machine/sessions.rs
@@ -183,7 +183,7 @@
             || request.eligible_leases.len() > MAX_ELIGIBLE_LEASES
         {
             let reason =
-                format!("{MAX_SESSIONS} sessions, {MAX_LEASES} duties, {MAX_ELIGIBLE_LEASES} offers");
+                format!("at most {MAX_SESSIONS} sessions, {MAX_LEASES} leases and {MAX_ELIGIBLE_LEASES} eligible leases of a member");
             return Err(CommandRejection::LimitExceeded(reason));
         }
         Ok(())
--- a/crates/coordination/src/state_machine/snapshot.rs
+++ b/crates/coordination/src/state_machine/snapshot.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
     /// Written by a later program; this one has to be upgraded.
-    #[error("the snapshot cannot be read: it has version {version}, this keeper knows {supported}")]
+    #[error("cannot decode the snapshot: it has version {version} and this replica supports versions up to {supported}")]
     UnsupportedVersion {
         /// The version of the snapshot.
         version: u16,
@@ -29,7 +29,7 @@
         supported: u16,
     },
     /// The bytes are not a snapshot.
-    #[error("the snapshot cannot be read: {0}")]
+    #[error("cannot decode the snapshot: {0}")]
     Malformed(#[from] postcard::Error),
 }
 
--- a/crates/coordination/src/timing.rs
+++ b/crates/coordination/src/timing.rs
@@ -92,7 +92,7 @@
         require(
             self.max_clock_skew_ppm <= MAX_CLOCK_SKEW_PPM,
             ("skew_ppm", "lease"),
-            "wanted at most 100000, a tenth",
+            "must be at most 100000, a tenth",
         )
     }
 
@@ -101,7 +101,7 @@
             self.heartbeat_interval != 0
                 && self.heartbeat_interval * MIN_HEARTBEATS_PER_ELECTION <= self.election_timeout,
             ("heartbeat", "election"),
-            "wanted above 0 and at most a fourth of it, or a late beat starts an election",
+            "must be above 0 and at most a fourth of it, or one late heartbeat starts an election",
         )
     }
 
@@ -110,17 +110,17 @@
             self.renewal_interval != 0
                 && self.renewal_interval * MIN_RENEWALS_PER_LEASE <= self.lease_duration,
             ("renew", "lease"),
-            "wanted above 0 and at most a third of it, or one lost answer ends a session",
+            "must be above 0 and at most a third of it, or one lost response ends a session",
         )?;
         require(
             self.call_timeout != 0 && self.call_timeout * MIN_CALLS_PER_LEASE <= self.lease_duration,
             ("call", "lease"),
-            "wanted above 0 and at most half of it, or a silent keeper ends a session",
+            "must be above 0 and at most half of it, or one unresponsive replica ends a session",
         )?;
         require(
             self.election_timeout * MIN_ELECTIONS_PER_LEASE <= self.lease_duration,
             ("election", "lease"),
-            "wanted at most half of it, or every election ends sessions",
+            "must be at most half of it, or every election ends sessions",
         )
     }
 
@@ -128,12 +128,12 @@
         require(
             self.stability_period >= self.renewal_interval,
             ("stay", "renew"),
-            "wanted at least as long, or a member settles unheard",
+            "must be at least as long, or a member becomes stable before its first renewal",
         )?;
         require(
             self.short_session_limit >= self.stability_period,
             ("short", "stay"),
-            "wanted at least as long, or no life is ever short",
+            "must be at least as long, or no session is ever short",
         )
     }
 
--- a/crates/emulator/tests/mixed_versions.rs
+++ b/crates/emulator/tests/mixed_versions.rs
@@ -104,7 +104,7 @@
             sleep(Duration::from_millis(50)).await;
         };
         let log = fleet.coordinator_log(3);
-        assert!(code == 5 && log.contains("it stops rather than skip what was agreed"), "{code}: {log}");
+        assert!(code == 5 && log.contains("it stops rather than skip a committed entry"), "{code}: {log}");
         fleet.wait_for_watches(1).await.unwrap();
         fleet.run_coordinator_command(1, &["account"]).await.unwrap();
     });
