--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -1,4 +1,4 @@
-//! Log entries and their versions.
+//! Commands: the log entries that change the state machine, and their versions.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,12 +6,12 @@
 
 /// Sessions, leases and starts of replicas.
 const VERSION_BASE: u16 = 1;
-/// The same with replacements of replicas.
+/// Version 1 and replacements of replicas.
 const VERSION_REPLICA_CHANGES: u16 = 2;
-/// The same with the disruption state.
+/// Version 2 and the disruption state.
 const VERSION_DISRUPTION: u16 = 3;
 
-/// The latest version of log entries that this program writes and reads.
+/// Latest version of log entries that this program writes and reads.
 pub const COMMAND_VERSION: u16 = VERSION_DISRUPTION;
 
 /// A change of the state machine, as an entry of the replicated log.
@@ -21,20 +21,20 @@
 pub enum Command {
     /// Opens a session for a member. Idempotent for the same `boot_id`.
     OpenSession {
-        /// The member's name.
+        /// Name of the member.
         name: String,
-        /// A number that the member's process drew at its start.
+        /// Random number that the member's process drew at its start.
         boot_id: u64,
-        /// The member's zone, or empty.
+        /// Zone of the member; empty if it has none.
         zone: String,
-        /// Where other members reach it.
+        /// Address at which other members reach it.
         address: String,
-        /// The leases that it may be granted.
+        /// Leases that the member may be granted.
         eligible_leases: Vec<LeaseId>,
         /// Whether the session that this one supersedes was short, by the leader's clock.
         short_lived: bool,
     },
-    /// Ends a session at the member's wish; its leases are free at once.
+    /// Ends a session at the member's request; its leases are free at once.
     CloseSession {
         /// The session.
         session: SessionId,
@@ -48,48 +48,48 @@
         /// Whether it was short, by the leader's clock.
         short_lived: bool,
     },
-    /// A session lasted its stability period and may hold leases.
+    /// Marks a session that lasted its stability period, so that it may hold leases.
     MarkSessionStable {
         /// The session.
         session: SessionId,
     },
-    /// Grants a lease, if it is still free since `fencing_revision`.
+    /// Grants a lease if it is still free since `fencing_revision`.
     GrantLease {
         /// The lease.
         lease: LeaseId,
-        /// The holder to be.
+        /// Session that becomes the holder.
         session: SessionId,
-        /// The fencing revision that all older sessions have acknowledged.
+        /// Fencing revision that all older sessions have acknowledged.
         fencing_revision: Revision,
     },
-    /// Ends a term, at the wish of its holder or of an operator, or to rebalance.
+    /// Ends a term, at the request of its holder or an operator, or to rebalance.
     ReleaseLease {
         /// The lease.
         lease: LeaseId,
-        /// The token of the term; any other term goes on.
+        /// Token of the term; a term with another token is not ended.
         token: FencingToken,
         /// Whether the holder has to become stable again before it is granted a lease.
         reset_stability: bool,
     },
-    /// A replica was started.
+    /// Records the start of a replica.
     RecordReplicaStart {
-        /// The replica's number.
+        /// Number of the replica.
         replica: u64,
-        /// How often its disk was started.
+        /// Start count of the replica's store.
         starts: u64,
     },
     /// Begins the replacement of a replica by a new one. Since version 2.
     ReplaceReplica {
-        /// The number of the replica that is retired.
+        /// Number of the replica that is retired.
         old: u64,
-        /// The number of the new replica; it was never used before.
+        /// Number of the new replica, never used before.
         new: u64,
-        /// The address of the new replica.
+        /// Address of the new replica.
         address: String,
     },
-    /// The new replica votes and the old one does not. Since version 2.
+    /// Ends a replacement: the new replica votes and the old one does not. Since version 2.
     CompleteReplacement {
-        /// The number of the retired replica.
+        /// Number of the retired replica.
         old: u64,
     },
     /// Changes budgets, targets or permits for planned unavailability. Since version 3.
@@ -99,15 +99,16 @@
 /// A log entry that this program cannot apply.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CommandDecodeError {
-    /// Written by a later program. The replica has to stop: skipping the entry would let its state diverge.
+    /// Written by a later version of the program. The replica has to stop: skipping the entry would make its state
+    /// diverge.
     #[error(
         "a log entry has version {version} and this replica supports versions up to {supported}: it stops rather than skip \
          a committed entry; upgrade this replica"
     )]
     UnsupportedVersion {
-        /// The version of the entry.
+        /// Version of the entry.
         version: u16,
-        /// The latest version that the replica reads.
+        /// Latest version that the replica supports.
         supported: u16,
     },
     /// The bytes are not an entry.
@@ -116,18 +117,18 @@
     /// The entry is followed by more bytes.
     #[error("cannot decode the log entry: {count} trailing bytes")]
     TrailingBytes {
-        /// How many.
+        /// Number of trailing bytes.
         count: usize,
     },
 }
 
 impl Command {
-    /// The bytes for the log: the version, then the command.
+    /// Encodes the command for the log: its version, then the command.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(&(self.version(), self)).unwrap_or_default()
     }
 
-    /// The first version with this command. Replicas of earlier versions read the log until it is used.
+    /// Returns the first version with this command. Replicas of earlier versions read the log until it is used.
     pub fn version(&self) -> u16 {
         match self {
             Command::Disruption(_) => VERSION_DISRUPTION,
@@ -136,18 +137,18 @@
         }
     }
 
-    /// Reads an entry of any version up to [`COMMAND_VERSION`].
+    /// Decodes an entry of any version up to [`COMMAND_VERSION`].
     ///
     /// # Errors
-    /// The entry is of a later version, or malformed.
+    /// Returns [`CommandDecodeError`] if the entry is of a later version or malformed.
     pub fn decode(bytes: &[u8]) -> Result<Command, CommandDecodeError> {
         Command::decode_with_supported_version(COMMAND_VERSION, bytes)
     }
 
-    /// Reads an entry as a replica that supports versions up to this one.
+    /// Decodes an entry as a replica that supports versions up to `supported`.
     ///
     /// # Errors
-    /// The entry is of a later version, or malformed.
+    /// Returns [`CommandDecodeError`] if the entry is of a later version or malformed.
     pub fn decode_with_supported_version(
         supported: u16,
         bytes: &[u8],
--- a/crates/coordination/src/injected_bug.rs
+++ b/crates/coordination/src/injected_bug.rs
@@ -1,20 +1,20 @@
-//! Bugs built in for tests, which show that the checkers and the model find them.
+//! Bugs injected on purpose, for tests that must detect them.
 
-/// A bug in a member's side of the leases.
+/// A bug of the lease client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum InjectedBug {
     /// A receiver accepts every effect.
     SkipTokenCheck,
-    /// The lease is measured from the response instead of from before the renewal was requested.
+    /// The session's expiry is measured from the response instead of from before the renewal was requested.
     LeaseFromResponse,
-    /// A receiver forgets the minimum tokens that it was notified of.
+    /// A receiver drops the minimum tokens that it was notified of.
     ForgetMinimumToken,
-    /// A holder checks the clock once a round and not before each effect.
+    /// A holder checks the expiry once a round instead of before each effect.
     SkipExpiryCheck,
 }
 
 impl InjectedBug {
-    /// The bugs by name; empty unless built with the feature `seeded-bugs`.
+    /// Returns the bugs by name; empty unless built with the feature `seeded-bugs`.
     pub fn names() -> &'static [(&'static str, InjectedBug)] {
         #[cfg(feature = "seeded-bugs")]
         return &[
--- a/crates/coordination/src/leader_state.rs
+++ b/crates/coordination/src/leader_state.rs
@@ -1,13 +1,13 @@
 //! Volatile state of the leading replica, reinitialized after each election.
 //!
-//! A new leader gives every session its full time again and waits anew for acknowledgements. Safety rests on the
-//! checks of the state machine and on the waits made here, never on what an earlier leader knew.
+//! A new leader gives every session its full duration again and waits anew for acknowledgements. Safety rests on the
+//! checks of the state machine and on the waits made here, never on the volatile state of an earlier leader.
 
 use crate::lease_assigner::{AssignmentContext, LeaseAssigner, LeaseCounts};
 use crate::session_monitor::SessionMonitor;
 use crate::{Command, CommandRejection, Micros, Revision, SessionId, StateMachine, Timing};
 
-/// What the leader keeps besides the replicated state, and the commands that follow from the passing of time.
+/// Volatile state of the leader, and the commands that follow from the passing of time.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaderState {
     sessions: SessionMonitor,
@@ -15,7 +15,7 @@
 }
 
 impl LeaderState {
-    /// The state of a replica that was just elected and has applied all entries committed before.
+    /// Creates the state of a replica that was just elected and has applied all entries committed before.
     pub fn new(timing: Timing, now: Micros, state: &StateMachine) -> LeaderState {
         let mut leader =
             LeaderState { sessions: SessionMonitor::new(timing), assigner: LeaseAssigner::new(timing) };
@@ -32,10 +32,11 @@
     /// Renews a session whose member acknowledged the view of this revision. To be called only after a majority
     /// confirmed, since the request, that this replica leads.
     ///
-    /// The member measures its lease from before the request and the leader from now, which is later.
+    /// The member measures the session from before the request and the leader from now, which is later.
     ///
     /// # Errors
-    /// The session is unknown, is about to expire, or was superseded.
+    /// Returns [`CommandRejection::NoSuchSession`] if the session is unknown or about to expire, and
+    /// [`CommandRejection::Superseded`] if a later process of the same name has a session.
     pub fn renew_session(
         &mut self,
         id: SessionId,
@@ -46,15 +47,15 @@
         self.sessions.renew(id, acknowledged, now, state)
     }
 
-    /// Whether the current session of this name would be short if it ended now.
+    /// Returns whether the current session of this name would be short if it ended now.
     pub fn is_short_session(&self, name: &str, now: Micros, state: &StateMachine) -> bool {
         let current = state.current_session_of(name);
         current.is_some_and(|(id, _)| self.sessions.is_short(id, now))
     }
 
-    /// Commands to propose now: expiries, stability, grants, and a rebalance where nothing else is due.
+    /// Returns the commands to propose now: expiries, stability, grants, and a rebalance if nothing else is due.
     ///
-    /// Each is returned once, until [`LeaderState::proposal_rejected`].
+    /// Each is returned once, unless it is passed to [`LeaderState::proposal_rejected`].
     pub fn due_commands(&mut self, now: Micros, state: &StateMachine) -> Vec<Command> {
         let mut due = self.sessions.due_commands(now, state);
         let mut counts = LeaseCounts::of(state);
@@ -66,7 +67,7 @@
         due
     }
 
-    /// A proposal did not get into the log, or was rejected when it was applied: it may be made again.
+    /// Allows a command to be proposed again that did not get into the log or was rejected when it was applied.
     pub fn proposal_rejected(&mut self, command: &Command) {
         match command {
             Command::ExpireSession { session, .. } => self.sessions.expiry_rejected(*session),
--- a/crates/coordination/src/lease_assigner.rs
+++ b/crates/coordination/src/lease_assigner.rs
@@ -1,4 +1,4 @@
-//! Assignment of leases: who is granted a free one, and when a set of workers moves to another member.
+//! Assignment of leases: the choice of holders for free leases, and the rebalance of sets of workers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,10 +6,10 @@
 use crate::session_monitor::SessionMonitor;
 use crate::{Command, LeaseId, LeaseScope, Micros, Revision, SessionId, StateMachine, Timing};
 
-/// A set of workers moves only to a member with at least this many leases less.
+/// Minimum difference in the number of leases at which a set of workers moves to another member.
 pub const REBALANCE_THRESHOLD: usize = 2;
 
-/// How many leases each session holds or is about to be granted.
+/// Number of leases that each session holds or is about to be granted.
 pub(crate) struct LeaseCounts(BTreeMap<SessionId, usize>);
 
 impl LeaseCounts {
@@ -30,7 +30,7 @@
     }
 }
 
-/// What assignments are based on.
+/// Inputs of an assignment.
 pub(crate) struct AssignmentContext<'a> {
     pub(crate) now: Micros,
     pub(crate) state: &'a StateMachine,
@@ -38,7 +38,7 @@
 }
 
 impl AssignmentContext<'_> {
-    /// The responsive session with the fewest leases; rendezvous hashing decides among equals.
+    /// Returns the responsive session with the fewest leases; rendezvous hashing decides among equals.
     fn choose_holder(&self, lease: &LeaseId, counts: &LeaseCounts) -> Option<SessionId> {
         let sessions = self.state.sessions().iter();
         let candidates = sessions
@@ -48,7 +48,7 @@
     }
 }
 
-/// The lowest weight wins.
+/// Returns the rendezvous weight of a member for a lease; the lowest weight wins.
 fn rendezvous_weight(lease: &LeaseId, member: &str) -> u64 {
     let key = postcard::to_stdvec(&(lease, member)).unwrap_or_default();
     fnv1a(&key)
@@ -68,7 +68,7 @@
         LeaseAssigner { timing, grants_proposed: BTreeSet::new(), last_rebalance: None }
     }
 
-    /// Forgets proposals whose lease was granted or fenced again.
+    /// Drops proposals whose lease was granted or fenced again.
     pub(crate) fn on_entries_applied(&mut self, state: &StateMachine) {
         self.grants_proposed.retain(|(id, fencing_revision)| {
             let lease = state.leases().get(id);
@@ -76,7 +76,7 @@
         });
     }
 
-    /// Grants of free leases whose fencing revision was acknowledged by all older sessions.
+    /// Returns grants of the free leases whose fencing revision was acknowledged by all older sessions.
     pub(crate) fn grants(
         &mut self,
         context: &AssignmentContext<'_>,
@@ -100,9 +100,10 @@
         grants
     }
 
-    /// The release of one set of workers whose holder has clearly more leases than the member that would be granted it.
+    /// Returns the release of one set of workers whose holder has more leases, by [`REBALANCE_THRESHOLD`], than the member
+    /// that would be granted it.
     ///
-    /// One set moves at a time, and the next only after a stability period, so that members that come and go do not
+    /// One set moves at a time, and the next only after a stability period, so that members that join and leave do not
     /// make the sets move back and forth.
     pub(crate) fn rebalance(
         &mut self,
@@ -125,7 +126,7 @@
         Some(Command::ReleaseLease { lease: id.clone(), token: holder.token, reset_stability: false })
     }
 
-    /// The grant of this lease may be proposed again.
+    /// Allows the grant of this lease to be proposed again.
     pub(crate) fn grant_rejected(&mut self, lease: &LeaseId, fencing_revision: Revision) {
         self.grants_proposed.remove(&(lease.clone(), fencing_revision));
     }
--- a/crates/coordination/src/lease_client.rs
+++ b/crates/coordination/src/lease_client.rs
@@ -1,4 +1,4 @@
-//! A member's side: its session, the leases that it holds, and which effects of other holders it accepts.
+//! Lease client: a member's session, the leases that it holds, and the check of effects of other holders.
 
 use std::collections::BTreeMap;
 
@@ -8,32 +8,32 @@
     ClusterView, FencingToken, InjectedBug, LeaseId, LeaseView, Micros, Revision, SessionId, Timing,
 };
 
-/// A session as its member knows it.
+/// A session, as its member sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ClientSession {
     /// The session.
     pub id: SessionId,
-    /// Which session of the member's name, counted from one.
+    /// Number of the session among those of the member's name, from one.
     pub incarnation: u64,
-    /// When it ends, by this member's clock, unless it is renewed.
+    /// Time at which the session expires unless it is renewed, by this member's clock.
     pub expires_at: Micros,
 }
 
-/// Why a receiver rejects an effect.
+/// Reason for which a receiver rejects an effect.
 ///
 /// Holders receive these as postcard: the order of variants and fields is part of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, thiserror::Error, Serialize, Deserialize)]
 pub enum EffectRejection {
-    /// The receiver has no session, so its minimum tokens may be outdated. The holder may retry later.
+    /// The receiver has no session, so its minimum tokens may be stale. The holder may retry later.
     #[error("the receiver has no session, so it accepts no effects")]
     NoSession,
-    /// The receiver knows of a later term. The holder has to stop.
+    /// The receiver was notified of a later term. The holder has to stop.
     #[error("the term has ended: the minimum token is {}", minimum_token.0)]
     StaleToken {
-        /// The lowest token that would be accepted.
+        /// Lowest token that the receiver accepts.
         minimum_token: FencingToken,
     },
-    /// The receiver does not know the lease yet. The holder may retry later.
+    /// The receiver was not notified of the lease yet. The holder may retry later.
     #[error("the lease is unknown to the receiver")]
     UnknownLease,
 }
@@ -41,13 +41,13 @@
 /// Effects that a member received since it started or last reset the counts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EffectCounts {
-    /// Accepted.
+    /// Number of accepted effects.
     pub accepted: u64,
-    /// Rejected with [`EffectRejection::StaleToken`].
+    /// Number of effects rejected with [`EffectRejection::StaleToken`].
     pub stale_tokens: u64,
-    /// Rejected with [`EffectRejection::NoSession`].
+    /// Number of effects rejected with [`EffectRejection::NoSession`].
     pub without_session: u64,
-    /// Rejected with [`EffectRejection::UnknownLease`].
+    /// Number of effects rejected with [`EffectRejection::UnknownLease`].
     pub unknown_leases: u64,
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl LeaseClient {
-    /// A process without a session.
+    /// Creates the client of a process without a session.
     pub fn new(timing: Timing) -> LeaseClient {
         LeaseClient {
             timing,
@@ -87,19 +87,19 @@
         }
     }
 
-    /// The same with a bug.
+    /// Injects a bug.
     #[cfg(feature = "seeded-bugs")]
     pub fn with_injected_bug(mut self, bug: Option<InjectedBug>) -> LeaseClient {
         self.injected_bug = bug;
         self
     }
 
-    /// The bug, for the driver that checks the clock.
+    /// Returns the injected bug, for drivers that check the expiry.
     pub fn injected_bug(&self) -> Option<InjectedBug> {
         self.injected_bug
     }
 
-    /// A session was opened, as requested at `requested_at`.
+    /// Records that the session was opened that was requested at `requested_at`.
     pub fn on_session_opened(
         &mut self,
         id: SessionId,
@@ -109,7 +109,7 @@
         view: ClusterView,
     ) {
         if self.session.is_none_or(|session| session.id != id) {
-            // The view at the start of a session replaces all known ones, also after an installation was set up anew.
+            // The first view of a session replaces all earlier ones, also after an installation was set up anew.
             self.revision = 0;
             self.leases = BTreeMap::new();
             self.session = Some(ClientSession { id, incarnation, expires_at: 0 });
@@ -117,7 +117,7 @@
         self.on_session_renewed(id, requested_at, now, Some(view));
     }
 
-    /// The session was renewed, as requested at `requested_at`.
+    /// Records that the session was renewed, as requested at `requested_at`.
     pub fn on_session_renewed(
         &mut self,
         id: SessionId,
@@ -133,17 +133,17 @@
         }
     }
 
-    /// The session's view changed. Returns whether it was news, which is to be acknowledged at once.
+    /// Applies a changed view of the session. Returns whether it was newer, so that it has to be acknowledged at once.
     pub fn on_view_changed(&mut self, id: SessionId, view: ClusterView) -> bool {
         self.session.is_some_and(|session| session.id == id) && self.apply_view(view)
     }
 
-    /// The session has ended, by the coordinator's word or at this member's wish.
+    /// Records that the session has ended, as reported by a replica or requested by this member.
     pub fn on_session_ended(&mut self) {
         self.session = None;
     }
 
-    /// Invariant 4 of the crate: the lease is measured from before the renewal was requested.
+    /// Returns the expiry of a session. By invariant 4 of the crate it is measured from before the renewal was requested.
     fn expiry(&self, requested_at: Micros, now: Micros) -> Micros {
         let start =
             if self.injected_bug == Some(InjectedBug::LeaseFromResponse) { now } else { requested_at };
@@ -156,7 +156,7 @@
         }
         self.revision = view.revision;
         for mut lease in view.leases {
-            // An accepted effect may have raised the minimum above what this view knows.
+            // An accepted effect may have raised the minimum above that of this view.
             if let Some(known) = self.leases.get(&lease.lease) {
                 lease.minimum_token = lease.minimum_token.max(known.minimum_token);
             }
@@ -168,17 +168,17 @@
         true
     }
 
-    /// The revision of the latest view that was applied; acknowledged with each renewal.
+    /// Returns the revision of the latest view that was applied; it is acknowledged with each renewal.
     pub fn applied_revision(&self) -> Revision {
         self.revision
     }
 
-    /// The session, unless it has ended by this clock.
+    /// Returns the session unless it has expired by this clock.
     pub fn active_session(&self, now: Micros) -> Option<ClientSession> {
         self.session.filter(|session| now < session.expires_at)
     }
 
-    /// The latest session, expired or not.
+    /// Returns the latest session, expired or not.
     pub fn last_session(&self) -> Option<ClientSession> {
         self.session
     }
@@ -193,17 +193,17 @@
         self.leases.values().filter_map(held).collect()
     }
 
-    /// Whether this member may make an effect of that term now. To be called immediately before each.
+    /// Returns whether this member may send an effect of that term now. To be called immediately before each effect.
     pub fn holds_lease(&self, lease: &LeaseId, token: FencingToken, now: Micros) -> bool {
         let Some(session) = self.active_session(now) else { return false };
         let holder = self.leases.get(lease).and_then(|lease| lease.holder);
         holder.is_some_and(|holder| holder.session == session.id && holder.token == token)
     }
 
-    /// Decides on an effect with that token, and counts the decision. Accepting raises the minimum token.
+    /// Accepts or rejects an effect with that token, and counts the decision. Accepting raises the minimum token.
     ///
     /// # Errors
-    /// Why the effect is rejected; nothing may be changed by it then.
+    /// Returns [`EffectRejection`] if the effect must not be applied.
     pub fn accept_effect(
         &mut self,
         lease: &LeaseId,
@@ -236,17 +236,17 @@
         }
     }
 
-    /// The effects received so far.
+    /// Returns the counts of effects received so far.
     pub fn effect_counts(&self) -> EffectCounts {
         self.counts
     }
 
-    /// Sets all counts to zero.
+    /// Resets all counts to zero.
     pub fn reset_effect_counts(&mut self) {
         self.counts = EffectCounts::default();
     }
 
-    /// The known leases.
+    /// Returns the leases of the latest view.
     pub fn lease_views(&self) -> impl Iterator<Item = &LeaseView> {
         self.leases.values()
     }
--- a/crates/coordination/src/lease_id.rs
+++ b/crates/coordination/src/lease_id.rs
@@ -1,18 +1,18 @@
-//! Names and scopes of leases, with their text form `NAME`, `NAME@zone/ZONE` or `NAME@set/NUMBER`.
+//! Identifiers of leases, with their text form `NAME`, `NAME@zone/ZONE` or `NAME@set/NUMBER`.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// What a lease covers.
+/// Scope of a lease.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseScope {
-    /// The whole fleet; any member may hold it.
+    /// All members and workers; any member may hold the lease.
     Fleet,
-    /// One zone; only its members may hold it.
+    /// One zone; only its members may hold the lease.
     Zone(String),
-    /// One of the sets that the workers are partitioned into; any member may hold it.
+    /// One of the sets that the workers are partitioned into; any member may hold the lease.
     #[serde(rename = "Set")]
     WorkerSet(u16),
 }
@@ -20,24 +20,24 @@
 /// Identifies a lease.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseId {
-    /// The task, such as `list`.
+    /// Name of the task, such as `list`.
     pub name: String,
-    /// What the task covers.
+    /// Scope of the task.
     pub scope: LeaseScope,
 }
 
 impl LeaseId {
-    /// The lease of this name for the whole fleet.
+    /// Returns the lease of this name for the entire fleet.
     pub fn fleet(name: &str) -> LeaseId {
         LeaseId { name: name.to_owned(), scope: LeaseScope::Fleet }
     }
 
-    /// The lease of this name for one zone.
+    /// Returns the lease of this name for one zone.
     pub fn zone(name: &str, zone: &str) -> LeaseId {
         LeaseId { name: name.to_owned(), scope: LeaseScope::Zone(zone.to_owned()) }
     }
 
-    /// The lease of this name for one set of workers.
+    /// Returns the lease of this name for one set of workers.
     pub fn worker_set(name: &str, set: u16) -> LeaseId {
         LeaseId { name: name.to_owned(), scope: LeaseScope::WorkerSet(set) }
     }
@@ -53,7 +53,7 @@
     }
 }
 
-/// A text that names no lease.
+/// A text that is not a [`LeaseId`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{text:?} is not a lease; expected NAME, NAME@zone/ZONE or NAME@set/NUMBER")]
 pub struct LeaseIdParseError {
@@ -76,7 +76,7 @@
     }
 }
 
-/// Reads `zone/ZONE` or `set/NUMBER`.
+/// Parses `zone/ZONE` or `set/NUMBER`.
 fn parse_scope(text: &str) -> Option<LeaseScope> {
     match text.split_once('/')? {
         ("zone", zone) if !zone.is_empty() => Some(LeaseScope::Zone(zone.to_owned())),
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,6 +1,6 @@
 //! Leases with fencing tokens for the members of a fleet, as a replicated state machine.
 //!
-//! Everything here is pure: no clock, no I/O, no randomness. Times are passed in as whole microseconds.
+//! The package is pure: no clock, no I/O, no randomness. Times are passed in as microseconds.
 //!
 //! A *lease* is the exclusive right of one member to do one task on behalf of all. It has at most one holder, with a
 //! *fencing token* that only grows. The safety invariants, which the checkers and the model verify:
@@ -8,20 +8,20 @@
 //! 1. **Tokens are monotonic.** They are assigned by the replicated log, one for each grant, and never reused.
 //! 2. **A term ends at every receiver before the next begins.** A lease that lost its holder is *fenced* first: every
 //!    session older than the fencing revision has either acknowledged it or has ended. Only then is the lease granted
-//!    again, so no receiver accepts an effect of the old term once the new one is granted anywhere.
-//! 3. **A receiver without a session accepts nothing.** Its minimum tokens may be outdated, so it rejects the effect.
-//! 4. **A holder acts only while its lease lasts**, measured on its own clock from before the renewal was requested,
+//!    again, so no receiver accepts an effect of the old term once the new one is granted.
+//! 3. **A receiver without a session rejects every effect**, since its minimum tokens may be stale.
+//! 4. **A holder acts only while its session lasts**, measured on its own clock from before the renewal was requested,
 //!    and checked immediately before each effect.
 //!
-//! Expiry gives liveness: a member that does not respond delays the next grant until its session expired (2). Tokens
-//! give safety even where clocks drift by more than [`Timing::max_clock_skew_ppm`]: whoever knows a higher token
-//! rejects the effect of an earlier holder.
+//! Expiry gives liveness: a member that does not respond delays the next grant until its session expires (2). Tokens
+//! give safety even if clocks drift by more than [`Timing::max_clock_skew_ppm`]: a receiver that was notified of a
+//! higher token rejects the effect of an earlier holder.
 //!
 //! | type | role |
 //! | --- | --- |
 //! | [`StateMachine`] | replicated state, changed by [`Command`]s of the log alone |
 //! | [`LeaderState`] | volatile state of the leading replica: expiry, assignment of leases |
-//! | [`LeaseClient`] | a member's side: its session, its leases, which effects it accepts |
+//! | [`LeaseClient`] | a member's session and leases, and its check of effects |
 //! | [`Timing`] | durations of sessions, leases and elections, and the bound on clock drift |
 
 mod command;
--- a/crates/coordination/src/outcome.rs
+++ b/crates/coordination/src/outcome.rs
@@ -1,20 +1,20 @@
-//! Results of applying a command.
+//! Outcomes of commands and reasons for rejection.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{FencingToken, LeaseHolder, LeaseId, SessionId};
 
-/// What applying a command led to.
+/// Outcome of applying a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommandOutcome {
     /// The member has a session.
     SessionOpened {
-        /// The session, new or open before.
+        /// The session, new or already open.
         session: SessionId,
-        /// Which session of the member's name, counted from one.
+        /// Number of the session among those of the member's name, from one.
         incarnation: u64,
     },
-    /// The session is over.
+    /// The session has ended.
     SessionEnded(SessionId),
     /// The session may hold leases now.
     SessionStable(SessionId),
@@ -22,25 +22,25 @@
     LeaseGranted {
         /// The lease.
         lease: LeaseId,
-        /// Its holder, with the token of the new term.
+        /// The holder, with the token of the new term.
         holder: LeaseHolder,
     },
-    /// A term is over.
+    /// The term of a lease has ended.
     LeaseReleased {
         /// The lease.
         lease: LeaseId,
-        /// The token of the term that ended.
+        /// Token of the term that ended.
         token: FencingToken,
     },
-    /// What a change of the disruption state led to.
+    /// Outcome of a change of the disruption state.
     Disruption(disruption_budget::DisruptionOutcome),
     /// Recorded, or applied before.
     Acknowledged,
-    /// Nothing was changed.
+    /// The command changed nothing.
     Rejected(CommandRejection),
 }
 
-/// Why a command changed nothing.
+/// Reason for which a command changed nothing.
 ///
 /// Members receive these as postcard: the order of variants and fields is part of the protocol.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
@@ -51,25 +51,25 @@
     /// A later process of the same name has a session; the member has to stop.
     #[error("superseded by process {incarnation} of the same name")]
     Superseded {
-        /// The incarnation of the later process.
+        /// Number of the latest session of the name.
         incarnation: u64,
     },
     /// The lease is held, was fenced again, or is unknown.
     #[error("the lease is not free")]
     LeaseNotFree,
-    /// The term with this token is over, or never was.
+    /// The lease has no term with this token, or has no longer.
     #[error("the term with this token has ended")]
     NotLeaseHolder,
-    /// A limit would be exceeded; names the limit.
+    /// A limit would be exceeded; the text names it.
     #[error("limit exceeded: {0}")]
     LimitExceeded(String),
-    /// The disk of a replica was already seen with more starts: it is an old copy.
+    /// The store of a replica was already seen with more starts: it is an old copy.
     #[error("the disk is stale: it was already seen with {starts} starts")]
     StaleDisk {
-        /// The highest number of starts seen.
+        /// Highest start count seen.
         starts: u64,
     },
-    /// The replacement of a replica is not possible; says why.
+    /// The replacement of a replica is not possible; the text gives the reason.
     #[error("{0}")]
     InvalidReplacement(String),
 }
--- a/crates/coordination/src/session_monitor.rs
+++ b/crates/coordination/src/session_monitor.rs
@@ -1,20 +1,21 @@
-//! Liveness of sessions: when each was renewed, which revision it acknowledged, when it expires or becomes stable.
+//! Liveness of sessions: renewals, acknowledged revisions, expiry and stability.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{Command, CommandRejection, Micros, Revision, SessionId, StateMachine, Timing};
 
+/// Liveness of one session, by the leader's clock.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct SessionLiveness {
-    /// When the last renewal was confirmed, or when this leader first knew the session.
+    /// Time at which the last renewal was confirmed; at first, that of `first_seen`.
     last_renewal: Micros,
-    /// Since when this leader has known the session.
+    /// Time at which this leader first saw the session.
     first_seen: Micros,
-    /// Since when it has been unstable, as far as this leader knows.
+    /// Time since which this leader has seen the session as unstable.
     unstable_since: Option<Micros>,
-    /// The latest view that the member acknowledged.
+    /// Revision of the latest view that the member acknowledged.
     acknowledged: Revision,
-    /// Its expiry was proposed: no renewal is confirmed any more.
+    /// Whether the session's expiry was proposed, so that no renewal is confirmed any more.
     expiry_proposed: bool,
 }
 
@@ -42,7 +43,7 @@
     }
 }
 
-/// The leader's record of when each session was heard from.
+/// Liveness of all sessions, as recorded by the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct SessionMonitor {
     timing: Timing,
@@ -90,20 +91,21 @@
         Ok(())
     }
 
-    /// Whether the session would be short if it ended now.
+    /// Returns whether the session would be short if it ended now.
     pub(crate) fn is_short(&self, id: SessionId, now: Micros) -> bool {
         self.sessions.get(&id).is_some_and(|liveness| liveness.is_short(now, &self.timing))
     }
 
-    /// Whether the session was renewed within half a lease, so that a grant is likely to reach its member in time.
+    /// Returns whether the session was renewed within half its duration, so that a grant is likely to reach its member in
+    /// time.
     pub(crate) fn is_responsive(&self, id: SessionId, now: Micros) -> bool {
         self.sessions.get(&id).is_some_and(|liveness| {
             !liveness.expiry_proposed && liveness.since_renewal(now) < self.timing.lease_duration / 2
         })
     }
 
-    /// Whether every session older than the fencing revision has acknowledged it. A later session got a view that
-    /// contains it when it was opened.
+    /// Returns whether every session older than the fencing revision has acknowledged it. A later session received a view
+    /// that contains it when it was opened.
     pub(crate) fn fence_acknowledged(&self, fencing_revision: Revision, state: &StateMachine) -> bool {
         state.sessions().keys().all(|id| id.0 >= fencing_revision || self.acknowledged(*id, fencing_revision))
     }
@@ -112,7 +114,7 @@
         self.sessions.get(&id).is_some_and(|liveness| liveness.acknowledged >= revision)
     }
 
-    /// Expiries of sessions that were not renewed in time, and sessions that became stable.
+    /// Returns the commands that expire sessions that were not renewed in time, and that mark sessions as stable.
     pub(crate) fn due_commands(&mut self, now: Micros, state: &StateMachine) -> Vec<Command> {
         let mut due = Vec::new();
         for (id, liveness) in &mut self.sessions {
@@ -139,14 +141,14 @@
         due
     }
 
-    /// The expiry of this session may be proposed again, and the session renewed.
+    /// Allows the expiry of this session to be proposed again, and the session to be renewed.
     pub(crate) fn expiry_rejected(&mut self, id: SessionId) {
         if let Some(liveness) = self.sessions.get_mut(&id) {
             liveness.expiry_proposed = false;
         }
     }
 
-    /// The stability of this session may be proposed again.
+    /// Allows the stability of this session to be proposed again.
     pub(crate) fn stability_rejected(&mut self, id: SessionId) {
         self.stability_proposed.remove(&id);
     }
--- a/crates/coordination/src/state_machine/leases.rs
+++ b/crates/coordination/src/state_machine/leases.rs
@@ -5,19 +5,19 @@
 use super::{Applied, StateMachine};
 use crate::{CommandOutcome, CommandRejection, FencingToken, LeaseHolder, LeaseId, Revision, SessionId};
 
-/// A lease.
+/// State of a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// Lower tokens belong to terms that ended.
+    /// Lowest token that receivers accept; lower ones belong to terms that ended.
     pub minimum_token: FencingToken,
-    /// When the last term ended. Every older session has to acknowledge it before the next grant.
+    /// Revision at which the last term ended. Every older session acknowledges it before the next grant.
     pub fencing_revision: Revision,
     /// The holder, unless the lease is free.
     pub holder: Option<LeaseHolder>,
 }
 
 impl StateMachine {
-    /// Adds the leases that are not known yet, free from this entry on.
+    /// Adds the leases that do not exist yet, free from this entry on.
     pub(super) fn add_leases(&mut self, index: Revision, ids: &[LeaseId]) {
         for id in ids {
             if !self.leases.contains_key(id) {
@@ -86,7 +86,7 @@
         Ok(CommandOutcome::LeaseReleased { lease: id.clone(), token })
     }
 
-    /// A lease without a holder, fenced by this entry.
+    /// Returns a lease without a holder, fenced by this entry.
     fn free_lease(&self, index: Revision) -> Lease {
         Lease { minimum_token: self.next_token(), fencing_revision: index, holder: None }
     }
--- a/crates/coordination/src/state_machine/mod.rs
+++ b/crates/coordination/src/state_machine/mod.rs
@@ -30,7 +30,7 @@
 /// Result of applying one command.
 type Applied = Result<CommandOutcome, CommandRejection>;
 
-/// The state that all replicas agree on.
+/// Replicated state of sessions, leases, replicas and disruptions.
 ///
 /// The order of the fields is the layout of snapshots; see [`StateMachine::snapshot`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -55,7 +55,7 @@
 }
 
 impl StateMachine {
-    /// A fleet without members. `first_token` must be above every token of an earlier installation.
+    /// Creates the state of a new installation. `first_token` must be above every token of an earlier one.
     pub fn new(first_token: u64) -> StateMachine {
         StateMachine {
             revision: 0,
@@ -72,68 +72,68 @@
         }
     }
 
-    /// The last entry that was applied.
+    /// Returns the last entry that was applied.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The last entry that changed a lease's holder or fencing revision.
+    /// Returns the last entry that changed a lease's holder or fencing revision.
     pub fn lease_revision(&self) -> Revision {
         self.lease_revision
     }
 
-    /// The last entry that opened or ended a session.
+    /// Returns the last entry that opened or ended a session.
     pub fn membership_revision(&self) -> Revision {
         self.membership_revision
     }
 
-    /// The open sessions.
+    /// Returns the open sessions.
     pub fn sessions(&self) -> &BTreeMap<SessionId, Session> {
         &self.sessions
     }
 
-    /// All leases, held or free.
+    /// Returns all leases, held or free.
     pub fn leases(&self) -> &BTreeMap<LeaseId, Lease> {
         &self.leases
     }
 
-    /// The token of the next grant.
+    /// Returns the token of the next grant.
     pub fn next_token(&self) -> FencingToken {
         FencingToken(self.next_token)
     }
 
-    /// How often each replica's disk was started, as far as agreed on.
+    /// Returns the committed start counts of the replicas' stores.
     pub fn replica_starts(&self) -> &BTreeMap<u64, u64> {
         &self.replica_starts
     }
 
-    /// Addresses of the replicas that were added after the installation was set up.
+    /// Returns the addresses of the replicas that were added after the installation was set up.
     pub fn added_replicas(&self) -> &BTreeMap<u64, String> {
         &self.replica_changes.addresses
     }
 
-    /// The replacement of a replica that is in progress.
+    /// Returns the replacement of a replica that is in progress.
     pub fn replacement_in_progress(&self) -> Option<ReplicaReplacement> {
         self.replica_changes.in_progress
     }
 
-    /// Budgets, targets and permits for planned unavailability.
+    /// Returns the budgets, targets and permits for planned unavailability.
     pub fn disruption(&self) -> &DisruptionState {
         &self.disruption
     }
 
-    /// The same with a bug in the disruption state, in builds for tests.
+    /// Injects a bug into the disruption state, in builds for tests.
     #[must_use]
     pub fn with_injected_disruption_bug(self, bug: Option<disruption_budget::InjectedBug>) -> StateMachine {
         StateMachine { disruption: self.disruption.with_injected_bug(bug), ..self }
     }
 
-    /// The last entry that changed the disruption state.
+    /// Returns the last entry that changed the disruption state.
     pub fn disruption_revision(&self) -> Revision {
         self.disruption_revision
     }
 
-    /// What members are notified of.
+    /// Returns the view of which members are notified.
     pub fn view(&self) -> ClusterView {
         let lease_view = |(id, lease): (&LeaseId, &Lease)| LeaseView {
             lease: id.clone(),
@@ -188,7 +188,8 @@
         }
     }
 
-    /// An observation counts only while the observer holds its lease with the token that it carries.
+    /// Applies a change of the disruption state. An observation is rejected unless its token is that of the present holder
+    /// of the observer's lease.
     fn change_disruption(&mut self, index: Revision, change: &DisruptionCommand) -> Applied {
         if let DisruptionCommand::RecordObservation { fencing_token, .. } = change {
             let observer = self.leases.get(&LeaseId::fleet(OBSERVER_LEASE)).and_then(|lease| lease.holder);
--- a/crates/coordination/src/state_machine/replicas.rs
+++ b/crates/coordination/src/state_machine/replicas.rs
@@ -1,4 +1,4 @@
-//! Membership changes of the replicas: starts of their disks, and the replacement of one by another.
+//! Membership changes of the replicas: starts of their stores, and the replacement of one by another.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,25 +11,25 @@
 /// The replacement of one replica by another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplicaReplacement {
-    /// The number of the replica that is retired.
+    /// Number of the replica that is retired.
     pub old: u64,
-    /// The number of the replica that takes its place; it was never used before.
+    /// Number of the replica that takes its place, never used before.
     pub new: u64,
 }
 
-/// What changed among the replicas since the installation was set up. Since version 2 of the snapshot.
+/// Membership changes of the replicas since the installation was set up. Since version 2 of the snapshot.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct ReplicaChanges {
     /// Addresses of the added replicas.
     pub(super) addresses: BTreeMap<u64, String>,
-    /// The replacement in progress. There is one at a time.
+    /// Replacement in progress; there is at most one.
     pub(super) in_progress: Option<ReplicaReplacement>,
     /// Numbers that must not be used again.
     retired: BTreeSet<u64>,
 }
 
 impl StateMachine {
-    /// Records how often a replica's disk was started. Fewer starts than seen before mean an old copy of the disk.
+    /// Records the start count of a replica's store. A lower count than seen before means an old copy of the store.
     pub(super) fn record_replica_start(&mut self, replica: u64, starts: u64) -> Applied {
         let seen = self.replica_starts.entry(replica).or_default();
         if starts < *seen {
@@ -39,8 +39,7 @@
         Ok(CommandOutcome::Acknowledged)
     }
 
-    /// Begins a replacement. Proposing the one in progress again is acknowledged: the operator may have missed the
-    /// response.
+    /// Begins a replacement. Idempotent while it is in progress, since the operator may have missed the response.
     pub(super) fn replace_replica(&mut self, old: u64, new: u64, address: &str) -> Applied {
         let wanted = ReplicaReplacement { old, new };
         if let Some(current) = self.replica_changes.in_progress {
--- a/crates/coordination/src/state_machine/sessions.rs
+++ b/crates/coordination/src/state_machine/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions of members, and what is remembered of their names.
+//! Sessions of members, and the history of their names.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,26 +12,26 @@
 /// An open session of a member.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Session {
-    /// The member's name.
+    /// Name of the member.
     pub name: String,
-    /// Which session of that name, counted from one.
+    /// Number of the session among those of the name, from one.
     pub incarnation: u64,
-    /// The number that the member's process drew at its start.
+    /// Random number that the member's process drew at its start.
     pub boot_id: u64,
-    /// The member's zone, or empty.
+    /// Zone of the member; empty if it has none.
     pub zone: String,
-    /// Where other members reach it.
+    /// Address at which other members reach it.
     pub address: String,
-    /// The leases that it may be granted.
+    /// Leases that the member may be granted.
     pub eligible_leases: Vec<LeaseId>,
-    /// Whether it lasted its stability period.
+    /// Whether the session lasted its stability period.
     pub stable: bool,
-    /// Whether a later process of the same name has a session: this one is not renewed any more.
+    /// Whether a later process of the same name has a session, so that this one is not renewed any more.
     pub superseded: bool,
 }
 
 impl Session {
-    /// Whether it may be granted this lease.
+    /// Returns whether the session may be granted this lease.
     pub fn may_hold(&self, lease: &LeaseId) -> bool {
         let in_scope = match &lease.scope {
             LeaseScope::Fleet | LeaseScope::WorkerSet(_) => true,
@@ -41,22 +41,22 @@
     }
 }
 
-/// What is remembered of a name beyond its sessions.
+/// History of a name, across its sessions.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct NameHistory {
     incarnation: u64,
-    /// The last processes of the name, the latest last.
+    /// Boot ids of the last processes of the name, the latest last.
     boot_ids: Vec<u64>,
     last_session_short: bool,
-    /// Counted by process: one that reconnects is the same process and adds none.
+    /// Counted by process: a process that reconnects adds none.
     consecutive_short_sessions: u8,
 }
 
 impl NameHistory {
-    /// Counts a session of this process; `previous_short` says whether the session before it was short.
+    /// Adds a session of this process; `previous_short` is whether the session before it was short.
     ///
     /// # Errors
-    /// A later process of the name was seen.
+    /// Returns [`CommandRejection::Superseded`] if a later process of the name was seen.
     fn add_session(&mut self, boot_id: u64, previous_short: bool) -> Result<u64, CommandRejection> {
         if self.boot_ids.last() != Some(&boot_id) {
             if self.boot_ids.contains(&boot_id) {
@@ -111,23 +111,23 @@
 }
 
 impl StateMachine {
-    /// How many sessions in a row of this name were short.
+    /// Returns the number of sessions in a row of this name that were short.
     pub fn consecutive_short_sessions(&self, name: &str) -> u8 {
         self.names.get(name).map_or(0, |history| history.consecutive_short_sessions)
     }
 
-    /// The session of this name that may be renewed.
+    /// Returns the session of this name that may be renewed.
     pub fn current_session_of(&self, name: &str) -> Option<(SessionId, &Session)> {
         let mut sessions = self.sessions.iter().map(|(id, session)| (*id, session));
         sessions.find(|(_, session)| session.name == name && !session.superseded)
     }
 
-    /// The latest incarnation of this name, or 0 for an unknown one.
+    /// Returns the number of the latest session of this name, or 0 for an unknown name.
     pub fn incarnation_of(&self, name: &str) -> u64 {
         self.names.get(name).map_or(0, |history| history.incarnation)
     }
 
-    /// Opens a session. The same process gets the session that it has; a later one supersedes it.
+    /// Opens a session. Idempotent for the same process; a later process supersedes the session.
     pub(super) fn open_session(&mut self, index: Revision, request: &SessionRequest<'_>) -> Applied {
         let current = self.current_session_of(request.name);
         if let Some((id, session)) = current.filter(|(_, session)| session.boot_id == request.boot_id) {
@@ -139,7 +139,7 @@
         let previous_short =
             if superseded.is_some() { request.short_lived } else { history.last_session_short };
         let incarnation = history.add_session(request.boot_id, previous_short)?;
-        // The older process keeps its leases until its session ends: it may be acting on them still.
+        // The older process keeps its leases until its session ends, since it may still act on them.
         if let Some(session) = superseded.and_then(|id| self.sessions.get_mut(&id)) {
             session.superseded = true;
         }
@@ -164,7 +164,7 @@
         Ok(CommandOutcome::SessionEnded(id))
     }
 
-    /// From now on the session may hold leases.
+    /// Marks the session as stable, so that it may hold leases.
     pub(super) fn mark_session_stable(&mut self, id: SessionId) -> Applied {
         let session = self.sessions.get_mut(&id).filter(|session| !session.superseded);
         session.ok_or(CommandRejection::NoSuchSession)?.stable = true;
--- a/crates/coordination/src/state_machine/snapshot.rs
+++ b/crates/coordination/src/state_machine/snapshot.rs
@@ -2,7 +2,7 @@
 //!
 //! A snapshot is its version and then, in postcard, the state machine, the membership changes of the replicas (since
 //! version 2) and the disruption state (since version 3). It is written in the first version that can express the
-//! state, so that replicas of earlier versions read it until something new was agreed on.
+//! state, so that replicas of earlier versions read it until a newer kind of entry is committed.
 
 use disruption_budget::DisruptionState;
 use serde::Deserialize;
@@ -12,20 +12,20 @@
 
 /// Sessions, names, leases and starts of replicas.
 const VERSION_BASE: u16 = 1;
-/// The same with membership changes of the replicas.
+/// Version 1 and membership changes of the replicas.
 const VERSION_REPLICA_CHANGES: u16 = 2;
-/// The same with the disruption state.
+/// Version 2 and the disruption state.
 const VERSION_DISRUPTION: u16 = 3;
 
 /// A snapshot that this program cannot read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// Written by a later program; this one has to be upgraded.
+    /// Written by a later version of the program.
     #[error("cannot decode the snapshot: it has version {version} and this replica supports versions up to {supported}")]
     UnsupportedVersion {
-        /// The version of the snapshot.
+        /// Version of the snapshot.
         version: u16,
-        /// The latest version that this program reads.
+        /// Latest version that this program reads.
         supported: u16,
     },
     /// The bytes are not a snapshot.
@@ -34,7 +34,7 @@
 }
 
 impl StateMachine {
-    /// The bytes of a snapshot: its version, then the parts of that version.
+    /// Encodes the state: the version of the snapshot, then the parts of that version.
     pub fn snapshot(&self) -> Vec<u8> {
         let (changes, disruption) = (&self.replica_changes, &self.disruption);
         let encoded = if *disruption != DisruptionState::default() {
@@ -47,10 +47,10 @@
         encoded.unwrap_or_default()
     }
 
-    /// Reads a snapshot of any version up to the present one.
+    /// Decodes a snapshot of any version up to the present one.
     ///
     /// # Errors
-    /// The snapshot is of a later version, or malformed.
+    /// Returns [`SnapshotError`] if the snapshot is of a later version or malformed.
     pub fn restore(bytes: &[u8]) -> Result<StateMachine, SnapshotError> {
         let (version, parts): (u16, &[u8]) = postcard::take_from_bytes(bytes)?;
         match version {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The FNV-1a hash of the snapshot, equal on replicas that applied the same entries.
+    /// Returns the FNV-1a hash of the snapshot, equal on replicas that applied the same entries.
     pub fn digest(&self) -> u64 {
         fnv1a(&self.snapshot())
     }
--- a/crates/coordination/src/timing.rs
+++ b/crates/coordination/src/timing.rs
@@ -6,62 +6,62 @@
 
 const PARTS_PER_MILLION: u64 = 1_000_000;
 
-/// The largest clock skew that can be configured: a tenth.
+/// Maximum clock skew that can be configured: a tenth.
 const MAX_CLOCK_SKEW_PPM: u64 = 100_000;
 
-/// Heartbeats that fit at least into an election timeout.
+/// Minimum number of heartbeats in an election timeout.
 const MIN_HEARTBEATS_PER_ELECTION: u64 = 4;
 
-/// Renewals that fit at least into a lease.
+/// Minimum number of renewals in the duration of a session.
 const MIN_RENEWALS_PER_LEASE: u64 = 3;
 
-/// Calls that fit at least into a lease.
+/// Minimum number of call timeouts in the duration of a session.
 const MIN_CALLS_PER_LEASE: u64 = 2;
 
-/// Election timeouts that fit at least into a lease.
+/// Minimum number of election timeouts in the duration of a session.
 const MIN_ELECTIONS_PER_LEASE: u64 = 2;
 
-/// How often short sessions double the stability period at most.
+/// Maximum number of times that short sessions double the stability period.
 const MAX_STABILITY_DOUBLINGS: u8 = 5;
 
-/// All durations, in microseconds. Replicas and members of one installation have the same.
+/// Durations in microseconds, the same for all replicas and members of one installation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Timing {
-    /// How long a session lasts after its renewal was requested, by the member's clock.
+    /// Duration of a session from the request of its latest renewal, by the member's clock.
     #[serde(rename = "lease")]
     pub lease_duration: Micros,
-    /// How often a member requests a renewal.
+    /// Interval at which a member requests a renewal.
     #[serde(rename = "renew")]
     pub renewal_interval: Micros,
-    /// How long a member waits for the response of a replica before it tries another.
+    /// Time that a member waits for the response of a replica before it tries another.
     #[serde(rename = "call")]
     pub call_timeout: Micros,
-    /// How long a session has to last before it may hold a lease; doubled for each short session before it.
+    /// Age at which a session may hold a lease; doubled for each short session before it.
     #[serde(rename = "stay")]
     pub stability_period: Micros,
-    /// A session that ends before this age is short.
+    /// Age below which a session that ends counts as short.
     #[serde(rename = "short")]
     pub short_session_limit: Micros,
-    /// The largest difference between the rates of two clocks, in parts per million.
+    /// Maximum difference between the rates of two clocks, in parts per million.
     #[serde(rename = "skew_ppm")]
     pub max_clock_skew_ppm: u64,
-    /// How long a follower waits for the leader before it starts an election.
+    /// Time that a follower waits for the leader before it starts an election.
     #[serde(rename = "election")]
     pub election_timeout: Micros,
-    /// How often the leader sends heartbeats.
+    /// Interval at which the leader sends heartbeats.
     #[serde(rename = "heartbeat")]
     pub heartbeat_interval: Micros,
 }
 
-/// Two durations that contradict each other, under the names of their settings.
+/// Two durations that contradict each other, by their settings keys.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{key} does not fit to {against}: {problem}")]
 pub struct TimingError {
-    /// The setting that is wrong.
+    /// Settings key of the invalid duration.
     pub key: &'static str,
-    /// The setting that it contradicts.
+    /// Settings key of the duration that it contradicts.
     pub against: &'static str,
-    /// What is wanted, and what happens otherwise.
+    /// The requirement, and the consequence of not meeting it.
     pub problem: &'static str,
 }
 
@@ -81,10 +81,10 @@
 }
 
 impl Timing {
-    /// Checks that the durations fit together.
+    /// Checks that the durations are consistent.
     ///
     /// # Errors
-    /// The first contradiction.
+    /// Returns [`TimingError`] with the first contradiction.
     pub fn validate(&self) -> Result<(), TimingError> {
         self.validate_election()?;
         self.validate_lease()?;
@@ -137,7 +137,7 @@
         )
     }
 
-    /// How long the leader waits, by its own clock, until a session that was not renewed has ended for its member too.
+    /// Returns the time, by the leader's clock, after which a session that was not renewed has expired for its member too.
     ///
     /// The member's clock may run slow by the bound and the leader's fast, so both differences are added. The result
     /// is rounded up, with one microsecond more for the granularity of both readings.
@@ -146,7 +146,7 @@
         self.lease_duration + skew + 1
     }
 
-    /// The stability period of a member with this many short sessions in a row.
+    /// Returns the stability period of a member with this many short sessions in a row.
     pub fn stability_period_after(&self, consecutive_short_sessions: u8) -> Micros {
         self.stability_period << consecutive_short_sessions.min(MAX_STABILITY_DOUBLINGS)
     }
--- a/crates/coordination/src/types.rs
+++ b/crates/coordination/src/types.rs
@@ -1,14 +1,14 @@
-//! Numbers that identify sessions, log positions and terms of leases.
+//! Identifiers of sessions, log positions and terms of leases.
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds on the reader's monotonic clock. Readings of two processes are never compared.
+/// Microseconds on the caller's monotonic clock; never compared between processes.
 pub type Micros = u64;
 
-/// A position in the replicated log, and so the version of all state that follows from it.
+/// A position in the replicated log, which is the version of the state at this position.
 pub type Revision = u64;
 
-/// A session of a member: the position of the log entry that opened it, so it is unique.
+/// Identifies a session by the position of the log entry that opened it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionId(pub u64);
 
@@ -16,11 +16,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingToken(pub u64);
 
-/// Who holds a lease.
+/// Holder of a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseHolder {
-    /// The session that the lease was granted to.
+    /// Session that the lease was granted to.
     pub session: SessionId,
-    /// The fencing token of that grant.
+    /// Fencing token of the grant.
     pub token: FencingToken,
 }
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -1,4 +1,4 @@
-//! What members are notified of: every lease at a revision.
+//! Views: the leases at a revision, of which members are notified.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,7 +9,7 @@
 pub struct LeaseView {
     /// The lease.
     pub lease: LeaseId,
-    /// Effects with a lower token are rejected.
+    /// Lowest token with which an effect is accepted.
     pub minimum_token: FencingToken,
     /// The holder, unless the lease is free.
     pub holder: Option<LeaseHolder>,
@@ -18,7 +18,7 @@
 /// All leases as members see them, at a revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClusterView {
-    /// The revision of the last change that it contains.
+    /// Revision of the last change in the view.
     pub revision: Revision,
     /// The leases.
     pub leases: Vec<LeaseView>,
