--- a/crates/cluster-member/src/member/mod.rs
+++ b/crates/cluster-member/src/member/mod.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coordination::{CommandRejection, FencingToken, LeaseClient, LeaseId, Timing};
+use coordination::{CommandRejection, FencingToken, HeldLease, LeaseClient, LeaseId, Timing};
 use tokio::sync::watch;
 use tokio::time::{sleep, Instant};
 
@@ -52,13 +52,10 @@
     change_count: watch::Sender<u64>,
     leave_requested: watch::Sender<bool>,
     /// Terms to be released.
-    pending_releases: watch::Sender<Vec<Term>>,
+    pending_releases: watch::Sender<Vec<HeldLease>>,
     recorder: Recorder,
 }
 
-/// A term of a lease.
-type Term = (LeaseId, FencingToken);
-
 /// Why a member is none any more.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipEnd {
@@ -115,7 +112,7 @@
     }
 
     /// The terms that this member holds now.
-    pub fn held_leases(&self) -> Vec<Term> {
+    pub fn held_leases(&self) -> Vec<HeldLease> {
         self.lease_client.borrow().held_leases(clock::now())
     }
 
@@ -126,7 +123,7 @@
 
     /// Releases a term, because this member cannot do what it is for; another one is granted the lease.
     pub fn release_lease(&self, lease: LeaseId, token: FencingToken) {
-        let term = (lease, token);
+        let term = HeldLease { lease, token };
         self.pending_releases.send_if_modified(|releases| {
             if releases.contains(&term) {
                 return false;
--- a/crates/cluster-member/src/member/session.rs
+++ b/crates/cluster-member/src/member/session.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coordination::{ClusterView, CommandRejection, Micros, SessionId};
+use coordination::{ClusterView, CommandRejection, HeldLease, Micros, SessionId};
 use serde::Serialize;
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 
@@ -137,7 +137,7 @@
     }
 
     fn release_lease_operation(&self) -> Option<Operation> {
-        let (lease, token) = self.pending_releases.borrow().first()?.clone();
+        let HeldLease { lease, token } = self.pending_releases.borrow().first()?.clone();
         Some(Operation::ReleaseLease { lease, token: Some(token) })
     }
 
--- a/crates/cluster-member/tests/sessions.rs
+++ b/crates/cluster-member/tests/sessions.rs
@@ -19,8 +19,8 @@
     Response, SCHEMA_VERSION,
 };
 use coordination::{
-    ClusterView, CommandRejection, FencingToken, LeaseClient, LeaseHolder, LeaseId, LeaseView, SessionId,
-    Timing,
+    ClusterView, CommandRejection, FencingToken, HeldLease, LeaseClient, LeaseHolder, LeaseId, LeaseView,
+    SessionId, Timing,
 };
 use support::{assert_pinned, play_coordinator};
 use tokio::net::TcpListener;
@@ -189,7 +189,7 @@
         until("the holder knows the receiver", || !holder.members().is_empty()).await;
         until("the receiver has a session", || records(&receiver_file).contains("session")).await;
         let list = LeaseId::fleet("list");
-        assert_eq!(holder.held_leases(), [(list.clone(), FencingToken(7))]);
+        assert_eq!(holder.held_leases(), [HeldLease { lease: list.clone(), token: FencingToken(7) }]);
         assert!(holder.holds_lease(&list, FencingToken(7)) && receiver.held_leases().is_empty());
 
         publish_one_effect(&holder).await;
--- a/crates/coordination/src/lease_client.rs
+++ b/crates/coordination/src/lease_client.rs
@@ -19,6 +19,15 @@
     pub expires_at: Micros,
 }
 
+/// A lease that a member holds, in the term with this fencing token.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct HeldLease {
+    /// The lease.
+    pub lease: LeaseId,
+    /// Fencing token of the term.
+    pub token: FencingToken,
+}
+
 /// Reason for which a receiver rejects an effect.
 ///
 /// Holders receive these as postcard: the order of variants and fields is part of the protocol.
@@ -183,14 +192,14 @@
         self.session
     }
 
-    /// The leases that this member holds now, with their tokens.
-    pub fn held_leases(&self, now: Micros) -> Vec<(LeaseId, FencingToken)> {
+    /// Returns the leases that this member holds now.
+    pub fn held_leases(&self, now: Micros) -> Vec<HeldLease> {
         let Some(session) = self.active_session(now) else { return Vec::new() };
-        let held = |lease: &LeaseView| {
-            let holder = lease.holder.filter(|holder| holder.session == session.id)?;
-            Some((lease.lease.clone(), holder.token))
+        let held_by_session = |view: &LeaseView| {
+            let holder = view.holder.filter(|holder| holder.session == session.id)?;
+            Some(HeldLease { lease: view.lease.clone(), token: holder.token })
         };
-        self.leases.values().filter_map(held).collect()
+        self.leases.values().filter_map(held_by_session).collect()
     }
 
     /// Returns whether this member may send an effect of that term now. To be called immediately before each effect.
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -43,7 +43,7 @@
 pub use injected_bug::InjectedBug;
 pub use leader_state::LeaderState;
 pub use lease_assigner::REBALANCE_THRESHOLD;
-pub use lease_client::{ClientSession, EffectCounts, EffectRejection, LeaseClient};
+pub use lease_client::{ClientSession, EffectCounts, EffectRejection, HeldLease, LeaseClient};
 pub use lease_id::{LeaseId, LeaseIdParseError, LeaseScope};
 pub use limits::{MAX_ELIGIBLE_LEASES, MAX_LEASES, MAX_SESSIONS, MAX_TEXT_BYTES};
 pub use outcome::{CommandOutcome, CommandRejection};
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use coordination::{
-    Command, CommandOutcome, EffectRejection, FencingToken, LeaderState, LeaseClient, LeaseId, Revision,
-    SessionId, StateMachine, Timing,
+    Command, CommandOutcome, EffectRejection, FencingToken, HeldLease, LeaderState, LeaseClient, LeaseId,
+    Revision, SessionId, StateMachine, Timing,
 };
 
 const MEMBERS: u64 = 5;
@@ -180,7 +180,7 @@
     /// Every holder makes effects at every member, also with the token before its own.
     fn effects(&mut self, now: u64) {
         for at in 0..self.members.len() {
-            for (lease, token) in self.members[at].client.held_leases(now) {
+            for HeldLease { lease, token } in self.members[at].client.held_leases(now) {
                 assert!(self.members[at].client.holds_lease(&lease, token, now));
                 assert!(!self.members[at].client.holds_lease(&lease, FencingToken(token.0 + 1), now));
                 for to in 0..self.members.len() {
--- a/crates/dispatcher/src/net/cluster/health_checks.rs
+++ b/crates/dispatcher/src/net/cluster/health_checks.rs
@@ -105,7 +105,7 @@
             .member
             .held_leases()
             .into_iter()
-            .filter_map(|(lease, token)| Some((self.config.set_of_lease(&lease)?, token)))
+            .filter_map(|held| Some((self.config.set_of_lease(&held.lease)?, held.token)))
             .collect();
         let mut terms = self.terms.borrow_mut();
         terms.retain(|set, term| owned.get(set) == Some(&term.token));
--- a/crates/dispatcher/src/net/cluster/mod.rs
+++ b/crates/dispatcher/src/net/cluster/mod.rs
@@ -21,7 +21,7 @@
 use cluster_member::record::Recorder;
 use cluster_member::slow_start::{QuotaConfig, SlowStartProfile, SLOW_START_LEASE};
 use cluster_member::wire::Effect;
-use coordination::{LeaseClient, LeaseId, Micros};
+use coordination::{HeldLease, LeaseClient, LeaseId, Micros};
 use dispatch_core::hashing::worker_id;
 use disruption_budget::{ListedWorker, WarmupTracker, OBSERVER_LEASE};
 use serde_json::Value;
@@ -335,10 +335,10 @@
     /// Notices whether this member owns the duty, and gives it back where discovery is silent here.
     fn update_term(&self) {
         let lease = LeaseId::fleet(ENDPOINT_LIST_LEASE);
-        let held = self.member.held_leases().into_iter().find(|(held, _)| *held == lease);
+        let held = self.member.held_leases().into_iter().find(|held| held.lease == lease);
         let mut term = self.term.borrow_mut();
         match held {
-            Some((lease, token)) => {
+            Some(HeldLease { lease, token }) => {
                 if term.as_ref().is_none_or(|term| term.token() != token) {
                     tracing::info!(token = token.0, "holds the list lease");
                     *term = Some(Publisher::new(&self.member, lease.clone(), token));
--- a/crates/dispatcher/src/net/cluster/slow_start.rs
+++ b/crates/dispatcher/src/net/cluster/slow_start.rs
@@ -12,7 +12,7 @@
     SLOW_START_LEASE,
 };
 use cluster_member::wire::Effect;
-use coordination::{FencingToken, LeaseId, Micros};
+use coordination::{FencingToken, HeldLease, LeaseId, Micros};
 use tokio::time::{interval, MissedTickBehavior};
 
 use super::timing::PUBLISH_INTERVAL;
@@ -147,11 +147,11 @@
 
     fn update_term(&self, now: Micros) {
         let lease = LeaseId::fleet(SLOW_START_LEASE);
-        let held = self.member.held_leases().into_iter().find(|(held, _)| *held == lease);
+        let held = self.member.held_leases().into_iter().find(|held| held.lease == lease);
         let mut term = self.term.borrow_mut();
         match held {
-            Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
-            Some((lease, token)) => {
+            Some(HeldLease { token, .. }) if term.as_ref().is_some_and(|term| term.token == token) => {}
+            Some(HeldLease { lease, token }) => {
                 tracing::info!(token = token.0, "holds the slow-start lease");
                 let dealer = Rc::new(RefCell::new(QuotaAllocator::new(self.config, self.profile, now)));
                 let hears = dealer.clone();
--- a/crates/dispatcher/src/net/planned_drain.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -12,7 +12,7 @@
 use cluster_member::effects::Publisher;
 use cluster_member::member::Member;
 use cluster_member::wire::{ClientIdentity, Operation, Response};
-use coordination::{FencingToken, LeaseId, Micros};
+use coordination::{FencingToken, HeldLease, LeaseId, Micros};
 use disruption_budget::{
     AvailabilityObserver, DisruptionCommand, DisruptionOutcome, DisruptionState, FleetMember, ListedWorker,
     ObservationUrgency, PermitState, ReadinessReport, Rejection, StatusChanges, Target, TargetKind,
@@ -336,11 +336,11 @@
         let now = clock::now();
         self.warmup.borrow_mut().update_list(now, &self.listed_workers());
         let lease = LeaseId::fleet(OBSERVER_LEASE);
-        let held = self.member.held_leases().into_iter().find(|(held, _)| *held == lease);
+        let held = self.member.held_leases().into_iter().find(|held| held.lease == lease);
         let mut term = self.term.borrow_mut();
         match held {
-            Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
-            Some((lease, token)) => {
+            Some(HeldLease { token, .. }) if term.as_ref().is_some_and(|term| term.token == token) => {}
+            Some(HeldLease { lease, token }) => {
                 tracing::info!(token = token.0, "holds the observer lease");
                 let observer = Rc::new(RefCell::new(AvailabilityObserver::new(self.readiness_validity, now)));
                 let received = observer.clone();
--- a/crates/emulator/src/cluster/lease_model.rs
+++ b/crates/emulator/src/cluster/lease_model.rs
@@ -217,7 +217,7 @@
                 .holder
                 .held_leases(fleet.now)
                 .first()
-                .is_some_and(|(_, token)| member.checked_token != Some(*token));
+                .is_some_and(|held| member.checked_token != Some(held.token));
             if owner {
                 actions.push(Event::CheckLease(at));
             }
@@ -255,7 +255,7 @@
                 fleet.send(Message::RenewalReply(at, now, news), self.bounds)?;
             }
             Event::CheckLease(at) => {
-                let (_, token) = fleet.members[at].holder.held_leases(now).into_iter().next()?;
+                let token = fleet.members[at].holder.held_leases(now).first()?.token;
                 if fleet.members[at].holder.holds_lease(&lease(), token, now) {
                     fleet.members[at].checked_token = Some(token);
                     fleet.overlapping_holders |= token < fleet.newest();
--- a/crates/emulator/src/cluster/lightweight_member.rs
+++ b/crates/emulator/src/cluster/lightweight_member.rs
@@ -9,7 +9,7 @@
 use cluster_member::effects::{serve_effects, Publisher};
 use cluster_member::member::{self, Member, MembershipEnd};
 use cluster_member::record::Recorder;
-use coordination::{InjectedBug, LeaseClient, LeaseId, Timing};
+use coordination::{HeldLease, InjectedBug, LeaseClient, LeaseId, Timing};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
@@ -110,9 +110,9 @@
     let mut terms: BTreeMap<LeaseId, Publisher> = BTreeMap::new();
     loop {
         let owned = member.held_leases();
-        terms.retain(|duty, term| owned.iter().any(|(owned, token)| owned == duty && *token == term.token()));
-        for (duty, token) in owned {
-            terms.entry(duty.clone()).or_insert_with(|| Publisher::new(&member, duty, token));
+        terms.retain(|duty, term| owned.iter().any(|held| held.lease == *duty && held.token == term.token()));
+        for HeldLease { lease, token } in owned {
+            terms.entry(lease.clone()).or_insert_with(|| Publisher::new(&member, lease, token));
         }
         for _ in 0..EFFECTS_PER_ROUND {
             terms.values_mut().for_each(|term| {
--- a/crates/emulator/src/cluster/virtual_time_soak.rs
+++ b/crates/emulator/src/cluster/virtual_time_soak.rs
@@ -8,8 +8,8 @@
 use std::collections::BinaryHeap;
 
 use coordination::{
-    ClusterView, Command, CommandOutcome, CommandRejection, FencingToken, InjectedBug, LeaderState,
-    LeaseClient, LeaseId, SessionId, StateMachine, Timing,
+    ClusterView, Command, CommandOutcome, CommandRejection, FencingToken, HeldLease, InjectedBug,
+    LeaderState, LeaseClient, LeaseId, SessionId, StateMachine, Timing,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -435,7 +435,9 @@
         let newest = self.newest();
         let member = &self.members[at];
         let now = member.clock.at(self.now);
-        let Some((duty, token)) = member.holder.held_leases(now).into_iter().next() else { return };
+        let Some(HeldLease { lease: duty, token }) = member.holder.held_leases(now).into_iter().next() else {
+            return;
+        };
         for to in (0..MEMBERS).filter(|to| *to != at) {
             if self.members[at].holder.holds_lease(&duty, token, now) {
                 self.result.overlapping_holders += u64::from(token < newest);
