--- a/crates/coordination/src/lease_assigner.rs
+++ b/crates/coordination/src/lease_assigner.rs
@@ -43,8 +43,9 @@
         let sessions = self.state.sessions().iter();
         let candidates = sessions
             .filter(|(id, session)| session.may_hold(lease) && self.sessions.is_responsive(**id, self.now));
-        let rank = |id: SessionId, name: &str| (counts.get(id), rendezvous_weight(lease, name), id);
-        candidates.map(|(id, session)| rank(*id, &session.name)).min().map(|(_, _, id)| id)
+        let best = candidates
+            .min_by_key(|(id, session)| (counts.get(**id), rendezvous_weight(lease, &session.name), **id));
+        best.map(|(id, _)| *id)
     }
 }
 
@@ -54,25 +55,33 @@
     fnv1a(&key)
 }
 
+/// A grant that was proposed and not applied yet.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct ProposedGrant {
+    lease: LeaseId,
+    fencing_revision: Revision,
+}
+
 /// Chooses the holders of leases.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct LeaseAssigner {
     timing: Timing,
-    /// Grants that were proposed, by lease and fencing revision.
-    grants_proposed: BTreeSet<(LeaseId, Revision)>,
+    proposed_grants: BTreeSet<ProposedGrant>,
     last_rebalance: Option<Micros>,
 }
 
 impl LeaseAssigner {
     pub(crate) fn new(timing: Timing) -> LeaseAssigner {
-        LeaseAssigner { timing, grants_proposed: BTreeSet::new(), last_rebalance: None }
+        LeaseAssigner { timing, proposed_grants: BTreeSet::new(), last_rebalance: None }
     }
 
     /// Drops proposals whose lease was granted or fenced again.
     pub(crate) fn on_entries_applied(&mut self, state: &StateMachine) {
-        self.grants_proposed.retain(|(id, fencing_revision)| {
-            let lease = state.leases().get(id);
-            lease.is_some_and(|lease| lease.holder.is_none() && lease.fencing_revision == *fencing_revision)
+        self.proposed_grants.retain(|grant| {
+            let lease = state.leases().get(&grant.lease);
+            lease.is_some_and(|lease| {
+                lease.holder.is_none() && lease.fencing_revision == grant.fencing_revision
+            })
         });
     }
 
@@ -85,15 +94,15 @@
         let mut grants = Vec::new();
         for (id, lease) in context.state.leases().iter().filter(|(_, lease)| lease.holder.is_none()) {
             let fencing_revision = lease.fencing_revision;
-            let proposal = (id.clone(), fencing_revision);
-            if self.grants_proposed.contains(&proposal)
+            let proposal = ProposedGrant { lease: id.clone(), fencing_revision };
+            if self.proposed_grants.contains(&proposal)
                 || !context.sessions.fence_acknowledged(fencing_revision, context.state)
             {
                 continue;
             }
             if let Some(session) = context.choose_holder(id, counts) {
                 counts.add(session);
-                self.grants_proposed.insert(proposal);
+                self.proposed_grants.insert(proposal);
                 grants.push(Command::GrantLease { lease: id.clone(), session, fencing_revision });
             }
         }
@@ -116,8 +125,8 @@
         }
         let leases = context.state.leases().iter();
         let sets = leases.filter(|(id, _)| matches!(id.scope, LeaseScope::WorkerSet(_)));
-        let held = sets.filter_map(|(id, lease)| Some((id, lease.holder?)));
-        let (id, holder) = held.max_by_key(|(id, holder)| (counts.get(holder.session), *id))?;
+        let with_holder = sets.filter_map(|(id, lease)| Some((id, lease.holder?)));
+        let (id, holder) = with_holder.max_by_key(|(id, holder)| (counts.get(holder.session), *id))?;
         let target = context.choose_holder(id, counts)?;
         if counts.get(target) + REBALANCE_THRESHOLD > counts.get(holder.session) {
             return None;
@@ -128,6 +137,6 @@
 
     /// Allows the grant of this lease to be proposed again.
     pub(crate) fn grant_rejected(&mut self, lease: &LeaseId, fencing_revision: Revision) {
-        self.grants_proposed.remove(&(lease.clone(), fencing_revision));
+        self.proposed_grants.remove(&ProposedGrant { lease: lease.clone(), fencing_revision });
     }
 }
--- a/crates/coordination/src/session_monitor.rs
+++ b/crates/coordination/src/session_monitor.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{Command, CommandRejection, Micros, Revision, SessionId, StateMachine, Timing};
+use crate::{Command, CommandRejection, Micros, Revision, Session, SessionId, StateMachine, Timing};
 
 /// Liveness of one session, by the leader's clock.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -38,9 +38,28 @@
         now.saturating_sub(self.first_seen) < timing.short_session_limit
     }
 
+    fn is_expired(&self, now: Micros, timing: &Timing) -> bool {
+        self.since_renewal(now) > timing.expiry_wait()
+    }
+
     fn unstable_for(&self, now: Micros) -> Micros {
         now.saturating_sub(self.unstable_since.unwrap_or(now))
     }
+
+    /// Returns whether the session, which is not marked as stable, has lasted its stability period.
+    fn has_become_stable(
+        &self,
+        now: Micros,
+        session: &Session,
+        state: &StateMachine,
+        timing: &Timing,
+    ) -> bool {
+        if session.stable || session.superseded {
+            return false;
+        }
+        let short_sessions = state.consecutive_short_sessions(&session.name);
+        self.unstable_for(now) >= timing.stability_period_after(short_sessions)
+    }
 }
 
 /// Liveness of all sessions, as recorded by the leader.
@@ -121,18 +140,14 @@
             if liveness.expiry_proposed {
                 continue;
             }
-            if liveness.since_renewal(now) > self.timing.expiry_wait() {
+            if liveness.is_expired(now, &self.timing) {
                 liveness.expiry_proposed = true;
                 let short_lived = liveness.is_short(now, &self.timing);
                 due.push(Command::ExpireSession { session: *id, short_lived });
                 continue;
             }
-            let session = state.sessions().get(id);
-            let Some(session) = session.filter(|session| !session.stable && !session.superseded) else {
-                continue;
-            };
-            let short_sessions = state.consecutive_short_sessions(&session.name);
-            if liveness.unstable_for(now) >= self.timing.stability_period_after(short_sessions)
+            let Some(session) = state.sessions().get(id) else { continue };
+            if liveness.has_become_stable(now, session, state, &self.timing)
                 && self.stability_proposed.insert(*id)
             {
                 due.push(Command::MarkSessionStable { session: *id });
--- a/crates/coordination/src/state_machine/mod.rs
+++ b/crates/coordination/src/state_machine/mod.rs
@@ -10,8 +10,7 @@
 
 use std::collections::BTreeMap;
 
-use disruption_budget::OBSERVER_LEASE;
-use disruption_budget::{DisruptionCommand, DisruptionState};
+use disruption_budget::{DisruptionCommand, DisruptionState, OBSERVER_LEASE};
 use serde::{Deserialize, Serialize};
 
 use crate::{
--- a/crates/coordination/src/state_machine/sessions.rs
+++ b/crates/coordination/src/state_machine/sessions.rs
@@ -193,12 +193,9 @@
     fn trim_name_histories(&mut self) {
         while self.names.len() > MAX_NAME_HISTORIES {
             let has_session = |name: &str| self.sessions.values().any(|session| session.name == name);
-            let idle = self.names.iter().filter(|(name, _)| !has_session(name));
-            let Some(name) =
-                idle.min_by_key(|(_, history)| history.incarnation).map(|(name, _)| name.clone())
-            else {
-                return;
-            };
+            let without_session = self.names.iter().filter(|(name, _)| !has_session(name));
+            let fewest_sessions = without_session.min_by_key(|(_, history)| history.incarnation);
+            let Some(name) = fewest_sessions.map(|(name, _)| name.clone()) else { return };
             self.names.remove(&name);
         }
     }
--- a/crates/coordination/src/state_machine/snapshot.rs
+++ b/crates/coordination/src/state_machine/snapshot.rs
@@ -36,11 +36,10 @@
 impl StateMachine {
     /// Encodes the state: the version of the snapshot, then the parts of that version.
     pub fn snapshot(&self) -> Vec<u8> {
-        let (changes, disruption) = (&self.replica_changes, &self.disruption);
-        let encoded = if *disruption != DisruptionState::default() {
-            postcard::to_stdvec(&(VERSION_DISRUPTION, self, changes, disruption))
-        } else if *changes != ReplicaChanges::default() {
-            postcard::to_stdvec(&(VERSION_REPLICA_CHANGES, self, changes))
+        let encoded = if self.disruption != DisruptionState::default() {
+            postcard::to_stdvec(&(VERSION_DISRUPTION, self, &self.replica_changes, &self.disruption))
+        } else if self.replica_changes != ReplicaChanges::default() {
+            postcard::to_stdvec(&(VERSION_REPLICA_CHANGES, self, &self.replica_changes))
         } else {
             postcard::to_stdvec(&(VERSION_BASE, self))
         };
--- a/crates/coordination/src/timing.rs
+++ b/crates/coordination/src/timing.rs
@@ -91,8 +91,7 @@
         self.validate_stability()?;
         require(
             self.max_clock_skew_ppm <= MAX_CLOCK_SKEW_PPM,
-            ("skew_ppm", "lease"),
-            "must be at most 100000, a tenth",
+            TimingError { key: "skew_ppm", against: "lease", problem: "must be at most 100000, a tenth" },
         )
     }
 
@@ -100,8 +99,12 @@
         require(
             self.heartbeat_interval != 0
                 && self.heartbeat_interval * MIN_HEARTBEATS_PER_ELECTION <= self.election_timeout,
-            ("heartbeat", "election"),
-            "must be above 0 and at most a fourth of it, or one late heartbeat starts an election",
+            TimingError {
+                key: "heartbeat",
+                against: "election",
+                problem:
+                    "must be above 0 and at most a fourth of it, or one late heartbeat starts an election",
+            },
         )
     }
 
@@ -109,31 +112,46 @@
         require(
             self.renewal_interval != 0
                 && self.renewal_interval * MIN_RENEWALS_PER_LEASE <= self.lease_duration,
-            ("renew", "lease"),
-            "must be above 0 and at most a third of it, or one lost response ends a session",
+            TimingError {
+                key: "renew",
+                against: "lease",
+                problem: "must be above 0 and at most a third of it, or one lost response ends a session",
+            },
         )?;
         require(
             self.call_timeout != 0 && self.call_timeout * MIN_CALLS_PER_LEASE <= self.lease_duration,
-            ("call", "lease"),
-            "must be above 0 and at most half of it, or one unresponsive replica ends a session",
+            TimingError {
+                key: "call",
+                against: "lease",
+                problem: "must be above 0 and at most half of it, or one unresponsive replica ends a session",
+            },
         )?;
         require(
             self.election_timeout * MIN_ELECTIONS_PER_LEASE <= self.lease_duration,
-            ("election", "lease"),
-            "must be at most half of it, or every election ends sessions",
+            TimingError {
+                key: "election",
+                against: "lease",
+                problem: "must be at most half of it, or every election ends sessions",
+            },
         )
     }
 
     fn validate_stability(&self) -> Result<(), TimingError> {
         require(
             self.stability_period >= self.renewal_interval,
-            ("stay", "renew"),
-            "must be at least as long, or a member becomes stable before its first renewal",
+            TimingError {
+                key: "stay",
+                against: "renew",
+                problem: "must be at least as long, or a member becomes stable before its first renewal",
+            },
         )?;
         require(
             self.short_session_limit >= self.stability_period,
-            ("short", "stay"),
-            "must be at least as long, or no session is ever short",
+            TimingError {
+                key: "short",
+                against: "stay",
+                problem: "must be at least as long, or no session is ever short",
+            },
         )
     }
 
@@ -152,14 +170,11 @@
     }
 }
 
-fn require(
-    condition: bool,
-    (key, against): (&'static str, &'static str),
-    problem: &'static str,
-) -> Result<(), TimingError> {
+/// Returns the error unless the condition holds.
+fn require(condition: bool, error: TimingError) -> Result<(), TimingError> {
     if condition {
         Ok(())
     } else {
-        Err(TimingError { key, against, problem })
+        Err(error)
     }
 }
