--- a/crates/coordination/src/lease_assigner.rs
+++ b/crates/coordination/src/lease_assigner.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::fnv::fnv1a;
+use crate::hash::fnv1a;
 use crate::session_monitor::SessionMonitor;
 use crate::{Command, LeaseId, LeaseScope, Micros, Revision, SessionId, StateMachine, Timing};
 
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -25,7 +25,7 @@
 //! | [`Timing`] | durations of sessions, leases and elections, and the bound on clock drift |
 
 mod command;
-mod fnv;
+mod hash;
 mod injected_bug;
 mod leader_state;
 mod lease_assigner;
--- a/crates/coordination/src/state_machine/snapshot.rs
+++ b/crates/coordination/src/state_machine/snapshot.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 
 use super::{ReplicaChanges, StateMachine};
-use crate::fnv::fnv1a;
+use crate::hash::fnv1a;
 
 /// Sessions, names, leases and starts of replicas.
 const VERSION_BASE: u16 = 1;
--- a/crates/coordination/tests/coordination/main.rs
+++ b/crates/coordination/tests/coordination/main.rs
@@ -1,6 +1,7 @@
 //! The state machine, the leader's state and a member's side, each by itself.
 
 mod cluster;
+mod hash;
 mod leader_state;
 mod lease_client;
 mod lease_id;
