--- a/crates/dispatch-core/tests/size.rs
+++ b/crates/dispatch-core/tests/size.rs
@@ -12,14 +12,47 @@
     named.map(|file| (file.to_owned(), std::fs::read_to_string(root.join(file)).expect(file))).collect()
 }
 
+/// Lines of a file of the decision module that are not blank, at most.
+const MAX_FILE_LINES: usize = 400;
+/// Lines of one of its functions, at most.
+const MAX_FUNCTION_LINES: usize = 50;
+/// Columns of one of its lines, at most.
+const MAX_COLUMNS: usize = 110;
+
+/// Returns the first line of each function in a file that rustfmt has laid out, with the number of its lines.
+fn functions(text: &str) -> Vec<(&str, usize)> {
+    let lines: Vec<&str> = text.lines().collect();
+    let mut functions = Vec::new();
+    for (start, line) in lines.iter().enumerate() {
+        let code = line.trim_start();
+        // At most a visibility and one more keyword stand before.
+        let is_function = code.split_whitespace().take(3).any(|word| word == "fn");
+        if !is_function || code.starts_with("//") {
+            continue;
+        }
+        let indent = &line[..line.len() - code.len()];
+        let last_line = format!("{indent}}}");
+        let length = lines[start..].iter().position(|line| *line == last_line);
+        functions.push((code, length.expect("the end of the function") + 1));
+    }
+    functions
+}
+
 #[test]
 fn the_decision_module_is_short_and_narrow() {
     let files = policy();
+    for (file, text) in &files {
+        let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
+        assert!(lines <= MAX_FILE_LINES, "{file}: {lines} lines that are not blank");
+        let functions = functions(text);
+        assert!(!functions.is_empty(), "{file}: no function was seen");
+        for (function, lines) in functions {
+            assert!(lines <= MAX_FUNCTION_LINES, "{file}: {lines} lines of {function}");
+        }
+    }
     let text = files.iter().flat_map(|(_, text)| text.lines());
-    let lines = text.clone().filter(|line| !line.trim().is_empty()).count();
-    assert!(lines <= 950, "{lines} lines that are not blank");
-    let wide: Vec<&str> = text.filter(|line| line.chars().count() > 110).collect();
-    assert!(wide.is_empty(), "wider than 110 columns: {wide:?}");
+    let wide: Vec<&str> = text.filter(|line| line.chars().count() > MAX_COLUMNS).collect();
+    assert!(wide.is_empty(), "wider than {MAX_COLUMNS} columns: {wide:?}");
 }
 
 #[test]
