--- a/crates/dispatch-core/src/api/settings.rs
+++ b/crates/dispatch-core/src/api/settings.rs
@@ -205,11 +205,10 @@
         self.tenants.iter().map(|tenant| tenant.quota.max(0.0)).sum()
     }
 
-    /// The same with at least so many classes, the default class filling up, and at least one instance.
-    pub(crate) fn normalized(&self, min_classes: usize) -> Settings {
-        let mut settings = self.clone();
-        settings.classes.resize(settings.classes.len().max(min_classes), Class::default());
-        settings.instances = settings.instances.max(1);
-        settings
+    /// Returns the settings with at least so many classes, default classes filling up, and at least one instance.
+    pub(crate) fn normalized(mut self, min_classes: usize) -> Settings {
+        self.classes.resize(self.classes.len().max(min_classes), Class::default());
+        self.instances = self.instances.max(1);
+        self
     }
 }
--- a/crates/dispatch-core/src/fleet.rs
+++ b/crates/dispatch-core/src/fleet.rs
@@ -6,7 +6,7 @@
 use crate::hashing::mix_bits;
 use crate::outlier_detection::{OutlierDetector, ZoneOutage};
 use crate::queueing::QueueingCurve;
-use crate::run_time::{RunningJob, Slowdown, SlowdownModel};
+use crate::run_time::{RunningJob, Slowdown, SlowdownModel, WorkerSlowdowns};
 use crate::slow_start::SlowStartBudget;
 
 /// Points of each worker on the ring of keys; more spread keys more evenly.
@@ -240,10 +240,10 @@
         slowdowns.log_slowdown(kind, &worker.slowdown, &worker.running, now)
     }
 
-    /// The slowdowns of a worker's kind and of the worker, to learn from a run.
-    pub(crate) fn slowdowns_of(&mut self, index: usize) -> (&mut Slowdown, &mut Slowdown) {
+    /// Returns the slowdowns that act on the jobs of a worker, to learn from a run.
+    pub(crate) fn slowdowns_of(&mut self, index: usize) -> WorkerSlowdowns<'_> {
         let worker = &mut self.workers[index];
-        (&mut self.kinds[worker.kind].slowdown, &mut worker.slowdown)
+        WorkerSlowdowns { kind: &mut self.kinds[worker.kind].slowdown, worker: &mut worker.slowdown }
     }
 
     /// A worker failed; `jitter` is drawn from 0 to 1.
--- a/crates/dispatch-core/src/job.rs
+++ b/crates/dispatch-core/src/job.rs
@@ -34,23 +34,33 @@
     pub attempts: Vec<Attempt>,
 }
 
+/// Times of a job at its arrival.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct JobTiming {
+    pub arrived_at: Seconds,
+    /// Time since the client's first attempt.
+    pub age: Seconds,
+    /// The latest time at which a start makes sense.
+    pub start_by: Seconds,
+}
+
 impl Job {
-    /// A job that arrives now and was first asked for `age` ago.
+    /// Returns a job that arrives now and waits for tokens.
     pub(crate) fn new(
         request: Request,
         slots: i64,
         class: &Class,
         run_times: &RunTimeModel,
-        now: Seconds,
-        age: Seconds,
-        start_by: Seconds,
+        timing: JobTiming,
     ) -> Job {
         let log_work = run_times.log_work(request.expected_run_time);
+        let JobTiming { arrived_at, age, start_by } = timing;
+        let allowance = class.run_time_allowance * log_work.exp();
         Job {
             run_time: run_times.mean.max(request.expected_run_time.unwrap_or(0.0)),
             log_work,
-            objective_due: now - age + class.latency_objective + class.run_time_allowance * log_work.exp(),
-            arrived_at: now,
+            objective_due: arrived_at - age + class.latency_objective + allowance,
+            arrived_at,
             state: JobState::Queued,
             attempts: Vec::new(),
             request,
--- /dev/null
+++ b/crates/dispatch-core/src/policy/admission.rs
@@ -0,0 +1,116 @@
+//! Admission of a request: validation, an estimate of how long it may wait, and the decision. A k-slot job
+//! needs U >= k and time to start, or is rejected at once, whole, with a retry-after.
+
+use super::Dispatcher;
+use crate::api::{Action, Request, RequestId, Seconds};
+use crate::job::{Job, JobTiming};
+
+/// A job has at least this time to start, or half its timeout.
+const MIN_START_TIME: Seconds = 0.01;
+/// A job starts so many steps of the clock before its client gives up.
+const CLOCK_STEPS_TO_ANSWER: f64 = 4.0;
+/// The shortest retry-after of a rejection.
+const MIN_RETRY_AFTER: Seconds = 0.001;
+
+impl Dispatcher {
+    /// Admits, queues or rejects a request. One whose id is open already is ignored.
+    pub(super) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
+        if self.jobs.contains_key(&request.id) {
+            return;
+        }
+        let request = self.with_valid_positions(request);
+        let slots = request.slots.max(1.0).ceil() as i64;
+        if !self.fits_some_worker(slots) {
+            return actions.push(self.rejection(request.id, self.settings.max_retry_after));
+        }
+        self.accrue_tokens();
+        self.record_arrival(&request, slots as f64);
+        let timing = self.estimate_timing(&request);
+        if let Some(wait) = self.rejection_wait(&request, slots, timing) {
+            return actions.push(self.rejection(request.id, wait));
+        }
+        let earliest_deadline = self.now + MIN_START_TIME.min(request.timeout / 2.0);
+        let timing = JobTiming { start_by: timing.start_by.max(earliest_deadline), ..timing };
+        let class = request.class as usize;
+        let job =
+            Job::new(request, slots, &self.settings.classes[class], &self.workload.run_times[class], timing);
+        self.enqueue(job, actions);
+    }
+
+    /// Returns the request with class and tenant within the lists of the settings.
+    fn with_valid_positions(&self, request: Request) -> Request {
+        let class = (request.class as usize).min(self.settings.classes.len() - 1);
+        let tenant = (request.tenant as usize).min(self.banks.len() - 1);
+        Request { class: class as u32, tenant: tenant as u32, ..request }
+    }
+
+    /// Whether a job of this size may fit a worker. The banks are enlarged for the largest job so far, but
+    /// not for one beyond any worker, which would open them to everything that follows.
+    fn fits_some_worker(&mut self, slots: i64) -> bool {
+        if slots <= self.fleet.largest_job {
+            return true;
+        }
+        if slots as f64 > self.fleet.max_job_slots() {
+            return false;
+        }
+        self.fleet.largest_job = slots;
+        self.resize_banks();
+        true
+    }
+
+    /// Learns the sizes of jobs and the rates of keys from an arrival.
+    fn record_arrival(&mut self, request: &Request, slots: f64) {
+        self.workload.record_slots(slots);
+        let work = slots * self.workload.run_times[request.class as usize].mean;
+        self.reserved_workers.record_job(slots, work, &self.fleet.workers);
+        if let Some(key) = request.affinity_key {
+            self.key_rates.record(key, self.now);
+        }
+    }
+
+    /// Estimates the age of a request and the time by which its job must start to be in time.
+    fn estimate_timing(&mut self, request: &Request) -> JobTiming {
+        let class = request.class as usize;
+        let slack = self.workload.run_times[class]
+            .start_slack(&self.settings.classes[class], request.expected_run_time);
+        let age = self.request_age(request);
+        let latest_start = request.timeout - CLOCK_STEPS_TO_ANSWER * self.settings.clock_resolution;
+        JobTiming { arrived_at: self.now, age, start_by: self.now + (slack - age).min(latest_start) }
+    }
+
+    /// Returns the time since the client's first attempt. First attempts count as arrivals of the tenant.
+    fn request_age(&mut self, request: &Request) -> Seconds {
+        let run_times = &mut self.workload.run_times[request.class as usize];
+        // A first attempt with a shorter timeout than others is no older than they.
+        let age = run_times.record_timeout(request.timeout) - request.timeout;
+        let seems_first = age < self.settings.clock_resolution;
+        let is_first = if self.settings.clients_mark_retries { !request.is_retry } else { seems_first };
+        if is_first {
+            self.banks[request.tenant as usize].window_arrivals += 1.0;
+            return 0.0;
+        }
+        age
+    }
+
+    /// Returns the wait to suggest to the client if the request is rejected, or `None` if it is taken.
+    fn rejection_wait(&mut self, request: &Request, slots: i64, timing: JobTiming) -> Option<Seconds> {
+        let late_weight = self.settings.classes[request.class as usize].late_weight;
+        let is_too_late = timing.start_by <= self.now && late_weight == 0.0;
+        let bank = &self.banks[request.tenant as usize];
+        let is_rejected = is_too_late || bank.balance < slots || request.timeout <= 0.0;
+        if !is_rejected {
+            return None;
+        }
+        let missing_tokens = (slots - bank.balance).max(1) as f64;
+        let wait = missing_tokens / self.rate.partial(bank.share);
+        self.rate.is_limiting |= !is_too_late;
+        Some(wait)
+    }
+
+    /// Returns a rejection with a retry-after, as far as the settings allow one.
+    pub(super) fn rejection(&self, request: RequestId, wait: Seconds) -> Action {
+        let longest = self.settings.max_retry_after;
+        let retry_after = (longest > 0.0).then(|| wait.clamp(MIN_RETRY_AFTER, longest));
+        Action::Reject { request, retry_after }
+    }
+}
--- a/crates/dispatch-core/src/policy/mod.rs
+++ b/crates/dispatch-core/src/policy/mod.rs
@@ -1,13 +1,20 @@
-//! All decisions of one dispatcher; no clock, no I/O, no shared state. The ordinary path of a job is the
-//! throttle, the rate, the workers and their slow-start budget, the attempts; each file opens with its rule.
+//! All decisions of one dispatcher; no clock, no I/O, no shared state.
+//!
+//! A job passes `admission` and `throttle`, which `rate_control` sets the rate of; `placement` sends it to a
+//! worker that `worker_selection` chooses by `worker_cost` and `slow_start`; `attempts` answers it or sends
+//! it again. Each file opens with its rule.
 
+mod admission;
 mod attempts;
 mod endpoint_list;
 mod outlier_detection;
 mod placement;
+mod probing;
 mod rate_control;
 mod slow_start;
 mod throttle;
+mod worker_cost;
+mod worker_selection;
 
 use std::collections::VecDeque;
 
@@ -25,9 +32,14 @@
 use crate::timers::{TimerEvent, TimerQueue};
 use crate::token_bank::{self, TokenBank};
 use crate::workload::Workload;
+use attempts::AttemptEnd;
+use probing::ProbeScope;
 
-/// R starts at this multiple of our part of what was promised: a fleet is larger than what is sold of it.
+/// The admission rate R starts at this multiple of our part of the quotas: a fleet has more capacity than is
+/// promised.
 const INITIAL_RATE_MULTIPLE: f64 = 1.5;
+/// The first probe is due within this time.
+const MAX_FIRST_PROBE_DELAY: Seconds = 0.1;
 
 /// One dispatcher.
 #[derive(Debug)]
@@ -36,7 +48,7 @@
     rng: fastrand::Rng,
     now: Seconds,
     banks: Vec<TokenBank>,
-    /// When tokens were added last.
+    /// Time at which tokens were added last.
     accrued_at: Seconds,
     rate: AdmissionRate,
     workload: Workload,
@@ -47,7 +59,7 @@
     jobs: FxHashMap<RequestId, Job>,
     /// Jobs that wait for a worker, first come first.
     admitted: VecDeque<RequestId>,
-    pub(crate) slow_start_turns: SlowStartTurns,
+    slow_start_turns: SlowStartTurns,
     /// Workers that answered a probe or left an idle connection, latest first.
     recently_probed: VecDeque<usize>,
     timers: TimerQueue,
@@ -55,7 +67,7 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher with nothing known yet. The same seed and events give the same actions.
+    /// Returns a dispatcher without any workers. The same seed and events give the same actions.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let settings = settings.normalized(1);
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -83,7 +95,8 @@
 
     /// Begins work: subscribes to the endpoint list and arms the timer.
     pub fn start(&mut self, now: Seconds, actions: &mut Vec<Action>) {
-        (self.now, self.accrued_at) = (now, now);
+        self.now = now;
+        self.accrued_at = now;
         self.slow_start_turns.owned_after = now;
         if self.settings.polls_endpoint_list {
             self.watch_endpoint_list(actions);
@@ -91,15 +104,21 @@
         let phase = self.rng.f64();
         self.schedule(self.workload.rate_window() * phase, TimerEvent::RateWindowEnd);
         if self.settings.probes_allowed && self.settings.load_reports == LoadReports::WithProbes {
-            self.schedule(0.1 * phase, TimerEvent::ProbeDue);
+            self.schedule(MAX_FIRST_PROBE_DELAY * phase, TimerEvent::ProbeDue);
         }
         self.resize_banks();
-        actions.extend(self.timers.arm(self.now, self.settings.clock_resolution));
+        self.arm_timer(actions);
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Takes one event and appends the actions to carry out.
     pub fn on_event(&mut self, now: Seconds, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
+        self.handle(event, actions);
+        self.run_due_timers(actions);
+        self.arm_timer(actions);
+    }
+
+    fn handle(&mut self, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::Settings(settings) => self.on_settings(settings),
             Event::Request(request) => self.on_request(request, actions),
@@ -107,7 +126,8 @@
                 self.on_job_started(request, attempt)
             }
             Event::AttemptEnded { request, attempt, outcome, complete, load } => {
-                self.on_attempt_ended(request, attempt, outcome, complete, load, actions)
+                let end = AttemptEnd { request, number: attempt, outcome, is_complete: complete, load };
+                self.on_attempt_ended(end, actions)
             }
             Event::ClientDisconnected(id) => self.on_client_disconnect(id, actions),
             Event::Timer(token) => self.timers.on_fired(token),
@@ -122,14 +142,12 @@
             Event::Progress { request, attempt, .. } => self.on_progress(request, attempt),
             Event::PeerMessage { .. } => {}
         }
-        self.run_due_timers(actions);
-        actions.extend(self.timers.arm(self.now, self.settings.clock_resolution));
     }
 
-    /// Other settings: what was learned stays, banks follow their tenants' new shares.
+    /// Applies other settings: estimates stay, banks follow their tenants' new shares.
     fn on_settings(&mut self, settings: &Settings) {
         self.accrue_tokens();
-        let settings = settings.normalized(self.workload.run_times.len());
+        let settings = settings.clone().normalized(self.workload.run_times.len());
         self.workload.resize(settings.classes.len());
         token_bank::update_shares(&mut self.banks, &settings.tenants, &mut self.rng);
         self.reserved_workers.configure(settings.capacity_reservation);
@@ -140,10 +158,16 @@
         self.reserved_workers.assign(&self.fleet.workers);
     }
 
+    /// Wakes the dispatcher for a timer event after this time, or at once.
     fn schedule(&mut self, after: Seconds, event: TimerEvent) {
         self.timers.schedule(self.now + after.max(0.0), event);
     }
 
+    /// Arms the caller's timer for the earliest timer event where it is not armed for it.
+    fn arm_timer(&mut self, actions: &mut Vec<Action>) {
+        actions.extend(self.timers.arm(self.now, self.settings.clock_resolution));
+    }
+
     fn run_due_timers(&mut self, actions: &mut Vec<Action>) {
         while let Some(event) = self.timers.next_due(self.now) {
             match event {
@@ -153,7 +177,7 @@
                 }
                 TimerEvent::PlacementTimeout(id) => self.on_placement_timeout(id, actions),
                 TimerEvent::QueueTimeout(id) => self.on_queue_timeout(id, actions),
-                TimerEvent::ProbeOtherZones(id) => self.probe(id, true, actions),
+                TimerEvent::ProbeOtherZones(id) => self.probe(id, ProbeScope::OtherZones, actions),
                 TimerEvent::StallCheck(id) => self.on_stall_check(id, actions),
                 TimerEvent::RateWindowEnd => self.end_rate_window(),
                 TimerEvent::EndpointListRetry if self.endpoint_list.is_active() => {}
--- a/crates/dispatch-core/src/policy/outlier_detection.rs
+++ b/crates/dispatch-core/src/policy/outlier_detection.rs
@@ -2,34 +2,32 @@
 
 use super::Dispatcher;
 use crate::api::{Action, Idempotency, LoadReports, RequestId, Seconds};
-use crate::job::JobState;
+use crate::job::{Attempt, Job, JobState};
 use crate::timers::{TimerEvent, TIMER_TOLERANCE};
 
-/// A worker is stalled that gives no sign of life for this long and so many usual waits while a job of ours
-/// waits there, or for so many times the span between two progress reports while one runs.
+/// A worker is stalled that gives no sign of life for this long and so many mean waits while a job of ours
+/// waits there, or for so many intervals between progress reports while one runs.
 const STALL_TIMEOUT: Seconds = 1.5;
 const STALL_WAITS: f64 = 16.0;
 const STALL_PROGRESS_INTERVALS: f64 = 2.2;
 
 impl Dispatcher {
+    /// Counts a failure of a worker.
     pub(super) fn record_failure(&mut self, index: usize) {
         let jitter = self.rng.f64();
         self.fleet.record_failure(index, self.now, jitter);
     }
 
-    /// A worker that takes jobs and gives no sign of life is ejected until it does; its job is hedged.
+    /// Ejects a worker that took a job and gives no sign of life, until it does, and hedges the job; checks
+    /// again later where the stall timeout is not over.
     pub(super) fn on_stall_check(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id).filter(|job| job.state == JobState::InFlight) else { return };
-        let interval = self.settings.progress_interval;
-        let Some(attempt) = job.attempt_to_watch(interval > 0.0) else { return };
-        let (index, is_waiting) = (attempt.worker, attempt.started_at.is_none());
-        let timeout = if is_waiting {
-            STALL_TIMEOUT + STALL_WAITS * self.workload.mean_wait
-        } else {
-            STALL_PROGRESS_INTERVALS * interval
-        };
-        let stalled_at = self.fleet.workers[index].health.last_alive.max(attempt.sent_at) + timeout;
-        if is_waiting && self.settings.load_reports == LoadReports::None {
+        let reports_progress = self.settings.progress_interval > 0.0;
+        let Some(attempt) = job.attempt_to_watch(reports_progress) else { return };
+        let index = attempt.worker;
+        let last_sign = self.fleet.workers[index].health.last_alive.max(attempt.sent_at);
+        let stalled_at = last_sign + self.stall_timeout(&attempt);
+        if attempt.started_at.is_none() && self.settings.load_reports == LoadReports::None {
             self.fleet.record_wait(index, self.now - attempt.sent_at, self.observation_time());
         }
         if stalled_at > self.now + TIMER_TOLERANCE {
@@ -41,18 +39,31 @@
         self.hedge(id, actions);
     }
 
+    /// Returns the time without a sign of life after which the worker of an attempt is stalled.
+    fn stall_timeout(&self, attempt: &Attempt) -> Seconds {
+        if attempt.started_at.is_none() {
+            STALL_TIMEOUT + STALL_WAITS * self.workload.mean_wait
+        } else {
+            STALL_PROGRESS_INTERVALS * self.settings.progress_interval
+        }
+    }
+
     /// Sends a hedged request where settings, class and budget allow one.
     fn hedge(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.remove(&id) else { return };
-        let idempotency = self.settings.classes[job.class()].idempotency;
-        let is_allowed = self.settings.hedging_allowed && idempotency != Idempotency::NotIdempotent;
-        let has_attempts = job.attempts.len() < self.settings.max_attempts as usize;
-        let may_send = is_allowed && has_attempts && self.hedge_budget.is_left();
-        let candidate = if may_send { self.choose_worker(&job) } else { None };
+        let candidate = if self.may_hedge(&job) { self.choose_worker(&job) } else { None };
         self.jobs.insert(id, job);
         if let Some(candidate) = candidate {
             self.hedge_budget.spend();
             self.send(id, candidate, actions);
         }
     }
+
+    fn may_hedge(&self, job: &Job) -> bool {
+        let idempotency = self.settings.classes[job.class()].idempotency;
+        self.settings.hedging_allowed
+            && idempotency != Idempotency::NotIdempotent
+            && job.attempts.len() < self.settings.max_attempts as usize
+            && self.hedge_budget.is_left()
+    }
 }
--- a/crates/dispatch-core/src/policy/rate_control.rs
+++ b/crates/dispatch-core/src/policy/rate_control.rs
@@ -1,44 +1,60 @@
-//! 2. **Rate.** A tenant's tokens come at its share of R. R rises while it limits and work is taken; it falls
-//!    once per congestion episode. Tokens that overflow a full bank go to the other tenants by share.
+//! 2. **Rate.** A tenant's tokens come at its share of the admission rate R. R rises while it limits and jobs
+//!    are accepted; it is cut once per congestion episode. Tokens that overflow a full bank go to the other
+//!    tenants by share.
 
 use super::{Dispatcher, INITIAL_RATE_MULTIPLE};
+use crate::admission_rate::AdmissionRate;
 use crate::api::Seconds;
 use crate::timers::TimerEvent;
 
-/// Learning rate of what arrives and is served, by windows.
+/// Learning rate of arrivals and of jobs that are served, by windows.
 const TRAFFIC_LEARNING_RATE: f64 = 0.1;
 /// R rises by this part in each window in which it limits, quickly until the first cut.
 const RATE_RISE: f64 = 0.05;
 const INITIAL_RATE_RISE: f64 = 0.1;
+/// R rises by no more than this part at once.
+const MAX_RATE_RISE: f64 = 1.0;
 /// A window is congested when more than this part of its sends was rejected.
 const CONGESTED_SHARE: f64 = 0.15;
 /// R is cut by this multiple of the rejected part, and by no more than this at once.
 const CUT_PER_REJECTED: f64 = 0.5;
 const MAX_CUT: f64 = 0.3;
-/// Where more than this part is rejected, what was promised cannot be kept for now.
+/// Where more than this part is rejected, quotas cannot be served for now.
 const COLLAPSED_SHARE: f64 = 0.75;
 
+/// The traffic of a window, in slots a second.
+#[derive(Clone, Copy, Debug)]
+struct WindowTraffic {
+    /// First attempts of clients.
+    arrivals: f64,
+    /// Our part of the quotas of all tenants.
+    quota: f64,
+}
+
 impl Dispatcher {
-    /// What a usual job asks of a worker, in slots by seconds.
+    /// Returns the mean work of a job, in slots by seconds.
     pub fn mean_job_work(&self) -> f64 {
         self.workload.mean_job_work()
     }
 
+    /// Adjusts the admission rate at the end of a window and begins the next one.
     pub(super) fn end_rate_window(&mut self) {
         self.accrue_tokens();
         self.key_rates.evict_old(self.now);
         let window = self.workload.rate_window();
         let mean_slots = self.workload.mean_slots;
         let arrivals = self.banks.iter().map(|bank| bank.window_arrivals).sum::<f64>();
-        let arrived = arrivals / window * mean_slots;
-        let promise = self.settings.total_quota() * self.traffic_share(window) * mean_slots;
-        self.adjust_rate(window, arrived, promise);
+        let traffic = WindowTraffic {
+            arrivals: arrivals / window * mean_slots,
+            quota: self.settings.total_quota() * self.traffic_share(window) * mean_slots,
+        };
+        self.adjust_rate(window, traffic);
         self.rate.start_window();
         self.resize_banks();
         self.schedule(self.workload.rate_window(), TimerEvent::RateWindowEnd);
     }
 
-    /// Our part of the traffic, at the least: the quietest tenant is taken to keep to its quota.
+    /// Returns a lower bound of our part of the traffic: the quietest tenant is taken to use its quota.
     fn traffic_share(&mut self, window: Seconds) -> f64 {
         let mut share = 1.0_f64;
         for (tenant, bank) in self.banks.iter_mut().enumerate() {
@@ -48,23 +64,34 @@
         share.max(1.0 / f64::from(self.settings.instances))
     }
 
-    /// Cuts or raises R by what this window brought; `arrived` and `promise` are in slots a second.
-    fn adjust_rate(&mut self, window: Seconds, arrived: f64, promise: f64) {
+    /// Cuts R after a congested window; raises it where it limited the jobs that workers accept.
+    fn adjust_rate(&mut self, window: Seconds, traffic: WindowTraffic) {
         let rate = &mut self.rate;
         rate.served_rate += TRAFFIC_LEARNING_RATE * (rate.accepted / window - rate.served_rate);
         let sent = rate.accepted + rate.rejected;
         if rate.several_rejecters && rate.rejected > CONGESTED_SHARE * sent {
-            // Never below what is served in time, nor below our part of the promise, unless most is rejected.
-            let rejected = rate.rejected / sent;
-            let promise_factor = ((1.0 - rejected) / (1.0 - COLLAPSED_SHARE)).min(1.0);
-            let floor = rate.served_rate.max(promise * promise_factor).min(rate.slots_per_second);
-            let cut = (CUT_PER_REJECTED * rejected).min(MAX_CUT);
-            rate.slots_per_second = (rate.slots_per_second * (1.0 - cut)).max(floor);
-            rate.was_cut = true;
+            cut_rate(rate, rate.rejected / sent, traffic.quota);
         } else if rate.is_limiting && rate.accepted > 0.0 {
-            let rise = if rate.was_cut { RATE_RISE } else { INITIAL_RATE_RISE };
-            let target = if rate.was_cut { promise } else { INITIAL_RATE_MULTIPLE * arrived };
-            rate.slots_per_second *= 1.0 + rise.max((target / rate.slots_per_second - 1.0).min(1.0));
+            raise_rate(rate, traffic);
         }
     }
 }
+
+/// Cuts R by the rejected part of the sends, but not below the rate that is served in time, nor below our
+/// part of the quotas unless most is rejected.
+fn cut_rate(rate: &mut AdmissionRate, rejected_share: f64, quota: f64) {
+    let quota_factor = ((1.0 - rejected_share) / (1.0 - COLLAPSED_SHARE)).min(1.0);
+    let lowest = rate.served_rate.max(quota * quota_factor).min(rate.slots_per_second);
+    let cut = (CUT_PER_REJECTED * rejected_share).min(MAX_CUT);
+    rate.slots_per_second = (rate.slots_per_second * (1.0 - cut)).max(lowest);
+    rate.was_cut = true;
+}
+
+/// Raises R by a small part, or towards its target: our part of the quotas after a cut, a multiple of the
+/// arrivals before.
+fn raise_rate(rate: &mut AdmissionRate, traffic: WindowTraffic) {
+    let rise = if rate.was_cut { RATE_RISE } else { INITIAL_RATE_RISE };
+    let target = if rate.was_cut { traffic.quota } else { INITIAL_RATE_MULTIPLE * traffic.arrivals };
+    let rise_to_target = (target / rate.slots_per_second - 1.0).min(MAX_RATE_RISE);
+    rate.slots_per_second *= 1.0 + rise.max(rise_to_target);
+}
--- /dev/null
+++ b/crates/dispatch-core/src/policy/worker_cost.rs
@@ -0,0 +1,92 @@
+//! The cost of sending a job to a worker, in seconds: its running time there, its wait, the prices of the
+//! path and the chance of being late.
+
+use super::Dispatcher;
+use crate::api::Seconds;
+use crate::fleet::Worker;
+use crate::job::{Candidate, Job};
+
+/// Cost of queueing delay, as a multiple of the running time.
+const WAIT_COST: f64 = 4.0;
+/// Cost of a worker's utilization, as a multiple of the running time: load reports are late, so of workers
+/// that seem free the emptier one is preferred.
+const UTILIZATION_COST: f64 = 0.6;
+/// Utilization from which on a worker's cost by utilization grows no further.
+const MAX_UTILIZATION: f64 = 2.0;
+/// Where probes are allowed, the load of a worker is fresh for this part of a rate window after a report.
+const FRESH_WINDOWS: f64 = 0.25;
+/// Cost of a worker in a zone that seems lost, in seconds: it is the last choice.
+const LOST_ZONE_COST: f64 = 1e3;
+/// Cost of certain lateness, as a multiple of the job's work.
+const LATENESS_COST: f64 = 80.0;
+/// Cost of a price, which is a part of the service, as a multiple of the job's work.
+const PRICE_COST: f64 = 5.0;
+
+impl Dispatcher {
+    /// Returns a worker as a candidate for the job, with its cost.
+    pub(super) fn evaluate(&self, index: usize, job: &Job) -> Candidate {
+        let worker = &self.fleet.workers[index];
+        let work = job.log_work.exp();
+        let slowdown = self.slowdown(index);
+        let run_time = work * slowdown;
+        let utilization = self.utilization_with(worker, job);
+        let wait = self.expected_wait(worker, utilization, slowdown);
+        let time_left = job.objective_due - self.now;
+        let run_times = &self.workload.run_times[job.class()];
+        let lateness_probability = run_times.lateness_probability(time_left, run_time, wait);
+        let is_zone_lost = self.fleet.is_zone_lost(worker, self.now);
+        let reservation_price = self.reserved_workers.price(index, job.slots as f64);
+        let cost = run_time * (1.0 + queueing_cost(utilization) + reservation_price)
+            + (PRICE_COST * self.path_price(worker) + self.lateness_cost(job, lateness_probability)) * work
+            + if is_zone_lost { LOST_ZONE_COST } else { 0.0 };
+        let has_free_slot = utilization <= 1.0 && self.has_fresh_load(worker) && !is_zone_lost;
+        Candidate { worker: index, cost, has_free_slot, utilization, lateness_probability }
+    }
+
+    /// Returns the running time at a worker relative to that at a usual one that is warm.
+    fn slowdown(&self, index: usize) -> f64 {
+        let log_slowdown = self.fleet.log_slowdown(index, &self.workload.slowdowns, self.now);
+        log_slowdown.exp() / self.fleet.warm_capacity(&self.fleet.workers[index], self.now)
+    }
+
+    /// Returns the expected utilization of a worker with the job.
+    fn utilization_with(&self, worker: &Worker, job: &Job) -> f64 {
+        let other_slots = self.fleet.other_slots(worker, self.observation_time());
+        (worker.our_slots + other_slots + job.size()) / self.fleet.slots_of(worker)
+    }
+
+    /// Whether the load of a worker was observed recently enough to rely on.
+    fn has_fresh_load(&self, worker: &Worker) -> bool {
+        let fresh_for = FRESH_WINDOWS * self.workload.rate_window();
+        !self.may_probe() || self.now - worker.other_slots_at < fresh_for
+    }
+
+    /// Returns the price of the path to a worker, as a part of the service: crossing zones and a new
+    /// connection.
+    fn path_price(&self, worker: &Worker) -> f64 {
+        let settings = &self.settings;
+        let crossing = if worker.zone == settings.zone { 0.0 } else { settings.cross_zone_price };
+        let has_idle_connection = self.now < worker.idle_connection_until;
+        let handshake = if has_idle_connection { 0.0 } else { settings.handshake_price };
+        crossing + handshake
+    }
+
+    /// Returns the expected wait of a job at a worker before it starts.
+    fn expected_wait(&self, worker: &Worker, utilization: f64, slowdown: f64) -> Seconds {
+        self.fleet.expected_wait(worker, utilization) * self.workload.rate_window() * slowdown
+    }
+
+    /// Returns the cost of probable lateness, as a multiple of the job's work.
+    fn lateness_cost(&self, job: &Job, lateness_probability: f64) -> f64 {
+        let late_weight = self.settings.classes[job.class()].late_weight;
+        let lateness_weight = self.workload.run_times[job.class()].lateness_weight();
+        LATENESS_COST * lateness_probability * (1.0 - late_weight) * lateness_weight
+    }
+}
+
+/// Returns the cost of waiting at a worker of this utilization, as a multiple of the running time.
+fn queueing_cost(utilization: f64) -> f64 {
+    let wait_cost = WAIT_COST * (utilization - 1.0).max(0.0);
+    let utilization_cost = UTILIZATION_COST * utilization.min(MAX_UTILIZATION).powi(2);
+    wait_cost + utilization_cost
+}
--- a/crates/dispatch-core/src/run_time.rs
+++ b/crates/dispatch-core/src/run_time.rs
@@ -125,8 +125,9 @@
 
     /// A hint, no further from the usual ones than hints go: a nonsensical one must cost its own job at the most.
     fn clamp_hint(&self, hint: f64) -> f64 {
-        let (mean, most) = (self.reference_hint(), MAX_HINT_DEVIATIONS * self.hint_variance.sqrt());
-        hint.clamp(mean - most, mean + most)
+        let reference = self.reference_hint();
+        let max_deviation = MAX_HINT_DEVIATIONS * self.hint_variance.sqrt();
+        hint.clamp(reference - max_deviation, reference + max_deviation)
     }
 
     /// How long a job of the class may wait and still be in time, by its hinted or else its usual running time.
@@ -200,8 +201,10 @@
     /// Fits the line through hints and work.
     fn learn_hint(&mut self, hint: f64, log_work: f64) {
         if self.hints_seen == 0.0 {
-            let hint = self.clamp_hint(hint);
-            (self.mean_log_hint, self.mean_log_work, self.variance) = (hint, hint, INITIAL_HINTED_VARIANCE);
+            let first_hint = self.clamp_hint(hint);
+            self.mean_log_hint = first_hint;
+            self.mean_log_work = first_hint;
+            self.variance = INITIAL_HINTED_VARIANCE;
         }
         self.hints_seen += 1.0;
         let rate = learning_rate(self.hints_seen);
@@ -240,10 +243,18 @@
     /// Takes its part of what an estimate was off by: its own variance of that of all.
     fn learn(&mut self, error: f64, own: f64, all: f64, now: Seconds) {
         self.log += own / all * error;
-        (self.variance, self.updated_at) = ((own - own * own / all).max(MIN_VARIANCE), now);
+        self.variance = (own - own * own / all).max(MIN_VARIANCE);
+        self.updated_at = now;
     }
 }
 
+/// The slowdowns that act on the jobs of one worker, beside the fleet's.
+#[derive(Debug)]
+pub(crate) struct WorkerSlowdowns<'a> {
+    pub kind: &'a mut Slowdown,
+    pub worker: &'a mut Slowdown,
+}
+
 /// A job that runs at a worker: since when, and its work.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunningJob {
--- a/crates/dispatch-core/src/slow_start.rs
+++ b/crates/dispatch-core/src/slow_start.rs
@@ -5,7 +5,6 @@
 
 use crate::api::{Seconds, Settings, WorkerId};
 use crate::hashing::mix_bits;
-use crate::policy::Dispatcher;
 
 /// The most grants of one worker that are held; further ones are as if they had not come.
 const MAX_GRANTS: usize = 32;
@@ -79,6 +78,11 @@
 }
 
 impl SlowStartTurns {
+    /// Has the workers listed anew at the next use.
+    pub(crate) fn invalidate(&mut self) {
+        self.time_slice = u64::MAX;
+    }
+
     /// What is planned for this dispatcher in a slice; see [`planned_share`]. Nothing in the slice of its start, since the
     /// process before it may have spent that, and nothing any more once it has given its share up.
     pub(crate) fn planned_share(
@@ -97,15 +101,6 @@
     }
 }
 
-impl Dispatcher {
-    /// Gives the planned share of slow-start budgets up for good: this process ends, and its successor, which has the same
-    /// number, may serve already. Work that was granted is still sent.
-    pub fn release_slow_start_share(&mut self) {
-        self.slow_start_turns.owned_after = Seconds::INFINITY;
-        self.slow_start_turns.time_slice = u64::MAX;
-    }
-}
-
 /// The number of a span in which each planned part has one owner, by the clock that all dispatchers share.
 pub(crate) fn time_slice(now: Seconds, overload_window: Seconds) -> u64 {
     (now / overload_window.max(MIN_TIME_SLICE)) as u64
--- a/crates/dispatch-core/src/workload.rs
+++ b/crates/dispatch-core/src/workload.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher has learnt of the jobs that it is asked for: their running times by class, their slots and waits.
 
 use crate::api::Seconds;
-use crate::run_time::{RunTimeModel, Slowdown, SlowdownModel, CLASS_LEARNING_RATE};
+use crate::run_time::{RunTimeModel, SlowdownModel, WorkerSlowdowns, CLASS_LEARNING_RATE};
 
 /// Learning rate of how long jobs wait at workers.
 const WAIT_LEARNING_RATE: f64 = 1.0 / 16.0;
@@ -60,9 +60,10 @@
         class: usize,
         run_time: Seconds,
         hint: Option<Seconds>,
-        (kind, worker): (&mut Slowdown, &mut Slowdown),
+        slowdowns: WorkerSlowdowns<'_>,
         now: Seconds,
     ) {
+        let WorkerSlowdowns { kind, worker } = slowdowns;
         self.slowdowns.learn(run_time, hint, &mut self.run_times[class], kind, worker, now);
     }
 }
