--- a/crates/dispatch-core/src/capacity_reservation.rs
+++ b/crates/dispatch-core/src/capacity_reservation.rs
@@ -18,6 +18,14 @@
 /// The workers are assigned anew when the part of large work has moved by this much.
 const REASSIGN_THRESHOLD: f64 = 0.04;
 
+/// A worker in the order in which workers are reserved, which is the same at every dispatcher.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct OrderedWorker {
+    kind: usize,
+    hash: u64,
+    index: usize,
+}
+
 /// Which workers are reserved for large jobs.
 #[derive(Debug, Default)]
 pub(crate) struct ReservedWorkers {
@@ -52,9 +60,11 @@
 
     /// A job arrived; the workers are assigned anew where its work has moved the parts by much.
     pub(crate) fn record_job(&mut self, slots: f64, work: f64, workers: &[Worker]) {
-        let (large, small) = if self.is_large(slots) { (work, 0.0) } else { (0.0, work) };
-        self.large_work += LEARNING_RATE * (large - self.large_work);
-        self.small_work += LEARNING_RATE * (small - self.small_work);
+        let is_large = self.is_large(slots);
+        let large_work = if is_large { work } else { 0.0 };
+        let small_work = if is_large { 0.0 } else { work };
+        self.large_work += LEARNING_RATE * (large_work - self.large_work);
+        self.small_work += LEARNING_RATE * (small_work - self.small_work);
         if self.settings.is_some() && (self.large_share() - self.reserved_share).abs() > REASSIGN_THRESHOLD {
             self.assign(workers);
         }
@@ -79,15 +89,16 @@
             return;
         }
         let serving = workers.iter().enumerate().filter(|(_, worker)| worker.state == WorkerState::Serving);
-        let by_kind = serving.map(|(index, worker)| (worker.kind, mix_bits(worker.id.0), index));
-        let mut order: Vec<(usize, u64, usize)> = by_kind.collect();
+        let mut order: Vec<OrderedWorker> = serving
+            .map(|(index, worker)| OrderedWorker { kind: worker.kind, hash: mix_bits(worker.id.0), index })
+            .collect();
         order.sort_unstable();
         // Spread over the kinds, since they differ in speed; rounding carries over from one kind to the next.
         let mut wanted = 0.0;
-        for (_, _, index) in order {
+        for worker in order {
             wanted += self.reserved_share;
             if wanted >= 0.5 {
-                self.reserved[index] = true;
+                self.reserved[worker.index] = true;
                 wanted -= 1.0;
             }
         }
--- a/crates/dispatch-core/src/fleet.rs
+++ b/crates/dispatch-core/src/fleet.rs
@@ -72,6 +72,18 @@
 }
 
 impl Worker {
+    /// Takes the present line of the endpoint list. After a restart only the attempts that are still open are kept.
+    fn update(&mut self, new: Worker) {
+        if new.listed_start > self.listed_start {
+            *self = Worker { our_slots: self.our_slots, in_flight: self.in_flight, ..new };
+            return;
+        }
+        self.kind = new.kind;
+        self.zone = new.zone;
+        self.cell = new.cell;
+        self.state = new.state;
+    }
+
     /// An attempt ended there, and its job had begun to run by then or not.
     pub(crate) fn end_attempt(&mut self, started_at: Option<Seconds>, log_work: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -104,6 +116,20 @@
     }
 }
 
+/// A point of a worker on the ring of keys.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RingPoint {
+    hash: u64,
+    index: usize,
+}
+
+/// Zone and kind of a cohort.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct CohortKey {
+    zone: u32,
+    kind: usize,
+}
+
 /// All workers.
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
@@ -124,11 +150,11 @@
     pub slow_start_min_capacity: f64,
     pub slow_start_duration: Seconds,
     /// Those that serve, several times each, in the order of a hash that all dispatchers share.
-    ring: Vec<(u64, usize)>,
+    ring: Vec<RingPoint>,
     /// For each zone, whether it seems lost.
     zone_outages: Vec<ZoneOutage>,
     /// The position of each cohort, by zone and kind.
-    cohort_index: FxHashMap<(u32, usize), usize>,
+    cohort_index: FxHashMap<CohortKey, usize>,
     /// When discovery last sent the list or a change of it.
     list_received_at: Option<Seconds>,
 }
@@ -157,12 +183,12 @@
         self.ring.clear();
         for (index, worker) in self.workers.iter_mut().enumerate() {
             let next = self.cohort_index.len();
-            let cohort = (worker.zone.min(MAX_ZONE), worker.kind);
+            let cohort = CohortKey { zone: worker.zone.min(MAX_ZONE), kind: worker.kind };
             worker.cohort = *self.cohort_index.entry(cohort).or_insert(next);
             if worker.state == WorkerState::Serving {
                 self.serving_by_zone[zone_index(worker)].push(index);
-                let point = |n| mix_bits(worker.id.0 ^ mix_bits(n));
-                self.ring.extend((0..RING_POINTS).map(|n| (point(n), index)));
+                let hash = |point| mix_bits(worker.id.0 ^ mix_bits(point));
+                self.ring.extend((0..RING_POINTS).map(|point| RingPoint { hash: hash(point), index }));
             }
         }
         self.cohorts.resize(self.cohort_index.len(), Cohort::default());
@@ -170,37 +196,37 @@
         self.count_unhealthy();
     }
 
-    /// Takes a line of the list.
+    /// Adds or updates the worker of an endpoint.
     pub(crate) fn upsert(&mut self, endpoint: &Endpoint, now: Seconds) {
         let kind = (endpoint.kind as usize).min(MAX_KIND);
         self.kinds.resize(self.kinds.len().max(kind + 1), MachineKind::default());
-        // Clocks may be wrong by much: no start is in the future, and one that was not on the list that discovery
-        // sent last was not long before that.
-        let earliest = self.list_received_at.map_or(0.0, |received_at| received_at - MAX_LISTING_DELAY);
         let new = Worker {
             id: endpoint.worker,
             kind,
             zone: endpoint.zone,
             cell: endpoint.cell,
             listed_start: endpoint.started_at,
-            started_at: endpoint.started_at.min(now).max(earliest),
+            started_at: self.plausible_start(endpoint.started_at, now),
             state: endpoint.state,
             our_slots_at: now,
             ..Worker::default()
         };
-        let Some(&index) = self.index.get(&new.id) else {
-            self.index.insert(new.id, self.workers.len());
-            return self.workers.push(new);
-        };
-        let known = &mut self.workers[index];
-        if new.listed_start > known.listed_start {
-            // A restart: what was known of the old process is void.
-            *known = Worker { our_slots: known.our_slots, in_flight: known.in_flight, ..new };
-        } else {
-            (known.kind, known.zone, known.cell, known.state) = (kind, new.zone, new.cell, new.state);
+        match self.index.get(&new.id) {
+            Some(&index) => self.workers[index].update(new),
+            None => {
+                self.index.insert(new.id, self.workers.len());
+                self.workers.push(new);
+            }
         }
     }
 
+    /// Returns the start of a worker by this dispatcher's clock. Clocks may be wrong by much: no start is in the future,
+    /// and one that was not on the list that discovery sent last was not long before that.
+    fn plausible_start(&self, listed_start: Seconds, now: Seconds) -> Seconds {
+        let earliest = self.list_received_at.map_or(0.0, |received_at| received_at - MAX_LISTING_DELAY);
+        listed_start.min(now).max(earliest)
+    }
+
     /// A whole list came: workers that are absent from it are gone.
     pub(crate) fn remove_absent(&mut self, endpoints: &[Endpoint]) {
         let mut listed: Vec<WorkerId> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
@@ -220,17 +246,17 @@
 
     /// The workers on the ring from a key on, each once.
     pub(crate) fn ring_workers(&self, key: u64, count: usize) -> Vec<usize> {
-        let start = self.ring.partition_point(|&(point, _)| point < mix_bits(key));
-        let mut found: Vec<usize> = Vec::with_capacity(count);
-        for &(_, index) in self.ring[start..].iter().chain(&self.ring[..start]) {
-            if found.len() == count {
+        let start = self.ring.partition_point(|point| point.hash < mix_bits(key));
+        let mut workers: Vec<usize> = Vec::with_capacity(count);
+        for point in self.ring[start..].iter().chain(&self.ring[..start]) {
+            if workers.len() == count {
                 break;
             }
-            if !found.contains(&index) {
-                found.push(index);
+            if !workers.contains(&point.index) {
+                workers.push(point.index);
             }
         }
-        found
+        workers
     }
 
     /// The slowdown of a worker now, as a logarithm.
--- a/crates/dispatch-core/src/load.rs
+++ b/crates/dispatch-core/src/load.rs
@@ -82,7 +82,8 @@
         cohort.samples += 1.0;
         let learning_rate = CLASS_LEARNING_RATE.max(1.0 / (cohort.samples + INITIAL_COHORT_SAMPLES));
         cohort.utilization += learning_rate * (utilization.min(1.0) - cohort.utilization);
-        (worker.other_slots, worker.other_slots_at) = (slots, now);
+        worker.other_slots = slots;
+        worker.other_slots_at = now;
     }
 
     /// Takes a load report, where it tells of free slots; `job_slots` is the slots of a usual job. Returns the slots that
@@ -97,21 +98,26 @@
         let free_slots = load.free_slots?;
         let free = load.free_memory.map_or(free_slots, |free_memory| free_slots.min(free_memory));
         self.add_slots(index, 0.0, time);
-        let kind = &mut self.kinds[self.workers[index].kind];
-        let learning_rate = if kind.slots == 0.0 { 1.0 } else { SLOTS_LEARNING_RATE };
-        kind.slots += (free_slots - kind.slots).max(0.0) * learning_rate;
+        self.learn_slots_of_kind(self.workers[index].kind, free_slots);
         let worker = &self.workers[index];
         let slots = self.slots_of(worker);
-        // What it holds beyond its slots waits; while it has room, nothing does.
+        // A worker that holds more than its slots has a queue, unless it has room.
         let in_flight = load.in_flight.filter(|_| free < 1.0);
         let excess = in_flight.map_or(0.0, |in_flight| (in_flight * job_slots - slots).max(0.0));
         let queue = load.queue_length.unwrap_or(excess);
-        let seen = slots - free + queue - worker.our_slots_delayed;
-        let others = REPORT_WEIGHT * (seen.max(0.0) + self.other_slots(worker, time));
-        self.record_other_slots(index, others, time.now);
+        let reported_others = slots - free + queue - worker.our_slots_delayed;
+        let other_slots = REPORT_WEIGHT * (reported_others.max(0.0) + self.other_slots(worker, time));
+        self.record_other_slots(index, other_slots, time.now);
         Some(queue.round().min(slots))
     }
 
+    /// Raises the slots of a kind towards the most free slots that a worker of it has reported.
+    fn learn_slots_of_kind(&mut self, kind: usize, free_slots: f64) {
+        let kind = &mut self.kinds[kind];
+        let learning_rate = if kind.slots == 0.0 { 1.0 } else { SLOTS_LEARNING_RATE };
+        kind.slots += (free_slots - kind.slots).max(0.0) * learning_rate;
+    }
+
     /// A job of ours waited there for so long, which shows how many slots others had: each slot comes free once in a
     /// running time.
     pub(crate) fn record_wait(&mut self, index: usize, delay: Seconds, time: ObservationTime) {
--- a/crates/dispatch-core/src/load_report.rs
+++ b/crates/dispatch-core/src/load_report.rs
@@ -75,9 +75,16 @@
     }
 }
 
+/// A figure by the name under which a deployment's workers report it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct NamedFigure {
+    name: Box<str>,
+    figure: Figure,
+}
+
 /// The figures of a deployment's reports, in their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LoadReportFormat(Vec<(Box<str>, Figure)>);
+pub struct LoadReportFormat(Vec<NamedFigure>);
 
 /// A report that came by name.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -101,7 +108,8 @@
             name => Figure::of_name(name),
         };
         let names = pairs.list("report.names").take(MAX_FIGURES);
-        LoadReportFormat(names.map(|name| (name.into(), figure(name))).collect())
+        let figures = names.map(|name| NamedFigure { name: name.into(), figure: figure(name) });
+        LoadReportFormat(figures.collect())
     }
 
     /// Reads a report that gives its figures by position, separated by commas; `-` or nothing where one is absent.
@@ -110,14 +118,14 @@
     /// Something that is no number stands where one must.
     pub fn parse_positional(&self, text: &str) -> Result<LoadReport, InvalidValue> {
         let mut load = LoadReport::default();
-        for ((_, figure), value) in self.0.iter().zip(text.split(',')) {
+        for (figure, value) in self.0.iter().zip(text.split(',')) {
             if value.is_empty() || value == "-" {
                 continue;
             }
             let malformed = |_| InvalidValue::new("a load report of numbers", text);
             let value: f64 = value.parse().map_err(malformed)?;
             if value.is_finite() && value >= 0.0 {
-                load.set(*figure, Some(value));
+                load.set(figure.figure, Some(value));
             }
         }
         Ok(load)
@@ -126,14 +134,15 @@
     /// Takes a report that gives its figures by name. Names that the settings do not know are passed over. What is
     /// no number, negative, infinite, or given twice is left out: of two figures neither is known to be the right one.
     pub fn parse_named<'a>(&self, figures: impl Iterator<Item = (&'a str, Option<f64>)>) -> ParsedLoadReport {
-        let (mut load, mut malformed) = (LoadReport::default(), false);
+        let mut load = LoadReport::default();
+        let mut malformed = false;
         let mut was_named = [false; MAX_FIGURES];
         for (name, value) in figures {
-            let Some(position) = self.0.iter().position(|(known, _)| **known == *name) else { continue };
+            let Some(position) = self.0.iter().position(|figure| *figure.name == *name) else { continue };
             let is_repeated = std::mem::replace(&mut was_named[position], true);
             let value = value.filter(|value| value.is_finite() && *value >= 0.0 && !is_repeated);
             malformed |= value.is_none();
-            load.set(self.0[position].1, value);
+            load.set(self.0[position].figure, value);
         }
         ParsedLoadReport { load: Some(load).filter(|load| *load != LoadReport::default()), malformed }
     }
--- a/crates/dispatch-core/src/poll_schedule.rs
+++ b/crates/dispatch-core/src/poll_schedule.rs
@@ -47,14 +47,14 @@
     /// between dispatchers.
     pub fn new(settings: &Settings, grace: Micros, seed: u64) -> PollSchedule {
         let latest = NOTIFIED_WITHIN - ANSWERED_WITHIN;
-        let (first, longest) = if settings.polls_endpoint_list {
+        let backoff = if settings.polls_endpoint_list {
             let spread = SPREAD_PER_INSTANCE * Micros::from(settings.instances);
-            (spread.clamp(MIN_FIRST_PAUSE, MAX_FIRST_PAUSE), latest)
+            Backoff::new(spread.clamp(MIN_FIRST_PAUSE, MAX_FIRST_PAUSE), latest, seed)
         } else {
             let grace = grace.clamp(MIN_GRACE, MAX_GRACE);
-            (grace / AGENT_FIRST_DIVISOR, grace / AGENT_LONGEST_DIVISOR)
+            Backoff::new(grace / AGENT_FIRST_DIVISOR, grace / AGENT_LONGEST_DIVISOR, seed)
         };
-        PollSchedule { backoff: Backoff::new(first, longest, seed), latest }
+        PollSchedule { backoff, latest }
     }
 
     /// A call was answered.
--- a/crates/dispatch-core/src/settings.rs
+++ b/crates/dispatch-core/src/settings.rs
@@ -11,10 +11,10 @@
 /// A value is not of its type, negative or not finite; the fault names its path.
 pub fn parse_settings(pairs: &SettingsPairs<'_>) -> Result<Settings, InvalidValue> {
     let defaults = Settings::default();
-    let classes = (0..pairs.count("profiles")?).map(|index| parse_class(pairs, index));
-    let classes = classes.collect::<Result<Vec<Class>, InvalidValue>>()?;
-    let tenants = (0..pairs.count("projects")?).map(|index| parse_tenant(pairs, index));
-    let tenants = tenants.collect::<Result<Vec<Tenant>, InvalidValue>>()?;
+    let class_count = pairs.count("profiles")?;
+    let classes = (0..class_count).map(|index| parse_class(pairs, index)).collect::<Result<_, _>>()?;
+    let tenant_count = pairs.count("projects")?;
+    let tenants = (0..tenant_count).map(|index| parse_tenant(pairs, index)).collect::<Result<_, _>>()?;
     Ok(Settings {
         instance: pairs.get("slot-no", defaults.instance)?,
         instances: pairs.get("balancers", defaults.instances)?,
--- a/crates/dispatch-core/src/slow_start.rs
+++ b/crates/dispatch-core/src/slow_start.rs
@@ -57,12 +57,14 @@
             let mut left = work;
             for grant in self.grants.iter_mut().filter(|grant| grant.expires_at > now) {
                 let part = left.min(grant.work);
-                (grant.work, left) = (grant.work - part, left - part);
+                grant.work -= part;
+                left -= part;
             }
             return;
         }
         if self.time_slice != time_slice {
-            (self.time_slice, self.spent) = (time_slice, 0.0);
+            self.time_slice = time_slice;
+            self.spent = 0.0;
         }
         self.spent += work;
     }
--- a/crates/dispatch-core/src/timers.rs
+++ b/crates/dispatch-core/src/timers.rs
@@ -8,6 +8,10 @@
 /// A deadline that is no further ahead has been reached: times are rounded to microseconds.
 pub(crate) const TIMER_TOLERANCE: Seconds = 1e-6;
 
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Value of [`TimerQueue::armed_for`] while no timer is armed.
+const NOT_ARMED: u64 = u64::MAX;
+
 /// Why to wake up. Events that are due at one time are handled in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerEvent {
@@ -29,51 +33,62 @@
     ProbeDue,
 }
 
+/// A timer event and the time at which it is due, in microseconds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledEvent {
+    due_at: u64,
+    event: TimerEvent,
+}
+
 /// The pending events, and the one timer that is armed for the earliest of them.
 #[derive(Debug)]
 pub(crate) struct TimerQueue {
-    pending: BinaryHeap<Reverse<(u64, TimerEvent)>>,
+    pending: BinaryHeap<Reverse<ScheduledEvent>>,
+    /// Time for which the caller's timer is armed, in microseconds; [`NOT_ARMED`] if it is not.
     armed_for: u64,
 }
 
 impl Default for TimerQueue {
     fn default() -> Self {
-        TimerQueue { pending: BinaryHeap::new(), armed_for: u64::MAX }
+        TimerQueue { pending: BinaryHeap::new(), armed_for: NOT_ARMED }
     }
 }
 
 impl TimerQueue {
     /// Adds an event at a time.
     pub(crate) fn schedule(&mut self, at: Seconds, event: TimerEvent) {
-        self.pending.push(Reverse((to_micros(at), event)));
+        self.pending.push(Reverse(ScheduledEvent { due_at: to_micros(at), event }));
     }
 
     /// Takes out the next event that is due.
     pub(crate) fn next_due(&mut self, now: Seconds) -> Option<TimerEvent> {
-        let &Reverse((at, event)) = self.pending.peek()?;
-        (at <= to_micros(now)).then(|| {
-            self.pending.pop();
-            event
-        })
+        let Reverse(next) = *self.pending.peek()?;
+        if next.due_at > to_micros(now) {
+            return None;
+        }
+        self.pending.pop();
+        Some(next.event)
     }
 
     /// The caller's timer fired. A token from before the one that is armed is of no concern.
     pub(crate) fn on_fired(&mut self, token: u64) {
         if token >= self.armed_for {
-            self.armed_for = u64::MAX;
+            self.armed_for = NOT_ARMED;
         }
     }
 
     /// The timer to arm, its time being its token, where the armed one is too late.
     pub(crate) fn arm(&mut self, now: Seconds, resolution: Seconds) -> Option<Action> {
-        let &Reverse((at, _)) = self.pending.peek()?;
-        (at < self.armed_for).then(|| {
-            self.armed_for = at;
-            Action::SetTimer { after: (at as f64 / 1e6 - now).max(resolution), token: at }
-        })
+        let Reverse(next) = *self.pending.peek()?;
+        if next.due_at >= self.armed_for {
+            return None;
+        }
+        self.armed_for = next.due_at;
+        let after = next.due_at as f64 / MICROS_PER_SECOND - now;
+        Some(Action::SetTimer { after: after.max(resolution), token: next.due_at })
     }
 }
 
 fn to_micros(time: Seconds) -> u64 {
-    (time.max(0.0) * 1e6).ceil() as u64
+    (time.max(0.0) * MICROS_PER_SECOND).ceil() as u64
 }
--- a/crates/dispatch-core/src/token_bank.rs
+++ b/crates/dispatch-core/src/token_bank.rs
@@ -55,7 +55,8 @@
     pub(crate) fn resize(&mut self, token_capacity: i64, buffer_capacity: i64) {
         let balance = self.balance + buffer_capacity - self.buffer_capacity;
         self.balance = balance.clamp(0, token_capacity + buffer_capacity);
-        (self.token_capacity, self.buffer_capacity) = (token_capacity, buffer_capacity);
+        self.token_capacity = token_capacity;
+        self.buffer_capacity = buffer_capacity;
     }
 
     /// Takes a job's slots. The job is queued, false, where tokens have not come for it yet.
