--- a/crates/dispatch-core/src/admission_rate.rs
+++ b/crates/dispatch-core/src/admission_rate.rs
@@ -17,8 +17,8 @@
     pub accepted: f64,
     pub rejected: f64,
     /// Whether more than one worker rejected in this window.
-    pub several_rejecters: bool,
-    first_rejecter: Option<usize>,
+    pub rejected_by_several: bool,
+    first_rejecting_worker: Option<usize>,
 }
 
 impl AdmissionRate {
@@ -35,8 +35,8 @@
     /// Counts slots that a worker rejected or kept waiting for too long.
     pub(crate) fn record_rejection(&mut self, worker: usize, slots: f64) {
         self.rejected += slots;
-        self.several_rejecters |= self.first_rejecter.is_some_and(|first| first != worker);
-        self.first_rejecter.get_or_insert(worker);
+        self.rejected_by_several |= self.first_rejecting_worker.is_some_and(|first| first != worker);
+        self.first_rejecting_worker.get_or_insert(worker);
     }
 
     /// Begins a window with nothing seen, at a rate that is never quite none.
--- a/crates/dispatch-core/src/fleet.rs
+++ b/crates/dispatch-core/src/fleet.rs
@@ -56,10 +56,10 @@
     pub in_flight: u32,
     /// The same slots a while ago, as a report that arrives now knows them: a moving average.
     pub our_slots_delayed: f64,
-    pub our_slots_at: Seconds,
+    pub our_slots_changed_at: Seconds,
     /// Slots that other dispatchers fill or wait for there, as last observed, and when that was.
     pub other_slots: f64,
-    pub other_slots_at: Seconds,
+    pub other_slots_observed_at: Seconds,
     /// Its running times relative to its kind's, and the jobs of ours that run there.
     pub slowdown: Slowdown,
     pub running: Vec<RunningJob>,
@@ -87,17 +87,17 @@
     /// An attempt ended there, and its job had begun to run by then or not.
     pub(crate) fn end_attempt(&mut self, started_at: Option<Seconds>, log_work: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        let is_it = |job: &RunningJob| Some(job.started_at) == started_at && job.log_work == log_work;
-        if let Some(position) = self.running.iter().position(is_it) {
+        let is_ended = |job: &RunningJob| Some(job.started_at) == started_at && job.log_work == log_work;
+        if let Some(position) = self.running.iter().position(is_ended) {
             self.running.swap_remove(position);
         }
     }
 
     /// Counts slots that we take there or give back. What a report that is so late knows of them lags behind.
     pub(crate) fn add_slots(&mut self, slots: f64, now: Seconds, report_delay: Seconds) {
-        let fading = (-(now - self.our_slots_at) / report_delay).exp();
+        let fading = (-(now - self.our_slots_changed_at) / report_delay).exp();
         self.our_slots_delayed = self.our_slots + (self.our_slots_delayed - self.our_slots) * fading;
-        self.our_slots_at = now;
+        self.our_slots_changed_at = now;
         self.our_slots = (self.our_slots + slots).max(0.0);
     }
 
@@ -208,7 +208,7 @@
             listed_start: endpoint.started_at,
             started_at: self.plausible_start(endpoint.started_at, now),
             state: endpoint.state,
-            our_slots_at: now,
+            our_slots_changed_at: now,
             ..Worker::default()
         };
         match self.index.get(&new.id) {
@@ -229,10 +229,10 @@
 
     /// A whole list came: workers that are absent from it are gone.
     pub(crate) fn remove_absent(&mut self, endpoints: &[Endpoint]) {
-        let mut listed: Vec<WorkerId> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
-        listed.sort_unstable();
+        let mut listed_ids: Vec<WorkerId> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
+        listed_ids.sort_unstable();
         for worker in &mut self.workers {
-            if listed.binary_search(&worker.id).is_err() {
+            if listed_ids.binary_search(&worker.id).is_err() {
                 worker.state = WorkerState::Removed;
             }
         }
@@ -240,8 +240,8 @@
 
     /// The largest job that any worker may be able to take, in slots, as far as was seen; none without workers.
     pub(crate) fn max_job_slots(&self) -> f64 {
-        let most = |kind: &MachineKind| if kind.slots > 0.0 { 2.0 * kind.slots } else { f64::INFINITY };
-        self.kinds.iter().map(most).fold(0.0, f64::max).min(MAX_JOB_SLOTS)
+        let max_slots = |kind: &MachineKind| if kind.slots > 0.0 { 2.0 * kind.slots } else { f64::INFINITY };
+        self.kinds.iter().map(max_slots).fold(0.0, f64::max).min(MAX_JOB_SLOTS)
     }
 
     /// The workers on the ring from a key on, each once.
--- a/crates/dispatch-core/src/job.rs
+++ b/crates/dispatch-core/src/job.rs
@@ -213,12 +213,12 @@
     /// likely.
     pub(crate) fn wait(&self, now: Seconds, likely_run_time: Seconds) -> Seconds {
         let run_time = self.run_time(now);
-        let is_known = self.attempt.started_at.is_some();
-        now - self.attempt.sent_at - if is_known { run_time } else { run_time.min(likely_run_time) }
+        let is_measured = self.attempt.started_at.is_some();
+        now - self.attempt.sent_at - if is_measured { run_time } else { run_time.min(likely_run_time) }
     }
 
     /// Whether its running time is known: where its start was not reported, only if the worker was free.
-    pub(crate) fn has_known_run(&self) -> bool {
+    pub(crate) fn has_measured_run(&self) -> bool {
         self.attempt.started_at.is_some() || self.attempt.had_free_slot
     }
 }
--- a/crates/dispatch-core/src/load.rs
+++ b/crates/dispatch-core/src/load.rs
@@ -52,11 +52,12 @@
 
     /// Slots that other dispatchers fill there by now: the last observation, decaying to the mean of the cohort.
     pub(crate) fn other_slots(&self, worker: &Worker, time: ObservationTime) -> f64 {
-        let usual = self.cohorts[worker.cohort].utilization
+        let cohort_mean = self.cohorts[worker.cohort].utilization
             * self.slots_of(worker)
             * self.warm_capacity(worker, time.now);
-        let decay = (-(time.now - worker.other_slots_at) / (OCCUPANCY_FADE_WINDOWS * time.window)).exp();
-        usual + (worker.other_slots - usual) * decay
+        let decay =
+            (-(time.now - worker.other_slots_observed_at) / (OCCUPANCY_FADE_WINDOWS * time.window)).exp();
+        cohort_mean + (worker.other_slots - cohort_mean) * decay
     }
 
     /// How long a job is expected to wait at a worker of this utilization, in running times; none where the number of its
@@ -83,7 +84,7 @@
         let learning_rate = CLASS_LEARNING_RATE.max(1.0 / (cohort.samples + INITIAL_COHORT_SAMPLES));
         cohort.utilization += learning_rate * (utilization.min(1.0) - cohort.utilization);
         worker.other_slots = slots;
-        worker.other_slots_at = now;
+        worker.other_slots_observed_at = now;
     }
 
     /// Takes a load report, where it tells of free slots; `job_slots` is the slots of a usual job. Returns the slots that
@@ -125,12 +126,12 @@
         let waited = delay - PROMPT_START / self.warm_capacity(worker, time.now);
         let slots = self.slots_of(worker);
         let rest = (slots - worker.our_slots).max(0.0);
-        let others = if waited > 0.0 {
+        let other_slots = if waited > 0.0 {
             rest + slots * waited / time.window
         } else {
             self.other_slots(worker, time).min(rest)
         };
-        self.record_other_slots(index, others, time.now);
+        self.record_other_slots(index, other_slots, time.now);
     }
 }
 
--- a/crates/dispatch-core/src/policy/attempts.rs
+++ b/crates/dispatch-core/src/policy/attempts.rs
@@ -169,7 +169,7 @@
         if self.settings.keep_alive > 0.0 {
             self.remember_probed(index);
         }
-        if ended.has_known_run() {
+        if ended.has_measured_run() {
             let class = ended.request.class as usize;
             let hint = ended.request.expected_run_time;
             let slowdowns = self.fleet.slowdowns_of(index);
--- a/crates/dispatch-core/src/policy/mod.rs
+++ b/crates/dispatch-core/src/policy/mod.rs
@@ -28,7 +28,7 @@
 use crate::hedging::HedgeBudget;
 use crate::job::Job;
 use crate::key_rates::KeyRates;
-use crate::slow_start::SlowStartTurns;
+use crate::slow_start::SlowStartShares;
 use crate::timers::{TimerEvent, TimerQueue};
 use crate::token_bank::{self, TokenBank};
 use crate::workload::Workload;
@@ -59,7 +59,7 @@
     jobs: FxHashMap<RequestId, Job>,
     /// Jobs that wait for a worker, first come first.
     admitted: VecDeque<RequestId>,
-    slow_start_turns: SlowStartTurns,
+    slow_start_shares: SlowStartShares,
     /// Workers that answered a probe or left an idle connection, latest first.
     recently_probed: VecDeque<usize>,
     timers: TimerQueue,
@@ -85,7 +85,7 @@
             key_rates: KeyRates::default(),
             jobs: FxHashMap::default(),
             admitted: VecDeque::new(),
-            slow_start_turns: SlowStartTurns::default(),
+            slow_start_shares: SlowStartShares::default(),
             recently_probed: VecDeque::new(),
             timers: TimerQueue::default(),
             endpoint_list: EndpointListState::default(),
@@ -97,7 +97,7 @@
     pub fn start(&mut self, now: Seconds, actions: &mut Vec<Action>) {
         self.now = now;
         self.accrued_at = now;
-        self.slow_start_turns.owned_after = now;
+        self.slow_start_shares.planned_from = now;
         if self.settings.polls_endpoint_list {
             self.watch_endpoint_list(actions);
         }
--- a/crates/dispatch-core/src/policy/rate_control.rs
+++ b/crates/dispatch-core/src/policy/rate_control.rs
@@ -69,7 +69,7 @@
         let rate = &mut self.rate;
         rate.served_rate += TRAFFIC_LEARNING_RATE * (rate.accepted / window - rate.served_rate);
         let sent = rate.accepted + rate.rejected;
-        if rate.several_rejecters && rate.rejected > CONGESTED_SHARE * sent {
+        if rate.rejected_by_several && rate.rejected > CONGESTED_SHARE * sent {
             cut_rate(rate, rate.rejected / sent, traffic.quota);
         } else if rate.is_limiting && rate.accepted > 0.0 {
             raise_rate(rate, traffic);
--- a/crates/dispatch-core/src/policy/slow_start.rs
+++ b/crates/dispatch-core/src/policy/slow_start.rs
@@ -34,7 +34,7 @@
         let total = settings.overload_multiple * capacity * settings.overload_window * PLANNED_BUDGET_SHARE;
         let part = self.mean_job_work();
         let time_slice = self.time_slice();
-        let own_share = self.slow_start_turns.planned_share(worker.id, time_slice, total, part, settings);
+        let own_share = self.slow_start_shares.planned_share(worker.id, time_slice, total, part, settings);
         PlannedBudget { total, own_share }
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// Whether a worker is in slow start and a part of its budget is ours.
-    fn is_our_turn(&self, index: usize) -> bool {
+    fn has_slow_start_share(&self, index: usize) -> bool {
         let worker = &self.fleet.workers[index];
         self.fleet.is_warming_up(worker, self.now)
             && (worker.slow_start.granted_work(self.now) > 0.0 || self.planned_budget(worker).own_share > 0.0)
@@ -65,34 +65,34 @@
     /// Considers some workers in slow start of which a share is ours: a sample of all workers hardly contains
     /// them.
     pub(super) fn consider_warming_up(&mut self, job: &Job, best: &mut Option<Candidate>) {
-        self.update_slow_start_turns();
-        for _ in 0..MAX_SAMPLE.min(self.slow_start_turns.workers.len()) {
-            let position = self.rng.usize(..self.slow_start_turns.workers.len());
-            self.consider(self.slow_start_turns.workers[position], job, best);
+        self.update_slow_start_shares();
+        for _ in 0..MAX_SAMPLE.min(self.slow_start_shares.workers.len()) {
+            let position = self.rng.usize(..self.slow_start_shares.workers.len());
+            self.consider(self.slow_start_shares.workers[position], job, best);
         }
     }
 
     /// Lists the workers of which a share is ours, once a time slice.
-    fn update_slow_start_turns(&mut self) {
+    fn update_slow_start_shares(&mut self) {
         let time_slice = self.time_slice();
-        if self.slow_start_turns.time_slice == time_slice {
+        if self.slow_start_shares.time_slice == time_slice {
             return;
         }
         let workers = 0..self.fleet.workers.len();
-        self.slow_start_turns.workers = workers.filter(|index| self.is_our_turn(*index)).collect();
-        self.slow_start_turns.time_slice = time_slice;
+        self.slow_start_shares.workers = workers.filter(|index| self.has_slow_start_share(*index)).collect();
+        self.slow_start_shares.time_slice = time_slice;
     }
 
     /// Takes a grant beyond our planned share, from the leader that allocates slow-start budgets.
     pub(super) fn on_slow_start_grant(&mut self, worker: WorkerId, work: f64, expires_at: Seconds) {
         self.fleet.apply_grant(worker, work, expires_at, self.now);
-        self.slow_start_turns.invalidate();
+        self.slow_start_shares.invalidate();
     }
 
     /// Gives up the planned share of slow-start budgets for good: this process ends, and its successor, which
     /// has the same number, may serve already. Work that was granted is still sent.
     pub fn release_slow_start_share(&mut self) {
-        self.slow_start_turns.owned_after = Seconds::INFINITY;
-        self.slow_start_turns.invalidate();
+        self.slow_start_shares.planned_from = Seconds::INFINITY;
+        self.slow_start_shares.invalidate();
     }
 }
--- a/crates/dispatch-core/src/policy/worker_cost.rs
+++ b/crates/dispatch-core/src/policy/worker_cost.rs
@@ -58,7 +58,7 @@
     /// Whether the load of a worker was observed recently enough to rely on.
     fn has_fresh_load(&self, worker: &Worker) -> bool {
         let fresh_for = FRESH_WINDOWS * self.workload.rate_window();
-        !self.may_probe() || self.now - worker.other_slots_at < fresh_for
+        !self.may_probe() || self.now - worker.other_slots_observed_at < fresh_for
     }
 
     /// Returns the price of the path to a worker, as a part of the service: crossing zones and a new
--- a/crates/dispatch-core/src/poll_schedule.rs
+++ b/crates/dispatch-core/src/poll_schedule.rs
@@ -8,9 +8,9 @@
 use crate::backoff::{Backoff, Micros};
 
 /// A change counts as notified this long after discovery had it and could be reached.
-pub const NOTIFIED_WITHIN: Micros = 6_000_000;
+pub const MAX_NOTIFICATION_DELAY: Micros = 6_000_000;
 /// Of that, what a call may take to be answered: it waits its turn for up to 2 s where discovery is one service for all.
-const ANSWERED_WITHIN: Micros = 2_000_000;
+const MAX_RESPONSE_DELAY: Micros = 2_000_000;
 
 /// An agent on this machine costs nothing to poll, and what it has counts as notified at once: first and longest pause,
 /// as divisors of the time for which a worker that drains may still get work.
@@ -46,7 +46,7 @@
     /// As the settings tell; `grace` is for how long a worker that drains may still get work. The seed should differ
     /// between dispatchers.
     pub fn new(settings: &Settings, grace: Micros, seed: u64) -> PollSchedule {
-        let latest = NOTIFIED_WITHIN - ANSWERED_WITHIN;
+        let latest = MAX_NOTIFICATION_DELAY - MAX_RESPONSE_DELAY;
         let backoff = if settings.polls_endpoint_list {
             let spread = SPREAD_PER_INSTANCE * Micros::from(settings.instances);
             Backoff::new(spread.clamp(MIN_FIRST_PAUSE, MAX_FIRST_PAUSE), latest, seed)
--- a/crates/dispatch-core/src/run_time.rs
+++ b/crates/dispatch-core/src/run_time.rs
@@ -193,8 +193,9 @@
             None => self.mean_log_work += rate * (log_work - self.mean_log_work),
         }
         // What the slowdowns were unsure of is no variance of the jobs.
-        let seen = (error * error - uncertainty).min(MAX_ERROR * self.variance.max(INITIAL_VARIANCE));
-        self.variance += rate * (seen - self.variance);
+        let max_variance = MAX_ERROR * self.variance.max(INITIAL_VARIANCE);
+        let observed_variance = (error * error - uncertainty).min(max_variance);
+        self.variance += rate * (observed_variance - self.variance);
         self.variance = self.variance.max(MIN_RUN_TIME_VARIANCE);
     }
 
@@ -231,19 +232,18 @@
 impl Slowdown {
     /// Its variance by now.
     fn variance(&self, now: Seconds, uncertainty: Uncertainty) -> f64 {
-        match self.variance {
-            0.0 => uncertainty.initial,
-            known => {
-                let gained = uncertainty.per_second * (now - self.updated_at).max(0.0);
-                (known + gained).min(MAX_VARIANCE)
-            }
+        if self.variance == 0.0 {
+            return uncertainty.initial;
         }
+        let gained = uncertainty.per_second * (now - self.updated_at).max(0.0);
+        (self.variance + gained).min(MAX_VARIANCE)
     }
 
     /// Takes its part of what an estimate was off by: its own variance of that of all.
-    fn learn(&mut self, error: f64, own: f64, all: f64, now: Seconds) {
-        self.log += own / all * error;
-        self.variance = (own - own * own / all).max(MIN_VARIANCE);
+    fn learn(&mut self, error: f64, own_variance: f64, total_variance: f64, now: Seconds) {
+        self.log += own_variance / total_variance * error;
+        let remaining = own_variance - own_variance * own_variance / total_variance;
+        self.variance = remaining.max(MIN_VARIANCE);
         self.updated_at = now;
     }
 }
@@ -278,12 +278,12 @@
         running: &[RunningJob],
         now: Seconds,
     ) -> f64 {
-        let known = self.fleet.log + kind.log + worker.log;
+        let learnt = self.fleet.log + kind.log + worker.log;
         let overdue = |job: &RunningJob| {
             let so_far = (now - job.started_at).max(MIN_RUN_TIME).ln();
             so_far - job.log_work - OVERDUE_DEVIATIONS * job.variance.sqrt()
         };
-        running.iter().map(overdue).fold(known, f64::max)
+        running.iter().map(overdue).fold(learnt, f64::max)
     }
 
     /// Takes a run that ended: what it was off by moves the class, the slowdowns of the fleet, the kind and the worker.
@@ -298,16 +298,16 @@
     ) {
         let run_time = run_time.clamp(MIN_RUN_TIME, MAX_RUN_TIME);
         let error = run_time.ln() - class.log_work(hint) - self.fleet.log - kind.log - worker.log;
-        let of_fleet = self.fleet.variance(now, FLEET_UNCERTAINTY);
-        let of_kind = kind.variance(now, KIND_UNCERTAINTY);
-        let of_worker = worker.variance(now, WORKER_UNCERTAINTY);
-        let of_slowdowns = of_fleet + of_kind + of_worker;
-        let all = of_slowdowns + class.variance;
+        let fleet_variance = self.fleet.variance(now, FLEET_UNCERTAINTY);
+        let kind_variance = kind.variance(now, KIND_UNCERTAINTY);
+        let worker_variance = worker.variance(now, WORKER_UNCERTAINTY);
+        let slowdown_variance = fleet_variance + kind_variance + worker_variance;
+        let total_variance = slowdown_variance + class.variance;
         // The fleet's slowdown is what differs from the usual: what lasts becomes the usual.
-        class.learn(run_time, hint, kind.log + worker.log, error, of_slowdowns);
-        self.fleet.learn(error, of_fleet, all, now);
-        kind.learn(error, of_kind, all, now);
-        worker.learn(error, of_worker, all, now);
+        class.learn(run_time, hint, kind.log + worker.log, error, slowdown_variance);
+        self.fleet.learn(error, fleet_variance, total_variance, now);
+        kind.learn(error, kind_variance, total_variance, now);
+        worker.learn(error, worker_variance, total_variance, now);
     }
 }
 
--- a/crates/dispatch-core/src/slow_start.rs
+++ b/crates/dispatch-core/src/slow_start.rs
@@ -72,14 +72,14 @@
 
 /// The workers in slow start of which we own a part in a time slice, by their positions.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct SlowStartTurns {
+pub(crate) struct SlowStartShares {
     pub time_slice: u64,
     pub workers: Vec<usize>,
     /// In slices that began before this, another process may have spent the planned share that is ours by its number.
-    pub owned_after: Seconds,
+    pub planned_from: Seconds,
 }
 
-impl SlowStartTurns {
+impl SlowStartShares {
     /// Has the workers listed anew at the next use.
     pub(crate) fn invalidate(&mut self) {
         self.time_slice = u64::MAX;
@@ -96,7 +96,7 @@
         settings: &Settings,
     ) -> f64 {
         let began_at = time_slice as f64 * settings.overload_window.max(MIN_TIME_SLICE);
-        if began_at < self.owned_after {
+        if began_at < self.planned_from {
             return 0.0;
         }
         planned_share(worker, time_slice, budget, part, settings)
--- a/crates/dispatch-core/tests/poll_schedule.rs
+++ b/crates/dispatch-core/tests/poll_schedule.rs
@@ -1,7 +1,7 @@
 //! Discovery is polled again early enough for changes to be known when they count as notified.
 
 use dispatch_core::backoff::Micros;
-use dispatch_core::poll_schedule::{standby_watch_delay, PollSchedule, NOTIFIED_WITHIN};
+use dispatch_core::poll_schedule::{standby_watch_delay, PollSchedule, MAX_NOTIFICATION_DELAY};
 use dispatch_core::Settings;
 
 const GRACE: Micros = 500_000;
@@ -21,7 +21,7 @@
                 let deaf = [0, 500_000, 2_800_000, 5_000_000][failure % 4];
                 let wanted = [None, Some(30_000_000)][failure / 4 % 2];
                 let pause = calls.next_delay(deaf, wanted);
-                let left = (NOTIFIED_WITHIN - 2_000_000).saturating_sub(deaf);
+                let left = (MAX_NOTIFICATION_DELAY - 2_000_000).saturating_sub(deaf);
                 assert!(pause <= left, "{pause} after {deaf}");
             }
         }
