--- a/crates/dispatch-core/src/api/action.rs
+++ b/crates/dispatch-core/src/api/action.rs
@@ -1,60 +1,60 @@
-//! What a dispatcher wants done.
+//! Actions of a dispatcher.
 
 use super::ids::{RequestId, Seconds, WorkerId};
 
-/// What the dispatcher wants done, in order.
+/// An action for the caller to carry out, in the order of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to the worker. Attempts are numbered 0, 1, ... in the order of their sends.
+    /// Sends the request to the worker. Attempts are numbered 0, 1, ... in the order of their sends.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The worker.
         worker: WorkerId,
-        /// Give up after this long; `None` for when the client does.
+        /// Timeout of the attempt; `None` for the client's own.
         timeout: Option<Seconds>,
     },
-    /// Final answer: rejected, trying again does no harm.
+    /// Answers the request for good: rejected, a retry does no harm.
     Reject {
         /// The request.
         request: RequestId,
-        /// When coming back makes sense.
+        /// Time after which a retry makes sense, where the settings allow a retry-after.
         retry_after: Option<Seconds>,
     },
-    /// Final answer: failed, nothing promised.
+    /// Answers the request for good: failed, without a promise that a retry is harmless.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancels an attempt.
     Cancel {
         /// The request.
         request: RequestId,
         /// The number of the attempt.
         attempt: u32,
     },
-    /// Ask a worker for its load.
+    /// Probes a worker for its load.
     Probe(WorkerId),
-    /// Wake the dispatcher after this long with [`Event::Timer`](super::Event::Timer).
+    /// Arms the timer, which fires as [`Event::Timer`](super::Event::Timer).
     SetTimer {
-        /// From now.
+        /// Time from now.
         after: Seconds,
-        /// Returned with the event.
+        /// Token to return with the event.
         token: u64,
     },
-    /// Watch the endpoint list, or end that.
+    /// Begins to watch the endpoint list, or ends the watch.
     Watch(bool),
-    /// Ask for the whole endpoint list once.
+    /// Polls the whole endpoint list once.
     FetchEndpointList,
-    /// Close the idle connections to a worker.
+    /// Closes the idle connections to a worker.
     CloseIdle(WorkerId),
-    /// Send a short message to one dispatcher, or to all.
+    /// Sends a short message to one dispatcher, or to all.
     SendToPeer {
-        /// Its number; `None` for all.
+        /// Number of the dispatcher; `None` for all.
         to: Option<u32>,
         /// The bytes.
         data: Vec<u8>,
     },
-    /// A line for the log.
+    /// Writes a line to the log.
     Log(String),
 }
--- a/crates/dispatch-core/src/api/event.rs
+++ b/crates/dispatch-core/src/api/event.rs
@@ -1,4 +1,4 @@
-//! The events that a dispatcher takes, and the types in them.
+//! Events of a dispatcher, and the types in them.
 
 use super::ids::{RequestId, Seconds, WorkerId};
 use super::settings::Settings;
@@ -7,54 +7,54 @@
 /// A job as it arrives.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its class: a position in [`Settings::classes`].
+    /// Class, as a position in [`Settings::classes`].
     pub class: u32,
-    /// Its tenant: a position in [`Settings::tenants`].
+    /// Tenant, as a position in [`Settings::tenants`].
     pub tenant: u32,
-    /// Slots it needs.
+    /// Slots that the job needs.
     pub slots: f64,
-    /// Memory it needs, in units; 0 where memory is not counted.
+    /// Memory that the job needs, in units; 0 where memory is not counted.
     pub memory: f64,
-    /// How long the client waits from now.
+    /// Time for which the client waits from now.
     pub timeout: Seconds,
-    /// It is a client's retry, where clients mark them.
+    /// Whether this is a client's retry, where clients mark them.
     pub is_retry: bool,
-    /// Its expected running time on a standard core, where the client gave a hint.
+    /// Expected running time on a standard core, where the client gave a hint.
     pub expected_run_time: Option<Seconds>,
-    /// The data that it needs; a worker may still hold it from an earlier job of that key.
+    /// Key of the data that the job needs; a worker may still have it from an earlier job of that key.
     pub affinity_key: Option<u64>,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
     Ok,
-    /// The worker answered with an error; it may have run.
+    /// The worker responded with an error; the job may have run.
     Error,
-    /// The worker rejected it for want of capacity; it never ran.
+    /// The worker rejected the job for want of capacity; it never ran.
     Overloaded,
-    /// No answer in time; it may have run or be running.
+    /// No response in time; the job may have run or be running.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection could be made; the job never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the job may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// Cancelled; the job may have run.
     Cancelled,
     /// Never sent.
     NotSent,
-    /// An idle connection broke as soon as it was used again: the worker had closed it. Only the request
-    /// was written whole, so it may have run; it is no failure of the worker.
+    /// An idle connection broke as soon as it was used again: the worker had closed it. The request was written
+    /// completely, so the job may have run; this is no failure of the worker.
     StaleConnection,
-    /// The worker cannot use the request, and no other could; it never ran and the worker is not at fault.
+    /// The request is invalid for any worker; the job never ran and the worker is not at fault.
     InvalidRequest,
 }
 
 impl Outcome {
-    /// Whether the attempt is known not to have run.
+    /// Whether the job is certain not to have run.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -71,10 +71,10 @@
 /// The state of a worker on the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerState {
-    /// Takes work.
+    /// Takes jobs.
     #[default]
     Serving,
-    /// Finishes what it has and takes no more.
+    /// Finishes its jobs and takes no more.
     Draining,
     /// Withdrawn.
     Removed,
@@ -85,39 +85,39 @@
 pub struct Endpoint {
     /// The worker.
     pub worker: WorkerId,
-    /// Its kind of machine.
+    /// Kind of machine.
     pub kind: u32,
-    /// Its zone.
+    /// Zone.
     pub zone: u32,
-    /// Its cell.
+    /// Cell.
     pub cell: u32,
-    /// When it last started; 0 for long ago.
+    /// Time of its last start; 0 for long ago.
     pub started_at: Seconds,
-    /// Its state.
+    /// State of the worker.
     pub state: WorkerState,
 }
 
-/// What part of the endpoint list an event brings.
+/// Part of the endpoint list in an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// All of it; a worker that is absent is gone.
+    /// The whole list; a worker that is absent is removed.
     Full,
-    /// All of it as last known before a restart, possibly out of date.
+    /// The whole list as saved before a restart, possibly out of date.
     Cached,
-    /// Changed lines only.
+    /// Changed endpoints only.
     Incremental,
-    /// Nothing: a call failed or the watch broke.
+    /// No endpoints: a poll failed or the watch broke.
     Failed,
 }
 
 /// An input of a dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// Other settings hold from here on. Classes and tenants keep their positions; new ones may follow them.
+    /// Settings changed. Classes and tenants keep their positions; new ones may follow them.
     Settings(&'a Settings),
     /// A request arrived.
     Request(Request),
-    /// A streamed answer began.
+    /// A streamed response began.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -131,13 +131,13 @@
         /// The number of the attempt.
         attempt: u32,
     },
-    /// A job is running and this part of it is done.
+    /// A running job made progress.
     Progress {
         /// The request.
         request: RequestId,
         /// The number of the attempt.
         attempt: u32,
-        /// From 0 to 1.
+        /// Part of the job that is done, from 0 to 1.
         done: f64,
     },
     /// An attempt ended; exactly one for each [`Action::Send`](super::Action::Send).
@@ -146,14 +146,14 @@
         request: RequestId,
         /// The number of the attempt.
         attempt: u32,
-        /// How.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// The request has its final answer, by this outcome or earlier.
+        /// Whether the request has its final answer, by this outcome or earlier.
         complete: bool,
-        /// The worker's load report, where one came with the response.
+        /// Load report of the worker, where one came with the response.
         load: Option<LoadReport>,
     },
-    /// The client left; no answer is owed.
+    /// The client disconnected; no answer is expected any more.
     ClientDisconnected(RequestId),
     /// The timer set with [`Action::SetTimer`](super::Action::SetTimer) fired.
     Timer(u64),
@@ -161,39 +161,39 @@
     ProbeEnded {
         /// The worker.
         worker: WorkerId,
-        /// It answered.
+        /// Whether the worker responded.
         ok: bool,
-        /// Its load report.
+        /// Load report of the worker.
         load: Option<LoadReport>,
     },
-    /// A health checker, which probes workers for all dispatchers, saw this one fail, or takes that back.
+    /// A health checker, which probes workers for all dispatchers, found a worker unhealthy, or withdraws that verdict.
     UnhealthyVerdict {
         /// The worker.
         worker: WorkerId,
-        /// How long ago it was seen failing; what it did for us since then counts for more.
+        /// Time since the failure was observed; any sign of life that this dispatcher saw since then counts for more.
         observed_ago: Seconds,
-        /// How long this may be held against it from now on; 0 where nothing is any more.
+        /// Time for which the verdict is valid from now on; 0 where it is withdrawn.
         valid_for: Seconds,
     },
-    /// The leader that hands the slow-start budgets out for all dispatchers granted more than the planned share.
+    /// The leader that allocates slow-start budgets to all dispatchers granted work beyond the planned share.
     SlowStartGrant {
         /// The worker in slow start.
         worker: WorkerId,
-        /// How much may be sent there, in slots by seconds on a standard core.
+        /// Work that may be sent to it, in slots by seconds on a standard core.
         work: f64,
-        /// Until when.
+        /// Time until which the grant is valid.
         expires_at: Seconds,
     },
-    /// The endpoint list, or a part of it.
+    /// The endpoint list or a part of it arrived, or could not be had.
     EndpointList {
-        /// Which part.
+        /// Part of the list.
         scope: ListScope,
-        /// Its lines.
+        /// Endpoints in that part.
         endpoints: &'a [Endpoint],
     },
     /// A message from another dispatcher.
     PeerMessage {
-        /// Its number.
+        /// Number of the dispatcher.
         from: u32,
         /// The bytes.
         data: &'a [u8],
--- a/crates/dispatch-core/src/api/mod.rs
+++ b/crates/dispatch-core/src/api/mod.rs
@@ -1,7 +1,7 @@
-//! The interface of the decision module: its settings, the events it takes, the actions it answers, and the ids in all.
+//! The interface of the decision module: settings, events, actions, and the ids in them.
 //!
-//! Times are seconds on the caller's clock, which may start anywhere and only moves forward. Ids are opaque:
-//! the module compares and hashes them, nothing else.
+//! Times are seconds on the caller's clock, which may start anywhere and only moves forward. Ids are opaque: the module
+//! only compares and hashes them.
 
 mod action;
 mod event;
--- a/crates/dispatch-core/src/api/settings.rs
+++ b/crates/dispatch-core/src/api/settings.rs
@@ -1,52 +1,52 @@
-//! What a dispatcher is configured with.
+//! Settings of a dispatcher.
 
 use super::ids::Seconds;
 use crate::load_report::LoadReportFormat;
 
-/// How often a class of request may take effect.
+/// Idempotency of a class of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Running it again is harmless.
+    /// A repeat is harmless.
     Idempotent,
     /// Requests carry an idempotency key: workers of one scope drop repeats within [`Class::key_window`].
     WithKey(KeyScope),
-    /// It must not run twice.
+    /// A job must not run twice.
     NotIdempotent,
 }
 
-/// The workers that know each other's idempotency keys.
+/// Workers that share their idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All workers.
     All,
-    /// Those of one zone.
+    /// Workers of one zone.
     Zone,
-    /// Those of one cell.
+    /// Workers of one cell.
     Cell,
 }
 
-/// A class of request.
+/// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// What a repeat does.
+    /// Effect of a repeat.
     pub idempotency: Idempotency,
-    /// How long a repeat with the same key is dropped, counted from the first send that may have run.
+    /// Time for which a repeat with the same key is dropped, from the first send that may have run.
     pub key_window: Seconds,
-    /// A response within this time, plus [`Class::run_time_allowance`] times the job's own running time, is in time.
+    /// Time within which a response is in time, beside [`Class::run_time_allowance`].
     pub latency_objective: Seconds,
-    /// See [`Class::latency_objective`].
+    /// Further time within which a response is in time, as a multiple of the job's own running time.
     pub run_time_allowance: f64,
-    /// The part of its priority weight that a late response still earns.
+    /// Part of its priority weight that a late response still earns.
     pub late_weight: f64,
-    /// The one kind of machine that runs it, where there is one.
+    /// The only kind of machine that can run the class, where there is one.
     pub required_kind: Option<u32>,
 }
 
-/// A job is sent again within this part of its key window: the clocks of worker and dispatcher may differ.
+/// Part of the key window within which a job is retried: the clocks of worker and dispatcher may differ.
 const USABLE_KEY_WINDOW: f64 = 0.9;
 
 impl Class {
-    /// For how long after a send that may have run a job of it may be sent again.
+    /// Returns the time after a send that may have run within which a job may be sent again.
     pub fn retry_window(&self) -> Seconds {
         match self.idempotency {
             Idempotency::Idempotent => f64::INFINITY,
@@ -55,8 +55,7 @@
         }
     }
 
-    /// Whether a client that was rejected so long after a send that may have run may send the job again: it may then
-    /// reach any worker.
+    /// Whether a client may retry a job so long after a send that may have run. The retry may reach any worker.
     pub fn allows_client_retry(&self, after: Seconds) -> bool {
         let any_worker =
             matches!(self.idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All));
@@ -77,16 +76,16 @@
     }
 }
 
-/// A tenant: one of those who share the fleet.
+/// A tenant of the fleet.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its part of the service. Shares need not sum to one; they are scaled.
+    /// Share of the service. Shares need not sum to one; they are scaled.
     pub share: f64,
-    /// Requests a second that it was promised, over all dispatchers; 0 where unstated.
+    /// Quota in requests a second over all dispatchers; 0 where unstated.
     pub quota: f64,
 }
 
-/// How load reports reach a dispatcher.
+/// The way in which load reports reach a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReports {
     /// Never.
@@ -97,71 +96,71 @@
     WithProbes,
 }
 
-/// How capacity is reserved for large jobs.
+/// Reservation of capacity for large jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacityReservation {
-    /// Jobs of so many slots and more are large.
+    /// Least number of slots of a large job.
     pub min_slots: f64,
-    /// The price of a worker that is reserved for jobs of the other size, in waits as long as a job's own run.
+    /// Price of a worker that is reserved for jobs of the other size, as a multiple of the running time.
     pub price: f64,
 }
 
-/// What a dispatcher is configured with, at its start or by a reload.
+/// Settings of a dispatcher, at its start or after a reload.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This dispatcher's number among [`Settings::instances`], from 0.
+    /// Number of this dispatcher among [`Settings::instances`], from 0.
     pub instance: u32,
-    /// How many dispatchers there are.
+    /// Number of dispatchers.
     pub instances: u32,
-    /// The zone of this dispatcher.
+    /// Zone of this dispatcher.
     pub zone: u32,
-    /// The classes of request; a class beyond the list is treated as the default class.
+    /// Classes of requests; a class beyond the list counts as its last.
     pub classes: Vec<Class>,
-    /// The tenants; empty where there are none.
+    /// Tenants; empty where there are none.
     pub tenants: Vec<Tenant>,
-    /// The endpoint list must be polled; otherwise changes arrive unprompted.
+    /// Whether the endpoint list must be polled; otherwise changes arrive unprompted.
     pub polls_endpoint_list: bool,
-    /// With [`Settings::polls_endpoint_list`]: poll at least this often while no watch stands; 0 if unstated.
+    /// Longest time between polls while there is no watch, with [`Settings::polls_endpoint_list`]; 0 if unstated.
     pub max_poll_interval: Seconds,
-    /// How load reports arrive.
+    /// The way in which load reports arrive.
     pub load_reports: LoadReports,
-    /// What they hold.
+    /// Figures of a load report.
     pub load_report_format: LoadReportFormat,
-    /// Clients mark their retries; else one shows by its shorter timeout alone.
+    /// Whether clients mark their retries; else only a shorter timeout shows one.
     pub clients_mark_retries: bool,
-    /// Probes are allowed.
+    /// Whether probes are allowed.
     pub probes_allowed: bool,
-    /// The price of one probe a request, in parts of the service.
+    /// Price of one probe a request, as a part of the service.
     pub probe_price: f64,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation_allowed: bool,
-    /// Most attempts a request may have.
+    /// Highest number of attempts of a request.
     pub max_attempts: u32,
-    /// The longest wait that a client honours on a rejection; 0 where rejections carry none.
+    /// Longest retry-after that a client honours on a rejection; 0 where rejections carry none.
     pub max_retry_after: Seconds,
-    /// Workers tell when a job starts.
+    /// Whether workers report the start of a job.
     pub reports_job_start: bool,
-    /// They tell of a running job's progress this often; 0 where they do not.
+    /// Interval between progress reports of a running job; 0 where there are none.
     pub progress_interval: Seconds,
-    /// A second attempt may be open while the first is: a hedged request.
+    /// Whether a second attempt may be open while the first is: a hedged request.
     pub hedging_allowed: bool,
-    /// A worker starts with at least this part of its capacity ...
+    /// Least part of its capacity with which a worker starts.
     pub slow_start_min_capacity: f64,
-    /// ... and has all of it after this long, growing no slower than evenly.
+    /// Longest time from a worker's start to its full capacity, which grows at least linearly.
     pub slow_start_duration: Seconds,
-    /// A worker in slow start is overloaded when sent more than this many times what it can do ...
+    /// Multiple of its capacity beyond which a worker in slow start is overloaded, over [`Settings::overload_window`].
     pub overload_multiple: f64,
-    /// ... over this span, by all dispatchers together.
+    /// Time over which the work that all dispatchers send to a worker in slow start is counted.
     pub overload_window: Seconds,
-    /// The price of crossing zones once a request, in parts of the service.
+    /// Price of crossing zones once a request, as a part of the service.
     pub cross_zone_price: f64,
-    /// The price of a new connection for each request, in parts of the service.
+    /// Price of a new connection for each request, as a part of the service.
     pub handshake_price: f64,
-    /// A connection that has been idle for this long is closed; 0 where none is kept open.
+    /// Time after which an idle connection is closed; 0 where connections are not kept open.
     pub keep_alive: Seconds,
-    /// The finest step of the caller's clock.
+    /// Resolution of the caller's clock.
     pub clock_resolution: Seconds,
-    /// Capacity for large jobs; none where it is not reserved.
+    /// Reservation of capacity for large jobs; `None` where there is none.
     pub capacity_reservation: Option<CapacityReservation>,
 }
 
@@ -200,7 +199,7 @@
 }
 
 impl Settings {
-    /// What all tenants were promised together, in requests a second.
+    /// Returns the quotas of all tenants together, in requests a second.
     pub fn total_quota(&self) -> f64 {
         self.tenants.iter().map(|tenant| tenant.quota.max(0.0)).sum()
     }
--- a/crates/dispatch-core/src/backoff.rs
+++ b/crates/dispatch-core/src/backoff.rs
@@ -1,18 +1,17 @@
-//! How long to wait before the next attempt at something that all dispatchers ask for: capped exponential backoff with
-//! full jitter.
+//! Capped exponential backoff with full jitter, for calls to a service that all dispatchers share.
 //!
-//! A service that all of them call is slowed down by one event for all at once, so a fixed pause keeps them in step
-//! and a service that is overbooked stays so: each failed call costs it as much as one that it answers. Here the
-//! pauses double with each failure, up to a cap, and each is drawn evenly from nothing up to that, so that the calls
-//! of many spread over the whole span.
+//! A service that all of them call slows down for all at once, so fixed delays keep their retries in step and an
+//! overloaded service stays overloaded: each failed call costs it as much as a successful one. Here the longest delay
+//! doubles with each failure, up to a cap, and each delay is drawn uniformly between zero and that, so that the
+//! retries of many callers spread over the whole span.
 
-/// A span in microseconds.
+/// Duration in microseconds.
 pub type Micros = u64;
 
-/// The pauses double this often at the most.
+/// Number of times that the longest delay doubles, at most.
 const MAX_DOUBLINGS: u32 = 32;
 
-/// The pauses between the attempts at one thing.
+/// Delays between the attempts at one call.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     first: Micros,
@@ -22,21 +21,21 @@
 }
 
 impl Backoff {
-    /// Pauses of up to `first` after the first failure, in microseconds, and of up to `cap` in the end. The seed should
-    /// differ between dispatchers.
+    /// Returns a backoff with delays of up to `first` after the first failure, and of up to `cap` in the end. The seed
+    /// should differ between dispatchers.
     pub fn new(first: Micros, cap: Micros, seed: u64) -> Backoff {
         Backoff { first, cap: cap.max(first), failures: 0, rng: fastrand::Rng::with_seed(seed) }
     }
 
-    /// The pause after one more failure, in microseconds. `retry_after` is what the other side asked for, where it did:
-    /// no pause is shorter, as far as the cap allows, and the jitter comes on top.
+    /// Returns the delay after one more failure. It is no shorter than `retry_after`, the delay that the service
+    /// requested, as far as the cap allows; the jitter is added to it.
     pub fn next_delay(&mut self, retry_after: Option<Micros>) -> Micros {
         let longest = self.first.saturating_mul(1 << self.failures.min(MAX_DOUBLINGS)).min(self.cap);
         self.failures = self.failures.saturating_add(1);
         retry_after.unwrap_or(0).min(self.cap).saturating_add(self.rng.u64(0..=longest))
     }
 
-    /// It went well: the next failure is a first one.
+    /// Records a success: the next failure counts as the first.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/dispatch-core/src/capacity_reservation.rs
+++ b/crates/dispatch-core/src/capacity_reservation.rs
@@ -1,21 +1,21 @@
-//! Capacity for large jobs: some workers are reserved for them, as many as their part of the work asks for.
+//! Capacity reservation: some workers are reserved for large jobs, in proportion to their part of the work.
 //!
 //! A worker starts waiting jobs in order, so a job of four slots behind small ones waits until four slots are free at
-//! once, and holds up all behind it meanwhile. Where large and small jobs go to workers of their own, slots come free
-//! together and nothing is held up. Dispatchers share nothing, but they see the same list: each puts them in
+//! once, and delays all behind it meanwhile. Where large and small jobs go to workers of their own, slots come free
+//! together and nothing is delayed. Dispatchers share no state, but they see the same list: each sorts the workers in
 //! the same order, by kind and a hash of their names, and reserves every n-th, so they agree without communication, up
 //! to differences in the traffic that each has seen.
 //!
-//! It is a preference with a price, not a partition: a small job still goes to a reserved worker when the others would keep
-//! it waiting for longer than the price, and a large job to any worker that seems empty.
+//! The reservation is a preference with a price, not a partition: a small job still goes to a reserved worker when the
+//! wait at the others would cost more than the price, and a large job to any worker that seems empty.
 
 use crate::api::{CapacityReservation, WorkerState};
 use crate::fleet::Worker;
 use crate::hashing::mix_bits;
 
-/// How quickly the parts of the work are learnt, by jobs.
+/// Learning rate of the work of either size, by jobs.
 const LEARNING_RATE: f64 = 1.0 / 256.0;
-/// The workers are assigned anew when the part of large work has moved by this much.
+/// Change of the large jobs' part of the work at which the workers are assigned anew.
 const REASSIGN_THRESHOLD: f64 = 0.04;
 
 /// A worker in the order in which workers are reserved, which is the same at every dispatcher.
@@ -26,26 +26,26 @@
     index: usize,
 }
 
-/// Which workers are reserved for large jobs.
+/// The workers that are reserved for large jobs.
 #[derive(Debug, Default)]
 pub(crate) struct ReservedWorkers {
     settings: Option<CapacityReservation>,
-    /// Work asked for by jobs of either size, fading.
+    /// Work of arriving jobs of either size, as moving averages.
     small_work: f64,
     large_work: f64,
-    /// The part of large work that the workers were assigned by.
+    /// Part of large work by which the workers were assigned.
     reserved_share: f64,
-    /// By position: reserved for large jobs.
+    /// Whether each worker is reserved, by position.
     reserved: Vec<bool>,
 }
 
 impl ReservedWorkers {
-    /// None reserved yet.
+    /// Returns a reservation without workers.
     pub(crate) fn new(settings: Option<CapacityReservation>) -> ReservedWorkers {
         ReservedWorkers { settings, ..ReservedWorkers::default() }
     }
 
-    /// Other settings hold; what was learnt of the traffic stays only if they mean the same by large.
+    /// Applies other settings; the estimates of the traffic stay only if the size of a large job is the same.
     pub(crate) fn configure(&mut self, settings: Option<CapacityReservation>) {
         let min_slots = |settings: Option<CapacityReservation>| settings.map(|settings| settings.min_slots);
         if min_slots(settings) != min_slots(self.settings) {
@@ -58,7 +58,7 @@
         self.settings.is_some_and(|settings| slots >= settings.min_slots)
     }
 
-    /// A job arrived; the workers are assigned anew where its work has moved the parts by much.
+    /// Counts the work of an arriving job, and assigns the workers anew where the part of large work has moved by much.
     pub(crate) fn record_job(&mut self, slots: f64, work: f64, workers: &[Worker]) {
         let is_large = self.is_large(slots);
         let large_work = if is_large { work } else { 0.0 };
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The part of the work that large jobs ask for.
+    /// Returns the large jobs' part of the work.
     fn large_share(&self) -> f64 {
         let all = self.large_work + self.small_work;
         if all > 0.0 {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Assigns the workers that serve: in an order that all dispatchers share, every n-th is reserved.
+    /// Reserves every n-th of the workers that serve, in an order that all dispatchers share.
     pub(crate) fn assign(&mut self, workers: &[Worker]) {
         self.reserved_share = self.large_share();
         self.reserved.clear();
@@ -93,7 +93,8 @@
             .map(|(index, worker)| OrderedWorker { kind: worker.kind, hash: mix_bits(worker.id.0), index })
             .collect();
         order.sort_unstable();
-        // Spread over the kinds, since they differ in speed; rounding carries over from one kind to the next.
+        // Sorting by kind spreads the reservation over kinds, which differ in speed; rounding carries over between
+        // them.
         let mut wanted = 0.0;
         for worker in order {
             wanted += self.reserved_share;
@@ -104,7 +105,7 @@
         }
     }
 
-    /// The price of sending a job of this size there, in waits as long as its run.
+    /// Returns the price of sending a job of this size to a worker, as a multiple of its running time.
     pub(crate) fn price(&self, index: usize, slots: f64) -> f64 {
         let is_reserved = self.reserved.get(index).copied().unwrap_or(false);
         match self.settings {
--- a/crates/dispatch-core/src/endpoint_list.rs
+++ b/crates/dispatch-core/src/endpoint_list.rs
@@ -1,12 +1,12 @@
-//! The state of the watch on the endpoint list, and how soon it is asked for again after a failure.
+//! State of the watch on the endpoint list, with the delay of a retry after a failure.
 
 use crate::api::Seconds;
 
-/// The list is asked for again after this at the least, and at the most where nothing is stated.
+/// Bounds of the delay of a retry; the upper one where the settings state no poll interval.
 const MIN_RETRY_DELAY: Seconds = 0.2;
 const MAX_RETRY_DELAY: Seconds = 2.0;
 
-/// What is known of the watch on the endpoint list.
+/// State of the watch on the endpoint list.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointListState {
     is_watching: bool,
@@ -15,18 +15,18 @@
 }
 
 impl EndpointListState {
-    /// The list was asked for.
+    /// Records that a watch was requested.
     pub(crate) fn record_call(&mut self) {
         self.is_pending = true;
     }
 
-    /// The list, or a change of it, came.
+    /// Records that the list, or a change of it, arrived.
     pub(crate) fn record_answer(&mut self) {
         *self = EndpointListState { is_watching: true, is_pending: false, retry_delay: 0.0 };
     }
 
-    /// A call failed or the watch broke. Returns the delay before the next call, without jitter; it doubles up to a part
-    /// of the interval within which the list must be asked for, where one is stated.
+    /// Records that a call failed or the watch broke. Returns the delay before the next call, without jitter; it
+    /// doubles up to a part of the longest poll interval, where one is stated.
     pub(crate) fn record_failure(&mut self, max_poll_interval: Seconds) -> Seconds {
         let longest = if max_poll_interval > 0.0 { max_poll_interval / 4.0 } else { MAX_RETRY_DELAY };
         let retry_delay = (self.retry_delay * 2.0).clamp(MIN_RETRY_DELAY.min(longest), longest);
@@ -34,7 +34,7 @@
         retry_delay
     }
 
-    /// Whether a watch stands or is being set up.
+    /// Whether a watch is open or requested.
     pub(crate) fn is_active(&self) -> bool {
         self.is_watching || self.is_pending
     }
--- a/crates/dispatch-core/src/fleet.rs
+++ b/crates/dispatch-core/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The workers that were ever listed, what is remembered of each, and indexes to find them.
+//! The workers that were ever listed, the state of each, and indexes to find them.
 
 use rustc_hash::FxHashMap;
 
@@ -9,70 +9,75 @@
 use crate::run_time::{RunningJob, Slowdown, SlowdownModel, WorkerSlowdowns};
 use crate::slow_start::SlowStartBudget;
 
-/// Points of each worker on the ring of keys; more spread keys more evenly.
+/// Number of points of each worker on the ring of keys; more points spread keys more evenly.
 const RING_POINTS: u64 = 16;
-/// Zones beyond this are taken for one.
+/// Highest zone; zones beyond count as this one.
 const MAX_ZONE: u32 = 255;
-/// Kinds beyond this are taken for one.
+/// Highest kind; kinds beyond count as this one.
 const MAX_KIND: usize = 4095;
-/// No job is larger, in slots; the sums stay exact.
+/// Largest size of a job, in slots; sums of sizes stay exact.
 const MAX_JOB_SLOTS: f64 = 1e6;
-/// An idle connection is counted on for this part of the time for which it is kept open.
+/// Part of the keep-alive time for which an idle connection is expected to be usable.
 const IDLE_CONNECTION_USE: f64 = 0.7;
-/// A start that discovery knows of is in its list after this at the latest, in seconds.
+/// Longest time from a worker's start until discovery lists it.
 const MAX_LISTING_DELAY: Seconds = 5.0;
 
-/// What is learned of a kind of worker.
+/// Estimates of a kind of machine.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MachineKind {
+    /// Number of slots; 0 until it was reported.
     pub slots: f64,
-    /// Its running times relative to the usual.
+    /// Running times relative to those of the fleet.
     pub slowdown: Slowdown,
 }
 
-/// What is usual among the workers of one kind in one zone.
+/// Mean load of the workers of one kind in one zone.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Cohort {
-    /// The part of a worker's slots that other dispatchers fill, and the number of observations of it.
+    /// Mean part of a worker's slots that other dispatchers use.
     pub utilization: f64,
+    /// Number of observations.
     pub samples: f64,
 }
 
-/// A worker, and what a dispatcher remembers of it.
+/// State of a worker at this dispatcher.
 #[derive(Debug, Default)]
 pub(crate) struct Worker {
     pub id: WorkerId,
     pub kind: usize,
     pub zone: u32,
-    /// The position of its kind in its zone among the cohorts.
+    /// Position of its cohort in [`Fleet::cohorts`].
     pub cohort: usize,
     pub cell: u32,
-    /// When it started, by the endpoint list, and by this dispatcher's own clock.
+    /// Time of its start by the endpoint list.
     pub listed_start: Seconds,
+    /// Time of its start by this dispatcher's clock.
     pub started_at: Seconds,
     pub state: WorkerState,
-    /// Slots and attempts of ours that are in flight.
+    /// Slots of our open attempts.
     pub our_slots: f64,
+    /// Number of our open attempts.
     pub in_flight: u32,
-    /// The same slots a while ago, as a report that arrives now knows them: a moving average.
+    /// Slots of our open attempts as a delayed report counts them: a moving average.
     pub our_slots_delayed: f64,
     pub our_slots_changed_at: Seconds,
-    /// Slots that other dispatchers fill or wait for there, as last observed, and when that was.
+    /// Slots that other dispatchers use or wait for, as last observed.
     pub other_slots: f64,
     pub other_slots_observed_at: Seconds,
-    /// Its running times relative to its kind's, and the jobs of ours that run there.
+    /// Running times relative to those of its kind.
     pub slowdown: Slowdown,
+    /// Our jobs that run there.
     pub running: Vec<RunningJob>,
     pub slow_start: SlowStartBudget,
-    /// A probe is on its way.
+    /// Whether a probe is open.
     pub probing: bool,
-    /// Until when we expect to have an idle connection there.
+    /// Time until which we expect to have an idle connection.
     pub idle_connection_until: Seconds,
     pub health: OutlierDetector,
 }
 
 impl Worker {
-    /// Takes the present line of the endpoint list. After a restart only the attempts that are still open are kept.
+    /// Applies a newer endpoint. After a restart only the counts of open attempts are kept.
     fn update(&mut self, new: Worker) {
         if new.listed_start > self.listed_start {
             *self = Worker { our_slots: self.our_slots, in_flight: self.in_flight, ..new };
@@ -84,7 +89,7 @@
         self.state = new.state;
     }
 
-    /// An attempt ended there, and its job had begun to run by then or not.
+    /// Removes an attempt that ended; `started_at` is the time at which its job began to run, if it did.
     pub(crate) fn end_attempt(&mut self, started_at: Option<Seconds>, log_work: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let is_ended = |job: &RunningJob| Some(job.started_at) == started_at && job.log_work == log_work;
@@ -93,7 +98,7 @@
         }
     }
 
-    /// Counts slots that we take there or give back. What a report that is so late knows of them lags behind.
+    /// Counts slots that our jobs take or, if negative, give back; reports count them only after `report_delay`.
     pub(crate) fn add_slots(&mut self, slots: f64, now: Seconds, report_delay: Seconds) {
         let fading = (-(now - self.our_slots_changed_at) / report_delay).exp();
         self.our_slots_delayed = self.our_slots + (self.our_slots_delayed - self.our_slots) * fading;
@@ -101,12 +106,12 @@
         self.our_slots = (self.our_slots + slots).max(0.0);
     }
 
-    /// A connection of ours is left idle there; it is counted on for a part of the time for which it is kept open.
+    /// Records that a connection was left idle, which is usable for a part of the keep-alive time.
     pub(crate) fn keep_connection(&mut self, now: Seconds, keep_alive: Seconds) {
         self.idle_connection_until = now + IDLE_CONNECTION_USE * keep_alive;
     }
 
-    /// Whether another worker drops repeats of what this one may have run, by their idempotency key.
+    /// Whether another worker drops repeats of jobs that this one may have run, by their idempotency key.
     pub(crate) fn shares_keys_with(&self, other: &Worker, scope: KeyScope) -> bool {
         match scope {
             KeyScope::All => true,
@@ -135,46 +140,48 @@
 pub(crate) struct Fleet {
     pub workers: Vec<Worker>,
     pub index: FxHashMap<WorkerId, usize>,
-    /// For each zone, those that serve.
+    /// Positions of the workers that serve, by zone.
     pub serving_by_zone: Vec<Vec<usize>>,
-    /// How many of those that serve are unhealthy.
+    /// Number of workers that serve and are unhealthy.
     pub unhealthy_count: usize,
-    /// What is usual among the workers of one kind in one zone.
+    /// Mean loads by cohort.
     pub cohorts: Vec<Cohort>,
-    /// What is learnt of each kind of machine, and the most slots that a job asked for.
+    /// Estimates by kind of machine.
     pub kinds: Vec<MachineKind>,
+    /// Largest size of a job so far, in slots.
     pub largest_job: i64,
-    /// How long jobs wait at workers by their utilization.
+    /// Mean wait at workers by their utilization.
     pub queueing_curve: QueueingCurve,
-    /// The part of its capacity that a worker starts with, and how long it takes to have all of it.
+    /// See [`Settings::slow_start_min_capacity`].
     pub slow_start_min_capacity: f64,
+    /// See [`Settings::slow_start_duration`].
     pub slow_start_duration: Seconds,
-    /// Those that serve, several times each, in the order of a hash that all dispatchers share.
+    /// Points of the workers that serve, in the order of a hash that all dispatchers share.
     ring: Vec<RingPoint>,
-    /// For each zone, whether it seems lost.
+    /// Suspicions by zone.
     zone_outages: Vec<ZoneOutage>,
-    /// The position of each cohort, by zone and kind.
+    /// Positions in [`Fleet::cohorts`] by zone and kind.
     cohort_index: FxHashMap<CohortKey, usize>,
-    /// When discovery last sent the list or a change of it.
+    /// Time at which discovery last sent the list or a change of it.
     list_received_at: Option<Seconds>,
 }
 
 impl Fleet {
-    /// One without any worker.
+    /// Returns a fleet without workers.
     pub(crate) fn new(settings: &Settings) -> Fleet {
         let mut fleet = Fleet { largest_job: 1, ..Fleet::default() };
         fleet.configure(settings);
         fleet
     }
 
-    /// Other settings hold.
+    /// Applies other settings.
     pub(crate) fn configure(&mut self, settings: &Settings) {
         self.slow_start_min_capacity = settings.slow_start_min_capacity;
         self.slow_start_duration = settings.slow_start_duration;
     }
 
-    /// Brings the zones and the ring in line with the workers; `zone` exists even if it has none. `received_at` is given
-    /// where the workers came from discovery rather than from a cache.
+    /// Rebuilds the indexes after a change of the workers; `zone` exists even if it has none. `received_at` is the time
+    /// of the change if it came from discovery rather than from a saved list.
     pub(crate) fn rebuild_indexes(&mut self, zone: u32, received_at: Option<Seconds>) {
         self.list_received_at = received_at.or(self.list_received_at);
         let zones = self.workers.iter().map(|worker| worker.zone).chain([zone]).max();
@@ -220,14 +227,14 @@
         }
     }
 
-    /// Returns the start of a worker by this dispatcher's clock. Clocks may be wrong by much: no start is in the future,
-    /// and one that was not on the list that discovery sent last was not long before that.
+    /// Returns the start of a worker by this dispatcher's clock. Clocks may be wrong by much: no start is in the
+    /// future, and one that was not on the list that discovery sent last was not long before that.
     fn plausible_start(&self, listed_start: Seconds, now: Seconds) -> Seconds {
         let earliest = self.list_received_at.map_or(0.0, |received_at| received_at - MAX_LISTING_DELAY);
         listed_start.min(now).max(earliest)
     }
 
-    /// A whole list came: workers that are absent from it are gone.
+    /// Marks workers as removed that are absent from a whole list.
     pub(crate) fn remove_absent(&mut self, endpoints: &[Endpoint]) {
         let mut listed_ids: Vec<WorkerId> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
         listed_ids.sort_unstable();
@@ -238,13 +245,13 @@
         }
     }
 
-    /// The largest job that any worker may be able to take, in slots, as far as was seen; none without workers.
+    /// Returns the size of the largest job that a worker may be able to take, in slots; zero without workers.
     pub(crate) fn max_job_slots(&self) -> f64 {
         let max_slots = |kind: &MachineKind| if kind.slots > 0.0 { 2.0 * kind.slots } else { f64::INFINITY };
         self.kinds.iter().map(max_slots).fold(0.0, f64::max).min(MAX_JOB_SLOTS)
     }
 
-    /// The workers on the ring from a key on, each once.
+    /// Returns the next `count` workers on the ring from a key on, each once.
     pub(crate) fn ring_workers(&self, key: u64, count: usize) -> Vec<usize> {
         let start = self.ring.partition_point(|point| point.hash < mix_bits(key));
         let mut workers: Vec<usize> = Vec::with_capacity(count);
@@ -259,20 +266,20 @@
         workers
     }
 
-    /// The slowdown of a worker now, as a logarithm.
+    /// Returns the logarithm of the present slowdown of a worker.
     pub(crate) fn log_slowdown(&self, index: usize, slowdowns: &SlowdownModel, now: Seconds) -> f64 {
         let worker = &self.workers[index];
         let kind = &self.kinds[worker.kind].slowdown;
         slowdowns.log_slowdown(kind, &worker.slowdown, &worker.running, now)
     }
 
-    /// Returns the slowdowns that act on the jobs of a worker, to learn from a run.
+    /// Returns the slowdowns that act on the jobs of a worker, to update them.
     pub(crate) fn slowdowns_of(&mut self, index: usize) -> WorkerSlowdowns<'_> {
         let worker = &mut self.workers[index];
         WorkerSlowdowns { kind: &mut self.kinds[worker.kind].slowdown, worker: &mut worker.slowdown }
     }
 
-    /// A worker failed; `jitter` is drawn from 0 to 1.
+    /// Counts a failure of a worker; `jitter` is drawn from 0 to 1.
     pub(crate) fn record_failure(&mut self, index: usize, now: Seconds, jitter: f64) {
         let worker = &mut self.workers[index];
         self.zone_outages[zone_index(worker)].record_failure(index, now, jitter);
@@ -281,14 +288,14 @@
         }
     }
 
-    /// A worker did what it was asked for.
+    /// Records that a worker served a job.
     pub(crate) fn record_success(&mut self, index: usize) {
         if self.workers[index].health.record_success() {
             self.count_unhealthy();
         }
     }
 
-    /// A worker gave a sign of life.
+    /// Records a sign of life of a worker.
     pub(crate) fn record_liveness(&mut self, index: usize, now: Seconds) {
         let worker = &mut self.workers[index];
         self.zone_outages[zone_index(worker)].record_liveness();
@@ -302,7 +309,7 @@
         self.zone_outages[zone_index(worker)].is_suspected(now)
     }
 
-    /// A health checker saw a worker fail `observed_ago`, and for so long from `now` on that may be held against it.
+    /// Applies the verdict of a health checker that observed a failure `observed_ago`, valid for a time from `now` on.
     pub(crate) fn apply_verdict(
         &mut self,
         worker: WorkerId,
@@ -317,7 +324,7 @@
         }
     }
 
-    /// So much work may be sent to a worker in slow start until then, beside the planned share.
+    /// Adds a grant of work for a worker in slow start, beyond the planned share.
     pub(crate) fn apply_grant(&mut self, worker: WorkerId, work: f64, expires_at: Seconds, now: Seconds) {
         if let Some(&index) = self.index.get(&worker) {
             self.workers[index].slow_start.grant(work, expires_at, now);
@@ -336,7 +343,7 @@
     }
 }
 
-/// The position of a worker's zone.
+/// Returns the position of a worker's zone.
 fn zone_index(worker: &Worker) -> usize {
     worker.zone.min(MAX_ZONE) as usize
 }
--- a/crates/dispatch-core/src/hashing.rs
+++ b/crates/dispatch-core/src/hashing.rs
@@ -1,4 +1,4 @@
-//! Hashes on which all dispatchers agree, whatever their version: numbers of workers and keys, and their order.
+//! Hashes that are the same at all dispatchers, whatever their version: of the names of workers and of affinity keys.
 
 use std::hash::Hasher as _;
 
@@ -6,22 +6,22 @@
 
 use crate::api::WorkerId;
 
-/// The number by which dispatchers know a worker.
+/// Returns the id of a worker by its name.
 pub fn worker_id(name: &str) -> WorkerId {
     WorkerId(hash_bytes(name.as_bytes()))
 }
 
-/// The number by which dispatchers know a key that is no number.
+/// Returns the hash of an affinity key that is not a number.
 pub fn hash_bytes(text: &[u8]) -> u64 {
     let mut hasher = FxHasher::default();
     hasher.write(text);
-    // FxHash leaves the low bits of like names alike; one more round spreads them over all bits.
+    // FxHash leaves the low bits of similar names alike; one more round spreads them over all bits.
     let mut hash = hasher.finish();
     hash = (hash ^ (hash >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     hash ^ (hash >> 32)
 }
 
-/// Spreads the bits of a number.
+/// Mixes the bits of a number, as the finalizer of SplitMix64 does.
 pub(crate) fn mix_bits(mut number: u64) -> u64 {
     number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/dispatch-core/src/job.rs
+++ b/crates/dispatch-core/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs and their attempts, as a dispatcher remembers them until both are over.
+//! Jobs and their attempts, from the arrival of a request to the end of its last attempt.
 
 use crate::api::{Action, Class, Outcome, Request, Seconds};
 use crate::run_time::RunTimeModel;
@@ -6,29 +6,30 @@
 /// The state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JobState {
-    /// It waits for tokens in its tenant's buffer.
+    /// Waits for tokens in its tenant's buffer.
     Queued,
-    /// It waits for a worker.
+    /// Waits for a worker.
     Admitted,
-    /// An attempt is open.
+    /// Has an open attempt.
     InFlight,
-    /// It was answered; attempts may still be open.
+    /// Has its final answer; attempts may still be open.
     Ended,
 }
 
-/// One request from its arrival on.
+/// A request from its arrival on.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub request: Request,
-    /// Its expected running time: the mean of its class, or the hint if that is more.
+    /// Expected running time: the mean of the class, or the hint if that is longer.
     pub run_time: Seconds,
-    /// Its work as a logarithm, and when its answer must be out to be in time.
+    /// Logarithm of the work.
     pub log_work: f64,
+    /// Time by which the response meets the latency objective.
     pub objective_due: Seconds,
-    /// What it takes out of its tenant's bank.
+    /// Slots that are withdrawn from the tenant's bank.
     pub slots: i64,
     pub arrived_at: Seconds,
-    /// Not worth starting after this.
+    /// Latest time at which a start makes sense.
     pub start_by: Seconds,
     pub state: JobState,
     pub attempts: Vec<Attempt>,
@@ -69,48 +70,49 @@
         }
     }
 
-    /// Its class, a position in the settings.
+    /// Returns the class, as a position in the settings.
     pub(crate) fn class(&self) -> usize {
         self.request.class as usize
     }
 
-    /// Its tenant, a position in the settings.
+    /// Returns the tenant, as a position in the settings.
     pub(crate) fn tenant(&self) -> usize {
         self.request.tenant as usize
     }
 
-    /// When it stops waiting for a free worker: after this part of the time it has.
+    /// Returns the time at which the job stops waiting for a free worker, as a part of the time that it has to start.
     pub(crate) fn placement_deadline(&self, part: f64) -> Seconds {
         self.arrived_at + part * (self.start_by - self.arrived_at)
     }
 
-    /// Its client has given up by now, as far as the clock can tell.
+    /// Whether the client's timeout is over, to the resolution of the clock.
     pub(crate) fn has_expired(&self, now: Seconds, clock_resolution: Seconds) -> bool {
         now - self.arrived_at >= self.request.timeout - clock_resolution
     }
 
-    /// The attempts that may have run.
+    /// Returns the attempts that may have run.
     pub(crate) fn possible_runs(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| !attempt.outcome.is_some_and(Outcome::never_ran))
     }
 
-    /// All its attempts have ended and none can have run.
+    /// Whether all attempts have ended and none can have run.
     pub(crate) fn never_ran(&self) -> bool {
         self.possible_runs().next().is_none()
     }
 
-    /// An attempt has not ended yet.
+    /// Whether an attempt has not ended yet.
     pub(crate) fn has_open_attempt(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.outcome.is_none())
     }
 
-    /// A worker was tried, and more came of it than a connection that had been closed before.
+    /// Whether the job was sent to a worker, other than on an idle connection that the worker had closed.
     pub(crate) fn was_tried_at(&self, worker: usize) -> bool {
         let stale = Some(Outcome::StaleConnection);
         self.attempts.iter().any(|attempt| attempt.worker == worker && attempt.outcome != stale)
     }
 
-    /// The job of an open attempt begins to run; the attempt, unless that was known.
+    /// Records that the job of an open attempt began to run. Returns the attempt, or `None` if that was recorded
+    /// before.
     pub(crate) fn start_attempt(&mut self, number: u32, now: Seconds) -> Option<Attempt> {
         let attempt = self.attempts.get_mut(number as usize)?;
         if attempt.started_at.is_some() || attempt.outcome.is_some() {
@@ -120,15 +122,15 @@
         Some(*attempt)
     }
 
-    /// The last attempt, if it is open and its worker should give signs of life: until the job starts, or for as long as
-    /// it runs where progress is reported.
+    /// Returns the last attempt, if it is open and its worker should give signs of life: until the job starts, or for
+    /// as long as it runs where progress is reported.
     pub(crate) fn attempt_to_watch(&self, reports_progress: bool) -> Option<Attempt> {
         let attempt = self.attempts.last()?;
         let is_watched = attempt.outcome.is_none() && (attempt.started_at.is_none() || reports_progress);
         is_watched.then_some(*attempt)
     }
 
-    /// Ends an open attempt.
+    /// Ends an open attempt. Returns `None` if there is no such attempt.
     pub(crate) fn end_attempt(&mut self, number: u32, outcome: Outcome) -> Option<EndedAttempt> {
         let attempt = self.attempts.get_mut(number as usize).filter(|attempt| attempt.outcome.is_none())?;
         attempt.outcome = Some(outcome);
@@ -146,78 +148,86 @@
         })
     }
 
-    /// To call off what is still open.
+    /// Returns the actions that cancel all open attempts.
     pub(crate) fn cancel_actions(&self) -> impl Iterator<Item = Action> + '_ {
         let open = self.attempts.iter().enumerate().filter(|(_, attempt)| attempt.outcome.is_none());
         open.map(|(number, _)| Action::Cancel { request: self.request.id, attempt: number as u32 })
     }
 
-    /// What it asks of a worker, in slots by seconds.
+    /// Returns the work of the job, in slots by seconds.
     pub(crate) fn work(&self) -> f64 {
         self.size() * self.run_time
     }
 
-    /// What it takes of a worker, in slots: a worker has a unit of memory for each.
+    /// Returns the size of the job in slots of a worker, which has a unit of memory for each slot.
     pub(crate) fn size(&self) -> f64 {
         (self.slots as f64).max(self.request.memory)
     }
 }
 
-/// A job that was sent to a worker.
+/// One send of a job to a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     pub worker: usize,
     pub sent_at: Seconds,
-    /// When the job began to run, where that was reported.
+    /// Time at which the job began to run, where that was reported.
     pub started_at: Option<Seconds>,
-    /// Whether the worker was expected to have a free slot, and its expected utilization with the job.
+    /// Whether the worker was expected to have a free slot.
     pub had_free_slot: bool,
+    /// Expected utilization of the worker with the job.
     pub utilization: f64,
-    /// How it ended; none while it is open.
+    /// Outcome of the attempt; `None` while it is open.
     pub outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    /// An attempt that is sent now.
+    /// Returns an attempt that is sent now.
     pub(crate) fn new(candidate: &Candidate, now: Seconds) -> Attempt {
-        let &Candidate { worker, has_free_slot, utilization, .. } = candidate;
-        let had_free_slot = has_free_slot;
-        Attempt { worker, sent_at: now, started_at: None, had_free_slot, utilization, outcome: None }
+        Attempt {
+            worker: candidate.worker,
+            sent_at: now,
+            started_at: None,
+            had_free_slot: candidate.has_free_slot,
+            utilization: candidate.utilization,
+            outcome: None,
+        }
     }
 }
 
-/// An attempt that has just ended, and what of its job tells how to take that.
+/// An attempt that has just ended, with the state of its job by which the end is judged.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedAttempt {
     pub attempt: Attempt,
     pub outcome: Outcome,
     pub request: Request,
-    /// The job's size in slots, and its work as a logarithm.
+    /// Size of the job in slots.
     pub size: f64,
+    /// Logarithm of the job's work.
     pub log_work: f64,
-    /// It was not the first attempt.
+    /// Whether it was not the first attempt.
     pub is_retry: bool,
-    /// An earlier attempt broke or ended with an error.
+    /// Whether an earlier attempt broke or ended with an error.
     pub failed_before: bool,
-    /// The client had its answer before.
+    /// Whether the client had its answer before.
     pub was_answered: bool,
 }
 
 impl EndedAttempt {
-    /// How long the job ran; from its send where its start was not reported.
+    /// Returns the running time of the job; from its send where its start was not reported.
     pub(crate) fn run_time(&self, now: Seconds) -> Seconds {
         now - self.attempt.started_at.unwrap_or(self.attempt.sent_at)
     }
 
-    /// How long it waited at the worker; where its start was not reported, it is taken to have run for no longer than is
-    /// likely.
+    /// Returns the wait of the job at the worker. Where its start was not reported, it is assumed to have run for no
+    /// longer than `likely_run_time`.
     pub(crate) fn wait(&self, now: Seconds, likely_run_time: Seconds) -> Seconds {
         let run_time = self.run_time(now);
-        let is_measured = self.attempt.started_at.is_some();
-        now - self.attempt.sent_at - if is_measured { run_time } else { run_time.min(likely_run_time) }
+        let has_start = self.attempt.started_at.is_some();
+        let run_time = if has_start { run_time } else { run_time.min(likely_run_time) };
+        now - self.attempt.sent_at - run_time
     }
 
-    /// Whether its running time is known: where its start was not reported, only if the worker was free.
+    /// Whether the running time was measured: where its start was not reported, only if the worker was free.
     pub(crate) fn has_measured_run(&self) -> bool {
         self.attempt.started_at.is_some() || self.attempt.had_free_slot
     }
@@ -227,12 +237,12 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
     pub worker: usize,
-    /// What the job would cost there, in seconds.
+    /// Cost of the job at the worker, in seconds.
     pub cost: f64,
-    /// It is expected to have a free slot for the job.
+    /// Whether the worker is expected to have a free slot for the job.
     pub has_free_slot: bool,
-    /// Its expected utilization with the job: slots in use, as a part of those it has.
+    /// Expected utilization of the worker with the job: slots in use, as a part of those it has.
     pub utilization: f64,
-    /// How likely the job is to be late there.
+    /// Probability that the job is late at the worker.
     pub lateness_probability: f64,
 }
--- a/crates/dispatch-core/src/key_rates.rs
+++ b/crates/dispatch-core/src/key_rates.rs
@@ -1,10 +1,10 @@
-//! How often each affinity key is asked for.
+//! Request rates by affinity key.
 
 use rustc_hash::FxHashMap;
 
 use crate::api::Seconds;
 
-/// How long a request for a key counts.
+/// Time constant with which the count of requests for a key decays.
 const MEMORY: Seconds = 10.0;
 
 /// Requests for a key, counted at a time.
@@ -15,24 +15,24 @@
     counted_at: Seconds,
 }
 
-/// How often each key was asked for of late.
+/// Recent request rates by key.
 #[derive(Debug, Default)]
 pub(crate) struct KeyRates(FxHashMap<u64, KeyCount>);
 
 impl KeyRates {
-    /// Counts a request.
+    /// Counts a request for a key.
     pub(crate) fn record(&mut self, key: u64, now: Seconds) {
         let requests = 1.0 + MEMORY * self.rate(key, now);
         self.0.insert(key, KeyCount { requests, counted_at: now });
     }
 
-    /// Requests a second for the key; older ones count less.
+    /// Returns the rate of a key, in requests a second.
     pub(crate) fn rate(&self, key: u64, now: Seconds) -> f64 {
         let count = self.0.get(&key).copied().unwrap_or_default();
         count.requests * (-(now - count.counted_at) / MEMORY).exp() / MEMORY
     }
 
-    /// Forgets keys that are not asked for any more.
+    /// Removes keys without recent requests.
     pub(crate) fn evict_old(&mut self, now: Seconds) {
         self.0.retain(|_, count| now - count.counted_at < 2.0 * MEMORY);
     }
--- a/crates/dispatch-core/src/lib.rs
+++ b/crates/dispatch-core/src/lib.rs
@@ -1,10 +1,10 @@
 //! The decisions of a dispatcher, and nothing else: no clock, no I/O, no sockets, no tasks.
 //!
-//! [`Dispatcher`] is the decision module: it decides which worker gets a job, whether to retry and what is rejected. It
-//! takes [`Event`]s and answers with [`Action`]s; `api` holds both. Whoever drives it (the engine of the real program,
-//! the simulator's adapter, the emulator) brings the clock and carries the actions out.
+//! [`Dispatcher`] is the decision module: it decides which worker gets a job, whether to retry and which jobs to
+//! reject. Its caller (the engine of the real program, the simulator's adapter, the emulator) passes [`Event`]s with
+//! the time and carries out the [`Action`]s that are returned; `api` defines both.
 //!
-//! `policy` holds the decisions. The private modules hold what they are taken by: plain state machines and estimates.
+//! `policy` holds the decisions. The private modules hold the state and the estimates on which they are based.
 
 pub mod api;
 pub mod backoff;
--- a/crates/dispatch-core/src/load.rs
+++ b/crates/dispatch-core/src/load.rs
@@ -1,42 +1,42 @@
-//! Estimates of the load of workers: the slots that other dispatchers fill there by now.
+//! Estimates of the load of workers: the slots that other dispatchers use there.
 //!
-//! The slots of our own attempts are known. Those of others are observed now and then: by load reports, by how long a
-//! job of ours waits before it starts, by rejections. Each observation is of a while ago and decays to the mean of the
-//! workers of that kind in that zone. Spans are in windows, a window being about a running time: within a few of them
-//! all that runs at a worker has changed.
+//! The slots of our own attempts are counted. Those of others are observed now and then: by load reports, by the wait
+//! of our jobs before they start, by rejections. Observations age and decay to the mean of the workers of that kind in
+//! that zone. Times are in windows of the admission rate, which are about a running time long: within a few of them all
+//! jobs at a worker have changed.
 
 use crate::api::{LoadReport, Seconds, WorkerState};
 use crate::fleet::{Fleet, Worker};
 use crate::run_time::CLASS_LEARNING_RATE;
 
-/// An observation of a worker's load decays over this many windows.
+/// Time constant with which an observation of a worker's load decays, in windows.
 const OCCUPANCY_FADE_WINDOWS: f64 = 4.0;
-/// A report is late by about this part of a window.
+/// Mean delay of a load report, in windows.
 const REPORT_DELAY_WINDOWS: f64 = 0.5;
-/// Learning rate of the slots of a kind, from the largest figures seen.
+/// Learning rate of the slots of a kind, by its largest reports.
 const SLOTS_LEARNING_RATE: f64 = 0.5;
-/// The weight of a report beside the estimate before it: it is a sample, late and noisy.
+/// Weight of a report; the rest is the weight of the earlier estimate, since reports are late and noisy.
 const REPORT_WEIGHT: f64 = 0.5;
-/// A cohort's mean load moves by one part in this many observations at first.
+/// Number of observations that the initial mean of a cohort is worth.
 const INITIAL_COHORT_SAMPLES: f64 = 24.0;
-/// A job that starts within this time of its send did not wait: round trips, and a handshake that takes work.
+/// Time from send to start of a job that did not wait: round trips and a handshake.
 pub(crate) const PROMPT_START: Seconds = 0.1;
 
-/// The present, by which observations are old.
+/// The present, by which the age of observations is measured.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ObservationTime {
     pub now: Seconds,
-    /// A window of the admission rate, about a running time.
+    /// Length of a window of the admission rate, about a running time.
     pub window: Seconds,
 }
 
 impl Fleet {
-    /// How many slots a worker has, by what was observed.
+    /// Returns the estimated number of slots of a worker.
     pub(crate) fn slots_of(&self, worker: &Worker) -> f64 {
         self.kinds[worker.kind].slots.max(self.largest_job as f64)
     }
 
-    /// Its capacity now, as a part of the full one; a lower bound.
+    /// Returns a lower bound of a worker's present capacity, as a part of its full capacity.
     pub(crate) fn warm_capacity(&self, worker: &Worker, now: Seconds) -> f64 {
         if worker.listed_start <= 0.0 || self.slow_start_duration <= 0.0 {
             return 1.0;
@@ -45,12 +45,13 @@
         self.slow_start_min_capacity + (1.0 - self.slow_start_min_capacity) * age
     }
 
-    /// It serves and has started so recently that it does not have its full capacity yet.
+    /// Whether a worker serves and has started so recently that it does not have its full capacity yet.
     pub(crate) fn is_warming_up(&self, worker: &Worker, now: Seconds) -> bool {
         worker.state == WorkerState::Serving && self.warm_capacity(worker, now) < 1.0
     }
 
-    /// Slots that other dispatchers fill there by now: the last observation, decaying to the mean of the cohort.
+    /// Returns the slots that other dispatchers use at a worker: the last observation, decaying to the mean of the
+    /// cohort.
     pub(crate) fn other_slots(&self, worker: &Worker, time: ObservationTime) -> f64 {
         let cohort_mean = self.cohorts[worker.cohort].utilization
             * self.slots_of(worker)
@@ -60,8 +61,8 @@
         cohort_mean + (worker.other_slots - cohort_mean) * decay
     }
 
-    /// How long a job is expected to wait at a worker of this utilization, in running times; none where the number of its
-    /// slots was never reported.
+    /// Returns the expected wait at a worker of this utilization, in running times; zero where the number of its slots
+    /// was never reported.
     pub(crate) fn expected_wait(&self, worker: &Worker, utilization: f64) -> f64 {
         if self.kinds[worker.kind].slots > 0.0 {
             self.queueing_curve.mean_wait(utilization)
@@ -70,12 +71,12 @@
         }
     }
 
-    /// Counts slots that we take at a worker or give back.
+    /// Counts slots that our jobs take at a worker or, if negative, give back.
     pub(crate) fn add_slots(&mut self, index: usize, slots: f64, time: ObservationTime) {
         self.workers[index].add_slots(slots, time.now, REPORT_DELAY_WINDOWS * time.window);
     }
 
-    /// Takes an observation of the slots that other dispatchers fill or wait for there.
+    /// Records an observation of the slots that other dispatchers use or wait for at a worker.
     pub(crate) fn record_other_slots(&mut self, index: usize, slots: f64, now: Seconds) {
         let utilization = slots / self.slots_of(&self.workers[index]);
         let worker = &mut self.workers[index];
@@ -87,8 +88,8 @@
         worker.other_slots_observed_at = now;
     }
 
-    /// Takes a load report, where it tells of free slots; `job_slots` is the slots of a usual job. Returns the slots that
-    /// wait there.
+    /// Updates the estimates by a load report, if it states free slots; `job_slots` is the mean number of slots of a
+    /// job. Returns the slots of jobs that wait at the worker.
     pub(crate) fn apply_load_report(
         &mut self,
         index: usize,
@@ -119,7 +120,7 @@
         kind.slots += (free_slots - kind.slots).max(0.0) * learning_rate;
     }
 
-    /// A job of ours waited there for so long, which shows how many slots others had: each slot comes free once in a
+    /// Estimates the slots of other dispatchers by the wait of one of our jobs: each slot becomes free once in a
     /// running time.
     pub(crate) fn record_wait(&mut self, index: usize, delay: Seconds, time: ObservationTime) {
         let worker = &self.workers[index];
--- a/crates/dispatch-core/src/load_report.rs
+++ b/crates/dispatch-core/src/load_report.rs
@@ -1,7 +1,7 @@
 //! Load reports of workers, with the figures that the settings name. A codec, no I/O.
 //!
-//! The simulator's wire gives the figures by position, workers on sockets by name. Both mean the same, and the meaning
-//! of a name is defined here alone. A report is advice: one that cannot be used fails no job.
+//! The simulator's wire gives the figures by position, workers on sockets by name. Both mean the same, and the names
+//! are defined here only. A report is advice: one that cannot be used fails no job.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -11,27 +11,27 @@
 
 use crate::settings_pairs::{InvalidValue, SettingsPairs};
 
-/// Figures of one report that are looked at; the settings name four at the most.
+/// Highest number of figures of one report; the settings name four at most.
 const MAX_FIGURES: usize = 16;
-/// Figures of one JSON object that are read, known or not.
+/// Highest number of figures of one JSON object that are read, including unknown ones.
 const MAX_JSON_FIGURES: usize = 4 * MAX_FIGURES;
-/// The word that a report in a header begins with.
+/// Prefix of a report in a header.
 const TEXT_PREFIX: &str = "TEXT";
 
-/// The load of a worker, as it reports it. Absent fields were not reported.
+/// Load of a worker as reported. Absent fields were not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Slots with nothing in them.
+    /// Free slots.
     pub free_slots: Option<f64>,
-    /// Memory units not in use.
+    /// Free memory units.
     pub free_memory: Option<f64>,
-    /// Requests waiting.
+    /// Number of requests that wait.
     pub queue_length: Option<f64>,
-    /// Requests held.
+    /// Number of requests that wait or run.
     pub in_flight: Option<f64>,
-    /// The service time of late, without waiting, in seconds.
+    /// Recent service time without waiting, in seconds.
     pub latency: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub error_rate: Option<f64>,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// The meaning of one figure.
+/// Meaning of one figure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Figure {
     FreeSlots,
@@ -82,16 +82,16 @@
     figure: Figure,
 }
 
-/// The figures of a deployment's reports, in their order.
+/// Figures of a deployment's load reports, in their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoadReportFormat(Vec<NamedFigure>);
 
-/// A report that came by name.
+/// A load report with figures by name, as far as it could be read.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ParsedLoadReport {
-    /// What could be used of it; none where nothing could.
+    /// The usable figures; `None` if there are none.
     pub load: Option<LoadReport>,
-    /// Some of it was malformed, and was left out.
+    /// Whether some figures were malformed and left out.
     pub malformed: bool,
 }
 
@@ -100,7 +100,7 @@
 }
 
 impl LoadReportFormat {
-    /// By the settings: `report.names`, and for x0 and x1 their meaning under `family-info`.
+    /// Returns the format of the settings: `report.names`, and for x0 and x1 their meaning under `family-info`.
     pub fn from_settings(pairs: &SettingsPairs<'_>) -> LoadReportFormat {
         let described = |name: &str| pairs.text(&format!("family-info.report-{name}")).replace(' ', "_");
         let figure = |name: &str| match name {
@@ -115,7 +115,7 @@
     /// Reads a report that gives its figures by position, separated by commas; `-` or nothing where one is absent.
     ///
     /// # Errors
-    /// Something that is no number stands where one must.
+    /// Returns [`InvalidValue`] if a figure is not a number.
     pub fn parse_positional(&self, text: &str) -> Result<LoadReport, InvalidValue> {
         let mut load = LoadReport::default();
         for (figure, value) in self.0.iter().zip(text.split(',')) {
@@ -131,8 +131,8 @@
         Ok(load)
     }
 
-    /// Takes a report that gives its figures by name. Names that the settings do not know are passed over. What is
-    /// no number, negative, infinite, or given twice is left out: of two figures neither is known to be the right one.
+    /// Reads a report that gives its figures by name. Names that are not in the settings are ignored. A figure that is
+    /// not a number, negative, infinite, or given twice is left out: of two values neither can be trusted.
     pub fn parse_named<'a>(&self, figures: impl Iterator<Item = (&'a str, Option<f64>)>) -> ParsedLoadReport {
         let mut load = LoadReport::default();
         let mut malformed = false;
@@ -168,7 +168,7 @@
     }
 }
 
-/// The figures of an object in their order: a map would hide that one was given twice.
+/// Figures of a JSON object in their order: a map would hide that one was given twice.
 struct Object<'a>(Vec<(Cow<'a, str>, Option<f64>)>);
 
 impl<'de> Deserialize<'de> for Object<'de> {
--- a/crates/dispatch-core/src/outlier_detection.rs
+++ b/crates/dispatch-core/src/outlier_detection.rs
@@ -1,31 +1,31 @@
-//! Ejection of workers, and suspicion of whole zones, by their failures: plain state machines without a clock.
+//! Ejection of workers, and suspicion of whole zones, by their failures: state machines without a clock.
 
 use crate::api::Seconds;
 
-/// Failures in a row that eject a worker, and the first and longest ejection.
+/// Consecutive failures that eject a worker, and the shortest and longest ejection.
 const EJECTION_FAILURES: u32 = 2;
 const MIN_EJECTION: Seconds = 0.5;
 const MAX_EJECTION: Seconds = 8.0;
-/// An ejection is spread by jitter from this part of its length on, over this much.
+/// The part of an ejection's length from which jitter spreads it, and the part over which it does.
 const MIN_EJECTION_PART: f64 = 0.75;
 const EJECTION_JITTER: f64 = 0.5;
 
-/// The health of one worker.
+/// Health of one worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct OutlierDetector {
     failures: u32,
     ejected_until: Seconds,
     ejection_time: Seconds,
-    /// When it last gave a sign of life to us.
+    /// Time of the last sign of life to this dispatcher.
     pub last_alive: Seconds,
-    /// It is ejected for giving none.
+    /// Whether the worker is ejected for want of signs of life.
     is_stalled: bool,
-    /// Until when the verdict of a health checker, which probes for all dispatchers, is held against it.
+    /// Time until which the unhealthy verdict of a health checker, which probes for all dispatchers, is valid.
     verdict_until: Seconds,
 }
 
 impl OutlierDetector {
-    /// It failed; true where that ejects it. `jitter` is drawn from 0 to 1.
+    /// Counts a failure. Returns whether it ejects the worker; `jitter` is drawn from 0 to 1.
     pub(crate) fn record_failure(&mut self, now: Seconds, jitter: f64) -> bool {
         self.failures = self.failures.saturating_add(1);
         let ejects = self.failures >= EJECTION_FAILURES && self.ejected_until <= now;
@@ -36,7 +36,7 @@
         ejects
     }
 
-    /// It served a job; true where that readmits it.
+    /// Records that the worker served a job. Returns whether that readmits it.
     pub(crate) fn record_success(&mut self) -> bool {
         let was_unhealthy = self.is_unhealthy();
         *self = OutlierDetector {
@@ -47,54 +47,56 @@
         was_unhealthy
     }
 
-    /// It gave a sign of life; true where that readmits it.
+    /// Records a sign of life. Returns whether that readmits the worker.
     pub(crate) fn record_liveness(&mut self, now: Seconds) -> bool {
         self.last_alive = now;
         let had_verdict = std::mem::take(&mut self.verdict_until) > 0.0;
         (std::mem::take(&mut self.is_stalled) && self.record_success()) || had_verdict
     }
 
-    /// A health checker saw it fail at that time, which may be held against it until then; or takes that back. A sign of
-    /// life that it gave us since then counts for more: whoever probes may be the one who is cut off.
+    /// Applies the verdict of a health checker that observed a failure, or withdraws it if `valid_until` is past. A
+    /// sign of life since the observation counts for more: the health checker itself may be partitioned from the
+    /// worker.
     pub(crate) fn apply_verdict(&mut self, observed_at: Seconds, valid_until: Seconds) {
         let counts = valid_until > observed_at && self.last_alive <= observed_at;
         self.verdict_until = if counts { valid_until } else { 0.0 };
     }
 
-    /// It gives no sign of life: the next failure ejects it. True where that was not known.
+    /// Marks the worker as stalled, so that its next failure ejects it. Returns whether it was not marked before.
     pub(crate) fn mark_stalled(&mut self) -> bool {
         self.failures = self.failures.max(EJECTION_FAILURES);
         !std::mem::replace(&mut self.is_stalled, true)
     }
 
-    /// It was ejected and has not succeeded since, or a verdict says that it fails.
+    /// Whether the worker was ejected and has not succeeded since, or a verdict has marked it unhealthy.
     pub(crate) fn is_unhealthy(&self) -> bool {
         self.ejection_time > 0.0 || self.verdict_until > 0.0
     }
 
-    /// It gets nothing now: after an ejection one job tries it, and the others wait for its end.
+    /// Whether the worker gets no jobs now. After an ejection one job tries it, and others follow only when that has
+    /// ended.
     pub(crate) fn is_ejected(&self, now: Seconds, is_busy: bool) -> bool {
         self.ejected_until > now || self.verdict_until > now || (self.is_unhealthy() && is_busy)
     }
 }
 
-/// So many different workers in a row make a zone suspect.
+/// Number of different workers whose consecutive failures make a zone suspect.
 const OUTAGE_FAILURES: u32 = 3;
-/// How long a zone is the last choice, at first and at the most; then a job tries it again.
+/// Shortest and longest time for which a suspected zone is the last choice; then a job tries it again.
 const MIN_SUSPICION: Seconds = 0.5;
 const MAX_SUSPICION: Seconds = 4.0;
-/// A suspicion is spread by jitter from this part of its length on.
+/// The part of a suspicion's length from which jitter spreads it.
 const MIN_SUSPICION_PART: f64 = 0.5;
 
-/// Whether a whole zone seems to be lost: its workers fail one after another, and none gives a sign of life.
+/// Suspicion that a whole zone is lost: its workers fail one after another, and none gives a sign of life.
 ///
 /// A dispatcher with little traffic uses each worker of a large fleet twice a minute. Learnt worker by worker, the
-/// loss of a zone costs it two failures for each of them, all of which wait for a connection that never comes up. A
-/// few different workers that fail in a row, with no sign of any other between, tell of the zone at once. It is then
-/// the last choice for a while, twice as long each time; one sign of life of any worker there ends that.
+/// loss of a zone costs it two failures for each of them, all of which wait for a connection that never opens. A few
+/// different workers that fail in a row, without a sign of life of any other between, indicate the loss at once. The
+/// zone is then the last choice for a while, twice as long each time; a sign of life of any worker there ends that.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneOutage {
-    /// Different workers that failed since the last sign of life, and the last of them.
+    /// Number of different workers that failed since the last sign of life.
     failed_workers: u32,
     last_failed: Option<usize>,
     suspected_until: Seconds,
@@ -102,7 +104,8 @@
 }
 
 impl ZoneOutage {
-    /// A worker of the zone failed; `jitter` is drawn from 0 to 1, so that dispatchers do not come back in step.
+    /// Counts a failure of a worker of the zone; `jitter` is drawn from 0 to 1, so that dispatchers do not return in
+    /// step.
     pub(crate) fn record_failure(&mut self, worker: usize, now: Seconds, jitter: f64) {
         if self.last_failed.replace(worker) != Some(worker) {
             self.failed_workers = self.failed_workers.saturating_add(1);
@@ -113,12 +116,12 @@
         }
     }
 
-    /// A worker of the zone gave a sign of life.
+    /// Records a sign of life of a worker of the zone, which ends the suspicion.
     pub(crate) fn record_liveness(&mut self) {
         *self = ZoneOutage::default();
     }
 
-    /// The zone seems to be lost.
+    /// Whether the zone seems to be lost now.
     pub(crate) fn is_suspected(&self, now: Seconds) -> bool {
         now < self.suspected_until
     }
--- a/crates/dispatch-core/src/poll_schedule.rs
+++ b/crates/dispatch-core/src/poll_schedule.rs
@@ -1,41 +1,42 @@
-//! When the endpoint list is polled again after a watch or a call has ended. Pure: no clock, no I/O.
+//! Delays before the endpoint list is polled again after a watch or a call has ended. No clock, no I/O.
 //!
-//! A change counts as notified a fixed time after discovery had it and could be reached, whatever a call before did, and
-//! soon after that nothing may be sent to a worker that drains. So a pause is bounded by the time without a watch, not by
-//! the number of failed calls: a call that was given up late leaves less time before the next.
+//! A change counts as notified a fixed time after discovery had it and could be reached, whatever an earlier call did,
+//! and soon after that nothing may be sent to a worker that drains. So a delay is bounded by the time without a watch,
+//! not by the number of failed calls: a call that timed out late leaves less time before the next.
 
 use crate::api::Settings;
 use crate::backoff::{Backoff, Micros};
 
-/// A change counts as notified this long after discovery had it and could be reached.
+/// Time after which a change counts as notified, once discovery has it and can be reached.
 pub const MAX_NOTIFICATION_DELAY: Micros = 6_000_000;
-/// Of that, what a call may take to be answered: it waits its turn for up to 2 s where discovery is one service for all.
+/// Part of that time in which a call is answered: it waits its turn for up to 2 s where discovery is one service for
+/// all.
 const MAX_RESPONSE_DELAY: Micros = 2_000_000;
 
-/// An agent on this machine costs nothing to poll, and what it has counts as notified at once: first and longest pause,
-/// as divisors of the time for which a worker that drains may still get work.
+/// Divisors of the grace, the time for which a worker that drains may still get work, that give the first and the
+/// longest delay with an agent on this machine: it costs nothing to poll, and its changes count as notified at once.
 const AGENT_FIRST_DIVISOR: Micros = 25;
 const AGENT_LONGEST_DIVISOR: Micros = 5;
-/// An agent that does not answer within this part of that time, in hundredths, may have lost the connection: a standby
-/// watch is opened, so that one of the two was opened after discovery came back.
+/// Part of the grace, in percent, after which an agent that does not answer may have lost the connection: a standby
+/// watch is opened, so that one of the two was opened after discovery recovered.
 const STANDBY_PERCENT: Micros = 40;
-/// That time is taken for no shorter and no longer than this, whatever the settings tell: an agent needs a moment to
-/// answer, and calls without any pause would leave none for the rest.
+/// Bounds of the grace, whatever the settings state: an agent needs a moment to answer, and calls without delay would
+/// leave no time for other work.
 const MIN_GRACE: Micros = 50_000;
 const MAX_GRACE: Micros = 60_000_000;
-/// Where discovery is one service for all, what breaks one watch breaks all, and a call that is rejected costs it as
-/// much as one that is answered. So the first calls are spread over so much for each dispatcher, between these; the
-/// later ones, wider and wider, up to the time that is left.
+/// Span for each dispatcher over which the first calls after a failure are spread, and the bounds of the whole span.
+/// Where discovery is one service for all, a fault that breaks one watch breaks all, and a rejected call costs it as
+/// much as one that is answered. Later calls are spread ever wider, up to the time that is left.
 const SPREAD_PER_INSTANCE: Micros = 10_000;
 const MIN_FIRST_PAUSE: Micros = 500_000;
 const MAX_FIRST_PAUSE: Micros = 2_000_000;
 
-/// How long an agent may take to begin its answer before a standby watch is opened.
+/// Returns the time that an agent may take to begin its answer before a standby watch is opened.
 pub fn standby_watch_delay(grace: Micros) -> Micros {
     grace.clamp(MIN_GRACE, MAX_GRACE) * STANDBY_PERCENT / 100
 }
 
-/// The pauses between calls.
+/// Delays between calls for the endpoint list.
 #[derive(Clone, Debug)]
 pub struct PollSchedule {
     backoff: Backoff,
@@ -43,8 +44,8 @@
 }
 
 impl PollSchedule {
-    /// As the settings tell; `grace` is for how long a worker that drains may still get work. The seed should differ
-    /// between dispatchers.
+    /// Returns the schedule of the settings; `grace` is the time for which a worker that drains may still get work. The
+    /// seed should differ between dispatchers.
     pub fn new(settings: &Settings, grace: Micros, seed: u64) -> PollSchedule {
         let latest = MAX_NOTIFICATION_DELAY - MAX_RESPONSE_DELAY;
         let backoff = if settings.polls_endpoint_list {
@@ -57,13 +58,13 @@
         PollSchedule { backoff, latest }
     }
 
-    /// A call was answered.
+    /// Records that a call was answered.
     pub fn record_success(&mut self) {
         self.backoff.reset();
     }
 
-    /// The pause before the next call, where there has been no watch for so long already. `retry_after` is what
-    /// discovery asked for; it is heeded as far as the time within which a change counts as notified allows.
+    /// Returns the delay before the next call, after a time without a watch. The `retry_after` that discovery requested
+    /// is honoured as far as [`MAX_NOTIFICATION_DELAY`] allows.
     pub fn next_delay(&mut self, without_watch: Micros, retry_after: Option<Micros>) -> Micros {
         self.backoff.next_delay(retry_after).min(self.latest.saturating_sub(without_watch))
     }
--- a/crates/dispatch-core/src/queueing.rs
+++ b/crates/dispatch-core/src/queueing.rs
@@ -1,31 +1,31 @@
-//! How long jobs wait at a worker by its expected utilization: a curve that is learnt.
+//! Mean wait of jobs at a worker by its expected utilization: a curve that is learnt.
 //!
-//! How far load reports can be trusted depends on how late and how noisy they are, and on how many others choose by the
-//! same report. So the expected utilization at the send of a job is compared with how long the job really waited.
+//! The value of load reports depends on their delay and noise, and on the number of dispatchers that choose by the
+//! same report. So the expected utilization at the send of a job is compared with the wait that was observed.
 
-/// Steps of the curve: so many to a worker that is just full, and how many there are in all.
+/// Number of steps of the curve up to a utilization of one, and in all.
 const STEPS_TO_FULL: f64 = 8.0;
 const STEPS: usize = 33;
-/// What the first guess is worth, in jobs; and the learning rate.
+/// Weight of the initial curve, in jobs, and the learning rate.
 const INITIAL_WEIGHT: f64 = 6.0;
 const LEARNING_RATE: f64 = 1.0 / 128.0;
-/// No wait counts for more, in running times.
+/// Longest wait that counts, in running times.
 const MAX_WAIT: f64 = 8.0;
 
-/// How long jobs really waited, by the expected utilization of their workers.
+/// Observed waits of jobs by the expected utilization of their workers.
 #[derive(Clone, Debug)]
 pub(crate) struct QueueingCurve([Step; STEPS]);
 
-/// Jobs that were sent to workers of about one utilization.
+/// Observations of jobs at workers of about one utilization.
 #[derive(Clone, Copy, Debug)]
 struct Step {
-    /// How long they waited, in running times.
+    /// Mean wait, in running times.
     mean_wait: f64,
     samples: f64,
 }
 
 impl Default for QueueingCurve {
-    /// At first, as if all expectations were exact.
+    /// Returns the curve that holds if all expectations are exact.
     fn default() -> Self {
         let step = |index: usize| {
             let mean_wait = (index as f64 / STEPS_TO_FULL - 1.0).max(0.0);
@@ -40,14 +40,14 @@
         ((utilization.max(0.0) * STEPS_TO_FULL).round() as usize).min(STEPS - 1)
     }
 
-    /// The mean wait, in running times.
+    /// Returns the mean wait at a worker of this utilization, in running times.
     pub(crate) fn mean_wait(&self, utilization: f64) -> f64 {
-        // Beyond the last step each running time's worth of work is a running time's wait.
+        // Beyond the last step the wait grows with the work in the queue.
         let beyond = (utilization - (STEPS - 1) as f64 / STEPS_TO_FULL).max(0.0);
         self.0[QueueingCurve::step(utilization)].mean_wait + beyond
     }
 
-    /// A job waited for so many running times.
+    /// Learns from the wait of a job, in running times.
     pub(crate) fn learn(&mut self, utilization: f64, waited: f64) {
         let step = &mut self.0[QueueingCurve::step(utilization)];
         step.samples += 1.0;
--- a/crates/dispatch-core/src/run_time.rs
+++ b/crates/dispatch-core/src/run_time.rs
@@ -1,78 +1,80 @@
-//! Running times: how long a job is expected to take on a worker, learnt from the jobs that ended.
+//! Expected running times of jobs at workers, learnt from the jobs that ended.
 //!
-//! A running time is the product of the job's own work and of slowdowns: of the fleet as a whole, of the kind of
-//! machine, of the worker. All are kept as logarithms, so that a worker that is twice as slow counts as much as one that
-//! is twice as quick.
+//! A running time is the product of the job's work and of the slowdowns of the fleet, of the kind of machine and of the
+//! worker. All are estimated as logarithms, so that a worker that is twice as slow counts as much as one that is twice
+//! as fast.
 //!
-//! The work is what is usual in the class, and where jobs come with a hint, a straight line through the logarithms of
-//! hint and work that is fitted as jobs end. Hints that tell nothing flatten the line until the class's mean is left;
-//! hints that are wrong by a constant factor shift it; a few heavy jobs with matching hints do not distort it.
+//! The work is the mean of the class. Where jobs carry a hint it is a linear regression of the logarithm of the work on
+//! that of the hint, fitted as jobs end. Hints without information flatten the line until the mean of the class is
+//! left; hints that are wrong by a constant factor shift it; a few heavy jobs with matching hints do not distort it.
 //!
-//! Each slowdown has a variance that grows with time, since machines change, and shrinks with each job that ran under it.
-//! A job moves each slowdown by its part of the total variance, the job's own included (a Kalman gain). So where hints
-//! are good a few jobs show that a worker has become slow, and where running times spread over a factor of ten, many
-//! are needed: the gains follow from the observations and are no settings.
+//! Each slowdown has a variance that grows with time, since machines change, and shrinks with each job that ran under
+//! it. A job moves each slowdown by its part of the total variance, the job's own included (a Kalman gain). So where
+//! hints are good a few jobs show that a worker has become slow, and where running times spread over a factor of ten
+//! many are needed: the gains follow from the observations and need no settings.
 
 use crate::api::{Class, Seconds};
 
-/// Learning rate of what is usual in a class.
+/// Learning rate of the means of a class.
 pub(crate) const CLASS_LEARNING_RATE: f64 = 1.0 / 64.0;
-/// A running time to start from, and how many jobs seen it is worth.
+/// Initial mean of running times, and the number of observed jobs that it is worth.
 const INITIAL_RUN_TIME: Seconds = 0.3;
 const INITIAL_SAMPLES: f64 = 4.0;
-/// No run is taken to be shorter, and no hint to be outside these: logarithms need a floor.
+/// Bounds to which running times and hints are clamped before their logarithm is taken.
 const MIN_RUN_TIME: Seconds = 1e-3;
 const MAX_RUN_TIME: Seconds = 1e4;
-/// A hint is taken to lie no further from the mean than this many standard deviations of hints.
+/// Largest deviation of a hint from the mean, in standard deviations of hints; hints beyond are clamped.
 const MAX_HINT_DEVIATIONS: f64 = 4.0;
-/// How far running times of one class lie apart, as a variance of logarithms: at first with a hint and without, and
-/// at the least (a job's time differs from one run to the next).
+/// Variance of the logarithms of running times of one class: initially with a hint, initially without, and at least (a
+/// job's time differs from one run to the next).
 const INITIAL_HINTED_VARIANCE: f64 = 0.25;
 const INITIAL_VARIANCE: f64 = 1.0;
 const MIN_RUN_TIME_VARIANCE: f64 = 0.02;
-/// No squared error counts for more than this many times the variance.
+/// Largest squared error that is learnt from, as a multiple of the variance.
 const MAX_ERROR: f64 = 4.0;
-/// How uncertain slowdowns are: workers become slow by a factor of three or so about once in a minute or two; what all of
-/// them depend on does so less often and by less.
+/// Uncertainty of the slowdowns: a worker becomes slow by a factor of about three every minute or two; its kind and the
+/// fleet change less often and by less.
 const KIND_UNCERTAINTY: Uncertainty = Uncertainty { initial: 0.25, per_second: 0.0005 };
 const WORKER_UNCERTAINTY: Uncertainty = Uncertainty { initial: 0.05, per_second: 0.02 };
 const FLEET_UNCERTAINTY: Uncertainty = Uncertainty { initial: 0.02, per_second: 0.004 };
 /// Bounds of the variance of a slowdown.
 const MIN_VARIANCE: f64 = 1e-4;
 const MAX_VARIANCE: f64 = 1.0;
-/// The variance that waits and slowdowns add to a running time by the time the job is done.
+/// Variance that waits and slowdowns add to a running time until the job has ended.
 const RESIDUAL_VARIANCE: f64 = 0.05;
-/// The logistic curve that is nearest to the normal one.
+/// Scale of the logistic curve that is nearest to the normal distribution.
 const LOGISTIC_SCALE: f64 = 1.7;
-/// A deadline is unreachable from this far below certainty of being late on, scaled by the confidence in estimates.
+/// Distance from certain lateness at which a deadline counts as unreachable, before scaling by the confidence in
+/// estimates.
 const UNREACHABLE_PROBABILITY: f64 = 0.9;
-/// A job that has run for longer than expected counts for its worker's slowdown before it ends, from this many standard
-/// deviations on.
+/// Standard deviations beyond its expected running time from which on a running job counts for its worker's slowdown.
 const OVERDUE_DEVIATIONS: f64 = 1.0;
 
-/// How uncertain a slowdown is: its initial variance, and what that gains in a second.
+/// Uncertainty of a slowdown: its initial variance, and the growth of that in a second.
 #[derive(Clone, Copy, Debug)]
 struct Uncertainty {
     initial: f64,
     per_second: f64,
 }
 
-/// Running times of a class.
+/// Estimate of the running times of a class.
 #[derive(Clone, Debug)]
 pub(crate) struct RunTimeModel {
-    /// Their mean.
+    /// Mean running time.
     pub mean: Seconds,
-    /// The mean of the logarithms of the work.
+    /// Mean of the logarithms of the work.
     mean_log_work: f64,
-    /// The longest timeout that a client of the class has set.
+    /// Longest timeout that a client of the class has set.
     longest_timeout: Seconds,
     runs_seen: f64,
     hints_seen: f64,
-    /// The mean of the logarithms of hints, their variance, and their covariance with the work.
+    /// Mean of the logarithms of hints.
     mean_log_hint: f64,
+    /// Variance of the logarithms of hints.
     hint_variance: f64,
+    /// Covariance of the logarithms of hints and work.
     hint_covariance: f64,
-    /// What the estimates missed by, as a variance of logarithms.
+    /// Variance of the logarithms of running times about their estimates.
     variance: f64,
 }
 
@@ -92,18 +94,18 @@
     }
 }
 
-/// A hint as a logarithm, where it tells anything at all.
+/// Returns the logarithm of a hint, or `None` if it is not positive.
 fn log_hint(hint: Option<Seconds>) -> Option<f64> {
     hint.filter(|hint| *hint > 0.0).map(|hint| hint.clamp(MIN_RUN_TIME, MAX_RUN_TIME).ln())
 }
 
-/// The learning rate after so many samples: a mean at first, then one that forgets.
+/// Returns the learning rate after so many samples: that of a mean at first, then that of a moving average.
 fn learning_rate(samples: f64) -> f64 {
     CLASS_LEARNING_RATE.max(1.0 / (samples + INITIAL_SAMPLES))
 }
 
 impl RunTimeModel {
-    /// The work of a job of the class, as a logarithm: its running time where all slowdowns are the usual ones.
+    /// Returns the logarithm of the work of a job: its running time where no slowdown acts on it.
     pub(crate) fn log_work(&self, hint: Option<Seconds>) -> f64 {
         match log_hint(hint) {
             Some(hint) => {
@@ -114,7 +116,7 @@
         }
     }
 
-    /// The first hints of all are measured by the usual running time.
+    /// Returns the reference for the deviation of a hint: the mean hint, or the mean work before any hint was seen.
     fn reference_hint(&self) -> f64 {
         if self.hints_seen == 0.0 {
             self.mean_log_work
@@ -123,59 +125,60 @@
         }
     }
 
-    /// A hint, no further from the usual ones than hints go: a nonsensical one must cost its own job at the most.
+    /// Clamps a hint to the range of usual hints: a nonsensical one must not affect other jobs.
     fn clamp_hint(&self, hint: f64) -> f64 {
         let reference = self.reference_hint();
         let max_deviation = MAX_HINT_DEVIATIONS * self.hint_variance.sqrt();
         hint.clamp(reference - max_deviation, reference + max_deviation)
     }
 
-    /// How long a job of the class may wait and still be in time, by its hinted or else its usual running time.
+    /// Returns the time that a job of the class may wait and still be in time, by its expected running time.
     pub(crate) fn start_slack(&self, class: &Class, hint: Option<Seconds>) -> Seconds {
         let run_time = self.log_work(hint).exp();
         class.latency_objective + (class.run_time_allowance - 1.0).max(0.0) * run_time
     }
 
-    /// A client of the class set this timeout. Returns the longest that any did.
+    /// Records the timeout of a client of the class. Returns the longest so far.
     pub(crate) fn record_timeout(&mut self, timeout: Seconds) -> Seconds {
         self.longest_timeout = self.longest_timeout.max(timeout);
         self.longest_timeout
     }
 
-    /// How far a running time may lie from its estimate, as a variance of logarithms.
+    /// Returns the variance of the logarithms of running times about their estimates.
     pub(crate) fn variance(&self) -> f64 {
         self.variance
     }
 
-    /// The probability that a job is late, by the time left to it and its expected running time and wait.
+    /// Returns the probability that a job is late, by the time left to it and its expected running time and wait.
     pub(crate) fn lateness_probability(&self, left: Seconds, run_time: Seconds, wait: Seconds) -> f64 {
         let deviation = (self.variance + RESIDUAL_VARIANCE).sqrt();
         let excess = (run_time / left.max(MIN_RUN_TIME)).ln();
         let runs_in_time = 1.0 / (1.0 + (LOGISTIC_SCALE / deviation * excess).exp());
-        // Waits are taken as exponential: of a wait little more than its mean is known.
+        // Waits are assumed to be exponential: little more than their mean is known.
         let waits_too_long = if wait > 0.0 { (-(left - run_time).max(0.0) / wait).exp() } else { 0.0 };
         1.0 - runs_in_time * (1.0 - waits_too_long)
     }
 
-    /// How far estimates can be trusted: nearly all the way where running times are known beforehand, and little where
+    /// Returns the confidence in estimates, from 0 to 1: near 1 where running times can be predicted, and low where
     /// they may as well be three times as long.
     fn confidence(&self) -> f64 {
         1.0 / (1.0 + 4.0 * (self.variance + RESIDUAL_VARIANCE))
     }
 
-    /// How much the chance of being late tells of one worker beside another.
+    /// Returns the weight of the lateness probability in the comparison of workers.
     pub(crate) fn lateness_weight(&self) -> f64 {
         self.confidence().powi(4)
     }
 
-    /// A job that is so likely to be late wherever it goes is given up: an even chance is enough where running times
-    /// are known, for then it is the queue that makes it late, and the slot serves another in time.
+    /// Whether a job that is this likely to be late at its best worker is to be given up. An even chance is enough
+    /// where running times can be predicted, for then the queue makes the job late, and the slot serves another in
+    /// time.
     pub(crate) fn deadline_unreachable(&self, lateness_probability: f64) -> bool {
         lateness_probability > 1.0 - UNREACHABLE_PROBABILITY * self.confidence()
     }
 
-    /// Takes a run that ended, with all slowdowns known to have acted on it, what its estimate was off by, and how much
-    /// of that the slowdowns may account for, as a variance.
+    /// Learns from a job that ended: the sum of the logarithms of the slowdowns that acted on it, the error of its
+    /// estimate, and the part of the variance of that error that is due to the slowdowns.
     fn learn(
         &mut self,
         run_time: Seconds,
@@ -192,14 +195,14 @@
             Some(hint) => self.learn_hint(hint, log_work),
             None => self.mean_log_work += rate * (log_work - self.mean_log_work),
         }
-        // What the slowdowns were unsure of is no variance of the jobs.
+        // The uncertainty of the slowdowns is no variance of the jobs.
         let max_variance = MAX_ERROR * self.variance.max(INITIAL_VARIANCE);
         let observed_variance = (error * error - uncertainty).min(max_variance);
         self.variance += rate * (observed_variance - self.variance);
         self.variance = self.variance.max(MIN_RUN_TIME_VARIANCE);
     }
 
-    /// Fits the line through hints and work.
+    /// Updates the regression of work on hints.
     fn learn_hint(&mut self, hint: f64, log_work: f64) {
         if self.hints_seen == 0.0 {
             let first_hint = self.clamp_hint(hint);
@@ -216,12 +219,12 @@
         self.hint_variance += rate * ((1.0 - rate) * hint_deviation * hint_deviation - self.hint_variance);
         self.hint_covariance +=
             rate * ((1.0 - rate) * hint_deviation * work_deviation - self.hint_covariance);
-        // Hints that are all alike tell nothing, and must not divide by nothing.
+        // Hints that are all equal carry no information; the bound avoids a division by zero.
         self.hint_variance = self.hint_variance.max(MIN_RUN_TIME_VARIANCE);
     }
 }
 
-/// The estimate of a slowdown: a logarithm, its variance, and when it was updated.
+/// Estimate of a slowdown as a logarithm, with its variance at the time of the last update.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Slowdown {
     log: f64,
@@ -230,7 +233,7 @@
 }
 
 impl Slowdown {
-    /// Its variance by now.
+    /// Returns the present variance.
     fn variance(&self, now: Seconds, uncertainty: Uncertainty) -> f64 {
         if self.variance == 0.0 {
             return uncertainty.initial;
@@ -239,7 +242,7 @@
         (self.variance + gained).min(MAX_VARIANCE)
     }
 
-    /// Takes its part of what an estimate was off by: its own variance of that of all.
+    /// Learns from the error of an estimate, by the slowdown's part of the total variance.
     fn learn(&mut self, error: f64, own_variance: f64, total_variance: f64, now: Seconds) {
         self.log += own_variance / total_variance * error;
         let remaining = own_variance - own_variance * own_variance / total_variance;
@@ -255,22 +258,25 @@
     pub worker: &'a mut Slowdown,
 }
 
-/// A job that runs at a worker: since when, and its work.
+/// A job that runs at a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunningJob {
     pub started_at: Seconds,
+    /// Logarithm of the work.
     pub log_work: f64,
+    /// Variance of the logarithm of the running time.
     pub variance: f64,
 }
 
-/// The slowdowns of all workers together.
+/// Model of slowdowns with the one of the fleet; those of kinds and workers are kept with them and passed in.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SlowdownModel {
     fleet: Slowdown,
 }
 
 impl SlowdownModel {
-    /// The slowdown of a worker, as a logarithm: by the jobs that ended there, or more where one that runs is overdue.
+    /// Returns the logarithm of the slowdown of a worker: by the jobs that ended there, or more where a running job is
+    /// overdue.
     pub(crate) fn log_slowdown(
         &self,
         kind: &Slowdown,
@@ -286,7 +292,8 @@
         running.iter().map(overdue).fold(learnt, f64::max)
     }
 
-    /// Takes a run that ended: what it was off by moves the class, the slowdowns of the fleet, the kind and the worker.
+    /// Learns from a job that ended: the error of its estimate moves the class and the slowdowns of fleet, kind and
+    /// worker.
     pub(crate) fn learn(
         &mut self,
         run_time: Seconds,
@@ -303,7 +310,8 @@
         let worker_variance = worker.variance(now, WORKER_UNCERTAINTY);
         let slowdown_variance = fleet_variance + kind_variance + worker_variance;
         let total_variance = slowdown_variance + class.variance;
-        // The fleet's slowdown is what differs from the usual: what lasts becomes the usual.
+        // The class learns the fleet's slowdown as work: a slowdown of all workers that lasts becomes the mean of the
+        // class.
         class.learn(run_time, hint, kind.log + worker.log, error, slowdown_variance);
         self.fleet.learn(error, fleet_variance, total_variance, now);
         kind.learn(error, kind_variance, total_variance, now);
--- a/crates/dispatch-core/src/settings.rs
+++ b/crates/dispatch-core/src/settings.rs
@@ -1,14 +1,14 @@
-//! Reads the settings of a dispatcher from path=value pairs. The simulator's adapter has them from its first
-//! message; the real program has the same object as nested JSON.
+//! Parser of the settings of a dispatcher from path=value pairs. The simulator's adapter gets them in its first
+//! message; the real program gets the same object as nested JSON.
 
 use crate::api::{Class, Idempotency, KeyScope, LoadReports, Settings, Tenant};
 use crate::load_report::LoadReportFormat;
 use crate::settings_pairs::{InvalidValue, SettingsPairs};
 
-/// The settings of the module.
+/// Parses the settings of the decision module.
 ///
 /// # Errors
-/// A value is not of its type, negative or not finite; the fault names its path.
+/// Returns [`InvalidValue`] with the path of the value if it is not of its type, negative or not finite.
 pub fn parse_settings(pairs: &SettingsPairs<'_>) -> Result<Settings, InvalidValue> {
     let defaults = Settings::default();
     let class_count = pairs.count("profiles")?;
@@ -57,7 +57,7 @@
         latency_objective: pairs.non_negative(&path("promise-s"), defaults.latency_objective)?,
         run_time_allowance: pairs.non_negative(&path("aim-stretch"), allowance)?,
         late_weight: pairs.non_negative(&path("late-worth"), defaults.late_weight)?,
-        // A negative kind stands for none.
+        // On the wire a negative kind stands for no kind.
         required_kind: pairs
             .nth::<i64>("family-info.class-kind", index)?
             .and_then(|kind| u32::try_from(kind).ok()),
@@ -76,8 +76,8 @@
     })
 }
 
-/// All workers where no scope is named. An unknown one is an error: read as a wider scope than was meant it would let a
-/// request be retried where its key is not known, and run twice.
+/// Parses a key scope; all workers where none is named. An unknown one is an error: read as a wider scope than was
+/// meant, it would let a request be retried at a worker without its key, and run twice.
 fn parse_key_scope(path: &str, scope: &str) -> Result<KeyScope, InvalidValue> {
     match scope {
         "" | "all" => Ok(KeyScope::All),
@@ -102,7 +102,7 @@
     }
 }
 
-/// Rejections carry a wait only where the settings allow it.
+/// Parses the longest retry-after of a rejection; zero unless the settings allow rejections to carry one.
 fn parse_max_retry_after(pairs: &SettingsPairs<'_>, defaults: &Settings) -> Result<f64, InvalidValue> {
     if pairs.get("caps.retry-after", false)? {
         pairs.non_negative("caps.max-retry-after-s", defaults.max_retry_after)
--- a/crates/dispatch-core/src/slow_start.rs
+++ b/crates/dispatch-core/src/slow_start.rs
@@ -1,37 +1,39 @@
-//! What a dispatcher has spent of the budget of a worker in slow start, and what it was granted on top: bookkeeping.
+//! Slow-start budgets of one dispatcher: its planned share of the budget of each worker in slow start, the work that it
+//! was granted beyond that, and the work that it has sent.
 //!
-//! The planned share of a slice is the dispatcher's own without asking anybody. A grant is a part of the budget that
-//! one leader in the fleet hands out; it is of use until it expires, once, and is spent before the planned share.
+//! The planned share of a time slice needs no communication. A grant is a part of the budget that one leader in the
+//! fleet allocates; it is valid until it expires, can be spent once, and is spent before the planned share.
 
 use crate::api::{Seconds, Settings, WorkerId};
 use crate::hashing::mix_bits;
 
-/// The most grants of one worker that are held; further ones are as if they had not come.
+/// Highest number of grants of one worker; further ones are ignored.
 const MAX_GRANTS: usize = 32;
-/// No time slice is shorter.
+/// Shortest length of a time slice.
 const MIN_TIME_SLICE: Seconds = 0.1;
-/// The most parts that the budget of one worker and slice is planned in.
+/// Highest number of parts in which the budget of one worker and slice is planned.
 const MAX_PLANNED_PARTS: u64 = 64;
 
-/// Work that may be sent, once, until a time.
+/// Work that may be sent once, until the grant expires.
 #[derive(Clone, Copy, Debug)]
 struct Grant {
     expires_at: Seconds,
     work: f64,
 }
 
-/// One dispatcher's account of one worker.
+/// Budget of one worker at one dispatcher.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SlowStartBudget {
-    /// A slice of time, and what was spent in it of the planned share.
+    /// Time slice of the last send out of the planned share.
     time_slice: u64,
+    /// Work sent in that slice out of the planned share.
     spent: f64,
-    /// What was granted and not spent yet, in the order of expiry.
+    /// Grants that may have work left, in the order of expiry.
     grants: Vec<Grant>,
 }
 
 impl SlowStartBudget {
-    /// So much work may be sent there until then, beside the planned share.
+    /// Adds a grant of work beyond the planned share. One that makes no sense or has expired is ignored.
     pub(crate) fn grant(&mut self, work: f64, expires_at: Seconds, now: Seconds) {
         self.grants.retain(|grant| grant.expires_at > now && grant.work > 0.0);
         if self.grants.len() < MAX_GRANTS && expires_at > now && work > 0.0 && work.is_finite() {
@@ -40,18 +42,18 @@
         }
     }
 
-    /// Work that is granted and can be used now.
+    /// Returns the granted work that can be sent now.
     pub(crate) fn granted_work(&self, now: Seconds) -> f64 {
         self.grants.iter().filter(|grant| grant.expires_at > now).map(|grant| grant.work).sum()
     }
 
-    /// What was spent of the planned share in this slice; none where nothing was.
+    /// Returns the work sent out of the planned share of this slice, or `None` if there was none.
     pub(crate) fn spent_in_slice(&self, time_slice: u64) -> Option<f64> {
         Some(self.spent).filter(|spent| self.time_slice == time_slice && *spent > 0.0)
     }
 
-    /// Work is sent there: out of grants where they cover it whole, those first that expire first; else out of the
-    /// planned share of this slice.
+    /// Spends the work of a send: out of grants where they cover all of it, those first that expire first; else out of
+    /// the planned share of this slice.
     pub(crate) fn spend(&mut self, work: f64, time_slice: u64, now: Seconds) {
         if !self.grants.is_empty() && self.granted_work(now) >= work {
             let mut left = work;
@@ -70,23 +72,25 @@
     }
 }
 
-/// The workers in slow start of which we own a part in a time slice, by their positions.
+/// The workers in slow start of whose budget this dispatcher has a share in a time slice.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SlowStartShares {
     pub time_slice: u64,
+    /// Positions of the workers.
     pub workers: Vec<usize>,
-    /// In slices that began before this, another process may have spent the planned share that is ours by its number.
+    /// Start of the first slice whose planned share is ours: another process with our number may have spent earlier
+    /// ones.
     pub planned_from: Seconds,
 }
 
 impl SlowStartShares {
-    /// Has the workers listed anew at the next use.
+    /// Makes the next use list the workers anew.
     pub(crate) fn invalidate(&mut self) {
         self.time_slice = u64::MAX;
     }
 
-    /// What is planned for this dispatcher in a slice; see [`planned_share`]. Nothing in the slice of its start, since the
-    /// process before it may have spent that, and nothing any more once it has given its share up.
+    /// Returns the planned share of this dispatcher in a slice, see [`planned_share`]; zero in the slice of its start,
+    /// since the process before it may have spent that, and once it has given up its share.
     pub(crate) fn planned_share(
         &self,
         worker: WorkerId,
@@ -103,13 +107,14 @@
     }
 }
 
-/// The number of a span in which each planned part has one owner, by the clock that all dispatchers share.
+/// Returns the number of the time slice, by the clock that all dispatchers share. In a slice each planned part of a
+/// budget is assigned to one dispatcher.
 pub(crate) fn time_slice(now: Seconds, overload_window: Seconds) -> u64 {
     (now / overload_window.max(MIN_TIME_SLICE)) as u64
 }
 
-/// Of the budget of a worker in a slice, as work, what one of all dispatchers plans for itself. The budget is divided into
-/// parts of about this size, each with an owner of its own by a hash that all share.
+/// Returns the share of one dispatcher in the budget of a worker in a slice, as work. The budget is divided into parts
+/// of about the size `part`, each assigned to a dispatcher by a hash that is the same everywhere.
 pub(crate) fn planned_share(
     worker: WorkerId,
     time_slice: u64,
@@ -119,9 +124,9 @@
 ) -> f64 {
     let parts = (budget / part).clamp(1.0, MAX_PLANNED_PARTS as f64) as u64;
     let first = time_slice * MAX_PLANNED_PARTS;
-    let owner = |part: u64| mix_bits(worker.0 ^ mix_bits(first + part)) % u64::from(settings.instances);
-    let ours = (0..parts).filter(|part| owner(*part) == u64::from(settings.instance)).count();
-    budget * ours as f64 / parts as f64
+    let instance_of = |part: u64| mix_bits(worker.0 ^ mix_bits(first + part)) % u64::from(settings.instances);
+    let our_parts = (0..parts).filter(|part| instance_of(*part) == u64::from(settings.instance)).count();
+    budget * our_parts as f64 / parts as f64
 }
 
 #[cfg(test)]
--- a/crates/dispatch-core/src/timers.rs
+++ b/crates/dispatch-core/src/timers.rs
@@ -1,33 +1,33 @@
-//! What a dispatcher waits for: timer events by time, the earliest of which is armed with the caller.
+//! Timer events of a dispatcher by time; the caller's timer is armed for the earliest.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use crate::api::{Action, RequestId, Seconds};
 
-/// A deadline that is no further ahead has been reached: times are rounded to microseconds.
+/// Tolerance with which a deadline counts as reached: times are rounded to microseconds.
 pub(crate) const TIMER_TOLERANCE: Seconds = 1e-6;
 
 const MICROS_PER_SECOND: f64 = 1e6;
 /// Value of [`TimerQueue::armed_for`] while no timer is armed.
 const NOT_ARMED: u64 = u64::MAX;
 
-/// Why to wake up. Events that are due at one time are handled in the order of the variants.
+/// A reason to wake up. Events that are due at one time are handled in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerEvent {
-    /// Tokens for the head of a tenant's job buffer have come.
+    /// The tokens for the head of a tenant's job buffer are due.
     TokensDue(usize),
     /// An admitted job stops waiting for a free worker.
     PlacementTimeout(RequestId),
-    /// A job that was not sent runs short of time.
+    /// A job that was not sent has no time left to start.
     QueueTimeout(RequestId),
-    /// An admitted job still waits: probe workers of other zones.
+    /// Workers of other zones are probed for an admitted job that still waits.
     ProbeOtherZones(RequestId),
     /// The worker of a job in flight may have stalled.
     StallCheck(RequestId),
     /// A window of the admission rate ends.
     RateWindowEnd,
-    /// The endpoint list may be asked for again.
+    /// The endpoint list may be requested again.
     EndpointListRetry,
     /// The next probe is due.
     ProbeDue,
@@ -55,12 +55,12 @@
 }
 
 impl TimerQueue {
-    /// Adds an event at a time.
+    /// Adds an event.
     pub(crate) fn schedule(&mut self, at: Seconds, event: TimerEvent) {
         self.pending.push(Reverse(ScheduledEvent { due_at: to_micros(at), event }));
     }
 
-    /// Takes out the next event that is due.
+    /// Removes and returns the next event that is due.
     pub(crate) fn next_due(&mut self, now: Seconds) -> Option<TimerEvent> {
         let Reverse(next) = *self.pending.peek()?;
         if next.due_at > to_micros(now) {
@@ -70,14 +70,14 @@
         Some(next.event)
     }
 
-    /// The caller's timer fired. A token from before the one that is armed is of no concern.
+    /// Records that the caller's timer fired. Tokens of timers that were replaced are ignored.
     pub(crate) fn on_fired(&mut self, token: u64) {
         if token >= self.armed_for {
             self.armed_for = NOT_ARMED;
         }
     }
 
-    /// The timer to arm, its time being its token, where the armed one is too late.
+    /// Returns the action that arms the caller's timer, if it is not armed or too late. Its token is its time.
     pub(crate) fn arm(&mut self, now: Seconds, resolution: Seconds) -> Option<Action> {
         let Reverse(next) = *self.pending.peek()?;
         if next.due_at >= self.armed_for {
--- a/crates/dispatch-core/src/token_bank.rs
+++ b/crates/dispatch-core/src/token_bank.rs
@@ -1,39 +1,41 @@
 //! Token banks with a job buffer, after Berger and Whitt: the state that throttles a tenant.
 //!
 //! Tokens and buffer are folded into one balance in slots, U = T - J + C_J, which falls by each job that is taken and
-//! rises by tokens, between 0 and the two capacities together. Jobs are queued while U - C_J does not cover them.
+//! rises by tokens, between zero and the sum of both capacities. Jobs are queued while U - C_J does not cover them.
 
 use std::collections::VecDeque;
 
 use crate::api::{RequestId, Seconds, Tenant};
 
-/// The least part of a token to wait for.
+/// Least part of a token to wait for.
 const MIN_MISSING_TOKENS: f64 = 0.01;
 
 /// A tenant's token bank and job buffer.
 #[derive(Debug, Default)]
 pub(crate) struct TokenBank {
-    /// The tenant's part of the admission rate; the parts sum to one.
+    /// Share of the tenant in the admission rate; all shares sum to one.
     pub share: f64,
     /// U = T - J + C_J, in slots.
     pub balance: i64,
-    /// C_T.
+    /// Token capacity C_T, in slots.
     pub token_capacity: i64,
-    /// C_J.
+    /// Buffer capacity C_J, in slots.
     pub buffer_capacity: i64,
-    /// The part of the next token that has come.
+    /// Part of the next token that has accrued.
     pub partial_token: f64,
-    /// First attempts of clients in this window, and a second on average.
+    /// First attempts of clients in this window of the admission rate.
     pub window_arrivals: f64,
+    /// Mean rate of first attempts, in requests a second.
     pub arrival_rate: f64,
-    /// The jobs of the buffer, first come first, and their slots.
+    /// Jobs in the buffer, first come first.
     pub queued: VecDeque<RequestId>,
+    /// Slots of the jobs in the buffer.
     pub queued_slots: i64,
 }
 
 impl TokenBank {
-    /// One for each tenant, or one in all; shares are scaled to sum to one. The phase of the tokens comes from
-    /// the seed, so that dispatchers do not release in step.
+    /// Returns a bank for each tenant, or one if there are none; shares are scaled to sum to one. The phase of the
+    /// tokens is random, so that dispatchers do not release jobs in step.
     pub(crate) fn for_tenants(tenants: &[Tenant], rng: &mut fastrand::Rng) -> Vec<TokenBank> {
         let total: f64 = tenants.iter().map(|tenant| tenant.share.max(0.0)).sum();
         let count = tenants.len().max(1);
@@ -47,6 +49,7 @@
             .collect()
     }
 
+    /// Returns the tokens that the bank can still take.
     fn headroom(&self) -> i64 {
         self.token_capacity + self.buffer_capacity - self.balance
     }
@@ -59,7 +62,7 @@
         self.buffer_capacity = buffer_capacity;
     }
 
-    /// Takes a job's slots. The job is queued, false, where tokens have not come for it yet.
+    /// Withdraws a job's slots. Returns whether tokens have paid for it; else the job is queued.
     pub(crate) fn withdraw(&mut self, id: RequestId, slots: i64) -> bool {
         let is_paid = self.balance - self.buffer_capacity >= slots;
         self.balance -= slots;
@@ -70,7 +73,7 @@
         is_paid
     }
 
-    /// The tokens that the job at the head still waits for; it leaves the queue where there are none.
+    /// Returns the tokens that the job at the head of the queue still waits for, or removes it and returns `None`.
     pub(crate) fn release_head(&mut self, slots: i64) -> Option<f64> {
         let owed = (self.buffer_capacity - self.balance).max(0);
         let missing = slots - (self.queued_slots - owed);
@@ -82,14 +85,14 @@
         None
     }
 
-    /// A queued job leaves without having been sent.
+    /// Removes a queued job that was not sent.
     pub(crate) fn remove_queued(&mut self, id: RequestId, slots: i64) {
         self.queued.retain(|&queued| queued != id);
         self.queued_slots -= slots;
         self.deposit(slots);
     }
 
-    /// Takes back the slots of a request that was none.
+    /// Returns the slots of an invalid request to the bank and does not count its arrival.
     pub(crate) fn refund(&mut self, slots: i64) {
         self.deposit(slots);
         self.window_arrivals = (self.window_arrivals - 1.0).max(0.0);
@@ -99,18 +102,18 @@
         self.balance = (self.balance + slots).min(self.buffer_capacity + self.token_capacity);
     }
 
-    /// Adds tokens; returns those that overflow.
+    /// Adds tokens. Returns those that overflow.
     pub(crate) fn add_tokens(&mut self, tokens: f64) -> f64 {
         self.partial_token += tokens;
-        let whole = self.partial_token.floor();
-        self.partial_token -= whole;
-        let added = (whole as i64).min(self.headroom());
+        let whole_tokens = self.partial_token.floor();
+        self.partial_token -= whole_tokens;
+        let added = (whole_tokens as i64).min(self.headroom());
         self.balance += added;
-        whole - added as f64
+        whole_tokens - added as f64
     }
 
-    /// A window of the rate ends: the arrivals a second follow what came in it by this learning rate. Returns what part
-    /// they are of the tenant's quota, where it has one.
+    /// Updates the arrival rate at the end of a window. Returns it as a part of the tenant's quota, or one if there is
+    /// no quota.
     pub(crate) fn end_window(&mut self, window: Seconds, learning_rate: f64, quota: f64) -> f64 {
         self.arrival_rate += learning_rate * (self.window_arrivals / window - self.arrival_rate);
         self.window_arrivals = 0.0;
@@ -122,7 +125,8 @@
     }
 }
 
-/// Adds tokens to all banks by share. What overflows full banks, the paper's O_T, is offered to the others by share.
+/// Adds tokens to all banks by share. Tokens that overflow full banks, the paper's O_T, are offered to the others by
+/// share.
 pub(crate) fn accrue(banks: &mut [TokenBank], tokens: f64) {
     let mut overflow = 0.0;
     for bank in banks.iter_mut() {
@@ -136,7 +140,7 @@
     }
 }
 
-/// Other tenants: banks that exist keep their balance and take the new shares.
+/// Applies other tenants: existing banks keep their balance and take the new shares.
 pub(crate) fn update_shares(banks: &mut Vec<TokenBank>, tenants: &[Tenant], rng: &mut fastrand::Rng) {
     for (index, new) in TokenBank::for_tenants(tenants, rng).into_iter().enumerate() {
         match banks.get_mut(index) {
--- a/crates/dispatch-core/src/workload.rs
+++ b/crates/dispatch-core/src/workload.rs
@@ -1,60 +1,61 @@
-//! What a dispatcher has learnt of the jobs that it is asked for: their running times by class, their slots and waits.
+//! Estimates of the jobs that arrive at a dispatcher: their running times by class, their slots and waits.
 
 use crate::api::Seconds;
 use crate::run_time::{RunTimeModel, SlowdownModel, WorkerSlowdowns, CLASS_LEARNING_RATE};
 
-/// Learning rate of how long jobs wait at workers.
+/// Learning rate of the wait at workers.
 const WAIT_LEARNING_RATE: f64 = 1.0 / 16.0;
-/// Limits of a window of the admission rate.
+/// Bounds of a window of the admission rate.
 const MIN_RATE_WINDOW: Seconds = 0.2;
 const MAX_RATE_WINDOW: Seconds = 2.0;
 
-/// The jobs of all classes together.
+/// Estimates of the jobs of all classes.
 #[derive(Debug)]
 pub(crate) struct Workload {
-    /// By class.
+    /// Running times by class.
     pub run_times: Vec<RunTimeModel>,
     pub slowdowns: SlowdownModel,
-    /// Slots of a usual job.
+    /// Mean number of slots of a job.
     pub mean_slots: f64,
-    /// How long jobs wait at workers of late.
+    /// Mean wait at workers, of recent jobs.
     pub mean_wait: Seconds,
 }
 
 impl Workload {
-    /// Nothing learnt yet, for so many classes.
+    /// Returns initial estimates for so many classes.
     pub(crate) fn new(classes: usize) -> Workload {
         let run_times = vec![RunTimeModel::default(); classes];
         Workload { run_times, slowdowns: SlowdownModel::default(), mean_slots: 1.0, mean_wait: 0.0 }
     }
 
-    /// Other settings, with so many classes.
+    /// Adds initial estimates up to so many classes.
     pub(crate) fn resize(&mut self, classes: usize) {
         self.run_times.resize(classes, RunTimeModel::default());
     }
 
-    /// A window of the admission rate: about a running time, in which the effect of a change shows.
+    /// Returns the length of a window of the admission rate: about a running time, in which the effect of a change
+    /// shows.
     pub(crate) fn rate_window(&self) -> Seconds {
         let sum = self.run_times.iter().map(|run_times| run_times.mean).sum::<f64>();
         (sum / self.run_times.len() as f64).clamp(MIN_RATE_WINDOW, MAX_RATE_WINDOW)
     }
 
-    /// What a usual job asks of a worker, in slots by seconds.
+    /// Returns the mean work of a job, in slots by seconds.
     pub(crate) fn mean_job_work(&self) -> f64 {
         self.mean_slots * self.rate_window()
     }
 
-    /// A job of so many slots arrived.
+    /// Learns from the slots of a job that arrived.
     pub(crate) fn record_slots(&mut self, slots: f64) {
         self.mean_slots += CLASS_LEARNING_RATE * (slots - self.mean_slots);
     }
 
-    /// A job waited for so long before it started.
+    /// Learns from the wait of a job that started.
     pub(crate) fn record_wait(&mut self, wait: Seconds) {
         self.mean_wait += WAIT_LEARNING_RATE * (wait - self.mean_wait);
     }
 
-    /// A job of a class ended, at a worker with these slowdowns of kind and worker.
+    /// Learns from a job that ended, by its class and the slowdowns of its worker.
     pub(crate) fn record_run(
         &mut self,
         class: usize,
