--- a/crates/dispatch-core/src/capacity_reservation.rs
+++ b/crates/dispatch-core/src/capacity_reservation.rs
@@ -10,14 +10,17 @@
 //! wait at the others would cost more than the price, and a large job to any worker that seems empty.
 
 use crate::api::{CapacityReservation, WorkerState};
-use crate::fleet::Worker;
 use crate::hashing::mix_bits;
+use crate::worker::Worker;
 
 /// Learning rate of the work of either size, by jobs.
 const LEARNING_RATE: f64 = 1.0 / 256.0;
 /// Change of the large jobs' part of the work at which the workers are assigned anew.
 const REASSIGN_THRESHOLD: f64 = 0.04;
 
+/// Part of a worker still to be reserved from which on the next one is: the number of workers is rounded.
+const RESERVE_FROM: f64 = 0.5;
+
 /// A worker in the order in which workers are reserved, which is the same at every dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct OrderedWorker {
@@ -95,12 +98,12 @@
         order.sort_unstable();
         // Sorting by kind spreads the reservation over kinds, which differ in speed; rounding carries over between
         // them.
-        let mut wanted = 0.0;
+        let mut outstanding = 0.0;
         for worker in order {
-            wanted += self.reserved_share;
-            if wanted >= 0.5 {
+            outstanding += self.reserved_share;
+            if outstanding >= RESERVE_FROM {
                 self.reserved[worker.index] = true;
-                wanted -= 1.0;
+                outstanding -= 1.0;
             }
         }
     }
--- a/crates/dispatch-core/src/lib.rs
+++ b/crates/dispatch-core/src/lib.rs
@@ -29,6 +29,7 @@
 mod slow_start;
 mod timers;
 mod token_bank;
+mod worker;
 mod workload;
 
 pub use api::{Action, Event, Settings};
--- a/crates/dispatch-core/src/load.rs
+++ b/crates/dispatch-core/src/load.rs
@@ -6,8 +6,9 @@
 //! jobs at a worker have changed.
 
 use crate::api::{LoadReport, Seconds, WorkerState};
-use crate::fleet::{Fleet, Worker};
+use crate::fleet::Fleet;
 use crate::run_time::CLASS_LEARNING_RATE;
+use crate::worker::Worker;
 
 /// Time constant with which an observation of a worker's load decays, in windows.
 const OCCUPANCY_FADE_WINDOWS: f64 = 4.0;
--- a/crates/dispatch-core/src/policy/mod.rs
+++ b/crates/dispatch-core/src/policy/mod.rs
@@ -110,6 +110,11 @@
         self.arm_timer(actions);
     }
 
+    /// Returns the mean work of a job, in slots by seconds.
+    pub fn mean_job_work(&self) -> f64 {
+        self.workload.mean_job_work()
+    }
+
     /// Takes one event and appends the actions to carry out.
     pub fn on_event(&mut self, now: Seconds, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
--- a/crates/dispatch-core/src/policy/probing.rs
+++ b/crates/dispatch-core/src/policy/probing.rs
@@ -1,4 +1,4 @@
-//! Probes, which ask workers for their load, and the load reports that come with probe results and responses.
+//! Probes of workers for their load, and the load reports that come with probe results and responses.
 
 use super::worker_selection::MAX_SAMPLE;
 use super::Dispatcher;
--- a/crates/dispatch-core/src/policy/rate_control.rs
+++ b/crates/dispatch-core/src/policy/rate_control.rs
@@ -19,7 +19,7 @@
 /// R is cut by this multiple of the rejected part, and by no more than this at once.
 const CUT_PER_REJECTED: f64 = 0.5;
 const MAX_CUT: f64 = 0.3;
-/// Where more than this part is rejected, quotas cannot be served for now.
+/// Rejected part of the sends above which quotas cannot be served for now.
 const COLLAPSED_SHARE: f64 = 0.75;
 
 /// The traffic of a window, in slots a second.
@@ -32,11 +32,6 @@
 }
 
 impl Dispatcher {
-    /// Returns the mean work of a job, in slots by seconds.
-    pub fn mean_job_work(&self) -> f64 {
-        self.workload.mean_job_work()
-    }
-
     /// Adjusts the admission rate at the end of a window and begins the next one.
     pub(super) fn end_rate_window(&mut self) {
         self.accrue_tokens();
--- a/crates/dispatch-core/src/policy/slow_start.rs
+++ b/crates/dispatch-core/src/policy/slow_start.rs
@@ -3,23 +3,14 @@
 use super::worker_selection::MAX_SAMPLE;
 use super::Dispatcher;
 use crate::api::{Seconds, WorkerId};
-use crate::fleet::Worker;
 use crate::hashing::mix_bits;
 use crate::job::{Candidate, Job};
-use crate::slow_start::time_slice;
+use crate::slow_start::{time_slice, BudgetSlice};
+use crate::worker::Worker;
 
 /// The part of the budget that is planned for: running times vary, and sends of two slices may overlap.
 const PLANNED_BUDGET_SHARE: f64 = 0.25;
 
-/// The planned budget of a worker in a time slice, as work.
-#[derive(Clone, Copy, Debug)]
-struct PlannedBudget {
-    /// Work that all dispatchers together may send.
-    total: f64,
-    /// The share of this dispatcher.
-    own_share: f64,
-}
-
 impl Dispatcher {
     /// Returns the number of the present time slice.
     pub(super) fn time_slice(&self) -> u64 {
@@ -28,14 +19,20 @@
 
     /// Returns the planned budget of a worker in this slice. It is planned in parts of about a job, each
     /// owned by one dispatcher: of many dispatchers none has the traffic to use up more.
-    fn planned_budget(&self, worker: &Worker) -> PlannedBudget {
+    fn planned_budget(&self, worker: &Worker) -> BudgetSlice {
         let settings = &self.settings;
         let capacity = self.fleet.warm_capacity(worker, self.now) * self.fleet.slots_of(worker);
-        let total = settings.overload_multiple * capacity * settings.overload_window * PLANNED_BUDGET_SHARE;
-        let part = self.mean_job_work();
-        let time_slice = self.time_slice();
-        let own_share = self.slow_start_shares.planned_share(worker.id, time_slice, total, part, settings);
-        PlannedBudget { total, own_share }
+        BudgetSlice {
+            worker: worker.id,
+            time_slice: self.time_slice(),
+            work: settings.overload_multiple * capacity * settings.overload_window * PLANNED_BUDGET_SHARE,
+            part: self.mean_job_work(),
+        }
+    }
+
+    /// Returns our share of the planned budget of a worker in this slice, as work.
+    fn planned_share(&self, budget: &BudgetSlice) -> f64 {
+        self.slow_start_shares.planned_share(budget, &self.settings)
     }
 
     /// Whether the job fits our budget of a worker in slow start, if the worker is in slow start at all. A
@@ -47,19 +44,21 @@
             return true;
         }
         let budget = self.planned_budget(worker);
-        if let Some(spent) = worker.slow_start.spent_in_slice(self.time_slice()) {
-            return spent + work <= budget.own_share;
+        let own_share = self.planned_share(&budget);
+        if let Some(spent) = worker.slow_start.spent_in_slice(budget.time_slice) {
+            return spent + work <= own_share;
         }
         let instance = u64::from(self.settings.instance);
-        let drawn = mix_bits(worker.id.0 ^ mix_bits(!self.time_slice() ^ mix_bits(instance)));
-        work <= budget.total && drawn as f64 / u64::MAX as f64 * work < budget.own_share
+        let drawn = mix_bits(worker.id.0 ^ mix_bits(!budget.time_slice ^ mix_bits(instance)));
+        work <= budget.work && drawn as f64 / u64::MAX as f64 * work < own_share
     }
 
     /// Whether a worker is in slow start and a part of its budget is ours.
     fn has_slow_start_share(&self, index: usize) -> bool {
         let worker = &self.fleet.workers[index];
         self.fleet.is_warming_up(worker, self.now)
-            && (worker.slow_start.granted_work(self.now) > 0.0 || self.planned_budget(worker).own_share > 0.0)
+            && (worker.slow_start.granted_work(self.now) > 0.0
+                || self.planned_share(&self.planned_budget(worker)) > 0.0)
     }
 
     /// Considers some workers in slow start of which a share is ours: a sample of all workers hardly contains
--- a/crates/dispatch-core/src/policy/worker_cost.rs
+++ b/crates/dispatch-core/src/policy/worker_cost.rs
@@ -3,8 +3,8 @@
 
 use super::Dispatcher;
 use crate::api::Seconds;
-use crate::fleet::Worker;
 use crate::job::{Candidate, Job};
+use crate::worker::Worker;
 
 /// Cost of queueing delay, as a multiple of the running time.
 const WAIT_COST: f64 = 4.0;
@@ -13,7 +13,7 @@
 const UTILIZATION_COST: f64 = 0.6;
 /// Utilization from which on a worker's cost by utilization grows no further.
 const MAX_UTILIZATION: f64 = 2.0;
-/// Where probes are allowed, the load of a worker is fresh for this part of a rate window after a report.
+/// Part of a rate window for which the load of a worker is fresh after a report, where probes are allowed.
 const FRESH_WINDOWS: f64 = 0.25;
 /// Cost of a worker in a zone that seems lost, in seconds: it is the last choice.
 const LOST_ZONE_COST: f64 = 1e3;
--- a/crates/dispatch-core/src/policy/worker_selection.rs
+++ b/crates/dispatch-core/src/policy/worker_selection.rs
@@ -3,8 +3,8 @@
 
 use super::Dispatcher;
 use crate::api::{Idempotency, LoadReports, WorkerState};
-use crate::fleet::Worker;
 use crate::job::{Candidate, Job};
+use crate::worker::Worker;
 
 /// Workers considered for one job. Where loads are reported, dispatchers share old reports, and the more of
 /// them choose the best of many the more they choose alike: there two for each dispatcher, within these
--- a/crates/dispatch-core/src/run_time.rs
+++ b/crates/dispatch-core/src/run_time.rs
@@ -47,6 +47,10 @@
 /// Distance from certain lateness at which a deadline counts as unreachable, before scaling by the confidence in
 /// estimates.
 const UNREACHABLE_PROBABILITY: f64 = 0.9;
+/// Loss of confidence in estimates for each unit of their variance.
+const VARIANCE_DISCOUNT: f64 = 4.0;
+/// Exponent of the confidence in estimates that gives the weight of the lateness probability.
+const LATENESS_WEIGHT_EXPONENT: i32 = 4;
 /// Standard deviations beyond its expected running time from which on a running job counts for its worker's slowdown.
 const OVERDUE_DEVIATIONS: f64 = 1.0;
 
@@ -162,12 +166,12 @@
     /// Returns the confidence in estimates, from 0 to 1: near 1 where running times can be predicted, and low where
     /// they may as well be three times as long.
     fn confidence(&self) -> f64 {
-        1.0 / (1.0 + 4.0 * (self.variance + RESIDUAL_VARIANCE))
+        1.0 / (1.0 + VARIANCE_DISCOUNT * (self.variance + RESIDUAL_VARIANCE))
     }
 
     /// Returns the weight of the lateness probability in the comparison of workers.
     pub(crate) fn lateness_weight(&self) -> f64 {
-        self.confidence().powi(4)
+        self.confidence().powi(LATENESS_WEIGHT_EXPONENT)
     }
 
     /// Whether a job that is this likely to be late at its best worker is to be given up. An even chance is enough
@@ -251,7 +255,7 @@
     }
 }
 
-/// The slowdowns that act on the jobs of one worker, beside the fleet's.
+/// The slowdowns of a worker and of its kind, which act on the worker's jobs.
 #[derive(Debug)]
 pub(crate) struct WorkerSlowdowns<'a> {
     pub kind: &'a mut Slowdown,
--- a/crates/dispatch-core/src/slow_start.rs
+++ b/crates/dispatch-core/src/slow_start.rs
@@ -89,21 +89,40 @@
         self.time_slice = u64::MAX;
     }
 
-    /// Returns the planned share of this dispatcher in a slice, see [`planned_share`]; zero in the slice of its start,
-    /// since the process before it may have spent that, and once it has given up its share.
-    pub(crate) fn planned_share(
-        &self,
-        worker: WorkerId,
-        time_slice: u64,
-        budget: f64,
-        part: f64,
-        settings: &Settings,
-    ) -> f64 {
-        let began_at = time_slice as f64 * settings.overload_window.max(MIN_TIME_SLICE);
+    /// Returns this dispatcher's share of a budget; zero in the slice of its start, since the process before it may
+    /// have spent that, and once it has given up its share.
+    pub(crate) fn planned_share(&self, budget: &BudgetSlice, settings: &Settings) -> f64 {
+        let began_at = budget.time_slice as f64 * settings.overload_window.max(MIN_TIME_SLICE);
         if began_at < self.planned_from {
             return 0.0;
         }
-        planned_share(worker, time_slice, budget, part, settings)
+        budget.share_of_instance(settings)
+    }
+}
+
+/// Budget of a worker in a time slice, which all dispatchers compute alike.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct BudgetSlice {
+    pub worker: WorkerId,
+    pub time_slice: u64,
+    /// Work that all dispatchers together may send.
+    pub work: f64,
+    /// Work of a part, as far as there are not too many parts.
+    pub part: f64,
+}
+
+impl BudgetSlice {
+    /// Returns the share of one dispatcher, as work. The budget is divided into parts, each assigned to a dispatcher by
+    /// a hash that is the same everywhere.
+    fn share_of_instance(&self, settings: &Settings) -> f64 {
+        let parts = (self.work / self.part).clamp(1.0, MAX_PLANNED_PARTS as f64) as u64;
+        let first_part = self.time_slice * MAX_PLANNED_PARTS;
+        let instance_of = |part: u64| {
+            let hash = mix_bits(self.worker.0 ^ mix_bits(first_part + part));
+            hash % u64::from(settings.instances)
+        };
+        let our_parts = (0..parts).filter(|part| instance_of(*part) == u64::from(settings.instance)).count();
+        self.work * our_parts as f64 / parts as f64
     }
 }
 
@@ -113,22 +132,6 @@
     (now / overload_window.max(MIN_TIME_SLICE)) as u64
 }
 
-/// Returns the share of one dispatcher in the budget of a worker in a slice, as work. The budget is divided into parts
-/// of about the size `part`, each assigned to a dispatcher by a hash that is the same everywhere.
-pub(crate) fn planned_share(
-    worker: WorkerId,
-    time_slice: u64,
-    budget: f64,
-    part: f64,
-    settings: &Settings,
-) -> f64 {
-    let parts = (budget / part).clamp(1.0, MAX_PLANNED_PARTS as f64) as u64;
-    let first = time_slice * MAX_PLANNED_PARTS;
-    let instance_of = |part: u64| mix_bits(worker.0 ^ mix_bits(first + part)) % u64::from(settings.instances);
-    let our_parts = (0..parts).filter(|part| instance_of(*part) == u64::from(settings.instance)).count();
-    budget * our_parts as f64 / parts as f64
-}
-
 #[cfg(test)]
 #[path = "../tests/unit/slow_start.rs"]
 mod tests;
