--- a/crates/dispatch-core/tests/common/mod.rs
+++ b/crates/dispatch-core/tests/common/mod.rs
@@ -66,13 +66,46 @@
     }
 }
 
-/// What a dispatcher did with one request.
+/// A send of a request.
+#[derive(Clone, Copy, Debug)]
+pub struct SendRecord {
+    pub sent_at: f64,
+    pub worker: WorkerId,
+    /// Outcome of the attempt; `None` while it is open.
+    pub outcome: Option<Outcome>,
+}
+
+/// The answers and sends of one request.
 #[derive(Debug, Default)]
 pub struct RequestRecord {
     pub class: usize,
     pub answers: u32,
-    pub sends: Vec<(f64, WorkerId, Option<Outcome>)>,
+    pub sends: Vec<SendRecord>,
+    /// Time at which the client's timeout is over.
+    pub due: f64,
+}
+
+/// A timer that the dispatcher has armed.
+#[derive(Clone, Copy, Debug)]
+pub struct ArmedTimer {
     pub due: f64,
+    pub token: u64,
+}
+
+/// An attempt that has not ended.
+#[derive(Clone, Copy, Debug)]
+pub struct OpenAttempt {
+    pub request: u64,
+    pub number: u32,
+    /// Time at which the client's timeout is over.
+    pub due: f64,
+}
+
+/// The zone and cell of a worker.
+#[derive(Clone, Copy, Debug)]
+pub struct Location {
+    pub zone: u32,
+    pub cell: u32,
 }
 
 /// Drives one dispatcher and checks the rules of a single scheduler on every action.
@@ -82,12 +115,11 @@
     pub now: f64,
     pub requests: BTreeMap<u64, RequestRecord>,
     pub log: Vec<Action>,
-    pub timers: Vec<(f64, u64)>,
-    /// Open attempts, with the time at which their client gives up.
-    pub open_attempts: Vec<(u64, u32, f64)>,
+    pub timers: Vec<ArmedTimer>,
+    pub open_attempts: Vec<OpenAttempt>,
     pub excluded_since: BTreeMap<u64, f64>,
-    /// The zone and cell of each worker named so far.
-    pub zones: BTreeMap<u64, (u32, u32)>,
+    /// Locations of all workers that were listed.
+    pub locations: BTreeMap<u64, Location>,
 }
 
 impl Driver {
@@ -106,7 +138,7 @@
             timers: Vec::new(),
             open_attempts: Vec::new(),
             excluded_since: BTreeMap::new(),
-            zones: BTreeMap::new(),
+            locations: BTreeMap::new(),
         };
         let mut actions = Vec::new();
         d.dispatcher.start(d.now, &mut actions);
@@ -117,13 +149,13 @@
 
     pub fn send_list(&mut self, scope: ListScope, endpoints: &[Endpoint]) -> Vec<Action> {
         if matches!(scope, ListScope::Full | ListScope::Cached) {
-            let gone: Vec<u64> = self.zones.keys().copied().collect();
+            let gone: Vec<u64> = self.locations.keys().copied().collect();
             for w in gone.into_iter().filter(|w| !endpoints.iter().any(|m| m.worker.0 == *w)) {
                 self.excluded_since.entry(w).or_insert(self.now);
             }
         }
         for m in endpoints {
-            self.zones.insert(m.worker.0, (m.zone, m.cell));
+            self.locations.insert(m.worker.0, Location { zone: m.zone, cell: m.cell });
             if m.state == WorkerState::Serving {
                 self.excluded_since.remove(&m.worker.0);
             } else {
@@ -142,8 +174,8 @@
 
     pub fn end_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
         let seen = self.requests.get_mut(&id).expect("a known request");
-        seen.sends[attempt as usize].2 = Some(outcome);
-        self.open_attempts.retain(|o| (o.0, o.1) != (id, attempt));
+        seen.sends[attempt as usize].outcome = Some(outcome);
+        self.open_attempts.retain(|open| (open.request, open.number) != (id, attempt));
         let complete = outcome == Outcome::Ok || seen.answers > 0;
         if outcome == Outcome::Ok && seen.answers == 0 {
             seen.answers = 1;
@@ -156,18 +188,20 @@
         let end = self.now + span;
         let mut all = Vec::new();
         loop {
-            let timer = (0..self.timers.len()).min_by(|&a, &b| self.timers[a].0.total_cmp(&self.timers[b].0));
-            let at = timer.map_or(f64::INFINITY, |n| self.timers[n].0);
-            let late = self.open_attempts.iter().copied().min_by(|a, b| a.2.total_cmp(&b.2));
-            match (timer, late) {
-                (_, Some((id, attempt, due))) if due <= at.min(end) => {
-                    self.now = self.now.max(due);
-                    all.extend(self.end_attempt(id, attempt, Outcome::Timeout));
+            let timer = (0..self.timers.len())
+                .min_by(|&one, &other| self.timers[one].due.total_cmp(&self.timers[other].due));
+            let timer_due = timer.map_or(f64::INFINITY, |position| self.timers[position].due);
+            let attempt =
+                self.open_attempts.iter().copied().min_by(|one, other| one.due.total_cmp(&other.due));
+            match (timer, attempt) {
+                (_, Some(attempt)) if attempt.due <= timer_due.min(end) => {
+                    self.now = self.now.max(attempt.due);
+                    all.extend(self.end_attempt(attempt.request, attempt.number, Outcome::Timeout));
                 }
-                (Some(n), _) if at <= end => {
-                    let (at, token) = self.timers.swap_remove(n);
-                    self.now = self.now.max(at);
-                    all.extend(self.event(Event::Timer(token)));
+                (Some(position), _) if timer_due <= end => {
+                    let timer = self.timers.swap_remove(position);
+                    self.now = self.now.max(timer.due);
+                    all.extend(self.event(Event::Timer(timer.token)));
                 }
                 _ => break,
             }
@@ -192,7 +226,9 @@
     pub fn check_actions(&mut self, actions: Vec<Action>) -> Vec<Action> {
         for action in &actions {
             match action {
-                Action::SetTimer { after, token } => self.timers.push((self.now + after, *token)),
+                Action::SetTimer { after, token } => {
+                    self.timers.push(ArmedTimer { due: self.now + after, token: *token });
+                }
                 Action::Send { request, worker, .. } => self.check_send(request.0, *worker),
                 Action::Reject { request, .. } => {
                     self.check_rejection(request.0);
@@ -218,33 +254,36 @@
         if let Some(since) = self.excluded_since.get(&worker.0) {
             assert!(now - since <= DRAIN_GRACE, "rule 3: {worker:?} was told to drain");
         }
-        let zones = &self.zones;
+        let locations = &self.locations;
         let cfg = &self.cfg;
         let seen = self.requests.get_mut(&id).expect("a send of a known request");
         assert_eq!(seen.answers, 0, "rule 1: request {id} sent after its end");
         assert!(seen.sends.len() < cfg.max_attempts as usize, "request {id}: too many attempts");
-        let open = seen.sends.iter().any(|s| s.2.is_none());
+        let open = seen.sends.iter().any(|send| send.outcome.is_none());
         assert!(!open || cfg.hedging_allowed, "request {id}: two attempts out");
-        let ran = |s: &&(f64, WorkerId, Option<Outcome>)| !s.2.is_some_and(Outcome::never_ran);
-        for (at, first, _) in seen.sends.iter().filter(ran) {
+        let may_have_run = |send: &&SendRecord| !send.outcome.is_some_and(Outcome::never_ran);
+        for earlier in seen.sends.iter().filter(may_have_run) {
             match cfg.classes[seen.class].idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NotIdempotent => panic!("rule 2: unsafe request {id} sent again"),
                 Idempotency::WithKey(group) => {
-                    assert!(now - at <= cfg.classes[seen.class].key_window, "rule 2: window of {id}");
-                    let (was, is) = (zones[&first.0], zones[&worker.0]);
-                    let same = if group == KeyScope::Cell { was.1 == is.1 } else { was.0 == is.0 };
+                    let key_window = cfg.classes[seen.class].key_window;
+                    assert!(now - earlier.sent_at <= key_window, "rule 2: window of {id}");
+                    let was = locations[&earlier.worker.0];
+                    let is = locations[&worker.0];
+                    let same =
+                        if group == KeyScope::Cell { was.cell == is.cell } else { was.zone == is.zone };
                     assert!(group == KeyScope::All || same, "rule 2: group of {id}");
                 }
             }
         }
-        self.open_attempts.push((id, seen.sends.len() as u32, seen.due));
-        seen.sends.push((now, worker, None));
+        self.open_attempts.push(OpenAttempt { request: id, number: seen.sends.len() as u32, due: seen.due });
+        seen.sends.push(SendRecord { sent_at: now, worker, outcome: None });
     }
 
     fn check_rejection(&self, id: u64) {
         let seen = &self.requests[&id];
-        let clean = seen.sends.iter().all(|s| s.2.is_some_and(Outcome::never_ran));
+        let clean = seen.sends.iter().all(|send| send.outcome.is_some_and(Outcome::never_ran));
         let repeat = self.cfg.classes[seen.class].idempotency;
         assert!(
             clean || matches!(repeat, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All)),
--- a/crates/dispatch-core/tests/failures.rs
+++ b/crates/dispatch-core/tests/failures.rs
@@ -26,7 +26,7 @@
     assert!((1..=3).contains(&asked.len()), "a few are asked: {asked:?}");
     assert!(d.requests[&1].sends.is_empty(), "the job waits for their word");
     d.probed(asked[0], 2.0);
-    assert_eq!(d.requests[&1].sends[0].1, asked[0], "the first that says it is free gets the job");
+    assert_eq!(d.requests[&1].sends[0].worker, asked[0], "the first that says it is free gets the job");
 }
 
 /// Workers that are busy do not answer a probe that waits its turn, and a zone may be full: those of the other
@@ -39,7 +39,7 @@
     assert!(near.iter().all(|w| w.0 % 2 == 0) && !near.is_empty(), "own zone first: {near:?}");
     assert!(far.iter().all(|w| w.0 % 2 == 1) && !far.is_empty(), "then the other: {far:?}");
     d.probed(far[0], 2.0);
-    assert_eq!(d.requests[&1].sends[0].1, far[0]);
+    assert_eq!(d.requests[&1].sends[0].worker, far[0]);
 }
 
 /// Probes have a price: where one costs a tenth of the service no worker is probed.
@@ -60,8 +60,8 @@
     for id in 0..100 {
         d.advance(0.05);
         d.request(request(id));
-        while let Some(&(id, n, _)) = d.open_attempts.first() {
-            d.end_attempt(id, n, Outcome::Ok);
+        while let Some(open) = d.open_attempts.first().copied() {
+            d.end_attempt(open.request, open.number, Outcome::Ok);
         }
     }
     let refused = (40..100).filter(|id| d.requests[id].sends.is_empty()).count();
@@ -82,7 +82,7 @@
         d.request(request(id));
     }
     let sends = d.requests.values().flat_map(|s| &s.sends);
-    let cold = sends.clone().filter(|s| s.1 .0 > 40).count();
+    let cold = sends.clone().filter(|send| send.worker.0 > 40).count();
     assert!(4 * cold > sends.count(), "{cold} of the pushes went to cold workers, while warm ones queue");
 }
 
@@ -95,8 +95,8 @@
     for id in 0..8 {
         d.request(request(id));
         d.advance(0.2);
-        while let Some(&(id, n, _)) = d.open_attempts.iter().find(|o| o.0 == id) {
-            d.end_attempt(id, n, Outcome::Overloaded);
+        while let Some(open) = d.open_attempts.iter().find(|open| open.request == id).copied() {
+            d.end_attempt(open.request, open.number, Outcome::Overloaded);
             d.advance(0.01);
         }
     }
@@ -115,8 +115,8 @@
             let id = second * 100 + n;
             d.advance(0.01);
             d.request(Request { tenant: (n % 2) as u32, ..request(id) });
-            while let Some(&(id, n, _)) = d.open_attempts.first() {
-                d.end_attempt(id, n, Outcome::Overloaded);
+            while let Some(open) = d.open_attempts.first().copied() {
+                d.end_attempt(open.request, open.number, Outcome::Overloaded);
             }
         }
         let served = |n: &u64| !d.requests[&(second * 100 + n)].sends.is_empty();
@@ -138,7 +138,7 @@
         if d.requests[&id].sends.is_empty() {
             d.advance(0.2);
         }
-        let to = d.requests[&id].sends[0].1;
+        let to = d.requests[&id].sends[0].worker;
         busy += u32::from(to == WorkerId(2) && id >= 4);
         d.advance(if to == WorkerId(2) { 0.3 } else { 0.004 });
         d.event(Event::JobStarted { request: RequestId(id), attempt: 0 });
@@ -158,7 +158,7 @@
     for id in 0..10 {
         d.request(request(id));
         assert_eq!(
-            d.requests[&id].sends.first().map(|s| s.1),
+            d.requests[&id].sends.first().map(|send| send.worker),
             Some(WorkerId(2)),
             "job {id} goes to the own zone"
         );
@@ -184,8 +184,8 @@
             d.probed(WorkerId(w), if w <= 12 { 4.0 } else { 1.0 });
         }
         d.request(request(1));
-        for s in &d.requests[&1].sends {
-            *pushes.entry(s.1).or_insert(0) += 1;
+        for send in &d.requests[&1].sends {
+            *pushes.entry(send.worker).or_insert(0) += 1;
         }
     }
     let six: i32 = pushes.iter().filter(|(w, _)| w.0 <= 12).map(|(_, n)| n).sum();
@@ -201,7 +201,7 @@
     let mut d = Driver::new(Settings { load_reports: LoadReports::None, ..told }, 7, &fleet(6));
     d.advance(1.0);
     d.request(Request { timeout: 30.0, ..request(1) });
-    let quiet = d.requests[&1].sends[0].1;
+    let quiet = d.requests[&1].sends[0].worker;
     d.advance(2.0);
     assert_eq!(d.requests[&1].sends.len(), 2, "a copy is out");
     // Jobs served one by one; how many of them by the stalled worker.
@@ -209,7 +209,7 @@
         ids.filter(|&id| {
             d.request(Request { timeout: 30.0, ..request(id) });
             d.advance(0.3);
-            let worker = d.requests[&id].sends.first().map(|s| s.1);
+            let worker = d.requests[&id].sends.first().map(|send| send.worker);
             worker.inspect(|_| drop(d.end_attempt(id, 0, Outcome::Ok))) == Some(quiet)
         })
         .count()
@@ -258,7 +258,7 @@
         d.advance(10.0);
         for id in 0..36 {
             d.request(request(id));
-            let to = d.requests[&id].sends[0].1 .0;
+            let to = d.requests[&id].sends[0].worker.0;
             d.advance(0.001);
             d.event(Event::JobStarted { request: RequestId(id), attempt: 0 });
             d.advance(if to % 6 > 0 { 0.6 } else { 0.2 });
@@ -280,9 +280,11 @@
     let mut lost = 0;
     for id in 0..30 {
         d.request(request(id));
-        while let Some(&(id, attempt, _)) = d.open_attempts.first() {
+        while let Some(open) = d.open_attempts.first().copied() {
+            let id = open.request;
+            let attempt = open.number;
             // The zone of the dispatcher, that of the even workers, is gone.
-            let gone = d.requests[&id].sends[attempt as usize].1 .0 % 2 == 0;
+            let gone = d.requests[&id].sends[attempt as usize].worker.0 % 2 == 0;
             lost += u32::from(gone);
             d.advance(if gone { 0.25 } else { 0.001 });
             if !gone {
@@ -311,7 +313,7 @@
     let mut there = 0;
     for id in 0..48 {
         d.request(request(id));
-        let to = d.requests[&id].sends.first().map(|s| s.1 .0);
+        let to = d.requests[&id].sends.first().map(|send| send.worker.0);
         there += u32::from(id >= 24 && to.is_some_and(full));
         // Nobody there starts within the time that is looked at.
         if to.is_some_and(|w| !full(w)) {
@@ -342,7 +344,7 @@
         let mut again = 0;
         for id in 0..40 {
             d.request(request(id));
-            let to = d.requests[&id].sends[0].1;
+            let to = d.requests[&id].sends[0].worker;
             again += u32::from(last.iter().rev().take(3).any(|w| *w == to));
             last.push(to);
             d.event(Event::JobStarted { request: RequestId(id), attempt: 0 });
--- a/crates/dispatch-core/tests/odd.rs
+++ b/crates/dispatch-core/tests/odd.rs
@@ -10,20 +10,19 @@
     for id in from..from + count {
         d.request(request(id));
         d.advance(0.05);
-        let due: Vec<(u64, u32)> = d.open_attempts.iter().map(|o| (o.0, o.1)).collect();
-        for (id, n) in due {
-            let (at, worker, _) = d.requests[&id].sends[n as usize];
-            if d.now - at >= 0.1 {
-                d.end_attempt(id, n, answer(worker));
+        for open in d.open_attempts.clone() {
+            let send = d.requests[&open.request].sends[open.number as usize];
+            if d.now - send.sent_at >= 0.1 {
+                d.end_attempt(open.request, open.number, answer(send.worker));
             }
         }
     }
-    let served = |id: &u64| d.requests[id].sends.iter().any(|s| s.2 == Some(Outcome::Ok));
+    let served = |id: &u64| d.requests[id].sends.iter().any(|send| send.outcome == Some(Outcome::Ok));
     (from..from + count).filter(served).count()
 }
 
 fn sends_to(d: &Driver, worker: u64) -> usize {
-    d.requests.values().flat_map(|s| &s.sends).filter(|s| s.1 == WorkerId(worker)).count()
+    d.requests.values().flat_map(|s| &s.sends).filter(|send| send.worker == WorkerId(worker)).count()
 }
 
 #[test]
@@ -174,12 +173,14 @@
     play(&mut d, before, 40, |_| Outcome::Ok);
     let ok = |w: &WorkerId| w.0 == 1 || w.0 == 2;
     let sends = d.requests.range(before..).flat_map(|(_, s)| &s.sends);
-    assert!(sends.clone().all(|s| ok(&s.1)) && sends.count() > 20);
+    assert!(sends.clone().all(|send| ok(&send.worker)) && sends.count() > 20);
 }
 
 /// How many workers of the own zone get work from this request on.
 fn near_in_use(d: &Driver, from: u64) -> usize {
-    let used = |w: &u64| d.requests.range(from..).any(|(_, s)| s.sends.iter().any(|s| s.1 == WorkerId(*w)));
+    let used = |w: &u64| {
+        d.requests.range(from..).any(|(_, s)| s.sends.iter().any(|send| send.worker == WorkerId(*w)))
+    };
     (2..=6).step_by(2).filter(used).count()
 }
 
@@ -204,8 +205,8 @@
     d.advance(2.0);
     for id in 0..2 {
         d.request(request(id));
-        while let Some(&(id, n, _)) = d.open_attempts.first() {
-            d.end_attempt(id, n, Outcome::Reset);
+        while let Some(open) = d.open_attempts.first().copied() {
+            d.end_attempt(open.request, open.number, Outcome::Reset);
         }
     }
     play(&mut d, 1000, 8, |_| Outcome::Ok);
--- a/crates/dispatch-core/tests/rules.rs
+++ b/crates/dispatch-core/tests/rules.rs
@@ -42,10 +42,10 @@
                 next += 1;
             }
             4..=7 if !open.is_empty() => {
-                let (id, n, _) = open[rng.usize(..open.len())];
+                let attempt = open[rng.usize(..open.len())];
                 let good = rng.u32(..3) > 0;
                 let outcome = if good { Outcome::Ok } else { OUTCOMES[rng.usize(..OUTCOMES.len())] };
-                d.end_attempt(id, n, outcome);
+                d.end_attempt(attempt.request, attempt.number, outcome);
             }
             8 => {
                 let w = rng.u64(1..=10);
@@ -152,7 +152,7 @@
         let sends = &d.requests[&1].sends;
         assert_eq!(sends.len() > 1, again, "{group:?} after {wait} s: {sends:?}");
         if let (KeyScope::Cell, Some(second)) = (group, sends.get(1)) {
-            assert_eq!(second.1 .0 % 3, sends[0].1 .0 % 3, "the same cell");
+            assert_eq!(second.worker.0 % 3, sends[0].worker.0 % 3, "the same cell");
         }
         assert!(again || d.requests[&1].answers == 1, "{group:?} after {wait} s is answered");
     }
@@ -181,7 +181,7 @@
         d.request(request(id));
     }
     let sends = d.requests.values().flat_map(|s| &s.sends);
-    assert!(sends.clone().count() > 10 && sends.clone().all(|s| s.1 == WorkerId(4)));
+    assert!(sends.clone().count() > 10 && sends.clone().all(|send| send.worker == WorkerId(4)));
 }
 
 /// Rule 4 is a budget for all dispatchers together: with one worker, just started, and hundreds of them, what
@@ -206,12 +206,13 @@
                 }
             }
         }
-        let sent: Vec<(f64, f64)> =
-            all.iter().flat_map(|d| d.requests.values()).flat_map(|s| &s.sends).map(|s| (s.0, 0.3)).collect();
+        let sends = all.iter().flat_map(|d| d.requests.values()).flat_map(|record| &record.sends);
+        let sent: Vec<f64> = sends.map(|send| send.sent_at).collect();
         // A worker of one slot's size would be overloaded by this much; the module plans by the largest job.
         let (share, warm, span, multiple) = (0.2, 20.0, 2.0, 3.0);
-        for &(from, _) in &sent {
-            let work: f64 = sent.iter().filter(|s| s.0 >= from && s.0 < from + span).map(|s| s.1).sum();
+        for &from in &sent {
+            let in_span = sent.iter().filter(|sent_at| **sent_at >= from && **sent_at < from + span);
+            let work: f64 = in_span.map(|_| 0.3).sum();
             let capacity = share + (1.0 - share) * ((from - start) / warm).min(1.0);
             assert!(work <= multiple * capacity * span, "{instances} instances: {work} at {}", from - start);
         }
@@ -227,7 +228,7 @@
         process.request(request(id));
         id += 1;
     }
-    process.requests.values().flat_map(|record| &record.sends).map(|send| send.0).collect()
+    process.requests.values().flat_map(|record| &record.sends).map(|send| send.sent_at).collect()
 }
 
 /// What happened: a process began its part of the present slice of the slow-start budget anew, though the process before it
@@ -305,7 +306,7 @@
         let drivers = (0..instances).map(|n| Driver::new(cfg(n), seed * 1000 + u64::from(n), named(n)));
         let mut all: Vec<Driver> = drivers.collect();
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut sent: Vec<(f64, WorkerId)> = Vec::new();
+        let mut sent: Vec<SendRecord> = Vec::new();
         for step in 0..1200_u64 {
             let n = if rng.f64() < 0.3 { 0 } else { rng.usize(..100) };
             if step == 300 {
@@ -315,9 +316,8 @@
             }
             for d in all[60..90].iter_mut().filter(|_| step == 500) {
                 // What it has out counts on; the rest it forgets.
-                sent.extend(
-                    d.open_attempts.iter().map(|o| d.requests[&o.0].sends[o.1 as usize]).map(|s| (s.0, s.1)),
-                );
+                let open = d.open_attempts.iter();
+                sent.extend(open.map(|open| d.requests[&open.request].sends[open.number as usize]));
                 *d = Driver::new(d.cfg.clone(), seed + 77, &list);
             }
             let now = start + step as f64 / 100.0;
@@ -326,22 +326,23 @@
             d.request(request(step));
             // Each runs for 0.3 s.
             for d in &mut all {
-                for (id, attempt, _) in d.open_attempts.clone() {
-                    let (at, worker, _) = d.requests[&id].sends[attempt as usize];
-                    if at + 0.3 <= now {
-                        sent.push((at, worker));
+                for open in d.open_attempts.clone() {
+                    let send = d.requests[&open.request].sends[open.number as usize];
+                    if send.sent_at + 0.3 <= now {
+                        sent.push(send);
                         d.advance(now - d.now);
-                        d.end_attempt(id, attempt, Outcome::Ok);
+                        d.end_attempt(open.request, open.number, Outcome::Ok);
                     }
                 }
             }
         }
-        let cold = |at: &(f64, WorkerId)| at.1 .0 > 24;
-        let late = sent.iter().filter(|at| at.0 > start + 8.0);
-        let part = late.clone().filter(|at| cold(at)).count() as f64 / late.count() as f64;
+        let cold = |send: &SendRecord| send.worker.0 > 24;
+        let late = sent.iter().filter(|send| send.sent_at > start + 8.0);
+        let part = late.clone().filter(|send| cold(send)).count() as f64 / late.count() as f64;
         assert!(part > 0.1, "{part} of the pushes went to the six in ten that are cold");
-        for &(from, worker) in sent.iter().filter(|at| cold(at)) {
-            let span = sent.iter().filter(|at| at.1 == worker && (from..from + 1.5).contains(&at.0));
+        for &SendRecord { sent_at: from, worker, .. } in sent.iter().filter(|send| cold(send)) {
+            let to_worker = sent.iter().filter(|send| send.worker == worker);
+            let span = to_worker.filter(|send| (from..from + 1.5).contains(&send.sent_at));
             let capacity = 0.2 + 0.8 * (from - start) / 24.0;
             // The module takes a worker to have as many slots as the largest job: one, and a run for 0.3 s.
             assert!(span.count() as f64 * 0.3 <= 3.0 * capacity * 1.5, "{worker:?} at {}", from - start);
@@ -412,7 +413,7 @@
     #[should_panic(expected = "rule 2: unsafe request 1 sent again")]
     fn a_retry_that_is_not_idempotent() {
         let mut d = driver(1);
-        d.requests.get_mut(&1).expect("request 1").sends[0].2 = Some(Outcome::Reset);
+        d.requests.get_mut(&1).expect("request 1").sends[0].outcome = Some(Outcome::Reset);
         d.check_actions(send(3));
     }
 
@@ -420,7 +421,7 @@
     #[should_panic(expected = "rule 2: request 1 refused")]
     fn a_rejection_that_is_not_idempotent() {
         let mut d = driver(1);
-        d.requests.get_mut(&1).expect("request 1").sends[0].2 = Some(Outcome::Reset);
+        d.requests.get_mut(&1).expect("request 1").sends[0].outcome = Some(Outcome::Reset);
         d.check_actions(vec![Action::Reject { request: RequestId(1), retry_after: None }]);
     }
 
--- a/crates/dispatch-core/tests/throttle.rs
+++ b/crates/dispatch-core/tests/throttle.rs
@@ -72,7 +72,7 @@
         d.request(Request { slots, timeout: 50.0, ..request(id) });
     }
     d.advance(1.0);
-    let at = |id: u64| (d.requests[&id].sends[0].0 - 100.0) * 30.0;
+    let at = |id: u64| (d.requests[&id].sends[0].sent_at - 100.0) * 30.0;
     for (id, tokens) in [(1, 3.0), (2, 4.0), (3, 6.0)] {
         assert!((at(id) - tokens).abs() <= 1.1, "job {id} left after {} tokens of {tokens}", at(id));
     }
