--- a/crates/hcl-config/src/error.rs
+++ b/crates/hcl-config/src/error.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Problem {
     /// The text is not HCL; the parser's message.
-    #[error("no HCL: {0}")]
+    #[error("invalid HCL: {0}")]
     Syntax(String),
     /// An expression is not a plain value.
     #[error(transparent)]
@@ -67,13 +67,13 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ValueError {
     /// A number is infinite or beyond `f64`.
-    #[error("a number out of range")]
+    #[error("the number is out of range")]
     NumberOutOfRange,
     /// A key of an object has to be evaluated.
-    #[error("keys of an object are names")]
+    #[error("keys of an object must be names")]
     ComputedKey,
     /// A minus stands before something that is not a number.
-    #[error("there is no minus of {0}")]
+    #[error("a minus needs a number, found {0}")]
     NegatedNonNumber(Value),
     /// An expression has to be evaluated.
     #[error("expected a plain value; variables, functions and templates are not read")]
