--- a/crates/hcl-config/src/error.rs
+++ b/crates/hcl-config/src/error.rs
@@ -1,29 +1,29 @@
-//! What is wrong with a file, and where.
+//! Errors that name file, line and key.
 
 use std::fmt;
 
 use crate::Value;
 
-/// What is wrong with a file, and where: shown as `FILE:LINE: KEY: PROBLEM`.
+/// A problem at a place of a file, displayed as `FILE:LINE: KEY: PROBLEM`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HclError {
-    /// The file, as the caller named it.
+    /// File, as the caller named it.
     pub file: String,
-    /// The line, from 1; 0 where the file as a whole is at fault.
+    /// Line, from 1; 0 if the problem is with the entire file.
     pub line: usize,
-    /// The key, with the blocks that it stands in; empty where the text is not HCL.
+    /// Key with its enclosing blocks; empty if the text is not HCL.
     pub key: String,
-    /// What is wrong there.
+    /// Problem at this place.
     pub problem: Problem,
 }
 
-/// The result of reading a setting.
+/// Result of reading a setting.
 pub type HclResult<T> = Result<T, HclError>;
 
-/// What is wrong at a place of a file.
+/// Problem at a place of a file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Problem {
-    /// The text is not HCL; the parser's message.
+    /// The text is not HCL; contains the parser's message.
     #[error("invalid HCL: {0}")]
     Syntax(String),
     /// An expression is not a plain value.
@@ -32,12 +32,12 @@
     /// The value at a key has another type, or is out of bounds.
     #[error("expected {expected}, found {found}")]
     Unexpected {
-        /// What the getter wanted.
+        /// Expected type and bounds.
         expected: String,
-        /// The value that stands there.
+        /// Value in the file.
         found: Value,
     },
-    /// A block that may stand there once stands there again.
+    /// A block that may occur once occurs again.
     #[error("there is more than one such block")]
     RepeatedBlock,
     /// No getter read this key.
@@ -46,7 +46,7 @@
     /// No getter read this block.
     #[error("there is no such block here")]
     UnknownBlock,
-    /// What the reader of the settings found wrong, beyond types and bounds.
+    /// Problem beyond types and bounds, reported by the reader of the settings.
     #[error("{0}")]
     Invalid(String),
 }
@@ -63,19 +63,19 @@
     }
 }
 
-/// Why an expression is not a plain value.
+/// Reason for which an expression is not a plain value.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ValueError {
-    /// A number is infinite or beyond `f64`.
+    /// A number is infinite or out of the range of `f64`.
     #[error("the number is out of range")]
     NumberOutOfRange,
-    /// A key of an object has to be evaluated.
+    /// A key of an object needs evaluation.
     #[error("keys of an object must be names")]
     ComputedKey,
-    /// A minus stands before something that is not a number.
+    /// A minus precedes a value that is not a number.
     #[error("a minus needs a number, found {0}")]
     NegatedNonNumber(Value),
-    /// An expression has to be evaluated.
+    /// An expression needs evaluation.
     #[error("expected a plain value; variables, functions and templates are not read")]
     ComputedValue,
 }
--- a/crates/hcl-config/src/lib.rs
+++ b/crates/hcl-config/src/lib.rs
@@ -1,15 +1,15 @@
 //! Reads settings from HCL, with errors that name file, line and key.
 //!
-//! `hcl-edit` parses the text and knows where each part stood. This package keeps plain values with their lines, and offers
-//! getters that check types and bounds. A key or block that no getter read is an error too
-//! ([`Section::deny_unknown_keys`]): a misspelt setting must not pass for a default.
+//! `hcl-edit` parses the text into expressions with their positions. This package stores plain values with their lines,
+//! and provides getters that check types and bounds. A key or block that no getter read is an error too
+//! ([`Section::deny_unknown_keys`]), so that a misspelt setting does not silently take its default.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `error` | what is wrong with a file, and where |
+//! | `error` | errors that name file, line and key |
 //! | `value` | plain values, from HCL expressions |
 //! | `section` | a file or block, and getters for its settings |
-//! | `parser` | from a text to sections |
+//! | `parser` | parses a text into sections |
 
 mod error;
 mod parser;
--- a/crates/hcl-config/src/parser.rs
+++ b/crates/hcl-config/src/parser.rs
@@ -1,4 +1,4 @@
-//! From a text to sections with the lines of their keys and blocks.
+//! Parser of a text into sections with the lines of their keys and blocks.
 
 use std::ops::Range;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 use crate::section::{BlockHeader, Section};
 use crate::{HclError, HclResult, Problem, Value};
 
-/// The line of the file as a whole.
+/// Line of the first character, and of errors of the top-level section.
 const FIRST_LINE: usize = 1;
 
 impl Section {
@@ -17,7 +17,8 @@
     ///
     /// # Errors
     ///
-    /// The text is not HCL, or uses what needs evaluation: variables, functions, interpolation.
+    /// Returns [`Problem::Syntax`] if the text is not HCL, and [`Problem::Value`] if an expression needs evaluation
+    /// (variables, functions, interpolation).
     pub fn parse(file: &str, text: &str) -> HclResult<Section> {
         let body = hcl_edit::parser::parse_body(text).map_err(|error| HclError {
             file: file.to_owned(),
--- a/crates/hcl-config/src/section.rs
+++ b/crates/hcl-config/src/section.rs
@@ -1,4 +1,4 @@
-//! A file or block, and getters for its settings.
+//! Sections: a file or a block of it, with getters for its settings.
 
 use std::cell::Cell;
 use std::ops::RangeInclusive;
@@ -6,6 +6,7 @@
 
 use crate::{HclError, HclResult, Problem, Value};
 
+/// A key with its value.
 #[derive(Debug)]
 struct Entry {
     key: String,
@@ -14,16 +15,16 @@
     was_read: Cell<bool>,
 }
 
-/// How a block is introduced, and where.
+/// Header of a block, with its position.
 #[derive(Debug, Default)]
 pub(crate) struct BlockHeader {
-    /// The block with those that it stands in, such as `class[small].limits`; empty for a file.
+    /// Path of the block with its enclosing blocks, such as `class[small].limits`; empty for a file.
     pub(crate) path: String,
-    /// The line, from 1.
+    /// Line, from 1.
     pub(crate) line: usize,
-    /// The first word of the block; empty for a file.
+    /// Kind of the block, which is its first word; empty for a file.
     pub(crate) kind: String,
-    /// Its labels; empty where it has none.
+    /// Labels of the block, separated by a space; empty if it has none.
     pub(crate) label: String,
 }
 
@@ -50,7 +51,7 @@
         self.sections.push(section);
     }
 
-    /// A key with the blocks that it stands in; the path of this block where the key is empty.
+    /// Returns a key with its enclosing blocks, or the path of this block if the key is empty.
     pub(crate) fn qualified_key(&self, key: &str) -> String {
         let path = &self.header.path;
         match (path.is_empty(), key.is_empty()) {
@@ -60,12 +61,12 @@
         }
     }
 
-    /// The label of a block such as `class "stock-lookup"`; empty where it has none.
+    /// Returns the label of a block such as `class "stock-lookup"`; empty if it has none.
     pub fn label(&self) -> &str {
         &self.header.label
     }
 
-    /// An error at a key of this section, or at the section itself where the key is empty or absent.
+    /// Creates an error at a key of this section, or at the section itself if the key is empty or absent.
     pub fn error(&self, key: &str, problem: impl Into<Problem>) -> HclError {
         let line = self.entry(key).map_or(self.header.line, |entry| entry.line);
         HclError { file: self.file.to_string(), line, key: self.qualified_key(key), problem: problem.into() }
@@ -75,14 +76,14 @@
         self.entries.iter().find(|entry| entry.key == key)
     }
 
-    /// The value at a key, whatever its type.
+    /// Returns the value at a key, of any type.
     pub fn value(&self, key: &str) -> Option<&Value> {
         let entry = self.entry(key)?;
         entry.was_read.set(true);
         Some(&entry.value)
     }
 
-    /// The value at a key, if `convert` takes it; `expected` says what it takes.
+    /// Returns the converted value at a key; `expected` describes the values that `convert` accepts.
     fn converted<T>(
         &self,
         key: &str,
@@ -99,21 +100,21 @@
         }
     }
 
-    /// A number within bounds.
+    /// Returns a number within bounds.
     ///
     /// # Errors
     ///
-    /// It is no number, or out of bounds.
+    /// Returns [`Problem::Unexpected`] if the value is not a number or out of bounds.
     pub fn number(&self, key: &str, bounds: RangeInclusive<f64>) -> HclResult<Option<f64>> {
         let expected = format!("a number from {} to {}", bounds.start(), bounds.end());
         self.converted(key, &expected, |value| number_within(value, &bounds))
     }
 
-    /// A whole number within bounds.
+    /// Returns an integer within bounds.
     ///
     /// # Errors
     ///
-    /// It is no whole number, or out of bounds.
+    /// Returns [`Problem::Unexpected`] if the value is not an integer or out of bounds.
     pub fn integer(&self, key: &str, bounds: RangeInclusive<u64>) -> HclResult<Option<u64>> {
         let expected = format!("a whole number from {} to {}", bounds.start(), bounds.end());
         self.converted(key, &expected, |value| match value {
@@ -124,11 +125,11 @@
         })
     }
 
-    /// A number, or a list of a lower and an upper number, as a range within bounds. One number is both ends.
+    /// Returns the lower and the upper end of a range within bounds: a list of two numbers, or one number for both ends.
     ///
     /// # Errors
     ///
-    /// It is neither, out of bounds, or the wrong way round.
+    /// Returns [`Problem::Unexpected`] if the value is neither, out of bounds, or the lower end exceeds the upper one.
     pub fn number_range(&self, key: &str, bounds: RangeInclusive<f64>) -> HclResult<Option<(f64, f64)>> {
         let (low, high) = (bounds.start(), bounds.end());
         let expected = format!("a number from {low} to {high}, or [lower, upper] within these");
@@ -144,11 +145,11 @@
         })
     }
 
-    /// One number or a list of them, each within bounds.
+    /// Returns a list of numbers within bounds, which may be written as one number.
     ///
     /// # Errors
     ///
-    /// It is neither, empty, or out of bounds.
+    /// Returns [`Problem::Unexpected`] if the value is neither, the list is empty, or a number is out of bounds.
     pub fn number_list(&self, key: &str, bounds: RangeInclusive<f64>) -> HclResult<Option<Vec<f64>>> {
         let expected = format!("numbers from {} to {}", bounds.start(), bounds.end());
         self.converted(key, &expected, |value| {
@@ -160,11 +161,11 @@
         })
     }
 
-    /// True or false.
+    /// Returns a boolean.
     ///
     /// # Errors
     ///
-    /// It is neither.
+    /// Returns [`Problem::Unexpected`] if the value is not a boolean.
     pub fn boolean(&self, key: &str) -> HclResult<Option<bool>> {
         self.converted(key, "true or false", |value| match value {
             Value::Bool(boolean) => Some(*boolean),
@@ -172,11 +173,11 @@
         })
     }
 
-    /// A text.
+    /// Returns a string.
     ///
     /// # Errors
     ///
-    /// It is none.
+    /// Returns [`Problem::Unexpected`] if the value is not a string.
     pub fn string(&self, key: &str) -> HclResult<Option<String>> {
         self.converted(key, "a text", |value| match value {
             Value::String(text) => Some(text.clone()),
@@ -184,11 +185,11 @@
         })
     }
 
-    /// One of some keywords, as what it stands for.
+    /// Returns the meaning of the keyword at a key.
     ///
     /// # Errors
     ///
-    /// It is none of them.
+    /// Returns [`Problem::Unexpected`] if the value is none of the keywords.
     pub fn keyword<T: Copy>(&self, key: &str, keywords: &[(&str, T)]) -> HclResult<Option<T>> {
         let known: Vec<&str> = keywords.iter().map(|(keyword, _)| *keyword).collect();
         self.converted(key, &format!("one of {}", known.join(", ")), |value| match value {
@@ -199,17 +200,17 @@
         })
     }
 
-    /// The blocks of a kind, in the order of the file.
+    /// Returns the blocks of a kind, in the order of the file.
     pub fn sections<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a Section> {
         let of_kind = self.sections.iter().filter(move |section| section.header.kind == kind);
         of_kind.inspect(|section| section.was_read.set(true))
     }
 
-    /// The one block of a kind, where there is one.
+    /// Returns the block of a kind that may occur once.
     ///
     /// # Errors
     ///
-    /// There are several.
+    /// Returns [`Problem::RepeatedBlock`] if there are several.
     pub fn section(&self, kind: &str) -> HclResult<Option<&Section>> {
         let mut of_kind = self.sections.iter().filter(|section| section.header.kind == kind);
         let first = of_kind.next().inspect(|section| section.was_read.set(true));
@@ -223,7 +224,7 @@
     ///
     /// # Errors
     ///
-    /// The first key or block that was not.
+    /// Returns [`Problem::UnknownKey`] or [`Problem::UnknownBlock`] at the first one that was not.
     pub fn deny_unknown_keys(&self) -> HclResult<()> {
         if let Some(entry) = self.entries.iter().find(|entry| !entry.was_read.get()) {
             return Err(self.error(&entry.key, Problem::UnknownKey));
--- a/crates/hcl-config/src/value.rs
+++ b/crates/hcl-config/src/value.rs
@@ -11,13 +11,13 @@
 pub enum Value {
     /// True or false.
     Bool(bool),
-    /// A finite number; whole ones are exact up to 2^53.
+    /// A finite number; integers are exact up to 2^53.
     Number(f64),
-    /// A text without interpolation.
+    /// A string without interpolation.
     String(String),
     /// A list.
     List(Vec<Value>),
-    /// An object, in the order of the file.
+    /// An object, with its entries in the order of the file.
     Object(Vec<(String, Value)>),
 }
 
@@ -34,6 +34,7 @@
 }
 
 impl Value {
+    /// Converts an expression that needs no evaluation.
     pub(crate) fn from_expression(expression: &Expression) -> Result<Value, ValueError> {
         match expression {
             Expression::Bool(boolean) => Ok(Value::Bool(**boolean)),
