--- a/crates/hcl-config/src/error.rs
+++ b/crates/hcl-config/src/error.rs
@@ -30,12 +30,12 @@
     #[error(transparent)]
     Value(#[from] ValueError),
     /// The value at a key has another type, or is out of bounds.
-    #[error("expected {expected}, found {found}")]
+    #[error("expected {expected}, found {actual}")]
     Unexpected {
         /// Expected type and bounds.
         expected: String,
         /// Value in the file.
-        found: Value,
+        actual: Value,
     },
     /// A block that may occur once occurs again.
     #[error("there is more than one such block")]
--- a/crates/hcl-config/src/parser.rs
+++ b/crates/hcl-config/src/parser.rs
@@ -3,7 +3,7 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-use hcl_edit::structure::{Attribute, Block, Body, Structure};
+use hcl_edit::structure::{Attribute, Block, BlockLabel, Body, Structure};
 use hcl_edit::Span as _;
 
 use crate::section::{BlockHeader, Section};
@@ -66,7 +66,7 @@
 
     fn block_header(&self, parent: &Section, block: &Block) -> BlockHeader {
         let kind = block.ident.as_str().to_owned();
-        let labels: Vec<&str> = block.labels.iter().map(|label| label.as_str()).collect();
+        let labels: Vec<&str> = block.labels.iter().map(BlockLabel::as_str).collect();
         let label = labels.join(" ");
         let name = if label.is_empty() { kind.clone() } else { format!("{kind}[{label}]") };
         BlockHeader { path: parent.qualified_key(&name), line: self.line(block.ident.span()), kind, label }
--- a/crates/hcl-config/src/section.rs
+++ b/crates/hcl-config/src/section.rs
@@ -91,13 +91,11 @@
         convert: impl Fn(&Value) -> Option<T>,
     ) -> HclResult<Option<T>> {
         let Some(value) = self.value(key) else { return Ok(None) };
-        match convert(value) {
-            Some(converted) => Ok(Some(converted)),
-            None => {
-                let (expected, found) = (expected.to_owned(), value.clone());
-                Err(self.error(key, Problem::Unexpected { expected, found }))
-            }
-        }
+        let converted = convert(value).ok_or_else(|| {
+            let problem = Problem::Unexpected { expected: expected.to_owned(), actual: value.clone() };
+            self.error(key, problem)
+        })?;
+        Ok(Some(converted))
     }
 
     /// Returns a number within bounds.
@@ -131,16 +129,11 @@
     ///
     /// Returns [`Problem::Unexpected`] if the value is neither, out of bounds, or the lower end exceeds the upper one.
     pub fn number_range(&self, key: &str, bounds: RangeInclusive<f64>) -> HclResult<Option<(f64, f64)>> {
-        let (low, high) = (bounds.start(), bounds.end());
+        let low = bounds.start();
+        let high = bounds.end();
         let expected = format!("a number from {low} to {high}, or [lower, upper] within these");
         self.converted(key, &expected, |value| match value {
-            Value::List(items) => match items.as_slice() {
-                [lower, upper] => {
-                    let range = (number_within(lower, &bounds)?, number_within(upper, &bounds)?);
-                    (range.0 <= range.1).then_some(range)
-                }
-                _ => None,
-            },
+            Value::List(items) => range_within(items, &bounds),
             single => number_within(single, &bounds).map(|number| (number, number)),
         })
     }
@@ -191,8 +184,8 @@
     ///
     /// Returns [`Problem::Unexpected`] if the value is none of the keywords.
     pub fn keyword<T: Copy>(&self, key: &str, keywords: &[(&str, T)]) -> HclResult<Option<T>> {
-        let known: Vec<&str> = keywords.iter().map(|(keyword, _)| *keyword).collect();
-        self.converted(key, &format!("one of {}", known.join(", ")), |value| match value {
+        let choices: Vec<&str> = keywords.iter().map(|(keyword, _)| *keyword).collect();
+        self.converted(key, &format!("one of {}", choices.join(", ")), |value| match value {
             Value::String(text) => {
                 keywords.iter().find(|(keyword, _)| keyword == text).map(|(_, meaning)| *meaning)
             }
@@ -245,3 +238,11 @@
         _ => None,
     }
 }
+
+/// Returns the ends of a range that is written as a list of two numbers, if they are within bounds and in order.
+fn range_within(items: &[Value], bounds: &RangeInclusive<f64>) -> Option<(f64, f64)> {
+    let [lower, upper] = items else { return None };
+    let lower = number_within(lower, bounds)?;
+    let upper = number_within(upper, bounds)?;
+    (lower <= upper).then_some((lower, upper))
+}
