--- a/crates/cluster-member/src/clock.rs
+++ b/crates/cluster-member/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of leases: monotonic, counts the time that a machine was suspended, and is no time of day.
+//! Clock of leases: monotonic, includes the time that the machine was suspended, and is independent of the time of day.
 
 use std::hash::{BuildHasher, Hasher, RandomState};
 
@@ -10,14 +10,13 @@
 /// Nanoseconds in a microsecond.
 const NANOS_PER_MICRO: u64 = 1_000;
 
-/// Microseconds since the machine started.
+/// Returns the microseconds since the machine started.
 pub fn now() -> Micros {
     let time = clock_gettime(ClockId::Boottime);
     time.tv_sec.unsigned_abs() * MICROS_PER_SECOND + time.tv_nsec.unsigned_abs() / NANOS_PER_MICRO
 }
 
-/// A number that no other process draws, from the system's own randomness: a seed that is configured would be the same
-/// again after a restart.
+/// Draws an id for this process from the system's randomness. A configured seed would give the same id after a restart.
 pub fn random_id() -> u64 {
     RandomState::new().build_hasher().finish()
 }
--- a/crates/cluster-member/src/coordinator_client.rs
+++ b/crates/cluster-member/src/coordinator_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the coordinator: to whichever replica leads, on a connection of the client's own, within a deadline.
+//! Client that calls the leading replica of the coordinator, with retries until a deadline.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,40 +12,40 @@
     Request, Response, SCHEMA_VERSION,
 };
 
-/// One replica has so long for a response before another one is called.
+/// Timeout of a call to one replica, after which the next one is called.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(400);
-/// The pause before the next replica is called.
+/// Delay before the next replica is called.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Why a call got no response. What it was to change may have been changed.
+/// Error of a call. The operation may have been carried out.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The deadline had passed before a replica was called.
+    /// The deadline had passed before any replica was called.
     #[error("no time was left")]
     DeadlinePassed,
-    /// The last replica that responded knows no leader: there may be no majority. A later call may succeed.
+    /// The last replica that responded knows no leader: there may be no majority. A retry may succeed.
     #[error("no keeper leads")]
     NoLeader,
-    /// The leader takes no further requests for now. A later call may succeed.
+    /// The leader has as many pending requests as it accepts. A retry may succeed.
     #[error("the keeper that leads is busy")]
     LeaderBusy,
     /// The connection to the last replica that was called failed.
     #[error("keeper {replica}: {error}")]
     Connection {
-        /// The replica.
+        /// Number of the replica.
         replica: u64,
-        /// What failed.
+        /// Cause.
         error: ConnectionError,
     },
     /// The last replica that was called did not respond in time.
     #[error("keeper {replica}: no answer")]
     NoResponse {
-        /// The replica.
+        /// Number of the replica.
         replica: u64,
     },
 }
 
-/// A client of the coordinator, for calls now and then.
+/// Client of the coordinator, for occasional calls.
 #[derive(Debug)]
 pub struct CoordinatorClient {
     installation: String,
@@ -53,13 +53,13 @@
     local_address: Option<IpAddr>,
     replicas: BTreeMap<u64, SocketAddr>,
     connection: Option<Connection>,
-    /// The replica that is called next.
+    /// Number of the replica that is called next.
     current: u64,
     last_request_id: u64,
 }
 
 impl CoordinatorClient {
-    /// A client of this identity, whose connections come from this local address.
+    /// Creates a client that connects with this identity from this local address.
     pub fn new(
         installation: &str,
         identity: ClientIdentity,
@@ -78,13 +78,13 @@
         }
     }
 
-    /// Calls whichever replica leads. What changes something may have been done although no response came.
+    /// Calls the leading replica. An operation may have been carried out even if the call fails.
     ///
     /// # Errors
-    /// No replica that leads responds by the deadline: a majority is not there, or not reached.
+    /// Returns the [`CallError`] of the last attempt if no leader responds by the deadline.
     pub async fn call(&mut self, operation: &Operation, deadline: Instant) -> Result<Response, CallError> {
         let mut last_error = CallError::DeadlinePassed;
-        // Around a change of the leader two replicas may name each other: after one hint the next waits.
+        // During an election two replicas may name each other as leader: only one hint in a row is followed without a delay.
         let mut followed_hint = false;
         while Instant::now() < deadline {
             let replica = self.current;
@@ -114,7 +114,7 @@
         Err(last_error)
     }
 
-    /// Selects the leader that the current replica names, and says whether it is another one; else selects the next.
+    /// Selects the named leader and returns true if it is another replica than the current one; selects the next one otherwise.
     fn follow_leader(&mut self, leader: Option<LeaderHint>) -> bool {
         self.connection = None;
         let Some(leader) = leader.filter(|leader| leader.replica_id != self.current) else {
@@ -128,7 +128,7 @@
         true
     }
 
-    /// Selects the next replica by number, on a connection to be made.
+    /// Drops the connection and selects the next replica by number.
     fn select_next(&mut self) {
         self.connection = None;
         let next = self.replicas.range(self.current + 1..).next().or(self.replicas.iter().next());
--- a/crates/cluster-member/src/effects/mod.rs
+++ b/crates/cluster-member/src/effects/mod.rs
@@ -1,5 +1,5 @@
-//! Effects of lease holders: sent with their fencing token, after a look at the clock immediately before each; accepted or
-//! rejected by the receiver, by the tokens that it knows.
+//! Effects of lease holders. The sender checks its lease by the clock immediately before each effect; the receiver accepts
+//! or rejects it by its fencing token.
 
 mod publisher;
 mod receiver;
--- a/crates/cluster-member/src/effects/publisher.rs
+++ b/crates/cluster-member/src/effects/publisher.rs
@@ -1,4 +1,4 @@
-//! The lease holder's side: the latest effect of a term, sent to every other member.
+//! Sender of effects: sends the latest effect of a term to every other member.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -18,30 +18,30 @@
     SCHEMA_VERSION,
 };
 
-/// How long a lease holder waits for a receiver's response before it connects anew.
+/// Timeout of a receiver's response, after which the connection is replaced.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause before a lease holder connects anew.
+/// Delay before a lost connection is replaced.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
-/// The latest effect of a term.
+/// Latest effect of a term.
 #[derive(Debug, Clone, Default)]
 struct PublishedEffect {
-    /// Counted from one within the term.
+    /// Sequence number within the term, from 1.
     sequence: u64,
     body: Rc<Vec<u8>>,
 }
 
-/// Gets what receivers send back when they accept an effect.
+/// Handler of the responses of receivers that accepted an effect.
 type ResponseHandler = Box<dyn Fn(&[u8])>;
 
-/// A term of a lease, and who gets what receivers respond to its effects.
+/// Term of a lease, and the handler of responses to its effects.
 struct Term {
     lease: LeaseId,
     token: FencingToken,
     on_response: ResponseHandler,
 }
 
-/// The effects of one term, sent to every other member. Ends when dropped.
+/// Publisher of the effects of one term to every other member. Stops when dropped.
 pub struct Publisher {
     member: Member,
     term: Rc<Term>,
@@ -59,12 +59,12 @@
 }
 
 impl Publisher {
-    /// For the term that this member holds with this token.
+    /// Creates a publisher for the term with this token.
     pub fn new(member: &Member, lease: LeaseId, token: FencingToken) -> Publisher {
         Publisher::with_response_handler(member, lease, token, |_| {})
     }
 
-    /// The same; `on_response` gets what receivers send back when they accept an effect.
+    /// Creates a publisher that calls `on_response` with each response of a receiver that accepted an effect.
     pub fn with_response_handler(
         member: &Member,
         lease: LeaseId,
@@ -79,13 +79,13 @@
         }
     }
 
-    /// The term's token.
+    /// Returns the fencing token of the term.
     pub fn token(&self) -> FencingToken {
         self.term.token
     }
 
-    /// Sends an effect to all members that are known now, and returns its sequence number. What was published before and
-    /// not sent yet is left out; what was sent and got no response may come twice.
+    /// Sends an effect to all present members and returns its sequence number. It replaces earlier effects that were not
+    /// sent yet. An effect without a response may be delivered twice.
     pub fn publish(&mut self, body: Vec<u8>) -> u64 {
         let own_name = &self.member.config().name;
         let peers: Vec<Peer> =
@@ -104,7 +104,7 @@
         self.latest.borrow().sequence
     }
 
-    /// Stops sending to those that are no members any more. `peers` is sorted.
+    /// Stops sending to receivers that are no longer members. `peers` is sorted.
     fn stop_receivers_not_in(&mut self, peers: &[Peer]) {
         self.receivers.retain(|peer, task| {
             let wanted = peers.binary_search(peer).is_ok() && !task.is_finished();
@@ -122,7 +122,7 @@
     }
 }
 
-/// Sends to one receiver, on one connection after the other, for as long as the publisher lasts.
+/// Sends to one receiver until the publisher is dropped, and reconnects when a connection fails.
 async fn publish_to(
     member: Member,
     peer: Peer,
@@ -139,12 +139,12 @@
             return;
         }
         sleep(RECONNECT_DELAY).await;
-        // What was sent last may not have arrived.
+        // The last effect may not have been delivered.
         latest.mark_changed();
     }
 }
 
-/// Sends to one receiver until the connection fails or the publisher ends.
+/// Sends to one receiver until the connection fails or the publisher is dropped.
 async fn publish_over_connection(
     member: &Member,
     address: SocketAddr,
@@ -159,7 +159,7 @@
         let PublishedEffect { sequence, body } = latest.borrow_and_update().clone();
         let effect = Effect { lease: term.lease.clone(), token: term.token, sequence, body: body.to_vec() };
         let encoded = encode(&effect)?;
-        // The look at the clock is the last thing before the write.
+        // The lease is checked last before the write: time that passes in between is not covered.
         let now = clock::now();
         let skips_check = checks_once && checked;
         if !skips_check && !member.lease_client().borrow().holds_lease(&term.lease, term.token, now) {
--- a/crates/cluster-member/src/effects/receiver.rs
+++ b/crates/cluster-member/src/effects/receiver.rs
@@ -1,4 +1,4 @@
-//! The receiver's side: connections of lease holders, and the check of each effect's token.
+//! Receiver of effects: accepts connections of lease holders and checks the fencing token of each effect.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,13 +16,12 @@
     HandshakeRejection, ServerHello,
 };
 
-/// The most connections of lease holders that a receiver has.
+/// Maximum number of connections of lease holders.
 const MAX_PUBLISHER_CONNECTIONS: usize = 256;
-/// The pause after a connection could not be accepted: descriptors have run out, most likely, and some may be closed
-/// meanwhile.
+/// Delay after a failed accept, most likely for want of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What is recorded of an effect.
+/// Record of an effect.
 #[derive(Serialize)]
 struct EffectRecord<'a> {
     #[serde(rename = "duty")]
@@ -33,8 +32,8 @@
     sequence: u64,
 }
 
-/// Serves connections of lease holders for as long as the listener lasts. `apply` gets what was accepted, in the order
-/// accepted, and gives what is sent back.
+/// Serves connections of lease holders. `apply` is called with each accepted effect, in the order of acceptance, and
+/// returns the payload of the response.
 pub async fn serve_effects(
     member: Member,
     listener: TcpListener,
@@ -57,7 +56,7 @@
     }
 }
 
-/// Serves one connection until it ends.
+/// Serves one connection until it is closed.
 async fn serve_publisher(
     member: &Member,
     stream: TcpStream,
@@ -80,7 +79,7 @@
     }
 }
 
-/// The name of the lease holder that connects.
+/// Validates the hello and returns the name of the lease holder.
 fn lease_holder_name(member: &Member, hello: ClientHello) -> Result<String, HandshakeRejection> {
     validate_client_hello(&hello, &member.config().installation)?;
     match hello.identity {
@@ -89,7 +88,7 @@
     }
 }
 
-/// Checks the token of an effect by the clock, and records the result.
+/// Checks the fencing token of an effect and records the result.
 fn check_token(member: &Member, effect: &Effect, holder: &str) -> Result<(), EffectRejection> {
     let now = clock::now();
     let checked = member.lease_client().borrow_mut().accept_effect(&effect.lease, effect.token, now);
--- a/crates/cluster-member/src/endpoint_list.rs
+++ b/crates/cluster-member/src/endpoint_list.rs
@@ -1,44 +1,43 @@
-//! The endpoint list: one lease holder follows discovery and broadcasts the complete list to all members. Pure: no I/O and
-//! no clock.
+//! Endpoint list: one lease holder watches discovery and broadcasts the complete list to all members. Pure: no I/O and no
+//! clock.
 //!
-//! A member takes in an event only if discovery's own revision says that it is newer than what is known, whatever arrived
-//! first. An event counts as a sign of life only because the lease holder sends one only when discovery has sent
-//! something to it; so a member that relies on the lease holder notices a silent discovery as soon as one that watches by
-//! itself.
+//! A member applies an event only if its discovery revision is newer than the last one applied, in whatever order events
+//! arrive. The lease holder sends an event only when discovery has responded, so each event shows that discovery is alive:
+//! a member that relies on the lease holder notices a silent discovery as soon as one that watches it itself.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
-/// The name of the lease.
+/// Name of the lease.
 pub const ENDPOINT_LIST_LEASE: &str = "list";
 
-/// What the lease holder broadcasts.
+/// Event that the lease holder broadcasts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// Which discovery its revisions count at: those of another source say nothing here.
+    /// Name of the discovery that counts the revisions; those of different sources are not comparable.
     pub source: String,
-    /// How many members there are, over which polls are spread when they lose their lease holder.
+    /// Number of members, over which polls are spread when the lease holder is lost.
     #[serde(rename = "members")]
     pub member_count: u64,
-    /// The complete list, as discovery sends it; or only its revision, where nothing changed.
+    /// Complete list as discovery sends it, or only its revision if nothing changed.
     pub list: Value,
 }
 
 impl WatchEvent {
-    /// The revision of discovery's that this is about; 0 where it names none.
+    /// Returns the discovery revision of the event; 0 if it has none.
     pub fn revision(&self) -> u64 {
         self.list["revision"].as_u64().unwrap_or(0)
     }
 
-    /// Whether the complete list is in it.
+    /// Returns whether the event contains the complete list.
     pub fn is_complete(&self) -> bool {
         self.list["members"].is_array()
     }
 }
 
-/// The list as received from discovery piece by piece, each entry as discovery wrote it.
+/// Endpoint list assembled from complete lists and changes, with entries in the form of discovery.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EndpointSnapshot {
     revision: u64,
@@ -47,7 +46,7 @@
 }
 
 impl EndpointSnapshot {
-    /// Takes in a list, complete or changes. One that is older than what is known is left out.
+    /// Applies a complete list or changes. Older revisions than the present one are ignored.
     pub fn apply(&mut self, list: &Value) {
         let (Some(revision), Some(members)) = (list["revision"].as_u64(), list["members"].as_array()) else {
             return;
@@ -74,23 +73,23 @@
         }
     }
 
-    /// The complete list, if one was ever received.
+    /// Returns the complete list; `None` before one was received.
     pub fn complete_list(&self) -> Option<Value> {
         let members: Vec<&Value> = self.entries.values().collect();
         self.complete.then(|| json!({"revision": self.revision, "complete": true, "members": members}))
     }
 
-    /// The entries, as discovery wrote them; none before a complete list was received.
+    /// Iterates over the entries in the form of discovery; over none before a complete list was received.
     pub fn entries(&self) -> impl Iterator<Item = &Value> {
         self.entries.values().filter(|_| self.complete)
     }
 
-    /// The revision of what is known.
+    /// Returns the revision of the list.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Forgets all: what comes next comes from another discovery.
+    /// Clears the list, because the next one comes from another discovery.
     pub fn clear(&mut self) {
         *self = EndpointSnapshot::default();
     }
--- a/crates/cluster-member/src/health_check/mod.rs
+++ b/crates/cluster-member/src/health_check/mod.rs
@@ -1,16 +1,15 @@
-//! Health checks: the workers are cut into sets, and the holder of each set's lease probes its workers and reports to all
-//! members which of them fail. Pure: no I/O and no clock.
+//! Health checks: the workers are partitioned into sets; the holder of each set's lease, its *observer*, probes the workers
+//! of the set and reports the failing ones to all members. Pure: no I/O and no clock.
 //!
-//! What holds:
+//! Invariants:
 //!
-//! 1. *A worker is probed at most once an interval, whoever does it.* A lease holder probes each worker first one interval
-//!    after its term began, so after the last probe of the term before, and then an interval after the last probe was
-//!    sent.
-//! 2. *An observer that is cut off condemns nobody.* A worker that fails counts only where its observer saw another worker
-//!    of that zone healthy between the first and the last of these failures, or where an observer of another zone finds
-//!    the whole zone unreachable too; and never where the observer sees no healthy worker at all.
-//! 3. *Reports expire.* Without a fresh report nothing is held against a worker for longer than the stated time, and a
-//!    report that was delayed is as old as its delay.
+//! 1. *A worker is probed at most once per interval, over all members.* A lease holder first probes a worker one interval
+//!    after its term began, hence after the last probe of the previous term, and then one interval after each probe.
+//! 2. *A partitioned observer causes no unhealthy verdict.* A failing worker is considered unhealthy only if its observer
+//!    saw another worker of the zone healthy between the first and the last failure, or if an observer in another zone
+//!    finds the whole zone unreachable too; and never if the observer sees no healthy worker at all.
+//! 3. *Reports expire.* A verdict ends with the time to live of its report, and the delay of a report counts towards its
+//!    age.
 
 mod config;
 mod report;
--- a/crates/cluster-member/src/health_check/report.rs
+++ b/crates/cluster-member/src/health_check/report.rs
@@ -1,63 +1,63 @@
-//! What the holder of a set's lease reports to all members.
+//! Report of the holder of a set's lease to all members.
 
 use coordination::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What an observer sees of one zone.
+/// State of one zone as seen by an observer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneReport {
-    /// The zone.
+    /// Name of the zone.
     pub name: String,
-    /// Some worker of it was seen healthy of late, in whichever set the observer checks.
+    /// Whether the observer saw a worker of the zone healthy recently, in any of its sets.
     pub reachable: bool,
-    /// The number of its workers that fail.
+    /// Number of failing workers in the zone.
     pub failing_count: u32,
 }
 
-/// A worker that fails.
+/// Failing worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailingWorker {
-    /// The worker, by the number that all members know it by.
+    /// Number of the worker, which is the same at all members.
     pub worker: u64,
-    /// The index of its zone in [`HealthReport::zones`].
+    /// Index of its zone in [`HealthReport::zones`].
     pub zone_index: u16,
-    /// How often it failed in a row.
+    /// Number of consecutive failures.
     pub consecutive_failures: u16,
-    /// How long before [`HealthReport::sent_at`] it failed last, in microseconds.
+    /// Time from the last failure to [`HealthReport::sent_at`], in microseconds.
     pub age: Micros,
-    /// Another worker of its zone was seen healthy between the first and the last of these failures.
+    /// Whether another worker of its zone was seen healthy between the first and the last of these failures.
     pub zone_reachable: bool,
 }
 
-/// What the holder of a set's lease reports.
+/// Report of the holder of a set's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthReport {
-    /// The observer's own zone.
+    /// Zone of the observer.
     pub observer_zone: String,
-    /// When it was sent, by the observer's clock: only differences within one term mean something.
+    /// Time of sending by the observer's clock. Only differences within one term are meaningful.
     pub sent_at: Micros,
-    /// It sees some healthy worker somewhere.
+    /// Whether the observer saw a healthy worker recently, in any zone.
     pub sees_healthy_worker: bool,
-    /// What it sees of each zone.
+    /// Zones of the checked workers.
     pub zones: Vec<ZoneReport>,
-    /// The workers that fail.
+    /// Failing workers.
     pub failing: Vec<FailingWorker>,
 }
 
 impl HealthReport {
-    /// The bytes of the message.
+    /// Encodes the report.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// The report in these bytes; `None` where they hold none, or one with a worker of no zone.
+    /// Decodes a report; returns `None` if it is malformed, or the zone of a worker is missing.
     pub fn decode(bytes: &[u8]) -> Option<HealthReport> {
         let report: HealthReport = postcard::from_bytes(bytes).ok()?;
         let known_zone = |failing: &FailingWorker| usize::from(failing.zone_index) < report.zones.len();
         report.failing.iter().all(known_zone).then_some(report)
     }
 
-    /// Whether it sees no healthy worker of that zone, and some that fail.
+    /// Returns whether the observer sees no healthy worker of the zone, and at least one failing.
     pub(super) fn zone_unreachable(&self, zone: &str) -> bool {
         self.zones.iter().any(|seen| seen.name == zone && !seen.reachable && seen.failing_count > 0)
     }
--- a/crates/cluster-member/src/health_check/scheduler.rs
+++ b/crates/cluster-member/src/health_check/scheduler.rs
@@ -1,4 +1,4 @@
-//! When the workers of one set are probed, and what is reported of them, in one term of the set's lease.
+//! Schedule of the probes and reports of one set, in one term of its lease.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
 
 use super::{FailingWorker, HealthCheckConfig, HealthReport, InjectedBug, ZoneReport};
 
-/// Between two reports of one lease holder there is at least this, in microseconds.
+/// Minimum interval between two reports of a lease holder, in microseconds.
 const MIN_REPORT_INTERVAL: Micros = 100_000;
-/// Workers that are new are probed first within this part of an interval after the first, so that they do not all meet.
+/// The first probes of new workers are spread over this fraction of an interval.
 const INITIAL_SPREAD_DIVISOR: u64 = 4;
-/// A worker was seen healthy of late within so many intervals.
+/// Number of probe intervals for which a healthy result counts as recent.
 const RECENT_INTERVALS: u64 = 2;
 
-/// When some worker of each zone was last seen healthy, over all sets that one process checks.
+/// Time of the last healthy result in each zone, over all sets that one process checks.
 #[derive(Debug, Clone, Default)]
 pub struct ZoneLiveness(BTreeMap<String, Micros>);
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// One worker as its observer knows it.
+/// Probe state of one worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct WorkerProbeState {
     zone: String,
@@ -39,13 +39,13 @@
     in_flight: bool,
     consecutive_failures: u16,
     first_failure: Micros,
-    /// Another worker of its zone was seen healthy between the first and the last failure.
+    /// Whether another worker of its zone was seen healthy between the first and the last failure.
     zone_reachable: bool,
-    /// When a probe last had a result, healthy or not.
+    /// Time of the last result, healthy or not.
     last_result: Option<Micros>,
 }
 
-/// What is reported of a worker: where it changes, a report is due.
+/// Reported part of the probe state. A report is due when it changes.
 #[derive(PartialEq)]
 struct ReportedState {
     failing: bool,
@@ -83,37 +83,37 @@
             self.first_failure = now;
         }
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
-        // Healthy workers are looked for at each failure and not later: those seen when a cut has healed say nothing of
-        // what failed during it.
+        // Evaluated at each failure and not later: a worker that is seen healthy after a partition has healed is no
+        // evidence about failures during the partition.
         self.zone_reachable |=
             self.consecutive_failures > 1 && zones.healthy_since(&self.zone, self.first_failure);
         self.last_result = Some(now);
     }
 }
 
-/// The numbers of workers of a set.
+/// Numbers of workers of a set.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkerCounts {
-    /// All of them.
+    /// Number of checked workers.
     pub checked: usize,
-    /// Those that fail.
+    /// Number of failing workers.
     pub failing: usize,
 }
 
-/// The probes and reports of one set, in one term.
+/// Scheduler of the probes and reports of one set, in one term.
 #[derive(Debug, Clone)]
 pub struct HealthCheckScheduler {
     config: HealthCheckConfig,
-    /// The observer's own zone.
+    /// Zone of the observer.
     zone: String,
     workers: BTreeMap<u64, WorkerProbeState>,
     last_report: Option<Micros>,
-    /// What is reported of a worker has changed since the last report.
+    /// Whether the reported state of a worker has changed since the last report.
     changed: bool,
 }
 
 impl HealthCheckScheduler {
-    /// A term begins. `zone` is the observer's own.
+    /// Creates a scheduler at the start of a term. `zone` is the zone of the observer.
     pub fn new(config: HealthCheckConfig, zone: &str) -> HealthCheckScheduler {
         HealthCheckScheduler {
             config,
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Takes in the workers of the set as they are now, with their zones. What is new is probed an interval from now, since
-    /// another lease holder may have probed it until now.
+    /// Sets the workers of the set, with their zones. New ones are first probed after one interval, since another lease
+    /// holder may have probed them until now.
     pub fn update_workers<'a>(&mut self, now: Micros, workers: impl Iterator<Item = (u64, &'a str)>) {
         let workers: BTreeMap<u64, &str> = workers.collect();
         self.workers.retain(|id, _| workers.contains_key(id));
@@ -147,7 +147,7 @@
         }
     }
 
-    /// The workers to be probed now. Each is given out once until its probe has finished.
+    /// Returns the workers to be probed now. A worker is not returned again until its probe has finished.
     pub fn due_probes(&mut self, now: Micros) -> Vec<u64> {
         let mut due = Vec::new();
         for (id, worker) in &mut self.workers {
@@ -159,14 +159,14 @@
         due
     }
 
-    /// A probe is about to be sent: the next is an interval later.
+    /// Records that a probe is about to be sent; the next one is due an interval later.
     pub fn probe_sent(&mut self, worker: u64, now: Micros) {
         if let Some(worker) = self.workers.get_mut(&worker) {
             worker.next_probe = now + self.config.probe_interval;
         }
     }
 
-    /// A probe has finished: the worker is healthy, or fails, or nothing was learnt of it (`None`).
+    /// Records the result of a probe; `None` if it has none.
     pub fn probe_finished(
         &mut self,
         worker: u64,
@@ -177,7 +177,7 @@
         let Some(worker) = self.workers.get_mut(&worker) else { return };
         worker.in_flight = false;
         if worker.next_probe <= now {
-            // Nothing was sent.
+            // The probe was not sent.
             worker.next_probe = now + self.config.probe_interval;
         }
         let Some(healthy) = healthy else { return };
@@ -191,7 +191,7 @@
         self.changed |= before != worker.reported(self.config.failure_threshold);
     }
 
-    /// The report to be sent now, if one is due.
+    /// Returns the report to be sent now, if one is due.
     pub fn next_report(&mut self, now: Micros, zones: &ZoneLiveness) -> Option<HealthReport> {
         if !self.report_due(now) {
             return None;
@@ -236,14 +236,14 @@
         report
     }
 
-    /// The numbers of workers that are checked and that fail.
+    /// Returns the numbers of checked and failing workers.
     pub fn worker_counts(&self) -> WorkerCounts {
         let fails = |worker: &&WorkerProbeState| worker.consecutive_failures >= self.config.failure_threshold;
         WorkerCounts { checked: self.workers.len(), failing: self.workers.values().filter(fails).count() }
     }
 }
 
-/// The index of a zone in a report, which it is added to where it is not there yet.
+/// Returns the index of a zone in a report, after adding it if necessary.
 fn zone_index(reported: &mut Vec<ZoneReport>, zone: &str, zones: &ZoneLiveness, recent: Micros) -> usize {
     if let Some(index) = reported.iter().position(|known| known.name == zone) {
         return index;
--- a/crates/cluster-member/src/health_check/verdict.rs
+++ b/crates/cluster-member/src/health_check/verdict.rs
@@ -1,4 +1,4 @@
-//! Which workers are held to fail, by the reports of all lease holders.
+//! Unhealthy verdicts, derived from the reports of all lease holders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,15 +6,15 @@
 
 use super::{FailingWorker, HealthCheckConfig, HealthReport, InjectedBug};
 
-/// The latest report of one set.
+/// Latest report of one set.
 #[derive(Debug, Clone)]
 struct ReceivedReport {
-    /// When it was sent, by the receiver's clock.
+    /// Time of sending, converted to the receiver's clock.
     sent_at: Micros,
     report: HealthReport,
 }
 
-/// What a member has received of the reports on all sets.
+/// Latest reports of all sets, as received by one member.
 #[derive(Debug, Clone)]
 pub struct HealthReports {
     config: HealthCheckConfig,
@@ -22,38 +22,37 @@
     clock_offsets: BTreeMap<u16, ClockOffset>,
 }
 
-/// How the receiver's clock stands to that of a set's lease holder. Only the present term of a set counts, so that there
-/// are no more of these than sets.
+/// Difference between the clocks of the receiver and of a set's lease holder, in the present term of the set's lease.
 #[derive(Debug, Clone, Copy)]
 struct ClockOffset {
     token: FencingToken,
-    /// The smallest difference between the receiver's clock and [`HealthReport::sent_at`]: the fastest report of the term.
+    /// Smallest difference between the time of receipt and [`HealthReport::sent_at`]: that of the fastest report.
     smallest: i128,
 }
 
-/// That a worker is held to fail.
+/// Verdict that a worker is unhealthy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UnhealthyVerdict {
-    /// When it last failed, by the receiver's clock.
+    /// Time of the last failure, by the receiver's clock.
     pub last_failure: Micros,
-    /// When the verdict expires if no other report comes.
+    /// Time at which the verdict expires unless another report arrives.
     pub expires_at: Micros,
 }
 
 impl HealthReports {
-    /// No report was received yet.
+    /// Creates a collection without reports.
     pub fn new(config: HealthCheckConfig) -> HealthReports {
         HealthReports { config, reports: BTreeMap::new(), clock_offsets: BTreeMap::new() }
     }
 
-    /// Records a report of the holder of a set's lease, whose token was accepted.
+    /// Records a report of the holder of a set's lease, whose fencing token was accepted.
     pub fn record(&mut self, set: u16, token: FencingToken, report: HealthReport, now: Micros) {
         let offset = i128::from(now) - i128::from(report.sent_at);
         let new_term = ClockOffset { token, smallest: offset };
         let known = self.clock_offsets.get(&set).copied().filter(|known| known.token == token);
         let fastest = known.unwrap_or(new_term).smallest.min(offset);
         self.clock_offsets.insert(set, ClockOffset { token, smallest: fastest });
-        // What took longer than the fastest report is older by that much.
+        // A report that took longer than the fastest one is older by the difference.
         let delay = u64::try_from(offset - fastest).unwrap_or(u64::MAX);
         self.reports.insert(set, ReceivedReport { sent_at: now.saturating_sub(delay), report });
     }
@@ -67,7 +66,8 @@
         all.filter(move |(_, received)| self.is_fresh(received, now))
     }
 
-    /// Whether this observer and one of another zone see no healthy worker of a zone, and one somewhere else.
+    /// Returns whether this observer and one in another zone both find a zone unreachable, and the other one is not
+    /// partitioned itself.
     fn zone_unreachable(&self, set: u16, report: &HealthReport, zone: &str, now: Micros) -> bool {
         let confirms = |other: &HealthReport| {
             other.observer_zone != report.observer_zone
@@ -78,7 +78,7 @@
         report.zone_unreachable(zone) && others.any(|(_, other)| confirms(&other.report))
     }
 
-    /// The workers that are held to fail at this moment.
+    /// Returns the unhealthy workers with their verdicts.
     pub fn verdicts(&self, now: Micros) -> BTreeMap<u64, UnhealthyVerdict> {
         let mut verdicts = BTreeMap::new();
         for (set, received) in self.fresh(now) {
@@ -97,13 +97,14 @@
         verdicts
     }
 
-    /// Whether a failure is the worker's and not the observer's. `confirmed`: another observer finds its zone unreachable.
+    /// Returns whether a failure is the worker's and not the observer's. `confirmed` is whether another observer finds the
+    /// zone unreachable.
     fn credible(&self, report: &HealthReport, failing: &FailingWorker, confirmed: bool) -> bool {
         let trusts_all = self.config.injected_bug == Some(InjectedBug::TrustEveryReport);
         trusts_all || (report.sees_healthy_worker && (failing.zone_reachable || confirmed))
     }
 
-    /// The sets of which a fresh report is known.
+    /// Returns the sets with a fresh report.
     pub fn observed_sets(&self, now: Micros) -> BTreeSet<u16> {
         self.fresh(now).map(|(set, _)| set).collect()
     }
--- a/crates/cluster-member/src/lib.rs
+++ b/crates/cluster-member/src/lib.rs
@@ -1,9 +1,9 @@
-//! A member of the cluster: the messages between members and the coordinator, framed connections, the session, and effects
-//! of lease holders that reach receivers with their fencing token; and what three kinds of lease are for, as pure logic:
+//! Cluster membership of a dispatcher: messages between members and the coordinator, framed connections, the session, and
+//! effects of lease holders with their fencing tokens; and the pure logic of the three tasks that leases are granted for:
 //! the endpoint list, health checks and slow start.
 //!
-//! Nothing here is on the way of a request: a member that reaches no replica of the coordinator goes on as if there were
-//! no cluster.
+//! No request of a client waits for this package: a member that reaches no replica of the coordinator works as if there
+//! were no cluster.
 
 pub mod clock;
 pub mod coordinator_client;
--- a/crates/cluster-member/src/member/mod.rs
+++ b/crates/cluster-member/src/member/mod.rs
@@ -1,4 +1,4 @@
-//! A member of the cluster: its session at the coordinator, the leases that it holds, the other members.
+//! Cluster member: its session at the coordinator, its leases, and the list of other members.
 
 mod replica_selection;
 mod session;
@@ -19,64 +19,64 @@
 use replica_selection::{Backoff, Replica, ReplicaSelection};
 use session::SessionOutcome;
 
-/// How a member is configured.
+/// Configuration of a member.
 #[derive(Debug, Clone)]
 pub struct MemberConfig {
-    /// The installation.
+    /// Name of the installation.
     pub installation: String,
-    /// The member's name.
+    /// Name of the member.
     pub name: String,
-    /// Its zone, or nothing.
+    /// Zone of the member; may be empty.
     pub zone: String,
-    /// Where other members reach it.
+    /// Address at which other members reach it.
     pub address: String,
-    /// The replicas of the coordinator, by number.
+    /// Addresses of the replicas of the coordinator, by number.
     pub replicas: BTreeMap<u64, SocketAddr>,
-    /// The address that connections come from.
+    /// Local address of outgoing connections.
     pub local_address: Option<IpAddr>,
-    /// The times, the same as the coordinator's.
+    /// Durations of sessions and calls; the same as at the coordinator.
     pub timing: Timing,
-    /// The leases that it may be granted.
+    /// Leases that the member may be granted.
     pub eligible_leases: Vec<LeaseId>,
-    /// Seed of its pauses.
+    /// Seed of the delays between attempts.
     pub seed: u64,
 }
 
-/// A member of the cluster. Clones are the same member.
+/// Cluster member. Clones share one state.
 #[derive(Debug, Clone)]
 pub struct Member {
     config: Rc<MemberConfig>,
     lease_client: Rc<RefCell<LeaseClient>>,
     members: Rc<RefCell<MemberList>>,
-    /// Changes whenever the leases that are held, or the view of them, may have changed.
+    /// Incremented whenever the leases of this member, or its view, may have changed.
     change_count: watch::Sender<u64>,
     leave_requested: watch::Sender<bool>,
-    /// Terms to be released.
+    /// Terms that wait to be released.
     pending_releases: watch::Sender<Vec<Term>>,
     recorder: Recorder,
 }
 
-/// A term of a lease.
+/// Term of a lease.
 type Term = (LeaseId, FencingToken);
 
-/// Why a member is none any more.
+/// Reason for the end of a membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipEnd {
-    /// It ended its session.
+    /// The member ended its session.
     Left,
-    /// A later process of the same name is there.
+    /// A later process of the same name has a session.
     Superseded {
-        /// Which.
+        /// Incarnation of the later process.
         incarnation: u64,
     },
-    /// The coordinator rejects it.
+    /// The coordinator rejects the member.
     Rejected(CommandRejection),
     /// No replica of the coordinator is configured.
     NoReplicas,
 }
 
 impl Member {
-    /// A member that has no session yet.
+    /// Creates a member without a session; [`Member::run`] opens one.
     pub fn new(config: MemberConfig, lease_client: LeaseClient, recorder: Recorder) -> Member {
         Member {
             config: Rc::new(config),
@@ -89,42 +89,42 @@
         }
     }
 
-    /// How it is configured.
+    /// Returns the configuration.
     pub fn config(&self) -> &MemberConfig {
         &self.config
     }
 
-    /// Its session, and what it knows of leases and tokens.
+    /// Returns the state of the session, leases and fencing tokens.
     pub fn lease_client(&self) -> &RefCell<LeaseClient> {
         &self.lease_client
     }
 
-    /// Where it records what it does.
+    /// Returns the recorder.
     pub fn recorder(&self) -> &Recorder {
         &self.recorder
     }
 
-    /// Changes whenever the leases that are held may have changed.
+    /// Returns a receiver that is notified when the leases of this member, or its view, may have changed.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.change_count.subscribe()
     }
 
-    /// The members as last received. Only lease holders receive them.
+    /// Returns the member list that was received last. Only lease holders receive one.
     pub fn members(&self) -> Vec<Peer> {
         self.members.borrow().members.clone()
     }
 
-    /// The terms that this member holds now.
+    /// Returns the leases that this member holds now, with their fencing tokens.
     pub fn held_leases(&self) -> Vec<Term> {
         self.lease_client.borrow().held_leases(clock::now())
     }
 
-    /// Whether this member holds that term at this moment, by a clock that is read here: only then an effect may be sent.
+    /// Returns whether this member holds the term now, by a reading of the clock in this call. Required before each effect.
     pub fn holds_lease(&self, lease: &LeaseId, token: FencingToken) -> bool {
         self.lease_client.borrow().holds_lease(lease, token, clock::now())
     }
 
-    /// Releases a term, because this member cannot do what it is for; another one is granted the lease.
+    /// Releases a term, so that another member is granted the lease.
     pub fn release_lease(&self, lease: LeaseId, token: FencingToken) {
         let term = (lease, token);
         self.pending_releases.send_if_modified(|releases| {
@@ -136,21 +136,21 @@
         });
     }
 
-    /// Ends the session, and with it all leases; [`Member::run`] then returns. Where no replica is reached within the time
-    /// of two calls the session is left to expire.
+    /// Ends the session and all leases; [`Member::run`] then returns. If no replica responds within twice the call timeout,
+    /// the session is left to expire.
     pub fn leave(&self) {
         self.leave_requested.send_replace(true);
     }
 
-    /// Keeps a session for as long as the coordinator lets it.
+    /// Maintains a session until the membership ends.
     pub async fn run(&self) -> MembershipEnd {
         let mut random = fastrand::Rng::with_seed(self.config.seed);
-        // Not from the seed: the next process of this name may well be given the same, and would pass for this one.
+        // Not from the seed: the next process of this name may have the same seed and would be taken for this one.
         let boot_id = clock::random_id();
         let lease = self.config.timing.lease_duration;
         let mut replicas = ReplicaSelection::new(&self.config.replicas, &mut random);
         let mut backoff = Backoff::new(lease);
-        // One wait over all attempts: replicas that reject at once would begin it anew each time.
+        // One timeout over all attempts, so that rejections do not restart it.
         let leave_timeout = self.leave_timeout();
         tokio::pin!(leave_timeout);
         loop {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Ends when this member was requested to leave and has tried to end its session for the time of two calls.
+    /// Completes twice the call timeout after this member was requested to leave.
     async fn leave_timeout(&self) {
         if self.leave_requested.subscribe().wait_for(|requested| *requested).await.is_ok() {
             sleep(Duration::from_micros(2 * self.config.timing.call_timeout)).await;
--- a/crates/cluster-member/src/member/replica_selection.rs
+++ b/crates/cluster-member/src/member/replica_selection.rs
@@ -1,4 +1,4 @@
-//! Which replica of the coordinator a member connects to next, and after which pause.
+//! Selection of the replica that a member connects to next, and the delay before.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,25 +8,25 @@
 
 use crate::wire::LeaderHint;
 
-/// The most replicas that a member knows of: those that are configured and those that came later.
+/// Maximum number of replicas: configured ones and those learned from hints.
 const MAX_REPLICAS: usize = 32;
-/// The span of the first pause, doubled for each attempt up to [`MAX_DOUBLINGS`], in microseconds.
+/// Upper bound of the first delay, in microseconds, doubled for each attempt up to [`MAX_DOUBLINGS`].
 const INITIAL_BACKOFF: Micros = 10_000;
 const MAX_DOUBLINGS: u32 = 8;
-/// No pause is longer than this part of a lease, since a session may be at stake.
+/// Upper bound of each delay, as a divisor of the lease duration: a session may expire meanwhile.
 const MAX_BACKOFF_DIVISOR: Micros = 4;
 
-/// A replica and where it is reached.
+/// Replica with its address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Replica {
     pub(super) id: u64,
     pub(super) address: SocketAddr,
 }
 
-/// The replicas that are configured, and those that came later and lead; connected to in turn.
+/// Round-robin over the configured replicas and leaders learned from hints.
 #[derive(Debug)]
 pub(super) struct ReplicaSelection {
-    /// Those that came later are at the end.
+    /// Configured replicas first, then learned ones.
     replicas: Vec<Replica>,
     current: usize,
 }
@@ -39,12 +39,12 @@
         ReplicaSelection { replicas, current }
     }
 
-    /// The replica to connect to; `None` where no replica is configured.
+    /// Returns the replica to connect to; `None` if none is configured.
     pub(super) fn current(&self) -> Option<Replica> {
         self.replicas.get(self.current).copied()
     }
 
-    /// Selects the leader if it is named and another than the current one, else the next in turn.
+    /// Selects the leader if it is known and not the current replica, the next one in turn otherwise.
     pub(super) fn advance(&mut self, leader: Option<LeaderHint>) {
         let leader = leader.and_then(|leader| self.learn(leader));
         self.current = match leader {
@@ -53,7 +53,7 @@
         };
     }
 
-    /// The index of a leader, after taking in its address.
+    /// Updates the address of a leader and returns its index.
     fn learn(&mut self, leader: LeaderHint) -> Option<usize> {
         let index = self.replicas.iter().position(|replica| replica.id == leader.replica_id);
         let Some(address) = leader.address else { return index };
@@ -69,8 +69,8 @@
     }
 }
 
-/// Pauses between attempts: with full jitter, over a span that grows. The first attempts are quick, since a session may be
-/// at stake, and members that lost the coordinator do not come back in step.
+/// Exponential backoff with full jitter: the first retries are quick, because a session may expire, and members that lost
+/// the coordinator together do not reconnect together.
 #[derive(Debug)]
 pub(super) struct Backoff {
     max_span: Micros,
@@ -82,7 +82,7 @@
         Backoff { max_span: lease / MAX_BACKOFF_DIVISOR, attempts: 0 }
     }
 
-    /// An attempt went well for long enough: the next pause is a short one.
+    /// Resets the backoff after an attempt that succeeded for long enough.
     pub(super) fn reset(&mut self) {
         self.attempts = 0;
     }
--- a/crates/cluster-member/src/member/session.rs
+++ b/crates/cluster-member/src/member/session.rs
@@ -1,4 +1,4 @@
-//! A member's connection to one replica: opens its session, renews it, and takes in what the replica sends.
+//! Connection of a member to one replica: opens and renews the session and applies what the replica sends.
 
 use std::time::Duration;
 
@@ -13,33 +13,33 @@
     Operation, Request, Response, SCHEMA_VERSION,
 };
 
-/// What became of a connection to a replica.
+/// Outcome of a connection to a replica.
 pub(super) enum SessionOutcome {
-    /// Another replica is to be tried, the leader if it is named.
+    /// The member connects to another replica next: the leader if one is named.
     TryAnother(Option<LeaderHint>),
-    /// The membership is over.
+    /// The membership ended.
     Ended(MembershipEnd),
 }
 
-/// What is done after a response.
+/// Next step after a response.
 enum NextStep {
-    /// The next request is due at once.
+    /// Send the next request now.
     RequestNow,
-    /// The session is good until its next renewal.
+    /// Wait until the session has to be renewed.
     AwaitRenewal,
-    /// The connection is of no further use.
+    /// Close the connection.
     Stop(SessionOutcome),
 }
 
-/// The next request of a member, and the session that it is for.
+/// Next request of a member, and the session that it is for.
 struct PlannedRequest {
     session: Option<SessionId>,
     operation: Operation,
-    /// The member was requested to leave when this was planned.
+    /// Whether the member was requested to leave when this was planned.
     leaving: bool,
 }
 
-/// What is recorded of a new session.
+/// Record of a new session.
 #[derive(Serialize)]
 struct SessionRecord {
     incarnation: u64,
@@ -47,7 +47,7 @@
 }
 
 impl Member {
-    /// Keeps the session at one replica, until that fails or is over.
+    /// Maintains the session at one replica until the connection fails or another replica is to be used.
     pub(super) async fn run_session(
         &self,
         replica: Replica,
@@ -80,7 +80,7 @@
         Duration::from_micros(self.config.timing.call_timeout)
     }
 
-    /// Connects to a replica; `None` where it rejects the handshake.
+    /// Connects to a replica; returns `None` if it rejects the handshake.
     async fn connect(&self, replica: Replica) -> Result<Option<Connection>, ConnectionError> {
         let hello = ClientHello {
             schema_version: SCHEMA_VERSION,
@@ -98,10 +98,10 @@
         }
     }
 
-    /// The request that is due; `None` where this member is to leave and has no session.
+    /// Returns the request that is due; `None` if this member leaves and has no session.
     fn plan_request(&self, boot_id: u64) -> Option<PlannedRequest> {
         let now = clock::now();
-        // A session that has expired by this clock is given up: what was known may be old, and a new one learns anew.
+        // A session that has expired by this clock is abandoned: its view may be outdated, and a new session gets a new one.
         let session = self.lease_client.borrow().active_session(now).map(|session| session.id);
         let leaving = *self.leave_requested.borrow();
         let operation = match session {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Only those that hold a lease ask for the members.
+    /// Builds the renewal. Only lease holders request the member list.
     fn renew_session(&self, session: SessionId, now: Micros) -> Operation {
         let lease_client = self.lease_client.borrow();
         let holds_any = !lease_client.held_leases(now).is_empty();
@@ -141,7 +141,7 @@
         Some(Operation::ReleaseLease { lease, token: Some(token) })
     }
 
-    /// The response to a request, and whether a view that came before it was a new one.
+    /// Receives the response to a request. Views that arrive before it are applied.
     async fn receive_response(
         &self,
         connection: &mut Connection,
@@ -162,13 +162,13 @@
         }
     }
 
-    /// Waits until the next renewal is due, or a new view is to be acknowledged, or something is to be requested.
+    /// Waits until a renewal is due, a new view has to be acknowledged, or a request is pending.
     async fn await_renewal(
         &self,
         connection: &mut Connection,
         requested_at: Micros,
     ) -> Result<(), ConnectionError> {
-        // By the clock of leases, counted from when the last renewal was requested.
+        // By the clock of leases, from the time at which the last renewal was requested.
         let due_in = (requested_at + self.config.timing.renewal_interval).saturating_sub(clock::now());
         let due = Instant::now() + Duration::from_micros(due_in);
         let mut leave_requested = self.leave_requested.subscribe();
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Takes in a view, and says whether it is a new one.
+    /// Applies a view and returns whether it is a new one.
     fn apply_view(&self, session: SessionId, view: ClusterView) -> bool {
         let is_new = self.lease_client.borrow_mut().on_view_changed(session, view);
         if is_new {
@@ -198,14 +198,14 @@
         is_new
     }
 
-    /// Takes in a response.
+    /// Applies a response.
     fn apply_response(&self, planned: &PlannedRequest, requested_at: Micros, response: Response) -> NextStep {
         let over = matches!(response, Response::Done | Response::Rejected(_));
         if planned.leaving && over {
             return NextStep::Stop(SessionOutcome::Ended(MembershipEnd::Left));
         }
         if matches!(planned.operation, Operation::ReleaseLease { .. }) && over {
-            // Done, or the term was over already.
+            // Released now, or ended before.
             self.pending_releases.send_modify(|releases| drop(releases.remove(0)));
             return NextStep::RequestNow;
         }
@@ -261,7 +261,7 @@
         }
     }
 
-    /// The end of a membership that the coordinator rejects.
+    /// Converts a rejection into the end of the membership.
     fn rejected(&self, reason: CommandRejection) -> MembershipEnd {
         match reason {
             CommandRejection::Superseded { incarnation } => {
--- a/crates/cluster-member/src/record.rs
+++ b/crates/cluster-member/src/record.rs
@@ -1,4 +1,4 @@
-//! Records of what a process did and accepted, a JSON object a line, for programs that check them afterwards.
+//! Records of what a process did and accepted, as lines of JSON, for the checkers of experiments.
 
 use std::cell::RefCell;
 use std::fs::File;
@@ -9,11 +9,11 @@
 use coordination::Micros;
 use serde::Serialize;
 
-/// Writes records to a file, or nowhere. Each is written at once and complete, so that a killed process leaves what it did.
+/// Writer of records to a file; disabled by default. Each record is one write, so that a killed process leaves whole lines.
 #[derive(Debug, Clone, Default)]
 pub struct Recorder(Option<Rc<RefCell<File>>>);
 
-/// One line of the file.
+/// Line of the file.
 #[derive(Serialize)]
 struct Line<'a, T> {
     #[serde(rename = "t")]
@@ -24,26 +24,26 @@
 }
 
 impl Recorder {
-    /// Records at the end of this file, made where there is none.
+    /// Creates a recorder that appends to this file, which is created if it does not exist.
     ///
     /// # Errors
-    /// The file cannot be opened.
+    /// Returns an error if the file cannot be opened.
     pub fn append_to(path: &Path) -> io::Result<Recorder> {
         let file = File::options().create(true).append(true).open(path)?;
         Ok(Recorder(Some(Rc::new(RefCell::new(file)))))
     }
 
-    /// Whether records go anywhere.
+    /// Returns whether records are written.
     pub fn is_enabled(&self) -> bool {
         self.0.is_some()
     }
 
-    /// Records that something of this kind was done at this reading of [`crate::clock::now`], with fields that say more.
+    /// Writes a record of this kind with its fields. `time` is a reading of [`crate::clock::now`].
     pub fn record<T: Serialize>(&self, time: Micros, kind: &str, fields: T) {
         let Some(file) = &self.0 else { return };
         let Ok(mut line) = serde_json::to_vec(&Line { time, kind, fields }) else { return };
         line.push(b'\n');
-        // A record that cannot be written is missing for the checker, and the process goes on.
+        // A failed write costs the checker a record, and must not stop the process.
         let _ = file.borrow_mut().write_all(&line);
     }
 }
--- a/crates/cluster-member/src/settings.rs
+++ b/crates/cluster-member/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that members and coordinators share, from HCL.
+//! Settings shared by members and coordinators, read from HCL.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,42 +9,42 @@
 use crate::health_check::{HealthCheckConfig, InjectedBug};
 use crate::slow_start::QuotaConfig;
 
-/// Bytes of a text that has to be there.
+/// Maximum length of a required text, in bytes.
 const MAX_TEXT_BYTES: usize = 128;
-/// The highest number of a replica.
+/// Highest number of a replica.
 const MAX_REPLICA_ID: u64 = 1_000_000;
-/// The most milliseconds that any time may have.
+/// Upper bound of all times, in milliseconds.
 const MAX_TIME_MS: u64 = 600_000;
-/// The most by which two clocks' rates may differ, in parts of a million.
+/// Upper bound of the difference between the rates of two clocks, in parts per million.
 const MAX_SKEW_PPM: u64 = 100_000;
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// How often a worker is probed, in milliseconds, where the file does not say.
+/// Default probe interval, in milliseconds.
 const DEFAULT_PROBE_INTERVAL_MS: u64 = 1_000;
-/// Into how many sets the workers are cut, where the file does not say.
+/// Default number of sets of workers.
 const DEFAULT_SETS: u64 = 8;
-/// The most sets: a member is eligible for so many leases beside others.
+/// Maximum number of sets of workers: each has a lease, and the leases of a member are limited.
 const MAX_SETS: u64 = 100;
-/// After how many failures in a row a worker is reported, where the file does not say.
+/// Default number of consecutive failures after which a worker is reported.
 const DEFAULT_FAILURE_THRESHOLD: u64 = 2;
-/// The most failures in a row that may be asked for.
+/// Maximum of the failure threshold.
 const MAX_FAILURE_THRESHOLD: u64 = 100;
-/// For how many probe intervals a report counts, where the file does not say.
+/// Default time to live of a report, in probe intervals.
 const DEFAULT_TTL_INTERVALS: u64 = 4;
-/// The fewest probe intervals for which a report may count.
+/// Minimum time to live of a report, in probe intervals.
 const MIN_TTL_INTERVALS: u64 = 2;
 
-/// How long a grant may be used, in milliseconds, where the file does not say.
+/// Default time to live of a grant, in milliseconds.
 const DEFAULT_GRANT_TTL_MS: u64 = 500;
-/// The fraction of what a worker in slow start tolerates that may be granted, at most and where the file does not say. The
-/// planned shares of two slices may meet in one window, so more than half is never free.
+/// Default and maximum fraction of the tolerated work of a worker in slow start that may be granted. The planned shares of
+/// two slices may meet in one window and take the other half.
 const MAX_GRANTABLE_FRACTION: f64 = 0.5;
 
-/// A text that has to be there, of 1 to 128 bytes.
+/// Reads a required text of 1 to 128 bytes.
 ///
 /// # Errors
-/// It is missing, empty or too long.
+/// Returns an error that names the key if the text is missing, empty or too long.
 pub fn required_text(section: &Section, key: &str) -> HclResult<String> {
     match section.string(key)? {
         Some(text) if !text.is_empty() && text.len() <= MAX_TEXT_BYTES => Ok(text),
@@ -53,19 +53,19 @@
     }
 }
 
-/// An address that has to be there.
+/// Reads a required address.
 ///
 /// # Errors
-/// It is missing, or none.
+/// Returns an error that names the key if the address is missing or malformed.
 pub fn required_address(section: &Section, key: &str) -> HclResult<SocketAddr> {
     let text = required_text(section, key)?;
     text.parse().map_err(|_| section.error(key, format!("{text:?} is no address; wanted IP:PORT")))
 }
 
-/// The blocks `keeper "NUMBER" { address = "IP:PORT" }`.
+/// Reads the blocks `keeper "NUMBER" { address = "IP:PORT" }`.
 ///
 /// # Errors
-/// There are not three or five, or one is wrong.
+/// Returns an error if there are not three or five, or a label or address is invalid.
 pub fn replicas(top: &Section) -> HclResult<BTreeMap<u64, SocketAddr>> {
     let mut replicas = BTreeMap::new();
     for section in top.sections("keeper") {
@@ -82,10 +82,10 @@
     }
 }
 
-/// The times in the block `times`, in milliseconds, checked against each other.
+/// Reads the times in the block `times`, in milliseconds, and checks them against each other.
 ///
 /// # Errors
-/// One is out of bounds, or two do not fit together: the error names both.
+/// Returns an error if a time is out of bounds, or one that names both keys if two contradict each other.
 pub fn timing(top: &Section) -> HclResult<Timing> {
     let mut timing = Timing::default();
     let Some(section) = top.section("times")? else { return Ok(timing) };
@@ -112,10 +112,10 @@
     Ok(timing)
 }
 
-/// The block `watch`: how workers are checked. The number of zones is filled in by the caller, who knows it.
+/// Reads the block `watch` with the settings of health checks. The caller sets the number of zones.
 ///
 /// # Errors
-/// A figure is out of bounds, or two do not fit together: the error names both.
+/// Returns an error if a number is out of bounds, or one that names both keys if two contradict each other.
 pub fn health_check_config(section: &Section) -> HclResult<HealthCheckConfig> {
     let interval_ms = section.integer("every_ms", 100..=60_000)?.unwrap_or(DEFAULT_PROBE_INTERVAL_MS);
     let ttl_ms = section.integer("holds_ms", 200..=MAX_TIME_MS)?;
@@ -138,11 +138,10 @@
     })
 }
 
-/// The block `cold`: how quotas of workers in slow start are granted. The time for deliveries is filled in by the caller,
-/// who knows it.
+/// Reads the block `cold` with the settings of slow-start quotas. The caller sets the delivery timeout.
 ///
 /// # Errors
-/// A figure is missing or out of bounds.
+/// Returns an error if a number is missing or out of bounds.
 pub fn quota_config(section: &Section, timing: &Timing) -> HclResult<QuotaConfig> {
     let slots = section.number("slots", 0.1..=1e6)?;
     let slots = slots
@@ -158,7 +157,7 @@
     })
 }
 
-/// A bug put in on purpose. Only a build for experiments knows the key.
+/// Reads the injected bug. Only builds for experiments have this key.
 #[cfg(feature = "seeded-bugs")]
 fn injected_bug(section: &Section) -> HclResult<Option<InjectedBug>> {
     let Some(name) = section.string("flaw")? else { return Ok(None) };
--- a/crates/cluster-member/src/slow_start/allocator.rs
+++ b/crates/cluster-member/src/slow_start/allocator.rs
@@ -1,4 +1,4 @@
-//! The lease holder's side: who gets how much of which worker's quota.
+//! Allocation of the quotas of workers in slow start, by the lease holder.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,11 +7,11 @@
 use super::messages::MAX_GRANTS;
 use super::{EndpointAges, Grant, QuotaConfig, QuotaGrants, SlowStartProfile, UsageReport};
 
-/// A member that reported nothing for this part of the time to live gets nothing: its clock reading is too old to be of use.
+/// Usage reports expire after this fraction of the time to live of a grant: their clock readings are too old then.
 const USAGE_FRESHNESS_DIVISOR: u64 = 2;
-/// Every member gets some part, so that one that begins to be busy is not left without: this part of the mean.
+/// Minimum weight of a member, as a fraction of the mean usage, so that a member that becomes busy has some quota.
 const MIN_USAGE_WEIGHT: f64 = 0.05;
-/// One grant is for about one job: a smaller one is of use to nobody, of a larger one a rest is left.
+/// Work of a grant, in typical jobs: less is of no use, and a rest of more is lost.
 const TYPICAL_JOBS_PER_GRANT: f64 = 1.25;
 
 #[derive(Debug, Clone, Copy)]
@@ -20,28 +20,28 @@
     usage: UsageReport,
 }
 
-/// A grant that may still be used somewhere.
+/// Grant that a process may still use.
 #[derive(Debug, Clone, Copy)]
 struct OutstandingGrant {
     made_at: Micros,
     work: f64,
 }
 
-/// The allocation of quotas in one term.
+/// Allocator of quotas, in one term.
 #[derive(Debug, Clone)]
 pub struct QuotaAllocator {
     config: QuotaConfig,
     profile: SlowStartProfile,
-    /// Before this nothing is granted: the term before may have granted until it ended.
+    /// Time from which quota is granted: the previous term may have granted until it ended.
     grants_from: Micros,
     usage: BTreeMap<u64, ReceivedUsage>,
-    /// By worker, the oldest first.
+    /// Outstanding grants by worker, the oldest first.
     outstanding: BTreeMap<u64, VecDeque<OutstandingGrant>>,
     total_granted: f64,
 }
 
 impl QuotaAllocator {
-    /// A term begins.
+    /// Creates an allocator at the start of a term.
     pub fn new(config: QuotaConfig, profile: SlowStartProfile, now: Micros) -> QuotaAllocator {
         QuotaAllocator {
             config,
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Records what a member reports.
+    /// Records a usage report.
     pub fn record_usage(&mut self, usage: UsageReport, now: Micros) {
         self.usage.insert(usage.process_id, ReceivedUsage { received_at: now, usage });
     }
 
-    /// What is granted now. `draw` gives random numbers from 0 to 1.
+    /// Grants the available quota. `draw` returns random numbers from 0 to 1.
     pub fn allocate(
         &mut self,
         now: Micros,
@@ -79,7 +79,7 @@
         grants
     }
 
-    /// Grants what is left of one worker's quota, to processes drawn by their weight.
+    /// Grants the rest of one worker's quota to processes drawn by weight.
     fn allocate_worker(
         &mut self,
         worker: u64,
@@ -111,7 +111,7 @@
         self.usage.retain(|_, received| now.saturating_sub(received.received_at) < fresh);
     }
 
-    /// Drops grants that can be used nowhere any more.
+    /// Drops grants that no process can use any more.
     fn drop_settled_grants(&mut self, now: Micros) {
         let period = self.config.accounting_period(&self.profile);
         self.outstanding.retain(|_, grants| {
@@ -122,12 +122,12 @@
         });
     }
 
-    /// Work granted in this term, in slots by seconds.
+    /// Returns the work granted in this term, in slot-seconds.
     pub fn total_granted(&self) -> f64 {
         self.total_granted
     }
 
-    /// The number of members that reported lately.
+    /// Returns the number of members with a fresh usage report.
     pub fn reporting_members(&self) -> usize {
         self.usage.len()
     }
@@ -138,7 +138,7 @@
     weight: f64,
 }
 
-/// The processes that may get grants, weighted by what they use.
+/// Processes that may receive grants, weighted by usage.
 struct WeightedProcesses {
     processes: Vec<WeightedProcess>,
     total_weight: f64,
@@ -159,7 +159,7 @@
         WeightedProcesses { processes, total_weight }
     }
 
-    /// The process at this fraction, from 0 to 1, of the total weight.
+    /// Returns the process at this fraction, from 0 to 1, of the total weight.
     fn pick(&self, fraction: f64) -> Option<&UsageReport> {
         let mut left = fraction * self.total_weight;
         let picked = self.processes.iter().find(|process| {
--- a/crates/cluster-member/src/slow_start/granted_quota.rs
+++ b/crates/cluster-member/src/slow_start/granted_quota.rs
@@ -1,37 +1,37 @@
-//! The receiver's side: which grants a process may use, and until when.
+//! Grants that a process may use.
 
 use coordination::{FencingToken, Micros};
 
 use super::{Grant, QuotaConfig, QuotaGrants};
 
-/// Quota that this process may use now.
+/// Quota that this process may use.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct UsableQuota {
-    /// The worker, by the number that all members know it by.
+    /// Number of the worker, which is the same at all members.
     pub worker: u64,
-    /// So much work, in slots by seconds.
+    /// Work, in slot-seconds.
     pub work: f64,
-    /// When it expires, by this process's clock.
+    /// Time of expiry, by the clock of this process.
     pub expires_at: Micros,
 }
 
-/// What is accepted of the messages of lease holders: each message once, and of it what is for this process.
+/// Filter of grant messages: accepts each message once, and of it the grants for this process.
 #[derive(Debug, Clone)]
 pub struct GrantedQuota {
     process_id: u64,
     grant_ttl: Micros,
-    /// The term and the sequence number of the last message that was accepted.
+    /// Fencing token and sequence number of the last accepted message.
     last_accepted: (FencingToken, u64),
 }
 
 impl GrantedQuota {
-    /// For the process that drew this number.
+    /// Creates a filter for the process with this id.
     pub fn new(process_id: u64, config: &QuotaConfig) -> GrantedQuota {
         GrantedQuota { process_id, grant_ttl: config.grant_ttl, last_accepted: (FencingToken(0), 0) }
     }
 
-    /// What of a message is for this process and has not expired. A message that was accepted before, or an older one,
-    /// gives nothing.
+    /// Accepts a message and returns the unexpired grants for this process; none if the message is not newer than the
+    /// last accepted one.
     pub fn accept(
         &mut self,
         token: FencingToken,
@@ -49,7 +49,7 @@
     fn usable(&self, grant: &Grant, now: Micros) -> Option<UsableQuota> {
         let expires_at = grant.clock_reading + self.grant_ttl;
         let for_this_process = grant.process_id == self.process_id;
-        // A reading of the future is of another process, or none.
+        // A clock reading in the future cannot be one of this process.
         let valid = grant.clock_reading <= now && expires_at > now;
         (for_this_process && valid).then_some(UsableQuota {
             worker: grant.worker,
--- a/crates/cluster-member/src/slow_start/messages.rs
+++ b/crates/cluster-member/src/slow_start/messages.rs
@@ -1,37 +1,37 @@
-//! What the lease holder and the members send each other: grants, and usage in return.
+//! Messages of slow start: grants of the lease holder, and usage reports of the members in response.
 
 use coordination::Micros;
 use serde::{Deserialize, Serialize};
 
-/// The most grants in one message.
+/// Maximum number of grants in one message.
 pub(super) const MAX_GRANTS: usize = 512;
-/// Figures of usage are below this; a higher one is taken for an error of its sender.
+/// Upper bound of the numbers in a usage report; higher ones are invalid.
 const MAX_USAGE_FIGURE: f64 = 1e9;
 
-/// A part of the quota of a worker in slow start, for one process.
+/// Part of the quota of a worker in slow start, granted to one process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The process that it is for, by the number that it drew.
+    /// Id of the process that may use it.
     pub process_id: u64,
-    /// The last reading of that process's clock that the allocator has received.
+    /// Last clock reading of that process that the allocator has received.
     pub clock_reading: Micros,
-    /// The worker, by the number that all members know it by.
+    /// Number of the worker, which is the same at all members.
     pub worker: u64,
-    /// So much work, in slots by seconds.
+    /// Work, in slot-seconds.
     pub work: f64,
 }
 
-/// What the lease holder sends to all members.
+/// Grants that the lease holder sends to all members.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuotaGrants(pub Vec<Grant>);
 
 impl QuotaGrants {
-    /// The bytes of the message.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// The message in these bytes; `None` where they hold none, too many grants, or work that is no positive number.
+    /// Decodes a message; returns `None` if it is malformed, has too many grants, or work that is not positive.
     pub fn decode(bytes: &[u8]) -> Option<QuotaGrants> {
         let grants: QuotaGrants = postcard::from_bytes(bytes).ok()?;
         let valid = |grant: &Grant| grant.work.is_finite() && grant.work > 0.0;
@@ -39,26 +39,26 @@
     }
 }
 
-/// What a member responds to each message of the lease holder that it accepts.
+/// Response of a member to an accepted grant message.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// The process that reports.
+    /// Id of the process that reports.
     pub process_id: u64,
-    /// A reading of its clock from before it reported.
+    /// Reading of its clock before it reported.
     pub clock_reading: Micros,
-    /// Jobs that it began a second, of late.
+    /// Recent rate of started jobs, per second.
     pub jobs_per_second: f64,
-    /// What a typical job asks of a worker there, in slots by seconds.
+    /// Work of a typical job, in slot-seconds.
     pub typical_work: f64,
 }
 
 impl UsageReport {
-    /// The bytes of the message.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// The message in these bytes; `None` where they hold none, or figures that cannot be.
+    /// Decodes a message; returns `None` if it is malformed, or a number is out of bounds.
     pub fn decode(bytes: &[u8]) -> Option<UsageReport> {
         let report: UsageReport = postcard::from_bytes(bytes).ok()?;
         let valid = |figure: f64| figure.is_finite() && (0.0..MAX_USAGE_FIGURE).contains(&figure);
--- a/crates/cluster-member/src/wire/codec.rs
+++ b/crates/cluster-member/src/wire/codec.rs
@@ -1,30 +1,30 @@
-//! Messages as bytes.
+//! Encoding of messages.
 
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// The longest frame, in bytes.
+/// Maximum length of a frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// Why bytes are no message, or a message is not sent.
+/// Error of encoding or decoding a message.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// The bytes are no message of the type that is wanted: the other end is at fault, or speaks another schema.
+    /// The bytes are not a message of the expected type: the other end is at fault, or uses another schema.
     #[error(transparent)]
     Malformed(#[from] postcard::Error),
-    /// The message is longer than a frame may be; it cannot be sent.
+    /// The message exceeds [`MAX_FRAME_BYTES`] and cannot be sent.
     #[error("a message of {length} bytes, over {max}", max = MAX_FRAME_BYTES)]
     TooLong {
-        /// Its length, in bytes.
+        /// Length of the message, in bytes.
         length: usize,
     },
 }
 
-/// The bytes of a message. Encode it once where it goes to many.
+/// Encodes a message. A message for several receivers is encoded once.
 ///
 /// # Errors
-/// The message is longer than a frame may be.
+/// Returns [`MessageError::TooLong`] if the message exceeds [`MAX_FRAME_BYTES`].
 pub fn encode<T: Serialize>(message: &T) -> Result<Bytes, MessageError> {
     let encoded = postcard::to_stdvec(message)?;
     if encoded.len() > MAX_FRAME_BYTES {
@@ -33,10 +33,10 @@
     Ok(encoded.into())
 }
 
-/// The message in these bytes.
+/// Decodes a message.
 ///
 /// # Errors
-/// They are no message of this type.
+/// Returns [`MessageError::Malformed`] if the bytes are not a message of this type.
 pub fn decode<T: DeserializeOwned>(frame: &[u8]) -> Result<T, MessageError> {
     Ok(postcard::from_bytes(frame)?)
 }
--- a/crates/cluster-member/src/wire/connection.rs
+++ b/crates/cluster-member/src/wire/connection.rs
@@ -1,4 +1,4 @@
-//! Connections that carry messages.
+//! Framed connections that carry messages.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -19,27 +19,27 @@
     OLDEST_SCHEMA_VERSION,
 };
 
-/// The longest frame before the other end is known, in bytes.
+/// Maximum length of a frame until the handshake has identified the other end, in bytes.
 const MAX_HANDSHAKE_FRAME_BYTES: usize = 4 << 10;
-/// How long the other end may take for its part of the handshake, or to take a frame.
+/// Timeout of the handshake, and of each write.
 pub const IO_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The outgoing half of a connection.
+/// Sending half of a connection.
 pub type ConnectionWriter = SplitSink<Framed<TcpStream, LengthDelimitedCodec>, Bytes>;
 
-/// Why there is no connection, or no more.
+/// Error of connecting, sending or receiving.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
-    /// The connection could not be made, or broke. Another attempt may succeed.
+    /// Connecting failed, or the connection was lost. A retry may succeed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The other end took longer than [`IO_TIMEOUT`]. Another attempt may succeed.
+    /// The other end took longer than [`IO_TIMEOUT`]. A retry may succeed.
     #[error(transparent)]
     TimedOut(#[from] Elapsed),
-    /// A message cannot be sent, or what came is none.
+    /// A message cannot be encoded, or received bytes cannot be decoded.
     #[error(transparent)]
     Message(#[from] MessageError),
-    /// The other end accepts no connection of this process, until something is changed at one of them.
+    /// The other end rejected the handshake. A retry fails in the same way until one of the two is reconfigured.
     #[error("turned away: {0}")]
     Rejected(HandshakeRejection),
 }
@@ -51,7 +51,7 @@
 }
 
 impl ConnectionError {
-    /// Why the other end rejected the handshake, if it did.
+    /// Returns the reason of a rejected handshake; `None` for other errors.
     pub fn handshake_rejection(&self) -> Option<&HandshakeRejection> {
         match self {
             ConnectionError::Rejected(rejection) => Some(rejection),
@@ -60,22 +60,23 @@
     }
 }
 
-/// A connection that carries messages.
+/// Framed connection that carries messages.
 #[derive(Debug)]
 pub struct Connection(Framed<TcpStream, LengthDelimitedCodec>);
 
 impl Connection {
     fn from_stream(stream: TcpStream) -> Connection {
-        // Small messages are answered by small messages; waiting to fill packets would only add delay.
+        // Requests and responses are small; Nagle's algorithm would only add delay.
         let _ = stream.set_nodelay(true);
         let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_HANDSHAKE_FRAME_BYTES).new_codec();
         Connection(Framed::new(stream, codec))
     }
 
-    /// Connects from a local address, and gives the connection and the name of the other end.
+    /// Connects from a local address. Returns the connection and the name of the other end.
     ///
     /// # Errors
-    /// Nobody is there, it takes too long, or the other end rejects the handshake.
+    /// Returns [`ConnectionError::Rejected`] if the other end rejects the handshake, another [`ConnectionError`] if it
+    /// is not reached or does not complete the handshake within [`IO_TIMEOUT`].
     pub async fn connect(
         to: SocketAddr,
         local_address: Option<IpAddr>,
@@ -87,7 +88,7 @@
             let (connection, response) = timeout(IO_TIMEOUT, handshake).await??;
             match response {
                 ServerHello::Accepted { name } => return Ok((connection, name)),
-                // A server of an older schema: it is spoken to in its own, where that is still known here.
+                // The server supports an older schema only: retries with that one if this program supports it.
                 ServerHello::Rejected(HandshakeRejection::UnsupportedSchema { latest_supported })
                     if (OLDEST_SCHEMA_VERSION..hello.schema_version).contains(&latest_supported) =>
                 {
@@ -114,10 +115,10 @@
         Ok((connection, response))
     }
 
-    /// Takes in a stream and receives its client's hello.
+    /// Wraps an accepted stream and receives the client's hello.
     ///
     /// # Errors
-    /// None comes in time, or what comes cannot be read.
+    /// Returns an error if no hello arrives within [`IO_TIMEOUT`], or it cannot be decoded.
     pub async fn accept(stream: TcpStream) -> Result<(Connection, ClientHello), ConnectionError> {
         let mut connection = Connection::from_stream(stream);
         let hello = timeout(IO_TIMEOUT, connection.receive()).await??;
@@ -127,7 +128,7 @@
     /// Responds to the client's hello.
     ///
     /// # Errors
-    /// The connection is gone.
+    /// Returns an error if the connection is closed.
     pub async fn send_server_hello(&mut self, hello: &ServerHello) -> Result<(), ConnectionError> {
         self.send(hello).await?;
         self.raise_frame_limit();
@@ -141,51 +142,51 @@
     /// Sends a message.
     ///
     /// # Errors
-    /// The message is too long, the connection is gone, or takes nothing for [`IO_TIMEOUT`].
+    /// Returns an error if the message is too long, the connection is closed, or a write takes longer than [`IO_TIMEOUT`].
     pub async fn send<T: Serialize>(&mut self, message: &T) -> Result<(), ConnectionError> {
         self.send_encoded(encode(message)?).await
     }
 
-    /// Sends a message that was encoded before.
+    /// Sends a message that is encoded already.
     ///
     /// # Errors
-    /// The connection is gone, or takes nothing for [`IO_TIMEOUT`].
+    /// Returns an error if the connection is closed, or a write takes longer than [`IO_TIMEOUT`].
     pub async fn send_encoded(&mut self, encoded: Bytes) -> Result<(), ConnectionError> {
         Ok(timeout(IO_TIMEOUT, self.0.send(encoded)).await??)
     }
 
-    /// The bytes of the next message. Cancel safe: whoever stops waiting for it loses nothing.
+    /// Receives the bytes of the next message. Cancel safe: a dropped future loses no bytes.
     ///
     /// # Errors
-    /// The connection is gone.
+    /// Returns an error if the connection is closed.
     pub async fn receive_encoded(&mut self) -> Result<BytesMut, ConnectionError> {
         Ok(self.0.next().await.ok_or(io::ErrorKind::UnexpectedEof)??)
     }
 
-    /// The next message. Cancel safe.
+    /// Receives the next message. Cancel safe.
     ///
     /// # Errors
-    /// The connection is gone, or what came cannot be read.
+    /// Returns an error if the connection is closed, or the message cannot be decoded.
     pub async fn receive<T: DeserializeOwned>(&mut self) -> Result<T, ConnectionError> {
         Ok(decode(&self.receive_encoded().await?)?)
     }
 
-    /// The two halves, for tasks of their own.
+    /// Splits the connection into halves that two tasks can own.
     pub fn split(self) -> (ConnectionWriter, ConnectionReader) {
         let (writer, reader) = self.0.split();
         (writer, ConnectionReader(reader))
     }
 }
 
-/// The incoming half of a connection.
+/// Receiving half of a connection.
 #[derive(Debug)]
 pub struct ConnectionReader(SplitStream<Framed<TcpStream, LengthDelimitedCodec>>);
 
 impl ConnectionReader {
-    /// The next message. Cancel safe.
+    /// Receives the next message. Cancel safe.
     ///
     /// # Errors
-    /// The connection is gone, or what came cannot be read.
+    /// Returns an error if the connection is closed, or the message cannot be decoded.
     pub async fn receive<T: DeserializeOwned>(&mut self) -> Result<T, ConnectionError> {
         let frame = self.0.next().await.ok_or(io::ErrorKind::UnexpectedEof)??;
         Ok(decode(&frame)?)
--- a/crates/cluster-member/src/wire/effect.rs
+++ b/crates/cluster-member/src/wire/effect.rs
@@ -1,26 +1,26 @@
-//! Effects: what a lease holder does at another member.
+//! Effects: messages of a lease holder to other members.
 
 use coordination::{EffectRejection, FencingToken, LeaseId};
 use serde::{Deserialize, Serialize};
 
-/// Something that a lease holder does at a receiver.
+/// Message of a lease holder, checked by its fencing token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Effect {
-    /// On behalf of which lease.
+    /// Lease that the sender holds.
     pub lease: LeaseId,
-    /// In which term.
+    /// Fencing token of the term.
     pub token: FencingToken,
-    /// Counted within the term.
+    /// Sequence number within the term.
     pub sequence: u64,
-    /// What the lease is for says what is in it.
+    /// Payload; the lease determines its type.
     pub body: Vec<u8>,
 }
 
-/// What a receiver responds to an effect.
+/// Response to an effect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EffectResponse {
-    /// It was accepted, with what the receiver has to say in return.
+    /// The effect was accepted; with the payload of the response.
     Accepted(Vec<u8>),
-    /// It was not.
+    /// The effect was rejected.
     Rejected(EffectRejection),
 }
--- a/crates/cluster-member/src/wire/handshake.rs
+++ b/crates/cluster-member/src/wire/handshake.rs
@@ -1,125 +1,125 @@
-//! The handshake: who connects, and whether it is accepted.
+//! Handshake: identity of the client, and whether the server accepts it.
 
 use serde::{Deserialize, Serialize};
 
-/// The version of the messages.
+/// Version of the messages.
 pub const SCHEMA_VERSION: u16 = 3;
-/// The oldest version that is still spoken, with an end that knows no later one.
+/// Oldest version of the messages that is supported, for ends that support no later one.
 pub const OLDEST_SCHEMA_VERSION: u16 = 2;
 
-/// The first frame of whoever connects.
+/// First frame of a client.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClientHello {
-    /// The version of the messages that the client sends, at most [`SCHEMA_VERSION`].
+    /// Version of the messages that the client sends, at most [`SCHEMA_VERSION`].
     pub schema_version: u16,
-    /// The installation, as both ends are configured.
+    /// Name of the installation; the same at both ends.
     pub installation: String,
-    /// Who connects.
+    /// Identity of the client.
     pub identity: ClientIdentity,
 }
 
-/// Who connects.
+/// Identity of a client.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClientIdentity {
-    /// A replica of the coordinator, to another.
+    /// Replica that connects to another replica.
     Replica(StoreIdentity),
-    /// A member, to a replica.
+    /// Member that connects to a replica.
     Member {
-        /// Its name.
+        /// Name of the member.
         name: String,
     },
-    /// An operator, to a replica.
+    /// Operator that connects to a replica.
     Operator,
-    /// A lease holder, to a receiver of its effects.
+    /// Lease holder that connects to a receiver of its effects.
     LeaseHolder {
-        /// Its name.
+        /// Name of the member.
         name: String,
-        /// Which process of that name.
+        /// Incarnation of the member: the number of its process.
         incarnation: u64,
     },
 }
 
-/// What the store of a replica states of itself.
+/// Identity of a replica's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreIdentity {
-    /// The replica's number.
+    /// Number of the replica.
     pub replica_id: u64,
-    /// A number drawn when the store was set up.
+    /// Random number drawn when the store was set up.
     pub store_id: u64,
-    /// How often it was started.
+    /// Number of starts of the replica on this store.
     pub start_count: u64,
-    /// The last term of Raft that it knew at this start.
+    /// Raft term that the store had at this start.
     pub raft_term: u64,
 }
 
-/// The response to [`ClientHello`].
+/// Response to [`ClientHello`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerHello {
     /// The connection is accepted.
     Accepted {
-        /// The name of the replica or member that accepts it.
+        /// Name of the replica or member that accepts it.
         name: String,
     },
     /// The connection is rejected.
     Rejected(HandshakeRejection),
 }
 
-/// Why a connection is rejected.
+/// Reason to reject a connection.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum HandshakeRejection {
-    /// The client sends a version of the messages that is not supported.
+    /// The schema version of the client is not supported.
     #[error(
         "it speaks version {latest_supported} of the messages, this program {oldest} to {latest}",
         oldest = OLDEST_SCHEMA_VERSION,
         latest = SCHEMA_VERSION
     )]
     UnsupportedSchema {
-        /// The latest that is supported by the server.
+        /// Latest schema version that the server supports.
         latest_supported: u16,
     },
-    /// The client names another installation.
+    /// The client belongs to another installation.
     #[error("it belongs to installation {expected:?}")]
     WrongInstallation {
-        /// The server's.
+        /// Installation of the server.
         expected: String,
     },
-    /// The client is a replica that the server does not know.
+    /// The client is a replica that is not in the configuration of the server.
     #[error("it knows no keeper of this number")]
     UnknownReplica,
-    /// The replica was known with another store.
+    /// The replica had another store before.
     #[error("it knows this keeper with another disk; set the keeper up as a new one")]
     StoreMismatch,
-    /// The store was known with more starts or a later term: it is an old copy.
+    /// The store had more starts or a later Raft term before: this is an old copy.
     #[error(
         "it saw this disk with {start_count} starts and term {raft_term}: what is on it now is an old copy, which may \
          not vote; set the keeper up as a new one"
     )]
     StaleStore {
-        /// The starts that were seen.
+        /// Highest number of starts that was seen.
         start_count: u64,
-        /// The term that was seen.
+        /// Highest Raft term that was seen.
         raft_term: u64,
     },
-    /// There are too many connections.
+    /// The server has as many connections as it accepts.
     #[error("it has no room for another connection")]
     TooManyConnections,
-    /// The client's kind is not served at this address.
+    /// The server does not serve clients of this kind.
     #[error("it does not speak with the likes of this at that address")]
     WrongService,
 }
 
-/// Checks the hello of a client.
+/// Checks schema version and installation of a client.
 ///
 /// # Errors
-/// Its schema version is not supported, or it names another installation.
+/// Returns [`HandshakeRejection::UnsupportedSchema`] or [`HandshakeRejection::WrongInstallation`].
 pub fn validate_client_hello(hello: &ClientHello, installation: &str) -> Result<(), HandshakeRejection> {
     validate_client_hello_for_version(SCHEMA_VERSION, hello, installation)
 }
 
-/// The same at a server that supports no later schema version than this.
+/// Checks a client as a server does that supports schema versions up to `latest_supported`.
 ///
 /// # Errors
-/// Its schema version is not supported, or it names another installation.
+/// Returns [`HandshakeRejection::UnsupportedSchema`] or [`HandshakeRejection::WrongInstallation`].
 pub fn validate_client_hello_for_version(
     latest_supported: u16,
     hello: &ClientHello,
--- a/crates/cluster-member/src/wire/messages.rs
+++ b/crates/cluster-member/src/wire/messages.rs
@@ -1,4 +1,4 @@
-//! Requests of members and operators, and what a replica of the coordinator sends them.
+//! Requests of members and operators to a replica, and the messages that a replica sends them.
 
 use std::net::SocketAddr;
 
@@ -8,73 +8,73 @@
 
 use super::{Peer, ReplicaStatus};
 
-/// What a member or an operator requests of a replica.
+/// Request of a member or an operator to a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// A number of the client's; the response has the same.
+    /// Id chosen by the client, repeated in the response.
     pub id: u64,
-    /// What is requested.
+    /// Requested operation.
     pub operation: Operation,
 }
 
-/// What may be requested.
+/// Operation of a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Operation {
     /// Opens a session.
     OpenSession {
-        /// The member's name.
+        /// Name of the member.
         name: String,
-        /// The number that its process drew.
+        /// Random number drawn by its process at the start.
         boot_id: u64,
-        /// Its zone.
+        /// Zone of the member.
         zone: String,
-        /// Where it is reached.
+        /// Address at which other members reach it.
         address: String,
-        /// The leases that it may be granted.
+        /// Leases that the member may be granted.
         eligible_leases: Vec<LeaseId>,
     },
     /// Renews a session.
     RenewSession {
-        /// Which.
+        /// Session to renew.
         session: SessionId,
-        /// The revision of the last view that was applied.
+        /// Revision of the last view that the member applied.
         known_view: Revision,
-        /// The revision of the last list of members that is known, for those who need one.
+        /// Revision of the member list that the member has; `None` if it needs no list.
         known_members: Option<Revision>,
     },
     /// Ends a session.
     CloseSession {
-        /// Which.
+        /// Session to end.
         session: SessionId,
     },
     /// Ends a term of a lease.
     ReleaseLease {
-        /// The lease.
+        /// Lease to release.
         lease: LeaseId,
-        /// Which term; an operator leaves it out.
+        /// Fencing token of the term; `None` for the running one, as an operator requests it.
         token: Option<FencingToken>,
     },
-    /// Asks for the status of the replica.
+    /// Requests the status of the replica.
     Status,
     /// Replaces a replica by a new one.
     ReplaceReplica {
-        /// The one that goes.
+        /// Number of the replica to retire.
         old: u64,
-        /// The one that comes.
+        /// Number of the replica to add.
         new: u64,
-        /// Where the new one is reached.
+        /// Address of the new replica.
         address: String,
     },
-    /// Asks for the disruption state, where that has changed since. Since schema version 3.
+    /// Requests the disruption state if it has changed. Since schema version 3.
     DisruptionState {
-        /// The revision up to which the client knows it.
+        /// Revision of the disruption state that the client has.
         known_revision: Revision,
     },
     /// Changes the disruption state. Since schema version 3.
     ChangeDisruptionState(DisruptionCommand),
 }
 
-/// What a replica sends to a member or an operator.
+/// Message of a replica to a member or an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CoordinatorMessage {
     /// The response to a request.
@@ -93,39 +93,39 @@
     },
 }
 
-/// The response to a request.
+/// Response to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
     /// A session was opened.
     SessionOpened {
-        /// Which.
+        /// Id of the session.
         session: SessionId,
-        /// Which process of that name.
+        /// Incarnation of the member: the number of its process.
         incarnation: u64,
-        /// Which lease has which holder.
+        /// Holders of all leases.
         view: ClusterView,
     },
     /// The session was renewed.
     SessionRenewed {
-        /// Which lease has which holder, if that is later than what was known.
+        /// Holders of all leases; `None` if the member has the latest view.
         view: Option<ClusterView>,
-        /// The members, if asked for and changed.
+        /// Member list; `None` if it was not requested or has not changed.
         members: Option<MemberList>,
     },
-    /// It was done.
+    /// The operation was carried out.
     Done,
-    /// Another replica leads, this one if it is known.
+    /// Another replica leads.
     NotLeader {
-        /// Its number.
+        /// Number of the leader; `None` if there is none.
         leader: Option<u64>,
-        /// Where it is reached, if it came after the installation was set up: a member may not know of it.
+        /// Address of a leader that was added after the installation was set up: members may not have it configured.
         address: Option<String>,
     },
-    /// Not now: request again.
+    /// The replica cannot carry out the operation now. A retry may succeed.
     Busy,
-    /// It was not done.
+    /// The operation was rejected.
     Rejected(CommandRejection),
-    /// The status of the replica.
+    /// Status of the replica.
     Status(Box<ReplicaStatus>),
     /// The disruption state.
     DisruptionState {
@@ -134,30 +134,30 @@
         /// The state; `None` if the client has this revision.
         state: Option<Box<DisruptionState>>,
     },
-    /// What became of a change of the disruption state.
+    /// Outcome of a change of the disruption state.
     DisruptionStateChanged(DisruptionOutcome),
 }
 
-/// The members at a revision.
+/// Members of the cluster at a revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberList {
-    /// The last change that it shows.
+    /// Revision of the last change.
     pub revision: Revision,
-    /// The members, in the order of their names.
+    /// Members, sorted by name.
     pub members: Vec<Peer>,
 }
 
-/// The leader that a replica names, with its address if that was sent and can be read.
+/// Leader named by a replica that does not lead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaderHint {
-    /// Its number.
+    /// Number of the leader.
     pub replica_id: u64,
-    /// Where it is reached.
+    /// Address of the leader, if one was sent and is valid.
     pub address: Option<SocketAddr>,
 }
 
 impl LeaderHint {
-    /// Reads the fields of [`Response::NotLeader`]; `None` where no leader is known.
+    /// Converts the fields of [`Response::NotLeader`]; `None` if they name no leader.
     pub fn new(leader: Option<u64>, address: Option<&str>) -> Option<LeaderHint> {
         let address = address.and_then(|address| address.parse().ok());
         leader.map(|replica_id| LeaderHint { replica_id, address })
--- a/crates/cluster-member/src/wire/mod.rs
+++ b/crates/cluster-member/src/wire/mod.rs
@@ -1,8 +1,8 @@
-//! The messages between processes, and the connections that carry them: postcard in frames with their length before them.
+//! Messages between processes, and the connections that carry them: postcard in length-prefixed frames.
 //!
 //! The order of variants and fields is the format. A connection begins with a [`ClientHello`] and a [`ServerHello`]; both
-//! ends then use the schema version of the hello. What a later version adds is not sent to an end of an older one, which
-//! would not have asked for it.
+//! ends then use the schema version of the client's hello. Messages added in a later version are not sent to an end with
+//! an older one: they are responses to operations that it cannot request.
 
 mod codec;
 mod connection;
--- a/crates/cluster-member/src/wire/status.rs
+++ b/crates/cluster-member/src/wire/status.rs
@@ -1,80 +1,80 @@
-//! The status of a replica, as operators read it. The names in JSON are a format of their own.
+//! Status of a replica, for operators. The JSON keys are a stable format and differ from the field names.
 
 use coordination::{FencingToken, LeaseId, Revision, SessionId};
 use serde::{Deserialize, Serialize};
 
-/// A member as others reach it.
+/// Name and address of a member.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Which process of that name.
+    /// Incarnation of the member: the number of its process.
     pub incarnation: u64,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: String,
-    /// Where it takes effects.
+    /// Address at which it receives effects.
     pub address: String,
 }
 
-/// The status of a replica.
+/// Status of a replica.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
-    /// The replica.
+    /// Number of the replica.
     #[serde(rename = "keeper")]
     pub replica_id: u64,
-    /// Whether it leads.
+    /// Whether the replica leads.
     #[serde(rename = "leads")]
     pub is_leader: bool,
-    /// Who leads, as far as it knows.
+    /// Number of the leader, if the replica knows one.
     #[serde(rename = "leader")]
     pub leader_id: Option<u64>,
-    /// The term of Raft.
+    /// Raft term.
     #[serde(rename = "term")]
     pub raft_term: u64,
-    /// The last entry that it applied.
+    /// Index of the last applied entry.
     #[serde(rename = "applied")]
     pub applied_index: u64,
-    /// The last entry that it knows to be committed.
+    /// Index of the last entry that the replica knows to be committed.
     #[serde(rename = "committed")]
     pub committed_index: u64,
-    /// The first entry of the log that it still has.
+    /// Index of the first entry that remains in its log.
     #[serde(rename = "first")]
     pub first_log_index: u64,
-    /// How often its store was started.
+    /// Number of starts on its store.
     #[serde(rename = "boots")]
     pub start_count: u64,
-    /// Elections that it has seen since it started.
+    /// Number of elections since the process started.
     #[serde(rename = "elections")]
     pub election_count: u64,
-    /// From a proposal to its being applied.
+    /// Time from a proposal until it is applied.
     #[serde(rename = "commit_us")]
     pub commit_latency: CommitLatency,
-    /// The members.
+    /// Sessions of the members.
     pub members: Vec<MemberStatus>,
-    /// The leases.
+    /// All leases.
     #[serde(rename = "duties")]
     pub leases: Vec<LeaseStatus>,
-    /// The replicas, and how often each one's store was started.
+    /// Number of starts of each replica.
     #[serde(rename = "keepers")]
     pub replicas: Vec<ReplicaStarts>,
-    /// Those that vote; while one is replaced, of both configurations.
+    /// Replicas that vote; during a replacement those of both configurations.
     pub voters: Vec<u64>,
-    /// Those that learn and do not vote yet.
+    /// Replicas that receive the log and do not vote yet.
     pub learners: Vec<u64>,
-    /// Who is being replaced by whom.
+    /// Replacement in progress.
     #[serde(rename = "replacing")]
     pub replacement: Option<ReplacementStatus>,
 }
 
-/// Percentiles of the time from a proposal to its being applied. In JSON a list of the three.
+/// Percentiles of the time from a proposal until it is applied. In JSON an array of the three.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64, u64)", into = "(u64, u64, u64)")]
 pub struct CommitLatency {
-    /// Half of them took at most this, in microseconds.
+    /// Median, in microseconds.
     pub p50_us: u64,
-    /// 99 of 100 took at most this, in microseconds.
+    /// 99th percentile, in microseconds.
     pub p99_us: u64,
-    /// The longest, in microseconds.
+    /// Maximum, in microseconds.
     pub max_us: u64,
 }
 
@@ -90,13 +90,13 @@
     }
 }
 
-/// How often a replica's store was started. In JSON a list of the two.
+/// Number of starts of a replica. In JSON an array of the two.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct ReplicaStarts {
-    /// The replica.
+    /// Number of the replica.
     pub replica_id: u64,
-    /// How often its store was started.
+    /// Number of starts on its store.
     pub start_count: u64,
 }
 
@@ -112,13 +112,13 @@
     }
 }
 
-/// A replacement of a replica that is on its way. In JSON a list of the two.
+/// Replacement in progress. In JSON an array of the two.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct ReplacementStatus {
-    /// The replica that goes.
+    /// Number of the replica that is retired.
     pub old: u64,
-    /// The replica that comes.
+    /// Number of the replica that is added.
     pub new: u64,
 }
 
@@ -134,30 +134,30 @@
     }
 }
 
-/// A member as a replica sees it.
+/// Session of a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its session.
+    /// Id of the session.
     pub session: SessionId,
-    /// Who it is.
+    /// Name and address of the member.
     pub peer: Peer,
-    /// Whether its session has lasted long enough to be granted leases.
+    /// Whether the session has lasted its stability period, so that the member may be granted leases.
     #[serde(rename = "settled")]
     pub stable: bool,
-    /// Whether a later process of the same name is there.
+    /// Whether a later process of the same name has a session.
     pub superseded: bool,
-    /// Short sessions in a row.
+    /// Number of consecutive short sessions of the member.
     #[serde(rename = "short_lives")]
     pub consecutive_short_sessions: u8,
 }
 
-/// The holder of a lease. In JSON a list of the two.
+/// Holder of a lease. In JSON an array of the two.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, FencingToken)", into = "(String, FencingToken)")]
 pub struct HolderStatus {
-    /// The member's name.
+    /// Name of the member.
     pub member: String,
-    /// The token of the term.
+    /// Fencing token of the term.
     pub token: FencingToken,
 }
 
@@ -173,19 +173,19 @@
     }
 }
 
-/// A lease as a replica sees it.
+/// State of a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseStatus {
-    /// Which.
+    /// Id of the lease.
     #[serde(rename = "duty")]
     pub lease: LeaseId,
-    /// Its holder, if it has one.
+    /// Holder of the lease, if there is one.
     #[serde(rename = "owner")]
     pub holder: Option<HolderStatus>,
-    /// Lower tokens are of ended terms.
+    /// Lowest fencing token that receivers accept.
     #[serde(rename = "floor")]
     pub minimum_token: FencingToken,
-    /// The entry that ended the last term.
+    /// Log position at which the last term ended.
     #[serde(rename = "fenced")]
     pub fencing_revision: Revision,
 }
