--- a/crates/cluster-member/src/coordinator_client.rs
+++ b/crates/cluster-member/src/coordinator_client.rs
@@ -21,16 +21,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// The deadline had passed before any replica was called.
-    #[error("no time was left")]
+    #[error("the deadline had passed before a replica was called")]
     DeadlinePassed,
     /// The last replica that responded knows no leader: there may be no majority. A retry may succeed.
-    #[error("no keeper leads")]
+    #[error("no replica leads")]
     NoLeader,
     /// The leader has as many pending requests as it accepts. A retry may succeed.
-    #[error("the keeper that leads is busy")]
+    #[error("the leader is busy")]
     LeaderBusy,
     /// The connection to the last replica that was called failed.
-    #[error("keeper {replica}: {error}")]
+    #[error("replica {replica}: {error}")]
     Connection {
         /// Number of the replica.
         replica: u64,
@@ -38,7 +38,7 @@
         error: ConnectionError,
     },
     /// The last replica that was called did not respond in time.
-    #[error("keeper {replica}: no answer")]
+    #[error("replica {replica}: no response")]
     NoResponse {
         /// Number of the replica.
         replica: u64,
--- a/crates/cluster-member/src/effects/publisher.rs
+++ b/crates/cluster-member/src/effects/publisher.rs
@@ -133,7 +133,7 @@
     latest.mark_changed();
     loop {
         if let Err(error) = publish_over_connection(&member, address, &term, &mut latest).await {
-            tracing::debug!(to = peer.name, %error, "a receiver is not reached");
+            tracing::debug!(to = peer.name, %error, "receiver unreachable");
         }
         if latest.has_changed().is_err() {
             return;
@@ -172,7 +172,7 @@
         match timeout(RESPONSE_TIMEOUT, connection.receive::<EffectResponse>()).await?? {
             EffectResponse::Accepted(response) => (term.on_response)(&response),
             EffectResponse::Rejected(rejection) => {
-                tracing::warn!(lease = %term.lease, token = term.token.0, %rejection, "an effect of this process was rejected");
+                tracing::warn!(lease = %term.lease, token = term.token.0, %rejection, "effect rejected by receiver");
             }
         }
     }
--- a/crates/cluster-member/src/effects/receiver.rs
+++ b/crates/cluster-member/src/effects/receiver.rs
@@ -50,7 +50,7 @@
         tokio::task::spawn_local(async move {
             let Ok(_permit) = connections.try_acquire() else { return };
             if let Err(error) = serve_publisher(&member, stream, &*apply).await {
-                tracing::debug!(%error, "a connection of a lease holder ended");
+                tracing::debug!(%error, "connection of lease holder ended");
             }
         });
     }
--- a/crates/cluster-member/src/member/mod.rs
+++ b/crates/cluster-member/src/member/mod.rs
@@ -171,7 +171,7 @@
                 }
                 Ok(SessionOutcome::TryAnother(leader)) => leader,
                 Err(error) => {
-                    tracing::debug!(replica = replica.id, %error, "a replica is not reached");
+                    tracing::debug!(replica = replica.id, %error, "replica unreachable");
                     None
                 }
             };
--- a/crates/cluster-member/src/member/session.rs
+++ b/crates/cluster-member/src/member/session.rs
@@ -91,7 +91,7 @@
         match timeout(self.call_timeout(), connecting).await? {
             Ok((connection, _)) => Ok(Some(connection)),
             Err(ConnectionError::Rejected(rejection)) => {
-                tracing::warn!(replica = replica.id, %rejection, "a replica rejected this member's connection");
+                tracing::warn!(replica = replica.id, %rejection, "handshake rejected by replica");
                 Ok(None)
             }
             Err(error) => Err(error),
@@ -242,7 +242,7 @@
         let now = clock::now();
         self.lease_client.borrow_mut().on_session_opened(session, incarnation, requested_at, now, view);
         *self.members.borrow_mut() = MemberList::default();
-        tracing::info!(name = self.config.name, session = session.0, incarnation, "a session was opened");
+        tracing::info!(name = self.config.name, session = session.0, incarnation, "session opened");
         self.recorder.record(now, "session", SessionRecord { incarnation, session: session.0 });
     }
 
@@ -267,7 +267,7 @@
             CommandRejection::Superseded { incarnation } => {
                 tracing::error!(
                     incarnation,
-                    "another process of the same name is there; this one is no member any more"
+                    "superseded by a later process of the same name; this process is no longer a member"
                 );
                 MembershipEnd::Superseded { incarnation }
             }
--- a/crates/cluster-member/src/settings.rs
+++ b/crates/cluster-member/src/settings.rs
@@ -48,7 +48,7 @@
 pub fn required_text(section: &Section, key: &str) -> HclResult<String> {
     match section.string(key)? {
         Some(text) if !text.is_empty() && text.len() <= MAX_TEXT_BYTES => Ok(text),
-        Some(_) => Err(section.error(key, format!("wanted 1 to {MAX_TEXT_BYTES} bytes"))),
+        Some(_) => Err(section.error(key, format!("expected 1 to {MAX_TEXT_BYTES} bytes"))),
         None => Err(section.error(key, "is missing")),
     }
 }
@@ -59,7 +59,7 @@
 /// Returns an error that names the key if the address is missing or malformed.
 pub fn required_address(section: &Section, key: &str) -> HclResult<SocketAddr> {
     let text = required_text(section, key)?;
-    text.parse().map_err(|_| section.error(key, format!("{text:?} is no address; wanted IP:PORT")))
+    text.parse().map_err(|_| section.error(key, format!("{text:?} is not an address; expected IP:PORT")))
 }
 
 /// Reads the blocks `keeper "NUMBER" { address = "IP:PORT" }`.
@@ -70,15 +70,16 @@
     let mut replicas = BTreeMap::new();
     for section in top.sections("keeper") {
         let replica_id = section.label().parse::<u64>().ok().filter(|id| (1..=MAX_REPLICA_ID).contains(id));
-        let replica_id = replica_id
-            .ok_or_else(|| section.error("", "wanted a label that is a number from 1, as keeper \"1\""))?;
+        let replica_id = replica_id.ok_or_else(|| {
+            section.error("", "expected a number from 1 as its label, such as keeper \"1\"")
+        })?;
         if replicas.insert(replica_id, required_address(section, "address")?).is_some() {
-            return Err(section.error("", format!("keeper {replica_id} stands here twice")));
+            return Err(section.error("", format!("replica {replica_id} is defined twice")));
         }
     }
     match replicas.len() {
         3 | 5 => Ok(replicas),
-        found => Err(top.error("keeper", format!("wanted three or five keepers, found {found}"))),
+        found => Err(top.error("keeper", format!("expected three or five replicas, found {found}"))),
     }
 }
 
@@ -123,7 +124,7 @@
     if ttl_ms < MIN_TTL_INTERVALS * interval_ms {
         return Err(section.error(
             "holds_ms",
-            "does not fit to every_ms: wanted at least twice as long, or what is said lapses between two probes",
+            "conflicts with every_ms: expected at least twice its value, or reports expire between two probes",
         ));
     }
     let set_count = section.integer("sets", 1..=MAX_SETS)?.unwrap_or(DEFAULT_SETS);
--- a/crates/cluster-member/src/wire/codec.rs
+++ b/crates/cluster-member/src/wire/codec.rs
@@ -14,7 +14,7 @@
     #[error(transparent)]
     Malformed(#[from] postcard::Error),
     /// The message exceeds [`MAX_FRAME_BYTES`] and cannot be sent.
-    #[error("a message of {length} bytes, over {max}", max = MAX_FRAME_BYTES)]
+    #[error("message of {length} bytes exceeds the limit of {max}", max = MAX_FRAME_BYTES)]
     TooLong {
         /// Length of the message, in bytes.
         length: usize,
--- a/crates/cluster-member/src/wire/connection.rs
+++ b/crates/cluster-member/src/wire/connection.rs
@@ -40,7 +40,7 @@
     #[error(transparent)]
     Message(#[from] MessageError),
     /// The other end rejected the handshake. A retry fails in the same way until one of the two is reconfigured.
-    #[error("turned away: {0}")]
+    #[error("handshake rejected: {0}")]
     Rejected(HandshakeRejection),
 }
 
--- a/crates/cluster-member/src/wire/handshake.rs
+++ b/crates/cluster-member/src/wire/handshake.rs
@@ -69,7 +69,7 @@
 pub enum HandshakeRejection {
     /// The schema version of the client is not supported.
     #[error(
-        "it speaks version {latest_supported} of the messages, this program {oldest} to {latest}",
+        "the server supports message versions up to {latest_supported}, this program {oldest} to {latest}",
         oldest = OLDEST_SCHEMA_VERSION,
         latest = SCHEMA_VERSION
     )]
@@ -78,21 +78,21 @@
         latest_supported: u16,
     },
     /// The client belongs to another installation.
-    #[error("it belongs to installation {expected:?}")]
+    #[error("the server belongs to installation {expected:?}")]
     WrongInstallation {
         /// Installation of the server.
         expected: String,
     },
     /// The client is a replica that is not in the configuration of the server.
-    #[error("it knows no keeper of this number")]
+    #[error("the server knows no replica with this number")]
     UnknownReplica,
     /// The replica had another store before.
-    #[error("it knows this keeper with another disk; set the keeper up as a new one")]
+    #[error("the server knows this replica with another store; set it up as a new replica")]
     StoreMismatch,
     /// The store had more starts or a later Raft term before: this is an old copy.
     #[error(
-        "it saw this disk with {start_count} starts and term {raft_term}: what is on it now is an old copy, which may \
-         not vote; set the keeper up as a new one"
+        "the server has seen this store with {start_count} starts and term {raft_term}: the present one is an old copy, \
+         which may not vote; set the replica up as a new one"
     )]
     StaleStore {
         /// Highest number of starts that was seen.
@@ -101,10 +101,10 @@
         raft_term: u64,
     },
     /// The server has as many connections as it accepts.
-    #[error("it has no room for another connection")]
+    #[error("the server has reached its limit of connections")]
     TooManyConnections,
     /// The server does not serve clients of this kind.
-    #[error("it does not speak with the likes of this at that address")]
+    #[error("the server does not accept clients of this kind at this address")]
     WrongService,
 }
 
--- a/crates/cluster-member/tests/connection.rs
+++ b/crates/cluster-member/tests/connection.rs
@@ -85,18 +85,21 @@
 #[tokio::test]
 async fn a_rejected_client_is_told_why() {
     for (why, text) in [
-        (HandshakeRejection::TooManyConnections, "turned away: it has no room for another connection"),
+        (
+            HandshakeRejection::TooManyConnections,
+            "handshake rejected: the server has reached its limit of connections",
+        ),
         (
             HandshakeRejection::UnsupportedSchema { latest_supported: 1 },
-            "turned away: it speaks version 1 of the messages, this program 2 to 3",
+            "handshake rejected: the server supports message versions up to 1, this program 2 to 3",
         ),
         (
             HandshakeRejection::UnsupportedSchema { latest_supported: 9 },
-            "turned away: it speaks version 9 of the messages, this program 2 to 3",
+            "handshake rejected: the server supports message versions up to 9, this program 2 to 3",
         ),
         (
             HandshakeRejection::WrongInstallation { expected: "south".to_owned() },
-            "turned away: it belongs to installation \"south\"",
+            "handshake rejected: the server belongs to installation \"south\"",
         ),
     ] {
         let (listener, address) = listen().await;
--- a/crates/cluster-member/tests/format.rs
+++ b/crates/cluster-member/tests/format.rs
@@ -120,7 +120,7 @@
     assert_eq!(MAX_FRAME_BYTES, 4_194_304);
     assert_eq!(IO_TIMEOUT.as_millis(), 2_000);
     let error = encode(&"x".repeat(MAX_FRAME_BYTES)).unwrap_err();
-    assert_eq!(error.to_string(), "a message of 4194308 bytes, over 4194304");
+    assert_eq!(error.to_string(), "message of 4194308 bytes exceeds the limit of 4194304");
     assert!(encode(&"x".repeat(MAX_FRAME_BYTES - 4)).is_ok());
 }
 
--- a/crates/cluster-member/tests/sessions.rs
+++ b/crates/cluster-member/tests/sessions.rs
@@ -142,7 +142,10 @@
     assert_eq!(texts, ["the term is over: tokens below 7 are refused", "the receiver knows no such duty"]);
     let operator = ClientHello { identity: ClientIdentity::Operator, ..hello };
     let error = Connection::connect(receiver, None, &operator).await.unwrap_err();
-    assert_eq!(error.to_string(), "turned away: it does not speak with the likes of this at that address");
+    assert_eq!(
+        error.to_string(),
+        "handshake rejected: the server does not accept clients of this kind at this address"
+    );
 }
 
 /// The operations that the holder requested, in order.
@@ -257,10 +260,13 @@
         Ok(rejected)
     );
     let not_leading = |_: &Request| Some(Response::NotLeader { leader: None, address: None });
-    assert_eq!(call(not_leading, 100).await, Err("no keeper leads".to_owned()));
-    assert_eq!(call(|_| Some(Response::Busy), 100).await, Err("the keeper that leads is busy".to_owned()));
-    assert_eq!(call(|_| None, 100).await, Err("keeper 1: no answer".to_owned()));
-    assert_eq!(call(|_| None, 0).await, Err("no time was left".to_owned()));
+    assert_eq!(call(not_leading, 100).await, Err("no replica leads".to_owned()));
+    assert_eq!(call(|_| Some(Response::Busy), 100).await, Err("the leader is busy".to_owned()));
+    assert_eq!(call(|_| None, 100).await, Err("replica 1: no response".to_owned()));
+    assert_eq!(
+        call(|_| None, 0).await,
+        Err("the deadline had passed before a replica was called".to_owned())
+    );
 
     let (listener, address) = listen().await;
     drop(listener);
@@ -268,7 +274,7 @@
         CoordinatorClient::new("north", ClientIdentity::Operator, BTreeMap::from([(3, address)]), None);
     let by = Instant::now() + Duration::from_millis(100);
     let error = unreachable.call(&Operation::Status, by).await.unwrap_err().to_string();
-    assert_eq!(error, "keeper 3: Connection refused (os error 111)");
+    assert_eq!(error, "replica 3: Connection refused (os error 111)");
 }
 
 /// A call follows the leader that is named, also to one that was not configured.
--- a/crates/coordinator/src/cli/error.rs
+++ b/crates/coordinator/src/cli/error.rs
@@ -24,7 +24,7 @@
     #[error("--{0} is missing")]
     MissingArgument(&'static str),
     /// The address of a new coordinator is none.
-    #[error("--address: {0:?} is no address; wanted IP:PORT")]
+    #[error("--address: {0:?} is not an address; expected IP:PORT")]
     InvalidAddress(String),
     /// A word where one of the steps of a permit is expected.
     #[error("permit {0:?}: wanted ask, begin, done or void")]
--- a/crates/coordinator/tests/config.rs
+++ b/crates/coordinator/tests/config.rs
@@ -32,13 +32,13 @@
 #[test]
 fn errors_name_file_line_and_key() {
     let one = parse("keeper.hcl", "installation = \"a\"\nkeeper \"1\" {\n  address = \"127.0.0.1:1\"\n}\n");
-    assert!(one.unwrap_err().to_string().contains("wanted three or five keepers, found 1"));
+    assert!(one.unwrap_err().to_string().contains("expected three or five replicas, found 1"));
     let times = fault("times {\n  lease_ms = 1000\n}\n");
     assert!(times.contains("keeper.hcl:") && times.contains("renew_ms: does not fit to lease_ms"), "{times}");
     assert!(fault("serve {\n  keeper = 4\n  store = \"var\"\n}\n").contains("there is no block keeper \"4\""));
     assert!(fault("serve {\n  keeper = 1\n}\n").contains("store"));
     assert!(fault("sevre {\n}\n").contains("sevre"));
     let twice = fault("keeper \"3\" {\n  address = \"127.0.0.1:1\"\n}\n");
-    assert!(twice.contains("keeper 3 stands here twice"), "{twice}");
+    assert!(twice.contains("replica 3 is defined twice"), "{twice}");
     assert!(fault("first_token = 0\n").contains("first_token"));
 }
--- a/crates/dispatcher/tests/settings_file.rs
+++ b/crates/dispatcher/tests/settings_file.rs
@@ -46,7 +46,7 @@
     assert_eq!((dealt.smallest_worker_slots, dealt.grantable_fraction, dealt.grant_ttl), (8.0, 0.5, 500_000));
     assert!(fault(cold("")).contains("cold.slots"), "{}", fault(cold("")));
     assert!(fault(cold("    slots = 8\n    part = 0.6\n")).contains("cold.part"));
-    assert!(fault(format!("{head}}}\n")).contains("wanted three or five keepers"));
+    assert!(fault(format!("{head}}}\n")).contains("expected three or five replicas"));
     let times = fault(format!("{head}{keepers}  times {{\n    lease_ms = 900\n  }}\n}}\n"));
     assert!(times.contains("renew_ms") && times.contains("lease_ms"), "{times}");
     assert!(fault(format!("fleet {{\n  listen = \"127.0.0.1:0\"\n{keepers}}}\n")).contains("installation"));
