--- a/crates/cluster-member/src/health_check/report.rs
+++ b/crates/cluster-member/src/health_check/report.rs
@@ -53,12 +53,12 @@
     /// Decodes a report; returns `None` if it is malformed, or the zone of a worker is missing.
     pub fn decode(bytes: &[u8]) -> Option<HealthReport> {
         let report: HealthReport = postcard::from_bytes(bytes).ok()?;
-        let known_zone = |failing: &FailingWorker| usize::from(failing.zone_index) < report.zones.len();
-        report.failing.iter().all(known_zone).then_some(report)
+        let has_zone = |failing: &FailingWorker| usize::from(failing.zone_index) < report.zones.len();
+        report.failing.iter().all(has_zone).then_some(report)
     }
 
     /// Returns whether the observer sees no healthy worker of the zone, and at least one failing.
     pub(super) fn zone_unreachable(&self, zone: &str) -> bool {
-        self.zones.iter().any(|seen| seen.name == zone && !seen.reachable && seen.failing_count > 0)
+        self.zones.iter().any(|report| report.name == zone && !report.reachable && report.failing_count > 0)
     }
 }
--- a/crates/cluster-member/src/health_check/scheduler.rs
+++ b/crates/cluster-member/src/health_check/scheduler.rs
@@ -131,11 +131,11 @@
         self.workers.retain(|id, _| workers.contains_key(id));
         let new: Vec<(u64, &str)> =
             workers.into_iter().filter(|(id, _)| !self.workers.contains_key(id)).collect();
-        let step = self.config.probe_interval / INITIAL_SPREAD_DIVISOR / new.len().max(1) as u64;
+        let probe_spacing = self.config.probe_interval / INITIAL_SPREAD_DIVISOR / new.len().max(1) as u64;
         let mut next_probe = now + self.initial_delay();
         for (id, zone) in new {
             self.workers.insert(id, WorkerProbeState::new(zone, next_probe));
-            next_probe += step;
+            next_probe += probe_spacing;
         }
     }
 
@@ -210,17 +210,17 @@
     }
 
     fn report(&self, now: Micros, zones: &ZoneLiveness) -> HealthReport {
-        let recent = now.saturating_sub(RECENT_INTERVALS * self.config.probe_interval);
+        let recent_since = now.saturating_sub(RECENT_INTERVALS * self.config.probe_interval);
         let mut report = HealthReport {
             observer_zone: self.zone.clone(),
             sent_at: now,
-            sees_healthy_worker: zones.any_healthy_since(recent),
+            sees_healthy_worker: zones.any_healthy_since(recent_since),
             zones: Vec::new(),
             failing: Vec::new(),
         };
         for (id, worker) in &self.workers {
             let Some(last_result) = worker.last_result else { continue };
-            let zone_index = zone_index(&mut report.zones, &worker.zone, zones, recent);
+            let zone_index = zone_index(&mut report.zones, &worker.zone, zones, recent_since);
             if worker.consecutive_failures < self.config.failure_threshold {
                 continue;
             }
@@ -238,17 +238,26 @@
 
     /// Returns the numbers of checked and failing workers.
     pub fn worker_counts(&self) -> WorkerCounts {
-        let fails = |worker: &&WorkerProbeState| worker.consecutive_failures >= self.config.failure_threshold;
-        WorkerCounts { checked: self.workers.len(), failing: self.workers.values().filter(fails).count() }
+        let is_failing =
+            |worker: &&WorkerProbeState| worker.consecutive_failures >= self.config.failure_threshold;
+        WorkerCounts {
+            checked: self.workers.len(),
+            failing: self.workers.values().filter(is_failing).count(),
+        }
     }
 }
 
 /// Returns the index of a zone in a report, after adding it if necessary.
-fn zone_index(reported: &mut Vec<ZoneReport>, zone: &str, zones: &ZoneLiveness, recent: Micros) -> usize {
-    if let Some(index) = reported.iter().position(|known| known.name == zone) {
+fn zone_index(
+    reported: &mut Vec<ZoneReport>,
+    zone: &str,
+    zones: &ZoneLiveness,
+    recent_since: Micros,
+) -> usize {
+    if let Some(index) = reported.iter().position(|report| report.name == zone) {
         return index;
     }
-    let reachable = zones.healthy_since(zone, recent);
+    let reachable = zones.healthy_since(zone, recent_since);
     reported.push(ZoneReport { name: zone.to_owned(), reachable, failing_count: 0 });
     reported.len() - 1
 }
--- a/crates/cluster-member/src/health_check/verdict.rs
+++ b/crates/cluster-member/src/health_check/verdict.rs
@@ -49,8 +49,8 @@
     pub fn record(&mut self, set: u16, token: FencingToken, report: HealthReport, now: Micros) {
         let offset = i128::from(now) - i128::from(report.sent_at);
         let new_term = ClockOffset { token, smallest: offset };
-        let known = self.clock_offsets.get(&set).copied().filter(|known| known.token == token);
-        let fastest = known.unwrap_or(new_term).smallest.min(offset);
+        let present_term = self.clock_offsets.get(&set).copied().filter(|offset| offset.token == token);
+        let fastest = present_term.unwrap_or(new_term).smallest.min(offset);
         self.clock_offsets.insert(set, ClockOffset { token, smallest: fastest });
         // A report that took longer than the fastest one is older by the difference.
         let delay = u64::try_from(offset - fastest).unwrap_or(u64::MAX);
--- a/crates/cluster-member/src/member/mod.rs
+++ b/crates/cluster-member/src/member/mod.rs
@@ -147,21 +147,21 @@
         let mut random = fastrand::Rng::with_seed(self.config.seed);
         // Not from the seed: the next process of this name may have the same seed and would be taken for this one.
         let boot_id = clock::random_id();
-        let lease = self.config.timing.lease_duration;
+        let lease_duration = self.config.timing.lease_duration;
         let mut replicas = ReplicaSelection::new(&self.config.replicas, &mut random);
-        let mut backoff = Backoff::new(lease);
+        let mut backoff = Backoff::new(lease_duration);
         // One timeout over all attempts, so that rejections do not restart it.
         let leave_timeout = self.leave_timeout();
         tokio::pin!(leave_timeout);
         loop {
             let Some(replica) = replicas.current() else { return MembershipEnd::NoReplicas };
-            let started = Instant::now();
+            let started_at = Instant::now();
             let outcome = tokio::select! {
                 outcome = self.run_session(replica, boot_id) => outcome,
                 () = &mut leave_timeout => Ok(SessionOutcome::Ended(MembershipEnd::Left)),
             };
             self.notify_change();
-            if started.elapsed() > Duration::from_micros(lease) {
+            if started_at.elapsed() > Duration::from_micros(lease_duration) {
                 backoff.reset();
             }
             let leader = match outcome {
--- a/crates/cluster-member/src/member/replica_selection.rs
+++ b/crates/cluster-member/src/member/replica_selection.rs
@@ -46,7 +46,7 @@
 
     /// Selects the leader if it is known and not the current replica, the next one in turn otherwise.
     pub(super) fn advance(&mut self, leader: Option<LeaderHint>) {
-        let leader = leader.and_then(|leader| self.learn(leader));
+        let leader = leader.and_then(|leader| self.update_address(leader));
         self.current = match leader {
             Some(index) if index != self.current => index,
             _ => (self.current + 1) % self.replicas.len().max(1),
@@ -54,7 +54,7 @@
     }
 
     /// Updates the address of a leader and returns its index.
-    fn learn(&mut self, leader: LeaderHint) -> Option<usize> {
+    fn update_address(&mut self, leader: LeaderHint) -> Option<usize> {
         let index = self.replicas.iter().position(|replica| replica.id == leader.replica_id);
         let Some(address) = leader.address else { return index };
         match index {
@@ -78,8 +78,8 @@
 }
 
 impl Backoff {
-    pub(super) fn new(lease: Micros) -> Backoff {
-        Backoff { max_span: lease / MAX_BACKOFF_DIVISOR, attempts: 0 }
+    pub(super) fn new(lease_duration: Micros) -> Backoff {
+        Backoff { max_span: lease_duration / MAX_BACKOFF_DIVISOR, attempts: 0 }
     }
 
     /// Resets the backoff after an attempt that succeeded for long enough.
@@ -89,7 +89,7 @@
 
     pub(super) fn next_delay(&mut self, random: &mut fastrand::Rng) -> Duration {
         self.attempts = (self.attempts + 1).min(MAX_DOUBLINGS);
-        let span = (INITIAL_BACKOFF << self.attempts).min(self.max_span);
-        Duration::from_micros(random.u64(1..=span))
+        let max_delay = (INITIAL_BACKOFF << self.attempts).min(self.max_span);
+        Duration::from_micros(random.u64(1..=max_delay))
     }
 }
--- a/crates/cluster-member/src/member/session.rs
+++ b/crates/cluster-member/src/member/session.rs
@@ -128,11 +128,11 @@
     /// Builds the renewal. Only lease holders request the member list.
     fn renew_session(&self, session: SessionId, now: Micros) -> Operation {
         let lease_client = self.lease_client.borrow();
-        let holds_any = !lease_client.held_leases(now).is_empty();
+        let is_lease_holder = !lease_client.held_leases(now).is_empty();
         Operation::RenewSession {
             session,
             known_view: lease_client.applied_revision(),
-            known_members: holds_any.then(|| self.members.borrow().revision),
+            known_members: is_lease_holder.then(|| self.members.borrow().revision),
         }
     }
 
@@ -200,11 +200,11 @@
 
     /// Applies a response.
     fn apply_response(&self, planned: &PlannedRequest, requested_at: Micros, response: Response) -> NextStep {
-        let over = matches!(response, Response::Done | Response::Rejected(_));
-        if planned.leaving && over {
+        let completed = matches!(response, Response::Done | Response::Rejected(_));
+        if planned.leaving && completed {
             return NextStep::Stop(SessionOutcome::Ended(MembershipEnd::Left));
         }
-        if matches!(planned.operation, Operation::ReleaseLease { .. }) && over {
+        if matches!(planned.operation, Operation::ReleaseLease { .. }) && completed {
             // Released now, or ended before.
             self.pending_releases.send_modify(|releases| drop(releases.remove(0)));
             return NextStep::RequestNow;
@@ -220,7 +220,7 @@
                 self.lease_client.borrow_mut().on_session_ended()
             }
             Response::Rejected(reason) => {
-                return NextStep::Stop(SessionOutcome::Ended(self.rejected(reason)))
+                return NextStep::Stop(SessionOutcome::Ended(self.membership_end(reason)))
             }
             Response::NotLeader { leader, address } => {
                 let leader = LeaderHint::new(leader, address.as_deref());
@@ -262,7 +262,7 @@
     }
 
     /// Converts a rejection into the end of the membership.
-    fn rejected(&self, reason: CommandRejection) -> MembershipEnd {
+    fn membership_end(&self, reason: CommandRejection) -> MembershipEnd {
         match reason {
             CommandRejection::Superseded { incarnation } => {
                 tracing::error!(
--- a/crates/cluster-member/src/slow_start/allocator.rs
+++ b/crates/cluster-member/src/slow_start/allocator.rs
@@ -66,7 +66,7 @@
         mut draw: impl FnMut() -> f64,
     ) -> QuotaGrants {
         self.drop_stale_usage(now);
-        self.drop_settled_grants(now);
+        self.drop_expired_grants(now);
         let processes = WeightedProcesses::new(self.usage.values().map(|received| received.usage));
         let mut grants = QuotaGrants::default();
         if now < self.grants_from || processes.total_weight <= 0.0 {
@@ -91,14 +91,14 @@
     ) {
         let quota = self.config.grantable_fraction * self.config.tolerated_work(&self.profile, age);
         let outstanding = self.outstanding.entry(worker).or_default();
-        let mut left = quota - outstanding.iter().map(|grant| grant.work).sum::<f64>();
+        let mut available = quota - outstanding.iter().map(|grant| grant.work).sum::<f64>();
         while grants.0.len() < MAX_GRANTS {
             let Some(process) = processes.pick(draw()) else { break };
             let work = TYPICAL_JOBS_PER_GRANT * process.typical_work;
-            if work > left {
+            if work > available {
                 break;
             }
-            left -= work;
+            available -= work;
             self.total_granted += work;
             outstanding.push_back(OutstandingGrant { made_at: now, work });
             let (process_id, clock_reading) = (process.process_id, process.clock_reading);
@@ -107,12 +107,12 @@
     }
 
     fn drop_stale_usage(&mut self, now: Micros) {
-        let fresh = self.config.grant_ttl / USAGE_FRESHNESS_DIVISOR;
-        self.usage.retain(|_, received| now.saturating_sub(received.received_at) < fresh);
+        let max_age = self.config.grant_ttl / USAGE_FRESHNESS_DIVISOR;
+        self.usage.retain(|_, received| now.saturating_sub(received.received_at) < max_age);
     }
 
     /// Drops grants that no process can use any more.
-    fn drop_settled_grants(&mut self, now: Micros) {
+    fn drop_expired_grants(&mut self, now: Micros) {
         let period = self.config.accounting_period(&self.profile);
         self.outstanding.retain(|_, grants| {
             while grants.front().is_some_and(|grant| now.saturating_sub(grant.made_at) >= period) {
@@ -161,10 +161,10 @@
 
     /// Returns the process at this fraction, from 0 to 1, of the total weight.
     fn pick(&self, fraction: f64) -> Option<&UsageReport> {
-        let mut left = fraction * self.total_weight;
+        let mut remaining = fraction * self.total_weight;
         let picked = self.processes.iter().find(|process| {
-            left -= process.weight;
-            left < 0.0
+            remaining -= process.weight;
+            remaining < 0.0
         });
         picked.or(self.processes.last()).map(|process| &process.usage)
     }
--- a/crates/cluster-member/src/slow_start/endpoint_ages.rs
+++ b/crates/cluster-member/src/slow_start/endpoint_ages.rs
@@ -19,10 +19,10 @@
 impl EndpointAges {
     /// Sets the serving workers, each with a number that identifies its start.
     pub fn update(&mut self, now: Micros, workers: impl Iterator<Item = (u64, u64)>) {
-        let before = std::mem::take(&mut self.0);
+        let previous = std::mem::take(&mut self.0);
         for (worker, start) in workers {
-            let known = before.get(&worker).filter(|known| known.start == start);
-            self.0.insert(worker, known.copied().unwrap_or(FirstSeen { start, at: now }));
+            let same_start = previous.get(&worker).filter(|first_seen| first_seen.start == start);
+            self.0.insert(worker, same_start.copied().unwrap_or(FirstSeen { start, at: now }));
         }
     }
 
@@ -33,6 +33,6 @@
 
     /// Iterates over the workers with their ages, in microseconds.
     pub fn ages(&self, now: Micros) -> impl Iterator<Item = (u64, Micros)> + '_ {
-        self.0.iter().map(move |(worker, first)| (*worker, now.saturating_sub(first.at)))
+        self.0.iter().map(move |(worker, first_seen)| (*worker, now.saturating_sub(first_seen.at)))
     }
 }
--- a/crates/cluster-member/src/slow_start/granted_quota.rs
+++ b/crates/cluster-member/src/slow_start/granted_quota.rs
@@ -50,8 +50,8 @@
         let expires_at = grant.clock_reading + self.grant_ttl;
         let for_this_process = grant.process_id == self.process_id;
         // A clock reading in the future cannot be one of this process.
-        let valid = grant.clock_reading <= now && expires_at > now;
-        (for_this_process && valid).then_some(UsableQuota {
+        let is_current = grant.clock_reading <= now && expires_at > now;
+        (for_this_process && is_current).then_some(UsableQuota {
             worker: grant.worker,
             work: grant.work,
             expires_at,
