--- a/crates/cluster-member/src/effects/publisher.rs
+++ b/crates/cluster-member/src/effects/publisher.rs
@@ -6,13 +6,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coordination::{FencingToken, InjectedBug, LeaseId};
+use coordination::{FencingToken, InjectedBug, LeaseId, Micros};
+use serde::Serialize;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
 use crate::clock;
 use crate::member::Member;
+use crate::record::RecordKind;
 use crate::wire::{
     encode, ClientHello, ClientIdentity, Connection, ConnectionError, Effect, EffectResponse, Peer,
     SCHEMA_VERSION,
@@ -31,6 +33,14 @@
     body: Rc<Vec<u8>>,
 }
 
+/// Record of a sent effect.
+#[derive(Serialize)]
+struct SentEffectRecord {
+    #[serde(rename = "duty")]
+    lease: String,
+    token: u64,
+}
+
 /// Handler of the responses of receivers that accepted an effect.
 type ResponseHandler = Box<dyn Fn(&[u8])>;
 
@@ -96,9 +106,9 @@
         });
         for peer in peers {
             self.receivers.entry(peer.clone()).or_insert_with(|| {
-                let (member, term, latest) =
-                    (self.member.clone(), self.term.clone(), self.latest.subscribe());
-                tokio::task::spawn_local(publish_to(member, peer, term, latest))
+                let publishing =
+                    publish_to(self.member.clone(), peer, self.term.clone(), self.latest.subscribe());
+                tokio::task::spawn_local(publishing)
             });
         }
         self.latest.borrow().sequence
@@ -153,21 +163,18 @@
 ) -> Result<(), ConnectionError> {
     let (mut connection, _) =
         Connection::connect(address, member.config().local_address, &client_hello(member)).await?;
-    let checks_once = member.lease_client().borrow().injected_bug() == Some(InjectedBug::SkipExpiryCheck);
-    let mut checked = false;
+    let mut lease_check = LeaseCheck::new(member);
     while latest.changed().await.is_ok() {
         let PublishedEffect { sequence, body } = latest.borrow_and_update().clone();
         let effect = Effect { lease: term.lease.clone(), token: term.token, sequence, body: body.to_vec() };
         let encoded = encode(&effect)?;
         // The lease is checked last before the write: time that passes in between is not covered.
         let now = clock::now();
-        let skips_check = checks_once && checked;
-        if !skips_check && !member.lease_client().borrow().holds_lease(&term.lease, term.token, now) {
+        if !lease_check.permits(member, term, now) {
             continue;
         }
-        checked = true;
-        let record = serde_json::json!({"duty": term.lease.to_string(), "token": term.token.0});
-        member.recorder().record(now, "acted", record);
+        let record = SentEffectRecord { lease: term.lease.to_string(), token: term.token.0 };
+        member.recorder().record(now, RecordKind::EffectSent, record);
         connection.send_encoded(encoded).await?;
         match timeout(RESPONSE_TIMEOUT, connection.receive::<EffectResponse>()).await?? {
             EffectResponse::Accepted(response) => (term.on_response)(&response),
@@ -179,6 +186,30 @@
     Ok(())
 }
 
+/// Check of the lease before each effect on one connection.
+struct LeaseCheck {
+    /// Set by [`InjectedBug::SkipExpiryCheck`].
+    skip_after_first: bool,
+    passed: bool,
+}
+
+impl LeaseCheck {
+    fn new(member: &Member) -> LeaseCheck {
+        let injected_bug = member.lease_client().borrow().injected_bug();
+        LeaseCheck { skip_after_first: injected_bug == Some(InjectedBug::SkipExpiryCheck), passed: false }
+    }
+
+    /// Returns whether an effect of the term may be sent at this reading of the clock.
+    fn permits(&mut self, member: &Member, term: &Term, now: Micros) -> bool {
+        if self.skip_after_first && self.passed {
+            return true;
+        }
+        let holds_lease = member.lease_client().borrow().holds_lease(&term.lease, term.token, now);
+        self.passed |= holds_lease;
+        holds_lease
+    }
+}
+
 fn client_hello(member: &Member) -> ClientHello {
     let config = member.config();
     let incarnation = member.lease_client().borrow().last_session().map_or(0, |session| session.incarnation);
--- a/crates/cluster-member/src/effects/receiver.rs
+++ b/crates/cluster-member/src/effects/receiver.rs
@@ -11,6 +11,7 @@
 
 use crate::clock;
 use crate::member::Member;
+use crate::record::RecordKind;
 use crate::wire::{
     validate_client_hello, ClientHello, ClientIdentity, Connection, ConnectionError, Effect, EffectResponse,
     HandshakeRejection, ServerHello,
@@ -46,7 +47,9 @@
             sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let (member, apply, connections) = (member.clone(), apply.clone(), connections.clone());
+        let member = member.clone();
+        let apply = apply.clone();
+        let connections = connections.clone();
         tokio::task::spawn_local(async move {
             let Ok(_permit) = connections.try_acquire() else { return };
             if let Err(error) = serve_publisher(&member, stream, &*apply).await {
@@ -92,7 +95,7 @@
 fn check_token(member: &Member, effect: &Effect, holder: &str) -> Result<(), EffectRejection> {
     let now = clock::now();
     let checked = member.lease_client().borrow_mut().accept_effect(&effect.lease, effect.token, now);
-    let kind = if checked.is_ok() { "taken" } else { "refused" };
+    let kind = if checked.is_ok() { RecordKind::EffectAccepted } else { RecordKind::EffectRejected };
     let record = EffectRecord {
         lease: effect.lease.to_string(),
         from: holder,
--- a/crates/cluster-member/src/health_check/config.rs
+++ b/crates/cluster-member/src/health_check/config.rs
@@ -34,12 +34,16 @@
 }
 
 impl InjectedBug {
-    /// Names of the bugs in the settings.
-    pub const NAMES: [(&'static str, InjectedBug); 3] = [
-        ("no-wait", InjectedBug::ProbeAtOnce),
-        ("trusting", InjectedBug::TrustEveryReport),
-        ("no-look", InjectedBug::SkipLeaseCheck),
-    ];
+    /// Returns the bug with this name in the settings.
+    #[must_use]
+    pub fn from_name(name: &str) -> Option<InjectedBug> {
+        match name {
+            "no-wait" => Some(InjectedBug::ProbeAtOnce),
+            "trusting" => Some(InjectedBug::TrustEveryReport),
+            "no-look" => Some(InjectedBug::SkipLeaseCheck),
+            _ => None,
+        }
+    }
 }
 
 impl HealthCheckConfig {
@@ -68,9 +72,11 @@
     /// of a zone share few sets: the observer of a set needs a healthy worker of the zone to distinguish a failing worker
     /// from a network fault.
     pub fn set_of_worker(&self, worker: u64, zone: u32) -> u16 {
-        let (sets, zones) = (u64::from(self.set_count.max(1)), u64::from(self.zone_count.max(1)));
+        let sets = u64::from(self.set_count.max(1));
+        let zones = u64::from(self.zone_count.max(1));
         let sets_per_zone = (sets / zones).max(1);
         let mixed = worker.wrapping_mul(SPREADING_MULTIPLIER) >> 32;
-        ((u64::from(zone) * sets_per_zone + mixed % sets_per_zone) % sets) as u16
+        let first_set_of_zone = u64::from(zone) * sets_per_zone;
+        ((first_set_of_zone + mixed % sets_per_zone) % sets) as u16
     }
 }
--- a/crates/cluster-member/src/member/mod.rs
+++ b/crates/cluster-member/src/member/mod.rs
@@ -52,12 +52,16 @@
     change_count: watch::Sender<u64>,
     leave_requested: watch::Sender<bool>,
     /// Terms that wait to be released.
-    pending_releases: watch::Sender<Vec<Term>>,
+    pending_releases: watch::Sender<Vec<LeaseTerm>>,
     recorder: Recorder,
 }
 
 /// Term of a lease.
-type Term = (LeaseId, FencingToken);
+#[derive(Debug, Clone, PartialEq, Eq)]
+struct LeaseTerm {
+    lease: LeaseId,
+    token: FencingToken,
+}
 
 /// Reason for the end of a membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -115,7 +119,7 @@
     }
 
     /// Returns the leases that this member holds now, with their fencing tokens.
-    pub fn held_leases(&self) -> Vec<Term> {
+    pub fn held_leases(&self) -> Vec<(LeaseId, FencingToken)> {
         self.lease_client.borrow().held_leases(clock::now())
     }
 
@@ -126,7 +130,7 @@
 
     /// Releases a term, so that another member is granted the lease.
     pub fn release_lease(&self, lease: LeaseId, token: FencingToken) {
-        let term = (lease, token);
+        let term = LeaseTerm { lease, token };
         self.pending_releases.send_if_modified(|releases| {
             if releases.contains(&term) {
                 return false;
--- a/crates/cluster-member/src/member/session.rs
+++ b/crates/cluster-member/src/member/session.rs
@@ -6,8 +6,9 @@
 use serde::Serialize;
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 
-use super::{Member, MembershipEnd, Replica};
+use super::{LeaseTerm, Member, MembershipEnd, Replica};
 use crate::clock;
+use crate::record::RecordKind;
 use crate::wire::{
     ClientHello, ClientIdentity, Connection, ConnectionError, CoordinatorMessage, LeaderHint, MemberList,
     Operation, Request, Response, SCHEMA_VERSION,
@@ -39,6 +40,13 @@
     leaving: bool,
 }
 
+/// Response to a request, with what arrived before it.
+struct ReceivedResponse {
+    response: Response,
+    /// Whether a new view was applied while the response was awaited.
+    view_changed: bool,
+}
+
 /// Record of a new session.
 #[derive(Serialize)]
 struct SessionRecord {
@@ -65,10 +73,10 @@
             let requested_at = clock::now();
             let request = Request { id: request_id, operation: planned.operation.clone() };
             connection.send(&request).await?;
-            let (response, view_changed) = self.receive_response(&mut connection, request_id).await?;
-            match self.apply_response(&planned, requested_at, response) {
+            let received = self.receive_response(&mut connection, request_id).await?;
+            match self.apply_response(&planned, requested_at, received.response) {
                 NextStep::Stop(outcome) => return Ok(outcome),
-                NextStep::AwaitRenewal if !view_changed => {
+                NextStep::AwaitRenewal if !received.view_changed => {
                     self.await_renewal(&mut connection, requested_at).await?;
                 }
                 NextStep::AwaitRenewal | NextStep::RequestNow => {}
@@ -137,7 +145,7 @@
     }
 
     fn release_lease_operation(&self) -> Option<Operation> {
-        let (lease, token) = self.pending_releases.borrow().first()?.clone();
+        let LeaseTerm { lease, token } = self.pending_releases.borrow().first()?.clone();
         Some(Operation::ReleaseLease { lease, token: Some(token) })
     }
 
@@ -146,13 +154,13 @@
         &self,
         connection: &mut Connection,
         request_id: u64,
-    ) -> Result<(Response, bool), ConnectionError> {
+    ) -> Result<ReceivedResponse, ConnectionError> {
         let mut view_changed = false;
         let deadline = Instant::now() + self.call_timeout();
         loop {
             match timeout_at(deadline, connection.receive()).await?? {
                 CoordinatorMessage::Response { id, response } if id == request_id => {
-                    return Ok((response, view_changed));
+                    return Ok(ReceivedResponse { response, view_changed });
                 }
                 CoordinatorMessage::Response { .. } => {}
                 CoordinatorMessage::ViewChanged { session, view } => {
@@ -243,7 +251,11 @@
         self.lease_client.borrow_mut().on_session_opened(session, incarnation, requested_at, now, view);
         *self.members.borrow_mut() = MemberList::default();
         tracing::info!(name = self.config.name, session = session.0, incarnation, "session opened");
-        self.recorder.record(now, "session", SessionRecord { incarnation, session: session.0 });
+        self.recorder.record(
+            now,
+            RecordKind::SessionOpened,
+            SessionRecord { incarnation, session: session.0 },
+        );
     }
 
     fn session_renewed(
--- a/crates/cluster-member/src/record.rs
+++ b/crates/cluster-member/src/record.rs
@@ -13,12 +13,50 @@
 #[derive(Debug, Clone, Default)]
 pub struct Recorder(Option<Rc<RefCell<File>>>);
 
+/// Kind of a record. The words in the file are a stable format and differ from the names here.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
+pub enum RecordKind {
+    /// A process started.
+    #[serde(rename = "started")]
+    ProcessStarted,
+    /// A replica became leader or lost the leadership.
+    #[serde(rename = "leads")]
+    LeadershipChanged,
+    /// A replica applied an entry of the log.
+    #[serde(rename = "applied")]
+    EntryApplied,
+    /// A member opened a session.
+    #[serde(rename = "session")]
+    SessionOpened,
+    /// A lease holder sent an effect.
+    #[serde(rename = "acted")]
+    EffectSent,
+    /// A receiver accepted an effect.
+    #[serde(rename = "taken")]
+    EffectAccepted,
+    /// A receiver rejected an effect.
+    #[serde(rename = "refused")]
+    EffectRejected,
+    /// The holder of the slow-start lease granted quota.
+    #[serde(rename = "granted")]
+    QuotaGranted,
+    /// A member applied an unhealthy verdict.
+    #[serde(rename = "against")]
+    VerdictApplied,
+    /// A dispatcher entered standby.
+    #[serde(rename = "standby")]
+    StandbyEntered,
+    /// A dispatcher returned from standby.
+    #[serde(rename = "active")]
+    StandbyLeft,
+}
+
 /// Line of the file.
 #[derive(Serialize)]
-struct Line<'a, T> {
+struct Line<T> {
     #[serde(rename = "t")]
     time: Micros,
-    kind: &'a str,
+    kind: RecordKind,
     #[serde(flatten)]
     fields: T,
 }
@@ -39,7 +77,7 @@
     }
 
     /// Writes a record of this kind with its fields. `time` is a reading of [`crate::clock::now`].
-    pub fn record<T: Serialize>(&self, time: Micros, kind: &str, fields: T) {
+    pub fn record<T: Serialize>(&self, time: Micros, kind: RecordKind, fields: T) {
         let Some(file) = &self.0 else { return };
         let Ok(mut line) = serde_json::to_vec(&Line { time, kind, fields }) else { return };
         line.push(b'\n');
--- a/crates/cluster-member/src/settings.rs
+++ b/crates/cluster-member/src/settings.rs
@@ -107,8 +107,8 @@
         timing.max_clock_skew_ppm = skew;
     }
     timing.validate().map_err(|error| {
-        let (key, against) = (format!("{}_ms", error.key), format!("{}_ms", error.against));
-        section.error(&key, format!("does not fit to {against}: {}", error.problem))
+        let key = format!("{}_ms", error.key);
+        section.error(&key, format!("does not fit to {}_ms: {}", error.against, error.problem))
     })?;
     Ok(timing)
 }
@@ -162,8 +162,8 @@
 #[cfg(feature = "seeded-bugs")]
 fn injected_bug(section: &Section) -> HclResult<Option<InjectedBug>> {
     let Some(name) = section.string("flaw")? else { return Ok(None) };
-    match InjectedBug::NAMES.iter().find(|(known, _)| *known == name) {
-        Some((_, bug)) => Ok(Some(*bug)),
+    match InjectedBug::from_name(&name) {
+        Some(bug) => Ok(Some(bug)),
         None => Err(section.error("flaw", format!("there is no flaw {name:?}"))),
     }
 }
--- a/crates/cluster-member/src/slow_start/allocator.rs
+++ b/crates/cluster-member/src/slow_start/allocator.rs
@@ -72,8 +72,9 @@
         if now < self.grants_from || processes.total_weight <= 0.0 {
             return grants;
         }
-        let in_slow_start = ages.ages(now).filter(|(_, age)| *age < self.profile.ramp_duration);
-        for (worker, age) in in_slow_start.collect::<Vec<_>>() {
+        let ramp_duration = self.profile.ramp_duration;
+        let in_slow_start = ages.ages(now).filter(|(_, age)| *age < ramp_duration);
+        for (worker, age) in in_slow_start {
             self.allocate_worker(worker, age, now, &processes, &mut draw, &mut grants);
         }
         grants
@@ -101,8 +102,12 @@
             available -= work;
             self.total_granted += work;
             outstanding.push_back(OutstandingGrant { made_at: now, work });
-            let (process_id, clock_reading) = (process.process_id, process.clock_reading);
-            grants.0.push(Grant { process_id, clock_reading, worker, work });
+            grants.0.push(Grant {
+                process_id: process.process_id,
+                clock_reading: process.clock_reading,
+                worker,
+                work,
+            });
         }
     }
 
--- a/crates/cluster-member/src/slow_start/granted_quota.rs
+++ b/crates/cluster-member/src/slow_start/granted_quota.rs
@@ -20,14 +20,22 @@
 pub struct GrantedQuota {
     process_id: u64,
     grant_ttl: Micros,
-    /// Fencing token and sequence number of the last accepted message.
-    last_accepted: (FencingToken, u64),
+    last_accepted: MessagePosition,
+}
+
+/// Position of a message among all messages of lease holders.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct MessagePosition {
+    token: FencingToken,
+    /// Sequence number within the term.
+    sequence: u64,
 }
 
 impl GrantedQuota {
     /// Creates a filter for the process with this id.
     pub fn new(process_id: u64, config: &QuotaConfig) -> GrantedQuota {
-        GrantedQuota { process_id, grant_ttl: config.grant_ttl, last_accepted: (FencingToken(0), 0) }
+        let last_accepted = MessagePosition { token: FencingToken(0), sequence: 0 };
+        GrantedQuota { process_id, grant_ttl: config.grant_ttl, last_accepted }
     }
 
     /// Accepts a message and returns the unexpired grants for this process; none if the message is not newer than the
@@ -39,10 +47,11 @@
         grants: &QuotaGrants,
         now: Micros,
     ) -> Vec<UsableQuota> {
-        if (token, sequence) <= self.last_accepted {
+        let position = MessagePosition { token, sequence };
+        if position <= self.last_accepted {
             return Vec::new();
         }
-        self.last_accepted = (token, sequence);
+        self.last_accepted = position;
         grants.0.iter().filter_map(|grant| self.usable(grant, now)).collect()
     }
 
--- a/crates/cluster-member/tests/format.rs
+++ b/crates/cluster-member/tests/format.rs
@@ -4,7 +4,7 @@
 
 use cluster_member::endpoint_list::{EndpointSnapshot, WatchEvent, ENDPOINT_LIST_LEASE};
 use cluster_member::health_check::{FailingWorker, HealthCheckConfig, HealthReport, ZoneReport};
-use cluster_member::record::Recorder;
+use cluster_member::record::{RecordKind, Recorder};
 use cluster_member::slow_start::{Grant, QuotaGrants, UsageReport, SLOW_START_LEASE};
 use cluster_member::wire::{
     encode, ClientHello, ClientIdentity, ConnectionError, CoordinatorMessage, Effect, EffectResponse,
@@ -424,9 +424,30 @@
     std::fs::write(&file, "{\"t\":1,\"kind\":\"earlier\"}\n").unwrap();
     let record = Recorder::append_to(&file).unwrap();
     assert!(record.is_enabled() && !Recorder::default().is_enabled());
-    record.record(1_000_000, "taken", json!({"token": 7, "duty": "list"}));
-    record.clone().record(1_000_001, "started", json!({}));
-    Recorder::default().record(1_000_002, "nowhere", json!({}));
+    record.record(1_000_000, RecordKind::EffectAccepted, json!({"token": 7, "duty": "list"}));
+    record.clone().record(1_000_001, RecordKind::ProcessStarted, json!({}));
+    Recorder::default().record(1_000_002, RecordKind::EntryApplied, json!({}));
     assert_pinned("records", &std::fs::read_to_string(&file).unwrap());
     assert!(Recorder::append_to(folder.path()).is_err());
 }
+
+/// The words by which checkers of experiments know the kinds of records.
+#[test]
+fn words_of_record_kinds() {
+    let words = [
+        (RecordKind::ProcessStarted, "started"),
+        (RecordKind::LeadershipChanged, "leads"),
+        (RecordKind::EntryApplied, "applied"),
+        (RecordKind::SessionOpened, "session"),
+        (RecordKind::EffectSent, "acted"),
+        (RecordKind::EffectAccepted, "taken"),
+        (RecordKind::EffectRejected, "refused"),
+        (RecordKind::QuotaGranted, "granted"),
+        (RecordKind::VerdictApplied, "against"),
+        (RecordKind::StandbyEntered, "standby"),
+        (RecordKind::StandbyLeft, "active"),
+    ];
+    for (kind, word) in words {
+        assert_eq!(serde_json::to_value(kind).unwrap(), json!(word));
+    }
+}
--- a/crates/coordinator/src/server/record.rs
+++ b/crates/coordinator/src/server/record.rs
@@ -1,7 +1,7 @@
 //! Records for the checkers of the emulator, written with `--record`. Their keys are read by other programs.
 
 use cluster_member::clock;
-use cluster_member::record::Recorder;
+use cluster_member::record::{RecordKind, Recorder};
 use coordination::{Command, CommandOutcome, Revision};
 use serde::Serialize;
 
@@ -41,12 +41,12 @@
 
 /// Records that the process started.
 pub(super) fn started(recorder: &Recorder, coordinator_id: u64, start_count: u64) {
-    recorder.record(clock::now(), "started", Started { start_count, coordinator_id });
+    recorder.record(clock::now(), RecordKind::ProcessStarted, Started { start_count, coordinator_id });
 }
 
 /// Records that this coordinator leads in this term, or leads no longer.
 pub(super) fn leadership_changed(recorder: &Recorder, leading_term: Option<u64>) {
-    recorder.record(clock::now(), "leads", LeadershipChanged { term: leading_term });
+    recorder.record(clock::now(), RecordKind::LeadershipChanged, LeadershipChanged { term: leading_term });
 }
 
 /// Records that an entry was applied.
@@ -77,5 +77,5 @@
         }) => entry.permits = granted,
         _ => {}
     }
-    recorder.record(clock::now(), "applied", entry);
+    recorder.record(clock::now(), RecordKind::EntryApplied, entry);
 }
--- a/crates/dispatcher/src/net/cluster/health_checks.rs
+++ b/crates/dispatcher/src/net/cluster/health_checks.rs
@@ -12,6 +12,7 @@
     ZoneLiveness,
 };
 use cluster_member::member::Member;
+use cluster_member::record::RecordKind;
 use cluster_member::wire::Effect;
 use coordination::{FencingToken, Micros};
 use tokio::task::{spawn_local, AbortHandle};
@@ -156,7 +157,7 @@
             let may = holds_lease || self.config.injected_bug == Some(InjectedBug::SkipLeaseCheck);
             if may {
                 let what = serde_json::json!({"duty": lease.to_string(), "token": token.0, "worker": worker});
-                self.member.recorder().record(now, "acted", what);
+                self.member.recorder().record(now, RecordKind::EffectSent, what);
                 self.with_term(set, token, |term| term.rounds.probe_sent(worker, now));
                 self.metrics.health_checks.inc();
             }
@@ -196,7 +197,7 @@
         }
         let tell = |worker: u64, ago: Micros, holds: Micros| {
             let what = serde_json::json!({"worker": worker, "holds": holds});
-            self.member.recorder().record(now, "against", what);
+            self.member.recorder().record(now, RecordKind::VerdictApplied, what);
             self.pool.handle.send(Input::UnhealthyReported {
                 worker: WorkerId(worker),
                 observed_ago: ago,
--- a/crates/dispatcher/src/net/cluster/mod.rs
+++ b/crates/dispatcher/src/net/cluster/mod.rs
@@ -18,7 +18,7 @@
 use cluster_member::endpoint_list::{EndpointSnapshot, WatchEvent, ENDPOINT_LIST_LEASE};
 use cluster_member::health_check::HealthCheckConfig;
 use cluster_member::member::{Member, MemberConfig, MembershipEnd};
-use cluster_member::record::Recorder;
+use cluster_member::record::{RecordKind, Recorder};
 use cluster_member::slow_start::{QuotaConfig, SlowStartProfile, SLOW_START_LEASE};
 use cluster_member::wire::Effect;
 use coordination::{LeaseClient, LeaseId, Micros};
@@ -93,7 +93,7 @@
     let member = member_config(settings, config, &zone, address, offered_leases(settings, watch));
     let record = settings.record.as_deref().map_or(Ok(Recorder::default()), Recorder::append_to)?;
     let member = Member::new(member, LeaseClient::new(settings.times), record);
-    member.recorder().record(clock::now(), "started", serde_json::json!({}));
+    member.recorder().record(clock::now(), RecordKind::ProcessStarted, serde_json::json!({}));
     let (sender, news) = mpsc::channel(WATCH_EVENT_QUEUE);
     let health_checks = watch.map(|how| {
         Rc::new(ClusterHealthChecks::new(how, zone, member.clone(), pool.clone(), metrics.clone()))
--- a/crates/dispatcher/src/net/cluster/slow_start.rs
+++ b/crates/dispatcher/src/net/cluster/slow_start.rs
@@ -7,6 +7,7 @@
 use cluster_member::clock;
 use cluster_member::effects::Publisher;
 use cluster_member::member::Member;
+use cluster_member::record::RecordKind;
 use cluster_member::slow_start::{
     EndpointAges, GrantedQuota, QuotaAllocator, QuotaConfig, QuotaGrants, SlowStartProfile, UsageReport,
     SLOW_START_LEASE,
@@ -105,7 +106,7 @@
             let at = self.pool.clock.now() + usable.expires_at.saturating_sub(now);
             let (worker, work, until) = (usable.worker, usable.work, usable.expires_at);
             let what = serde_json::json!({"worker": worker, "work": work, "until": until, "token": token.0});
-            self.member.recorder().record(now, "granted", what);
+            self.member.recorder().record(now, RecordKind::QuotaGranted, what);
             self.metrics.quota_granted.inc_by(work);
             self.pool.handle.send(Input::QuotaGranted { worker: WorkerId(worker), work, expires_at: at });
         }
--- a/crates/dispatcher/src/net/planned_drain.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -11,6 +11,7 @@
 use cluster_member::coordinator_client::CoordinatorClient;
 use cluster_member::effects::Publisher;
 use cluster_member::member::Member;
+use cluster_member::record::RecordKind;
 use cluster_member::wire::{ClientIdentity, Operation, Response};
 use coordination::{FencingToken, LeaseId, Micros};
 use disruption_budget::{
@@ -267,7 +268,11 @@
 
     fn switch_to_standby(&self, permit: Option<u64>) {
         self.status.mode.send_replace(Mode::Standby);
-        self.member.recorder().record(clock::now(), "standby", serde_json::json!({"permit": permit}));
+        self.member.recorder().record(
+            clock::now(),
+            RecordKind::StandbyEntered,
+            serde_json::json!({"permit": permit}),
+        );
     }
 
     /// Returned from standby: another life.
@@ -275,7 +280,7 @@
         self.returns_from_standby.set(self.returns_from_standby.get() + 1);
         self.member.recorder().record(
             clock::now(),
-            "active",
+            RecordKind::StandbyLeft,
             serde_json::json!({"number": self.incarnation()}),
         );
     }
@@ -323,7 +328,7 @@
                 removed: changes.removed,
             };
             let what = serde_json::json!({"duty": OBSERVER_LEASE, "token": token.0});
-            self.member.recorder().record(clock::now(), "acted", what);
+            self.member.recorder().record(clock::now(), RecordKind::EffectSent, what);
             let _ = coordinators.call(&Operation::ChangeDisruptionState(observe), by).await;
         }
     }
--- a/crates/emulator/src/cluster/lightweight_member.rs
+++ b/crates/emulator/src/cluster/lightweight_member.rs
@@ -8,7 +8,7 @@
 
 use cluster_member::effects::{serve_effects, Publisher};
 use cluster_member::member::{self, Member, MembershipEnd};
-use cluster_member::record::Recorder;
+use cluster_member::record::{RecordKind, Recorder};
 use coordination::{InjectedBug, LeaseClient, LeaseId, Timing};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
@@ -86,7 +86,7 @@
         seed: light.seed,
     };
     let member = Member::new(settings, LeaseClient::new(light.times).with_injected_bug(flaw), record);
-    member.recorder().record(cluster_member::clock::now(), "started", serde_json::json!({}));
+    member.recorder().record(cluster_member::clock::now(), RecordKind::ProcessStarted, serde_json::json!({}));
     tokio::task::spawn_local(serve_effects(member.clone(), listener, |_| Vec::new()));
     tokio::task::spawn_local(publish_effects(member.clone()));
     let mut terminate = signal(SignalKind::terminate()).map_err(ClusterError::io("handler of SIGTERM"))?;
