--- a/crates/dispatcher/tests/log_targets.rs
+++ b/crates/dispatcher/tests/log_targets.rs
@@ -34,6 +34,42 @@
     assert!(!enabled("cairncrank=trace", "tokio", Level::ERROR));
 }
 
+#[test]
+fn levels_by_former_modules_count_for_the_present_ones() {
+    for (former, present) in [
+        ("own", "settings_file"),
+        ("net::cold", "net::cluster::slow_start"),
+        ("net::fleet", "net::cluster::timing"),
+        ("net::inherit", "net::socket_activation"),
+        ("net::leave", "net::planned_drain"),
+        ("net::probe", "net::worker::health_check"),
+        ("net::signal", "net::shutdown"),
+        ("net::signal", "net::reload"),
+        ("net::values", "net::json_framing"),
+        ("net::watchers", "net::cluster::health_checks"),
+    ] {
+        let present = format!("dispatcher::{present}");
+        for package in ["cairncrank", "dispatcher"] {
+            let words = format!("warn,{package}::{former}=debug");
+            assert!(enabled(&words, &present, Level::DEBUG), "{words} for {present}");
+            assert!(!enabled(&words, &present, Level::TRACE), "{words} for {present}");
+            assert!(!enabled(&words, "dispatcher::net::console", Level::INFO), "{words} elsewhere");
+            assert!(enabled(&words, "dispatcher::net::console", Level::WARN), "{words} elsewhere");
+        }
+    }
+}
+
+#[test]
+fn a_present_module_wins_over_its_former_name() {
+    for words in [
+        "cairncrank::net::leave=trace,dispatcher::net::planned_drain=warn",
+        "dispatcher::net::planned_drain=warn,dispatcher::net::leave=trace",
+    ] {
+        assert!(!enabled(words, "dispatcher::net::planned_drain", Level::INFO), "{words}");
+        assert!(enabled(words, "dispatcher::net::planned_drain", Level::WARN), "{words}");
+    }
+}
+
 #[test]
 fn present_targets_are_understood_and_win() {
     assert!(enabled("warn,dispatcher::net=debug", "dispatcher::net::client", Level::DEBUG));
