--- /dev/null
+++ b/crates/dispatcher/src/config/mod.rs
@@ -0,0 +1,179 @@
+//! The one place where configuration is read, checked and given defaults.
+//!
+//! The platform hands over a JSON file ([`CONFIG_VARIABLE`]) and repeats the name and the addresses in variables of their
+//! own, which take precedence. Errors name the faulty key. A reload at run time replaces the whole configuration (with
+//! the local settings of `settings_file.rs`) or none of it, and there the file's `discovery` takes precedence over its
+//! variable, which cannot change any more.
+
+mod parser;
+
+use std::net::SocketAddr;
+
+pub use crate::config_error::ConfigError;
+pub use crate::endpoint_list::{parse_endpoint_list, EndpointList};
+pub use crate::names::{ClassInfo, Names};
+
+use crate::config_error::invalid;
+use crate::engine::{ListedEndpoint, Micros};
+use crate::settings_file::{ClusterSettings, LocalSettings};
+use dispatch_core::api::Settings;
+
+/// Environment variable with the path of the configuration file.
+pub const CONFIG_VARIABLE: &str = "BALANCER_CONFIG";
+/// Environment variable with the name of this dispatcher.
+const NAME_VARIABLE: &str = "BALANCER_NAME";
+/// Environment variable with the address that clients connect to.
+const LISTEN_VARIABLE: &str = "BALANCER_LISTEN";
+/// Environment variable with the address of discovery.
+const DISCOVERY_VARIABLE: &str = "BALANCER_DISCOVERY";
+/// Environment variable with the address of the operators' console.
+const CONSOLE_VARIABLE: &str = "BALANCER_CONSOLE";
+
+/// Key of the address of discovery.
+const DISCOVERY_KEY: &str = "discovery";
+
+/// A checked configuration.
+#[derive(Clone, Debug)]
+pub struct Config {
+    /// Name of this dispatcher.
+    pub name: String,
+    /// Address that clients connect to.
+    pub listen: SocketAddr,
+    /// Address of discovery.
+    pub discovery: SocketAddr,
+    /// Address of the operators' console, if there is one.
+    pub console: Option<SocketAddr>,
+    /// Seed of random numbers.
+    pub seed: u64,
+    /// Maximum number of client connections.
+    pub client_sockets: usize,
+    /// Maximum number of connections to workers.
+    pub worker_sockets: usize,
+    /// Settings of the decision module.
+    pub settings: Settings,
+    /// Names of classes, tenants, zones and kinds.
+    pub names: Names,
+    /// Time within which a connection must be established.
+    pub dial_timeout: Micros,
+    /// Time after which an idle connection to a worker is closed.
+    pub idle_timeout: Micros,
+    /// Time for which a draining worker may still receive work after the notification.
+    pub drain_grace: Micros,
+    /// True if an agent on this machine receives the endpoint list by push: its content counts as notified from the start.
+    pub list_is_pushed: bool,
+    /// Longest timeout of a class.
+    pub longest_timeout: Micros,
+    /// Endpoint list as last held before the start.
+    pub saved_list: SavedList,
+    /// Settings of the cluster that this dispatcher is a member of, if the local settings name one.
+    pub cluster: Option<ClusterSettings>,
+}
+
+/// Endpoint list as last held before the start; empty if none was saved.
+#[derive(Clone, Debug, Default)]
+pub struct SavedList {
+    /// Discovery's revision of the list.
+    pub revision: Option<u64>,
+    /// Entries of the list.
+    pub endpoints: Vec<ListedEndpoint>,
+}
+
+impl Config {
+    /// Reads the configuration; `variable` looks up an environment variable.
+    ///
+    /// # Errors
+    /// Returns a [`ConfigError`] for the first key that is missing or invalid.
+    pub fn from_environment(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        let mut config = Config::parse(&read_file(&variable)?, &variable)?;
+        config.apply_local_settings(LocalSettings::load(variable)?);
+        Ok(config)
+    }
+
+    /// Reads the files again for a program that runs with this configuration.
+    ///
+    /// # Errors
+    /// Returns a [`ConfigError`] for the first key that is missing or invalid, or that cannot change at run time.
+    pub fn reload(&self, variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        let mut config = self.replace(&read_file(&variable)?, &variable)?;
+        let local = LocalSettings::load(variable)?;
+        if local.cluster != self.cluster {
+            return invalid("fleet", "cannot change while the program runs");
+        }
+        config.apply_local_settings(local);
+        Ok(config)
+    }
+
+    /// Parses the text of a file that replaces this configuration. Names keep their positions, by which the decision
+    /// module knows the open jobs; new names follow them.
+    ///
+    /// # Errors
+    /// Returns a [`ConfigError`] for the first key that is missing or invalid, or that cannot change at run time.
+    pub fn replace(
+        &self,
+        text: &str,
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<Config, ConfigError> {
+        let from_file = Config::parse(text, |name| match name {
+            DISCOVERY_VARIABLE => None,
+            _ => variable(name),
+        });
+        let mut new = match from_file {
+            // Without the key in the file, the variable remains in effect.
+            Err(error) if error.key == DISCOVERY_KEY && error.is_missing() => Config::parse(text, variable)?,
+            result => result?,
+        };
+        self.check_listen_address(&new)?;
+        self.check_names(&new)?;
+        // Listeners stay where they are.
+        new.listen = self.listen;
+        new.console = self.console;
+        Ok(new)
+    }
+
+    /// Parses the text of a configuration file; `variable` looks up an environment variable.
+    ///
+    /// # Errors
+    /// Returns a [`ConfigError`] for the first key that is missing or invalid.
+    pub fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        parser::parse_config(text, variable)
+    }
+
+    fn apply_local_settings(&mut self, local: LocalSettings) {
+        self.settings.capacity_reservation = local.capacity_reservation;
+        self.cluster = local.cluster;
+    }
+
+    fn check_listen_address(&self, new: &Config) -> Result<(), ConfigError> {
+        if new.listen == self.listen || self.listen.port() == 0 {
+            return Ok(());
+        }
+        invalid("listen", format!("cannot change while the program runs: it listens on {}", self.listen))
+    }
+
+    /// Checks that each list of names begins with the names that it has now.
+    fn check_names(&self, new: &Config) -> Result<(), ConfigError> {
+        let has_class = |(present, new): (&ClassInfo, &ClassInfo)| present.name == new.name;
+        let (present, new) = (&self.names, &new.names);
+        let classes_kept = present.classes.len() <= new.classes.len()
+            && present.classes.iter().zip(&new.classes).all(has_class);
+        for (key, is_kept) in [
+            ("settings.profiles", classes_kept),
+            ("settings.projects", new.tenants.starts_with(&present.tenants)),
+            ("settings.azs", new.zones.starts_with(&present.zones)),
+            ("settings.flavors", new.kinds.starts_with(&present.kinds)),
+        ] {
+            if !is_kept {
+                return invalid(key, "cannot change while the program runs, but for names added at the end");
+            }
+        }
+        Ok(())
+    }
+}
+
+fn read_file(variable: &impl Fn(&str) -> Option<String>) -> Result<String, ConfigError> {
+    let Some(path) = variable(CONFIG_VARIABLE) else {
+        return invalid(CONFIG_VARIABLE, "not set; it names the configuration file");
+    };
+    std::fs::read_to_string(&path)
+        .or_else(|error| invalid(CONFIG_VARIABLE, format!("cannot read {path}: {error}")))
+}
--- /dev/null
+++ b/crates/dispatcher/src/config/parser.rs
@@ -0,0 +1,210 @@
+//! Parser of the platform's JSON file.
+
+use std::net::SocketAddr;
+
+use serde_json::Value;
+
+use super::{
+    Config, SavedList, CONSOLE_VARIABLE, DISCOVERY_KEY, DISCOVERY_VARIABLE, LISTEN_VARIABLE, NAME_VARIABLE,
+};
+use crate::config_error::{invalid, ConfigError, MISSING};
+use crate::endpoint_list::parse_endpoint_list;
+use crate::engine::{micros, Micros};
+use crate::names::{ClassInfo, Names};
+use dispatch_core::api::{Idempotency, Settings};
+use dispatch_core::hashing::worker_id;
+use dispatch_core::settings::parse_settings;
+use dispatch_core::settings_pairs::{InvalidValue, SettingsPairs};
+
+/// Default name of a dispatcher.
+const DEFAULT_NAME: &str = "cairncrank";
+/// Default number of file descriptors.
+const DEFAULT_SOCKETS: usize = 1024;
+/// Descriptors reserved for files, the runtime, the listener and discovery.
+const RESERVED_SOCKETS: usize = 40;
+/// Minimum number of descriptors to start with.
+const MIN_SOCKETS: usize = 2 * RESERVED_SOCKETS;
+/// Share of the unreserved descriptors that clients may take, in percent; workers have the rest.
+const CLIENT_SOCKETS_PERCENT: usize = 60;
+/// Default of the dial timeout, in seconds.
+const DEFAULT_DIAL_TIMEOUT_S: f64 = 1.0;
+/// Lower bound of the dial timeout, in seconds.
+const MIN_DIAL_TIMEOUT_S: f64 = 0.001;
+/// Default of the keep-alive time of idle connections, in seconds.
+const DEFAULT_KEEPALIVE_S: f64 = 5.0;
+/// Part of the keep-alive time for which an idle connection is used: clocks of both sides differ, and a request that
+/// crosses the worker's close would be lost.
+const KEEPALIVE_FRACTION: f64 = 0.8;
+/// Default of the drain grace, in seconds.
+const DEFAULT_DRAIN_GRACE_S: f64 = 0.5;
+/// Default timeout of a request, in seconds, if neither the client nor its class sets one.
+const DEFAULT_TIMEOUT_S: f64 = 10.0;
+
+const EXPECTED_ADDRESS: &str = "expected an address such as 127.0.0.1:7070";
+
+impl From<InvalidValue> for ConfigError {
+    fn from(invalid: InvalidValue) -> Self {
+        ConfigError {
+            key: format!("settings.{}", invalid.expected),
+            problem: format!("'{}' is no value that it can have", invalid.found),
+        }
+    }
+}
+
+/// Parses the text of a configuration file; `variable` looks up an environment variable.
+pub(super) fn parse_config(
+    text: &str,
+    variable: impl Fn(&str) -> Option<String>,
+) -> Result<Config, ConfigError> {
+    let root: Value = serde_json::from_str(text)
+        .or_else(|error| invalid("configuration", format!("is not JSON: {error}")))?;
+    let pairs = match &root["settings"] {
+        all @ Value::Object(_) => SettingsPairs::from_json(all),
+        Value::Null => return invalid("settings", MISSING),
+        _ => return invalid("settings", "expected an object"),
+    };
+    let settings = parse_settings(&pairs)?;
+    let names = parse_names(&pairs, &settings)?;
+    if settings.zone as usize >= names.zones.len().max(1) {
+        return invalid("settings.zone", format!("there is no zone number {}", settings.zone));
+    }
+    let sockets = parse_socket_limit(&root["limits"]["sockets"])? - RESERVED_SOCKETS;
+    let client_sockets = sockets * CLIENT_SOCKETS_PERCENT / 100;
+    let saved_list = parse_saved_list(&root["known"], &names)?;
+    let keepalive = pairs.non_negative("caps.keepalive-s", DEFAULT_KEEPALIVE_S)?;
+    let texts = TextSources { root: &root, variable };
+    Ok(Config {
+        name: texts.find(NAME_VARIABLE, "name").map_or_else(|| DEFAULT_NAME.to_owned(), |name| name.text),
+        listen: texts.address(LISTEN_VARIABLE, "listen")?,
+        discovery: texts.address(DISCOVERY_VARIABLE, DISCOVERY_KEY)?,
+        console: texts.optional_address(CONSOLE_VARIABLE, "console")?,
+        seed: parse_seed(&root["seed"])?,
+        client_sockets,
+        worker_sockets: sockets - client_sockets,
+        dial_timeout: parse_dial_timeout(&pairs)?,
+        idle_timeout: micros(keepalive * KEEPALIVE_FRACTION),
+        drain_grace: micros(pairs.non_negative("obligations.drain-grace-s", DEFAULT_DRAIN_GRACE_S)?),
+        list_is_pushed: pairs.text("discovery") == "push",
+        longest_timeout: longest_timeout(&names),
+        settings,
+        names,
+        saved_list,
+        cluster: None,
+    })
+}
+
+/// Texts that are given by an environment variable or else by a key of the file.
+struct TextSources<'a, V> {
+    root: &'a Value,
+    variable: V,
+}
+
+/// A text, and the variable or key that it is from.
+struct SourcedText {
+    source: String,
+    text: String,
+}
+
+impl<V: Fn(&str) -> Option<String>> TextSources<'_, V> {
+    fn find(&self, variable: &str, key: &str) -> Option<SourcedText> {
+        if let Some(text) = (self.variable)(variable) {
+            return Some(SourcedText { source: variable.to_owned(), text });
+        }
+        let text = self.root[key].as_str()?.to_owned();
+        Some(SourcedText { source: key.to_owned(), text })
+    }
+
+    fn optional_address(&self, variable: &str, key: &str) -> Result<Option<SocketAddr>, ConfigError> {
+        let Some(SourcedText { source, text }) = self.find(variable, key) else {
+            return Ok(None);
+        };
+        match text.parse() {
+            Ok(address) => Ok(Some(address)),
+            Err(_) => invalid(&source, format!("{EXPECTED_ADDRESS}, found '{text}'")),
+        }
+    }
+
+    fn address(&self, variable: &str, key: &str) -> Result<SocketAddr, ConfigError> {
+        match self.optional_address(variable, key)? {
+            Some(address) => Ok(address),
+            None => invalid(key, format!("{MISSING}; {EXPECTED_ADDRESS}")),
+        }
+    }
+}
+
+/// Parses the number of descriptors that the program may open.
+fn parse_socket_limit(value: &Value) -> Result<usize, ConfigError> {
+    if value.is_null() {
+        return Ok(DEFAULT_SOCKETS);
+    }
+    let limit = value.as_u64().and_then(|limit| usize::try_from(limit).ok());
+    match limit.filter(|limit| *limit >= MIN_SOCKETS) {
+        Some(limit) => Ok(limit),
+        None => invalid("limits.sockets", format!("expected {MIN_SOCKETS} or more, found {value}")),
+    }
+}
+
+fn parse_saved_list(value: &Value, names: &Names) -> Result<SavedList, ConfigError> {
+    if value.is_null() {
+        return Ok(SavedList::default());
+    }
+    match parse_endpoint_list(value, names) {
+        Ok(list) => Ok(SavedList { revision: Some(list.revision), endpoints: list.endpoints }),
+        Err(error) => invalid(&format!("known.{}", error.key), error.problem),
+    }
+}
+
+/// Parses a seed in hexadecimal digits or as a number; any other text is hashed.
+fn parse_seed(value: &Value) -> Result<u64, ConfigError> {
+    match value {
+        Value::String(text) => Ok(u64::from_str_radix(text, 16).unwrap_or_else(|_| worker_id(text).0)),
+        Value::Number(number) if number.is_u64() => Ok(number.as_u64().unwrap_or_default()),
+        Value::Null => invalid("seed", MISSING),
+        other => invalid("seed", format!("expected hexadecimal digits, found {other}")),
+    }
+}
+
+fn parse_dial_timeout(pairs: &SettingsPairs<'_>) -> Result<Micros, ConfigError> {
+    let seconds = pairs.non_negative("caps.dial-timeout-s", DEFAULT_DIAL_TIMEOUT_S)?;
+    Ok(micros(seconds.max(MIN_DIAL_TIMEOUT_S)))
+}
+
+fn longest_timeout(names: &Names) -> Micros {
+    let timeouts = names.classes.iter().map(|class| class.timeout);
+    timeouts.max().unwrap_or(micros(DEFAULT_TIMEOUT_S))
+}
+
+fn parse_names(pairs: &SettingsPairs<'_>, settings: &Settings) -> Result<Names, ConfigError> {
+    let classes = parse_classes(pairs, settings)?;
+    let tenants = pairs.names("projects")?;
+    let list = |key: &str| pairs.list(key).map(str::to_owned).collect();
+    let names = Names { classes, tenants, zones: list("azs"), kinds: list("flavors") };
+    if names.classes.is_empty() {
+        return invalid("settings.profiles", "expected one class of request or more");
+    }
+    check_all_named("profiles", names.classes.iter().map(|class| class.name.as_str()))?;
+    check_all_named("projects", names.tenants.iter().map(String::as_str))?;
+    Ok(names)
+}
+
+fn parse_classes(pairs: &SettingsPairs<'_>, settings: &Settings) -> Result<Vec<ClassInfo>, ConfigError> {
+    let mut classes = Vec::new();
+    for (position, name) in pairs.names("profiles")?.into_iter().enumerate() {
+        let timeout = pairs.non_negative(&format!("profiles.{position}.deadline-s"), DEFAULT_TIMEOUT_S)?;
+        let idempotency = &settings.classes[position].idempotency;
+        classes.push(ClassInfo {
+            name,
+            timeout: micros(timeout),
+            requires_idempotency_key: matches!(idempotency, Idempotency::WithKey(_)),
+        });
+    }
+    Ok(classes)
+}
+
+/// Checks that no entry of a list of the settings lacks its name.
+fn check_all_named<'a>(list: &str, mut names: impl Iterator<Item = &'a str>) -> Result<(), ConfigError> {
+    match names.position(str::is_empty) {
+        Some(position) => invalid(&format!("settings.{list}.{position}.name"), MISSING),
+        None => Ok(()),
+    }
+}
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -2,8 +2,9 @@
 
 use std::process::ExitCode;
 
-use dispatcher::config::{Config, ConfigError};
+use dispatcher::config::{Config, ConfigError, CONFIG_VARIABLE};
 use dispatcher::log;
+use dispatcher::net::socket_activation::InheritedSocketError;
 use dispatcher::net::{self, reload, shutdown, socket_activation};
 use dispatcher::settings_file;
 use lexopt::prelude::{Long, Short, Value};
@@ -24,7 +25,7 @@
 LEVELS is a level, or levels by target: info (the default), or warn,dispatcher::net=debug.
 ";
 
-/// The exit code of bad usage.
+/// Exit code of bad usage.
 const BAD_USAGE: u8 = 2;
 
 enum Command {
@@ -34,7 +35,7 @@
     Help,
 }
 
-/// What the command line says.
+/// Parsed command line.
 struct Arguments {
     command: Command,
     config: Option<String>,
@@ -43,85 +44,107 @@
     format: log::Format,
 }
 
-fn arguments() -> Result<Arguments, lexopt::Error> {
-    let mut parser = lexopt::Parser::from_env();
-    let (mut command, mut config, mut settings) = (None, None, None);
-    let (mut levels, mut format) = (log::default_levels(), log::Format::default());
-    while let Some(argument) = parser.next()? {
-        match argument {
-            Long("config") => config = Some(parser.value()?.string()?),
-            Long("settings") => settings = Some(parser.value()?.string()?),
-            Long("log") => levels = parser.value()?.parse_with(log::parse_levels)?,
-            Long("log-format") => format = parser.value()?.parse()?,
-            Long("help") | Short('h') => command = Some(Command::Help),
-            Long("version") | Short('V') => command = Some(Command::Version),
-            Value(word) if command.is_none() => {
-                command = Some(match word.string()?.as_str() {
-                    "serve" => Command::Serve,
-                    "check-config" => Command::CheckConfig,
-                    "version" => Command::Version,
-                    "help" => Command::Help,
-                    other => return Err(format!("there is no command '{other}'").into()),
-                });
+impl Arguments {
+    fn parse() -> Result<Arguments, lexopt::Error> {
+        let mut parser = lexopt::Parser::from_env();
+        let mut command = None;
+        let mut arguments = Arguments {
+            command: Command::Serve,
+            config: None,
+            settings: None,
+            levels: log::default_levels(),
+            format: log::Format::default(),
+        };
+        while let Some(argument) = parser.next()? {
+            match argument {
+                Long("config") => arguments.config = Some(parser.value()?.string()?),
+                Long("settings") => arguments.settings = Some(parser.value()?.string()?),
+                Long("log") => arguments.levels = parser.value()?.parse_with(log::parse_levels)?,
+                Long("log-format") => arguments.format = parser.value()?.parse()?,
+                Long("help") | Short('h') => command = Some(Command::Help),
+                Long("version") | Short('V') => command = Some(Command::Version),
+                Value(word) if command.is_none() => command = Some(parse_command(&word.string()?)?),
+                other => return Err(other.unexpected()),
             }
-            other => return Err(other.unexpected()),
         }
+        if let Some(command) = command {
+            arguments.command = command;
+        }
+        Ok(arguments)
+    }
+}
+
+fn parse_command(word: &str) -> Result<Command, lexopt::Error> {
+    match word {
+        "serve" => Ok(Command::Serve),
+        "check-config" => Ok(Command::CheckConfig),
+        "version" => Ok(Command::Version),
+        "help" => Ok(Command::Help),
+        other => Err(format!("there is no command '{other}'").into()),
     }
-    Ok(Arguments { command: command.unwrap_or(Command::Serve), config, settings, levels, format })
+}
+
+/// An error that ends the program.
+#[derive(Debug, thiserror::Error)]
+enum StartError {
+    #[error("configuration: {0}")]
+    Configuration(#[from] ConfigError),
+    #[error(transparent)]
+    InheritedSocket(#[from] InheritedSocketError),
 }
 
 fn main() -> ExitCode {
-    let Arguments { command, config: file, settings, levels, format } = match arguments() {
+    let arguments = match Arguments::parse() {
         Ok(arguments) => arguments,
         Err(error) => {
             eprint!("dispatcher: {error}\n\n{USAGE}");
             return ExitCode::from(BAD_USAGE);
         }
     };
-    let variable = move |name: &str| match &file {
-        Some(file) if name == "BALANCER_CONFIG" => Some(file.clone()),
-        _ if name == settings_file::VARIABLE && settings.is_some() => settings.clone(),
-        _ => std::env::var(name).ok(),
+    run(arguments).unwrap_or_else(|error| {
+        eprintln!("dispatcher: {error}");
+        ExitCode::FAILURE
+    })
+}
+
+fn run(arguments: Arguments) -> Result<ExitCode, StartError> {
+    let Arguments { command, config: config_path, settings: settings_path, levels, format } = arguments;
+    let variable = move |name: &str| {
+        let argument = match name {
+            CONFIG_VARIABLE => config_path.clone(),
+            settings_file::VARIABLE => settings_path.clone(),
+            _ => None,
+        };
+        argument.or_else(|| std::env::var(name).ok())
     };
     match command {
         Command::Help => print!("{USAGE}"),
         Command::Version => println!("cairncrank {}", env!("CARGO_PKG_VERSION")),
-        Command::CheckConfig => match Config::from_environment(variable) {
-            Ok(config) => println!(
-                "{}: serves {} classes on {}, follows {}, knows {} workers",
-                config.name,
-                config.names.classes.len(),
-                config.listen,
-                config.discovery,
-                config.saved_list.1.len()
-            ),
-            Err(error) => return misconfigured(&error),
-        },
-        Command::Serve => match Config::from_environment(&variable) {
-            Ok(config) => {
-                // Before the log's thread starts: taking the socket sets variables of the environment.
-                let inherited = match variable(socket_activation::VARIABLE).map(|text| {
+        Command::CheckConfig => print_summary(&Config::from_environment(variable)?),
+        Command::Serve => {
+            let config = Config::from_environment(&variable)?;
+            // Before the log's thread starts: taking the socket sets environment variables.
+            let inherited = variable(socket_activation::VARIABLE)
+                .map(|text| {
                     socket_activation::parse_descriptor(&text).and_then(socket_activation::take_listener)
-                }) {
-                    None => None,
-                    Some(Ok(listener)) => Some(listener),
-                    Some(Err(error)) => {
-                        eprintln!("dispatcher: {error}");
-                        return ExitCode::FAILURE;
-                    }
-                };
-                let _guard = log::init(levels, format);
-                return serve(config, inherited, variable);
-            }
-            Err(error) => return misconfigured(&error),
-        },
+                })
+                .transpose()?;
+            let _guard = log::init(levels, format);
+            return Ok(serve(config, inherited, variable));
+        }
     }
-    ExitCode::SUCCESS
+    Ok(ExitCode::SUCCESS)
 }
 
-fn misconfigured(error: &ConfigError) -> ExitCode {
-    eprintln!("dispatcher: configuration: {error}");
-    ExitCode::FAILURE
+fn print_summary(config: &Config) {
+    println!(
+        "{}: serves {} classes on {}, follows {}, knows {} workers",
+        config.name,
+        config.names.classes.len(),
+        config.listen,
+        config.discovery,
+        config.saved_list.endpoints.len()
+    );
 }
 
 fn serve(
@@ -130,10 +153,9 @@
     variable: impl Fn(&str) -> Option<String> + 'static,
 ) -> ExitCode {
     let run = async {
-        // Caught first: a signal that comes while the rest starts must not kill.
+        // First, since a signal that arrives during the start must not kill the process.
         let phase = shutdown::listen_for_termination(config.longest_timeout)?;
         let reload = reload::listen_for_reload(move |old| old.reload(&variable))?;
-        // The platform may hold the address itself and hand it over, so that two processes serve it in turn.
         let listener = match inherited {
             Some(listener) => tokio::net::TcpListener::from_std(listener)?,
             None => tokio::net::TcpListener::bind(config.listen).await?,
--- a/crates/dispatcher/src/names.rs
+++ b/crates/dispatcher/src/names.rs
@@ -1,27 +1,27 @@
-//! The names of the settings, by whose positions the decision module knows classes, tenants, zones and kinds.
+//! Names of the settings. The decision module knows classes, tenants, zones and kinds by their positions in these lists.
 
 use crate::engine::Micros;
 
-/// What is told of a class beyond what the module needs.
+/// Settings of a class that only the network layer uses.
 #[derive(Clone, Debug)]
 pub struct ClassInfo {
-    /// Its name, the first part of the path.
+    /// Name of the class, the first segment of a request's path.
     pub name: String,
-    /// How long clients wait where they do not say.
+    /// Timeout of a request that sets none.
     pub timeout: Micros,
-    /// A job of it comes with an idempotency key.
+    /// True if each job must have an idempotency key.
     pub requires_idempotency_key: bool,
 }
 
-/// The names of the settings, and the positions in their lists by which the module knows them.
+/// Names of the settings by position.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// The classes.
+    /// Classes of requests.
     pub classes: Vec<ClassInfo>,
-    /// The tenants.
+    /// Tenants.
     pub tenants: Vec<String>,
-    /// The zones.
+    /// Zones.
     pub zones: Vec<String>,
-    /// The kinds of machine.
+    /// Kinds of worker machines.
     pub kinds: Vec<String>,
 }
--- a/crates/dispatcher/src/net/discovery/mod.rs
+++ b/crates/dispatcher/src/net/discovery/mod.rs
@@ -29,8 +29,8 @@
     ready: watch::Sender<bool>,
     fleet: Option<(Rc<SharedList>, mpsc::Receiver<WatchEvent>)>,
 ) {
-    let (known, mut members) = configs.borrow().saved_list.clone();
-    let notified = Rc::new(NotifiedState::from_saved(known, &mut members));
+    let mut saved = configs.borrow().saved_list.clone();
+    let notified = Rc::new(NotifiedState::from_saved(saved.revision, &mut saved.endpoints));
     let lists = fleet.map(|(lists, news)| {
         let (notified, configs) = (notified.clone(), configs.clone());
         spawn_local(follow_cluster_list(
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -89,8 +89,8 @@
     let (mode, modes) = watch::channel(mode::Mode::Active);
     let (handle, inputs) = Handle::channel();
     let (commands, orders) = mpsc::unbounded_channel();
-    let mut engine =
-        Engine::new(config.settings.clone(), config.seed, config.saved_list.1.clone(), clock, commands);
+    let endpoints = config.saved_list.endpoints.clone();
+    let mut engine = Engine::new(config.settings.clone(), config.seed, endpoints, clock, commands);
     if config.list_is_pushed {
         engine.await_initial_list(client::INITIAL_LIST_TIMEOUT.as_micros() as Micros);
     }
--- a/crates/dispatcher/src/net/socket_activation.rs
+++ b/crates/dispatcher/src/net/socket_activation.rs
@@ -1,72 +1,68 @@
-//! The clients' listening socket as handed over by the platform, where it holds the address itself so that an old
-//! and a new process can serve it in turn.
+//! Socket activation: the clients' listening socket as handed over by the platform, where the platform holds the address
+//! itself so that an old and a new process can serve it in turn.
 //!
-//! The platform names the descriptor in `BALANCER_ACCEPT_FD`. Turning a number into a socket takes `unsafe`, which
-//! this project forbids in its own code, so the check and the conversion are left to `listenfd`, which is made for
-//! sockets handed over by whoever starts a process. It reads the descriptors from variables of its own (those of
-//! socket activation); they are set here for it, once, before the program starts any thread.
+//! The platform names the descriptor in [`VARIABLE`]. Converting a number into a socket takes `unsafe`, which this
+//! project forbids in its own code, so the check and the conversion are left to `listenfd`. That crate reads descriptors
+//! from its own environment variables, which are set here once, before the program starts any thread.
 
 use std::net::TcpListener;
 
-/// The variable that names the inherited descriptor.
+/// Environment variable with the number of the inherited descriptor.
 pub const VARIABLE: &str = "BALANCER_ACCEPT_FD";
+/// Environment variables that `listenfd` reads.
+const LISTEN_COUNT_VARIABLE: &str = "LISTEN_FDS";
+const LISTEN_FIRST_VARIABLE: &str = "LISTEN_FDS_FIRST_FD";
+const LISTEN_PROCESS_VARIABLE: &str = "LISTEN_PID";
 
-/// What is wrong with an inherited descriptor, and how far taking it got.
-#[derive(Debug, PartialEq, Eq)]
+/// Error of an inherited descriptor.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InheritedSocketError {
     /// The variable holds no descriptor number.
+    #[error("{VARIABLE}: '{0}' is no descriptor number")]
     InvalidNumber(String),
-    /// The number names no TCP socket that listens: none at all, a closed one, or another kind of file.
-    NotListening(i32, String),
+    /// The descriptor is no listening TCP socket: not open, or another kind of file.
+    #[error("{VARIABLE}: descriptor {descriptor} is no listening TCP socket: {reason}")]
+    NotListening {
+        /// Number of the descriptor.
+        descriptor: i32,
+        /// Reason why it cannot be used.
+        reason: String,
+    },
 }
 
-impl std::fmt::Display for InheritedSocketError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            InheritedSocketError::InvalidNumber(text) => {
-                write!(f, "{VARIABLE}: '{text}' is no descriptor number")
-            }
-            InheritedSocketError::NotListening(fd, why) => {
-                write!(f, "{VARIABLE}: descriptor {fd} is no listening TCP socket: {why}")
-            }
-        }
-    }
-}
-
-impl std::error::Error for InheritedSocketError {}
-
-/// Reads the variable's text as a descriptor number.
+/// Parses the variable's text as a descriptor number.
 ///
 /// # Errors
-/// The text is no whole number from 0 on.
+/// Returns [`InheritedSocketError::InvalidNumber`] if the text is no whole number from 0 on.
 pub fn parse_descriptor(text: &str) -> Result<i32, InheritedSocketError> {
     text.trim()
         .parse::<i32>()
         .ok()
-        .filter(|fd| *fd >= 0)
+        .filter(|descriptor| *descriptor >= 0)
         .ok_or_else(|| InheritedSocketError::InvalidNumber(text.to_owned()))
 }
 
-/// Takes the listening socket at the descriptor, non-blocking, for the runtime. Call it before any thread starts:
-/// it sets variables of the environment.
+/// Takes the listening socket at the descriptor and makes it non-blocking for the runtime. Must be called before any
+/// thread starts, since it sets environment variables.
 ///
 /// # Errors
-/// The descriptor is no TCP socket that listens.
-pub fn take_listener(fd: i32) -> Result<TcpListener, InheritedSocketError> {
-    let no_socket = |why: String| InheritedSocketError::NotListening(fd, why);
-    std::env::set_var("LISTEN_FDS", "1");
-    std::env::set_var("LISTEN_FDS_FIRST_FD", fd.to_string());
-    std::env::remove_var("LISTEN_PID");
+/// Returns [`InheritedSocketError::NotListening`] if the descriptor is no listening TCP socket.
+pub fn take_listener(descriptor: i32) -> Result<TcpListener, InheritedSocketError> {
+    let not_listening =
+        |reason: &dyn ToString| InheritedSocketError::NotListening { descriptor, reason: reason.to_string() };
+    std::env::set_var(LISTEN_COUNT_VARIABLE, "1");
+    std::env::set_var(LISTEN_FIRST_VARIABLE, descriptor.to_string());
+    std::env::remove_var(LISTEN_PROCESS_VARIABLE);
     let listener = listenfd::ListenFd::from_env()
         .take_tcp_listener(0)
-        .map_err(|error| no_socket(error.to_string()))?
-        .ok_or_else(|| no_socket("not handed over".to_owned()))?;
-    // A connected socket is a TCP socket too; only one that listens has clients to accept.
-    match socket2::SockRef::from(&listener).is_listener() {
-        Ok(true) => {}
-        Ok(false) => return Err(no_socket("it does not listen".to_owned())),
-        Err(error) => return Err(no_socket(error.to_string())),
+        .map_err(|error| not_listening(&error))?
+        .ok_or_else(|| not_listening(&"not handed over"))?;
+    // A connected socket is a TCP socket too, but accepts no clients.
+    let is_listening =
+        socket2::SockRef::from(&listener).is_listener().map_err(|error| not_listening(&error))?;
+    if !is_listening {
+        return Err(not_listening(&"it does not listen"));
     }
-    listener.set_nonblocking(true).map_err(|error| no_socket(error.to_string()))?;
+    listener.set_nonblocking(true).map_err(|error| not_listening(&error))?;
     Ok(listener)
 }
--- a/crates/dispatcher/src/settings_file.rs
+++ b/crates/dispatcher/src/settings_file.rs
@@ -1,13 +1,13 @@
-//! Our own settings, beside the platform's: an HCL file, read and checked as a part of the configuration.
+//! The local settings: an HCL file beside the platform's JSON, read and checked as a part of the configuration.
 //!
-//! `--settings` or `CAIRNCRANK_SETTINGS` names the file; else it is `cairncrank.hcl` beside the platform's JSON, and
-//! where none stands there, all is as by default. It is read again with the platform's file.
-
-use std::io::ErrorKind;
-use std::path::{Path, PathBuf};
+//! `--settings` or [`VARIABLE`] names the file; the default is `cairncrank.hcl` beside the platform's file, and if there
+//! is none, all settings have their defaults. A reload reads it again with the platform's file.
 
 use std::collections::BTreeMap;
+use std::io::ErrorKind;
 use std::net::{IpAddr, SocketAddr};
+use std::ops::RangeInclusive;
+use std::path::{Path, PathBuf};
 
 use cluster_member::health_check::HealthCheckConfig;
 use cluster_member::settings;
@@ -16,79 +16,80 @@
 use dispatch_core::api::CapacityReservation;
 use hcl_config::{HclResult, Section};
 
+use crate::config::CONFIG_VARIABLE;
 use crate::config_error::ConfigError;
 
-/// The file where none is named.
-const DEFAULT_FILE: &str = "cairncrank.hcl";
-/// The variable that names the file, as `--settings` does.
+/// Environment variable with the path of the file, as given by `--settings`.
 pub const VARIABLE: &str = "CAIRNCRANK_SETTINGS";
-/// Jobs of so many slots are large where the file does not say, and the price of a worker kept for the other size.
+/// Name of the file if no path is given.
+const DEFAULT_FILE: &str = "cairncrank.hcl";
+
+/// Default number of slots from which on a job is large.
 const DEFAULT_LARGE_JOB_SLOTS: f64 = 4.0;
+/// Default price of a worker that is reserved for jobs of the other size.
 const DEFAULT_WORKER_PRICE: f64 = 16.0;
-
-/// How long an owner of the list may say nothing, in milliseconds, where the file does not say: as long as a watch on
-/// discovery may be silent, and a little for the way.
+/// Default of [`ClusterSettings::list_silence`], in milliseconds: the silence that a watch on discovery allows, and a
+/// margin for the transfer.
 const DEFAULT_LIST_SILENCE_MS: u64 = 3_000;
-/// How long what a dispatcher says of itself counts, in milliseconds, where the file does not say.
+/// Default of [`ClusterSettings::readiness_validity`], in milliseconds.
 const DEFAULT_READINESS_VALIDITY_MS: u64 = 1_000;
-/// How many dispatchers of a fleet without an owner go back to asking discovery each second.
+/// Default of [`ClusterSettings::fallback_per_s`].
 const DEFAULT_FALLBACK_PER_S: f64 = 20.0;
+/// Microseconds in a millisecond.
+const MICROS_PER_MS: Micros = 1_000;
 
-/// What the file says of a fleet.
+/// Settings of the cluster that a dispatcher is a member of.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterSettings {
-    /// The installation.
+    /// Name of the installation.
     pub installation: String,
-    /// Where owners reach this dispatcher.
+    /// Address on which this dispatcher accepts connections of lease holders.
     pub listen: SocketAddr,
-    /// Where others are told that it is, if not where it listens.
+    /// Address that is announced to other members, if not the one it listens on.
     pub advertised_address: Option<SocketAddr>,
-    /// The address that its connections to keepers and members come from.
+    /// Source address of its connections to coordinators and members.
     pub bind_address: Option<IpAddr>,
-    /// The keepers, by number.
+    /// Addresses of the coordinators by replica number.
     pub coordinators: BTreeMap<u64, SocketAddr>,
-    /// The times, the same as the keepers'.
+    /// Durations of sessions, leases and elections, equal to those of the coordinators.
     pub times: Timing,
-    /// Whether the list is asked for by one member.
+    /// True if one member polls the endpoint list for all.
     pub shared_list: bool,
-    /// What discovery's revisions count at, if not at its address.
+    /// Name of the source that discovery's revisions belong to, if not discovery's address.
     pub list_source: Option<String>,
-    /// How long an owner of the list may say nothing.
+    /// Time without a watch event after which the holder of the endpoint list lease counts as silent.
     pub list_silence: Micros,
-    /// How many dispatchers of the fleet go back to asking each second.
+    /// Number of dispatchers of the cluster that fall back to polling discovery in each second.
     pub fallback_per_s: f64,
-    /// A file for records of what this member did and took on behalf of duties, a JSON object a line.
+    /// File for records of the effects that this member sent and accepted, one JSON object a line.
     pub record: Option<PathBuf>,
-    /// How workers are watched by one member each, where they are.
+    /// Settings of the health checks that one member performs for all, if enabled.
     pub health_checks: Option<HealthCheckConfig>,
-    /// How long what a dispatcher says of itself counts, where drains are agreed across the fleet.
+    /// Time for which a readiness report is valid, if planned drains need a permit.
     pub readiness_validity: Option<Micros>,
-    /// How the budgets of cold workers are handed out by one member, where they are.
+    /// Settings of the slow-start quota that one member grants to all, if enabled.
     pub slow_start: Option<QuotaConfig>,
 }
 
-/// What the file says.
+/// Settings of the local file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LocalSettings {
-    /// Room for large jobs; none where it is not held.
+    /// Capacity reservation for large jobs, if enabled.
     pub capacity_reservation: Option<CapacityReservation>,
-    /// The fleet that this dispatcher is a member of, if it is of one.
+    /// Settings of the cluster that this dispatcher is a member of, if any.
     pub cluster: Option<ClusterSettings>,
 }
 
 impl LocalSettings {
-    /// Reads the file that is named, or the one beside the platform's configuration.
+    /// Reads the named file, or the one beside the platform's configuration; `variable` looks up an environment variable.
     ///
     /// # Errors
-    /// The first fault with file, line and key; or the named file cannot be read.
-    pub fn load(var: impl Fn(&str) -> Option<String>) -> Result<LocalSettings, ConfigError> {
-        let named = var(VARIABLE).filter(|name| !name.is_empty());
-        let path = match &named {
-            Some(name) => PathBuf::from(name),
-            None => match var("BALANCER_CONFIG").as_deref().map(Path::new).and_then(Path::parent) {
-                Some(folder) => folder.join(DEFAULT_FILE),
-                None => return Ok(LocalSettings::default()),
-            },
+    /// Returns a [`ConfigError`] with file, line and key of the first fault, or if the named file cannot be read.
+    pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<LocalSettings, ConfigError> {
+        let named = variable(VARIABLE).filter(|name| !name.is_empty());
+        let is_named = named.is_some();
+        let Some(path) = named.map(PathBuf::from).or_else(|| default_path(&variable)) else {
+            return Ok(LocalSettings::default());
         };
         let file = path.display().to_string();
         match std::fs::read_to_string(&path) {
@@ -96,43 +97,45 @@
                 key: format!("{}:{}: {}", fault.file, fault.line, fault.key),
                 problem: fault.problem.to_string(),
             }),
-            Err(error) if error.kind() == ErrorKind::NotFound && named.is_none() => {
-                Ok(LocalSettings::default())
-            }
+            Err(error) if error.kind() == ErrorKind::NotFound && !is_named => Ok(LocalSettings::default()),
             Err(error) => Err(ConfigError { key: file, problem: format!("cannot read it: {error}") }),
         }
     }
 
-    /// Reads the text of a file; `file` is its name in faults.
+    /// Parses the text of a file; `file` is its name in errors.
     ///
     /// # Errors
-    /// The first fault.
+    /// Returns the first fault with its line and key.
     pub fn parse(file: &str, text: &str) -> HclResult<LocalSettings> {
         let root = Section::parse(file, text)?;
-        let own = LocalSettings {
-            capacity_reservation: match root.section("room")? {
-                Some(section) => capacity_reservation(section)?,
-                None => None,
-            },
-            cluster: root.section("fleet")?.map(cluster_settings).transpose()?,
+        let capacity_reservation = match root.section("room")? {
+            Some(section) => capacity_reservation(section)?,
+            None => None,
         };
+        let cluster = root.section("fleet")?.map(cluster_settings).transpose()?;
         root.deny_unknown_keys()?;
-        Ok(own)
+        Ok(LocalSettings { capacity_reservation, cluster })
     }
 }
 
+/// Returns the path of the file beside the platform's configuration.
+fn default_path(variable: &impl Fn(&str) -> Option<String>) -> Option<PathBuf> {
+    let platform_file = variable(CONFIG_VARIABLE)?;
+    let folder = Path::new(&platform_file).parent()?;
+    Some(folder.join(DEFAULT_FILE))
+}
+
 fn capacity_reservation(section: &Section) -> HclResult<Option<CapacityReservation>> {
     let settings = CapacityReservation {
         min_slots: section.number("from_slots", 2.0..=1024.0)?.unwrap_or(DEFAULT_LARGE_JOB_SLOTS),
         price: section.number("price", 0.0..=1000.0)?.unwrap_or(DEFAULT_WORKER_PRICE),
     };
-    Ok(section.boolean("hold")?.unwrap_or(true).then_some(settings))
+    let is_enabled = section.boolean("hold")?.unwrap_or(true);
+    Ok(is_enabled.then_some(settings))
 }
 
 fn cluster_settings(section: &Section) -> HclResult<ClusterSettings> {
-    let bind = section.string("bind")?.map(|text| {
-        text.parse::<IpAddr>().map_err(|_| section.error("bind", format!("{text:?} is no IP address")))
-    });
+    let bind_address = section.string("bind")?;
     let times = settings::timing(section)?;
     Ok(ClusterSettings {
         installation: settings::required_text(section, "installation")?,
@@ -141,23 +144,37 @@
             Some(_) => Some(settings::required_address(section, "address")?),
             None => None,
         },
-        bind_address: bind.transpose()?,
+        bind_address: bind_address.map(|text| parse_bind_address(section, &text)).transpose()?,
         coordinators: settings::replicas(section)?,
         times,
         shared_list: section.boolean("list")?.unwrap_or(true),
         list_source: section.string("source")?,
-        list_silence: section.integer("silence_ms", 1_000..=600_000)?.unwrap_or(DEFAULT_LIST_SILENCE_MS)
-            * 1_000,
+        list_silence: milliseconds(section, "silence_ms", 1_000..=600_000, DEFAULT_LIST_SILENCE_MS)?,
         fallback_per_s: section.number("fallback_per_s", 0.1..=10_000.0)?.unwrap_or(DEFAULT_FALLBACK_PER_S),
         record: section.string("record")?.map(PathBuf::from),
-        readiness_validity: section
-            .section("account")?
-            .map(|account| {
-                Ok(account.integer("holds_ms", 300..=60_000)?.unwrap_or(DEFAULT_READINESS_VALIDITY_MS)
-                    * 1_000)
-            })
+        readiness_validity: section.section("account")?.map(readiness_validity).transpose()?,
+        slow_start: section
+            .section("cold")?
+            .map(|slow_start| settings::quota_config(slow_start, &times))
             .transpose()?,
-        slow_start: section.section("cold")?.map(|cold| settings::quota_config(cold, &times)).transpose()?,
         health_checks: section.section("watch")?.map(settings::health_check_config).transpose()?,
     })
 }
+
+fn parse_bind_address(section: &Section, text: &str) -> HclResult<IpAddr> {
+    text.parse().map_err(|_| section.error("bind", format!("{text:?} is no IP address")))
+}
+
+fn readiness_validity(section: &Section) -> HclResult<Micros> {
+    milliseconds(section, "holds_ms", 300..=60_000, DEFAULT_READINESS_VALIDITY_MS)
+}
+
+/// Reads a duration in milliseconds within these bounds.
+fn milliseconds(
+    section: &Section,
+    key: &str,
+    bounds: RangeInclusive<u64>,
+    default: u64,
+) -> HclResult<Micros> {
+    Ok(section.integer(key, bounds)?.unwrap_or(default) * MICROS_PER_MS)
+}
--- a/crates/dispatcher/tests/pinned_settings.rs
+++ b/crates/dispatcher/tests/pinned_settings.rs
@@ -63,9 +63,9 @@
 
 #[test]
 fn the_known_list_has_its_values() {
-    let (revision, known) = read(&every_key()).expect("the example is good").saved_list;
-    assert_eq!(revision, Some(9));
-    let found: Vec<_> = known.iter().map(|listed| (listed.endpoint, listed.address)).collect();
+    let saved_list = read(&every_key()).expect("the example is good").saved_list;
+    assert_eq!(saved_list.revision, Some(9));
+    let found: Vec<_> = saved_list.endpoints.iter().map(|listed| (listed.endpoint, listed.address)).collect();
     let member = |name: &str, kind, zone, cell, since, state| Endpoint {
         worker: worker_id(name),
         kind,
--- a/crates/dispatcher/tests/socket_activation.rs
+++ b/crates/dispatcher/tests/socket_activation.rs
@@ -18,14 +18,14 @@
     // A file is no socket.
     let file = std::fs::File::open("Cargo.toml").unwrap();
     let error = take_listener(file.as_raw_fd()).unwrap_err();
-    assert!(matches!(error, InheritedSocketError::NotListening(..)), "{error}");
+    assert!(matches!(error, InheritedSocketError::NotListening { .. }), "{error}");
     assert!(error.to_string().starts_with("BALANCER_ACCEPT_FD: descriptor "), "{error}");
 
     // A descriptor that is closed, or was never open.
     // Alone in its binary, nothing opens a file in between and takes the number again.
     let closed = std::fs::File::open("Cargo.toml").unwrap().as_raw_fd();
-    assert!(matches!(take_listener(closed), Err(InheritedSocketError::NotListening(..))));
-    assert!(matches!(take_listener(1000), Err(InheritedSocketError::NotListening(1000, _))));
+    assert!(matches!(take_listener(closed), Err(InheritedSocketError::NotListening { .. })));
+    assert!(matches!(take_listener(1000), Err(InheritedSocketError::NotListening { descriptor: 1000, .. })));
 
     // A connected socket does not listen.
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
