--- a/crates/dispatcher/src/net/client/connection.rs
+++ b/crates/dispatcher/src/net/client/connection.rs
@@ -176,7 +176,7 @@
     async fn serve_request(&mut self) -> Result<bool, ConnectionEnd> {
         let head = self.read_head().await?;
         self.awaiting_first_request = false;
-        let Start::Request(method, target) = &head.start else { return Err(ConnectionEnd::Lost) };
+        let Start::Request { method, target } = &head.start else { return Err(ConnectionEnd::Lost) };
         let job = {
             let config = self.context.config.borrow().clone();
             parse_job(&config, &head, method, target)
--- a/crates/dispatcher/src/net/client/request.rs
+++ b/crates/dispatcher/src/net/client/request.rs
@@ -6,7 +6,8 @@
 
 use crate::config::{Config, Names};
 use crate::engine::{Job, Micros, Payload};
-use crate::net::http::{reason, text, Head, Malformed};
+use crate::net::http::status::reason;
+use crate::net::http::{text, Head, Malformed};
 use dispatch_core::api::{Request, RequestId};
 use dispatch_core::hashing::hash_bytes;
 
@@ -95,9 +96,7 @@
 
 /// Of two values a worker might heed the other one.
 fn check_headers_come_once(head: &Head) -> Result<(), RequestRejection> {
-    let comes_once =
-        |name: &str| head.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes())).count() < 2;
-    if !SINGLE_HEADERS.into_iter().all(comes_once) {
+    if SINGLE_HEADERS.into_iter().any(|name| head.count_headers(name) > 1) {
         return Err(RequestRejection(400, "a header that must come once comes again"));
     }
     Ok(())
--- a/crates/dispatcher/src/net/client/response.rs
+++ b/crates/dispatcher/src/net/client/response.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 
 use crate::engine::{micros, Answer, InvalidRequest};
-use crate::net::http::reason;
+use crate::net::http::status::reason;
 
 /// A response, as its head and its body.
 pub(super) fn encode_response(
--- a/crates/dispatcher/src/net/console.rs
+++ b/crates/dispatcher/src/net/console.rs
@@ -82,7 +82,7 @@
     });
     let answer = match head.await {
         Ok(Some(head)) => match &head.start {
-            Start::Request(method, target) => match &console.planned_drain {
+            Start::Request { method, target } => match &console.planned_drain {
                 Some(leave) if is_standby(method, target) => answer_standby(leave, target).await,
                 _ => answer(&console, method, target),
             },
@@ -151,7 +151,7 @@
 }
 
 fn with_headers(status: u16, kind: &str, headers: &str, body: &[u8]) -> Vec<u8> {
-    let reason = super::http::reason(status);
+    let reason = super::http::status::reason(status);
     let mut message =
         format!("HTTP/1.1 {status} {reason}\r\nContent-Type: {kind}\r\nContent-Length: {}\r\n{headers}Connection: close\r\n\r\n", body.len())
             .into_bytes();
--- a/crates/dispatcher/src/net/json_framing.rs
+++ b/crates/dispatcher/src/net/json_framing.rs
@@ -1,29 +1,31 @@
-//! Cuts a stream of JSON values, however they are laid out: one a line, indented over many, or several on one line.
-//! It does no I/O.
+//! Splits a stream into JSON values, however they are laid out: one a line, indented over several, or several on one
+//! line. The splitter does no I/O.
 
-use bytes::{Bytes, BytesMut};
+use bytes::{Buf as _, Bytes, BytesMut};
 
 use super::http::Malformed;
 
-/// What comes next in the stream.
+/// The next part of the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Token {
-    /// A value, not parsed yet; also what can be none, which the parser then tells.
+    /// A value, or text that is none: it is not parsed yet.
     Value(Bytes),
     /// An empty line between values.
     Blank,
 }
 
-/// Cuts the stream. Each byte is looked at once, whatever pieces the bytes come in.
+/// Splits the stream. Each byte is scanned once, whatever pieces the bytes arrive in.
 #[derive(Debug, Default)]
 pub struct JsonStream {
-    buf: BytesMut,
-    /// So much of the buffer was looked at; where a value has begun, it begins at the buffer's start.
+    /// Bytes not yet returned; a value that has begun starts at the first one.
+    buffer: BytesMut,
+    /// Number of bytes of the buffer that were scanned.
     scanned: usize,
     /// Open brackets of the value.
     depth: usize,
-    /// Within the quotes of a string, and right after a backslash there.
+    /// The scan is within the quotes of a string.
     in_string: bool,
+    /// The scan is right after a backslash in a string.
     escaped: bool,
     /// The present line held a value.
     line_has_value: bool,
@@ -33,74 +35,99 @@
     /// Adds a piece of the stream.
     ///
     /// # Errors
-    /// A value has grown longer than `longest`.
-    pub fn push(&mut self, piece: &[u8], longest: usize) -> Result<(), Malformed> {
-        self.buf.extend_from_slice(piece);
-        // What was looked at and not taken is one value that has not ended.
-        if self.scanned > longest {
+    /// Returns [`Malformed::BodyTooLarge`] if a value is longer than `max_length`.
+    pub fn push(&mut self, piece: &[u8], max_length: usize) -> Result<(), Malformed> {
+        self.buffer.extend_from_slice(piece);
+        // Scanned bytes that are still in the buffer belong to one value that has not ended.
+        if self.scanned > max_length {
             return Err(Malformed::BodyTooLarge);
         }
         Ok(())
     }
 
-    /// The next value or empty line, once it is all there.
+    /// Returns the next value or empty line once it is complete.
     pub fn next_token(&mut self) -> Option<Token> {
-        while let Some(&byte) = self.buf.get(self.scanned) {
-            let begun = self.scanned > 0;
-            self.scanned += 1;
-            if self.in_string {
-                match byte {
-                    _ if self.escaped => self.escaped = false,
-                    b'\\' => self.escaped = true,
-                    b'"' => self.in_string = false,
-                    // No string holds an end of line: this is no value, and waiting for its end is of no use.
-                    b'\n' => return Some(self.split_value(0)),
-                    _ => {}
-                }
-                continue;
+        while let Some(&byte) = self.buffer.get(self.scanned) {
+            let token = if self.in_string {
+                self.scan_in_string(byte)
+            } else if self.scanned == 0 && is_whitespace(byte) {
+                self.skip_whitespace(byte)
+            } else {
+                self.scan_outside_string(byte)
+            };
+            if token.is_some() {
+                return token;
             }
-            match byte {
-                b'\n' if !begun => {
-                    let _ = self.buf.split_to(1);
-                    self.scanned = 0;
-                    if !std::mem::take(&mut self.line_has_value) {
-                        return Some(Token::Blank);
-                    }
-                }
-                b' ' | b'\t' | b'\r' if !begun => {
-                    let _ = self.buf.split_to(1);
-                    self.scanned = 0;
-                }
-                b'"' => self.in_string = true,
-                b'{' | b'[' => self.depth += 1,
-                b'}' | b']' => {
-                    self.depth = self.depth.saturating_sub(1);
-                    if self.depth == 0 {
-                        return Some(self.split_value(0));
-                    }
+        }
+        None
+    }
+
+    /// Scans a byte of a string.
+    fn scan_in_string(&mut self, byte: u8) -> Option<Token> {
+        self.scanned += 1;
+        match byte {
+            _ if self.escaped => self.escaped = false,
+            b'\\' => self.escaped = true,
+            b'"' => self.in_string = false,
+            // No string contains a line end, so this is no value, and no end of it will come.
+            b'\n' => return Some(self.split_value(0)),
+            _ => {}
+        }
+        None
+    }
+
+    /// Drops a byte of whitespace between values.
+    fn skip_whitespace(&mut self, byte: u8) -> Option<Token> {
+        self.buffer.advance(1);
+        if byte != b'\n' {
+            return None;
+        }
+        let line_had_value = std::mem::take(&mut self.line_has_value);
+        (!line_had_value).then_some(Token::Blank)
+    }
+
+    /// Scans a byte of a value outside of its strings.
+    fn scan_outside_string(&mut self, byte: u8) -> Option<Token> {
+        self.scanned += 1;
+        match byte {
+            b'"' => self.in_string = true,
+            b'{' | b'[' => self.depth += 1,
+            b'}' | b']' => {
+                self.depth = self.depth.saturating_sub(1);
+                if self.depth == 0 {
+                    return Some(self.split_value(0));
                 }
-                // Outside of brackets a value ends with its line.
-                b'\n' if self.depth == 0 => return Some(self.split_value(1)),
-                _ => {}
             }
+            // Outside of brackets a value ends with its line.
+            b'\n' if self.depth == 0 => return Some(self.split_value(1)),
+            _ => {}
         }
         None
     }
 
-    /// What is left when the stream has ended: a value without its end, or nothing.
+    /// Returns the rest of a stream that has ended: a value without its end, or nothing.
     pub fn take_rest(&mut self) -> Bytes {
-        self.scanned = self.buf.len();
-        match self.split_value(0) {
-            Token::Value(value) => value,
-            Token::Blank => Bytes::new(),
-        }
+        self.scanned = self.buffer.len();
+        self.split_scanned(0)
     }
 
-    /// Takes the value that was looked at, less so many bytes, off the buffer.
-    fn split_value(&mut self, less: usize) -> Token {
-        let value = self.buf.split_to(self.scanned - less).freeze();
-        (self.scanned, self.depth, self.in_string, self.escaped, self.line_has_value) =
-            (0, 0, false, false, true);
-        Token::Value(value)
+    /// Takes the scanned value off the buffer, except for its last bytes.
+    fn split_value(&mut self, excluded: usize) -> Token {
+        Token::Value(self.split_scanned(excluded))
     }
+
+    fn split_scanned(&mut self, excluded: usize) -> Bytes {
+        let value = self.buffer.split_to(self.scanned - excluded).freeze();
+        self.scanned = 0;
+        self.depth = 0;
+        self.in_string = false;
+        self.escaped = false;
+        self.line_has_value = true;
+        value
+    }
+}
+
+/// Returns whether a byte is whitespace of JSON.
+fn is_whitespace(byte: u8) -> bool {
+    matches!(byte, b' ' | b'\t' | b'\r' | b'\n')
 }
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -60,7 +60,7 @@
                 // An interim response says nothing of the outcome.
                 http::Start::Response(100..=199) => {}
                 http::Start::Response(status) => return Some((status, head)),
-                http::Start::Request(..) => return None,
+                http::Start::Request { .. } => return None,
             },
             None if read_more(stream, buf).await.ok()? => {}
             None => return None,
--- a/crates/dispatcher/tests/scenario/mod.rs
+++ b/crates/dispatcher/tests/scenario/mod.rs
@@ -392,14 +392,14 @@
             }
         };
         let mut seen = match &head.start {
-            Start::Request(method, target) => {
+            Start::Request { method, target } => {
                 format!("    {} {}", String::from_utf8_lossy(method), String::from_utf8_lossy(target))
             }
             Start::Response(status) => format!("    {status}"),
         };
-        for (name, value) in &head.headers {
-            let name = String::from_utf8_lossy(name);
-            let value = String::from_utf8_lossy(value);
+        for header in &head.headers {
+            let name = String::from_utf8_lossy(&header.name);
+            let value = String::from_utf8_lossy(&header.value);
             match &*name {
                 "Host" | "Content-Length" => {}
                 "Request-Timeout-Ms" | "Retry-After" => seen.push_str(&format!(", {name}: (figure)")),
