--- a/crates/emulator/src/cluster/cluster_harness.rs
+++ b/crates/emulator/src/cluster/cluster_harness.rs
@@ -10,11 +10,11 @@
 use coordination::REBALANCE_THRESHOLD;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpListener;
 use tokio::task::{spawn_local, LocalSet};
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{sleep, Instant};
 
+use super::console::{call_console, ConsoleAnswer};
 use super::emulated_discovery::EmulatedDiscovery;
 use super::error::ClusterError;
 use super::fault_proxy::{run_proxy, FaultyNetwork, NodeId, SharedNetwork};
@@ -146,19 +146,6 @@
     }
 }
 
-/// A call of a console: the status, when to come again, and the text; none where nobody answers within 2 s.
-pub async fn call_console(at: SocketAddr, method: &str, path: &str) -> Option<(u16, Option<u32>, String)> {
-    let mut stream = TcpStream::connect(at).await.ok()?;
-    let text = format!("{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-    stream.write_all(text.as_bytes()).await.ok()?;
-    let mut text = String::new();
-    timeout(Duration::from_secs(2), stream.read_to_string(&mut text)).await.ok()?.ok()?;
-    let (head, body) = text.split_once("\r\n\r\n")?;
-    let status = head.split_whitespace().nth(1)?.parse().ok()?;
-    let after = head.lines().find_map(|line| line.strip_prefix("Retry-After: ")?.trim().parse().ok());
-    Some((status, after, body.to_owned()))
-}
-
 /// The name of a dispatcher to the proxies, after those of the coordinators.
 #[must_use]
 pub fn member_node(dispatcher: usize) -> NodeId {
@@ -407,8 +394,8 @@
         std::fs::read_to_string(self.dir.join(format!("d{n}.log"))).unwrap_or_default()
     }
 
-    /// A call of a dispatcher's console, from nought: the status, when to come again, and the text.
-    pub async fn console(&self, n: usize, method: &str, path: &str) -> Option<(u16, Option<u32>, String)> {
+    /// Calls the console of dispatcher `n`, from nought; returns `None` if it does not answer.
+    pub async fn console(&self, n: usize, method: &str, path: &str) -> Option<ConsoleAnswer> {
         call_console(self.consoles[n], method, path).await
     }
 
@@ -579,8 +566,8 @@
 
     /// How many workers a dispatcher knows, by its console.
     pub async fn known_workers(&self, n: usize) -> Option<usize> {
-        let (_, _, text) = self.console(n, "GET", "/status/metrics").await?;
-        let line = text.lines().find(|line| line.starts_with("balancer_shop_workers_known "))?;
+        let answer = self.console(n, "GET", "/status/metrics").await?;
+        let line = answer.body.lines().find(|line| line.starts_with("balancer_shop_workers_known "))?;
         line.rsplit_once(' ')?.1.parse().ok()
     }
 
--- a/crates/emulator/src/cluster/dispatch_latency.rs
+++ b/crates/emulator/src/cluster/dispatch_latency.rs
@@ -1,7 +1,6 @@
 //! Whether dispatching waits for the fleet: the same traffic with the fleet off, on, on while its coordinators' leader is
 //! killed again and again, and on with all coordinators gone, side by side.
 
-use crate::cluster::error::ClusterError;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,6 +19,7 @@
 
 use super::cluster_harness::{Binaries, ClusterHarness, ClusterSpec};
 use super::emulated_discovery::EmulatedDiscovery;
+use super::error::ClusterError;
 use crate::sockets::http::{self, chunk, CHUNKED, LAST_CHUNK};
 
 const DISPATCHERS: usize = 2;
--- a/crates/emulator/src/cluster/fault_injection.rs
+++ b/crates/emulator/src/cluster/fault_injection.rs
@@ -1,12 +1,12 @@
 //! Faults at the processes of a [`ClusterHarness`] and at the links between them, each begun and ended in two steps, so
 //! that an experiment decides what happens in between.
 
-use crate::cluster::error::ClusterError;
 use std::time::Duration;
 
 use rustix::process::Signal;
 
 use super::cluster_harness::{member_node, ClusterHarness};
+use super::error::ClusterError;
 use super::fault_proxy::{LinkFault, NodeId};
 
 /// Delay of every link each way under [`LinkFaultKind::SlowNetwork`].
--- a/crates/emulator/src/cluster/lease_harness/faults.rs
+++ b/crates/emulator/src/cluster/lease_harness/faults.rs
@@ -1,6 +1,5 @@
 //! The faults of a schedule, injected at processes, links and disks.
 
-use crate::cluster::error::ClusterError;
 use std::fs;
 use std::net::{IpAddr, Ipv4Addr};
 use std::ops::Range;
@@ -11,6 +10,7 @@
 
 use super::recovery::Recovery;
 use super::{free_address, LeaseHarness, Process, Role};
+use crate::cluster::error::ClusterError;
 use crate::cluster::fault_proxy::NodeId;
 use crate::cluster::lightweight_member::MemberConfig;
 use crate::cluster::record_checker::InjectedFault;
--- a/crates/emulator/src/cluster/lease_harness/mod.rs
+++ b/crates/emulator/src/cluster/lease_harness/mod.rs
@@ -24,7 +24,7 @@
 use super::error::ClusterError;
 use super::fault_proxy::{self, FaultyNetwork, NodeId, SharedNetwork};
 use super::lightweight_member::MemberConfig;
-use super::record_checker::{self, InjectedFault, Records, Violations, RULES};
+use super::record_checker::{self, InjectedFault, LeaseRule, LeaseViolations, Records};
 use super::schedule::{Arm, ClusterExperiment, FaultKind};
 
 /// The programs.
@@ -42,7 +42,7 @@
     /// Its seed.
     pub seed: u64,
     /// Rules that were broken.
-    pub violations: Violations,
+    pub violations: LeaseViolations,
     /// Faults by kind.
     pub faults: BTreeMap<FaultKind, u64>,
     /// Connections that the proxies reset and doubled.
@@ -91,7 +91,7 @@
     injected: Vec<InjectedFault>,
     recoveries: Vec<(Instant, Recovery)>,
     tasks: Vec<JoinHandle<()>>,
-    violations: Violations,
+    violations: LeaseViolations,
     random: Pcg64,
 }
 
@@ -192,7 +192,7 @@
             injected: Vec::new(),
             recoveries: Vec::new(),
             tasks,
-            violations: Violations::new(),
+            violations: LeaseViolations::default(),
             random,
         };
         harness.start_all(&coordinators)?;
@@ -376,7 +376,7 @@
         if !record_checker::accepted_effect_after(&records, clock::now().saturating_sub(1_000_000)) {
             let text =
                 format!("nothing was done in the last of {} s after all was healed", self.plan.recovery_time);
-            self.violations.entry(RULES[6]).or_default().push(text);
+            self.violations.add(LeaseRule::Recovery, text);
         }
         self.check_coordinators_that_ended();
         Ok(())
@@ -419,7 +419,7 @@
             let ended = process.child.as_mut().filter(|_| !process.not_restartable).map(Child::try_wait);
             if let Some(Ok(Some(status))) = ended {
                 let text = format!("keeper {}, whose disk is whole, ended with {status}", name + 1);
-                self.violations.entry(RULES[6]).or_default().push(text);
+                self.violations.add(LeaseRule::Recovery, text);
             }
         }
         for name in self.coordinators() {
@@ -436,7 +436,7 @@
                 }
                 _ => continue,
             };
-            self.violations.entry(RULES[7]).or_default().push(text);
+            self.violations.add(LeaseRule::NoServiceWithoutStore, text);
         }
     }
 
@@ -467,9 +467,7 @@
     fn evaluate(mut self, seed: u64) -> Result<ScheduleResult, ClusterError> {
         let records = self.records()?;
         let mut violations = record_checker::check(&records);
-        for (rule, texts) in std::mem::take(&mut self.violations) {
-            violations.entry(rule).or_default().extend(texts);
-        }
+        violations.merge(std::mem::take(&mut self.violations));
         let mut faults = BTreeMap::new();
         self.injected.iter().for_each(|done| *faults.entry(done.kind).or_default() += 1);
         let played = ScheduleResult {
--- a/crates/emulator/src/cluster/lease_harness/recovery.rs
+++ b/crates/emulator/src/cluster/lease_harness/recovery.rs
@@ -1,6 +1,5 @@
 //! The ends of faults: what is done when the time of one is over.
 
-use crate::cluster::error::ClusterError;
 use std::time::Duration;
 
 use rustix::process::{kill_process, Pid, Signal};
@@ -8,6 +7,7 @@
 use tokio::time::{sleep_until, Instant};
 
 use super::LeaseHarness;
+use crate::cluster::error::ClusterError;
 use crate::cluster::fault_proxy::{LinkFault, NodeId};
 
 /// What ends a fault.
--- a/crates/emulator/src/cluster/lightweight_member.rs
+++ b/crates/emulator/src/cluster/lightweight_member.rs
@@ -1,6 +1,5 @@
 //! A member without jobs: the real session, the real links, and a lease whose effects say nothing but their token.
 
-use crate::cluster::error::ClusterError;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -15,6 +14,8 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::sleep;
 
+use super::error::ClusterError;
+
 /// How often an holder has something to say, and in how many pieces with how much time between them.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
 const EFFECTS_PER_ROUND: u32 = 5;
--- a/crates/emulator/src/cluster/mod.rs
+++ b/crates/emulator/src/cluster/mod.rs
@@ -9,6 +9,7 @@
 //! in every order of events, [`virtual_time_soak`] in virtual time.
 
 pub mod cluster_harness;
+pub mod console;
 pub mod dispatch_latency;
 pub mod emulated_discovery;
 pub mod error;
@@ -24,5 +25,6 @@
 pub mod schedule;
 pub mod shared_health_checks;
 pub mod slow_start;
+pub mod violations;
 pub mod virtual_time_soak;
 pub mod worker_model;
--- a/crates/emulator/src/cluster/planned_drains/evaluation.rs
+++ b/crates/emulator/src/cluster/planned_drains/evaluation.rs
@@ -1,99 +1,188 @@
-//! The rules of a schedule, checked on what was observed and recorded.
+//! Rules of a schedule of planned drains, checked on what was observed and recorded.
 
 use std::collections::BTreeMap;
 
-use super::{Observations, ScheduleResult, DECISION_TIMEOUT, LOSS_KNOWN_AFTER, MOST, RULES, ZONES};
+use super::{
+    DrainRule, Observations, Outage, ScheduleResult, StandbyCall, UnavailableCounts, BUDGET,
+    LOSS_KNOWN_AFTER, MAX_CALL_TIME, ZONES,
+};
 use crate::cluster::record_checker::{self, RecordLine, Records};
+use crate::cluster::violations::Violations;
 
-/// From when to when dispatchers were in standby by permit, by their records: until they were active, or killed.
-pub(super) fn planned_standbys(records: &Records, observations: &Observations) -> Vec<(usize, u64, u64)> {
+/// Time after an outage in which a dispatcher need not answer yet, in microseconds.
+const RESTART_TIME: u64 = 2_000_000;
+
+/// Figures and violations of a schedule.
+pub(super) struct Evaluation {
+    /// Figures; the violations are left out.
+    pub result: ScheduleResult,
+    pub violations: Violations<DrainRule>,
+}
+
+/// Standby of a dispatcher by permit; times by the clock of the records, in microseconds.
+#[derive(Debug, Clone, Copy)]
+struct PlannedStandby {
+    dispatcher: usize,
+    from: u64,
+    until: u64,
+}
+
+impl PlannedStandby {
+    fn lasts_at(&self, time: u64) -> bool {
+        (self.from..self.until).contains(&time)
+    }
+}
+
+/// Checks all rules but [`DrainRule::EveryDispatcherDrained`], which the end of a schedule decides.
+pub(super) fn evaluate(records: &Records, observations: &Observations) -> Evaluation {
+    let standbys = planned_standbys(records, observations);
+    let mut evaluation = Evaluation {
+        result: ScheduleResult {
+            budget: BUDGET,
+            drains: standbys.len() as u64,
+            lease_terms: record_checker::lease_terms(records),
+            ..ScheduleResult::default()
+        },
+        violations: Violations::default(),
+    };
+    evaluation.check_budgets(&standbys);
+    evaluation.check_permits(records, observations, &standbys);
+    evaluation.check_calls(observations);
+    evaluation.check_leases(records);
+    evaluation
+}
+
+/// Returns the standbys by permit of the dispatchers' records: until they were active, or killed.
+fn planned_standbys(records: &Records, observations: &Observations) -> Vec<PlannedStandby> {
     let mut standbys = Vec::new();
     for (name, lines) in &records.members {
-        let Some(n) = name.strip_prefix('d').and_then(|n| n.parse::<usize>().ok()) else { continue };
+        let Some(dispatcher) = name.strip_prefix('d').and_then(|number| number.parse::<usize>().ok()) else {
+            continue;
+        };
         let mut began: Option<u64> = None;
-        let mut end = |began: &mut Option<u64>, at: u64| {
-            if let Some(from) = began.take() {
-                // Killed in the middle: it was out from then on as well, but not by plan.
-                let killed = observations.killed.iter().filter(|(whom, at, _)| *whom == n && *at > from);
-                let until = killed.map(|(_, at, _)| *at).fold(at, u64::min);
-                standbys.push((n, from, until));
+        let mut end = |from: Option<u64>, recorded_end: u64| {
+            if let Some(from) = from {
+                let until = end_of_standby(observations, dispatcher, from, recorded_end);
+                standbys.push(PlannedStandby { dispatcher, from, until });
             }
         };
         for line in lines {
-            let by_permit =
-                |line: &RecordLine| line.fields.get("permit").is_some_and(|permit| !permit.is_null());
             match line.kind.as_str() {
-                "standby" if by_permit(line) => began = Some(line.time),
-                "active" | "started" => end(&mut began, line.time),
+                "standby" if has_permit(line) => began = Some(line.time),
+                "active" | "started" => end(began.take(), line.time),
                 _ => {}
             }
         }
-        end(&mut began, u64::MAX);
+        end(began, u64::MAX);
     }
     standbys
 }
 
-pub(super) fn evaluate(
-    records: &Records,
-    observations: &Observations,
-    mut found: BTreeMap<&'static str, Vec<String>>,
-) -> ScheduleResult {
-    let mut drained = ScheduleResult { budget: MOST, ..ScheduleResult::default() };
-    let standbys = planned_standbys(records, observations);
-    drained.drains = standbys.len() as u64;
-    for (n, from, _) in &standbys {
-        let at_once = standbys.iter().filter(|(_, start, end)| (*start..*end).contains(from));
-        let in_zone = at_once.clone().filter(|(m, ..)| m % ZONES.len() == n % ZONES.len());
-        let (all, zone) = (at_once.clone().count(), in_zone.count());
-        drained.max_planned_unavailable =
-            (drained.max_planned_unavailable.0.max(all), drained.max_planned_unavailable.1.max(zone));
-        if all > MOST.0 || zone > MOST.1 {
-            let who: Vec<String> = at_once.map(|(n, ..)| format!("d{n}")).collect();
-            found.entry(RULES[0]).or_default().push(format!("{} at {from}", who.join(", ")));
-        }
-    }
-    // A permit, once, by the first coordinator that recorded it.
-    let mut granted: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
+fn has_permit(line: &RecordLine) -> bool {
+    line.fields.get("permit").is_some_and(|permit| !permit.is_null())
+}
+
+/// Returns the end of a standby. A dispatcher that is killed meanwhile stays unavailable, but not by permit.
+fn end_of_standby(observations: &Observations, dispatcher: usize, from: u64, recorded_end: u64) -> u64 {
+    let kills = observations.killed.iter().filter(|kill| kill.dispatcher == dispatcher && kill.from > from);
+    kills.map(|kill| kill.from).fold(recorded_end, u64::min)
+}
+
+/// Permits that were granted by one log entry.
+#[derive(Debug, Clone, Copy)]
+struct GrantedPermits {
+    /// Time of the first replica that recorded the entry.
+    time: u64,
+    count: usize,
+}
+
+/// Returns the grants of permits in the order of their log entries.
+fn granted_permits(records: &Records) -> Vec<GrantedPermits> {
+    let mut by_entry: BTreeMap<u64, GrantedPermits> = BTreeMap::new();
     for line in records.coordinators.values().flatten().filter(|line| line.kind == "applied") {
         let Some(index) = line.fields.get("index").and_then(serde_json::Value::as_u64) else { continue };
-        if let Some(permits) = line.fields.get("permits").and_then(|permits| permits.as_array()) {
-            let entry = granted.entry(index).or_insert((line.time, permits.len() as u64));
-            entry.0 = entry.0.min(line.time);
-        }
+        let Some(permits) = line.fields.get("permits").and_then(|permits| permits.as_array()) else {
+            continue;
+        };
+        let new = GrantedPermits { time: line.time, count: permits.len() };
+        let known = by_entry.entry(index).or_insert(new);
+        known.time = known.time.min(line.time);
     }
-    for (at, count) in granted.values() {
-        // Lost for so long that the account knows, and still.
-        let lost =
-            observations.killed.iter().filter(|(_, from, until)| from + LOSS_KNOWN_AFTER < *at && at < until);
-        let lost: Vec<usize> = lost.map(|(n, ..)| *n).collect();
-        let out =
-            standbys.iter().filter(|(n, from, until)| (*from..*until).contains(at) && !lost.contains(n));
-        let all = lost.len() + out.count() + *count as usize;
-        if all > MOST.0 {
-            let text = format!("{count} permits at {at} while d{lost:?} were lost, {all} in all");
-            found.entry(RULES[1]).or_default().push(text);
+    by_entry.into_values().collect()
+}
+
+impl Evaluation {
+    fn check_budgets(&mut self, standbys: &[PlannedStandby]) {
+        for standby in standbys {
+            let simultaneous: Vec<&PlannedStandby> =
+                standbys.iter().filter(|other| other.lasts_at(standby.from)).collect();
+            let zone = standby.dispatcher % ZONES.len();
+            let in_zone = simultaneous.iter().filter(|other| other.dispatcher % ZONES.len() == zone).count();
+            let unavailable = UnavailableCounts { fleet: simultaneous.len(), zone: in_zone };
+            let most = &mut self.result.max_planned_unavailable;
+            most.fleet = most.fleet.max(unavailable.fleet);
+            most.zone = most.zone.max(unavailable.zone);
+            if unavailable.fleet > BUDGET.fleet || unavailable.zone > BUDGET.zone {
+                let names: Vec<String> =
+                    simultaneous.iter().map(|other| format!("d{}", other.dispatcher)).collect();
+                let description = format!("{} in standby at {}", names.join(", "), standby.from);
+                self.violations.add(DrainRule::WithinBudgets, description);
+            }
         }
     }
-    for (n, from, at, status) in &observations.calls {
-        *drained.calls.entry(*status).or_default() += 1;
-        let hurt =
-            observations.killed.iter().chain(&observations.paused).any(|(whom, start, end)| {
-                whom == n && *start <= *at && *from <= end.saturating_add(2_000_000)
-            });
-        // What was under way when all was ended is nobody's.
-        if hurt || observations.ended_at.is_some_and(|over| *at >= over) {
-            continue;
+
+    fn check_permits(&mut self, records: &Records, observations: &Observations, standbys: &[PlannedStandby]) {
+        for granted in granted_permits(records) {
+            let is_known_lost =
+                |kill: &&Outage| kill.from + LOSS_KNOWN_AFTER < granted.time && granted.time < kill.until;
+            let lost: Vec<usize> =
+                observations.killed.iter().filter(is_known_lost).map(|kill| kill.dispatcher).collect();
+            let planned = standbys
+                .iter()
+                .filter(|standby| standby.lasts_at(granted.time) && !lost.contains(&standby.dispatcher));
+            let unavailable = lost.len() + planned.count() + granted.count;
+            if unavailable > BUDGET.fleet {
+                let description = format!(
+                    "{} permits granted at {} while dispatchers {lost:?} were lost, {unavailable} unavailable",
+                    granted.count, granted.time
+                );
+                self.violations.add(DrainRule::NoPermitBesideLosses, description);
+            }
         }
-        drained.longest_call_ms = drained.longest_call_ms.max((at - from) as f64 / 1e3);
-        if *status == 0 || at - from > DECISION_TIMEOUT {
-            let text = format!("d{n}: status {status} after {} us at {from}", at - from);
-            found.entry(RULES[2]).or_default().push(text);
+    }
+
+    fn check_calls(&mut self, observations: &Observations) {
+        for call in &observations.calls {
+            *self.result.calls.entry(call.status).or_default() += 1;
+            if is_excused(observations, call) {
+                continue;
+            }
+            let duration = call.ended_at - call.started_at;
+            self.result.longest_call_ms = self.result.longest_call_ms.max(duration as f64 / 1e3);
+            if call.status == 0 || duration > MAX_CALL_TIME {
+                let description = format!(
+                    "dispatcher {}: status {} after {duration} us at {}",
+                    call.dispatcher, call.status, call.started_at
+                );
+                self.violations.add(DrainRule::CallAnsweredInTime, description);
+            }
         }
     }
-    for (rule, texts) in record_checker::check(records) {
-        found.entry(RULES[4]).or_default().extend(texts.iter().map(|text| format!("{rule}: {text}")));
+
+    fn check_leases(&mut self, records: &Records) {
+        for description in record_checker::check(records).descriptions() {
+            self.violations.add(DrainRule::Leases, description);
+        }
     }
-    drained.lease_terms = record_checker::lease_terms(records);
-    drained.rules = found.into_iter().map(|(rule, texts)| (rule.to_owned(), texts)).collect();
-    drained
+}
+
+/// Whether a call need not be answered: its dispatcher did not run meanwhile, or the schedule was over before its end.
+fn is_excused(observations: &Observations, call: &StandbyCall) -> bool {
+    let overlaps = |outage: &Outage| {
+        outage.dispatcher == call.dispatcher
+            && outage.from <= call.ended_at
+            && call.started_at <= outage.until.saturating_add(RESTART_TIME)
+    };
+    let was_out = observations.killed.iter().chain(&observations.paused).any(overlaps);
+    was_out || observations.ended_at.is_some_and(|end| call.ended_at >= end)
 }
--- a/crates/emulator/src/cluster/planned_drains/faults.rs
+++ b/crates/emulator/src/cluster/planned_drains/faults.rs
@@ -1,6 +1,5 @@
 //! Faults of a schedule: drawn by its seed and injected one at a time.
 
-use crate::cluster::error::ClusterError;
 use std::time::Duration;
 
 use cluster_member::clock;
@@ -8,8 +7,9 @@
 use rand_pcg::Pcg64;
 use tokio::time::{sleep, sleep_until, Instant};
 
-use super::{Fault, Plan, SharedObservations, FAULT_KINDS};
+use super::{Fault, Outage, Plan, SharedObservations, FAULT_KINDS};
 use crate::cluster::cluster_harness::ClusterHarness;
+use crate::cluster::error::ClusterError;
 use crate::cluster::fault_injection::{ClusterFault, LinkFaultKind};
 
 /// Draws faults and injects them one after another, until the schedule's time is over.
@@ -24,31 +24,40 @@
     while Instant::now() < end {
         let next = Instant::now() + plan.fault_interval.mul_f64(random.random_range(0.5..1.5));
         let fault = FAULT_KINDS[random.random_range(0..FAULT_KINDS.len())];
-        let any = random.random_range(0..plan.dispatchers);
+        let any_dispatcher = random.random_range(0..plan.dispatchers);
         let observer = cluster.observer().unwrap_or(0);
         let duration = fault.sample_duration(&mut random);
-        let target = if fault.is_for_observer() { observer } else { any };
-        let began_at = clock::now();
+        let target = if fault.is_for_observer() { observer } else { any_dispatcher };
+        let drawn = DrawnFault { fault, target, began_at: clock::now(), duration };
         injected.push(fault);
         if fault == Fault::PauseRequester {
             observations.borrow_mut().call_now[target] = true;
             sleep(Duration::from_millis(random.random_range(20..60))).await;
             observations.borrow_mut().call_now[target] = false;
         }
-        inject(cluster, observations, fault, (target, began_at), duration).await?;
+        inject(cluster, observations, drawn).await?;
         sleep_until(next).await;
     }
     Ok(injected)
 }
 
-/// Injects one fault for so long, and records when its dispatcher could not answer.
+/// A fault with the dispatcher that it is for and its duration.
+#[derive(Debug, Clone, Copy)]
+struct DrawnFault {
+    fault: Fault,
+    target: usize,
+    /// Time by the clock of the records, in microseconds.
+    began_at: u64,
+    duration: Duration,
+}
+
+/// Injects one fault, and records the time in which its dispatcher could not answer.
 async fn inject(
     cluster: &mut ClusterHarness,
     observations: &SharedObservations,
-    fault: Fault,
-    (target, began_at): (usize, u64),
-    duration: Duration,
+    drawn: DrawnFault,
 ) -> Result<(), ClusterError> {
+    let DrawnFault { fault, target, began_at, duration } = drawn;
     let active = fault.at(target).begin(cluster)?;
     let slow_requester = fault == Fault::SlowRequester;
     if slow_requester {
@@ -59,7 +68,7 @@
         observations.borrow_mut().call_now[target] = false;
     }
     active.end(cluster)?;
-    let outage = (target, began_at, clock::now());
+    let outage = Outage { dispatcher: target, from: began_at, until: clock::now() };
     match fault {
         Fault::KillObserver | Fault::LoseDispatcher => observations.borrow_mut().killed.push(outage),
         Fault::PauseObserver | Fault::PauseRequester => observations.borrow_mut().paused.push(outage),
@@ -69,6 +78,12 @@
 }
 
 impl Fault {
+    /// Returns the name of the fault in results.
+    pub(super) fn name(self) -> String {
+        let name = serde_json::to_value(self).ok();
+        name.as_ref().and_then(|name| name.as_str()).unwrap_or_default().to_owned()
+    }
+
     fn is_for_observer(self) -> bool {
         matches!(self, Fault::KillObserver | Fault::PauseObserver)
     }
@@ -84,7 +99,7 @@
         })
     }
 
-    /// The fault at a dispatcher, as the cluster harness knows it.
+    /// Returns the fault of the cluster harness that this one is at a dispatcher.
     fn at(self, dispatcher: usize) -> ClusterFault {
         match self {
             Fault::KillObserver | Fault::LoseDispatcher => ClusterFault::KillDispatcher(dispatcher),
--- a/crates/emulator/src/cluster/planned_drains/mod.rs
+++ b/crates/emulator/src/cluster/planned_drains/mod.rs
@@ -1,21 +1,14 @@
-//! Planned drains of dispatchers, agreed across the fleet, with faults: real coordinators and dispatchers, operators that ask
-//! for standby at the consoles, and a proxy on every link between coordinators and members.
-//!
-//! The rules, checked by the records of dispatchers and coordinators and by what the harness did:
-//!
-//! 1. never more dispatchers in standby by plan than the budgets allow, by fleet and by zone;
-//! 2. no permit is granted while what is lost, and known to be, has used the budget up;
-//! 3. a call for standby is answered within its time, whatever the coordinators do;
-//! 4. when all is healed everybody who asks gets its turn;
-//! 5. the rules of leases.
+//! Planned drains of dispatchers under faults: real coordinators and dispatchers, operators that request a standby at the
+//! consoles, and a proxy on every link between coordinators and members. [`DrainRule`] lists the rules, which are checked by
+//! the records of dispatchers and coordinators and by what the harness did.
 
 mod evaluation;
 mod faults;
+mod operator;
 mod table;
 #[cfg(test)]
 mod tests;
 
-use crate::cluster::error::ClusterError;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -23,8 +16,6 @@
 use std::time::Duration;
 
 use cluster_member::clock;
-use rand::{Rng, SeedableRng};
-use rand_pcg::Pcg64;
 use serde::Serialize;
 use serde_json::json;
 use tokio::task::spawn_local;
@@ -32,45 +23,84 @@
 
 use self::evaluation::evaluate;
 use self::faults::inject_faults;
+use self::operator::run_operator;
 pub use self::table::table;
-use super::cluster_harness::{
-    call_console, read_records, run_in_folder, Binaries, ClusterHarness, ClusterSpec,
-};
+use super::cluster_harness::{read_records, run_in_folder, Binaries, ClusterHarness, ClusterSpec};
 use super::emulated_discovery::EmulatedDiscovery;
+use super::violations::{Rule, Violations};
+use crate::cluster::error::ClusterError;
 
-/// The rules, in the order of the module's text.
-pub const RULES: [&str; 5] = [
-    "never more in standby by plan than the budgets allow",
-    "no permit while losses have used the budget up",
-    "a call for standby is answered in time",
-    "everybody gets its turn when all is healed",
-    "ownership",
-];
+/// A rule of planned drains.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum DrainRule {
+    /// No more dispatchers are in standby by permit than the budgets allow, in the fleet and in each zone.
+    WithinBudgets,
+    /// No permit is granted while dispatchers that are known to be lost have used the budget up.
+    NoPermitBesideLosses,
+    /// A call for standby is answered within its time, in any state of the coordinators.
+    CallAnsweredInTime,
+    /// Every dispatcher is drained after the last fault has ended.
+    EveryDispatcherDrained,
+    /// The rules of leases.
+    Leases,
+}
+
+impl DrainRule {
+    /// All rules.
+    pub const ALL: [DrainRule; 5] = [
+        DrainRule::WithinBudgets,
+        DrainRule::NoPermitBesideLosses,
+        DrainRule::CallAnsweredInTime,
+        DrainRule::EveryDispatcherDrained,
+        DrainRule::Leases,
+    ];
+}
+
+impl Rule for DrainRule {
+    fn text(self) -> &'static str {
+        match self {
+            DrainRule::WithinBudgets => "never more in standby by plan than the budgets allow",
+            DrainRule::NoPermitBesideLosses => "no permit while losses have used the budget up",
+            DrainRule::CallAnsweredInTime => "a call for standby is answered in time",
+            DrainRule::EveryDispatcherDrained => "everybody gets its turn when all is healed",
+            DrainRule::Leases => "ownership",
+        }
+    }
+}
 
 const ZONES: [&str; 3] = ["north", "south", "west"];
-/// The most that may be out at once, of all and of each zone.
-const MOST: (usize, usize) = (2, 1);
-/// A call is decided within 0.8 s; the rest is the machine's.
-const DECISION_TIMEOUT: u64 = 1_500_000;
-/// A loss that lasts this long is known to the account: what a dispatcher said last holds 1 s, an holder may change.
+/// Dispatchers that may be unavailable at once, in the fleet.
+const MAX_UNAVAILABLE: usize = 2;
+/// Dispatchers that may be unavailable at once, in a zone.
+const MAX_UNAVAILABLE_IN_ZONE: usize = 1;
+/// Longest time to an answer of a call for standby, in microseconds: 0.8 s for the decision, the rest for a busy machine.
+const MAX_CALL_TIME: u64 = 1_500_000;
+/// Time after which a lost dispatcher is known to be lost, in microseconds: its last readiness report expires after 1 s, and
+/// the observer may change.
 const LOSS_KNOWN_AFTER: u64 = 6_000_000;
+/// Longest time until every dispatcher is drained after the last fault.
+const MAX_RECOVERY_TIME: Duration = Duration::from_secs(30);
+/// Longest time until the coordinators accept budgets and know all dispatchers as available.
+const MAX_SETUP_TIME: Duration = Duration::from_secs(10);
+/// Workers that discovery lists.
+const WORKERS: usize = 4;
 
-/// What is played.
+/// Parameters of a schedule.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Coordinators, three or five.
     pub coordinators: usize,
     /// Dispatchers, in three zones in turn.
     pub dispatchers: usize,
-    /// How long faults go on.
+    /// Time in which faults begin.
     pub length: Duration,
-    /// How often a fault begins, on the mean.
+    /// Mean time from the start of one fault to that of the next.
     pub fault_interval: Duration,
-    /// After how long a worker is warm, in seconds.
+    /// Time after which a worker has its full capacity, in seconds.
     pub warm_up_s: f64,
-    /// A bug in the coordinators' account.
+    /// Bug to inject into the coordinators' disruption state.
     pub injected_bug: Option<String>,
-    /// Draws the faults and the operators' calls.
+    /// Seed of the faults and of the operators' calls.
     pub seed: u64,
 }
 
@@ -88,7 +118,7 @@
     }
 }
 
-/// What was done.
+/// Kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
@@ -97,30 +127,30 @@
     /// SIGSTOP to the observer, SIGCONT later.
     #[serde(rename = "stop-observer")]
     PauseObserver,
-    /// SIGSTOP to a dispatcher right after its operator called, SIGCONT later.
+    /// SIGSTOP to a dispatcher right after its operator requested a standby, SIGCONT later.
     #[serde(rename = "stop-asker")]
     PauseRequester,
-    /// What coordinators say to a dispatcher is late by 0.3 s, and it is called meanwhile.
+    /// Messages of the coordinators to a dispatcher are delayed by 0.3 s while its operator requests a standby.
     #[serde(rename = "slow-asker")]
     SlowRequester,
-    /// SIGKILL to a dispatcher that stays away for long.
+    /// SIGKILL to a dispatcher that is started again long after.
     #[serde(rename = "lose")]
     LoseDispatcher,
-    /// A dispatcher reaches no coordinator and is not reached.
+    /// A dispatcher and the coordinators do not reach each other.
     #[serde(rename = "cut-keepers")]
     PartitionFromCoordinators,
     /// A dispatcher and the others do not reach each other.
     #[serde(rename = "cut-members")]
     PartitionFromMembers,
-    /// The coordinators' leader is killed, and comes back.
+    /// SIGKILL to the leading coordinator, started again later.
     KillLeader,
-    /// The coordinators' leader is stopped, and goes on.
+    /// SIGSTOP to the leading coordinator, SIGCONT later.
     #[serde(rename = "stop-leader")]
     PauseLeader,
-    /// All coordinators are killed at once, and come back.
+    /// SIGKILL to all coordinators at once, started again later.
     #[serde(rename = "kill-all-keepers")]
     KillAllCoordinators,
-    /// Every link is 50 ms slower each way, and one connection in twenty is reset.
+    /// Every link has 50 ms of delay each way, and one connection in twenty is reset.
     #[serde(rename = "slow-net")]
     SlowNetwork,
 }
@@ -139,59 +169,105 @@
     Fault::SlowNetwork,
 ];
 
-/// What a schedule gave.
+/// Result of a schedule.
 #[derive(Debug, Default, Serialize)]
 pub struct ScheduleResult {
     /// Violations by rule.
     pub rules: BTreeMap<String, Vec<String>>,
     /// Faults by kind.
     pub faults: BTreeMap<String, u64>,
-    /// The budgets, of all and of a zone.
-    pub budget: (usize, usize),
-    /// The most that were unavailable by plan at once, of all and of a zone.
+    /// Dispatchers that may be unavailable at once.
+    pub budget: UnavailableCounts,
+    /// The most dispatchers that were unavailable at once by permit.
     #[serde(rename = "out_by_plan_max")]
-    pub max_planned_unavailable: (usize, usize),
-    /// Calls for standby by answer: 200, 503, or 0 for none.
+    pub max_planned_unavailable: UnavailableCounts,
+    /// Calls for standby by status: 200, 503, or 0 without an answer.
     pub calls: BTreeMap<u16, u64>,
-    /// Drains that were done by permit.
+    /// Drains by permit.
     pub drains: u64,
-    /// The longest that an answered call took, in ms, of dispatchers that ran.
+    /// Longest time to an answer of a dispatcher that ran, in milliseconds.
     pub longest_call_ms: f64,
-    /// Terms granted.
+    /// Lease terms granted.
     #[serde(rename = "terms")]
     pub lease_terms: u64,
 }
 
-/// What the harness did and saw.
+/// Numbers of unavailable dispatchers; in results a list of both.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
+#[serde(into = "(usize, usize)")]
+pub struct UnavailableCounts {
+    /// In the fleet.
+    pub fleet: usize,
+    /// In one zone.
+    pub zone: usize,
+}
+
+impl From<UnavailableCounts> for (usize, usize) {
+    fn from(counts: UnavailableCounts) -> (usize, usize) {
+        (counts.fleet, counts.zone)
+    }
+}
+
+/// Budgets of all schedules.
+const BUDGET: UnavailableCounts = UnavailableCounts { fleet: MAX_UNAVAILABLE, zone: MAX_UNAVAILABLE_IN_ZONE };
+
+/// Time in which a dispatcher did not run, by the clock of the records, in microseconds.
+#[derive(Debug, Clone, Copy)]
+struct Outage {
+    dispatcher: usize,
+    from: u64,
+    until: u64,
+}
+
+/// Call for standby at a dispatcher's console; times by the clock of the records, in microseconds.
+#[derive(Debug, Clone, Copy)]
+struct StandbyCall {
+    dispatcher: usize,
+    started_at: u64,
+    ended_at: u64,
+    /// Status of the answer, 0 without one.
+    status: u16,
+}
+
+/// Actions and observations of the harness.
 #[derive(Debug, Default)]
 struct Observations {
-    /// By dispatcher: from when to when it was killed, stopped, or cut off.
-    killed: Vec<(usize, u64, u64)>,
-    paused: Vec<(usize, u64, u64)>,
-    /// Calls for standby: the dispatcher, from when to when, the status.
-    calls: Vec<(usize, u64, u64, u16)>,
-    /// Dispatchers that had their turn since this was emptied.
-    had_turn: Vec<bool>,
-    /// Dispatchers whose operators are to call now.
+    killed: Vec<Outage>,
+    paused: Vec<Outage>,
+    calls: Vec<StandbyCall>,
+    /// By dispatcher: whether it was drained and active again since this was reset.
+    was_drained: Vec<bool>,
+    /// By dispatcher: whether its operator is to request a standby now.
     call_now: Vec<bool>,
-    /// Since when nobody is to ask any more.
+    /// Time at which the operators stop, once it is set.
     ended_at: Option<u64>,
 }
 
+impl Observations {
+    fn new(dispatchers: usize) -> Observations {
+        Observations {
+            was_drained: vec![false; dispatchers],
+            call_now: vec![false; dispatchers],
+            ..Observations::default()
+        }
+    }
+}
+
 type SharedObservations = Rc<RefCell<Observations>>;
 
 /// Plays one schedule below this folder.
 ///
 /// # Errors
-/// Something could not be set up.
+/// Returns a [`ClusterError`] if the harness fails; violations of rules are part of the result.
 pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<ScheduleResult, ClusterError> {
     run_in_folder(dir, run_schedule(dir, binaries.clone(), plan))
 }
 
-/// A fleet of dispatchers whose drains are agreed on, with these budgets, HCL.
+/// Starts a cluster whose dispatchers need permits to drain, with these budgets as HCL.
 ///
 /// # Errors
-/// Something cannot be set up.
+/// Returns a [`ClusterError`] if a process cannot be set up, the coordinators reject the budgets, or the dispatchers are not
+/// known to be available within [`MAX_SETUP_TIME`].
 pub async fn start_cluster(
     dir: &Path,
     binaries: Binaries,
@@ -202,46 +278,58 @@
         coordinators: plan.coordinators,
         dispatchers: plan.dispatchers,
         cluster_settings: Some("account {\n}\n"),
-        discoveries: &[EmulatedDiscovery::new(4)],
+        discoveries: &[EmulatedDiscovery::new(WORKERS)],
         proxy_seed: Some(plan.seed),
     };
     let mut cluster = ClusterHarness::start(dir, binaries, settings(plan), setup).await?;
-    if let Some(flaw) = &plan.injected_bug {
-        for coordinator in 1..=plan.coordinators {
-            cluster.set_coordinator_setting(coordinator, "flaw", &format!("\"{flaw}\""))?;
-            cluster.kill_coordinator(coordinator);
-            cluster.start_coordinator(coordinator)?;
-        }
+    if let Some(bug) = &plan.injected_bug {
+        inject_bug(&mut cluster, bug)?;
     }
-    cluster.wait_for_workers(4).await?;
+    cluster.wait_for_workers(WORKERS).await?;
     let file = dir.join("budgets.hcl");
     std::fs::write(&file, budgets).map_err(ClusterError::io(file.display()))?;
-    let path = file.display().to_string();
-    let until = Instant::now() + Duration::from_secs(10);
-    while let Err(why) = cluster.run_coordinator_command(1, &["budgets", "--set", &path]).await {
-        if Instant::now() > until {
-            return Err(why);
-        }
-        sleep(Duration::from_millis(100)).await;
-    }
+    let deadline = Instant::now() + MAX_SETUP_TIME;
+    set_budgets(&cluster, &file, deadline).await?;
     while available_dispatchers(&cluster).await != plan.dispatchers {
-        if Instant::now() > until {
-            return Err(cluster.timeout("not all targets are available".to_owned()));
+        if Instant::now() > deadline {
+            return Err(cluster.timeout("not all dispatchers are known to be available".to_owned()));
         }
         sleep(Duration::from_millis(50)).await;
     }
     Ok(cluster)
 }
 
-/// How many dispatchers the account has as in.
+/// Restarts all coordinators with a bug of this name.
+fn inject_bug(cluster: &mut ClusterHarness, bug: &str) -> Result<(), ClusterError> {
+    for coordinator in 1..=cluster.coordinator_count() {
+        cluster.set_coordinator_setting(coordinator, "flaw", &format!("\"{bug}\""))?;
+        cluster.kill_coordinator(coordinator);
+        cluster.start_coordinator(coordinator)?;
+    }
+    Ok(())
+}
+
+/// Sets the budgets of a file, with retries until the deadline.
+async fn set_budgets(cluster: &ClusterHarness, file: &Path, deadline: Instant) -> Result<(), ClusterError> {
+    let path = file.display().to_string();
+    while let Err(error) = cluster.run_coordinator_command(1, &["budgets", "--set", &path]).await {
+        if Instant::now() > deadline {
+            return Err(error);
+        }
+        sleep(Duration::from_millis(100)).await;
+    }
+    Ok(())
+}
+
+/// Returns the number of dispatchers that the disruption state has as available.
 async fn available_dispatchers(cluster: &ClusterHarness) -> usize {
-    let said = cluster.run_coordinator_command(1, &["account", "--json"]).await.unwrap_or_default();
-    let all: serde_json::Value = serde_json::from_str(&said).unwrap_or_default();
-    let targets = all["account"]["targets"].as_array();
-    let inside = |target: &&serde_json::Value| {
+    let output = cluster.run_coordinator_command(1, &["account", "--json"]).await.unwrap_or_default();
+    let disruption_state: serde_json::Value = serde_json::from_str(&output).unwrap_or_default();
+    let is_available_dispatcher = |target: &&serde_json::Value| {
         target["in"] == 1.0 && target["target"].as_str().is_some_and(|name| name.starts_with("dispatcher/"))
     };
-    targets.map_or(0, |targets| targets.iter().filter(inside).count())
+    let targets = disruption_state["account"]["targets"].as_array();
+    targets.map_or(0, |targets| targets.iter().filter(is_available_dispatcher).count())
 }
 
 fn settings(plan: &Plan) -> serde_json::Value {
@@ -266,68 +354,43 @@
     let budgets = format!(
         "budget \"all\" {{\n  targets = \"dispatchers\"\n  most_out = {}\n}}\n\
          budget \"zones\" {{\n  targets = \"dispatchers\"\n  of = \"each-zone\"\n  most_out = {}\n}}\n",
-        MOST.0, MOST.1
+        BUDGET.fleet, BUDGET.zone
     );
     let mut cluster = start_cluster(dir, binaries, plan, &budgets).await?;
-    let observations = SharedObservations::default();
-    {
-        let mut observations = observations.borrow_mut();
-        (observations.had_turn, observations.call_now) =
-            (vec![false; plan.dispatchers], vec![false; plan.dispatchers]);
+    let observations: SharedObservations = Rc::new(RefCell::new(Observations::new(plan.dispatchers)));
+    for dispatcher in 0..plan.dispatchers {
+        let console = cluster.console_address(dispatcher);
+        spawn_local(run_operator(observations.clone(), dispatcher, console, plan.seed));
     }
-    for n in 0..plan.dispatchers {
-        spawn_local(run_operator(observations.clone(), n, cluster.console_address(n), plan.seed));
-    }
-    let mut found: BTreeMap<&str, Vec<String>> = BTreeMap::new();
     let faults = inject_faults(&mut cluster, &observations, plan).await?;
-    // All is healed: everybody gets its turn.
-    observations.borrow_mut().had_turn.fill(false);
-    let until = Instant::now() + Duration::from_secs(30);
-    while Instant::now() < until && observations.borrow().had_turn.contains(&false) {
-        sleep(Duration::from_millis(100)).await;
-    }
-    for (n, _) in observations.borrow().had_turn.iter().enumerate().filter(|(_, turn)| !**turn) {
-        found.entry(RULES[3]).or_default().push(format!("d{n} did not within 30 s"));
-    }
+    let mut violations = check_recovery(&observations).await;
     observations.borrow_mut().ended_at = Some(clock::now());
     drop(cluster);
     let records = read_records(dir, plan.coordinators, plan.dispatchers)?;
     let observations = observations.borrow();
-    let mut drained = evaluate(&records, &observations, found);
+    let evaluation = evaluate(&records, &observations);
+    violations.merge(evaluation.violations);
+    let mut result = ScheduleResult { rules: violations.by_text(), ..evaluation.result };
     for fault in faults {
-        let name = serde_json::to_value(fault).ok();
-        let name = name.as_ref().and_then(|name| name.as_str()).unwrap_or_default().to_owned();
-        *drained.faults.entry(name).or_default() += 1;
+        *result.faults.entry(fault.name()).or_default() += 1;
     }
-    Ok(drained)
+    Ok(result)
 }
 
-/// Empties a dispatcher now and then: asks for standby until it is granted, waits, and makes it active again.
-async fn run_operator(observations: SharedObservations, n: usize, console: std::net::SocketAddr, seed: u64) {
-    let mut random = Pcg64::seed_from_u64(seed ^ (n as u64) << 24);
-    let over = || observations.borrow().ended_at.is_some();
-    while !over() {
-        let pause = Duration::from_millis(random.random_range(200..1_500));
-        let until = Instant::now() + pause;
-        while Instant::now() < until && !observations.borrow().call_now[n] {
-            sleep(Duration::from_millis(20)).await;
-        }
-        loop {
-            let from = clock::now();
-            let answer = call_console(console, "POST", "/standby").await;
-            let status = answer.as_ref().map_or(0, |(status, ..)| *status);
-            observations.borrow_mut().calls.push((n, from, clock::now(), status));
-            if status == 200 || over() {
-                break;
-            }
-            let after = answer.and_then(|(_, after, _)| after).unwrap_or(1);
-            sleep(Duration::from_secs(after.into()).min(Duration::from_secs(2))).await;
-        }
-        sleep(Duration::from_millis(random.random_range(200..1_500))).await;
-        // Until it is active again, or another process.
-        while !over() && call_console(console, "POST", "/active").await.is_none_or(|(s, ..)| s != 200) {
-            sleep(Duration::from_millis(100)).await;
+/// Checks that every dispatcher is drained once more after the last fault has ended.
+async fn check_recovery(observations: &SharedObservations) -> Violations<DrainRule> {
+    observations.borrow_mut().was_drained.fill(false);
+    let deadline = Instant::now() + MAX_RECOVERY_TIME;
+    while Instant::now() < deadline && observations.borrow().was_drained.contains(&false) {
+        sleep(Duration::from_millis(100)).await;
+    }
+    let mut violations = Violations::default();
+    for (dispatcher, was_drained) in observations.borrow().was_drained.iter().enumerate() {
+        if !was_drained {
+            let description =
+                format!("dispatcher {dispatcher} was not drained within {} s", MAX_RECOVERY_TIME.as_secs());
+            violations.add(DrainRule::EveryDispatcherDrained, description);
         }
-        observations.borrow_mut().had_turn[n] = true;
     }
+    violations
 }
--- a/crates/emulator/src/cluster/planned_drains/table.rs
+++ b/crates/emulator/src/cluster/planned_drains/table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{ScheduleResult, MOST};
+use super::{ScheduleResult, BUDGET};
 
 /// The sums over all schedules, as text.
 #[must_use]
@@ -26,10 +26,10 @@
     let most = |of: fn(&ScheduleResult) -> usize| played.values().map(of).max().unwrap_or(0);
     line(format!(
         "out by plan at most: {} of {} in the fleet, {} of {} in a zone",
-        most(|one| one.max_planned_unavailable.0),
-        MOST.0,
-        most(|one| one.max_planned_unavailable.1),
-        MOST.1
+        most(|one| one.max_planned_unavailable.fleet),
+        BUDGET.fleet,
+        most(|one| one.max_planned_unavailable.zone),
+        BUDGET.zone
     ));
     let longest = played.values().map(|one| one.longest_call_ms).fold(0.0, f64::max);
     line(format!("the longest call: {longest:.0} ms"));
--- a/crates/emulator/src/cluster/record_checker.rs
+++ b/crates/emulator/src/cluster/record_checker.rs
@@ -4,7 +4,6 @@
 //! record the reading of the clock on which they decided. So whatever decided later than a record of a later grant
 //! broke the rule, and no order of writing can make a sound run look broken.
 
-use crate::cluster::error::ClusterError;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
@@ -13,7 +12,9 @@
 use stateright::semantics::register::{Register, RegisterOp, RegisterRet};
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester};
 
+use super::error::ClusterError;
 use super::schedule::FaultKind;
+use super::violations::{Rule, Violations};
 
 /// A line of a record.
 #[derive(Debug, Clone, Deserialize)]
@@ -60,22 +61,66 @@
     pub members: BTreeMap<String, Vec<RecordLine>>,
 }
 
-/// What a checker found, by rule.
-pub type Violations = BTreeMap<&'static str, Vec<String>>;
+/// A rule of leases that is checked by records.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum LeaseRule {
+    /// All replicas are in the same state after the same entry.
+    SameState,
+    /// A later grant has a higher token.
+    TokensGrow,
+    /// No receiver accepts an effect of a term after the next one was granted.
+    NoEffectOfEndedTerm,
+    /// No holder acts after a later term was granted.
+    NoActionInEndedTerm,
+    /// No receiver accepts a lower token after a higher one.
+    TokensGrowAtReceivers,
+    /// Members use only tokens that were granted.
+    OnlyGrantedTokens,
+    /// All works again after the last fault has ended.
+    Recovery,
+    /// A replica without its store, or with an old one, does not serve.
+    NoServiceWithoutStore,
+    /// A session belongs to one process.
+    SessionOfOneProcess,
+    /// The history of a lease is linearizable.
+    Linearizable,
+}
+
+impl LeaseRule {
+    /// All rules.
+    pub const ALL: [LeaseRule; 10] = [
+        LeaseRule::SameState,
+        LeaseRule::TokensGrow,
+        LeaseRule::NoEffectOfEndedTerm,
+        LeaseRule::NoActionInEndedTerm,
+        LeaseRule::TokensGrowAtReceivers,
+        LeaseRule::OnlyGrantedTokens,
+        LeaseRule::Recovery,
+        LeaseRule::NoServiceWithoutStore,
+        LeaseRule::SessionOfOneProcess,
+        LeaseRule::Linearizable,
+    ];
+}
+
+impl Rule for LeaseRule {
+    fn text(self) -> &'static str {
+        match self {
+            LeaseRule::SameState => "keepers apply the same",
+            LeaseRule::TokensGrow => "tokens only grow",
+            LeaseRule::NoEffectOfEndedTerm => "no effect of an ended term is taken",
+            LeaseRule::NoActionInEndedTerm => "no owner acts when a later term was granted",
+            LeaseRule::TokensGrowAtReceivers => "tokens grow at every receiver",
+            LeaseRule::OnlyGrantedTokens => "only granted tokens are used",
+            LeaseRule::Recovery => "well again when all is healed",
+            LeaseRule::NoServiceWithoutStore => "a keeper without its memory does not serve",
+            LeaseRule::SessionOfOneProcess => "a session belongs to one process",
+            LeaseRule::Linearizable => "a duty's history is linearizable",
+        }
+    }
+}
 
-/// The rules that are checked.
-pub const RULES: [&str; 10] = [
-    "keepers apply the same",
-    "tokens only grow",
-    "no effect of an ended term is taken",
-    "no owner acts when a later term was granted",
-    "tokens grow at every receiver",
-    "only granted tokens are used",
-    "well again when all is healed",
-    "a keeper without its memory does not serve",
-    "a session belongs to one process",
-    "a duty's history is linearizable",
-];
+/// Violations of the rules of leases.
+pub type LeaseViolations = Violations<LeaseRule>;
 
 /// Reads one file of records. A last line that was cut by a kill is left out.
 ///
@@ -123,16 +168,16 @@
 }
 
 /// Checks all rules but the seventh and the eighth, which the end of a schedule decides.
-pub fn check(records: &Records) -> Violations {
-    let mut found = Violations::new();
+pub fn check(records: &Records) -> LeaseViolations {
+    let mut found = LeaseViolations::default();
     check_digests(records, &mut found);
     let grants = grants(records);
     for pair in grants.windows(2).filter(|pair| pair[0].token >= pair[1].token) {
         let text = format!("entry {} granted {} after {}", pair[1].index, pair[1].token, pair[0].token);
-        found.entry(RULES[1]).or_default().push(text);
+        found.add(LeaseRule::TokensGrow, text);
     }
     for lease in non_linearizable_leases(records, &grants) {
-        found.entry(RULES[9]).or_default().push(lease);
+        found.add(LeaseRule::Linearizable, lease);
     }
     let terms = LeaseTerms::new(&grants);
     for (member, lines) in &records.members {
@@ -142,7 +187,7 @@
 }
 
 /// All coordinators are in the same state after the same entry.
-fn check_digests(records: &Records, found: &mut Violations) {
+fn check_digests(records: &Records, found: &mut LeaseViolations) {
     let mut digests: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
     for (coordinator, lines) in &records.coordinators {
         for line in lines.iter().filter(|line| line.kind == "applied") {
@@ -150,7 +195,7 @@
             let (first, known) = *digests.entry(index).or_insert((*coordinator, digest));
             if known != digest {
                 let text = format!("entry {index}: keeper {coordinator} is not where keeper {first} is");
-                found.entry(RULES[0]).or_default().push(text);
+                found.add(LeaseRule::SameState, text);
             }
         }
     }
@@ -178,7 +223,7 @@
 }
 
 /// Checks what one member accepted, sent and was told of its session.
-fn check_member(member: &str, lines: &[RecordLine], terms: &LeaseTerms<'_>, found: &mut Violations) {
+fn check_member(member: &str, lines: &[RecordLine], terms: &LeaseTerms<'_>, found: &mut LeaseViolations) {
     let mut highest: BTreeMap<&str, u64> = BTreeMap::new();
     // Sessions of earlier processes that wrote this record, and of the one that writes it.
     let (mut earlier, mut own) = (BTreeSet::new(), BTreeSet::new());
@@ -191,7 +236,7 @@
             own.insert(session);
             if earlier.contains(&session) {
                 let text = format!("{member} has session {session} of a process before it");
-                found.entry(RULES[8]).or_default().push(text);
+                found.add(LeaseRule::SessionOfOneProcess, text);
             }
         }
         let (Some(lease), Some(token)) = (line.text("duty"), line.number("token")) else { continue };
@@ -200,7 +245,7 @@
             let highest = highest.entry(lease).or_insert(token);
             if token < *highest {
                 let text = format!("{member} took {lease} token {token} after {highest}");
-                found.entry(RULES[4]).or_default().push(text);
+                found.add(LeaseRule::TokensGrowAtReceivers, text);
             }
             *highest = token.max(*highest);
         }
@@ -213,20 +258,20 @@
     line: &RecordLine,
     (lease, token): (&str, u64),
     terms: &LeaseTerms<'_>,
-    found: &mut Violations,
+    found: &mut LeaseViolations,
 ) {
     let rule = match line.kind.as_str() {
-        "taken" => RULES[2],
-        "acted" => RULES[3],
+        "taken" => LeaseRule::NoEffectOfEndedTerm,
+        "acted" => LeaseRule::NoActionInEndedTerm,
         _ => return,
     };
     if !terms.granted.contains(&(lease, token)) {
-        found.entry(RULES[5]).or_default().push(format!("{member} {} {lease} {token}", line.kind));
+        found.add(LeaseRule::OnlyGrantedTokens, format!("{member} {} {lease} {token}", line.kind));
     }
     if let Some(ended) = terms.ended.get(&(lease, token)).filter(|ended| line.time > **ended) {
         let late = line.time - ended;
         let text = format!("{member} {} {lease} token {token} {late} us after the next grant", line.kind);
-        found.entry(rule).or_default().push(text);
+        found.add(rule, text);
     }
 }
 
--- a/crates/emulator/src/cluster/results.rs
+++ b/crates/emulator/src/cluster/results.rs
@@ -1,6 +1,5 @@
 //! Adds up the schedules of an experiment: results.json and a table.
 
-use crate::cluster::error::ClusterError;
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::Mutex;
@@ -10,8 +9,10 @@
 use rayon::prelude::*;
 use serde::Serialize;
 
+use super::error::ClusterError;
 use super::lease_harness::{play, Programs, ScheduleResult};
 use super::schedule::{Arm, ClusterExperiment};
+use super::violations::Rule;
 
 /// Seconds at half, 99 of 100, and the longest.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
@@ -171,8 +172,8 @@
         }
         *result.faults.entry("connections reset").or_default() += played.resets;
         *result.faults.entry("connections doubled").or_default() += played.duplicates;
-        for (rule, texts) in &played.violations {
-            *result.rules.entry((*rule).to_owned()).or_default() += texts.len() as u64;
+        for (rule, texts) in played.violations.iter() {
+            *result.rules.entry(rule.text().to_owned()).or_default() += texts.len() as u64;
         }
         if !played.violations.is_empty() {
             result.broken.push(played.seed);
@@ -192,9 +193,15 @@
 }
 
 fn report(plan: &ClusterExperiment, arm: &Arm, played: &ScheduleResult, bug: Option<&str>) {
-    for (rule, texts) in &played.violations {
+    for (rule, texts) in played.violations.iter() {
         let first = texts.first().map_or("", String::as_str);
-        eprintln!("{} seed {}: {rule}: {} times, first: {first}", arm.name, played.seed, texts.len());
+        eprintln!(
+            "{} seed {}: {}: {} times, first: {first}",
+            arm.name,
+            played.seed,
+            rule.text(),
+            texts.len()
+        );
     }
     let bug = bug.map_or(String::new(), |bug| format!(" --seeded-bug {bug}"));
     eprintln!(
--- a/crates/emulator/src/cluster/scaling_cost.rs
+++ b/crates/emulator/src/cluster/scaling_cost.rs
@@ -1,7 +1,6 @@
 //! What a fleet saves and what it costs, by its size: the same idle dispatchers that share nothing, and as members, one
 //! side after the other, with real coordinators and every link between coordinators and members through a proxy that counts.
 
-use crate::cluster::error::ClusterError;
 use std::cell::Cell;
 use std::path::Path;
 use std::rc::Rc;
@@ -17,6 +16,7 @@
 
 use super::cluster_harness::{run_in_folder, Binaries, ClusterHarness, ClusterSpec};
 use super::emulated_discovery::EmulatedDiscovery;
+use super::error::ClusterError;
 use crate::sockets::http;
 
 /// Workers.
--- a/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
@@ -1,4 +1,4 @@
-//! The rules of a schedule, checked on what was observed and recorded.
+//! Rules of a schedule of shared health checks, checked on what was observed and recorded.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,280 +6,387 @@
 use dispatch_core::hashing::worker_id;
 
 use super::{
-    Fault, InjectedFault, Observations, Plan, ScheduleResult, ANSWER_SLACK, ARRIVAL_JITTER, CLASSES,
-    DEADLINE, DRAIN_GRACE, RULES, ZONES,
+    class_of, CountedSpan, Fault, HealthCheckRule, InjectedFault, JobAnswer, Observations, Plan,
+    ProbeArrival, ScheduleResult, ANSWER_SLACK, ARRIVAL_JITTER, DRAIN_GRACE, JOB_TIMEOUT, ZONES,
 };
 use crate::checker::{RuleChecker, RuleLimits};
-use crate::cluster::record_checker::{self, Records};
+use crate::cluster::record_checker::{self, RecordLine, Records};
+use crate::cluster::violations::Violations;
 use crate::cluster::worker_model::WorkerModel;
 
-pub(super) fn overlaps(done: &InjectedFault, from: u64, until: u64) -> bool {
-    done.began_at <= until && from <= done.ended_at
+/// Time after an outage in which a dispatcher need not answer yet, in microseconds.
+const RESTART_TIME: u64 = 1_500_000;
+/// Time before a hang within which another fault excuses that it is not known everywhere, in microseconds.
+const FAULT_AFTERMATH: u64 = 8_000_000;
+/// Shortest hang that has to be known everywhere, in probe periods: two failed probes and a takeover between them.
+const MIN_KNOWN_HANG_PERIODS: u64 = 4;
+/// Time for which a verdict may outlast a hang, in probe periods.
+const VERDICT_VALIDITY_PERIODS: u64 = 6;
+
+type HealthCheckViolations = Violations<HealthCheckRule>;
+
+fn micros(duration: Duration) -> u64 {
+    duration.as_micros() as u64
+}
+
+impl InjectedFault {
+    /// Whether the fault lasted at some time from `from` to `until`.
+    fn overlaps(&self, from: u64, until: u64) -> bool {
+        self.overlaps_with_aftermath(0, from, until)
+    }
+
+    /// Whether the fault, taken to last longer by `aftermath`, lasted at some time from `from` to `until`.
+    fn overlaps_with_aftermath(&self, aftermath: u64, from: u64, until: u64) -> bool {
+        self.began_at <= until && from <= self.ended_at + aftermath
+    }
 }
 
+/// Checks all rules and collects the figures of a schedule.
 pub(super) fn evaluate(
     plan: &Plan,
     observations: &Observations,
     records: &Records,
-    done: &[InjectedFault],
-    (begun, until): (u64, u64),
+    faults: &[InjectedFault],
+    span: CountedSpan,
 ) -> ScheduleResult {
-    let mut played = ScheduleResult::default();
-    let mut found: BTreeMap<&str, Vec<String>> = BTreeMap::new();
-    let micros = |time: Duration| time.as_micros() as u64;
-    for fault in done {
-        let name = serde_json::to_value(fault.fault).ok();
-        let name = name.as_ref().and_then(|name| name.as_str()).unwrap_or_default().to_owned();
-        *played.faults.entry(name).or_default() += 1;
+    let mut result =
+        ScheduleResult { lease_terms: record_checker::lease_terms(records), ..Default::default() };
+    let mut violations = HealthCheckViolations::default();
+    for fault in faults {
+        *result.faults.entry(fault.fault.name()).or_default() += 1;
     }
     if plan.share_health_checks {
-        check_probes(plan, observations, done, (begun, until), &mut played, &mut found);
-        check_verdicts(plan, records, done, &mut played, &mut found);
+        check_probe_rate(plan, observations, faults, &mut result, &mut violations);
+        check_probe_gaps(plan, observations, faults, span, &mut result, &mut violations);
+        check_verdicts(plan, records, faults, &mut result, &mut violations);
     }
-    check_drains(observations, done, &mut found);
-    check_cold_workers(observations, &mut played, &mut found);
-    check_idempotency(observations, &mut found);
-    for (dispatcher, from, at, status, _) in &observations.answers {
-        played.jobs += 1;
-        // A dispatcher that was not running or stopped owes nothing; one that begins takes a moment.
-        let hurt = done.iter().any(|done| {
-            (matches!(
-                done.fault,
-                Fault::KillDispatcher | Fault::PauseDispatcher | Fault::TerminateDispatcher
-            ) && done.target == *dispatcher
-                || done.fault == Fault::RollingRestart)
-                && overlaps(
-                    &InjectedFault { ended_at: done.ended_at + 1_500_000, ..done.clone() },
-                    *from,
-                    *at,
-                )
-        });
-        *played.answers.entry(if hurt && *status == 0 { 1 } else { *status }).or_default() += 1;
-        let took = at - from;
-        if !hurt && (*status == 0 || took > micros(DEADLINE + ANSWER_SLACK)) {
-            let text = format!("d{dispatcher}: status {status} after {took} us");
-            found.entry(RULES[4]).or_default().push(text);
-        }
-    }
-    for fault in done.iter().filter(|done| done.fault == Fault::HangWorker) {
-        let late = observations.jobs[fault.target]
-            .iter()
-            .filter(|job| (fault.began_at..fault.ended_at).contains(&job.0));
-        played.jobs_at_hung += late.count() as u64;
+    check_drains(observations, faults, &mut violations);
+    check_slow_start(observations, &mut result, &mut violations);
+    check_idempotency(observations, &mut violations);
+    check_answers(observations, faults, &mut result, &mut violations);
+    result.jobs_at_hung = jobs_at_hung_workers(observations, faults);
+    for description in record_checker::check(records).descriptions() {
+        violations.add(HealthCheckRule::Leases, description);
     }
-    for (rule, texts) in record_checker::check(records) {
-        found.entry(RULES[5]).or_default().extend(texts.iter().map(|text| format!("{rule}: {text}")));
+    result.rules = violations.by_text();
+    result
+}
+
+/// Checks that every job got its answer in time.
+fn check_answers(
+    observations: &Observations,
+    faults: &[InjectedFault],
+    result: &mut ScheduleResult,
+    violations: &mut HealthCheckViolations,
+) {
+    for answer in &observations.answers {
+        result.jobs += 1;
+        let is_excused = faults.iter().any(|fault| excuses_answer(fault, answer));
+        let counted_status = if is_excused && answer.status == 0 { 1 } else { answer.status };
+        *result.answers.entry(counted_status).or_default() += 1;
+        let duration = answer.answered_at - answer.submitted_at;
+        if !is_excused && (answer.status == 0 || duration > micros(JOB_TIMEOUT + ANSWER_SLACK)) {
+            let description =
+                format!("dispatcher {}: status {} after {duration} us", answer.dispatcher, answer.status);
+            violations.add(HealthCheckRule::JobAnsweredInTime, description);
+        }
     }
-    played.lease_terms = record_checker::lease_terms(records);
-    played.rules = found.into_iter().map(|(rule, texts)| (rule.to_owned(), texts)).collect();
-    played
 }
 
-/// Rules 1 and 2.
-pub(super) fn check_probes(
+/// Whether the dispatcher of a job did not run meanwhile, or had just started.
+fn excuses_answer(fault: &InjectedFault, answer: &JobAnswer) -> bool {
+    let is_outage = match fault.fault {
+        Fault::KillDispatcher | Fault::PauseDispatcher | Fault::TerminateDispatcher => {
+            fault.target == answer.dispatcher
+        }
+        Fault::RollingRestart => true,
+        _ => false,
+    };
+    is_outage && fault.overlaps_with_aftermath(RESTART_TIME, answer.submitted_at, answer.answered_at)
+}
+
+/// Returns the number of jobs that reached workers while these hung.
+fn jobs_at_hung_workers(observations: &Observations, faults: &[InjectedFault]) -> u64 {
+    let hangs = faults.iter().filter(|fault| fault.fault == Fault::HangWorker);
+    let jobs_at = |hang: &InjectedFault| {
+        let span = hang.began_at..hang.ended_at;
+        observations.jobs[hang.target].iter().filter(|job| span.contains(&job.time)).count() as u64
+    };
+    hangs.map(jobs_at).sum()
+}
+
+/// Checks [`HealthCheckRule::ProbeRate`].
+fn check_probe_rate(
     plan: &Plan,
     observations: &Observations,
-    done: &[InjectedFault],
-    (begun, until): (u64, u64),
-    played: &mut ScheduleResult,
-    found: &mut BTreeMap<&str, Vec<String>>,
+    faults: &[InjectedFault],
+    result: &mut ScheduleResult,
+    violations: &mut HealthCheckViolations,
 ) {
-    let (period, longest) = (plan.probe_period.as_micros() as u64, plan.max_unprobed.as_micros() as u64);
-    let (mut closest, mut widest) = (u64::MAX, 0);
-    for (worker, at) in observations.probes.iter().enumerate() {
-        played.probes += at.len() as u64;
-        for pair in at.windows(2) {
-            let apart = pair[1].0 - pair[0].0;
-            // What waited in a cut link arrives when that is healed, and what a stopped process had written when it
-            // goes on; neither was written then.
-            let held = done.iter().any(|done| {
-                matches!(done.fault, Fault::PartitionZone | Fault::PauseDispatcher)
-                    && (pair[0].1 == done.target || pair[1].1 == done.target)
-                    && overlaps(
-                        &InjectedFault { ended_at: done.ended_at + period, ..done.clone() },
-                        pair[0].0,
-                        pair[1].0,
-                    )
-            });
-            if held {
+    let period = micros(plan.probe_period);
+    let mut shortest = u64::MAX;
+    for (worker, probes) in observations.probes.iter().enumerate() {
+        result.probes += probes.len() as u64;
+        for pair in probes.windows(2) {
+            let [first, second] = [pair[0], pair[1]];
+            if faults.iter().any(|fault| delays_probe(fault, first, second, period)) {
                 continue;
             }
-            closest = closest.min(apart);
-            if apart + ARRIVAL_JITTER < period {
-                let text = format!("worker {worker}: d{} and d{} {apart} us apart", pair[0].1, pair[1].1);
-                found.entry(RULES[0]).or_default().push(text);
+            let gap = second.time - first.time;
+            shortest = shortest.min(gap);
+            if gap + ARRIVAL_JITTER < period {
+                let description = format!(
+                    "worker {worker}: probes of dispatchers {} and {} {gap} us apart",
+                    first.dispatcher, second.dispatcher
+                );
+                violations.add(HealthCheckRule::ProbeRate, description);
             }
         }
-        let times: Vec<u64> = [begun]
-            .into_iter()
-            .chain(at.iter().map(|(at, _)| *at).filter(|at| (begun..until).contains(at)))
-            .chain([until])
-            .collect();
+    }
+    result.min_probe_gap_ms = shortest as f64 / 1e3;
+}
+
+/// Whether one of two probes may have arrived long after it was written: bytes wait in a partitioned link until it heals, and
+/// in the socket of a process that is stopped.
+fn delays_probe(fault: &InjectedFault, first: ProbeArrival, second: ProbeArrival, period: u64) -> bool {
+    matches!(fault.fault, Fault::PartitionZone | Fault::PauseDispatcher)
+        && (first.dispatcher == fault.target || second.dispatcher == fault.target)
+        && fault.overlaps_with_aftermath(period, first.time, second.time)
+}
+
+/// Checks [`HealthCheckRule::NoProbeGap`].
+fn check_probe_gaps(
+    plan: &Plan,
+    observations: &Observations,
+    faults: &[InjectedFault],
+    span: CountedSpan,
+    result: &mut ScheduleResult,
+    violations: &mut HealthCheckViolations,
+) {
+    let CountedSpan { from, until } = span;
+    let mut longest = 0;
+    for (worker, probes) in observations.probes.iter().enumerate() {
+        let counted = probes.iter().map(|probe| probe.time).filter(|time| (from..until).contains(time));
+        let times: Vec<u64> = [from].into_iter().chain(counted).chain([until]).collect();
         for pair in times.windows(2) {
-            // Of a zone that its watcher cannot reach nobody is asked to say anything.
-            let cut = done.iter().any(|done| {
-                let of_it = match done.fault {
-                    Fault::PartitionZone => done.zone == worker % ZONES.len(),
-                    // It is not there for a while.
-                    Fault::DrainWorker => done.target == worker,
-                    // Nobody can be given a lease until the coordinators are back, and then sessions begin anew.
-                    Fault::KillAllCoordinators | Fault::RollingRestart => true,
-                    _ => false,
-                };
-                of_it && overlaps(done, pair[0], pair[1])
-            });
-            if cut {
+            let [start, end] = [pair[0], pair[1]];
+            if faults.iter().any(|fault| prevents_probes(fault, worker) && fault.overlaps(start, end)) {
                 continue;
             }
-            widest = widest.max(pair[1] - pair[0]);
-            if pair[1] - pair[0] > longest {
-                let text = format!("worker {worker}: unprobed for {} us", pair[1] - pair[0]);
-                found.entry(RULES[1]).or_default().push(text);
+            let gap = end - start;
+            longest = longest.max(gap);
+            if gap > micros(plan.max_unprobed) {
+                let description = format!("worker {worker}: unprobed for {gap} us");
+                violations.add(HealthCheckRule::NoProbeGap, description);
             }
         }
     }
-    played.probes_per_s = played.probes as f64 / ((until - begun) as f64 / 1e6 + 5.0);
-    (played.min_probe_gap_ms, played.max_probe_gap_ms) = (closest as f64 / 1e3, widest as f64 / 1e3);
+    result.probes_per_s = result.probes as f64 / ((until - from) as f64 / 1e6 + 5.0);
+    result.max_probe_gap_ms = longest as f64 / 1e3;
+}
+
+/// Whether nobody may be able to probe a worker during a fault.
+fn prevents_probes(fault: &InjectedFault, worker: usize) -> bool {
+    match fault.fault {
+        // The holder of its set may be the one that is partitioned.
+        Fault::PartitionZone => fault.zone == worker % ZONES.len(),
+        Fault::DrainWorker => fault.target == worker,
+        // No lease is granted until the coordinators are back and sessions have begun anew.
+        Fault::KillAllCoordinators | Fault::RollingRestart => true,
+        _ => false,
+    }
 }
 
-/// Rule 7.
+/// Checks [`HealthCheckRule::NoJobAtDrainingWorker`].
 pub(super) fn check_drains(
     observations: &Observations,
-    done: &[InjectedFault],
-    found: &mut BTreeMap<&str, Vec<String>>,
+    faults: &[InjectedFault],
+    violations: &mut HealthCheckViolations,
 ) {
-    let grace = DRAIN_GRACE.as_micros() as u64 + ARRIVAL_JITTER;
-    for drain in done.iter().filter(|done| done.fault == Fault::DrainWorker) {
-        let late = observations.jobs[drain.target]
-            .iter()
-            .filter(|job| (drain.began_at + grace..drain.ended_at).contains(&job.0));
-        for (at, dispatcher, _) in late {
-            // One that was stopped had not heard of it, and what waits in a cut link was written before.
-            let held = done.iter().any(|done| {
-                matches!(done.fault, Fault::PauseDispatcher | Fault::PartitionZone)
-                    && done.target == *dispatcher
-                    && overlaps(
-                        &InjectedFault { ended_at: done.ended_at + grace, ..done.clone() },
-                        drain.began_at,
-                        *at,
-                    )
+    let grace = micros(DRAIN_GRACE) + ARRIVAL_JITTER;
+    for drain in faults.iter().filter(|fault| fault.fault == Fault::DrainWorker) {
+        let forbidden = drain.began_at + grace..drain.ended_at;
+        for job in observations.jobs[drain.target].iter().filter(|job| forbidden.contains(&job.time)) {
+            // A stopped dispatcher was not notified, and what waits in a partitioned link was written before.
+            let is_excused = faults.iter().any(|fault| {
+                matches!(fault.fault, Fault::PauseDispatcher | Fault::PartitionZone)
+                    && fault.target == job.dispatcher
+                    && fault.overlaps_with_aftermath(grace, drain.began_at, job.time)
             });
-            if !held {
-                let text = format!(
-                    "worker {}: a job of d{dispatcher} {} us after",
+            if !is_excused {
+                let description = format!(
+                    "worker {}: a job of dispatcher {} {} us after its drain",
                     drain.target,
-                    at - drain.began_at
+                    job.dispatcher,
+                    job.time - drain.began_at
                 );
-                found.entry(RULES[6]).or_default().push(text);
+                violations.add(HealthCheckRule::NoJobAtDrainingWorker, description);
             }
         }
     }
 }
 
-/// Rule 8.
-pub(super) fn check_cold_workers(
+/// Checks [`HealthCheckRule::NoOverloadInSlowStart`].
+pub(super) fn check_slow_start(
     observations: &Observations,
-    played: &mut ScheduleResult,
-    found: &mut BTreeMap<&str, Vec<String>>,
+    result: &mut ScheduleResult,
+    violations: &mut HealthCheckViolations,
 ) {
-    for (at, worker) in observations.workers.iter().chain(&observations.replaced_workers).enumerate() {
+    let processes = observations.workers.iter().chain(&observations.replaced_workers);
+    for (number, worker) in processes.enumerate() {
         if worker.started_at().is_none() {
             continue;
         }
-        let sent = worker.arrivals();
-        played.jobs_at_cold += sent.len() as u64;
-        for n in 0..sent.len() {
-            played.peak_cold_load = played
-                .peak_cold_load
-                .max(WorkerModel::arrivals_in_window(&sent[..=n]) / worker.capacity_in_window(sent[n]));
+        let arrivals = worker.arrivals();
+        result.jobs_at_cold += arrivals.len() as u64;
+        for last in 0..arrivals.len() {
+            let load = WorkerModel::arrivals_in_window(&arrivals[..=last])
+                / worker.capacity_in_window(arrivals[last]);
+            result.peak_cold_load = result.peak_cold_load.max(load);
         }
         if worker.overloads() > 0 {
-            let text = format!("worker {at} fell {} times", worker.overloads());
-            found.entry(RULES[7]).or_default().push(text);
+            let description = format!("worker {number} was overloaded {} times", worker.overloads());
+            violations.add(HealthCheckRule::NoOverloadInSlowStart, description);
         }
     }
 }
 
-/// Rule 9, by the checker that the runs of experiments have. What a worker heard whole may have run.
-pub(super) fn check_idempotency(observations: &Observations, found: &mut BTreeMap<&str, Vec<String>>) {
-    let jobs = observations.jobs.iter().enumerate();
-    let mut events: Vec<(u64, u64, Option<usize>, u16)> = jobs
-        .flat_map(|(worker, jobs)| jobs.iter().map(move |(at, _, id)| (*at, *id, Some(worker), 0)))
-        .chain(observations.answers.iter().map(|(_, _, at, status, id)| (*at, *id, None, *status)))
-        .collect();
-    events.sort_unstable();
+/// An arrival or an answer of a job, in the order in which the rule checker takes them.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct JobEvent {
+    time: u64,
+    job: u64,
+    /// The worker of an arrival; none for an answer.
+    worker: Option<usize>,
+    /// Status of an answer; 0 without one, and for an arrival.
+    status: u16,
+}
+
+/// Checks [`HealthCheckRule::NoRepeatedExecution`] by the rule checker of virtual time. A request that a worker has read
+/// completely may have run.
+pub(super) fn check_idempotency(observations: &Observations, violations: &mut HealthCheckViolations) {
     let mut checker = RuleChecker::new(RuleLimits { drain_grace: u64::MAX, answer_slack: u64::MAX / 2 });
-    for (_, from, _, _, id) in &observations.answers {
-        let repeat = CLASSES[*id as usize % CLASSES.len()].1;
-        checker.record_accepted(*id, repeat, u64::MAX / 2, *from);
+    for answer in &observations.answers {
+        let idempotency = class_of(answer.job).idempotency;
+        checker.record_accepted(answer.job, idempotency, u64::MAX / 2, answer.submitted_at);
     }
-    for (at, id, worker, status) in events {
-        match worker {
+    for event in job_events(observations) {
+        match event.worker {
             Some(worker) => {
-                checker.record_attempt(0, id, worker as u64, (0, 0), at);
+                checker.record_attempt(0, event.job, worker as u64, (0, 0), event.time);
+            }
+            None if event.status != 0 => {
+                let is_rejected = matches!(event.status, 429 | 503);
+                checker.record_answer(event.job, is_rejected, event.time);
             }
-            None if status != 0 => checker.record_answer(id, matches!(status, 429 | 503), at),
-            None => checker.waive_answer(id),
+            None => checker.waive_answer(event.job),
         }
     }
-    let dup = checker.finish().dup;
-    if dup > 0 {
-        found.entry(RULES[8]).or_default().push(format!("{dup} sends or refusals"));
+    let repeated = checker.finish().dup;
+    if repeated > 0 {
+        let description = format!("{repeated} repeated sends, or rejections after a send");
+        violations.add(HealthCheckRule::NoRepeatedExecution, description);
+    }
+}
+
+/// Returns the arrivals and answers of all jobs in the order of time.
+fn job_events(observations: &Observations) -> Vec<JobEvent> {
+    let mut events = Vec::new();
+    for (worker, jobs) in observations.jobs.iter().enumerate() {
+        let arrivals = jobs.iter().map(|arrival| JobEvent {
+            time: arrival.time,
+            job: arrival.job,
+            worker: Some(worker),
+            status: 0,
+        });
+        events.extend(arrivals);
+    }
+    let answers = observations.answers.iter().map(|answer| JobEvent {
+        time: answer.answered_at,
+        job: answer.job,
+        worker: None,
+        status: answer.status,
+    });
+    events.extend(answers);
+    events.sort_unstable();
+    events
+}
+
+/// An unhealthy verdict that a member recorded.
+struct RecordedVerdict {
+    time: u64,
+    worker: usize,
+}
+
+/// Returns the verdict of a line of a record, if it is one that holds some time.
+fn recorded_verdict(line: &RecordLine, workers: &BTreeMap<u64, usize>) -> Option<RecordedVerdict> {
+    if line.kind != "against" {
+        return None;
     }
+    let number = |key: &str| line.fields.get(key).and_then(serde_json::Value::as_u64);
+    let worker = number("worker")?;
+    let valid_for = number("holds")?;
+    let worker = workers.get(&worker).copied()?;
+    (valid_for > 0).then_some(RecordedVerdict { time: line.time, worker })
 }
 
-/// Rules 3 and 4.
-pub(super) fn check_verdicts(
+/// Checks [`HealthCheckRule::NoFalseVerdict`] and [`HealthCheckRule::FailureKnownEverywhere`].
+fn check_verdicts(
     plan: &Plan,
     records: &Records,
-    done: &[InjectedFault],
-    played: &mut ScheduleResult,
-    found: &mut BTreeMap<&str, Vec<String>>,
+    faults: &[InjectedFault],
+    result: &mut ScheduleResult,
+    violations: &mut HealthCheckViolations,
 ) {
-    let names: BTreeMap<u64, usize> =
-        (0..plan.workers).map(|worker| (worker_id(&format!("w-{worker:04}")).0, worker)).collect();
-    let hangs: Vec<&InjectedFault> = done.iter().filter(|done| done.fault == Fault::HangWorker).collect();
-    let mut known: BTreeSet<(usize, &str)> = BTreeSet::new();
+    let worker_of_id = |worker: usize| (worker_id(&format!("w-{worker:04}")).0, worker);
+    let workers: BTreeMap<u64, usize> = (0..plan.workers).map(worker_of_id).collect();
+    let hangs: Vec<&InjectedFault> = faults.iter().filter(|fault| fault.fault == Fault::HangWorker).collect();
+    let validity = VERDICT_VALIDITY_PERIODS * micros(plan.probe_period);
+    let mut known_at: BTreeSet<(usize, &str)> = BTreeSet::new();
     for (member, lines) in &records.members {
-        for line in lines.iter().filter(|line| line.kind == "against") {
-            let number = |key: &str| line.fields.get(key).and_then(serde_json::Value::as_u64);
-            let (Some(id), Some(holds)) = (number("worker"), number("holds")) else { continue };
-            let Some(worker) = names.get(&id).copied().filter(|_| holds > 0) else { continue };
-            // What it did may be told for as long as word of it holds.
-            let longest = 6 * plan.probe_period.as_micros() as u64;
-            let hang = hangs.iter().enumerate().find(|(_, hang)| {
-                hang.target == worker && (hang.began_at..hang.ended_at + longest).contains(&line.time)
-            });
-            match hang {
-                Some((n, hang)) => {
-                    if known.insert((n, member)) {
-                        played.detected_after_ms.push((line.time - hang.began_at) as f64 / 1e3);
-                    }
-                }
-                None => {
-                    let text = format!("{member} holds something against worker {worker}, which is well");
-                    found.entry(RULES[2]).or_default().push(text);
-                }
+        for verdict in lines.iter().filter_map(|line| recorded_verdict(line, &workers)) {
+            let is_cause = |hang: &InjectedFault| {
+                hang.target == verdict.worker
+                    && (hang.began_at..hang.ended_at + validity).contains(&verdict.time)
+            };
+            let Some(number) = hangs.iter().position(|hang| is_cause(hang)) else {
+                let description =
+                    format!("{member} has a verdict against worker {}, which is healthy", verdict.worker);
+                violations.add(HealthCheckRule::NoFalseVerdict, description);
+                continue;
+            };
+            if known_at.insert((number, member)) {
+                result.detected_after_ms.push((verdict.time - hangs[number].began_at) as f64 / 1e3);
             }
         }
     }
-    for (n, hang) in hangs.iter().enumerate() {
-        // Long enough for the probes and for a takeover in between.
-        if hang.ended_at - hang.began_at < 4 * plan.probe_period.as_micros() as u64 {
-            continue;
-        }
-        let missing = (0..plan.dispatchers).map(|n| format!("d{n}")).filter(|member| {
-            !known.contains(&(n, member.as_str()))
-                && !done.iter().any(|done| {
-                    done.fault != Fault::HangWorker
-                        && overlaps(done, hang.began_at.saturating_sub(8_000_000), hang.ended_at)
-                })
-        });
-        let missing: Vec<String> = missing.collect();
-        if !missing.is_empty() {
-            let text = format!("worker {} hung and {} did not hear of it", hang.target, missing.join(", "));
-            found.entry(RULES[3]).or_default().push(text);
-        }
+    result.detected_after_ms.sort_by(f64::total_cmp);
+    for (number, hang) in hangs.iter().enumerate() {
+        let is_known = |member: &str| known_at.contains(&(number, member));
+        check_hang_is_known(plan, hang, faults, is_known, violations);
+    }
+}
+
+/// Checks that a hang that lasted long enough is known at every dispatcher, where no other fault excuses it.
+fn check_hang_is_known(
+    plan: &Plan,
+    hang: &InjectedFault,
+    faults: &[InjectedFault],
+    is_known: impl Fn(&str) -> bool,
+    violations: &mut HealthCheckViolations,
+) {
+    if hang.ended_at - hang.began_at < MIN_KNOWN_HANG_PERIODS * micros(plan.probe_period) {
+        return;
+    }
+    let is_excused = faults.iter().any(|fault| {
+        fault.fault != Fault::HangWorker
+            && fault.overlaps(hang.began_at.saturating_sub(FAULT_AFTERMATH), hang.ended_at)
+    });
+    let names = (0..plan.dispatchers).map(|dispatcher| format!("d{dispatcher}"));
+    let missing: Vec<String> = names.filter(|name| !is_known(name) && !is_excused).collect();
+    if !missing.is_empty() {
+        let description =
+            format!("worker {} hung, which is not known at {}", hang.target, missing.join(", "));
+        violations.add(HealthCheckRule::FailureKnownEverywhere, description);
     }
-    played.detected_after_ms.sort_by(f64::total_cmp);
 }
--- a/crates/emulator/src/cluster/shared_health_checks/faults.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/faults.rs
@@ -1,6 +1,5 @@
 //! Faults of a schedule: drawn by its seed or taken from its script, and injected one at a time.
 
-use crate::cluster::error::ClusterError;
 use std::time::Duration;
 
 use cluster_member::clock;
@@ -9,15 +8,18 @@
 use rustix::process::Signal;
 use tokio::time::{sleep, sleep_until, Instant};
 
-use super::{Fault, InjectedFault, Observations, Plan, SharedObservations, RUN_TIME, SLOTS, ZONES};
+use super::{
+    Fault, InjectedFault, JobArrival, Observations, Plan, ScriptedFault, SharedObservations, WorkerLinks,
+    RUN_TIME, SLOTS, ZONES,
+};
 use crate::cluster::cluster_harness::ClusterHarness;
-use crate::cluster::emulated_discovery::EmulatedDiscovery;
+use crate::cluster::error::ClusterError;
 use crate::cluster::fault_injection::{ClusterFault, LinkFaultKind};
 use crate::cluster::fault_proxy::SharedNetwork;
 use crate::cluster::worker_model::WorkerModel;
 
-/// The faults that are drawn; one that stands here twice is drawn twice as often.
-pub(super) const DRAWN_FAULTS: [Fault; 16] = [
+/// Faults to draw from; one that is listed twice is drawn twice as often.
+const DRAWN_FAULTS: [Fault; 16] = [
     Fault::KillDispatcher,
     Fault::PauseDispatcher,
     Fault::TerminateDispatcher,
@@ -35,26 +37,24 @@
     Fault::DrainWorker,
     Fault::RollingRestart,
 ];
-/// No fault begins later than this before the end, so that its recovery takes effect.
-pub(super) const RECOVERY_TIME: Duration = Duration::from_secs(8);
-/// A worker that drained stays away for this long before it is back, cold.
-pub(super) const WORKER_RESTART: Duration = Duration::from_millis(500);
+/// Time before the end in which no fault begins, so that its recovery takes effect.
+const RECOVERY_TIME: Duration = Duration::from_secs(8);
+/// Time after which a worker that has drained comes back, in slow start.
+const WORKER_RESTART: Duration = Duration::from_millis(500);
 /// Pause between two restarts of [`Fault::RollingRestart`].
-pub(super) const ROLL_PAUSE: Duration = Duration::from_millis(150);
+const ROLL_PAUSE: Duration = Duration::from_millis(150);
 
-/// What faults are injected into.
+/// Processes and links that faults are injected into.
 pub(super) struct Targets<'a> {
     pub(super) cluster: &'a mut ClusterHarness,
-    /// The links to workers, by dispatcher.
-    pub(super) worker_links: &'a [SharedNetwork],
-    pub(super) discoveries: &'a [EmulatedDiscovery],
+    pub(super) links: &'a WorkerLinks,
     pub(super) observations: &'a SharedObservations,
     pub(super) plan: &'a Plan,
 }
 
 /// A fault of a schedule, before it is injected.
 #[derive(Clone, Copy)]
-pub(super) struct DrawnFault {
+struct DrawnFault {
     fault: Fault,
     /// The dispatcher or the worker.
     target: usize,
@@ -79,8 +79,8 @@
     Ok(injected)
 }
 
-/// Draws the next fault, or takes it from the script; none where the script is over.
-pub(super) fn draw_fault(targets: &Targets<'_>, number: usize, random: &mut Pcg64) -> Option<DrawnFault> {
+/// Draws the next fault, or takes it from the script; returns `None` at the end of the script.
+fn draw_fault(targets: &Targets<'_>, number: usize, random: &mut Pcg64) -> Option<DrawnFault> {
     let plan = targets.plan;
     let fault = if plan.only_kills {
         Fault::KillDispatcher
@@ -88,17 +88,17 @@
         DRAWN_FAULTS[random.random_range(0..DRAWN_FAULTS.len())]
     };
     let zone = random.random_range(0..ZONES.len());
-    let (fault, target, zone) = match plan.script {
-        [] => (fault, draw_target(targets, fault, random), zone),
+    let ScriptedFault { fault, target, zone } = match plan.script {
+        [] => ScriptedFault { fault, target: draw_target(targets, fault, random), zone },
         script => *script.get(number)?,
     };
     let longest = plan.fault_interval.as_secs_f64() * 0.9;
     Some(DrawnFault { fault, target, zone, duration: fault.sample_duration(longest, random) })
 }
 
-pub(super) fn draw_target(targets: &Targets<'_>, fault: Fault, random: &mut Pcg64) -> usize {
+fn draw_target(targets: &Targets<'_>, fault: Fault, random: &mut Pcg64) -> usize {
     match fault {
-        // One that is in use: dispatchers keep to few workers while these suffice.
+        // A worker in use: dispatchers send to few workers while these suffice.
         Fault::HangWorker | Fault::DrainWorker => {
             let any = random.random_range(0..targets.plan.workers);
             busiest_worker(&targets.observations.borrow(), any)
@@ -108,7 +108,13 @@
 }
 
 impl Fault {
-    /// How long it lasts; `longest` in seconds.
+    /// Returns the name of the fault in results.
+    pub(super) fn name(self) -> String {
+        let name = serde_json::to_value(self).ok();
+        name.as_ref().and_then(|name| name.as_str()).unwrap_or_default().to_owned()
+    }
+
+    /// Draws the duration of the fault; `longest` is in seconds.
     fn sample_duration(self, longest: f64, random: &mut Pcg64) -> Duration {
         Duration::from_secs_f64(match self {
             Fault::KillDispatcher | Fault::TerminateDispatcher => random.random_range(0.1..longest.min(4.0)),
@@ -129,7 +135,7 @@
         })
     }
 
-    /// The fault at a dispatcher, where the cluster harness knows how to inject it.
+    /// Returns the fault of the cluster harness that this one is at a dispatcher, if it is one.
     fn at(self, dispatcher: usize, coordinators: usize) -> Option<ClusterFault> {
         Some(match self {
             Fault::KillDispatcher => ClusterFault::KillDispatcher(dispatcher),
@@ -178,14 +184,14 @@
         let DrawnFault { fault, target, zone, duration } = drawn;
         match fault {
             Fault::PartitionZone => {
-                set_zone_partition(&self.worker_links[target], self.plan.workers, zone, true);
+                set_zone_partition(&self.links.networks[target], self.plan.workers, zone, true);
                 sleep(duration).await;
-                set_zone_partition(&self.worker_links[target], self.plan.workers, zone, false);
+                set_zone_partition(&self.links.networks[target], self.plan.workers, zone, false);
             }
             Fault::HangWorker => {
-                self.observations.borrow_mut().hung[target] = true;
+                self.observations.borrow_mut().is_hung[target] = true;
                 sleep(duration).await;
-                self.observations.borrow_mut().hung[target] = false;
+                self.observations.borrow_mut().is_hung[target] = false;
             }
             Fault::DrainWorker => self.drain_worker(target, duration).await,
             _ => {
@@ -211,7 +217,9 @@
     }
 
     fn set_phase(&self, worker: usize, phase: &str) {
-        self.discoveries.iter().for_each(|discovery| discovery.set_phase(worker, phase));
+        for discovery in &self.links.discoveries {
+            discovery.set_phase(worker, phase);
+        }
     }
 
     /// Restarts all dispatchers and coordinators, one pair after another.
@@ -232,16 +240,18 @@
     }
 }
 
-/// The worker that got the most jobs in the last two seconds, or this one where none got any.
-pub(super) fn busiest_worker(observations: &Observations, else_this: usize) -> usize {
+/// Returns the worker that got the most jobs in the last two seconds, or `default` if none got any.
+fn busiest_worker(observations: &Observations, default: usize) -> usize {
     let since = clock::now().saturating_sub(2_000_000);
-    let lately = |at: &Vec<(u64, usize, u64)>| at.iter().rev().take_while(|at| at.0 > since).count();
-    let most = observations.jobs.iter().map(lately).enumerate().map(|(worker, jobs)| (jobs, worker)).max();
-    most.filter(|(jobs, _)| *jobs > 0).map_or(else_this, |(_, worker)| worker)
+    let recent_jobs = |jobs: &Vec<JobArrival>| jobs.iter().rev().take_while(|job| job.time > since).count();
+    let counts = observations.jobs.iter().map(recent_jobs).enumerate();
+    let busiest = counts.map(|(worker, jobs)| (jobs, worker)).max();
+    busiest.filter(|(jobs, _)| *jobs > 0).map_or(default, |(_, worker)| worker)
 }
 
-pub(super) fn set_zone_partition(network: &SharedNetwork, workers: usize, zone: usize, cut: bool) {
+/// Partitions a dispatcher from the workers of a zone, or ends that.
+fn set_zone_partition(network: &SharedNetwork, workers: usize, zone: usize, partitioned: bool) {
     for worker in (0..workers).filter(|worker| worker % ZONES.len() == zone) {
-        network.borrow_mut().update_link(worker, worker, |link| link.partitioned = cut);
+        network.borrow_mut().update_link(worker, worker, |link| link.partitioned = partitioned);
     }
 }
--- a/crates/emulator/src/cluster/shared_health_checks/mod.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/mod.rs
@@ -1,18 +1,6 @@
-//! Dispatchers that watch workers for each other, with faults between them: real coordinators and dispatchers, emulated
-//! workers that record who probed them, clients that account for every job, and a proxy on every link from a
-//! dispatcher to a worker.
-//!
-//! The rules, checked by the records of emulated parties, coordinators and members alone:
-//!
-//! 1. no worker is probed more often than once a period, over all dispatchers;
-//! 2. no worker goes unprobed for longer than stated, while somebody can reach it;
-//! 3. nothing is held against a worker that was well all the time;
-//! 4. a worker that fails for long is known as such everywhere;
-//! 5. every job of the clients gets one whole answer, within its time;
-//! 6. the rules of leases, as in the mode `fleet`;
-//! 7. a worker that drains gets no new job later than the grace after its drain was told;
-//! 8. no cold worker is pushed over, by all dispatchers together;
-//! 9. a job that may run once only reaches no second worker, and is not refused after it reached one.
+//! Dispatchers that check workers' health for each other under faults: real coordinators and dispatchers, emulated workers
+//! that record who probed them, clients that account for every job, and a proxy on every link from a dispatcher to a worker.
+//! [`HealthCheckRule`] lists the rules, which are checked by the records of emulated parties, coordinators and members.
 
 mod evaluation;
 mod faults;
@@ -21,7 +9,6 @@
 mod tests;
 mod traffic;
 
-use crate::cluster::error::ClusterError;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -43,40 +30,100 @@
 use super::cluster_harness::{read_records, run_in_folder, Binaries, ClusterHarness, ClusterSpec};
 use super::emulated_discovery::EmulatedDiscovery;
 use super::fault_proxy::{run_proxy, FaultyNetwork, SharedNetwork};
+use super::violations::Rule;
 use super::worker_model::{WorkerModel, INITIAL_CAPACITY, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, WARM_UP};
+use crate::cluster::error::ClusterError;
 
-/// The rules, in the order of the module's text.
-pub const RULES: [&str; 9] = [
-    "no worker is probed more often than once a period",
-    "no worker goes unprobed for too long",
-    "nothing is held against a worker that is well",
-    "a worker that fails is known everywhere",
-    "every job gets one whole answer in time",
-    "ownership",
-    "a worker that drains gets no new job",
-    "no cold worker is pushed over",
-    "what may run once is not sent twice",
-];
+/// A rule of shared health checks.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum HealthCheckRule {
+    /// No worker is probed more than once a period, over all dispatchers.
+    ProbeRate,
+    /// No worker goes unprobed for longer than stated while a dispatcher can reach it.
+    NoProbeGap,
+    /// No worker that was healthy all the time has an unhealthy verdict.
+    NoFalseVerdict,
+    /// A worker that fails for long has an unhealthy verdict at every dispatcher.
+    FailureKnownEverywhere,
+    /// Every job of the clients gets one complete answer within its time.
+    JobAnsweredInTime,
+    /// The rules of leases.
+    Leases,
+    /// A draining worker gets no new job later than the grace after its drain was notified.
+    NoJobAtDrainingWorker,
+    /// All dispatchers together overload no worker in slow start.
+    NoOverloadInSlowStart,
+    /// A job that is not idempotent reaches no second worker, and is not rejected after it reached one.
+    NoRepeatedExecution,
+}
+
+impl HealthCheckRule {
+    /// All rules.
+    pub const ALL: [HealthCheckRule; 9] = [
+        HealthCheckRule::ProbeRate,
+        HealthCheckRule::NoProbeGap,
+        HealthCheckRule::NoFalseVerdict,
+        HealthCheckRule::FailureKnownEverywhere,
+        HealthCheckRule::JobAnsweredInTime,
+        HealthCheckRule::Leases,
+        HealthCheckRule::NoJobAtDrainingWorker,
+        HealthCheckRule::NoOverloadInSlowStart,
+        HealthCheckRule::NoRepeatedExecution,
+    ];
+}
+
+impl Rule for HealthCheckRule {
+    fn text(self) -> &'static str {
+        match self {
+            HealthCheckRule::ProbeRate => "no worker is probed more often than once a period",
+            HealthCheckRule::NoProbeGap => "no worker goes unprobed for too long",
+            HealthCheckRule::NoFalseVerdict => "nothing is held against a worker that is well",
+            HealthCheckRule::FailureKnownEverywhere => "a worker that fails is known everywhere",
+            HealthCheckRule::JobAnsweredInTime => "every job gets one whole answer in time",
+            HealthCheckRule::Leases => "ownership",
+            HealthCheckRule::NoJobAtDrainingWorker => "a worker that drains gets no new job",
+            HealthCheckRule::NoOverloadInSlowStart => "no cold worker is pushed over",
+            HealthCheckRule::NoRepeatedExecution => "what may run once is not sent twice",
+        }
+    }
+}
 
 const ZONES: [&str; 3] = ["north", "south", "west"];
-/// The clients' patience, and by how much an answer may be later.
-const DEADLINE: Duration = Duration::from_secs(3);
+/// Timeout of the clients' jobs.
+const JOB_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time by which an answer may be later than the timeout.
 const ANSWER_SLACK: Duration = Duration::from_millis(50);
-/// How long a emulated worker runs a job.
+/// Time for which an emulated worker runs a job.
 const RUN_TIME: Duration = Duration::from_millis(100);
-/// The sets that the workers are partitioned into.
+/// Sets that the workers are partitioned into.
 const WORKER_SETS: usize = 6;
 /// Slots of each worker.
 const SLOTS: usize = 4;
-/// New work at a worker that drains ends this long after the drain was told.
+/// Time after the notification of a drain in which new jobs may still reach the worker.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// The classes of jobs, in turn: one that may run as often as it likes, and one that may run once only.
-const CLASSES: [(&str, Idempotency); 2] =
-    [("lookup", Idempotency::Idempotent), ("book", Idempotency::NotIdempotent)];
-/// An arrival is recorded by a busy process: two of them may seem to be closer by this, in microseconds.
+/// Time by which two arrivals may seem closer than they are, since a busy process records them, in microseconds.
 const ARRIVAL_JITTER: u64 = 100_000;
+/// Time in which members and clients settle before anything counts.
+const SETTLING_TIME: Duration = Duration::from_secs(5);
 
-/// What is played.
+/// Class of the clients' jobs.
+struct JobClass {
+    name: &'static str,
+    idempotency: Idempotency,
+}
+
+/// Classes of the clients' jobs, in turn.
+const CLASSES: [JobClass; 2] = [
+    JobClass { name: "lookup", idempotency: Idempotency::Idempotent },
+    JobClass { name: "book", idempotency: Idempotency::NotIdempotent },
+];
+
+/// Returns the class of a job.
+fn class_of(job: u64) -> &'static JobClass {
+    &CLASSES[job as usize % CLASSES.len()]
+}
+
+/// Parameters of a schedule.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Coordinators, three or five.
@@ -85,26 +132,26 @@
     pub dispatchers: usize,
     /// Workers, in three zones in turn.
     pub workers: usize,
-    /// How long.
+    /// Length of the schedule.
     pub length: Duration,
-    /// How often a fault begins.
+    /// Time from the start of one fault to that of the next.
     pub fault_interval: Duration,
-    /// Only SIGKILL of dispatchers, one after another, or all kinds.
+    /// Whether all faults are SIGKILL of dispatchers.
     pub only_kills: bool,
-    /// How often a worker is probed.
+    /// Time from one probe of a worker to the next.
     pub probe_period: Duration,
-    /// The longest that a worker may go unprobed.
+    /// Longest time in which a worker may go unprobed.
     pub max_unprobed: Duration,
     /// Jobs a second at each dispatcher.
     pub rate: f64,
-    /// Whether workers are watched; without, the same faults for comparison.
+    /// Whether dispatchers check workers' health; without, the same faults for comparison.
     pub share_health_checks: bool,
-    /// A bug to put in.
+    /// Bug to inject into the dispatchers.
     pub injected_bug: Option<String>,
-    /// Draws the faults.
+    /// Seed of the faults.
     pub seed: u64,
-    /// Instead of drawing them: these, each with the dispatcher or worker and the zone. Named cases have them.
-    pub script: &'static [(Fault, usize, usize)],
+    /// Faults of a named case, in place of drawn ones.
+    pub script: &'static [ScriptedFault],
 }
 
 impl Default for Plan {
@@ -127,7 +174,7 @@
     }
 }
 
-/// What was done.
+/// Kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
@@ -143,53 +190,64 @@
     /// A dispatcher reaches no worker of one zone.
     #[serde(rename = "cut-zone")]
     PartitionZone,
-    /// A worker takes connections and says nothing.
+    /// A worker accepts connections and sends nothing.
     #[serde(rename = "hang")]
     HangWorker,
-    /// The coordinators' leader is killed and started again.
+    /// SIGKILL to the leading coordinator, started again later.
     KillLeader,
-    /// A dispatcher reaches no coordinator, and is not reached by them.
+    /// A dispatcher and the coordinators do not reach each other.
     #[serde(rename = "cut-keepers")]
     PartitionFromCoordinators,
-    /// A dispatcher reaches the coordinators and hears nothing of them.
+    /// A dispatcher reaches the coordinators and receives nothing from them.
     #[serde(rename = "hears-no-keeper")]
     HearsNoCoordinator,
-    /// A dispatcher and the others do not reach each other; the coordinators they do.
+    /// A dispatcher and the other members do not reach each other; all reach the coordinators.
     #[serde(rename = "cut-members")]
     PartitionFromMembers,
-    /// Every link between members and coordinators is 50 ms slower each way, and one connection in twenty is reset.
+    /// Every link between members and coordinators has 50 ms of delay each way, and one connection in twenty is reset.
     #[serde(rename = "slow-net")]
     SlowNetwork,
-    /// The coordinators' leader is stopped, and goes on later with what it had in mind.
+    /// SIGSTOP to the leading coordinator, SIGCONT later.
     #[serde(rename = "stop-leader")]
     PauseLeader,
     /// A coordinator and the others do not reach each other; members reach all of them.
     #[serde(rename = "cut-keeper")]
     PartitionCoordinator,
-    /// All coordinators are killed at once and come back.
+    /// SIGKILL to all coordinators at once, started again later.
     #[serde(rename = "kill-all-keepers")]
     KillAllCoordinators,
-    /// A worker drains, ends, and comes back cold.
+    /// A worker drains, ends, and comes back in slow start.
     #[serde(rename = "drain")]
     DrainWorker,
-    /// All dispatchers and coordinators are started anew, one after another.
+    /// All dispatchers and coordinators are restarted, one after another.
     #[serde(rename = "roll")]
     RollingRestart,
 }
 
-/// One fault as it was done, by the clock of the records.
+/// A fault of a named case.
+#[derive(Debug, Clone, Copy)]
+pub struct ScriptedFault {
+    /// Kind of fault.
+    pub fault: Fault,
+    /// The dispatcher or the worker.
+    pub target: usize,
+    /// The zone that is partitioned.
+    pub zone: usize,
+}
+
+/// A fault as it was injected; times by the clock of the records, in microseconds.
 #[derive(Debug, Clone, Serialize)]
 pub struct InjectedFault {
     fault: Fault,
     /// The dispatcher or the worker.
     target: usize,
-    /// The zone that was cut off.
+    /// The zone that was partitioned.
     zone: usize,
     began_at: u64,
     ended_at: u64,
 }
 
-/// What a schedule gave.
+/// Result of a schedule.
 #[derive(Debug, Default, Serialize)]
 pub struct ScheduleResult {
     /// Violations by rule.
@@ -200,137 +258,177 @@
     pub probes: u64,
     /// Probes per second.
     pub probes_per_s: f64,
-    /// The smallest time between two probes of a worker that was listed and reachable, in ms.
+    /// Shortest time between two probes of a worker that was listed and reachable, in milliseconds.
     #[serde(rename = "closest_ms")]
     pub min_probe_gap_ms: f64,
-    /// The largest time between two probes of such a worker, in ms.
+    /// Longest time between two probes of such a worker, in milliseconds.
     #[serde(rename = "longest_ms")]
     pub max_probe_gap_ms: f64,
-    /// From a worker's first silence to its being held against it at each dispatcher, in ms, sorted.
+    /// Times from the start of a hang to the unhealthy verdict at each dispatcher, in milliseconds, sorted.
     #[serde(rename = "known_after_ms")]
     pub detected_after_ms: Vec<f64>,
     /// Jobs submitted.
     pub jobs: u64,
-    /// Answers by status: 0 none at all, 1 from a dispatcher that was killed or stopped meanwhile.
+    /// Answers by status: 0 without an answer, 1 without one of a dispatcher that did not run meanwhile.
     pub answers: BTreeMap<u16, u64>,
-    /// Jobs that came to workers in slow start.
+    /// Jobs that reached workers in slow start.
     pub jobs_at_cold: u64,
-    /// The most work in one overload window, as a part of what the worker can take.
+    /// The most work in one overload window, as a part of what the worker tolerates.
     #[serde(rename = "fullest")]
     pub peak_cold_load: f64,
-    /// Jobs that were sent to workers while these hung.
+    /// Jobs that reached workers while these hung.
     pub jobs_at_hung: u64,
-    /// Terms granted.
+    /// Lease terms granted.
     #[serde(rename = "terms")]
     pub lease_terms: u64,
 }
 
-/// What emulated parties and clients recorded.
+/// Arrival of a probe at a worker; times by the clock of the records, in microseconds.
+#[derive(Debug, Clone, Copy)]
+struct ProbeArrival {
+    time: u64,
+    dispatcher: usize,
+}
+
+/// Arrival of a job at a worker.
+#[derive(Debug, Clone, Copy)]
+struct JobArrival {
+    time: u64,
+    dispatcher: usize,
+    job: u64,
+}
+
+/// End of a job at its client.
+#[derive(Debug, Clone, Copy)]
+struct JobAnswer {
+    job: u64,
+    dispatcher: usize,
+    submitted_at: u64,
+    answered_at: u64,
+    /// Status of the answer, 0 without one.
+    status: u16,
+}
+
+/// Records of the emulated workers and clients.
 #[derive(Debug, Default)]
 struct Observations {
-    /// By worker: when a probe came, and of which dispatcher.
-    probes: Vec<Vec<(u64, usize)>>,
-    /// By worker: when a job came, of which dispatcher, and which.
-    jobs: Vec<Vec<(u64, usize, u64)>>,
-    /// By job: at which dispatcher, from when to when, the status, and which.
-    answers: Vec<(usize, u64, u64, u16, u64)>,
-    hung: Vec<bool>,
-    /// The worker as it runs now; those before it are in `earlier`.
+    /// By worker.
+    probes: Vec<Vec<ProbeArrival>>,
+    /// By worker.
+    jobs: Vec<Vec<JobArrival>>,
+    answers: Vec<JobAnswer>,
+    /// By worker.
+    is_hung: Vec<bool>,
+    /// By worker: its present process.
     workers: Vec<Rc<WorkerModel>>,
+    /// Earlier processes of workers.
     replaced_workers: Vec<Rc<WorkerModel>>,
 }
 
+impl Observations {
+    fn new(plan: &Plan) -> Observations {
+        let worker = |number: usize| WorkerModel::new((SLOTS, RUN_TIME), false, plan.seed ^ number as u64);
+        Observations {
+            probes: vec![Vec::new(); plan.workers],
+            jobs: vec![Vec::new(); plan.workers],
+            is_hung: vec![false; plan.workers],
+            workers: (0..plan.workers).map(worker).collect(),
+            ..Observations::default()
+        }
+    }
+}
+
 type SharedObservations = Rc<RefCell<Observations>>;
 
 /// Plays one schedule below this folder.
 ///
 /// # Errors
-/// Something could not be set up.
+/// Returns a [`ClusterError`] if the harness fails; violations of rules are part of the result.
 pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<ScheduleResult, ClusterError> {
     run_in_folder(dir, run_schedule(dir, binaries.clone(), plan))
 }
 
 async fn run_schedule(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<ScheduleResult, ClusterError> {
-    let observations = SharedObservations::default();
-    {
-        let mut observations = observations.borrow_mut();
-        observations.probes = vec![Vec::new(); plan.workers];
-        observations.jobs = vec![Vec::new(); plan.workers];
-        observations.hung = vec![false; plan.workers];
-        let worker = |n: usize| WorkerModel::new((SLOTS, RUN_TIME), false, plan.seed ^ n as u64);
-        observations.workers = (0..plan.workers).map(worker).collect();
-    }
-    let (discoveries, nets) = start_workers(&observations, plan).await?;
-    let block = format!(
-        "list = false\ncold {{\nslots = {SLOTS}\n}}\nwatch {{\nevery_ms = {}\nsets = {WORKER_SETS}\n{}}}\n",
-        plan.probe_period.as_millis(),
-        plan.injected_bug.as_ref().map_or(String::new(), |flaw| format!("flaw = \"{flaw}\"\n"))
-    );
-    let block = if plan.share_health_checks { block } else { "list = false\n".to_owned() };
+    let observations: SharedObservations = Rc::new(RefCell::new(Observations::new(plan)));
+    let links = start_workers(&observations, plan).await?;
+    let cluster_settings = cluster_settings(plan);
     let setup = ClusterSpec {
         coordinators: plan.coordinators,
         dispatchers: plan.dispatchers,
-        cluster_settings: Some(&block),
-        discoveries: &discoveries,
+        cluster_settings: Some(&cluster_settings),
+        discoveries: &links.discoveries,
         proxy_seed: Some(plan.seed),
     };
     let mut cluster = ClusterHarness::start(dir, binaries, settings(plan), setup).await?;
     cluster.wait_for_workers(plan.workers).await?;
     if plan.share_health_checks {
-        // A set that moves while one of its workers hangs makes that known a takeover later.
+        // A hang in a set that moves is known only after the takeover.
         cluster.wait_for_balanced_sets(WORKER_SETS).await?;
     }
-    let start = Instant::now();
-    let end = start + plan.length;
-    // Members and clients settle before anything counts.
-    let begun = clock::now() + 5_000_000;
+    let end = Instant::now() + plan.length;
+    let counted_from = clock::now() + SETTLING_TIME.as_micros() as u64;
     for (dispatcher, address) in cluster.listen.iter().enumerate() {
         spawn_local(run_clients(observations.clone(), dispatcher, *address, plan.rate, end));
     }
-    sleep(Duration::from_secs(5)).await;
-    let targets = Targets {
-        cluster: &mut cluster,
-        worker_links: &nets,
-        discoveries: &discoveries,
-        observations: &observations,
-        plan,
-    };
-    let done = inject_faults(targets, end).await?;
+    sleep(SETTLING_TIME).await;
+    let targets = Targets { cluster: &mut cluster, links: &links, observations: &observations, plan };
+    let faults = inject_faults(targets, end).await?;
     sleep_until(end).await;
-    let until = clock::now();
-    sleep(DEADLINE + ANSWER_SLACK + Duration::from_millis(200)).await;
-    // Ended in good order, so that nothing is cut in the middle of a record.
+    let span = CountedSpan { from: counted_from, until: clock::now() };
+    sleep(JOB_TIMEOUT + ANSWER_SLACK + Duration::from_millis(200)).await;
+    // Ended in good order, so that no record is cut.
     drop(cluster);
     let records = read_records(dir, plan.coordinators, plan.dispatchers)?;
     let observations = observations.borrow();
-    Ok(evaluate(plan, &observations, &records, &done, (begun, until)))
+    Ok(evaluate(plan, &observations, &records, &faults, span))
+}
+
+/// Returns the block `fleet` of the dispatchers' settings, without the addresses.
+fn cluster_settings(plan: &Plan) -> String {
+    if !plan.share_health_checks {
+        return "list = false\n".to_owned();
+    }
+    let injected_bug = plan.injected_bug.as_ref().map_or(String::new(), |bug| format!("flaw = \"{bug}\"\n"));
+    format!(
+        "list = false\ncold {{\nslots = {SLOTS}\n}}\nwatch {{\nevery_ms = {}\nsets = {WORKER_SETS}\n{injected_bug}}}\n",
+        plan.probe_period.as_millis(),
+    )
+}
+
+/// Time that counts for the rules on probes, by the clock of the records, in microseconds.
+#[derive(Debug, Clone, Copy)]
+struct CountedSpan {
+    from: u64,
+    until: u64,
+}
+
+/// Emulated workers as the dispatchers reach them.
+struct WorkerLinks {
+    /// By dispatcher: its discovery.
+    discoveries: Vec<EmulatedDiscovery>,
+    /// By dispatcher: its links to the workers.
+    networks: Vec<SharedNetwork>,
 }
 
 /// Starts the workers, each behind a proxy for every dispatcher, and a discovery for each dispatcher that names them.
-async fn start_workers(
-    observations: &SharedObservations,
-    plan: &Plan,
-) -> Result<(Vec<EmulatedDiscovery>, Vec<SharedNetwork>), ClusterError> {
-    let (mut discoveries, mut networks) = (Vec::new(), Vec::new());
+async fn start_workers(observations: &SharedObservations, plan: &Plan) -> Result<WorkerLinks, ClusterError> {
+    let mut links = WorkerLinks { discoveries: Vec::new(), networks: Vec::new() };
     for dispatcher in 0..plan.dispatchers {
         let discovery = EmulatedDiscovery::new(0);
         let network = FaultyNetwork::new(BTreeMap::new(), plan.seed);
         for worker in 0..plan.workers {
             let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("a listener"))?;
-            let target = listener.local_addr().map_err(ClusterError::io("a listener"))?;
+            let worker_address = listener.local_addr().map_err(ClusterError::io("a listener"))?;
             spawn_local(serve_worker(observations.clone(), worker, dispatcher, listener));
-            let proxy = TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("a listener"))?;
-            discovery.add_in(
-                ZONES[worker % ZONES.len()],
-                worker,
-                proxy.local_addr().map_err(ClusterError::io("a listener"))?,
-            );
-            spawn_local(run_proxy(network.clone(), proxy, worker, target));
+            let proxy = TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("a proxy"))?;
+            let proxy_address = proxy.local_addr().map_err(ClusterError::io("a proxy"))?;
+            discovery.add_in(ZONES[worker % ZONES.len()], worker, proxy_address);
+            spawn_local(run_proxy(network.clone(), proxy, worker, worker_address));
         }
-        discoveries.push(discovery);
-        networks.push(network);
+        links.discoveries.push(discovery);
+        links.networks.push(network);
     }
-    Ok((discoveries, networks))
+    Ok(links)
 }
 
 fn settings(plan: &Plan) -> serde_json::Value {
@@ -339,9 +437,9 @@
         "settings": {
             "azs": ZONES, "flavors": ["small"], "balancers": plan.dispatchers, "slot-no": 0, "zone": 0,
             "discovery": "push", "resolution-s": 0.001,
-            "profiles": CLASSES.map(|(name, repeat)| json!({
-                "name": name, "promise-s": 0.5, "deadline-s": DEADLINE.as_secs_f64(), "late-worth": 0.2,
-                "idempotency": if repeat == Idempotency::Idempotent { "free" } else { "single_shot" },
+            "profiles": CLASSES.map(|class| json!({
+                "name": class.name, "promise-s": 0.5, "deadline-s": JOB_TIMEOUT.as_secs_f64(), "late-worth": 0.2,
+                "idempotency": if class.idempotency == Idempotency::Idempotent { "free" } else { "single_shot" },
             })),
             "projects": [{"name": "web", "share": 1.0, "quota-per-s": plan.rate * plan.dispatchers as f64}],
             "caps": {"cancel": true, "dial-timeout-s": 0.25, "keepalive-s": 5.0, "max-retry-after-s": 2.0,
--- a/crates/emulator/src/cluster/shared_health_checks/traffic.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/traffic.rs
@@ -1,4 +1,4 @@
-//! Emulated workers, which record who probed them and what they were sent, and clients that account for every job.
+//! Emulated workers, which record probes and jobs, and clients that account for every job.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
 
-use super::{SharedObservations, ANSWER_SLACK, CLASSES, DEADLINE};
+use super::{class_of, JobAnswer, JobArrival, ProbeArrival, SharedObservations, ANSWER_SLACK, JOB_TIMEOUT};
 use crate::cluster::dispatch_latency::submit_job;
 use crate::sockets::http::{self, chunk, CHUNKED, LAST_CHUNK};
 
-/// A emulated worker's door for one dispatcher.
+/// Serves an emulated worker's address for one dispatcher.
 pub(super) async fn serve_worker(
     observations: SharedObservations,
     worker: usize,
@@ -25,13 +25,13 @@
     while let Ok((stream, _)) = listener.accept().await {
         let observations = observations.clone();
         spawn_local(async move {
-            // A connection that breaks is the other side's matter.
+            // Connections may break under faults.
             let _ = serve(&observations, worker, dispatcher, stream).await;
         });
     }
 }
 
-pub(super) async fn serve(
+async fn serve(
     observations: &SharedObservations,
     worker: usize,
     dispatcher: usize,
@@ -41,40 +41,41 @@
     let mut buffer = BytesMut::new();
     while let Some(head) = http::head(&mut stream, &mut buffer, true, || {}).await? {
         let _ = http::body(&mut stream, &mut buffer, &head).await?;
-        let now = clock::now();
-        let probe = head.path.contains("/healthz");
+        let time = clock::now();
+        let is_probe = head.path.contains("/healthz");
         let id = head.get("request-id").unwrap_or_default().to_owned();
-        let runs = {
+        let process = {
             let mut observations = observations.borrow_mut();
-            if probe {
-                observations.probes[worker].push((now, dispatcher));
+            if is_probe {
+                observations.probes[worker].push(ProbeArrival { time, dispatcher });
             } else {
-                observations.jobs[worker].push((now, dispatcher, id.parse().unwrap_or(0)));
+                let job = id.parse().unwrap_or(0);
+                observations.jobs[worker].push(JobArrival { time, dispatcher, job });
             }
             observations.workers[worker].clone()
         };
-        // One that was pushed over closes what comes.
-        if !probe && !runs.accept_job(Instant::now()) {
+        // An overloaded worker is down: it closes connections.
+        if !is_probe && !process.accept_job(Instant::now()) {
             return Ok(());
         }
-        // One that hangs takes what comes and says nothing until the other side gives up.
-        while observations.borrow().hung[worker] {
+        // A hung worker reads requests and sends nothing.
+        while observations.borrow().is_hung[worker] {
             sleep(Duration::from_millis(20)).await;
         }
-        if probe {
+        if is_probe {
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await?;
             continue;
         }
         let line = |state: &str| json!({"id": id, "state": state, "result": "ok"}).to_string();
-        let Some(_slot) = runs.slot().await else { return Ok(()) };
+        let Some(_slot) = process.slot().await else { return Ok(()) };
         stream.write_all(&[CHUNKED, chunk(&line("started")).as_slice()].concat()).await?;
-        sleep(runs.sample_run_time(Instant::now())).await;
+        sleep(process.sample_run_time(Instant::now())).await;
         stream.write_all(&[chunk(&line("done")).as_slice(), LAST_CHUNK].concat()).await?;
     }
     Ok(())
 }
 
-/// Hands jobs to a dispatcher, each on a connection of its own, and notes what comes of them.
+/// Submits jobs to a dispatcher, each on a connection of its own, and records their answers.
 pub(super) async fn run_clients(
     observations: SharedObservations,
     dispatcher: usize,
@@ -82,25 +83,25 @@
     rate: f64,
     end: Instant,
 ) {
-    let mut beats = interval(Duration::from_secs_f64(1.0 / rate));
-    beats.set_missed_tick_behavior(MissedTickBehavior::Skip);
+    let mut ticks = interval(Duration::from_secs_f64(1.0 / rate));
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
     let mut count = 0u64;
     while Instant::now() < end {
-        beats.tick().await;
+        ticks.tick().await;
         count += 1;
-        let (observations, id) = (observations.clone(), (dispatcher as u64) << 32 | count);
-        spawn_local(async move {
-            let from = clock::now();
-            let answer =
-                timeout(DEADLINE + 10 * ANSWER_SLACK, submit_job(&mut None, address, (class_of(id), id)))
-                    .await;
-            let status = answer.ok().and_then(Result::ok).unwrap_or(0);
-            observations.borrow_mut().answers.push((dispatcher, from, clock::now(), status, id));
-        });
+        let job = (dispatcher as u64) << 32 | count;
+        spawn_local(run_client(observations.clone(), dispatcher, address, job));
     }
 }
 
-/// The class of a job.
-pub(super) fn class_of(id: u64) -> &'static str {
-    CLASSES[id as usize % CLASSES.len()].0
+/// Submits one job and records its answer.
+async fn run_client(observations: SharedObservations, dispatcher: usize, address: SocketAddr, job: u64) {
+    let submitted_at = clock::now();
+    let mut no_connection = None;
+    let exchange = submit_job(&mut no_connection, address, (class_of(job).name, job));
+    let answer = timeout(JOB_TIMEOUT + 10 * ANSWER_SLACK, exchange).await;
+    let status = answer.ok().and_then(Result::ok).unwrap_or(0);
+    let answered_at = clock::now();
+    let answer = JobAnswer { job, dispatcher, submitted_at, answered_at, status };
+    observations.borrow_mut().answers.push(answer);
 }
--- a/crates/emulator/src/cluster/slow_start.rs
+++ b/crates/emulator/src/cluster/slow_start.rs
@@ -3,7 +3,6 @@
 //!
 //! The emulated workers are slow while they are cold and fall when all dispatchers together send more than they bear.
 
-use crate::cluster::error::ClusterError;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,6 +24,7 @@
 use super::cluster_harness::{read_records, run_in_folder, Binaries, ClusterHarness, ClusterSpec};
 use super::dispatch_latency::submit_job;
 use super::emulated_discovery::EmulatedDiscovery;
+use super::error::ClusterError;
 use super::record_checker::{self, Records};
 use super::worker_model::{WorkerModel, INITIAL_CAPACITY, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, WARM_UP};
 use crate::sockets::http::{self, chunk, CHUNKED, LAST_CHUNK};
@@ -193,10 +193,7 @@
     jobs.iter().for_each(|job| *joined.answers.entry(job.2).or_default() += 1);
     let granted = records.members.values().flatten().filter(|line| line.kind == "granted");
     joined.granted_work = granted.filter_map(|line| line.fields.get("work")?.as_f64()).sum();
-    let broken = record_checker::check(records).into_iter();
-    joined.violations = broken
-        .flat_map(|(rule, texts)| texts.into_iter().map(move |text| format!("{rule}: {text}")))
-        .collect();
+    joined.violations = record_checker::check(records).descriptions().collect();
     joined
 }
 
--- a/crates/emulator/tests/lease_schedules.rs
+++ b/crates/emulator/tests/lease_schedules.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use emulator::cluster::lease_harness::Programs;
-use emulator::cluster::record_checker::{check, takeovers, InjectedFault, RecordLine, Records, RULES};
+use emulator::cluster::record_checker::{check, takeovers, InjectedFault, LeaseRule, RecordLine, Records};
 use emulator::cluster::results::run;
 use emulator::cluster::schedule::{ClusterExperiment, FaultKind};
 use indicatif::ProgressBar;
@@ -64,10 +64,10 @@
 const KEEPER: &str = r#"{"t":100,"kind":"applied","index":5,"digest":1,"granted":"d","token":7,"session":2}
 {"t":500,"kind":"applied","index":9,"digest":2,"granted":"d","token":8,"session":3}"#;
 
-fn rules_broken(keeper2: &str, member: &str) -> Vec<&'static str> {
+fn rules_broken(keeper2: &str, member: &str) -> Vec<LeaseRule> {
     let keepers = BTreeMap::from([(1, lines(KEEPER)), (2, lines(keeper2))]);
     let members = BTreeMap::from([("m0".to_owned(), lines(member))]);
-    check(&Records { coordinators: keepers, members }).into_keys().collect()
+    check(&Records { coordinators: keepers, members }).rules().collect()
 }
 
 #[test]
@@ -76,33 +76,42 @@
 {"t":500,"kind":"acted","duty":"d","token":7}
 {"t":600,"kind":"refused","duty":"d","token":7}
 {"t":700,"kind":"taken","duty":"d","token":8}"#;
-    assert_eq!(rules_broken("", sound), Vec::<&str>::new());
-    assert_eq!(rules_broken(r#"{"t":101,"kind":"applied","index":5,"digest":3}"#, ""), [RULES[0]]);
+    assert_eq!(rules_broken("", sound), []);
+    assert_eq!(
+        rules_broken(r#"{"t":101,"kind":"applied","index":5,"digest":3}"#, ""),
+        [LeaseRule::SameState]
+    );
     let back = r#"{"t":900,"kind":"applied","index":11,"digest":3,"granted":"e","token":8,"session":4}"#;
-    assert_eq!(rules_broken(back, ""), [RULES[1]]);
+    assert_eq!(rules_broken(back, ""), [LeaseRule::TokensGrow]);
     let late = r#"{"t":501,"kind":"taken","duty":"d","token":7}"#;
-    assert_eq!(rules_broken("", late), [RULES[9], RULES[2]]);
-    assert_eq!(rules_broken("", r#"{"t":501,"kind":"acted","duty":"d","token":7}"#), [RULES[3]]);
+    assert_eq!(rules_broken("", late), [LeaseRule::NoEffectOfEndedTerm, LeaseRule::Linearizable]);
+    assert_eq!(
+        rules_broken("", r#"{"t":501,"kind":"acted","duty":"d","token":7}"#),
+        [LeaseRule::NoActionInEndedTerm]
+    );
     let unsorted = r#"{"t":400,"kind":"taken","duty":"d","token":8}
 {"t":450,"kind":"taken","duty":"d","token":7}"#;
-    assert_eq!(rules_broken("", unsorted), [RULES[9], RULES[4]]);
+    assert_eq!(rules_broken("", unsorted), [LeaseRule::TokensGrowAtReceivers, LeaseRule::Linearizable]);
     let restarted = unsorted.replace('\n', "\n{\"t\":420,\"kind\":\"started\"}\n");
     // A new process learns anew; but whoever took 8 shows that it was granted, before any keeper wrote so.
-    assert_eq!(rules_broken("", &restarted), [RULES[9]]);
+    assert_eq!(rules_broken("", &restarted), [LeaseRule::Linearizable]);
     let unknown = r#"{"t":200,"kind":"taken","duty":"d","token":6}"#;
-    assert_eq!(rules_broken("", unknown), [RULES[9], RULES[5]]);
+    assert_eq!(rules_broken("", unknown), [LeaseRule::OnlyGrantedTokens, LeaseRule::Linearizable]);
     let session = r#"{"t":200,"kind":"session","session":2,"incarnation":1}"#;
-    assert_eq!(rules_broken("", &format!("{session}\n{session}")), Vec::<&str>::new());
+    assert_eq!(rules_broken("", &format!("{session}\n{session}")), []);
     let next = format!("{session}\n{{\"t\":300,\"kind\":\"started\"}}\n{session}");
     assert_eq!(
         rules_broken("", &next),
-        [RULES[8]],
+        [LeaseRule::SessionOfOneProcess],
         "found by the rig: seed 201, a process drew its predecessor's number"
     );
     // A keeper that was late to record does not make a sound effect late: the earliest record of a grant counts,
     // and one that was early does.
     let early = r#"{"t":300,"kind":"applied","index":9,"digest":2,"granted":"d","token":8,"session":3}"#;
-    assert_eq!(rules_broken(early, r#"{"t":400,"kind":"taken","duty":"d","token":7}"#), [RULES[9], RULES[2]]);
+    assert_eq!(
+        rules_broken(early, r#"{"t":400,"kind":"taken","duty":"d","token":7}"#),
+        [LeaseRule::NoEffectOfEndedTerm, LeaseRule::Linearizable]
+    );
 }
 
 #[test]
--- a/crates/emulator/tests/planned_drains.rs
+++ b/crates/emulator/tests/planned_drains.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use emulator::cluster::cluster_harness::{Binaries, ClusterHarness};
-use emulator::cluster::planned_drains::{play, start_cluster, Plan, ScheduleResult, RULES};
+use emulator::cluster::console::ConsoleAnswer;
+use emulator::cluster::planned_drains::{play, start_cluster, DrainRule, Plan, ScheduleResult};
+use emulator::cluster::violations::Rule;
 use rustix::process::Signal;
 use tokio::task::LocalSet;
 use tokio::time::{sleep, Instant};
@@ -33,7 +35,7 @@
 async fn granted(fleet: &ClusterHarness, n: usize) -> String {
     let (start, mut last) = (Instant::now(), String::new());
     loop {
-        let (status, _, text) = fleet.console(n, "POST", "/standby").await.unwrap();
+        let ConsoleAnswer { status, body: text, .. } = fleet.console(n, "POST", "/standby").await.unwrap();
         if status == 200 {
             return last;
         }
@@ -44,14 +46,15 @@
 }
 
 async fn refused(fleet: &ClusterHarness, n: usize) -> String {
-    let (status, after, text) = fleet.console(n, "POST", "/standby").await.unwrap();
+    let ConsoleAnswer { status, retry_after_s: after, body: text } =
+        fleet.console(n, "POST", "/standby").await.unwrap();
     assert_eq!(status, 503, "{text}");
     assert!(after.is_some_and(|after| after > 0), "no word of when to come again: {text}");
     text
 }
 
 async fn is(fleet: &ClusterHarness, n: usize, mode: &str) -> bool {
-    let (_, _, text) = fleet.console(n, "GET", "/status").await.unwrap();
+    let text = fleet.console(n, "GET", "/status").await.unwrap().body;
     text.contains(&format!("\"mode\":\"{mode}\""))
 }
 
@@ -71,7 +74,7 @@
         assert!(why.contains("all"), "{why}");
         let account = fleet.run_coordinator_command(1, &["account"]).await.unwrap();
         assert!(account.contains("all: 2 out by plan, 0 otherwise, of 6"), "{account}");
-        assert_eq!(fleet.console(0, "POST", "/active").await.unwrap().0, 200);
+        assert_eq!(fleet.console(0, "POST", "/active").await.unwrap().status, 200);
         // First asked, first served: d3 of the zone that is free again.
         granted(&fleet, 3).await;
         assert!(is(&fleet, 2, "active").await);
@@ -118,10 +121,11 @@
         assert!(began.elapsed() < Duration::from_millis(1_500), "{:?}", began.elapsed());
         assert!(why.contains("no majority") && why.contains("serving goes on"), "{why}");
         assert!(is(&fleet, 1, "active").await);
-        let (status, _, text) = fleet.console(1, "POST", "/standby?force=1").await.unwrap();
+        let ConsoleAnswer { status, body: text, .. } =
+            fleet.console(1, "POST", "/standby?force=1").await.unwrap();
         assert_eq!(status, 200, "{text}");
         assert!(is(&fleet, 1, "standby").await);
-        let (_, _, figures) = fleet.console(1, "GET", "/status/metrics").await.unwrap();
+        let figures = fleet.console(1, "GET", "/status/metrics").await.unwrap().body;
         for figure in ["cairncrank_fleet_standby_forced_total 1", "cairncrank_fleet_standby_denied_total 1"] {
             assert!(figures.contains(figure), "{figures}");
         }
@@ -257,5 +261,9 @@
 fn a_permit_that_any_sight_of_its_target_ends_is_found_by_the_checker() {
     let flaw = Some("any-process".to_owned());
     let played = played(&Plan { injected_bug: flaw, ..Plan::default() });
-    assert!(played.rules.contains_key(RULES[0]) || played.rules.contains_key(RULES[1]), "{played:#?}");
+    let is_violated = |rule: DrainRule| played.rules.contains_key(rule.text());
+    assert!(
+        is_violated(DrainRule::WithinBudgets) || is_violated(DrainRule::NoPermitBesideLosses),
+        "{played:#?}"
+    );
 }
--- a/crates/emulator/tests/shared_health_checks.rs
+++ b/crates/emulator/tests/shared_health_checks.rs
@@ -3,8 +3,11 @@
 use std::time::Duration;
 
 use emulator::cluster::cluster_harness::Binaries;
-use emulator::cluster::shared_health_checks::{play, Fault, Plan, ScheduleResult, RULES};
+use emulator::cluster::shared_health_checks::{
+    play, Fault, HealthCheckRule, Plan, ScheduleResult, ScriptedFault,
+};
 use emulator::cluster::slow_start;
+use emulator::cluster::violations::Rule;
 
 fn played(plan: &Plan) -> ScheduleResult {
     let dir = tempfile::tempdir().unwrap();
@@ -28,7 +31,7 @@
 /// 1.6 to 2.6 s. The harness waits now until no set is to move.
 #[test]
 fn a_worker_that_hangs_is_known_everywhere_whichever_set_it_is_in() {
-    let script = &[(Fault::HangWorker, 3, 0)];
+    let script = &[ScriptedFault { fault: Fault::HangWorker, target: 3, zone: 0 }];
     let plan =
         Plan { dispatchers: 8, rate: 20.0, length: Duration::from_secs(18), script, ..Plan::default() };
     let played = played(&plan);
@@ -41,10 +44,10 @@
 #[test]
 fn jobs_and_workers_keep_their_rules_while_keepers_and_dispatchers_are_started_anew() {
     let script = &[
-        (Fault::DrainWorker, 0, 0),
-        (Fault::PauseLeader, 0, 0),
-        (Fault::KillAllCoordinators, 0, 0),
-        (Fault::RollingRestart, 0, 0),
+        ScriptedFault { fault: Fault::DrainWorker, target: 0, zone: 0 },
+        ScriptedFault { fault: Fault::PauseLeader, target: 0, zone: 0 },
+        ScriptedFault { fault: Fault::KillAllCoordinators, target: 0, zone: 0 },
+        ScriptedFault { fault: Fault::RollingRestart, target: 0, zone: 0 },
     ];
     let plan = Plan { coordinators: 5, length: Duration::from_secs(34), script, ..Plan::default() };
     let played = played(&plan);
@@ -58,7 +61,7 @@
     let plan =
         Plan { only_kills: true, length: Duration::from_secs(24), injected_bug: flaw, ..Plan::default() };
     let played = played(&plan);
-    assert!(played.rules.contains_key(RULES[0]), "{played:#?}");
+    assert!(played.rules.contains_key(HealthCheckRule::ProbeRate.text()), "{played:#?}");
 }
 
 /// A day on which six of nine workers are replaced by cold ones: the same with and without grants, side by side.
--- a/crates/emulator/tests/stable_text.rs
+++ b/crates/emulator/tests/stable_text.rs
@@ -10,12 +10,14 @@
 use emulator::cluster::dispatch_latency::LatencyResult;
 use emulator::cluster::lightweight_member::MemberConfig;
 use emulator::cluster::planned_drains;
-use emulator::cluster::record_checker::{self, RecordLine, Records};
+use emulator::cluster::planned_drains::{DrainRule, UnavailableCounts};
+use emulator::cluster::record_checker::{self, LeaseRule, RecordLine, Records};
 use emulator::cluster::results::{ArmResult, Quantiles, Results};
 use emulator::cluster::scaling_cost::Side;
 use emulator::cluster::schedule::{ClusterExperiment, FaultKind, FAULT_KINDS};
-use emulator::cluster::shared_health_checks;
+use emulator::cluster::shared_health_checks::{self, HealthCheckRule};
 use emulator::cluster::slow_start::DayResult;
+use emulator::cluster::violations::Rule;
 use emulator::spec;
 use serde::Serialize;
 
@@ -195,9 +197,9 @@
 
 fn watched() -> shared_health_checks::ScheduleResult {
     shared_health_checks::ScheduleResult {
-        rules: shared_health_checks::RULES
+        rules: HealthCheckRule::ALL
             .iter()
-            .map(|rule| ((*rule).to_owned(), vec!["once".to_owned()]))
+            .map(|rule| (rule.text().to_owned(), vec!["once".to_owned()]))
             .collect(),
         faults: BTreeMap::from([("kill".to_owned(), 2)]),
         probes: 3,
@@ -214,15 +216,19 @@
     }
 }
 
+fn rule_texts() -> Vec<&'static str> {
+    let leases = LeaseRule::ALL.iter().map(|rule| rule.text());
+    let health_checks = HealthCheckRule::ALL.iter().map(|rule| rule.text());
+    let drains = DrainRule::ALL.iter().map(|rule| rule.text());
+    leases.chain(health_checks).chain(drains).collect()
+}
+
 fn drained() -> planned_drains::ScheduleResult {
     planned_drains::ScheduleResult {
-        rules: planned_drains::RULES
-            .iter()
-            .map(|rule| ((*rule).to_owned(), vec!["once".to_owned()]))
-            .collect(),
+        rules: DrainRule::ALL.iter().map(|rule| (rule.text().to_owned(), vec!["once".to_owned()])).collect(),
         faults: BTreeMap::from([("lose".to_owned(), 2)]),
-        budget: (2, 1),
-        max_planned_unavailable: (1, 1),
+        budget: UnavailableCounts { fleet: 2, zone: 1 },
+        max_planned_unavailable: UnavailableCounts { fleet: 1, zone: 1 },
         calls: BTreeMap::from([(200, 3), (503, 4)]),
         drains: 5,
         longest_call_ms: 6.5,
@@ -233,7 +239,7 @@
 fn fleet_results() -> Results {
     let quantiles = Quantiles { count: 2, p50: 0.5, p99: 0.99, max: 1.0 };
     let arm = ArmResult {
-        rules: record_checker::RULES.iter().map(|rule| ((*rule).to_owned(), 1)).collect(),
+        rules: LeaseRule::ALL.iter().map(|rule| (rule.text().to_owned(), 1)).collect(),
         schedules: 3,
         faults: FAULT_KINDS.iter().map(|(name, _)| (*name, 1)).collect(),
         taken: 4,
@@ -365,7 +371,7 @@
         record_checker::effects_accepted(&records),
         record_checker::effects_rejected(&records),
         record_checker::accepted_effect_after(&records, 501),
-        [&record_checker::RULES[..], &shared_health_checks::RULES, &planned_drains::RULES].concat()
+        rule_texts()
     );
     insta::assert_snapshot!(text);
 }
