--- a/crates/dispatch-core/tests/common/mod.rs
+++ b/crates/dispatch-core/tests/common/mod.rs
@@ -49,7 +49,7 @@
 
 /// Workers 1 to n, all serving; the even ones are in zone 0.
 pub fn fleet(n: u64) -> Vec<Endpoint> {
-    (1..=n).map(|w| endpoint(w, WorkerState::Serving)).collect()
+    (1..=n).map(|worker| endpoint(worker, WorkerState::Serving)).collect()
 }
 
 pub fn request(id: u64) -> Request {
@@ -129,7 +129,7 @@
 
     /// A dispatcher that starts at this time.
     pub fn new_at(now: f64, cfg: Settings, seed: u64, workers: &[Endpoint]) -> Self {
-        let mut d = Driver {
+        let mut driver = Driver {
             dispatcher: Dispatcher::new(cfg.clone(), seed),
             cfg,
             now,
@@ -141,25 +141,29 @@
             locations: BTreeMap::new(),
         };
         let mut actions = Vec::new();
-        d.dispatcher.start(d.now, &mut actions);
-        d.check_actions(actions);
-        d.send_list(ListScope::Cached, workers);
-        d
+        driver.dispatcher.start(driver.now, &mut actions);
+        driver.check_actions(actions);
+        driver.send_list(ListScope::Cached, workers);
+        driver
     }
 
     pub fn send_list(&mut self, scope: ListScope, endpoints: &[Endpoint]) -> Vec<Action> {
         if matches!(scope, ListScope::Full | ListScope::Cached) {
             let gone: Vec<u64> = self.locations.keys().copied().collect();
-            for w in gone.into_iter().filter(|w| !endpoints.iter().any(|m| m.worker.0 == *w)) {
-                self.excluded_since.entry(w).or_insert(self.now);
+            for worker in gone
+                .into_iter()
+                .filter(|worker| !endpoints.iter().any(|endpoint| endpoint.worker.0 == *worker))
+            {
+                self.excluded_since.entry(worker).or_insert(self.now);
             }
         }
-        for m in endpoints {
-            self.locations.insert(m.worker.0, Location { zone: m.zone, cell: m.cell });
-            if m.state == WorkerState::Serving {
-                self.excluded_since.remove(&m.worker.0);
+        for endpoint in endpoints {
+            let worker = endpoint.worker.0;
+            self.locations.insert(worker, Location { zone: endpoint.zone, cell: endpoint.cell });
+            if endpoint.state == WorkerState::Serving {
+                self.excluded_since.remove(&worker);
             } else {
-                self.excluded_since.entry(m.worker.0).or_insert(self.now);
+                self.excluded_since.entry(worker).or_insert(self.now);
             }
         }
         self.event(Event::EndpointList { scope, endpoints })
--- a/crates/dispatch-core/tests/rules.rs
+++ b/crates/dispatch-core/tests/rules.rs
@@ -22,11 +22,11 @@
 fn stream(seed: u64, cfg: Settings) -> Vec<Action> {
     let mut rng = Rng::with_seed(seed);
     let workers = fleet(9);
-    let mut d = Driver::new(cfg, seed, &workers);
+    let mut driver = Driver::new(cfg, seed, &workers);
     let mut next = 1;
     for _ in 0..1500 {
-        d.advance(rng.f64() * 0.03);
-        let open = d.open_attempts.clone();
+        driver.advance(rng.f64() * 0.03);
+        let open = driver.open_attempts.clone();
         match rng.u32(..10) {
             0..=3 => {
                 let req = Request {
@@ -38,26 +38,32 @@
                     ..request(next)
                 };
                 let class = req.class.min(3);
-                d.request(Request { class, ..req });
+                driver.request(Request { class, ..req });
                 next += 1;
             }
             4..=7 if !open.is_empty() => {
                 let attempt = open[rng.usize(..open.len())];
                 let good = rng.u32(..3) > 0;
                 let outcome = if good { Outcome::Ok } else { OUTCOMES[rng.usize(..OUTCOMES.len())] };
-                d.end_attempt(attempt.request, attempt.number, outcome);
+                driver.end_attempt(attempt.request, attempt.number, outcome);
             }
             8 => {
-                let w = rng.u64(1..=10);
+                let worker = rng.u64(1..=10);
                 let state =
                     [WorkerState::Serving, WorkerState::Draining, WorkerState::Removed][rng.usize(..3)];
-                let since = if rng.u32(..4) == 0 { d.now - 1.0 } else { 0.0 };
-                d.send_list(ListScope::Incremental, &[Endpoint { started_at: since, ..endpoint(w, state) }]);
+                let since = if rng.u32(..4) == 0 { driver.now - 1.0 } else { 0.0 };
+                driver.send_list(
+                    ListScope::Incremental,
+                    &[Endpoint { started_at: since, ..endpoint(worker, state) }],
+                );
             }
             _ => {
-                d.event(Event::JobStarted { request: RequestId(rng.u64(..next + 3)), attempt: rng.u32(..3) });
-                d.event(Event::Timer(rng.u64(..)));
-                d.event(Event::AttemptEnded {
+                driver.event(Event::JobStarted {
+                    request: RequestId(rng.u64(..next + 3)),
+                    attempt: rng.u32(..3),
+                });
+                driver.event(Event::Timer(rng.u64(..)));
+                driver.event(Event::AttemptEnded {
                     request: RequestId(next + 7),
                     attempt: 0,
                     outcome: Outcome::Overloaded,
@@ -65,16 +71,16 @@
                     load: None,
                 });
                 if rng.u32(..5) == 0 {
-                    d.event(Event::EndpointList { scope: ListScope::Failed, endpoints: &[] });
+                    driver.event(Event::EndpointList { scope: ListScope::Failed, endpoints: &[] });
                 }
             }
         }
     }
-    d.advance(12.0);
-    for (id, s) in &d.requests {
-        assert_eq!(s.answers, 1, "rule 1: request {id} was never answered");
+    driver.advance(12.0);
+    for (id, record) in &driver.requests {
+        assert_eq!(record.answers, 1, "rule 1: request {id} was never answered");
     }
-    d.log
+    driver.log
 }
 
 #[test]
@@ -116,14 +122,22 @@
         (3, Outcome::Reset, true),
     ] {
         let workers = fleet(6);
-        let mut d = Driver::new(settings(), 3, &workers);
-        d.advance(1.0);
-        d.request(Request { class, ..request(1) });
-        assert_eq!(d.requests[&1].sends.len(), 1, "class {class} is pushed at once with tokens in the bank");
-        d.advance(0.01);
-        let mut actions = d.end_attempt(1, 0, outcome);
-        actions.extend(d.advance(0.3));
-        assert_eq!(d.requests[&1].sends.len() == 2, again, "class {class} after {outcome:?}: {actions:?}");
+        let mut driver = Driver::new(settings(), 3, &workers);
+        driver.advance(1.0);
+        driver.request(Request { class, ..request(1) });
+        assert_eq!(
+            driver.requests[&1].sends.len(),
+            1,
+            "class {class} is pushed at once with tokens in the bank"
+        );
+        driver.advance(0.01);
+        let mut actions = driver.end_attempt(1, 0, outcome);
+        actions.extend(driver.advance(0.3));
+        assert_eq!(
+            driver.requests[&1].sends.len() == 2,
+            again,
+            "class {class} after {outcome:?}: {actions:?}"
+        );
         let failed = actions.contains(&Action::Fail { request: RequestId(1) });
         assert_eq!(failed, !again, "class {class} after {outcome:?}: {actions:?}");
     }
@@ -141,46 +155,48 @@
         (KeyScope::All, 6.0, false),
     ] {
         let classes = vec![Class { latency_objective: 20.0, ..class(Idempotency::WithKey(group)) }];
-        let workers: Vec<Endpoint> =
-            (1..=6).map(|w| Endpoint { cell: (w % 3) as u32, ..endpoint(w, WorkerState::Serving) }).collect();
-        let mut d = Driver::new(Settings { classes, ..settings() }, 3, &workers);
-        d.advance(1.0);
-        d.request(Request { timeout: 30.0, ..request(1) });
-        d.advance(wait);
-        d.end_attempt(1, 0, Outcome::Reset);
-        d.advance(3.0);
-        let sends = &d.requests[&1].sends;
+        let workers: Vec<Endpoint> = (1..=6)
+            .map(|worker| Endpoint { cell: (worker % 3) as u32, ..endpoint(worker, WorkerState::Serving) })
+            .collect();
+        let mut driver = Driver::new(Settings { classes, ..settings() }, 3, &workers);
+        driver.advance(1.0);
+        driver.request(Request { timeout: 30.0, ..request(1) });
+        driver.advance(wait);
+        driver.end_attempt(1, 0, Outcome::Reset);
+        driver.advance(3.0);
+        let sends = &driver.requests[&1].sends;
         assert_eq!(sends.len() > 1, again, "{group:?} after {wait} s: {sends:?}");
         if let (KeyScope::Cell, Some(second)) = (group, sends.get(1)) {
             assert_eq!(second.worker.0 % 3, sends[0].worker.0 % 3, "the same cell");
         }
-        assert!(again || d.requests[&1].answers == 1, "{group:?} after {wait} s is answered");
+        assert!(again || driver.requests[&1].answers == 1, "{group:?} after {wait} s is answered");
     }
 }
 
 #[test]
 fn a_timeout_at_the_deadline_is_answered_at_once() {
-    let mut d = Driver::new(settings(), 3, &[endpoint(1, WorkerState::Serving)]);
-    d.advance(1.0);
-    d.request(Request { class: 1, timeout: 0.5, ..request(1) });
-    assert!(d.advance(0.5).contains(&Action::Fail { request: RequestId(1) }));
+    let mut driver = Driver::new(settings(), 3, &[endpoint(1, WorkerState::Serving)]);
+    driver.advance(1.0);
+    driver.request(Request { class: 1, timeout: 0.5, ..request(1) });
+    assert!(driver.advance(0.5).contains(&Action::Fail { request: RequestId(1) }));
 }
 
 #[test]
 fn sends_nothing_to_draining_or_removed_workers() {
     let all = fleet(4);
-    let mut d = Driver::new(settings(), 5, &all);
-    d.advance(1.0);
-    d.send_list(
+    let mut driver = Driver::new(settings(), 5, &all);
+    driver.advance(1.0);
+    driver.send_list(
         ListScope::Incremental,
         &[endpoint(1, WorkerState::Draining), endpoint(2, WorkerState::Removed)],
     );
-    d.send_list(ListScope::Full, &[endpoint(1, WorkerState::Draining), endpoint(4, WorkerState::Serving)]);
+    driver
+        .send_list(ListScope::Full, &[endpoint(1, WorkerState::Draining), endpoint(4, WorkerState::Serving)]);
     for id in 0..20 {
-        d.advance(0.05);
-        d.request(request(id));
+        driver.advance(0.05);
+        driver.request(request(id));
     }
-    let sends = d.requests.values().flat_map(|s| &s.sends);
+    let sends = driver.requests.values().flat_map(|record| &record.sends);
     assert!(sends.clone().count() > 10 && sends.clone().all(|send| send.worker == WorkerId(4)));
 }
 
@@ -199,14 +215,14 @@
             .collect();
         let per_step = 60_u32.div_ceil(instances);
         for step in 0..180_u64 {
-            for (n, d) in (0_u64..).zip(&mut all) {
-                d.advance(0.1);
+            for (n, driver) in (0_u64..).zip(&mut all) {
+                driver.advance(0.1);
                 for job in 0..u64::from(per_step) {
-                    d.request(request(step * 1000 + job + n * 1_000_000));
+                    driver.request(request(step * 1000 + job + n * 1_000_000));
                 }
             }
         }
-        let sends = all.iter().flat_map(|d| d.requests.values()).flat_map(|record| &record.sends);
+        let sends = all.iter().flat_map(|driver| driver.requests.values()).flat_map(|record| &record.sends);
         let sent: Vec<f64> = sends.map(|send| send.sent_at).collect();
         // A worker of one slot's size would be overloaded by this much; the module plans by the largest job.
         let (share, warm, span, multiple) = (0.2, 20.0, 2.0, 3.0);
@@ -294,7 +310,9 @@
     for seed in 0..3 {
         let (start, instances) = (100.0, 100_u32);
         let mut list = fleet(60);
-        list.iter_mut().filter(|m| m.worker.0 > 24).for_each(|m| m.started_at = start);
+        list.iter_mut()
+            .filter(|endpoint| endpoint.worker.0 > 24)
+            .for_each(|endpoint| endpoint.started_at = start);
         let cfg = |instance| Settings {
             instance,
             instances,
@@ -311,27 +329,27 @@
             let n = if rng.f64() < 0.3 { 0 } else { rng.usize(..100) };
             if step == 300 {
                 all.iter_mut()
-                    .filter(|d| d.cfg.instance % 7 == 3)
-                    .for_each(|d| drop(d.send_list(ListScope::Full, &list)));
+                    .filter(|driver| driver.cfg.instance % 7 == 3)
+                    .for_each(|driver| drop(driver.send_list(ListScope::Full, &list)));
             }
-            for d in all[60..90].iter_mut().filter(|_| step == 500) {
+            for driver in all[60..90].iter_mut().filter(|_| step == 500) {
                 // What it has out counts on; the rest it forgets.
-                let open = d.open_attempts.iter();
-                sent.extend(open.map(|open| d.requests[&open.request].sends[open.number as usize]));
-                *d = Driver::new(d.cfg.clone(), seed + 77, &list);
+                let open = driver.open_attempts.iter();
+                sent.extend(open.map(|open| driver.requests[&open.request].sends[open.number as usize]));
+                *driver = Driver::new(driver.cfg.clone(), seed + 77, &list);
             }
             let now = start + step as f64 / 100.0;
-            let d = &mut all[n];
-            d.advance(now - d.now);
-            d.request(request(step));
+            let driver = &mut all[n];
+            driver.advance(now - driver.now);
+            driver.request(request(step));
             // Each runs for 0.3 s.
-            for d in &mut all {
-                for open in d.open_attempts.clone() {
-                    let send = d.requests[&open.request].sends[open.number as usize];
+            for driver in &mut all {
+                for open in driver.open_attempts.clone() {
+                    let send = driver.requests[&open.request].sends[open.number as usize];
                     if send.sent_at + 0.3 <= now {
                         sent.push(send);
-                        d.advance(now - d.now);
-                        d.end_attempt(open.request, open.number, Outcome::Ok);
+                        driver.advance(now - driver.now);
+                        driver.end_attempt(open.request, open.number, Outcome::Ok);
                     }
                 }
             }
@@ -354,17 +372,17 @@
 /// passed: the module uses none of it.
 #[test]
 fn sends_no_waiting_job_to_a_worker_that_began_to_drain() {
-    let mut d = Driver::new(settings(), 5, &[endpoint(1, WorkerState::Serving)]);
-    d.advance(1.0);
+    let mut driver = Driver::new(settings(), 5, &[endpoint(1, WorkerState::Serving)]);
+    driver.advance(1.0);
     for id in 0..6 {
-        d.request(request(id));
-        d.advance(0.001);
+        driver.request(request(id));
+        driver.advance(0.001);
     }
-    let waiting = d.requests.values().filter(|s| s.sends.is_empty()).count();
-    let before = d.log.len();
-    d.send_list(ListScope::Incremental, &[endpoint(1, WorkerState::Draining)]);
-    d.advance(5.0);
-    let sends = d.log[before..].iter().filter(|a| matches!(a, Action::Send { .. })).count();
+    let waiting = driver.requests.values().filter(|record| record.sends.is_empty()).count();
+    let before = driver.log.len();
+    driver.send_list(ListScope::Incremental, &[endpoint(1, WorkerState::Draining)]);
+    driver.advance(5.0);
+    let sends = driver.log[before..].iter().filter(|action| matches!(action, Action::Send { .. })).count();
     assert!(waiting > 0 && sends == 0, "{waiting} waited, {sends} went there after the word");
 }
 
@@ -374,10 +392,10 @@
 
     fn driver(class: u32) -> Driver {
         let workers = [endpoint(1, WorkerState::Serving), endpoint(3, WorkerState::Serving)];
-        let mut d = Driver::new(settings(), 3, &workers);
-        d.advance(1.0);
-        d.request(Request { class, timeout: 1.0, ..request(1) });
-        d
+        let mut driver = Driver::new(settings(), 3, &workers);
+        driver.advance(1.0);
+        driver.request(Request { class, timeout: 1.0, ..request(1) });
+        driver
     }
 
     fn send(worker: u64) -> Vec<Action> {
@@ -387,50 +405,50 @@
     #[test]
     #[should_panic(expected = "rule 1: request 1 answered twice")]
     fn two_answers() {
-        let mut d = driver(0);
-        d.end_attempt(1, 0, Outcome::Ok);
-        d.check_actions(vec![Action::Fail { request: RequestId(1) }]);
+        let mut driver = driver(0);
+        driver.end_attempt(1, 0, Outcome::Ok);
+        driver.check_actions(vec![Action::Fail { request: RequestId(1) }]);
     }
 
     #[test]
     #[should_panic(expected = "rule 1: request 1 sent after its end")]
     fn a_send_after_the_end() {
-        let mut d = driver(0);
-        d.end_attempt(1, 0, Outcome::Ok);
-        d.check_actions(send(3));
+        let mut driver = driver(0);
+        driver.end_attempt(1, 0, Outcome::Ok);
+        driver.check_actions(send(3));
     }
 
     #[test]
     #[should_panic(expected = "rule 1: request 1 answered late")]
     fn a_late_answer() {
-        let mut d = driver(1);
-        d.open_attempts.clear();
-        d.advance(2.0);
-        d.check_actions(vec![Action::Fail { request: RequestId(1) }]);
+        let mut driver = driver(1);
+        driver.open_attempts.clear();
+        driver.advance(2.0);
+        driver.check_actions(vec![Action::Fail { request: RequestId(1) }]);
     }
 
     #[test]
     #[should_panic(expected = "rule 2: unsafe request 1 sent again")]
     fn a_retry_that_is_not_idempotent() {
-        let mut d = driver(1);
-        d.requests.get_mut(&1).expect("request 1").sends[0].outcome = Some(Outcome::Reset);
-        d.check_actions(send(3));
+        let mut driver = driver(1);
+        driver.requests.get_mut(&1).expect("request 1").sends[0].outcome = Some(Outcome::Reset);
+        driver.check_actions(send(3));
     }
 
     #[test]
     #[should_panic(expected = "rule 2: request 1 refused")]
     fn a_rejection_that_is_not_idempotent() {
-        let mut d = driver(1);
-        d.requests.get_mut(&1).expect("request 1").sends[0].outcome = Some(Outcome::Reset);
-        d.check_actions(vec![Action::Reject { request: RequestId(1), retry_after: None }]);
+        let mut driver = driver(1);
+        driver.requests.get_mut(&1).expect("request 1").sends[0].outcome = Some(Outcome::Reset);
+        driver.check_actions(vec![Action::Reject { request: RequestId(1), retry_after: None }]);
     }
 
     #[test]
     #[should_panic(expected = "rule 3")]
     fn a_send_past_the_grace() {
-        let mut d = driver(0);
-        d.send_list(ListScope::Incremental, &[endpoint(3, WorkerState::Draining)]);
-        d.advance(DRAIN_GRACE + 0.001);
-        d.check_actions(send(3));
+        let mut driver = driver(0);
+        driver.send_list(ListScope::Incremental, &[endpoint(3, WorkerState::Draining)]);
+        driver.advance(DRAIN_GRACE + 0.001);
+        driver.check_actions(send(3));
     }
 }
