--- a/crates/dispatch-core/tests/rules.rs
+++ b/crates/dispatch-core/tests/rules.rs
@@ -17,6 +17,18 @@
     Outcome::NotSent,
 ];
 
+/// Returns a request of a random class, tenant and size. Classes beyond the settings are drawn as the last one.
+fn random_request(rng: &mut Rng, id: u64) -> Request {
+    Request {
+        class: rng.u32(..5).min(3),
+        tenant: rng.u32(..3),
+        slots: f64::from(1 + rng.u32(..4)),
+        timeout: 0.05 + rng.f64() * 4.0,
+        affinity_key: (rng.u32(..2) == 0).then(|| rng.u64(..20)),
+        ..request(id)
+    }
+}
+
 /// Plays a random stream of requests, outcomes, notes, list changes and odd events; the driver checks every
 /// action. The stream is not a model of a fleet: outcomes fall as the generator likes.
 fn stream(seed: u64, cfg: Settings) -> Vec<Action> {
@@ -29,16 +41,7 @@
         let open = driver.open_attempts.clone();
         match rng.u32(..10) {
             0..=3 => {
-                let req = Request {
-                    class: rng.u32(..5),
-                    tenant: rng.u32(..3),
-                    slots: f64::from(1 + rng.u32(..4)),
-                    timeout: 0.05 + rng.f64() * 4.0,
-                    affinity_key: (rng.u32(..2) == 0).then(|| rng.u64(..20)),
-                    ..request(next)
-                };
-                let class = req.class.min(3);
-                driver.request(Request { class, ..req });
+                driver.request(random_request(&mut rng, next));
                 next += 1;
             }
             4..=7 if !open.is_empty() => {
