--- a/crates/dispatch-core/tests/backoff.rs
+++ b/crates/dispatch-core/tests/backoff.rs
@@ -1,11 +1,11 @@
-//! Pauses between calls: capped exponential backoff with full jitter.
+//! Delays between calls: capped exponential backoff with full jitter.
 
 use dispatch_core::backoff::{Backoff, Micros};
 
 const FIRST: Micros = 100_000;
 const CAP: Micros = 2_000_000;
 
-/// The longest pause over many seeds after so many failures, and the same where a success came just before.
+/// Returns the longest delay over many seeds after so many failures, and optionally a success.
 fn most(failures: usize, succeeded: bool) -> Micros {
     let pause = |seed| {
         let mut backoff = Backoff::new(FIRST, CAP, seed);
@@ -38,8 +38,8 @@
     assert!(backoff.next_delay(Some(Micros::MAX)) <= 2 * CAP);
 }
 
-/// How many of 100 dispatchers, whose watches broke at one moment, are answered within 30 s by a service as it was
-/// measured: a call takes 90 ms of it, also one that is turned away since it would have to wait for 2 s.
+/// Returns how many of 100 dispatchers, whose watches broke at one moment, are answered within 30 s by a service as it
+/// was measured: a call takes 90 ms, even if it is rejected since it would have to wait for 2 s.
 fn answered(pause: impl Fn(&mut Backoff) -> Micros) -> usize {
     let make = |seed| Backoff::new(15_000_000, 40_000_000, seed);
     let mut herd: Vec<(Micros, Backoff)> = (0..100).map(|seed| (0, make(seed))).collect();
@@ -57,7 +57,7 @@
     100 - herd.len()
 }
 
-/// With the fixed pause of 0.1 s that was there before, only those that the first queue took were ever answered.
+/// With the former fixed delay of 0.1 s only the callers in the first queue were ever answered.
 #[test]
 fn a_herd_thins_out_until_all_are_served() {
     let (fixed, jittered) = (answered(|_| 100_000), answered(|backoff| backoff.next_delay(None)));
--- a/crates/dispatch-core/tests/common/mod.rs
+++ b/crates/dispatch-core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: settings, events, and a driver that checks the four rules on every action.
+//! Shared parts of the tests: settings, events, and a driver that checks the four rules on every action.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use dispatch_core::api::*;
 use dispatch_core::Dispatcher;
 
-/// How long after it was told to drain a worker may still get new work.
+/// Time for which a worker that drains may still get new work.
 pub const DRAIN_GRACE: f64 = 0.5;
 
 pub fn class(repeat: Idempotency) -> Class {
@@ -127,7 +127,7 @@
         Driver::new_at(100.0, cfg, seed, workers)
     }
 
-    /// A dispatcher that starts at this time.
+    /// Returns a driver of a dispatcher that starts at this time.
     pub fn new_at(now: f64, cfg: Settings, seed: u64, workers: &[Endpoint]) -> Self {
         let mut driver = Driver {
             dispatcher: Dispatcher::new(cfg.clone(), seed),
@@ -187,7 +187,7 @@
         self.event(Event::AttemptEnded { request: RequestId(id), attempt, outcome, complete, load: None })
     }
 
-    /// Moves the clock on, firing the timers that fall due and the time-outs of clients that give up.
+    /// Advances the clock, firing the timers that are due and ending attempts at their client's timeout.
     pub fn advance(&mut self, span: f64) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
@@ -214,7 +214,7 @@
         all
     }
 
-    /// A worker answers a probe and says how many slots it has free.
+    /// Ends a probe with a report of the worker's free slots.
     pub fn probed(&mut self, worker: WorkerId, free: f64) -> Vec<Action> {
         let load = Some(LoadReport { free_slots: Some(free), ..LoadReport::default() });
         self.event(Event::ProbeEnded { worker, ok: true, load })
@@ -226,7 +226,7 @@
         self.check_actions(actions)
     }
 
-    /// Holds the dispatcher's actions to the rules.
+    /// Checks the dispatcher's actions by the rules and records them.
     pub fn check_actions(&mut self, actions: Vec<Action>) -> Vec<Action> {
         for action in &actions {
             match action {
--- a/crates/dispatch-core/tests/decisions.rs
+++ b/crates/dispatch-core/tests/decisions.rs
@@ -1,8 +1,7 @@
-//! Every action of a dispatcher over long pseudo-random event streams, as digests: code that decides anything
-//! differently has another digest.
+//! Digests of all actions of a dispatcher over long pseudo-random event streams: a different decision changes a digest.
 //!
-//! The streams come from a small model of a fleet that answers what the dispatcher does (queues, cold starts, outages,
-//! workers that hang, list changes, reloads). All of it follows from the seed; there is no clock.
+//! The streams come from a small model of a fleet that reacts to the dispatcher (queues, slow starts, outages, workers
+//! that hang, list changes, reloads). All of it follows from the seed; there is no clock.
 
 mod common;
 
@@ -22,7 +21,7 @@
 const STANDARD_RUN: f64 = 0.2;
 const ROUND_TRIP: f64 = 0.004;
 
-/// What the jobs of a stream carry beside their class.
+/// Traffic of a stream: its rate, and the optional properties of its requests.
 #[derive(Clone, Copy)]
 struct Traffic {
     requests_per_second: f64,
@@ -31,7 +30,7 @@
     largest_slots: u64,
 }
 
-/// Something that the model has planned, by the microsecond at which it happens and the order of planning.
+/// An event that the model has scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Planned {
     Arrival,
@@ -245,7 +244,7 @@
         self.event(Event::AttemptEnded { request: RequestId(id), attempt, outcome, complete, load: None });
     }
 
-    /// A report of a worker's load; now and then it leaves figures out.
+    /// Returns a report of a worker's load; now and then it leaves figures out.
     fn load_of(&mut self, worker: u64) -> LoadReport {
         let Some(known) = self.workers.get(&worker) else { return LoadReport::default() };
         let free = (known.slots - known.busy).max(0.0);
@@ -260,7 +259,7 @@
         }
     }
 
-    /// Workers drain, leave, start again, and discovery fails or sends all of the list.
+    /// Workers drain, are removed, restart, and discovery fails or sends the whole list.
     fn fleet_change(&mut self) {
         let number = 1 + self.rng.u64(..WORKERS + 2);
         let since = self.now - 0.5;
@@ -284,7 +283,7 @@
         self.plan(pause, Planned::FleetChange);
     }
 
-    /// Verdicts of watchers, grants for cold workers and messages of peers.
+    /// Verdicts of health checkers, grants for workers in slow start and messages of peers.
     fn word_of_others(&mut self) {
         let number = 1 + self.rng.u64(..WORKERS + 2);
         let worker = WorkerId(number);
@@ -302,7 +301,7 @@
         self.plan(pause, Planned::WordOfOthers);
     }
 
-    /// Other settings: the shares are swapped and one more class and tenant appear.
+    /// Changes the settings: other shares, one more class and one more tenant.
     fn reload(&mut self) {
         if let Some(tenant) = self.cfg.tenants.first_mut() {
             tenant.share *= 3.0;
@@ -358,7 +357,7 @@
         }
     }
 
-    /// An attempt arrives at a worker, which takes it, queues it, turns it away, fails or hangs.
+    /// Sends an attempt to a worker, which runs, queues or rejects it, fails or hangs.
     fn attempt(&mut self, id: u64, number: u64) {
         let now = self.now;
         let open = self.requests.get_mut(&id).expect("a known request");
@@ -445,7 +444,7 @@
     insta::assert_snapshot!("load_with_answers", digests(&settings(), PLAIN));
 }
 
-/// Hints, keys, probes, an asked list, second copies, prices and workers that are kept for large jobs.
+/// Hints, keys, probes, a polled list, hedged requests, prices and workers that are reserved for large jobs.
 #[test]
 fn everything_that_settings_allow() {
     let classes = settings().classes;
@@ -486,7 +485,7 @@
     insta::assert_snapshot!("load_by_probes_alone", digests(&cfg, Traffic { keys: true, ..PLAIN }));
 }
 
-/// Hundreds of dispatchers, no load reports; a class with a kind of machine of its own; nothing may be called off.
+/// Many dispatchers, no load reports, a class with a required kind of machine, no cancellation.
 #[test]
 fn many_dispatchers_without_load_reports() {
     let classes = vec![
--- a/crates/dispatch-core/tests/failures.rs
+++ b/crates/dispatch-core/tests/failures.rs
@@ -1,11 +1,11 @@
-//! Failures met on the bench, each brought down to a few events.
+//! Failures that were seen on the bench, each reduced to a few events.
 
 mod common;
 
 use common::*;
 use dispatch_core::api::*;
 
-/// A dispatcher that may probe its twelve workers at this price.
+/// Returns a dispatcher that may probe its twelve workers at this price.
 fn probing(probe_price: f64) -> Driver {
     let mut driver = Driver::new(Settings { probes_allowed: true, probe_price, ..settings() }, 7, &fleet(12));
     driver.advance(1.0);
@@ -17,8 +17,8 @@
     actions.iter().filter_map(worker).collect()
 }
 
-/// With hundreds of dispatchers each sees a worker once in a minute: what it knows is old, and it sent jobs to
-/// busy workers while others were free (customer 1 at full size, under random choice).
+/// With hundreds of dispatchers each sees a worker once in a minute: its load reports are old, and it sent jobs to
+/// busy workers while others were free (customer 1 at full size, worse than random choice).
 #[test]
 fn probes_before_it_sends_by_old_load_reports() {
     let mut driver = probing(0.002);
@@ -29,8 +29,8 @@
     assert_eq!(driver.requests[&1].sends[0].worker, asked[0], "the first that says it is free gets the job");
 }
 
-/// Workers that are busy do not answer a probe that waits its turn, and a zone may be full: those of the other
-/// zones are probed while there is time (customer 1: jobs sent without a probe were late in a quarter of cases).
+/// Busy workers do not answer a probe before its turn, and a zone may be full: workers of the other zones are probed
+/// while there is time (customer 1: jobs sent without a probe were late in a quarter of cases).
 #[test]
 fn probes_other_zones_when_no_worker_of_its_own_is_free() {
     let mut driver = probing(0.002);
@@ -42,7 +42,7 @@
     assert_eq!(driver.requests[&1].sends[0].worker, far[0]);
 }
 
-/// Probes have a price: where one costs a tenth of the service no worker is probed.
+/// Probes have a price: if one costs a tenth of the service no worker is probed.
 #[test]
 fn sends_no_probes_that_cost_too_much() {
     let mut driver = probing(0.1);
@@ -51,7 +51,7 @@
     assert_eq!(driver.requests[&1].sends.len(), 1, "the job goes by what is known");
 }
 
-/// A dispatcher that carries ten times an equal part of the traffic was held to that part for seconds.
+/// A dispatcher that carries ten times its equal share of the traffic was limited to that share for seconds.
 #[test]
 fn a_busy_dispatcher_is_not_limited_to_an_equal_share() {
     let tenants = vec![Tenant { share: 1.0, quota: 400.0 }];
@@ -68,8 +68,9 @@
     assert_eq!(refused, 0, "20 a second against an equal part of 2, after two seconds");
 }
 
-/// After a deploy or a lost zone most workers are in slow start. Each may be used by one dispatcher at a time, so a sample
-/// of all hardly met those whose turn was ours: they stood idle while jobs queued at the rest (i056972).
+/// After a deploy or the loss of a zone most workers are in slow start. Each may be used by one dispatcher at a time,
+/// so a sample of all workers hardly contained those with a share of ours: they were idle while jobs queued at the rest
+/// (i056972).
 #[test]
 fn uses_workers_in_slow_start_in_its_own_time_slices() {
     let instances = 20;
@@ -89,8 +90,8 @@
     assert!(4 * cold > sends.count(), "{cold} of the pushes went to cold workers, while warm ones queue");
 }
 
-/// Where loads are reported and no worker is expected to be free, a job that was rejected twice was sent on up to six
-/// times; two thirds of all attempts were full answers (noord in overload, i546cc8).
+/// Where loads are reported and no worker is expected to be free, a job that was rejected twice was retried up to six
+/// times; two thirds of all attempts were rejected as overloaded (noord in overload, i546cc8).
 #[test]
 fn rejects_a_job_after_two_overloaded_workers_when_none_is_free() {
     let mut driver = Driver::new(settings(), 7, &fleet(8));
@@ -107,8 +108,8 @@
     assert_eq!((last.sends.len(), last.answers), (2, 1), "every worker has just said that it is full");
 }
 
-/// R stood at what was promised while nearly every send was rejected: the queues stayed full, and service did not come
-/// back after the trouble had gone (i056972, i546cc8).
+/// The rate stayed at the quotas while nearly every send was rejected: the queues stayed full, and service did not
+/// recover after the fault was over (i056972, i546cc8).
 #[test]
 fn cuts_the_rate_below_the_quota_when_nearly_all_is_rejected() {
     let mut driver = Driver::new(settings(), 7, &fleet(8));
@@ -128,8 +129,8 @@
     assert!(pushed[0] > 60 && pushed[7] < 30, "80 a second are promised: {pushed:?}");
 }
 
-/// Where loads come by probe alone, a report is older than a running time; what a job waited for its start is
-/// fresher. One worker's reports of starts show that it is busy: the next jobs go elsewhere (customer 2).
+/// Where load reports come with probes only, they are older than a running time; the wait of a job for its start is
+/// newer. One worker's reports of starts show that it is busy: the next jobs go elsewhere (customer 2).
 #[test]
 fn a_late_start_marks_a_worker_as_busy() {
     let cfg = Settings { load_reports: LoadReports::WithProbes, ..settings() };
@@ -151,8 +152,8 @@
     assert!(busy <= 5, "{busy} of 16 jobs went to the worker of the own zone that starts them late");
 }
 
-/// Where starts are not reported, the first progress report of a long job came seconds after its start and was taken for
-/// it: the worker looked busy, the run short (noord 0.73 to 0.68 once such notes were read).
+/// Where starts are not reported, the first progress report of a long job came seconds after its start and was taken
+/// for the start: the worker seemed busy, the run short (noord fell from 0.73 to 0.68 once progress reports were read).
 #[test]
 fn a_progress_report_is_no_start() {
     let cfg = Settings { load_reports: LoadReports::WithProbes, reports_job_start: false, ..settings() };
@@ -172,8 +173,8 @@
     }
 }
 
-/// Two hundred dispatchers with the same stale reports chose alike when each took the best of six: the workers that all
-/// thought empty were overrun (customer 2 at full size, under random choice).
+/// Two hundred dispatchers with the same stale reports chose alike when each took the best of six: the workers that
+/// seemed empty to all were overloaded (customer 2 at full size, worse than random choice).
 #[test]
 fn many_dispatchers_do_not_all_choose_the_same_workers() {
     let mut pushes = std::collections::BTreeMap::new();
@@ -181,7 +182,7 @@
         let cfg = Settings { instance, instances: 120, load_reports: LoadReports::WithProbes, ..settings() };
         let mut driver = Driver::new(cfg, u64::from(instance), &fleet(60));
         driver.advance(1.0);
-        // The reports that all have: most are full, six of the own zone are free.
+        // All dispatchers have the same reports: most workers are full, six of the own zone are free.
         for worker in 1..=60 {
             driver.probed(WorkerId(worker), 4.0);
             driver.probed(WorkerId(worker), if worker <= 12 { 4.0 } else { 1.0 });
@@ -195,8 +196,8 @@
     assert!(six < 72, "{six} of 120 jobs at once for six workers: {pushes:?}");
 }
 
-/// A worker took jobs and gave no sign of life for seconds (days with `hang`): each waited there until its client gave up,
-/// and more were sent. Now such a job is hedged elsewhere, and the worker is ejected until it responds.
+/// A worker took jobs and gave no sign of life for seconds (days with `hang`): each waited there until its client's
+/// timeout, and more were sent. Such a job is hedged elsewhere now, and the worker is ejected until it responds.
 #[test]
 fn ejects_a_stalled_worker_and_hedges_its_job() {
     let told =
@@ -207,7 +208,7 @@
     let quiet = driver.requests[&1].sends[0].worker;
     driver.advance(2.0);
     assert_eq!(driver.requests[&1].sends.len(), 2, "a copy is out");
-    // Jobs served one by one; how many of them by the stalled worker.
+    // Serves jobs one by one and counts those that the stalled worker got.
     let serve = |driver: &mut Driver, ids: std::ops::Range<u64>| {
         ids.filter(|&id| {
             driver.request(Request { timeout: 30.0, ..request(id) });
@@ -218,17 +219,17 @@
         .count()
     };
     assert_eq!(serve(&mut driver, 10..30), 0, "it gets no more while it says nothing");
-    // The copy is served: the attempt that hangs is called off.
+    // The hedged request is served: the stalled attempt is cancelled.
     let actions = driver.end_attempt(1, 1, Outcome::Ok);
     assert!(actions.contains(&Action::Cancel { request: RequestId(1), attempt: 0 }), "{actions:?}");
-    // It is tried again, and once it serves it gets its part.
+    // The worker is tried again, and once it serves it gets its share.
     driver.end_attempt(1, 0, Outcome::Cancelled);
     driver.advance(2.0);
     let served = serve(&mut driver, 40..80);
     assert!(served > 2, "{served} of 40");
 }
 
-/// Where jobs wait because all workers are busy, none is taken for one that hangs.
+/// Where jobs wait because all workers are busy, no worker counts as stalled.
 #[test]
 fn a_queue_is_not_taken_for_a_stall() {
     let told =
@@ -252,8 +253,8 @@
     );
 }
 
-/// Of a hundred dispatchers most see a request or two a second. At a sixty-fourth for each run, none of them ever
-/// learnt which kind of machine is quick, and with two looks at sixty workers none met one when it mattered.
+/// Of a hundred dispatchers most see a request or two a second. With a learning rate of 1/64 for each run none of them
+/// ever learnt which kind of machine is fast, and a sample of two of sixty workers hardly contained one.
 #[test]
 fn prefers_the_faster_kind_with_little_traffic() {
     let mut list = fleet(60);
@@ -278,7 +279,7 @@
 }
 
 /// A lost zone of 20 workers cost each dispatcher two failures for every one of them, 250 ms each; with 100 dispatchers
-/// 200 connections a second ran into the void for six seconds, and jobs were given up after two or three of them.
+/// 200 connections a second timed out for six seconds, and jobs failed after two or three of them.
 #[test]
 fn detects_a_zone_outage_after_a_few_failures() {
     let cfg = Settings { instances: 100, load_reports: LoadReports::None, ..settings() };
@@ -306,8 +307,8 @@
     assert!(driver.requests.values().all(|record| record.sends.len() < 4), "no job runs out of attempts");
 }
 
-/// One kind in one zone is full, and the notes of that come only when its jobs start, seconds later. What has waited
-/// for long tells of it before: the next jobs go to the other kind and the other zone.
+/// One kind in one zone is full, and reports show that only when its jobs start, seconds later. Jobs that wait for
+/// long show it earlier: the next jobs go to the other kind and the other zone.
 #[test]
 fn waiting_jobs_mark_their_cohort_as_full() {
     let mut list = fleet(40);
@@ -322,7 +323,7 @@
         driver.request(request(id));
         let to = driver.requests[&id].sends.first().map(|send| send.worker.0);
         there += u32::from(id >= 24 && to.is_some_and(full));
-        // Nobody there starts within the time that is looked at.
+        // No job starts there within the time of the test.
         if to.is_some_and(|worker| !full(worker)) {
             driver.event(Event::JobStarted { request: RequestId(id), attempt: 0 });
             driver.advance(0.2);
@@ -333,8 +334,8 @@
     assert!(there <= 4, "{there} of 24 jobs went to the group of which no job has started for 20 s");
 }
 
-/// With 100 dispatchers by 60 workers two of three jobs paid a handshake: nobody went where a connection stood idle.
-/// The settings tell the price; what it buys is a worker that has just freed a slot, too.
+/// With 100 dispatchers and 60 workers two of three jobs paid for a handshake: idle connections were not preferred.
+/// The settings state the price; a worker with an idle connection has just freed a slot, too.
 #[test]
 fn prefers_idle_connections_by_the_handshake_price() {
     let reuse = |handshake_price: f64| {
@@ -368,9 +369,9 @@
     );
 }
 
-/// Where every worker is known to have a long queue, a job that cannot be in time and has no weight when late is rejected
-/// soon, and not sent to be late; a few go all the same, so that a wrong belief is found out. Where late is still worth
-/// something, all go.
+/// Where every worker has reported a long queue, a job that cannot be in time and has no weight when late is rejected
+/// soon, and not sent to be late; a few are sent all the same, so that wrong estimates are corrected. Where a late
+/// response still has weight, all are sent.
 #[test]
 fn rejects_at_once_what_cannot_meet_its_deadline() {
     for (late_worth, least, most) in [(0.0, 1, 15), (0.5, 40, 100)] {
@@ -402,7 +403,7 @@
 }
 
 /// Clients with different timeouts sent their first attempts; those with shorter ones than others were taken for
-/// old retries, and two in three of all jobs were declined on arrival. Where clients mark retries, the mark tells.
+/// old retries, and two in three of all jobs were rejected on arrival. Where clients mark retries, the mark decides.
 #[test]
 fn a_first_attempt_with_a_short_timeout_is_no_retry() {
     let declined = |marks_retry: bool, retry: bool| {
--- a/crates/dispatch-core/tests/odd.rs
+++ b/crates/dispatch-core/tests/odd.rs
@@ -1,11 +1,11 @@
-//! Bad input, and troubles that nobody has listed: the dispatcher stays defined and keeps the rules.
+//! Bad input and unusual faults: the dispatcher's behaviour stays defined and keeps the rules.
 
 mod common;
 
 use common::*;
 use dispatch_core::api::*;
 
-/// Sends requests at a steady pace and answers each attempt after a tenth of a second with the given outcome.
+/// Sends requests at a constant rate and ends each attempt after a tenth of a second with the given outcome.
 fn play(driver: &mut Driver, from: u64, count: u64, answer: impl Fn(WorkerId) -> Outcome) -> usize {
     for id in from..from + count {
         driver.request(request(id));
@@ -40,7 +40,7 @@
             ..settings()
         },
         Settings { tenants: vec![Tenant { share: f64::NAN, quota: f64::NAN }], ..settings() },
-        // Shorter than the least wait between two calls: bounds the wrong way round were a panic.
+        // Shorter than the least delay between two calls: reversed bounds caused a panic.
         Settings { polls_endpoint_list: true, max_poll_interval: 0.3, ..settings() },
         Settings {
             max_attempts: 0,
@@ -117,7 +117,7 @@
     assert!(play(&mut driver, 200, 40, |_| Outcome::Ok) > 20, "it serves on after a leap");
 }
 
-/// A report that is frozen at "all free" is believed less than the worker's own full answers.
+/// A report that is frozen at "all free" counts for less than the worker's own answers that it is overloaded.
 #[test]
 fn trusts_overloaded_answers_over_false_load_reports() {
     let mut driver = Driver::new(settings(), 1, &fleet(8));
@@ -130,7 +130,7 @@
     assert!(at_liar < 40, "{at_liar} of 100 jobs were pushed to the worker that says it is free and is full");
 }
 
-/// Errors that come fast make a worker look quick and empty: it is ejected, and tried again later.
+/// A worker that fails fast seems fast and empty: it is ejected, and tried again later.
 #[test]
 fn ejects_a_worker_on_fast_errors_and_readmits_it() {
     let mut driver = Driver::new(settings(), 1, &fleet(6));
@@ -143,7 +143,7 @@
     assert!(sends_to(&driver, 2) > sick + 10, "once it works it gets its part again");
 }
 
-/// Only some workers can be reached from here: the others are served as before.
+/// Only some workers can be reached: jobs go to these as before.
 #[test]
 fn avoids_unreachable_workers() {
     let mut driver = Driver::new(settings(), 1, &fleet(10));
@@ -154,7 +154,7 @@
     assert!(served > 180, "{served} of 200 served by the six in reach");
 }
 
-/// Everything looks bad: it is the network or we, and serving goes on as soon as anything works.
+/// All workers seem unhealthy: the fault is the network's or our own, and service resumes as soon as a worker responds.
 #[test]
 fn keeps_sending_when_all_workers_fail() {
     let mut driver = Driver::new(settings(), 1, &fleet(6));
@@ -164,7 +164,7 @@
     assert!(served > 60, "{served} of 100 served at once when the network is back");
 }
 
-/// An old list comes late: a restart that it does not know is not undone, and the newer list follows.
+/// An old list arrives late: it does not undo a restart that is newer, and a newer list follows.
 #[test]
 fn keeps_the_rules_on_an_outdated_endpoint_list() {
     let mut driver = Driver::new(settings(), 1, &fleet(6));
@@ -182,7 +182,7 @@
     assert!(sends.clone().all(|send| ok(&send.worker)) && sends.count() > 20);
 }
 
-/// How many workers of the own zone get work from this request on.
+/// Returns the number of workers of the own zone that get jobs from this request on.
 fn near_in_use(driver: &Driver, from: u64) -> usize {
     let used = |worker: &u64| {
         driver
@@ -193,8 +193,8 @@
     (2..=6).step_by(2).filter(used).count()
 }
 
-/// Requests that no worker can use, from clients that send them again as soon as they are rejected: they are
-/// the clients' fault, and no worker is left out for them (each excluded_since four, and took four from its tenant's bank).
+/// Invalid requests, from clients that retry them as soon as they are rejected: they are the clients' fault, and no
+/// worker is ejected for them (each ejected four, and took the tokens of four from its tenant's bank).
 #[test]
 fn invalid_requests_eject_no_worker() {
     let mut driver = Driver::new(settings(), 1, &fleet(6));
@@ -213,7 +213,7 @@
     assert_eq!(near_in_use(&driver, 1000), 3, "all are used at once");
 }
 
-/// A request on which one worker after another breaks is at fault itself: only the first counts it.
+/// A request that fails at one worker after another is at fault itself: only the first failure counts.
 #[test]
 fn one_failing_request_ejects_no_second_worker() {
     let mut driver = Driver::new(settings(), 1, &fleet(6));
--- a/crates/dispatch-core/tests/poll_schedule.rs
+++ b/crates/dispatch-core/tests/poll_schedule.rs
@@ -10,8 +10,8 @@
     Settings { instances, polls_endpoint_list: ask_for_list, max_poll_interval: 10.0, ..Settings::default() }
 }
 
-/// Whatever a call cost and however many failed before: from the moment on which there is no watch, the
-/// next call begins so early that its answer, which may take 2 s, is there in time.
+/// Whatever the duration of a call and the number of failures before: after the end of a watch the next call begins so
+/// early that its answer, which may take 2 s, arrives in time.
 #[test]
 fn polls_again_within_the_notification_time() {
     for instances in [1, 6, 30, 300] {
@@ -28,8 +28,7 @@
     }
 }
 
-/// What an agent has counts as notified at once, so the time that a worker may still get work after it drains is all
-/// there is.
+/// An agent's changes count as notified at once, so the grace of a worker that drains is all the time there is.
 #[test]
 fn polls_an_agent_again_within_a_fraction_of_the_grace() {
     for seed in 0..50 {
@@ -38,7 +37,7 @@
     }
 }
 
-/// Settings may tell no grace, or one without measure: there is a pause all the same, and an agent has a moment to answer.
+/// Settings may state no grace, or an unbounded one: there is a delay all the same, and an agent has time to answer.
 #[test]
 fn keeps_pauses_for_a_grace_of_nothing_or_for_ever() {
     for grace in [0, Micros::MAX] {
@@ -48,8 +47,8 @@
     }
 }
 
-/// How many of these dispatchers, whose watches ended at one moment, are answered within so long by a service as it was
-/// measured: it takes so much for a call, also for one that is rejected since it would wait for 2 s.
+/// Returns how many dispatchers, whose watches ended at one moment, are answered `within` a time by a service as it was
+/// measured: a call takes the time `call`, even if it is rejected since it would have to wait for 2 s.
 fn answered(
     instances: u32,
     call: Micros,
@@ -75,8 +74,8 @@
     instances as usize - herd.len()
 }
 
-/// A herd is spread, the larger the wider, and thins out; one that asks every 0.1 s keeps the service from answering
-/// anybody once its queue is full.
+/// Callers are spread, the more of them the wider, until all are answered; with a fixed delay of 0.1 s the service
+/// answers no more callers once its queue is full.
 #[test]
 fn a_herd_thins_out_until_all_are_answered() {
     for (instances, call) in [(6, 227_000), (6, 333_000), (32, 60_000), (300, 12_000)] {
--- a/crates/dispatch-core/tests/rules.rs
+++ b/crates/dispatch-core/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The four rules, over random streams of events and case by case.
+//! The four rules, on random streams of events and case by case.
 
 mod common;
 
@@ -29,8 +29,8 @@
     }
 }
 
-/// Plays a random stream of requests, outcomes, notes, list changes and odd events; the driver checks every
-/// action. The stream is not a model of a fleet: outcomes fall as the generator likes.
+/// Plays a random stream of requests, outcomes, reports, list changes and unexpected events; the driver checks every
+/// action. The stream is no model of a fleet: outcomes are random.
 fn stream(seed: u64, cfg: Settings) -> Vec<Action> {
     let mut rng = Rng::with_seed(seed);
     let workers = fleet(9);
@@ -110,7 +110,7 @@
     }
 }
 
-/// For each class, what an outcome of the first attempt may lead to.
+/// The outcome of the first attempt and the class decide whether there is a retry.
 #[test]
 fn retries_and_rejections_follow_the_class() {
     for (class, outcome, again) in [
@@ -146,8 +146,8 @@
     }
 }
 
-/// Keyed repeats stay within the group that drops them and within its window; where none of it is left, an answer is
-/// given in place of a send.
+/// Retries with an idempotency key stay within the key scope and the key window; where neither allows one, the request
+/// is answered instead.
 #[test]
 fn retries_with_a_key_stay_in_their_scope_and_window() {
     for (group, wait, again) in [
@@ -203,8 +203,8 @@
     assert!(sends.clone().count() > 10 && sends.clone().all(|send| send.worker == WorkerId(4)));
 }
 
-/// Rule 4 is a budget for all dispatchers together: with one worker, just started, and hundreds of them, what
-/// they send within any span must stay under multiple x present capacity x span.
+/// Rule 4 is a budget for all dispatchers together: the work that hundreds of them send to one worker that has just
+/// started must stay under multiple x present capacity x span, within any span.
 #[test]
 fn all_dispatchers_together_keep_the_slow_start_budget() {
     for instances in [1_u32, 3, 40, 230] {
@@ -227,7 +227,7 @@
         }
         let sends = all.iter().flat_map(|driver| driver.requests.values()).flat_map(|record| &record.sends);
         let sent: Vec<f64> = sends.map(|send| send.sent_at).collect();
-        // A worker of one slot's size would be overloaded by this much; the module plans by the largest job.
+        // The budget of a worker of one slot; the module plans by the largest job.
         let (share, warm, span, multiple) = (0.2, 20.0, 2.0, 3.0);
         for &from in &sent {
             let in_span = sent.iter().filter(|sent_at| **sent_at >= from && **sent_at < from + span);
@@ -239,7 +239,7 @@
     }
 }
 
-/// When a process sent work to the one worker there is, which started at 100.0; it gets a request every 10 ms.
+/// Returns the times at which a process sent jobs to the only worker; it gets a request every 10 ms.
 fn sends_of_process(process: &mut Driver, until: f64, first_id: u64) -> Vec<f64> {
     let mut id = first_id;
     while process.now < until - 0.005 {
@@ -250,9 +250,9 @@
     process.requests.values().flat_map(|record| &record.sends).map(|send| send.sent_at).collect()
 }
 
-/// What happened: a process began its part of the present slice of the slow-start budget anew, though the process before it
-/// may have spent it. One that crashes again and again sent its part each time, and a worker that had just started got
-/// several times what it can take.
+/// A process used its share of the present slice of the slow-start budget, though the process before it may have spent
+/// it. One that crashed again and again sent its share each time, and a worker that had just started got several times
+/// its capacity.
 #[test]
 fn processes_that_restart_within_a_slice_keep_the_slow_start_budget() {
     let worker = Endpoint { started_at: 100.0, ..endpoint(1, WorkerState::Serving) };
@@ -273,7 +273,7 @@
     }
 }
 
-/// The part of a slice is taken up by the next process in the slice after its start, and by none for good.
+/// A process uses its share of the slow-start budget from the slice after its start on.
 #[test]
 fn a_process_takes_its_part_of_the_slow_start_budget_up_in_the_slice_after_its_start() {
     let worker = Endpoint { started_at: 100.0, ..endpoint(1, WorkerState::Serving) };
@@ -283,7 +283,7 @@
     assert!(sent.iter().any(|at| *at < 108.0), "{sent:?}");
 }
 
-/// Slices are counted by the length that the settings name: a longer one must not make the count wait for the old one.
+/// Slices are numbered by the length in the settings: with a longer one the share must not wait for the old number.
 #[test]
 fn a_process_keeps_its_part_of_the_slow_start_budget_when_the_settings_name_longer_slices() {
     let worker = Endpoint { started_at: 100.0, ..endpoint(1, WorkerState::Serving) };
@@ -293,7 +293,7 @@
     assert!(!sends_of_process(&mut process, 110.0, 0).is_empty());
 }
 
-/// A process that is told to end gives its part up at once: its successor may be there already.
+/// A process that shuts down gives up its share at once: its successor may serve already.
 #[test]
 fn a_process_that_drains_gives_its_part_of_the_slow_start_budget_up() {
     let worker = Endpoint { started_at: 100.0, ..endpoint(1, WorkerState::Serving) };
@@ -306,8 +306,8 @@
 }
 
 /// Six in ten of 60 workers have just started, and 100 dispatchers carry the traffic, one of them a third of it: the
-/// ones in slow start get some of it, and the sum stays within the budget. Some dispatchers restart on the way, and some hear of
-/// the workers late.
+/// workers in slow start get some of it, and the sum stays within the budget. Some dispatchers restart meanwhile, and
+/// some receive the list late.
 #[test]
 fn a_large_fleet_warms_up_within_the_slow_start_budget() {
     for seed in 0..3 {
@@ -336,7 +336,7 @@
                     .for_each(|driver| drop(driver.send_list(ListScope::Full, &list)));
             }
             for driver in all[60..90].iter_mut().filter(|_| step == 500) {
-                // What it has out counts on; the rest it forgets.
+                // Its open attempts still count; the new process knows nothing of them.
                 let open = driver.open_attempts.iter();
                 sent.extend(open.map(|open| driver.requests[&open.request].sends[open.number as usize]));
                 *driver = Driver::new(driver.cfg.clone(), seed + 77, &list);
@@ -371,8 +371,8 @@
     }
 }
 
-/// A job that waits for a free worker must not go to one that began to drain meanwhile, though the grace has not
-/// passed: the module uses none of it.
+/// A job that waits for a free worker must not go to one that began to drain meanwhile, though the grace is not over:
+/// the module uses none of it.
 #[test]
 fn sends_no_waiting_job_to_a_worker_that_began_to_drain() {
     let mut driver = Driver::new(settings(), 5, &[endpoint(1, WorkerState::Serving)]);
@@ -389,7 +389,7 @@
     assert!(waiting > 0 && sends == 0, "{waiting} waited, {sends} went there after the word");
 }
 
-/// What each rule's check is worth: it must catch a dispatcher that breaks the rule.
+/// Each rule's check must detect a dispatcher that breaks the rule.
 mod broken {
     use super::*;
 
--- a/crates/dispatch-core/tests/settings_keys.rs
+++ b/crates/dispatch-core/tests/settings_keys.rs
@@ -1,11 +1,11 @@
-//! Every key of the settings: an example, the value that is read from it, and how both forms of the same settings,
-//! path=value pairs and nested JSON, give the same.
+//! Every key of the settings with an example and the value that is read from it; path=value pairs and nested JSON give
+//! the same values.
 
 use dispatch_core::api::{Idempotency, KeyScope, LoadReport, LoadReports, Settings};
 use dispatch_core::settings::parse_settings;
 use dispatch_core::settings_pairs::SettingsPairs;
 
-/// A key, an example, and what is read from it, as text.
+/// A key, an example, and the value that is read from it, as text.
 struct Key {
     path: &'static str,
     example: &'static str,
@@ -13,7 +13,7 @@
     read: fn(&Settings) -> String,
 }
 
-/// What must stand beside a key for it to be read at all.
+/// Further pairs that are necessary for a key to be read.
 const CONTEXT: &str = "profiles.count=2 projects.count=2 caps.retry-after=true report.names=x0,x1,eps";
 
 fn first_repeat(settings: &Settings) -> String {
@@ -36,7 +36,7 @@
     .to_owned()
 }
 
-/// What a report of three figures is read as.
+/// Returns the load that is read from a report of three figures.
 fn report_of_three(settings: &Settings) -> String {
     let load = settings.load_report_format.parse_positional("3,40,0.5").expect("a report");
     let LoadReport { free_slots, free_memory, queue_length: queue, in_flight, latency, error_rate: errors } =
@@ -306,8 +306,8 @@
         ("resolution-s=nan", "resolution-s"),
         ("caps.probes=perhaps", "caps.probes"),
         ("profiles.count=1 profiles.0.window-s=-3", "profiles.0.window-s"),
-        // What happened: any unknown scope was read as the widest, so that a misspelt one let a keyed request be retried
-        // where its key is not known, which runs it twice.
+        // Any unknown scope was read as the widest, so that a misspelt one let a request with a key be retried at a
+        // worker without the key, which ran it twice.
         (
             "profiles.count=1 profiles.0.idempotency=guarded profiles.0.key-scope=zones",
             "profiles.0.key-scope",
--- a/crates/dispatch-core/tests/shared_numbers.rs
+++ b/crates/dispatch-core/tests/shared_numbers.rs
@@ -1,4 +1,4 @@
-//! Numbers on which dispatchers of several versions must agree without a word, and pauses that follow from a seed.
+//! Hashes that must be the same in dispatchers of all versions, and delays that follow from a seed.
 
 use std::fmt::Write as _;
 
--- a/crates/dispatch-core/tests/throttle.rs
+++ b/crates/dispatch-core/tests/throttle.rs
@@ -1,4 +1,4 @@
-//! The token bank with job buffer, through the dispatcher, against the paper's recursion.
+//! The token bank with job buffer: the dispatcher's admission compared with the paper's recursion.
 
 mod common;
 
@@ -6,7 +6,8 @@
 use dispatch_core::api::*;
 use fastrand::Rng;
 
-/// One tenant whose R stays at 1.5 times its quota, as no attempt ends; no job waits for a free worker, as no load is reported.
+/// Returns settings with one tenant whose rate stays at 1.5 times its quota, since no attempt ends; no job waits for a
+/// free worker, since no load is reported.
 fn plain(quota: f64) -> Settings {
     let classes = vec![Class {
         idempotency: Idempotency::Idempotent,
@@ -34,7 +35,7 @@
         let quota = 10.0 + rng.f64() * 70.0;
         let rate = 1.5 * quota;
         let mut driver = Driver::new(plain(quota), seed, &fleet(1));
-        // The largest job first: the capacities are set by it, and it is refused while the banks are empty.
+        // The largest job comes first: the capacities follow from it, and it is rejected while the banks are empty.
         driver.request(Request { slots: 4.0, timeout: 50.0, ..request(0) });
         let (bank, buffer) = ((rate as i64).max(8), ((rate * 0.5) as i64).max(4));
         let mut u = buffer;
@@ -42,7 +43,7 @@
             u -= 4;
         }
         for id in 1..400 {
-            // Jobs come a whole number of tokens apart, in bursts and lulls.
+            // Jobs arrive a whole number of tokens apart, in bursts and lulls.
             let tokens = if rng.u32(..30) == 0 { rng.i64(0..80) } else { rng.i64(0..4) };
             driver.advance(tokens as f64 / rate);
             u = (u + tokens).min(bank + buffer);
@@ -66,7 +67,7 @@
     assert!(refused > 400 && held > 400, "the streams press the throttle: {refused} refused, {held} held");
 }
 
-/// Held jobs leave first come, first served, each when its own tokens have come and no sooner.
+/// Queued jobs leave first come, first served, each when its own tokens have accrued and no sooner.
 #[test]
 fn tokens_pay_the_head_slot_by_slot() {
     let mut driver = Driver::new(plain(20.0), 3, &fleet(1));
@@ -94,7 +95,7 @@
     assert!((280..=320).contains(&pushed), "{pushed} pushed in five seconds");
 }
 
-/// A refusal carries the deficit over the tenant's rate, within what clients honour.
+/// A rejection carries the missing tokens divided by the tenant's rate, as far as clients honour it.
 #[test]
 fn a_rejection_carries_a_retry_after() {
     let mut driver = Driver::new(Settings { max_retry_after: 2.0, ..plain(20.0) }, 3, &fleet(1));
--- a/crates/dispatch-core/tests/unit/capacity_reservation.rs
+++ b/crates/dispatch-core/tests/unit/capacity_reservation.rs
@@ -26,7 +26,7 @@
     assert_eq!(few.reserved.iter().filter(|is_reserved| **is_reserved).count(), 1);
 }
 
-/// Nor does a little difference in what each has seen of the traffic matter much.
+/// Dispatchers that have seen slightly different traffic differ in few workers.
 #[test]
 fn dispatchers_agree_up_to_the_edge() {
     let (mut one, mut other) = (with_share(ON, 2, 5), with_share(ON, 3, 7));
--- a/crates/dispatch-core/tests/unit/load.rs
+++ b/crates/dispatch-core/tests/unit/load.rs
@@ -2,7 +2,7 @@
 use crate::api::{Endpoint, Settings, WorkerId};
 use crate::fleet::MachineKind;
 
-/// A report tells of a queue by what the worker holds beyond its slots, and only while it has no room.
+/// A report shows a queue by the requests in flight beyond the slots, and only while no slot is free.
 #[test]
 fn requests_beyond_the_slots_of_a_worker_count_as_queued() {
     let mut fleet = Fleet::new(&Settings::default());
@@ -30,8 +30,8 @@
     assert_eq!(fleet.apply_load_report(0, &LoadReport::default(), 1.0, time), None);
 }
 
-/// Found by experiments/wrong-clocks.hcl: a clock that is an hour ahead made every worker in slow start look warm, and
-/// one that is behind would make every warm one look cold.
+/// Seen in experiments/wrong-clocks.hcl: a clock that was an hour ahead made every worker in slow start seem warm, and
+/// one that is behind would make every warm worker seem to be in slow start.
 #[test]
 fn slow_start_does_not_rest_on_the_clocks_of_others() {
     let mut fleet = Fleet::default();
@@ -48,17 +48,17 @@
     let warmth = |fleet: &Fleet, worker: usize, now| {
         (fleet.warm_capacity(&fleet.workers[worker], now) * 1e6).round() / 1e6
     };
-    // What was there before is as old as the list says, but did not start in the future.
+    // Workers of the first list are as old as it states, but did not start in the future.
     fleet.upsert(&endpoint(1, 9_990.0), 10_000.0);
     fleet.upsert(&endpoint(2, 13_600.0), 10_000.0);
     fleet.rebuild_indexes(0, Some(10_000.0));
     assert_eq!((warmth(&fleet, 0, 10_000.0), warmth(&fleet, 1, 10_000.0)), (0.6, 0.2));
     assert_eq!(warmth(&fleet, 1, 10_020.0), 1.0, "not an hour later");
-    // One that comes later, or again, started after discovery was heard last, or shortly before.
+    // A worker that is listed later, or restarts, started after the last list from discovery, or shortly before.
     fleet.upsert(&endpoint(3, 6_400.0), 10_010.0);
     fleet.upsert(&endpoint(2, 13_601.0), 10_010.0);
     assert_eq!((warmth(&fleet, 2, 10_010.0), warmth(&fleet, 1, 10_010.0)), (0.8, 0.2));
-    // Named again it is the same start.
+    // A worker that is listed again has not restarted.
     fleet.rebuild_indexes(0, Some(10_010.0));
     fleet.upsert(&endpoint(3, 6_400.0), 10_014.0);
     assert_eq!(warmth(&fleet, 2, 10_015.0), 1.0);
--- a/crates/dispatch-core/tests/unit/outlier_detection.rs
+++ b/crates/dispatch-core/tests/unit/outlier_detection.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// An ejection is twice as long each time, and over once the worker succeeds; while it is tried, others wait.
+/// An ejection is twice as long each time and ends once the worker succeeds; while one job tries it, it gets no others.
 #[test]
 fn two_failures_eject_a_worker_until_it_succeeds() {
     let mut worker = OutlierDetector::default();
@@ -14,7 +14,7 @@
     assert!(worker.record_liveness(12.1) && !worker.is_unhealthy() && !worker.record_liveness(12.2));
 }
 
-/// The verdict of a health checker counts until it lapses, is taken back, or the worker is seen alive here since.
+/// The verdict of a health checker counts until it expires, is withdrawn, or the worker gives a later sign of life.
 #[test]
 fn a_verdict_counts_for_less_than_what_was_seen_here_since() {
     let mut worker = OutlierDetector::default();
--- a/crates/dispatch-core/tests/unit/queueing.rs
+++ b/crates/dispatch-core/tests/unit/queueing.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Word that is old says less: where workers that seem just full keep jobs waiting for half a running time, that is
-/// what is thought of them afterwards, and of no others.
+/// Old reports mean less: where jobs wait for half a running time at workers that seem just full, that wait is expected
+/// at such workers afterwards, and at no others.
 #[test]
 fn waits_are_learnt_by_utilization() {
     let mut curve = QueueingCurve::default();
--- a/crates/dispatch-core/tests/unit/run_time.rs
+++ b/crates/dispatch-core/tests/unit/run_time.rs
@@ -18,7 +18,8 @@
         World { slowdowns, class, kind, worker: Slowdown::default(), now: 0.0, rng }
     }
 
-    /// Takes jobs of a tenth to ten times of 0.2 s; `hint` makes a hint of the work, and runs are so many times it.
+    /// Runs jobs with work of a tenth to ten times 0.2 s; `hint` returns the hint for a work, and running times are the
+    /// work `times` a factor.
     fn run(
         &mut self,
         jobs: u32,
@@ -39,7 +40,7 @@
         (self.slowdowns.fleet.log + self.kind.log + self.worker.log).exp()
     }
 
-    /// How long a job of this hint is thought to run.
+    /// Returns the expected running time of a job with this hint.
     fn estimate(&self, hint: Seconds) -> Seconds {
         self.class.log_work(Some(hint)).exp() * self.slowdown()
     }
@@ -91,7 +92,7 @@
     }
 }
 
-/// A worker that became six times slower is found out after a few hinted jobs, and after more of unknown size.
+/// A worker that became six times slower is detected after a few jobs with hints, and after more without.
 #[test]
 fn a_slow_worker_is_learnt_sooner_with_good_hints() {
     let after = |hinted: bool, jobs: u32| {
