--- a/crates/dispatch-core/tests/decisions.rs
+++ b/crates/dispatch-core/tests/decisions.rs
@@ -5,6 +5,7 @@
 
 mod common;
 
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::fmt::Write as _;
 
@@ -30,14 +31,21 @@
     largest_slots: u64,
 }
 
+/// An attempt at a request, by its number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptId {
+    request: u64,
+    number: u32,
+}
+
 /// An event that the model has scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Planned {
     Arrival,
     Timer(u64),
-    Started(u64, u32),
-    Progress(u64, u32),
-    Ended(u64, u32, u8),
+    Started(AttemptId),
+    Progress(AttemptId),
+    Ended { attempt: AttemptId, outcome_code: u8 },
     ClientGone(u64),
     Probed(u64),
     FleetChange,
@@ -46,6 +54,14 @@
     Reload,
 }
 
+/// A scheduled event with its time in microseconds; events of one time happen in the order of scheduling.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Scheduled {
+    at: u64,
+    sequence: u64,
+    planned: Planned,
+}
+
 const OUTCOMES: [Outcome; 10] = [
     Outcome::Ok,
     Outcome::Error,
@@ -74,8 +90,13 @@
     request: Request,
     deadline: f64,
     answered: bool,
-    /// For each attempt: its worker, and whether it is still running.
-    attempts: Vec<(u64, bool)>,
+    attempts: Vec<ModelAttempt>,
+}
+
+#[derive(Clone, Copy)]
+struct ModelAttempt {
+    worker: u64,
+    is_running: bool,
 }
 
 struct Model {
@@ -84,7 +105,7 @@
     traffic: Traffic,
     rng: Rng,
     now: f64,
-    planned: BinaryHeap<std::cmp::Reverse<(u64, u64, Planned)>>,
+    planned: BinaryHeap<Reverse<Scheduled>>,
     sequence: u64,
     workers: BTreeMap<u64, ModelWorker>,
     requests: BTreeMap<u64, OpenRequest>,
@@ -126,20 +147,24 @@
         model
     }
 
-    fn plan(&mut self, after: f64, what: Planned) {
+    fn plan(&mut self, after: f64, planned: Planned) {
         self.sequence += 1;
         let at = micros(self.now + after.max(0.0)) as u64;
-        self.planned.push(std::cmp::Reverse((at, self.sequence, what)));
+        self.planned.push(Reverse(Scheduled { at, sequence: self.sequence, planned }));
+    }
+
+    fn plan_end(&mut self, after: f64, attempt: AttemptId, outcome: Outcome) {
+        self.plan(after, Planned::Ended { attempt, outcome_code: outcome_code(outcome) });
     }
 
     /// Plays the stream to its end.
     fn play(mut self) -> String {
-        while let Some(std::cmp::Reverse((at, _, what))) = self.planned.pop() {
-            self.now = self.now.max(at as f64 / 1e6);
+        while let Some(Reverse(next)) = self.planned.pop() {
+            self.now = self.now.max(next.at as f64 / 1e6);
             if self.now > START + DURATION {
                 break;
             }
-            self.happen(what);
+            self.happen(next.planned);
         }
         let mut text = String::new();
         for (kind, count) in &self.counts {
@@ -148,28 +173,15 @@
         text + &format!("digest {:016x}", self.digest)
     }
 
-    fn happen(&mut self, what: Planned) {
-        match what {
+    fn happen(&mut self, planned: Planned) {
+        match planned {
             Planned::Arrival => self.arrival(),
             Planned::Timer(token) => self.event(Event::Timer(token)),
-            Planned::Started(id, attempt) => {
-                if self.is_running(id, attempt) {
-                    let request = RequestId(id);
-                    let started = if self.rng.u32(..40) == 0 {
-                        Event::StreamStarted { request, attempt }
-                    } else {
-                        Event::JobStarted { request, attempt }
-                    };
-                    self.event(started);
-                }
+            Planned::Started(attempt) => self.start(attempt),
+            Planned::Progress(attempt) => self.progress(attempt),
+            Planned::Ended { attempt, outcome_code } => {
+                self.end_attempt(attempt, OUTCOMES[outcome_code as usize]);
             }
-            Planned::Progress(id, attempt) => {
-                if self.is_running(id, attempt) {
-                    self.event(Event::Progress { request: RequestId(id), attempt, done: 0.5 });
-                    self.plan(1.0, Planned::Progress(id, attempt));
-                }
-            }
-            Planned::Ended(id, attempt, code) => self.end_attempt(id, attempt, OUTCOMES[code as usize]),
             Planned::ClientGone(id) => {
                 if let Some(open) = self.requests.get_mut(&id).filter(|open| !open.answered) {
                     open.answered = true;
@@ -191,6 +203,28 @@
         }
     }
 
+    fn start(&mut self, attempt: AttemptId) {
+        if !self.is_running(attempt) {
+            return;
+        }
+        let request = RequestId(attempt.request);
+        let started = if self.rng.u32(..40) == 0 {
+            Event::StreamStarted { request, attempt: attempt.number }
+        } else {
+            Event::JobStarted { request, attempt: attempt.number }
+        };
+        self.event(started);
+    }
+
+    fn progress(&mut self, attempt: AttemptId) {
+        if !self.is_running(attempt) {
+            return;
+        }
+        let request = RequestId(attempt.request);
+        self.event(Event::Progress { request, attempt: attempt.number, done: 0.5 });
+        self.plan(1.0, Planned::Progress(attempt));
+    }
+
     fn arrival(&mut self) {
         let id = self.sequence;
         let run = STANDARD_RUN * [0.25, 0.5, 1.0, 1.0, 2.0, 4.0][self.rng.usize(..6)];
@@ -220,17 +254,19 @@
         self.plan(pause, Planned::Arrival);
     }
 
-    fn is_running(&self, id: u64, attempt: u32) -> bool {
-        self.requests.get(&id).is_some_and(|open| open.attempts[attempt as usize].1)
+    fn is_running(&self, attempt: AttemptId) -> bool {
+        let open = self.requests.get(&attempt.request);
+        open.is_some_and(|open| open.attempts[attempt.number as usize].is_running)
     }
 
-    fn end_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome) {
-        if !self.is_running(id, attempt) {
+    fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) {
+        if !self.is_running(id) {
             return;
         }
-        let open = self.requests.get_mut(&id).expect("a known request");
-        let worker = open.attempts[attempt as usize].0;
-        open.attempts[attempt as usize].1 = false;
+        let open = self.requests.get_mut(&id.request).expect("a known request");
+        let model_attempt = &mut open.attempts[id.number as usize];
+        let worker = model_attempt.worker;
+        model_attempt.is_running = false;
         let late = self.now >= open.deadline;
         let complete = outcome == Outcome::Ok || open.answered || late;
         open.answered |= complete;
@@ -240,8 +276,10 @@
         }
         let load = (self.cfg.load_reports == LoadReports::WithResponses && self.rng.u32(..8) > 0)
             .then(|| self.load_of(worker));
-        self.event(Event::AttemptEnded { request: RequestId(id), attempt, outcome, complete, load });
-        self.event(Event::AttemptEnded { request: RequestId(id), attempt, outcome, complete, load: None });
+        let request = RequestId(id.request);
+        let attempt = id.number;
+        self.event(Event::AttemptEnded { request, attempt, outcome, complete, load });
+        self.event(Event::AttemptEnded { request, attempt, outcome, complete, load: None });
     }
 
     /// Returns a report of a worker's load; now and then it leaves figures out.
@@ -268,8 +306,9 @@
             0 => worker.member.state = WorkerState::Draining,
             1 => worker.member.state = WorkerState::Removed,
             2 | 3 => {
-                (worker.member.state, worker.member.started_at, worker.busy) =
-                    (WorkerState::Serving, since, 0.0)
+                worker.member.state = WorkerState::Serving;
+                worker.member.started_at = since;
+                worker.busy = 0.0;
             }
             _ => worker.member.state = WorkerState::Serving,
         }
@@ -337,7 +376,8 @@
                     self.requests.get_mut(&request.0).expect("a known request").answered = true;
                 }
                 Action::Cancel { request, attempt } => {
-                    self.plan(0.001, Planned::Ended(request.0, attempt, outcome_code(Outcome::Cancelled)));
+                    let attempt = AttemptId { request: request.0, number: attempt };
+                    self.plan_end(0.001, attempt, Outcome::Cancelled);
                 }
                 Action::Probe(worker) => self.plan(ROUND_TRIP, Planned::Probed(worker.0)),
                 Action::SetTimer { after, token } => self.plan(after, Planned::Timer(token)),
@@ -361,9 +401,11 @@
     fn attempt(&mut self, id: u64, number: u64) {
         let now = self.now;
         let open = self.requests.get_mut(&id).expect("a known request");
-        let attempt = open.attempts.len() as u32;
-        open.attempts.push((number, true));
-        let (slots, expected, deadline) = (open.request.slots, open.request.expected_run_time, open.deadline);
+        let attempt = AttemptId { request: id, number: open.attempts.len() as u32 };
+        open.attempts.push(ModelAttempt { worker: number, is_running: true });
+        let slots = open.request.slots;
+        let expected = open.request.expected_run_time;
+        let deadline = open.deadline;
         let worker = self.workers.get_mut(&number).expect("a known worker");
         let full = worker.busy >= 2.0 * worker.slots;
         let queued = (worker.busy + slots - worker.slots).max(0.0) / worker.slots;
@@ -385,17 +427,17 @@
         } else {
             let start = ROUND_TRIP + queued * STANDARD_RUN * slow;
             if self.cfg.reports_job_start && now + start < deadline {
-                self.plan(start, Planned::Started(id, attempt));
+                self.plan(start, Planned::Started(attempt));
             }
             if self.cfg.progress_interval > 0.0 {
-                self.plan(start + 0.3, Planned::Progress(id, attempt));
+                self.plan(start + 0.3, Planned::Progress(attempt));
             }
             let odd = OUTCOMES[self.rng.usize(..OUTCOMES.len())];
             (if self.rng.u32(..25) == 0 { odd } else { Outcome::Ok }, start + run)
         };
         let left = deadline - now;
         let (outcome, after) = if after < left { (outcome, after) } else { (Outcome::Timeout, left) };
-        self.plan(after, Planned::Ended(id, attempt, outcome_code(outcome)));
+        self.plan_end(after, attempt, outcome);
     }
 }
 
