--- a/crates/dispatch-core/tests/decisions.rs
+++ b/crates/dispatch-core/tests/decisions.rs
@@ -50,7 +50,7 @@
     Probed(u64),
     FleetChange,
     WatchAnswered,
-    WordOfOthers,
+    PeerInput,
     Reload,
 }
 
@@ -81,7 +81,7 @@
 
 #[derive(Clone, Copy)]
 struct ModelWorker {
-    member: Endpoint,
+    endpoint: Endpoint,
     slots: f64,
     busy: f64,
 }
@@ -142,7 +142,7 @@
         model.send_list(ListScope::Cached, None);
         model.plan(0.0, Planned::Arrival);
         model.plan(1.0, Planned::FleetChange);
-        model.plan(0.5, Planned::WordOfOthers);
+        model.plan(0.5, Planned::PeerInput);
         model.plan(DURATION / 2.0, Planned::Reload);
         model
     }
@@ -198,7 +198,7 @@
                 0 => self.event(Event::EndpointList { scope: ListScope::Failed, endpoints: &[] }),
                 _ => self.send_list(ListScope::Full, None),
             },
-            Planned::WordOfOthers => self.word_of_others(),
+            Planned::PeerInput => self.peer_input(),
             Planned::Reload => self.reload(),
         }
     }
@@ -228,24 +228,24 @@
     fn arrival(&mut self) {
         let id = self.sequence;
         let run = STANDARD_RUN * [0.25, 0.5, 1.0, 1.0, 2.0, 4.0][self.rng.usize(..6)];
-        let patience = [0.3, 1.0, 2.0, 5.0][self.rng.usize(..4)];
+        let timeout = [0.3, 1.0, 2.0, 5.0][self.rng.usize(..4)];
         let request = Request {
             id: RequestId(id),
             class: self.rng.u32(..5),
             tenant: self.rng.u32(..3),
             slots: (1 + self.rng.u64(..self.traffic.largest_slots)) as f64,
             memory: f64::from(self.rng.u32(..3)),
-            timeout: patience,
+            timeout,
             is_retry: self.rng.u32(..8) == 0,
             expected_run_time: Some(run).filter(|_| self.traffic.hints),
             affinity_key: self.traffic.keys.then(|| self.rng.u64(..12)).filter(|key| *key < 8),
         };
         let open =
-            OpenRequest { request, deadline: self.now + patience, answered: false, attempts: Vec::new() };
+            OpenRequest { request, deadline: self.now + timeout, answered: false, attempts: Vec::new() };
         self.requests.insert(id, open);
         self.event(Event::Request(request));
         if self.rng.u32(..50) == 0 {
-            let after = 0.1 + patience * self.rng.f64() / 2.0;
+            let after = 0.1 + timeout * self.rng.f64() / 2.0;
             self.plan(after, Planned::ClientGone(id));
         }
         // Bursts: every tenth second carries four times the usual traffic.
@@ -303,14 +303,14 @@
         let since = self.now - 0.5;
         let worker = self.workers.entry(number).or_insert_with(|| model_worker(number, since));
         match self.rng.u32(..6) {
-            0 => worker.member.state = WorkerState::Draining,
-            1 => worker.member.state = WorkerState::Removed,
+            0 => worker.endpoint.state = WorkerState::Draining,
+            1 => worker.endpoint.state = WorkerState::Removed,
             2 | 3 => {
-                worker.member.state = WorkerState::Serving;
-                worker.member.started_at = since;
+                worker.endpoint.state = WorkerState::Serving;
+                worker.endpoint.started_at = since;
                 worker.busy = 0.0;
             }
-            _ => worker.member.state = WorkerState::Serving,
+            _ => worker.endpoint.state = WorkerState::Serving,
         }
         match self.rng.u32(..8) {
             0 => self.event(Event::EndpointList { scope: ListScope::Failed, endpoints: &[] }),
@@ -323,7 +323,7 @@
     }
 
     /// Verdicts of health checkers, grants for workers in slow start and messages of peers.
-    fn word_of_others(&mut self) {
+    fn peer_input(&mut self) {
         let number = 1 + self.rng.u64(..WORKERS + 2);
         let worker = WorkerId(number);
         match self.rng.u32(..4) {
@@ -337,7 +337,7 @@
             _ => self.event(Event::PeerMessage { from: 1, data: b"load" }),
         }
         let pause = 0.5 * self.rng.f64();
-        self.plan(pause, Planned::WordOfOthers);
+        self.plan(pause, Planned::PeerInput);
     }
 
     /// Changes the settings: other shares, one more class and one more tenant.
@@ -354,9 +354,10 @@
 
     fn send_list(&mut self, scope: ListScope, only: Option<u64>) {
         let named = |number: &u64| only.is_none_or(|only| only == *number);
-        let lines = self.workers.iter().filter(|(number, _)| named(number)).map(|(_, worker)| worker.member);
-        let members: Vec<Endpoint> = lines.collect();
-        self.event(Event::EndpointList { scope, endpoints: &members });
+        let lines =
+            self.workers.iter().filter(|(number, _)| named(number)).map(|(_, worker)| worker.endpoint);
+        let endpoints: Vec<Endpoint> = lines.collect();
+        self.event(Event::EndpointList { scope, endpoints: &endpoints });
     }
 
     fn event(&mut self, event: Event<'_>) {
@@ -411,10 +412,10 @@
         let queued = (worker.busy + slots - worker.slots).max(0.0) / worker.slots;
         worker.busy += slots;
         let second = (now - START) as u64;
-        let zone_lost = worker.member.zone == 1 && (20..26).contains(&second);
+        let zone_lost = worker.endpoint.zone == 1 && (20..26).contains(&second);
         let hangs = number == 7 && (10..18).contains(&second) || number == 14 && (40..44).contains(&second);
         let sick = number == 9 && second < 30;
-        let slow = if number == 4 { 6.0 } else { 1.0 + 2.0 * f64::from(worker.member.kind) };
+        let slow = if number == 4 { 6.0 } else { 1.0 + 2.0 * f64::from(worker.endpoint.kind) };
         let run = expected.unwrap_or(STANDARD_RUN) * slow * (0.8 + 0.4 * self.rng.f64());
         let (outcome, after) = if zone_lost {
             (Outcome::ConnectFailed, 0.25)
@@ -443,7 +444,7 @@
 
 fn model_worker(number: u64, since: f64) -> ModelWorker {
     let kind = u32::from(number % 4 == 1);
-    let member = Endpoint {
+    let endpoint = Endpoint {
         worker: WorkerId(number),
         kind,
         zone: (number % ZONES) as u32,
@@ -451,7 +452,7 @@
         started_at: since,
         state: WorkerState::Serving,
     };
-    ModelWorker { member, slots: if kind == 1 { 8.0 } else { 4.0 }, busy: 0.0 }
+    ModelWorker { endpoint, slots: if kind == 1 { 8.0 } else { 4.0 }, busy: 0.0 }
 }
 
 /// An action as a kind and its values; times by the microsecond.
