--- a/crates/cluster-member/src/effects/receiver.rs
+++ b/crates/cluster-member/src/effects/receiver.rs
@@ -1,4 +1,4 @@
-//! The receiver's side: connections of lease holders, and the check of each effect's token.
+//! Receiver of effects: accepts connections of lease holders and checks the fencing token of each effect.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,18 +11,18 @@
 
 use crate::clock;
 use crate::member::Member;
+use crate::record::RecordKind;
 use crate::wire::{
     validate_client_hello, ClientHello, ClientIdentity, Connection, ConnectionError, Effect, EffectResponse,
     HandshakeRejection, ServerHello,
 };
 
-/// The most connections of lease holders that a receiver has.
+/// Maximum number of connections of lease holders.
 const MAX_PUBLISHER_CONNECTIONS: usize = 256;
-/// The pause after a connection could not be accepted: descriptors have run out, most likely, and some may be closed
-/// meanwhile.
+/// Delay after a failed accept, most likely for want of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What is recorded of an effect.
+/// Record of an effect.
 #[derive(Serialize)]
 struct EffectRecord<'a> {
     #[serde(rename = "duty")]
@@ -33,8 +33,8 @@
     sequence: u64,
 }
 
-/// Serves connections of lease holders for as long as the listener lasts. `apply` gets what was accepted, in the order
-/// accepted, and gives what is sent back.
+/// Serves connections of lease holders. `apply` is called with each accepted effect, in the order of acceptance, and
+/// returns the payload of the response.
 pub async fn serve_effects(
     member: Member,
     listener: TcpListener,
@@ -47,17 +47,19 @@
             sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let (member, apply, connections) = (member.clone(), apply.clone(), connections.clone());
+        let member = member.clone();
+        let apply = apply.clone();
+        let connections = connections.clone();
         tokio::task::spawn_local(async move {
             let Ok(_permit) = connections.try_acquire() else { return };
             if let Err(error) = serve_publisher(&member, stream, &*apply).await {
-                tracing::debug!(%error, "a connection of a lease holder ended");
+                tracing::debug!(%error, "connection of lease holder ended");
             }
         });
     }
 }
 
-/// Serves one connection until it ends.
+/// Serves one connection until it is closed.
 async fn serve_publisher(
     member: &Member,
     stream: TcpStream,
@@ -80,7 +82,7 @@
     }
 }
 
-/// The name of the lease holder that connects.
+/// Validates the hello and returns the name of the lease holder.
 fn lease_holder_name(member: &Member, hello: ClientHello) -> Result<String, HandshakeRejection> {
     validate_client_hello(&hello, &member.config().installation)?;
     match hello.identity {
@@ -89,11 +91,11 @@
     }
 }
 
-/// Checks the token of an effect by the clock, and records the result.
+/// Checks the fencing token of an effect and records the result.
 fn check_token(member: &Member, effect: &Effect, holder: &str) -> Result<(), EffectRejection> {
     let now = clock::now();
     let checked = member.lease_client().borrow_mut().accept_effect(&effect.lease, effect.token, now);
-    let kind = if checked.is_ok() { "taken" } else { "refused" };
+    let kind = if checked.is_ok() { RecordKind::EffectAccepted } else { RecordKind::EffectRejected };
     let record = EffectRecord {
         lease: effect.lease.to_string(),
         from: holder,
--- a/crates/dispatch-core/tests/decisions.rs
+++ b/crates/dispatch-core/tests/decisions.rs
@@ -1,11 +1,11 @@
-//! Every action of a dispatcher over long pseudo-random event streams, as digests: code that decides anything
-//! differently has another digest.
+//! Digests of all actions of a dispatcher over long pseudo-random event streams: a different decision changes a digest.
 //!
-//! The streams come from a small model of a fleet that answers what the dispatcher does (queues, cold starts, outages,
-//! workers that hang, list changes, reloads). All of it follows from the seed; there is no clock.
+//! The streams come from a small model of a fleet that reacts to the dispatcher (queues, slow starts, outages, workers
+//! that hang, list changes, reloads). All of it follows from the seed; there is no clock.
 
 mod common;
 
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::fmt::Write as _;
 
@@ -22,7 +22,7 @@
 const STANDARD_RUN: f64 = 0.2;
 const ROUND_TRIP: f64 = 0.004;
 
-/// What the jobs of a stream carry beside their class.
+/// Traffic of a stream: its rate, and the optional properties of its requests.
 #[derive(Clone, Copy)]
 struct Traffic {
     requests_per_second: f64,
@@ -31,22 +31,37 @@
     largest_slots: u64,
 }
 
-/// Something that the model has planned, by the microsecond at which it happens and the order of planning.
+/// An attempt at a request, by its number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptId {
+    request: u64,
+    number: u32,
+}
+
+/// An event that the model has scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Planned {
     Arrival,
     Timer(u64),
-    Started(u64, u32),
-    Progress(u64, u32),
-    Ended(u64, u32, u8),
+    Started(AttemptId),
+    Progress(AttemptId),
+    Ended { attempt: AttemptId, outcome_code: u8 },
     ClientGone(u64),
     Probed(u64),
     FleetChange,
     WatchAnswered,
-    WordOfOthers,
+    PeerInput,
     Reload,
 }
 
+/// A scheduled event with its time in microseconds; events of one time happen in the order of scheduling.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Scheduled {
+    at: u64,
+    sequence: u64,
+    planned: Planned,
+}
+
 const OUTCOMES: [Outcome; 10] = [
     Outcome::Ok,
     Outcome::Error,
@@ -66,7 +81,7 @@
 
 #[derive(Clone, Copy)]
 struct ModelWorker {
-    member: Endpoint,
+    endpoint: Endpoint,
     slots: f64,
     busy: f64,
 }
@@ -75,8 +90,13 @@
     request: Request,
     deadline: f64,
     answered: bool,
-    /// For each attempt: its worker, and whether it is still running.
-    attempts: Vec<(u64, bool)>,
+    attempts: Vec<ModelAttempt>,
+}
+
+#[derive(Clone, Copy)]
+struct ModelAttempt {
+    worker: u64,
+    is_running: bool,
 }
 
 struct Model {
@@ -85,7 +105,7 @@
     traffic: Traffic,
     rng: Rng,
     now: f64,
-    planned: BinaryHeap<std::cmp::Reverse<(u64, u64, Planned)>>,
+    planned: BinaryHeap<Reverse<Scheduled>>,
     sequence: u64,
     workers: BTreeMap<u64, ModelWorker>,
     requests: BTreeMap<u64, OpenRequest>,
@@ -122,25 +142,29 @@
         model.send_list(ListScope::Cached, None);
         model.plan(0.0, Planned::Arrival);
         model.plan(1.0, Planned::FleetChange);
-        model.plan(0.5, Planned::WordOfOthers);
+        model.plan(0.5, Planned::PeerInput);
         model.plan(DURATION / 2.0, Planned::Reload);
         model
     }
 
-    fn plan(&mut self, after: f64, what: Planned) {
+    fn plan(&mut self, after: f64, planned: Planned) {
         self.sequence += 1;
         let at = micros(self.now + after.max(0.0)) as u64;
-        self.planned.push(std::cmp::Reverse((at, self.sequence, what)));
+        self.planned.push(Reverse(Scheduled { at, sequence: self.sequence, planned }));
+    }
+
+    fn plan_end(&mut self, after: f64, attempt: AttemptId, outcome: Outcome) {
+        self.plan(after, Planned::Ended { attempt, outcome_code: outcome_code(outcome) });
     }
 
     /// Plays the stream to its end.
     fn play(mut self) -> String {
-        while let Some(std::cmp::Reverse((at, _, what))) = self.planned.pop() {
-            self.now = self.now.max(at as f64 / 1e6);
+        while let Some(Reverse(next)) = self.planned.pop() {
+            self.now = self.now.max(next.at as f64 / 1e6);
             if self.now > START + DURATION {
                 break;
             }
-            self.happen(what);
+            self.happen(next.planned);
         }
         let mut text = String::new();
         for (kind, count) in &self.counts {
@@ -149,28 +173,15 @@
         text + &format!("digest {:016x}", self.digest)
     }
 
-    fn happen(&mut self, what: Planned) {
-        match what {
+    fn happen(&mut self, planned: Planned) {
+        match planned {
             Planned::Arrival => self.arrival(),
             Planned::Timer(token) => self.event(Event::Timer(token)),
-            Planned::Started(id, attempt) => {
-                if self.is_running(id, attempt) {
-                    let request = RequestId(id);
-                    let started = if self.rng.u32(..40) == 0 {
-                        Event::StreamStarted { request, attempt }
-                    } else {
-                        Event::JobStarted { request, attempt }
-                    };
-                    self.event(started);
-                }
+            Planned::Started(attempt) => self.start(attempt),
+            Planned::Progress(attempt) => self.progress(attempt),
+            Planned::Ended { attempt, outcome_code } => {
+                self.end_attempt(attempt, OUTCOMES[outcome_code as usize]);
             }
-            Planned::Progress(id, attempt) => {
-                if self.is_running(id, attempt) {
-                    self.event(Event::Progress { request: RequestId(id), attempt, done: 0.5 });
-                    self.plan(1.0, Planned::Progress(id, attempt));
-                }
-            }
-            Planned::Ended(id, attempt, code) => self.end_attempt(id, attempt, OUTCOMES[code as usize]),
             Planned::ClientGone(id) => {
                 if let Some(open) = self.requests.get_mut(&id).filter(|open| !open.answered) {
                     open.answered = true;
@@ -187,32 +198,54 @@
                 0 => self.event(Event::EndpointList { scope: ListScope::Failed, endpoints: &[] }),
                 _ => self.send_list(ListScope::Full, None),
             },
-            Planned::WordOfOthers => self.word_of_others(),
+            Planned::PeerInput => self.peer_input(),
             Planned::Reload => self.reload(),
         }
     }
 
+    fn start(&mut self, attempt: AttemptId) {
+        if !self.is_running(attempt) {
+            return;
+        }
+        let request = RequestId(attempt.request);
+        let started = if self.rng.u32(..40) == 0 {
+            Event::StreamStarted { request, attempt: attempt.number }
+        } else {
+            Event::JobStarted { request, attempt: attempt.number }
+        };
+        self.event(started);
+    }
+
+    fn progress(&mut self, attempt: AttemptId) {
+        if !self.is_running(attempt) {
+            return;
+        }
+        let request = RequestId(attempt.request);
+        self.event(Event::Progress { request, attempt: attempt.number, done: 0.5 });
+        self.plan(1.0, Planned::Progress(attempt));
+    }
+
     fn arrival(&mut self) {
         let id = self.sequence;
         let run = STANDARD_RUN * [0.25, 0.5, 1.0, 1.0, 2.0, 4.0][self.rng.usize(..6)];
-        let patience = [0.3, 1.0, 2.0, 5.0][self.rng.usize(..4)];
+        let timeout = [0.3, 1.0, 2.0, 5.0][self.rng.usize(..4)];
         let request = Request {
             id: RequestId(id),
             class: self.rng.u32(..5),
             tenant: self.rng.u32(..3),
             slots: (1 + self.rng.u64(..self.traffic.largest_slots)) as f64,
             memory: f64::from(self.rng.u32(..3)),
-            timeout: patience,
+            timeout,
             is_retry: self.rng.u32(..8) == 0,
             expected_run_time: Some(run).filter(|_| self.traffic.hints),
             affinity_key: self.traffic.keys.then(|| self.rng.u64(..12)).filter(|key| *key < 8),
         };
         let open =
-            OpenRequest { request, deadline: self.now + patience, answered: false, attempts: Vec::new() };
+            OpenRequest { request, deadline: self.now + timeout, answered: false, attempts: Vec::new() };
         self.requests.insert(id, open);
         self.event(Event::Request(request));
         if self.rng.u32(..50) == 0 {
-            let after = 0.1 + patience * self.rng.f64() / 2.0;
+            let after = 0.1 + timeout * self.rng.f64() / 2.0;
             self.plan(after, Planned::ClientGone(id));
         }
         // Bursts: every tenth second carries four times the usual traffic.
@@ -221,17 +254,19 @@
         self.plan(pause, Planned::Arrival);
     }
 
-    fn is_running(&self, id: u64, attempt: u32) -> bool {
-        self.requests.get(&id).is_some_and(|open| open.attempts[attempt as usize].1)
+    fn is_running(&self, attempt: AttemptId) -> bool {
+        let open = self.requests.get(&attempt.request);
+        open.is_some_and(|open| open.attempts[attempt.number as usize].is_running)
     }
 
-    fn end_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome) {
-        if !self.is_running(id, attempt) {
+    fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) {
+        if !self.is_running(id) {
             return;
         }
-        let open = self.requests.get_mut(&id).expect("a known request");
-        let worker = open.attempts[attempt as usize].0;
-        open.attempts[attempt as usize].1 = false;
+        let open = self.requests.get_mut(&id.request).expect("a known request");
+        let model_attempt = &mut open.attempts[id.number as usize];
+        let worker = model_attempt.worker;
+        model_attempt.is_running = false;
         let late = self.now >= open.deadline;
         let complete = outcome == Outcome::Ok || open.answered || late;
         open.answered |= complete;
@@ -241,11 +276,13 @@
         }
         let load = (self.cfg.load_reports == LoadReports::WithResponses && self.rng.u32(..8) > 0)
             .then(|| self.load_of(worker));
-        self.event(Event::AttemptEnded { request: RequestId(id), attempt, outcome, complete, load });
-        self.event(Event::AttemptEnded { request: RequestId(id), attempt, outcome, complete, load: None });
+        let request = RequestId(id.request);
+        let attempt = id.number;
+        self.event(Event::AttemptEnded { request, attempt, outcome, complete, load });
+        self.event(Event::AttemptEnded { request, attempt, outcome, complete, load: None });
     }
 
-    /// A report of a worker's load; now and then it leaves figures out.
+    /// Returns a report of a worker's load; now and then it leaves figures out.
     fn load_of(&mut self, worker: u64) -> LoadReport {
         let Some(known) = self.workers.get(&worker) else { return LoadReport::default() };
         let free = (known.slots - known.busy).max(0.0);
@@ -260,19 +297,20 @@
         }
     }
 
-    /// Workers drain, leave, start again, and discovery fails or sends all of the list.
+    /// Workers drain, are removed, restart, and discovery fails or sends the whole list.
     fn fleet_change(&mut self) {
         let number = 1 + self.rng.u64(..WORKERS + 2);
         let since = self.now - 0.5;
         let worker = self.workers.entry(number).or_insert_with(|| model_worker(number, since));
         match self.rng.u32(..6) {
-            0 => worker.member.state = WorkerState::Draining,
-            1 => worker.member.state = WorkerState::Removed,
+            0 => worker.endpoint.state = WorkerState::Draining,
+            1 => worker.endpoint.state = WorkerState::Removed,
             2 | 3 => {
-                (worker.member.state, worker.member.started_at, worker.busy) =
-                    (WorkerState::Serving, since, 0.0)
+                worker.endpoint.state = WorkerState::Serving;
+                worker.endpoint.started_at = since;
+                worker.busy = 0.0;
             }
-            _ => worker.member.state = WorkerState::Serving,
+            _ => worker.endpoint.state = WorkerState::Serving,
         }
         match self.rng.u32(..8) {
             0 => self.event(Event::EndpointList { scope: ListScope::Failed, endpoints: &[] }),
@@ -284,8 +322,8 @@
         self.plan(pause, Planned::FleetChange);
     }
 
-    /// Verdicts of watchers, grants for cold workers and messages of peers.
-    fn word_of_others(&mut self) {
+    /// Verdicts of health checkers, grants for workers in slow start and messages of peers.
+    fn peer_input(&mut self) {
         let number = 1 + self.rng.u64(..WORKERS + 2);
         let worker = WorkerId(number);
         match self.rng.u32(..4) {
@@ -299,10 +337,10 @@
             _ => self.event(Event::PeerMessage { from: 1, data: b"load" }),
         }
         let pause = 0.5 * self.rng.f64();
-        self.plan(pause, Planned::WordOfOthers);
+        self.plan(pause, Planned::PeerInput);
     }
 
-    /// Other settings: the shares are swapped and one more class and tenant appear.
+    /// Changes the settings: other shares, one more class and one more tenant.
     fn reload(&mut self) {
         if let Some(tenant) = self.cfg.tenants.first_mut() {
             tenant.share *= 3.0;
@@ -316,9 +354,10 @@
 
     fn send_list(&mut self, scope: ListScope, only: Option<u64>) {
         let named = |number: &u64| only.is_none_or(|only| only == *number);
-        let lines = self.workers.iter().filter(|(number, _)| named(number)).map(|(_, worker)| worker.member);
-        let members: Vec<Endpoint> = lines.collect();
-        self.event(Event::EndpointList { scope, endpoints: &members });
+        let lines =
+            self.workers.iter().filter(|(number, _)| named(number)).map(|(_, worker)| worker.endpoint);
+        let endpoints: Vec<Endpoint> = lines.collect();
+        self.event(Event::EndpointList { scope, endpoints: &endpoints });
     }
 
     fn event(&mut self, event: Event<'_>) {
@@ -338,7 +377,8 @@
                     self.requests.get_mut(&request.0).expect("a known request").answered = true;
                 }
                 Action::Cancel { request, attempt } => {
-                    self.plan(0.001, Planned::Ended(request.0, attempt, outcome_code(Outcome::Cancelled)));
+                    let attempt = AttemptId { request: request.0, number: attempt };
+                    self.plan_end(0.001, attempt, Outcome::Cancelled);
                 }
                 Action::Probe(worker) => self.plan(ROUND_TRIP, Planned::Probed(worker.0)),
                 Action::SetTimer { after, token } => self.plan(after, Planned::Timer(token)),
@@ -358,22 +398,24 @@
         }
     }
 
-    /// An attempt arrives at a worker, which takes it, queues it, turns it away, fails or hangs.
+    /// Sends an attempt to a worker, which runs, queues or rejects it, fails or hangs.
     fn attempt(&mut self, id: u64, number: u64) {
         let now = self.now;
         let open = self.requests.get_mut(&id).expect("a known request");
-        let attempt = open.attempts.len() as u32;
-        open.attempts.push((number, true));
-        let (slots, expected, deadline) = (open.request.slots, open.request.expected_run_time, open.deadline);
+        let attempt = AttemptId { request: id, number: open.attempts.len() as u32 };
+        open.attempts.push(ModelAttempt { worker: number, is_running: true });
+        let slots = open.request.slots;
+        let expected = open.request.expected_run_time;
+        let deadline = open.deadline;
         let worker = self.workers.get_mut(&number).expect("a known worker");
         let full = worker.busy >= 2.0 * worker.slots;
         let queued = (worker.busy + slots - worker.slots).max(0.0) / worker.slots;
         worker.busy += slots;
         let second = (now - START) as u64;
-        let zone_lost = worker.member.zone == 1 && (20..26).contains(&second);
+        let zone_lost = worker.endpoint.zone == 1 && (20..26).contains(&second);
         let hangs = number == 7 && (10..18).contains(&second) || number == 14 && (40..44).contains(&second);
         let sick = number == 9 && second < 30;
-        let slow = if number == 4 { 6.0 } else { 1.0 + 2.0 * f64::from(worker.member.kind) };
+        let slow = if number == 4 { 6.0 } else { 1.0 + 2.0 * f64::from(worker.endpoint.kind) };
         let run = expected.unwrap_or(STANDARD_RUN) * slow * (0.8 + 0.4 * self.rng.f64());
         let (outcome, after) = if zone_lost {
             (Outcome::ConnectFailed, 0.25)
@@ -386,23 +428,23 @@
         } else {
             let start = ROUND_TRIP + queued * STANDARD_RUN * slow;
             if self.cfg.reports_job_start && now + start < deadline {
-                self.plan(start, Planned::Started(id, attempt));
+                self.plan(start, Planned::Started(attempt));
             }
             if self.cfg.progress_interval > 0.0 {
-                self.plan(start + 0.3, Planned::Progress(id, attempt));
+                self.plan(start + 0.3, Planned::Progress(attempt));
             }
             let odd = OUTCOMES[self.rng.usize(..OUTCOMES.len())];
             (if self.rng.u32(..25) == 0 { odd } else { Outcome::Ok }, start + run)
         };
         let left = deadline - now;
         let (outcome, after) = if after < left { (outcome, after) } else { (Outcome::Timeout, left) };
-        self.plan(after, Planned::Ended(id, attempt, outcome_code(outcome)));
+        self.plan_end(after, attempt, outcome);
     }
 }
 
 fn model_worker(number: u64, since: f64) -> ModelWorker {
     let kind = u32::from(number % 4 == 1);
-    let member = Endpoint {
+    let endpoint = Endpoint {
         worker: WorkerId(number),
         kind,
         zone: (number % ZONES) as u32,
@@ -410,7 +452,7 @@
         started_at: since,
         state: WorkerState::Serving,
     };
-    ModelWorker { member, slots: if kind == 1 { 8.0 } else { 4.0 }, busy: 0.0 }
+    ModelWorker { endpoint, slots: if kind == 1 { 8.0 } else { 4.0 }, busy: 0.0 }
 }
 
 /// An action as a kind and its values; times by the microsecond.
@@ -445,7 +487,7 @@
     insta::assert_snapshot!("load_with_answers", digests(&settings(), PLAIN));
 }
 
-/// Hints, keys, probes, an asked list, second copies, prices and workers that are kept for large jobs.
+/// Hints, keys, probes, a polled list, hedged requests, prices and workers that are reserved for large jobs.
 #[test]
 fn everything_that_settings_allow() {
     let classes = settings().classes;
@@ -486,7 +528,7 @@
     insta::assert_snapshot!("load_by_probes_alone", digests(&cfg, Traffic { keys: true, ..PLAIN }));
 }
 
-/// Hundreds of dispatchers, no load reports; a class with a kind of machine of its own; nothing may be called off.
+/// Many dispatchers, no load reports, a class with a required kind of machine, no cancellation.
 #[test]
 fn many_dispatchers_without_load_reports() {
     let classes = vec![
