--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -60,7 +60,7 @@
                 // An interim response says nothing of the outcome.
                 http::Start::Response(100..=199) => {}
                 http::Start::Response(status) => return Some((status, head)),
-                http::Start::Request(..) => return None,
+                http::Start::Request { .. } => return None,
             },
             None if read_more(stream, buf).await.ok()? => {}
             None => return None,
@@ -89,8 +89,8 @@
     let (mode, modes) = watch::channel(mode::Mode::Active);
     let (handle, inputs) = Handle::channel();
     let (commands, orders) = mpsc::unbounded_channel();
-    let mut engine =
-        Engine::new(config.settings.clone(), config.seed, config.saved_list.1.clone(), clock, commands);
+    let endpoints = config.saved_list.endpoints.clone();
+    let mut engine = Engine::new(config.settings.clone(), config.seed, endpoints, clock, commands);
     if config.list_is_pushed {
         engine.await_initial_list(client::INITIAL_LIST_TIMEOUT.as_micros() as Micros);
     }
--- a/crates/emulator/src/cluster/lightweight_member.rs
+++ b/crates/emulator/src/cluster/lightweight_member.rs
@@ -1,6 +1,5 @@
 //! A member without jobs: the real session, the real links, and a lease whose effects say nothing but their token.
 
-use crate::cluster::error::ClusterError;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -8,13 +7,15 @@
 
 use cluster_member::effects::{serve_effects, Publisher};
 use cluster_member::member::{self, Member, MembershipEnd};
-use cluster_member::record::Recorder;
+use cluster_member::record::{RecordKind, Recorder};
 use coordination::{HeldLease, InjectedBug, LeaseClient, LeaseId, Timing};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::sleep;
 
+use super::error::ClusterError;
+
 /// How often an holder has something to say, and in how many pieces with how much time between them.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
 const EFFECTS_PER_ROUND: u32 = 5;
@@ -86,7 +87,7 @@
         seed: light.seed,
     };
     let member = Member::new(settings, LeaseClient::new(light.times).with_injected_bug(flaw), record);
-    member.recorder().record(cluster_member::clock::now(), "started", serde_json::json!({}));
+    member.recorder().record(cluster_member::clock::now(), RecordKind::ProcessStarted, serde_json::json!({}));
     tokio::task::spawn_local(serve_effects(member.clone(), listener, |_| Vec::new()));
     tokio::task::spawn_local(publish_effects(member.clone()));
     let mut terminate = signal(SignalKind::terminate()).map_err(ClusterError::io("handler of SIGTERM"))?;
