--- a/crates/dispatch-core/tests/backoff.rs
+++ b/crates/dispatch-core/tests/backoff.rs
@@ -1,6 +1,10 @@
 //! Delays between calls: capped exponential backoff with full jitter.
 
+#[path = "common/service.rs"]
+mod service;
+
 use dispatch_core::backoff::{Backoff, Micros};
+use service::{answered_callers, Caller};
 
 const FIRST: Micros = 100_000;
 const CAP: Micros = 2_000_000;
@@ -38,23 +42,14 @@
     assert!(backoff.next_delay(Some(Micros::MAX)) <= 2 * CAP);
 }
 
-/// Returns how many of 100 dispatchers, whose watches broke at one moment, are answered within 30 s by a service as it
-/// was measured: a call takes 90 ms, even if it is rejected since it would have to wait for 2 s.
-fn answered(pause: impl Fn(&mut Backoff) -> Micros) -> usize {
-    let make = |seed| Backoff::new(15_000_000, 40_000_000, seed);
-    let mut herd: Vec<(Micros, Backoff)> = (0..100).map(|seed| (0, make(seed))).collect();
-    let mut free_at = 0;
-    while let Some(next) = (0..herd.len()).min_by_key(|n| herd[*n].0).filter(|n| herd[*n].0 < 30_000_000) {
-        let now = herd[next].0;
-        let wait = free_at.max(now) - now;
-        free_at = now + (wait + 90_000).min(2_500_000);
-        if wait < 2_000_000 {
-            herd.swap_remove(next);
-        } else {
-            herd[next].0 += 1 + pause(&mut herd[next].1);
-        }
-    }
-    100 - herd.len()
+/// Returns how many of 100 dispatchers, whose watches broke at one moment, are answered within 30 s by a service that
+/// takes 90 ms for a call.
+fn answered(delay: impl Fn(&mut Backoff) -> Micros) -> usize {
+    let callers = (0..100).map(|seed| {
+        let client = Backoff::new(15_000_000, 40_000_000, seed);
+        Caller { next_call: 0, client }
+    });
+    answered_callers(callers.collect(), 90_000, 30_000_000, delay)
 }
 
 /// With the former fixed delay of 0.1 s only the callers in the first queue were ever answered.
--- a/crates/dispatch-core/tests/poll_schedule.rs
+++ b/crates/dispatch-core/tests/poll_schedule.rs
@@ -1,8 +1,12 @@
 //! Discovery is polled again early enough for changes to be known when they count as notified.
 
+#[path = "common/service.rs"]
+mod service;
+
 use dispatch_core::backoff::Micros;
 use dispatch_core::poll_schedule::{standby_watch_delay, PollSchedule, MAX_NOTIFICATION_DELAY};
 use dispatch_core::Settings;
+use service::{answered_callers, Caller};
 
 const GRACE: Micros = 500_000;
 
@@ -47,31 +51,19 @@
     }
 }
 
-/// Returns how many dispatchers, whose watches ended at one moment, are answered `within` a time by a service as it was
-/// measured: a call takes the time `call`, even if it is rejected since it would have to wait for 2 s.
+/// Returns how many dispatchers, whose watches ended at one moment, are answered `within` a time.
 fn answered(
     instances: u32,
     call: Micros,
     within: Micros,
-    pause: impl Fn(&mut PollSchedule) -> Micros,
+    delay: impl Fn(&mut PollSchedule) -> Micros,
 ) -> usize {
-    let set = settings(instances, true);
-    let mut herd: Vec<(Micros, PollSchedule)> = (0..instances)
-        .map(|seed| PollSchedule::new(&set, GRACE, seed.into()))
-        .map(|mut calls| (pause(&mut calls), calls))
-        .collect();
-    let mut free_at = 0;
-    while let Some(next) = (0..herd.len()).min_by_key(|n| herd[*n].0).filter(|n| herd[*n].0 < within) {
-        let now = herd[next].0;
-        let wait = free_at.max(now) - now;
-        free_at = now + (wait + call).min(2_500_000);
-        if wait < 2_000_000 {
-            herd.swap_remove(next);
-        } else {
-            herd[next].0 = now + 1 + pause(&mut herd[next].1);
-        }
-    }
-    instances as usize - herd.len()
+    let settings = settings(instances, true);
+    let callers = (0..instances).map(|seed| {
+        let mut client = PollSchedule::new(&settings, GRACE, seed.into());
+        Caller { next_call: delay(&mut client), client }
+    });
+    answered_callers(callers.collect(), call, within, &delay)
 }
 
 /// Callers are spread, the more of them the wider, until all are answered; with a fixed delay of 0.1 s the service
