--- a/crates/dispatch-core/src/poll_schedule.rs
+++ b/crates/dispatch-core/src/poll_schedule.rs
@@ -28,8 +28,8 @@
 /// Where discovery is one service for all, a fault that breaks one watch breaks all, and a rejected call costs it as
 /// much as one that is answered. Later calls are spread ever wider, up to the time that is left.
 const SPREAD_PER_INSTANCE: Micros = 10_000;
-const MIN_FIRST_PAUSE: Micros = 500_000;
-const MAX_FIRST_PAUSE: Micros = 2_000_000;
+const MIN_FIRST_DELAY: Micros = 500_000;
+const MAX_FIRST_DELAY: Micros = 2_000_000;
 
 /// Returns the time that an agent may take to begin its answer before a standby watch is opened.
 pub fn standby_watch_delay(grace: Micros) -> Micros {
@@ -50,7 +50,7 @@
         let latest = MAX_NOTIFICATION_DELAY - MAX_RESPONSE_DELAY;
         let backoff = if settings.polls_endpoint_list {
             let spread = SPREAD_PER_INSTANCE * Micros::from(settings.instances);
-            Backoff::new(spread.clamp(MIN_FIRST_PAUSE, MAX_FIRST_PAUSE), latest, seed)
+            Backoff::new(spread.clamp(MIN_FIRST_DELAY, MAX_FIRST_DELAY), latest, seed)
         } else {
             let grace = grace.clamp(MIN_GRACE, MAX_GRACE);
             Backoff::new(grace / AGENT_FIRST_DIVISOR, grace / AGENT_LONGEST_DIVISOR, seed)
--- a/crates/dispatch-core/tests/backoff.rs
+++ b/crates/dispatch-core/tests/backoff.rs
@@ -10,8 +10,8 @@
 const CAP: Micros = 2_000_000;
 
 /// Returns the longest delay over many seeds after so many failures, and optionally a success.
-fn most(failures: usize, succeeded: bool) -> Micros {
-    let pause = |seed| {
+fn longest_delay(failures: usize, succeeded: bool) -> Micros {
+    let delay = |seed| {
         let mut backoff = Backoff::new(FIRST, CAP, seed);
         (0..failures).for_each(|_| {
             backoff.next_delay(None);
@@ -21,7 +21,7 @@
         }
         backoff.next_delay(None)
     };
-    (0..500).map(pause).max().expect("a pause")
+    (0..500).map(delay).max().expect("a delay")
 }
 
 #[test]
@@ -29,10 +29,10 @@
     for (failures, longest) in
         [100_000, 200_000, 400_000, 800_000, 1_600_000, CAP, CAP].into_iter().enumerate()
     {
-        let seen = most(failures, false);
+        let seen = longest_delay(failures, false);
         assert!(seen <= longest && seen > longest * 9 / 10, "{seen} of {longest}");
     }
-    assert!(most(7, true) <= FIRST);
+    assert!(longest_delay(7, true) <= FIRST);
 }
 
 #[test]
--- a/crates/dispatch-core/tests/poll_schedule.rs
+++ b/crates/dispatch-core/tests/poll_schedule.rs
@@ -10,8 +10,8 @@
 
 const GRACE: Micros = 500_000;
 
-fn settings(instances: u32, ask_for_list: bool) -> Settings {
-    Settings { instances, polls_endpoint_list: ask_for_list, max_poll_interval: 10.0, ..Settings::default() }
+fn settings(instances: u32, polls_endpoint_list: bool) -> Settings {
+    Settings { instances, polls_endpoint_list, max_poll_interval: 10.0, ..Settings::default() }
 }
 
 /// Whatever the duration of a call and the number of failures before: after the end of a watch the next call begins so
@@ -20,13 +20,13 @@
 fn polls_again_within_the_notification_time() {
     for instances in [1, 6, 30, 300] {
         for seed in 0..50 {
-            let mut calls = PollSchedule::new(&settings(instances, true), GRACE, seed);
+            let mut schedule = PollSchedule::new(&settings(instances, true), GRACE, seed);
             for failure in 0..20 {
-                let deaf = [0, 500_000, 2_800_000, 5_000_000][failure % 4];
-                let wanted = [None, Some(30_000_000)][failure / 4 % 2];
-                let pause = calls.next_delay(deaf, wanted);
-                let left = (MAX_NOTIFICATION_DELAY - 2_000_000).saturating_sub(deaf);
-                assert!(pause <= left, "{pause} after {deaf}");
+                let without_watch = [0, 500_000, 2_800_000, 5_000_000][failure % 4];
+                let retry_after = [None, Some(30_000_000)][failure / 4 % 2];
+                let delay = schedule.next_delay(without_watch, retry_after);
+                let left = (MAX_NOTIFICATION_DELAY - 2_000_000).saturating_sub(without_watch);
+                assert!(delay <= left, "{delay} after {without_watch}");
             }
         }
     }
@@ -36,8 +36,8 @@
 #[test]
 fn polls_an_agent_again_within_a_fraction_of_the_grace() {
     for seed in 0..50 {
-        let mut calls = PollSchedule::new(&settings(300, false), GRACE, seed);
-        assert!((0..20).all(|_| calls.next_delay(0, None) <= 100_000));
+        let mut schedule = PollSchedule::new(&settings(300, false), GRACE, seed);
+        assert!((0..20).all(|_| schedule.next_delay(0, None) <= 100_000));
     }
 }
 
@@ -45,8 +45,8 @@
 #[test]
 fn keeps_pauses_for_a_grace_of_nothing_or_for_ever() {
     for grace in [0, Micros::MAX] {
-        let mut calls = PollSchedule::new(&settings(1, false), grace, 1);
-        assert!((0..20).map(|_| calls.next_delay(0, None)).max() > Some(5_000));
+        let mut schedule = PollSchedule::new(&settings(1, false), grace, 1);
+        assert!((0..20).map(|_| schedule.next_delay(0, None)).max() > Some(5_000));
         assert!((20_000..=24_000_000).contains(&standby_watch_delay(grace)));
     }
 }
@@ -72,7 +72,7 @@
 fn a_herd_thins_out_until_all_are_answered() {
     for (instances, call) in [(6, 227_000), (6, 333_000), (32, 60_000), (300, 12_000)] {
         assert_eq!(
-            answered(instances, call, 12_000_000, |calls| calls.next_delay(0, None)),
+            answered(instances, call, 12_000_000, |schedule| schedule.next_delay(0, None)),
             instances as usize
         );
     }
--- a/crates/dispatch-core/tests/shared_numbers.rs
+++ b/crates/dispatch-core/tests/shared_numbers.rs
@@ -21,16 +21,17 @@
     let mut text = String::new();
     for seed in 0..3 {
         let mut backoff = Backoff::new(100_000, 2_000_000, seed);
-        let pauses: Vec<u64> =
-            [None, None, Some(500_000), None, Some(9_000_000)].map(|w| backoff.next_delay(w)).to_vec();
-        let _ = writeln!(text, "backoff, seed {seed}: {pauses:?}");
-        for (instances, ask_for_list) in [(1, false), (6, true), (300, true)] {
-            let settings = Settings { instances, polls_endpoint_list: ask_for_list, ..Settings::default() };
-            let mut calls = PollSchedule::new(&settings, 500_000, seed);
-            let mut pauses: Vec<u64> = (0..6).map(|n| calls.next_delay(n * 700_000, None)).collect();
-            calls.record_success();
-            pauses.push(calls.next_delay(0, Some(1_000_000)));
-            let _ = writeln!(text, "polls of {instances}, asked {ask_for_list}, seed {seed}: {pauses:?}");
+        let delays: Vec<u64> = [None, None, Some(500_000), None, Some(9_000_000)]
+            .map(|retry_after| backoff.next_delay(retry_after))
+            .to_vec();
+        let _ = writeln!(text, "backoff, seed {seed}: {delays:?}");
+        for (instances, polls_list) in [(1, false), (6, true), (300, true)] {
+            let settings = Settings { instances, polls_endpoint_list: polls_list, ..Settings::default() };
+            let mut schedule = PollSchedule::new(&settings, 500_000, seed);
+            let mut delays: Vec<u64> = (0..6).map(|n| schedule.next_delay(n * 700_000, None)).collect();
+            schedule.record_success();
+            delays.push(schedule.next_delay(0, Some(1_000_000)));
+            let _ = writeln!(text, "polls of {instances}, asked {polls_list}, seed {seed}: {delays:?}");
         }
     }
     let limits = [0, 50_000, 500_000, u64::MAX].map(standby_watch_delay);
