--- a/crates/dispatch-core/tests/common/mod.rs
+++ b/crates/dispatch-core/tests/common/mod.rs
@@ -9,9 +9,9 @@
 /// Time for which a worker that drains may still get new work.
 pub const DRAIN_GRACE: f64 = 0.5;
 
-pub fn class(repeat: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
-        idempotency: repeat,
+        idempotency,
         key_window: 5.0,
         latency_objective: 0.3,
         run_time_allowance: 2.0,
@@ -177,12 +177,12 @@
     }
 
     pub fn end_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        let seen = self.requests.get_mut(&id).expect("a known request");
-        seen.sends[attempt as usize].outcome = Some(outcome);
+        let record = self.requests.get_mut(&id).expect("a known request");
+        record.sends[attempt as usize].outcome = Some(outcome);
         self.open_attempts.retain(|open| (open.request, open.number) != (id, attempt));
-        let complete = outcome == Outcome::Ok || seen.answers > 0;
-        if outcome == Outcome::Ok && seen.answers == 0 {
-            seen.answers = 1;
+        let complete = outcome == Outcome::Ok || record.answers > 0;
+        if outcome == Outcome::Ok && record.answers == 0 {
+            record.answers = 1;
         }
         self.event(Event::AttemptEnded { request: RequestId(id), attempt, outcome, complete, load: None })
     }
@@ -247,51 +247,55 @@
     }
 
     fn record_answer(&mut self, id: u64) {
-        let seen = self.requests.get_mut(&id).expect("an answer to a known request");
-        seen.answers += 1;
-        assert_eq!(seen.answers, 1, "rule 1: request {id} answered twice");
-        assert!(self.now <= seen.due + 0.016, "rule 1: request {id} answered late");
+        let record = self.requests.get_mut(&id).expect("an answer to a known request");
+        record.answers += 1;
+        assert_eq!(record.answers, 1, "rule 1: request {id} answered twice");
+        assert!(self.now <= record.due + 0.016, "rule 1: request {id} answered late");
     }
 
     fn check_send(&mut self, id: u64, worker: WorkerId) {
         let now = self.now;
         if let Some(since) = self.excluded_since.get(&worker.0) {
-            assert!(now - since <= DRAIN_GRACE, "rule 3: {worker:?} was told to drain");
+            assert!(now - since <= DRAIN_GRACE, "rule 3: {worker:?} drains");
         }
         let locations = &self.locations;
         let cfg = &self.cfg;
-        let seen = self.requests.get_mut(&id).expect("a send of a known request");
-        assert_eq!(seen.answers, 0, "rule 1: request {id} sent after its end");
-        assert!(seen.sends.len() < cfg.max_attempts as usize, "request {id}: too many attempts");
-        let open = seen.sends.iter().any(|send| send.outcome.is_none());
-        assert!(!open || cfg.hedging_allowed, "request {id}: two attempts out");
+        let record = self.requests.get_mut(&id).expect("a send of a known request");
+        assert_eq!(record.answers, 0, "rule 1: request {id} sent after its end");
+        assert!(record.sends.len() < cfg.max_attempts as usize, "request {id}: too many attempts");
+        let open = record.sends.iter().any(|send| send.outcome.is_none());
+        assert!(!open || cfg.hedging_allowed, "request {id}: two attempts are open");
         let may_have_run = |send: &&SendRecord| !send.outcome.is_some_and(Outcome::never_ran);
-        for earlier in seen.sends.iter().filter(may_have_run) {
-            match cfg.classes[seen.class].idempotency {
+        for earlier in record.sends.iter().filter(may_have_run) {
+            match cfg.classes[record.class].idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NotIdempotent => panic!("rule 2: unsafe request {id} sent again"),
-                Idempotency::WithKey(group) => {
-                    let key_window = cfg.classes[seen.class].key_window;
-                    assert!(now - earlier.sent_at <= key_window, "rule 2: window of {id}");
+                Idempotency::WithKey(scope) => {
+                    let key_window = cfg.classes[record.class].key_window;
+                    assert!(now - earlier.sent_at <= key_window, "rule 2: key window of {id}");
                     let was = locations[&earlier.worker.0];
                     let is = locations[&worker.0];
                     let same =
-                        if group == KeyScope::Cell { was.cell == is.cell } else { was.zone == is.zone };
-                    assert!(group == KeyScope::All || same, "rule 2: group of {id}");
+                        if scope == KeyScope::Cell { was.cell == is.cell } else { was.zone == is.zone };
+                    assert!(scope == KeyScope::All || same, "rule 2: key scope of {id}");
                 }
             }
         }
-        self.open_attempts.push(OpenAttempt { request: id, number: seen.sends.len() as u32, due: seen.due });
-        seen.sends.push(SendRecord { sent_at: now, worker, outcome: None });
+        self.open_attempts.push(OpenAttempt {
+            request: id,
+            number: record.sends.len() as u32,
+            due: record.due,
+        });
+        record.sends.push(SendRecord { sent_at: now, worker, outcome: None });
     }
 
     fn check_rejection(&self, id: u64) {
-        let seen = &self.requests[&id];
-        let clean = seen.sends.iter().all(|send| send.outcome.is_some_and(Outcome::never_ran));
-        let repeat = self.cfg.classes[seen.class].idempotency;
+        let record = &self.requests[&id];
+        let never_ran = record.sends.iter().all(|send| send.outcome.is_some_and(Outcome::never_ran));
+        let idempotency = self.cfg.classes[record.class].idempotency;
         assert!(
-            clean || matches!(repeat, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All)),
-            "rule 2: request {id} refused though it may have run"
+            never_ran || matches!(idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All)),
+            "rule 2: request {id} rejected though it may have run"
         );
     }
 }
--- a/crates/dispatch-core/tests/failures.rs
+++ b/crates/dispatch-core/tests/failures.rs
@@ -22,11 +22,14 @@
 #[test]
 fn probes_before_it_sends_by_old_load_reports() {
     let mut driver = probing(0.002);
-    let asked = probes(&driver.request(request(1)));
-    assert!((1..=3).contains(&asked.len()), "a few are asked: {asked:?}");
-    assert!(driver.requests[&1].sends.is_empty(), "the job waits for their word");
-    driver.probed(asked[0], 2.0);
-    assert_eq!(driver.requests[&1].sends[0].worker, asked[0], "the first that says it is free gets the job");
+    let probed = probes(&driver.request(request(1)));
+    assert!((1..=3).contains(&probed.len()), "a few workers are probed: {probed:?}");
+    assert!(driver.requests[&1].sends.is_empty(), "the job waits for their reports");
+    driver.probed(probed[0], 2.0);
+    assert_eq!(
+        driver.requests[&1].sends[0].worker, probed[0],
+        "the first that reports a free slot gets the job"
+    );
 }
 
 /// Busy workers do not answer a probe before its turn, and a zone may be full: workers of the other zones are probed
@@ -48,7 +51,7 @@
     let mut driver = probing(0.1);
     assert!(probes(&driver.request(request(1))).is_empty());
     driver.advance(1.0);
-    assert_eq!(driver.requests[&1].sends.len(), 1, "the job goes by what is known");
+    assert_eq!(driver.requests[&1].sends.len(), 1, "the job is sent by the old reports");
 }
 
 /// A dispatcher that carries ten times its equal share of the traffic was limited to that share for seconds.
@@ -64,8 +67,8 @@
             driver.end_attempt(open.request, open.number, Outcome::Ok);
         }
     }
-    let refused = (40..100).filter(|id| driver.requests[id].sends.is_empty()).count();
-    assert_eq!(refused, 0, "20 a second against an equal part of 2, after two seconds");
+    let rejected = (40..100).filter(|id| driver.requests[id].sends.is_empty()).count();
+    assert_eq!(rejected, 0, "20 a second against an equal share of 2, after two seconds");
 }
 
 /// After a deploy or the loss of a zone most workers are in slow start. Each may be used by one dispatcher at a time,
@@ -86,8 +89,11 @@
         driver.request(request(id));
     }
     let sends = driver.requests.values().flat_map(|record| &record.sends);
-    let cold = sends.clone().filter(|send| send.worker.0 > 40).count();
-    assert!(4 * cold > sends.count(), "{cold} of the pushes went to cold workers, while warm ones queue");
+    let warming_up = sends.clone().filter(|send| send.worker.0 > 40).count();
+    assert!(
+        4 * warming_up > sends.count(),
+        "{warming_up} of the sends went to workers in slow start, while others queue"
+    );
 }
 
 /// Where loads are reported and no worker is expected to be free, a job that was rejected twice was retried up to six
@@ -105,7 +111,7 @@
         }
     }
     let last = &driver.requests[&7];
-    assert_eq!((last.sends.len(), last.answers), (2, 1), "every worker has just said that it is full");
+    assert_eq!((last.sends.len(), last.answers), (2, 1), "every worker has just been overloaded");
 }
 
 /// The rate stayed at the quotas while nearly every send was rejected: the queues stayed full, and service did not
@@ -113,7 +119,7 @@
 #[test]
 fn cuts_the_rate_below_the_quota_when_nearly_all_is_rejected() {
     let mut driver = Driver::new(settings(), 7, &fleet(8));
-    let mut pushed = Vec::new();
+    let mut sent = Vec::new();
     for second in 0..8 {
         for n in 0..100 {
             let id = second * 100 + n;
@@ -124,9 +130,9 @@
             }
         }
         let served = |n: &u64| !driver.requests[&(second * 100 + n)].sends.is_empty();
-        pushed.push((0..100).filter(served).count());
+        sent.push((0..100).filter(served).count());
     }
-    assert!(pushed[0] > 60 && pushed[7] < 30, "80 a second are promised: {pushed:?}");
+    assert!(sent[0] > 60 && sent[7] < 30, "the quotas are 80 a second: {sent:?}");
 }
 
 /// Where load reports come with probes only, they are older than a running time; the wait of a job for its start is
@@ -177,7 +183,7 @@
 /// seemed empty to all were overloaded (customer 2 at full size, worse than random choice).
 #[test]
 fn many_dispatchers_do_not_all_choose_the_same_workers() {
-    let mut pushes = std::collections::BTreeMap::new();
+    let mut sends = std::collections::BTreeMap::new();
     for instance in 0..120 {
         let cfg = Settings { instance, instances: 120, load_reports: LoadReports::WithProbes, ..settings() };
         let mut driver = Driver::new(cfg, u64::from(instance), &fleet(60));
@@ -189,36 +195,36 @@
         }
         driver.request(request(1));
         for send in &driver.requests[&1].sends {
-            *pushes.entry(send.worker).or_insert(0) += 1;
+            *sends.entry(send.worker).or_insert(0) += 1;
         }
     }
-    let six: i32 = pushes.iter().filter(|(worker, _)| worker.0 <= 12).map(|(_, n)| n).sum();
-    assert!(six < 72, "{six} of 120 jobs at once for six workers: {pushes:?}");
+    let six: i32 = sends.iter().filter(|(worker, _)| worker.0 <= 12).map(|(_, n)| n).sum();
+    assert!(six < 72, "{six} of 120 jobs at once for six workers: {sends:?}");
 }
 
 /// A worker took jobs and gave no sign of life for seconds (days with `hang`): each waited there until its client's
 /// timeout, and more were sent. Such a job is hedged elsewhere now, and the worker is ejected until it responds.
 #[test]
 fn ejects_a_stalled_worker_and_hedges_its_job() {
-    let told =
+    let with_reports =
         Settings { reports_job_start: true, progress_interval: 1.0, hedging_allowed: true, ..settings() };
-    let mut driver = Driver::new(Settings { load_reports: LoadReports::None, ..told }, 7, &fleet(6));
+    let mut driver = Driver::new(Settings { load_reports: LoadReports::None, ..with_reports }, 7, &fleet(6));
     driver.advance(1.0);
     driver.request(Request { timeout: 30.0, ..request(1) });
-    let quiet = driver.requests[&1].sends[0].worker;
+    let stalled = driver.requests[&1].sends[0].worker;
     driver.advance(2.0);
-    assert_eq!(driver.requests[&1].sends.len(), 2, "a copy is out");
+    assert_eq!(driver.requests[&1].sends.len(), 2, "a hedged request is open");
     // Serves jobs one by one and counts those that the stalled worker got.
     let serve = |driver: &mut Driver, ids: std::ops::Range<u64>| {
         ids.filter(|&id| {
             driver.request(Request { timeout: 30.0, ..request(id) });
             driver.advance(0.3);
             let worker = driver.requests[&id].sends.first().map(|send| send.worker);
-            worker.inspect(|_| drop(driver.end_attempt(id, 0, Outcome::Ok))) == Some(quiet)
+            worker.inspect(|_| drop(driver.end_attempt(id, 0, Outcome::Ok))) == Some(stalled)
         })
         .count()
     };
-    assert_eq!(serve(&mut driver, 10..30), 0, "it gets no more while it says nothing");
+    assert_eq!(serve(&mut driver, 10..30), 0, "it gets no more jobs while it gives no sign of life");
     // The hedged request is served: the stalled attempt is cancelled.
     let actions = driver.end_attempt(1, 1, Outcome::Ok);
     assert!(actions.contains(&Action::Cancel { request: RequestId(1), attempt: 0 }), "{actions:?}");
@@ -232,9 +238,9 @@
 /// Where jobs wait because all workers are busy, no worker counts as stalled.
 #[test]
 fn a_queue_is_not_taken_for_a_stall() {
-    let told =
+    let with_reports =
         Settings { reports_job_start: true, progress_interval: 1.0, hedging_allowed: true, ..settings() };
-    let mut driver = Driver::new(Settings { load_reports: LoadReports::None, ..told }, 7, &fleet(6));
+    let mut driver = Driver::new(Settings { load_reports: LoadReports::None, ..with_reports }, 7, &fleet(6));
     driver.advance(1.0);
     for id in 0..60 {
         driver.request(Request { timeout: 60.0, ..request(id) });
@@ -249,7 +255,7 @@
     assert_eq!(
         driver.requests[&100].sends.len(),
         1,
-        "half a second is the usual wait: three are none to act on"
+        "half a second is the mean wait: three seconds are no stall"
     );
 }
 
@@ -260,7 +266,7 @@
     let mut list = fleet(60);
     list.iter_mut().for_each(|endpoint| endpoint.kind = u32::from(endpoint.worker.0 % 6 > 0));
     let cfg = Settings { instances: 100, load_reports: LoadReports::None, ..settings() };
-    let mut quick = 0;
+    let mut to_fast_kind = 0;
     for seed in 0..20 {
         let mut driver = Driver::new(cfg.clone(), seed, &list);
         driver.advance(10.0);
@@ -272,10 +278,13 @@
             driver.advance(if to % 6 > 0 { 0.6 } else { 0.2 });
             driver.end_attempt(id, 0, Outcome::Ok);
             driver.advance(3.0);
-            quick += u32::from(id >= 12 && to % 6 == 0);
+            to_fast_kind += u32::from(id >= 12 && to % 6 == 0);
         }
     }
-    assert!(quick > 20 * 24 * 9 / 10, "{quick} of 480 jobs went to the quick third of the own zone");
+    assert!(
+        to_fast_kind > 20 * 24 * 9 / 10,
+        "{to_fast_kind} of 480 jobs went to the fast third of the own zone"
+    );
 }
 
 /// A lost zone of 20 workers cost each dispatcher two failures for every one of them, 250 ms each; with 100 dispatchers
@@ -292,18 +301,18 @@
             let id = open.request;
             let attempt = open.number;
             // The zone of the dispatcher, that of the even workers, is gone.
-            let gone = driver.requests[&id].sends[attempt as usize].worker.0 % 2 == 0;
-            lost += u32::from(gone);
-            driver.advance(if gone { 0.25 } else { 0.001 });
-            if !gone {
+            let is_lost = driver.requests[&id].sends[attempt as usize].worker.0 % 2 == 0;
+            lost += u32::from(is_lost);
+            driver.advance(if is_lost { 0.25 } else { 0.001 });
+            if !is_lost {
                 driver.event(Event::JobStarted { request: RequestId(id), attempt });
                 driver.advance(0.2);
             }
-            driver.end_attempt(id, attempt, if gone { Outcome::ConnectFailed } else { Outcome::Ok });
+            driver.end_attempt(id, attempt, if is_lost { Outcome::ConnectFailed } else { Outcome::Ok });
         }
         driver.advance(0.8);
     }
-    assert!(lost <= 12, "{lost} attempts at a zone that is gone, in 30 s");
+    assert!(lost <= 12, "{lost} attempts at the lost zone in 30 s");
     assert!(driver.requests.values().all(|record| record.sends.len() < 4), "no job runs out of attempts");
 }
 
@@ -318,11 +327,11 @@
     let mut driver = Driver::new(cfg, 7, &list);
     driver.advance(30.0);
     let full = |worker: u64| worker % 4 == 0;
-    let mut there = 0;
+    let mut to_full_cohort = 0;
     for id in 0..48 {
         driver.request(request(id));
         let to = driver.requests[&id].sends.first().map(|send| send.worker.0);
-        there += u32::from(id >= 24 && to.is_some_and(full));
+        to_full_cohort += u32::from(id >= 24 && to.is_some_and(full));
         // No job starts there within the time of the test.
         if to.is_some_and(|worker| !full(worker)) {
             driver.event(Event::JobStarted { request: RequestId(id), attempt: 0 });
@@ -331,7 +340,10 @@
         }
         driver.advance(0.8);
     }
-    assert!(there <= 4, "{there} of 24 jobs went to the group of which no job has started for 20 s");
+    assert!(
+        to_full_cohort <= 4,
+        "{to_full_cohort} of 24 jobs went to the cohort in which no job has started for 20 s"
+    );
 }
 
 /// With 100 dispatchers and 60 workers two of three jobs paid for a handshake: idle connections were not preferred.
@@ -349,23 +361,23 @@
         let mut driver = Driver::new(cfg, 7, &fleet(60));
         driver.advance(10.0);
         let mut last: Vec<WorkerId> = Vec::new();
-        let mut again = 0;
+        let mut reused = 0;
         for id in 0..40 {
             driver.request(request(id));
             let to = driver.requests[&id].sends[0].worker;
-            again += u32::from(last.iter().rev().take(3).any(|worker| *worker == to));
+            reused += u32::from(last.iter().rev().take(3).any(|worker| *worker == to));
             last.push(to);
             driver.event(Event::JobStarted { request: RequestId(id), attempt: 0 });
             driver.advance(0.3);
             driver.end_attempt(id, 0, Outcome::Ok);
             driver.advance(0.7);
         }
-        again
+        reused
     };
     let (free, priced) = (reuse(0.0), reuse(0.05));
     assert!(
         priced >= 30 && priced > free,
-        "{priced} of 40 jobs went where a connection stood idle, {free} for nothing"
+        "{priced} of 40 jobs used an idle connection with the price, {free} without"
     );
 }
 
@@ -374,11 +386,11 @@
 /// response still has weight, all are sent.
 #[test]
 fn rejects_at_once_what_cannot_meet_its_deadline() {
-    for (late_worth, least, most) in [(0.0, 1, 15), (0.5, 40, 100)] {
+    for (late_weight, least, most) in [(0.0, 1, 15), (0.5, 40, 100)] {
         let classes = vec![Class {
             latency_objective: 0.5,
             run_time_allowance: 1.5,
-            late_weight: late_worth,
+            late_weight,
             ..class(Idempotency::Idempotent)
         }];
         let mut driver = Driver::new(Settings { classes, ..settings() }, 8, &fleet(4));
@@ -395,10 +407,10 @@
             driver.advance(0.1);
         }
         let sent = driver.requests.values().filter(|record| !record.sends.is_empty()).count();
-        assert!((least..=most).contains(&sent), "{sent} of 100 sent, late worth {late_worth}");
-        let declined =
+        assert!((least..=most).contains(&sent), "{sent} of 100 sent, late weight {late_weight}");
+        let rejected =
             driver.requests.values().filter(|record| record.sends.is_empty() && record.answers == 1).count();
-        assert!(declined + sent >= 98, "{declined} declined, {sent} sent: none is held for long");
+        assert!(rejected + sent >= 98, "{rejected} rejected, {sent} sent: none waits for long");
     }
 }
 
@@ -406,7 +418,7 @@
 /// old retries, and two in three of all jobs were rejected on arrival. Where clients mark retries, the mark decides.
 #[test]
 fn a_first_attempt_with_a_short_timeout_is_no_retry() {
-    let declined = |marks_retry: bool, retry: bool| {
+    let is_rejected = |marks_retry: bool, retry: bool| {
         let mut driver =
             Driver::new(Settings { clients_mark_retries: marks_retry, ..settings() }, 4, &fleet(4));
         driver.advance(1.0);
@@ -414,7 +426,7 @@
         let actions = driver.request(Request { timeout: 2.0, is_retry: retry, ..request(2) });
         actions.iter().any(|action| matches!(action, Action::Reject { request: RequestId(2), .. }))
     };
-    assert!(!declined(true, false), "an unmarked one is a first try");
-    assert!(declined(true, true), "three seconds old: too late for its aim");
-    assert!(declined(false, false) && declined(false, true), "without marks the patience tells");
+    assert!(!is_rejected(true, false), "an unmarked request is a first attempt");
+    assert!(is_rejected(true, true), "three seconds old: too late for its latency objective");
+    assert!(is_rejected(false, false) && is_rejected(false, true), "without marks the timeout decides");
 }
--- a/crates/dispatch-core/tests/odd.rs
+++ b/crates/dispatch-core/tests/odd.rs
@@ -114,7 +114,7 @@
     driver.now += 3.2e7;
     driver.event(Event::Timer(u64::MAX));
     driver.now += 1.0;
-    assert!(play(&mut driver, 200, 40, |_| Outcome::Ok) > 20, "it serves on after a leap");
+    assert!(play(&mut driver, 200, 40, |_| Outcome::Ok) > 20, "it continues to serve after a leap");
 }
 
 /// A report that is frozen at "all free" counts for less than the worker's own answers that it is overloaded.
@@ -126,8 +126,11 @@
         driver.probed(WorkerId(2), 9.0);
         play(&mut driver, id, 1, |worker| if worker.0 == 2 { Outcome::Overloaded } else { Outcome::Ok });
     }
-    let at_liar = sends_to(&driver, 2);
-    assert!(at_liar < 40, "{at_liar} of 100 jobs were pushed to the worker that says it is free and is full");
+    let sends_to_full = sends_to(&driver, 2);
+    assert!(
+        sends_to_full < 40,
+        "{sends_to_full} of 100 jobs were sent to the worker that reports free slots and is full"
+    );
 }
 
 /// A worker that fails fast seems fast and empty: it is ejected, and tried again later.
@@ -136,11 +139,14 @@
     let mut driver = Driver::new(settings(), 1, &fleet(6));
     driver.advance(2.0);
     play(&mut driver, 0, 200, |worker| if worker.0 == 2 { Outcome::Error } else { Outcome::Ok });
-    let sick = sends_to(&driver, 2);
-    assert!((2..=14).contains(&sick), "{sick} of 200 jobs met the failing worker");
+    let sends_to_failing = sends_to(&driver, 2);
+    assert!(
+        (2..=14).contains(&sends_to_failing),
+        "{sends_to_failing} of 200 jobs were sent to the failing worker"
+    );
     driver.advance(10.0);
     play(&mut driver, 1000, 200, |_| Outcome::Ok);
-    assert!(sends_to(&driver, 2) > sick + 10, "once it works it gets its part again");
+    assert!(sends_to(&driver, 2) > sends_to_failing + 10, "once it works it gets its share again");
 }
 
 /// Only some workers can be reached: jobs go to these as before.
@@ -151,7 +157,7 @@
     play(&mut driver, 0, 100, |worker| if worker.0 > 6 { Outcome::ConnectFailed } else { Outcome::Ok });
     let served =
         play(&mut driver, 100, 200, |worker| if worker.0 > 6 { Outcome::ConnectFailed } else { Outcome::Ok });
-    assert!(served > 180, "{served} of 200 served by the six in reach");
+    assert!(served > 180, "{served} of 200 served by the six that can be reached");
 }
 
 /// All workers seem unhealthy: the fault is the network's or our own, and service resumes as soon as a worker responds.
@@ -202,11 +208,11 @@
     play(&mut driver, 0, 30, |_| Outcome::InvalidRequest);
     assert!(
         driver.requests.values().all(|record| record.sends.len() <= 1),
-        "what one rejects is not tried elsewhere"
+        "an invalid request is not retried"
     );
     assert!(
         driver.requests.values().filter(|record| record.answers == 1).count() >= 28,
-        "it is answered at once"
+        "most invalid requests are answered at once"
     );
     let served = play(&mut driver, 1000, 40, |_| Outcome::Ok);
     assert!(served > 30, "{served} of 40 served");
--- a/crates/dispatch-core/tests/rules.rs
+++ b/crates/dispatch-core/tests/rules.rs
@@ -131,7 +131,7 @@
         assert_eq!(
             driver.requests[&1].sends.len(),
             1,
-            "class {class} is pushed at once with tokens in the bank"
+            "class {class} is sent at once with tokens in the bank"
         );
         driver.advance(0.01);
         let mut actions = driver.end_attempt(1, 0, outcome);
@@ -235,7 +235,7 @@
             let capacity = share + (1.0 - share) * ((from - start) / warm).min(1.0);
             assert!(work <= multiple * capacity * span, "{instances} instances: {work} at {}", from - start);
         }
-        assert!(!sent.is_empty(), "{instances} instances: a cold worker gets some work");
+        assert!(!sent.is_empty(), "{instances} instances: a worker in slow start gets some work");
     }
 }
 
@@ -258,13 +258,13 @@
     let worker = Endpoint { started_at: 100.0, ..endpoint(1, WorkerState::Serving) };
     let (share, warm, span, multiple, work) = (0.2, 20.0, 2.0, 3.0, 0.3);
     let mut sent = Vec::new();
-    for life in 0..40_u64 {
-        // Some lives span the border of two slices.
-        let begins = 100.1 + life as f64 / 4.0;
-        let mut process = Driver::new_at(begins, settings(), 7 + life, &[worker]);
-        sent.extend(sends_of_process(&mut process, begins + 0.25, life * 1000));
+    for incarnation in 0..40_u64 {
+        // Some incarnations span the border of two slices.
+        let begins = 100.1 + incarnation as f64 / 4.0;
+        let mut process = Driver::new_at(begins, settings(), 7 + incarnation, &[worker]);
+        sent.extend(sends_of_process(&mut process, begins + 0.25, incarnation * 1000));
     }
-    assert!(!sent.is_empty(), "a cold worker gets some work");
+    assert!(!sent.is_empty(), "a worker in slow start gets some work");
     for &from in &sent {
         let in_span = sent.iter().filter(|at| (from..from + span).contains(*at)).count();
         let capacity = share + (1.0 - share) * (from - 100.0) / warm;
@@ -357,11 +357,11 @@
                 }
             }
         }
-        let cold = |send: &SendRecord| send.worker.0 > 24;
+        let is_warming_up = |send: &SendRecord| send.worker.0 > 24;
         let late = sent.iter().filter(|send| send.sent_at > start + 8.0);
-        let part = late.clone().filter(|send| cold(send)).count() as f64 / late.count() as f64;
-        assert!(part > 0.1, "{part} of the pushes went to the six in ten that are cold");
-        for &SendRecord { sent_at: from, worker, .. } in sent.iter().filter(|send| cold(send)) {
+        let part = late.clone().filter(|send| is_warming_up(send)).count() as f64 / late.count() as f64;
+        assert!(part > 0.1, "{part} of the sends went to the six in ten in slow start");
+        for &SendRecord { sent_at: from, worker, .. } in sent.iter().filter(|send| is_warming_up(send)) {
             let to_worker = sent.iter().filter(|send| send.worker == worker);
             let span = to_worker.filter(|send| (from..from + 1.5).contains(&send.sent_at));
             let capacity = 0.2 + 0.8 * (from - start) / 24.0;
@@ -386,7 +386,7 @@
     driver.send_list(ListScope::Incremental, &[endpoint(1, WorkerState::Draining)]);
     driver.advance(5.0);
     let sends = driver.log[before..].iter().filter(|action| matches!(action, Action::Send { .. })).count();
-    assert!(waiting > 0 && sends == 0, "{waiting} waited, {sends} went there after the word");
+    assert!(waiting > 0 && sends == 0, "{waiting} waited, {sends} were sent after the drain");
 }
 
 /// Each rule's check must detect a dispatcher that breaks the rule.
@@ -439,7 +439,7 @@
     }
 
     #[test]
-    #[should_panic(expected = "rule 2: request 1 refused")]
+    #[should_panic(expected = "rule 2: request 1 rejected")]
     fn a_rejection_that_is_not_idempotent() {
         let mut driver = driver(1);
         driver.requests.get_mut(&1).expect("request 1").sends[0].outcome = Some(Outcome::Reset);
--- a/crates/dispatch-core/tests/throttle.rs
+++ b/crates/dispatch-core/tests/throttle.rs
@@ -29,7 +29,8 @@
 /// and stays within [0, C_J + C_T]. A job is admitted while U covers it, and waits while U - C_J does not.
 #[test]
 fn admission_follows_the_recursion() {
-    let (mut refused, mut held) = (0, 0);
+    let mut rejected = 0;
+    let mut queued = 0;
     for seed in 0..40 {
         let mut rng = Rng::with_seed(seed);
         let quota = 10.0 + rng.f64() * 70.0;
@@ -49,22 +50,25 @@
             u = (u + tokens).min(bank + buffer);
             let k = rng.i64(1..5);
             let actions = driver.request(Request { slots: k as f64, timeout: 50.0, ..request(id) });
-            let refuse = actions.iter().any(|action| matches!(action, Action::Reject { .. }));
-            let push = actions
+            let is_rejected = actions.iter().any(|action| matches!(action, Action::Reject { .. }));
+            let is_sent = actions
                 .iter()
                 .any(|action| matches!(action, Action::Send { request, .. } if request.0 == id));
-            assert_eq!(refuse, u < k, "seed {seed}, job {id} of {k} slots at U = {u}");
+            assert_eq!(is_rejected, u < k, "seed {seed}, job {id} of {k} slots at U = {u}");
             assert_eq!(
-                push,
+                is_sent,
                 u - buffer >= k,
                 "seed {seed}, job {id} of {k} slots at U = {u}, C_J = {buffer}"
             );
-            refused += i32::from(refuse);
-            held += i32::from(!refuse && !push);
-            u -= if refuse { 0 } else { k };
+            rejected += i32::from(is_rejected);
+            queued += i32::from(!is_rejected && !is_sent);
+            u -= if is_rejected { 0 } else { k };
         }
     }
-    assert!(refused > 400 && held > 400, "the streams press the throttle: {refused} refused, {held} held");
+    assert!(
+        rejected > 400 && queued > 400,
+        "the streams exceed the rate: {rejected} rejected, {queued} queued"
+    );
 }
 
 /// Queued jobs leave first come, first served, each when its own tokens have accrued and no sooner.
@@ -90,9 +94,9 @@
         driver.advance(0.0125);
         driver.request(Request { tenant: 1, ..request(id) });
     }
-    let pushed = (400..800).filter(|id| !driver.requests[id].sends.is_empty()).count();
+    let sent = (400..800).filter(|id| !driver.requests[id].sends.is_empty()).count();
     // Five seconds at R = 60; the tenant's own share is 15 a second.
-    assert!((280..=320).contains(&pushed), "{pushed} pushed in five seconds");
+    assert!((280..=320).contains(&sent), "{sent} sent in five seconds");
 }
 
 /// A rejection carries the missing tokens divided by the tenant's rate, as far as clients honour it.
@@ -107,6 +111,6 @@
             }
         }
     }
-    let wait = waits.last().copied().flatten().expect("a full buffer refuses with a wait");
+    let wait = waits.last().copied().flatten().expect("a full buffer rejects with a retry-after");
     assert!(wait > 0.0 && wait <= 4.0 / 30.0 + 1e-9, "at most four slots at 30 a second: {wait}");
 }
--- a/crates/dispatch-core/tests/unit/load.rs
+++ b/crates/dispatch-core/tests/unit/load.rs
@@ -18,13 +18,13 @@
     fleet.upsert(&endpoint, 0.0);
     fleet.rebuild_indexes(0, None);
     let time = ObservationTime { now: 1.0, window: 0.3 };
-    let report = |free: f64, held: f64| LoadReport {
+    let report = |free: f64, in_flight: f64| LoadReport {
         free_slots: Some(free),
-        in_flight: Some(held),
+        in_flight: Some(in_flight),
         ..LoadReport::default()
     };
     assert_eq!(fleet.apply_load_report(0, &report(4.0, 0.0), 1.0, time), Some(0.0));
-    assert_eq!(fleet.apply_load_report(0, &report(2.0, 9.0), 1.0, time), Some(0.0), "it has room");
+    assert_eq!(fleet.apply_load_report(0, &report(2.0, 9.0), 1.0, time), Some(0.0), "a slot is free");
     assert_eq!(fleet.apply_load_report(0, &report(0.0, 7.0), 1.0, time), Some(3.0), "seven in four slots");
     assert!(fleet.other_slots(&fleet.workers[0], time) > 3.0);
     assert_eq!(fleet.apply_load_report(0, &LoadReport::default(), 1.0, time), None);
--- a/crates/dispatch-core/tests/unit/load_report.rs
+++ b/crates/dispatch-core/tests/unit/load_report.rs
@@ -16,11 +16,7 @@
     };
     assert_eq!(format().parse_positional("0.5,120,7,0"), Ok(load));
     let parsed = format().parse_text("TEXT x0=0, inflight=7,eps=0.5 , latency_ms=120, cpu=0.3");
-    assert_eq!(
-        parsed,
-        ParsedLoadReport { load: Some(load), malformed: false },
-        "an unknown name is passed over"
-    );
+    assert_eq!(parsed, ParsedLoadReport { load: Some(load), malformed: false }, "an unknown name is ignored");
     let json = r#"{"x0":0,"inflight":7,"eps":0.5,"latency_ms":120,"cpu":[0.3]}"#;
     assert_eq!(format().parse_json(json), ParsedLoadReport { load: Some(load), malformed: false });
     assert!(format().parse_positional("0.5,much").is_err());
--- a/crates/dispatch-core/tests/unit/outlier_detection.rs
+++ b/crates/dispatch-core/tests/unit/outlier_detection.rs
@@ -40,7 +40,7 @@
     zone.record_liveness();
     zone.record_failure(3, 10.2, 0.5);
     zone.record_failure(4, 10.3, 0.5);
-    assert!(!zone.is_suspected(10.3), "there was a sign between");
+    assert!(!zone.is_suspected(10.3), "there was a sign of life between");
     zone.record_failure(5, 10.4, 0.5);
     assert!(zone.is_suspected(10.4) && !zone.is_suspected(11.0));
     zone.record_failure(6, 11.0, 0.5);
--- a/crates/dispatch-core/tests/unit/queueing.rs
+++ b/crates/dispatch-core/tests/unit/queueing.rs
@@ -8,7 +8,7 @@
     assert_eq!(
         (curve.mean_wait(0.5), curve.mean_wait(1.0), curve.mean_wait(2.0)),
         (0.0, 0.0, 1.0),
-        "as if word were true"
+        "as if reports were exact"
     );
     (0..400).for_each(|n| curve.learn(1.0, f64::from(n % 2)));
     assert!((0.4..0.6).contains(&curve.mean_wait(1.0)), "{}", curve.mean_wait(1.0));
