--- a/crates/dispatch-core/src/policy/worker_cost.rs
+++ b/crates/dispatch-core/src/policy/worker_cost.rs
@@ -36,14 +36,20 @@
         let lateness_probability = run_times.lateness_probability(time_left, run_time, wait);
         let is_zone_lost = self.fleet.is_zone_lost(worker, self.now);
         let reservation_price = self.reserved_workers.price(index, job.slots as f64);
-        let cost = run_time * (1.0 + queueing_cost(utilization) + reservation_price)
-            + (PRICE_COST * self.path_price(worker) + self.lateness_cost(job, lateness_probability)) * work
-            + if is_zone_lost { LOST_ZONE_COST } else { 0.0 };
-        let has_free_slot = utilization <= 1.0 && self.has_fresh_load(worker) && !is_zone_lost;
-        Candidate { worker: index, cost, has_free_slot, utilization, lateness_probability }
+        let run_cost = run_time * (1.0 + queueing_cost(utilization) + reservation_price);
+        let lateness_cost = self.lateness_cost(job, lateness_probability);
+        let price_and_lateness_cost = (PRICE_COST * self.path_price(worker) + lateness_cost) * work;
+        let zone_cost = if is_zone_lost { LOST_ZONE_COST } else { 0.0 };
+        Candidate {
+            worker: index,
+            cost: run_cost + price_and_lateness_cost + zone_cost,
+            has_free_slot: utilization <= 1.0 && self.has_fresh_load(worker) && !is_zone_lost,
+            utilization,
+            lateness_probability,
+        }
     }
 
-    /// Returns the running time at a worker relative to that at a usual one that is warm.
+    /// Returns the running time at a worker relative to the work, with the reduced capacity of slow start.
     fn slowdown(&self, index: usize) -> f64 {
         let log_slowdown = self.fleet.log_slowdown(index, &self.workload.slowdowns, self.now);
         log_slowdown.exp() / self.fleet.warm_capacity(&self.fleet.workers[index], self.now)
@@ -57,8 +63,11 @@
 
     /// Whether the load of a worker was observed recently enough to rely on.
     fn has_fresh_load(&self, worker: &Worker) -> bool {
+        if !self.may_probe() {
+            return true;
+        }
         let fresh_for = FRESH_WINDOWS * self.workload.rate_window();
-        !self.may_probe() || self.now - worker.other_slots_observed_at < fresh_for
+        self.now - worker.other_slots_observed_at < fresh_for
     }
 
     /// Returns the price of the path to a worker, as a part of the service: crossing zones and a new
