--- a/crates/dispatch-core/src/admission_rate.rs
+++ b/crates/dispatch-core/src/admission_rate.rs
@@ -1,7 +1,8 @@
 //! The admission rate R of a dispatcher, and the traffic of the present window by which it is adjusted.
 
-/// The lowest rate, in slots a second, and the lowest of a part of it: waits are divided by it.
+/// Lowest admission rate, in slots a second.
 const MIN_RATE: f64 = 0.5;
+/// Lowest share of the rate, in slots a second.
 const MIN_PARTIAL_RATE: f64 = 1e-3;
 
 /// The rate R in slots a second, with the accepted and rejected slots of this window.
--- a/crates/dispatch-core/src/endpoint_list.rs
+++ b/crates/dispatch-core/src/endpoint_list.rs
@@ -2,9 +2,12 @@
 
 use crate::api::Seconds;
 
-/// Bounds of the delay of a retry; the upper one where the settings state no poll interval.
+/// Shortest delay of a retry.
 const MIN_RETRY_DELAY: Seconds = 0.2;
+/// Longest delay of a retry where the settings state no poll interval.
 const MAX_RETRY_DELAY: Seconds = 2.0;
+/// Parts of the longest poll interval, one of which is the longest delay of a retry.
+const RETRIES_PER_POLL_INTERVAL: f64 = 4.0;
 
 /// State of the watch on the endpoint list.
 #[derive(Debug, Default)]
@@ -28,7 +31,11 @@
     /// Records that a call failed or the watch broke. Returns the delay before the next call, without jitter; it
     /// doubles up to a part of the longest poll interval, where one is stated.
     pub(crate) fn record_failure(&mut self, max_poll_interval: Seconds) -> Seconds {
-        let longest = if max_poll_interval > 0.0 { max_poll_interval / 4.0 } else { MAX_RETRY_DELAY };
+        let longest = if max_poll_interval > 0.0 {
+            max_poll_interval / RETRIES_PER_POLL_INTERVAL
+        } else {
+            MAX_RETRY_DELAY
+        };
         let retry_delay = (self.retry_delay * 2.0).clamp(MIN_RETRY_DELAY.min(longest), longest);
         *self = EndpointListState { is_watching: false, is_pending: false, retry_delay };
         retry_delay
--- a/crates/dispatch-core/src/outlier_detection.rs
+++ b/crates/dispatch-core/src/outlier_detection.rs
@@ -2,12 +2,14 @@
 
 use crate::api::Seconds;
 
-/// Consecutive failures that eject a worker, and the shortest and longest ejection.
+/// Consecutive failures that eject a worker.
 const EJECTION_FAILURES: u32 = 2;
+/// Bounds of the length of an ejection, before jitter.
 const MIN_EJECTION: Seconds = 0.5;
 const MAX_EJECTION: Seconds = 8.0;
-/// The part of an ejection's length from which jitter spreads it, and the part over which it does.
+/// Shortest ejection with jitter, as a part of its length.
 const MIN_EJECTION_PART: f64 = 0.75;
+/// Span of the jitter, as a part of the length of an ejection.
 const EJECTION_JITTER: f64 = 0.5;
 
 /// Health of one worker.
@@ -51,7 +53,9 @@
     pub(crate) fn record_liveness(&mut self, now: Seconds) -> bool {
         self.last_alive = now;
         let had_verdict = std::mem::take(&mut self.verdict_until) > 0.0;
-        (std::mem::take(&mut self.is_stalled) && self.record_success()) || had_verdict
+        let was_stalled = std::mem::take(&mut self.is_stalled);
+        let ends_ejection = was_stalled && self.record_success();
+        ends_ejection || had_verdict
     }
 
     /// Applies the verdict of a health checker that observed a failure, or withdraws it if `valid_until` is past. A
@@ -65,7 +69,8 @@
     /// Marks the worker as stalled, so that its next failure ejects it. Returns whether it was not marked before.
     pub(crate) fn mark_stalled(&mut self) -> bool {
         self.failures = self.failures.max(EJECTION_FAILURES);
-        !std::mem::replace(&mut self.is_stalled, true)
+        let was_stalled = std::mem::replace(&mut self.is_stalled, true);
+        !was_stalled
     }
 
     /// Whether the worker was ejected and has not succeeded since, or a verdict has marked it unhealthy.
@@ -82,10 +87,10 @@
 
 /// Number of different workers whose consecutive failures make a zone suspect.
 const OUTAGE_FAILURES: u32 = 3;
-/// Shortest and longest time for which a suspected zone is the last choice; then a job tries it again.
+/// Bounds of the time for which a suspected zone is the last choice, before jitter; then a job tries it again.
 const MIN_SUSPICION: Seconds = 0.5;
 const MAX_SUSPICION: Seconds = 4.0;
-/// The part of a suspicion's length from which jitter spreads it.
+/// Shortest suspicion with jitter, as a part of its length.
 const MIN_SUSPICION_PART: f64 = 0.5;
 
 /// Suspicion that a whole zone is lost: its workers fail one after another, and none gives a sign of life.
--- a/crates/dispatch-core/src/policy/outlier_detection.rs
+++ b/crates/dispatch-core/src/policy/outlier_detection.rs
@@ -5,10 +5,13 @@
 use crate::job::{Attempt, Job, JobState};
 use crate::timers::{TimerEvent, TIMER_TOLERANCE};
 
-/// A worker is stalled that gives no sign of life for this long and so many mean waits while a job of ours
-/// waits there, or for so many intervals between progress reports while one runs.
+/// Time without a sign of life after which a worker is stalled while a job of ours waits there, beside
+/// [`STALL_WAITS`].
 const STALL_TIMEOUT: Seconds = 1.5;
+/// Mean waits by which the stall timeout of a job that waits is longer.
 const STALL_WAITS: f64 = 16.0;
+/// Intervals between progress reports after which a worker without a sign of life is stalled while a job of
+/// ours runs there.
 const STALL_PROGRESS_INTERVALS: f64 = 2.2;
 
 impl Dispatcher {
--- a/crates/dispatch-core/src/policy/rate_control.rs
+++ b/crates/dispatch-core/src/policy/rate_control.rs
@@ -9,15 +9,17 @@
 
 /// Learning rate of arrivals and of jobs that are served, by windows.
 const TRAFFIC_LEARNING_RATE: f64 = 0.1;
-/// R rises by this part in each window in which it limits, quickly until the first cut.
+/// Rise of R in a window in which it limits, as a part of R, after the first cut.
 const RATE_RISE: f64 = 0.05;
+/// Rise of R in a window in which it limits, as a part of R, before the first cut.
 const INITIAL_RATE_RISE: f64 = 0.1;
-/// R rises by no more than this part at once.
+/// Largest rise of R in a window, as a part of R.
 const MAX_RATE_RISE: f64 = 1.0;
-/// A window is congested when more than this part of its sends was rejected.
+/// Rejected part of a window's sends above which the window is congested.
 const CONGESTED_SHARE: f64 = 0.15;
-/// R is cut by this multiple of the rejected part, and by no more than this at once.
+/// Cut of R for each rejected part of the sends, as a part of R.
 const CUT_PER_REJECTED: f64 = 0.5;
+/// Largest cut of R in a window, as a part of R.
 const MAX_CUT: f64 = 0.3;
 /// Rejected part of the sends above which quotas cannot be served for now.
 const COLLAPSED_SHARE: f64 = 0.75;
--- a/crates/dispatch-core/src/policy/worker_selection.rs
+++ b/crates/dispatch-core/src/policy/worker_selection.rs
@@ -6,13 +6,16 @@
 use crate::job::{Candidate, Job};
 use crate::worker::Worker;
 
-/// Workers considered for one job. Where loads are reported, dispatchers share old reports, and the more of
-/// them choose the best of many the more they choose alike: there two for each dispatcher, within these
-/// bounds.
+/// Most workers considered in one step of the selection.
 pub(super) const MAX_SAMPLE: usize = 6;
+/// Fewest workers considered in a zone where loads are reported: dispatchers share old reports, and the more
+/// workers each of them considers, the more they choose alike.
 const MIN_SAMPLE: usize = 2;
-/// Workers on the ring that a key may go to, and the further ones it uses for each worker that it could fill.
+/// Sampled workers together, for each worker that serves, over all dispatchers.
+const SAMPLES_PER_WORKER: usize = 2;
+/// Workers on the ring that a key may go to.
 const KEY_HOMES: usize = 3;
+/// Further workers that a key may go to, for each worker that its jobs could fill.
 const KEY_SPREAD: f64 = 0.3;
 /// Costs are drawn up to this part higher, so that equal workers take turns.
 const COST_JITTER: f64 = 0.01;
@@ -104,7 +107,7 @@
     /// Returns the number of workers to consider in each zone, by the number of workers that serve.
     fn sample_size(&self, workers: usize) -> usize {
         let least = if self.settings.load_reports == LoadReports::None { MAX_SAMPLE } else { MIN_SAMPLE };
-        (2 * workers / self.settings.instances as usize).clamp(least, MAX_SAMPLE)
+        (SAMPLES_PER_WORKER * workers / self.settings.instances as usize).clamp(least, MAX_SAMPLE)
     }
 
     /// Considers the homes of a key: the next workers on the ring, the same at every dispatcher, and the more
--- a/crates/dispatch-core/src/queueing.rs
+++ b/crates/dispatch-core/src/queueing.rs
@@ -3,10 +3,11 @@
 //! The value of load reports depends on their delay and noise, and on the number of dispatchers that choose by the
 //! same report. So the expected utilization at the send of a job is compared with the wait that was observed.
 
-/// Number of steps of the curve up to a utilization of one, and in all.
+/// Number of steps of the curve up to a utilization of one.
 const STEPS_TO_FULL: f64 = 8.0;
+/// Number of all steps of the curve.
 const STEPS: usize = 33;
-/// Weight of the initial curve, in jobs, and the learning rate.
+/// Weight of the initial curve, in jobs.
 const INITIAL_WEIGHT: f64 = 6.0;
 const LEARNING_RATE: f64 = 1.0 / 128.0;
 /// Longest wait that counts, in running times.
@@ -51,8 +52,8 @@
     pub(crate) fn learn(&mut self, utilization: f64, waited: f64) {
         let step = &mut self.0[QueueingCurve::step(utilization)];
         step.samples += 1.0;
-        step.mean_wait +=
-            LEARNING_RATE.max(1.0 / step.samples) * (waited.clamp(0.0, MAX_WAIT) - step.mean_wait);
+        let learning_rate = LEARNING_RATE.max(1.0 / step.samples);
+        step.mean_wait += learning_rate * (waited.clamp(0.0, MAX_WAIT) - step.mean_wait);
     }
 }
 
--- a/crates/dispatch-core/src/run_time.rs
+++ b/crates/dispatch-core/src/run_time.rs
@@ -17,18 +17,20 @@
 
 /// Learning rate of the means of a class.
 pub(crate) const CLASS_LEARNING_RATE: f64 = 1.0 / 64.0;
-/// Initial mean of running times, and the number of observed jobs that it is worth.
+/// Initial mean of running times.
 const INITIAL_RUN_TIME: Seconds = 0.3;
+/// Number of observed jobs that the initial means are worth.
 const INITIAL_SAMPLES: f64 = 4.0;
 /// Bounds to which running times and hints are clamped before their logarithm is taken.
 const MIN_RUN_TIME: Seconds = 1e-3;
 const MAX_RUN_TIME: Seconds = 1e4;
 /// Largest deviation of a hint from the mean, in standard deviations of hints; hints beyond are clamped.
 const MAX_HINT_DEVIATIONS: f64 = 4.0;
-/// Variance of the logarithms of running times of one class: initially with a hint, initially without, and at least (a
-/// job's time differs from one run to the next).
+/// Initial variance of the logarithms of running times of one class, with hints.
 const INITIAL_HINTED_VARIANCE: f64 = 0.25;
+/// Initial variance of the logarithms of running times of one class, without hints.
 const INITIAL_VARIANCE: f64 = 1.0;
+/// Lowest variance of the logarithms of running times of one class: a job's time differs from one run to the next.
 const MIN_RUN_TIME_VARIANCE: f64 = 0.02;
 /// Largest squared error that is learnt from, as a multiple of the variance.
 const MAX_ERROR: f64 = 4.0;
