--- a/crates/coordinator/src/cli/arguments.rs
+++ b/crates/coordinator/src/cli/arguments.rs
@@ -10,29 +10,29 @@
 pub(super) const USAGE: &str = "\
 coordinator COMMAND --config FILE [options]
 
-  bootstrap       sets up the empty store of this keeper, once in the life of an installation
-  serve           keeps; ends on SIGTERM
-  status          every keeper: who leads, how far each is
+  bootstrap       creates the empty store of this replica, once in the life of an installation
+  serve           runs this replica until SIGTERM
+  status          all replicas: role, Raft term, applied entries
   members         the members that have a session
-  duties          who owns what, with which token
-  release-duty    ends the running term of --duty NAME (with --token N only that one); another member gets it
-  replace         --keeper NUMBER --with NEW --address IP:PORT: a new keeper takes the place of one that is gone or goes
-  account         who may be out: budgets and what they have to do with, permits, targets that are not in
-  budgets         --set FILE [--seen VERSION]: other budgets, HCL; refused where they were changed since that version
-  permit ask      --target KIND/NAME --by WHO [--reason TEXT] [--force]: says whether it is granted; 8 where it waits
-  permit begin    --permit N [--number M]: right before the step; done: after it; void: gives it back unbegun
-  strike-off      --target KIND/NAME [--by WHO]: a target is gone for good, and its permits with it
-  metrics         the figures of this keeper, for Prometheus, as text
-  check-config    reads the configuration and says what is wrong with it
+  duties          the leases with their holders and fencing tokens
+  release-duty    ends the running term of the lease --duty NAME (with --token N only that term); another member gets it
+  replace         --keeper NUMBER --with NEW --address IP:PORT: replaces a replica by a new one
+  account         the disruption state: budgets and their use, permits, unavailable targets
+  budgets         --set FILE [--seen VERSION]: replaces the budgets, HCL; rejected if changed since that version
+  permit ask      --target KIND/NAME --by WHO [--reason TEXT] [--force]: requests a permit; 8 while it is not granted
+  permit begin    --permit N [--number M]: right before the step; done: after it; void: cancels a permit not begun
+  strike-off      --target KIND/NAME [--by WHO]: deregisters a target for good, with its permits
+  metrics         the metrics of this replica in the text format of Prometheus
+  check-config    reads and validates the configuration
 
   --config FILE   the configuration, HCL
-  --joining       with bootstrap: this keeper takes another's place in an installation that runs
-  --record FILE   with serve: appends what was applied, a JSON object a line
+  --joining       with bootstrap: this replica joins a running installation in place of another
+  --record FILE   with serve: appends a record of each applied entry as a line of JSON
   --log LEVEL     error, warn, info (the default), debug or trace
   --json          with status, members, duties and account: JSON
 
-Exit codes: 0 done, 1 fault, 2 bad usage, 3 the disk is an old copy or another's, 4 the store cannot be used,
-5 something was agreed on that this version does not know, 6 raft refused to go on, 7 replaced by another, 8 not now.
+Exit codes: 0 done, 1 error, 2 bad usage, 3 the store is an old copy or another replica's, 4 the store cannot be used,
+5 something was committed that this version does not support, 6 Raft failed, 7 replaced by another replica, 8 not now.
 ";
 
 /// What the program is to do.
@@ -57,7 +57,7 @@
 
 /// A word where a command is expected.
 #[derive(Debug, thiserror::Error)]
-#[error("{0:?} is no command")]
+#[error("{0:?} is not a command")]
 pub(super) struct UnknownSubcommand(String);
 
 /// The arguments of the process. What a command needs and is not here is missed when the command runs.
--- a/crates/coordinator/src/cli/commands.rs
+++ b/crates/coordinator/src/cli/commands.rs
@@ -35,7 +35,7 @@
         Subcommand::Deregister => deregister(arguments, config).await,
         Subcommand::Metrics => print_metrics(config).await,
         Subcommand::CheckConfig | Subcommand::Help | Subcommand::Version => {
-            Ok("the configuration is fine\n".to_owned())
+            Ok("the configuration is valid\n".to_owned())
         }
     }
 }
@@ -56,11 +56,14 @@
     let store_id = clock::random_id();
     if arguments.joining {
         store::bootstrap_joining(directory, installation, id, store_id)?;
-        return Ok(format!("{}: the store of keeper {id}, which is to join\n", directory.display()));
+        return Ok(format!(
+            "{}: created the store of replica {id}, which joins a running installation\n",
+            directory.display()
+        ));
     }
     let voters: Vec<u64> = config.coordinators.keys().copied().collect();
     store::bootstrap(directory, installation, id, &voters, config.first_token, store_id)?;
-    Ok(format!("{}: an empty store of keeper {id}\n", directory.display()))
+    Ok(format!("{}: created an empty store for replica {id}\n", directory.display()))
 }
 
 async fn serve(arguments: &Arguments, config: &Config) -> Result<String, CommandError> {
@@ -115,7 +118,7 @@
         return Err(CommandError::InvalidAddress(address));
     }
     operator_client::replace(config, old, new, address).await?;
-    Ok(format!("keeper {new} has taken the place of keeper {old}\n"))
+    Ok(format!("replica {new} has replaced replica {old}\n"))
 }
 
 async fn disruption_state(arguments: &Arguments, config: &Config) -> Result<String, CommandError> {
@@ -140,7 +143,7 @@
         DisruptionCommand::SetBudgets { expected_version, budgets },
     )
     .await?;
-    Ok(format!("{count} budgets hold from now on\n"))
+    Ok(format!("{count} budgets are in effect\n"))
 }
 
 /// Requests a permit, begins it, says that its step is done, or cancels it.
--- a/crates/coordinator/src/cli/error.rs
+++ b/crates/coordinator/src/cli/error.rs
@@ -27,7 +27,7 @@
     #[error("--address: {0:?} is not an address; expected IP:PORT")]
     InvalidAddress(String),
     /// A word where one of the steps of a permit is expected.
-    #[error("permit {0:?}: wanted ask, begin, done or void")]
+    #[error("permit {0:?}: expected ask, begin, done or void")]
     UnknownPermitVerb(String),
     /// The file for records cannot be opened.
     #[error("--record: {}: {source}", .file.display())]
@@ -47,7 +47,7 @@
     #[error(transparent)]
     Coordinator(#[from] CoordinatorError),
     /// The permit is not granted yet. Retry within a minute, or it is cancelled.
-    #[error("permit {permit} waits for its turn{}; ask again within a minute", blocked_by(.budget))]
+    #[error("permit {permit} waits for its turn{}; retry within a minute", blocked_by(.budget))]
     PermitWaiting {
         /// The permit.
         permit: u64,
@@ -57,7 +57,7 @@
 }
 
 fn blocked_by(budget: &Option<String>) -> String {
-    budget.as_ref().map(|budget| format!(", held by budget {budget:?}")).unwrap_or_default()
+    budget.as_ref().map(|budget| format!(", blocked by budget {budget:?}")).unwrap_or_default()
 }
 
 impl From<StoreError> for CommandError {
--- a/crates/coordinator/src/cli/output.rs
+++ b/crates/coordinator/src/cli/output.rs
@@ -20,10 +20,10 @@
 
 /// One coordinator, for `status`.
 pub(super) fn status_line(coordinator: u64, status: &ReplicaStatus) -> String {
-    let role = if status.is_leader { "leads" } else { "follows" };
+    let role = if status.is_leader { "leader" } else { "follower" };
     let CommitLatency { p50_us, p99_us, .. } = status.commit_latency;
     format!(
-        "keeper {coordinator}: {role}, term {}, applied {} of {}, {} members, commit p50 {p50_us} us p99 \
+        "replica {coordinator}: {role}, term {}, applied {} of {}, {} members, commit p50 {p50_us} us p99 \
          {p99_us} us\n",
         status.raft_term,
         status.applied_index,
@@ -36,7 +36,7 @@
 pub(super) fn member_line(member: &MemberStatus) -> String {
     let state = match (member.superseded, member.stable) {
         (true, _) => "superseded",
-        (false, true) => "settled",
+        (false, true) => "stable",
         (false, false) => "new",
     };
     let peer = &member.peer;
@@ -50,7 +50,7 @@
 pub(super) fn lease_line(lease: &LeaseStatus) -> String {
     match &lease.holder {
         Some(holder) => format!("{}: {}, token {}\n", lease.lease, holder.member, holder.token.0),
-        None => format!("{}: nobody, tokens below {} are over\n", lease.lease, lease.minimum_token.0),
+        None => format!("{}: no holder, minimum token {}\n", lease.lease, lease.minimum_token.0),
     }
 }
 
@@ -118,7 +118,7 @@
         text += &budget_line(&usage);
     }
     if state.budgets().is_empty() {
-        text += "  none: every permit is granted while one other target is in\n";
+        text += "  none: every permit is granted while another target is available\n";
     }
     for (id, permit) in state.permits() {
         text += &permit_line(state, *id, permit);
@@ -126,7 +126,7 @@
     for target in state.targets() {
         text += &target_line(&target);
     }
-    let _ = writeln!(text, "forced so far: {}", state.forced().count);
+    let _ = writeln!(text, "forced permits: {}", state.forced().count);
     text
 }
 
@@ -138,13 +138,13 @@
     let fault =
         budget.validate_for(totals.targets).map_or_else(|fault| format!("; {fault}"), |()| String::new());
     format!(
-        "  {}{group}: {by_plan} out by plan, {unplanned} otherwise, of {}{fault}\n",
+        "  {}{group}: {by_plan} unavailable by plan, {unplanned} otherwise, of {}{fault}\n",
         budget.name, totals.targets
     )
 }
 
 fn permit_line(state: &DisruptionState, id: PermitId, permit: &Permit) -> String {
-    let held_by = state.blocking_budget(id).map(|budget| format!(", held by budget {}", budget.name));
+    let held_by = state.blocking_budget(id).map(|budget| format!(", blocked by budget {}", budget.name));
     format!(
         "permit {id}: {}, {}{}{}{}; {}: {}\n",
         permit.target,
@@ -161,9 +161,9 @@
 fn target_line(target: &TargetStatus) -> String {
     match target.availability {
         Availability::Available => String::new(),
-        Availability::Unavailable => format!("{}: out\n", target.target),
+        Availability::Unavailable => format!("{}: unavailable\n", target.target),
         Availability::WarmingUp(part) => {
-            format!("{}: warming, {} %\n", target.target, f64::from(part) / PER_PERCENT)
+            format!("{}: warming up, {} %\n", target.target, f64::from(part) / PER_PERCENT)
         }
     }
 }
--- a/crates/coordinator/src/config/budgets.rs
+++ b/crates/coordinator/src/config/budgets.rs
@@ -33,7 +33,7 @@
         let name = section.label();
         let taken = budgets.iter().any(|budget| budget.name == name);
         if name.is_empty() || name.len() > MAX_NAME_LENGTH || taken {
-            return Err(section.error("", "wanted a label of 1 to 128 bytes that no other budget has"));
+            return Err(section.error("", "expected a label of 1 to 128 bytes that no other budget has"));
         }
         budgets.push(parse_budget(section)?);
     }
@@ -70,7 +70,7 @@
         Some(("zone", zone)) if !zone.is_empty() => Ok(BudgetScope::Zone(zone.to_owned())),
         Some(("pool", pool)) if !pool.is_empty() => Ok(BudgetScope::Pool(pool.to_owned())),
         _ => {
-            let wanted = "wanted fleet, each-zone, zone/NAME, each-pool or pool/NAME";
+            let wanted = "expected fleet, each-zone, zone/NAME, each-pool or pool/NAME";
             Err(section.error("of", format!("{text:?}: {wanted}")))
         }
     }
@@ -87,7 +87,8 @@
     match percent.filter(|percent| *percent <= MAX_PERCENT) {
         Some(percent) => Ok(Some(Amount::Percent(percent))),
         None => {
-            Err(section.error(key, format!("{text:?} is no part; wanted a number or \"0%\" to \"100%\"")))
+            Err(section
+                .error(key, format!("{text:?} is not an amount; expected a number or \"0%\" to \"100%\"")))
         }
     }
 }
--- a/crates/coordinator/src/config/mod.rs
+++ b/crates/coordinator/src/config/mod.rs
@@ -133,7 +133,7 @@
 }
 
 fn parse_bind_address(section: &Section, text: &str) -> Result<IpAddr, HclError> {
-    text.parse().map_err(|_| section.error("bind", format!("{text:?} is no IP address")))
+    text.parse().map_err(|_| section.error("bind", format!("{text:?} is not an IP address")))
 }
 
 /// A bug injected on purpose. Only a build for such tests knows the key.
--- a/crates/coordinator/src/error.rs
+++ b/crates/coordinator/src/error.rs
@@ -19,7 +19,7 @@
     #[error(transparent)]
     UnsupportedFormat(#[from] UnsupportedFormat),
     /// A peer knows that the disk of this coordinator is another one, or an old copy. Replace the coordinator.
-    #[error("keeper {peer} turned this one away: {rejection}")]
+    #[error("replica {peer} rejected the handshake: {rejection}")]
     StaleDisk {
         /// The number of the peer.
         peer: u64,
@@ -27,12 +27,10 @@
         rejection: HandshakeRejection,
     },
     /// Raft found its own state inconsistent. Replace the coordinator.
-    #[error("raft does not go on: {0}")]
+    #[error("raft failed: {0}")]
     Raft(#[from] raft::Error),
     /// Another coordinator has taken the place of this one. Nothing is left to do.
-    #[error(
-        "another keeper has taken the place of keeper {coordinator_id}: this one is not needed any more"
-    )]
+    #[error("replica {coordinator_id} was replaced by another one and is no longer needed")]
     Replaced {
         /// The number of this coordinator.
         coordinator_id: u64,
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -8,6 +8,7 @@
 //! - [`error`] says why a coordinator stops, and the exit code for it.
 
 pub mod config;
+mod display;
 pub mod error;
 pub mod operator_client;
 pub mod replica;
--- a/crates/coordinator/src/operator_client.rs
+++ b/crates/coordinator/src/operator_client.rs
@@ -14,6 +14,7 @@
 use tokio::time::{sleep, timeout, Instant};
 
 use crate::config::Config;
+use crate::display::replica_list;
 
 /// How long a coordinator has for a response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -26,10 +27,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
     /// The settings name no such coordinator.
-    #[error("there is no keeper {0}")]
+    #[error("replica {0} is not configured")]
     UnknownCoordinator(u64),
     /// A coordinator is not reached, or rejects this program.
-    #[error("keeper {coordinator} at {address}: {source}")]
+    #[error("replica {coordinator} at {address}: {source}")]
     Connection {
         /// Its number.
         coordinator: u64,
@@ -39,7 +40,7 @@
         source: ConnectionError,
     },
     /// A coordinator does not respond.
-    #[error("keeper {coordinator} at {address}: no answer within {} s", CALL_TIMEOUT.as_secs())]
+    #[error("replica {coordinator} at {address}: no response within {} s", CALL_TIMEOUT.as_secs())]
     Timeout {
         /// Its number.
         coordinator: u64,
@@ -47,7 +48,7 @@
         address: SocketAddr,
     },
     /// A coordinator sent a response to another request.
-    #[error("keeper {coordinator}: an answer that was not asked for: {response:?}")]
+    #[error("replica {coordinator}: unexpected response: {}", describe(.response))]
     UnexpectedResponse {
         /// Its number.
         coordinator: u64,
@@ -55,16 +56,16 @@
         response: Box<Response>,
     },
     /// The leader sent a response to another request.
-    #[error("an answer that was not asked for: {0:?}")]
+    #[error("unexpected response of the leader: {}", describe(.0))]
     UnexpectedLeaderResponse(Box<Response>),
     /// No coordinator leads. Those that are not reached are named.
-    #[error("no keeper leads: a majority has to be there and reach each other{}", Lines(.unreachable))]
+    #[error("no replica leads: a majority has to run and reach each other{}", Lines(.unreachable))]
     NoLeader {
         /// Why each of them is not reached.
         unreachable: Vec<OperatorError>,
     },
     /// No coordinator that leads responds.
-    #[error("{0}: a majority of the keepers has to be there and reach each other")]
+    #[error("{0}: a majority of the replicas has to run and reach each other")]
     LeaderUnavailable(CallError),
     /// The leader rejects the request.
     #[error("{0}")]
@@ -81,7 +82,7 @@
         reason: CommandRejection,
     },
     /// The leader could not end the term of a lease now. Retry.
-    #[error("{lease}: not done: {}; ask again", response_text(.response))]
+    #[error("{lease}: not released: {}; retry", describe(.response))]
     ReleaseIncomplete {
         /// The lease.
         lease: LeaseId,
@@ -89,7 +90,7 @@
         response: Box<Response>,
     },
     /// A replacement takes long. It goes on, and may be asked for again.
-    #[error("keeper {old} is not replaced after a minute: {progress}")]
+    #[error("replica {old} was not replaced within {} s: {progress}", REPLACEMENT_TIMEOUT.as_secs())]
     ReplacementTimeout {
         /// The coordinator to be replaced.
         old: u64,
@@ -119,23 +120,34 @@
 impl fmt::Display for ReplacementProgress {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ReplacementProgress::NotStarted => Ok(()),
+            ReplacementProgress::NotStarted => f.write_str("not started"),
             ReplacementProgress::UnderWay { voters, learners } => {
-                write!(f, "it goes on: {voters:?} vote, {learners:?} learn")
+                write!(
+                    f,
+                    "in progress with voters {} and learners {}",
+                    replica_list(voters),
+                    replica_list(learners)
+                )
             }
-            ReplacementProgress::NotAccepted(response) => f.write_str(&response_text(response)),
+            ReplacementProgress::NotAccepted(response) => write!(f, "not accepted: {}", describe(response)),
             ReplacementProgress::NoLeader(error) => write!(f, "{error}"),
         }
     }
 }
 
-/// A response as operators have always been shown it, whatever its type is called.
-fn response_text(response: &Response) -> String {
+/// Describes a response to an operator.
+fn describe(response: &Response) -> String {
     match response {
-        Response::NotLeader { leader, address } => {
-            format!("NotLeading {{ leader: {leader:?}, address: {address:?} }}")
-        }
-        other => format!("{other:?}"),
+        Response::SessionOpened { .. } => "a session was opened".to_owned(),
+        Response::SessionRenewed { .. } => "a session was renewed".to_owned(),
+        Response::Done => "the operation was carried out".to_owned(),
+        Response::NotLeader { leader: Some(leader), .. } => format!("replica {leader} leads now"),
+        Response::NotLeader { leader: None, .. } => "no replica leads now".to_owned(),
+        Response::Busy => "the leader is busy".to_owned(),
+        Response::Rejected(rejection) => format!("rejected: {rejection}"),
+        Response::Status(_) => "the status of a replica".to_owned(),
+        Response::DisruptionState { .. } => "the disruption state".to_owned(),
+        Response::DisruptionStateChanged(_) => "a change of the disruption state".to_owned(),
     }
 }
 
--- a/crates/coordinator/src/replica/membership.rs
+++ b/crates/coordinator/src/replica/membership.rs
@@ -14,6 +14,7 @@
 };
 
 use super::Replica;
+use crate::display::replica_list;
 use crate::error::{CoordinatorError, UnsupportedFormat};
 
 /// A learner that lacks no more entries than this may vote.
@@ -42,12 +43,13 @@
         let voters = self.configuration.get_voters();
         if !voters.contains(&old) && self.state.replacement_in_progress().is_none() {
             return Some(CommandRejection::InvalidReplacement(format!(
-                "there is no keeper {old}; those that vote are {voters:?}"
+                "replica {old} is not a voter; the voters are {}",
+                replica_list(voters)
             )));
         }
         voters
             .contains(&new)
-            .then(|| CommandRejection::InvalidReplacement(format!("keeper {new} votes already")))
+            .then(|| CommandRejection::InvalidReplacement(format!("replica {new} is a voter already")))
     }
 
     /// Proposes the next step of the replacement that is under way, if this replica leads and no step is pending.
--- a/crates/coordinator/src/replica/requests.rs
+++ b/crates/coordinator/src/replica/requests.rs
@@ -108,7 +108,7 @@
     fn change_disruption_state(&mut self, requester: Requester, change: DisruptionCommand, now: Micros) {
         match self.voter_without_permits() {
             Some(voter) => {
-                let why = format!("keeper {voter} is of a version that knows no permits yet");
+                let why = format!("replica {voter} runs a version that does not support permits");
                 self.reply(requester, Response::Rejected(CommandRejection::InvalidReplacement(why)));
             }
             None => self.propose(requester, Command::Disruption(change), now),
--- a/crates/coordinator/src/server/event_loop.rs
+++ b/crates/coordinator/src/server/event_loop.rs
@@ -68,7 +68,7 @@
                 continue;
             }
             let Ok(address) = address.parse::<SocketAddr>() else { continue };
-            tracing::info!(coordinator = peer, %address, "coordinator added");
+            tracing::info!(coordinator = peer, %address, "replica added");
             self.connect(*peer, address);
         }
     }
@@ -249,7 +249,7 @@
         let Some(outgoing) = self.clients.get(&connection) else { return };
         let packed = match encode(message) {
             Ok(packed) => packed,
-            Err(error) => return tracing::error!(%error, "response exceeds the longest frame"),
+            Err(error) => return tracing::error!(%error, "response cannot be encoded"),
         };
         // A client that does not read its responses is disconnected; it reconnects and synchronizes again.
         if outgoing.try_send(packed).is_err() {
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -127,7 +127,7 @@
         starts = start_count,
         term = raft_term,
         listen = %serve.listen,
-        "coordinator started"
+        "replica started"
     );
     record::started(recorder, serve.coordinator_id, start_count);
 }
--- a/crates/coordinator/src/store/error.rs
+++ b/crates/coordinator/src/store/error.rs
@@ -8,8 +8,8 @@
 pub enum StoreError {
     /// There is no store in the directory. Set one up, once in the life of a coordinator.
     #[error(
-        "{}: there is no store. A keeper does not start without its memory, since it could vote twice. For a new \
-         installation run `coordinator bootstrap`; a keeper that lost its disk is replaced by a new one \
+        "{}: there is no store. A replica does not start without its store, since it could vote twice. For a new \
+         installation run `coordinator bootstrap`; a replica that lost its store is replaced by a new one \
          (docs/operate/replicas.md)",
         .file.display()
     )]
@@ -18,16 +18,16 @@
         file: PathBuf,
     },
     /// A store is to be set up where there is one.
-    #[error("{}: there is a store already; it is left alone", .directory.display())]
+    #[error("{}: a store exists already and was not changed", .directory.display())]
     AlreadyExists {
         /// Where.
         directory: PathBuf,
     },
     /// Another process has it open.
-    #[error("the store cannot be used: another process has it: {0}")]
+    #[error("the store is locked by another process: {0}")]
     Locked(#[source] io::Error),
     /// The file has another format. Run a version that knows it.
-    #[error("{}: format {found}, wanted {supported}", .file.display())]
+    #[error("{}: store format {found} is not supported, only {supported}", .file.display())]
     UnknownFormat {
         /// The file.
         file: PathBuf,
@@ -38,7 +38,7 @@
     },
     /// The store belongs to another coordinator. Correct `serve.keeper`, `serve.store` or `installation`.
     #[error(
-        "{}: this is the store of keeper {found_coordinator} of installation {found_installation:?}, not of keeper \
+        "{}: this is the store of replica {found_coordinator} of installation {found_installation:?}, not of replica \
          {coordinator_id} of {installation:?}",
         .file.display()
     )]
@@ -55,7 +55,7 @@
         installation: String,
     },
     /// The file has no header.
-    #[error("the store cannot be used: it has no label")]
+    #[error("the store cannot be used: it has no header")]
     MissingHeader,
     /// The file has no snapshot.
     #[error("the store cannot be used: it has no snapshot")]
--- a/crates/coordinator/tests/cluster/agreement.rs
+++ b/crates/coordinator/tests/cluster/agreement.rs
@@ -158,9 +158,9 @@
     assert!(missing.to_string().contains("could vote twice"), "{missing}");
     store::bootstrap(&store, "test", 1, &[1, 2, 3], 1, 5).unwrap();
     let twice = store::bootstrap(&store, "test", 1, &[1, 2, 3], 1, 5).unwrap_err();
-    assert!(twice.to_string().contains("left alone"), "{twice}");
+    assert!(twice.to_string().contains("was not changed"), "{twice}");
     let other = Store::open(&store, "test", 2).unwrap_err();
-    assert!(other.to_string().contains("not of keeper 2"), "{other}");
+    assert!(other.to_string().contains("not of replica 2"), "{other}");
     let stranger = Store::open(&store, "elsewhere", 1).unwrap_err();
     assert!(stranger.to_string().contains("elsewhere"), "{stranger}");
     let (_, recovered) = Store::open(&store, "test", 1).unwrap();
--- a/crates/coordinator/tests/compatibility/command_line.rs
+++ b/crates/coordinator/tests/compatibility/command_line.rs
@@ -405,6 +405,6 @@
     // Which coordinator is named last depends on the time.
     let account = unreachable.run(&["account"]);
     assert!(account.starts_with("exit 1\n--- stdout\n--- stderr\nPROGRAM: "), "{account}");
-    let advice = ": a majority of the keepers has to be there and reach each other\n";
+    let advice = ": a majority of the replicas has to run and reach each other\n";
     assert!(account.ends_with(advice), "{account}");
 }
--- a/crates/emulator/tests/discovery_leader.rs
+++ b/crates/emulator/tests/discovery_leader.rs
@@ -133,11 +133,11 @@
         let refused = fleet
             .run_coordinator_command(4, &["replace", "--keeper", "9", "--with", "4", "--address", &at])
             .await;
-        assert!(refused.unwrap_err().to_string().contains("there is no keeper 9"));
+        assert!(refused.unwrap_err().to_string().contains("replica 9 is not a voter"));
         let lost = lost.to_string();
         let replace = ["replace", "--keeper", &lost, "--with", "4", "--address", &at];
         let said = fleet.run_coordinator_command(4, &replace).await.unwrap();
-        assert!(said.contains("has taken the place"), "{said}");
+        assert!(said.contains("has replaced"), "{said}");
         fleet.run_coordinator_command(4, &replace).await.expect("asked again it says that it is done");
         fleet.wait_for_watches(1).await.unwrap();
         // Now the new one and one other are the majority, and one of them leads.
@@ -180,7 +180,7 @@
         }
         fleet.wait_for_watches(DISPATCHERS as u64).await.unwrap();
         let said = fleet.run_coordinator_command(3, &["members"]).await.unwrap_err().to_string();
-        assert!(said.contains("no keeper leads"), "{said}");
+        assert!(said.contains("no replica leads"), "{said}");
         fleet.discovery.set_unreachable(0, "terminated");
         fleet.wait_for_workers(WORKERS - 1).await.unwrap();
     });
@@ -235,7 +235,7 @@
         for _ in 0..2 {
             let leader = fleet.leader().unwrap();
             let status = fleet.run_coordinator_command(leader, &["status"]).await.unwrap();
-            let leads = format!("keeper {leader}: leads");
+            let leads = format!("replica {leader}: leader");
             assert!(status.contains(&leads), "{leads}\n{status}\n{}", fleet.logs());
             fleet.kill_coordinator(leader);
             let start = Instant::now();
--- a/crates/emulator/tests/mixed_versions.rs
+++ b/crates/emulator/tests/mixed_versions.rs
@@ -73,7 +73,7 @@
         fleet.start_coordinator(lost).unwrap();
         // What only the newer ones know is refused, whoever leads.
         let refused = until(&fleet, dir.path(), |said| said.is_err_and(|why| why.contains("version"))).await;
-        assert!(refused.unwrap_err().contains("keeper 3 is of a version that knows no permits yet"));
+        assert!(refused.unwrap_err().contains("replica 3 runs a version that does not support permits"));
         assert_eq!(fleet.coordinator_exit_code(3), None, "{}", fleet.coordinator_log(3));
         // Brought to the new version, it knows all that the others do.
         fleet.kill_coordinator(3);
--- a/crates/emulator/tests/planned_drains.rs
+++ b/crates/emulator/tests/planned_drains.rs
@@ -70,7 +70,7 @@
         let why = refused(&fleet, 2).await;
         assert!(why.contains("all"), "{why}");
         let account = fleet.run_coordinator_command(1, &["account"]).await.unwrap();
-        assert!(account.contains("all: 2 out by plan, 0 otherwise, of 6"), "{account}");
+        assert!(account.contains("all: 2 unavailable by plan, 0 otherwise, of 6"), "{account}");
         assert_eq!(fleet.console(0, "POST", "/active").await.unwrap().0, 200);
         // First asked, first served: d3 of the zone that is free again.
         granted(&fleet, 3).await;
@@ -128,7 +128,7 @@
         // It was out, and is; what it did alone is counted as a loss when the keepers are back.
         (1..=2).try_for_each(|n| fleet.start_coordinator(n)).unwrap();
         let start = Instant::now();
-        let counted = "all: 1 out by plan, 1 otherwise";
+        let counted = "all: 1 unavailable by plan, 1 otherwise";
         while !fleet.run_coordinator_command(1, &["account"]).await.is_ok_and(|text| text.contains(counted)) {
             assert!(start.elapsed() < Duration::from_secs(15), "not counted");
             sleep(Duration::from_millis(100)).await;
