--- a/crates/coordinator/src/cli/arguments.rs
+++ b/crates/coordinator/src/cli/arguments.rs
@@ -1,4 +1,4 @@
-//! Usage, and what the arguments of the process say.
+//! Usage and arguments of the process.
 
 use std::path::PathBuf;
 
@@ -6,7 +6,7 @@
 use disruption_budget::Target;
 use lexopt::prelude::*;
 
-/// What `help` prints.
+/// Text of `help`.
 pub(super) const USAGE: &str = "\
 coordinator COMMAND --config FILE [options]
 
@@ -35,7 +35,7 @@
 5 something was committed that this version does not support, 6 Raft failed, 7 replaced by another replica, 8 not now.
 ";
 
-/// What the program is to do.
+/// Subcommand of the program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Subcommand {
     Help,
@@ -55,31 +55,33 @@
     CheckConfig,
 }
 
-/// A word where a command is expected.
+/// Error for a first argument that is not a subcommand.
 #[derive(Debug, thiserror::Error)]
 #[error("{0:?} is not a command")]
 pub(super) struct UnknownSubcommand(String);
 
-/// The arguments of the process. What a command needs and is not here is missed when the command runs.
+/// Arguments of the process. Each subcommand checks whether the arguments that it requires are present.
 pub(super) struct Arguments {
-    /// The name of the command, or nothing.
+    /// Name of the subcommand; empty if there is none.
     subcommand: String,
-    /// What to do with a permit.
+    /// Operation on a permit; empty if there is none.
     pub(super) permit_verb: String,
     pub(super) config: Option<PathBuf>,
     pub(super) record_file: Option<PathBuf>,
     pub(super) lease: Option<LeaseId>,
     pub(super) token: Option<FencingToken>,
-    /// The coordinator to be replaced, and the one that takes its place, with its address.
+    /// Number of the replica to be replaced.
     pub(super) replaced: Option<u64>,
+    /// Number of the replica that replaces it.
     pub(super) replacement: Option<u64>,
+    /// Address of the replica that replaces it.
     pub(super) replacement_address: Option<String>,
     pub(super) budgets_file: Option<PathBuf>,
-    /// The version of the budgets that the operator saw.
+    /// Version of the budgets that the operator has seen.
     pub(super) seen_version: Option<u64>,
     pub(super) target: Option<Target>,
     pub(super) permit: Option<u64>,
-    /// The incarnation of a permit's target; 0 where it has none.
+    /// Incarnation of a permit's target; 0 if it has none.
     pub(super) incarnation: u64,
     pub(super) reason: Option<String>,
     pub(super) force: bool,
@@ -117,7 +119,7 @@
 }
 
 impl Arguments {
-    /// The command that is named.
+    /// Returns the subcommand.
     pub(super) fn subcommand(&self) -> Result<Subcommand, UnknownSubcommand> {
         Ok(match self.subcommand.as_str() {
             "help" => Subcommand::Help,
--- a/crates/coordinator/src/cli/commands.rs
+++ b/crates/coordinator/src/cli/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out a command. Each returns what is printed.
+//! Subcommands that need the settings. Each returns the text to be printed.
 
 use std::net::SocketAddr;
 
@@ -12,10 +12,10 @@
 use super::error::CommandError;
 use super::{metrics, output};
 
-/// Who is noted to have deregistered a target, where the operator does not say.
+/// Default of `--by` for a deregistered target.
 const DEFAULT_REQUESTER: &str = "an operator";
 
-/// Carries out a command that needs the settings.
+/// Runs a subcommand that needs the settings.
 pub(super) async fn run(
     subcommand: Subcommand,
     arguments: &Arguments,
@@ -44,7 +44,7 @@
     config.serve.as_ref().ok_or(CommandError::NoServeBlock)
 }
 
-/// The value of an argument that the command needs.
+/// Returns the value of a required argument.
 fn required<T: Clone>(value: &Option<T>, name: &'static str) -> Result<T, CommandError> {
     value.clone().ok_or(CommandError::MissingArgument(name))
 }
@@ -134,7 +134,7 @@
     let budgets = config::read_budgets(&file)?;
     let expected_version = match arguments.seen_version {
         Some(version) => version,
-        // An operator who does not say what version was seen has just looked.
+        // Without `--seen` the present version is replaced.
         None => operator_client::disruption_state(config).await?.state.budgets_version(),
     };
     let count = budgets.len();
@@ -146,7 +146,7 @@
     Ok(format!("{count} budgets are in effect\n"))
 }
 
-/// Requests a permit, begins it, says that its step is done, or cancels it.
+/// Requests, begins, completes or cancels a permit.
 async fn permit(arguments: &Arguments, config: &Config) -> Result<String, CommandError> {
     let outcome = operator_client::change_disruption_state(config, permit_change(arguments)?).await?;
     match outcome {
--- a/crates/coordinator/src/cli/error.rs
+++ b/crates/coordinator/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails, and the exit code for it.
+//! Errors of subcommands, and their exit codes.
 
 use std::io;
 use std::path::PathBuf;
@@ -11,47 +11,47 @@
 const FAULT: u8 = 1;
 const NOT_NOW: u8 = 8;
 
-/// Why a command fails.
+/// Error of a subcommand.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CommandError {
     /// The settings file or a file of budgets cannot be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The settings file is not of a coordinator that serves.
+    /// The settings file has no block `serve`.
     #[error("serve: the block is missing")]
     NoServeBlock,
-    /// An argument is missing that the command needs.
+    /// A required argument is missing.
     #[error("--{0} is missing")]
     MissingArgument(&'static str),
-    /// The address of a new coordinator is none.
+    /// The address of a new replica is malformed.
     #[error("--address: {0:?} is not an address; expected IP:PORT")]
     InvalidAddress(String),
-    /// A word where one of the steps of a permit is expected.
+    /// The operation on a permit is unknown.
     #[error("permit {0:?}: expected ask, begin, done or void")]
     UnknownPermitVerb(String),
     /// The file for records cannot be opened.
     #[error("--record: {}: {source}", .file.display())]
     RecordFile {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The runtime cannot be set up.
+    /// The runtime cannot be created.
     #[error("{0}")]
     Runtime(#[source] io::Error),
     /// The coordinators reject the operation, or are not reached.
     #[error(transparent)]
     Operator(#[from] OperatorError),
-    /// A coordinator does not start, or has stopped.
+    /// The replica did not start, or has stopped.
     #[error(transparent)]
     Coordinator(#[from] CoordinatorError),
-    /// The permit is not granted yet. Retry within a minute, or it is cancelled.
+    /// The permit is not granted yet. It expires unless the request is repeated within a minute.
     #[error("permit {permit} waits for its turn{}; retry within a minute", blocked_by(.budget))]
     PermitWaiting {
-        /// The permit.
+        /// Id of the permit.
         permit: u64,
-        /// The budget that does not allow it, if one is at its limit.
+        /// Name of the budget that blocks it, if one is at its limit.
         budget: Option<String>,
     },
 }
@@ -67,7 +67,7 @@
 }
 
 impl CommandError {
-    /// The exit code of the process.
+    /// Returns the exit code of the process.
     pub(super) fn exit_code(&self) -> u8 {
         match self {
             CommandError::Coordinator(error) => error.exit_code(),
--- a/crates/coordinator/src/cli/metrics.rs
+++ b/crates/coordinator/src/cli/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of a coordinator in the text form of Prometheus. Their names are read by the operators' collectors.
+//! Metrics of a replica in the text format of Prometheus. Their names and labels are a stable format.
 
 use std::fmt::Write as _;
 
@@ -6,13 +6,13 @@
 
 const PREFIX: &str = "cairncrank_keeper_";
 
-/// The type of a metric.
+/// Type of a metric.
 enum Kind {
     Gauge,
     Counter,
 }
 
-/// One value of a metric, with its labels in the text form.
+/// Value of a metric, with its labels in the text format.
 struct Sample {
     labels: String,
     value: u64,
@@ -24,7 +24,7 @@
     }
 }
 
-/// All metrics of a coordinator.
+/// Formats all metrics of a replica.
 pub(super) fn prometheus_text(status: &ReplicaStatus) -> String {
     let mut text = String::new();
     let leads = Sample::unlabelled(status.is_leader.into());
--- a/crates/coordinator/src/cli/mod.rs
+++ b/crates/coordinator/src/cli/mod.rs
@@ -1,12 +1,12 @@
-//! The command line of a coordinator.
+//! Command line of a coordinator.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `arguments` | usage, and what the arguments say |
-//! | `commands` | carries out a command |
-//! | `error` | why a command fails, and the exit code for it |
-//! | `output` | what commands print, as text or JSON |
-//! | `metrics` | the metrics in the text form of Prometheus |
+//! | `arguments` | usage and arguments |
+//! | `commands` | subcommands |
+//! | `error` | errors and exit codes |
+//! | `output` | printed text and JSON |
+//! | `metrics` | metrics in the text format of Prometheus |
 
 mod arguments;
 mod commands;
@@ -23,7 +23,7 @@
 use error::CommandError;
 
 const PROGRAM: &str = env!("CARGO_BIN_NAME");
-/// The exit code where the arguments cannot be understood.
+/// Exit code for invalid arguments.
 const BAD_USAGE: u8 = 2;
 
 /// Runs the program with the arguments of the process.
@@ -68,7 +68,7 @@
     ExitCode::from(BAD_USAGE)
 }
 
-/// Runs a command that needs the settings file, and returns what it prints.
+/// Runs a subcommand that needs the settings file, and returns the text to be printed.
 fn run_subcommand(
     subcommand: Subcommand,
     arguments: &Arguments,
--- a/crates/coordinator/src/cli/output.rs
+++ b/crates/coordinator/src/cli/output.rs
@@ -1,4 +1,4 @@
-//! What commands print, as text for operators or as JSON for programs.
+//! Output of subcommands: text for operators, JSON for programs.
 
 use std::fmt::Write as _;
 
@@ -8,17 +8,17 @@
 use serde::Serialize;
 use serde_json::{json, Value};
 
-/// Weights of targets are counted in thousandths of a target.
+/// Weight of one target; weights are counted in thousandths.
 const WEIGHT_UNIT: f64 = 1e3;
-/// Thousandths in a percent.
+/// Thousandths in one percent.
 const PER_PERCENT: f64 = 10.0;
 
-/// A value as one line of JSON.
+/// Formats a value as one line of JSON.
 pub(super) fn json_line<T: Serialize>(value: &T) -> String {
     serde_json::to_string(value).unwrap_or_default() + "\n"
 }
 
-/// One coordinator, for `status`.
+/// Formats the status of one replica, for `status`.
 pub(super) fn status_line(coordinator: u64, status: &ReplicaStatus) -> String {
     let role = if status.is_leader { "leader" } else { "follower" };
     let CommitLatency { p50_us, p99_us, .. } = status.commit_latency;
@@ -32,7 +32,7 @@
     )
 }
 
-/// One session, for `members`.
+/// Formats one session, for `members`.
 pub(super) fn member_line(member: &MemberStatus) -> String {
     let state = match (member.superseded, member.stable) {
         (true, _) => "superseded",
@@ -46,7 +46,7 @@
     )
 }
 
-/// One lease, for `duties`.
+/// Formats one lease, for `duties`.
 pub(super) fn lease_line(lease: &LeaseStatus) -> String {
     match &lease.holder {
         Some(holder) => format!("{}: {}, token {}\n", lease.lease, holder.member, holder.token.0),
@@ -54,7 +54,7 @@
     }
 }
 
-/// The state of budgets and permits, for programs.
+/// Formats the disruption state as JSON. The keys are a stable format.
 pub(super) fn disruption_state_json(snapshot: &DisruptionSnapshot) -> String {
     let state = &snapshot.state;
     let version = state.budgets_version();
@@ -110,7 +110,7 @@
     })
 }
 
-/// The state of budgets and permits, for operators.
+/// Formats the disruption state as text.
 pub(super) fn disruption_state_text(state: &DisruptionState) -> String {
     let mut text = String::new();
     let _ = writeln!(text, "budgets, version {}:", state.budgets_version());
@@ -157,7 +157,7 @@
     )
 }
 
-/// A target that is not available; nothing for one that is.
+/// Formats a target that is not available; returns an empty text for an available one.
 fn target_line(target: &TargetStatus) -> String {
     match target.availability {
         Availability::Available => String::new(),
--- a/crates/coordinator/src/config/budgets.rs
+++ b/crates/coordinator/src/config/budgets.rs
@@ -1,4 +1,4 @@
-//! A file of budgets, in HCL.
+//! File of disruption budgets, in HCL.
 
 use std::path::Path;
 
@@ -7,16 +7,16 @@
 
 use super::{read_text, ConfigError};
 
-/// The longest name of a budget, in bytes.
+/// Maximum length of the name of a budget, in bytes.
 const MAX_NAME_LENGTH: usize = 128;
-/// The highest number of targets that a bound may name.
+/// Highest number of targets in a bound.
 const MAX_COUNT: u64 = 100_000;
 const MAX_PERCENT: u32 = 100;
 
 /// Reads a file of budgets.
 ///
 /// # Errors
-/// It cannot be read, or a budget is wrong; the text names file, line and key.
+/// Returns an error if the file cannot be read, or one that names file, line and key if a budget is invalid.
 pub fn read_budgets(file: &Path) -> Result<Vec<Budget>, ConfigError> {
     let text = read_text(file)?;
     Ok(parse_budgets(&file.display().to_string(), &text)?)
@@ -25,7 +25,7 @@
 /// Parses a text of blocks `budget "NAME"`; `file` is its name in errors.
 ///
 /// # Errors
-/// A budget is wrong, or two have one name.
+/// Returns an error that names file, line and key if a budget is invalid, or two have the same name.
 pub fn parse_budgets(file: &str, text: &str) -> Result<Vec<Budget>, HclError> {
     let top = Section::parse(file, text)?;
     let mut budgets: Vec<Budget> = Vec::new();
@@ -57,7 +57,7 @@
     Ok(budget)
 }
 
-/// Which targets of its kind a budget covers; all where the file does not say.
+/// Parses the scope of a budget; the whole fleet by default.
 fn parse_scope(section: &Section) -> Result<BudgetScope, HclError> {
     let Some(text) = section.string("of")? else { return Ok(BudgetScope::Fleet) };
     match text.as_str() {
@@ -76,7 +76,7 @@
     }
 }
 
-/// A number of targets, or a part of them such as `"10%"`.
+/// Parses a number of targets, or a percentage such as `"10%"`.
 fn parse_amount(section: &Section, key: &str) -> Result<Option<Amount>, HclError> {
     let Some(value) = section.value(key) else { return Ok(None) };
     if !matches!(value, Value::String(_)) {
--- a/crates/coordinator/src/config/mod.rs
+++ b/crates/coordinator/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The settings file of a coordinator, in HCL.
+//! Settings file of a coordinator, in HCL.
 
 mod budgets;
 
@@ -15,62 +15,63 @@
 
 pub use budgets::{parse_budgets, read_budgets};
 
-/// The numbers that a coordinator may have.
+/// Valid numbers of a replica.
 const COORDINATOR_IDS: RangeInclusive<u64> = 1..=1_000_000;
-/// The bounds on connections at once, and how many are allowed where the file does not say.
+/// Bounds of the limit on concurrent connections.
 const CONNECTION_LIMITS: RangeInclusive<u64> = 8..=65_536;
+/// Default of the limit on concurrent connections.
 const DEFAULT_CONNECTION_LIMIT: u64 = 1_024;
-/// The first token of an installation, where the file does not say.
+/// Default of the first fencing token of an installation.
 const DEFAULT_FIRST_TOKEN: u64 = 1;
-/// The highest first token: enough are left above it.
+/// Upper bound of the first fencing token; leaves enough tokens above it.
 const MAX_FIRST_TOKEN: u64 = u64::MAX / 2;
 
-/// The configuration of a coordinator.
+/// Configuration of a coordinator.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// The installation: whoever names another is rejected.
+    /// Name of the installation. Clients and peers of another one are rejected.
     pub installation: String,
-    /// Where the coordinators are reached, by number.
+    /// Addresses of the replicas, by number.
     pub coordinators: BTreeMap<u64, SocketAddr>,
-    /// The lowest token that is ever granted.
+    /// First fencing token of the installation.
     pub first_token: u64,
-    /// Lease, election and heartbeat times.
+    /// Durations of leases, elections and heartbeats.
     pub timing: Timing,
-    /// This coordinator, where the file is of one that serves.
+    /// Settings of this replica; `None` in a file for operators only.
     pub serve: Option<ServeConfig>,
 }
 
-/// The settings of one coordinator, beside those that all have in common.
+/// Settings of one replica.
 #[derive(Debug, Clone)]
 pub struct ServeConfig {
-    /// Its number.
+    /// Number of the replica.
     pub coordinator_id: u64,
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// The directory of its store.
+    /// Directory of the store.
     pub store_directory: PathBuf,
-    /// The address that its connections come from.
+    /// Local address of outgoing connections.
     pub bind_address: Option<IpAddr>,
-    /// The most connections at once.
+    /// Limit of concurrent connections.
     pub max_connections: usize,
-    /// A bug injected on purpose, in a build for such tests.
+    /// Bug injected by an experiment that has to find it.
     pub injected_bug: Option<disruption_budget::InjectedBug>,
-    /// The highest version of messages that it speaks, and of commands that it applies.
+    /// Highest version of messages and commands that the replica uses.
     pub protocol_version: u16,
 }
 
-/// Why a file cannot be used.
+/// Error of reading a file of settings or budgets.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{}: {source}", .file.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Something in it is wrong; the text names file, line and key.
+    /// The content is invalid; the text names file, line and key.
     #[error(transparent)]
     Invalid(#[from] HclError),
 }
@@ -78,7 +79,7 @@
 /// Reads a settings file.
 ///
 /// # Errors
-/// It cannot be read, or something in it is wrong; the text names file, line and key.
+/// Returns an error if the file cannot be read, or one that names file, line and key if the content is invalid.
 pub fn read(file: &Path) -> Result<Config, ConfigError> {
     let text = read_text(file)?;
     Ok(parse(&file.display().to_string(), &text)?)
@@ -91,7 +92,7 @@
 /// Parses the text of a settings file; `file` is its name in errors.
 ///
 /// # Errors
-/// Something in it is wrong; the text names file, line and key.
+/// Returns an error that names file, line and key if the text is invalid.
 pub fn parse(file: &str, text: &str) -> Result<Config, HclError> {
     let top = Section::parse(file, text)?;
     let installation = settings::required_text(&top, "installation")?;
@@ -136,7 +137,7 @@
     text.parse().map_err(|_| section.error("bind", format!("{text:?} is not an IP address")))
 }
 
-/// A bug injected on purpose. Only a build for such tests knows the key.
+/// Reads the injected bug. Only builds for experiments have this key.
 #[cfg(feature = "seeded-bugs")]
 fn parse_injected_bug(section: &Section) -> Result<Option<disruption_budget::InjectedBug>, HclError> {
     let Some(name) = section.string("flaw")? else { return Ok(None) };
--- a/crates/coordinator/src/error.rs
+++ b/crates/coordinator/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a coordinator stops, and the exit code for it.
+//! Errors that stop a coordinator, and their exit codes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,74 +9,74 @@
 
 use crate::store::StoreError;
 
-/// Why a coordinator does not start, or stops.
+/// Error that prevents the start of a coordinator or stops it.
 #[derive(Debug, thiserror::Error)]
 pub enum CoordinatorError {
-    /// The store cannot be used. Free the disk, or replace the coordinator by a new one.
+    /// The store cannot be used. Free disk space, or replace the replica by a new one.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// A later version wrote something that may not be skipped. Run a version that knows it.
+    /// A later version wrote something that may not be skipped. Run a version that supports it.
     #[error(transparent)]
     UnsupportedFormat(#[from] UnsupportedFormat),
-    /// A peer knows that the disk of this coordinator is another one, or an old copy. Replace the coordinator.
+    /// A peer has seen another store of this replica, or a later state of it. Replace the replica.
     #[error("replica {peer} rejected the handshake: {rejection}")]
     StaleDisk {
-        /// The number of the peer.
+        /// Number of the peer.
         peer: u64,
-        /// What it said.
+        /// Reason given by the peer.
         rejection: HandshakeRejection,
     },
-    /// Raft found its own state inconsistent. Replace the coordinator.
+    /// Raft found its state inconsistent. Replace the replica.
     #[error("raft failed: {0}")]
     Raft(#[from] raft::Error),
-    /// Another coordinator has taken the place of this one. Nothing is left to do.
+    /// Another replica has replaced this one. No action is needed.
     #[error("replica {coordinator_id} was replaced by another one and is no longer needed")]
     Replaced {
-        /// The number of this coordinator.
+        /// Number of this replica.
         coordinator_id: u64,
     },
-    /// The address cannot be listened at. Change `serve.listen`, or end whoever has it.
+    /// The address cannot be bound. Change `serve.listen`, or stop the process that uses it.
     #[error("serve.listen: {address}: {source}")]
     Listen {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The process cannot wait for signals.
+    /// The signal handler cannot be installed.
     #[error("{0}")]
     SignalHandler(#[source] io::Error),
-    /// The histogram of commit latencies cannot be set up.
+    /// The histogram of commit latencies cannot be created.
     #[error("{0}")]
     LatencyHistogram(#[from] hdrhistogram::CreationError),
 }
 
-/// What was agreed on in a form that this version does not know.
+/// Committed data in a format that this version does not support.
 #[derive(Debug, thiserror::Error)]
 pub enum UnsupportedFormat {
-    /// A snapshot of the replicated state.
+    /// Snapshot of the replicated state.
     #[error(transparent)]
     Snapshot(#[from] SnapshotError),
-    /// A command in the log.
+    /// Command in the log.
     #[error("at entry {index}: {source}")]
     Command {
-        /// Its position in the log.
+        /// Index of the log entry.
         index: Revision,
-        /// Why it cannot be read.
+        /// Cause.
         source: CommandDecodeError,
     },
-    /// A change of the Raft configuration in the log.
+    /// Change of the Raft configuration in the log.
     #[error("entry {index} cannot be read: {source}")]
     ConfigurationChange {
-        /// Its position in the log.
+        /// Index of the log entry.
         index: Revision,
-        /// Why it cannot be read.
+        /// Cause.
         source: ProtobufError,
     },
 }
 
 impl CoordinatorError {
-    /// The exit code of the process that stops for this.
+    /// Returns the exit code of a process that stops with this error.
     #[must_use]
     pub fn exit_code(&self) -> u8 {
         match self {
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,11 +1,11 @@
-//! A coordinator: one of three or five processes that agree by Raft on the sessions, leases and permits of a fleet.
+//! Coordinator: one of three or five replicas that agree by Raft on the sessions, leases and permits of a fleet.
 //!
 //! - [`config`] reads the settings file.
-//! - [`store`] keeps what has to outlive the process.
-//! - [`replica`] drives Raft and the replicated state, without sockets and without a clock.
-//! - [`server`] connects a replica with its peers, its clients and the clock.
-//! - [`operator_client`] asks coordinators on behalf of an operator.
-//! - [`error`] says why a coordinator stops, and the exit code for it.
+//! - [`store`] persists what has to outlive the process.
+//! - [`replica`] drives Raft and the replicated state, without sockets and clock.
+//! - [`server`] connects a replica to its peers, its clients and the clock.
+//! - [`operator_client`] calls coordinators on behalf of an operator.
+//! - [`error`] has the reasons for which a coordinator stops, with their exit codes.
 
 pub mod config;
 mod display;
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -1,4 +1,4 @@
-//! The program of a coordinator. See [`cli`].
+//! Program of a coordinator. See [`cli`].
 
 mod cli;
 
--- a/crates/coordinator/src/operator_client.rs
+++ b/crates/coordinator/src/operator_client.rs
@@ -1,4 +1,4 @@
-//! What an operator asks the coordinators.
+//! Calls to the coordinators on behalf of an operator.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -16,104 +16,104 @@
 use crate::config::Config;
 use crate::display::replica_list;
 
-/// How long a coordinator has for a response.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long the client waits for a replacement to finish.
+/// Timeout of a replacement.
 const REPLACEMENT_TIMEOUT: Duration = Duration::from_secs(60);
-/// How often the client polls the progress of a replacement.
+/// Interval at which the progress of a replacement is polled.
 const REPLACEMENT_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Why an operator's request was not carried out.
+/// Error of an operator's request.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
-    /// The settings name no such coordinator.
+    /// The settings have no replica with this number.
     #[error("replica {0} is not configured")]
     UnknownCoordinator(u64),
-    /// A coordinator is not reached, or rejects this program.
+    /// A replica is not reached, or rejects the handshake.
     #[error("replica {coordinator} at {address}: {source}")]
     Connection {
-        /// Its number.
+        /// Number of the replica.
         coordinator: u64,
-        /// Where it was tried.
+        /// Address of the replica.
         address: SocketAddr,
-        /// What went wrong.
+        /// Cause.
         source: ConnectionError,
     },
-    /// A coordinator does not respond.
+    /// A replica does not respond within `CALL_TIMEOUT`.
     #[error("replica {coordinator} at {address}: no response within {} s", CALL_TIMEOUT.as_secs())]
     Timeout {
-        /// Its number.
+        /// Number of the replica.
         coordinator: u64,
-        /// Where it was tried.
+        /// Address of the replica.
         address: SocketAddr,
     },
-    /// A coordinator sent a response to another request.
+    /// A replica sent a response that does not match the request.
     #[error("replica {coordinator}: unexpected response: {}", describe(.response))]
     UnexpectedResponse {
-        /// Its number.
+        /// Number of the replica.
         coordinator: u64,
-        /// The response.
+        /// Response of the replica.
         response: Box<Response>,
     },
-    /// The leader sent a response to another request.
+    /// The leader sent a response that does not match the request.
     #[error("unexpected response of the leader: {}", describe(.0))]
     UnexpectedLeaderResponse(Box<Response>),
-    /// No coordinator leads. Those that are not reached are named.
+    /// No replica leads.
     #[error("no replica leads: a majority has to run and reach each other{}", Lines(.unreachable))]
     NoLeader {
-        /// Why each of them is not reached.
+        /// Errors of the replicas that are not reached.
         unreachable: Vec<OperatorError>,
     },
-    /// No coordinator that leads responds.
+    /// No leading replica responds.
     #[error("{0}: a majority of the replicas has to run and reach each other")]
     LeaderUnavailable(CallError),
-    /// The leader rejects the request.
+    /// The leader rejected the request.
     #[error("{0}")]
     Rejected(CommandRejection),
-    /// The leader rejects the change of budgets or permits.
+    /// The leader rejected the change of the disruption state.
     #[error("{0}")]
     ChangeRejected(Rejection),
-    /// The leader does not end the term of a lease.
+    /// The leader rejected the release of a lease.
     #[error("{lease}: {reason}")]
     ReleaseRejected {
-        /// The lease.
+        /// Lease to be released.
         lease: LeaseId,
-        /// Why.
+        /// Reason of the rejection.
         reason: CommandRejection,
     },
-    /// The leader could not end the term of a lease now. Retry.
+    /// The leader could not release a lease now. A retry may succeed.
     #[error("{lease}: not released: {}; retry", describe(.response))]
     ReleaseIncomplete {
-        /// The lease.
+        /// Lease to be released.
         lease: LeaseId,
-        /// What it said.
+        /// Response of the replica.
         response: Box<Response>,
     },
-    /// A replacement takes long. It goes on, and may be asked for again.
+    /// A replacement was not complete in time. It continues; the request may be repeated.
     #[error("replica {old} was not replaced within {} s: {progress}", REPLACEMENT_TIMEOUT.as_secs())]
     ReplacementTimeout {
-        /// The coordinator to be replaced.
+        /// Number of the replica to be replaced.
         old: u64,
-        /// How far it was.
+        /// Progress at the timeout.
         progress: ReplacementProgress,
     },
 }
 
-/// How far a replacement was when the operator's time was over.
+/// Progress of a replacement at its timeout.
 #[derive(Debug)]
 pub enum ReplacementProgress {
-    /// Nobody was asked yet.
+    /// No replica was called yet.
     NotStarted,
-    /// It is under way.
+    /// The replacement is in progress.
     UnderWay {
-        /// Who votes.
+        /// Numbers of the voters.
         voters: Vec<u64>,
-        /// Who learns.
+        /// Numbers of the learners.
         learners: Vec<u64>,
     },
-    /// The leader did not accept it yet.
+    /// The leader has not accepted the request.
     NotAccepted(Box<Response>),
-    /// No leader was found.
+    /// No replica leads.
     NoLeader(Box<OperatorError>),
 }
 
@@ -151,7 +151,7 @@
     }
 }
 
-/// Each error on an indented line of its own.
+/// Formats each error on an indented line of its own.
 struct Lines<'a>(&'a [OperatorError]);
 
 impl fmt::Display for Lines<'_> {
@@ -160,16 +160,16 @@
     }
 }
 
-/// The state of budgets and permits, as of an entry of the log.
+/// Disruption state at a revision.
 #[derive(Debug, Clone, Default)]
 pub struct DisruptionSnapshot {
-    /// The last entry that changed it.
+    /// Revision of the last change.
     pub revision: Revision,
-    /// The state.
+    /// Budgets, permits and targets.
     pub state: DisruptionState,
 }
 
-/// Asks one coordinator, whether or not it leads.
+/// Calls one replica, whether or not it leads.
 async fn call(config: &Config, coordinator: u64, operation: Operation) -> Result<Response, OperatorError> {
     let address =
         *config.coordinators.get(&coordinator).ok_or(OperatorError::UnknownCoordinator(coordinator))?;
@@ -200,7 +200,7 @@
     }
 }
 
-/// Asks the coordinator that leads.
+/// Calls the leading replica.
 async fn call_leader(config: &Config, operation: Operation) -> Result<Response, OperatorError> {
     let mut coordinators = CoordinatorClient::new(
         &config.installation,
@@ -212,10 +212,10 @@
     response.map_err(OperatorError::LeaderUnavailable)
 }
 
-/// The status of one coordinator.
+/// Requests the status of one replica.
 ///
 /// # Errors
-/// It is not reached.
+/// Returns an error if the replica is not configured, is not reached, or sends an unexpected response.
 pub async fn status(config: &Config, coordinator: u64) -> Result<ReplicaStatus, OperatorError> {
     match call(config, coordinator, Operation::Status).await? {
         Response::Status(status) => Ok(*status),
@@ -223,7 +223,7 @@
     }
 }
 
-/// The status of each coordinator in turn, or why it is not reached.
+/// Requests the status of each replica in turn.
 pub async fn statuses(config: &Config) -> Vec<(u64, Result<ReplicaStatus, OperatorError>)> {
     let mut statuses = Vec::new();
     for coordinator in config.coordinators.keys() {
@@ -232,10 +232,10 @@
     statuses
 }
 
-/// The status of the coordinator that leads; where two say so, of the one with the higher term.
+/// Requests the status of the leader; if two replicas consider themselves leader, of the one with the higher Raft term.
 ///
 /// # Errors
-/// No coordinator leads.
+/// Returns [`OperatorError::NoLeader`] if no replica leads.
 pub async fn leader_status(config: &Config) -> Result<ReplicaStatus, OperatorError> {
     let mut leaders = Vec::new();
     let mut unreachable = Vec::new();
@@ -250,11 +250,11 @@
     leader.ok_or(OperatorError::NoLeader { unreachable })
 }
 
-/// Replaces a coordinator by a new one that was started with an empty store, and waits until that is done.
+/// Replaces a replica by a new one that was started with an empty store, and waits for completion.
 ///
 /// # Errors
-/// The replacement is rejected, the leader is lost, or it takes longer than a minute; it goes on then, and may be asked for
-/// again.
+/// Returns [`OperatorError::Rejected`] if the leader rejects the replacement, [`OperatorError::ReplacementTimeout`] if it
+/// is not complete within `REPLACEMENT_TIMEOUT`, or an error of the call that starts it.
 pub async fn replace(config: &Config, old: u64, new: u64, address: String) -> Result<(), OperatorError> {
     let deadline = Instant::now() + REPLACEMENT_TIMEOUT;
     let mut progress = ReplacementProgress::NotStarted;
@@ -281,12 +281,12 @@
     Err(OperatorError::ReplacementTimeout { old, progress })
 }
 
-/// The state of budgets and permits.
+/// Requests the disruption state.
 ///
 /// # Errors
-/// No coordinator leads.
+/// Returns [`OperatorError::LeaderUnavailable`] if no leading replica responds.
 pub async fn disruption_state(config: &Config) -> Result<DisruptionSnapshot, OperatorError> {
-    // Of a state that never changed nothing is sent: it is an empty one.
+    // A state that never changed is not sent: it is empty.
     match call_leader(config, Operation::DisruptionState { known_revision: 0 }).await? {
         Response::DisruptionState { revision, state } => {
             Ok(DisruptionSnapshot { revision, state: state.map(|state| *state).unwrap_or_default() })
@@ -295,10 +295,11 @@
     }
 }
 
-/// Changes budgets or permits.
+/// Changes the disruption state.
 ///
 /// # Errors
-/// No coordinator leads, or the change is rejected.
+/// Returns [`OperatorError::ChangeRejected`] or [`OperatorError::Rejected`] if the leader rejects the change, and
+/// [`OperatorError::LeaderUnavailable`] if no leading replica responds.
 pub async fn change_disruption_state(
     config: &Config,
     change: DisruptionCommand,
@@ -313,10 +314,11 @@
     }
 }
 
-/// Ends the running term of a lease, or the one with this token; another member gets it.
+/// Ends the running term of a lease, or the one with this fencing token, so that another member is granted the lease.
 ///
 /// # Errors
-/// No coordinator leads, or the lease has no such term.
+/// Returns [`OperatorError::NoLeader`] if no replica leads, [`OperatorError::ReleaseRejected`] if the lease has no such
+/// term, and [`OperatorError::ReleaseIncomplete`] if the leader cannot release it now.
 pub async fn release_lease(
     config: &Config,
     lease: LeaseId,
--- a/crates/coordinator/src/replica/apply.rs
+++ b/crates/coordinator/src/replica/apply.rs
@@ -1,4 +1,4 @@
-//! What Raft has ready: stored first, then sent, then applied; and compaction of the log.
+//! Processing of Raft's ready state: store, send, apply; and compaction of the log.
 
 use coordination::{Command, CommandOutcome, Micros, StateMachine};
 use raft::eraftpb::{Entry, EntryType, Message, Snapshot};
@@ -8,12 +8,12 @@
 use crate::error::{CoordinatorError, UnsupportedFormat};
 use crate::store::{RetainedLog, SnapshotWrite, WriteBatch};
 
-/// Entries applied since the last snapshot before the next one is made.
+/// Number of entries between two snapshots.
 const SNAPSHOT_INTERVAL: u64 = 4_096;
-/// Entries that stay in the log before a snapshot, for peers that lack only a few.
+/// Number of entries retained before a snapshot, for peers that lag by a few.
 const RETAINED_ENTRIES: u64 = 512;
 
-/// The state that a snapshot holds.
+/// Restores the replicated state from a snapshot.
 pub(super) fn restore_state(snapshot: &Snapshot) -> Result<StateMachine, UnsupportedFormat> {
     let mut state = StateMachine::restore(snapshot.get_data())?;
     state.skip_entry(snapshot.get_metadata().index);
@@ -21,8 +21,8 @@
 }
 
 impl Replica {
-    /// Carries out what Raft has ready, in the order that it requires: messages of the leader are sent at once, all others after
-    /// what they promise is stored; committed entries are applied last.
+    /// Processes what Raft has ready in the order that it requires: a leader's messages are sent at once, all others after
+    /// the state that they promise is stored; committed entries are applied last.
     pub(super) fn process_ready(&mut self, now: Micros) -> Result<(), CoordinatorError> {
         let mut ready = self.raw_node.ready();
         self.send_to_peers(ready.take_messages());
@@ -49,7 +49,7 @@
 
     fn store_ready(&mut self, ready: &Ready) -> Result<(), CoordinatorError> {
         let received = Some(ready.snapshot()).filter(|snapshot| !snapshot.is_empty());
-        // A commit index alone is learnt again from the others, and needs no write.
+        // A commit index alone is recovered from the peers and needs no write.
         if !ready.must_sync() && received.is_none() && ready.entries().is_empty() {
             return Ok(());
         }
@@ -81,7 +81,7 @@
             if entry.get_entry_type() != EntryType::EntryNormal {
                 self.apply_configuration_change(&entry)?;
             } else if entry.data.is_empty() {
-                // The entry with which a leader begins its term.
+                // The empty entry with which a leader begins its term.
                 self.state.skip_entry(entry.index);
             } else {
                 self.apply_command(&entry, now)?;
@@ -113,7 +113,7 @@
         Ok(())
     }
 
-    /// Compacts the log where it has grown long, or where the configuration changed, which the next snapshot has to contain.
+    /// Compacts the log if it has grown long, or if the configuration changed, which the snapshot has to contain.
     pub(super) fn compact_log_if_due(&mut self) -> Result<(), CoordinatorError> {
         let last_snapshot = self.raw_node.store().snapshot.get_metadata().index;
         if self.configuration_changed || self.state.revision() >= last_snapshot + SNAPSHOT_INTERVAL {
@@ -123,7 +123,7 @@
         Ok(())
     }
 
-    /// Makes a snapshot of what is applied, and drops most of the log before it.
+    /// Writes a snapshot of the applied state and drops most of the log before it.
     fn compact_log(&mut self) -> Result<(), CoordinatorError> {
         let index = self.state.revision();
         let mut snapshot = Snapshot::default();
--- a/crates/coordinator/src/replica/leadership.rs
+++ b/crates/coordinator/src/replica/leadership.rs
@@ -1,4 +1,4 @@
-//! Whether this replica leads, and giving the leadership away.
+//! Leadership of this replica, and its transfer.
 
 use coordination::{LeaderState, Micros};
 use disruption_budget::PermitTimeouts;
@@ -7,26 +7,26 @@
 use super::{Output, Replica};
 use crate::error::CoordinatorError;
 
-/// No coordinator has this number.
+/// Number that no replica has.
 const NOBODY: u64 = 0;
 
 impl Replica {
-    /// Whether this replica leads and may answer members: it was elected, and has applied an entry of its term.
+    /// Returns whether this replica leads: it was elected and has applied an entry of its term.
     #[must_use]
     pub fn is_leader(&self) -> bool {
         self.leader_state.is_some()
     }
 
-    /// Gives the leadership, if this replica has it, to the peer that has most of the log.
+    /// Transfers the leadership, if this replica has it, to the peer with the most complete log.
     ///
     /// # Errors
-    /// The coordinator has to stop.
+    /// Returns an error if the replica has to stop.
     pub fn transfer_leadership(&mut self, now: Micros) -> Result<(), CoordinatorError> {
         self.transfer_leadership_except(NOBODY);
         self.advance(now)
     }
 
-    /// The same, to a peer other than this one.
+    /// Transfers the leadership to a peer other than `excluded`.
     pub(super) fn transfer_leadership_except(&mut self, excluded: u64) {
         let raft = &self.raw_node.raft;
         if raft.state != StateRole::Leader {
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Notices whether this replica leads. It counts itself as leader only when it has applied an entry of its term, and with
-    /// it all that was agreed on before.
+    /// Updates the leadership. A replica considers itself leader only after it has applied an entry of its term, and with it
+    /// all entries that were committed before.
     pub(super) fn update_leadership(&mut self, now: Micros) {
         let raft = &self.raw_node.raft;
         if raft.leader_id != self.leader_id {
@@ -64,7 +64,7 @@
         self.redirect_waiting_clients();
     }
 
-    /// Tells all who wait to ask the next leader. What was proposed may be agreed on still; asking twice does no harm.
+    /// Redirects all waiting clients to the next leader. Their proposals may still be committed; requests are idempotent.
     fn redirect_waiting_clients(&mut self) {
         let response = self.not_leader_response();
         let mut requesters = self.proposals.drain();
--- a/crates/coordinator/src/replica/membership.rs
+++ b/crates/coordinator/src/replica/membership.rs
@@ -1,8 +1,8 @@
-//! Replacing a coordinator by a new one, through a joint configuration.
+//! Replacement of a replica by a new one, through a joint configuration.
 //!
-//! The new coordinator learns first. When it has caught up, both change at once, through a configuration in which majorities of the
-//! old and of the new voters have to agree. Then that configuration is left, and the replacement is over. Each step follows from
-//! what is agreed on, so the next leader continues a replacement that the last one began.
+//! The new replica is added as a learner. When it has caught up, a joint configuration exchanges the two: majorities of the
+//! old and of the new voters have to agree. Leaving it completes the replacement. Each step is derived from committed
+//! state, so that the next leader continues a replacement that the last one began.
 
 use std::collections::BTreeMap;
 
@@ -17,14 +17,14 @@
 use crate::display::replica_list;
 use crate::error::{CoordinatorError, UnsupportedFormat};
 
-/// A learner that lacks no more entries than this may vote.
+/// Maximum number of entries that a learner may lag behind to become a voter.
 const MAX_LEARNER_LAG: u64 = 64;
 
-/// The next step of a replacement.
+/// Next step of a replacement.
 enum ReplacementStep {
     AddLearner,
     WaitForLearner,
-    /// The leader is the one to be replaced: another one has to go on.
+    /// The leader is the replica to be replaced: another leader has to continue.
     TransferLeadership,
     ExchangeVoters,
     LeaveJointConfiguration,
@@ -32,13 +32,13 @@
 }
 
 impl Replica {
-    /// The coordinators that were added since the installation was set up, with their addresses.
+    /// Returns the addresses of replicas that were added since the installation was set up.
     #[must_use]
     pub fn added_coordinators(&self) -> &BTreeMap<u64, String> {
         self.state.added_replicas()
     }
 
-    /// Why `old` cannot be replaced by `new`, as far as the configuration says.
+    /// Returns the reason for which the configuration does not allow to replace `old` by `new`, if there is one.
     pub(super) fn replacement_obstacle(&self, old: u64, new: u64) -> Option<CommandRejection> {
         let voters = self.configuration.get_voters();
         if !voters.contains(&old) && self.state.replacement_in_progress().is_none() {
@@ -52,7 +52,7 @@
             .then(|| CommandRejection::InvalidReplacement(format!("replica {new} is a voter already")))
     }
 
-    /// Proposes the next step of the replacement that is under way, if this replica leads and no step is pending.
+    /// Proposes the next step of the replacement in progress, if this replica leads and no step is pending.
     pub(super) fn advance_replacement(&mut self, now: Micros) {
         let Some(replacement) = self.state.replacement_in_progress().filter(|_| self.is_leader()) else {
             return;
@@ -111,17 +111,18 @@
         let _ = self.raw_node.propose_conf_change(Vec::new(), change);
     }
 
-    /// Proposes these changes; none at all leaves a joint configuration.
+    /// Proposes these changes. An empty list leaves a joint configuration.
     fn propose_change(&mut self, changes: &[ConfChangeSingle]) {
         let mut change = ConfChangeV2::default();
         change.set_changes(changes.to_vec().into());
         let _ = self.raw_node.propose_conf_change(Vec::new(), change);
     }
 
-    /// Applies an agreed change of the configuration.
+    /// Applies a committed change of the configuration.
     ///
     /// # Errors
-    /// The entry cannot be read, Raft refuses the change, or this coordinator was replaced by it.
+    /// Returns [`CoordinatorError::UnsupportedFormat`] if the entry cannot be read, [`CoordinatorError::Raft`] if Raft
+    /// rejects the change, and [`CoordinatorError::Replaced`] if it removes this replica.
     pub(super) fn apply_configuration_change(&mut self, entry: &Entry) -> Result<(), CoordinatorError> {
         let changed = self.decode_and_apply_change(entry)?;
         let removed = self.votes_in(&self.configuration) && !self.votes_in(&changed);
--- a/crates/coordinator/src/replica/mod.rs
+++ b/crates/coordinator/src/replica/mod.rs
@@ -1,20 +1,20 @@
-//! One coordinator as a value: Raft, the replicated state, and what the leader knows besides.
+//! Replica without I/O: Raft, the replicated state, and the volatile state of a leader.
 //!
 //! A [`Replica`] has no sockets and no clock. Its driver passes it the time, messages of peers and requests of clients, and
-//! carries out the [`Output`]s that it takes with [`Replica::take_outputs`]. Whatever an output promises to another process
+//! executes the [`Output`]s that it takes with [`Replica::take_outputs`]. State that an output promises to another process
 //! is in the [`Store`] before the output is returned.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `apply` | what Raft has ready: storing, applying, compaction |
-//! | `leadership` | whether this replica leads, and giving the leadership away |
-//! | `membership` | replacing a coordinator by a new one |
-//! | `peers` | which peers are accepted, and their messages |
-//! | `proposals` | proposals of this process, and the clients that wait for them |
-//! | `raft_storage` | the log in memory, as Raft reads it |
-//! | `read_index` | renewals, confirmed by a majority before they are answered |
-//! | `requests` | requests of clients, and their responses |
-//! | `status` | what an operator is shown |
+//! | `apply` | processing of Raft's ready state: storing, applying, compaction |
+//! | `leadership` | leadership and its transfer |
+//! | `membership` | replacement of a replica by a new one |
+//! | `peers` | handshakes and messages of peers |
+//! | `proposals` | pending proposals and their clients |
+//! | `raft_storage` | in-memory log for Raft |
+//! | `read_index` | renewals, confirmed by a majority before the response |
+//! | `requests` | requests of clients and their responses |
+//! | `status` | status for operators |
 
 mod apply;
 mod leadership;
@@ -47,80 +47,81 @@
 use raft_storage::RaftStorage;
 use read_index::RenewalQueue;
 
-/// A connection of a client: a member or an operator.
+/// Connection of a client, which is a member or an operator.
 pub type ConnectionId = u64;
 
-/// The fewest ticks without a message of a leader before an election.
+/// Minimum election timeout, in ticks.
 const MIN_ELECTION_TICKS: u64 = 4;
-/// The longest message of log entries, in bytes.
+/// Maximum size of a message with log entries, in bytes.
 const MAX_ENTRIES_MESSAGE_BYTES: u64 = 1 << 20;
-/// The most messages of log entries to one peer that are not acknowledged.
+/// Maximum number of unacknowledged messages with log entries to one peer.
 const MAX_INFLIGHT_MESSAGES: usize = 256;
-/// Upper bound of the commit latencies that are recorded, in microseconds, and their significant digits.
+/// Upper bound of the recorded commit latencies, in microseconds.
 const MAX_COMMIT_LATENCY: u64 = 600_000_000;
+/// Significant digits of the recorded commit latencies.
 const COMMIT_LATENCY_DIGITS: u8 = 2;
 
-/// What the driver is to do.
+/// Action for the driver.
 #[derive(Debug)]
 pub enum Output {
-    /// Send a message of Raft to the peer that it names.
+    /// Send a Raft message to the peer that it names.
     SendToPeer(Message),
     /// Send a message to a client.
     SendToClient {
-        /// On which connection.
+        /// Connection of the client.
         connection: ConnectionId,
-        /// The message.
+        /// Message to send.
         message: CoordinatorMessage,
     },
-    /// Send the changed view to every client that has a session.
+    /// Send the changed view to every client with a session.
     ViewChanged(coordination::ClusterView),
     /// Record that an entry was applied.
     Applied {
-        /// Its position in the log.
+        /// Index of the entry.
         index: Revision,
-        /// The command.
+        /// Command in the entry.
         command: Command,
-        /// What came of it.
+        /// Outcome of the command.
         outcome: CommandOutcome,
-        /// [`StateMachine::digest`] after it, or 0 where digests are not enabled.
+        /// [`StateMachine::digest`] after the entry, or 0 if digests are disabled.
         digest: u64,
     },
-    /// Record that this replica leads in this term, or leads no longer.
+    /// Record that this replica became leader or lost the leadership.
     LeadershipChanged {
-        /// The term, while it leads.
+        /// Raft term in which it leads; `None` if it lost the leadership.
         leading_term: Option<u64>,
     },
 }
 
-/// One coordinator, without sockets and clock. See the [module](self).
+/// Replica without sockets and clock. See the [module](self).
 pub struct Replica {
     raw_node: RawNode<RaftStorage>,
     store: Store,
     identity: StoreIdentity,
     state: StateMachine,
     timing: Timing,
-    /// The highest version of commands that this replica applies.
+    /// Highest version of commands that this replica applies.
     supported_version: u16,
     peers: PeerRegistry,
-    /// Who votes and who learns, as applied.
+    /// Applied configuration: voters and learners.
     configuration: ConfState,
-    /// Set when it changed: the next snapshot has to contain the change.
+    /// Whether it changed since the last snapshot, which has to contain the change.
     configuration_changed: bool,
-    /// When a change of it was proposed last.
+    /// Time of the last proposed change of the configuration.
     configuration_proposed_at: Option<Micros>,
-    /// What only the leader has: present while this replica leads and has applied an entry of its term.
+    /// Volatile state of the leader; `None` while this replica does not lead.
     leader_state: Option<LeaderState>,
     permit_timeouts: PermitTimeouts,
-    /// When the expiry of a permit was proposed last.
+    /// Time of the last proposed expiry of a permit.
     permit_expiry_proposed_at: Micros,
     proposals: PendingProposals,
     renewals: RenewalQueue,
-    /// The session that was last renewed or joined on each connection.
+    /// Session that was last opened or renewed on each connection.
     client_sessions: BTreeMap<ConnectionId, SessionId>,
-    /// The revision of the view that clients were notified of last.
+    /// Revision of the view that clients were notified of last.
     notified_revision: Revision,
     leading_term: Option<u64>,
-    /// The number of the leader, or 0 where there is none.
+    /// Number of the leader; 0 if there is none.
     leader_id: u64,
     election_count: u64,
     commit_latency: Histogram<u64>,
@@ -139,13 +140,14 @@
 }
 
 impl Replica {
-    /// A replica that goes on from what the store held.
+    /// Creates a replica from the recovered state of its store.
     ///
-    /// `tick` is the time between two calls of [`Replica::tick`]. `process_nonce` is a number that no other process draws: it
-    /// tells this process's proposals from those of earlier ones.
+    /// `tick` is the time between two calls of [`Replica::tick`]. `process_nonce` is a random number that distinguishes the
+    /// proposals of this process from those of earlier ones.
     ///
     /// # Errors
-    /// A later version wrote the snapshot, or Raft does not accept what the store held.
+    /// Returns [`CoordinatorError::UnsupportedFormat`] if a later version wrote the snapshot, and
+    /// [`CoordinatorError::Raft`] if Raft rejects the recovered state.
     pub fn new(
         store: Store,
         recovered: RecoveredState,
@@ -188,20 +190,20 @@
         })
     }
 
-    /// What this replica tells its peers of its store.
+    /// Returns the identity of the store for handshakes with peers.
     #[must_use]
     pub fn identity(&self) -> StoreIdentity {
         StoreIdentity { raft_term: self.raw_node.raft.term, ..self.identity }
     }
 
-    /// Injects a bug into the state of permits, in builds for tests.
+    /// Injects a bug into the disruption state, in builds for experiments.
     pub fn inject_disruption_bug(&mut self, bug: Option<disruption_budget::InjectedBug>) {
         self.injected_bug = bug;
         self.state =
             std::mem::replace(&mut self.state, StateMachine::new(1)).with_injected_disruption_bug(bug);
     }
 
-    /// Makes this replica behave as one that knows commands up to this version.
+    /// Limits the version of commands that this replica supports.
     pub fn set_supported_version(&mut self, version: u16) {
         self.supported_version = version;
     }
@@ -211,7 +213,7 @@
         self.digests_enabled = enabled;
     }
 
-    /// Takes what the driver is to do since the last call.
+    /// Takes the actions that accumulated since the last call.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
@@ -219,7 +221,7 @@
     /// Advances the time by one tick.
     ///
     /// # Errors
-    /// The coordinator has to stop.
+    /// Returns an error if the replica has to stop.
     pub fn tick(&mut self, now: Micros) -> Result<(), CoordinatorError> {
         self.raw_node.tick();
         self.abandon_expired_round(now);
@@ -228,7 +230,7 @@
         self.advance(now)
     }
 
-    /// Does all that can be done now: proposes what is due, stores and applies what Raft has ready, answers who waited for it.
+    /// Proposes due commands, processes what Raft has ready, and responds to waiting clients, until nothing is left to do.
     fn advance(&mut self, now: Micros) -> Result<(), CoordinatorError> {
         loop {
             self.start_read_index_round(now);
@@ -245,10 +247,10 @@
         Ok(())
     }
 
-    /// Proposes what the passing of time requires: the end of sessions, grants of leases, the expiry of permits.
+    /// Proposes commands that are due by time: the end of sessions, grants of leases, the expiry of permits.
     fn propose_expirations(&mut self, now: Micros) {
         let Some(leader_state) = &mut self.leader_state else { return };
-        // A proposal takes a moment to be agreed on; until then its permit is due again.
+        // Until the proposal is applied its permit remains due: it is not proposed again at once.
         if now.saturating_sub(self.permit_expiry_proposed_at) > self.timing.heartbeat_interval {
             for change in self.permit_timeouts.expired(now) {
                 self.permit_expiry_proposed_at = now;
--- a/crates/coordinator/src/replica/peers.rs
+++ b/crates/coordinator/src/replica/peers.rs
@@ -1,4 +1,4 @@
-//! The other coordinators: their handshakes, the identities of their stores, and their messages.
+//! Peers: handshakes, identities of their stores, and messages.
 
 use std::collections::BTreeMap;
 
@@ -12,24 +12,24 @@
 use crate::error::CoordinatorError;
 use crate::store::WriteBatch;
 
-/// Why a peer was not accepted.
+/// Error of a handshake with a peer.
 #[derive(Debug, thiserror::Error)]
 pub enum HandshakeError {
-    /// The peer is rejected with this reason. This coordinator continues.
+    /// The peer is rejected. This replica continues.
     #[error("{0}")]
     Rejected(HandshakeRejection),
-    /// This coordinator has to stop.
+    /// This replica has to stop.
     #[error(transparent)]
     Failed(#[from] CoordinatorError),
 }
 
-/// The identities and protocol versions of the peers.
+/// Identities and protocol versions of the peers.
 pub(super) struct PeerRegistry {
-    /// Their stores, by the number of the peer.
+    /// Identities of their stores, by the number of the peer.
     identities: BTreeMap<u64, StoreIdentity>,
-    /// The version of messages that each spoke in its last handshake with this process.
+    /// Message version of each peer in its last handshake with this process.
     protocol_versions: BTreeMap<u64, u16>,
-    /// Identities that changed and are written with the next batch.
+    /// Changed identities to be written with the next batch.
     unsaved: Vec<StoreIdentity>,
 }
 
@@ -50,7 +50,7 @@
         self.unsaved.clear();
     }
 
-    /// Notes that a peer knows of this term. A store that forgets it is an old copy.
+    /// Records that a peer has seen this term. A store of the peer with a lower term is an old copy.
     fn observe_term(&mut self, peer: u64, term: u64) {
         let Some(identity) = self.identities.get_mut(&peer).filter(|identity| term > identity.raft_term)
         else {
@@ -62,15 +62,15 @@
         self.unsaved.push(changed);
     }
 
-    /// The recorded identity of the peer that claims this one.
+    /// Returns the recorded identity of a peer, or one without starts for an unseen store.
     fn recorded(&self, claimed: StoreIdentity) -> StoreIdentity {
         let unseen = StoreIdentity { start_count: 0, raft_term: 0, ..claimed };
         self.identities.get(&claimed.replica_id).copied().unwrap_or(unseen)
     }
 }
 
-/// Rejects a store that is not the recorded one, or an old copy of it: with fewer starts, or a lower term.
-/// `agreed_start_count` is how often the log says that it was started.
+/// Rejects a store that is not the recorded one, or an old copy of it with fewer starts or a lower term.
+/// `agreed_start_count` is the number of its starts according to the log.
 fn check_identity(
     claimed: StoreIdentity,
     recorded: StoreIdentity,
@@ -87,12 +87,11 @@
 }
 
 impl Replica {
-    /// Accepts a peer that speaks this version of the messages. What it says of its store is in the store of this coordinator
-    /// before it is accepted.
+    /// Accepts a peer with this message version. The identity of its store is persisted before.
     ///
     /// # Errors
-    /// The peer is rejected: it is unknown, or its store is not the one that it had or an old copy of it. Or the store of this
-    /// coordinator cannot be written.
+    /// Returns [`HandshakeError::Rejected`] if the peer is unknown, has another store than before, or an old copy of it;
+    /// [`HandshakeError::Failed`] if the store of this replica cannot be written.
     pub fn accept_peer(
         &mut self,
         identity: StoreIdentity,
@@ -116,13 +115,13 @@
     }
 
     fn is_known_peer(&self, peer: u64) -> bool {
-        // A coordinator that joins knows nobody yet; those that add it know it as soon as that is agreed on.
+        // A joining replica has no configuration yet; the others know it once its addition is committed.
         let joins = self.configuration == ConfState::default();
         let votes_or_learns = self.raw_node.raft.prs().iter().any(|(id, _)| *id == peer);
         joins || votes_or_learns || self.state.added_replicas().contains_key(&peer)
     }
 
-    /// Proposes how often each store was started, so that a coordinator that was away learns it too.
+    /// Proposes the start counts of all stores, so that replicas that were not connected learn them from the log.
     pub(super) fn propose_start_counts(&mut self) {
         if !self.is_leader() {
             return;
@@ -143,7 +142,7 @@
     /// Passes a message of an accepted peer to Raft.
     ///
     /// # Errors
-    /// The coordinator has to stop.
+    /// Returns an error if the replica has to stop.
     pub fn receive_raft_message(
         &mut self,
         peer: u64,
@@ -153,7 +152,7 @@
         if message.from != peer || message.to != self.identity.replica_id {
             return Ok(());
         }
-        // The term of a pre-vote is one that the peer does not have yet.
+        // A pre-vote names a term that the peer has not entered.
         let pre_vote = matches!(
             message.get_msg_type(),
             MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse
@@ -161,34 +160,34 @@
         if !pre_vote {
             self.peers.observe_term(peer, message.term);
         }
-        // Raft drops a message that does not fit, as if it were lost.
+        // A message that Raft does not accept is dropped, as if it were lost.
         let _ = self.raw_node.step(message);
         self.advance(now)
     }
 
-    /// Notes that a message could not be sent to a peer.
+    /// Reports that a message could not be sent to a peer.
     pub fn report_unreachable(&mut self, peer: u64) {
         self.raw_node.report_unreachable(peer);
     }
 
-    /// Notes that a snapshot could not be sent to a peer, or may not have arrived.
+    /// Reports that a snapshot could not be sent to a peer, or may not have arrived.
     pub fn report_snapshot_failed(&mut self, peer: u64) {
         self.raw_node.report_snapshot(peer, SnapshotStatus::Failure);
     }
 
-    /// Notes that a snapshot was passed to the connection of a peer.
+    /// Reports that a snapshot was passed to the connection of a peer.
     pub fn report_snapshot_sent(&mut self, peer: u64) {
         self.raw_node.report_snapshot(peer, SnapshotStatus::Finish);
     }
 }
 
-/// The bytes of a message of Raft.
+/// Encodes a Raft message.
 #[must_use]
 pub fn encode_message(message: &Message) -> Vec<u8> {
     message.write_to_bytes().unwrap_or_default()
 }
 
-/// The message of Raft that these bytes are, if they are one.
+/// Decodes a Raft message; returns `None` if the bytes are malformed.
 #[must_use]
 pub fn decode_message(bytes: &[u8]) -> Option<Message> {
     let mut message = Message::default();
--- a/crates/coordinator/src/replica/proposals.rs
+++ b/crates/coordinator/src/replica/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals of this process, and the clients that wait until they are applied.
+//! Pending proposals of this process, and the clients that wait for them.
 
 use std::collections::BTreeMap;
 
@@ -7,25 +7,24 @@
 
 use super::ConnectionId;
 
-/// How long a proposal waits for its entry, in microseconds. Its client has given up by then.
+/// Timeout of a pending proposal, in microseconds; longer than that of its client.
 const PROPOSAL_TIMEOUT: Micros = 5_000_000;
 
-/// Who waits for a response.
+/// Client that waits for a response.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Requester {
     pub(super) connection: ConnectionId,
-    /// The number that the client gave to the request.
+    /// Id of the request, chosen by the client.
     pub(super) request_id: u64,
 }
 
-/// A proposal whose client waits for it to be applied.
+/// Proposal whose client waits until it is applied.
 pub(super) struct PendingProposal {
     pub(super) requester: Requester,
     pub(super) proposed_at: Micros,
 }
 
-/// What Raft carries beside an entry or a read index, so that this process knows its own again. These bytes are in the
-/// log.
+/// Context of an entry or a read index in Raft, by which a process recognizes its own. These bytes are in the log.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(super) struct RequestContext {
     process_nonce: u64,
@@ -38,7 +37,7 @@
     }
 }
 
-/// The proposals of this process that were not applied yet.
+/// Proposals of this process that are not applied yet.
 pub(super) struct PendingProposals {
     process_nonce: u64,
     last_request: u64,
@@ -50,7 +49,7 @@
         PendingProposals { process_nonce, last_request: 0, pending: BTreeMap::new() }
     }
 
-    /// How many clients wait.
+    /// Returns the number of waiting clients.
     pub(super) fn len(&self) -> usize {
         self.pending.len()
     }
@@ -59,19 +58,19 @@
         self.pending.insert(context.request, proposal);
     }
 
-    /// The context of the next proposal or read index.
+    /// Returns the context of the next proposal or read index.
     pub(super) fn next_context(&mut self) -> RequestContext {
         self.last_request += 1;
         RequestContext { process_nonce: self.process_nonce, request: self.last_request }
     }
 
-    /// The number of the request that has this context, if it is this process's.
+    /// Returns the number of the request with this context, if it is one of this process.
     pub(super) fn own_request(&self, context: &[u8]) -> Option<u64> {
         let context: RequestContext = postcard::from_bytes(context).ok()?;
         (context.process_nonce == self.process_nonce).then_some(context.request)
     }
 
-    /// The proposal that has this context, if its client waits for it.
+    /// Removes the proposal with this context, if its client waits for it.
     pub(super) fn remove(&mut self, context: &[u8]) -> Option<PendingProposal> {
         let request = self.own_request(context)?;
         self.pending.remove(&request)
@@ -81,7 +80,7 @@
         self.pending.retain(|_, proposal| now.saturating_sub(proposal.proposed_at) <= PROPOSAL_TIMEOUT);
     }
 
-    /// Takes out all proposals, and returns who waits for them.
+    /// Removes all proposals and returns their clients.
     pub(super) fn drain(&mut self) -> Vec<Requester> {
         std::mem::take(&mut self.pending).into_values().map(|proposal| proposal.requester).collect()
     }
--- a/crates/coordinator/src/replica/raft_storage.rs
+++ b/crates/coordinator/src/replica/raft_storage.rs
@@ -1,10 +1,10 @@
-//! The log in memory, as Raft reads it, with the snapshot that lagging peers are sent.
+//! In-memory log for Raft, with the snapshot for lagging peers.
 
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use raft::storage::MemStorage;
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 
-/// What the store holds, in memory.
+/// Copy of the stored log and snapshot in memory.
 #[derive(Clone)]
 pub(super) struct RaftStorage {
     pub(super) log: MemStorage,
@@ -12,7 +12,7 @@
 }
 
 impl RaftStorage {
-    /// The log that the store held.
+    /// Creates the storage from recovered state.
     pub(super) fn new(
         hard_state: HardState,
         snapshot: Snapshot,
@@ -22,7 +22,7 @@
         {
             let mut log = log.wl();
             let snapshot_index = snapshot.get_metadata().index;
-            // The store of a coordinator that joins has an empty snapshot, which has no place in the log.
+            // The store of a joining replica has an empty snapshot, which is not part of the log.
             if snapshot_index > 0 {
                 log.apply_snapshot(snapshot.clone())?;
             }
--- a/crates/coordinator/src/replica/read_index.rs
+++ b/crates/coordinator/src/replica/read_index.rs
@@ -1,5 +1,5 @@
-//! Renewals of sessions. They change nothing in the log, but only the leader may confirm them: a majority is asked whether
-//! this replica leads still, and the renewals of that round are answered once its read index is applied.
+//! Renewals of sessions. They are not written to the log, but only the leader may confirm them: a read-index round lets a
+//! majority confirm the leadership, and the renewals of the round succeed once its read index is applied.
 
 use std::collections::VecDeque;
 
@@ -10,34 +10,34 @@
 use super::proposals::Requester;
 use super::{status, Replica};
 
-/// A renewal that was not answered yet.
+/// Renewal without a response so far.
 pub(super) struct PendingRenewal {
     pub(super) requester: Requester,
     pub(super) session: SessionId,
-    /// The revision of the last view that the member applied.
+    /// Revision of the last view that the member applied.
     pub(super) known_view: Revision,
-    /// The revision of the member list that it has, where it wants one.
+    /// Revision of the member list that the member has; `None` if it needs no list.
     pub(super) known_members: Option<Revision>,
 }
 
-/// Renewals that wait for a majority to confirm that this replica leads.
+/// Renewals that wait until a majority has confirmed the leadership.
 struct ReadIndexRound {
-    /// The number of the request that Raft was given.
+    /// Number of the request in its Raft context.
     request: u64,
     started_at: Micros,
     renewals: Vec<PendingRenewal>,
 }
 
-/// Renewals that a majority confirmed, and that wait until this entry is applied.
+/// Confirmed renewals that wait until their read index is applied.
 struct ConfirmedRenewals {
     read_index: Revision,
     renewals: Vec<PendingRenewal>,
 }
 
-/// All renewals that were not answered yet.
+/// Renewals without a response so far.
 #[derive(Default)]
 pub(super) struct RenewalQueue {
-    /// Those of the next round.
+    /// Renewals of the next round.
     queued: Vec<PendingRenewal>,
     round: Option<ReadIndexRound>,
     confirmed: VecDeque<ConfirmedRenewals>,
@@ -48,12 +48,12 @@
         self.queued.push(renewal);
     }
 
-    /// How many wait for the next round.
+    /// Returns the number of renewals of the next round.
     pub(super) fn queued(&self) -> usize {
         self.queued.len()
     }
 
-    /// Removes all renewals, and returns their requesters.
+    /// Removes all renewals and returns their clients.
     pub(super) fn drain(&mut self) -> Vec<Requester> {
         let RenewalQueue { queued, round, confirmed } = std::mem::take(self);
         let in_round = round.into_iter().flat_map(|round| round.renewals);
@@ -64,7 +64,7 @@
 }
 
 impl Replica {
-    /// Starts a round for the renewals that are queued, where none is running.
+    /// Starts a round for the queued renewals, unless one is running.
     pub(super) fn start_read_index_round(&mut self, now: Micros) {
         if !self.is_leader() || self.renewals.round.is_some() || self.renewals.queued.is_empty() {
             return;
@@ -75,7 +75,7 @@
         self.renewals.round = Some(ReadIndexRound { request: context.request, started_at: now, renewals });
     }
 
-    /// Gives up a round that a majority did not confirm within the election timeout.
+    /// Abandons a round that a majority did not confirm within the election timeout.
     pub(super) fn abandon_expired_round(&mut self, now: Micros) {
         let expired =
             |round: &ReadIndexRound| now.saturating_sub(round.started_at) > self.timing.election_timeout;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Notes the rounds that a majority confirmed.
+    /// Records the rounds that a majority confirmed.
     pub(super) fn confirm_rounds(&mut self, read_states: Vec<ReadState>) {
         for read_state in read_states {
             let request = self.proposals.own_request(&read_state.request_ctx);
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Answers the renewals whose read index is applied.
+    /// Responds to the renewals whose read index is applied.
     pub(super) fn reply_to_confirmed_renewals(&mut self, now: Micros) {
         let applied = self.state.revision();
         while self.renewals.confirmed.front().is_some_and(|confirmed| confirmed.read_index <= applied) {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The response to a confirmed renewal; nothing where this replica leads no longer.
+    /// Builds the response to a confirmed renewal; returns `None` if this replica does not lead any more.
     fn renewal_response(&mut self, renewal: &PendingRenewal, now: Micros) -> Option<Response> {
         let leader_state = self.leader_state.as_mut()?;
         let renewed = leader_state.renew_session(renewal.session, renewal.known_view, now, &self.state);
@@ -129,7 +129,7 @@
         })
     }
 
-    /// The members, in order.
+    /// Returns the members, sorted by name.
     fn roster(&self) -> Vec<Peer> {
         let sessions = self.state.sessions().values().filter(|session| !session.superseded);
         let mut members: Vec<Peer> = sessions.map(status::peer).collect();
--- a/crates/coordinator/src/replica/requests.rs
+++ b/crates/coordinator/src/replica/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: answered from the state, or proposed and answered once their entry is applied.
+//! Requests of clients: answered from the state, or proposed and answered once applied.
 
 use cluster_member::wire::{CoordinatorMessage, Operation, Request, Response};
 use coordination::{
@@ -11,16 +11,16 @@
 use super::{ConnectionId, Output, Replica};
 use crate::error::CoordinatorError;
 
-/// The most requests that wait for an entry to be applied or for a read index.
+/// Maximum number of requests that wait for an entry or a read index.
 const MAX_PENDING_REQUESTS: usize = 8_192;
-/// The first version of commands and messages that knows permits.
+/// First version of commands and messages with permits.
 const FIRST_VERSION_WITH_PERMITS: u16 = 3;
 
 impl Replica {
-    /// Handles the request of a client. The response follows as [`Output::SendToClient`], now or with a later call.
+    /// Handles the request of a client. The response follows as [`Output::SendToClient`], now or after a later call.
     ///
     /// # Errors
-    /// The coordinator has to stop.
+    /// Returns an error if the replica has to stop.
     pub fn handle_request(
         &mut self,
         connection: ConnectionId,
@@ -69,7 +69,7 @@
             Operation::DisruptionState { known_revision } => {
                 self.reply_with_disruption_state(requester, known_revision)
             }
-            // Answered by followers too, before.
+            // Handled before, since followers respond too.
             Operation::Status => {}
         }
     }
@@ -84,7 +84,7 @@
         self.leader_state.as_ref().is_some_and(|leader| leader.is_short_session(name, now, &self.state))
     }
 
-    /// Ends the term with this token, or the running one where none is named.
+    /// Ends the term with this token; without one, the running term.
     fn release_lease(&mut self, requester: Requester, id: LeaseId, token: Option<FencingToken>, now: Micros) {
         let lease = self.state.leases().get(&id);
         let running = lease.and_then(|lease| lease.holder).map(|holder| holder.token);
@@ -121,7 +121,7 @@
         self.reply(requester, Response::DisruptionState { revision, state });
     }
 
-    /// A voter whose version does not know permits: a command that it does not know would stop it.
+    /// Returns a voter whose version does not support permits: an unsupported command would stop it.
     fn voter_without_permits(&self) -> Option<u64> {
         if self.supported_version < FIRST_VERSION_WITH_PERMITS {
             return Some(self.identity.replica_id);
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Answers the client whose command was applied.
+    /// Responds to the client whose command was applied.
     pub(super) fn reply_to_proposal(&mut self, requester: Requester, outcome: &CommandOutcome, now: Micros) {
         let response = match outcome {
             CommandOutcome::SessionOpened { session, incarnation } => {
@@ -162,7 +162,7 @@
         self.reply(requester, response);
     }
 
-    /// The response to a member that joined. It is the grant of a lease, which only the leader may give.
+    /// Builds the response to a member that opened a session. It starts the session's lease, so only a leader sends it.
     fn join_response(
         &mut self,
         connection: ConnectionId,
@@ -171,7 +171,7 @@
         now: Micros,
     ) -> Response {
         let Some(leader_state) = &mut self.leader_state else { return self.not_leader_response() };
-        // A session that was there already is renewed by this, unless its end is proposed.
+        // Opening a session again renews it, unless its end is proposed.
         match leader_state.renew_session(session, 0, now, &self.state) {
             Ok(()) => {
                 self.client_sessions.insert(connection, session);
@@ -187,7 +187,7 @@
         self.outputs.push(Output::SendToClient { connection, message });
     }
 
-    /// The response of a replica that does not lead: the number and address of the leader, where there is one.
+    /// Builds the response of a follower, with number and address of the leader if there is one.
     pub(super) fn not_leader_response(&self) -> Response {
         let leader =
             Some(self.leader_id).filter(|leader| *leader != 0 && *leader != self.identity.replica_id);
@@ -200,13 +200,13 @@
         }
     }
 
-    /// The session that was last renewed or joined on a connection.
+    /// Returns the session that was last opened or renewed on a connection.
     #[must_use]
     pub fn session_of(&self, connection: ConnectionId) -> Option<SessionId> {
         self.client_sessions.get(&connection).copied()
     }
 
-    /// Forgets a connection that is closed.
+    /// Removes a closed connection.
     pub fn connection_closed(&mut self, connection: ConnectionId) {
         self.client_sessions.remove(&connection);
     }
--- a/crates/coordinator/src/replica/status.rs
+++ b/crates/coordinator/src/replica/status.rs
@@ -1,4 +1,4 @@
-//! What an operator is shown of a replica.
+//! Status of a replica, for operators.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 use super::Replica;
 
 impl Replica {
-    /// How this replica is, and the state as it has applied it.
+    /// Returns the status of this replica, with the replicated state as far as it is applied.
     #[must_use]
     pub fn status(&self) -> ReplicaStatus {
         let raft = &self.raw_node.raft;
@@ -75,21 +75,21 @@
         statuses.collect()
     }
 
-    /// Who votes, in order; while a coordinator is replaced, in either configuration.
+    /// Returns the voters in order; during a replacement those of both configurations.
     fn voters(&self) -> Vec<u64> {
         let voters = self.configuration.get_voters().iter().chain(self.configuration.get_voters_outgoing());
         let distinct: BTreeSet<u64> = voters.copied().collect();
         distinct.into_iter().collect()
     }
 
-    /// The token that the next grant gets.
+    /// Returns the fencing token of the next grant.
     #[must_use]
     pub fn next_token(&self) -> FencingToken {
         self.state.next_token()
     }
 }
 
-/// A member as others reach it.
+/// Returns name and address of a member.
 pub(super) fn peer(session: &Session) -> Peer {
     Peer {
         name: session.name.clone(),
--- a/crates/coordinator/src/server/event_loop.rs
+++ b/crates/coordinator/src/server/event_loop.rs
@@ -1,4 +1,4 @@
-//! The task that owns the replica: it takes events in turn and carries out what the replica puts out.
+//! Event loop: the task that owns the replica, handles events in turn and executes the outputs.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,24 +20,24 @@
 use crate::replica::{encode_message, ConnectionId, HandshakeError, Output, Replica};
 use crate::CoordinatorError;
 
-/// The most messages that wait for the connection to a peer.
+/// Length of the queue to a peer, in messages.
 const PEER_QUEUE_LENGTH: usize = 1_024;
-/// The most events that are taken before their outputs are carried out.
+/// Maximum number of events that are handled before outputs are executed.
 const MAX_EVENTS_PER_BATCH: usize = 256;
-/// How long the last messages have to leave before the process ends.
+/// Time to flush the last messages before the process ends.
 const FLUSH_TIME: Duration = Duration::from_millis(20);
 
-/// What the event loop waits for.
+/// Sources of events.
 pub(super) struct Sources {
     pub(super) queue: mpsc::Receiver<Event>,
     pub(super) ticks: Interval,
     pub(super) terminate: Signal,
 }
 
-/// The links to the other coordinators.
+/// Links to the other replicas.
 pub(super) struct PeerLinks {
     settings: LinkSettings,
-    /// What the links say of this coordinator in their handshakes.
+    /// Identity of this replica's store, for the handshakes of the links.
     identity: watch::Receiver<StoreIdentity>,
     events: mpsc::Sender<Event>,
     outgoing: BTreeMap<u64, mpsc::Sender<Bytes>>,
@@ -60,7 +60,7 @@
         spawn_local(link.run(self.identity.clone(), messages, self.events.clone()));
     }
 
-    /// Starts the links to coordinators that were added since the installation was set up.
+    /// Starts the links to replicas that were added since the installation was set up.
     fn connect_added(&mut self, replica: &Replica) {
         let own_id = replica.identity().replica_id;
         for (peer, address) in replica.added_coordinators() {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Queues a message of Raft, and tells the replica where that is not possible.
+    /// Queues a Raft message, and reports to the replica if the peer's queue is full or missing.
     fn send(&self, message: &Message, replica: &mut Replica) {
         let peer = message.to;
         let is_snapshot = message.get_msg_type() == MessageType::MsgSnapshot;
@@ -95,7 +95,7 @@
     }
 }
 
-/// See the [module](self).
+/// Event loop of a server. See the [module](self).
 pub(super) struct EventLoop {
     replica: Replica,
     peers: PeerLinks,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Takes what came meanwhile, before anything is sent.
+    /// Handles events that are queued already, before outputs are executed.
     fn handle_queued_events(&mut self, queue: &mut mpsc::Receiver<Event>) -> Result<(), CoordinatorError> {
         for _ in 0..MAX_EVENTS_PER_BATCH {
             let Ok(event) = queue.try_recv() else { break };
@@ -143,7 +143,7 @@
         Ok(())
     }
 
-    /// Transfers the leadership, if this coordinator has it, within this time.
+    /// Transfers the leadership, if this replica has it, within this time.
     pub(super) async fn shut_down(
         &mut self,
         sources: &mut Sources,
@@ -167,7 +167,7 @@
         Ok(())
     }
 
-    /// Lets the links know of a new term.
+    /// Publishes a new Raft term to the links.
     fn publish_identity(&self) {
         let identity = self.replica.identity();
         self.identity.send_if_modified(|published| std::mem::replace(published, identity) != identity);
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Sends the view to every client that has a session.
+    /// Sends the view to every client with a session.
     fn broadcast_view(&mut self, view: &ClusterView) {
         let session = |connection: &ConnectionId| Some((*connection, self.replica.session_of(*connection)?));
         let members: Vec<(ConnectionId, SessionId)> = self.clients.keys().filter_map(session).collect();
@@ -251,7 +251,7 @@
             Ok(packed) => packed,
             Err(error) => return tracing::error!(%error, "response cannot be encoded"),
         };
-        // A client that does not read its responses is disconnected; it reconnects and synchronizes again.
+        // A client that does not read its messages is disconnected; it gets the present state when it reconnects.
         if outgoing.try_send(packed).is_err() {
             self.clients.remove(&connection);
             let _ = self.events.try_send(Event::ConnectionClosed { connection });
@@ -259,7 +259,10 @@
     }
 }
 
-/// Stops where a peer knows better what the store of this coordinator was.
+/// Handles a rejection by a peer.
+///
+/// # Errors
+/// Returns [`CoordinatorError::StaleDisk`] if the store of this replica is another one or an old copy.
 fn handle_rejection(peer: u64, rejection: HandshakeRejection) -> Result<(), CoordinatorError> {
     if matches!(rejection, HandshakeRejection::StaleStore { .. } | HandshakeRejection::StoreMismatch) {
         return Err(CoordinatorError::StaleDisk { peer, rejection });
--- a/crates/coordinator/src/server/listener.rs
+++ b/crates/coordinator/src/server/listener.rs
@@ -1,4 +1,4 @@
-//! Incoming connections: the handshake, then messages of Raft from a peer, or requests of a member or an operator.
+//! Incoming connections: the handshake, then Raft messages of a peer, or requests of a member or an operator.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -18,27 +18,27 @@
 use super::Event;
 use crate::replica::{decode_message, ConnectionId};
 
-/// The most messages that wait for a client to read them.
+/// Length of the queue to a client, in messages.
 const CLIENT_QUEUE_LENGTH: usize = 64;
-/// The most connections beyond the limit that are rejected with a reason; further ones are closed at once.
+/// Maximum number of connections beyond the limit that are rejected with a reason; further ones are closed.
 const MAX_REJECTIONS: usize = 32;
-/// The pause after a connection could not be accepted, as where file descriptors have run out.
+/// Delay after a failed accept, most likely for want of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What every incoming connection needs.
+/// Listener for connections of peers, members and operators. Each connection has a clone.
 #[derive(Clone)]
 pub(super) struct Listener {
     pub(super) installation: Rc<str>,
     pub(super) protocol_version: u16,
-    /// The name of this coordinator in its handshakes.
+    /// Name of this replica in handshakes.
     pub(super) name: Rc<str>,
-    /// One for each connection that may be open.
+    /// One permit for each open connection.
     pub(super) connection_permits: Arc<Semaphore>,
     pub(super) events: mpsc::Sender<Event>,
 }
 
 impl Listener {
-    /// Accepts connections for as long as the process lives.
+    /// Accepts connections until the process ends.
     pub(super) async fn accept_connections(self, listener: TcpListener) {
         let mut last_connection: ConnectionId = 0;
         let rejection_permits = Arc::new(Semaphore::new(MAX_REJECTIONS));
@@ -96,7 +96,7 @@
         validate_client_hello_for_version(self.protocol_version, hello, &self.installation)
     }
 
-    /// Passes on the messages of a peer, once the replica has accepted it.
+    /// Forwards the messages of a peer once the replica has accepted it.
     async fn serve_peer(
         &self,
         mut link: Connection,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Passes on the requests of a member or an operator, and sends what the replica answers.
+    /// Forwards the requests of a member or an operator, and sends the messages of the replica.
     async fn serve_client(&self, link: Connection, connection: ConnectionId) {
         let (outgoing, mut messages) = mpsc::channel::<Bytes>(CLIENT_QUEUE_LENGTH);
         let (mut sink, mut frames) = link.split();
--- a/crates/coordinator/src/server/log.rs
+++ b/crates/coordinator/src/server/log.rs
@@ -1,9 +1,9 @@
-//! Log lines for what the replica applied.
+//! Log lines of applied commands and leadership changes.
 
 use coordination::{Command, CommandOutcome};
 use disruption_budget::{DisruptionCommand, DisruptionOutcome, PermitState};
 
-/// Logs that this coordinator leads in this term, or leads no longer.
+/// Logs that this replica became leader in this term, or lost the leadership.
 pub(super) fn leadership_changed(leading_term: Option<u64>) {
     match leading_term {
         Some(term) => tracing::info!(term, "became leader"),
@@ -11,7 +11,7 @@
     }
 }
 
-/// Logs what came of a command.
+/// Logs the outcome of a command.
 pub(super) fn applied(command: &Command, outcome: &CommandOutcome) {
     match outcome {
         CommandOutcome::LeaseGranted { lease, holder } => {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Logs who requested, forced or deregistered, and what an observation led to; nothing where nothing changed.
+/// Logs the outcome of a disruption command, unless it changed nothing.
 fn disruption_changed(change: &DisruptionCommand, outcome: &DisruptionOutcome) {
     match (change, outcome) {
         (
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -1,11 +1,11 @@
-//! A coordinator with sockets and a clock. One task owns the replica, and everything reaches it through one queue of events.
+//! Server: a replica with sockets and a clock. One task owns the replica and receives everything through one event queue.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `event_loop` | the task that owns the replica: takes events, carries out outputs |
-//! | `listener` | incoming connections, of peers, members and operators |
-//! | `peer_link` | the connections to the other coordinators |
-//! | `log` | log lines for what was applied |
+//! | `event_loop` | the task that owns the replica: handles events, executes outputs |
+//! | `listener` | incoming connections of peers, members and operators |
+//! | `peer_link` | connections to the other replicas |
+//! | `log` | log lines of applied commands |
 //! | `record` | records for the checkers of the emulator |
 
 mod event_loop;
@@ -39,34 +39,34 @@
 use listener::Listener;
 use peer_link::LinkSettings;
 
-/// The most events that wait for the replica.
+/// Length of the event queue.
 const EVENT_QUEUE_LENGTH: usize = 4_096;
-/// Bounds of the time between two ticks of the replica, in microseconds.
+/// Bounds of the tick interval of the replica, in microseconds.
 const MIN_TICK: Micros = 5_000;
 const MAX_TICK: Micros = 50_000;
 
-/// What reaches the task that owns the replica.
+/// Event for the task that owns the replica.
 enum Event {
-    /// A peer has introduced itself, and waits to be accepted or rejected.
+    /// A peer has sent its hello and waits for the response.
     PeerHandshake { identity: StoreIdentity, protocol_version: u16, response: oneshot::Sender<ServerHello> },
-    /// An accepted peer has sent a message of Raft.
+    /// An accepted peer has sent a Raft message.
     RaftMessage { peer: u64, message: Message },
     /// A member or an operator has connected.
     ClientConnected { connection: ConnectionId, outgoing: mpsc::Sender<Bytes> },
-    /// A connection is closed.
+    /// A connection was closed.
     ConnectionClosed { connection: ConnectionId },
     /// A member or an operator has sent a request.
     Request { connection: ConnectionId, request: Request },
-    /// A peer has rejected this coordinator.
+    /// A peer has rejected the handshake of this replica.
     RejectedByPeer { peer: u64, rejection: HandshakeRejection },
-    /// The connection to a peer has ended, and with it what was on its way.
+    /// The connection to a peer was lost, with the messages in flight.
     PeerUnreachable { peer: u64 },
 }
 
 /// Serves until SIGTERM.
 ///
 /// # Errors
-/// The coordinator cannot start, or has to stop.
+/// Returns an error if the replica cannot start or has to stop.
 pub async fn serve(config: &Config, serve: &ServeConfig, recorder: Recorder) -> Result<(), CoordinatorError> {
     let tick = (config.timing.heartbeat_interval / 2).clamp(MIN_TICK, MAX_TICK);
     let replica = open_replica(config, serve, &recorder, tick)?;
@@ -114,7 +114,7 @@
     let (store, recovered) = Store::open(&serve.store_directory, &config.installation, serve.coordinator_id)?;
     let mut replica = Replica::new(store, recovered, config.timing, tick, clock::random_id())?;
     replica.enable_digests(recorder.is_enabled());
-    // Each version of the messages came with the commands of the same version.
+    // Messages and commands have the same versions.
     replica.set_supported_version(serve.protocol_version.min(COMMAND_VERSION));
     replica.inject_disruption_bug(serve.injected_bug);
     Ok(replica)
--- a/crates/coordinator/src/server/peer_link.rs
+++ b/crates/coordinator/src/server/peer_link.rs
@@ -1,4 +1,4 @@
-//! The connection to another coordinator, made again whenever it ends.
+//! Link to another replica: a connection that is replaced whenever it ends.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -14,22 +14,22 @@
 
 use super::Event;
 
-/// How long a link waits, in milliseconds, before it connects again. Drawn anew each time, so that coordinators that were cut off
-/// together do not connect together.
+/// Range of the random delay before a reconnect, in milliseconds, so that replicas that were partitioned together do not
+/// reconnect together.
 const RECONNECT_DELAY_MS: std::ops::RangeInclusive<u64> = 20..=100;
-/// How much longer it waits after the peer rejected it.
+/// Additional delay after the peer rejected the handshake.
 const REJECTED_DELAY: Duration = Duration::from_secs(1);
 
-/// What all links of a coordinator have in common.
+/// Settings shared by all links of a replica.
 #[derive(Clone)]
 pub(super) struct LinkSettings {
-    /// The address that connections come from.
+    /// Local address of outgoing connections.
     pub(super) bind_address: Option<IpAddr>,
     pub(super) installation: Rc<str>,
     pub(super) protocol_version: u16,
 }
 
-/// The link to one peer. It carries messages of Raft one way; those of the peer come on a connection that the peer makes.
+/// Link to one peer, for outgoing Raft messages. Those of the peer arrive on a connection that the peer opens.
 pub(super) struct PeerLink {
     pub(super) peer: u64,
     pub(super) address: SocketAddr,
@@ -37,7 +37,7 @@
 }
 
 impl PeerLink {
-    /// Connects and forwards messages, for as long as the process lives.
+    /// Connects and forwards messages until the process ends.
     pub(super) async fn run(
         self,
         identity: watch::Receiver<StoreIdentity>,
@@ -48,7 +48,7 @@
             let hello = self.hello(*identity.borrow());
             match Connection::connect(self.address, self.settings.bind_address, &hello).await {
                 Ok((link, _)) => {
-                    // What waited for the connection is outdated; Raft sends again what is needed.
+                    // Queued messages are outdated; Raft sends again what is needed.
                     while messages.try_recv().is_ok() {}
                     forward_messages(link, &mut messages).await;
                     let _ = events.send(Event::PeerUnreachable { peer: self.peer }).await;
@@ -83,7 +83,7 @@
                     return;
                 }
             }
-            // The peer sends nothing on this connection: this is its end.
+            // The peer sends nothing on this connection: a result means that it was closed.
             _ = frames.receive::<()>() => return,
         }
     }
--- a/crates/coordinator/src/server/record.rs
+++ b/crates/coordinator/src/server/record.rs
@@ -1,4 +1,4 @@
-//! Records for the checkers of the emulator, written with `--record`. Their keys are read by other programs.
+//! Records for the checkers of the emulator, written with `--record`. Their keys are a stable format.
 
 use cluster_member::clock;
 use cluster_member::record::{RecordKind, Recorder};
@@ -18,7 +18,7 @@
     term: Option<u64>,
 }
 
-/// An entry that was applied; which of the optional values are there depends on what came of it.
+/// Applied entry. The optional values depend on the outcome.
 #[derive(Default, Serialize)]
 struct Applied<'a> {
     digest: u64,
@@ -39,17 +39,17 @@
     token: Option<u64>,
 }
 
-/// Records that the process started.
+/// Records the start of the process.
 pub(super) fn started(recorder: &Recorder, coordinator_id: u64, start_count: u64) {
     recorder.record(clock::now(), RecordKind::ProcessStarted, Started { start_count, coordinator_id });
 }
 
-/// Records that this coordinator leads in this term, or leads no longer.
+/// Records that this replica became leader in this term, or lost the leadership.
 pub(super) fn leadership_changed(recorder: &Recorder, leading_term: Option<u64>) {
     recorder.record(clock::now(), RecordKind::LeadershipChanged, LeadershipChanged { term: leading_term });
 }
 
-/// Records that an entry was applied.
+/// Records an applied entry.
 pub(super) fn applied(
     recorder: &Recorder,
     index: Revision,
--- a/crates/coordinator/src/store/bootstrap.rs
+++ b/crates/coordinator/src/store/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Setting up the store of a coordinator, once in its life.
+//! Creation of the store of a replica, once in its life.
 
 use std::fs::File;
 use std::path::Path;
@@ -10,18 +10,18 @@
 use super::format::{StoreHeader, STORE_FILE, STORE_FORMAT};
 use super::{RetainedLog, SnapshotWrite, Store, StoreError, WriteBatch};
 
-/// The name of the file until all is in it.
+/// Name of the file until it is complete.
 const UNFINISHED_FILE: &str = "keeper.new";
 
-/// Index and term of the snapshot that every coordinator of a new installation begins with.
+/// Index and term of the snapshot with which every replica of a new installation begins.
 const FIRST_INDEX: u64 = 1;
 const FIRST_TERM: u64 = 1;
 
-/// Sets up the store of a coordinator of a new installation: these voters, no session, this token to be granted first.
-/// `store_id` is a number that no other store has.
+/// Creates the store of a replica of a new installation with these voters, no session, and this first fencing token.
+/// `store_id` is a random number that no other store has.
 ///
 /// # Errors
-/// There is a store already, or it cannot be written.
+/// Returns [`StoreError::AlreadyExists`], or another [`StoreError`] if the store cannot be written.
 pub fn bootstrap(
     directory: &Path,
     installation: &str,
@@ -40,11 +40,11 @@
     create(directory, header(installation, coordinator_id, store_id), &snapshot)
 }
 
-/// Sets up the store of a coordinator that is to take another's place. It knows nothing, votes for nobody, and receives
-/// everything from the others once they have agreed to add it.
+/// Creates the store of a replica that joins a running installation. It has no state and does not vote; it receives the
+/// log once the other replicas have agreed to add it.
 ///
 /// # Errors
-/// There is a store already, or it cannot be written.
+/// Returns [`StoreError::AlreadyExists`], or another [`StoreError`] if the store cannot be written.
 pub fn bootstrap_joining(
     directory: &Path,
     installation: &str,
@@ -71,7 +71,7 @@
         return Err(StoreError::AlreadyExists { directory: directory.to_owned() });
     }
     std::fs::create_dir_all(directory)?;
-    // The file gets its name only when all is in it: a bootstrap that was interrupted leaves no store.
+    // The file is renamed when it is complete, so that an interrupted bootstrap leaves no store.
     let unfinished = directory.join(UNFINISHED_FILE);
     let _ = std::fs::remove_file(&unfinished);
     let store = Store { database: Database::create(&unfinished)?, _lock: None };
--- a/crates/coordinator/src/store/error.rs
+++ b/crates/coordinator/src/store/error.rs
@@ -1,12 +1,12 @@
-//! Why a store cannot be set up, opened or written.
+//! Errors of creating, opening or writing a store.
 
 use std::io;
 use std::path::PathBuf;
 
-/// Why a store cannot be set up, opened or written.
+/// Error of creating, opening or writing a store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// There is no store in the directory. Set one up, once in the life of a coordinator.
+    /// There is no store in the directory. Create one, once in the life of a replica.
     #[error(
         "{}: there is no store. A replica does not start without its store, since it could vote twice. For a new \
          installation run `coordinator bootstrap`; a replica that lost its store is replaced by a new one \
@@ -14,44 +14,44 @@
         .file.display()
     )]
     Missing {
-        /// Where its file would be.
+        /// Path of the missing file.
         file: PathBuf,
     },
-    /// A store is to be set up where there is one.
+    /// A store exists where one is to be created.
     #[error("{}: a store exists already and was not changed", .directory.display())]
     AlreadyExists {
-        /// Where.
+        /// Directory of the store.
         directory: PathBuf,
     },
-    /// Another process has it open.
+    /// Another process has the store open.
     #[error("the store is locked by another process: {0}")]
     Locked(#[source] io::Error),
-    /// The file has another format. Run a version that knows it.
+    /// The file has another format. Run a version that supports it.
     #[error("{}: store format {found} is not supported, only {supported}", .file.display())]
     UnknownFormat {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Its format.
+        /// Format of the file.
         found: u32,
-        /// The one format that this version knows.
+        /// Format that this version supports.
         supported: u32,
     },
-    /// The store belongs to another coordinator. Correct `serve.keeper`, `serve.store` or `installation`.
+    /// The store belongs to another replica. Correct `serve.keeper`, `serve.store` or `installation`.
     #[error(
         "{}: this is the store of replica {found_coordinator} of installation {found_installation:?}, not of replica \
          {coordinator_id} of {installation:?}",
         .file.display()
     )]
     WrongOwner {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The number of the coordinator that it belongs to.
+        /// Number of the replica that the store belongs to.
         found_coordinator: u64,
-        /// The installation that it belongs to.
+        /// Installation that the store belongs to.
         found_installation: String,
-        /// The number of the coordinator that opened it.
+        /// Number of the replica that opened it.
         coordinator_id: u64,
-        /// The installation of the coordinator that opened it.
+        /// Installation of the replica that opened it.
         installation: String,
     },
     /// The file has no header.
@@ -66,7 +66,7 @@
     /// The file cannot be opened as a database.
     #[error("the store cannot be used: {0}")]
     OpenDatabase(#[from] redb::DatabaseError),
-    /// A transaction cannot be begun.
+    /// A transaction cannot be started.
     #[error("the store cannot be used: {0}")]
     BeginTransaction(#[source] Box<redb::TransactionError>),
     /// A table cannot be opened.
--- a/crates/coordinator/src/store/mod.rs
+++ b/crates/coordinator/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! What outlives the process of a coordinator, in one file: identity, vote, log, snapshot, and what it knows of its peers.
+//! Store of a replica in one file: identity, vote, log, snapshot, and the identities of its peers.
 
 mod bootstrap;
 mod error;
@@ -20,68 +20,69 @@
 use format::{StoreHeader, LOG_TABLE, META_TABLE, PEERS_TABLE, STORE_FORMAT};
 
 const LOCK_FILE: &str = "keeper.lock";
-/// The copy of the store on which a start begins.
+/// Copy of the store that a start opens.
 const OPENING_FILE: &str = "keeper.open";
 
-/// All that the store held at the start.
+/// Content of the store at the start.
 #[derive(Debug)]
 pub struct RecoveredState {
-    /// Whose store it is.
+    /// Identity of the store.
     pub identity: StoreIdentity,
     /// Term, vote and commit index.
     pub hard_state: HardState,
-    /// The last snapshot.
+    /// Last snapshot.
     pub snapshot: Snapshot,
-    /// The entries after the snapshot.
+    /// Log entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// The identities of the peers' stores, by the number of the peer.
+    /// Identities of the peers' stores, by the number of the peer.
     pub peers: BTreeMap<u64, StoreIdentity>,
 }
 
-/// The store of a coordinator. No other process opens it meanwhile.
+/// Store of a replica, locked against other processes.
 #[derive(Debug)]
 pub struct Store {
     database: Database,
-    /// Held for as long as the store is open.
+    /// Lock on the store, released when dropped.
     _lock: Option<File>,
 }
 
-/// What is written in one transaction.
+/// Data written in one transaction.
 #[derive(Debug, Default)]
 pub struct WriteBatch<'a> {
     /// Term, vote and commit index.
     pub hard_state: Option<&'a HardState>,
-    /// New entries; whatever the log has from the first of them on is replaced.
+    /// New entries; they replace all entries from the first of them on.
     pub entries: &'a [Entry],
-    /// A new snapshot.
+    /// New snapshot.
     pub snapshot: Option<SnapshotWrite<'a>>,
-    /// The identities of the peers' stores.
+    /// Changed identities of the peers' stores.
     pub peers: &'a [StoreIdentity],
 }
 
-/// A snapshot to be written, and what it leaves of the log.
+/// Snapshot to be written, and the part of the log that is retained.
 #[derive(Debug, Clone, Copy)]
 pub struct SnapshotWrite<'a> {
-    /// The snapshot.
+    /// Snapshot to be written.
     pub snapshot: &'a Snapshot,
-    /// What of the log is kept.
+    /// Part of the log that is retained.
     pub retained: RetainedLog,
 }
 
-/// What is kept of the log when a snapshot is written.
+/// Part of the log that is retained when a snapshot is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetainedLog {
-    /// The entries after this index.
+    /// Entries after this index.
     After(u64),
-    /// No entry: the snapshot came from the leader.
+    /// No entries: the snapshot came from the leader.
     Nothing,
 }
 
 impl Store {
-    /// Opens the store, counts this start, and reads all.
+    /// Opens the store, counts this start, and reads the content.
     ///
     /// # Errors
-    /// There is no store, it is open already, it belongs to another coordinator, or it cannot be read or written.
+    /// Returns [`StoreError::Missing`], [`StoreError::Locked`], [`StoreError::UnknownFormat`] or
+    /// [`StoreError::WrongOwner`], or another [`StoreError`] if the store cannot be read or written.
     pub fn open(
         directory: &Path,
         installation: &str,
@@ -92,8 +93,8 @@
             return Err(StoreError::Missing { file });
         }
         let lock = lock(directory)?;
-        // Opening replays what a kill left, and writes. Where that fails half-way, as on a full disk, redb's file says that it
-        // is intact and is not. So it is done on a copy, which is removed on failure, and the store stays as it was.
+        // Opening repairs the file after a crash. If a write fails meanwhile, as on a full disk, redb marks a damaged file as
+        // intact. So a copy is opened, which is removed on failure, and the store remains unchanged.
         let copy = directory.join(OPENING_FILE);
         let opened = Store::open_copy(&file, &copy, lock, installation, coordinator_id);
         if opened.is_err() {
@@ -106,7 +107,7 @@
         Ok((store, recovered))
     }
 
-    /// Opens a copy of the store, and counts this start there.
+    /// Opens a copy of the store and counts this start there.
     fn open_copy(
         file: &Path,
         copy: &Path,
@@ -145,7 +146,7 @@
         Ok(postcard::from_bytes(bytes.value())?)
     }
 
-    /// Writes the header, and creates the tables where there are none.
+    /// Writes the header and creates missing tables.
     fn write_header(&self, header: &StoreHeader) -> Result<(), StoreError> {
         let transaction = self.database.begin_write()?;
         {
@@ -190,10 +191,11 @@
         Ok(RecoveredState { identity, hard_state, snapshot, entries, peers })
     }
 
-    /// Writes the batch in one transaction, which is on the disk when this returns.
+    /// Writes the batch in one transaction, which is durable when this returns.
     ///
     /// # Errors
-    /// The disk is full or broken. The coordinator has to stop then: it could not keep what it promised its peers.
+    /// Returns an error if the disk is full or broken. The replica has to stop then, because it cannot persist what it
+    /// promises to its peers.
     pub fn write(&self, batch: &WriteBatch<'_>) -> Result<(), StoreError> {
         let transaction = self.database.begin_write()?;
         {
@@ -229,7 +231,7 @@
     }
 }
 
-/// The lock by which a second process on the same store is refused.
+/// Locks the store against other processes.
 fn lock(directory: &Path) -> Result<File, StoreError> {
     let lock = File::create(directory.join(LOCK_FILE))?;
     flock(&lock, FlockOperation::NonBlockingLockExclusive)
