--- a/crates/cluster-member/src/member/mod.rs
+++ b/crates/cluster-member/src/member/mod.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coordination::{CommandRejection, FencingToken, LeaseClient, LeaseId, Timing};
+use coordination::{CommandRejection, FencingToken, HeldLease, LeaseClient, LeaseId, Timing};
 use tokio::sync::watch;
 use tokio::time::{sleep, Instant};
 
@@ -52,17 +52,10 @@
     change_count: watch::Sender<u64>,
     leave_requested: watch::Sender<bool>,
     /// Terms that wait to be released.
-    pending_releases: watch::Sender<Vec<LeaseTerm>>,
+    pending_releases: watch::Sender<Vec<HeldLease>>,
     recorder: Recorder,
 }
 
-/// Term of a lease.
-#[derive(Debug, Clone, PartialEq, Eq)]
-struct LeaseTerm {
-    lease: LeaseId,
-    token: FencingToken,
-}
-
 /// Reason for the end of a membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipEnd {
@@ -119,7 +112,7 @@
     }
 
     /// Returns the leases that this member holds now, with their fencing tokens.
-    pub fn held_leases(&self) -> Vec<(LeaseId, FencingToken)> {
+    pub fn held_leases(&self) -> Vec<HeldLease> {
         self.lease_client.borrow().held_leases(clock::now())
     }
 
@@ -130,7 +123,7 @@
 
     /// Releases a term, so that another member is granted the lease.
     pub fn release_lease(&self, lease: LeaseId, token: FencingToken) {
-        let term = LeaseTerm { lease, token };
+        let term = HeldLease { lease, token };
         self.pending_releases.send_if_modified(|releases| {
             if releases.contains(&term) {
                 return false;
--- a/crates/cluster-member/src/member/session.rs
+++ b/crates/cluster-member/src/member/session.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use coordination::{ClusterView, CommandRejection, Micros, SessionId};
+use coordination::{ClusterView, CommandRejection, HeldLease, Micros, SessionId};
 use serde::Serialize;
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 
-use super::{LeaseTerm, Member, MembershipEnd, Replica};
+use super::{Member, MembershipEnd, Replica};
 use crate::clock;
 use crate::record::RecordKind;
 use crate::wire::{
@@ -145,7 +145,7 @@
     }
 
     fn release_lease_operation(&self) -> Option<Operation> {
-        let LeaseTerm { lease, token } = self.pending_releases.borrow().first()?.clone();
+        let HeldLease { lease, token } = self.pending_releases.borrow().first()?.clone();
         Some(Operation::ReleaseLease { lease, token: Some(token) })
     }
 
