--- a/crates/dispatcher/src/net/worker/health_check.rs
+++ b/crates/dispatcher/src/net/worker/health_check.rs
@@ -1,7 +1,7 @@
-//! Probes: a worker is asked for its load, or where none is reported whether it is well.
+//! Health checks: a worker is polled for its load report, or for its health if workers report no load.
 //!
-//! A probe runs on a pooled connection like an attempt, and each one is answered to the module, whatever becomes of it:
-//! a guard tells of a task that was stopped. At most one is out to a worker.
+//! A check runs on a pooled connection like an attempt. Each one is reported to the engine, whatever its end: a guard
+//! reports one that was aborted. At most one check of a worker is in flight.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,22 +11,23 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use super::pool::{connect, Pool, Worker};
+use super::connection::{connect, reuse_or_connect, ConnectError};
+use super::pool::{Pool, Worker};
+use super::protocol::{CLOSE_HEADER_FIELD, HEALTH_PATH, LOAD_PATH};
 use crate::engine::Input;
+use crate::net::http::status::{self, Status};
 use crate::net::http::{Decoder, Framing, Piece, MAX_BODY};
 use crate::net::{read_more, read_response_head, write_all};
 use dispatch_core::api::{LoadReport, LoadReports, WorkerId};
 
-/// A probe is given up after this many times what a connection may take to come up: the settings tell no time for
-/// it, and an answer that needs longer is no news any more.
+/// Timeout of a health check as a multiple of the dial timeout: a later load report would be out of date.
 const TIMEOUT_FACTOR: u32 = 2;
 
-/// Tells the engine of the end of a probe, exactly once.
+/// Reports the end of a health check to the engine, exactly once.
 struct HealthCheckGuard {
     pool: Rc<Pool>,
     worker: WorkerId,
-    healthy: bool,
-    load: Option<LoadReport>,
+    result: HealthCheckResult,
 }
 
 impl Drop for HealthCheckGuard {
@@ -34,107 +35,136 @@
         self.pool.health_checks.borrow_mut().remove(&self.worker);
         self.pool.handle.send(Input::HealthCheckEnded {
             worker: self.worker,
-            healthy: self.healthy,
-            load: self.load.take(),
+            healthy: self.result.healthy,
+            load: self.result.load.take(),
         });
     }
 }
 
-/// Begins a probe of the worker; where one is out already, its end is the answer to both.
+/// Result of a health check; the default is that of an unanswered one.
+#[derive(Default)]
+struct HealthCheckResult {
+    healthy: bool,
+    load: Option<LoadReport>,
+}
+
+/// A complete response of a worker.
+struct Response {
+    status: Status,
+    body: BytesMut,
+    /// True if the connection can be used again.
+    reusable: bool,
+}
+
+/// Starts a health check of a worker, unless one is in flight already.
 pub(crate) fn start(pool: &Rc<Pool>, worker: WorkerId) {
     if pool.health_checks.borrow().contains_key(&worker) {
         return;
     }
-    let end = HealthCheckGuard { pool: pool.clone(), worker, healthy: false, load: None };
-    let patience = Duration::from_micros(pool.config.borrow().dial_timeout) * TIMEOUT_FACTOR;
-    let task = spawn_local(async move {
-        let mut end = end;
-        if let Ok(Some((ok, load))) = timeout(patience, check(&end.pool, worker)).await {
-            (end.healthy, end.load) = (ok, load);
-        }
-    });
+    let guard = HealthCheckGuard { pool: pool.clone(), worker, result: HealthCheckResult::default() };
+    let task = spawn_local(run_check(guard));
     pool.health_checks.borrow_mut().insert(worker, task.abort_handle());
 }
 
-/// Whether the worker says that it is well, and what it says of its load; none where no answer came.
-async fn check(pool: &Rc<Pool>, worker: WorkerId) -> Option<(bool, Option<LoadReport>)> {
-    let peer = pool.workers.borrow().get(&worker).cloned()?;
-    let reports = pool.config.borrow().settings.load_reports != LoadReports::None;
-    let (mut stream, counted, _) = match pool.take_idle(&peer) {
-        Some(kept) => kept,
-        None if !pool.ensure_capacity() => return None,
-        None => connect(pool, &peer).await?,
-    };
-    // As with an attempt: it may have begun to drain while the connection came up.
-    peer.address.get().filter(|_| peer.accepts_work.get())?;
-    let path = if reports { "/load" } else { "/healthz" };
-    let (status, body, reusable) = exchange(&mut stream, &peer, path, "").await?;
-    let load = std::str::from_utf8(&body).ok().filter(|text| reports && !text.trim().is_empty());
-    let load = load.and_then(|text| {
-        let text = text.trim();
-        pool.parse_load_report(|form| {
-            if text.starts_with('{') {
-                form.parse_json(text)
-            } else {
-                form.parse_text(text)
-            }
-        })
-    });
-    if reusable {
-        pool.return_connection(&peer, stream, counted);
+async fn run_check(mut guard: HealthCheckGuard) {
+    let check_timeout = check_timeout(&guard.pool);
+    if let Ok(Some(result)) = timeout(check_timeout, check(&guard.pool, guard.worker)).await {
+        guard.result = result;
     }
-    Some((status == 200, load))
 }
 
-/// Looks at a worker on behalf of the fleet: over a connection of its own, so that a kept one that the worker has
-/// closed meanwhile is not taken for a failure. `may` is asked immediately before the write; without its yes nothing
-/// is written. None where nothing was learnt of the worker.
+fn check_timeout(pool: &Pool) -> Duration {
+    Duration::from_micros(pool.config.borrow().dial_timeout) * TIMEOUT_FACTOR
+}
+
+/// Polls a worker; returns none if it does not respond.
+async fn check(pool: &Rc<Pool>, worker: WorkerId) -> Option<HealthCheckResult> {
+    let worker = pool.workers.borrow().get(&worker).cloned()?;
+    let reports_load = pool.config.borrow().settings.load_reports != LoadReports::None;
+    let mut connection = reuse_or_connect(pool, &worker).await.ok()?;
+    // As with an attempt, the worker may have begun to drain while the connection was established.
+    if !worker.accepts_work.get() {
+        return None;
+    }
+    let path = if reports_load { LOAD_PATH } else { HEALTH_PATH };
+    let response = exchange(&mut connection.stream, &worker, path, "").await?;
+    let load = if reports_load { parse_load(pool, &response.body) } else { None };
+    if response.reusable {
+        pool.return_connection(&worker, connection);
+    }
+    Some(HealthCheckResult { healthy: response.status == status::OK, load })
+}
+
+/// Parses the body of a load report, in JSON or as text.
+fn parse_load(pool: &Pool, body: &[u8]) -> Option<LoadReport> {
+    let text = std::str::from_utf8(body).ok()?.trim();
+    if text.is_empty() {
+        return None;
+    }
+    pool.parse_load_report(|format| {
+        if text.starts_with('{') {
+            format.parse_json(text)
+        } else {
+            format.parse_text(text)
+        }
+    })
+}
+
+/// Probes a worker on behalf of the cluster, over a new connection, so that a pooled one that the worker has closed is
+/// not taken for a failure. `may_write` is called immediately before the write; if it returns false, nothing is written.
+///
+/// Returns whether the worker is healthy, or none if the probe is inconclusive.
 pub(crate) async fn check_on_new_connection(
     pool: &Rc<Pool>,
     worker: WorkerId,
-    may: impl FnOnce() -> bool,
+    may_write: impl FnOnce() -> bool,
 ) -> Option<bool> {
-    let peer = pool.workers.borrow().get(&worker).cloned()?;
-    if !pool.ensure_capacity() {
-        return None;
-    }
-    let patience = Duration::from_micros(pool.config.borrow().dial_timeout) * TIMEOUT_FACTOR;
-    let Some((mut stream, _counted, _)) = connect(pool, &peer).await else {
-        // Of a worker that began to drain meanwhile nothing is said.
-        return peer.accepts_work.get().then_some(false);
+    let worker = pool.workers.borrow().get(&worker).cloned()?;
+    let check_timeout = check_timeout(pool);
+    let mut connection = match connect(pool, &worker).await {
+        Ok(connection) => connection,
+        Err(ConnectError::NoCapacity) => return None,
+        // A worker that began to drain meanwhile may refuse connections.
+        Err(ConnectError::Unreachable) => return worker.accepts_work.get().then_some(false),
     };
-    if !peer.accepts_work.get() || !may() {
+    if !worker.accepts_work.get() || !may_write() {
         return None;
     }
-    let answer = timeout(patience, exchange(&mut stream, &peer, "/healthz", "Connection: close\r\n")).await;
-    Some(matches!(answer, Ok(Some((200, ..)))))
+    let exchange = exchange(&mut connection.stream, &worker, HEALTH_PATH, CLOSE_HEADER_FIELD);
+    let response = timeout(check_timeout, exchange).await;
+    Some(matches!(response, Ok(Some(Response { status: status::OK, .. }))))
 }
 
-/// Asks for this path and reads the answer whole.
+/// Requests a path and reads the response to its end.
 async fn exchange(
     stream: &mut TcpStream,
-    peer: &Worker,
+    worker: &Worker,
     path: &str,
-    headers: &str,
-) -> Option<(u16, BytesMut, bool)> {
-    let host = peer.address.get()?;
-    let mut request = Bytes::from(format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n{headers}\r\n"));
+    header_fields: &str,
+) -> Option<Response> {
+    let host = worker.address.get()?;
+    let mut request = Bytes::from(format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n{header_fields}\r\n"));
     write_all(stream, &mut request).await.ok()?;
     read_response(stream).await
 }
 
-/// Status and body of one answer, and whether the connection can be used again.
-async fn read_response(stream: &mut TcpStream) -> Option<(u16, BytesMut, bool)> {
-    let mut buf = BytesMut::new();
-    let (status, head) = read_response_head(stream, &mut buf).await?;
-    let (mut decoder, mut body) = (Decoder::new(head.framing), BytesMut::new());
+async fn read_response(stream: &mut TcpStream) -> Option<Response> {
+    let mut buffer = BytesMut::new();
+    let (status, head) = read_response_head(stream, &mut buffer).await?;
+    let mut decoder = Decoder::new(head.framing);
+    let mut body = BytesMut::new();
     loop {
-        match decoder.next(&mut buf).ok()? {
+        match decoder.next(&mut buffer).ok()? {
             Piece::Data(piece) if body.len() + piece.len() <= MAX_BODY => body.extend_from_slice(&piece),
             Piece::Data(_) => return None,
-            Piece::End => return Some((status, body, head.keep_alive && buf.is_empty())),
-            Piece::More if read_more(stream, &mut buf).await.ok()? => {}
-            Piece::More if head.framing == Framing::UntilClose => return Some((status, body, false)),
+            Piece::End => {
+                let reusable = head.keep_alive && buffer.is_empty();
+                return Some(Response { status, body, reusable });
+            }
+            Piece::More if read_more(stream, &mut buffer).await.ok()? => {}
+            Piece::More if head.framing == Framing::UntilClose => {
+                return Some(Response { status, body, reusable: false });
+            }
             Piece::More => return None,
         }
     }
--- a/crates/dispatcher/src/net/worker/mod.rs
+++ b/crates/dispatcher/src/net/worker/mod.rs
@@ -1,8 +1,11 @@
-//! Workers: the commands of the engine carried out on connections that are used again.
+//! Workers: executes the commands of the engine on pooled connections.
 
-pub(crate) mod attempt;
+mod answer;
+mod attempt;
+mod connection;
 pub(crate) mod health_check;
 pub(crate) mod pool;
+mod protocol;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,12 +14,13 @@
 use tokio::time::{interval_at, Instant};
 
 use crate::engine::Command;
+use attempt::Attempt;
 use pool::Pool;
 
-/// How often idle connections are looked through.
+/// Interval at which expired idle connections are closed.
 const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Carries out commands until the engine ends.
+/// Executes commands until the engine ends.
 pub(super) async fn run(pool: Rc<Pool>, mut commands: mpsc::UnboundedReceiver<Command>) {
     let mut sweep = interval_at(Instant::now() + IDLE_SWEEP_INTERVAL, IDLE_SWEEP_INTERVAL);
     loop {
@@ -34,8 +38,8 @@
 fn execute(pool: &Rc<Pool>, command: Command) {
     match command {
         Command::Attempt { attempt, worker, payload, deadline, not_after } => {
-            let worker = (worker, pool.workers.borrow().get(&worker).cloned());
-            attempt::start(pool, attempt, worker, payload, (deadline, not_after));
+            let attempt = Attempt { id: attempt, worker, payload, deadline, not_after };
+            attempt::start(pool, attempt);
         }
         Command::Cancel(attempt) => {
             let task = pool.attempts.borrow_mut().remove(&attempt);
