--- a/crates/dispatcher/src/net/client/connection_limit.rs
+++ b/crates/dispatcher/src/net/client/connection_limit.rs
@@ -1,8 +1,8 @@
-//! The limit on client connections. At the limit a new connection takes the place of the one that has waited longest
-//! for its first request; where none waits, the new one is closed unread.
+//! Limit on client connections. At the limit, a new connection evicts the one that has waited longest for its first
+//! request; if none waits, the new one is closed unread.
 //!
-//! Accepting never pauses. A connection that waits in the listener's queue cannot be answered within its time: idle
-//! ones may hold their places for over a second, and nobody knows how long it has waited when it is accepted.
+//! Accepting never pauses: a connection in the listener's queue could not be answered in time, since idle ones may keep
+//! their places for over a second, and the time that it has spent in the queue is unknown when it is accepted.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -10,21 +10,23 @@
 
 use tokio::sync::Notify;
 
-/// Kept by a connection for as long as it waits for its first request; notified where it is to give way.
+/// Registration of a connection that awaits its first request; notified of its eviction.
 pub(super) type FirstRequestWait = Rc<Notify>;
 
-/// Who waits for a first request, and what the limit has cost since it was reached.
+/// Connections that await their first request, and the numbers of those closed at the limit.
 #[derive(Default)]
 pub(super) struct ConnectionLimit {
-    /// The one that has waited longest first. Those that wait no more are dropped as they come to the front; since no
-    /// first request is awaited for long, none stays.
+    /// Connections by the time of their accept. Those that wait no more are dropped when they reach the front, which is
+    /// soon, since the wait for a first request is short.
     waiting: RefCell<VecDeque<Weak<Notify>>>,
+    /// Number of connections evicted since connections were last scarce.
     evicted: Cell<u64>,
+    /// Number of connections closed unread since connections were last scarce.
     rejected: Cell<u64>,
 }
 
 impl ConnectionLimit {
-    /// A new connection begins to wait for its first request.
+    /// Registers a new connection, which awaits its first request.
     pub(super) fn start_waiting(&self) -> FirstRequestWait {
         let wait = FirstRequestWait::default();
         let mut waiting = self.waiting.borrow_mut();
@@ -35,7 +37,7 @@
         wait
     }
 
-    /// Tells the connection that has waited longest for its first request to give way; false where none waits.
+    /// Evicts the connection that has waited longest for its first request; returns false if none waits.
     pub(super) fn evict_oldest(&self) -> bool {
         let mut waiting = self.waiting.borrow_mut();
         while let Some(oldest) = waiting.pop_front() {
@@ -48,12 +50,12 @@
         false
     }
 
-    /// A new connection was closed unread.
+    /// Counts a new connection that was closed unread.
     pub(super) fn record_rejected(&self) {
         self.rejected.set(self.rejected.get() + 1);
     }
 
-    /// Says in the log when connections become too many, and what that has cost when they no longer are.
+    /// Logs that connections have become scarce, or that they no longer are, with the numbers of those closed meanwhile.
     pub(super) fn log_change(&self, crowded: bool, open: usize, limit: usize) {
         if crowded {
             tracing::warn!(open, limit, "nearly all client connections are in use; idle ones are closed");
--- a/crates/dispatcher/src/net/client/mod.rs
+++ b/crates/dispatcher/src/net/client/mod.rs
@@ -1,175 +1,108 @@
 //! Clients: their connections, their requests as jobs, and the answers.
 
+mod acceptor;
+mod body;
 mod connection;
 mod connection_limit;
+mod protocol;
 mod request;
+mod request_error;
 mod response;
+mod wait;
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use bytes::Bytes;
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpListener;
 use tokio::sync::watch;
-use tokio::task::{JoinError, JoinSet};
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::Instant;
 
 use super::metrics::Metrics;
 use super::mode::Mode;
 use super::shutdown::ShutdownPhase;
 use super::ConfigReceiver;
-use crate::engine::{Answer, Handle, Input};
-use connection::Connection;
+use crate::engine::{Answer, Handle};
+use acceptor::Acceptor;
 use connection_limit::ConnectionLimit;
+use protocol::READY_BODY;
 
-/// From this part of the connections on, in hundredths, idle ones are closed and new ones refused: a
-/// dispatcher without descriptors could neither accept nor reach a worker.
+/// Part of the client connections, in percent, from which on idle ones are closed and requests on new ones rejected:
+/// without free descriptors, a dispatcher can neither accept a client nor reach a worker.
 const CROWDED_PERCENT: usize = 90;
-/// While the program ends: no connection for this long, and the listener is closed.
-const LAST_ACCEPT_TIMEOUT: Duration = Duration::from_millis(150);
-/// After an accept that failed.
-const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// An idle connection that is to give way to a new one is closed within this.
-const EVICTION_TIMEOUT: Duration = Duration::from_millis(5);
-/// Without word of discovery, the list as last held serves after this.
+/// Time after which the saved endpoint list serves if discovery does not respond.
 pub(super) const INITIAL_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the connections share.
+/// State shared by all client connections.
 struct ClientContext {
     config: ConfigReceiver,
     handle: Handle,
     phase: watch::Receiver<ShutdownPhase>,
-    ready: watch::Receiver<bool>,
+    /// True once an endpoint list was received.
+    list_received: watch::Receiver<bool>,
+    /// True while nearly all client connections are in use.
     crowded: watch::Sender<bool>,
     limit: ConnectionLimit,
     started_at: Instant,
-    /// Set by the operators' console.
+    /// Mode set by the operators' console.
     mode: watch::Receiver<Mode>,
     metrics: Rc<Metrics>,
 }
 
-/// Whether the process says yes to the health check and to the console's status: it has heard of its workers, or
-/// waited long enough for them to serve with the list as last held; it serves; it is not in standby.
-pub(crate) fn is_ready(heard: bool, started_at: Instant, phase: ShutdownPhase, mode: Mode) -> bool {
-    (heard || started_at.elapsed() >= INITIAL_LIST_TIMEOUT)
-        && phase == ShutdownPhase::Serving
-        && mode == Mode::Active
-}
-
 impl ClientContext {
-    /// The answer to a health check.
+    /// Returns the answer to a health check.
     fn readiness(&self) -> Answer {
-        let ready =
-            is_ready(*self.ready.borrow(), self.started_at, *self.phase.borrow(), *self.mode.borrow());
-        if ready {
-            Answer::Served(Bytes::from_static(b"ready\n"))
+        let list_received = *self.list_received.borrow();
+        if is_ready(list_received, self.started_at, *self.phase.borrow(), *self.mode.borrow()) {
+            Answer::Served(Bytes::from_static(READY_BODY))
         } else {
             Answer::Rejected { retry_after: None }
         }
     }
 
-    /// Takes note of how many connections are open, of so many at the most; true where they are too many.
-    fn update_crowded(&self, open: usize, most: usize) -> bool {
-        let crowded = open >= most * CROWDED_PERCENT / 100;
-        if self.crowded.send_if_modified(|before| std::mem::replace(before, crowded) != crowded) {
-            self.limit.log_change(crowded, open, most);
+    /// Updates whether connections are scarce, and returns it.
+    fn update_crowded(&self, open: usize, limit: usize) -> bool {
+        let crowded = open >= limit * CROWDED_PERCENT / 100;
+        let changed = self.crowded.send_if_modified(|before| std::mem::replace(before, crowded) != crowded);
+        if changed {
+            self.limit.log_change(crowded, open, limit);
         }
         crowded
     }
 
-    fn standby(&self) -> bool {
+    fn is_standby(&self) -> bool {
         *self.mode.borrow() == Mode::Standby
     }
 }
 
-/// Accepts and serves clients until the program has been told to end and all is answered.
+/// Returns whether the process is ready: it has received an endpoint list, or waited long enough to serve with the saved
+/// one; it is not shutting down; it is not in standby.
+pub(crate) fn is_ready(list_received: bool, started_at: Instant, phase: ShutdownPhase, mode: Mode) -> bool {
+    (list_received || started_at.elapsed() >= INITIAL_LIST_TIMEOUT)
+        && phase == ShutdownPhase::Serving
+        && mode == Mode::Active
+}
+
+/// Accepts and serves clients until the process shuts down and all requests are answered.
 pub async fn accept(
-    configs: ConfigReceiver,
+    config: ConfigReceiver,
     listener: TcpListener,
     handle: Handle,
-    mut phase: watch::Receiver<ShutdownPhase>,
-    ready: watch::Receiver<bool>,
+    phase: watch::Receiver<ShutdownPhase>,
+    list_received: watch::Receiver<bool>,
     mode: watch::Receiver<Mode>,
     metrics: Rc<Metrics>,
 ) {
-    let (crowded, _) = watch::channel(false);
-    let started_at = Instant::now();
     let context = Rc::new(ClientContext {
-        config: configs,
-        handle: handle.clone(),
-        phase: phase.clone(),
-        ready,
-        crowded,
+        config,
+        handle,
+        phase,
+        list_received,
+        crowded: watch::Sender::new(false),
         limit: ConnectionLimit::default(),
-        started_at,
+        started_at: Instant::now(),
         mode,
         metrics,
     });
-    let mut listener = Some(listener);
-    let mut tasks = JoinSet::new();
-    let (mut draining_sent, mut shutdown_sent) = (false, false);
-    loop {
-        let now = *phase.borrow_and_update();
-        if now >= ShutdownPhase::Draining && !std::mem::replace(&mut draining_sent, true) {
-            handle.send(Input::Draining);
-        }
-        if now >= ShutdownPhase::Finishing && !std::mem::replace(&mut shutdown_sent, true) {
-            handle.send(Input::Shutdown);
-        }
-        if now == ShutdownPhase::Finished || listener.is_none() && tasks.is_empty() {
-            return;
-        }
-        let most = context.config.borrow().client_sockets;
-        context.update_crowded(tasks.len(), most);
-        let accepted = async {
-            match &listener {
-                Some(listener) if now < ShutdownPhase::Closing => Some(listener.accept().await),
-                Some(listener) => timeout(LAST_ACCEPT_TIMEOUT, listener.accept()).await.ok(),
-                None => std::future::pending().await,
-            }
-        };
-        tokio::select! {
-            biased;
-            // First, so that what has ended is not counted against what comes.
-            Some(done) = tasks.join_next() => log_panic(done),
-            accepted = accepted => match accepted {
-                Some(Ok((stream, _))) => admit(&context, &mut tasks, stream, most).await,
-                Some(Err(error)) => {
-                    tracing::warn!(%error, "cannot accept");
-                    sleep(ACCEPT_RETRY_DELAY).await;
-                }
-                None => listener = None,
-            },
-            changed = phase.changed() => {
-                if changed.is_err() {
-                    // Whoever told the phase is gone: none will follow.
-                    return;
-                }
-            }
-        }
-    }
-}
-
-/// Serves a new connection, at the limit in the place of an idle one; where none gives way it is closed unread.
-async fn admit(context: &Rc<ClientContext>, tasks: &mut JoinSet<()>, stream: TcpStream, most: usize) {
-    if tasks.len() >= most && context.limit.evict_oldest() {
-        // One that finds a request in that moment does not end, and stays.
-        if let Ok(Some(done)) = timeout(EVICTION_TIMEOUT, tasks.join_next()).await {
-            log_panic(done);
-        }
-    }
-    if tasks.len() >= most {
-        context.limit.record_rejected();
-        return;
-    }
-    let over_limit = context.update_crowded(tasks.len(), most);
-    let _ = stream.set_nodelay(true);
-    tasks.spawn_local(Connection::serve(stream, context.clone(), over_limit));
-}
-
-/// A connection's task has ended; a panic ends the connection it happened on alone.
-fn log_panic(done: Result<(), JoinError>) {
-    if done.is_err() {
-        tracing::error!("a connection's task panicked; its connection is closed");
-    }
+    Acceptor::new(context, listener).run().await;
 }
--- a/crates/dispatcher/src/net/client/request.rs
+++ b/crates/dispatcher/src/net/client/request.rs
@@ -1,71 +1,79 @@
-//! Requests as jobs: what the head of a request asks for, checked before anything is decided.
+//! Requests as jobs: the head of a request is parsed and validated before any decision.
 
 use std::cell::Cell;
+use std::str::FromStr;
 
 use bytes::Bytes;
 
-use crate::config::{Config, Names};
+use super::protocol::{
+    RequestFigure, AFFINITY_KEY_PARAMETER, CLIENT_RETRY, CLIENT_RETRY_HEADER, HEALTH_METHOD, HEALTH_PATH,
+    IDEMPOTENCY_KEY_HEADER, JOB_METHOD, REQUEST_ID_HEADER, REQUEST_INFO_HEADER, SINGLE_HEADERS,
+    TENANT_HEADER, TIMEOUT_HEADER, WORK_HINT_HEADER,
+};
+use super::request_error::RequestError;
+use crate::config::{ClassInfo, Config, Names};
 use crate::engine::{Job, Micros, Payload};
-use crate::net::http::status::reason;
-use crate::net::http::{text, Head, Malformed};
+use crate::net::http::{text, Head};
 use dispatch_core::api::{Request, RequestId};
 use dispatch_core::hashing::hash_bytes;
 
-/// No id or key is longer.
+/// Maximum length of an id or key, in bytes.
 const MAX_ID_BYTES: usize = 256;
-/// Headers that a request has once at the most.
-const SINGLE_HEADERS: [&str; 6] =
-    ["Request-Id", "Idempotency-Key", "Tenant", "Request-Timeout-Ms", "Work-Hint", "Client-Retry"];
+/// Maximum of a figure of a job.
+const MAX_FIGURE: f64 = 1e9;
+const MICROS_PER_MS: Micros = 1_000;
+const MICROS_PER_S: f64 = 1e6;
+const HEXADECIMAL: u32 = 16;
 
-/// Why a request is not taken.
-pub(super) struct RequestRejection(pub(super) u16, pub(super) &'static str);
+/// A request of a client.
+pub(super) enum ClientRequest {
+    /// A check whether the dispatcher is ready.
+    HealthCheck,
+    /// A job, without its body.
+    Job(Box<Job>),
+}
 
-impl From<Malformed> for RequestRejection {
-    fn from(malformed: Malformed) -> Self {
-        RequestRejection(malformed.status(), reason(malformed.status()))
-    }
+/// Id and idempotency key of a request, as a worker receives them.
+struct RequestIds {
+    request_id: Bytes,
+    idempotency_key: Option<Bytes>,
+}
+
+/// Path and query of a target.
+struct Target<'a> {
+    path: &'a str,
+    query: &'a str,
 }
 
-/// What the head asks for: a job, or none where it asks whether the dispatcher is ready.
-pub(super) fn parse_job(
+/// Parses the head of a request.
+///
+/// # Errors
+/// Returns the first [`RequestError`] of the head.
+pub(super) fn parse_request(
     config: &Config,
     head: &Head,
     method: &Bytes,
     target: &Bytes,
-) -> Result<Option<Box<Job>>, RequestRejection> {
-    let names = &config.names;
-    let target_text = text(target).filter(|t| t.starts_with('/') && t.bytes().all(|b| b.is_ascii_graphic()));
-    let target_text = target_text.ok_or(RequestRejection(400, "the target must be a path"))?;
-    let (path, query) = target_text.split_once('?').unwrap_or((target_text, ""));
-    if path == "/healthz" {
+) -> Result<ClientRequest, RequestError> {
+    let Target { path, query } = parse_target(target)?;
+    if path == HEALTH_PATH {
         return match &method[..] {
-            b"GET" => Ok(None),
-            _ => Err(RequestRejection(405, "ask for this with GET")),
+            HEALTH_METHOD => Ok(ClientRequest::HealthCheck),
+            _ => Err(RequestError::HealthMethod),
         };
     }
-    let name = path[1..].split('/').next().unwrap_or("");
-    let class = names.classes.iter().position(|c| c.name == name);
-    let class = class.ok_or(RequestRejection(404, "there is no such class of request"))?;
-    let info = &names.classes[class];
-    if &method[..] != b"POST" {
-        return Err(RequestRejection(405, "jobs come by POST"));
+    let class = parse_class(path, &config.names)?;
+    if &method[..] != JOB_METHOD {
+        return Err(RequestError::JobMethod);
     }
-    check_headers_come_once(head)?;
-    let (id, idempotency_key) = parse_ids(head)?;
-    if info.requires_idempotency_key && idempotency_key.is_none() {
-        return Err(RequestRejection(400, "Idempotency-Key is missing"));
+    check_single_headers(head)?;
+    let info = &config.names.classes[class];
+    let ids = parse_ids(head)?;
+    if info.requires_idempotency_key && ids.idempotency_key.is_none() {
+        return Err(RequestError::MissingIdempotencyKey);
     }
-    let tenant = parse_tenant(head, names)?;
-    let timeout = match head.header_text("Request-Timeout-Ms") {
-        // No client waits longer than its class lets it.
-        Some(v) => parse_number::<Micros>(v, "Request-Timeout-Ms")?.saturating_mul(1000).min(info.timeout),
-        None => info.timeout,
-    };
-    // Whole microseconds of running on a standard core.
-    let hint = match head.header("Work-Hint").map(|v| text(v).unwrap_or("")) {
-        Some(v) => Some(parse_number::<u64>(v, "Work-Hint")?).filter(|v| *v > 0),
-        None => None,
-    };
+    let tenant = parse_tenant(head, &config.names)?;
+    let timeout = parse_timeout(head, info)?;
     let mut request = Request {
         id: RequestId(0),
         class: class as u32,
@@ -73,93 +81,117 @@
         slots: 1.0,
         memory: 0.0,
         timeout: 0.0,
-        is_retry: head.header_text("Client-Retry") == Some("1"),
-        expected_run_time: hint.map(|micros| micros as f64 / 1e6),
-        affinity_key: query
-            .split('&')
-            .find_map(|p| p.strip_prefix("sid="))
-            .filter(|k| !k.is_empty())
-            .map(affinity_key),
+        is_retry: head.header_text(CLIENT_RETRY_HEADER) == Some(CLIENT_RETRY),
+        expected_run_time: parse_work_hint(head)?,
+        affinity_key: parse_affinity_key(query),
     };
     apply_request_info(&mut request, head)?;
     let payload = Payload {
-        id,
+        id: ids.request_id,
         method: method.clone(),
         target: target.clone(),
-        idempotency_key,
+        idempotency_key: ids.idempotency_key,
         body: Bytes::new(),
         class: info.name.as_str().into(),
         concluded: Cell::default(),
     };
-    Ok(Some(Box::new(Job { request, timeout, payload })))
+    Ok(ClientRequest::Job(Box::new(Job { request, timeout, payload })))
+}
+
+fn parse_target(target: &Bytes) -> Result<Target<'_>, RequestError> {
+    let target = text(target).ok_or(RequestError::InvalidTarget)?;
+    if !target.starts_with('/') || !target.bytes().all(|byte| byte.is_ascii_graphic()) {
+        return Err(RequestError::InvalidTarget);
+    }
+    let (path, query) = target.split_once('?').unwrap_or((target, ""));
+    Ok(Target { path, query })
+}
+
+/// Returns the position of the class that the first segment of a path names.
+fn parse_class(path: &str, names: &Names) -> Result<usize, RequestError> {
+    let name = path[1..].split('/').next().unwrap_or("");
+    let position = names.classes.iter().position(|class| class.name == name);
+    position.ok_or(RequestError::UnknownClass)
 }
 
-/// Of two values a worker might heed the other one.
-fn check_headers_come_once(head: &Head) -> Result<(), RequestRejection> {
+fn check_single_headers(head: &Head) -> Result<(), RequestError> {
     if SINGLE_HEADERS.into_iter().any(|name| head.count_headers(name) > 1) {
-        return Err(RequestRejection(400, "a header that must come once comes again"));
+        return Err(RequestError::RepeatedHeader);
     }
     Ok(())
 }
 
-/// The request's id, and its idempotency key where it has one. They reach a worker as they are. On what it cannot read
-/// it closes, whatever else waits there.
-fn parse_ids(head: &Head) -> Result<(Bytes, Option<Bytes>), RequestRejection> {
-    let id = head.header("Request-Id").filter(|id| !id.is_empty());
-    let id = id.ok_or(RequestRejection(400, "Request-Id is missing"))?.clone();
-    let idempotency_key = head.header("Idempotency-Key").filter(|k| !k.is_empty()).cloned();
-    let plain = |bytes: &Bytes| bytes.len() <= MAX_ID_BYTES && bytes.iter().all(u8::is_ascii_graphic);
-    if !plain(&id) || !idempotency_key.as_ref().is_none_or(plain) {
-        return Err(RequestRejection(400, "Request-Id and Idempotency-Key are plain words"));
+/// Parses the ids strictly: a worker that cannot read one closes the connection, with the other requests on it.
+fn parse_ids(head: &Head) -> Result<RequestIds, RequestError> {
+    let request_id = head.header(REQUEST_ID_HEADER).filter(|id| !id.is_empty());
+    let request_id = request_id.ok_or(RequestError::MissingRequestId)?.clone();
+    let idempotency_key = head.header(IDEMPOTENCY_KEY_HEADER).filter(|key| !key.is_empty()).cloned();
+    let is_valid = |id: &Bytes| id.len() <= MAX_ID_BYTES && id.iter().all(u8::is_ascii_graphic);
+    if !is_valid(&request_id) || !idempotency_key.as_ref().is_none_or(is_valid) {
+        return Err(RequestError::InvalidId);
     }
-    Ok((id, idempotency_key))
+    Ok(RequestIds { request_id, idempotency_key })
 }
 
-/// The tenant by its place in the settings; the first where there are none.
-fn parse_tenant(head: &Head, names: &Names) -> Result<u32, RequestRejection> {
+/// Returns the position of the tenant in the settings; 0 if these have no tenants.
+fn parse_tenant(head: &Head, names: &Names) -> Result<u32, RequestError> {
     if names.tenants.is_empty() {
         return Ok(0);
     }
-    let tenant = head.header_text("Tenant").ok_or(RequestRejection(400, "Tenant is missing"))?;
-    let place = names.tenants.iter().position(|known| known == tenant);
-    place.map(|place| place as u32).ok_or(RequestRejection(400, "there is no such Tenant"))
+    let tenant = head.header_text(TENANT_HEADER).ok_or(RequestError::MissingTenant)?;
+    let position = names.tenants.iter().position(|name| name == tenant);
+    position.map(|position| position as u32).ok_or(RequestError::UnknownTenant)
 }
 
-/// Takes what `Request-Info` says of the work over into the request.
-fn apply_request_info(request: &mut Request, head: &Head) -> Result<(), RequestRejection> {
-    for (name, value) in head.header_text("Request-Info").unwrap_or("").split(',').filter_map(parse_pair) {
-        let figure = || parse_number::<f64>(value, "Request-Info").map(|v| v.clamp(0.0, 1e9));
-        match name {
-            "slots" | "cores-needed" => request.slots = figure()?,
-            "memory" | "ram-units" => request.memory = figure()?,
-            "hint" | "expected-s" => request.expected_run_time = Some(figure()?).filter(|v| *v > 0.0),
-            _ => {}
-        }
+/// Returns the timeout of a request, which the class limits.
+fn parse_timeout(head: &Head, class: &ClassInfo) -> Result<Micros, RequestError> {
+    let Some(text) = head.header_text(TIMEOUT_HEADER) else { return Ok(class.timeout) };
+    let timeout_ms: Micros = parse_number(text, RequestError::InvalidTimeout)?;
+    Ok(timeout_ms.saturating_mul(MICROS_PER_MS).min(class.timeout))
+}
+
+/// Returns the expected running time in seconds; none if it is 0.
+fn parse_work_hint(head: &Head) -> Result<Option<f64>, RequestError> {
+    let Some(value) = head.header(WORK_HINT_HEADER) else { return Ok(None) };
+    let micros: u64 = parse_number(text(value).unwrap_or(""), RequestError::InvalidWorkHint)?;
+    Ok((micros > 0).then_some(micros as f64 / MICROS_PER_S))
+}
+
+/// Returns the affinity key of a query; the same text gives the same key at every dispatcher.
+fn parse_affinity_key(query: &str) -> Option<u64> {
+    let text = query.split('&').find_map(|parameter| parameter.strip_prefix(AFFINITY_KEY_PARAMETER))?;
+    if text.is_empty() {
+        return None;
     }
-    Ok(())
+    Some(u64::from_str_radix(text, HEXADECIMAL).unwrap_or_else(|_| hash_bytes(text.as_bytes())))
 }
 
-fn parse_pair(text: &str) -> Option<(&str, &str)> {
-    text.split_once('=').map(|(name, value)| (name.trim(), value.trim()))
+/// Applies the figures of the job that the client states.
+fn apply_request_info(request: &mut Request, head: &Head) -> Result<(), RequestError> {
+    for pair in head.header_text(REQUEST_INFO_HEADER).unwrap_or("").split(',') {
+        let Some((name, value)) = pair.split_once('=') else { continue };
+        let Some(figure) = RequestFigure::from_name(name.trim()) else { continue };
+        let value: f64 = parse_number(value, RequestError::InvalidRequestInfo)?;
+        let value = value.clamp(0.0, MAX_FIGURE);
+        match figure {
+            RequestFigure::Slots => request.slots = value,
+            RequestFigure::Memory => request.memory = value,
+            RequestFigure::ExpectedRunTime => {
+                request.expected_run_time = Some(value).filter(|time| *time > 0.0)
+            }
+        }
+    }
+    Ok(())
 }
 
-fn parse_number<T: std::str::FromStr + PartialOrd + Default>(
+/// Parses a number from 0 on.
+fn parse_number<T: FromStr + PartialOrd + Default>(
     text: &str,
-    header: &str,
-) -> Result<T, RequestRejection> {
-    let malformed = match header {
-        "Request-Info" => RequestRejection(400, "Request-Info holds what is no number"),
-        "Work-Hint" => RequestRejection(400, "Work-Hint is no whole number of microseconds"),
-        _ => RequestRejection(400, "Request-Timeout-Ms is no whole number"),
-    };
-    // Also false for what is neither: not a number.
+    error: RequestError,
+) -> Result<T, RequestError> {
+    // The comparison is also false for a value that is not a number.
     match text.trim().parse::<T>() {
-        Ok(v) if v >= T::default() => Ok(v),
-        _ => Err(malformed),
+        Ok(value) if value >= T::default() => Ok(value),
+        _ => Err(error),
     }
 }
-
-/// A key as the module knows it: the same at every dispatcher.
-fn affinity_key(text: &str) -> u64 {
-    u64::from_str_radix(text, 16).unwrap_or_else(|_| hash_bytes(text.as_bytes()))
-}
--- a/crates/dispatcher/src/net/client/response.rs
+++ b/crates/dispatcher/src/net/client/response.rs
@@ -1,43 +1,71 @@
 //! Responses to clients.
 
-use bytes::Bytes;
+use std::fmt::Write as _;
 
+use bytes::buf::Chain;
+use bytes::{Buf, Bytes};
+
+use super::protocol::{DUPLICATE_ID_BODY, FAILED_BODY, REJECTED_BODY, UNUSABLE_BODY};
+use super::request_error::RequestError;
 use crate::engine::{micros, Answer, InvalidRequest};
-use crate::net::http::status::reason;
+use crate::net::http::status::{self, reason, Status};
+use dispatch_core::api::Seconds;
 
-/// A response, as its head and its body.
-pub(super) fn encode_response(
-    status: u16,
-    retry_after: Option<f64>,
-    keep: bool,
+/// A response to a client.
+pub(super) struct Response {
+    status: Status,
+    retry_after: Option<Seconds>,
     body: Bytes,
-) -> (Bytes, Bytes) {
-    let mut head = format!("HTTP/1.1 {status} {}\r\nContent-Length: {}\r\n", reason(status), body.len());
-    if let Some(after) = retry_after {
-        // Rounded up: a client that comes back early is declined again.
-        let millis = micros(after).div_ceil(1000);
-        head.push_str(&format!("Retry-After: {}.{:03}\r\n", millis / 1000, millis % 1000));
-    }
-    if !keep {
-        head.push_str("Connection: close\r\n");
-    }
-    head.push_str("\r\n");
-    (Bytes::from(head), body)
 }
 
-/// The response that gives a client its final answer.
-pub(super) fn encode_answer(answer: Answer, keep: bool) -> (Bytes, Bytes) {
-    match answer {
-        Answer::Served(result) => encode_response(200, None, keep, result),
-        Answer::Rejected { retry_after } => {
-            encode_response(503, retry_after, keep, Bytes::from_static(b"try again later\n"))
+impl Response {
+    fn new(status: Status, body: Bytes) -> Response {
+        Response { status, retry_after: None, body }
+    }
+
+    /// Encodes the response; without `keep_alive`, it announces that the connection will be closed.
+    pub(super) fn encode(self, keep_alive: bool) -> Chain<Bytes, Bytes> {
+        let mut head = format!(
+            "HTTP/1.1 {} {}\r\nContent-Length: {}\r\n",
+            self.status,
+            reason(self.status),
+            self.body.len()
+        );
+        if let Some(retry_after) = self.retry_after {
+            // Rounded up, since a client that returns early is rejected again.
+            let millis = micros(retry_after).div_ceil(1000);
+            // Writing to a String cannot fail.
+            let _ = write!(head, "Retry-After: {}.{:03}\r\n", millis / 1000, millis % 1000);
         }
-        Answer::Invalid(InvalidRequest::DuplicateId) => {
-            encode_response(409, None, keep, Bytes::from_static(b"a request of this id is open"))
+        if !keep_alive {
+            head.push_str("Connection: close\r\n");
         }
-        Answer::Invalid(InvalidRequest::Unusable) => {
-            encode_response(400, None, keep, Bytes::from_static(b"no worker can use this request"))
+        head.push_str("\r\n");
+        Bytes::from(head).chain(self.body)
+    }
+}
+
+impl From<Answer> for Response {
+    fn from(answer: Answer) -> Response {
+        match answer {
+            Answer::Served(result) => Response::new(status::OK, result),
+            Answer::Rejected { retry_after } => {
+                let body = Bytes::from_static(REJECTED_BODY);
+                Response { status: status::SERVICE_UNAVAILABLE, retry_after, body }
+            }
+            Answer::Invalid(InvalidRequest::DuplicateId) => {
+                Response::new(status::CONFLICT, Bytes::from_static(DUPLICATE_ID_BODY))
+            }
+            Answer::Invalid(InvalidRequest::Unusable) => {
+                Response::new(status::BAD_REQUEST, Bytes::from_static(UNUSABLE_BODY))
+            }
+            Answer::Failed => Response::new(status::BAD_GATEWAY, Bytes::from_static(FAILED_BODY)),
         }
-        Answer::Failed => encode_response(502, None, keep, Bytes::from_static(b"the job failed\n")),
+    }
+}
+
+impl From<RequestError> for Response {
+    fn from(error: RequestError) -> Response {
+        Response::new(error.status(), Bytes::from(error.to_string()))
     }
 }
