--- a/crates/cluster-member/tests/format.rs
+++ b/crates/cluster-member/tests/format.rs
@@ -4,7 +4,7 @@
 
 use cluster_member::endpoint_list::{EndpointSnapshot, WatchEvent, ENDPOINT_LIST_LEASE};
 use cluster_member::health_check::{FailingWorker, HealthCheckConfig, HealthReport, ZoneReport};
-use cluster_member::record::Recorder;
+use cluster_member::record::{RecordKind, Recorder};
 use cluster_member::slow_start::{Grant, QuotaGrants, UsageReport, SLOW_START_LEASE};
 use cluster_member::wire::{
     encode, ClientHello, ClientIdentity, ConnectionError, CoordinatorMessage, Effect, EffectResponse,
@@ -120,7 +120,7 @@
     assert_eq!(MAX_FRAME_BYTES, 4_194_304);
     assert_eq!(IO_TIMEOUT.as_millis(), 2_000);
     let error = encode(&"x".repeat(MAX_FRAME_BYTES)).unwrap_err();
-    assert_eq!(error.to_string(), "a message of 4194308 bytes, over 4194304");
+    assert_eq!(error.to_string(), "message of 4194308 bytes exceeds the limit of 4194304");
     assert!(encode(&"x".repeat(MAX_FRAME_BYTES - 4)).is_ok());
 }
 
@@ -249,7 +249,10 @@
         ),
         (
             "disruption state changed, since schema 3".to_owned(),
-            Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested(800, PermitState::Granted)),
+            Response::DisruptionStateChanged(DisruptionOutcome::PermitRequested {
+                permit: 800,
+                state: PermitState::Granted,
+            }),
         ),
         (
             "disruption state not changed, since schema 3".to_owned(),
@@ -424,9 +427,30 @@
     std::fs::write(&file, "{\"t\":1,\"kind\":\"earlier\"}\n").unwrap();
     let record = Recorder::append_to(&file).unwrap();
     assert!(record.is_enabled() && !Recorder::default().is_enabled());
-    record.record(1_000_000, "taken", json!({"token": 7, "duty": "list"}));
-    record.clone().record(1_000_001, "started", json!({}));
-    Recorder::default().record(1_000_002, "nowhere", json!({}));
+    record.record(1_000_000, RecordKind::EffectAccepted, json!({"token": 7, "duty": "list"}));
+    record.clone().record(1_000_001, RecordKind::ProcessStarted, json!({}));
+    Recorder::default().record(1_000_002, RecordKind::EntryApplied, json!({}));
     assert_pinned("records", &std::fs::read_to_string(&file).unwrap());
     assert!(Recorder::append_to(folder.path()).is_err());
 }
+
+/// The words by which checkers of experiments know the kinds of records.
+#[test]
+fn words_of_record_kinds() {
+    let words = [
+        (RecordKind::ProcessStarted, "started"),
+        (RecordKind::LeadershipChanged, "leads"),
+        (RecordKind::EntryApplied, "applied"),
+        (RecordKind::SessionOpened, "session"),
+        (RecordKind::EffectSent, "acted"),
+        (RecordKind::EffectAccepted, "taken"),
+        (RecordKind::EffectRejected, "refused"),
+        (RecordKind::QuotaGranted, "granted"),
+        (RecordKind::VerdictApplied, "against"),
+        (RecordKind::StandbyEntered, "standby"),
+        (RecordKind::StandbyLeft, "active"),
+    ];
+    for (kind, word) in words {
+        assert_eq!(serde_json::to_value(kind).unwrap(), json!(word));
+    }
+}
--- a/crates/coordination/src/timing.rs
+++ b/crates/coordination/src/timing.rs
@@ -6,62 +6,62 @@
 
 const PARTS_PER_MILLION: u64 = 1_000_000;
 
-/// The largest clock skew that can be configured: a tenth.
+/// Maximum clock skew that can be configured: a tenth.
 const MAX_CLOCK_SKEW_PPM: u64 = 100_000;
 
-/// Heartbeats that fit at least into an election timeout.
+/// Minimum number of heartbeats in an election timeout.
 const MIN_HEARTBEATS_PER_ELECTION: u64 = 4;
 
-/// Renewals that fit at least into a lease.
+/// Minimum number of renewals in the duration of a session.
 const MIN_RENEWALS_PER_LEASE: u64 = 3;
 
-/// Calls that fit at least into a lease.
+/// Minimum number of call timeouts in the duration of a session.
 const MIN_CALLS_PER_LEASE: u64 = 2;
 
-/// Election timeouts that fit at least into a lease.
+/// Minimum number of election timeouts in the duration of a session.
 const MIN_ELECTIONS_PER_LEASE: u64 = 2;
 
-/// How often short sessions double the stability period at most.
+/// Maximum number of times that short sessions double the stability period.
 const MAX_STABILITY_DOUBLINGS: u8 = 5;
 
-/// All durations, in microseconds. Replicas and members of one installation have the same.
+/// Durations in microseconds, the same for all replicas and members of one installation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Timing {
-    /// How long a session lasts after its renewal was requested, by the member's clock.
+    /// Duration of a session from the request of its latest renewal, by the member's clock.
     #[serde(rename = "lease")]
     pub lease_duration: Micros,
-    /// How often a member requests a renewal.
+    /// Interval at which a member requests a renewal.
     #[serde(rename = "renew")]
     pub renewal_interval: Micros,
-    /// How long a member waits for the response of a replica before it tries another.
+    /// Time that a member waits for the response of a replica before it tries another.
     #[serde(rename = "call")]
     pub call_timeout: Micros,
-    /// How long a session has to last before it may hold a lease; doubled for each short session before it.
+    /// Age at which a session may hold a lease; doubled for each short session before it.
     #[serde(rename = "stay")]
     pub stability_period: Micros,
-    /// A session that ends before this age is short.
+    /// Age below which a session that ends counts as short.
     #[serde(rename = "short")]
     pub short_session_limit: Micros,
-    /// The largest difference between the rates of two clocks, in parts per million.
+    /// Maximum difference between the rates of two clocks, in parts per million.
     #[serde(rename = "skew_ppm")]
     pub max_clock_skew_ppm: u64,
-    /// How long a follower waits for the leader before it starts an election.
+    /// Time that a follower waits for the leader before it starts an election.
     #[serde(rename = "election")]
     pub election_timeout: Micros,
-    /// How often the leader sends heartbeats.
+    /// Interval at which the leader sends heartbeats.
     #[serde(rename = "heartbeat")]
     pub heartbeat_interval: Micros,
 }
 
-/// Two durations that contradict each other, under the names of their settings.
+/// Two durations that contradict each other, by their settings keys.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{key} does not fit to {against}: {problem}")]
 pub struct TimingError {
-    /// The setting that is wrong.
+    /// Settings key of the invalid duration.
     pub key: &'static str,
-    /// The setting that it contradicts.
+    /// Settings key of the duration that it contradicts.
     pub against: &'static str,
-    /// What is wanted, and what happens otherwise.
+    /// The requirement, and the consequence of not meeting it.
     pub problem: &'static str,
 }
 
@@ -81,18 +81,17 @@
 }
 
 impl Timing {
-    /// Checks that the durations fit together.
+    /// Checks that the durations are consistent.
     ///
     /// # Errors
-    /// The first contradiction.
+    /// Returns [`TimingError`] with the first contradiction.
     pub fn validate(&self) -> Result<(), TimingError> {
         self.validate_election()?;
         self.validate_lease()?;
         self.validate_stability()?;
         require(
             self.max_clock_skew_ppm <= MAX_CLOCK_SKEW_PPM,
-            ("skew_ppm", "lease"),
-            "wanted at most 100000, a tenth",
+            TimingError { key: "skew_ppm", against: "lease", problem: "must be at most 100000, a tenth" },
         )
     }
 
@@ -100,8 +99,12 @@
         require(
             self.heartbeat_interval != 0
                 && self.heartbeat_interval * MIN_HEARTBEATS_PER_ELECTION <= self.election_timeout,
-            ("heartbeat", "election"),
-            "wanted above 0 and at most a fourth of it, or a late beat starts an election",
+            TimingError {
+                key: "heartbeat",
+                against: "election",
+                problem:
+                    "must be above 0 and at most a fourth of it, or one late heartbeat starts an election",
+            },
         )
     }
 
@@ -109,35 +112,50 @@
         require(
             self.renewal_interval != 0
                 && self.renewal_interval * MIN_RENEWALS_PER_LEASE <= self.lease_duration,
-            ("renew", "lease"),
-            "wanted above 0 and at most a third of it, or one lost answer ends a session",
+            TimingError {
+                key: "renew",
+                against: "lease",
+                problem: "must be above 0 and at most a third of it, or one lost response ends a session",
+            },
         )?;
         require(
             self.call_timeout != 0 && self.call_timeout * MIN_CALLS_PER_LEASE <= self.lease_duration,
-            ("call", "lease"),
-            "wanted above 0 and at most half of it, or a silent keeper ends a session",
+            TimingError {
+                key: "call",
+                against: "lease",
+                problem: "must be above 0 and at most half of it, or one unresponsive replica ends a session",
+            },
         )?;
         require(
             self.election_timeout * MIN_ELECTIONS_PER_LEASE <= self.lease_duration,
-            ("election", "lease"),
-            "wanted at most half of it, or every election ends sessions",
+            TimingError {
+                key: "election",
+                against: "lease",
+                problem: "must be at most half of it, or every election ends sessions",
+            },
         )
     }
 
     fn validate_stability(&self) -> Result<(), TimingError> {
         require(
             self.stability_period >= self.renewal_interval,
-            ("stay", "renew"),
-            "wanted at least as long, or a member settles unheard",
+            TimingError {
+                key: "stay",
+                against: "renew",
+                problem: "must be at least as long, or a member becomes stable before its first renewal",
+            },
         )?;
         require(
             self.short_session_limit >= self.stability_period,
-            ("short", "stay"),
-            "wanted at least as long, or no life is ever short",
+            TimingError {
+                key: "short",
+                against: "stay",
+                problem: "must be at least as long, or no session is ever short",
+            },
         )
     }
 
-    /// How long the leader waits, by its own clock, until a session that was not renewed has ended for its member too.
+    /// Returns the time, by the leader's clock, after which a session that was not renewed has expired for its member too.
     ///
     /// The member's clock may run slow by the bound and the leader's fast, so both differences are added. The result
     /// is rounded up, with one microsecond more for the granularity of both readings.
@@ -146,20 +164,17 @@
         self.lease_duration + skew + 1
     }
 
-    /// The stability period of a member with this many short sessions in a row.
+    /// Returns the stability period of a member with this many short sessions in a row.
     pub fn stability_period_after(&self, consecutive_short_sessions: u8) -> Micros {
         self.stability_period << consecutive_short_sessions.min(MAX_STABILITY_DOUBLINGS)
     }
 }
 
-fn require(
-    condition: bool,
-    (key, against): (&'static str, &'static str),
-    problem: &'static str,
-) -> Result<(), TimingError> {
+/// Returns the error unless the condition holds.
+fn require(condition: bool, error: TimingError) -> Result<(), TimingError> {
     if condition {
         Ok(())
     } else {
-        Err(TimingError { key, against, problem })
+        Err(error)
     }
 }
--- a/crates/dispatcher/src/net/cluster/slow_start.rs
+++ b/crates/dispatcher/src/net/cluster/slow_start.rs
@@ -7,12 +7,13 @@
 use cluster_member::clock;
 use cluster_member::effects::Publisher;
 use cluster_member::member::Member;
+use cluster_member::record::RecordKind;
 use cluster_member::slow_start::{
     EndpointAges, GrantedQuota, QuotaAllocator, QuotaConfig, QuotaGrants, SlowStartProfile, UsageReport,
     SLOW_START_LEASE,
 };
 use cluster_member::wire::Effect;
-use coordination::{FencingToken, LeaseId, Micros};
+use coordination::{FencingToken, HeldLease, LeaseId, Micros};
 use tokio::time::{interval, MissedTickBehavior};
 
 use super::timing::PUBLISH_INTERVAL;
@@ -105,7 +106,7 @@
             let at = self.pool.clock.now() + usable.expires_at.saturating_sub(now);
             let (worker, work, until) = (usable.worker, usable.work, usable.expires_at);
             let what = serde_json::json!({"worker": worker, "work": work, "until": until, "token": token.0});
-            self.member.recorder().record(now, "granted", what);
+            self.member.recorder().record(now, RecordKind::QuotaGranted, what);
             self.metrics.quota_granted.inc_by(work);
             self.pool.handle.send(Input::QuotaGranted { worker: WorkerId(worker), work, expires_at: at });
         }
@@ -147,11 +148,11 @@
 
     fn update_term(&self, now: Micros) {
         let lease = LeaseId::fleet(SLOW_START_LEASE);
-        let held = self.member.held_leases().into_iter().find(|(held, _)| *held == lease);
+        let held = self.member.held_leases().into_iter().find(|held| held.lease == lease);
         let mut term = self.term.borrow_mut();
         match held {
-            Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
-            Some((lease, token)) => {
+            Some(HeldLease { token, .. }) if term.as_ref().is_some_and(|term| term.token == token) => {}
+            Some(HeldLease { lease, token }) => {
                 tracing::info!(token = token.0, "holds the slow-start lease");
                 let dealer = Rc::new(RefCell::new(QuotaAllocator::new(self.config, self.profile, now)));
                 let hears = dealer.clone();
