--- a/crates/emulator/src/cluster/scaling_cost.rs
+++ b/crates/emulator/src/cluster/scaling_cost.rs
@@ -14,7 +14,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::cluster_harness::{run_in_folder, Binaries, ClusterHarness, ClusterSpec};
+use super::cluster_harness::{run_in_folder, Binaries, ClusterHarness, ClusterSpec, ProcessIds};
 use super::emulated_discovery::EmulatedDiscovery;
 use super::error::ClusterError;
 use crate::sockets::http;
@@ -94,7 +94,7 @@
     }
     // Members settle and sets are evened out before anything counts.
     sleep(Duration::from_secs(10)).await;
-    let (coordinators, dispatchers) = together.process_ids();
+    let ProcessIds { coordinators, dispatchers } = together.process_ids();
     let used = |ids: &[u32]| -> Vec<f64> { ids.iter().map(|id| cpu(*id)).collect() };
     let before =
         (used(&coordinators), used(&dispatchers), discovery.message_counts(), probes.get(), bytes(&together));
