--- a/crates/dispatch-core/tests/common/mod.rs
+++ b/crates/dispatch-core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: settings, events, and a driver that checks the four rules on every action.
+//! Shared parts of the tests: settings, events, and a driver that checks the four rules on every action.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use dispatch_core::api::*;
 use dispatch_core::Dispatcher;
 
-/// How long after it was told to drain a worker may still get new work.
+/// Time for which a worker that drains may still get new work.
 pub const DRAIN_GRACE: f64 = 0.5;
 
 pub fn class(repeat: Idempotency) -> Class {
@@ -49,7 +49,7 @@
 
 /// Workers 1 to n, all serving; the even ones are in zone 0.
 pub fn fleet(n: u64) -> Vec<Endpoint> {
-    (1..=n).map(|w| endpoint(w, WorkerState::Serving)).collect()
+    (1..=n).map(|worker| endpoint(worker, WorkerState::Serving)).collect()
 }
 
 pub fn request(id: u64) -> Request {
@@ -127,9 +127,9 @@
         Driver::new_at(100.0, cfg, seed, workers)
     }
 
-    /// A dispatcher that starts at this time.
+    /// Returns a driver of a dispatcher that starts at this time.
     pub fn new_at(now: f64, cfg: Settings, seed: u64, workers: &[Endpoint]) -> Self {
-        let mut d = Driver {
+        let mut driver = Driver {
             dispatcher: Dispatcher::new(cfg.clone(), seed),
             cfg,
             now,
@@ -141,25 +141,29 @@
             locations: BTreeMap::new(),
         };
         let mut actions = Vec::new();
-        d.dispatcher.start(d.now, &mut actions);
-        d.check_actions(actions);
-        d.send_list(ListScope::Cached, workers);
-        d
+        driver.dispatcher.start(driver.now, &mut actions);
+        driver.check_actions(actions);
+        driver.send_list(ListScope::Cached, workers);
+        driver
     }
 
     pub fn send_list(&mut self, scope: ListScope, endpoints: &[Endpoint]) -> Vec<Action> {
         if matches!(scope, ListScope::Full | ListScope::Cached) {
             let gone: Vec<u64> = self.locations.keys().copied().collect();
-            for w in gone.into_iter().filter(|w| !endpoints.iter().any(|m| m.worker.0 == *w)) {
-                self.excluded_since.entry(w).or_insert(self.now);
+            for worker in gone
+                .into_iter()
+                .filter(|worker| !endpoints.iter().any(|endpoint| endpoint.worker.0 == *worker))
+            {
+                self.excluded_since.entry(worker).or_insert(self.now);
             }
         }
-        for m in endpoints {
-            self.locations.insert(m.worker.0, Location { zone: m.zone, cell: m.cell });
-            if m.state == WorkerState::Serving {
-                self.excluded_since.remove(&m.worker.0);
+        for endpoint in endpoints {
+            let worker = endpoint.worker.0;
+            self.locations.insert(worker, Location { zone: endpoint.zone, cell: endpoint.cell });
+            if endpoint.state == WorkerState::Serving {
+                self.excluded_since.remove(&worker);
             } else {
-                self.excluded_since.entry(m.worker.0).or_insert(self.now);
+                self.excluded_since.entry(worker).or_insert(self.now);
             }
         }
         self.event(Event::EndpointList { scope, endpoints })
@@ -183,7 +187,7 @@
         self.event(Event::AttemptEnded { request: RequestId(id), attempt, outcome, complete, load: None })
     }
 
-    /// Moves the clock on, firing the timers that fall due and the time-outs of clients that give up.
+    /// Advances the clock, firing the timers that are due and ending attempts at their client's timeout.
     pub fn advance(&mut self, span: f64) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
@@ -210,7 +214,7 @@
         all
     }
 
-    /// A worker answers a probe and says how many slots it has free.
+    /// Ends a probe with a report of the worker's free slots.
     pub fn probed(&mut self, worker: WorkerId, free: f64) -> Vec<Action> {
         let load = Some(LoadReport { free_slots: Some(free), ..LoadReport::default() });
         self.event(Event::ProbeEnded { worker, ok: true, load })
@@ -222,7 +226,7 @@
         self.check_actions(actions)
     }
 
-    /// Holds the dispatcher's actions to the rules.
+    /// Checks the dispatcher's actions by the rules and records them.
     pub fn check_actions(&mut self, actions: Vec<Action>) -> Vec<Action> {
         for action in &actions {
             match action {
