--- a/crates/emulator/src/cluster/dispatch_latency.rs
+++ b/crates/emulator/src/cluster/dispatch_latency.rs
@@ -1,42 +1,57 @@
-//! Whether dispatching waits for the fleet: the same traffic with the fleet off, on, on while its coordinators' leader is
-//! killed again and again, and on with all coordinators gone, side by side.
+//! Whether dispatching waits for the coordinators: the same traffic with the cluster off, on, on while the leader is killed
+//! again and again, and on without any coordinator, side by side.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
+use std::thread::JoinHandle;
 use std::time::Duration;
 
-use bytes::BytesMut;
 use hdrhistogram::Histogram;
 use serde::Serialize;
-use serde_json::json;
-use tokio::io::AsyncWriteExt;
-use tokio::net::{TcpListener, TcpStream};
-use tokio::task::{spawn_local, LocalSet};
-use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
+use tokio::net::TcpStream;
+use tokio::task::spawn_local;
+use tokio::time::{interval, sleep, sleep_until, timeout, Instant, MissedTickBehavior};
 
-use super::cluster_harness::{Binaries, ClusterHarness, ClusterSpec};
+use super::client::{submit_job, ClientJob};
+use super::cluster_harness::{run_in_folder, Binaries, ClusterHarness, ClusterSpec};
+use super::dispatcher_settings::{DispatcherSettings, JobClass};
 use super::emulated_discovery::EmulatedDiscovery;
+use super::emulated_worker::{
+    bind_listener, job_id, serve_worker, write_done, write_started, ConnectionUse, EmulatedWorker,
+};
 use super::error::ClusterError;
-use crate::sockets::http::{self, chunk, CHUNKED, LAST_CHUNK};
+use crate::sockets::http::Head;
 
+const COORDINATORS: usize = 3;
 const DISPATCHERS: usize = 2;
 const WORKERS: usize = 6;
-/// Jobs a second at each dispatcher, over so many kept connections.
+/// Jobs a second at each dispatcher.
 const RATE: u64 = 100;
+/// Kept-alive connections of the clients to each dispatcher.
 const CONNECTIONS: u64 = 8;
-/// How long a emulated worker runs a job.
+/// Time for which an emulated worker runs a job.
 const RUN_TIME: Duration = Duration::from_millis(5);
-/// How often the coordinators' leader is killed.
+/// Time from one kill of the leader to the next.
 const KILL_INTERVAL: Duration = Duration::from_secs(5);
-/// After how long it is started again.
+/// Time after which a killed leader is started again.
 const LEADER_RESTART: Duration = Duration::from_secs(1);
-/// A client gives up after this.
+/// Time after which a client gives up.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(8);
+/// Time at the start that does not count, in which the token banks fill.
+const WARM_UP: Duration = Duration::from_secs(2);
+/// Longest latency that is told apart, in microseconds.
+const MAX_LATENCY_US: u64 = 60_000_000;
+const CLASS: JobClass = JobClass {
+    name: "lookup",
+    is_idempotent: true,
+    latency_objective: Duration::from_millis(500),
+    timeout: Duration::from_secs(5),
+};
 
-/// What is done to the coordinators.
+/// State of the coordinators in an arm.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Arm {
     Off,
@@ -45,69 +60,118 @@
     NoCoordinators,
 }
 
-const ARMS: [(&str, Arm); 4] = [
-    ("off", Arm::Off),
-    ("on", Arm::On),
-    ("on, leader killed every 5 s", Arm::LeaderKilled),
-    ("on, all keepers stopped", Arm::NoCoordinators),
-];
+impl Arm {
+    const ALL: [Arm; 4] = [Arm::Off, Arm::On, Arm::LeaderKilled, Arm::NoCoordinators];
 
-/// What one arm gave.
+    /// Returns the name of the arm in results.
+    fn name(self) -> &'static str {
+        match self {
+            Arm::Off => "off",
+            Arm::On => "on",
+            Arm::LeaderKilled => "on, leader killed every 5 s",
+            Arm::NoCoordinators => "on, all keepers stopped",
+        }
+    }
+}
+
+/// Result of one arm.
 #[derive(Debug, Default, Clone, Serialize)]
 pub struct LatencyResult {
-    /// Jobs handed in.
+    /// Jobs submitted.
     pub jobs: u64,
-    /// Answers by status; 0 where there was none.
+    /// Answers by status; 0 without one.
     pub answers: BTreeMap<u16, u64>,
-    /// Milliseconds from handing in to the whole answer, at half.
+    /// Median time from the submission to the complete answer, in milliseconds.
     pub p50_ms: f64,
-    /// At 99 of 100.
+    /// The same at the 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// The same at most.
     pub max_ms: f64,
-    /// The longest time in which one dispatcher's clients got no answer at all.
+    /// Longest time in which the clients of one dispatcher got no answer, in milliseconds.
     pub worst_gap_ms: f64,
-    /// How often leaders of the coordinators were killed.
+    /// Kills of the leader.
     pub killed: u64,
     /// Watches open at discovery at the end.
     pub watches: u64,
 }
 
+/// Answers that the clients of an arm got.
 struct Tally {
     times: Histogram<u64>,
     answers: BTreeMap<u16, u64>,
     jobs: u64,
-    last: Vec<Instant>,
-    gap: Duration,
+    /// By dispatcher: time of its last answer.
+    last_answer_at: Vec<Instant>,
+    longest_gap: Duration,
 }
 
-/// Plays all arms at once for so long, each on a thread of its own.
+impl Tally {
+    fn new(now: Instant) -> Result<Tally, ClusterError> {
+        Ok(Tally {
+            times: Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)?,
+            answers: BTreeMap::new(),
+            jobs: 0,
+            last_answer_at: vec![now; DISPATCHERS],
+            longest_gap: Duration::ZERO,
+        })
+    }
+
+    /// Records the end of a job; one that was submitted before `counted_from` moves only the time of the last answer.
+    fn record(
+        &mut self,
+        dispatcher: usize,
+        submitted_at: Instant,
+        counted_from: Instant,
+        status: Option<u16>,
+    ) {
+        let now = Instant::now();
+        let gap = now - self.last_answer_at[dispatcher];
+        self.last_answer_at[dispatcher] = now;
+        if submitted_at < counted_from {
+            return;
+        }
+        self.longest_gap = self.longest_gap.max(gap);
+        self.jobs += 1;
+        *self.answers.entry(status.unwrap_or(0)).or_default() += 1;
+        let _ = self.times.record((now - submitted_at).as_micros() as u64);
+    }
+
+    fn quantile_ms(&self, quantile: f64) -> f64 {
+        self.times.value_at_quantile(quantile) as f64 / 1e3
+    }
+}
+
+/// Plays all arms at once, each on a thread of its own; returns their results by name.
 ///
 /// # Errors
-/// Something could not be set up.
+/// Returns a [`ClusterError`] if the harness fails.
 pub fn play(
     dir: &Path,
     binaries: &Binaries,
     length: Duration,
 ) -> Result<BTreeMap<&'static str, LatencyResult>, ClusterError> {
-    let lanes: Vec<_> = ARMS
+    let threads: Vec<(Arm, JoinHandle<Result<LatencyResult, ClusterError>>)> = Arm::ALL
         .into_iter()
         .enumerate()
-        .map(|(at, (name, arm))| {
-            let (dir, binaries) = (dir.join(format!("arm-{at}")), binaries.clone());
-            std::thread::spawn(move || {
-                std::fs::create_dir_all(&dir).map_err(ClusterError::io(dir.display()))?;
-                let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-                let runtime = runtime.map_err(ClusterError::io("a runtime"))?;
-                let played = LocalSet::new().block_on(&runtime, run_arm(&dir, binaries, arm, length));
-                played.map(|waits| (name, waits))
-            })
+        .map(|(number, arm)| {
+            (arm, spawn_arm(dir.join(format!("arm-{number}")), binaries.clone(), arm, length))
         })
         .collect();
-    let join = |lane: std::thread::JoinHandle<Result<_, ClusterError>>| {
-        lane.join().map_err(|_| ClusterError::ThreadPanicked)?
-    };
-    lanes.into_iter().map(join).collect()
+    let mut results = BTreeMap::new();
+    for (arm, thread) in threads {
+        let result = thread.join().map_err(|_| ClusterError::ThreadPanicked)??;
+        results.insert(arm.name(), result);
+    }
+    Ok(results)
+}
+
+fn spawn_arm(
+    dir: PathBuf,
+    binaries: Binaries,
+    arm: Arm,
+    length: Duration,
+) -> JoinHandle<Result<LatencyResult, ClusterError>> {
+    std::thread::spawn(move || run_in_folder(&dir, run_arm(&dir, binaries, arm, length)))
 }
 
 async fn run_arm(
@@ -116,54 +180,63 @@
     arm: Arm,
     length: Duration,
 ) -> Result<LatencyResult, ClusterError> {
-    let discovery = EmulatedDiscovery::new(0);
-    for worker in 0..WORKERS {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("a listener"))?;
-        discovery.add(worker, listener.local_addr().map_err(ClusterError::io("a listener"))?);
-        spawn_local(serve_worker(listener));
-    }
-    let setup = ClusterSpec {
-        coordinators: 3,
-        dispatchers: DISPATCHERS,
-        cluster_settings: (arm != Arm::Off).then_some(""),
-        discoveries: &[discovery],
-        proxy_seed: None,
-    };
-    let mut cluster = ClusterHarness::start(dir, binaries, settings(), setup).await?;
-    cluster.wait_for_workers(WORKERS).await?;
-    if arm != Arm::Off {
-        cluster.wait_for_watches(1).await?;
-    }
+    let mut cluster = start_cluster(dir, binaries, arm).await?;
     let now = Instant::now();
-    let times = Histogram::new_with_bounds(1, 60_000_000, 3)?;
-    let (answers, last) = (BTreeMap::new(), vec![now; DISPATCHERS]);
-    let tally = Rc::new(RefCell::new(Tally { times, answers, jobs: 0, last, gap: Duration::ZERO }));
-    // The first seconds fill the banks of tokens, and count in no arm.
-    let warm = now + Duration::from_secs(2);
-    let end = warm + length;
+    let tally = Rc::new(RefCell::new(Tally::new(now)?));
+    let counted_from = now + WARM_UP;
+    let end = counted_from + length;
     for (dispatcher, address) in cluster.listen.iter().enumerate() {
         for connection in 0..CONNECTIONS {
-            spawn_local(run_client(tally.clone(), (dispatcher, connection), *address, (warm, end)));
+            let client = Client { dispatcher, connection, address: *address, counted_from, end };
+            spawn_local(client.run(tally.clone()));
         }
     }
-    tokio::time::sleep_until(warm).await;
+    sleep_until(counted_from).await;
     let killed = disturb_coordinators(&mut cluster, arm, end).await?;
-    tokio::time::sleep_until(end + Duration::from_millis(500)).await;
+    sleep_until(end + Duration::from_millis(500)).await;
     let tally = tally.borrow();
-    let ms = |quantile| tally.times.value_at_quantile(quantile) as f64 / 1e3;
     Ok(LatencyResult {
         jobs: tally.jobs,
         answers: tally.answers.clone(),
-        p50_ms: ms(0.5),
-        p99_ms: ms(0.99),
+        p50_ms: tally.quantile_ms(0.5),
+        p99_ms: tally.quantile_ms(0.99),
         max_ms: tally.times.max() as f64 / 1e3,
-        worst_gap_ms: tally.gap.as_secs_f64() * 1e3,
+        worst_gap_ms: tally.longest_gap.as_secs_f64() * 1e3,
         killed,
         watches: cluster.discovery.connection_counts().1,
     })
 }
 
-/// Does to the coordinators what the arm says, until the end; returns how often a leader was killed.
+async fn start_cluster(dir: &Path, binaries: Binaries, arm: Arm) -> Result<ClusterHarness, ClusterError> {
+    let discovery = EmulatedDiscovery::new(0);
+    for number in 0..WORKERS {
+        let bound = bind_listener("a worker").await?;
+        discovery.add(number, bound.address);
+        spawn_local(serve_worker(Rc::new(Worker), bound.listener));
+    }
+    let spec = ClusterSpec {
+        coordinators: COORDINATORS,
+        dispatchers: DISPATCHERS,
+        cluster_settings: (arm != Arm::Off).then_some(""),
+        discoveries: &[discovery],
+        proxy_seed: None,
+    };
+    let settings = DispatcherSettings {
+        dispatchers: DISPATCHERS,
+        zones: &["north"],
+        classes: &[CLASS],
+        quota_per_s: RATE as f64 * DISPATCHERS as f64,
+        ..DispatcherSettings::default()
+    };
+    let cluster = ClusterHarness::start(dir, binaries, settings.to_json(), spec).await?;
+    cluster.wait_for_workers(WORKERS).await?;
+    if arm != Arm::Off {
+        cluster.wait_for_watches(1).await?;
+    }
+    Ok(cluster)
+}
+
+/// Brings the coordinators into the state of the arm, until the end; returns the number of kills of the leader.
 async fn disturb_coordinators(
     cluster: &mut ClusterHarness,
     arm: Arm,
@@ -172,7 +245,7 @@
     let mut killed = 0;
     match arm {
         Arm::Off | Arm::On => {}
-        Arm::NoCoordinators => (1..=3).for_each(|n| cluster.kill_coordinator(n)),
+        Arm::NoCoordinators => (1..=COORDINATORS).for_each(|number| cluster.kill_coordinator(number)),
         Arm::LeaderKilled => {
             while Instant::now() + KILL_INTERVAL < end {
                 sleep(KILL_INTERVAL - LEADER_RESTART).await;
@@ -187,105 +260,49 @@
     Ok(killed)
 }
 
-fn settings() -> serde_json::Value {
-    json!({
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "settings": {
-            "azs": ["north"], "flavors": ["small"], "balancers": DISPATCHERS, "slot-no": 0, "zone": 0,
-            "discovery": "push", "resolution-s": 0.001,
-            "profiles": [{"name": "lookup", "idempotency": "free", "promise-s": 0.5, "deadline-s": 5.0, "late-worth": 0.2}],
-            "projects": [{"name": "web", "share": 1.0, "quota-per-s": RATE as f64 * DISPATCHERS as f64}],
-            "caps": {"cancel": true, "dial-timeout-s": 0.25, "keepalive-s": 5.0, "max-retry-after-s": 2.0,
-                     "parallel-tries": true, "probes": false, "retry-after": true, "send-cap": 4},
-            "family-info": {"tells-start": true, "class-stretch": [2.0], "class-kind": [-1]},
-            "obligations": {"cold-share": 0.14, "drain-grace-s": 0.5, "fall-multiple": 3.0, "tip-after-s": 1.5,
-                            "warm-within-s": 24.0},
-            "charges": {"cross-zone": 0.025}
-        }
-    })
-}
-
-/// A emulated worker: says that it starts, runs, says that it is done.
-async fn serve_worker(listener: TcpListener) {
-    while let Ok((stream, _)) = listener.accept().await {
-        spawn_local(async move {
-            // A connection that breaks is the other side's matter.
-            let _ = serve_connection(stream).await;
-        });
-    }
-}
+/// A worker that runs every job for [`RUN_TIME`].
+struct Worker;
 
-async fn serve_connection(mut stream: TcpStream) -> std::io::Result<()> {
-    stream.set_nodelay(true)?;
-    let mut buffer = BytesMut::new();
-    while let Some(head) = http::head(&mut stream, &mut buffer, true, || {}).await? {
-        let _ = http::body(&mut stream, &mut buffer, &head).await?;
-        let id = head.get("request-id").unwrap_or_default().to_owned();
-        let line = |state: &str| json!({"id": id, "state": state, "result": "ok"}).to_string();
-        stream.write_all(&[CHUNKED, chunk(&line("started")).as_slice()].concat()).await?;
+impl EmulatedWorker for Worker {
+    async fn serve_request(&self, request: &Head, stream: &mut TcpStream) -> std::io::Result<ConnectionUse> {
+        let job = job_id(request);
+        write_started(stream, &job).await?;
         sleep(RUN_TIME).await;
-        stream.write_all(&[chunk(&line("done")).as_slice(), LAST_CHUNK].concat()).await?;
+        write_done(stream, &job).await?;
+        Ok(ConnectionUse::KeepOpen)
     }
-    Ok(())
 }
 
-async fn run_client(
-    tally: Rc<RefCell<Tally>>,
-    (dispatcher, connection): (usize, u64),
+/// A client with a kept-alive connection to a dispatcher.
+struct Client {
+    dispatcher: usize,
+    connection: u64,
     address: SocketAddr,
-    (warm, end): (Instant, Instant),
-) {
-    let period = Duration::from_micros(1_000_000 * CONNECTIONS / RATE);
-    sleep(period.mul_f64(connection as f64 / CONNECTIONS as f64)).await;
-    let mut beats = interval(period);
-    beats.set_missed_tick_behavior(MissedTickBehavior::Skip);
-    let mut kept = None;
-    let mut count = 0u64;
-    while Instant::now() < end {
-        beats.tick().await;
-        count += 1;
-        let start = Instant::now();
-        let status =
-            timeout(CLIENT_TIMEOUT, submit_job(&mut kept, address, ("lookup", connection << 32 | count)))
-                .await;
-        let status = status.ok().and_then(Result::ok);
-        if status.is_none() {
-            kept = None;
-        }
-        let (now, mut tally) = (Instant::now(), tally.borrow_mut());
-        let gap = now - tally.last[dispatcher];
-        tally.last[dispatcher] = now;
-        if start < warm {
-            continue;
-        }
-        tally.gap = tally.gap.max(gap);
-        tally.jobs += 1;
-        *tally.answers.entry(status.unwrap_or(0)).or_default() += 1;
-        let _ = tally.times.record((now - start).as_micros() as u64);
-    }
+    /// Time from which on jobs count.
+    counted_from: Instant,
+    end: Instant,
 }
 
-/// Hands in a job of a class on a connection that was kept, or a new one, and returns the answer's status.
-pub(super) async fn submit_job(
-    kept: &mut Option<TcpStream>,
-    address: SocketAddr,
-    (class, id): (&str, u64),
-) -> std::io::Result<u16> {
-    let mut stream = match kept.take() {
-        Some(stream) => stream,
-        None => TcpStream::connect(address).await?,
-    };
-    stream.set_nodelay(true)?;
-    let text = format!(
-        "POST /{class} HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\nTenant: web\r\nContent-Length: 1\r\n\r\n?"
-    );
-    stream.write_all(text.as_bytes()).await?;
-    let mut buffer = BytesMut::new();
-    let head = http::head(&mut stream, &mut buffer, false, || {}).await?;
-    let head = head.ok_or(std::io::ErrorKind::UnexpectedEof)?;
-    let _ = http::body(&mut stream, &mut buffer, &head).await?;
-    if head.get("connection").is_none_or(|value| !value.eq_ignore_ascii_case("close")) {
-        *kept = Some(stream);
+impl Client {
+    /// Submits jobs at a fixed rate, the clients of a dispatcher in turn.
+    async fn run(self, tally: Rc<RefCell<Tally>>) {
+        let period = Duration::from_micros(1_000_000 * CONNECTIONS / RATE);
+        sleep(period.mul_f64(self.connection as f64 / CONNECTIONS as f64)).await;
+        let mut ticks = interval(period);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
+        let mut kept_alive = None;
+        let mut count = 0u64;
+        while Instant::now() < self.end {
+            ticks.tick().await;
+            count += 1;
+            let submitted_at = Instant::now();
+            let job = ClientJob { class: CLASS.name, id: self.connection << 32 | count };
+            let answer = timeout(CLIENT_TIMEOUT, submit_job(&mut kept_alive, self.address, job)).await;
+            let status = answer.ok().and_then(Result::ok);
+            if status.is_none() {
+                kept_alive = None;
+            }
+            tally.borrow_mut().record(self.dispatcher, submitted_at, self.counted_from, status);
+        }
     }
-    Ok(head.status)
 }
--- a/crates/emulator/src/cluster/mod.rs
+++ b/crates/emulator/src/cluster/mod.rs
@@ -8,10 +8,13 @@
 //! what a fleet saves and costs by its size. [`lease_model`] checks the protocol
 //! in every order of events, [`virtual_time_soak`] in virtual time.
 
+mod client;
 pub mod cluster_harness;
 pub mod console;
 pub mod dispatch_latency;
+mod dispatcher_settings;
 pub mod emulated_discovery;
+mod emulated_worker;
 pub mod error;
 pub mod fault_injection;
 pub mod fault_proxy;
@@ -19,6 +22,7 @@
 pub mod lease_model;
 pub mod lightweight_member;
 pub mod planned_drains;
+mod process_usage;
 pub mod record_checker;
 pub mod results;
 pub mod scaling_cost;
--- a/crates/emulator/src/cluster/planned_drains/mod.rs
+++ b/crates/emulator/src/cluster/planned_drains/mod.rs
@@ -17,7 +17,6 @@
 
 use cluster_member::clock;
 use serde::Serialize;
-use serde_json::json;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
@@ -26,6 +25,7 @@
 use self::operator::run_operator;
 pub use self::table::table;
 use super::cluster_harness::{read_records, run_in_folder, Binaries, ClusterHarness, ClusterSpec};
+use super::dispatcher_settings::{DispatcherSettings, JobClass};
 use super::emulated_discovery::EmulatedDiscovery;
 use super::violations::{Rule, Violations};
 use crate::cluster::error::ClusterError;
@@ -69,6 +69,12 @@
 }
 
 const ZONES: [&str; 3] = ["north", "south", "west"];
+const CLASS: JobClass = JobClass {
+    name: "lookup",
+    is_idempotent: true,
+    latency_objective: Duration::from_millis(500),
+    timeout: Duration::from_secs(3),
+};
 /// Dispatchers that may be unavailable at once, in the fleet.
 const MAX_UNAVAILABLE: usize = 2;
 /// Dispatchers that may be unavailable at once, in a zone.
@@ -274,6 +280,13 @@
     plan: &Plan,
     budgets: &str,
 ) -> Result<ClusterHarness, ClusterError> {
+    let settings = DispatcherSettings {
+        dispatchers: plan.dispatchers,
+        zones: &ZONES,
+        classes: &[CLASS],
+        warm_up_s: plan.warm_up_s,
+        ..DispatcherSettings::default()
+    };
     let setup = ClusterSpec {
         coordinators: plan.coordinators,
         dispatchers: plan.dispatchers,
@@ -281,7 +294,7 @@
         discoveries: &[EmulatedDiscovery::new(WORKERS)],
         proxy_seed: Some(plan.seed),
     };
-    let mut cluster = ClusterHarness::start(dir, binaries, settings(plan), setup).await?;
+    let mut cluster = ClusterHarness::start(dir, binaries, settings.to_json(), setup).await?;
     if let Some(bug) = &plan.injected_bug {
         inject_bug(&mut cluster, bug)?;
     }
@@ -332,24 +345,6 @@
     targets.map_or(0, |targets| targets.iter().filter(is_available_dispatcher).count())
 }
 
-fn settings(plan: &Plan) -> serde_json::Value {
-    json!({
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "settings": {
-            "azs": ZONES, "flavors": ["small"], "balancers": plan.dispatchers, "slot-no": 0, "zone": 0,
-            "discovery": "push", "resolution-s": 0.001,
-            "profiles": [{"name": "lookup", "idempotency": "free", "promise-s": 0.5, "deadline-s": 3.0, "late-worth": 0.2}],
-            "projects": [{"name": "web", "share": 1.0, "quota-per-s": 100.0}],
-            "caps": {"cancel": true, "dial-timeout-s": 0.25, "keepalive-s": 5.0, "max-retry-after-s": 2.0,
-                     "parallel-tries": true, "probes": false, "retry-after": true, "send-cap": 4},
-            "family-info": {"tells-start": true, "class-stretch": [2.0], "class-kind": [-1]},
-            "obligations": {"cold-share": 0.14, "drain-grace-s": 0.5, "fall-multiple": 3.0, "tip-after-s": 1.5,
-                            "warm-within-s": plan.warm_up_s},
-            "charges": {"cross-zone": 0.025}
-        }
-    })
-}
-
 async fn run_schedule(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<ScheduleResult, ClusterError> {
     let budgets = format!(
         "budget \"all\" {{\n  targets = \"dispatchers\"\n  most_out = {}\n}}\n\
--- a/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
@@ -3,6 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+use dispatch_core::api::Idempotency;
 use dispatch_core::hashing::worker_id;
 
 use super::{
@@ -267,7 +268,8 @@
 pub(super) fn check_idempotency(observations: &Observations, violations: &mut HealthCheckViolations) {
     let mut checker = RuleChecker::new(RuleLimits { drain_grace: u64::MAX, answer_slack: u64::MAX / 2 });
     for answer in &observations.answers {
-        let idempotency = class_of(answer.job).idempotency;
+        let is_idempotent = class_of(answer.job).is_idempotent;
+        let idempotency = if is_idempotent { Idempotency::Idempotent } else { Idempotency::NotIdempotent };
         checker.record_accepted(answer.job, idempotency, u64::MAX / 2, answer.submitted_at);
     }
     for event in job_events(observations) {
--- a/crates/emulator/src/cluster/shared_health_checks/mod.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/mod.rs
@@ -16,22 +16,21 @@
 use std::time::Duration;
 
 use cluster_member::clock;
-use dispatch_core::api::Idempotency;
 use serde::Serialize;
-use serde_json::json;
-use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 
 use self::evaluation::evaluate;
 use self::faults::{inject_faults, Targets};
 pub use self::table::table;
-use self::traffic::{run_clients, serve_worker};
+use self::traffic::{run_clients, WorkerAddress};
 use super::cluster_harness::{read_records, run_in_folder, Binaries, ClusterHarness, ClusterSpec};
+use super::dispatcher_settings::{DispatcherSettings, JobClass};
 use super::emulated_discovery::EmulatedDiscovery;
+use super::emulated_worker::{bind_listener, serve_worker};
 use super::fault_proxy::{run_proxy, FaultyNetwork, SharedNetwork};
 use super::violations::Rule;
-use super::worker_model::{WorkerModel, INITIAL_CAPACITY, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, WARM_UP};
+use super::worker_model::WorkerModel;
 use crate::cluster::error::ClusterError;
 
 /// A rule of shared health checks.
@@ -106,17 +105,12 @@
 /// Time in which members and clients settle before anything counts.
 const SETTLING_TIME: Duration = Duration::from_secs(5);
 
-/// Class of the clients' jobs.
-struct JobClass {
-    name: &'static str,
-    idempotency: Idempotency,
-}
-
 /// Classes of the clients' jobs, in turn.
-const CLASSES: [JobClass; 2] = [
-    JobClass { name: "lookup", idempotency: Idempotency::Idempotent },
-    JobClass { name: "book", idempotency: Idempotency::NotIdempotent },
-];
+const CLASSES: [JobClass; 2] = [class("lookup", true), class("book", false)];
+
+const fn class(name: &'static str, is_idempotent: bool) -> JobClass {
+    JobClass { name, is_idempotent, latency_objective: Duration::from_millis(500), timeout: JOB_TIMEOUT }
+}
 
 /// Returns the class of a job.
 fn class_of(job: u64) -> &'static JobClass {
@@ -352,6 +346,13 @@
     let observations: SharedObservations = Rc::new(RefCell::new(Observations::new(plan)));
     let links = start_workers(&observations, plan).await?;
     let cluster_settings = cluster_settings(plan);
+    let settings = DispatcherSettings {
+        dispatchers: plan.dispatchers,
+        zones: &ZONES,
+        classes: &CLASSES,
+        quota_per_s: plan.rate * plan.dispatchers as f64,
+        ..DispatcherSettings::default()
+    };
     let setup = ClusterSpec {
         coordinators: plan.coordinators,
         dispatchers: plan.dispatchers,
@@ -359,7 +360,7 @@
         discoveries: &links.discoveries,
         proxy_seed: Some(plan.seed),
     };
-    let mut cluster = ClusterHarness::start(dir, binaries, settings(plan), setup).await?;
+    let mut cluster = ClusterHarness::start(dir, binaries, settings.to_json(), setup).await?;
     cluster.wait_for_workers(plan.workers).await?;
     if plan.share_health_checks {
         // A hang in a set that moves is known only after the takeover.
@@ -417,38 +418,15 @@
         let discovery = EmulatedDiscovery::new(0);
         let network = FaultyNetwork::new(BTreeMap::new(), plan.seed);
         for worker in 0..plan.workers {
-            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("a listener"))?;
-            let worker_address = listener.local_addr().map_err(ClusterError::io("a listener"))?;
-            spawn_local(serve_worker(observations.clone(), worker, dispatcher, listener));
-            let proxy = TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("a proxy"))?;
-            let proxy_address = proxy.local_addr().map_err(ClusterError::io("a proxy"))?;
-            discovery.add_in(ZONES[worker % ZONES.len()], worker, proxy_address);
-            spawn_local(run_proxy(network.clone(), proxy, worker, worker_address));
+            let own = bind_listener("a worker").await?;
+            let reached = WorkerAddress { observations: observations.clone(), worker, dispatcher };
+            spawn_local(serve_worker(Rc::new(reached), own.listener));
+            let proxy = bind_listener("a proxy").await?;
+            discovery.add_in(ZONES[worker % ZONES.len()], worker, proxy.address);
+            spawn_local(run_proxy(network.clone(), proxy.listener, worker, own.address));
         }
         links.discoveries.push(discovery);
         links.networks.push(network);
     }
     Ok(links)
 }
-
-fn settings(plan: &Plan) -> serde_json::Value {
-    json!({
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "settings": {
-            "azs": ZONES, "flavors": ["small"], "balancers": plan.dispatchers, "slot-no": 0, "zone": 0,
-            "discovery": "push", "resolution-s": 0.001,
-            "profiles": CLASSES.map(|class| json!({
-                "name": class.name, "promise-s": 0.5, "deadline-s": JOB_TIMEOUT.as_secs_f64(), "late-worth": 0.2,
-                "idempotency": if class.idempotency == Idempotency::Idempotent { "free" } else { "single_shot" },
-            })),
-            "projects": [{"name": "web", "share": 1.0, "quota-per-s": plan.rate * plan.dispatchers as f64}],
-            "caps": {"cancel": true, "dial-timeout-s": 0.25, "keepalive-s": 5.0, "max-retry-after-s": 2.0,
-                     "parallel-tries": true, "probes": false, "retry-after": true, "send-cap": 4},
-            "family-info": {"tells-start": true, "class-stretch": [2.0, 2.0], "class-kind": [-1, -1]},
-            "obligations": {"cold-share": INITIAL_CAPACITY, "drain-grace-s": DRAIN_GRACE.as_secs_f64(),
-                            "fall-multiple": OVERLOAD_MULTIPLE, "tip-after-s": OVERLOAD_WINDOW.as_secs_f64(),
-                            "warm-within-s": WARM_UP.as_secs_f64()},
-            "charges": {"cross-zone": 0.025}
-        }
-    })
-}
--- a/crates/emulator/src/cluster/shared_health_checks/traffic.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/traffic.rs
@@ -1,78 +1,71 @@
 //! Emulated workers, which record probes and jobs, and clients that account for every job.
 
 use std::net::SocketAddr;
+use std::rc::Rc;
 use std::time::Duration;
 
-use bytes::BytesMut;
 use cluster_member::clock;
-use serde_json::json;
-use tokio::io::AsyncWriteExt;
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
 
 use super::{class_of, JobAnswer, JobArrival, ProbeArrival, SharedObservations, ANSWER_SLACK, JOB_TIMEOUT};
-use crate::cluster::dispatch_latency::submit_job;
-use crate::sockets::http::{self, chunk, CHUNKED, LAST_CHUNK};
+use crate::cluster::client::{submit_job, ClientJob};
+use crate::cluster::emulated_worker::{
+    is_health_check, job_id, write_done, write_healthy, write_started, ConnectionUse, EmulatedWorker,
+};
+use crate::cluster::worker_model::WorkerModel;
+use crate::sockets::http::Head;
 
-/// Serves an emulated worker's address for one dispatcher.
-pub(super) async fn serve_worker(
-    observations: SharedObservations,
-    worker: usize,
-    dispatcher: usize,
-    listener: TcpListener,
-) {
-    while let Ok((stream, _)) = listener.accept().await {
-        let observations = observations.clone();
-        spawn_local(async move {
-            // Connections may break under faults.
-            let _ = serve(&observations, worker, dispatcher, stream).await;
-        });
-    }
+/// Time from one look whether a hang is over to the next.
+const HANG_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The address of an emulated worker for one dispatcher.
+pub(super) struct WorkerAddress {
+    pub(super) observations: SharedObservations,
+    pub(super) worker: usize,
+    pub(super) dispatcher: usize,
 }
 
-async fn serve(
-    observations: &SharedObservations,
-    worker: usize,
-    dispatcher: usize,
-    mut stream: TcpStream,
-) -> std::io::Result<()> {
-    stream.set_nodelay(true)?;
-    let mut buffer = BytesMut::new();
-    while let Some(head) = http::head(&mut stream, &mut buffer, true, || {}).await? {
-        let _ = http::body(&mut stream, &mut buffer, &head).await?;
-        let time = clock::now();
-        let is_probe = head.path.contains("/healthz");
-        let id = head.get("request-id").unwrap_or_default().to_owned();
-        let process = {
-            let mut observations = observations.borrow_mut();
-            if is_probe {
-                observations.probes[worker].push(ProbeArrival { time, dispatcher });
-            } else {
-                let job = id.parse().unwrap_or(0);
-                observations.jobs[worker].push(JobArrival { time, dispatcher, job });
-            }
-            observations.workers[worker].clone()
-        };
+impl EmulatedWorker for WorkerAddress {
+    async fn serve_request(&self, request: &Head, stream: &mut TcpStream) -> std::io::Result<ConnectionUse> {
+        let is_probe = is_health_check(request);
+        let job = job_id(request);
+        let process = self.record_arrival(is_probe, &job);
         // An overloaded worker is down: it closes connections.
         if !is_probe && !process.accept_job(Instant::now()) {
-            return Ok(());
+            return Ok(ConnectionUse::Close);
         }
         // A hung worker reads requests and sends nothing.
-        while observations.borrow().is_hung[worker] {
-            sleep(Duration::from_millis(20)).await;
+        while self.observations.borrow().is_hung[self.worker] {
+            sleep(HANG_POLL_INTERVAL).await;
         }
         if is_probe {
-            stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await?;
-            continue;
+            write_healthy(stream).await?;
+            return Ok(ConnectionUse::KeepOpen);
         }
-        let line = |state: &str| json!({"id": id, "state": state, "result": "ok"}).to_string();
-        let Some(_slot) = process.slot().await else { return Ok(()) };
-        stream.write_all(&[CHUNKED, chunk(&line("started")).as_slice()].concat()).await?;
+        let Some(_slot) = process.slot().await else { return Ok(ConnectionUse::Close) };
+        write_started(stream, &job).await?;
         sleep(process.sample_run_time(Instant::now())).await;
-        stream.write_all(&[chunk(&line("done")).as_slice(), LAST_CHUNK].concat()).await?;
+        write_done(stream, &job).await?;
+        Ok(ConnectionUse::KeepOpen)
+    }
+}
+
+impl WorkerAddress {
+    /// Records a request; returns the present process of the worker.
+    fn record_arrival(&self, is_probe: bool, job: &str) -> Rc<WorkerModel> {
+        let time = clock::now();
+        let WorkerAddress { worker, dispatcher, .. } = *self;
+        let mut observations = self.observations.borrow_mut();
+        if is_probe {
+            observations.probes[worker].push(ProbeArrival { time, dispatcher });
+        } else {
+            let job = job.parse().unwrap_or(0);
+            observations.jobs[worker].push(JobArrival { time, dispatcher, job });
+        }
+        observations.workers[worker].clone()
     }
-    Ok(())
 }
 
 /// Submits jobs to a dispatcher, each on a connection of its own, and records their answers.
@@ -98,7 +91,7 @@
 async fn run_client(observations: SharedObservations, dispatcher: usize, address: SocketAddr, job: u64) {
     let submitted_at = clock::now();
     let mut no_connection = None;
-    let exchange = submit_job(&mut no_connection, address, (class_of(job).name, job));
+    let exchange = submit_job(&mut no_connection, address, ClientJob { class: class_of(job).name, id: job });
     let answer = timeout(JOB_TIMEOUT + 10 * ANSWER_SLACK, exchange).await;
     let status = answer.ok().and_then(Result::ok).unwrap_or(0);
     let answered_at = clock::now();
--- a/crates/emulator/src/cluster/slow_start.rs
+++ b/crates/emulator/src/cluster/slow_start.rs
@@ -1,7 +1,5 @@
-//! A day on which most workers are replaced by cold ones, with many dispatchers of little traffic each: what cold
-//! workers get, by their own records, and whether one is pushed over.
-//!
-//! The emulated workers are slow while they are cold and fall when all dispatchers together send more than they bear.
+//! A day on which most workers are replaced by ones in slow start, with many dispatchers of little traffic each: the load of
+//! the new workers by their own records, and whether all dispatchers together overload one.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,55 +8,83 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bytes::BytesMut;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp1};
 use rand_pcg::Pcg64;
 use serde::Serialize;
-use serde_json::json;
-use tokio::io::AsyncWriteExt;
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
+use super::client::{submit_job, ClientJob};
 use super::cluster_harness::{read_records, run_in_folder, Binaries, ClusterHarness, ClusterSpec};
-use super::dispatch_latency::submit_job;
+use super::dispatcher_settings::{DispatcherSettings, JobClass};
 use super::emulated_discovery::EmulatedDiscovery;
+use super::emulated_worker::{
+    bind_listener, job_id, serve_worker, write_done, write_started, ConnectionUse, EmulatedWorker,
+};
 use super::error::ClusterError;
 use super::record_checker::{self, Records};
-use super::worker_model::{WorkerModel, INITIAL_CAPACITY, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, WARM_UP};
-use crate::sockets::http::{self, chunk, CHUNKED, LAST_CHUNK};
+use super::worker_model::{WorkerModel, OVERLOAD_WINDOW};
+use crate::sockets::http::Head;
 
-/// Slots of each worker, and how long a job runs at a warm one.
+const COORDINATORS: usize = 3;
+/// Slots of each worker.
 const SLOTS: usize = 4;
+/// Time for which a worker with full capacity runs a job.
 const RUN_TIME: Duration = Duration::from_millis(200);
-const DEADLINE: Duration = Duration::from_secs(3);
-const LATENCY_OBJECTIVE: Duration = Duration::from_secs(1);
+/// Time for which a client waits longer than the timeout of its job.
+const ANSWER_SLACK: Duration = Duration::from_millis(500);
+/// Time before the first replacement, in which the dispatchers learn running times and rates.
+const LEARNING_TIME: Duration = Duration::from_secs(8);
+/// Time from one replacement to the next.
+const REPLACEMENT_INTERVAL: Duration = Duration::from_millis(500);
+/// Every so many dispatchers one is busy.
+const BUSY_DISPATCHER_INTERVAL: usize = 4;
+/// Traffic of a busy dispatcher, as a multiple of that of the others.
+const BUSY_TRAFFIC: f64 = 5.0;
+/// Number of the first replacement; the workers that are replaced have lower ones.
+const FIRST_REPLACEMENT: usize = 100;
+const CLASS: JobClass = JobClass {
+    name: "lookup",
+    is_idempotent: true,
+    latency_objective: Duration::from_secs(1),
+    timeout: Duration::from_secs(3),
+};
 
-/// What is played.
+/// Parameters of a day.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Dispatchers; every fourth has five times the traffic of the others.
     pub dispatchers: usize,
-    /// Workers that stay, and those that are replaced by as many cold ones.
-    pub workers: (usize, usize),
+    /// Workers by what becomes of them.
+    pub workers: WorkerCounts,
     /// Jobs a second, at all dispatchers together.
     pub rate: f64,
-    /// From the first cold worker on.
+    /// Time from the first replacement on.
     pub length: Duration,
-    /// Whether one holder hands the cold budgets out.
+    /// Whether a lease holder grants slow-start quotas.
     pub grants: bool,
-    /// The coordinators' leader is killed, and the holder with it, in the middle.
+    /// Whether the leading coordinator and the holder of the slow-start lease are killed after the replacements.
     pub kill: bool,
-    /// Draws when jobs come.
+    /// Seed of the arrivals.
     pub seed: u64,
 }
 
+/// Numbers of workers.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct WorkerCounts {
+    /// Workers that stay all day.
+    pub staying: usize,
+    /// Workers that are replaced by as many in slow start.
+    pub replaced: usize,
+}
+
 impl Default for Plan {
     fn default() -> Plan {
         Plan {
             dispatchers: 24,
-            workers: (3, 6),
+            workers: WorkerCounts { staying: 3, replaced: 6 },
             rate: 60.0,
             length: Duration::from_secs(16),
             grants: true,
@@ -68,25 +94,25 @@
     }
 }
 
-/// What a day gave.
+/// Result of a day.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct DayResult {
-    /// Cold workers that were pushed over.
+    /// Overloads of workers in slow start.
     #[serde(rename = "fallen")]
     pub overloads: u64,
-    /// Of what cold workers bore from their start on, the part that was sent to them.
+    /// Load of the workers in slow start, as a part of what they tolerate.
     #[serde(rename = "used")]
     pub used_share: f64,
-    /// The most that was sent in any span, as a part of what was borne.
+    /// The most load in one window, as a part of what the worker tolerates.
     #[serde(rename = "fullest")]
     pub peak_load: f64,
-    /// Jobs submitted from the start of the first cold worker on.
+    /// Jobs submitted from the first replacement on.
     pub jobs: u64,
-    /// The part of these jobs that was served in time.
+    /// Part of these jobs that was served within the latency objective.
     pub in_time: f64,
-    /// The part of these jobs that was served at all.
+    /// Part of these jobs that was served.
     pub served: f64,
-    /// Answers by status; 0 for none.
+    /// Answers by status; 0 without one.
     pub answers: BTreeMap<u16, u64>,
     /// Work that members recorded as granted, in slots by seconds.
     #[serde(rename = "granted")]
@@ -96,175 +122,225 @@
     pub violations: Vec<String>,
 }
 
+/// End of a job at its client.
+#[derive(Debug, Clone, Copy)]
+struct JobAnswer {
+    submitted_at: Instant,
+    duration: Duration,
+    /// Status of the answer, 0 without one.
+    status: u16,
+}
+
+type Answers = Rc<RefCell<Vec<JobAnswer>>>;
+
+/// Time that counts: from the first replacement to the last arrival.
+#[derive(Debug, Clone, Copy)]
+struct CountedSpan {
+    from: Instant,
+    until: Instant,
+}
+
 /// Plays one day below this folder.
 ///
 /// # Errors
-/// Something could not be set up.
+/// Returns a [`ClusterError`] if the harness fails.
 pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<DayResult, ClusterError> {
     run_in_folder(dir, run_day(dir, binaries.clone(), plan))
 }
 
 async fn run_day(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<DayResult, ClusterError> {
     let discovery = EmulatedDiscovery::new(0);
-    let (stay, replaced) = plan.workers;
-    for n in 0..stay + replaced {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("a listener"))?;
-        discovery.add(n, listener.local_addr().map_err(ClusterError::io("a listener"))?);
-        spawn_local(serve_worker(WorkerModel::new((SLOTS, RUN_TIME), false, plan.seed ^ n as u64), listener));
+    let mut cluster = start_cluster(dir, binaries, plan, &discovery).await?;
+    let answers = Answers::default();
+    let from = Instant::now() + LEARNING_TIME;
+    let span = CountedSpan { from, until: from + plan.length };
+    start_clients(&cluster, plan, &answers, span.until);
+    sleep_until(span.from).await;
+    let replacements = replace_workers(plan, &discovery).await?;
+    if plan.kill {
+        kill_leaders(&mut cluster)?;
     }
-    let block = format!("cold {{\nslots = {SLOTS}\n}}\n");
-    let setup = ClusterSpec {
-        coordinators: 3,
+    sleep_until(span.until + CLASS.timeout).await;
+    drop(cluster);
+    let records = read_records(dir, COORDINATORS, plan.dispatchers)?;
+    let answers = answers.borrow();
+    Ok(evaluate(&replacements, &answers, &records, span))
+}
+
+async fn start_cluster(
+    dir: &Path,
+    binaries: Binaries,
+    plan: &Plan,
+    discovery: &EmulatedDiscovery,
+) -> Result<ClusterHarness, ClusterError> {
+    let workers = plan.workers.staying + plan.workers.replaced;
+    for number in 0..workers {
+        let bound = bind_listener("a worker").await?;
+        discovery.add(number, bound.address);
+        let model = WorkerModel::new((SLOTS, RUN_TIME), false, plan.seed ^ number as u64);
+        spawn_local(serve_worker(Rc::new(Worker(model)), bound.listener));
+    }
+    let quota_settings = format!("cold {{\nslots = {SLOTS}\n}}\n");
+    let spec = ClusterSpec {
+        coordinators: COORDINATORS,
         dispatchers: plan.dispatchers,
-        cluster_settings: Some(if plan.grants { block.as_str() } else { "" }),
-        discoveries: std::slice::from_ref(&discovery),
+        cluster_settings: Some(if plan.grants { quota_settings.as_str() } else { "" }),
+        discoveries: std::slice::from_ref(discovery),
         proxy_seed: None,
     };
-    let mut cluster = ClusterHarness::start(dir, binaries, settings(plan), setup).await?;
-    cluster.wait_for_workers(stay + replaced).await?;
-    let tally = Rc::new(RefCell::new(Vec::new()));
-    let start = Instant::now();
-    // Time in which paces and rates are learnt.
-    let warm = start + Duration::from_secs(8);
-    let end = warm + plan.length;
-    let heavy = |n: usize| if n % 4 == 0 { 5.0 } else { 1.0 };
-    let all: f64 = (0..plan.dispatchers).map(heavy).sum();
-    for (n, address) in cluster.listen.iter().enumerate() {
-        let rate = plan.rate * heavy(n) / all;
-        spawn_local(run_clients(tally.clone(), (n as u64, *address), rate, plan.seed, end));
-    }
-    sleep_until(warm).await;
-    let mut cold = Vec::new();
-    for n in 0..replaced {
-        let worker = WorkerModel::new((SLOTS, RUN_TIME), true, plan.seed ^ (100 + n as u64));
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("a listener"))?;
-        discovery.add_cold("north", 100 + n, listener.local_addr().map_err(ClusterError::io("a listener"))?);
-        spawn_local(serve_worker(worker.clone(), listener));
-        cold.push(worker);
-        // The old one goes as its successor comes.
-        discovery.set_unreachable(stay + n, "terminating");
-        sleep(Duration::from_millis(500)).await;
+    let settings = DispatcherSettings {
+        dispatchers: plan.dispatchers,
+        zones: &["north"],
+        classes: &[CLASS],
+        quota_per_s: plan.rate,
+        ..DispatcherSettings::default()
+    };
+    let cluster = ClusterHarness::start(dir, binaries, settings.to_json(), spec).await?;
+    cluster.wait_for_workers(workers).await?;
+    Ok(cluster)
+}
+
+/// Starts the clients of all dispatchers.
+fn start_clients(cluster: &ClusterHarness, plan: &Plan, answers: &Answers, end: Instant) {
+    let weight =
+        |dispatcher: usize| if dispatcher % BUSY_DISPATCHER_INTERVAL == 0 { BUSY_TRAFFIC } else { 1.0 };
+    let total: f64 = (0..plan.dispatchers).map(weight).sum();
+    for (dispatcher, address) in cluster.listen.iter().enumerate() {
+        let rate = plan.rate * weight(dispatcher) / total;
+        let clients = Clients { dispatcher: dispatcher as u64, address: *address, rate, end };
+        spawn_local(clients.run(answers.clone(), plan.seed));
     }
-    if plan.kill {
-        let leader = cluster.leader()?;
-        cluster.kill_coordinator(leader);
-        if let Some(owner) = cluster.slow_start_leader() {
-            cluster.kill_dispatcher(owner);
-        }
+}
+
+/// Replaces workers one after another by ones in slow start; returns these.
+async fn replace_workers(
+    plan: &Plan,
+    discovery: &EmulatedDiscovery,
+) -> Result<Vec<Rc<WorkerModel>>, ClusterError> {
+    let mut replacements = Vec::new();
+    for number in 0..plan.workers.replaced {
+        let name = FIRST_REPLACEMENT + number;
+        let model = WorkerModel::new((SLOTS, RUN_TIME), true, plan.seed ^ name as u64);
+        let bound = bind_listener("a worker").await?;
+        discovery.add_cold("north", name, bound.address);
+        spawn_local(serve_worker(Rc::new(Worker(model.clone())), bound.listener));
+        replacements.push(model);
+        discovery.set_unreachable(plan.workers.staying + number, "terminating");
+        sleep(REPLACEMENT_INTERVAL).await;
     }
-    sleep_until(end + DEADLINE).await;
-    drop(cluster);
-    let records = read_records(dir, 3, plan.dispatchers)?;
-    let tally = tally.borrow();
-    Ok(evaluate(&cold, &tally, &records, (warm, end)))
+    Ok(replacements)
 }
 
-type Tally = Rc<RefCell<Vec<(Instant, Duration, u16)>>>;
+/// Kills the leading coordinator and the holder of the slow-start lease, if there is one.
+fn kill_leaders(cluster: &mut ClusterHarness) -> Result<(), ClusterError> {
+    let leader = cluster.leader()?;
+    cluster.kill_coordinator(leader);
+    if let Some(holder) = cluster.slow_start_leader() {
+        cluster.kill_dispatcher(holder);
+    }
+    Ok(())
+}
 
 fn evaluate(
-    cold: &[Rc<WorkerModel>],
-    tally: &[(Instant, Duration, u16)],
+    replacements: &[Rc<WorkerModel>],
+    answers: &[JobAnswer],
     records: &Records,
-    (warm, end): (Instant, Instant),
+    span: CountedSpan,
 ) -> DayResult {
-    let mut joined = DayResult::default();
-    let (mut borne, mut sent) = (0.0, 0.0);
-    for worker in cold {
-        joined.overloads += worker.overloads();
-        let all: Vec<Instant> = worker.arrivals().into_iter().filter(|at| *at < end).collect();
-        for n in 0..all.len() {
-            joined.peak_load = joined
-                .peak_load
-                .max(WorkerModel::arrivals_in_window(&all[..=n]) / worker.capacity_in_window(all[n]));
-        }
-        sent += all.len() as f64;
-        let mut at = worker.started_at().unwrap_or(warm);
-        while at < end {
-            borne += worker.capacity_in_window(at);
-            at += OVERLOAD_WINDOW;
-        }
-    }
-    joined.used_share = sent / borne.max(1.0);
-    let jobs: Vec<_> = tally.iter().filter(|(from, ..)| (warm..end).contains(from)).collect();
-    joined.jobs = jobs.len() as u64;
-    let part = |count: usize| count as f64 / jobs.len().max(1) as f64;
-    joined.served = part(jobs.iter().filter(|job| job.2 == 200).count());
-    joined.in_time = part(jobs.iter().filter(|job| job.2 == 200 && job.1 <= LATENCY_OBJECTIVE).count());
-    jobs.iter().for_each(|job| *joined.answers.entry(job.2).or_default() += 1);
+    let mut result = DayResult::default();
+    evaluate_load(replacements, span, &mut result);
+    evaluate_answers(answers, span, &mut result);
     let granted = records.members.values().flatten().filter(|line| line.kind == "granted");
-    joined.granted_work = granted.filter_map(|line| line.fields.get("work")?.as_f64()).sum();
-    joined.violations = record_checker::check(records).descriptions().collect();
-    joined
+    result.granted_work = granted.filter_map(|line| line.fields.get("work")?.as_f64()).sum();
+    result.violations = record_checker::check(records).descriptions().collect();
+    result
 }
 
-fn settings(plan: &Plan) -> serde_json::Value {
-    json!({
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "settings": {
-            "azs": ["north"], "flavors": ["small"], "balancers": plan.dispatchers, "slot-no": 0, "zone": 0,
-            "discovery": "push", "resolution-s": 0.001,
-            "profiles": [{"name": "lookup", "idempotency": "free", "promise-s": LATENCY_OBJECTIVE.as_secs_f64(),
-                          "deadline-s": DEADLINE.as_secs_f64(), "late-worth": 0.2}],
-            "projects": [{"name": "web", "share": 1.0, "quota-per-s": plan.rate}],
-            "caps": {"cancel": true, "dial-timeout-s": 0.25, "keepalive-s": 5.0, "max-retry-after-s": 2.0,
-                     "parallel-tries": true, "probes": false, "retry-after": true, "send-cap": 4},
-            "family-info": {"tells-start": true, "class-stretch": [2.0], "class-kind": [-1]},
-            "obligations": {"cold-share": INITIAL_CAPACITY, "drain-grace-s": 0.5, "fall-multiple": OVERLOAD_MULTIPLE,
-                            "tip-after-s": OVERLOAD_WINDOW.as_secs_f64(), "warm-within-s": WARM_UP.as_secs_f64()},
-            "charges": {"cross-zone": 0.025}
+fn evaluate_load(replacements: &[Rc<WorkerModel>], span: CountedSpan, result: &mut DayResult) {
+    let mut tolerated = 0.0;
+    let mut sent = 0.0;
+    for worker in replacements {
+        result.overloads += worker.overloads();
+        let arrivals: Vec<Instant> =
+            worker.arrivals().into_iter().filter(|arrival| *arrival < span.until).collect();
+        for last in 0..arrivals.len() {
+            let load = WorkerModel::arrivals_in_window(&arrivals[..=last])
+                / worker.capacity_in_window(arrivals[last]);
+            result.peak_load = result.peak_load.max(load);
         }
-    })
+        sent += arrivals.len() as f64;
+        let mut window_start = worker.started_at().unwrap_or(span.from);
+        while window_start < span.until {
+            tolerated += worker.capacity_in_window(window_start);
+            window_start += OVERLOAD_WINDOW;
+        }
+    }
+    result.used_share = sent / tolerated.max(1.0);
 }
 
-async fn serve_worker(worker: Rc<WorkerModel>, listener: TcpListener) {
-    while let Ok((stream, _)) = listener.accept().await {
-        let worker = worker.clone();
-        spawn_local(async move {
-            // A connection that breaks is the other side's matter.
-            let _ = serve_connection(&worker, stream).await;
-        });
+fn evaluate_answers(answers: &[JobAnswer], span: CountedSpan, result: &mut DayResult) {
+    let counted: Vec<&JobAnswer> =
+        answers.iter().filter(|answer| (span.from..span.until).contains(&answer.submitted_at)).collect();
+    let part = |count: usize| count as f64 / counted.len().max(1) as f64;
+    let served = || counted.iter().filter(|answer| answer.status == 200);
+    result.jobs = counted.len() as u64;
+    result.served = part(served().count());
+    result.in_time = part(served().filter(|answer| answer.duration <= CLASS.latency_objective).count());
+    for answer in &counted {
+        *result.answers.entry(answer.status).or_default() += 1;
     }
 }
 
-async fn serve_connection(worker: &WorkerModel, mut stream: TcpStream) -> std::io::Result<()> {
-    stream.set_nodelay(true)?;
-    let mut buffer = BytesMut::new();
-    while let Some(head) = http::head(&mut stream, &mut buffer, true, || {}).await? {
-        let _ = http::body(&mut stream, &mut buffer, &head).await?;
-        if !worker.accept_job(Instant::now()) {
-            return Ok(());
+/// A worker that runs jobs as its model says.
+struct Worker(Rc<WorkerModel>);
+
+impl EmulatedWorker for Worker {
+    async fn serve_request(&self, request: &Head, stream: &mut TcpStream) -> std::io::Result<ConnectionUse> {
+        let Worker(model) = self;
+        if !model.accept_job(Instant::now()) {
+            return Ok(ConnectionUse::Close);
         }
-        let id = head.get("request-id").unwrap_or_default().to_owned();
-        let line = |state: &str| json!({"id": id, "state": state, "result": "ok"}).to_string();
-        let Some(slot) = worker.slot().await else { return Ok(()) };
-        stream.write_all(&[CHUNKED, chunk(&line("started")).as_slice()].concat()).await?;
-        sleep(worker.sample_run_time(Instant::now())).await;
+        let job = job_id(request);
+        let Some(slot) = model.slot().await else { return Ok(ConnectionUse::Close) };
+        write_started(stream, &job).await?;
+        sleep(model.sample_run_time(Instant::now())).await;
         drop(slot);
-        stream.write_all(&[chunk(&line("done")).as_slice(), LAST_CHUNK].concat()).await?;
+        write_done(stream, &job).await?;
+        Ok(ConnectionUse::KeepOpen)
     }
-    Ok(())
 }
 
-/// Hands jobs to a dispatcher at random times, each on a connection of its own.
-async fn run_clients(tally: Tally, (n, address): (u64, SocketAddr), rate: f64, seed: u64, end: Instant) {
-    let mut random = Pcg64::seed_from_u64(seed ^ (n << 32));
-    let mut count = 0u64;
-    let mut at = Instant::now() + Duration::from_secs_f64(random.random_range(0.0..1.0));
-    while at < end {
-        sleep_until(at).await;
-        count += 1;
-        let (tally, id) = (tally.clone(), n << 32 | count);
-        spawn_local(async move {
-            let from = Instant::now();
-            let answer = timeout(
-                DEADLINE + Duration::from_millis(500),
-                submit_job(&mut None, address, ("lookup", id)),
-            )
-            .await;
-            let status = answer.ok().and_then(Result::ok).unwrap_or(0);
-            tally.borrow_mut().push((from, from.elapsed(), status));
-        });
-        let pause: f64 = Exp1.sample(&mut random);
-        at += Duration::from_secs_f64(pause / rate);
+/// The clients of one dispatcher.
+struct Clients {
+    dispatcher: u64,
+    address: SocketAddr,
+    /// Jobs a second.
+    rate: f64,
+    end: Instant,
+}
+
+impl Clients {
+    /// Submits jobs at random times, each on a connection of its own.
+    async fn run(self, answers: Answers, seed: u64) {
+        let mut random = Pcg64::seed_from_u64(seed ^ (self.dispatcher << 32));
+        let mut count = 0u64;
+        let mut next = Instant::now() + Duration::from_secs_f64(random.random_range(0.0..1.0));
+        while next < self.end {
+            sleep_until(next).await;
+            count += 1;
+            spawn_local(run_client(answers.clone(), self.address, self.dispatcher << 32 | count));
+            let pause: f64 = Exp1.sample(&mut random);
+            next += Duration::from_secs_f64(pause / self.rate);
+        }
     }
 }
+
+/// Submits one job and records its answer.
+async fn run_client(answers: Answers, address: SocketAddr, id: u64) {
+    let submitted_at = Instant::now();
+    let mut no_connection = None;
+    let exchange = submit_job(&mut no_connection, address, ClientJob { class: CLASS.name, id });
+    let answer = timeout(CLASS.timeout + ANSWER_SLACK, exchange).await;
+    let status = answer.ok().and_then(Result::ok).unwrap_or(0);
+    answers.borrow_mut().push(JobAnswer { submitted_at, duration: submitted_at.elapsed(), status });
+}
--- a/crates/emulator/tests/stable_text.rs
+++ b/crates/emulator/tests/stable_text.rs
@@ -13,7 +13,7 @@
 use emulator::cluster::planned_drains::{DrainRule, UnavailableCounts};
 use emulator::cluster::record_checker::{self, LeaseRule, RecordLine, Records};
 use emulator::cluster::results::{ArmResult, Quantiles, Results};
-use emulator::cluster::scaling_cost::Side;
+use emulator::cluster::scaling_cost::{MemberCpu, ResidentMemory, Side};
 use emulator::cluster::schedule::{ClusterExperiment, FaultKind, FAULT_KINDS};
 use emulator::cluster::shared_health_checks::{self, HealthCheckRule};
 use emulator::cluster::slow_start::DayResult;
@@ -259,7 +259,12 @@
 
 #[test]
 fn results_of_processes() {
-    let side = Side { calls_per_s: 1.5, member_cpu: (0.1, 0.2), memory_mb: (3.0, 4.0), ..Side::default() };
+    let side = Side {
+        calls_per_s: 1.5,
+        member_cpu: MemberCpu { mean: 0.1, busiest: 0.2 },
+        memory_mb: ResidentMemory { coordinator: 3.0, member: 4.0 },
+        ..Side::default()
+    };
     let waits = LatencyResult { answers: BTreeMap::from([(200, 1)]), ..LatencyResult::default() };
     let joined = DayResult { answers: BTreeMap::from([(200, 1)]), ..DayResult::default() };
     let mut text = json(&watched()) + &json(&drained()) + &json(&fleet_results());
@@ -405,7 +410,7 @@
         drains.injected_bug,
         drains.seed,
         joining.dispatchers,
-        joining.workers,
+        (joining.workers.staying, joining.workers.replaced),
         joining.rate,
         ms(joining.length),
         joining.grants,
