--- a/crates/dispatcher/src/endpoint_list.rs
+++ b/crates/dispatcher/src/endpoint_list.rs
@@ -1,4 +1,6 @@
-//! The list of workers in discovery's form.
+//! The endpoint list in discovery's JSON. No other module spells the keys and words of that protocol.
+
+use std::net::SocketAddr;
 
 use rustc_hash::FxHashMap;
 use serde_json::Value;
@@ -9,68 +11,159 @@
 use dispatch_core::api::{Endpoint, ListScope, WorkerState};
 use dispatch_core::hashing::worker_id;
 
-/// What discovery tells at once: the whole list, or the entries that changed.
+/// Keys of the list and of its entries.
+mod keys {
+    pub(super) const REVISION: &str = "revision";
+    pub(super) const COMPLETE: &str = "complete";
+    pub(super) const ENDPOINTS: &str = "members";
+    pub(super) const NAME: &str = "id";
+    pub(super) const STATE: &str = "phase";
+    pub(super) const ADDRESS: &str = "host_port";
+    pub(super) const ZONE: &str = "locality";
+    pub(super) const KIND: &str = "flavor";
+    pub(super) const CELL: &str = "cell";
+    pub(super) const STARTED_AT_MS: &str = "up_since_ms";
+}
+
+/// Words for the state of a worker.
+mod states {
+    pub(super) const SERVING: &str = "in_service";
+    pub(super) const DRAINING: &str = "terminating";
+    pub(super) const REMOVED: &str = "terminated";
+}
+
+/// The endpoint list of one response: the complete list, or the entries that changed.
 #[derive(Debug)]
 pub struct EndpointList {
-    /// The version.
+    /// Revision of the list at discovery.
     pub revision: u64,
-    /// What part of the list it is.
+    /// Part of the list that the entries are.
     pub scope: ListScope,
     /// The entries.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// Reads the list of workers in discovery's form.
+/// An entry of the list as discovery wrote it.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct EndpointEntry<'a>(&'a Value);
+
+impl<'a> EndpointEntry<'a> {
+    pub(crate) fn new(json: &'a Value) -> EndpointEntry<'a> {
+        EndpointEntry(json)
+    }
+
+    pub(crate) fn name(self) -> Option<&'a str> {
+        self.0[keys::NAME].as_str()
+    }
+
+    pub(crate) fn zone(self) -> Option<&'a str> {
+        self.0[keys::ZONE].as_str()
+    }
+
+    /// Returns the kind of machine, which is also the name of the worker's pool.
+    pub(crate) fn kind(self) -> Option<&'a str> {
+        self.0[keys::KIND].as_str()
+    }
+
+    /// Returns the state; `None` if it is missing or no word of the protocol.
+    pub(crate) fn state(self) -> Option<WorkerState> {
+        match self.0[keys::STATE].as_str()? {
+            states::SERVING => Some(WorkerState::Serving),
+            states::DRAINING => Some(WorkerState::Draining),
+            states::REMOVED => Some(WorkerState::Removed),
+            _ => None,
+        }
+    }
+
+    /// Returns a number that differs between two starts of a worker; 0 if discovery does not name the start.
+    pub(crate) fn start_id(self) -> u64 {
+        self.0[keys::STARTED_AT_MS].as_u64().unwrap_or(0)
+    }
+
+    fn started_at(self) -> f64 {
+        self.0[keys::STARTED_AT_MS].as_f64().unwrap_or(0.0) / 1e3
+    }
+
+    fn address(self) -> Option<SocketAddr> {
+        self.0[keys::ADDRESS].as_str()?.parse().ok()
+    }
+
+    fn cell(self) -> u32 {
+        self.0[keys::CELL].as_u64().unwrap_or(0) as u32
+    }
+}
+
+/// Positions of names in a list of the settings.
+struct NamePositions<'a>(FxHashMap<&'a str, u32>);
+
+impl<'a> NamePositions<'a> {
+    fn new(names: &'a [String]) -> NamePositions<'a> {
+        NamePositions(names.iter().map(String::as_str).zip(0..).collect())
+    }
+
+    /// Returns the position of a name. All names that the settings do not list share the position after the last.
+    fn of(&self, name: Option<&str>) -> u32 {
+        let unlisted = self.0.len() as u32;
+        name.and_then(|name| self.0.get(name).copied()).unwrap_or(unlisted)
+    }
+}
+
+/// Parses the endpoint list of one response.
 ///
 /// # Errors
-/// The first key that is missing or faulty.
-pub fn parse_endpoint_list(value: &Value, names: &Names) -> Result<EndpointList, ConfigError> {
-    let Some(revision) = value["revision"].as_u64() else {
-        return invalid("revision", format!("expected a whole number, found {}", value["revision"]));
-    };
-    let Some(members) = value["members"].as_array() else {
-        return invalid("members", "expected a list");
+/// Returns a [`ConfigError`] for the first key that is missing or invalid.
+pub fn parse_endpoint_list(list: &Value, names: &Names) -> Result<EndpointList, ConfigError> {
+    let Some(revision) = list[keys::REVISION].as_u64() else {
+        let problem = format!("expected a whole number, found {}", list[keys::REVISION]);
+        return invalid(keys::REVISION, problem);
     };
-    let mut list = EndpointList {
-        revision,
-        scope: ListScope::Incremental,
-        endpoints: Vec::with_capacity(members.len()),
+    let Some(entries) = list[keys::ENDPOINTS].as_array() else {
+        return invalid(keys::ENDPOINTS, "expected a list");
     };
-    if value["complete"].as_bool().unwrap_or(false) {
-        list.scope = ListScope::Full;
+    let is_complete = list[keys::COMPLETE].as_bool().unwrap_or(false);
+    let scope = if is_complete { ListScope::Full } else { ListScope::Incremental };
+    let zones = NamePositions::new(&names.zones);
+    let kinds = NamePositions::new(&names.kinds);
+    let mut endpoints = Vec::with_capacity(entries.len());
+    for (index, entry) in entries.iter().enumerate() {
+        endpoints.push(parse_entry(index, entry, &zones, &kinds)?);
     }
-    let place: FxHashMap<&str, u32> = names.zones.iter().map(String::as_str).zip(0..).collect();
-    let kinds: FxHashMap<&str, u32> = names.kinds.iter().map(String::as_str).zip(0..).collect();
-    for (i, entry) in members.iter().enumerate() {
-        let at = |key: &str| format!("members.{i}.{key}");
-        let Some(id) = entry["id"].as_str() else { return invalid(&at("id"), "missing") };
-        let state = match entry["phase"].as_str() {
-            Some("in_service") => WorkerState::Serving,
-            Some("terminating") => WorkerState::Draining,
-            Some("terminated") => WorkerState::Removed,
-            _ => {
-                let problem = "expected in_service, terminating or terminated, found ";
-                return invalid(&at("phase"), format!("{problem}{}", entry["phase"]));
-            }
-        };
-        let address = entry["host_port"].as_str().and_then(|v| v.parse().ok());
-        if address.is_none() && state == WorkerState::Serving {
-            return invalid(&at("host_port"), format!("expected an address, found {}", entry["host_port"]));
-        }
-        // A name that the settings do not hold is a zone or kind of its own, and of nobody here.
-        let number = |names: &FxHashMap<&str, u32>, key: &str| {
-            let unknown = names.len() as u32;
-            entry[key].as_str().map_or(unknown, |name| names.get(name).copied().unwrap_or(unknown))
-        };
-        let member = Endpoint {
-            worker: worker_id(id),
-            kind: number(&kinds, "flavor"),
-            zone: number(&place, "locality"),
-            cell: entry["cell"].as_u64().unwrap_or(0) as u32,
-            started_at: entry["up_since_ms"].as_f64().unwrap_or(0.0) / 1e3,
-            state,
-        };
-        list.endpoints.push(ListedEndpoint { endpoint: member, address });
+    Ok(EndpointList { revision, scope, endpoints })
+}
+
+fn parse_entry(
+    index: usize,
+    json: &Value,
+    zones: &NamePositions<'_>,
+    kinds: &NamePositions<'_>,
+) -> Result<ListedEndpoint, ConfigError> {
+    let key_path = |key: &str| format!("{}.{index}.{key}", keys::ENDPOINTS);
+    let entry = EndpointEntry::new(json);
+    let Some(name) = entry.name() else {
+        return invalid(&key_path(keys::NAME), "missing");
+    };
+    let Some(state) = entry.state() else {
+        let problem = format!(
+            "expected {}, {} or {}, found {}",
+            states::SERVING,
+            states::DRAINING,
+            states::REMOVED,
+            json[keys::STATE]
+        );
+        return invalid(&key_path(keys::STATE), problem);
+    };
+    let address = entry.address();
+    if address.is_none() && state == WorkerState::Serving {
+        let problem = format!("expected an address, found {}", json[keys::ADDRESS]);
+        return invalid(&key_path(keys::ADDRESS), problem);
     }
-    Ok(list)
+    let endpoint = Endpoint {
+        worker: worker_id(name),
+        kind: kinds.of(entry.kind()),
+        zone: zones.of(entry.zone()),
+        cell: entry.cell(),
+        started_at: entry.started_at(),
+        state,
+    };
+    Ok(ListedEndpoint { endpoint, address })
 }
--- a/crates/dispatcher/src/net/cluster/mod.rs
+++ b/crates/dispatcher/src/net/cluster/mod.rs
@@ -22,6 +22,7 @@
 use cluster_member::slow_start::{QuotaConfig, SlowStartProfile, SLOW_START_LEASE};
 use cluster_member::wire::Effect;
 use coordination::{LeaseClient, LeaseId, Micros};
+use dispatch_core::api::WorkerState;
 use dispatch_core::hashing::worker_id;
 use disruption_budget::{ListedWorker, WarmupTracker, OBSERVER_LEASE};
 use serde_json::Value;
@@ -35,6 +36,7 @@
 use super::shutdown::ShutdownPhase;
 use super::worker::pool::Pool;
 use crate::config::Config;
+use crate::endpoint_list::EndpointEntry;
 use crate::engine::micros;
 use crate::settings_file::ClusterSettings;
 use health_checks::ClusterHealthChecks;
@@ -252,17 +254,16 @@
     /// The workers of the list, as watchers see them.
     fn workers(&self, health_checks: Option<&ClusterHealthChecks>) -> Vec<ListedWorker> {
         let snapshot = self.snapshot.borrow();
-        let listed = |entry: &Value| {
-            let text = |key: &str| entry[key].as_str().unwrap_or_default().to_owned();
-            let name = text("id");
+        let listed = |json: &Value| {
+            let entry = EndpointEntry::new(json);
+            let name = entry.name().unwrap_or_default();
             ListedWorker {
-                zone: text("locality"),
-                pool: text("flavor"),
-                in_service: entry["phase"] == "in_service",
-                start_id: entry["up_since_ms"].as_u64().unwrap_or(0),
-                unhealthy: health_checks
-                    .is_some_and(|health_checks| health_checks.is_reported_failing(worker_id(&name))),
-                name,
+                name: name.to_owned(),
+                zone: entry.zone().unwrap_or_default().to_owned(),
+                pool: entry.kind().unwrap_or_default().to_owned(),
+                in_service: entry.state() == Some(WorkerState::Serving),
+                start_id: entry.start_id(),
+                unhealthy: health_checks.is_some_and(|checks| checks.is_reported_failing(worker_id(name))),
             }
         };
         snapshot.entries().map(listed).collect()
