--- a/crates/dispatcher/src/endpoint_list.rs
+++ b/crates/dispatcher/src/endpoint_list.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use rustc_hash::FxHashMap;
-use serde_json::Value;
+use serde_json::{json, Value};
 
 use crate::config_error::{invalid, ConfigError};
 use crate::engine::ListedEndpoint;
@@ -108,6 +108,11 @@
     }
 }
 
+/// Returns a list without entries, which states that nothing changed up to this revision.
+pub(crate) fn unchanged_list(revision: u64) -> Value {
+    json!({ (keys::REVISION): revision })
+}
+
 /// Parses the endpoint list of one response.
 ///
 /// # Errors
--- a/crates/dispatcher/src/net/cluster/health_checks.rs
+++ b/crates/dispatcher/src/net/cluster/health_checks.rs
@@ -1,5 +1,5 @@
-//! Watching workers for the fleet, where our own settings ask for it: this dispatcher probes the sets that it owns,
-//! tells all members which workers fail, and hands what it hears from other watchers to the engine as evidence.
+//! Health checks for all members: this member probes the worker sets whose leases it holds, publishes which workers fail,
+//! and passes the verdicts of all reports to the engine.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,207 +13,240 @@
 };
 use cluster_member::member::Member;
 use cluster_member::wire::Effect;
-use coordination::{FencingToken, Micros};
+use coordination::{FencingToken, LeaseId, Micros};
 use tokio::task::{spawn_local, AbortHandle};
-use tokio::time::{interval, MissedTickBehavior};
 
-use super::timing::PUBLISH_INTERVAL;
+use super::recorded_event::RecordedEvent;
+use super::timing::{periodic, PUBLISH_INTERVAL};
 use crate::engine::Input;
 use crate::net::metrics::ClusterMetrics;
 use crate::net::worker::health_check;
 use crate::net::worker::pool::Pool;
 use dispatch_core::api::WorkerId;
 
-/// One set in one term of ours.
+/// A term of this member's lease of one worker set.
 struct Term {
+    lease: LeaseId,
     token: FencingToken,
-    rounds: HealthCheckScheduler,
+    scheduler: HealthCheckScheduler,
     publisher: Publisher,
-    /// The probes that are out.
-    health_checks: BTreeMap<u64, AbortHandle>,
+    /// Health checks in flight, by worker.
+    checks_in_flight: BTreeMap<u64, AbortHandle>,
 }
 
 impl Drop for Term {
     fn drop(&mut self) {
-        self.health_checks.values().for_each(AbortHandle::abort);
+        self.checks_in_flight.values().for_each(AbortHandle::abort);
     }
 }
 
-/// This dispatcher's part in watching workers.
+/// A health check that is due.
+struct DueCheck {
+    set: u16,
+    lease: LeaseId,
+    token: FencingToken,
+    worker: u64,
+}
+
+/// This member's part in the cluster's health checks.
 pub(super) struct ClusterHealthChecks {
     config: HealthCheckConfig,
-    /// Our own zone.
+    /// Zone of this member.
     zone: String,
     member: Member,
     pool: Rc<Pool>,
     metrics: ClusterMetrics,
+    /// Terms of the leases that this member holds, by worker set.
     terms: RefCell<BTreeMap<u16, Term>>,
-    /// What all our sets say of each zone.
+    /// Liveness of each zone, as seen by the checks of all sets of this member.
     zones: RefCell<ZoneLiveness>,
     reports: RefCell<HealthReports>,
-    /// What the engine was told is held against whom.
+    /// Verdicts that the engine was notified of, by worker.
     notified: RefCell<BTreeMap<u64, UnhealthyVerdict>>,
 }
 
 impl ClusterHealthChecks {
     pub(super) fn new(
-        how: HealthCheckConfig,
+        config: HealthCheckConfig,
         zone: String,
         member: Member,
         pool: Rc<Pool>,
         metrics: ClusterMetrics,
     ) -> ClusterHealthChecks {
-        let reports = RefCell::new(HealthReports::new(how));
-        let (terms, notified, zones) = (RefCell::default(), RefCell::default(), RefCell::default());
-        ClusterHealthChecks { config: how, zone, member, pool, metrics, terms, zones, reports, notified }
+        ClusterHealthChecks {
+            config,
+            zone,
+            member,
+            pool,
+            metrics,
+            terms: RefCell::default(),
+            zones: RefCell::default(),
+            reports: RefCell::new(HealthReports::new(config)),
+            notified: RefCell::default(),
+        }
     }
 
-    /// Another member says what it sees; its token was found good.
+    /// Records a health report of a lease holder, whose token was accepted.
     pub(super) fn handle_report(&self, effect: &Effect) {
         let Some(set) = self.config.set_of_lease(&effect.lease) else { return };
-        match HealthReport::decode(&effect.body) {
-            Some(report) => {
-                self.reports.borrow_mut().record(set, effect.token, report, clock::now());
-                self.notify_engine();
-            }
-            None => tracing::warn!(lease = %effect.lease, "health report cannot be decoded"),
-        }
+        let Some(report) = HealthReport::decode(&effect.body) else {
+            tracing::warn!(lease = %effect.lease, "health report cannot be decoded");
+            return;
+        };
+        self.reports.borrow_mut().record(set, effect.token, report, clock::now());
+        self.notify_engine();
     }
 
-    /// Whether something is held against this worker here.
+    /// Returns whether an unhealthy verdict on this worker is in force.
     pub(super) fn is_reported_failing(&self, worker: WorkerId) -> bool {
         self.notified.borrow().contains_key(&worker.0)
     }
 
-    /// Watches for as long as the program runs.
+    /// Checks the workers of the sets whose leases this member holds, and publishes reports. Never returns.
     pub(super) async fn run(self: Rc<Self>) {
-        let mut rounds = interval(PUBLISH_INTERVAL);
-        rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut ticks = periodic(PUBLISH_INTERVAL);
         loop {
-            rounds.tick().await;
+            ticks.tick().await;
             self.update_terms();
             self.start_due_checks();
             self.publish_reports();
-            // What lapses is taken back without anybody saying so.
+            // Verdicts also expire without a further report.
             self.notify_engine();
         }
     }
 
-    /// Notices which sets are ours.
     fn update_terms(&self) {
-        let owned: BTreeMap<u16, FencingToken> = self
+        let held: BTreeMap<u16, FencingToken> = self
             .member
             .held_leases()
             .into_iter()
             .filter_map(|(lease, token)| Some((self.config.set_of_lease(&lease)?, token)))
             .collect();
         let mut terms = self.terms.borrow_mut();
-        terms.retain(|set, term| owned.get(set) == Some(&term.token));
-        for (set, token) in owned {
-            terms.entry(set).or_insert_with(|| {
-                tracing::info!(set, token = token.0, "holds a health-check lease");
-                let lease = coordination::LeaseId::worker_set(&self.config.lease_name(), set);
-                Term {
-                    token,
-                    rounds: HealthCheckScheduler::new(self.config, &self.zone),
-                    publisher: Publisher::new(&self.member, lease, token),
-                    health_checks: BTreeMap::new(),
-                }
-            });
+        terms.retain(|set, term| held.get(set) == Some(&term.token));
+        for (set, token) in held {
+            terms.entry(set).or_insert_with(|| self.start_term(set, token));
+        }
+    }
+
+    fn start_term(&self, set: u16, token: FencingToken) -> Term {
+        tracing::info!(set, token = token.0, "holds a health-check lease");
+        let lease = LeaseId::worker_set(&self.config.lease_name(), set);
+        Term {
+            lease: lease.clone(),
+            token,
+            scheduler: HealthCheckScheduler::new(self.config, &self.zone),
+            publisher: Publisher::new(&self.member, lease, token),
+            checks_in_flight: BTreeMap::new(),
         }
     }
 
-    /// Probes what is due in the sets that are ours.
     fn start_due_checks(self: &Rc<Self>) {
         let now = clock::now();
-        let (mut terms, configs) = (self.terms.borrow_mut(), self.pool.config.borrow());
-        let zones = &configs.names.zones;
-        let peers = self.pool.workers.borrow();
-        let (mut watched, mut failing) = (0, 0);
-        for (set, term) in terms.iter_mut() {
-            let ours = peers.iter().filter(|(id, peer)| {
-                peer.accepts_work.get() && self.config.set_of_worker(id.0, peer.zone.get()) == *set
-            });
-            let zone = |at: u32| zones.get(at as usize).map_or("", String::as_str);
-            term.rounds.update_workers(now, ours.map(|(id, peer)| (id.0, zone(peer.zone.get()))));
-            for worker in term.rounds.due_probes(now) {
-                let task = spawn_local(self.clone().check_worker(*set, term.token, worker));
-                term.health_checks.insert(worker, task.abort_handle());
+        let mut workers_checked = 0;
+        let mut workers_failing = 0;
+        for (set, term) in self.terms.borrow_mut().iter_mut() {
+            self.update_workers(*set, term, now);
+            for worker in term.scheduler.due_probes(now) {
+                let check = DueCheck { set: *set, lease: term.lease.clone(), token: term.token, worker };
+                let task = spawn_local(self.clone().check_worker(check));
+                term.checks_in_flight.insert(worker, task.abort_handle());
             }
-            let counts = term.rounds.worker_counts();
-            (watched, failing) = (watched + counts.checked, failing + counts.failing);
+            let counts = term.scheduler.worker_counts();
+            workers_checked += counts.checked;
+            workers_failing += counts.failing;
         }
-        self.metrics.workers_checked.set(watched as i64);
-        self.metrics.workers_failing.set(failing as i64);
+        self.metrics.workers_checked.set(workers_checked as i64);
+        self.metrics.workers_failing.set(workers_failing as i64);
     }
 
-    async fn check_worker(self: Rc<Self>, set: u16, token: FencingToken, worker: u64) {
-        let lease = coordination::LeaseId::worker_set(&self.config.lease_name(), set);
-        let may = || {
-            // The last thing before the write: a look at the lease by the clock, and the time for the next one.
-            let now = clock::now();
-            let holds_lease = self.member.lease_client().borrow().holds_lease(&lease, token, now);
-            let may = holds_lease || self.config.injected_bug == Some(InjectedBug::SkipLeaseCheck);
-            if may {
-                let what = serde_json::json!({"duty": lease.to_string(), "token": token.0, "worker": worker});
-                self.member.recorder().record(now, "acted", what);
-                self.with_term(set, token, |term| term.rounds.probe_sent(worker, now));
-                self.metrics.health_checks.inc();
-            }
-            may
-        };
-        let well = health_check::check_on_new_connection(&self.pool, WorkerId(worker), may).await;
-        self.with_term(set, token, |term| {
-            term.health_checks.remove(&worker);
-            term.rounds.probe_finished(worker, well, clock::now(), &mut self.zones.borrow_mut());
+    /// Passes the workers of a set that take new work to the set's scheduler.
+    fn update_workers(&self, set: u16, term: &mut Term, now: Micros) {
+        let config = self.pool.config.borrow();
+        let zone_name = |index: u32| config.names.zones.get(index as usize).map_or("", String::as_str);
+        let workers = self.pool.workers.borrow();
+        let in_set = workers.iter().filter(|(id, worker)| {
+            worker.accepts_work.get() && self.config.set_of_worker(id.0, worker.zone.get()) == set
+        });
+        term.scheduler.update_workers(now, in_set.map(|(id, worker)| (id.0, zone_name(worker.zone.get()))));
+    }
+
+    async fn check_worker(self: Rc<Self>, check: DueCheck) {
+        let worker = WorkerId(check.worker);
+        let healthy =
+            health_check::check_on_new_connection(&self.pool, worker, || self.may_send(&check)).await;
+        self.with_term(&check, |term| {
+            term.checks_in_flight.remove(&check.worker);
+            let mut zones = self.zones.borrow_mut();
+            term.scheduler.probe_finished(check.worker, healthy, clock::now(), &mut zones);
         });
     }
 
-    /// Does something with a term that is still ours.
-    fn with_term(&self, set: u16, token: FencingToken, change: impl FnOnce(&mut Term)) {
-        if let Some(term) = self.terms.borrow_mut().get_mut(&set).filter(|term| term.token == token) {
+    /// Returns whether the lease is still held, by a clock that is read immediately before the write, and records the
+    /// check if so.
+    fn may_send(&self, check: &DueCheck) -> bool {
+        let now = clock::now();
+        let holds_lease = self.member.lease_client().borrow().holds_lease(&check.lease, check.token, now);
+        if !holds_lease && self.config.injected_bug != Some(InjectedBug::SkipLeaseCheck) {
+            return false;
+        }
+        let event = RecordedEvent::health_check_sent(&check.lease, check.token, check.worker);
+        event.write(self.member.recorder(), now);
+        self.with_term(check, |term| term.scheduler.probe_sent(check.worker, now));
+        self.metrics.health_checks.inc();
+        true
+    }
+
+    /// Changes the term of a check, unless that term has ended.
+    fn with_term(&self, check: &DueCheck, change: impl FnOnce(&mut Term)) {
+        let mut terms = self.terms.borrow_mut();
+        if let Some(term) = terms.get_mut(&check.set).filter(|term| term.token == check.token) {
             change(term);
         }
     }
 
-    /// Tells the members what is due, ourselves first.
+    /// Publishes the reports that are due, and records them for this member as well.
     fn publish_reports(&self) {
         for (set, term) in self.terms.borrow_mut().iter_mut() {
             let now = clock::now();
-            let Some(report) = term.rounds.next_report(now, &self.zones.borrow()) else { continue };
+            let Some(report) = term.scheduler.next_report(now, &self.zones.borrow()) else { continue };
             term.publisher.publish(report.encode());
             self.reports.borrow_mut().record(*set, term.token, report, now);
         }
     }
 
-    /// Tells the engine what is held against whom, where that has changed.
+    /// Notifies the engine of the verdicts that changed since the last call.
     fn notify_engine(&self) {
         let now = clock::now();
-        let against = self.reports.borrow().verdicts(now);
+        let verdicts = self.reports.borrow().verdicts(now);
         let mut notified = self.notified.borrow_mut();
-        if *notified == against {
+        if *notified == verdicts {
             return;
         }
-        let tell = |worker: u64, ago: Micros, holds: Micros| {
-            let what = serde_json::json!({"worker": worker, "holds": holds});
-            self.member.recorder().record(now, "against", what);
-            self.pool.handle.send(Input::UnhealthyReported {
-                worker: WorkerId(worker),
-                observed_ago: ago,
-                valid_for: holds,
-            });
-        };
-        for worker in notified.keys().filter(|worker| !against.contains_key(worker)) {
+        for worker in notified.keys().filter(|worker| !verdicts.contains_key(worker)) {
             tracing::info!(worker, "worker no longer reported unhealthy");
-            tell(*worker, 0, 0);
+            self.send_verdict(*worker, now, None);
         }
-        for (worker, one) in against.iter().filter(|(worker, one)| notified.get(worker) != Some(one)) {
-            if !notified.contains_key(worker) {
+        for (worker, verdict) in &verdicts {
+            let previous = notified.get(worker);
+            if previous == Some(verdict) {
+                continue;
+            }
+            if previous.is_none() {
                 tracing::info!(worker, "worker reported unhealthy");
             }
-            tell(*worker, now.saturating_sub(one.last_failure), one.expires_at.saturating_sub(now));
+            self.send_verdict(*worker, now, Some(verdict));
         }
-        self.metrics.workers_reported_failing.set(against.len() as i64);
-        *notified = against;
+        self.metrics.workers_reported_failing.set(verdicts.len() as i64);
+        *notified = verdicts;
+    }
+
+    /// Sends a worker's verdict to the engine; `None` withdraws the last one.
+    fn send_verdict(&self, worker: u64, now: Micros, verdict: Option<&UnhealthyVerdict>) {
+        let observed_ago = verdict.map_or(0, |verdict| now.saturating_sub(verdict.last_failure));
+        let valid_for = verdict.map_or(0, |verdict| verdict.expires_at.saturating_sub(now));
+        RecordedEvent::VerdictChanged { valid_for, worker }.write(self.member.recorder(), now);
+        let worker = WorkerId(worker);
+        self.pool.handle.send(Input::UnhealthyReported { worker, observed_ago, valid_for });
     }
 }
--- /dev/null
+++ b/crates/dispatcher/src/net/cluster/recorded_event.rs
@@ -0,0 +1,73 @@
+//! Events in the record file, in the words that its checkers read.
+
+use cluster_member::record::Recorder;
+use coordination::{FencingToken, LeaseId, Micros};
+use serde::Serialize;
+
+/// An event of this member for the record file.
+#[derive(Serialize)]
+#[serde(untagged)]
+pub(in crate::net) enum RecordedEvent {
+    /// The process started.
+    ProcessStarted {},
+    /// A health check was sent for a lease.
+    HealthCheckSent {
+        #[serde(rename = "duty")]
+        lease: String,
+        token: u64,
+        worker: u64,
+    },
+    /// An observation was sent for a lease.
+    ObservationSent {
+        #[serde(rename = "duty")]
+        lease: String,
+        token: u64,
+    },
+    /// The unhealthy verdict of a worker changed; one that is valid for 0 is withdrawn.
+    VerdictChanged {
+        #[serde(rename = "holds")]
+        valid_for: Micros,
+        worker: u64,
+    },
+    /// A slow-start quota was granted to this process.
+    QuotaGranted {
+        token: u64,
+        #[serde(rename = "until")]
+        expires_at: Micros,
+        work: f64,
+        worker: u64,
+    },
+    /// The dispatcher entered standby, with a permit unless it was forced without the coordinators.
+    StandbyEntered { permit: Option<u64> },
+    /// The dispatcher returned from standby.
+    StandbyLeft {
+        #[serde(rename = "number")]
+        incarnation: u64,
+    },
+}
+
+impl RecordedEvent {
+    pub(in crate::net) fn health_check_sent(lease: &LeaseId, token: FencingToken, worker: u64) -> Self {
+        RecordedEvent::HealthCheckSent { lease: lease.to_string(), token: token.0, worker }
+    }
+
+    pub(in crate::net) fn observation_sent(lease: &LeaseId, token: FencingToken) -> Self {
+        RecordedEvent::ObservationSent { lease: lease.to_string(), token: token.0 }
+    }
+
+    fn kind(&self) -> &'static str {
+        match self {
+            RecordedEvent::ProcessStarted {} => "started",
+            RecordedEvent::HealthCheckSent { .. } | RecordedEvent::ObservationSent { .. } => "acted",
+            RecordedEvent::VerdictChanged { .. } => "against",
+            RecordedEvent::QuotaGranted { .. } => "granted",
+            RecordedEvent::StandbyEntered { .. } => "standby",
+            RecordedEvent::StandbyLeft { .. } => "active",
+        }
+    }
+
+    /// Writes the event to the record file, with the time at which it happened.
+    pub(in crate::net) fn write(&self, recorder: &Recorder, time: Micros) {
+        recorder.record(time, self.kind(), self);
+    }
+}
--- a/crates/dispatcher/src/net/cluster/slow_start.rs
+++ b/crates/dispatcher/src/net/cluster/slow_start.rs
@@ -1,5 +1,5 @@
-//! Cold grants, where our own settings ask for them: one member hands out what cold workers bear from all dispatchers
-//! together, and each gives its engine what it is granted on top of the planned share.
+//! Slow-start quotas: the lease holder divides the work that workers in slow start tolerate among all processes, and each
+//! process passes its grants to the engine, in addition to its planned share.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,185 +8,207 @@
 use cluster_member::effects::Publisher;
 use cluster_member::member::Member;
 use cluster_member::slow_start::{
-    EndpointAges, GrantedQuota, QuotaAllocator, QuotaConfig, QuotaGrants, SlowStartProfile, UsageReport,
-    SLOW_START_LEASE,
+    EndpointAges, GrantedQuota, QuotaAllocator, QuotaConfig, QuotaGrants, SlowStartProfile, UsableQuota,
+    UsageReport, SLOW_START_LEASE,
 };
 use cluster_member::wire::Effect;
 use coordination::{FencingToken, LeaseId, Micros};
-use tokio::time::{interval, MissedTickBehavior};
 
-use super::timing::PUBLISH_INTERVAL;
+use super::held_lease::held_token;
+use super::recorded_event::RecordedEvent;
+use super::timing::{periodic, PUBLISH_INTERVAL};
 use crate::engine::Input;
 use crate::net::metrics::ClusterMetrics;
 use crate::net::worker::pool::Pool;
 use dispatch_core::api::WorkerId;
 
-/// Grants are made every so many rounds.
-const ALLOCATION_ROUNDS: u32 = 2;
-/// The list is looked through for workers that started every so many rounds.
-const AGE_UPDATE_ROUNDS: u32 = 10;
-/// How much of what was seen in one second of rounds goes into the figure of jobs a second.
+/// Ticks between two allocations.
+const ALLOCATION_TICKS: u32 = 2;
+/// Ticks between two searches of the endpoint list for workers that started.
+const AGE_UPDATE_TICKS: u32 = 10;
+/// Weight of the newest sample in the smoothed rate of jobs.
 const JOB_RATE_SMOOTHING: f64 = 0.1;
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
 
+/// A term of this member's slow-start lease.
 struct Term {
     token: FencingToken,
-    dealer: Rc<RefCell<QuotaAllocator>>,
+    allocator: Rc<RefCell<QuotaAllocator>>,
     publisher: Publisher,
 }
 
-/// This dispatcher's part in cold grants.
+/// Parameters of [`SlowStartQuota`].
+pub(super) struct SlowStartParameters {
+    pub(super) config: QuotaConfig,
+    pub(super) profile: SlowStartProfile,
+    /// Mean work of a job in slot-seconds, kept current by the engine.
+    pub(super) mean_job_work: Rc<Cell<f64>>,
+    /// Seed of the draws by which processes are chosen for grants.
+    pub(super) seed: u64,
+}
+
+/// This member's part in slow-start quotas.
 pub(super) struct SlowStartQuota {
     config: QuotaConfig,
     profile: SlowStartProfile,
     member: Member,
     pool: Rc<Pool>,
     metrics: ClusterMetrics,
-    /// A number that tells this process from others of its name.
-    process: u64,
-    /// What a usual job asks of a worker, by the module.
-    usual_job_cost: Rc<Cell<f64>>,
-    jobs_per_s: Cell<f64>,
+    /// Random number that distinguishes this process from others of its name.
+    process_id: u64,
+    mean_job_work: Rc<Cell<f64>>,
+    jobs_per_second: Cell<f64>,
     attempts_counted: Cell<u64>,
     ages: RefCell<EndpointAges>,
-    purse: RefCell<GrantedQuota>,
+    granted: RefCell<GrantedQuota>,
     term: RefCell<Option<Term>>,
     random: RefCell<fastrand::Rng>,
 }
 
 impl SlowStartQuota {
     pub(super) fn new(
-        (how, warming): (QuotaConfig, SlowStartProfile),
+        parameters: SlowStartParameters,
         member: Member,
         pool: Rc<Pool>,
         metrics: ClusterMetrics,
-        usual: Rc<Cell<f64>>,
-        seed: u64,
     ) -> SlowStartQuota {
-        let process = clock::random_id();
+        let process_id = clock::random_id();
         SlowStartQuota {
-            config: how,
-            profile: warming,
+            config: parameters.config,
+            profile: parameters.profile,
             member,
             pool,
             metrics,
-            process,
-            usual_job_cost: usual,
-            jobs_per_s: Cell::default(),
+            process_id,
+            mean_job_work: parameters.mean_job_work,
+            jobs_per_second: Cell::default(),
             attempts_counted: Cell::default(),
             ages: RefCell::default(),
-            purse: RefCell::new(GrantedQuota::new(process, &how)),
+            granted: RefCell::new(GrantedQuota::new(process_id, &parameters.config)),
             term: RefCell::default(),
-            random: RefCell::new(fastrand::Rng::with_seed(seed)),
+            random: RefCell::new(fastrand::Rng::with_seed(parameters.seed)),
         }
     }
 
-    /// The owner says what it grants, its token was found good; the answer says what is used here.
+    /// Accepts grants of the lease holder, whose token was accepted; returns the encoded usage report for it.
     pub(super) fn handle_grants(&self, effect: &Effect) -> Vec<u8> {
         match QuotaGrants::decode(&effect.body) {
-            Some(grants) => self.apply_grants(effect.token, effect.sequence, &grants),
+            Some(grants) => self.accept_grants(effect.token, effect.sequence, &grants),
             None => tracing::warn!("slow-start quota cannot be decoded"),
         }
         self.usage_report().encode()
     }
 
     fn usage_report(&self) -> UsageReport {
-        let (asked, usual) = (clock::now(), self.usual_job_cost.get());
         UsageReport {
-            process_id: self.process,
-            clock_reading: asked,
-            jobs_per_second: self.jobs_per_s.get(),
-            typical_work: usual,
+            process_id: self.process_id,
+            clock_reading: clock::now(),
+            jobs_per_second: self.jobs_per_second.get(),
+            typical_work: self.mean_job_work.get(),
         }
     }
 
-    fn apply_grants(&self, token: FencingToken, version: u64, grants: &QuotaGrants) {
+    fn accept_grants(&self, token: FencingToken, sequence: u64, grants: &QuotaGrants) {
         let now = clock::now();
-        for usable in self.purse.borrow_mut().accept(token, version, grants, now) {
-            let at = self.pool.clock.now() + usable.expires_at.saturating_sub(now);
-            let (worker, work, until) = (usable.worker, usable.work, usable.expires_at);
-            let what = serde_json::json!({"worker": worker, "work": work, "until": until, "token": token.0});
-            self.member.recorder().record(now, "granted", what);
-            self.metrics.quota_granted.inc_by(work);
-            self.pool.handle.send(Input::QuotaGranted { worker: WorkerId(worker), work, expires_at: at });
+        for quota in self.granted.borrow_mut().accept(token, sequence, grants, now) {
+            self.notify_engine(token, &quota, now);
         }
     }
 
-    /// Keeps count, and hands out while the duty is ours, for as long as the program runs.
+    fn notify_engine(&self, token: FencingToken, quota: &UsableQuota, now: Micros) {
+        let UsableQuota { worker, work, expires_at } = *quota;
+        let event = RecordedEvent::QuotaGranted { token: token.0, expires_at, work, worker };
+        event.write(self.member.recorder(), now);
+        self.metrics.quota_granted.inc_by(work);
+        self.pool.handle.send(Input::QuotaGranted {
+            worker: WorkerId(worker),
+            work,
+            expires_at: self.pool.clock.now() + expires_at.saturating_sub(now),
+        });
+    }
+
+    /// Measures the rate of jobs, and allocates quotas while this member holds the lease. Never returns.
     pub(super) async fn run(self: Rc<Self>) {
-        let mut rounds = interval(PUBLISH_INTERVAL);
-        rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut count = 0u32;
-        let mut before = clock::now();
+        let mut ticks = periodic(PUBLISH_INTERVAL);
+        let mut tick_count = 0u32;
+        let mut last_tick = clock::now();
         loop {
-            rounds.tick().await;
-            count = count.wrapping_add(1);
+            ticks.tick().await;
+            tick_count = tick_count.wrapping_add(1);
             let now = clock::now();
-            self.update_job_rate(now - before);
-            before = now;
-            if count % AGE_UPDATE_ROUNDS == 1 {
+            self.update_job_rate(now - last_tick);
+            last_tick = now;
+            if tick_count % AGE_UPDATE_TICKS == 1 {
                 self.update_ages(now);
             }
             self.update_term(now);
-            if count % ALLOCATION_ROUNDS == 0 {
+            if tick_count % ALLOCATION_TICKS == 0 {
                 self.allocate(now);
             }
         }
     }
 
-    fn update_job_rate(&self, span: Micros) {
-        let begun = self.pool.attempts_started.get();
-        let seen = (begun - self.attempts_counted.replace(begun)) as f64 / (span.max(1) as f64 / 1e6);
-        self.jobs_per_s.set(self.jobs_per_s.get() + JOB_RATE_SMOOTHING * (seen - self.jobs_per_s.get()));
+    fn update_job_rate(&self, elapsed: Micros) {
+        let started = self.pool.attempts_started.get();
+        let new_attempts = started - self.attempts_counted.replace(started);
+        let sample = new_attempts as f64 / (elapsed.max(1) as f64 / MICROS_PER_SECOND);
+        let smoothed = self.jobs_per_second.get();
+        self.jobs_per_second.set(smoothed + JOB_RATE_SMOOTHING * (sample - smoothed));
     }
 
     fn update_ages(&self, now: Micros) {
-        let peers = self.pool.workers.borrow();
-        let serving = peers.iter().filter(|(_, peer)| peer.accepts_work.get());
-        self.ages.borrow_mut().update(now, serving.map(|(id, peer)| (id.0, peer.started_at.get().to_bits())));
+        let workers = self.pool.workers.borrow();
+        let serving = workers.iter().filter(|(_, worker)| worker.accepts_work.get());
+        let starts = serving.map(|(id, worker)| (id.0, worker.started_at.get().to_bits()));
+        self.ages.borrow_mut().update(now, starts);
     }
 
     fn update_term(&self, now: Micros) {
         let lease = LeaseId::fleet(SLOW_START_LEASE);
-        let held = self.member.held_leases().into_iter().find(|(held, _)| *held == lease);
         let mut term = self.term.borrow_mut();
-        match held {
-            Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
-            Some((lease, token)) => {
-                tracing::info!(token = token.0, "holds the slow-start lease");
-                let dealer = Rc::new(RefCell::new(QuotaAllocator::new(self.config, self.profile, now)));
-                let hears = dealer.clone();
-                let publisher =
-                    Publisher::with_response_handler(&self.member, lease, token, move |response| {
-                        if let Some(used) = UsageReport::decode(response) {
-                            hears.borrow_mut().record_usage(used, clock::now());
-                        }
-                    });
-                *term = Some(Term { token, dealer, publisher });
-            }
-            None => *term = None,
+        let Some(token) = held_token(&self.member, &lease) else {
+            *term = None;
+            return;
+        };
+        if term.as_ref().is_none_or(|term| term.token != token) {
+            *term = Some(self.start_term(lease, token, now));
         }
     }
 
-    /// Grants what can be granted now. While no worker is cold nothing is said.
+    fn start_term(&self, lease: LeaseId, token: FencingToken, now: Micros) -> Term {
+        tracing::info!(token = token.0, "holds the slow-start lease");
+        let allocator = Rc::new(RefCell::new(QuotaAllocator::new(self.config, self.profile, now)));
+        let reported_to = allocator.clone();
+        let record_usage = move |response: &[u8]| {
+            if let Some(usage) = UsageReport::decode(response) {
+                reported_to.borrow_mut().record_usage(usage, clock::now());
+            }
+        };
+        let publisher = Publisher::with_response_handler(&self.member, lease, token, record_usage);
+        Term { token, allocator, publisher }
+    }
+
+    /// Allocates and publishes grants. Does nothing unless this member holds the lease and a worker is in slow start.
     fn allocate(&self, now: Micros) {
         let mut term = self.term.borrow_mut();
-        let Some(term) =
-            term.as_mut().filter(|_| self.ages.borrow().any_younger(now, self.profile.ramp_duration))
-        else {
+        let Some(term) = term.as_mut() else { return };
+        if !self.ages.borrow().any_younger(now, self.profile.ramp_duration) {
             return;
-        };
-        let grants = {
-            let mut dealer = term.dealer.borrow_mut();
-            dealer.record_usage(self.usage_report(), now);
-            let mut random = self.random.borrow_mut();
-            let grants = dealer.allocate(now, &self.ages.borrow(), || random.f64());
-            self.metrics.quota_allocated.set(dealer.total_granted());
-            grants
-        };
-        let version = term.publisher.publish(grants.encode());
-        // Our own part, by the same rules as everybody's: the lease is looked at immediately before.
+        }
+        let grants = self.allocate_grants(&mut term.allocator.borrow_mut(), now);
+        let sequence = term.publisher.publish(grants.encode());
+        // As for other members, the lease is checked immediately before its effect.
         if self.member.holds_lease(&LeaseId::fleet(SLOW_START_LEASE), term.token) {
-            self.apply_grants(term.token, version, &grants);
+            self.accept_grants(term.token, sequence, &grants);
         }
     }
+
+    fn allocate_grants(&self, allocator: &mut QuotaAllocator, now: Micros) -> QuotaGrants {
+        allocator.record_usage(self.usage_report(), now);
+        let mut random = self.random.borrow_mut();
+        let grants = allocator.allocate(now, &self.ages.borrow(), || random.f64());
+        self.metrics.quota_allocated.set(allocator.total_granted());
+        grants
+    }
 }
--- a/crates/dispatcher/src/net/discovery/mod.rs
+++ b/crates/dispatcher/src/net/discovery/mod.rs
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use super::cluster::SharedList;
+use super::cluster::{SharedList, SharedListSubscription};
 use super::ConfigReceiver;
 use crate::config::{self, Config};
 use crate::engine::{Handle, Input, Micros};
@@ -27,11 +27,11 @@
     mut configs: ConfigReceiver,
     handle: Handle,
     ready: watch::Sender<bool>,
-    fleet: Option<(Rc<SharedList>, mpsc::Receiver<WatchEvent>)>,
+    shared_list: Option<SharedListSubscription>,
 ) {
     let (known, mut members) = configs.borrow().saved_list.clone();
     let notified = Rc::new(NotifiedState::from_saved(known, &mut members));
-    let lists = fleet.map(|(lists, news)| {
+    let lists = shared_list.map(|SharedListSubscription { list: lists, events: news }| {
         let (notified, configs) = (notified.clone(), configs.clone());
         spawn_local(follow_cluster_list(
             lists.clone(),
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -101,15 +101,20 @@
     let (ready, is_ready) = watch::channel(false);
     let fleet = match &first.cluster {
         Some(settings) => {
-            let work = (&pool, engine.usual_job_cost());
-            let own = planned_drain::LocalStatus {
+            let status = planned_drain::LocalStatus {
                 mode: mode.clone(),
                 ready: is_ready.clone(),
                 phase: phase.clone(),
             };
-            cluster::join(settings, &first, phase.clone(), work, (metrics.register_cluster(), own))
-                .await
-                .map(Some)
+            let parameters = cluster::JoinParameters {
+                settings,
+                config: &first,
+                pool: pool.clone(),
+                mean_job_work: engine.usual_job_cost(),
+                metrics: metrics.register_cluster(),
+                status,
+            };
+            cluster::join(parameters).await.map(Some)
         }
         None => Ok(None),
     };
@@ -121,9 +126,7 @@
     let mut pool = spawn_local(worker::run(pool, orders));
     let mut engine = spawn_local(engine.run(inputs));
     let (fleet, leave) = match fleet {
-        Some(cluster::ClusterHandle { shared_list: lists, events: news, planned_drain: leave }) => {
-            (Some((lists, news)), leave)
-        }
+        Some(cluster::ClusterHandle { shared_list, planned_drain }) => (Some(shared_list), planned_drain),
         None => (None, None),
     };
     let mut follow = spawn_local(discovery::run_watch(configs.clone(), handle.clone(), ready, fleet));
--- a/crates/dispatcher/src/net/planned_drain.rs
+++ b/crates/dispatcher/src/net/planned_drain.rs
@@ -19,8 +19,9 @@
     WarmupTracker, OBSERVER_LEASE,
 };
 use tokio::sync::{watch, Mutex};
-use tokio::time::{interval, Instant, MissedTickBehavior};
+use tokio::time::Instant;
 
+use super::cluster::{held_token, periodic, RecordedEvent};
 use super::metrics::ClusterMetrics;
 use super::mode::Mode;
 use super::shutdown::ShutdownPhase;
@@ -45,7 +46,8 @@
     pub retry_after_s: u32,
 }
 
-/// What the rest of the program tells of this dispatcher.
+/// Status of this dispatcher, kept current by the rest of the program.
+#[derive(Clone)]
 pub(super) struct LocalStatus {
     pub(super) mode: watch::Sender<Mode>,
     pub(super) ready: watch::Receiver<bool>,
@@ -267,23 +269,19 @@
 
     fn switch_to_standby(&self, permit: Option<u64>) {
         self.status.mode.send_replace(Mode::Standby);
-        self.member.recorder().record(clock::now(), "standby", serde_json::json!({"permit": permit}));
+        RecordedEvent::StandbyEntered { permit }.write(self.member.recorder(), clock::now());
     }
 
     /// Returned from standby: another life.
     pub(super) fn record_return(&self) {
         self.returns_from_standby.set(self.returns_from_standby.get() + 1);
-        self.member.recorder().record(
-            clock::now(),
-            "active",
-            serde_json::json!({"number": self.incarnation()}),
-        );
+        let event = RecordedEvent::StandbyLeft { incarnation: self.incarnation() };
+        event.write(self.member.recorder(), clock::now());
     }
 
     /// Asks all how they are and tells the account, while that duty is ours, for as long as the program runs.
     pub(super) async fn run(self: Rc<Self>) {
-        let mut rounds = interval(OBSERVATION_INTERVAL);
-        rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut rounds = periodic(OBSERVATION_INTERVAL);
         let mut coordinators = self.coordinators();
         let (mut known, mut account, mut count) = (0, DisruptionState::default(), 0u32);
         loop {
@@ -310,7 +308,8 @@
                 continue;
             }
             // The look at the lease comes right before the word; the keepers look at the token besides.
-            if !self.member.holds_lease(&LeaseId::fleet(OBSERVER_LEASE), token) {
+            let lease = LeaseId::fleet(OBSERVER_LEASE);
+            if !self.member.holds_lease(&lease, token) {
                 continue;
             }
             log_changes(known, &changes);
@@ -320,8 +319,8 @@
                 changed: changes.changed,
                 removed: changes.removed,
             };
-            let what = serde_json::json!({"duty": OBSERVER_LEASE, "token": token.0});
-            self.member.recorder().record(clock::now(), "acted", what);
+            let event = RecordedEvent::observation_sent(&lease, token);
+            event.write(self.member.recorder(), clock::now());
             let _ = coordinators.call(&Operation::ChangeDisruptionState(observe), by).await;
         }
     }
@@ -334,11 +333,10 @@
         let now = clock::now();
         self.warmup.borrow_mut().update_list(now, &self.listed_workers());
         let lease = LeaseId::fleet(OBSERVER_LEASE);
-        let held = self.member.held_leases().into_iter().find(|(held, _)| *held == lease);
         let mut term = self.term.borrow_mut();
-        match held {
-            Some((_, token)) if term.as_ref().is_some_and(|term| term.token == token) => {}
-            Some((lease, token)) => {
+        match held_token(&self.member, &lease) {
+            Some(token) if term.as_ref().is_some_and(|term| term.token == token) => {}
+            Some(token) => {
                 tracing::info!(token = token.0, "holds the observer lease");
                 let observer = Rc::new(RefCell::new(AvailabilityObserver::new(self.readiness_validity, now)));
                 let received = observer.clone();
