--- a/crates/cluster-member/src/effects/publisher.rs
+++ b/crates/cluster-member/src/effects/publisher.rs
@@ -1,4 +1,4 @@
-//! The lease holder's side: the latest effect of a term, sent to every other member.
+//! Sender of effects: sends the latest effect of a term to every other member.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,42 +6,52 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use coordination::{FencingToken, InjectedBug, LeaseId};
+use coordination::{FencingToken, InjectedBug, LeaseId, Micros};
+use serde::Serialize;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
 use crate::clock;
 use crate::member::Member;
+use crate::record::RecordKind;
 use crate::wire::{
     encode, ClientHello, ClientIdentity, Connection, ConnectionError, Effect, EffectResponse, Peer,
     SCHEMA_VERSION,
 };
 
-/// How long a lease holder waits for a receiver's response before it connects anew.
+/// Timeout of a receiver's response, after which the connection is replaced.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause before a lease holder connects anew.
+/// Delay before a lost connection is replaced.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
-/// The latest effect of a term.
+/// Latest effect of a term.
 #[derive(Debug, Clone, Default)]
 struct PublishedEffect {
-    /// Counted from one within the term.
+    /// Sequence number within the term, from 1.
     sequence: u64,
     body: Rc<Vec<u8>>,
 }
 
-/// Gets what receivers send back when they accept an effect.
+/// Record of a sent effect.
+#[derive(Serialize)]
+struct SentEffectRecord {
+    #[serde(rename = "duty")]
+    lease: String,
+    token: u64,
+}
+
+/// Handler of the responses of receivers that accepted an effect.
 type ResponseHandler = Box<dyn Fn(&[u8])>;
 
-/// A term of a lease, and who gets what receivers respond to its effects.
+/// Term of a lease, and the handler of responses to its effects.
 struct Term {
     lease: LeaseId,
     token: FencingToken,
     on_response: ResponseHandler,
 }
 
-/// The effects of one term, sent to every other member. Ends when dropped.
+/// Publisher of the effects of one term to every other member. Stops when dropped.
 pub struct Publisher {
     member: Member,
     term: Rc<Term>,
@@ -59,12 +69,12 @@
 }
 
 impl Publisher {
-    /// For the term that this member holds with this token.
+    /// Creates a publisher for the term with this token.
     pub fn new(member: &Member, lease: LeaseId, token: FencingToken) -> Publisher {
         Publisher::with_response_handler(member, lease, token, |_| {})
     }
 
-    /// The same; `on_response` gets what receivers send back when they accept an effect.
+    /// Creates a publisher that calls `on_response` with each response of a receiver that accepted an effect.
     pub fn with_response_handler(
         member: &Member,
         lease: LeaseId,
@@ -79,13 +89,13 @@
         }
     }
 
-    /// The term's token.
+    /// Returns the fencing token of the term.
     pub fn token(&self) -> FencingToken {
         self.term.token
     }
 
-    /// Sends an effect to all members that are known now, and returns its sequence number. What was published before and
-    /// not sent yet is left out; what was sent and got no response may come twice.
+    /// Sends an effect to all present members and returns its sequence number. It replaces earlier effects that were not
+    /// sent yet. An effect without a response may be delivered twice.
     pub fn publish(&mut self, body: Vec<u8>) -> u64 {
         let own_name = &self.member.config().name;
         let peers: Vec<Peer> =
@@ -96,15 +106,15 @@
         });
         for peer in peers {
             self.receivers.entry(peer.clone()).or_insert_with(|| {
-                let (member, term, latest) =
-                    (self.member.clone(), self.term.clone(), self.latest.subscribe());
-                tokio::task::spawn_local(publish_to(member, peer, term, latest))
+                let publishing =
+                    publish_to(self.member.clone(), peer, self.term.clone(), self.latest.subscribe());
+                tokio::task::spawn_local(publishing)
             });
         }
         self.latest.borrow().sequence
     }
 
-    /// Stops sending to those that are no members any more. `peers` is sorted.
+    /// Stops sending to receivers that are no longer members. `peers` is sorted.
     fn stop_receivers_not_in(&mut self, peers: &[Peer]) {
         self.receivers.retain(|peer, task| {
             let wanted = peers.binary_search(peer).is_ok() && !task.is_finished();
@@ -122,7 +132,7 @@
     }
 }
 
-/// Sends to one receiver, on one connection after the other, for as long as the publisher lasts.
+/// Sends to one receiver until the publisher is dropped, and reconnects when a connection fails.
 async fn publish_to(
     member: Member,
     peer: Peer,
@@ -133,18 +143,18 @@
     latest.mark_changed();
     loop {
         if let Err(error) = publish_over_connection(&member, address, &term, &mut latest).await {
-            tracing::debug!(to = peer.name, %error, "a receiver is not reached");
+            tracing::debug!(to = peer.name, %error, "receiver unreachable");
         }
         if latest.has_changed().is_err() {
             return;
         }
         sleep(RECONNECT_DELAY).await;
-        // What was sent last may not have arrived.
+        // The last effect may not have been delivered.
         latest.mark_changed();
     }
 }
 
-/// Sends to one receiver until the connection fails or the publisher ends.
+/// Sends to one receiver until the connection fails or the publisher is dropped.
 async fn publish_over_connection(
     member: &Member,
     address: SocketAddr,
@@ -153,32 +163,53 @@
 ) -> Result<(), ConnectionError> {
     let (mut connection, _) =
         Connection::connect(address, member.config().local_address, &client_hello(member)).await?;
-    let checks_once = member.lease_client().borrow().injected_bug() == Some(InjectedBug::SkipExpiryCheck);
-    let mut checked = false;
+    let mut lease_check = LeaseCheck::new(member);
     while latest.changed().await.is_ok() {
         let PublishedEffect { sequence, body } = latest.borrow_and_update().clone();
         let effect = Effect { lease: term.lease.clone(), token: term.token, sequence, body: body.to_vec() };
         let encoded = encode(&effect)?;
-        // The look at the clock is the last thing before the write.
+        // The lease is checked last before the write: time that passes in between is not covered.
         let now = clock::now();
-        let skips_check = checks_once && checked;
-        if !skips_check && !member.lease_client().borrow().holds_lease(&term.lease, term.token, now) {
+        if !lease_check.permits(member, term, now) {
             continue;
         }
-        checked = true;
-        let record = serde_json::json!({"duty": term.lease.to_string(), "token": term.token.0});
-        member.recorder().record(now, "acted", record);
+        let record = SentEffectRecord { lease: term.lease.to_string(), token: term.token.0 };
+        member.recorder().record(now, RecordKind::EffectSent, record);
         connection.send_encoded(encoded).await?;
         match timeout(RESPONSE_TIMEOUT, connection.receive::<EffectResponse>()).await?? {
             EffectResponse::Accepted(response) => (term.on_response)(&response),
             EffectResponse::Rejected(rejection) => {
-                tracing::warn!(lease = %term.lease, token = term.token.0, %rejection, "an effect of this process was rejected");
+                tracing::warn!(lease = %term.lease, token = term.token.0, %rejection, "effect rejected by receiver");
             }
         }
     }
     Ok(())
 }
 
+/// Check of the lease before each effect on one connection.
+struct LeaseCheck {
+    /// Set by [`InjectedBug::SkipExpiryCheck`].
+    skip_after_first: bool,
+    passed: bool,
+}
+
+impl LeaseCheck {
+    fn new(member: &Member) -> LeaseCheck {
+        let injected_bug = member.lease_client().borrow().injected_bug();
+        LeaseCheck { skip_after_first: injected_bug == Some(InjectedBug::SkipExpiryCheck), passed: false }
+    }
+
+    /// Returns whether an effect of the term may be sent at this reading of the clock.
+    fn permits(&mut self, member: &Member, term: &Term, now: Micros) -> bool {
+        if self.skip_after_first && self.passed {
+            return true;
+        }
+        let holds_lease = member.lease_client().borrow().holds_lease(&term.lease, term.token, now);
+        self.passed |= holds_lease;
+        holds_lease
+    }
+}
+
 fn client_hello(member: &Member) -> ClientHello {
     let config = member.config();
     let incarnation = member.lease_client().borrow().last_session().map_or(0, |session| session.incarnation);
--- a/crates/dispatcher/src/net/cluster/recorded_event.rs
+++ b/crates/dispatcher/src/net/cluster/recorded_event.rs
@@ -1,6 +1,6 @@
-//! Events in the record file, in the words that its checkers read.
+//! Events in the record file, with the keys that its checkers read.
 
-use cluster_member::record::Recorder;
+use cluster_member::record::{RecordKind, Recorder};
 use coordination::{FencingToken, LeaseId, Micros};
 use serde::Serialize;
 
@@ -55,14 +55,16 @@
         RecordedEvent::ObservationSent { lease: lease.to_string(), token: token.0 }
     }
 
-    fn kind(&self) -> &'static str {
+    fn kind(&self) -> RecordKind {
         match self {
-            RecordedEvent::ProcessStarted {} => "started",
-            RecordedEvent::HealthCheckSent { .. } | RecordedEvent::ObservationSent { .. } => "acted",
-            RecordedEvent::VerdictChanged { .. } => "against",
-            RecordedEvent::QuotaGranted { .. } => "granted",
-            RecordedEvent::StandbyEntered { .. } => "standby",
-            RecordedEvent::StandbyLeft { .. } => "active",
+            RecordedEvent::ProcessStarted {} => RecordKind::ProcessStarted,
+            RecordedEvent::HealthCheckSent { .. } | RecordedEvent::ObservationSent { .. } => {
+                RecordKind::EffectSent
+            }
+            RecordedEvent::VerdictChanged { .. } => RecordKind::VerdictApplied,
+            RecordedEvent::QuotaGranted { .. } => RecordKind::QuotaGranted,
+            RecordedEvent::StandbyEntered { .. } => RecordKind::StandbyEntered,
+            RecordedEvent::StandbyLeft { .. } => RecordKind::StandbyLeft,
         }
     }
 
--- a/crates/disruption-budget/src/availability_observer.rs
+++ b/crates/disruption-budget/src/availability_observer.rs
@@ -1,4 +1,4 @@
-//! The availability of dispatchers, from their readiness reports and their silence.
+//! Availability of dispatchers, derived from readiness reports and their absence.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,43 +6,54 @@
 
 use crate::{Availability, DisruptionState, Micros, StatusChanges, Target, TargetKind, TargetStatus};
 
-/// The name of the observer's lease, as settings and records have it.
+/// Name of the availability observer's lease in settings and records.
 pub const OBSERVER_LEASE: &str = "account";
 
-/// An observer waits for so many lifetimes of a report in its term before it calls a dispatcher unavailable.
+/// Report lifetimes that a new term waits before a dispatcher without a report counts as unavailable.
 const TERM_GRACE_REPORT_LIFETIMES: Micros = 2;
 
-/// What a dispatcher says of itself when an observer polls it. The order of fields is the format on the wire.
+/// Answer of a dispatcher to an observer's poll. The order of fields is the wire format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadinessReport {
-    /// Its name.
+    /// Name of the dispatcher.
     pub name: String,
-    /// Its zone.
+    /// Zone of the dispatcher.
     pub zone: String,
-    /// Its incarnation: higher with each start and each return from standby.
+    /// Incarnation, raised with each start and each return from standby.
     pub incarnation: u64,
-    /// Whether it is ready and invites work.
+    /// Whether the dispatcher is ready and accepts work.
     pub ready: bool,
 }
 
 impl ReadinessReport {
-    /// The bytes of an answer to a poll.
+    /// Encodes the report as the body of an answer to a poll.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads an answer to a poll; none where the bytes are no report.
+    /// Decodes an answer to a poll; `None` if the bytes are not a report.
     pub fn decode(bytes: &[u8]) -> Option<ReadinessReport> {
         postcard::from_bytes(bytes).ok()
     }
+
+    /// Returns the status of the dispatcher that sent the report.
+    fn status(&self) -> TargetStatus {
+        TargetStatus {
+            target: Target::dispatcher(&self.name),
+            zone: self.zone.clone(),
+            pool: String::new(),
+            availability: if self.ready { Availability::Available } else { Availability::Unavailable },
+            incarnation: self.incarnation,
+        }
+    }
 }
 
-/// A dispatcher in the list of members.
+/// A dispatcher in the list of cluster members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetMember<'a> {
-    /// Its name.
+    /// Name of the dispatcher.
     pub name: &'a str,
-    /// Its zone.
+    /// Zone of the dispatcher.
     pub zone: &'a str,
 }
 
@@ -52,20 +63,20 @@
     report: ReadinessReport,
 }
 
-/// The reports that the holder of the observer's lease received in one term.
+/// Readiness reports that the holder of the observer's lease received in one term.
 #[derive(Debug, Clone)]
 pub struct AvailabilityObserver {
     report_lifetime: Micros,
     term_started: Micros,
     reports: BTreeMap<String, ReceivedReport>,
-    /// The dispatchers that the state had at the last look.
+    /// Dispatchers that the state had at the last call of [`Self::status_changes`].
     registered: BTreeSet<String>,
-    /// Dispatchers that were deregistered in this term and have not reported since, for as long as they are listed.
+    /// Listed dispatchers that were deregistered in this term and have not reported since.
     deregistered: BTreeSet<String>,
 }
 
 impl AvailabilityObserver {
-    /// Starts a term. A report is valid for `report_lifetime`.
+    /// Starts a term in which a report is valid for `report_lifetime`.
     pub fn new(report_lifetime: Micros, now: Micros) -> AvailabilityObserver {
         AvailabilityObserver {
             report_lifetime,
@@ -76,79 +87,77 @@
         }
     }
 
-    /// Takes a dispatcher's report.
+    /// Records a dispatcher's report.
     pub fn record_report(&mut self, report: ReadinessReport, now: Micros) {
         self.deregistered.remove(&report.name);
         self.reports.insert(report.name.clone(), ReceivedReport { received_at: now, report });
     }
 
-    /// The dispatchers whose status differs from the state: of those in the list of members and those that the state
-    /// knows, of which none is ever removed. None before each had time to report in this term.
+    /// Compares the listed and the registered dispatchers with the state. Returns `None` until every dispatcher had time
+    /// to report in this term. No dispatcher is ever removed.
     ///
-    /// A dispatcher that was deregistered stays unknown until it reports again or is listed anew. The list of members is
-    /// older than the state (it comes with a session's renewal) and has a lost dispatcher for as long as its session
-    /// lasts: by the list alone a deregistration would be undone at the next look.
+    /// A deregistered dispatcher is ignored until it reports again or is listed anew. The list of members arrives with
+    /// a session's renewal, so it may be older than the state and contains a lost dispatcher until its session ends:
+    /// without this rule the next observation would undo the deregistration.
     pub fn status_changes(
         &mut self,
         now: Micros,
         members: &[FleetMember<'_>],
         state: &DisruptionState,
     ) -> Option<StatusChanges> {
-        let known: BTreeMap<String, TargetStatus> = state
-            .targets()
-            .filter(|status| status.target.kind == TargetKind::Dispatcher)
-            .map(|status| (status.target.name.clone(), status))
-            .collect();
-        self.track_deregistered(members, &known);
+        let registered = state.targets_by_name(TargetKind::Dispatcher);
+        self.track_deregistered(members, &registered);
         if now.saturating_sub(self.term_started) < TERM_GRACE_REPORT_LIFETIMES * self.report_lifetime {
             return None;
         }
-        let listed = members.iter().map(|member| member.name);
-        let listed = listed.filter(|name| !self.deregistered.contains(*name));
-        let names: BTreeSet<&str> = listed.chain(known.keys().map(String::as_str)).collect();
+        let member_names = members.iter().map(|member| member.name);
+        let active_names = member_names.filter(|name| !self.deregistered.contains(*name));
+        let names: BTreeSet<&str> = active_names.chain(registered.keys().map(String::as_str)).collect();
         let statuses = names.into_iter().map(|name| {
-            let zone = members.iter().find(|member| member.name == name).map(|member| member.zone);
-            self.status(now, name, zone, known.get(name))
+            let member = members.iter().find(|member| member.name == name);
+            self.status(now, name, member, registered.get(name))
         });
-        let changed = statuses.filter(|status| known.get(&status.target.name) != Some(status)).collect();
+        let changed = statuses.filter(|status| registered.get(&status.target.name) != Some(status)).collect();
         Some(StatusChanges { changed, removed: Vec::new() })
     }
 
-    /// Remembers the dispatchers that the state had at the last look and has no more; what they reported before is void.
-    fn track_deregistered(&mut self, members: &[FleetMember<'_>], known: &BTreeMap<String, TargetStatus>) {
+    /// Records dispatchers that were removed from the state since the last call, and discards their reports.
+    fn track_deregistered(
+        &mut self,
+        members: &[FleetMember<'_>],
+        registered: &BTreeMap<String, TargetStatus>,
+    ) {
         for name in std::mem::take(&mut self.registered) {
-            if !known.contains_key(&name) {
+            if !registered.contains_key(&name) {
                 self.reports.remove(&name);
                 self.deregistered.insert(name);
             }
         }
-        let is_listed = |name: &String| members.iter().any(|member| member.name == name);
-        self.deregistered.retain(|name| is_listed(name) && !known.contains_key(name));
-        self.registered = known.keys().cloned().collect();
+        let is_member = |name: &String| members.iter().any(|member| member.name == name);
+        self.deregistered.retain(|name| is_member(name) && !registered.contains_key(name));
+        self.registered = registered.keys().cloned().collect();
     }
 
-    /// A dispatcher's status, by a valid report or its silence.
+    /// Returns a dispatcher's status: by its report, or unavailable without a valid one.
     fn status(
         &self,
         now: Micros,
         name: &str,
-        listed_zone: Option<&str>,
-        known: Option<&TargetStatus>,
+        member: Option<&FleetMember<'_>>,
+        registered: Option<&TargetStatus>,
     ) -> TargetStatus {
-        let (availability, zone, incarnation) = match self.valid_report(now, name) {
-            Some(report) => {
-                let availability =
-                    if report.ready { Availability::Available } else { Availability::Unavailable };
-                (availability, report.zone.clone(), report.incarnation)
-            }
-            None => {
-                let known_zone = known.map(|status| status.zone.clone());
-                let zone = listed_zone.map(str::to_owned).or(known_zone).unwrap_or_default();
-                (Availability::Unavailable, zone, known.map_or(0, |status| status.incarnation))
-            }
-        };
-        let target = Target { kind: TargetKind::Dispatcher, name: name.to_owned() };
-        TargetStatus { target, zone, pool: String::new(), availability, incarnation }
+        if let Some(report) = self.valid_report(now, name) {
+            return report.status();
+        }
+        let member_zone = member.map(|member| member.zone);
+        let registered_zone = registered.map(|status| status.zone.as_str());
+        TargetStatus {
+            target: Target::dispatcher(name),
+            zone: member_zone.or(registered_zone).unwrap_or_default().to_owned(),
+            pool: String::new(),
+            availability: Availability::Unavailable,
+            incarnation: registered.map_or(0, |status| status.incarnation),
+        }
     }
 
     fn valid_report(&self, now: Micros, name: &str) -> Option<&ReadinessReport> {
--- a/crates/emulator/src/cluster/lease_harness/recovery.rs
+++ b/crates/emulator/src/cluster/lease_harness/recovery.rs
@@ -7,6 +7,7 @@
 use tokio::time::{sleep_until, Instant};
 
 use super::LeaseHarness;
+use crate::cluster::error::ClusterError;
 use crate::cluster::fault_proxy::{LinkFault, NodeId};
 
 /// What ends a fault.
@@ -27,7 +28,7 @@
 
 impl LeaseHarness<'_> {
     /// Waits, and ends faults whose time is over meanwhile.
-    pub(super) async fn recover_until(&mut self, until: Instant) -> Result<(), String> {
+    pub(super) async fn recover_until(&mut self, until: Instant) -> Result<(), ClusterError> {
         loop {
             let next = self.recoveries.iter().map(|(at, _)| *at).min().filter(|at| *at <= until);
             let Some(next) = next else { break };
@@ -40,7 +41,7 @@
         Ok(())
     }
 
-    pub(super) async fn recover(&mut self, recovery: Recovery) -> Result<(), String> {
+    pub(super) async fn recover(&mut self, recovery: Recovery) -> Result<(), ClusterError> {
         match recovery {
             Recovery::Start(node) => {
                 if self.processes[node]
--- a/crates/emulator/src/cluster/lightweight_member.rs
+++ b/crates/emulator/src/cluster/lightweight_member.rs
@@ -7,13 +7,15 @@
 
 use cluster_member::effects::{serve_effects, Publisher};
 use cluster_member::member::{self, Member, MembershipEnd};
-use cluster_member::record::Recorder;
-use coordination::{InjectedBug, LeaseClient, LeaseId, Timing};
+use cluster_member::record::{RecordKind, Recorder};
+use coordination::{HeldLease, InjectedBug, LeaseClient, LeaseId, Timing};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::sleep;
 
+use super::error::ClusterError;
+
 /// How often an holder has something to say, and in how many pieces with how much time between them.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
 const EFFECTS_PER_ROUND: u32 = 5;
@@ -53,27 +55,26 @@
 ///
 /// # Errors
 /// It cannot start.
-pub fn run(file: &Path) -> Result<(), String> {
-    let text = std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
+pub fn run(file: &Path) -> Result<(), ClusterError> {
+    let text = std::fs::read_to_string(file).map_err(ClusterError::io(file.display()))?;
     let light: MemberConfig =
-        serde_json::from_str(&text).map_err(|error| format!("{}: {error}", file.display()))?;
+        serde_json::from_str(&text).map_err(|source| ClusterError::Json { path: file.to_owned(), source })?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|error| error.to_string())?;
+    let runtime = runtime.map_err(ClusterError::io("a runtime"))?;
     tokio::task::LocalSet::new().block_on(&runtime, run_member(light))
 }
 
-async fn run_member(light: MemberConfig) -> Result<(), String> {
+async fn run_member(light: MemberConfig) -> Result<(), ClusterError> {
     let bug = light.injected_bug.as_deref();
     let flaw: Option<InjectedBug> =
         bug.and_then(|name| InjectedBug::names().iter().find(|(known, _)| *known == name)).map(|(_, f)| *f);
     let record = match &light.record {
-        Some(path) => Recorder::append_to(path).map_err(|error| format!("{}: {error}", path.display()))?,
+        Some(path) => Recorder::append_to(path).map_err(ClusterError::io(path.display()))?,
         None => Recorder::default(),
     };
-    let offers: Result<Vec<LeaseId>, String> =
-        light.leases.iter().map(|duty| duty.parse::<LeaseId>().map_err(|error| error.to_string())).collect();
-    let listener =
-        TcpListener::bind(light.listen).await.map_err(|error| format!("{}: {error}", light.listen))?;
+    let offers: Result<Vec<LeaseId>, ClusterError> =
+        light.leases.iter().map(|lease| Ok(lease.parse::<LeaseId>()?)).collect();
+    let listener = TcpListener::bind(light.listen).await.map_err(ClusterError::io(light.listen))?;
     let settings = member::MemberConfig {
         installation: light.installation,
         name: light.name,
@@ -86,10 +87,10 @@
         seed: light.seed,
     };
     let member = Member::new(settings, LeaseClient::new(light.times).with_injected_bug(flaw), record);
-    member.recorder().record(cluster_member::clock::now(), "started", serde_json::json!({}));
+    member.recorder().record(cluster_member::clock::now(), RecordKind::ProcessStarted, serde_json::json!({}));
     tokio::task::spawn_local(serve_effects(member.clone(), listener, |_| Vec::new()));
     tokio::task::spawn_local(publish_effects(member.clone()));
-    let mut terminate = signal(SignalKind::terminate()).map_err(|error| error.to_string())?;
+    let mut terminate = signal(SignalKind::terminate()).map_err(ClusterError::io("handler of SIGTERM"))?;
     let leaver = member.clone();
     tokio::task::spawn_local(async move {
         terminate.recv().await;
@@ -110,9 +111,9 @@
     let mut terms: BTreeMap<LeaseId, Publisher> = BTreeMap::new();
     loop {
         let owned = member.held_leases();
-        terms.retain(|duty, term| owned.iter().any(|(owned, token)| owned == duty && *token == term.token()));
-        for (duty, token) in owned {
-            terms.entry(duty.clone()).or_insert_with(|| Publisher::new(&member, duty, token));
+        terms.retain(|duty, term| owned.iter().any(|held| held.lease == *duty && held.token == term.token()));
+        for HeldLease { lease, token } in owned {
+            terms.entry(lease.clone()).or_insert_with(|| Publisher::new(&member, lease, token));
         }
         for _ in 0..EFFECTS_PER_ROUND {
             terms.values_mut().for_each(|term| {
--- a/crates/emulator/src/cluster/results.rs
+++ b/crates/emulator/src/cluster/results.rs
@@ -9,8 +9,10 @@
 use rayon::prelude::*;
 use serde::Serialize;
 
+use super::error::ClusterError;
 use super::lease_harness::{play, Programs, ScheduleResult};
 use super::schedule::{Arm, ClusterExperiment};
+use super::violations::Rule;
 
 /// Seconds at half, 99 of 100, and the longest.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
@@ -134,17 +136,20 @@
     bug: Option<&str>,
     lanes: usize,
     bar: &ProgressBar,
-) -> Result<Results, String> {
+) -> Result<Results, ClusterError> {
     let all: Vec<(&Arm, u64)> =
         plan.arms.iter().flat_map(|arm| seeds.iter().map(move |seed| (arm, *seed))).collect();
-    let pool =
-        rayon::ThreadPoolBuilder::new().num_threads(lanes).build().map_err(|error| error.to_string())?;
+    let pool = rayon::ThreadPoolBuilder::new().num_threads(lanes).build()?;
     let said = Mutex::new(());
-    let played: Result<Vec<(&Arm, ScheduleResult)>, String> = pool.install(|| {
+    let played: Result<Vec<(&Arm, ScheduleResult)>, ClusterError> = pool.install(|| {
         let one = |(arm, seed): &(&'_ Arm, u64)| {
             let played = play(plan, arm, *seed, programs, out, bug);
             bar.inc(1);
-            let played = played.map_err(|error| format!("{} seed {seed}: {error}", arm.name))?;
+            let played = played.map_err(|source| ClusterError::Schedule {
+                arm: arm.name.clone(),
+                seed: *seed,
+                source: Box::new(source),
+            })?;
             if !played.violations.is_empty() {
                 let _one = said.lock();
                 bar.suspend(|| report(plan, arm, &played, bug));
@@ -167,8 +172,8 @@
         }
         *result.faults.entry("connections reset").or_default() += played.resets;
         *result.faults.entry("connections doubled").or_default() += played.duplicates;
-        for (rule, texts) in &played.violations {
-            *result.rules.entry((*rule).to_owned()).or_default() += texts.len() as u64;
+        for (rule, texts) in played.violations.iter() {
+            *result.rules.entry(rule.text().to_owned()).or_default() += texts.len() as u64;
         }
         if !played.violations.is_empty() {
             result.broken.push(played.seed);
@@ -188,9 +193,15 @@
 }
 
 fn report(plan: &ClusterExperiment, arm: &Arm, played: &ScheduleResult, bug: Option<&str>) {
-    for (rule, texts) in &played.violations {
+    for (rule, texts) in played.violations.iter() {
         let first = texts.first().map_or("", String::as_str);
-        eprintln!("{} seed {}: {rule}: {} times, first: {first}", arm.name, played.seed, texts.len());
+        eprintln!(
+            "{} seed {}: {}: {} times, first: {first}",
+            arm.name,
+            played.seed,
+            rule.text(),
+            texts.len()
+        );
     }
     let bug = bug.map_or(String::new(), |bug| format!(" --seeded-bug {bug}"));
     eprintln!(
--- a/crates/emulator/src/cluster/slow_start.rs
+++ b/crates/emulator/src/cluster/slow_start.rs
@@ -24,6 +24,7 @@
 use super::cluster_harness::{read_records, run_in_folder, Binaries, ClusterHarness, ClusterSpec};
 use super::dispatch_latency::submit_job;
 use super::emulated_discovery::EmulatedDiscovery;
+use super::error::ClusterError;
 use super::record_checker::{self, Records};
 use super::worker_model::{WorkerModel, INITIAL_CAPACITY, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, WARM_UP};
 use crate::sockets::http::{self, chunk, CHUNKED, LAST_CHUNK};
@@ -99,17 +100,16 @@
 ///
 /// # Errors
 /// Something could not be set up.
-pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<DayResult, String> {
+pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<DayResult, ClusterError> {
     run_in_folder(dir, run_day(dir, binaries.clone(), plan))
 }
 
-async fn run_day(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<DayResult, String> {
-    let io = |error: std::io::Error| error.to_string();
+async fn run_day(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<DayResult, ClusterError> {
     let discovery = EmulatedDiscovery::new(0);
     let (stay, replaced) = plan.workers;
     for n in 0..stay + replaced {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io)?;
-        discovery.add(n, listener.local_addr().map_err(io)?);
+        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("a listener"))?;
+        discovery.add(n, listener.local_addr().map_err(ClusterError::io("a listener"))?);
         spawn_local(serve_worker(WorkerModel::new((SLOTS, RUN_TIME), false, plan.seed ^ n as u64), listener));
     }
     let block = format!("cold {{\nslots = {SLOTS}\n}}\n");
@@ -137,8 +137,8 @@
     let mut cold = Vec::new();
     for n in 0..replaced {
         let worker = WorkerModel::new((SLOTS, RUN_TIME), true, plan.seed ^ (100 + n as u64));
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(io)?;
-        discovery.add_cold("north", 100 + n, listener.local_addr().map_err(io)?);
+        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("a listener"))?;
+        discovery.add_cold("north", 100 + n, listener.local_addr().map_err(ClusterError::io("a listener"))?);
         spawn_local(serve_worker(worker.clone(), listener));
         cold.push(worker);
         // The old one goes as its successor comes.
@@ -193,10 +193,7 @@
     jobs.iter().for_each(|job| *joined.answers.entry(job.2).or_default() += 1);
     let granted = records.members.values().flatten().filter(|line| line.kind == "granted");
     joined.granted_work = granted.filter_map(|line| line.fields.get("work")?.as_f64()).sum();
-    let broken = record_checker::check(records).into_iter();
-    joined.violations = broken
-        .flat_map(|(rule, texts)| texts.into_iter().map(move |text| format!("{rule}: {text}")))
-        .collect();
+    joined.violations = record_checker::check(records).descriptions().collect();
     joined
 }
 
