--- a/crates/dispatcher/src/net/console.rs
+++ b/crates/dispatcher/src/net/console.rs
@@ -18,7 +18,7 @@
 use super::http::{Head, Start};
 use super::metrics::Metrics;
 use super::mode::Mode;
-use super::planned_drain::{DrainRejected, PlannedDrain};
+use super::planned_drain::PlannedDrain;
 use super::read_more;
 
 /// A call must have come whole within this from connecting on; a caller waits 1 s for its answer.
@@ -104,9 +104,10 @@
     let force = target.split(|b| matches!(b, b'?' | b'&')).skip(1).any(|pair| pair == b"force=1");
     match leave.enter_standby("an operator's standby", force).await {
         Ok(()) => response(200, "text/plain", b"standby\n"),
-        Err(DrainRejected { reason: why, retry_after_s: after_s }) => {
-            let text = format!("not now: {why}\n");
-            with_headers(503, "text/plain", &format!("Retry-After: {after_s}\r\n"), text.as_bytes())
+        Err(rejection) => {
+            let text = format!("not now: {rejection}\n");
+            let retry_after = format!("Retry-After: {}\r\n", rejection.retry_after_s());
+            with_headers(503, "text/plain", &retry_after, text.as_bytes())
         }
     }
 }
