--- a/crates/emulator/src/cluster/fault_injection.rs
+++ b/crates/emulator/src/cluster/fault_injection.rs
@@ -1,5 +1,5 @@
-//! Faults at the processes of a [`ClusterHarness`] and at the links between them, each begun and ended in two steps, so
-//! that an experiment decides what happens in between.
+//! Faults at the processes of a [`ClusterHarness`] and at the links between them. Begin and end are separate steps, so that an
+//! experiment decides what happens in between.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 
 use super::cluster_harness::{member_node, ClusterHarness};
 use super::error::ClusterError;
-use super::fault_proxy::{LinkFault, NodeId};
+use super::fault_proxy::{Direction, LinkFault, NodeId};
 
 /// Delay of every link each way under [`LinkFaultKind::SlowNetwork`].
 const SLOW_NETWORK_DELAY: Duration = Duration::from_millis(50);
 /// Part of new connections that are reset under [`LinkFaultKind::SlowNetwork`].
 const SLOW_NETWORK_RESETS: f64 = 0.05;
-/// Delay of what coordinators answer under [`LinkFaultKind::DelayedReplies`].
+/// Delay of the coordinators' responses under [`LinkFaultKind::DelayedReplies`].
 const REPLY_DELAY: Duration = Duration::from_millis(300);
 
 /// A fault at the processes or the links of a cluster. Dispatchers count from 0, coordinators from 1.
@@ -38,9 +38,9 @@
 /// A fault of the links between coordinators and members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkFaultKind {
-    /// A dispatcher reaches no coordinator and is not reached by any.
+    /// A dispatcher and the coordinators do not reach each other.
     PartitionFromCoordinators(usize),
-    /// A dispatcher reaches the coordinators and hears nothing of them.
+    /// A dispatcher reaches the coordinators and receives nothing from them.
     HearsNoCoordinator(usize),
     /// A dispatcher and the other members do not reach each other.
     PartitionFromMembers(usize),
@@ -48,7 +48,7 @@
     PartitionCoordinator(usize),
     /// Every link is slower, and some new connections are reset.
     SlowNetwork,
-    /// What coordinators say to a dispatcher is late.
+    /// Messages of the coordinators to a dispatcher are delayed.
     DelayedReplies(usize),
 }
 
@@ -64,7 +64,8 @@
     /// Begins the fault.
     ///
     /// # Errors
-    /// The process that it is for does not run.
+    /// Returns [`ClusterError::NotRunning`] if its process does not run, [`ClusterError::NoLeader`] if it is for a leader and
+    /// there is none.
     pub fn begin(self, cluster: &mut ClusterHarness) -> Result<ActiveFault, ClusterError> {
         let mut leader = None;
         match self {
@@ -95,7 +96,7 @@
 }
 
 impl ActiveFault {
-    /// The coordinator that led when the fault began, where the fault is for the leader.
+    /// Returns the coordinator that led when the fault began, if the fault is for the leader.
     #[must_use]
     pub fn leader(&self) -> Option<usize> {
         self.leader
@@ -104,7 +105,7 @@
     /// Ends the fault.
     ///
     /// # Errors
-    /// A process cannot be started again, or does not run any more.
+    /// Returns a [`ClusterError`] if a process cannot be started again, or is to be continued and does not run.
     pub fn end(self, cluster: &mut ClusterHarness) -> Result<(), ClusterError> {
         match (self.fault, self.leader) {
             (ClusterFault::KillDispatcher(dispatcher), _) => cluster.start_dispatcher(dispatcher),
@@ -122,7 +123,9 @@
                 (1..=cluster.coordinator_count()).try_for_each(|number| cluster.start_coordinator(number))
             }
             (ClusterFault::Links(_), _) => {
-                cluster.network.iter().for_each(|network| network.borrow_mut().clear_faults());
+                if let Some(network) = &cluster.network {
+                    network.borrow_mut().clear_faults();
+                }
                 Ok(())
             }
         }
@@ -130,22 +133,25 @@
 }
 
 impl LinkFaultKind {
-    /// Begins the fault, where the links pass proxies.
+    /// Begins the fault if the links pass proxies.
     fn apply(self, cluster: &ClusterHarness) {
         let Some(network) = &cluster.network else { return };
         let mut network = network.borrow_mut();
         let coordinators = cluster.coordinator_count();
         let members = (0..cluster.dispatcher_count()).map(member_node);
         let nodes: Vec<NodeId> = (1..=coordinators).chain(members).collect();
-        for (from, to) in nodes.iter().flat_map(|from| nodes.iter().map(move |to| (*from, *to))) {
-            if self.affects(from, to, coordinators) {
-                network.update_link(from, to, |link| self.break_link(link));
+        let directions =
+            nodes.iter().flat_map(|from| nodes.iter().map(move |to| Direction { from: *from, to: *to }));
+        for direction in directions {
+            if self.affects(direction, coordinators) {
+                network.update_link(direction, |link| self.break_link(link));
             }
         }
     }
 
-    /// Whether the direction from one node to another is broken; nodes up to `coordinators` are coordinators.
-    fn affects(self, from: NodeId, to: NodeId, coordinators: usize) -> bool {
+    /// Whether the fault affects a direction; nodes up to `coordinators` are coordinators.
+    fn affects(self, direction: Direction, coordinators: usize) -> bool {
+        let Direction { from, to } = direction;
         let coordinator = |node: NodeId| node <= coordinators;
         let of_member = |member: usize| from == member_node(member) || to == member_node(member);
         match self {
--- a/crates/emulator/src/cluster/fault_proxy.rs
+++ b/crates/emulator/src/cluster/fault_proxy.rs
@@ -1,7 +1,7 @@
-//! A proxy between processes that breaks what passes: delay, stall and cut by direction, reset in the middle of a
-//! frame, a second connection that says the same again, a narrow line.
+//! A proxy between processes that injects faults by direction: delay, partition, a reset in the middle of a frame, a second
+//! connection with the same bytes, a narrow bandwidth.
 //!
-//! Who connects is known by the address that it comes from, since each process of a harness has one of its own.
+//! The process that connects is known by its source address, since each process of a harness has one of its own.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,28 +18,43 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// What is wrong with one direction between two processes.
+/// Faults of one direction between two processes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LinkFault {
-    /// Nothing passes; what was sent waits.
+    /// Whether nothing passes; bytes that were sent wait.
     pub partitioned: bool,
-    /// Everything is later by this.
+    /// Additional delay of all bytes.
     pub delay: Duration,
-    /// Bytes a second, or 0 for as many as there are.
+    /// Bandwidth in bytes a second, or 0 without a limit.
     pub bytes_per_second: u64,
-    /// The part of new connections that are reset after a few bytes, in the middle of a frame.
+    /// Part of new connections that are reset after a few bytes, in the middle of a frame.
     pub reset_probability: f64,
-    /// The part of new connections whose bytes arrive a second time on a connection of their own.
+    /// Part of new connections whose bytes arrive a second time on a connection of their own.
     pub duplicate_probability: f64,
 }
 
-/// Who a process is to the proxies of a harness.
+/// Identifies a process to the proxies of a harness.
 pub type NodeId = usize;
 
-/// The directions that are in fault.
+/// A direction between two processes.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Direction {
+    /// The sender.
+    pub from: NodeId,
+    /// The receiver.
+    pub to: NodeId,
+}
+
+impl Direction {
+    fn reversed(self) -> Direction {
+        Direction { from: self.to, to: self.from }
+    }
+}
+
+/// Links between the processes of a harness, with their faults.
 #[derive(Debug)]
 pub struct FaultyNetwork {
-    link_faults: BTreeMap<(NodeId, NodeId), LinkFault>,
+    link_faults: BTreeMap<Direction, LinkFault>,
     nodes: BTreeMap<IpAddr, NodeId>,
     random: Pcg64,
     /// Connections that were reset.
@@ -50,16 +65,16 @@
     pub bytes: u64,
 }
 
-/// All proxies of a harness share it.
+/// A network that all proxies of a harness share.
 pub type SharedNetwork = Rc<RefCell<FaultyNetwork>>;
 
 impl FaultyNetwork {
-    /// A net without faults, where connections from these addresses are known.
-    pub fn new(names: BTreeMap<IpAddr, NodeId>, seed: u64) -> SharedNetwork {
+    /// Returns a network without faults, whose processes connect from these addresses.
+    pub fn new(nodes: BTreeMap<IpAddr, NodeId>, seed: u64) -> SharedNetwork {
         let random = Pcg64::seed_from_u64(seed);
         Rc::new(RefCell::new(FaultyNetwork {
             link_faults: BTreeMap::new(),
-            nodes: names,
+            nodes,
             random,
             resets: 0,
             duplicates: 0,
@@ -67,12 +82,12 @@
         }))
     }
 
-    /// Changes one direction.
-    pub fn update_link(&mut self, from: NodeId, to: NodeId, change: impl FnOnce(&mut LinkFault)) {
-        change(self.link_faults.entry((from, to)).or_default());
+    /// Changes the faults of one direction.
+    pub fn update_link(&mut self, direction: Direction, change: impl FnOnce(&mut LinkFault)) {
+        change(self.link_faults.entry(direction).or_default());
     }
 
-    /// Ends all faults but cuts.
+    /// Ends all faults but partitions.
     pub fn clear_all_but_partitions(&mut self) {
         for link in self.link_faults.values_mut() {
             *link = LinkFault { partitioned: link.partitioned, ..LinkFault::default() };
@@ -84,121 +99,174 @@
         self.link_faults.clear();
     }
 
-    fn link(&self, from: NodeId, to: NodeId) -> LinkFault {
-        self.link_faults.get(&(from, to)).copied().unwrap_or_default()
+    fn link(&self, direction: Direction) -> LinkFault {
+        self.link_faults.get(&direction).copied().unwrap_or_default()
+    }
+
+    /// Draws the faults of a new connection, and counts them.
+    fn draw_connection_faults(&mut self, direction: Direction) -> ConnectionFaults {
+        let link = self.link(direction);
+        let is_reset = self.random.random_bool(link.reset_probability);
+        let reset_after = is_reset.then(|| self.random.random_range(RESET_AFTER_BYTES));
+        let is_duplicated = self.random.random_bool(link.duplicate_probability);
+        self.resets += u64::from(reset_after.is_some());
+        self.duplicates += u64::from(is_duplicated);
+        ConnectionFaults { reset_after, is_duplicated }
     }
 }
 
-/// Stands before a process for as long as the listener lasts.
-pub async fn run_proxy(network: SharedNetwork, listener: TcpListener, name: NodeId, target: SocketAddr) {
+/// Range of the bytes after which a connection is reset.
+const RESET_AFTER_BYTES: std::ops::Range<usize> = 1..200;
+/// Chunks that wait in one direction of a connection, at most.
+const MAX_QUEUED_CHUNKS: usize = 64;
+/// Longest chunk that is read at once, in bytes.
+const CHUNK_BYTES: usize = 16_384;
+/// Time from one look whether a partition is over to the next.
+const PARTITION_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Pieces a second into which a narrow link cuts its chunks.
+const PIECES_PER_SECOND: u64 = 50;
+
+/// Faults of one connection.
+struct ConnectionFaults {
+    /// Bytes after which the connection is reset.
+    reset_after: Option<usize>,
+    /// Whether its bytes arrive a second time.
+    is_duplicated: bool,
+}
+
+/// Relays connections to a process until the task is aborted.
+pub async fn run_proxy(network: SharedNetwork, listener: TcpListener, node: NodeId, target: SocketAddr) {
     loop {
-        let Ok((stream, from)) = listener.accept().await else {
+        let Ok((stream, source)) = listener.accept().await else {
             sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let from = network.borrow().nodes.get(&from.ip()).copied();
-        // A stranger, such as an operator's tool, passes untouched, as from itself.
-        spawn_local(relay(network.clone(), stream, from.unwrap_or(name), name, target));
+        // Other programs, such as an operator's tool, pass without faults, as if the process connected to itself.
+        let from = network.borrow().nodes.get(&source.ip()).copied().unwrap_or(node);
+        spawn_local(relay(network.clone(), stream, Direction { from, to: node }, target));
     }
 }
 
-async fn relay(network: SharedNetwork, stream: TcpStream, from: NodeId, to: NodeId, target: SocketAddr) {
-    let (reset, double) = {
-        let mut network = network.borrow_mut();
-        let link = network.link(from, to);
-        let reset = network
-            .random
-            .random_bool(link.reset_probability)
-            .then(|| network.random.random_range(1..200usize));
-        let double = network.random.random_bool(link.duplicate_probability);
-        network.resets += u64::from(reset.is_some());
-        network.duplicates += u64::from(double);
-        (reset, double)
-    };
-    let Ok(other) = TcpStream::connect(target).await else { return };
-    let _ = (stream.set_nodelay(true), other.set_nodelay(true));
-    let second = if double { TcpStream::connect(target).await.ok() } else { None };
-    let (near_read, near_write) = stream.into_split();
-    let (far_read, far_write) = other.into_split();
-    let (second_read, second_write) = second.map(TcpStream::into_split).unzip();
-    // What is said back to the doubled bytes is read and dropped, so that it does not block the other end.
-    if let Some(mut read) = second_read {
-        spawn_local(async move {
-            let mut sink = [0; 4_096];
-            while matches!(read.read(&mut sink).await, Ok(n) if n > 0) {}
-        });
+async fn relay(network: SharedNetwork, near: TcpStream, direction: Direction, target: SocketAddr) {
+    let faults = network.borrow_mut().draw_connection_faults(direction);
+    let Ok(far) = TcpStream::connect(target).await else { return };
+    let _ = near.set_nodelay(true);
+    let _ = far.set_nodelay(true);
+    let duplicate = if faults.is_duplicated { TcpStream::connect(target).await.ok() } else { None };
+    let (near_read, near_write) = near.into_split();
+    let (far_read, far_write) = far.into_split();
+    let (duplicate_read, duplicate_write) = duplicate.map(TcpStream::into_split).unzip();
+    if let Some(read) = duplicate_read {
+        spawn_local(discard(read));
     }
-    let there = copy_one_way(network.clone(), (from, to), near_read, far_write, second_write, reset);
-    let back = copy_one_way(network.clone(), (to, from), far_read, near_write, None, None);
+    let sink = Sink { write: far_write, duplicate: duplicate_write, bytes_until_reset: faults.reset_after };
+    let forward = copy_one_way(network.clone(), direction, near_read, sink);
+    let sink = Sink { write: near_write, duplicate: None, bytes_until_reset: None };
+    let back = copy_one_way(network.clone(), direction.reversed(), far_read, sink);
     // Either end closing ends both, as does the reset.
     tokio::select! {
-        () = there => {}
+        () = forward => {}
         () = back => {}
     }
 }
 
-async fn copy_one_way(
-    network: SharedNetwork,
-    (from, to): (NodeId, NodeId),
-    mut read: OwnedReadHalf,
-    mut write: OwnedWriteHalf,
-    mut second: Option<OwnedWriteHalf>,
-    reset: Option<usize>,
-) {
-    let (sender, mut chunks) = mpsc::channel::<(Instant, Vec<u8>)>(64);
-    let delays = network.clone();
-    // It owns the sender: with the end of what is read the writer ends too, and the connection closes.
-    let reader = async move {
-        let mut buffer = vec![0; 16_384];
-        loop {
-            let Ok(n) = read.read(&mut buffer).await else { return };
-            if n == 0 {
-                return;
-            }
-            let due = Instant::now() + delays.borrow().link(from, to).delay;
-            if sender.send((due, buffer[..n].to_vec())).await.is_err() {
-                return;
+/// Reads and drops the responses to duplicated bytes, so that they do not block the other end.
+async fn discard(mut read: OwnedReadHalf) {
+    let mut buffer = [0; 4_096];
+    while matches!(read.read(&mut buffer).await, Ok(count) if count > 0) {}
+}
+
+/// Bytes that arrived, with the time at which they are to be forwarded.
+struct Chunk {
+    due: Instant,
+    bytes: Vec<u8>,
+}
+
+/// The receiving end of one direction of a connection.
+struct Sink {
+    write: OwnedWriteHalf,
+    /// Second connection that gets the same bytes.
+    duplicate: Option<OwnedWriteHalf>,
+    /// Bytes after which the connection is reset.
+    bytes_until_reset: Option<usize>,
+}
+
+impl Sink {
+    /// Counts a chunk towards the reset of the connection. If it is due, forwards the bytes up to it and returns true.
+    async fn reset_is_due(&mut self, bytes: &[u8]) -> bool {
+        let Some(left) = &mut self.bytes_until_reset else { return false };
+        if bytes.len() >= *left {
+            let _ = self.write.write_all(&bytes[..*left]).await;
+            return true;
+        }
+        *left -= bytes.len();
+        false
+    }
+
+    /// Forwards a chunk at a bandwidth in bytes a second, 0 without a limit.
+    async fn forward(&mut self, bytes: &[u8], bytes_per_second: u64) -> std::io::Result<()> {
+        let is_limited = bytes_per_second != 0;
+        let piece_length =
+            if is_limited { (bytes_per_second / PIECES_PER_SECOND).max(1) as usize } else { bytes.len() };
+        for piece in bytes.chunks(piece_length) {
+            self.write.write_all(piece).await?;
+            if is_limited {
+                sleep(Duration::from_millis(1_000 / PIECES_PER_SECOND)).await;
             }
         }
-    };
-    let mut left = reset;
+        if let Some(duplicate) = &mut self.duplicate {
+            let _ = duplicate.write_all(bytes).await;
+        }
+        Ok(())
+    }
+}
+
+async fn copy_one_way(network: SharedNetwork, direction: Direction, read: OwnedReadHalf, mut sink: Sink) {
+    let (sender, mut chunks) = mpsc::channel::<Chunk>(MAX_QUEUED_CHUNKS);
+    let reader = read_chunks(network.clone(), direction, read, sender);
     let writer = async {
-        while let Some((due, mut chunk)) = chunks.recv().await {
-            sleep_until(due).await;
-            while network.borrow().link(from, to).partitioned {
-                sleep(Duration::from_millis(5)).await;
-            }
-            if let Some(left) = &mut left {
-                if chunk.len() >= *left {
-                    chunk.truncate(*left);
-                    let _ = write.write_all(&chunk).await;
-                    return;
-                }
-                *left -= chunk.len();
+        while let Some(chunk) = chunks.recv().await {
+            sleep_until(chunk.due).await;
+            while network.borrow().link(direction).partitioned {
+                sleep(PARTITION_POLL_INTERVAL).await;
             }
-            let rate = network.borrow().link(from, to).bytes_per_second;
-            network.borrow_mut().bytes += chunk.len() as u64;
-            let piece = if rate == 0 { chunk.len() } else { (rate / 50).max(1) as usize };
-            for piece in chunk.chunks(piece) {
-                if write.write_all(piece).await.is_err() {
-                    return;
-                }
-                if rate != 0 {
-                    sleep(Duration::from_millis(20)).await;
-                }
+            if sink.reset_is_due(&chunk.bytes).await {
+                return;
             }
-            if let Some(second) = &mut second {
-                let _ = second.write_all(&chunk).await;
+            let bytes_per_second = network.borrow().link(direction).bytes_per_second;
+            network.borrow_mut().bytes += chunk.bytes.len() as u64;
+            if sink.forward(&chunk.bytes, bytes_per_second).await.is_err() {
+                return;
             }
         }
     };
     tokio::select! {
-        // What was read before the end is still delivered.
+        // Bytes that were read before the end are still delivered.
         () = async { reader.await; std::future::pending::<()>().await } => {}
         () = writer => {}
     }
 }
 
+/// Reads chunks until the connection ends. The sender is dropped then, so that the writer ends too.
+async fn read_chunks(
+    network: SharedNetwork,
+    direction: Direction,
+    mut read: OwnedReadHalf,
+    sender: mpsc::Sender<Chunk>,
+) {
+    let mut buffer = vec![0; CHUNK_BYTES];
+    loop {
+        let Ok(count) = read.read(&mut buffer).await else { return };
+        if count == 0 {
+            return;
+        }
+        let due = Instant::now() + network.borrow().link(direction).delay;
+        if sender.send(Chunk { due, bytes: buffer[..count].to_vec() }).await.is_err() {
+            return;
+        }
+    }
+}
+
 #[cfg(test)]
 mod tests {
     use super::*;
--- a/crates/emulator/src/cluster/lease_harness/faults.rs
+++ b/crates/emulator/src/cluster/lease_harness/faults.rs
@@ -1,39 +1,41 @@
 //! The faults of a schedule, injected at processes, links and disks.
 
 use std::fs;
-use std::net::{IpAddr, Ipv4Addr};
 use std::ops::Range;
 use std::time::Duration;
 
 use cluster_member::clock;
 use rustix::process::Signal;
 
-use super::recovery::Recovery;
-use super::{free_address, LeaseHarness, Process, Role};
+use super::evaluation::HolderTerm;
+use super::processes::{Process, ResourceLimit, Role};
+use super::recovery::{OldDiskStep, Recovery};
+use super::setup::{free_address, process_address};
+use super::LeaseHarness;
 use crate::cluster::error::ClusterError;
-use crate::cluster::fault_proxy::NodeId;
+use crate::cluster::fault_proxy::{Direction, NodeId};
 use crate::cluster::lightweight_member::MemberConfig;
 use crate::cluster::record_checker::InjectedFault;
 use crate::cluster::schedule::{FaultKind, ScheduledFault};
 
-/// The file of a coordinator's store.
+/// File of a coordinator's store.
 const STORE_FILE: &str = "keeper.redb";
-/// The holder whose renewals are slow goes on for so long before it is paused, in seconds.
+/// Time for which renewals are slow before the holder is paused, in seconds.
 const PAUSE_AFTER_S: f64 = 1.0;
-/// Delay of the answers to renewals while the holder is paused among them.
+/// Delay of the responses to renewals while the holder is paused among them.
 const RENEWAL_DELAY: Duration = Duration::from_millis(300);
-/// Delay of every link, and part of new connections that are reset, in a slow network.
+/// Delay of every link in a slow network.
 const SLOW_NETWORK_DELAY: Duration = Duration::from_millis(200);
-/// See [`SLOW_NETWORK_DELAY`].
+/// Part of new connections that are reset in a slow network.
 const SLOW_NETWORK_RESETS: f64 = 0.05;
 /// Part of new connections that are duplicated.
 const DUPLICATED_CONNECTIONS: f64 = 0.25;
-/// What a narrow link carries, in bytes a second.
+/// Bandwidth of a narrow link, in bytes a second.
 const NARROW_BANDWIDTH: u64 = 4_000;
-/// Limits of the shell for a full disk and for few descriptors.
-const FULL_DISK_LIMIT: &str = "-f 256";
-/// See [`FULL_DISK_LIMIT`].
-const FEW_DESCRIPTORS_LIMIT: &str = "-n 24";
+/// Time from one step of restoring an old disk to the next, in seconds.
+const OLD_DISK_STEP_S: f64 = 0.8;
+/// Most processes of a schedule, duplicates of members included, so that their addresses stay below those of the proxies.
+const MAX_PROCESSES: usize = 100;
 
 /// The processes that a fault may be for.
 #[derive(Clone, Copy)]
@@ -43,9 +45,10 @@
     coordinator: NodeId,
 }
 
-/// Both directions between a node and each of the others.
-fn both_ways(one: NodeId, others: Range<NodeId>) -> Vec<(NodeId, NodeId)> {
-    others.filter(|other| *other != one).flat_map(|other| [(one, other), (other, one)]).collect()
+/// Returns both directions between a node and each of the others.
+fn both_ways(one: NodeId, others: Range<NodeId>) -> Vec<Direction> {
+    let both = |other| [Direction { from: one, to: other }, Direction { from: other, to: one }];
+    others.filter(|other| *other != one).flat_map(both).collect()
 }
 
 impl FaultKind {
@@ -65,14 +68,13 @@
 
 impl LeaseHarness<'_> {
     pub(super) async fn inject(&mut self, fault: ScheduledFault) -> Result<(), ClusterError> {
-        let (holder, token) = match self.lease_holder()? {
-            Some((holder, token)) => (holder, Some(token)),
-            None => (self.members().start, None),
-        };
+        let term = self.last_term()?;
+        let token = term.as_ref().map(|term| term.token);
+        let holder = term.map_or(self.members().start, |term: HolderTerm| term.holder);
         let candidates = Candidates {
             holder,
-            member: self.members().start + fault.target_choice % self.arm.members,
-            coordinator: fault.target_choice % self.arm.coordinators,
+            member: self.members().start + fault.target_choice % self.plan.arm.members,
+            coordinator: fault.target_choice % self.plan.arm.coordinators,
         };
         self.record_fault(fault, token);
         match fault.kind {
@@ -82,8 +84,8 @@
             }
             FaultKind::PauseHolder | FaultKind::PauseMember | FaultKind::PauseLeader => {
                 let target = self.target(fault.kind, candidates)?;
-                if let Some(id) = self.signal(target, Signal::STOP) {
-                    self.recover_after(fault.duration, Recovery::Resume(id));
+                if let Some(process) = self.signal(target, Signal::STOP) {
+                    self.recover_after(fault.duration, Recovery::Resume { process });
                 }
             }
             FaultKind::TerminateHolder => {
@@ -109,7 +111,9 @@
                 self.break_all_links(fault, candidates.coordinator);
             }
             FaultKind::FullDisk | FaultKind::FewDescriptors => self.limit_leader(fault).await?,
-            FaultKind::RestoreOldDisk => self.restore_old_disk(candidates.coordinator, 0).await?,
+            FaultKind::RestoreOldDisk => {
+                self.restore_old_disk(candidates.coordinator, OldDiskStep::Copy).await?
+            }
             FaultKind::LoseDisk => self.lose_disk(candidates.coordinator).await?,
         }
         Ok(())
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Kills a process, to be started again after this many seconds where it may be.
+    /// Kills a process, to be started again after this many seconds if it may run.
     async fn kill_for(&mut self, node: NodeId, duration: f64) {
         self.kill(node).await;
         if !self.processes[node].not_restartable {
@@ -144,13 +148,15 @@
     }
 
     fn pause_during_renewal(&mut self, holder: NodeId, duration: f64) {
-        let links: Vec<(NodeId, NodeId)> = self.coordinators().map(|node| (node, holder)).collect();
-        for (from, to) in &links {
-            self.network.borrow_mut().update_link(*from, *to, |link| link.delay = RENEWAL_DELAY);
+        let responses: Vec<Direction> =
+            self.coordinators().map(|node| Direction { from: node, to: holder }).collect();
+        for response in &responses {
+            self.network.borrow_mut().update_link(*response, |link| link.delay = RENEWAL_DELAY);
         }
-        // Renewals go on all the time; after this one of them is under way most likely.
-        self.recover_after(PAUSE_AFTER_S, Recovery::Pause(holder, duration - PAUSE_AFTER_S));
-        self.recover_after(duration + 0.5, Recovery::ClearDelay(links));
+        // Renewals are sent all the time: after this one of them most likely waits for its response.
+        let pause = Recovery::Pause { node: holder, duration_s: duration - PAUSE_AFTER_S };
+        self.recover_after(PAUSE_AFTER_S, pause);
+        self.recover_after(duration + 0.5, Recovery::ClearDelay(responses));
     }
 
     fn restart_half_of_members(&mut self, choice: usize) {
@@ -162,35 +168,38 @@
         }
     }
 
-    /// The directions that a partition cuts.
-    fn partitioned_links(&self, kind: FaultKind, candidates: Candidates) -> Vec<(NodeId, NodeId)> {
+    /// Returns the directions that a partition cuts.
+    fn partitioned_links(&self, kind: FaultKind, candidates: Candidates) -> Vec<Direction> {
         let Candidates { holder, coordinator, .. } = candidates;
-        let (members, coordinators) = (self.members(), self.coordinators());
+        let coordinators = self.coordinators();
         match kind {
             FaultKind::PartitionHolderFromCoordinators => both_ways(holder, coordinators),
-            FaultKind::PartitionHolderFromMembers => both_ways(holder, members),
-            FaultKind::HolderHearsNoCoordinator => coordinators.map(|node| (node, holder)).collect(),
+            FaultKind::PartitionHolderFromMembers => both_ways(holder, self.members()),
+            FaultKind::HolderHearsNoCoordinator => {
+                coordinators.map(|node| Direction { from: node, to: holder }).collect()
+            }
             FaultKind::PartitionCoordinator => both_ways(coordinator, coordinators),
             _ => {
                 let others = coordinators.filter(|other| *other != coordinator);
-                others.map(|other| (coordinator, other)).collect()
+                others.map(|other| Direction { from: coordinator, to: other }).collect()
             }
         }
     }
 
-    fn partition(&mut self, links: Vec<(NodeId, NodeId)>, duration: f64) {
-        for (from, to) in &links {
-            self.network.borrow_mut().update_link(*from, *to, |link| link.partitioned = true);
+    fn partition(&mut self, directions: Vec<Direction>, duration: f64) {
+        for direction in &directions {
+            self.network.borrow_mut().update_link(*direction, |link| link.partitioned = true);
         }
-        self.recover_after(duration, Recovery::Reconnect(links));
+        self.recover_after(duration, Recovery::Reconnect(directions));
     }
 
-    /// Breaks all links between processes; narrow are those of one coordinator only.
+    /// Affects all links between processes; of a narrow bandwidth only those of one coordinator.
     fn break_all_links(&mut self, fault: ScheduledFault, coordinator: NodeId) {
         let count = self.processes.len();
-        let links = (0..count).flat_map(|from| (0..count).map(move |to| (from, to)));
-        for (from, to) in links.filter(|(from, to)| from != to) {
-            self.network.borrow_mut().update_link(from, to, |link| match fault.kind {
+        let directions = (0..count).flat_map(|from| (0..count).map(move |to| Direction { from, to }));
+        for direction in directions.filter(|direction| direction.from != direction.to) {
+            let Direction { from, to } = direction;
+            self.network.borrow_mut().update_link(direction, |link| match fault.kind {
                 FaultKind::SlowNetwork => {
                     link.delay = SLOW_NETWORK_DELAY;
                     link.reset_probability = SLOW_NETWORK_RESETS;
@@ -203,15 +212,16 @@
         self.recover_after(fault.duration, Recovery::ClearLinkFaults);
     }
 
-    /// Starts the leading coordinator anew with a bound on its files or descriptors, for a while.
+    /// Restarts the leading coordinator with a limit on its files or descriptors, for the duration of the fault.
     async fn limit_leader(&mut self, fault: ScheduledFault) -> Result<(), ClusterError> {
         let leader = self.leader()?;
         if self.processes[leader].not_restartable {
             return Ok(());
         }
         self.kill(leader).await;
-        let full_disk = fault.kind == FaultKind::FullDisk;
-        self.start_with(leader, Some(if full_disk { FULL_DISK_LIMIT } else { FEW_DESCRIPTORS_LIMIT }))?;
+        let is_full_disk = fault.kind == FaultKind::FullDisk;
+        let limit = if is_full_disk { ResourceLimit::FileSize } else { ResourceLimit::Descriptors };
+        self.start_limited(leader, Some(limit))?;
         self.recover_after(fault.duration, Recovery::Kill(leader));
         self.recover_after(fault.duration + 0.05, Recovery::Start(leader));
         Ok(())
@@ -225,63 +235,62 @@
         self.start(coordinator)
     }
 
-    /// Copies a coordinator's disk, lets it start twice more, and puts the copy back.
-    pub(super) async fn restore_old_disk(&mut self, name: NodeId, step: u8) -> Result<(), ClusterError> {
-        let (store, copy) = (self.path(name, "store"), self.path(name, "copy"));
-        if self.processes[name].not_restartable {
+    /// Carries out a step of restoring an old copy of a coordinator's disk, and schedules the next one.
+    pub(super) async fn restore_old_disk(
+        &mut self,
+        node: NodeId,
+        step: OldDiskStep,
+    ) -> Result<(), ClusterError> {
+        if self.processes[node].not_restartable {
             return Ok(());
         }
-        self.kill(name).await;
+        let store = self.path(node, "store");
+        let copy = self.path(node, "copy");
+        self.kill(node).await;
         match step {
-            0 => {
+            OldDiskStep::Copy => {
                 fs::create_dir_all(&copy).map_err(ClusterError::io(copy.display()))?;
                 fs::copy(store.join(STORE_FILE), copy.join(STORE_FILE))
                     .map_err(ClusterError::io(copy.display()))?;
             }
-            2 => {
+            OldDiskStep::Restart => {}
+            OldDiskStep::Restore => {
                 fs::copy(copy.join(STORE_FILE), store.join(STORE_FILE))
                     .map_err(ClusterError::io(store.display()))?;
-                self.processes[name].not_restartable = true;
+                self.processes[node].not_restartable = true;
             }
-            _ => {}
         }
-        self.start(name)?;
-        if step < 2 {
-            self.recover_after(0.8, Recovery::RestoreOldDisk(name, step + 1));
+        self.start(node)?;
+        if let Some(step) = step.next() {
+            self.recover_after(OLD_DISK_STEP_S, Recovery::RestoreOldDisk { node, step });
         }
         Ok(())
     }
 
-    /// Starts a second process of a member's name, at an address of its own, and kills it later.
-    pub(super) fn start_duplicate_member(&mut self, of: NodeId, duration: f64) -> Result<(), ClusterError> {
-        let Role::Member { config: light } = &self.processes[of].role else { return Ok(()) };
-        let name = self.processes.len();
-        if name >= 100 {
+    /// Starts a second process with a member's name, at an address of its own, and kills it later.
+    fn start_duplicate_member(&mut self, member: NodeId, duration: f64) -> Result<(), ClusterError> {
+        let Role::Member { config } = &self.processes[member].role else { return Ok(()) };
+        let node = self.processes.len();
+        if node >= MAX_PROCESSES {
             return Ok(());
         }
-        let ip = IpAddr::V4(Ipv4Addr::new(127, self.address_block[0], self.address_block[1], 1 + name as u8));
-        let listen = free_address(ip)?;
-        let record = self.dir.join(format!("{}-twin{name}.jsonl", light.name));
-        let seed = light.seed ^ (name as u64) << 40;
-        let twin = MemberConfig {
+        let host = process_address(self.address_block, node);
+        let listen = free_address(host)?;
+        let duplicate = MemberConfig {
             listen,
             address: listen,
-            bind: Some(ip),
-            record: Some(record),
-            seed,
-            ..(**light).clone()
+            bind: Some(host),
+            record: Some(self.dir.join(format!("{}-twin{node}.jsonl", config.name))),
+            seed: config.seed ^ (node as u64) << 40,
+            ..(**config).clone()
         };
-        self.processes.push(Process {
-            role: Role::Member { config: Box::new(twin) },
-            listen,
-            child: None,
-            not_restartable: true,
-        });
-        self.start(name)?;
-        self.recover_after(duration, Recovery::Kill(name));
-        // The first one is no member any more and does not become one again by itself; it is started anew after it.
-        self.recover_after(duration + 0.1, Recovery::Kill(of));
-        self.recover_after(duration + 0.2, Recovery::Start(of));
+        let role = Role::Member { config: Box::new(duplicate) };
+        self.processes.push(Process { not_restartable: true, ..Process::new(role, listen) });
+        self.start(node)?;
+        self.recover_after(duration, Recovery::Kill(node));
+        // The first process was superseded and does not join again by itself, so it is restarted.
+        self.recover_after(duration + 0.1, Recovery::Kill(member));
+        self.recover_after(duration + 0.2, Recovery::Start(member));
         Ok(())
     }
 }
--- /dev/null
+++ b/crates/emulator/src/cluster/lease_harness/processes.rs
@@ -0,0 +1,166 @@
+//! Processes of a schedule: start, signals, end.
+
+use std::fs;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::process::Stdio;
+use std::time::Duration;
+
+use rustix::process::{kill_process, Pid, Signal};
+use tokio::process::{Child, Command};
+use tokio::task::JoinHandle;
+use tokio::time::timeout;
+
+use super::LeaseHarness;
+use crate::cluster::error::ClusterError;
+use crate::cluster::fault_proxy::NodeId;
+use crate::cluster::lightweight_member::MemberConfig;
+
+/// Time that a process has to end after SIGTERM before it is killed.
+const TERMINATION_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// Role of a process.
+pub(super) enum Role {
+    Coordinator { number: u64 },
+    Member { config: Box<MemberConfig> },
+}
+
+/// A process of a schedule, running or not.
+pub(super) struct Process {
+    pub(super) role: Role,
+    pub(super) listen: SocketAddr,
+    pub(super) child: Option<Child>,
+    /// Whether it is not to be started again: its disk is an old copy, or lost.
+    pub(super) not_restartable: bool,
+}
+
+impl Process {
+    /// Returns a process that was not started yet.
+    pub(super) fn new(role: Role, listen: SocketAddr) -> Process {
+        Process { role, listen, child: None, not_restartable: false }
+    }
+
+    /// Forgets the child if it has ended, so that the process can be started again.
+    pub(super) fn reap(&mut self) {
+        let has_ended = |child: &mut Child| matches!(child.try_wait(), Ok(Some(_)));
+        if self.child.as_mut().is_some_and(has_ended) {
+            self.child = None;
+        }
+    }
+}
+
+/// Limit that the shell sets on a coordinator's process.
+#[derive(Debug, Clone, Copy)]
+pub(super) enum ResourceLimit {
+    /// Files may not grow, as on a full disk.
+    FileSize,
+    Descriptors,
+}
+
+impl ResourceLimit {
+    /// Returns the arguments of `ulimit`.
+    fn arguments(self) -> &'static str {
+        match self {
+            ResourceLimit::FileSize => "-f 256",
+            ResourceLimit::Descriptors => "-n 24",
+        }
+    }
+}
+
+impl LeaseHarness<'_> {
+    /// Returns the path of a process's file with this extension.
+    pub(super) fn path(&self, node: NodeId, extension: &str) -> PathBuf {
+        match &self.processes[node].role {
+            Role::Coordinator { number } => self.dir.join(format!("k{number}.{extension}")),
+            Role::Member { config } => self.dir.join(format!("{}-{node}.{extension}", config.name)),
+        }
+    }
+
+    pub(super) fn start(&mut self, node: NodeId) -> Result<(), ClusterError> {
+        self.start_limited(node, None)
+    }
+
+    /// Starts a process that does not run; a coordinator perhaps with a limit.
+    pub(super) fn start_limited(
+        &mut self,
+        node: NodeId,
+        limit: Option<ResourceLimit>,
+    ) -> Result<(), ClusterError> {
+        if self.processes[node].child.is_some() {
+            return Ok(());
+        }
+        let log = fs::File::options()
+            .create(true)
+            .append(true)
+            .open(self.path(node, "log"))
+            .map_err(ClusterError::io("a log"))?;
+        let mut command = match &self.processes[node].role {
+            Role::Coordinator { number } => self.coordinator_command(node, *number, limit),
+            Role::Member { config } => self.member_command(node, config)?,
+        };
+        let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).kill_on_drop(true).spawn();
+        self.processes[node].child = Some(child.map_err(ClusterError::io("a process"))?);
+        Ok(())
+    }
+
+    fn coordinator_command(&self, node: NodeId, number: u64, limit: Option<ResourceLimit>) -> Command {
+        let mut command = match limit {
+            None => Command::new(&self.programs.coordinator),
+            Some(limit) => {
+                // Ignored signals and limits are inherited by the program: a write then fails, as on a full disk.
+                let script = format!("trap '' XFSZ; ulimit {}; exec \"$0\" \"$@\"", limit.arguments());
+                let mut shell = Command::new("/bin/sh");
+                shell.arg("-c").arg(script).arg(&self.programs.coordinator);
+                shell
+            }
+        };
+        command.args(["serve", "--config"]).arg(self.path(node, "hcl"));
+        // The record is on the full disk too, where there is one: other coordinators recorded the lines that it lacks.
+        command.arg("--record").arg(self.dir.join(format!("k{number}.jsonl")));
+        command
+    }
+
+    fn member_command(&self, node: NodeId, config: &MemberConfig) -> Result<Command, ClusterError> {
+        let path = self.path(node, "json");
+        let text =
+            serde_json::to_vec(config).map_err(|source| ClusterError::Json { path: path.clone(), source })?;
+        fs::write(&path, text).map_err(ClusterError::io(path.display()))?;
+        let mut command = Command::new(&self.programs.emulator);
+        command.arg("light-member").arg(path);
+        Ok(command)
+    }
+
+    /// Sends a signal to a process; returns its id if it runs.
+    pub(super) fn signal(&self, node: NodeId, signal: Signal) -> Option<u32> {
+        let id = self.processes[node].child.as_ref()?.id()?;
+        let pid = Pid::from_raw(i32::try_from(id).ok()?)?;
+        kill_process(pid, signal).ok().map(|()| id)
+    }
+
+    /// Kills a process and waits for its end.
+    pub(super) async fn kill(&mut self, node: NodeId) {
+        if let Some(mut child) = self.processes[node].child.take() {
+            let _ = child.kill().await;
+        }
+    }
+
+    /// Ends a process by SIGTERM, or kills it after [`TERMINATION_TIMEOUT`].
+    async fn terminate(&mut self, node: NodeId) {
+        self.signal(node, Signal::TERM);
+        if let Some(mut child) = self.processes[node].child.take() {
+            if timeout(TERMINATION_TIMEOUT, child.wait()).await.is_err() {
+                let _ = child.kill().await;
+            }
+        }
+    }
+
+    /// Ends all processes, coordinators last, and the proxies.
+    pub(super) async fn shut_down(&mut self) {
+        let duplicates = self.members().end..self.processes.len();
+        for node in self.members().chain(duplicates).chain(self.coordinators()) {
+            self.signal(node, Signal::CONT);
+            self.terminate(node).await;
+        }
+        self.proxies.iter().for_each(JoinHandle::abort);
+    }
+}
--- a/crates/emulator/src/cluster/lease_harness/recovery.rs
+++ b/crates/emulator/src/cluster/lease_harness/recovery.rs
@@ -1,4 +1,4 @@
-//! The ends of faults: what is done when the time of one is over.
+//! The ends of faults.
 
 use std::time::Duration;
 
@@ -8,86 +8,138 @@
 
 use super::LeaseHarness;
 use crate::cluster::error::ClusterError;
-use crate::cluster::fault_proxy::{LinkFault, NodeId};
+use crate::cluster::fault_proxy::{Direction, NodeId};
 
-/// What ends a fault.
+/// An action that ends a fault, or is the next step of one. Directions that other faults affect keep those.
 #[derive(Debug)]
 pub(super) enum Recovery {
     Start(NodeId),
-    Resume(u32),
-    /// The ends of a cut, of a delay, and of what was wrong with all links; what else is wrong with them stays. (A cut
-    /// that ended with another fault looked like a takeover of 6 s: seed 3018.)
-    Reconnect(Vec<(NodeId, NodeId)>),
-    ClearDelay(Vec<(NodeId, NodeId)>),
-    Pause(NodeId, f64),
+    /// Continues the process with this id.
+    Resume {
+        process: u32,
+    },
+    Reconnect(Vec<Direction>),
+    ClearDelay(Vec<Direction>),
+    Pause {
+        node: NodeId,
+        duration_s: f64,
+    },
     ClearLinkFaults,
     Kill(NodeId),
-    /// The steps to an old disk: copied, started once more, put back.
-    RestoreOldDisk(NodeId, u8),
+    /// The next step of restoring an old disk.
+    RestoreOldDisk {
+        node: NodeId,
+        step: OldDiskStep,
+    },
+}
+
+/// Step of restoring an old copy of a coordinator's disk.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum OldDiskStep {
+    Copy,
+    /// A start between copy and restore, which the copy does not count.
+    Restart,
+    Restore,
+}
+
+impl OldDiskStep {
+    /// Returns the step after this one.
+    pub(super) fn next(self) -> Option<OldDiskStep> {
+        match self {
+            OldDiskStep::Copy => Some(OldDiskStep::Restart),
+            OldDiskStep::Restart => Some(OldDiskStep::Restore),
+            OldDiskStep::Restore => None,
+        }
+    }
+}
+
+/// A recovery with its time.
+pub(super) struct ScheduledRecovery {
+    at: Instant,
+    recovery: Recovery,
 }
 
 impl LeaseHarness<'_> {
-    /// Waits, and ends faults whose time is over meanwhile.
+    /// Schedules a recovery after this many seconds.
+    pub(super) fn recover_after(&mut self, seconds: f64, recovery: Recovery) {
+        let at = Instant::now() + Duration::from_secs_f64(seconds);
+        self.recoveries.push(ScheduledRecovery { at, recovery });
+    }
+
+    /// Waits, and carries out the recoveries that are due meanwhile.
     pub(super) async fn recover_until(&mut self, until: Instant) -> Result<(), ClusterError> {
         loop {
-            let next = self.recoveries.iter().map(|(at, _)| *at).min().filter(|at| *at <= until);
+            let next = self.recoveries.iter().map(|scheduled| scheduled.at).min().filter(|at| *at <= until);
             let Some(next) = next else { break };
             sleep_until(next).await;
-            let at = self.recoveries.iter().position(|(at, _)| *at == next).unwrap_or(0);
-            let (_, recovery) = self.recoveries.remove(at);
-            self.recover(recovery).await?;
+            let position = self.recoveries.iter().position(|scheduled| scheduled.at == next).unwrap_or(0);
+            let scheduled = self.recoveries.remove(position);
+            self.recover(scheduled.recovery).await?;
         }
         sleep_until(until).await;
         Ok(())
     }
 
-    pub(super) async fn recover(&mut self, recovery: Recovery) -> Result<(), ClusterError> {
+    /// Ends all faults at once and starts the processes that may run; then the cluster has to recover by itself.
+    pub(super) async fn recover_all(&mut self) -> Result<(), ClusterError> {
+        self.network.borrow_mut().clear_faults();
+        for scheduled in std::mem::take(&mut self.recoveries) {
+            let concerns_process = matches!(
+                scheduled.recovery,
+                Recovery::Resume { .. } | Recovery::Kill(_) | Recovery::RestoreOldDisk { .. }
+            );
+            if concerns_process {
+                self.recover(scheduled.recovery).await?;
+            }
+        }
+        self.recoveries.clear();
+        for node in 0..self.members().end {
+            if !self.processes[node].not_restartable {
+                self.processes[node].reap();
+                self.start(node)?;
+            }
+        }
+        Ok(())
+    }
+
+    async fn recover(&mut self, recovery: Recovery) -> Result<(), ClusterError> {
         match recovery {
             Recovery::Start(node) => {
-                if self.processes[node]
-                    .child
-                    .as_mut()
-                    .is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
-                {
-                    self.processes[node].child = None;
-                }
+                self.processes[node].reap();
                 self.start(node)?;
             }
-            Recovery::Resume(id) => {
-                let pid = i32::try_from(id).ok().and_then(Pid::from_raw);
-                // Only while it is a child of this harness: the number may be somebody else's after its end.
-                let ours = self
-                    .processes
-                    .iter()
-                    .any(|process| process.child.as_ref().and_then(Child::id) == Some(id));
-                if let Some(pid) = pid.filter(|_| ours) {
-                    let _ = kill_process(pid, Signal::CONT);
-                }
-            }
-            Recovery::Reconnect(pairs) => {
+            Recovery::Resume { process } => self.resume(process),
+            Recovery::Reconnect(directions) => {
                 let mut network = self.network.borrow_mut();
-                pairs
-                    .into_iter()
-                    .for_each(|(from, to)| network.update_link(from, to, |link| link.partitioned = false));
+                for direction in directions {
+                    network.update_link(direction, |link| link.partitioned = false);
+                }
             }
-            Recovery::ClearDelay(pairs) => {
+            Recovery::ClearDelay(directions) => {
                 let mut network = self.network.borrow_mut();
-                let quick = |link: &mut LinkFault| link.delay = Duration::ZERO;
-                pairs.into_iter().for_each(|(from, to)| network.update_link(from, to, quick));
+                for direction in directions {
+                    network.update_link(direction, |link| link.delay = Duration::ZERO);
+                }
             }
-            Recovery::Pause(node, duration) => {
-                if let Some(id) = self.signal(node, Signal::STOP) {
-                    self.recover_after(duration, Recovery::Resume(id));
+            Recovery::Pause { node, duration_s } => {
+                if let Some(process) = self.signal(node, Signal::STOP) {
+                    self.recover_after(duration_s, Recovery::Resume { process });
                 }
             }
             Recovery::ClearLinkFaults => self.network.borrow_mut().clear_all_but_partitions(),
             Recovery::Kill(node) => self.kill(node).await,
-            Recovery::RestoreOldDisk(node, step) => self.restore_old_disk(node, step).await?,
+            Recovery::RestoreOldDisk { node, step } => self.restore_old_disk(node, step).await?,
         }
         Ok(())
     }
 
-    pub(super) fn recover_after(&mut self, after: f64, recovery: Recovery) {
-        self.recoveries.push((Instant::now() + Duration::from_secs_f64(after), recovery));
+    /// Continues a process, while it is a child of this harness: its id may be another process's after its end.
+    fn resume(&self, process: u32) {
+        let is_child =
+            self.processes.iter().any(|own| own.child.as_ref().and_then(Child::id) == Some(process));
+        let pid = i32::try_from(process).ok().and_then(Pid::from_raw);
+        if let Some(pid) = pid.filter(|_| is_child) {
+            let _ = kill_process(pid, Signal::CONT);
+        }
     }
 }
--- a/crates/emulator/src/cluster/record_checker.rs
+++ b/crates/emulator/src/cluster/record_checker.rs
@@ -375,10 +375,22 @@
     records.members.values().flatten().any(|line| line.kind == "taken" && line.time > t)
 }
 
-/// The highest token that a coordinator has recorded as granted.
-pub fn newest_grant(records: &Records) -> Option<(u64, u64)> {
+/// Grant of a lease to a session.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct SessionGrant {
+    /// Fencing token of the term.
+    pub token: u64,
+    /// Session that was granted the lease.
+    pub session: u64,
+}
+
+/// Returns the recorded grant with the highest token.
+pub fn newest_grant(records: &Records) -> Option<SessionGrant> {
     let lines = records.coordinators.values().flatten().filter(|line| line.kind == "applied");
-    lines.filter_map(|line| Some((line.number("token")?, line.number("session")?))).max()
+    let grant = |line: &RecordLine| {
+        Some(SessionGrant { token: line.number("token")?, session: line.number("session")? })
+    };
+    lines.filter_map(grant).max()
 }
 
 /// The member of a session, by the coordinators' records.
--- a/crates/emulator/src/cluster/results.rs
+++ b/crates/emulator/src/cluster/results.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 use super::error::ClusterError;
-use super::lease_harness::{play, Programs, ScheduleResult};
+use super::lease_harness::{play, Programs, SchedulePlan, ScheduleResult};
 use super::schedule::{Arm, ClusterExperiment};
 use super::violations::Rule;
 
@@ -143,7 +143,8 @@
     let said = Mutex::new(());
     let played: Result<Vec<(&Arm, ScheduleResult)>, ClusterError> = pool.install(|| {
         let one = |(arm, seed): &(&'_ Arm, u64)| {
-            let played = play(plan, arm, *seed, programs, out, bug);
+            let schedule = SchedulePlan { experiment: plan, arm, seed: *seed, injected_bug: bug };
+            let played = play(schedule, programs, out);
             bar.inc(1);
             let played = played.map_err(|source| ClusterError::Schedule {
                 arm: arm.name.clone(),
--- a/crates/emulator/src/cluster/shared_health_checks/faults.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/faults.rs
@@ -15,7 +15,7 @@
 use crate::cluster::cluster_harness::ClusterHarness;
 use crate::cluster::error::ClusterError;
 use crate::cluster::fault_injection::{ClusterFault, LinkFaultKind};
-use crate::cluster::fault_proxy::SharedNetwork;
+use crate::cluster::fault_proxy::{Direction, SharedNetwork};
 use crate::cluster::worker_model::WorkerModel;
 
 /// Faults to draw from; one that is listed twice is drawn twice as often.
@@ -252,6 +252,7 @@
 /// Partitions a dispatcher from the workers of a zone, or ends that.
 fn set_zone_partition(network: &SharedNetwork, workers: usize, zone: usize, partitioned: bool) {
     for worker in (0..workers).filter(|worker| worker % ZONES.len() == zone) {
-        network.borrow_mut().update_link(worker, worker, |link| link.partitioned = partitioned);
+        let direction = Direction { from: worker, to: worker };
+        network.borrow_mut().update_link(direction, |link| link.partitioned = partitioned);
     }
 }
--- a/crates/emulator/tests/stable_text.rs
+++ b/crates/emulator/tests/stable_text.rs
@@ -369,7 +369,7 @@
     let text = format!(
         "{:#?}\nnewest {:?} of {:?}, leader {:?}, {} terms, {} taken, {} refused, alive {}\nrules {:#?}\n",
         record_checker::check(&records),
-        record_checker::newest_grant(&records),
+        record_checker::newest_grant(&records).map(|grant| (grant.token, grant.session)),
         record_checker::member_of_session(&records, 2),
         record_checker::leader(&records),
         record_checker::lease_terms(&records),
