--- a/crates/coordination/src/lease_assigner.rs
+++ b/crates/coordination/src/lease_assigner.rs
@@ -41,8 +41,9 @@
     /// Returns the responsive session with the fewest leases; rendezvous hashing decides among equals.
     fn choose_holder(&self, lease: &LeaseId, counts: &LeaseCounts) -> Option<SessionId> {
         let sessions = self.state.sessions().iter();
-        let candidates = sessions
-            .filter(|(id, session)| session.may_hold(lease) && self.sessions.is_responsive(**id, self.now));
+        let candidates = sessions.filter(|(id, session)| {
+            session.is_eligible_for(lease) && self.sessions.is_responsive(**id, self.now)
+        });
         let best = candidates
             .min_by_key(|(id, session)| (counts.get(**id), rendezvous_weight(lease, &session.name), **id));
         best.map(|(id, _)| *id)
--- a/crates/coordination/src/state_machine/leases.rs
+++ b/crates/coordination/src/state_machine/leases.rs
@@ -47,13 +47,13 @@
         session: SessionId,
         fencing_revision: Revision,
     ) -> Applied {
-        let may_hold = self.sessions.get(&session).is_some_and(|session| session.may_hold(id));
+        let is_eligible = self.sessions.get(&session).is_some_and(|session| session.is_eligible_for(id));
         let token = self.next_token();
         let lease = self.leases.get_mut(id).ok_or(CommandRejection::LeaseNotFree)?;
         if lease.holder.is_some() || lease.fencing_revision != fencing_revision {
             return Err(CommandRejection::LeaseNotFree);
         }
-        if !may_hold {
+        if !is_eligible {
             return Err(CommandRejection::NoSuchSession);
         }
         let holder = LeaseHolder { session, token };
--- a/crates/coordination/src/state_machine/sessions.rs
+++ b/crates/coordination/src/state_machine/sessions.rs
@@ -32,7 +32,7 @@
 
 impl Session {
     /// Returns whether the session may be granted this lease.
-    pub fn may_hold(&self, lease: &LeaseId) -> bool {
+    pub fn is_eligible_for(&self, lease: &LeaseId) -> bool {
         let in_scope = match &lease.scope {
             LeaseScope::Fleet | LeaseScope::WorkerSet(_) => true,
             LeaseScope::Zone(zone) => *zone == self.zone,
--- a/crates/coordination/tests/decisions.rs
+++ b/crates/coordination/tests/decisions.rs
@@ -1,6 +1,6 @@
 //! Decisions over long random histories: the same events give the same proposals, states and verdicts.
 //!
-//! A summary in figures and a digest of every step are kept; they change only with the rules themselves.
+//! A summary in figures and a digest of every step are pinned; they change only with the rules themselves.
 
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// FNV-1a over all that is noted, and how often each kind was.
+/// FNV-1a digest of all recorded steps, and the number of steps of each kind.
 struct Trace {
     digest: u64,
     counts: BTreeMap<&'static str, u64>,
--- a/crates/coordination/tests/format.rs
+++ b/crates/coordination/tests/format.rs
@@ -1,4 +1,4 @@
-//! What other processes and older stores depend on: bytes of log entries, snapshots and messages, JSON, texts.
+//! Formats that other processes and older stores depend on: bytes of log entries, snapshots and messages, JSON, texts.
 //!
 //! The snapshots of this file change only with the version of a format.
 
@@ -234,11 +234,8 @@
         log.apply(&Command::ExpireSession { session: third, short_lived: true }),
         CommandOutcome::SessionEnded(third)
     );
-    for (keeper, boots) in [(1, 2), (2, 1), (3, 300)] {
-        assert_eq!(
-            log.apply(&Command::RecordReplicaStart { replica: keeper, starts: boots }),
-            CommandOutcome::Acknowledged
-        );
+    for (replica, starts) in [(1, 2), (2, 1), (3, 300)] {
+        assert_eq!(log.apply(&Command::RecordReplicaStart { replica, starts }), CommandOutcome::Acknowledged);
     }
     log
 }
@@ -351,7 +348,7 @@
     }
 }
 
-/// Values without an accessor are kept too: processes of a name, and numbers of replicas that were used.
+/// Values without an accessor are restored too: processes of a name, and numbers of replicas that were used.
 #[test]
 fn a_restored_snapshot_decides_as_the_state_that_it_was_taken_of() {
     let log = version_3_log();
@@ -412,7 +409,7 @@
     ]
 }
 
-/// What `status --json` of the command line and files of the emulator carry.
+/// Values in the output of `status --json` and in files of the emulator.
 #[test]
 fn json_keeps_its_keys() {
     fn json<T: Serialize>(value: &T) -> String {
--- a/crates/disruption-budget/tests/availability_observer.rs
+++ b/crates/disruption-budget/tests/availability_observer.rs
@@ -66,8 +66,8 @@
     changed.into_iter().map(|status| (status.target.name, status.availability)).collect()
 }
 
-/// What happened: an operator struck a lost dispatcher off, the observer's list of members still had it, and the next
-/// observation put it back as unavailable, for good, since an observation removes no dispatcher.
+/// Regression test: an operator deregistered a lost dispatcher that the observer's list of members still had, and the next
+/// observation registered it again as unavailable, permanently, since an observation removes no dispatcher.
 #[test]
 fn deregistered_dispatcher_stays_unknown_though_it_is_still_listed() {
     let (mut observer, state) = observer_after_deregistration();
@@ -85,7 +85,7 @@
     assert_eq!(changes(&mut observer, &LISTED, &state, 1_330), expected);
 }
 
-/// Its next process has joined and says nothing: that is a loss again.
+/// The dispatcher's next process has joined and does not report: that is a loss again.
 #[test]
 fn deregistered_dispatcher_counts_again_once_it_is_listed_anew() {
     let (mut observer, state) = observer_after_deregistration();
--- a/crates/disruption-budget/tests/format.rs
+++ b/crates/disruption-budget/tests/format.rs
@@ -77,7 +77,7 @@
     let fleet = ["a", "b", "c", "d", "e"].map(available).into();
     let warming =
         vec![observed("d", Availability::WarmingUp(300), 6), observed("e", Availability::Unavailable, 5)];
-    let strike = |name| DisruptionCommand::DeregisterTarget {
+    let deregister = |name| DisruptionCommand::DeregisterTarget {
         target: target(TargetKind::Dispatcher, name),
         operator: "on call".into(),
     };
@@ -95,7 +95,7 @@
             "set too many budgets",
             DisruptionCommand::SetBudgets { expected_version: 1, budgets: vec![budgets().remove(0); 65] },
         ),
-        ("deregister an unknown target", strike("z")),
+        ("deregister an unknown target", deregister("z")),
         ("request a permit", ask("a", "operator", false)),
         ("request a second permit", ask("b", "agent", false)),
         ("request with a long name", ask("c", &"x".repeat(257), false)),
@@ -112,7 +112,7 @@
         ),
         ("cancel a granted permit", DisruptionCommand::CancelPermit { permit: 7 }),
         ("cancel a permit that is not open", DisruptionCommand::CancelPermit { permit: 7 }),
-        ("deregister a target", strike("c")),
+        ("deregister a target", deregister("c")),
         ("request a forced permit", ask("b", "on call", true)),
         ("request a permit again", ask("a", "agent", false)),
         ("begin a forced permit", DisruptionCommand::BeginPermit { permit: 20, incarnation: 6 }),
--- a/crates/disruption-budget/tests/model.rs
+++ b/crates/disruption-budget/tests/model.rs
@@ -10,7 +10,7 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const MAX_UNAVAILABLE: usize = 1;
-/// Messages in flight from which on nobody sends another one.
+/// Maximum number of messages in flight.
 const MAX_MESSAGES: usize = 2;
 /// Entries by which messages in flight may still exceed the bound on the log.
 const MESSAGE_ENTRIES: u64 = 2;
@@ -23,9 +23,9 @@
 struct Permits {
     injected_bug: Option<InjectedBug>,
     targets: usize,
-    /// How often targets fail by themselves, observers change, and requesters restart, together.
+    /// Number of faults, together: targets that fail, observers that change, and requesters that restart.
     faults: u8,
-    /// How many entries there may be in the log.
+    /// Maximum number of entries in the log.
     entries: u64,
 }
 
@@ -82,7 +82,7 @@
     /// A requester that sees its permit granted sends that it begins, or sends it again.
     Begin(usize),
     Act(usize),
-    /// The target comes back; its requester says so, or nobody does.
+    /// The target returns; its requester reports this, or nobody does.
     Return(usize, bool),
     Cancel(PermitId),
     Observe,
@@ -169,7 +169,7 @@
         process.requester = Requester::Idle;
     }
 
-    /// None where nobody waits for the message.
+    /// Delivers a message; `None` if no process waits for it.
     fn deliver(&mut self, message: Message) -> Option<()> {
         self.in_flight.remove(&message);
         match message {
