--- a/crates/disruption-budget/tests/model.rs
+++ b/crates/disruption-budget/tests/model.rs
@@ -33,34 +33,54 @@
 enum Requester {
     Idle,
     Requested(PermitId),
-    /// It may carry out the step at the target with this incarnation, and has not done so.
-    MayAct(PermitId, u64),
-    /// It carried out the step; its target is unavailable until it returns.
+    /// May carry out the disruption of the target with this incarnation, and has not done so.
+    MayAct {
+        permit: PermitId,
+        incarnation: u64,
+    },
+    /// Carried out the disruption; the target is unavailable until it returns.
     Acted(PermitId),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
     incarnation: u64,
-    out_by_plan: bool,
-    /// Failed by itself when the log was so long.
+    is_drained: bool,
+    /// Last log entry at the time at which the process failed by itself.
     failed_at: Option<u64>,
     requester: Requester,
 }
 
 impl Process {
     fn is_available(&self) -> bool {
-        !self.out_by_plan && self.failed_at.is_none()
+        !self.is_drained && self.failed_at.is_none()
+    }
+}
+
+/// A target as an observer saw it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+struct ObservedTarget {
+    is_available: bool,
+    incarnation: u64,
+}
+
+impl ObservedTarget {
+    fn status(&self, process: usize) -> TargetStatus {
+        TargetStatus {
+            target: target(process),
+            zone: String::new(),
+            pool: String::new(),
+            availability: if self.is_available { Availability::Available } else { Availability::Unavailable },
+            incarnation: self.incarnation,
+        }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    /// A permit, and the incarnation of the target.
-    Begin(PermitId, u64),
-    Begun(PermitId, u64),
-    /// Fencing token, known log entries, and whether each target is available, with its incarnation.
-    Observation(u64, u64, Vec<(bool, u64)>),
+    Begin { permit: PermitId, incarnation: u64 },
+    Begun { permit: PermitId, incarnation: u64 },
+    Observation { fencing_token: u64, known_revision: u64, targets: Vec<ObservedTarget> },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -83,7 +103,10 @@
     Begin(usize),
     Act(usize),
     /// The target returns; its requester reports this, or nobody does.
-    Return(usize, bool),
+    Return {
+        process: usize,
+        is_reported: bool,
+    },
     Cancel(PermitId),
     Observe,
     Deliver(Message),
@@ -105,35 +128,38 @@
     }
 
     fn request(&mut self, process: usize) {
-        let (reason, requester) = (String::new(), process.to_string());
-        let request =
-            DisruptionCommand::RequestPermit { target: target(process), reason, requester, force: false };
+        let request = DisruptionCommand::RequestPermit {
+            target: target(process),
+            reason: String::new(),
+            requester: process.to_string(),
+            force: false,
+        };
         if let DisruptionOutcome::PermitRequested { permit, .. } = self.apply(&request) {
             self.processes[process].requester = Requester::Requested(permit);
         }
     }
 
-    /// None where the requester has no permit.
+    /// Sends that a permit is begun; `None` if the requester has none.
     fn begin(&mut self, process: usize) -> Option<()> {
         let Requester::Requested(permit) = self.processes[process].requester else { return None };
         let incarnation = self.processes[process].incarnation;
-        self.in_flight.insert(Message::Begin(permit, incarnation));
+        self.in_flight.insert(Message::Begin { permit, incarnation });
         Some(())
     }
 
-    /// None where the requester may not act.
+    /// Carries out the disruption; `None` if the requester may not.
     fn act(&mut self, process: usize) -> Option<()> {
-        let Requester::MayAct(permit, _) = self.processes[process].requester else { return None };
-        self.processes[process].out_by_plan = true;
+        let Requester::MayAct { permit, .. } = self.processes[process].requester else { return None };
+        self.processes[process].is_drained = true;
         self.processes[process].requester = Requester::Acted(permit);
         Some(())
     }
 
-    /// None where the requester has not acted.
+    /// Returns the target to service; `None` if the requester has not carried out the disruption.
     fn return_to_service(&mut self, process: usize, is_reported: bool) -> Option<()> {
         let Requester::Acted(permit) = self.processes[process].requester else { return None };
         let process = &mut self.processes[process];
-        process.out_by_plan = false;
+        process.is_drained = false;
         process.requester = Requester::Idle;
         process.incarnation += 1;
         if is_reported {
@@ -143,9 +169,16 @@
     }
 
     fn observe(&mut self) {
-        let seen = self.processes.iter().map(|process| (process.is_available(), process.incarnation));
-        let seen = seen.collect();
-        self.in_flight.insert(Message::Observation(self.fencing_token, self.index, seen));
+        let observed = self.processes.iter().map(|process| ObservedTarget {
+            is_available: process.is_available(),
+            incarnation: process.incarnation,
+        });
+        let observation = Message::Observation {
+            fencing_token: self.fencing_token,
+            known_revision: self.index,
+            targets: observed.collect(),
+        };
+        self.in_flight.insert(observation);
     }
 
     fn fail(&mut self, process: usize) {
@@ -161,9 +194,9 @@
     fn restart_requester(&mut self, process: usize) {
         self.faults += 1;
         let process = &mut self.processes[process];
-        // The step that it carried out stays done; the target comes back without anybody saying so.
-        if process.out_by_plan {
-            process.out_by_plan = false;
+        // A disruption that was carried out remains; the target returns without a report of it.
+        if process.is_drained {
+            process.is_drained = false;
             process.incarnation += 1;
         }
         process.requester = Requester::Idle;
@@ -173,33 +206,27 @@
     fn deliver(&mut self, message: Message) -> Option<()> {
         self.in_flight.remove(&message);
         match message {
-            Message::Begin(permit, incarnation) => {
+            Message::Begin { permit, incarnation } => {
                 let begin = DisruptionCommand::BeginPermit { permit, incarnation };
                 if let DisruptionOutcome::PermitBegun(permit) = self.apply(&begin) {
-                    self.in_flight.insert(Message::Begun(permit, incarnation));
+                    self.in_flight.insert(Message::Begun { permit, incarnation });
                 }
             }
-            Message::Begun(permit, incarnation) => {
+            Message::Begun { permit, incarnation } => {
                 let requested = Requester::Requested(permit);
                 let waiting = self.processes.iter_mut().find(|process| process.requester == requested);
-                waiting?.requester = Requester::MayAct(permit, incarnation);
+                waiting?.requester = Requester::MayAct { permit, incarnation };
             }
-            Message::Observation(fencing_token, known_revision, seen) => {
-                self.record_observation(fencing_token, known_revision, &seen);
+            Message::Observation { fencing_token, known_revision, targets } => {
+                self.record_observation(fencing_token, known_revision, &targets);
             }
         }
         Some(())
     }
 
-    fn record_observation(&mut self, fencing_token: u64, known_revision: u64, seen: &[(bool, u64)]) {
-        let status = |(process, (is_available, incarnation)): (usize, &(bool, u64))| TargetStatus {
-            target: target(process),
-            zone: String::new(),
-            pool: String::new(),
-            availability: if *is_available { Availability::Available } else { Availability::Unavailable },
-            incarnation: *incarnation,
-        };
-        let changed = seen.iter().enumerate().map(status).collect();
+    fn record_observation(&mut self, fencing_token: u64, known_revision: u64, targets: &[ObservedTarget]) {
+        let changed =
+            targets.iter().enumerate().map(|(process, observed)| observed.status(process)).collect();
         let observation = DisruptionCommand::RecordObservation {
             fencing_token,
             known_revision,
@@ -243,13 +270,13 @@
                     actions.push(Event::Begin(process));
                 }
             }
-            Requester::MayAct(_, begun_at)
-                if self.processes[process].is_available() && begun_at == incarnation =>
+            Requester::MayAct { incarnation: begun_incarnation, .. }
+                if self.processes[process].is_available() && begun_incarnation == incarnation =>
             {
                 actions.push(Event::Act(process));
             }
             Requester::Acted(_) if self.can_log(model) => {
-                actions.extend([Event::Return(process, true), Event::Return(process, false)]);
+                actions.extend([true, false].map(|is_reported| Event::Return { process, is_reported }));
             }
             _ => {}
         }
@@ -281,7 +308,7 @@
             min_available: None,
         };
         let process =
-            Process { incarnation: 1, out_by_plan: false, failed_at: None, requester: Requester::Idle };
+            Process { incarnation: 1, is_drained: false, failed_at: None, requester: Requester::Idle };
         let mut world = World {
             state: DisruptionState::default().with_injected_bug(self.injected_bug),
             index: 0,
@@ -321,7 +348,7 @@
             Event::Request(process) => world.request(process),
             Event::Begin(process) => world.begin(process)?,
             Event::Act(process) => world.act(process)?,
-            Event::Return(process, is_reported) => world.return_to_service(process, is_reported)?,
+            Event::Return { process, is_reported } => world.return_to_service(process, is_reported)?,
             Event::Cancel(permit) => {
                 world.apply(&DisruptionCommand::CancelPermit { permit });
             }
@@ -341,7 +368,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(WITHIN_BUDGET, |_, world: &World| {
-                world.processes.iter().filter(|process| process.out_by_plan).count() <= MAX_UNAVAILABLE
+                world.processes.iter().filter(|process| process.is_drained).count() <= MAX_UNAVAILABLE
             }),
             Property::always(NO_GRANT_ON_LOSSES, |_, world: &World| !world.granted_on_losses),
             Property::sometimes(TARGET_RECOVERS, |_, world: &World| world.recovered),
