--- a/crates/coordination/src/injected_bug.rs
+++ b/crates/coordination/src/injected_bug.rs
@@ -26,4 +26,10 @@
         #[cfg(not(feature = "seeded-bugs"))]
         &[]
     }
+
+    /// Returns the bug of this name, one of [`InjectedBug::names`].
+    #[must_use]
+    pub fn from_name(name: &str) -> Option<InjectedBug> {
+        InjectedBug::names().iter().find(|(candidate, _)| *candidate == name).map(|(_, bug)| *bug)
+    }
 }
--- a/crates/coordinator/src/config/mod.rs
+++ b/crates/coordinator/src/config/mod.rs
@@ -140,9 +140,8 @@
 #[cfg(feature = "seeded-bugs")]
 fn parse_injected_bug(section: &Section) -> Result<Option<disruption_budget::InjectedBug>, HclError> {
     let Some(name) = section.string("flaw")? else { return Ok(None) };
-    let named = disruption_budget::InjectedBug::names().iter().find(|(candidate, _)| *candidate == name);
-    match named {
-        Some((_, bug)) => Ok(Some(*bug)),
+    match disruption_budget::InjectedBug::from_name(&name) {
+        Some(bug) => Ok(Some(bug)),
         None => Err(section.error("flaw", format!("there is no flaw {name:?}"))),
     }
 }
--- a/crates/disruption-budget/src/injected_bug.rs
+++ b/crates/disruption-budget/src/injected_bug.rs
@@ -24,4 +24,10 @@
             ("begin-unasked", InjectedBug::BeginUnknownPermit),
         ]
     }
+
+    /// Returns the bug of this name, one of [`InjectedBug::names`].
+    #[must_use]
+    pub fn from_name(name: &str) -> Option<InjectedBug> {
+        InjectedBug::names().iter().find(|(candidate, _)| *candidate == name).map(|(_, bug)| *bug)
+    }
 }
--- a/crates/emulator/src/cli/protocol.rs
+++ b/crates/emulator/src/cli/protocol.rs
@@ -25,8 +25,8 @@
 /// The injected bug of this name, if one is named.
 pub fn injected_bug(name: Option<&str>) -> Result<Option<InjectedBug>, CliError> {
     let Some(name) = name else { return Ok(None) };
-    match InjectedBug::names().iter().find(|(known, _)| *known == name) {
-        Some((_, bug)) => Ok(Some(*bug)),
+    match InjectedBug::from_name(name) {
+        Some(bug) => Ok(Some(bug)),
         None => Err(CliError::UnknownBug { known: injected_bug_names() }),
     }
 }
--- a/crates/emulator/src/cluster/lightweight_member.rs
+++ b/crates/emulator/src/cluster/lightweight_member.rs
@@ -66,8 +66,7 @@
 
 async fn run_member(light: MemberConfig) -> Result<(), ClusterError> {
     let bug = light.injected_bug.as_deref();
-    let flaw: Option<InjectedBug> =
-        bug.and_then(|name| InjectedBug::names().iter().find(|(known, _)| *known == name)).map(|(_, f)| *f);
+    let flaw = bug.and_then(InjectedBug::from_name);
     let record = match &light.record {
         Some(path) => Recorder::append_to(path).map_err(ClusterError::io(path.display()))?,
         None => Recorder::default(),
