--- a/crates/coordinator/src/cli/arguments.rs
+++ b/crates/coordinator/src/cli/arguments.rs
@@ -1,4 +1,4 @@
-//! Usage, and what the arguments of the process say.
+//! Usage and arguments of the process.
 
 use std::path::PathBuf;
 
@@ -6,36 +6,36 @@
 use disruption_budget::Target;
 use lexopt::prelude::*;
 
-/// What `help` prints.
+/// Text of `help`.
 pub(super) const USAGE: &str = "\
 coordinator COMMAND --config FILE [options]
 
-  bootstrap       sets up the empty store of this keeper, once in the life of an installation
-  serve           keeps; ends on SIGTERM
-  status          every keeper: who leads, how far each is
+  bootstrap       creates the empty store of this replica, once in the life of an installation
+  serve           runs this replica until SIGTERM
+  status          all replicas: role, Raft term, applied entries
   members         the members that have a session
-  duties          who owns what, with which token
-  release-duty    ends the running term of --duty NAME (with --token N only that one); another member gets it
-  replace         --keeper NUMBER --with NEW --address IP:PORT: a new keeper takes the place of one that is gone or goes
-  account         who may be out: budgets and what they have to do with, permits, targets that are not in
-  budgets         --set FILE [--seen VERSION]: other budgets, HCL; refused where they were changed since that version
-  permit ask      --target KIND/NAME --by WHO [--reason TEXT] [--force]: says whether it is granted; 8 where it waits
-  permit begin    --permit N [--number M]: right before the step; done: after it; void: gives it back unbegun
-  strike-off      --target KIND/NAME [--by WHO]: a target is gone for good, and its permits with it
-  metrics         the figures of this keeper, for Prometheus, as text
-  check-config    reads the configuration and says what is wrong with it
+  duties          the leases with their holders and fencing tokens
+  release-duty    ends the running term of the lease --duty NAME (with --token N only that term); another member gets it
+  replace         --keeper NUMBER --with NEW --address IP:PORT: replaces a replica by a new one
+  account         the disruption state: budgets and their use, permits, unavailable targets
+  budgets         --set FILE [--seen VERSION]: replaces the budgets, HCL; rejected if changed since that version
+  permit ask      --target KIND/NAME --by WHO [--reason TEXT] [--force]: requests a permit; 8 while it is not granted
+  permit begin    --permit N [--number M]: right before the step; done: after it; void: cancels a permit not begun
+  strike-off      --target KIND/NAME [--by WHO]: deregisters a target for good, with its permits
+  metrics         the metrics of this replica in the text format of Prometheus
+  check-config    reads and validates the configuration
 
   --config FILE   the configuration, HCL
-  --joining       with bootstrap: this keeper takes another's place in an installation that runs
-  --record FILE   with serve: appends what was applied, a JSON object a line
+  --joining       with bootstrap: this replica joins a running installation in place of another
+  --record FILE   with serve: appends a record of each applied entry as a line of JSON
   --log LEVEL     error, warn, info (the default), debug or trace
   --json          with status, members, duties and account: JSON
 
-Exit codes: 0 done, 1 fault, 2 bad usage, 3 the disk is an old copy or another's, 4 the store cannot be used,
-5 something was agreed on that this version does not know, 6 raft refused to go on, 7 replaced by another, 8 not now.
+Exit codes: 0 done, 1 error, 2 bad usage, 3 the store is an old copy or another replica's, 4 the store cannot be used,
+5 something was committed that this version does not support, 6 Raft failed, 7 replaced by another replica, 8 not now.
 ";
 
-/// What the program is to do.
+/// Subcommand of the program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Subcommand {
     Help,
@@ -55,31 +55,33 @@
     CheckConfig,
 }
 
-/// A word where a command is expected.
+/// Error for a first argument that is not a subcommand.
 #[derive(Debug, thiserror::Error)]
-#[error("{0:?} is no command")]
+#[error("{0:?} is not a command")]
 pub(super) struct UnknownSubcommand(String);
 
-/// The arguments of the process. What a command needs and is not here is missed when the command runs.
+/// Arguments of the process. Each subcommand checks whether the arguments that it requires are present.
 pub(super) struct Arguments {
-    /// The name of the command, or nothing.
+    /// Name of the subcommand; empty if there is none.
     subcommand: String,
-    /// What to do with a permit.
+    /// Operation on a permit; empty if there is none.
     pub(super) permit_verb: String,
     pub(super) config: Option<PathBuf>,
     pub(super) record_file: Option<PathBuf>,
     pub(super) lease: Option<LeaseId>,
     pub(super) token: Option<FencingToken>,
-    /// The coordinator to be replaced, and the one that takes its place, with its address.
+    /// Number of the replica to be replaced.
     pub(super) replaced: Option<u64>,
+    /// Number of the replica that replaces it.
     pub(super) replacement: Option<u64>,
+    /// Address of the replica that replaces it.
     pub(super) replacement_address: Option<String>,
     pub(super) budgets_file: Option<PathBuf>,
-    /// The version of the budgets that the operator saw.
+    /// Version of the budgets that the operator has seen.
     pub(super) seen_version: Option<u64>,
     pub(super) target: Option<Target>,
     pub(super) permit: Option<u64>,
-    /// The incarnation of a permit's target; 0 where it has none.
+    /// Incarnation of a permit's target; 0 if it has none.
     pub(super) incarnation: u64,
     pub(super) reason: Option<String>,
     pub(super) force: bool,
@@ -117,7 +119,7 @@
 }
 
 impl Arguments {
-    /// The command that is named.
+    /// Returns the subcommand.
     pub(super) fn subcommand(&self) -> Result<Subcommand, UnknownSubcommand> {
         Ok(match self.subcommand.as_str() {
             "help" => Subcommand::Help,
