--- a/crates/dispatch-core/src/api/settings.rs
+++ b/crates/dispatch-core/src/api/settings.rs
@@ -32,7 +32,7 @@
     pub idempotency: Idempotency,
     /// Time for which a repeat with the same key is dropped, from the first send that may have run.
     pub key_window: Seconds,
-    /// Time within which a response is in time, beside [`Class::run_time_allowance`].
+    /// Time within which a response is in time, without [`Class::run_time_allowance`].
     pub latency_objective: Seconds,
     /// Further time within which a response is in time, as a multiple of the job's own running time.
     pub run_time_allowance: f64,
--- a/crates/dispatch-core/src/load_report.rs
+++ b/crates/dispatch-core/src/load_report.rs
@@ -15,6 +15,7 @@
 const MAX_FIGURES: usize = 16;
 /// Highest number of figures of one JSON object that are read, including unknown ones.
 const MAX_JSON_FIGURES: usize = 4 * MAX_FIGURES;
+const MILLIS_PER_SECOND: f64 = 1e3;
 /// Prefix of a report in a header.
 const TEXT_PREFIX: &str = "TEXT";
 
@@ -42,7 +43,7 @@
             Figure::FreeMemory => self.free_memory = value,
             Figure::QueueLength => self.queue_length = value,
             Figure::InFlight => self.in_flight = value,
-            Figure::LatencyMillis => self.latency = value.map(|millis| millis / 1e3),
+            Figure::LatencyMillis => self.latency = value.map(|millis| millis / MILLIS_PER_SECOND),
             Figure::ErrorRate => self.error_rate = value,
             Figure::Unknown => {}
         }
@@ -133,14 +134,15 @@
 
     /// Reads a report that gives its figures by name. Names that are not in the settings are ignored. A figure that is
     /// not a number, negative, infinite, or given twice is left out: of two values neither can be trusted.
-    pub fn parse_named<'a>(&self, figures: impl Iterator<Item = (&'a str, Option<f64>)>) -> ParsedLoadReport {
+    fn parse_named<'a>(&self, figures: impl Iterator<Item = ReportedFigure<'a>>) -> ParsedLoadReport {
         let mut load = LoadReport::default();
         let mut malformed = false;
         let mut was_named = [false; MAX_FIGURES];
-        for (name, value) in figures {
-            let Some(position) = self.0.iter().position(|figure| *figure.name == *name) else { continue };
+        for reported in figures {
+            let position = self.0.iter().position(|figure| *figure.name == *reported.name);
+            let Some(position) = position else { continue };
             let is_repeated = std::mem::replace(&mut was_named[position], true);
-            let value = value.filter(|value| value.is_finite() && *value >= 0.0 && !is_repeated);
+            let value = reported.value.filter(|value| value.is_finite() && *value >= 0.0 && !is_repeated);
             malformed |= value.is_none();
             load.set(self.0[position].figure, value);
         }
@@ -150,26 +152,34 @@
     /// Reads a report as an object of JSON: `{"inflight":7,"queue":2}`.
     pub fn parse_json(&self, text: &str) -> ParsedLoadReport {
         match serde_json::from_str::<Object<'_>>(text) {
-            Ok(Object(figures)) => self.parse_named(figures.iter().map(|(name, value)| (&**name, *value))),
+            Ok(Object(figures)) => self.parse_named(figures.into_iter()),
             Err(_) => ParsedLoadReport::UNREADABLE,
         }
     }
 
-    /// Reads a report as a header holds it: the word TEXT, then `name=value` separated by commas.
+    /// Reads a report of a header: the word TEXT, then `name=value` separated by commas.
     pub fn parse_text(&self, text: &str) -> ParsedLoadReport {
         let Some(rest) = text.trim().strip_prefix(TEXT_PREFIX) else {
             return ParsedLoadReport::UNREADABLE;
         };
         let pairs = rest.split(',').map(str::trim).filter(|pair| !pair.is_empty());
         self.parse_named(pairs.map(|pair| match pair.split_once('=') {
-            Some((name, value)) => (name.trim(), value.trim().parse().ok()),
-            None => (pair, None),
+            Some((name, value)) => {
+                ReportedFigure { name: name.trim().into(), value: value.trim().parse().ok() }
+            }
+            None => ReportedFigure { name: pair.into(), value: None },
         }))
     }
 }
 
+/// A figure of a report, with its value if that is a number.
+struct ReportedFigure<'a> {
+    name: Cow<'a, str>,
+    value: Option<f64>,
+}
+
 /// Figures of a JSON object in their order: a map would hide that one was given twice.
-struct Object<'a>(Vec<(Cow<'a, str>, Option<f64>)>);
+struct Object<'a>(Vec<ReportedFigure<'a>>);
 
 impl<'de> Deserialize<'de> for Object<'de> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
@@ -190,7 +200,7 @@
         let mut figures = Vec::new();
         while let Some((name, value)) = map.next_entry::<Cow<'de, str>, Value>()? {
             if figures.len() < MAX_JSON_FIGURES {
-                figures.push((name, value.as_f64()));
+                figures.push(ReportedFigure { name, value: value.as_f64() });
             }
         }
         Ok(Object(figures))
--- a/crates/dispatch-core/src/policy/admission.rs
+++ b/crates/dispatch-core/src/policy/admission.rs
@@ -5,11 +5,11 @@
 use crate::api::{Action, Request, RequestId, Seconds};
 use crate::job::{Job, JobTiming};
 
-/// A job has at least this time to start, or half its timeout.
+/// Least time that a job has to start, unless half its timeout is shorter.
 const MIN_START_TIME: Seconds = 0.01;
-/// A job starts so many steps of the clock before its client gives up.
+/// Steps of the clock between the latest start of a job and the timeout of its client.
 const CLOCK_STEPS_TO_ANSWER: f64 = 4.0;
-/// The shortest retry-after of a rejection.
+/// Shortest retry-after of a rejection.
 const MIN_RETRY_AFTER: Seconds = 0.001;
 
 impl Dispatcher {
--- a/crates/dispatch-core/src/policy/attempts.rs
+++ b/crates/dispatch-core/src/policy/attempts.rs
@@ -5,9 +5,9 @@
 use crate::job::{Attempt, EndedAttempt, Job, JobState};
 use crate::run_time::RunningJob;
 
-/// A job that waits at a worker for more than this part of the time it has counts as rejected.
+/// Part of the time that a job has to start beyond which its wait at a worker counts as a rejection.
 const CONGESTED_WAIT: f64 = 0.5;
-/// A worker that rejected a job as overloaded holds about this many times its slots.
+/// Estimated utilization of a worker that rejected a job as overloaded.
 const OVERLOADED_UTILIZATION: f64 = 1.5;
 
 /// The end of an attempt, as the caller reports it.
@@ -17,7 +17,7 @@
     /// The number of the attempt.
     pub number: u32,
     pub outcome: Outcome,
-    /// The request has its final answer.
+    /// Whether the request has its final answer.
     pub is_complete: bool,
     /// The worker's load report, where one came with the response.
     pub load: Option<LoadReport>,
--- a/crates/dispatch-core/src/policy/endpoint_list.rs
+++ b/crates/dispatch-core/src/policy/endpoint_list.rs
@@ -4,7 +4,8 @@
 use crate::api::{Action, Endpoint, ListScope};
 use crate::timers::TimerEvent;
 
-/// The delay before the next call is spread by jitter from this part of its length on, over its whole length.
+/// Shortest delay before the next call with jitter, as a part of its length; the jitter spans the whole
+/// length.
 const MIN_DELAY_PART: f64 = 0.5;
 
 impl Dispatcher {
--- a/crates/dispatch-core/src/policy/mod.rs
+++ b/crates/dispatch-core/src/policy/mod.rs
@@ -38,7 +38,7 @@
 /// The admission rate R starts at this multiple of our part of the quotas: a fleet has more capacity than is
 /// promised.
 const INITIAL_RATE_MULTIPLE: f64 = 1.5;
-/// The first probe is due within this time.
+/// Longest delay of the first probe.
 const MAX_FIRST_PROBE_DELAY: Seconds = 0.1;
 
 /// One dispatcher.
--- a/crates/dispatch-core/src/policy/outlier_detection.rs
+++ b/crates/dispatch-core/src/policy/outlier_detection.rs
@@ -5,8 +5,8 @@
 use crate::job::{Attempt, Job, JobState};
 use crate::timers::{TimerEvent, TIMER_TOLERANCE};
 
-/// Time without a sign of life after which a worker is stalled while a job of ours waits there, beside
-/// [`STALL_WAITS`].
+/// Time without a sign of life after which a worker is stalled while a job of ours waits there, before
+/// [`STALL_WAITS`] is added.
 const STALL_TIMEOUT: Seconds = 1.5;
 /// Mean waits by which the stall timeout of a job that waits is longer.
 const STALL_WAITS: f64 = 16.0;
--- a/crates/dispatch-core/src/policy/placement.rs
+++ b/crates/dispatch-core/src/policy/placement.rs
@@ -7,13 +7,13 @@
 use crate::load::PROMPT_START;
 use crate::timers::{TimerEvent, TIMER_TOLERANCE};
 
-/// An admitted job waits for a free worker for this part of the time it has.
+/// Part of the time that a job has to start for which it waits for a free worker.
 pub(super) const PLACEMENT_WAIT: f64 = 0.1;
-/// After so many attempts a job goes on only to a worker that seems free: the others would reject it as well.
+/// Attempts after which a job is sent only to a worker that seems free: others would reject it as well.
 const BLIND_ATTEMPTS: usize = 2;
-/// This part of the jobs that cannot be in time is sent all the same, to correct estimates that are wrong.
+/// Part of the jobs with an unreachable deadline that is sent all the same, to correct wrong estimates.
 const UNREACHABLE_SEND_RATE: f64 = 1.0 / 16.0;
-/// At most this many admitted jobs are tried at one event.
+/// Most admitted jobs that are tried at one event.
 pub(super) const MAX_PLACEMENTS: usize = 3;
 
 /// The decision on an admitted job.
--- a/crates/dispatch-core/src/policy/slow_start.rs
+++ b/crates/dispatch-core/src/policy/slow_start.rs
@@ -8,7 +8,7 @@
 use crate::slow_start::{time_slice, BudgetSlice};
 use crate::worker::Worker;
 
-/// The part of the budget that is planned for: running times vary, and sends of two slices may overlap.
+/// Part of the budget that is planned for: running times vary, and sends of two slices may overlap.
 const PLANNED_BUDGET_SHARE: f64 = 0.25;
 
 impl Dispatcher {
@@ -18,7 +18,7 @@
     }
 
     /// Returns the planned budget of a worker in this slice. It is planned in parts of about a job, each
-    /// owned by one dispatcher: of many dispatchers none has the traffic to use up more.
+    /// assigned to one dispatcher: of many dispatchers none has the traffic to use up more.
     fn planned_budget(&self, worker: &Worker) -> BudgetSlice {
         let settings = &self.settings;
         let capacity = self.fleet.warm_capacity(worker, self.now) * self.fleet.slots_of(worker);
--- a/crates/dispatch-core/src/policy/throttle.rs
+++ b/crates/dispatch-core/src/policy/throttle.rs
@@ -12,7 +12,7 @@
 
 /// Time in which the tokens of a full bank accrue: a burst evens out over a running time or two.
 const BANK_TIME: Seconds = 1.0;
-/// Workers of other zones are probed after this part of the wait for a free worker.
+/// Part of the wait for a free worker after which workers of other zones are probed.
 const PROBE_OTHER_ZONES_AFTER: f64 = 0.2;
 
 impl Dispatcher {
--- a/crates/dispatch-core/src/poll_schedule.rs
+++ b/crates/dispatch-core/src/poll_schedule.rs
@@ -13,9 +13,10 @@
 /// all.
 const MAX_RESPONSE_DELAY: Micros = 2_000_000;
 
-/// Divisors of the grace, the time for which a worker that drains may still get work, that give the first and the
-/// longest delay with an agent on this machine: it costs nothing to poll, and its changes count as notified at once.
+/// Divisor of the grace, the time for which a worker that drains may still get work, that gives the first delay with an
+/// agent on this machine: it costs nothing to poll, and its changes count as notified at once.
 const AGENT_FIRST_DIVISOR: Micros = 25;
+/// Divisor of the grace that gives the longest delay with an agent on this machine.
 const AGENT_LONGEST_DIVISOR: Micros = 5;
 /// Part of the grace, in percent, after which an agent that does not answer may have lost the connection: a standby
 /// watch is opened, so that one of the two was opened after discovery recovered.
@@ -24,10 +25,11 @@
 /// leave no time for other work.
 const MIN_GRACE: Micros = 50_000;
 const MAX_GRACE: Micros = 60_000_000;
-/// Span for each dispatcher over which the first calls after a failure are spread, and the bounds of the whole span.
-/// Where discovery is one service for all, a fault that breaks one watch breaks all, and a rejected call costs it as
-/// much as one that is answered. Later calls are spread ever wider, up to the time that is left.
+/// Span for each dispatcher over which the first calls after a failure are spread: if discovery is one service for all,
+/// a fault that breaks one watch breaks all, and a rejected call costs it as much as one that is answered. Later calls
+/// are spread ever wider, up to the time that is left.
 const SPREAD_PER_INSTANCE: Micros = 10_000;
+/// Bounds of the span of the first calls of all dispatchers.
 const MIN_FIRST_DELAY: Micros = 500_000;
 const MAX_FIRST_DELAY: Micros = 2_000_000;
 
