--- a/crates/coordinator/src/cli/commands.rs
+++ b/crates/coordinator/src/cli/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out a command. Each returns what is printed.
+//! Subcommands that need the settings. Each returns the text to be printed.
 
 use std::net::SocketAddr;
 
@@ -12,10 +12,10 @@
 use super::error::CommandError;
 use super::{metrics, output};
 
-/// Who is noted to have deregistered a target, where the operator does not say.
+/// Default of `--by` for a deregistered target.
 const DEFAULT_REQUESTER: &str = "an operator";
 
-/// Carries out a command that needs the settings.
+/// Runs a subcommand that needs the settings.
 pub(super) async fn run(
     subcommand: Subcommand,
     arguments: &Arguments,
@@ -35,7 +35,7 @@
         Subcommand::Deregister => deregister(arguments, config).await,
         Subcommand::Metrics => print_metrics(config).await,
         Subcommand::CheckConfig | Subcommand::Help | Subcommand::Version => {
-            Ok("the configuration is fine\n".to_owned())
+            Ok("the configuration is valid\n".to_owned())
         }
     }
 }
@@ -44,7 +44,7 @@
     config.serve.as_ref().ok_or(CommandError::NoServeBlock)
 }
 
-/// The value of an argument that the command needs.
+/// Returns the value of a required argument.
 fn required<T: Clone>(value: &Option<T>, name: &'static str) -> Result<T, CommandError> {
     value.clone().ok_or(CommandError::MissingArgument(name))
 }
@@ -56,11 +56,14 @@
     let store_id = clock::random_id();
     if arguments.joining {
         store::bootstrap_joining(directory, installation, id, store_id)?;
-        return Ok(format!("{}: the store of keeper {id}, which is to join\n", directory.display()));
+        return Ok(format!(
+            "{}: created the store of replica {id}, which joins a running installation\n",
+            directory.display()
+        ));
     }
     let voters: Vec<u64> = config.coordinators.keys().copied().collect();
     store::bootstrap(directory, installation, id, &voters, config.first_token, store_id)?;
-    Ok(format!("{}: an empty store of keeper {id}\n", directory.display()))
+    Ok(format!("{}: created an empty store for replica {id}\n", directory.display()))
 }
 
 async fn serve(arguments: &Arguments, config: &Config) -> Result<String, CommandError> {
@@ -115,7 +118,7 @@
         return Err(CommandError::InvalidAddress(address));
     }
     operator_client::replace(config, old, new, address).await?;
-    Ok(format!("keeper {new} has taken the place of keeper {old}\n"))
+    Ok(format!("replica {new} has replaced replica {old}\n"))
 }
 
 async fn disruption_state(arguments: &Arguments, config: &Config) -> Result<String, CommandError> {
@@ -131,7 +134,7 @@
     let budgets = config::read_budgets(&file)?;
     let expected_version = match arguments.seen_version {
         Some(version) => version,
-        // An operator who does not say what version was seen has just looked.
+        // Without `--seen` the present version is replaced.
         None => operator_client::disruption_state(config).await?.state.budgets_version(),
     };
     let count = budgets.len();
@@ -140,10 +143,10 @@
         DisruptionCommand::SetBudgets { expected_version, budgets },
     )
     .await?;
-    Ok(format!("{count} budgets hold from now on\n"))
+    Ok(format!("{count} budgets are in effect\n"))
 }
 
-/// Requests a permit, begins it, says that its step is done, or cancels it.
+/// Requests, begins, completes or cancels a permit.
 async fn permit(arguments: &Arguments, config: &Config) -> Result<String, CommandError> {
     let outcome = operator_client::change_disruption_state(config, permit_change(arguments)?).await?;
     match outcome {
--- a/crates/hcl-config/src/parser.rs
+++ b/crates/hcl-config/src/parser.rs
@@ -1,15 +1,15 @@
-//! From a text to sections with the lines of their keys and blocks.
+//! Parser of a text into sections with the lines of their keys and blocks.
 
 use std::ops::Range;
 use std::rc::Rc;
 
-use hcl_edit::structure::{Attribute, Block, Body, Structure};
+use hcl_edit::structure::{Attribute, Block, BlockLabel, Body, Structure};
 use hcl_edit::Span as _;
 
 use crate::section::{BlockHeader, Section};
 use crate::{HclError, HclResult, Problem, Value};
 
-/// The line of the file as a whole.
+/// Line of the first character, and of errors of the top-level section.
 const FIRST_LINE: usize = 1;
 
 impl Section {
@@ -17,7 +17,8 @@
     ///
     /// # Errors
     ///
-    /// The text is not HCL, or uses what needs evaluation: variables, functions, interpolation.
+    /// Returns [`Problem::Syntax`] if the text is not HCL, and [`Problem::Value`] if an expression needs evaluation
+    /// (variables, functions, interpolation).
     pub fn parse(file: &str, text: &str) -> HclResult<Section> {
         let body = hcl_edit::parser::parse_body(text).map_err(|error| HclError {
             file: file.to_owned(),
@@ -65,7 +66,7 @@
 
     fn block_header(&self, parent: &Section, block: &Block) -> BlockHeader {
         let kind = block.ident.as_str().to_owned();
-        let labels: Vec<&str> = block.labels.iter().map(|label| label.as_str()).collect();
+        let labels: Vec<&str> = block.labels.iter().map(BlockLabel::as_str).collect();
         let label = labels.join(" ");
         let name = if label.is_empty() { kind.clone() } else { format!("{kind}[{label}]") };
         BlockHeader { path: parent.qualified_key(&name), line: self.line(block.ident.span()), kind, label }
