--- a/crates/emulator/tests/planned_drains.rs
+++ b/crates/emulator/tests/planned_drains.rs
@@ -155,7 +155,10 @@
             .unwrap();
         let fault =
             fleet.run_coordinator_command(1, &["budgets", "--set", &path]).await.unwrap_err().to_string();
-        assert!(fault.contains(&path) && fault.contains("most_out") && fault.contains("last target"), "{fault}");
+        assert!(
+            fault.contains(&path) && fault.contains("most_out") && fault.contains("last target"),
+            "{fault}"
+        );
         std::fs::write(&wrong, BUDGETS).unwrap();
         let stale = fleet
             .run_coordinator_command(1, &["budgets", "--set", &path, "--seen", "0"])
