--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,4 +1,4 @@
-//! Reads the lines that are events of a dispatcher.
+//! Parser of the lines that are events of a dispatcher.
 
 use base64::engine::general_purpose::STANDARD as BASE64;
 use base64::Engine as _;
@@ -7,45 +7,47 @@
 use dispatch_core::load_report::LoadReportFormat;
 use dispatch_core::settings_pairs::InvalidValue;
 
-use crate::fields::Fields;
+use crate::fields::{Fields, Line};
 use crate::lists::EndpointLists;
+use crate::wire::{
+    list_scope_from_name, outcome_from_number, EventKind, UpdateTopic, FLAG_EXPECTED_WORK, FLAG_RETRY,
+    LIST_SCOPES, OUTCOME_OK,
+};
 use crate::worker_id;
 
-/// Flags of a request: its work is given, and it is a client's retry.
-const FLAG_EXPECTED_WORK: u32 = 1;
-const FLAG_RETRY: u32 = 2;
-
-/// Descriptions of what is expected.
+/// Descriptions of expected values, for errors.
+const EVENT: &str = "an event of the wire";
 const REQUEST: &str = "a request";
 const ATTEMPT: &str = "an attempt number";
+const OUTCOME: &str = "an outcome";
 
-/// What the lines of one instance are read by.
+/// Parses the events of one instance.
 pub(crate) struct EventReader<'a> {
-    pub format: &'a LoadReportFormat,
-    pub lists: &'a EndpointLists,
-    /// Holds the bytes of a message while its event is handled.
-    pub message: &'a mut Vec<u8>,
+    /// Format of load reports.
+    pub(crate) format: &'a LoadReportFormat,
+    /// Endpoint lists that events refer to.
+    pub(crate) lists: &'a EndpointLists,
+    /// Buffer for the bytes of a message while its event is handled.
+    pub(crate) message: &'a mut Vec<u8>,
 }
 
 impl<'a> EventReader<'a> {
-    /// Reads an event by its name and values; none where it is of no use here.
-    pub(crate) fn read(
-        self,
-        name: &str,
-        fields: Fields<'_>,
-        line: &str,
-    ) -> Result<Option<Event<'a>>, InvalidValue> {
-        let event = match name {
-            "KNOCK" => Event::Request(read_request(fields)?),
-            "STARTED" => read_stream_started(fields)?,
-            "UPDATE_OF" => return read_update(fields),
-            "RESPONSE" => read_response(fields, self.format)?,
-            "CANCELLED_BY_CLIENT" => Event::ClientDisconnected(read_id(fields)?),
-            "DEADLINE_HIT" => read_timer(fields)?,
-            "HEALTH_RESULT" => read_probe_result(fields, self.format)?,
-            "WHISPER" => read_message(fields, self.message)?,
-            "FLEET" => read_list(fields, self.lists)?,
-            _ => return Err(InvalidValue::new("an event of the wire", line)),
+    /// Parses an event; returns none for an update that a dispatcher has no use for.
+    pub(crate) fn read(self, line: Line<'_>) -> Result<Option<Event<'a>>, InvalidValue> {
+        let Some(kind) = EventKind::from_name(line.name) else {
+            return Err(InvalidValue::new(EVENT, line.text));
+        };
+        let fields = line.fields;
+        let event = match kind {
+            EventKind::Request => Event::Request(read_request(fields)?),
+            EventKind::StreamStarted => read_stream_started(fields)?,
+            EventKind::Update => return read_update(fields),
+            EventKind::AttemptEnded => read_response(fields, self.format)?,
+            EventKind::ClientDisconnected => Event::ClientDisconnected(read_id(fields)?),
+            EventKind::Timer => read_timer(fields)?,
+            EventKind::ProbeEnded => read_probe_result(fields, self.format)?,
+            EventKind::PeerMessage => read_message(fields, self.message)?,
+            EventKind::EndpointList => read_list(fields, self.lists)?,
         };
         Ok(Some(event))
     }
@@ -74,20 +76,20 @@
     Ok(Event::StreamStarted { request, attempt: fields.required(ATTEMPT)? })
 }
 
-/// An update on a running job, by its topic; a dispatcher has no use for other topics.
+/// Parses an update on a running job; returns none if a dispatcher has no use for its topic.
 fn read_update<'a>(mut fields: Fields<'_>) -> Result<Option<Event<'a>>, InvalidValue> {
     let request = RequestId(fields.required(REQUEST)?);
     fields.text();
-    let topic: u32 = fields.required("a topic")?;
+    let topic = fields.required("a topic")?;
     let attempt = fields.required(ATTEMPT)?;
-    Ok(match topic {
-        1 => Some(Event::JobStarted { request, attempt }),
-        2 => {
+    let Some(topic) = UpdateTopic::from_number(topic) else { return Ok(None) };
+    Ok(Some(match topic {
+        UpdateTopic::JobStarted => Event::JobStarted { request, attempt },
+        UpdateTopic::Progress => {
             let done = fields.number("the part done")?.unwrap_or(0.0);
-            Some(Event::Progress { request, attempt, done })
+            Event::Progress { request, attempt, done }
         }
-        _ => None,
-    })
+    }))
 }
 
 fn read_response<'a>(mut fields: Fields<'_>, format: &LoadReportFormat) -> Result<Event<'a>, InvalidValue> {
@@ -103,18 +105,8 @@
 }
 
 fn read_outcome(fields: &mut Fields<'_>) -> Result<Outcome, InvalidValue> {
-    const OUTCOME: &str = "an outcome";
-    match fields.required::<u32>(OUTCOME)? {
-        0 => Ok(Outcome::Ok),
-        1 => Ok(Outcome::Cancelled),
-        4 => Ok(Outcome::Timeout),
-        8 => Ok(Outcome::Overloaded),
-        9 => Ok(Outcome::NotSent),
-        10 => Ok(Outcome::Reset),
-        13 => Ok(Outcome::Error),
-        14 => Ok(Outcome::ConnectFailed),
-        other => Err(InvalidValue::new(OUTCOME, &other.to_string())),
-    }
+    let number = fields.required(OUTCOME)?;
+    outcome_from_number(number).ok_or_else(|| InvalidValue::new(OUTCOME, &number.to_string()))
 }
 
 fn read_load(fields: &mut Fields<'_>, format: &LoadReportFormat) -> Result<Option<LoadReport>, InvalidValue> {
@@ -129,7 +121,7 @@
     mut fields: Fields<'_>,
     format: &LoadReportFormat,
 ) -> Result<Event<'a>, InvalidValue> {
-    let ok = fields.required::<u32>("an outcome")? == 0;
+    let ok = fields.required::<u32>(OUTCOME)? == OUTCOME_OK;
     let worker = worker_id(fields.required_text("a worker")?);
     fields.number("a time since the send")?;
     let load = read_load(&mut fields, format)?;
@@ -144,14 +136,7 @@
 }
 
 fn read_list<'a>(mut fields: Fields<'_>, lists: &'a EndpointLists) -> Result<Event<'a>, InvalidValue> {
-    const SCOPE: &str = "INCREMENTAL, FULL, SAVED or FAILED";
-    let scope = match fields.text() {
-        Some("FULL") => ListScope::Full,
-        Some("SAVED") => ListScope::Cached,
-        Some("INCREMENTAL") => ListScope::Incremental,
-        Some("FAILED") => ListScope::Failed,
-        other => return Err(InvalidValue::new(SCOPE, other.unwrap_or("nothing"))),
-    };
+    let scope = fields.named(LIST_SCOPES, list_scope_from_name)?;
     let list = fields.optional("a list number")?;
     let endpoints = if scope == ListScope::Failed { &[] } else { lists.get(list)? };
     Ok(Event::EndpointList { scope, endpoints })
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,46 +1,73 @@
-//! The values of one line of the wire.
+//! Values of one line of the wire.
 
 use std::str::{FromStr, Split};
 
 use dispatch_core::settings_pairs::InvalidValue;
 
-/// The values of one line, in order; `-` and values left off the end are absent.
-pub(crate) struct Fields<'a>(Split<'a, char>);
+use crate::wire::ABSENT;
 
-impl<'a> Fields<'a> {
-    /// Splits a line into its name, which comes first, and its values.
-    pub(crate) fn of_line(line: &'a str) -> (&'a str, Fields<'a>) {
-        let mut words = line.split(' ');
-        (words.next().unwrap_or(""), Fields(words))
+/// Description of a value that was not found.
+const NOTHING: &str = "nothing";
+
+/// A line of the wire: its name and its values.
+pub(crate) struct Line<'a> {
+    /// Complete text of the line.
+    pub(crate) text: &'a str,
+    /// Name, the first word.
+    pub(crate) name: &'a str,
+    /// Values after the name.
+    pub(crate) fields: Fields<'a>,
+}
+
+impl<'a> Line<'a> {
+    /// Splits a line.
+    pub(crate) fn new(text: &'a str) -> Line<'a> {
+        let mut words = text.split(' ');
+        Line { text, name: words.next().unwrap_or(""), fields: Fields(words) }
     }
+}
 
-    /// The words that are left, as they stand.
+/// Values of a line in order; [`ABSENT`] and values missing at the end are absent.
+pub(crate) struct Fields<'a>(Split<'a, char>);
+
+impl<'a> Fields<'a> {
+    /// Returns the remaining words as they stand.
     pub(crate) fn rest(self) -> impl Iterator<Item = &'a str> {
         self.0
     }
 
-    /// The next value as it stands.
+    /// Returns the next value as it stands.
     pub(crate) fn text(&mut self) -> Option<&'a str> {
-        self.0.next().filter(|value| *value != "-" && !value.is_empty())
+        self.0.next().filter(|value| *value != ABSENT && !value.is_empty())
     }
 
-    /// A value that must be there; `expected` describes it.
+    /// Returns the next value, which must be present; `expected` describes it.
     pub(crate) fn required_text(&mut self, expected: &str) -> Result<&'a str, InvalidValue> {
-        self.text().ok_or_else(|| InvalidValue::new(expected, "nothing"))
+        self.text().ok_or_else(|| InvalidValue::new(expected, NOTHING))
     }
 
-    /// A value that may be absent.
+    /// Parses a value that may be absent.
     pub(crate) fn optional<T: FromStr>(&mut self, expected: &str) -> Result<Option<T>, InvalidValue> {
         let parse = |value: &str| value.parse().map_err(|_| InvalidValue::new(expected, value));
         self.text().map(parse).transpose()
     }
 
-    /// A value that must be there.
+    /// Parses a value that must be present.
     pub(crate) fn required<T: FromStr>(&mut self, expected: &str) -> Result<T, InvalidValue> {
-        self.optional(expected)?.ok_or_else(|| InvalidValue::new(expected, "nothing"))
+        self.optional(expected)?.ok_or_else(|| InvalidValue::new(expected, NOTHING))
+    }
+
+    /// Parses a value by its name on the wire; `expected` describes all names.
+    pub(crate) fn named<T>(
+        &mut self,
+        expected: &str,
+        from_name: impl FnOnce(&str) -> Option<T>,
+    ) -> Result<T, InvalidValue> {
+        let name = self.text();
+        name.and_then(from_name).ok_or_else(|| InvalidValue::new(expected, name.unwrap_or(NOTHING)))
     }
 
-    /// A finite number that may be absent.
+    /// Parses a finite number that may be absent.
     pub(crate) fn number(&mut self, expected: &str) -> Result<Option<f64>, InvalidValue> {
         match self.optional::<f64>(expected)? {
             Some(value) if !value.is_finite() => Err(InvalidValue::new(expected, &value.to_string())),
@@ -48,7 +75,7 @@
         }
     }
 
-    /// 0 or 1; absent is 0.
+    /// Parses 0 or 1; an absent value is 0.
     pub(crate) fn flag(&mut self, expected: &str) -> Result<bool, InvalidValue> {
         match self.text() {
             None | Some("0") => Ok(false),
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts dispatchers on the wire: batches of lines in, a reply for each.
+//! Host of dispatchers: batches of lines in, a reply to each.
 
 use std::fmt;
 use std::io::{self, BufRead, Write};
@@ -13,26 +13,29 @@
 use dispatch_core::Dispatcher;
 
 use crate::events::EventReader;
-use crate::fields::Fields;
-use crate::lists::{parse_endpoint, EndpointLists};
+use crate::fields::{Fields, Line};
+use crate::lists::{parse_endpoint, EndpointLists, NamedEndpoint};
 use crate::reply::{Reply, WorkerNames};
+use crate::wire::{
+    BEGIN_BATCH, BEGIN_LIST, END_BATCH, LIST_ENTRY, REMOVE_INSTANCE, SELECT_INSTANCE, START_INSTANCE,
+};
 
-/// What was wrong with a line.
+/// Error of a line that breaks the protocol.
 #[derive(Debug, PartialEq, Eq, Error)]
 #[error("line {line}: expected {expected}, found '{found}'")]
 pub struct Malformed {
-    /// The number of the line, from 1.
+    /// Number of the line, from 1.
     pub line: u64,
-    /// What was expected there.
+    /// Description of the expected value.
     pub expected: String,
-    /// What stood there.
+    /// Value that was found.
     pub found: String,
 }
 
-/// Why the host stopped.
+/// Error that stops the host.
 #[derive(Debug, Error)]
 pub enum HostError {
-    /// The input broke the protocol.
+    /// The input breaks the protocol.
     #[error(transparent)]
     Malformed(Malformed),
     /// Reading or writing failed.
@@ -40,26 +43,26 @@
     Io(#[from] io::Error),
 }
 
-/// One hosted dispatcher.
+/// A hosted dispatcher.
 struct Instance {
     dispatcher: Dispatcher,
     load_report_format: LoadReportFormat,
 }
 
-/// Hosts dispatchers on the wire.
+/// Hosts dispatchers for a simulator.
 ///
-/// Instances share the endpoint lists and the names of workers and nothing else; a worker's id is a hash of its name, so
-/// it is the same in every process.
+/// Instances share only the endpoint lists and the names of workers. A worker's id is a hash of its name, so that it is
+/// the same in every process.
 #[derive(Default)]
 pub struct Host {
     instances: FxHashMap<Box<str>, Instance>,
     worker_names: WorkerNames,
     lists: EndpointLists,
-    /// The instance that the lines at hand concern.
-    context: Box<str>,
+    /// Instance that the lines of the batch concern.
+    selected_instance: Box<str>,
     now: Seconds,
     in_batch: bool,
-    /// The number of the line at hand, from 1.
+    /// Number of the present line, from 1.
     line: u64,
     actions: Vec<Action>,
     reply: Reply,
@@ -73,10 +76,11 @@
 }
 
 impl Host {
-    /// Answers batches until the input ends.
+    /// Replies to batches until the input ends.
     ///
     /// # Errors
-    /// A malformed line, or an input or output that fails. Whole replies only have been written by then.
+    /// Returns [`HostError::Malformed`] for a line that breaks the protocol, and [`HostError::Io`] if reading or writing
+    /// fails. Only complete replies have been written by then.
     pub fn serve(&mut self, mut input: impl BufRead, mut output: impl Write) -> Result<(), HostError> {
         let mut buffer = Vec::new();
         loop {
@@ -87,18 +91,18 @@
             }
             self.line += 1;
             let ends_batch = match read {
-                0 => Err(InvalidValue::new("EOF_BATCH", "end of input")),
+                0 => Err(InvalidValue::new(END_BATCH, "end of input")),
                 _ => self.handle_bytes(&buffer),
             };
-            if ends_batch.map_err(|fault| self.malformed(fault))? {
+            if ends_batch.map_err(|invalid| self.malformed(invalid))? {
                 output.write_all(self.reply.take().as_bytes())?;
                 output.flush()?;
             }
         }
     }
 
-    fn malformed(&self, fault: InvalidValue) -> HostError {
-        let InvalidValue { expected, found } = fault;
+    fn malformed(&self, invalid: InvalidValue) -> HostError {
+        let InvalidValue { expected, found } = invalid;
         HostError::Malformed(Malformed { line: self.line, expected, found })
     }
 
@@ -109,17 +113,17 @@
         }
     }
 
-    /// Takes one line; true when it ended a batch.
-    fn handle_line(&mut self, line: &str) -> Result<bool, InvalidValue> {
-        let (name, fields) = Fields::of_line(line);
+    /// Handles one line; returns true if it ends a batch.
+    fn handle_line(&mut self, text: &str) -> Result<bool, InvalidValue> {
+        let line = Line::new(text);
         if self.lists.is_reading() {
-            self.handle_list_line(name, fields, line)?;
+            self.handle_list_line(line)?;
         } else if self.in_batch {
-            return self.handle_batch_line(name, fields, line);
-        } else if name == "SYNC" {
-            self.begin_batch(fields)?;
-        } else if !name.is_empty() {
-            return Err(InvalidValue::new("SYNC", line));
+            return self.handle_batch_line(line);
+        } else if line.name == BEGIN_BATCH {
+            self.begin_batch(line.fields)?;
+        } else if !line.name.is_empty() {
+            return Err(InvalidValue::new(BEGIN_BATCH, line.text));
         }
         Ok(false)
     }
@@ -132,76 +136,78 @@
         Ok(())
     }
 
-    fn handle_list_line(&mut self, name: &str, fields: Fields<'_>, line: &str) -> Result<(), InvalidValue> {
-        if name != "WORKER" {
-            return Err(InvalidValue::new("a WORKER line of the list", line));
+    fn handle_list_line(&mut self, line: Line<'_>) -> Result<(), InvalidValue> {
+        if line.name != LIST_ENTRY {
+            let expected = format!("a {LIST_ENTRY} line of the list");
+            return Err(InvalidValue::new(&expected, line.text));
         }
-        let (worker_name, endpoint) = parse_endpoint(fields)?;
-        self.worker_names.entry(endpoint.worker).or_insert_with(|| worker_name.into());
+        let NamedEndpoint { name, endpoint } = parse_endpoint(line.fields)?;
+        self.worker_names.entry(endpoint.worker).or_insert_with(|| name.into());
         self.lists.push(endpoint);
         Ok(())
     }
 
-    fn handle_batch_line(
-        &mut self,
-        name: &str,
-        mut fields: Fields<'_>,
-        line: &str,
-    ) -> Result<bool, InvalidValue> {
-        match name {
-            "EOF_BATCH" => {
+    fn handle_batch_line(&mut self, line: Line<'_>) -> Result<bool, InvalidValue> {
+        match line.name {
+            END_BATCH => {
                 self.in_batch = false;
                 self.reply.end();
                 return Ok(true);
             }
-            "CONTEXT" => {
-                let instance = fields.required_text("an instance")?;
-                if *self.context != *instance {
-                    self.context = instance.into();
-                }
+            SELECT_INSTANCE => self.select_instance(line.fields)?,
+            BEGIN_LIST => self.lists.register(line.fields)?,
+            START_INSTANCE => self.start_instance(line)?,
+            REMOVE_INSTANCE => {
+                self.instances.remove(&self.selected_instance);
             }
-            "REGISTER" => self.lists.register(fields)?,
-            "INIT" => self.start_instance(fields, line)?,
-            "KILL" => {
-                self.instances.remove(&self.context);
-            }
-            _ => self.handle_event(name, fields, line)?,
+            _ => self.handle_event(line)?,
         }
         Ok(false)
     }
 
-    fn start_instance(&mut self, mut fields: Fields<'_>, line: &str) -> Result<(), InvalidValue> {
-        if self.context.is_empty() {
-            return Err(InvalidValue::new("CONTEXT before INIT", line));
+    fn select_instance(&mut self, mut fields: Fields<'_>) -> Result<(), InvalidValue> {
+        let instance = fields.required_text("an instance")?;
+        if *self.selected_instance != *instance {
+            self.selected_instance = instance.into();
+        }
+        Ok(())
+    }
+
+    fn start_instance(&mut self, line: Line<'_>) -> Result<(), InvalidValue> {
+        if self.selected_instance.is_empty() {
+            let expected = format!("{SELECT_INSTANCE} before {START_INSTANCE}");
+            return Err(InvalidValue::new(&expected, line.text));
         }
+        let mut fields = line.fields;
         let seed = fields.required("a seed")?;
         let settings = parse_settings(&SettingsPairs::parse(fields.rest())?)?;
         let load_report_format = settings.load_report_format.clone();
         let mut dispatcher = Dispatcher::new(settings, seed);
         dispatcher.start(self.now, &mut self.actions);
-        self.instances.insert(self.context.clone(), Instance { dispatcher, load_report_format });
+        self.instances.insert(self.selected_instance.clone(), Instance { dispatcher, load_report_format });
         self.append_actions();
         Ok(())
     }
 
-    fn handle_event(&mut self, name: &str, fields: Fields<'_>, line: &str) -> Result<(), InvalidValue> {
-        let Some(instance) = self.instances.get_mut(&self.context) else {
-            return Ok(()); // Late for an instance that was killed: odd, but no fault of the line.
+    fn handle_event(&mut self, line: Line<'_>) -> Result<(), InvalidValue> {
+        let Some(instance) = self.instances.get_mut(&self.selected_instance) else {
+            // An event may arrive after the removal of its instance.
+            return Ok(());
         };
         let reader = EventReader {
             format: &instance.load_report_format,
             lists: &self.lists,
             message: &mut Vec::new(),
         };
-        if let Some(event) = reader.read(name, fields, line)? {
+        if let Some(event) = reader.read(line)? {
             instance.dispatcher.on_event(self.now, event, &mut self.actions);
         }
         self.append_actions();
         Ok(())
     }
 
-    /// Appends the actions at hand to the reply.
+    /// Appends the collected actions to the reply.
     fn append_actions(&mut self) {
-        self.reply.append(&self.context, &mut self.actions, &self.worker_names);
+        self.reply.append(&self.selected_instance, &mut self.actions, &self.worker_names);
     }
 }
--- a/crates/simulator-adapter/src/lists.rs
+++ b/crates/simulator-adapter/src/lists.rs
@@ -1,24 +1,26 @@
-//! The numbered endpoint lists that the wire keeps, and the one that is being read.
+//! Numbered endpoint lists of the wire, and the one whose entries are being read.
 
-use dispatch_core::api::{Endpoint, WorkerState};
+use dispatch_core::api::Endpoint;
 use dispatch_core::settings_pairs::InvalidValue;
 
 use crate::fields::Fields;
+use crate::wire::{worker_state_from_name, WORKER_STATES};
 use crate::worker_id;
 
-/// How many numbered endpoint lists the wire keeps.
+/// Number of numbered endpoint lists.
 const LISTS: usize = 16;
-/// How such a number is described.
+/// Description of such a number, for errors.
 const LIST_NUMBER: &str = "a list number from 0 to 15";
 
-/// A list of which lines are to come.
+/// A list whose entries are being read.
 #[derive(Clone, Copy)]
 struct Reading {
     list: usize,
+    /// Number of entries that are still to come.
     missing: usize,
 }
 
-/// All lists by number.
+/// All endpoint lists by number.
 #[derive(Default)]
 pub(crate) struct EndpointLists {
     lists: [Vec<Endpoint>; LISTS],
@@ -26,7 +28,7 @@
 }
 
 impl EndpointLists {
-    /// Takes the line that announces a list and how many lines it has.
+    /// Handles the line that announces a list and the number of its entries.
     pub(crate) fn register(&mut self, mut fields: Fields<'_>) -> Result<(), InvalidValue> {
         let list: usize = fields.required(LIST_NUMBER)?;
         if list >= LISTS {
@@ -38,12 +40,12 @@
         Ok(())
     }
 
-    /// Whether the next line belongs to a list.
+    /// Returns whether the next line is an entry of a list.
     pub(crate) fn is_reading(&self) -> bool {
         self.reading.is_some()
     }
 
-    /// Takes a line of the list that is being read.
+    /// Adds an entry to the list that is being read.
     pub(crate) fn push(&mut self, endpoint: Endpoint) {
         if let Some(Reading { list, missing }) = self.reading {
             self.lists[list].push(endpoint);
@@ -51,7 +53,7 @@
         }
     }
 
-    /// The lines of a list.
+    /// Returns the entries of a list.
     pub(crate) fn get(&self, list: Option<usize>) -> Result<&[Endpoint], InvalidValue> {
         match list {
             Some(list) if list < LISTS => Ok(&self.lists[list]),
@@ -60,11 +62,17 @@
     }
 }
 
-/// Reads the fields of a line of a list; returns the worker's name too.
-pub(crate) fn parse_endpoint<'a>(mut fields: Fields<'a>) -> Result<(&'a str, Endpoint), InvalidValue> {
+/// An entry of a list, with the worker's name.
+pub(crate) struct NamedEndpoint<'a> {
+    pub(crate) name: &'a str,
+    pub(crate) endpoint: Endpoint,
+}
+
+/// Parses the values of an entry of a list.
+pub(crate) fn parse_endpoint<'a>(mut fields: Fields<'a>) -> Result<NamedEndpoint<'a>, InvalidValue> {
     let name = fields.required_text("a worker")?;
     let kind = fields.optional("a machine type")?.unwrap_or(0);
-    // Slots and running times are learned, so this is checked and left.
+    // Validated and ignored, since slots and running times are learned.
     fields.number("a capacity hint")?;
     let endpoint = Endpoint {
         worker: worker_id(name),
@@ -72,16 +80,7 @@
         started_at: fields.number("a start time")?.unwrap_or(0.0),
         zone: fields.optional("a zone")?.unwrap_or(0),
         cell: fields.optional("a cell")?.unwrap_or(0),
-        state: parse_state(fields.text())?,
+        state: fields.named(WORKER_STATES, worker_state_from_name)?,
     };
-    Ok((name, endpoint))
-}
-
-fn parse_state(word: Option<&str>) -> Result<WorkerState, InvalidValue> {
-    match word {
-        Some("SERVING") => Ok(WorkerState::Serving),
-        Some("DRAINING") => Ok(WorkerState::Draining),
-        Some("DELETED") => Ok(WorkerState::Removed),
-        other => Err(InvalidValue::new("SERVING, DRAINING or DELETED", other.unwrap_or("nothing"))),
-    }
+    Ok(NamedEndpoint { name, endpoint })
 }
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -1,4 +1,4 @@
-//! Writes the actions of dispatchers as lines of the wire.
+//! Encoder of actions as lines of the wire.
 
 use std::fmt::{self, Write as _};
 
@@ -8,38 +8,38 @@
 
 use dispatch_core::api::{Action, Seconds, WorkerId};
 
-/// The timer tokens of the wire end here.
-const MAX_TOKEN: u64 = 1 << 63;
-/// The longest message to a peer, in bytes.
+use crate::wire::{self, ABSENT, ALL_PEERS};
+
+/// Number of timer tokens of the wire.
+const TOKENS: u64 = 1 << 63;
+/// Maximum length of a message to a peer, in bytes.
 const MAX_MESSAGE: usize = 256;
-/// The longest timer.
+/// Longest time of a timer.
 const MAX_TIMER: Seconds = 71.0 * 60.0;
-/// The receiver of a message that goes to all.
-const ALL_PEERS: i64 = -1;
 
-/// The names by which the wire knows workers.
+/// Names of workers on the wire.
 pub(crate) type WorkerNames = FxHashMap<WorkerId, Box<str>>;
 
-/// The reply to one batch.
+/// Reply to one batch.
 #[derive(Default)]
 pub(crate) struct Reply {
     text: String,
-    /// The instance that the last lines are from.
+    /// Instance of the last actions.
     instance: Box<str>,
 }
 
 impl Reply {
-    /// A batch begins: its first line will name the instance.
+    /// Begins a batch, in which the first action names its instance.
     pub(crate) fn begin(&mut self) {
         self.instance = Box::default();
     }
 
     /// Ends the batch.
     pub(crate) fn end(&mut self) {
-        self.text.push_str("OK\n");
+        self.push_line(wire::END_REPLY);
     }
 
-    /// Takes the text written so far.
+    /// Takes the text that was written so far.
     pub(crate) fn take(&mut self) -> String {
         std::mem::take(&mut self.text)
     }
@@ -51,48 +51,57 @@
         }
         if *self.instance != *instance {
             self.instance = instance.into();
-            self.text.push_str(&format!("ON_BEHALF {instance}\n"));
+            self.push_line(&format!("{} {instance}", wire::INSTANCE_OF_ACTIONS));
         }
         for action in actions.drain(..) {
             // Writing to a String cannot fail.
             let _ = write_action(&mut self.text, &action, names);
         }
     }
+
+    fn push_line(&mut self, line: &str) {
+        self.text.push_str(line);
+        self.text.push('\n');
+    }
 }
 
-/// Writes one line, or none for a worker that the wire never named.
+/// Writes an action as one line, or as none if its worker has no name on the wire.
 fn write_action(out: &mut String, action: &Action, names: &WorkerNames) -> fmt::Result {
     match action {
         Action::Send { request, worker, timeout } => match (names.get(worker), timeout) {
             (None, _) => Ok(()),
-            (Some(name), None) => writeln!(out, "PLACE {} {name}", request.0),
-            (Some(name), Some(after)) => writeln!(out, "PLACE {} {name} {after}", request.0),
+            (Some(name), None) => writeln!(out, "{} {} {name}", wire::SEND, request.0),
+            (Some(name), Some(timeout)) => writeln!(out, "{} {} {name} {timeout}", wire::SEND, request.0),
         },
-        Action::Reject { request, retry_after: None } => writeln!(out, "BUSY {}", request.0),
-        Action::Reject { request, retry_after: Some(wait) } => writeln!(out, "BUSY {} {wait}", request.0),
-        Action::Fail { request } => writeln!(out, "DROP_REQUEST {}", request.0),
-        Action::Cancel { request, attempt } => writeln!(out, "ABANDON {} {attempt}", request.0),
-        Action::Probe(worker) => write_worker(out, "SOUND_OUT", *worker, names),
-        Action::CloseIdle(worker) => write_worker(out, "CLOSE_IDLE", *worker, names),
+        Action::Reject { request, retry_after: None } => writeln!(out, "{} {}", wire::REJECT, request.0),
+        Action::Reject { request, retry_after: Some(retry_after) } => {
+            writeln!(out, "{} {} {retry_after}", wire::REJECT, request.0)
+        }
+        Action::Fail { request } => writeln!(out, "{} {}", wire::FAIL, request.0),
+        Action::Cancel { request, attempt } => writeln!(out, "{} {} {attempt}", wire::CANCEL, request.0),
+        Action::Probe(worker) => write_worker_action(out, wire::PROBE, *worker, names),
+        Action::CloseIdle(worker) => write_worker_action(out, wire::CLOSE_IDLE, *worker, names),
         Action::SetTimer { after, token } => {
-            writeln!(out, "SET_TIMER {} {}", after.clamp(0.0, MAX_TIMER), token % MAX_TOKEN)
+            writeln!(out, "{} {} {}", wire::SET_TIMER, after.clamp(0.0, MAX_TIMER), token % TOKENS)
         }
-        Action::Watch(on) => writeln!(out, "LISTEN {}", u8::from(*on)),
-        Action::FetchEndpointList => writeln!(out, "READ_LIST"),
+        Action::Watch(enabled) => writeln!(out, "{} {}", wire::WATCH, u8::from(*enabled)),
+        Action::FetchEndpointList => writeln!(out, "{}", wire::FETCH_LIST),
         Action::SendToPeer { to, data } => write_message(out, *to, data),
-        Action::Log(words) => writeln!(out, "NOTE_DOWN {}", words.replace(['\n', '\r'], " ")),
+        Action::Log(text) => writeln!(out, "{} {}", wire::LOG, text.replace(['\n', '\r'], " ")),
     }
 }
 
-fn write_worker(out: &mut String, word: &str, worker: WorkerId, names: &WorkerNames) -> fmt::Result {
+fn write_worker_action(out: &mut String, action: &str, worker: WorkerId, names: &WorkerNames) -> fmt::Result {
     match names.get(&worker) {
-        Some(name) => writeln!(out, "{word} {name}"),
+        Some(name) => writeln!(out, "{action} {name}"),
         None => Ok(()),
     }
 }
 
+/// Writes a message to one peer, or to all.
 fn write_message(out: &mut String, to: Option<u32>, data: &[u8]) -> fmt::Result {
-    let to = to.map_or(ALL_PEERS, i64::from);
+    let receiver = to.map_or(ALL_PEERS, i64::from);
     let data = BASE64.encode(&data[..data.len().min(MAX_MESSAGE)]);
-    writeln!(out, "MEMO_TO {to} {}", if data.is_empty() { "-" } else { &data })
+    let data = if data.is_empty() { ABSENT } else { &data };
+    writeln!(out, "{} {receiver} {data}", wire::SEND_TO_PEER)
 }
