--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -60,7 +60,7 @@
 fn read_request(mut fields: Fields<'_>) -> Result<Request, InvalidValue> {
     let id = RequestId(fields.required(REQUEST)?);
     let slots = fields.number("slots")?.unwrap_or(1.0);
-    let timeout = fields.number("the client's patience")?.unwrap_or(0.0);
+    let timeout = fields.number("the client's timeout")?.unwrap_or(0.0);
     let tenant = fields.optional("a tenant")?.unwrap_or(0);
     let flags: u32 = fields.optional("flags")?.unwrap_or(0);
     let memory = fields.number("memory units")?.unwrap_or(0.0);
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -7,7 +7,7 @@
 use crate::wire::ABSENT;
 
 /// Description of a value that was not found.
-const NOTHING: &str = "nothing";
+pub(crate) const NOTHING: &str = "nothing";
 
 /// A line of the wire: its name and its values.
 pub(crate) struct Line<'a> {
--- a/crates/simulator-adapter/src/lists.rs
+++ b/crates/simulator-adapter/src/lists.rs
@@ -3,7 +3,7 @@
 use dispatch_core::api::Endpoint;
 use dispatch_core::settings_pairs::InvalidValue;
 
-use crate::fields::Fields;
+use crate::fields::{Fields, NOTHING};
 use crate::wire::{worker_state_from_name, WORKER_STATES};
 use crate::worker_id;
 
@@ -57,7 +57,8 @@
     pub(crate) fn get(&self, list: Option<usize>) -> Result<&[Endpoint], InvalidValue> {
         match list {
             Some(list) if list < LISTS => Ok(&self.lists[list]),
-            other => Err(InvalidValue::new(LIST_NUMBER, &format!("{other:?}"))),
+            Some(list) => Err(InvalidValue::new(LIST_NUMBER, &list.to_string())),
+            None => Err(InvalidValue::new(LIST_NUMBER, NOTHING)),
         }
     }
 }
