--- a/crates/dispatcher/src/config/mod.rs
+++ b/crates/dispatcher/src/config/mod.rs
@@ -152,17 +152,15 @@
 
     /// Checks that each list of names begins with the names that it has now.
     fn check_names(&self, new: &Config) -> Result<(), ConfigError> {
-        let has_class = |(present, new): (&ClassInfo, &ClassInfo)| present.name == new.name;
-        let (present, new) = (&self.names, &new.names);
-        let classes_kept = present.classes.len() <= new.classes.len()
-            && present.classes.iter().zip(&new.classes).all(has_class);
-        for (key, is_kept) in [
-            ("settings.profiles", classes_kept),
+        let present = &self.names;
+        let new = &new.names;
+        for (key, extends_present) in [
+            ("settings.profiles", class_names(new).starts_with(&class_names(present))),
             ("settings.projects", new.tenants.starts_with(&present.tenants)),
             ("settings.azs", new.zones.starts_with(&present.zones)),
             ("settings.flavors", new.kinds.starts_with(&present.kinds)),
         ] {
-            if !is_kept {
+            if !extends_present {
                 return invalid(key, "cannot change while the program runs, but for names added at the end");
             }
         }
@@ -170,6 +168,10 @@
     }
 }
 
+fn class_names(names: &Names) -> Vec<&str> {
+    names.classes.iter().map(|class| class.name.as_str()).collect()
+}
+
 fn read_file(variable: &impl Fn(&str) -> Option<String>) -> Result<String, ConfigError> {
     let Some(path) = variable(CONFIG_VARIABLE) else {
         return invalid(CONFIG_VARIABLE, "not set; it names the configuration file");
--- a/crates/dispatcher/src/net/client/acceptor.rs
+++ b/crates/dispatcher/src/net/client/acceptor.rs
@@ -105,9 +105,9 @@
             self.context.limit.record_rejected();
             return;
         }
-        let over_limit = self.context.update_crowded(self.connections.len(), limit);
+        let crowded = self.context.update_crowded(self.connections.len(), limit);
         let _ = stream.set_nodelay(true);
-        self.connections.spawn_local(Connection::serve(stream, self.context.clone(), over_limit));
+        self.connections.spawn_local(Connection::serve(stream, self.context.clone(), crowded));
     }
 }
 
--- a/crates/dispatcher/src/net/client/connection.rs
+++ b/crates/dispatcher/src/net/client/connection.rs
@@ -68,8 +68,8 @@
     pub(super) stream: TcpStream,
     pub(super) buffer: BytesMut,
     context: Rc<ClientContext>,
-    /// It was accepted while connections were scarce: its first request is rejected, and it is closed.
-    over_limit: bool,
+    /// Accepted while connections were scarce: the first request is rejected, and the connection closed.
+    accepted_while_crowded: bool,
     /// No request was read so far.
     awaiting_first_request: bool,
     /// Registration for eviction, up to the first byte of the first request.
@@ -80,13 +80,13 @@
 
 impl Connection {
     /// Serves a connection to its end.
-    pub(super) async fn serve(stream: TcpStream, context: Rc<ClientContext>, over_limit: bool) {
+    pub(super) async fn serve(stream: TcpStream, context: Rc<ClientContext>, accepted_while_crowded: bool) {
         let first_request_wait = Some(context.limit.start_waiting());
         let mut connection = Connection {
             stream,
             buffer: BytesMut::new(),
             context,
-            over_limit,
+            accepted_while_crowded,
             awaiting_first_request: true,
             first_request_wait,
             request_started_at: Instant::now(),
@@ -160,7 +160,7 @@
     /// elsewhere for their next request.
     fn keeps_alive(&self, head: &Head) -> bool {
         head.keep_alive
-            && !self.over_limit
+            && !self.accepted_while_crowded
             && *self.context.phase.borrow() <= ShutdownPhase::Draining
             && !self.context.is_standby()
     }
@@ -171,7 +171,7 @@
             ClientRequest::Job(job) => job,
         };
         let class = job.payload.class.clone();
-        let answer = if self.over_limit {
+        let answer = if self.accepted_while_crowded {
             Answer::Rejected { retry_after: Some(CROWDED_RETRY_AFTER) }
         } else {
             job.payload.body = body;
--- a/crates/dispatcher/src/net/client/connection_limit.rs
+++ b/crates/dispatcher/src/net/client/connection_limit.rs
@@ -61,7 +61,8 @@
             tracing::warn!(open, limit, "nearly all client connections are in use; idle ones are closed");
             return;
         }
-        let (evicted, rejected) = (self.evicted.take(), self.rejected.take());
+        let evicted = self.evicted.take();
+        let rejected = self.rejected.take();
         tracing::info!(open, limit, evicted, rejected, "client connections are free again");
     }
 }
