--- a/crates/dispatcher/src/config/parser.rs
+++ b/crates/dispatcher/src/config/parser.rs
@@ -46,7 +46,7 @@
     fn from(invalid: InvalidValue) -> Self {
         ConfigError {
             key: format!("settings.{}", invalid.expected),
-            problem: format!("'{}' is no value that it can have", invalid.found),
+            problem: format!("'{}' is not a valid value", invalid.found),
         }
     }
 }
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -15,12 +15,12 @@
 dispatcher: a job dispatcher
 
 usage: dispatcher [serve] [--config FILE] [--settings FILE] [--log LEVELS] [--log-format text|json]    serve jobs
-       dispatcher check-config [--config FILE] [--settings FILE]    read the configuration, say what is wrong with it
+       dispatcher check-config [--config FILE] [--settings FILE]    read the configuration and report its first fault
        dispatcher version    print the version
 
 The configuration is the file that --config names, or else BALANCER_CONFIG. BALANCER_NAME, BALANCER_LISTEN and
-BALANCER_DISCOVERY win over what it says of them. On SIGHUP the file is read again; there its discovery wins.
-Our own settings are the HCL file that --settings or CAIRNCRANK_SETTINGS names, else cairncrank.hcl beside the
+BALANCER_DISCOVERY take precedence over its keys. On SIGHUP the file is read again; then its discovery takes precedence.
+The local settings are the HCL file that --settings or CAIRNCRANK_SETTINGS names, else cairncrank.hcl beside the
 configuration, else their defaults.
 LEVELS is a level, or levels by target: info (the default), or warn,dispatcher::net=debug.
 ";
@@ -138,7 +138,7 @@
 
 fn print_summary(config: &Config) {
     println!(
-        "{}: serves {} classes on {}, follows {}, knows {} workers",
+        "{}: {} classes served on {}, discovery at {}, {} workers in the saved list",
         config.name,
         config.names.classes.len(),
         config.listen,
--- a/crates/dispatcher/src/net/client/acceptor.rs
+++ b/crates/dispatcher/src/net/client/acceptor.rs
@@ -86,7 +86,7 @@
         match accepted {
             Some(Ok(stream)) => self.admit(stream, limit).await,
             Some(Err(error)) => {
-                tracing::warn!(%error, "cannot accept");
+                tracing::warn!(%error, "cannot accept a client connection");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
             None => self.listener = None,
--- a/crates/dispatcher/src/net/http/mod.rs
+++ b/crates/dispatcher/src/net/http/mod.rs
@@ -22,16 +22,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
     /// The head is not valid HTTP/1.1.
-    #[error("the head of the message cannot be read")]
+    #[error("the head of the message is not valid HTTP/1.1")]
     Head,
     /// The head is longer than [`MAX_HEAD`], or has too many headers.
     #[error("the head of the message is too large")]
     HeadTooLarge,
     /// Length and transfer coding are invalid or contradict each other.
-    #[error("the length of the body is not clear")]
+    #[error("the length of the body is invalid or ambiguous")]
     Framing,
     /// A chunk is invalid.
-    #[error("a chunk of the body cannot be read")]
+    #[error("a chunk of the body is invalid")]
     Chunk,
     /// The body is larger than [`MAX_BODY`].
     #[error("the body is too large")]
