--- a/crates/coordinator/src/config/budgets.rs
+++ b/crates/coordinator/src/config/budgets.rs
@@ -1,4 +1,4 @@
-//! A file of budgets, in HCL.
+//! File of disruption budgets, in HCL.
 
 use std::path::Path;
 
@@ -7,16 +7,16 @@
 
 use super::{read_text, ConfigError};
 
-/// The longest name of a budget, in bytes.
+/// Maximum length of the name of a budget, in bytes.
 const MAX_NAME_LENGTH: usize = 128;
-/// The highest number of targets that a bound may name.
+/// Highest number of targets in a bound.
 const MAX_COUNT: u64 = 100_000;
 const MAX_PERCENT: u32 = 100;
 
 /// Reads a file of budgets.
 ///
 /// # Errors
-/// It cannot be read, or a budget is wrong; the text names file, line and key.
+/// Returns an error if the file cannot be read, or one that names file, line and key if a budget is invalid.
 pub fn read_budgets(file: &Path) -> Result<Vec<Budget>, ConfigError> {
     let text = read_text(file)?;
     Ok(parse_budgets(&file.display().to_string(), &text)?)
@@ -25,7 +25,7 @@
 /// Parses a text of blocks `budget "NAME"`; `file` is its name in errors.
 ///
 /// # Errors
-/// A budget is wrong, or two have one name.
+/// Returns an error that names file, line and key if a budget is invalid, or two have the same name.
 pub fn parse_budgets(file: &str, text: &str) -> Result<Vec<Budget>, HclError> {
     let top = Section::parse(file, text)?;
     let mut budgets: Vec<Budget> = Vec::new();
@@ -33,7 +33,7 @@
         let name = section.label();
         let taken = budgets.iter().any(|budget| budget.name == name);
         if name.is_empty() || name.len() > MAX_NAME_LENGTH || taken {
-            return Err(section.error("", "wanted a label of 1 to 128 bytes that no other budget has"));
+            return Err(section.error("", "expected a label of 1 to 128 bytes that no other budget has"));
         }
         budgets.push(parse_budget(section)?);
     }
@@ -57,7 +57,7 @@
     Ok(budget)
 }
 
-/// Which targets of its kind a budget covers; all where the file does not say.
+/// Parses the scope of a budget; the whole fleet by default.
 fn parse_scope(section: &Section) -> Result<BudgetScope, HclError> {
     let Some(text) = section.string("of")? else { return Ok(BudgetScope::Fleet) };
     match text.as_str() {
@@ -70,13 +70,13 @@
         Some(("zone", zone)) if !zone.is_empty() => Ok(BudgetScope::Zone(zone.to_owned())),
         Some(("pool", pool)) if !pool.is_empty() => Ok(BudgetScope::Pool(pool.to_owned())),
         _ => {
-            let wanted = "wanted fleet, each-zone, zone/NAME, each-pool or pool/NAME";
+            let wanted = "expected fleet, each-zone, zone/NAME, each-pool or pool/NAME";
             Err(section.error("of", format!("{text:?}: {wanted}")))
         }
     }
 }
 
-/// A number of targets, or a part of them such as `"10%"`.
+/// Parses a number of targets, or a percentage such as `"10%"`.
 fn parse_amount(section: &Section, key: &str) -> Result<Option<Amount>, HclError> {
     let Some(value) = section.value(key) else { return Ok(None) };
     if !matches!(value, Value::String(_)) {
@@ -87,7 +87,8 @@
     match percent.filter(|percent| *percent <= MAX_PERCENT) {
         Some(percent) => Ok(Some(Amount::Percent(percent))),
         None => {
-            Err(section.error(key, format!("{text:?} is no part; wanted a number or \"0%\" to \"100%\"")))
+            Err(section
+                .error(key, format!("{text:?} is not an amount; expected a number or \"0%\" to \"100%\"")))
         }
     }
 }
