--- a/crates/coordinator/src/cli/arguments.rs
+++ b/crates/coordinator/src/cli/arguments.rs
@@ -65,7 +65,7 @@
     /// Name of the subcommand; empty if there is none.
     subcommand: String,
     /// Operation on a permit; empty if there is none.
-    pub(super) permit_verb: String,
+    pub(super) permit_operation: String,
     pub(super) config: Option<PathBuf>,
     pub(super) record_file: Option<PathBuf>,
     pub(super) lease: Option<LeaseId>,
@@ -95,7 +95,7 @@
     fn default() -> Arguments {
         Arguments {
             subcommand: String::new(),
-            permit_verb: String::new(),
+            permit_operation: String::new(),
             config: None,
             record_file: None,
             lease: None,
@@ -149,8 +149,8 @@
     while let Some(argument) = parser.next()? {
         match argument {
             Value(word) if arguments.subcommand.is_empty() => arguments.subcommand = word.string()?,
-            Value(word) if arguments.subcommand == "permit" && arguments.permit_verb.is_empty() => {
-                arguments.permit_verb = word.string()?;
+            Value(word) if arguments.subcommand == "permit" && arguments.permit_operation.is_empty() => {
+                arguments.permit_operation = word.string()?;
             }
             Long("config") => arguments.config = Some(parser.value()?.into()),
             Long("record") => arguments.record_file = Some(parser.value()?.into()),
--- a/crates/coordinator/src/cli/commands.rs
+++ b/crates/coordinator/src/cli/commands.rs
@@ -51,7 +51,7 @@
 
 fn bootstrap(arguments: &Arguments, config: &Config) -> Result<String, CommandError> {
     let serve = serve_config(config)?;
-    let (directory, id) = (&serve.store_directory, serve.coordinator_id);
+    let (directory, id) = (&serve.store_directory, serve.replica_id);
     let installation = &config.installation;
     let store_id = clock::random_id();
     if arguments.joining {
@@ -61,7 +61,7 @@
             directory.display()
         ));
     }
-    let voters: Vec<u64> = config.coordinators.keys().copied().collect();
+    let voters: Vec<u64> = config.replicas.keys().copied().collect();
     store::bootstrap(directory, installation, id, &voters, config.first_token, store_id)?;
     Ok(format!("{}: created an empty store for replica {id}\n", directory.display()))
 }
@@ -78,10 +78,10 @@
 
 async fn status(arguments: &Arguments, config: &Config) -> Result<String, CommandError> {
     let mut text = String::new();
-    for (coordinator, status) in operator_client::statuses(config).await {
+    for (replica, status) in operator_client::statuses(config).await {
         text += &match status {
             Ok(status) if arguments.json => output::json_line(&status),
-            Ok(status) => output::status_line(coordinator, &status),
+            Ok(status) => output::status_line(replica, &status),
             Err(error) => format!("{error}\n"),
         };
     }
@@ -163,7 +163,7 @@
 
 fn permit_change(arguments: &Arguments) -> Result<DisruptionCommand, CommandError> {
     let permit = || required(&arguments.permit, "permit");
-    match arguments.permit_verb.as_str() {
+    match arguments.permit_operation.as_str() {
         "ask" => Ok(DisruptionCommand::RequestPermit {
             target: required(&arguments.target, "target")?,
             reason: arguments.reason.clone().unwrap_or_default(),
@@ -175,7 +175,7 @@
         }
         "done" => Ok(DisruptionCommand::CompletePermit { permit: permit()? }),
         "void" => Ok(DisruptionCommand::CancelPermit { permit: permit()? }),
-        other => Err(CommandError::UnknownPermitVerb(other.to_owned())),
+        other => Err(CommandError::UnknownPermitOperation(other.to_owned())),
     }
 }
 
@@ -191,7 +191,7 @@
 }
 
 async fn print_metrics(config: &Config) -> Result<String, CommandError> {
-    let own_id = serve_config(config)?.coordinator_id;
+    let own_id = serve_config(config)?.replica_id;
     let status = operator_client::status(config, own_id).await?;
     Ok(metrics::prometheus_text(&status))
 }
--- a/crates/coordinator/src/cli/error.rs
+++ b/crates/coordinator/src/cli/error.rs
@@ -28,7 +28,7 @@
     InvalidAddress(String),
     /// The operation on a permit is unknown.
     #[error("permit {0:?}: expected ask, begin, done or void")]
-    UnknownPermitVerb(String),
+    UnknownPermitOperation(String),
     /// The file for records cannot be opened.
     #[error("--record: {}: {source}", .file.display())]
     RecordFile {
--- a/crates/coordinator/src/cli/metrics.rs
+++ b/crates/coordinator/src/cli/metrics.rs
@@ -54,9 +54,9 @@
 }
 
 fn running_token(lease: &LeaseStatus) -> Sample {
-    let (owner, value) =
+    let (holder, value) =
         lease.holder.as_ref().map_or(("", 0), |holder| (holder.member.as_str(), holder.token.0));
-    Sample { labels: format!("{{duty={:?},owner={owner:?}}}", lease.lease.to_string()), value }
+    Sample { labels: format!("{{duty={:?},owner={holder:?}}}", lease.lease.to_string()), value }
 }
 
 fn write_metric(text: &mut String, name: &str, kind: Kind, help: &str, samples: &[Sample]) {
--- a/crates/coordinator/src/cli/output.rs
+++ b/crates/coordinator/src/cli/output.rs
@@ -19,11 +19,11 @@
 }
 
 /// Formats the status of one replica, for `status`.
-pub(super) fn status_line(coordinator: u64, status: &ReplicaStatus) -> String {
+pub(super) fn status_line(replica: u64, status: &ReplicaStatus) -> String {
     let role = if status.is_leader { "leader" } else { "follower" };
     let CommitLatency { p50_us, p99_us, .. } = status.commit_latency;
     format!(
-        "replica {coordinator}: {role}, term {}, applied {} of {}, {} members, commit p50 {p50_us} us p99 \
+        "replica {replica}: {role}, term {}, applied {} of {}, {} members, commit p50 {p50_us} us p99 \
          {p99_us} us\n",
         status.raft_term,
         status.applied_index,
@@ -62,14 +62,14 @@
     let permits: Vec<Value> =
         state.permits().iter().map(|(id, permit)| permit_json(state, *id, permit)).collect();
     let targets: Vec<Value> = state.targets().map(|target| target_json(&target)).collect();
-    let account = json!({
+    let disruption_state = json!({
         "version": version,
         "forced": state.forced().count,
         "budgets": budgets,
         "permits": permits,
         "targets": targets,
     });
-    json!({"revision": snapshot.revision, "account": account}).to_string() + "\n"
+    json!({"revision": snapshot.revision, "account": disruption_state}).to_string() + "\n"
 }
 
 fn budget_json(usage: &BudgetUsage<'_>) -> Value {
@@ -144,14 +144,15 @@
 }
 
 fn permit_line(state: &DisruptionState, id: PermitId, permit: &Permit) -> String {
-    let held_by = state.blocking_budget(id).map(|budget| format!(", blocked by budget {}", budget.name));
+    let blocking_budget =
+        state.blocking_budget(id).map(|budget| format!(", blocked by budget {}", budget.name));
     format!(
         "permit {id}: {}, {}{}{}{}; {}: {}\n",
         permit.target,
         permit.state,
         if permit.completed_at.is_some() { ", done" } else { "" },
         if permit.forced { ", forced" } else { "" },
-        held_by.unwrap_or_default(),
+        blocking_budget.unwrap_or_default(),
         permit.requester,
         permit.reason
     )
--- a/crates/coordinator/src/config/mod.rs
+++ b/crates/coordinator/src/config/mod.rs
@@ -16,7 +16,7 @@
 pub use budgets::{parse_budgets, read_budgets};
 
 /// Valid numbers of a replica.
-const COORDINATOR_IDS: RangeInclusive<u64> = 1..=1_000_000;
+const REPLICA_IDS: RangeInclusive<u64> = 1..=1_000_000;
 /// Bounds of the limit on concurrent connections.
 const CONNECTION_LIMITS: RangeInclusive<u64> = 8..=65_536;
 /// Default of the limit on concurrent connections.
@@ -32,7 +32,7 @@
     /// Name of the installation. Clients and peers of another one are rejected.
     pub installation: String,
     /// Addresses of the replicas, by number.
-    pub coordinators: BTreeMap<u64, SocketAddr>,
+    pub replicas: BTreeMap<u64, SocketAddr>,
     /// First fencing token of the installation.
     pub first_token: u64,
     /// Durations of leases, elections and heartbeats.
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone)]
 pub struct ServeConfig {
     /// Number of the replica.
-    pub coordinator_id: u64,
+    pub replica_id: u64,
     /// Address to listen on.
     pub listen: SocketAddr,
     /// Directory of the store.
@@ -96,19 +96,19 @@
 pub fn parse(file: &str, text: &str) -> Result<Config, HclError> {
     let top = Section::parse(file, text)?;
     let installation = settings::required_text(&top, "installation")?;
-    let coordinators = settings::replicas(&top)?;
+    let replicas = settings::replicas(&top)?;
     let first_token = top.integer("first_token", 1..=MAX_FIRST_TOKEN)?.unwrap_or(DEFAULT_FIRST_TOKEN);
     let timing = settings::timing(&top)?;
-    let serve = top.section("serve")?.map(|section| parse_serve(section, &coordinators)).transpose()?;
+    let serve = top.section("serve")?.map(|section| parse_serve(section, &replicas)).transpose()?;
     top.deny_unknown_keys()?;
-    Ok(Config { installation, coordinators, first_token, timing, serve })
+    Ok(Config { installation, replicas, first_token, timing, serve })
 }
 
-fn parse_serve(section: &Section, coordinators: &BTreeMap<u64, SocketAddr>) -> Result<ServeConfig, HclError> {
-    let coordinator_id =
-        section.integer("keeper", COORDINATOR_IDS)?.ok_or_else(|| section.error("keeper", "is missing"))?;
-    let Some(address) = coordinators.get(&coordinator_id) else {
-        return Err(section.error("keeper", format!("there is no block keeper \"{coordinator_id}\"")));
+fn parse_serve(section: &Section, replicas: &BTreeMap<u64, SocketAddr>) -> Result<ServeConfig, HclError> {
+    let replica_id =
+        section.integer("keeper", REPLICA_IDS)?.ok_or_else(|| section.error("keeper", "is missing"))?;
+    let Some(address) = replicas.get(&replica_id) else {
+        return Err(section.error("keeper", format!("there is no block keeper \"{replica_id}\"")));
     };
     let listen = match section.value("listen") {
         Some(_) => settings::required_address(section, "listen")?,
@@ -123,7 +123,7 @@
         section.integer("speaks", versions)?.map_or(SCHEMA_VERSION, |version| version as u16);
     let max_connections = section.integer("connections", CONNECTION_LIMITS)?;
     Ok(ServeConfig {
-        coordinator_id,
+        replica_id,
         listen,
         store_directory,
         bind_address,
--- a/crates/coordinator/src/error.rs
+++ b/crates/coordinator/src/error.rs
@@ -30,10 +30,10 @@
     #[error("raft failed: {0}")]
     Raft(#[from] raft::Error),
     /// Another replica has replaced this one. No action is needed.
-    #[error("replica {coordinator_id} was replaced by another one and is no longer needed")]
+    #[error("replica {replica_id} was replaced by another one and is no longer needed")]
     Replaced {
         /// Number of this replica.
-        coordinator_id: u64,
+        replica_id: u64,
     },
     /// The address cannot be bound. Change `serve.listen`, or stop the process that uses it.
     #[error("serve.listen: {address}: {source}")]
--- a/crates/coordinator/src/operator_client.rs
+++ b/crates/coordinator/src/operator_client.rs
@@ -28,30 +28,30 @@
 pub enum OperatorError {
     /// The settings have no replica with this number.
     #[error("replica {0} is not configured")]
-    UnknownCoordinator(u64),
+    UnknownReplica(u64),
     /// A replica is not reached, or rejects the handshake.
-    #[error("replica {coordinator} at {address}: {source}")]
+    #[error("replica {replica} at {address}: {source}")]
     Connection {
         /// Number of the replica.
-        coordinator: u64,
+        replica: u64,
         /// Address of the replica.
         address: SocketAddr,
         /// Cause.
         source: ConnectionError,
     },
     /// A replica does not respond within `CALL_TIMEOUT`.
-    #[error("replica {coordinator} at {address}: no response within {} s", CALL_TIMEOUT.as_secs())]
+    #[error("replica {replica} at {address}: no response within {} s", CALL_TIMEOUT.as_secs())]
     Timeout {
         /// Number of the replica.
-        coordinator: u64,
+        replica: u64,
         /// Address of the replica.
         address: SocketAddr,
     },
     /// A replica sent a response that does not match the request.
-    #[error("replica {coordinator}: unexpected response: {}", describe(.response))]
+    #[error("replica {replica}: unexpected response: {}", describe(.response))]
     UnexpectedResponse {
         /// Number of the replica.
-        coordinator: u64,
+        replica: u64,
         /// Response of the replica.
         response: Box<Response>,
     },
@@ -170,9 +170,8 @@
 }
 
 /// Calls one replica, whether or not it leads.
-async fn call(config: &Config, coordinator: u64, operation: Operation) -> Result<Response, OperatorError> {
-    let address =
-        *config.coordinators.get(&coordinator).ok_or(OperatorError::UnknownCoordinator(coordinator))?;
+async fn call(config: &Config, replica: u64, operation: Operation) -> Result<Response, OperatorError> {
+    let address = *config.replicas.get(&replica).ok_or(OperatorError::UnknownReplica(replica))?;
     let hello = ClientHello {
         schema_version: SCHEMA_VERSION,
         installation: config.installation.clone(),
@@ -180,8 +179,8 @@
     };
     match timeout(CALL_TIMEOUT, exchange(address, &hello, operation)).await {
         Ok(Ok(response)) => Ok(response),
-        Ok(Err(source)) => Err(OperatorError::Connection { coordinator, address, source }),
-        Err(_) => Err(OperatorError::Timeout { coordinator, address }),
+        Ok(Err(source)) => Err(OperatorError::Connection { replica, address, source }),
+        Err(_) => Err(OperatorError::Timeout { replica, address }),
     }
 }
 
@@ -191,10 +190,10 @@
     operation: Operation,
 ) -> Result<Response, ConnectionError> {
     const REQUEST_ID: u64 = 1;
-    let (mut link, _) = Connection::connect(address, None, hello).await?;
-    link.send(&Request { id: REQUEST_ID, operation }).await?;
+    let (mut connection, _) = Connection::connect(address, None, hello).await?;
+    connection.send(&Request { id: REQUEST_ID, operation }).await?;
     loop {
-        if let CoordinatorMessage::Response { id: REQUEST_ID, response } = link.receive().await? {
+        if let CoordinatorMessage::Response { id: REQUEST_ID, response } = connection.receive().await? {
             return Ok(response);
         }
     }
@@ -202,13 +201,9 @@
 
 /// Calls the leading replica.
 async fn call_leader(config: &Config, operation: Operation) -> Result<Response, OperatorError> {
-    let mut coordinators = CoordinatorClient::new(
-        &config.installation,
-        ClientIdentity::Operator,
-        config.coordinators.clone(),
-        None,
-    );
-    let response = coordinators.call(&operation, Instant::now() + CALL_TIMEOUT).await;
+    let mut client =
+        CoordinatorClient::new(&config.installation, ClientIdentity::Operator, config.replicas.clone(), None);
+    let response = client.call(&operation, Instant::now() + CALL_TIMEOUT).await;
     response.map_err(OperatorError::LeaderUnavailable)
 }
 
@@ -216,18 +211,18 @@
 ///
 /// # Errors
 /// Returns an error if the replica is not configured, is not reached, or sends an unexpected response.
-pub async fn status(config: &Config, coordinator: u64) -> Result<ReplicaStatus, OperatorError> {
-    match call(config, coordinator, Operation::Status).await? {
+pub async fn status(config: &Config, replica: u64) -> Result<ReplicaStatus, OperatorError> {
+    match call(config, replica, Operation::Status).await? {
         Response::Status(status) => Ok(*status),
-        other => Err(OperatorError::UnexpectedResponse { coordinator, response: Box::new(other) }),
+        other => Err(OperatorError::UnexpectedResponse { replica, response: Box::new(other) }),
     }
 }
 
 /// Requests the status of each replica in turn.
 pub async fn statuses(config: &Config) -> Vec<(u64, Result<ReplicaStatus, OperatorError>)> {
     let mut statuses = Vec::new();
-    for coordinator in config.coordinators.keys() {
-        statuses.push((*coordinator, status(config, *coordinator).await));
+    for replica in config.replicas.keys() {
+        statuses.push((*replica, status(config, *replica).await));
     }
     statuses
 }
@@ -305,8 +300,8 @@
     change: DisruptionCommand,
 ) -> Result<DisruptionOutcome, OperatorError> {
     match call_leader(config, Operation::ChangeDisruptionState(change)).await? {
-        Response::DisruptionStateChanged(DisruptionOutcome::Rejected(refusal)) => {
-            Err(OperatorError::ChangeRejected(refusal))
+        Response::DisruptionStateChanged(DisruptionOutcome::Rejected(rejection)) => {
+            Err(OperatorError::ChangeRejected(rejection))
         }
         Response::DisruptionStateChanged(outcome) => Ok(outcome),
         Response::Rejected(reason) => Err(OperatorError::Rejected(reason)),
--- a/crates/coordinator/src/replica/apply.rs
+++ b/crates/coordinator/src/replica/apply.rs
@@ -59,7 +59,7 @@
             snapshot: received.map(|snapshot| SnapshotWrite { snapshot, retained: RetainedLog::Nothing }),
             peers: self.peers.unsaved(),
         })?;
-        self.peers.saved();
+        self.peers.mark_saved();
         Ok(())
     }
 
--- a/crates/coordinator/src/replica/leadership.rs
+++ b/crates/coordinator/src/replica/leadership.rs
@@ -8,7 +8,7 @@
 use crate::error::CoordinatorError;
 
 /// Number that no replica has.
-const NOBODY: u64 = 0;
+const NO_REPLICA: u64 = 0;
 
 impl Replica {
     /// Returns whether this replica leads: it was elected and has applied an entry of its term.
@@ -22,7 +22,7 @@
     /// # Errors
     /// Returns an error if the replica has to stop.
     pub fn transfer_leadership(&mut self, now: Micros) -> Result<(), CoordinatorError> {
-        self.transfer_leadership_except(NOBODY);
+        self.transfer_leadership_except(NO_REPLICA);
         self.advance(now)
     }
 
@@ -36,8 +36,8 @@
         let may_lead =
             |peer: u64| peer != self.identity.replica_id && peer != excluded && voters.contains(&peer);
         let candidates = raft.prs().iter().filter(|(peer, _)| may_lead(**peer));
-        let best = candidates.max_by_key(|(_, progress)| progress.matched).map(|(peer, _)| *peer);
-        if let Some(successor) = best {
+        let successor = candidates.max_by_key(|(_, progress)| progress.matched).map(|(peer, _)| *peer);
+        if let Some(successor) = successor {
             self.raw_node.transfer_leader(successor);
         }
     }
@@ -48,7 +48,7 @@
         let raft = &self.raw_node.raft;
         if raft.leader_id != self.leader_id {
             self.leader_id = raft.leader_id;
-            self.election_count += u64::from(self.leader_id != NOBODY);
+            self.election_count += u64::from(self.leader_id != NO_REPLICA);
         }
         let leads = raft.state == StateRole::Leader && raft.apply_to_current_term();
         let leading_term = leads.then_some(raft.term);
--- a/crates/coordinator/src/replica/membership.rs
+++ b/crates/coordinator/src/replica/membership.rs
@@ -34,12 +34,12 @@
 impl Replica {
     /// Returns the addresses of replicas that were added since the installation was set up.
     #[must_use]
-    pub fn added_coordinators(&self) -> &BTreeMap<u64, String> {
+    pub fn added_replicas(&self) -> &BTreeMap<u64, String> {
         self.state.added_replicas()
     }
 
     /// Returns the reason for which the configuration does not allow to replace `old` by `new`, if there is one.
-    pub(super) fn replacement_obstacle(&self, old: u64, new: u64) -> Option<CommandRejection> {
+    pub(super) fn replacement_rejection(&self, old: u64, new: u64) -> Option<CommandRejection> {
         let voters = self.configuration.get_voters();
         if !voters.contains(&old) && self.state.replacement_in_progress().is_none() {
             return Some(CommandRejection::InvalidReplacement(format!(
@@ -57,8 +57,8 @@
         let Some(replacement) = self.state.replacement_in_progress().filter(|_| self.is_leader()) else {
             return;
         };
-        let recent = |proposed_at: Micros| now.saturating_sub(proposed_at) < self.timing.election_timeout;
-        if self.raw_node.raft.has_pending_conf() || self.configuration_proposed_at.is_some_and(recent) {
+        let is_recent = |proposed_at: Micros| now.saturating_sub(proposed_at) < self.timing.election_timeout;
+        if self.raw_node.raft.has_pending_conf() || self.configuration_proposed_at.is_some_and(is_recent) {
             return;
         }
         self.configuration_proposed_at = Some(now);
@@ -131,20 +131,20 @@
         self.configuration_changed = true;
         self.state.skip_entry(entry.index);
         if removed {
-            return Err(CoordinatorError::Replaced { coordinator_id: self.identity.replica_id });
+            return Err(CoordinatorError::Replaced { replica_id: self.identity.replica_id });
         }
         Ok(())
     }
 
     fn decode_and_apply_change(&mut self, entry: &Entry) -> Result<ConfState, CoordinatorError> {
-        let unreadable = |source| UnsupportedFormat::ConfigurationChange { index: entry.index, source };
+        let unsupported = |source| UnsupportedFormat::ConfigurationChange { index: entry.index, source };
         let changed = if entry.get_entry_type() == EntryType::EntryConfChange {
             let mut change = ConfChange::default();
-            change.merge_from_bytes(&entry.data).map_err(unreadable)?;
+            change.merge_from_bytes(&entry.data).map_err(unsupported)?;
             self.raw_node.apply_conf_change(&change)?
         } else {
             let mut change = ConfChangeV2::default();
-            change.merge_from_bytes(&entry.data).map_err(unreadable)?;
+            change.merge_from_bytes(&entry.data).map_err(unsupported)?;
             self.raw_node.apply_conf_change(&change)?
         };
         Ok(changed)
@@ -156,9 +156,9 @@
     }
 }
 
-fn single_change(change_type: ConfChangeType, coordinator: u64) -> ConfChangeSingle {
+fn single_change(change_type: ConfChangeType, replica: u64) -> ConfChangeSingle {
     let mut change = ConfChangeSingle::default();
     change.set_change_type(change_type);
-    change.node_id = coordinator;
+    change.node_id = replica;
     change
 }
--- a/crates/coordinator/src/replica/peers.rs
+++ b/crates/coordinator/src/replica/peers.rs
@@ -46,7 +46,7 @@
         &self.unsaved
     }
 
-    pub(super) fn saved(&mut self) {
+    pub(super) fn mark_saved(&mut self) {
         self.unsaved.clear();
     }
 
@@ -64,22 +64,22 @@
 
     /// Returns the recorded identity of a peer, or one without starts for an unseen store.
     fn recorded(&self, claimed: StoreIdentity) -> StoreIdentity {
-        let unseen = StoreIdentity { start_count: 0, raft_term: 0, ..claimed };
-        self.identities.get(&claimed.replica_id).copied().unwrap_or(unseen)
+        let unseen_store = StoreIdentity { start_count: 0, raft_term: 0, ..claimed };
+        self.identities.get(&claimed.replica_id).copied().unwrap_or(unseen_store)
     }
 }
 
 /// Rejects a store that is not the recorded one, or an old copy of it with fewer starts or a lower term.
-/// `agreed_start_count` is the number of its starts according to the log.
+/// `committed_start_count` is the number of its starts according to the log.
 fn check_identity(
     claimed: StoreIdentity,
     recorded: StoreIdentity,
-    agreed_start_count: u64,
+    committed_start_count: u64,
 ) -> Result<(), HandshakeRejection> {
     if recorded.store_id != claimed.store_id {
         return Err(HandshakeRejection::StoreMismatch);
     }
-    let start_count = recorded.start_count.max(agreed_start_count);
+    let start_count = recorded.start_count.max(committed_start_count);
     if claimed.start_count < start_count || claimed.raft_term < recorded.raft_term {
         return Err(HandshakeRejection::StaleStore { start_count, raft_term: recorded.raft_term });
     }
@@ -101,9 +101,9 @@
         if peer == self.identity.replica_id || !self.is_known_peer(peer) {
             return Err(HandshakeError::Rejected(HandshakeRejection::UnknownReplica));
         }
-        let agreed_start_count = self.state.replica_starts().get(&peer).copied().unwrap_or(0);
+        let committed_start_count = self.state.replica_starts().get(&peer).copied().unwrap_or(0);
         let recorded = self.peers.recorded(identity);
-        check_identity(identity, recorded, agreed_start_count).map_err(HandshakeError::Rejected)?;
+        check_identity(identity, recorded, committed_start_count).map_err(HandshakeError::Rejected)?;
         if recorded != identity {
             let batch = WriteBatch { peers: &[identity], ..WriteBatch::default() };
             self.store.write(&batch).map_err(CoordinatorError::from)?;
@@ -116,9 +116,9 @@
 
     fn is_known_peer(&self, peer: u64) -> bool {
         // A joining replica has no configuration yet; the others know it once its addition is committed.
-        let joins = self.configuration == ConfState::default();
+        let is_joining = self.configuration == ConfState::default();
         let votes_or_learns = self.raw_node.raft.prs().iter().any(|(id, _)| *id == peer);
-        joins || votes_or_learns || self.state.added_replicas().contains_key(&peer)
+        is_joining || votes_or_learns || self.state.added_replicas().contains_key(&peer)
     }
 
     /// Proposes the start counts of all stores, so that replicas that were not connected learn them from the log.
@@ -129,12 +129,12 @@
         let peers = self.peers.identities.values();
         let start_counts = peers.map(|peer| (peer.replica_id, peer.start_count));
         let start_counts = start_counts.chain([(self.identity.replica_id, self.identity.start_count)]);
-        let agreed = self.state.replica_starts();
-        let unknown: Vec<Command> = start_counts
-            .filter(|(replica, starts)| agreed.get(replica).is_none_or(|agreed| agreed < starts))
+        let recorded = self.state.replica_starts();
+        let unrecorded: Vec<Command> = start_counts
+            .filter(|(replica, starts)| recorded.get(replica).is_none_or(|recorded| recorded < starts))
             .map(|(replica, starts)| Command::RecordReplicaStart { replica, starts })
             .collect();
-        for command in unknown {
+        for command in unrecorded {
             let _ = self.raw_node.propose(Vec::new(), command.encode());
         }
     }
@@ -153,11 +153,11 @@
             return Ok(());
         }
         // A pre-vote names a term that the peer has not entered.
-        let pre_vote = matches!(
+        let is_pre_vote = matches!(
             message.get_msg_type(),
             MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse
         );
-        if !pre_vote {
+        if !is_pre_vote {
             self.peers.observe_term(peer, message.term);
         }
         // A message that Raft does not accept is dropped, as if it were lost.
--- a/crates/coordinator/src/replica/read_index.rs
+++ b/crates/coordinator/src/replica/read_index.rs
@@ -120,17 +120,17 @@
             return Some(Response::Rejected(reason));
         }
         let view_changed = self.state.lease_revision() > renewal.known_view;
-        let roster_revision = self.state.membership_revision();
-        let members_changed = renewal.known_members.is_some_and(|known| known < roster_revision);
+        let member_list_revision = self.state.membership_revision();
+        let members_changed = renewal.known_members.is_some_and(|known| known < member_list_revision);
         Some(Response::SessionRenewed {
             view: view_changed.then(|| self.state.view()),
             members: members_changed
-                .then(|| MemberList { revision: roster_revision, members: self.roster() }),
+                .then(|| MemberList { revision: member_list_revision, members: self.member_list() }),
         })
     }
 
     /// Returns the members, sorted by name.
-    fn roster(&self) -> Vec<Peer> {
+    fn member_list(&self) -> Vec<Peer> {
         let sessions = self.state.sessions().values().filter(|session| !session.superseded);
         let mut members: Vec<Peer> = sessions.map(status::peer).collect();
         members.sort();
--- a/crates/coordinator/src/replica/requests.rs
+++ b/crates/coordinator/src/replica/requests.rs
@@ -99,7 +99,7 @@
     }
 
     fn replace(&mut self, requester: Requester, old: u64, new: u64, address: String, now: Micros) {
-        match self.replacement_obstacle(old, new) {
+        match self.replacement_rejection(old, new) {
             Some(reason) => self.reply(requester, Response::Rejected(reason)),
             None => self.propose(requester, Command::ReplaceReplica { old, new, address }, now),
         }
@@ -108,8 +108,8 @@
     fn change_disruption_state(&mut self, requester: Requester, change: DisruptionCommand, now: Micros) {
         match self.voter_without_permits() {
             Some(voter) => {
-                let why = format!("replica {voter} runs a version that does not support permits");
-                self.reply(requester, Response::Rejected(CommandRejection::InvalidReplacement(why)));
+                let reason = format!("replica {voter} runs a version that does not support permits");
+                self.reply(requester, Response::Rejected(CommandRejection::InvalidReplacement(reason)));
             }
             None => self.propose(requester, Command::Disruption(change), now),
         }
@@ -148,7 +148,7 @@
     pub(super) fn reply_to_proposal(&mut self, requester: Requester, outcome: &CommandOutcome, now: Micros) {
         let response = match outcome {
             CommandOutcome::SessionOpened { session, incarnation } => {
-                self.join_response(requester.connection, *session, *incarnation, now)
+                self.session_opened_response(requester.connection, *session, *incarnation, now)
             }
             CommandOutcome::Rejected(reason) => Response::Rejected(reason.clone()),
             CommandOutcome::Disruption(outcome) => {
@@ -163,7 +163,7 @@
     }
 
     /// Builds the response to a member that opened a session. It starts the session's lease, so only a leader sends it.
-    fn join_response(
+    fn session_opened_response(
         &mut self,
         connection: ConnectionId,
         session: SessionId,
--- a/crates/coordinator/src/replica/status.rs
+++ b/crates/coordinator/src/replica/status.rs
@@ -61,14 +61,14 @@
     }
 
     fn lease_statuses(&self) -> Vec<LeaseStatus> {
-        let holder = |owner: LeaseHolder| {
-            let name = self.state.sessions().get(&owner.session).map(|session| session.name.clone());
-            HolderStatus { member: name.unwrap_or_default(), token: owner.token }
+        let holder_status = |holder: LeaseHolder| {
+            let name = self.state.sessions().get(&holder.session).map(|session| session.name.clone());
+            HolderStatus { member: name.unwrap_or_default(), token: holder.token }
         };
         let leases = self.state.leases().iter();
         let statuses = leases.map(|(id, lease)| LeaseStatus {
             lease: id.clone(),
-            holder: lease.holder.map(holder),
+            holder: lease.holder.map(holder_status),
             minimum_token: lease.minimum_token,
             fencing_revision: lease.fencing_revision,
         });
--- a/crates/coordinator/src/server/event_loop.rs
+++ b/crates/coordinator/src/server/event_loop.rs
@@ -25,7 +25,7 @@
 /// Maximum number of events that are handled before outputs are executed.
 const MAX_EVENTS_PER_BATCH: usize = 256;
 /// Time to flush the last messages before the process ends.
-const FLUSH_TIME: Duration = Duration::from_millis(20);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Sources of events.
 pub(super) struct Sources {
@@ -63,12 +63,12 @@
     /// Starts the links to replicas that were added since the installation was set up.
     fn connect_added(&mut self, replica: &Replica) {
         let own_id = replica.identity().replica_id;
-        for (peer, address) in replica.added_coordinators() {
+        for (peer, address) in replica.added_replicas() {
             if *peer == own_id || self.outgoing.contains_key(peer) {
                 continue;
             }
             let Ok(address) = address.parse::<SocketAddr>() else { continue };
-            tracing::info!(coordinator = peer, %address, "replica added");
+            tracing::info!(replica = peer, %address, "replica added");
             self.connect(*peer, address);
         }
     }
@@ -147,11 +147,11 @@
     pub(super) async fn shut_down(
         &mut self,
         sources: &mut Sources,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(), CoordinatorError> {
         tracing::info!("shutting down, transferring leadership");
         self.replica.transfer_leadership(clock::now())?;
-        let deadline = Instant::now() + within;
+        let deadline = Instant::now() + timeout;
         while self.replica.is_leader() && Instant::now() < deadline {
             self.execute_outputs();
             tokio::select! {
@@ -163,7 +163,7 @@
             }
         }
         self.execute_outputs();
-        sleep(FLUSH_TIME).await;
+        sleep(FLUSH_TIMEOUT).await;
         Ok(())
     }
 
@@ -176,8 +176,8 @@
     fn handle_event(&mut self, event: Event) -> Result<(), CoordinatorError> {
         match event {
             Event::PeerHandshake { identity, protocol_version, response } => {
-                let welcome = self.handle_handshake(identity, protocol_version)?;
-                let _ = response.send(welcome);
+                let server_hello = self.handle_handshake(identity, protocol_version)?;
+                let _ = response.send(server_hello);
             }
             Event::RaftMessage { peer, message } => {
                 self.replica.receive_raft_message(peer, message, clock::now())?;
@@ -208,9 +208,9 @@
                 Ok(ServerHello::Accepted { name: format!("keeper {}", self.replica.identity().replica_id) })
             }
             Err(HandshakeError::Rejected(reason)) => {
-                let StoreIdentity { replica_id: coordinator, start_count: starts, raft_term: term, .. } =
+                let StoreIdentity { replica_id: replica, start_count: starts, raft_term: term, .. } =
                     identity;
-                tracing::warn!(coordinator, starts, term, %reason, "peer handshake rejected");
+                tracing::warn!(replica, starts, term, %reason, "peer handshake rejected");
                 Ok(ServerHello::Rejected(reason))
             }
             Err(HandshakeError::Failed(error)) => Err(error),
@@ -247,12 +247,12 @@
 
     fn send_to_client(&mut self, connection: ConnectionId, message: &CoordinatorMessage) {
         let Some(outgoing) = self.clients.get(&connection) else { return };
-        let packed = match encode(message) {
-            Ok(packed) => packed,
+        let encoded = match encode(message) {
+            Ok(encoded) => encoded,
             Err(error) => return tracing::error!(%error, "response cannot be encoded"),
         };
         // A client that does not read its messages is disconnected; it gets the present state when it reconnects.
-        if outgoing.try_send(packed).is_err() {
+        if outgoing.try_send(encoded).is_err() {
             self.clients.remove(&connection);
             let _ = self.events.try_send(Event::ConnectionClosed { connection });
         }
@@ -267,6 +267,6 @@
     if matches!(rejection, HandshakeRejection::StaleStore { .. } | HandshakeRejection::StoreMismatch) {
         return Err(CoordinatorError::StaleDisk { peer, rejection });
     }
-    tracing::error!(coordinator = peer, reason = %rejection, "handshake rejected by peer");
+    tracing::error!(replica = peer, reason = %rejection, "handshake rejected by peer");
     Ok(())
 }
--- a/crates/coordinator/src/server/listener.rs
+++ b/crates/coordinator/src/server/listener.rs
@@ -50,14 +50,14 @@
             last_connection += 1;
             let connection = last_connection;
             let permit = self.connection_permits.clone().try_acquire_owned();
-            let full = permit.is_err();
+            let over_limit = permit.is_err();
             let Ok(permit) = permit.or_else(|_| rejection_permits.clone().try_acquire_owned()) else {
                 continue;
             };
             let listener = self.clone();
             spawn_local(async move {
                 let _permit = permit;
-                if let Err(error) = listener.serve_connection(stream, connection, full).await {
+                if let Err(error) = listener.serve_connection(stream, connection, over_limit).await {
                     tracing::debug!(%remote, %error, "connection ended");
                 }
                 let _ = listener.events.send(Event::ConnectionClosed { connection }).await;
@@ -69,10 +69,10 @@
         &self,
         stream: TcpStream,
         connection: ConnectionId,
-        full: bool,
+        over_limit: bool,
     ) -> Result<(), ConnectionError> {
         let (mut link, hello) = Connection::accept(stream).await?;
-        if let Err(reason) = self.check(&hello, full) {
+        if let Err(reason) = self.check(&hello, over_limit) {
             tracing::warn!(?hello, %reason, "connection rejected");
             return link.send_server_hello(&ServerHello::Rejected(reason)).await;
         }
@@ -89,8 +89,8 @@
         }
     }
 
-    fn check(&self, hello: &ClientHello, full: bool) -> Result<(), HandshakeRejection> {
-        if full {
+    fn check(&self, hello: &ClientHello, over_limit: bool) -> Result<(), HandshakeRejection> {
+        if over_limit {
             return Err(HandshakeRejection::TooManyConnections);
         }
         validate_client_hello_for_version(self.protocol_version, hello, &self.installation)
@@ -103,11 +103,11 @@
         identity: StoreIdentity,
         protocol_version: u16,
     ) -> Result<(), ConnectionError> {
-        let (response, welcome) = oneshot::channel();
+        let (response, server_hello) = oneshot::channel();
         let _ = self.events.send(Event::PeerHandshake { identity, protocol_version, response }).await;
-        let Ok(welcome) = welcome.await else { return Ok(()) };
-        link.send_server_hello(&welcome).await?;
-        if matches!(welcome, ServerHello::Rejected(_)) {
+        let Ok(server_hello) = server_hello.await else { return Ok(()) };
+        link.send_server_hello(&server_hello).await?;
+        if matches!(server_hello, ServerHello::Rejected(_)) {
             return Ok(());
         }
         loop {
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -82,7 +82,7 @@
         Listener {
             installation: installation.clone(),
             protocol_version: serve.protocol_version,
-            name: format!("keeper {}", serve.coordinator_id).into(),
+            name: format!("keeper {}", serve.replica_id).into(),
             connection_permits: Arc::new(Semaphore::new(serve.max_connections)),
             events: events.clone(),
         }
@@ -94,7 +94,7 @@
         protocol_version: serve.protocol_version,
     };
     let mut peers = PeerLinks::new(settings, identity_receiver, events.clone());
-    for (peer, address) in config.coordinators.iter().filter(|(peer, _)| **peer != serve.coordinator_id) {
+    for (peer, address) in config.replicas.iter().filter(|(peer, _)| **peer != serve.replica_id) {
         peers.connect(*peer, *address);
     }
     let mut ticks = interval(Duration::from_micros(tick));
@@ -111,7 +111,7 @@
     recorder: &Recorder,
     tick: Micros,
 ) -> Result<Replica, CoordinatorError> {
-    let (store, recovered) = Store::open(&serve.store_directory, &config.installation, serve.coordinator_id)?;
+    let (store, recovered) = Store::open(&serve.store_directory, &config.installation, serve.replica_id)?;
     let mut replica = Replica::new(store, recovered, config.timing, tick, clock::random_id())?;
     replica.enable_digests(recorder.is_enabled());
     // Messages and commands have the same versions.
@@ -123,11 +123,11 @@
 fn record_start(serve: &ServeConfig, replica: &Replica, recorder: &Recorder) {
     let StoreIdentity { start_count, raft_term, .. } = replica.identity();
     tracing::info!(
-        coordinator = serve.coordinator_id,
+        replica = serve.replica_id,
         starts = start_count,
         term = raft_term,
         listen = %serve.listen,
         "replica started"
     );
-    record::started(recorder, serve.coordinator_id, start_count);
+    record::started(recorder, serve.replica_id, start_count);
 }
--- a/crates/coordinator/src/server/peer_link.rs
+++ b/crates/coordinator/src/server/peer_link.rs
@@ -57,7 +57,7 @@
                     let _ = events.send(Event::RejectedByPeer { peer: self.peer, rejection }).await;
                     sleep(REJECTED_DELAY).await;
                 }
-                Err(error) => tracing::debug!(coordinator = self.peer, %error, "peer unreachable"),
+                Err(error) => tracing::debug!(replica = self.peer, %error, "peer unreachable"),
             }
             sleep(Duration::from_millis(fastrand::u64(RECONNECT_DELAY_MS))).await;
         }
--- a/crates/coordinator/src/server/record.rs
+++ b/crates/coordinator/src/server/record.rs
@@ -10,7 +10,7 @@
     #[serde(rename = "boots")]
     start_count: u64,
     #[serde(rename = "keeper")]
-    coordinator_id: u64,
+    replica_id: u64,
 }
 
 #[derive(Serialize)]
@@ -40,8 +40,8 @@
 }
 
 /// Records the start of the process.
-pub(super) fn started(recorder: &Recorder, coordinator_id: u64, start_count: u64) {
-    recorder.record(clock::now(), RecordKind::ProcessStarted, Started { start_count, coordinator_id });
+pub(super) fn started(recorder: &Recorder, replica_id: u64, start_count: u64) {
+    recorder.record(clock::now(), RecordKind::ProcessStarted, Started { start_count, replica_id });
 }
 
 /// Records that this replica became leader in this term, or lost the leadership.
--- a/crates/coordinator/src/store/bootstrap.rs
+++ b/crates/coordinator/src/store/bootstrap.rs
@@ -25,7 +25,7 @@
 pub fn bootstrap(
     directory: &Path,
     installation: &str,
-    coordinator_id: u64,
+    replica_id: u64,
     voters: &[u64],
     first_token: u64,
     store_id: u64,
@@ -37,7 +37,7 @@
     snapshot.mut_metadata().term = FIRST_TERM;
     snapshot.mut_metadata().set_conf_state(ConfState::from((voters.to_vec(), Vec::new())));
     snapshot.set_data(state.snapshot().into());
-    create(directory, header(installation, coordinator_id, store_id), &snapshot)
+    create(directory, header(installation, replica_id, store_id), &snapshot)
 }
 
 /// Creates the store of a replica that joins a running installation. It has no state and does not vote; it receives the
@@ -48,19 +48,19 @@
 pub fn bootstrap_joining(
     directory: &Path,
     installation: &str,
-    coordinator_id: u64,
+    replica_id: u64,
     store_id: u64,
 ) -> Result<(), StoreError> {
     let mut snapshot = Snapshot::default();
     snapshot.set_data(StateMachine::new(1).snapshot().into());
-    create(directory, header(installation, coordinator_id, store_id), &snapshot)
+    create(directory, header(installation, replica_id, store_id), &snapshot)
 }
 
-fn header(installation: &str, coordinator_id: u64, store_id: u64) -> StoreHeader {
+fn header(installation: &str, replica_id: u64, store_id: u64) -> StoreHeader {
     StoreHeader {
         format: STORE_FORMAT,
         installation: installation.to_owned(),
-        coordinator_id,
+        replica_id,
         store_id,
         start_count: 0,
     }
--- a/crates/coordinator/src/store/error.rs
+++ b/crates/coordinator/src/store/error.rs
@@ -38,19 +38,19 @@
     },
     /// The store belongs to another replica. Correct `serve.keeper`, `serve.store` or `installation`.
     #[error(
-        "{}: this is the store of replica {found_coordinator} of installation {found_installation:?}, not of replica \
-         {coordinator_id} of {installation:?}",
+        "{}: this is the store of replica {found_replica} of installation {found_installation:?}, not of replica \
+         {replica_id} of {installation:?}",
         .file.display()
     )]
-    WrongOwner {
+    WrongReplica {
         /// Path of the file.
         file: PathBuf,
         /// Number of the replica that the store belongs to.
-        found_coordinator: u64,
+        found_replica: u64,
         /// Installation that the store belongs to.
         found_installation: String,
         /// Number of the replica that opened it.
-        coordinator_id: u64,
+        replica_id: u64,
         /// Installation of the replica that opened it.
         installation: String,
     },
--- a/crates/coordinator/src/store/format.rs
+++ b/crates/coordinator/src/store/format.rs
@@ -23,7 +23,7 @@
 pub(super) struct StoreHeader {
     pub(super) format: u32,
     pub(super) installation: String,
-    pub(super) coordinator_id: u64,
+    pub(super) replica_id: u64,
     /// Random number drawn when the store was created.
     pub(super) store_id: u64,
     /// Number of starts on the store.
--- a/crates/coordinator/src/store/mod.rs
+++ b/crates/coordinator/src/store/mod.rs
@@ -82,11 +82,11 @@
     ///
     /// # Errors
     /// Returns [`StoreError::Missing`], [`StoreError::Locked`], [`StoreError::UnknownFormat`] or
-    /// [`StoreError::WrongOwner`], or another [`StoreError`] if the store cannot be read or written.
+    /// [`StoreError::WrongReplica`], or another [`StoreError`] if the store cannot be read or written.
     pub fn open(
         directory: &Path,
         installation: &str,
-        coordinator_id: u64,
+        replica_id: u64,
     ) -> Result<(Store, RecoveredState), StoreError> {
         let file = directory.join(format::STORE_FILE);
         if !file.exists() {
@@ -96,7 +96,7 @@
         // Opening repairs the file after a crash. If a write fails meanwhile, as on a full disk, redb marks a damaged file as
         // intact. So a copy is opened, which is removed on failure, and the store remains unchanged.
         let copy = directory.join(OPENING_FILE);
-        let opened = Store::open_copy(&file, &copy, lock, installation, coordinator_id);
+        let opened = Store::open_copy(&file, &copy, lock, installation, replica_id);
         if opened.is_err() {
             let _ = std::fs::remove_file(&copy);
         }
@@ -113,7 +113,7 @@
         copy: &Path,
         lock: File,
         installation: &str,
-        coordinator_id: u64,
+        replica_id: u64,
     ) -> Result<(Store, StoreHeader), StoreError> {
         std::fs::copy(file, copy)?;
         let store = Store { database: Database::open(copy)?, _lock: Some(lock) };
@@ -125,12 +125,12 @@
                 supported: STORE_FORMAT,
             });
         }
-        if header.installation != installation || header.coordinator_id != coordinator_id {
-            return Err(StoreError::WrongOwner {
+        if header.installation != installation || header.replica_id != replica_id {
+            return Err(StoreError::WrongReplica {
                 file: file.to_owned(),
-                found_coordinator: header.coordinator_id,
+                found_replica: header.replica_id,
                 found_installation: header.installation,
-                coordinator_id,
+                replica_id,
                 installation: installation.to_owned(),
             });
         }
@@ -183,7 +183,7 @@
             peers.insert(peer.value(), postcard::from_bytes(bytes.value())?);
         }
         let identity = StoreIdentity {
-            replica_id: header.coordinator_id,
+            replica_id: header.replica_id,
             store_id: header.store_id,
             start_count: header.start_count,
             raft_term: hard_state.term.max(snapshot.get_metadata().term),
--- a/crates/coordinator/tests/compatibility/settings.rs
+++ b/crates/coordinator/tests/compatibility/settings.rs
@@ -30,7 +30,7 @@
     let config = read(&example("every-key.hcl")).unwrap();
     assert_eq!(config.installation, "north");
     let addresses: Vec<(u64, String)> =
-        config.coordinators.iter().map(|(number, address)| (*number, address.to_string())).collect();
+        config.replicas.iter().map(|(number, address)| (*number, address.to_string())).collect();
     let expected = [(1, "192.0.2.11:7100"), (2, "192.0.2.12:7100"), (7, "[2001:db8::13]:7100")];
     assert_eq!(addresses, expected.map(|(number, address)| (number, address.to_owned())));
     assert_eq!(config.first_token, 5_000);
@@ -46,7 +46,7 @@
     };
     assert_eq!(config.timing, times);
     let serve = config.serve.unwrap();
-    assert_eq!(serve.coordinator_id, 7);
+    assert_eq!(serve.replica_id, 7);
     assert_eq!(serve.listen.to_string(), "0.0.0.0:7101");
     assert_eq!(serve.store_directory, Path::new("/var/lib/keeper"));
     assert_eq!(serve.bind_address, Some("192.0.2.13".parse::<IpAddr>().unwrap()));
--- a/crates/coordinator/tests/config.rs
+++ b/crates/coordinator/tests/config.rs
@@ -25,7 +25,7 @@
         "serve {\n  keeper = 2\n  store = \"var\"\n}\ntimes {\n  lease_ms = 2000\n}\nfirst_token = 50\n";
     let config = parse("keeper.hcl", &format!("{KEEPERS}{more}")).unwrap();
     let serve = config.serve.unwrap();
-    assert_eq!((serve.coordinator_id, serve.listen.port(), config.first_token), (2, 7102, 50));
+    assert_eq!((serve.replica_id, serve.listen.port(), config.first_token), (2, 7102, 50));
     assert_eq!((config.timing.lease_duration, config.timing.renewal_interval), (2_000_000, 400_000));
 }
 
