--- a/crates/coordinator/src/cli/commands.rs
+++ b/crates/coordinator/src/cli/commands.rs
@@ -51,7 +51,8 @@
 
 fn bootstrap(arguments: &Arguments, config: &Config) -> Result<String, CommandError> {
     let serve = serve_config(config)?;
-    let (directory, id) = (&serve.store_directory, serve.replica_id);
+    let directory = &serve.store_directory;
+    let id = serve.replica_id;
     let installation = &config.installation;
     let store_id = clock::random_id();
     if arguments.joining {
@@ -78,10 +79,10 @@
 
 async fn status(arguments: &Arguments, config: &Config) -> Result<String, CommandError> {
     let mut text = String::new();
-    for (replica, status) in operator_client::statuses(config).await {
-        text += &match status {
+    for result in operator_client::statuses(config).await {
+        text += &match result.status {
             Ok(status) if arguments.json => output::json_line(&status),
-            Ok(status) => output::status_line(replica, &status),
+            Ok(status) => output::status_line(result.replica, &status),
             Err(error) => format!("{error}\n"),
         };
     }
--- a/crates/coordinator/src/cli/error.rs
+++ b/crates/coordinator/src/cli/error.rs
@@ -6,10 +6,7 @@
 use coordinator::config::ConfigError;
 use coordinator::operator_client::OperatorError;
 use coordinator::store::StoreError;
-use coordinator::CoordinatorError;
-
-const FAULT: u8 = 1;
-const NOT_NOW: u8 = 8;
+use coordinator::{exit_code, CoordinatorError};
 
 /// Error of a subcommand.
 #[derive(Debug, thiserror::Error)]
@@ -71,8 +68,8 @@
     pub(super) fn exit_code(&self) -> u8 {
         match self {
             CommandError::Coordinator(error) => error.exit_code(),
-            CommandError::PermitWaiting { .. } => NOT_NOW,
-            _ => FAULT,
+            CommandError::PermitWaiting { .. } => exit_code::NOT_NOW,
+            _ => exit_code::ERROR,
         }
     }
 }
--- a/crates/coordinator/src/cli/metrics.rs
+++ b/crates/coordinator/src/cli/metrics.rs
@@ -1,13 +1,22 @@
 //! Metrics of a replica in the text format of Prometheus. Their names and labels are a stable format.
 
-use std::fmt::Write as _;
+use std::fmt;
 
 use cluster_member::wire::{CommitLatency, LeaseStatus, ReplicaStatus};
 
+/// Prefix of all names of metrics.
 const PREFIX: &str = "cairncrank_keeper_";
 
+/// Metric with its values.
+struct Metric {
+    name: &'static str,
+    metric_type: MetricType,
+    help: &'static str,
+    samples: Vec<Sample>,
+}
+
 /// Type of a metric.
-enum Kind {
+enum MetricType {
     Gauge,
     Counter,
 }
@@ -18,54 +27,86 @@
     value: u64,
 }
 
+impl Metric {
+    /// Creates a gauge with one value.
+    fn gauge(name: &'static str, help: &'static str, value: u64) -> Metric {
+        Metric::labelled_gauge(name, help, vec![Sample::unlabelled(value)])
+    }
+
+    /// Creates a gauge with a value for each set of labels.
+    fn labelled_gauge(name: &'static str, help: &'static str, samples: Vec<Sample>) -> Metric {
+        Metric { name, metric_type: MetricType::Gauge, help, samples }
+    }
+
+    /// Creates a counter with one value.
+    fn counter(name: &'static str, help: &'static str, value: u64) -> Metric {
+        Metric { name, metric_type: MetricType::Counter, help, samples: vec![Sample::unlabelled(value)] }
+    }
+}
+
 impl Sample {
-    fn unlabelled(value: u64) -> [Sample; 1] {
-        [Sample { labels: String::new(), value }]
+    fn unlabelled(value: u64) -> Sample {
+        Sample { labels: String::new(), value }
+    }
+}
+
+impl fmt::Display for MetricType {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            MetricType::Gauge => "gauge",
+            MetricType::Counter => "counter",
+        })
+    }
+}
+
+impl fmt::Display for Metric {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Metric { name, metric_type, help, samples } = self;
+        writeln!(f, "# HELP {PREFIX}{name} {help}")?;
+        writeln!(f, "# TYPE {PREFIX}{name} {metric_type}")?;
+        for Sample { labels, value } in samples {
+            writeln!(f, "{PREFIX}{name}{labels} {value}")?;
+        }
+        Ok(())
     }
 }
 
 /// Formats all metrics of a replica.
 pub(super) fn prometheus_text(status: &ReplicaStatus) -> String {
-    let mut text = String::new();
-    let leads = Sample::unlabelled(status.is_leader.into());
-    write_metric(&mut text, "leads", Kind::Gauge, "Whether this keeper leads.", &leads);
-    let term = Sample::unlabelled(status.raft_term);
-    write_metric(&mut text, "term", Kind::Gauge, "The term of Raft.", &term);
-    let applied = Sample::unlabelled(status.applied_index);
-    write_metric(&mut text, "applied_entries", Kind::Counter, "The last entry applied.", &applied);
-    let elections = Sample::unlabelled(status.election_count);
-    write_metric(&mut text, "elections_total", Kind::Counter, "Leaders seen since the start.", &elections);
-    let starts = Sample::unlabelled(status.start_count);
-    write_metric(&mut text, "starts_total", Kind::Counter, "How often this disk was started.", &starts);
-    let members = Sample::unlabelled(status.members.len() as u64);
-    write_metric(&mut text, "members", Kind::Gauge, "Sessions of members.", &members);
-    let latency_help = "From a proposal to its being applied, since the start.";
-    write_metric(&mut text, "commit_microseconds", Kind::Gauge, latency_help, &commit_latencies(status));
-    let token_help = "The token of a duty's running term, 0 without an owner.";
-    let tokens: Vec<Sample> = status.leases.iter().map(running_token).collect();
-    write_metric(&mut text, "duty_token", Kind::Gauge, token_help, &tokens);
-    text
+    metrics(status).iter().map(Metric::to_string).collect()
 }
 
-fn commit_latencies(status: &ReplicaStatus) -> [Sample; 3] {
-    let CommitLatency { p50_us, p99_us, max_us } = status.commit_latency;
-    [("0.5", p50_us), ("0.99", p99_us), ("1", max_us)]
-        .map(|(quantile, value)| Sample { labels: format!("{{quantile=\"{quantile}\"}}"), value })
+fn metrics(status: &ReplicaStatus) -> [Metric; 8] {
+    [
+        Metric::gauge("leads", "Whether this keeper leads.", status.is_leader.into()),
+        Metric::gauge("term", "The term of Raft.", status.raft_term),
+        Metric::counter("applied_entries", "The last entry applied.", status.applied_index),
+        Metric::counter("elections_total", "Leaders seen since the start.", status.election_count),
+        Metric::counter("starts_total", "How often this disk was started.", status.start_count),
+        Metric::gauge("members", "Sessions of members.", status.members.len() as u64),
+        Metric::labelled_gauge(
+            "commit_microseconds",
+            "From a proposal to its being applied, since the start.",
+            commit_latencies(status),
+        ),
+        Metric::labelled_gauge(
+            "duty_token",
+            "The token of a duty's running term, 0 without an owner.",
+            status.leases.iter().map(running_token).collect(),
+        ),
+    ]
 }
 
-fn running_token(lease: &LeaseStatus) -> Sample {
-    let (holder, value) =
-        lease.holder.as_ref().map_or(("", 0), |holder| (holder.member.as_str(), holder.token.0));
-    Sample { labels: format!("{{duty={:?},owner={holder:?}}}", lease.lease.to_string()), value }
+fn commit_latencies(status: &ReplicaStatus) -> Vec<Sample> {
+    let CommitLatency { p50_us, p99_us, max_us } = status.commit_latency;
+    let sample = |quantile: &str, value| Sample { labels: format!("{{quantile=\"{quantile}\"}}"), value };
+    vec![sample("0.5", p50_us), sample("0.99", p99_us), sample("1", max_us)]
 }
 
-fn write_metric(text: &mut String, name: &str, kind: Kind, help: &str, samples: &[Sample]) {
-    let kind = match kind {
-        Kind::Gauge => "gauge",
-        Kind::Counter => "counter",
-    };
-    let _ = writeln!(text, "# HELP {PREFIX}{name} {help}\n# TYPE {PREFIX}{name} {kind}");
-    for Sample { labels, value } in samples {
-        let _ = writeln!(text, "{PREFIX}{name}{labels} {value}");
-    }
+fn running_token(lease: &LeaseStatus) -> Sample {
+    let holder = lease.holder.as_ref();
+    let holder_name = holder.map_or("", |holder| holder.member.as_str());
+    let token = holder.map_or(0, |holder| holder.token.0);
+    let lease_name = lease.lease.to_string();
+    Sample { labels: format!("{{duty={lease_name:?},owner={holder_name:?}}}"), value: token }
 }
--- a/crates/coordinator/src/cli/mod.rs
+++ b/crates/coordinator/src/cli/mod.rs
@@ -19,12 +19,10 @@
 use std::process::ExitCode;
 
 use arguments::{Arguments, Subcommand, USAGE};
-use coordinator::config;
+use coordinator::{config, exit_code};
 use error::CommandError;
 
 const PROGRAM: &str = env!("CARGO_BIN_NAME");
-/// Exit code for invalid arguments.
-const BAD_USAGE: u8 = 2;
 
 /// Runs the program with the arguments of the process.
 pub(crate) fn run() -> ExitCode {
@@ -49,7 +47,7 @@
     }
     let Some(file) = &arguments.config else {
         eprintln!("{PROGRAM}: --config FILE is missing");
-        return ExitCode::from(BAD_USAGE);
+        return ExitCode::from(exit_code::BAD_USAGE);
     };
     match run_subcommand(subcommand, &arguments, file) {
         Ok(text) => {
@@ -65,7 +63,7 @@
 
 fn bad_usage(error: &dyn std::error::Error) -> ExitCode {
     eprintln!("{PROGRAM}: {error}\n\n{USAGE}");
-    ExitCode::from(BAD_USAGE)
+    ExitCode::from(exit_code::BAD_USAGE)
 }
 
 /// Runs a subcommand that needs the settings file, and returns the text to be printed.
--- a/crates/coordinator/src/cli/output.rs
+++ b/crates/coordinator/src/cli/output.rs
@@ -1,7 +1,5 @@
 //! Output of subcommands: text for operators, JSON for programs.
 
-use std::fmt::Write as _;
-
 use cluster_member::wire::{CommitLatency, LeaseStatus, MemberStatus, ReplicaStatus};
 use coordinator::operator_client::DisruptionSnapshot;
 use disruption_budget::{Availability, BudgetUsage, DisruptionState, Permit, PermitId, TargetStatus};
@@ -113,7 +111,7 @@
 /// Formats the disruption state as text.
 pub(super) fn disruption_state_text(state: &DisruptionState) -> String {
     let mut text = String::new();
-    let _ = writeln!(text, "budgets, version {}:", state.budgets_version());
+    text += &format!("budgets, version {}:\n", state.budgets_version());
     for usage in state.budget_usage() {
         text += &budget_line(&usage);
     }
@@ -126,7 +124,7 @@
     for target in state.targets() {
         text += &target_line(&target);
     }
-    let _ = writeln!(text, "forced permits: {}", state.forced().count);
+    text += &format!("forced permits: {}\n", state.forced().count);
     text
 }
 
--- a/crates/coordinator/src/error.rs
+++ b/crates/coordinator/src/error.rs
@@ -7,6 +7,7 @@
 use coordination::{CommandDecodeError, Revision, SnapshotError};
 use protobuf::ProtobufError;
 
+use crate::exit_code;
 use crate::store::StoreError;
 
 /// Error that prevents the start of a coordinator or stops it.
@@ -82,12 +83,12 @@
         match self {
             CoordinatorError::Listen { .. }
             | CoordinatorError::SignalHandler(_)
-            | CoordinatorError::LatencyHistogram(_) => 1,
-            CoordinatorError::StaleDisk { .. } => 3,
-            CoordinatorError::Store(_) => 4,
-            CoordinatorError::UnsupportedFormat(_) => 5,
-            CoordinatorError::Raft(_) => 6,
-            CoordinatorError::Replaced { .. } => 7,
+            | CoordinatorError::LatencyHistogram(_) => exit_code::ERROR,
+            CoordinatorError::StaleDisk { .. } => exit_code::STALE_STORE,
+            CoordinatorError::Store(_) => exit_code::STORE_UNUSABLE,
+            CoordinatorError::UnsupportedFormat(_) => exit_code::UNSUPPORTED_FORMAT,
+            CoordinatorError::Raft(_) => exit_code::RAFT_FAILED,
+            CoordinatorError::Replaced { .. } => exit_code::REPLACED,
         }
     }
 }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -5,11 +5,12 @@
 //! - [`replica`] drives Raft and the replicated state, without sockets and clock.
 //! - [`server`] connects a replica to its peers, its clients and the clock.
 //! - [`operator_client`] calls coordinators on behalf of an operator.
-//! - [`error`] has the reasons for which a coordinator stops, with their exit codes.
+//! - [`error`] has the reasons for which a coordinator stops, [`exit_code`] the exit codes of the program.
 
 pub mod config;
 mod display;
 pub mod error;
+pub mod exit_code;
 pub mod operator_client;
 pub mod replica;
 pub mod server;
--- a/crates/coordinator/src/replica/membership.rs
+++ b/crates/coordinator/src/replica/membership.rs
@@ -72,7 +72,7 @@
             ReplacementStep::ExchangeVoters => self.propose_exchange(old, new),
             ReplacementStep::LeaveJointConfiguration => self.propose_change(&[]),
             ReplacementStep::Finish => {
-                let _ = self.raw_node.propose(Vec::new(), Command::CompleteReplacement { old }.encode());
+                self.propose_without_client(&Command::CompleteReplacement { old });
             }
         }
     }
--- a/crates/coordinator/src/replica/mod.rs
+++ b/crates/coordinator/src/replica/mod.rs
@@ -249,14 +249,25 @@
 
     /// Proposes commands that are due by time: the end of sessions, grants of leases, the expiry of permits.
     fn propose_expirations(&mut self, now: Micros) {
-        let Some(leader_state) = &mut self.leader_state else { return };
+        if self.is_leader() {
+            self.propose_permit_expirations(now);
+            self.propose_lease_commands(now);
+        }
+    }
+
+    fn propose_permit_expirations(&mut self, now: Micros) {
         // Until the proposal is applied its permit remains due: it is not proposed again at once.
-        if now.saturating_sub(self.permit_expiry_proposed_at) > self.timing.heartbeat_interval {
-            for change in self.permit_timeouts.expired(now) {
-                self.permit_expiry_proposed_at = now;
-                let _ = self.raw_node.propose(Vec::new(), Command::Disruption(change).encode());
-            }
+        if now.saturating_sub(self.permit_expiry_proposed_at) <= self.timing.heartbeat_interval {
+            return;
         }
+        for change in self.permit_timeouts.expired(now) {
+            self.permit_expiry_proposed_at = now;
+            self.propose_without_client(&Command::Disruption(change));
+        }
+    }
+
+    fn propose_lease_commands(&mut self, now: Micros) {
+        let Some(leader_state) = &mut self.leader_state else { return };
         for command in leader_state.due_commands(now, &self.state) {
             if self.raw_node.propose(Vec::new(), command.encode()).is_err() {
                 leader_state.proposal_rejected(&command);
--- a/crates/coordinator/src/replica/peers.rs
+++ b/crates/coordinator/src/replica/peers.rs
@@ -135,7 +135,7 @@
             .map(|(replica, starts)| Command::RecordReplicaStart { replica, starts })
             .collect();
         for command in unrecorded {
-            let _ = self.raw_node.propose(Vec::new(), command.encode());
+            self.propose_without_client(&command);
         }
     }
 
--- a/crates/coordinator/src/replica/proposals.rs
+++ b/crates/coordinator/src/replica/proposals.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use coordination::Micros;
+use coordination::{Command, Micros};
 use serde::{Deserialize, Serialize};
 
-use super::ConnectionId;
+use super::{ConnectionId, Replica};
 
 /// Timeout of a pending proposal, in microseconds; longer than that of its client.
 const PROPOSAL_TIMEOUT: Micros = 5_000_000;
@@ -85,3 +85,10 @@
         std::mem::take(&mut self.pending).into_values().map(|proposal| proposal.requester).collect()
     }
 }
+
+impl Replica {
+    /// Proposes a command for which no client waits. A failed proposal is ignored: callers propose again what remains due.
+    pub(super) fn propose_without_client(&mut self, command: &Command) {
+        let _ = self.raw_node.propose(Vec::new(), command.encode());
+    }
+}
--- a/crates/coordinator/src/replica/requests.rs
+++ b/crates/coordinator/src/replica/requests.rs
@@ -52,7 +52,7 @@
                 let short_lived = self.is_short_session(&name, now);
                 self.propose(
                     requester,
-                    Command::OpenSession { name, boot_id, zone, address, eligible_leases, short_lived },
+                    &Command::OpenSession { name, boot_id, zone, address, eligible_leases, short_lived },
                     now,
                 );
             }
@@ -77,7 +77,7 @@
     fn close_session(&mut self, requester: Requester, session: SessionId, now: Micros) {
         let name = self.state.sessions().get(&session).map(|session| session.name.clone());
         let short_lived = self.is_short_session(&name.unwrap_or_default(), now);
-        self.propose(requester, Command::CloseSession { session, short_lived }, now);
+        self.propose(requester, &Command::CloseSession { session, short_lived }, now);
     }
 
     fn is_short_session(&self, name: &str, now: Micros) -> bool {
@@ -91,7 +91,7 @@
         match token.or(running) {
             Some(token) => self.propose(
                 requester,
-                Command::ReleaseLease { lease: id, token, reset_stability: true },
+                &Command::ReleaseLease { lease: id, token, reset_stability: true },
                 now,
             ),
             None => self.reply(requester, Response::Rejected(CommandRejection::NotLeaseHolder)),
@@ -101,7 +101,7 @@
     fn replace(&mut self, requester: Requester, old: u64, new: u64, address: String, now: Micros) {
         match self.replacement_rejection(old, new) {
             Some(reason) => self.reply(requester, Response::Rejected(reason)),
-            None => self.propose(requester, Command::ReplaceReplica { old, new, address }, now),
+            None => self.propose(requester, &Command::ReplaceReplica { old, new, address }, now),
         }
     }
 
@@ -111,7 +111,7 @@
                 let reason = format!("replica {voter} runs a version that does not support permits");
                 self.reply(requester, Response::Rejected(CommandRejection::InvalidReplacement(reason)));
             }
-            None => self.propose(requester, Command::Disruption(change), now),
+            None => self.propose(requester, &Command::Disruption(change), now),
         }
     }
 
@@ -134,7 +134,7 @@
         voters.find(outdated).copied()
     }
 
-    fn propose(&mut self, requester: Requester, command: Command, now: Micros) {
+    fn propose(&mut self, requester: Requester, command: &Command, now: Micros) {
         let context = self.proposals.next_context();
         match self.raw_node.propose(context.encode(), command.encode()) {
             Ok(()) => {
--- a/crates/coordinator/src/server/event_loop.rs
+++ b/crates/coordinator/src/server/event_loop.rs
@@ -16,7 +16,7 @@
 use tokio::time::{sleep, Instant, Interval};
 
 use super::peer_link::{LinkSettings, PeerLink};
-use super::{log, record, Event};
+use super::{handshake_name, log, record, Event};
 use crate::replica::{encode_message, ConnectionId, HandshakeError, Output, Replica};
 use crate::CoordinatorError;
 
@@ -204,9 +204,7 @@
         protocol_version: u16,
     ) -> Result<ServerHello, CoordinatorError> {
         match self.replica.accept_peer(identity, protocol_version) {
-            Ok(()) => {
-                Ok(ServerHello::Accepted { name: format!("keeper {}", self.replica.identity().replica_id) })
-            }
+            Ok(()) => Ok(ServerHello::Accepted { name: handshake_name(self.replica.identity().replica_id) }),
             Err(HandshakeError::Rejected(reason)) => {
                 let StoreIdentity { replica_id: replica, start_count: starts, raft_term: term, .. } =
                     identity;
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -14,7 +14,6 @@
 mod peer_link;
 mod record;
 
-use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -77,26 +76,8 @@
     record_start(serve, &replica, &recorder);
     let (events, queue) = mpsc::channel(EVENT_QUEUE_LENGTH);
     let (identity_sender, identity_receiver) = watch::channel(replica.identity());
-    let installation: Rc<str> = config.installation.as_str().into();
-    spawn_local(
-        Listener {
-            installation: installation.clone(),
-            protocol_version: serve.protocol_version,
-            name: format!("keeper {}", serve.replica_id).into(),
-            connection_permits: Arc::new(Semaphore::new(serve.max_connections)),
-            events: events.clone(),
-        }
-        .accept_connections(listener),
-    );
-    let settings = LinkSettings {
-        bind_address: serve.bind_address,
-        installation,
-        protocol_version: serve.protocol_version,
-    };
-    let mut peers = PeerLinks::new(settings, identity_receiver, events.clone());
-    for (peer, address) in config.replicas.iter().filter(|(peer, _)| **peer != serve.replica_id) {
-        peers.connect(*peer, *address);
-    }
+    spawn_local(connection_listener(config, serve, events.clone()).accept_connections(listener));
+    let peers = connect_peers(config, serve, identity_receiver, events.clone());
     let mut ticks = interval(Duration::from_micros(tick));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut event_loop = EventLoop::new(replica, peers, recorder, events, identity_sender);
@@ -105,6 +86,11 @@
     event_loop.shut_down(&mut sources, Duration::from_micros(config.timing.election_timeout)).await
 }
 
+/// Returns the name of a replica in handshakes, which is a part of the protocol.
+fn handshake_name(replica_id: u64) -> String {
+    format!("keeper {replica_id}")
+}
+
 fn open_replica(
     config: &Config,
     serve: &ServeConfig,
@@ -120,6 +106,35 @@
     Ok(replica)
 }
 
+fn connection_listener(config: &Config, serve: &ServeConfig, events: mpsc::Sender<Event>) -> Listener {
+    Listener {
+        installation: config.installation.as_str().into(),
+        protocol_version: serve.protocol_version,
+        name: handshake_name(serve.replica_id).into(),
+        connection_permits: Arc::new(Semaphore::new(serve.max_connections)),
+        events,
+    }
+}
+
+/// Starts the links to all other replicas that are configured.
+fn connect_peers(
+    config: &Config,
+    serve: &ServeConfig,
+    identity: watch::Receiver<StoreIdentity>,
+    events: mpsc::Sender<Event>,
+) -> PeerLinks {
+    let settings = LinkSettings {
+        bind_address: serve.bind_address,
+        installation: config.installation.as_str().into(),
+        protocol_version: serve.protocol_version,
+    };
+    let mut peers = PeerLinks::new(settings, identity, events);
+    for (peer, address) in config.replicas.iter().filter(|(peer, _)| **peer != serve.replica_id) {
+        peers.connect(*peer, *address);
+    }
+    peers
+}
+
 fn record_start(serve: &ServeConfig, replica: &Replica, recorder: &Recorder) {
     let StoreIdentity { start_count, raft_term, .. } = replica.identity();
     tracing::info!(
--- a/crates/coordinator/src/store/bootstrap.rs
+++ b/crates/coordinator/src/store/bootstrap.rs
@@ -37,7 +37,7 @@
     snapshot.mut_metadata().term = FIRST_TERM;
     snapshot.mut_metadata().set_conf_state(ConfState::from((voters.to_vec(), Vec::new())));
     snapshot.set_data(state.snapshot().into());
-    create(directory, header(installation, replica_id, store_id), &snapshot)
+    create(directory, &header(installation, replica_id, store_id), &snapshot)
 }
 
 /// Creates the store of a replica that joins a running installation. It has no state and does not vote; it receives the
@@ -53,7 +53,7 @@
 ) -> Result<(), StoreError> {
     let mut snapshot = Snapshot::default();
     snapshot.set_data(StateMachine::new(1).snapshot().into());
-    create(directory, header(installation, replica_id, store_id), &snapshot)
+    create(directory, &header(installation, replica_id, store_id), &snapshot)
 }
 
 fn header(installation: &str, replica_id: u64, store_id: u64) -> StoreHeader {
@@ -66,7 +66,7 @@
     }
 }
 
-fn create(directory: &Path, header: StoreHeader, snapshot: &Snapshot) -> Result<(), StoreError> {
+fn create(directory: &Path, header: &StoreHeader, snapshot: &Snapshot) -> Result<(), StoreError> {
     if directory.join(STORE_FILE).exists() {
         return Err(StoreError::AlreadyExists { directory: directory.to_owned() });
     }
@@ -75,7 +75,7 @@
     let unfinished = directory.join(UNFINISHED_FILE);
     let _ = std::fs::remove_file(&unfinished);
     let store = Store { database: Database::create(&unfinished)?, _lock: None };
-    store.write_header(&header)?;
+    store.write_header(header)?;
     let snapshot = SnapshotWrite { snapshot, retained: RetainedLog::After(0) };
     store.write(&WriteBatch { snapshot: Some(snapshot), ..WriteBatch::default() })?;
     drop(store);
--- a/crates/coordinator/src/store/mod.rs
+++ b/crates/coordinator/src/store/mod.rs
@@ -11,7 +11,7 @@
 use cluster_member::wire::StoreIdentity;
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, HardState, Snapshot};
-use redb::{Database, ReadableTable};
+use redb::{Database, ReadTransaction, ReadableTable, WriteTransaction};
 use rustix::fs::{flock, FlockOperation};
 
 pub use bootstrap::{bootstrap, bootstrap_joining};
@@ -170,18 +170,8 @@
         let mut snapshot = Snapshot::default();
         let bytes = meta.get(format::SNAPSHOT_KEY)?.ok_or(StoreError::MissingSnapshot)?;
         snapshot.merge_from_bytes(bytes.value())?;
-        let mut entries = Vec::new();
-        for row in transaction.open_table(LOG_TABLE)?.range(snapshot.get_metadata().index + 1..)? {
-            let (_, bytes) = row?;
-            let mut entry = Entry::default();
-            entry.merge_from_bytes(bytes.value())?;
-            entries.push(entry);
-        }
-        let mut peers = BTreeMap::new();
-        for row in transaction.open_table(PEERS_TABLE)?.iter()? {
-            let (peer, bytes) = row?;
-            peers.insert(peer.value(), postcard::from_bytes(bytes.value())?);
-        }
+        let entries = read_entries(&transaction, snapshot.get_metadata().index + 1)?;
+        let peers = read_peers(&transaction)?;
         let identity = StoreIdentity {
             replica_id: header.replica_id,
             store_id: header.store_id,
@@ -198,39 +188,76 @@
     /// promises to its peers.
     pub fn write(&self, batch: &WriteBatch<'_>) -> Result<(), StoreError> {
         let transaction = self.database.begin_write()?;
-        {
-            let mut meta = transaction.open_table(META_TABLE)?;
-            let mut log = transaction.open_table(LOG_TABLE)?;
-            let mut peers = transaction.open_table(PEERS_TABLE)?;
-            if let Some(SnapshotWrite { snapshot, retained }) = batch.snapshot {
-                let bytes = snapshot.write_to_bytes()?;
-                meta.insert(format::SNAPSHOT_KEY, bytes.as_slice())?;
-                match retained {
-                    RetainedLog::After(compacted_up_to) => log.retain(|index, _| index > compacted_up_to)?,
-                    RetainedLog::Nothing => log.retain(|_, _| false)?,
-                }
-            }
-            if let Some(first) = batch.entries.first() {
-                log.retain_in(first.index.., |_, _| false)?;
-            }
-            for entry in batch.entries {
-                let bytes = entry.write_to_bytes()?;
-                log.insert(entry.index, bytes.as_slice())?;
-            }
-            if let Some(hard_state) = batch.hard_state {
-                let bytes = hard_state.write_to_bytes()?;
-                meta.insert(format::HARD_STATE_KEY, bytes.as_slice())?;
-            }
-            for peer in batch.peers {
-                let bytes = postcard::to_stdvec(peer)?;
-                peers.insert(peer.replica_id, bytes.as_slice())?;
-            }
+        if let Some(snapshot) = &batch.snapshot {
+            write_snapshot(&transaction, snapshot)?;
+        }
+        write_entries(&transaction, batch.entries)?;
+        if let Some(hard_state) = batch.hard_state {
+            let bytes = hard_state.write_to_bytes()?;
+            transaction.open_table(META_TABLE)?.insert(format::HARD_STATE_KEY, bytes.as_slice())?;
         }
+        write_peers(&transaction, batch.peers)?;
         transaction.commit()?;
         Ok(())
     }
 }
 
+/// Writes a snapshot and drops the part of the log that is not retained.
+fn write_snapshot(transaction: &WriteTransaction, write: &SnapshotWrite<'_>) -> Result<(), StoreError> {
+    let bytes = write.snapshot.write_to_bytes()?;
+    transaction.open_table(META_TABLE)?.insert(format::SNAPSHOT_KEY, bytes.as_slice())?;
+    let mut log = transaction.open_table(LOG_TABLE)?;
+    match write.retained {
+        RetainedLog::After(compacted_up_to) => log.retain(|index, _| index > compacted_up_to)?,
+        RetainedLog::Nothing => log.retain(|_, _| false)?,
+    }
+    Ok(())
+}
+
+/// Writes entries in place of all from the first of them on.
+fn write_entries(transaction: &WriteTransaction, entries: &[Entry]) -> Result<(), StoreError> {
+    let Some(first) = entries.first() else { return Ok(()) };
+    let mut log = transaction.open_table(LOG_TABLE)?;
+    log.retain_in(first.index.., |_, _| false)?;
+    for entry in entries {
+        let bytes = entry.write_to_bytes()?;
+        log.insert(entry.index, bytes.as_slice())?;
+    }
+    Ok(())
+}
+
+/// Writes the identities of the peers' stores.
+fn write_peers(transaction: &WriteTransaction, identities: &[StoreIdentity]) -> Result<(), StoreError> {
+    let mut peers = transaction.open_table(PEERS_TABLE)?;
+    for peer in identities {
+        let bytes = postcard::to_stdvec(peer)?;
+        peers.insert(peer.replica_id, bytes.as_slice())?;
+    }
+    Ok(())
+}
+
+/// Reads the entries of the log from this index on.
+fn read_entries(transaction: &ReadTransaction, first_index: u64) -> Result<Vec<Entry>, StoreError> {
+    let mut entries = Vec::new();
+    for row in transaction.open_table(LOG_TABLE)?.range(first_index..)? {
+        let (_, bytes) = row?;
+        let mut entry = Entry::default();
+        entry.merge_from_bytes(bytes.value())?;
+        entries.push(entry);
+    }
+    Ok(entries)
+}
+
+/// Reads the identities of the peers' stores.
+fn read_peers(transaction: &ReadTransaction) -> Result<BTreeMap<u64, StoreIdentity>, StoreError> {
+    let mut peers = BTreeMap::new();
+    for row in transaction.open_table(PEERS_TABLE)?.iter()? {
+        let (peer, bytes) = row?;
+        peers.insert(peer.value(), postcard::from_bytes(bytes.value())?);
+    }
+    Ok(peers)
+}
+
 /// Locks the store against other processes.
 fn lock(directory: &Path) -> Result<File, StoreError> {
     let lock = File::create(directory.join(LOCK_FILE))?;
--- a/crates/coordinator/tests/compatibility/store.rs
+++ b/crates/coordinator/tests/compatibility/store.rs
@@ -156,8 +156,8 @@
     state
 }
 
-fn example(fixture: &'static str, applied: Vec<Command>, commands: Vec<Command>) -> Example {
-    let state = state_after(&applied);
+fn example(fixture: &'static str, applied: &[Command], commands: Vec<Command>) -> Example {
+    let state = state_after(applied);
     let configuration = ConfState::from((vec![1, 2, 3], Vec::new()));
     Example { fixture, state, configuration, commands }
 }
@@ -176,9 +176,9 @@
     let further =
         [permits(14), vec![Command::Disruption(DisruptionCommand::CancelPermit { permit: 12 })]].concat();
     [
-        example("store-version-1.hex", first_commands(), later_commands()),
-        Example { configuration: joint, ..example("store-version-2.hex", second, replacement()) },
-        example("store-version-3.hex", third, further),
+        example("store-version-1.hex", &first_commands(), later_commands()),
+        Example { configuration: joint, ..example("store-version-2.hex", &second, replacement()) },
+        example("store-version-3.hex", &third, further),
     ]
 }
 
