--- a/crates/dispatch-core/src/poll_schedule.rs
+++ b/crates/dispatch-core/src/poll_schedule.rs
@@ -13,9 +13,10 @@
 /// all.
 const MAX_RESPONSE_DELAY: Micros = 2_000_000;
 
-/// Divisors of the grace, the time for which a worker that drains may still get work, that give the first and the
-/// longest delay with an agent on this machine: it costs nothing to poll, and its changes count as notified at once.
+/// Divisor of the grace, the time for which a worker that drains may still get work, that gives the first delay with an
+/// agent on this machine: it costs nothing to poll, and its changes count as notified at once.
 const AGENT_FIRST_DIVISOR: Micros = 25;
+/// Divisor of the grace that gives the longest delay with an agent on this machine.
 const AGENT_LONGEST_DIVISOR: Micros = 5;
 /// Part of the grace, in percent, after which an agent that does not answer may have lost the connection: a standby
 /// watch is opened, so that one of the two was opened after discovery recovered.
@@ -24,12 +25,13 @@
 /// leave no time for other work.
 const MIN_GRACE: Micros = 50_000;
 const MAX_GRACE: Micros = 60_000_000;
-/// Span for each dispatcher over which the first calls after a failure are spread, and the bounds of the whole span.
-/// Where discovery is one service for all, a fault that breaks one watch breaks all, and a rejected call costs it as
-/// much as one that is answered. Later calls are spread ever wider, up to the time that is left.
+/// Span for each dispatcher over which the first calls after a failure are spread: if discovery is one service for all,
+/// a fault that breaks one watch breaks all, and a rejected call costs it as much as one that is answered. Later calls
+/// are spread ever wider, up to the time that is left.
 const SPREAD_PER_INSTANCE: Micros = 10_000;
-const MIN_FIRST_PAUSE: Micros = 500_000;
-const MAX_FIRST_PAUSE: Micros = 2_000_000;
+/// Bounds of the span of the first calls of all dispatchers.
+const MIN_FIRST_DELAY: Micros = 500_000;
+const MAX_FIRST_DELAY: Micros = 2_000_000;
 
 /// Returns the time that an agent may take to begin its answer before a standby watch is opened.
 pub fn standby_watch_delay(grace: Micros) -> Micros {
@@ -50,7 +52,7 @@
         let latest = MAX_NOTIFICATION_DELAY - MAX_RESPONSE_DELAY;
         let backoff = if settings.polls_endpoint_list {
             let spread = SPREAD_PER_INSTANCE * Micros::from(settings.instances);
-            Backoff::new(spread.clamp(MIN_FIRST_PAUSE, MAX_FIRST_PAUSE), latest, seed)
+            Backoff::new(spread.clamp(MIN_FIRST_DELAY, MAX_FIRST_DELAY), latest, seed)
         } else {
             let grace = grace.clamp(MIN_GRACE, MAX_GRACE);
             Backoff::new(grace / AGENT_FIRST_DIVISOR, grace / AGENT_LONGEST_DIVISOR, seed)
