--- a/crates/dispatch-core/tests/size.rs
+++ b/crates/dispatch-core/tests/size.rs
@@ -1,4 +1,4 @@
-//! The limits that keep the decision module readable.
+//! The limits that keep the decision module readable, and the paths that the deployment names.
 
 use std::path::Path;
 
@@ -65,3 +65,15 @@
         assert!(named.contains(&path), "{path} is missing in deploy/balancer.toml");
     }
 }
+
+#[test]
+fn every_path_of_the_dispatcher_in_the_deployment_exists() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
+    let deploy = std::fs::read_to_string(root.join("deploy/balancer.toml")).expect("the deploy file");
+    let line = deploy.lines().find(|line| line.starts_with("node = ")).expect("the key 'node'");
+    let paths: Vec<&str> = line.split('"').skip(1).step_by(2).collect();
+    assert!(!paths.is_empty(), "no path in {line}");
+    for path in paths {
+        assert!(root.join(path).exists(), "deploy/balancer.toml names {path}, which does not exist");
+    }
+}
