--- a/crates/dispatch-core/tests/common/mod.rs
+++ b/crates/dispatch-core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: settings, events, and a driver that checks the four rules on every action.
+//! Shared parts of the tests: settings, events, and a driver that checks the four rules on every action.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -6,12 +6,12 @@
 use dispatch_core::api::*;
 use dispatch_core::Dispatcher;
 
-/// How long after it was told to drain a worker may still get new work.
+/// Time for which a worker that drains may still get new work.
 pub const DRAIN_GRACE: f64 = 0.5;
 
-pub fn class(repeat: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
-        idempotency: repeat,
+        idempotency,
         key_window: 5.0,
         latency_objective: 0.3,
         run_time_allowance: 2.0,
@@ -49,7 +49,7 @@
 
 /// Workers 1 to n, all serving; the even ones are in zone 0.
 pub fn fleet(n: u64) -> Vec<Endpoint> {
-    (1..=n).map(|w| endpoint(w, WorkerState::Serving)).collect()
+    (1..=n).map(|worker| endpoint(worker, WorkerState::Serving)).collect()
 }
 
 pub fn request(id: u64) -> Request {
@@ -127,9 +127,9 @@
         Driver::new_at(100.0, cfg, seed, workers)
     }
 
-    /// A dispatcher that starts at this time.
+    /// Returns a driver of a dispatcher that starts at this time.
     pub fn new_at(now: f64, cfg: Settings, seed: u64, workers: &[Endpoint]) -> Self {
-        let mut d = Driver {
+        let mut driver = Driver {
             dispatcher: Dispatcher::new(cfg.clone(), seed),
             cfg,
             now,
@@ -141,25 +141,29 @@
             locations: BTreeMap::new(),
         };
         let mut actions = Vec::new();
-        d.dispatcher.start(d.now, &mut actions);
-        d.check_actions(actions);
-        d.send_list(ListScope::Cached, workers);
-        d
+        driver.dispatcher.start(driver.now, &mut actions);
+        driver.check_actions(actions);
+        driver.send_list(ListScope::Cached, workers);
+        driver
     }
 
     pub fn send_list(&mut self, scope: ListScope, endpoints: &[Endpoint]) -> Vec<Action> {
         if matches!(scope, ListScope::Full | ListScope::Cached) {
             let gone: Vec<u64> = self.locations.keys().copied().collect();
-            for w in gone.into_iter().filter(|w| !endpoints.iter().any(|m| m.worker.0 == *w)) {
-                self.excluded_since.entry(w).or_insert(self.now);
+            for worker in gone
+                .into_iter()
+                .filter(|worker| !endpoints.iter().any(|endpoint| endpoint.worker.0 == *worker))
+            {
+                self.excluded_since.entry(worker).or_insert(self.now);
             }
         }
-        for m in endpoints {
-            self.locations.insert(m.worker.0, Location { zone: m.zone, cell: m.cell });
-            if m.state == WorkerState::Serving {
-                self.excluded_since.remove(&m.worker.0);
+        for endpoint in endpoints {
+            let worker = endpoint.worker.0;
+            self.locations.insert(worker, Location { zone: endpoint.zone, cell: endpoint.cell });
+            if endpoint.state == WorkerState::Serving {
+                self.excluded_since.remove(&worker);
             } else {
-                self.excluded_since.entry(m.worker.0).or_insert(self.now);
+                self.excluded_since.entry(worker).or_insert(self.now);
             }
         }
         self.event(Event::EndpointList { scope, endpoints })
@@ -173,17 +177,17 @@
     }
 
     pub fn end_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        let seen = self.requests.get_mut(&id).expect("a known request");
-        seen.sends[attempt as usize].outcome = Some(outcome);
+        let record = self.requests.get_mut(&id).expect("a known request");
+        record.sends[attempt as usize].outcome = Some(outcome);
         self.open_attempts.retain(|open| (open.request, open.number) != (id, attempt));
-        let complete = outcome == Outcome::Ok || seen.answers > 0;
-        if outcome == Outcome::Ok && seen.answers == 0 {
-            seen.answers = 1;
+        let complete = outcome == Outcome::Ok || record.answers > 0;
+        if outcome == Outcome::Ok && record.answers == 0 {
+            record.answers = 1;
         }
         self.event(Event::AttemptEnded { request: RequestId(id), attempt, outcome, complete, load: None })
     }
 
-    /// Moves the clock on, firing the timers that fall due and the time-outs of clients that give up.
+    /// Advances the clock, firing the timers that are due and ending attempts at their client's timeout.
     pub fn advance(&mut self, span: f64) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
@@ -210,7 +214,7 @@
         all
     }
 
-    /// A worker answers a probe and says how many slots it has free.
+    /// Ends a probe with a report of the worker's free slots.
     pub fn probed(&mut self, worker: WorkerId, free: f64) -> Vec<Action> {
         let load = Some(LoadReport { free_slots: Some(free), ..LoadReport::default() });
         self.event(Event::ProbeEnded { worker, ok: true, load })
@@ -222,7 +226,7 @@
         self.check_actions(actions)
     }
 
-    /// Holds the dispatcher's actions to the rules.
+    /// Checks the dispatcher's actions by the rules and records them.
     pub fn check_actions(&mut self, actions: Vec<Action>) -> Vec<Action> {
         for action in &actions {
             match action {
@@ -243,51 +247,55 @@
     }
 
     fn record_answer(&mut self, id: u64) {
-        let seen = self.requests.get_mut(&id).expect("an answer to a known request");
-        seen.answers += 1;
-        assert_eq!(seen.answers, 1, "rule 1: request {id} answered twice");
-        assert!(self.now <= seen.due + 0.016, "rule 1: request {id} answered late");
+        let record = self.requests.get_mut(&id).expect("an answer to a known request");
+        record.answers += 1;
+        assert_eq!(record.answers, 1, "rule 1: request {id} answered twice");
+        assert!(self.now <= record.due + 0.016, "rule 1: request {id} answered late");
     }
 
     fn check_send(&mut self, id: u64, worker: WorkerId) {
         let now = self.now;
         if let Some(since) = self.excluded_since.get(&worker.0) {
-            assert!(now - since <= DRAIN_GRACE, "rule 3: {worker:?} was told to drain");
+            assert!(now - since <= DRAIN_GRACE, "rule 3: {worker:?} drains");
         }
         let locations = &self.locations;
         let cfg = &self.cfg;
-        let seen = self.requests.get_mut(&id).expect("a send of a known request");
-        assert_eq!(seen.answers, 0, "rule 1: request {id} sent after its end");
-        assert!(seen.sends.len() < cfg.max_attempts as usize, "request {id}: too many attempts");
-        let open = seen.sends.iter().any(|send| send.outcome.is_none());
-        assert!(!open || cfg.hedging_allowed, "request {id}: two attempts out");
+        let record = self.requests.get_mut(&id).expect("a send of a known request");
+        assert_eq!(record.answers, 0, "rule 1: request {id} sent after its end");
+        assert!(record.sends.len() < cfg.max_attempts as usize, "request {id}: too many attempts");
+        let open = record.sends.iter().any(|send| send.outcome.is_none());
+        assert!(!open || cfg.hedging_allowed, "request {id}: two attempts are open");
         let may_have_run = |send: &&SendRecord| !send.outcome.is_some_and(Outcome::never_ran);
-        for earlier in seen.sends.iter().filter(may_have_run) {
-            match cfg.classes[seen.class].idempotency {
+        for earlier in record.sends.iter().filter(may_have_run) {
+            match cfg.classes[record.class].idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NotIdempotent => panic!("rule 2: unsafe request {id} sent again"),
-                Idempotency::WithKey(group) => {
-                    let key_window = cfg.classes[seen.class].key_window;
-                    assert!(now - earlier.sent_at <= key_window, "rule 2: window of {id}");
+                Idempotency::WithKey(scope) => {
+                    let key_window = cfg.classes[record.class].key_window;
+                    assert!(now - earlier.sent_at <= key_window, "rule 2: key window of {id}");
                     let was = locations[&earlier.worker.0];
                     let is = locations[&worker.0];
                     let same =
-                        if group == KeyScope::Cell { was.cell == is.cell } else { was.zone == is.zone };
-                    assert!(group == KeyScope::All || same, "rule 2: group of {id}");
+                        if scope == KeyScope::Cell { was.cell == is.cell } else { was.zone == is.zone };
+                    assert!(scope == KeyScope::All || same, "rule 2: key scope of {id}");
                 }
             }
         }
-        self.open_attempts.push(OpenAttempt { request: id, number: seen.sends.len() as u32, due: seen.due });
-        seen.sends.push(SendRecord { sent_at: now, worker, outcome: None });
+        self.open_attempts.push(OpenAttempt {
+            request: id,
+            number: record.sends.len() as u32,
+            due: record.due,
+        });
+        record.sends.push(SendRecord { sent_at: now, worker, outcome: None });
     }
 
     fn check_rejection(&self, id: u64) {
-        let seen = &self.requests[&id];
-        let clean = seen.sends.iter().all(|send| send.outcome.is_some_and(Outcome::never_ran));
-        let repeat = self.cfg.classes[seen.class].idempotency;
+        let record = &self.requests[&id];
+        let never_ran = record.sends.iter().all(|send| send.outcome.is_some_and(Outcome::never_ran));
+        let idempotency = self.cfg.classes[record.class].idempotency;
         assert!(
-            clean || matches!(repeat, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All)),
-            "rule 2: request {id} refused though it may have run"
+            never_ran || matches!(idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All)),
+            "rule 2: request {id} rejected though it may have run"
         );
     }
 }
