--- a/crates/dispatcher/src/net/discovery/mod.rs
+++ b/crates/dispatcher/src/net/discovery/mod.rs
@@ -1,133 +1,139 @@
-//! Follows discovery: a watch that is opened again from the last revision whenever it ends or falls silent,
-//! and elsewhere once the configuration names another address.
+//! Discovery of workers: a watch on the endpoint list, opened again from the last revision whenever it ends or falls silent,
+//! and at another address once the configuration names one.
 
 mod connection;
+mod error;
 mod notified;
+mod shared_list;
 mod watch_session;
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use cluster_member::endpoint_list::WatchEvent;
-use tokio::sync::{mpsc, watch};
+use tokio::sync::watch;
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use super::cluster::{SharedList, SharedListSubscription};
+use super::cluster::SharedListSubscription;
 use super::ConfigReceiver;
-use crate::config::{self, Config};
-use crate::engine::{Handle, Input, Micros};
+use crate::config::Config;
+use crate::engine::{Handle, Micros};
 use dispatch_core::poll_schedule::PollSchedule;
 use notified::NotifiedState;
-use watch_session::{source_changed, Watch, WatchEnded};
+use shared_list::follow_shared_list;
+use watch_session::{source_changed, Watch, WatchContext, WatchEnded};
 
-/// Watches for ever. `ready` turns true with the first list. In a fleet it pauses while another member's word is
-/// relied on.
-pub(super) async fn run_watch(
-    mut configs: ConfigReceiver,
+/// Follows the endpoint list and passes it to the engine. Never returns. `ready` turns true with the first list. In a
+/// cluster the watch pauses while the member relies on the shared list.
+pub(super) async fn follow_endpoint_list(
+    configs: ConfigReceiver,
     handle: Handle,
     ready: watch::Sender<bool>,
     shared_list: Option<SharedListSubscription>,
 ) {
     let mut saved = configs.borrow().saved_list.clone();
-    let notified = Rc::new(NotifiedState::from_saved(saved.revision, &mut saved.endpoints));
-    let lists = shared_list.map(|SharedListSubscription { list: lists, events: news }| {
-        let (notified, configs) = (notified.clone(), configs.clone());
-        spawn_local(follow_cluster_list(
-            lists.clone(),
-            news,
-            notified,
-            configs,
-            handle.clone(),
-            ready.clone(),
-        ));
-        lists
+    let polls_discovery = match &shared_list {
+        Some(subscription) => subscription.list.polls_discovery(),
+        // Without a cluster the sender is dropped, and the value stays true.
+        None => watch::channel(true).1,
+    };
+    let context = Rc::new(WatchContext {
+        configs,
+        handle,
+        notified: NotifiedState::from_saved(saved.revision, &mut saved.endpoints),
+        shared_list: shared_list.as_ref().map(|subscription| subscription.list.clone()),
+        ready,
+        polls_discovery,
     });
-    // Without a fleet the sender is gone, and it stays at asking.
-    let mut asks = lists.as_ref().map_or_else(|| watch::channel(true).1, |lists| lists.polls_discovery());
-    let mut failing = false;
-    let mut schedule = poll_schedule(&configs.borrow());
-    loop {
-        if !*asks.borrow() {
-            let before = configs.borrow().clone();
-            tokio::select! {
-                _ = asks.wait_for(|asks| *asks) => {}
-                _ = configs.wait_for(|now| source_changed(&before, now)) => {}
-            }
-            if source_changed(&before, &configs.borrow()) {
-                notified.revision.set(None);
-                lists.iter().for_each(|lists| lists.source_changed(configs.borrow().discovery));
+    if let Some(subscription) = shared_list {
+        spawn_local(follow_shared_list(context.clone(), subscription));
+    }
+    WatchLoop::new(context).run().await;
+}
+
+/// Opens one watch after the other.
+struct WatchLoop {
+    context: Rc<WatchContext>,
+    configs: ConfigReceiver,
+    polls_discovery: watch::Receiver<bool>,
+    schedule: PollSchedule,
+    /// The last watch brought no list. Only the first failure of a series is logged.
+    failing: bool,
+}
+
+impl WatchLoop {
+    fn new(context: Rc<WatchContext>) -> WatchLoop {
+        let configs = context.configs.clone();
+        let schedule = poll_schedule(&configs.borrow());
+        let polls_discovery = context.polls_discovery.clone();
+        WatchLoop { context, configs, polls_discovery, schedule, failing: false }
+    }
+
+    async fn run(mut self) {
+        loop {
+            if *self.polls_discovery.borrow() {
+                self.run_watch().await;
+            } else {
+                self.wait_while_list_is_shared().await;
             }
-            continue;
         }
-        let config = configs.borrow_and_update().clone();
-        let before = notified.revision.get();
-        let watch = Watch::new(&config, &handle, &notified, &lists);
-        // A task of its own: a panic ends this watch, not the following.
-        let watch = spawn_local(watch.run(configs.clone(), ready.clone(), asks.clone()));
-        let WatchEnded { reason: why, answered, retry_after, without_watch_since } =
-            watch.await.unwrap_or_else(|panic| WatchEnded::now(panic.to_string()));
-        if source_changed(&config, &configs.borrow()) {
-            // Revisions are those of the place that told them: elsewhere the same number may stand for more.
-            notified.revision.set(None);
-            failing = false;
-            schedule = poll_schedule(&configs.borrow());
-            lists.iter().for_each(|lists| lists.source_changed(configs.borrow().discovery));
-            continue;
+    }
+
+    /// Waits until discovery is polled again, or the configuration changes the source.
+    async fn wait_while_list_is_shared(&mut self) {
+        let before = self.configs.borrow().clone();
+        tokio::select! {
+            _ = self.polls_discovery.wait_for(|polls| *polls) => {}
+            _ = self.configs.wait_for(|config| source_changed(&before, config)) => {}
+        }
+        if source_changed(&before, &self.configs.borrow()) {
+            self.forget_source();
+        }
+    }
+
+    /// Runs one watch, and waits until the next one is due.
+    async fn run_watch(&mut self) {
+        let config = self.configs.borrow_and_update().clone();
+        let revision_before = self.context.notified.revision.get();
+        // A task of its own, so that a panic ends this watch only.
+        let watch = spawn_local(Watch::new(config.clone(), self.context.clone()).run());
+        let ended = watch.await.unwrap_or_else(|panic| WatchEnded::now(panic.into()));
+        if source_changed(&config, &self.configs.borrow()) {
+            self.failing = false;
+            self.schedule = poll_schedule(&self.configs.borrow());
+            self.forget_source();
+            return;
+        }
+        if !*self.polls_discovery.borrow() {
+            self.failing = false;
+            return;
         }
-        if !*asks.borrow() {
-            failing = false;
-            continue;
+        let made_progress = self.context.notified.revision.get() != revision_before;
+        if !made_progress && !self.failing {
+            tracing::warn!("discovery: {}", ended.error);
         }
-        if notified.revision.get() == before && !failing {
-            tracing::warn!("discovery: {why}");
+        self.failing = !made_progress;
+        if ended.answered {
+            self.schedule.record_success();
         }
-        failing = notified.revision.get() == before;
-        if answered {
-            schedule.record_success();
+        let delay = self.delay_after(&ended);
+        let _ = timeout(delay, self.configs.wait_for(|now| source_changed(&config, now))).await;
+    }
+
+    fn delay_after(&mut self, ended: &WatchEnded) -> Duration {
+        let without_watch = ended.without_watch_since.elapsed().as_micros() as Micros;
+        Duration::from_micros(self.schedule.next_delay(without_watch, ended.retry_after))
+    }
+
+    /// Discards the revision, which holds for one source only, and tells the shared list of the new source.
+    fn forget_source(&self) {
+        self.context.notified.revision.set(None);
+        if let Some(shared_list) = &self.context.shared_list {
+            shared_list.source_changed(self.configs.borrow().discovery);
         }
-        let without_watch = without_watch_since.elapsed().as_micros() as Micros;
-        let pause = Duration::from_micros(schedule.next_delay(without_watch, retry_after));
-        let _ = timeout(pause, configs.wait_for(|now| source_changed(&config, now))).await;
     }
 }
 
 fn poll_schedule(config: &Config) -> PollSchedule {
     PollSchedule::new(&config.settings, config.drain_grace, config.seed)
 }
-
-/// Takes what an owner in the fleet says of the list. What is not newer than what is known here changes nothing, so
-/// that neither a late word nor one that lags behind brings anything back.
-async fn follow_cluster_list(
-    lists: Rc<SharedList>,
-    mut news: mpsc::Receiver<WatchEvent>,
-    notified: Rc<NotifiedState>,
-    configs: ConfigReceiver,
-    handle: Handle,
-    ready: watch::Sender<bool>,
-) {
-    while let Some(news) = news.recv().await {
-        if !lists.is_same_source(&news) {
-            tracing::debug!(source = news.source, "shared list of another source ignored");
-            continue;
-        }
-        if news.is_complete() && news.revision() > notified.newest_revision.get() {
-            let list = config::parse_endpoint_list(&news.list, &configs.borrow().names);
-            match list {
-                Ok(mut list) => {
-                    notified.record(list.revision, &mut list.endpoints);
-                    handle.send(Input::EndpointList { scope: list.scope, endpoints: list.endpoints });
-                    ready.send_replace(true);
-                }
-                Err(error) => {
-                    tracing::warn!(%error, "shared list cannot be decoded");
-                    continue;
-                }
-            }
-        }
-        // One that knows less than the owner goes on by itself until it is told the whole.
-        if notified.newest_revision.get() >= news.revision() && *ready.borrow() {
-            lists.accept_event(&news);
-        }
-    }
-}
--- a/crates/dispatcher/src/net/discovery/notified.rs
+++ b/crates/dispatcher/src/net/discovery/notified.rs
@@ -1,4 +1,4 @@
-//! What all watches together have notified so far.
+//! The state that all watches together have passed to the engine.
 
 use std::cell::{Cell, RefCell};
 
@@ -7,44 +7,52 @@
 use crate::engine::ListedEndpoint;
 use dispatch_core::api::{Seconds, WorkerId, WorkerState};
 
-/// What was told so far, by all watches together.
+/// Start and state of a worker, as last passed to the engine.
+struct NotifiedWorker {
+    started_at: Seconds,
+    state: WorkerState,
+}
+
+/// The state that all watches together have passed to the engine.
 pub(super) struct NotifiedState {
-    /// The last revision of the place that is followed; none where all must be asked for.
+    /// Last revision of the present source; `None` if the complete list has to be requested.
     pub(super) revision: Cell<Option<u64>>,
-    /// The highest revision of all places.
+    /// Highest revision of all sources.
     pub(super) newest_revision: Cell<u64>,
-    /// The start and state of each worker.
-    pub(super) states: RefCell<FxHashMap<WorkerId, (Seconds, WorkerState)>>,
+    workers: RefCell<FxHashMap<WorkerId, NotifiedWorker>>,
 }
 
 impl NotifiedState {
-    /// The state that the list as last held before the start leaves.
+    /// Creates the state after the endpoint list that was saved before the start.
     pub(super) fn from_saved(revision: Option<u64>, endpoints: &mut [ListedEndpoint]) -> NotifiedState {
         let state = NotifiedState {
             revision: Cell::default(),
             newest_revision: Cell::default(),
-            states: RefCell::default(),
+            workers: RefCell::default(),
         };
         state.record(revision.unwrap_or(0), endpoints);
-        // Where nothing was held before, all must be asked for. What was held may well be of revision 0: to ask for all
-        // first would make two calls of one, of every dispatcher of a fleet at its start.
+        // A saved list of revision 0 is valid: the watch continues from it, without a request for the complete list.
         state.revision.set(revision);
         state
     }
 
-    /// Takes note of a list. One that is older than what was told before comes of a place that lags behind: it
-    /// must not bring back a worker of which this program knows that it drains or is gone.
-    pub(super) fn record(&self, revision: u64, members: &mut [ListedEndpoint]) {
-        let older = revision < self.newest_revision.get();
+    /// Records a list, and corrects its entries if it is older than one before: a source that lags behind must not return
+    /// a worker to service that is known to drain or to be removed.
+    pub(super) fn record(&self, revision: u64, endpoints: &mut [ListedEndpoint]) {
+        let is_outdated = revision < self.newest_revision.get();
         self.revision.set(Some(revision));
         self.newest_revision.set(self.newest_revision.get().max(revision));
-        let mut states = self.states.borrow_mut();
-        for ListedEndpoint { endpoint: member, .. } in members {
-            let (since, state) = states.entry(member.worker).or_insert((member.started_at, member.state));
-            if older && member.started_at <= *since && member.state == WorkerState::Serving {
-                member.state = *state;
+        let mut workers = self.workers.borrow_mut();
+        for ListedEndpoint { endpoint, .. } in endpoints {
+            let known = workers
+                .entry(endpoint.worker)
+                .or_insert(NotifiedWorker { started_at: endpoint.started_at, state: endpoint.state });
+            let is_same_start = endpoint.started_at <= known.started_at;
+            if is_outdated && is_same_start && endpoint.state == WorkerState::Serving {
+                endpoint.state = known.state;
             }
-            (*since, *state) = (since.max(member.started_at), member.state);
+            known.started_at = known.started_at.max(endpoint.started_at);
+            known.state = endpoint.state;
         }
     }
 }
--- a/crates/dispatcher/src/net/discovery/watch_session.rs
+++ b/crates/dispatcher/src/net/discovery/watch_session.rs
@@ -1,4 +1,4 @@
-//! One watch from its opening to its end.
+//! One watch, from its connection to its end.
 
 use std::collections::VecDeque;
 use std::pin::pin;
@@ -8,274 +8,266 @@
 use serde_json::Value;
 use tokio::sync::watch;
 use tokio::task::{AbortHandle, JoinSet};
-use tokio::time::{sleep, timeout, timeout_at, Instant};
+use tokio::time::{timeout, timeout_at, Instant};
 
-use super::connection::{DiscoveryConnection, WATCH_SILENCE_TIMEOUT};
+use super::connection::DiscoveryConnection;
+use super::error::WatchError;
 use super::notified::NotifiedState;
-use crate::config::{self, Config, Names};
-use crate::engine::{micros, Handle, Input, Micros};
+use crate::config::{self, Config};
+use crate::engine::{Handle, Input, Micros};
 use crate::net::cluster::SharedList;
-use crate::net::http::{Decoder, Head, Piece, Start};
+use crate::net::http::Piece;
 use crate::net::json_framing::Token;
-use crate::net::{has_unread_bytes, read_more, ConfigReceiver};
+use crate::net::ConfigReceiver;
 use dispatch_core::poll_schedule::standby_watch_delay;
 
-/// So many watches are opened beside each other at the most where an agent does not answer; the oldest goes first.
+/// Connections attempted at the same time while discovery does not answer; beyond it the oldest is closed.
 const MAX_STANDBY_WATCHES: usize = 8;
-/// The longest list: some thousands of workers.
+/// Longest endpoint list in bytes: some thousands of workers.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
-/// What has come of a watch by its end is read within this.
+/// Longest time for reading what the socket has received by the end of a watch.
 const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// What was told under one of them need not hold under the other: it comes of another place, or was read by
-/// other names.
+/// Returns whether a list read under the old configuration may not hold under the new one: it came from another address,
+/// or was read by other names.
 pub(super) fn source_changed(old: &Config, new: &Config) -> bool {
-    let names = |names: &Names| (names.zones.len(), names.kinds.len());
-    old.discovery != new.discovery || names(&old.names) != names(&new.names)
+    old.discovery != new.discovery
+        || old.names.zones.len() != new.names.zones.len()
+        || old.names.kinds.len() != new.names.kinds.len()
 }
 
-/// How a watch ended.
+/// State that all watches share.
+pub(super) struct WatchContext {
+    pub(super) configs: ConfigReceiver,
+    pub(super) handle: Handle,
+    pub(super) notified: NotifiedState,
+    pub(super) shared_list: Option<Rc<SharedList>>,
+    /// Set once a list was received.
+    pub(super) ready: watch::Sender<bool>,
+    /// Whether this process polls discovery itself.
+    pub(super) polls_discovery: watch::Receiver<bool>,
+}
+
+/// The end of a watch.
 pub(super) struct WatchEnded {
-    pub(super) reason: String,
-    /// Discovery had begun to tell something.
+    pub(super) error: WatchError,
+    /// A response with status 200 began.
     pub(super) answered: bool,
-    /// When discovery wants to be asked again.
+    /// `Retry-After` of discovery's response.
     pub(super) retry_after: Option<Micros>,
-    /// From when on nothing may have been heard.
+    /// Time from which on changes may have been missed.
     pub(super) without_watch_since: Instant,
 }
 
 impl WatchEnded {
-    pub(super) fn now(why: impl Into<String>) -> WatchEnded {
-        WatchEnded {
-            reason: why.into(),
-            answered: false,
-            retry_after: None,
-            without_watch_since: Instant::now(),
-        }
+    /// Returns the end of a watch that missed nothing until now.
+    pub(super) fn now(error: WatchError) -> WatchEnded {
+        WatchEnded { error, answered: false, retry_after: None, without_watch_since: Instant::now() }
     }
 }
 
 /// One watch.
 pub(super) struct Watch {
-    pub(super) config: Rc<Config>,
-    pub(super) handle: Handle,
-    pub(super) notified: Rc<NotifiedState>,
-    pub(super) shared_list: Option<Rc<SharedList>>,
+    config: Rc<Config>,
+    context: Rc<WatchContext>,
 }
 
 impl Watch {
-    pub(super) fn new(
-        config: &Rc<Config>,
-        handle: &Handle,
-        notified: &Rc<NotifiedState>,
-        shared_list: &Option<Rc<SharedList>>,
-    ) -> Watch {
-        Watch {
-            config: config.clone(),
-            handle: handle.clone(),
-            notified: notified.clone(),
-            shared_list: shared_list.clone(),
-        }
+    pub(super) fn new(config: Rc<Config>, context: Rc<WatchContext>) -> Watch {
+        Watch { config, context }
     }
 
-    /// Follows it to its end, or until the configuration names another place or the fleet is relied on.
-    pub(super) async fn run(
-        self,
-        mut configs: ConfigReceiver,
-        ready: watch::Sender<bool>,
-        mut asks: watch::Receiver<bool>,
-    ) -> WatchEnded {
-        let config = self.config.clone();
-        let moves = async {
-            let moves = async {
-                if configs.wait_for(|now| source_changed(&config, now)).await.is_err() {
-                    std::future::pending().await
-                }
-            };
-            let relied_on = async {
-                if asks.wait_for(|asks| !asks).await.is_err() {
-                    std::future::pending().await
-                }
-            };
-            tokio::select! {
-                () = moves => {}
-                () = relied_on => {}
-            }
-        };
-        tokio::pin!(moves);
-        let begun = Instant::now();
-        let mut talk = tokio::select! {
+    /// Runs the watch until it ends, the configuration changes the source, or the member relies on the shared list.
+    pub(super) async fn run(self) -> WatchEnded {
+        let mut stopped = pin!(self.stopped());
+        let started_at = Instant::now();
+        let mut connection = tokio::select! {
             biased;
-            talk = self.connect() => match talk {
-                Ok(talk) => talk,
-                Err(why) => return WatchEnded { without_watch_since: begun, ..WatchEnded::now(why) },
+            connection = self.connect() => match connection {
+                Ok(connection) => connection,
+                Err(error) => {
+                    return WatchEnded { without_watch_since: started_at, ..WatchEnded::now(error) };
+                }
             },
-            () = &mut moves => return WatchEnded::now("moved"),
+            () = &mut stopped => return WatchEnded::now(WatchError::Stopped),
         };
-        let why = tokio::select! {
+        tokio::select! {
             biased;
-            () = &mut moves => "moved".to_owned(),
-            ListenEnded { reason: why, timed_out: silent } = self.listen(&mut talk, &ready) => {
-                // A call that was never answered may have begun just before discovery could be reached.
-                let deaf_since = if silent || !talk.answered { talk.last_heard_at } else { Instant::now() };
-                return WatchEnded { reason: why, answered: talk.answered, retry_after: talk.retry_after, without_watch_since: deaf_since };
+            () = &mut stopped => {}
+            error = self.listen(&mut connection) => return watch_failed(&connection, error),
+        }
+        // What this source has sent counts, even if it was not read yet.
+        let _ = timeout(FINAL_READ_TIMEOUT, connection.read_received()).await;
+        let _ = self.process_buffer(&mut connection);
+        WatchEnded { answered: connection.answered, ..WatchEnded::now(WatchError::Stopped) }
+    }
+
+    /// Waits until the configuration changes the source, or the member relies on the shared list.
+    async fn stopped(&self) {
+        let mut configs = self.context.configs.clone();
+        let mut polls_discovery = self.context.polls_discovery.clone();
+        let source_changes = async {
+            if configs.wait_for(|config| source_changed(&self.config, config)).await.is_err() {
+                std::future::pending().await
             }
         };
-        // What this place has written counts as told, also what nobody has read so far.
-        let rest = async {
-            while has_unread_bytes(&talk.stream) && read_more(&mut talk.stream, &mut talk.buf).await.is_ok() {
+        let polling_stops = async {
+            if polls_discovery.wait_for(|polls| !polls).await.is_err() {
+                std::future::pending().await
             }
         };
-        let _ = timeout(FINAL_READ_TIMEOUT, rest).await;
-        let _ = self.process_buffer(&mut talk, &ready);
-        WatchEnded { answered: talk.answered, ..WatchEnded::now(why) }
+        tokio::select! {
+            () = source_changes => {}
+            () = polling_stops => {}
+        }
     }
 
-    /// Opens a watch, or asks for the whole list where all must be asked for. An agent has begun to answer then.
-    async fn connect(&self) -> Result<DiscoveryConnection, String> {
-        let (host, query) = (self.config.discovery, self.query());
+    /// Connects and sends the request. Unless the list is polled, waits until discovery answers, with further connections
+    /// beside the first while it does not.
+    async fn connect(&self) -> Result<DiscoveryConnection, WatchError> {
+        let address = self.config.discovery;
+        let query = self.query();
         if self.config.settings.polls_endpoint_list {
-            return DiscoveryConnection::open(host, &query).await;
+            return DiscoveryConnection::open(address, &query).await;
         }
-        let beside = Duration::from_micros(standby_watch_delay(self.config.drain_grace));
-        let mut tries = JoinSet::new();
-        let mut order = VecDeque::new();
+        let next_attempt_delay = Duration::from_micros(standby_watch_delay(self.config.drain_grace));
+        let mut attempts = JoinSet::new();
+        let mut oldest_first: VecDeque<AbortHandle> = VecDeque::new();
         loop {
-            if order.len() == MAX_STANDBY_WATCHES {
-                order.pop_front().iter().for_each(AbortHandle::abort);
+            if oldest_first.len() == MAX_STANDBY_WATCHES {
+                if let Some(oldest) = oldest_first.pop_front() {
+                    oldest.abort();
+                }
             }
             let query = query.clone();
-            order.push_back(
-                tries.spawn_local(async move { DiscoveryConnection::open_answered(host, &query).await }),
-            );
-            let mut next = pin!(sleep(beside));
-            loop {
-                tokio::select! {
-                    biased;
-                    tried = tries.join_next() => match tried {
-                        Some(Ok(Ok(talk))) => return Ok(talk),
-                        Some(Ok(Err(why))) if tries.is_empty() => return Err(why),
-                        None => return Err("nothing was tried".to_owned()),
-                        Some(_) => {}
-                    },
-                    () = &mut next => break,
-                }
+            let attempt = async move { DiscoveryConnection::open_answered(address, &query).await };
+            oldest_first.push_back(attempts.spawn_local(attempt));
+            if let Ok(result) = timeout(next_attempt_delay, first_answered(&mut attempts)).await {
+                return result;
             }
         }
     }
 
-    /// What is to be asked next: the whole list, or what comes after what is known.
+    /// Returns the query of the next request: a watch from the last revision on, or empty for the complete list.
     fn query(&self) -> String {
-        let after = self.notified.revision.get().map(|revision| format!("?stream=1&index={revision}"));
-        after.unwrap_or_default()
+        let revision = self.context.notified.revision.get();
+        revision.map_or_else(String::new, |revision| format!("?stream=1&index={revision}"))
     }
 
-    async fn listen(&self, talk: &mut DiscoveryConnection, ready: &watch::Sender<bool>) -> ListenEnded {
+    /// Processes what comes on the connection until the watch fails.
+    async fn listen(&self, connection: &mut DiscoveryConnection) -> WatchError {
         loop {
-            if let Err(why) = self.process_buffer(talk, ready) {
-                return ListenEnded { reason: why, timed_out: false };
+            if let Err(error) = self.process_buffer(connection) {
+                return error;
             }
-            if talk.response_complete {
-                // The whole list was asked for and is here; the watch goes on after it.
-                if let Err(why) = talk.send_request(&self.query()).await {
-                    return ListenEnded { reason: why, timed_out: false };
+            if connection.response_complete {
+                // The complete list was received; the watch continues from it.
+                if let Err(error) = connection.send_request(&self.query()).await {
+                    return error;
                 }
             }
-            // Not counted from the last byte: a list that never comes to its end tells nothing.
-            let dead = talk.last_heard_at + WATCH_SILENCE_TIMEOUT;
-            let (why, silent) = match timeout_at(dead, read_more(&mut talk.stream, &mut talk.buf)).await {
-                Ok(Ok(true)) => continue,
-                Ok(Ok(false)) => ("the connection ended".to_owned(), false),
-                Ok(Err(error)) => (format!("the connection broke: {error}"), false),
-                Err(_) => ("the watch fell silent".to_owned(), true),
-            };
-            return ListenEnded { reason: why, timed_out: silent };
+            // Counted from the last complete value: a list that never ends carries no information.
+            let deadline = connection.silence_deadline();
+            match timeout_at(deadline, connection.read_more()).await {
+                Ok(Ok(())) => {}
+                Ok(Err(error)) => return error,
+                Err(_) => return WatchError::Silent,
+            }
         }
     }
 
-    /// Takes what has been read.
-    fn process_buffer(
-        &self,
-        talk: &mut DiscoveryConnection,
-        ready: &watch::Sender<bool>,
-    ) -> Result<(), String> {
-        while !talk.response_complete {
-            let piece = match &mut talk.body {
-                None => match Head::response(&mut talk.buf).map_err(|error| error.to_string())? {
-                    Some(head) if head.start == Start::Response(200) => {
-                        talk.answered = true;
-                        talk.keep_alive = head.keep_alive;
-                        talk.body = Some(Decoder::new(head.framing));
-                        continue;
-                    }
-                    Some(head) => {
-                        let wait = head.header_text("Retry-After").and_then(|text| text.trim().parse().ok());
-                        talk.retry_after = wait.map(micros);
-                        return Err(format!("answered {:?}", head.start));
-                    }
-                    None => Piece::More,
-                },
-                Some(body) => body.next(&mut talk.buf).map_err(|error| error.to_string())?,
-            };
-            let end = match piece {
+    /// Processes what was read from the connection.
+    fn process_buffer(&self, connection: &mut DiscoveryConnection) -> Result<(), WatchError> {
+        while !connection.response_complete {
+            match connection.next_piece()? {
                 Piece::More => return Ok(()),
                 Piece::Data(data) => {
-                    talk.json.push(&data, MAX_LIST_BYTES).map_err(|error| error.to_string())?;
-                    None
-                }
-                Piece::End => Some(talk.json.take_rest()),
-            };
-            while let Some(token) = talk.json.next_token() {
-                talk.last_heard_at = Instant::now();
-                self.handle_token(token, ready)?;
-            }
-            if let Some(rest) = end {
-                if !rest.is_empty() {
-                    // A value without its end, which the parser tells.
-                    self.handle_token(Token::Value(rest), ready)?;
-                }
-                talk.response_complete = true;
-                if !talk.keep_alive || talk.is_watch {
-                    return Err("the watch ended".to_owned());
+                    connection.json.push(&data, MAX_LIST_BYTES)?;
+                    self.process_tokens(connection)?;
                 }
+                Piece::End => self.process_end(connection)?,
             }
         }
         Ok(())
     }
 
-    /// Takes a list; an empty line says that nothing changed.
-    fn handle_token(&self, token: Token, ready: &watch::Sender<bool>) -> Result<(), String> {
-        if let Token::Value(text) = &token {
-            let list = serde_json::from_slice::<Value>(text).map_err(|error| error.to_string());
-            let list = list.and_then(|value| {
-                config::parse_endpoint_list(&value, &self.config.names).map_err(|error| error.to_string())
-            });
-            match list {
-                Ok(mut list) => {
-                    self.notified.record(list.revision, &mut list.endpoints);
-                    if let Some(lists) = &self.shared_list {
-                        lists.record_discovery(serde_json::from_slice(text).ok().as_ref());
-                    }
-                    self.handle.send(Input::EndpointList { scope: list.scope, endpoints: list.endpoints });
-                }
-                Err(error) => {
-                    // The state is unknown from here on: ask for all of it.
-                    self.notified.revision.set(None);
+    fn process_tokens(&self, connection: &mut DiscoveryConnection) -> Result<(), WatchError> {
+        while let Some(token) = connection.json.next_token() {
+            connection.last_heard_at = Instant::now();
+            self.handle_token(&token)?;
+        }
+        Ok(())
+    }
+
+    /// Ends the present response. Only that to a request for the complete list is followed by another one.
+    fn process_end(&self, connection: &mut DiscoveryConnection) -> Result<(), WatchError> {
+        let incomplete_value = connection.json.take_rest();
+        if !incomplete_value.is_empty() {
+            // The parser names the error of a value without its end.
+            self.handle_token(&Token::Value(incomplete_value))?;
+        }
+        connection.response_complete = true;
+        if !connection.keep_alive || connection.is_watch {
+            return Err(WatchError::ResponseEnded);
+        }
+        Ok(())
+    }
+
+    /// Handles a list, or an empty line, by which discovery states that nothing changed.
+    fn handle_token(&self, token: &Token) -> Result<(), WatchError> {
+        match token {
+            Token::Value(text) => {
+                if let Err(error) = self.handle_list(text) {
+                    // The state is unknown from here on: the complete list is requested next.
+                    self.context.notified.revision.set(None);
                     return Err(error);
                 }
             }
-        } else if let Some(lists) = &self.shared_list {
-            lists.record_discovery(None);
+            Token::Blank => self.record_for_cluster(None),
         }
-        ready.send_replace(true);
+        self.context.ready.send_replace(true);
         Ok(())
     }
+
+    fn handle_list(&self, text: &[u8]) -> Result<(), WatchError> {
+        let value: Value = serde_json::from_slice(text)?;
+        let mut list = config::parse_endpoint_list(&value, &self.config.names)?;
+        self.context.notified.record(list.revision, &mut list.endpoints);
+        self.record_for_cluster(Some(&value));
+        self.context.handle.send(Input::EndpointList { scope: list.scope, endpoints: list.endpoints });
+        Ok(())
+    }
+
+    fn record_for_cluster(&self, list: Option<&Value>) {
+        if let Some(shared_list) = &self.context.shared_list {
+            shared_list.record_discovery(list);
+        }
+    }
 }
 
-/// How listening ended.
-struct ListenEnded {
-    reason: String,
-    /// The connection stands, and nothing comes.
-    timed_out: bool,
+/// Returns the first attempt that is answered, or the error of the last one.
+async fn first_answered(
+    attempts: &mut JoinSet<Result<DiscoveryConnection, WatchError>>,
+) -> Result<DiscoveryConnection, WatchError> {
+    loop {
+        match attempts.join_next().await {
+            Some(Ok(Ok(connection))) => return Ok(connection),
+            Some(Ok(Err(error))) if attempts.is_empty() => return Err(error),
+            Some(_) => {}
+            None => return Err(WatchError::NoAttempt),
+        }
+    }
+}
+
+fn watch_failed(connection: &DiscoveryConnection, error: WatchError) -> WatchEnded {
+    let was_silent = matches!(error, WatchError::Silent);
+    // A request that was never answered may have begun just before discovery could be reached.
+    let without_watch_since =
+        if was_silent || !connection.answered { connection.last_heard_at } else { Instant::now() };
+    WatchEnded {
+        error,
+        answered: connection.answered,
+        retry_after: connection.retry_after,
+        without_watch_since,
+    }
 }
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -30,6 +30,7 @@
 
 use crate::config::Config;
 use crate::engine::{Clock, Engine, Handle, Input, Micros};
+use discovery::follow_endpoint_list;
 
 /// What one read asks for; a buffer grows by this.
 const READ_SIZE: usize = 8 * 1024;
@@ -129,7 +130,7 @@
         Some(cluster::ClusterHandle { shared_list, planned_drain }) => (Some(shared_list), planned_drain),
         None => (None, None),
     };
-    let mut follow = spawn_local(discovery::run_watch(configs.clone(), handle.clone(), ready, fleet));
+    let mut follow = spawn_local(follow_endpoint_list(configs.clone(), handle.clone(), ready, fleet));
     let mut renew = spawn_local(reload_on_request(reload, config, handle.clone(), metrics.clone()));
     if let Some(at) = at {
         // The sender kept here outlives a console that cannot listen: without any the mode would count as left.
