--- a/crates/emulator/src/cli/protocol.rs
+++ b/crates/emulator/src/cli/protocol.rs
@@ -36,7 +36,7 @@
     let bug = injected_bug(arguments.seeded_bug.as_deref())?;
     let result = run_soak(arguments.hours, arguments.seed, arguments.skew_ppm, bug);
     println!("{result:#}");
-    if result.broken() {
+    if result.is_violated() {
         Err(CliError::SoakViolated)
     } else {
         Ok(())
--- a/crates/emulator/tests/lease_protocol.rs
+++ b/crates/emulator/tests/lease_protocol.rs
@@ -19,11 +19,11 @@
 #[test]
 fn hours_of_a_fleet_keep_the_rules_with_clocks_inside_the_bound_and_flaws_are_found() {
     let sound = run_soak(4, 1, 1_000, None);
-    assert!(!sound.broken(), "{sound:#?}");
+    assert!(!sound.is_violated(), "{sound:#?}");
     assert!(sound.lease_terms > 100 && sound.effects_rejected > 100, "{sound:#?}");
     for name in ["receiver-without-check", "lease-from-answer", "token-not-stored"] {
         let flaw = InjectedBug::names().iter().find(|(known, _)| *known == name).map(|(_, flaw)| *flaw);
-        assert!(run_soak(4, 1, 1_000, flaw).broken(), "{name} was not found");
+        assert!(run_soak(4, 1, 1_000, flaw).is_violated(), "{name} was not found");
     }
     // Clocks far beyond the bound: two owners may act, and a receiver still never goes back to an older one.
     let beyond = run_soak(4, 1, 300_000, None);
--- a/crates/emulator/tests/stable_results.rs
+++ b/crates/emulator/tests/stable_results.rs
@@ -290,7 +290,7 @@
         let known = InjectedBug::names().iter().find(|(name, _)| Some(*name) == flaw).map(|(_, flaw)| *flaw);
         let hours = run_soak(2, 7, skew_ppm, known);
         let json = serde_json::to_string_pretty(&hours).expect("JSON");
-        let _ = writeln!(text, "{skew_ppm} ppm, {flaw:?}: broken {}\n{json}", hours.broken());
+        let _ = writeln!(text, "{skew_ppm} ppm, {flaw:?}: broken {}\n{json}", hours.is_violated());
     }
     insta::assert_snapshot!(text);
 }
