--- a/crates/coordination/tests/coordination/cluster.rs
+++ b/crates/coordination/tests/coordination/cluster.rs
@@ -41,7 +41,8 @@
 
     pub fn open_session(&mut self, now: u64, name: &str, boot_id: u64) -> CommandOutcome {
         let short_lived = self.leader.is_short_session(name, now, &self.state);
-        let (zone, address) = ("north".to_owned(), "127.0.0.1:1".to_owned());
+        let zone = "north".to_owned();
+        let address = "127.0.0.1:1".to_owned();
         self.apply(
             now,
             &Command::OpenSession {
--- a/crates/coordination/tests/coordination/leader_state.rs
+++ b/crates/coordination/tests/coordination/leader_state.rs
@@ -7,7 +7,8 @@
 #[test]
 fn next_holder_gets_a_higher_token_after_expiry() {
     let mut cluster = Cluster::new();
-    let (a, b) = (cluster.session(0, "a", 1), cluster.session(0, "b", 2));
+    let a = cluster.session(0, "a", 1);
+    let b = cluster.session(0, "b", 2);
     assert!(cluster.run_until_idle(SECOND / 2, &[a, b]).is_empty(), "no session is stable yet");
     cluster.run_until_idle(SECOND, &[a, b]);
     let (first, token) = cluster.holder().unwrap();
@@ -47,7 +48,8 @@
 #[test]
 fn rejected_grant_is_made_to_another_member() {
     let mut cluster = Cluster::new();
-    let (a, b) = (cluster.session(0, "a", 1), cluster.session(0, "b", 2));
+    let a = cluster.session(0, "a", 1);
+    let b = cluster.session(0, "b", 2);
     for id in [a, b] {
         cluster.leader.renew_session(id, cluster.state.lease_revision(), SECOND, &cluster.state).unwrap();
     }
@@ -126,7 +128,8 @@
     let sets: Vec<LeaseId> = (0..6).map(|set| LeaseId::worker_set("watch", set)).collect();
     let mut alive = Vec::new();
     let mut moves = 0;
-    let (mut now, step) = (0, Timing::default().renewal_interval);
+    let mut now = 0;
+    let step = Timing::default().renewal_interval;
     for (boot, name) in ["a", "b", "c"].into_iter().enumerate() {
         let open_session = Command::OpenSession {
             name: name.to_owned(),
@@ -153,8 +156,8 @@
             let holders = cluster.state.leases().values().filter_map(|lease| lease.holder);
             holders.filter(|holder| holder.session == *id).count()
         };
-        let (least, most) =
-            (alive.iter().map(of).min().unwrap_or(0), alive.iter().map(of).max().unwrap_or(0));
+        let least = alive.iter().map(of).min().unwrap_or(0);
+        let most = alive.iter().map(of).max().unwrap_or(0);
         assert!(most - least <= 1 && least > 0, "{name}: from {least} to {most}");
     }
     assert_eq!(moves, 3 + 2, "three go to the second member, two to the third, and none wanders");
--- a/crates/coordination/tests/format.rs
+++ b/crates/coordination/tests/format.rs
@@ -39,7 +39,9 @@
     eligible_leases: Vec<LeaseId>,
     short_lived: bool,
 ) -> Command {
-    let (name, zone, address) = (name.to_owned(), zone.to_owned(), format!("10.0.0.{boot_id}:7000"));
+    let name = name.to_owned();
+    let zone = zone.to_owned();
+    let address = format!("10.0.0.{boot_id}:7000");
     Command::OpenSession { name, boot_id, zone, address, eligible_leases, short_lived }
 }
 
@@ -211,8 +213,10 @@
 /// Sessions that are stable, superseded and ended; leases of all scopes, held, free and released.
 fn version_1_log() -> Log {
     let mut log = Log { state: StateMachine::new(70), index: 0 };
-    let (list, account) = (LeaseId::fleet("list"), LeaseId::fleet("account"));
-    let (slow_start, watch) = (LeaseId::zone("cold", "north"), LeaseId::worker_set("watch", 300));
+    let list = LeaseId::fleet("list");
+    let account = LeaseId::fleet("account");
+    let slow_start = LeaseId::zone("cold", "north");
+    let watch = LeaseId::worker_set("watch", 300);
     let all = vec![list.clone(), account.clone(), slow_start, watch.clone()];
     let first = log.open_session(&open_session_command("a", 1, "north", all.clone(), false));
     let second = log.open_session(&open_session_command("b", 2, "south", all.clone(), false));
@@ -310,7 +314,8 @@
         );
     }
     for name in ["a", "b", "c"] {
-        let (short, incarnation) = (state.consecutive_short_sessions(name), state.incarnation_of(name));
+        let short = state.consecutive_short_sessions(name);
+        let incarnation = state.incarnation_of(name);
         let _ = writeln!(text, "name {name}: short sessions {short} incarnation {incarnation}");
     }
     for (id, lease) in state.leases() {
--- a/crates/disruption-budget/tests/availability_observer.rs
+++ b/crates/disruption-budget/tests/availability_observer.rs
@@ -13,7 +13,8 @@
 
 #[test]
 fn silent_dispatcher_is_unavailable_once_it_had_time_to_report() {
-    let (mut observer, mut state) = (AvailabilityObserver::new(100, 1_000), DisruptionState::default());
+    let mut observer = AvailabilityObserver::new(100, 1_000);
+    let mut state = DisruptionState::default();
     let members = ["a", "b"].map(|name| FleetMember { name, zone: NORTH });
     observer.record_report(report("a", 7, true), 1_010);
     assert_eq!(observer.status_changes(1_199, &members, &state), None);
@@ -37,7 +38,8 @@
 /// An observer whose dispatcher "b" is lost, counted as unavailable and then deregistered, while the list of members
 /// still has it.
 fn observer_after_deregistration() -> (AvailabilityObserver, DisruptionState) {
-    let (mut observer, mut state) = (AvailabilityObserver::new(100, 1_000), DisruptionState::default());
+    let mut observer = AvailabilityObserver::new(100, 1_000);
+    let mut state = DisruptionState::default();
     observer.record_report(report("a", 7, true), 1_250);
     let StatusChanges { changed, removed } = observer.status_changes(1_250, &LISTED, &state).unwrap();
     state.apply(
@@ -98,7 +100,8 @@
 /// A report from before the deregistration proves nothing after it.
 #[test]
 fn report_from_before_the_deregistration_does_not_bring_a_dispatcher_back() {
-    let (mut observer, mut state) = (AvailabilityObserver::new(100, 1_000), DisruptionState::default());
+    let mut observer = AvailabilityObserver::new(100, 1_000);
+    let mut state = DisruptionState::default();
     for name in ["a", "b"] {
         observer.record_report(report(name, 7, true), 1_250);
     }
--- a/crates/disruption-budget/tests/format.rs
+++ b/crates/disruption-budget/tests/format.rs
@@ -37,7 +37,8 @@
 }
 
 fn ask(name: &str, requester: &str, force: bool) -> DisruptionCommand {
-    let (reason, requester) = ("upgrade".into(), requester.into());
+    let reason = "upgrade".into();
+    let requester = requester.into();
     DisruptionCommand::RequestPermit {
         target: target(TargetKind::Dispatcher, name),
         reason,
@@ -135,10 +136,12 @@
 #[test]
 fn bytes_of_commands_and_outcomes() {
     let mut text = String::new();
-    let (mut commands, mut outcomes, mut rejections) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
+    let mut commands = BTreeSet::new();
+    let mut outcomes = BTreeSet::new();
+    let mut rejections = BTreeSet::new();
     for (label, command, outcome) in applied_history().0 {
-        let (command_bytes, outcome_bytes) =
-            (postcard::to_stdvec(&command).unwrap(), postcard::to_stdvec(&outcome).unwrap());
+        let command_bytes = postcard::to_stdvec(&command).unwrap();
+        let outcome_bytes = postcard::to_stdvec(&outcome).unwrap();
         assert_eq!(postcard::from_bytes::<DisruptionCommand>(&command_bytes).unwrap(), command, "{label}");
         assert_eq!(postcard::from_bytes::<DisruptionOutcome>(&outcome_bytes).unwrap(), outcome, "{label}");
         // Of the long ones the start and the length are enough.
--- a/crates/disruption-budget/tests/permit_timeouts.rs
+++ b/crates/disruption-budget/tests/permit_timeouts.rs
@@ -7,10 +7,13 @@
 
 #[test]
 fn permits_expire_until_they_are_begun() {
-    let (mut state, mut timeouts) = (DisruptionState::default(), PermitTimeouts::default());
+    let mut state = DisruptionState::default();
+    let mut timeouts = PermitTimeouts::default();
     let target = Target { kind: TargetKind::Worker, name: "w".into() };
     let request = |force| {
-        let (target, reason, requester) = (target.clone(), "r".into(), "a".into());
+        let target = target.clone();
+        let reason = "r".into();
+        let requester = "a".into();
         DisruptionCommand::RequestPermit { target, reason, requester, force }
     };
     state.apply(1, &request(false));
--- a/crates/disruption-budget/tests/state.rs
+++ b/crates/disruption-budget/tests/state.rs
@@ -40,6 +40,14 @@
     DisruptionCommand::BeginPermit { permit, incarnation }
 }
 
+/// Permits that an observation changed.
+#[derive(Debug, Default, PartialEq, Eq)]
+struct PermitChanges {
+    granted: Vec<PermitId>,
+    revoked: Vec<PermitId>,
+    closed: Vec<PermitId>,
+}
+
 /// Dispatchers d0, d1 and so on, in three zones in turn, with the state and the length of its log.
 struct Fleet {
     state: DisruptionState,
@@ -64,7 +72,8 @@
     }
 
     fn request(&mut self, name: &str, force: bool) -> u64 {
-        let (reason, requester) = ("test".into(), format!("requester of {name}"));
+        let reason = "test".into();
+        let requester = format!("requester of {name}");
         match self.apply(DisruptionCommand::RequestPermit { target: target(name), reason, requester, force })
         {
             DisruptionOutcome::PermitRequested { permit, .. } => permit,
@@ -83,11 +92,13 @@
         self.availabilities.iter().enumerate().map(status).collect()
     }
 
-    /// Observes all targets now: the permits that are granted, revoked and closed.
-    fn observe(&mut self) -> (Vec<u64>, Vec<u64>, Vec<u64>) {
+    /// Observes all targets now.
+    fn observe(&mut self) -> PermitChanges {
         let change = observation(1, self.index, self.targets(), vec![]);
         match self.apply(change) {
-            DisruptionOutcome::ObservationRecorded { granted, revoked, closed } => (granted, revoked, closed),
+            DisruptionOutcome::ObservationRecorded { granted, revoked, closed } => {
+                PermitChanges { granted, revoked, closed }
+            }
             other => panic!("{other:?}"),
         }
     }
@@ -100,61 +111,71 @@
     let mut fleet = Fleet::new(12, budgets);
     let permits: Vec<u64> = ["d0", "d3", "d1", "d2"].map(|name| fleet.request(name, false)).into();
     // d3 is in the zone of d0, so the second permit of the fleet goes to d1, and none is left for d2.
-    assert_eq!(fleet.observe().0, [permits[0], permits[2]]);
+    assert_eq!(fleet.observe().granted, [permits[0], permits[2]]);
     assert_eq!(fleet.state.blocking_budget(permits[1]).unwrap().scope, BudgetScope::Fleet);
     assert_eq!(fleet.apply(begin(permits[0], 1)), DisruptionOutcome::PermitBegun(permits[0]));
     fleet.availabilities[0] = (Availability::Unavailable, 1);
-    assert_eq!(fleet.observe(), (vec![], vec![], vec![]));
+    assert_eq!(fleet.observe(), PermitChanges::default());
     // Available again with a higher incarnation: its permit is closed, and the next one of the zone is granted.
     fleet.availabilities[0] = (Availability::Available, 2);
-    assert_eq!(fleet.observe(), (vec![permits[1]], vec![], vec![permits[0]]));
+    assert_eq!(
+        fleet.observe(),
+        PermitChanges { granted: vec![permits[1]], revoked: vec![], closed: vec![permits[0]] }
+    );
 }
 
 #[test]
 fn ignores_observations_made_before_the_request() {
     let mut fleet = Fleet::new(3, vec![budget(BudgetScope::Fleet, Amount::Count(1))]);
-    let (known_revision, targets) = (fleet.index, fleet.targets());
+    let known_revision = fleet.index;
+    let targets = fleet.targets();
     let permit = fleet.request("d0", false);
     let late = observation(1, known_revision, targets, vec![]);
     assert_eq!(fleet.apply(late), no_effect());
-    assert_eq!(fleet.observe().0, [permit]);
+    assert_eq!(fleet.observe().granted, [permit]);
 }
 
 #[test]
 fn revokes_granted_permits_on_unplanned_losses() {
     let mut fleet = Fleet::new(6, vec![budget(BudgetScope::Fleet, Amount::Count(2))]);
-    let (first, second) = (fleet.request("d0", false), fleet.request("d1", false));
-    assert_eq!(fleet.observe().0, [first, second]);
+    let first = fleet.request("d0", false);
+    let second = fleet.request("d1", false);
+    assert_eq!(fleet.observe().granted, [first, second]);
     assert_eq!(fleet.apply(begin(first, 1)), DisruptionOutcome::PermitBegun(first));
     fleet.availabilities[5] = (Availability::Unavailable, 1);
-    assert_eq!(fleet.observe(), (vec![], vec![second], vec![]));
+    assert_eq!(fleet.observe(), PermitChanges { revoked: vec![second], ..PermitChanges::default() });
     // Its requester is rejected now, and gets it again when the budget allows.
     assert_eq!(fleet.apply(begin(second, 1)), rejected(Rejection::NotGranted));
     // A target that warms up counts by the capacity that it lacks.
     fleet.availabilities[5] = (Availability::WarmingUp(900), 2);
-    assert_eq!(fleet.observe().0, []);
+    assert_eq!(fleet.observe().granted, []);
     fleet.availabilities[5] = (Availability::Available, 2);
-    assert_eq!(fleet.observe().0, [second]);
+    assert_eq!(fleet.observe().granted, [second]);
 }
 
 #[test]
 fn keeps_begun_permit_while_its_target_has_not_restarted() {
     let mut fleet = Fleet::new(3, vec![budget(BudgetScope::Fleet, Amount::Count(1))]);
-    let (first, second) = (fleet.request("d0", false), fleet.request("d1", false));
+    let first = fleet.request("d0", false);
+    let second = fleet.request("d1", false);
     fleet.observe();
     fleet.apply(begin(first, 1));
     // The requester sleeps: the target is available, and unavailable only later.
-    assert_eq!(fleet.observe(), (vec![], vec![], vec![]));
+    assert_eq!(fleet.observe(), PermitChanges::default());
     assert_eq!(
         fleet.apply(DisruptionCommand::CancelPermit { permit: first }),
         rejected(Rejection::AlreadyBegun)
     );
     // The requester says that the step is complete: an observation made after that closes the permit.
-    let (known_revision, targets) = (fleet.index, fleet.targets());
+    let known_revision = fleet.index;
+    let targets = fleet.targets();
     assert_eq!(fleet.apply(DisruptionCommand::CompletePermit { permit: first }), DisruptionOutcome::Applied);
     let before = fleet.apply(observation(1, known_revision, targets, vec![]));
     assert_eq!(before, no_effect());
-    assert_eq!(fleet.observe(), (vec![second], vec![], vec![first]));
+    assert_eq!(
+        fleet.observe(),
+        PermitChanges { granted: vec![second], revoked: vec![], closed: vec![first] }
+    );
 }
 
 /// Found by the model: a requester that restarts gets its old permit again, and must not use it for a second step.
@@ -178,21 +199,22 @@
 #[test]
 fn counts_vanished_target_until_it_is_deregistered() {
     let mut fleet = Fleet::new(4, vec![budget(BudgetScope::EachZone, Amount::Count(1))]);
-    let (first, second) = (fleet.request("d3", false), fleet.request("d0", false));
-    assert_eq!(fleet.observe().0, [first], "both are in the north");
+    let first = fleet.request("d3", false);
+    let second = fleet.request("d0", false);
+    assert_eq!(fleet.observe().granted, [first], "both are in the north");
     fleet.apply(begin(first, 1));
     fleet.availabilities.pop();
     let vanished = observation(1, fleet.index, vec![], vec![target("d3")]);
     assert_eq!(fleet.apply(vanished), no_effect());
-    assert_eq!(fleet.observe().0, [], "nor later");
+    assert_eq!(fleet.observe().granted, [], "nor later");
     let deregister =
         DisruptionCommand::DeregisterTarget { target: target("d3"), operator: "an operator".into() };
     assert_eq!(fleet.apply(deregister.clone()), DisruptionOutcome::Applied);
     assert_eq!(fleet.apply(deregister), rejected(Rejection::UnknownTarget));
     // d0 alone is left in the north: whatever the budget says, the last one must be available.
-    assert_eq!(fleet.observe().0, []);
+    assert_eq!(fleet.observe().granted, []);
     fleet.availabilities.push((Availability::Available, 7));
-    assert_eq!(fleet.observe().0, [second]);
+    assert_eq!(fleet.observe().granted, [second]);
 }
 
 #[test]
@@ -203,7 +225,7 @@
     fleet.observe();
     fleet.apply(begin(first, 1));
     fleet.availabilities[0].1 = 4;
-    assert_eq!(fleet.observe().2, []);
+    assert_eq!(fleet.observe().closed, []);
     let newer = observation(9, fleet.index, fleet.targets(), vec![]);
     fleet.apply(newer);
     let older = observation(8, fleet.index, fleet.targets(), vec![]);
@@ -213,13 +235,14 @@
 #[test]
 fn forced_permit_exceeds_budgets_and_counts_as_unavailable() {
     let mut fleet = Fleet::new(4, vec![budget(BudgetScope::Fleet, Amount::Count(1))]);
-    let (first, second) = (fleet.request("d0", false), fleet.request("d1", false));
-    assert_eq!(fleet.observe().0, [first]);
+    let first = fleet.request("d0", false);
+    let second = fleet.request("d1", false);
+    assert_eq!(fleet.observe().granted, [first]);
     assert_eq!(fleet.request("d1", true), second, "the same permit, now granted");
     assert_eq!(fleet.state.permits()[&second].state, PermitState::Granted);
     assert_eq!(fleet.state.forced().count, 1);
     // A permit that was granted within the budget and not begun is revoked for it.
-    assert_eq!(fleet.observe().1, [first]);
+    assert_eq!(fleet.observe().revoked, [first]);
     assert_eq!(fleet.state.budget_usage()[0].totals.planned, 1_000);
 }
 
@@ -251,10 +274,10 @@
     assert_eq!(outcome, rejected(Rejection::VersionConflict { version: 2 }));
     // Lowered below what is granted: what was not begun is revoked.
     let permits = [fleet.request("d0", false), fleet.request("d1", false)];
-    assert_eq!(fleet.observe().0, permits);
+    assert_eq!(fleet.observe().granted, permits);
     let budgets = vec![budget(BudgetScope::Fleet, Amount::Count(1))];
     fleet.apply(DisruptionCommand::SetBudgets { expected_version: 2, budgets });
-    assert_eq!(fleet.observe().1, [permits[1]]);
+    assert_eq!(fleet.observe().revoked, [permits[1]]);
 }
 
 #[test]
--- a/crates/disruption-budget/tests/worker_warmup.rs
+++ b/crates/disruption-budget/tests/worker_warmup.rs
@@ -6,13 +6,16 @@
 };
 
 fn worker(in_service: bool, start_id: u64, unhealthy: bool) -> ListedWorker {
-    let (name, zone, pool) = ("w".to_owned(), "north".to_owned(), "small".to_owned());
+    let name = "w".to_owned();
+    let zone = "north".to_owned();
+    let pool = "small".to_owned();
     ListedWorker { name, zone, pool, in_service, start_id, unhealthy }
 }
 
 #[test]
 fn restarted_worker_warms_up_by_the_observers_own_clock() {
-    let (mut tracker, mut state) = (WarmupTracker::new(0.2, 1_000), DisruptionState::default());
+    let mut tracker = WarmupTracker::new(0.2, 1_000);
+    let mut state = DisruptionState::default();
     let mut observe = |now, worker: ListedWorker| {
         let workers = [worker];
         tracker.update_list(now, &workers);
