--- a/crates/coordination/src/state_machine/leases.rs
+++ b/crates/coordination/src/state_machine/leases.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Applied, StateMachine};
+use super::{CommandResult, StateMachine};
 use crate::{CommandOutcome, CommandRejection, FencingToken, LeaseHolder, LeaseId, Revision, SessionId};
 
 /// State of a lease.
@@ -46,7 +46,7 @@
         id: &LeaseId,
         session: SessionId,
         fencing_revision: Revision,
-    ) -> Applied {
+    ) -> CommandResult {
         let is_eligible = self.sessions.get(&session).is_some_and(|session| session.is_eligible_for(id));
         let token = self.next_token();
         let lease = self.leases.get_mut(id).ok_or(CommandRejection::LeaseNotFree)?;
@@ -71,7 +71,7 @@
         id: &LeaseId,
         token: FencingToken,
         reset_stability: bool,
-    ) -> Applied {
+    ) -> CommandResult {
         let freed = self.free_lease(index);
         let lease = self.leases.get_mut(id).ok_or(CommandRejection::NotLeaseHolder)?;
         let holder = lease.holder.filter(|holder| holder.token == token);
--- a/crates/coordination/src/state_machine/mod.rs
+++ b/crates/coordination/src/state_machine/mod.rs
@@ -27,7 +27,7 @@
 use sessions::{NameHistory, SessionRequest};
 
 /// Result of applying one command.
-type Applied = Result<CommandOutcome, CommandRejection>;
+type CommandResult = Result<CommandOutcome, CommandRejection>;
 
 /// Replicated state of sessions, leases, replicas and disruptions.
 ///
@@ -156,7 +156,7 @@
         self.execute(index, command).unwrap_or_else(CommandOutcome::Rejected)
     }
 
-    fn execute(&mut self, index: Revision, command: &Command) -> Applied {
+    fn execute(&mut self, index: Revision, command: &Command) -> CommandResult {
         match command {
             Command::OpenSession { name, boot_id, zone, address, eligible_leases, short_lived } => {
                 let request = SessionRequest {
@@ -189,7 +189,7 @@
 
     /// Applies a change of the disruption state. An observation is rejected unless its token is that of the present holder
     /// of the observer's lease.
-    fn change_disruption(&mut self, index: Revision, change: &DisruptionCommand) -> Applied {
+    fn change_disruption(&mut self, index: Revision, change: &DisruptionCommand) -> CommandResult {
         if let DisruptionCommand::RecordObservation { fencing_token, .. } = change {
             let observer = self.leases.get(&LeaseId::fleet(OBSERVER_LEASE)).and_then(|lease| lease.holder);
             if observer.is_none_or(|holder| holder.token != FencingToken(*fencing_token)) {
--- a/crates/coordination/src/state_machine/replicas.rs
+++ b/crates/coordination/src/state_machine/replicas.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Applied, StateMachine};
+use super::{CommandResult, StateMachine};
 use crate::limits::MAX_TEXT_BYTES;
 use crate::{CommandOutcome, CommandRejection};
 
@@ -30,7 +30,7 @@
 
 impl StateMachine {
     /// Records the start count of a replica's store. A lower count than seen before means an old copy of the store.
-    pub(super) fn record_replica_start(&mut self, replica: u64, starts: u64) -> Applied {
+    pub(super) fn record_replica_start(&mut self, replica: u64, starts: u64) -> CommandResult {
         let seen = self.replica_starts.entry(replica).or_default();
         if starts < *seen {
             return Err(CommandRejection::StaleDisk { starts: *seen });
@@ -40,7 +40,7 @@
     }
 
     /// Begins a replacement. Idempotent while it is in progress, since the operator may have missed the response.
-    pub(super) fn replace_replica(&mut self, old: u64, new: u64, address: &str) -> Applied {
+    pub(super) fn replace_replica(&mut self, old: u64, new: u64, address: &str) -> CommandResult {
         let wanted = ReplicaReplacement { old, new };
         if let Some(current) = self.replica_changes.in_progress {
             if current == wanted {
@@ -86,6 +86,6 @@
     }
 }
 
-fn invalid(reason: String) -> Applied {
+fn invalid(reason: String) -> CommandResult {
     Err(CommandRejection::InvalidReplacement(reason))
 }
--- a/crates/coordination/src/state_machine/sessions.rs
+++ b/crates/coordination/src/state_machine/sessions.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Applied, StateMachine};
+use super::{CommandResult, StateMachine};
 use crate::limits::{
     MAX_ELIGIBLE_LEASES, MAX_LEASES, MAX_NAME_HISTORIES, MAX_REMEMBERED_BOOT_IDS, MAX_SESSIONS,
     MAX_TEXT_BYTES,
@@ -128,7 +128,7 @@
     }
 
     /// Opens a session. Idempotent for the same process; a later process supersedes the session.
-    pub(super) fn open_session(&mut self, index: Revision, request: &SessionRequest<'_>) -> Applied {
+    pub(super) fn open_session(&mut self, index: Revision, request: &SessionRequest<'_>) -> CommandResult {
         let current = self.current_session_of(request.name);
         if let Some((id, session)) = current.filter(|(_, session)| session.boot_id == request.boot_id) {
             return Ok(CommandOutcome::SessionOpened { session: id, incarnation: session.incarnation });
@@ -151,7 +151,7 @@
     }
 
     /// Ends a session, and with it the terms of its leases.
-    pub(super) fn end_session(&mut self, index: Revision, id: SessionId, short_lived: bool) -> Applied {
+    pub(super) fn end_session(&mut self, index: Revision, id: SessionId, short_lived: bool) -> CommandResult {
         let session = self.sessions.remove(&id).ok_or(CommandRejection::NoSuchSession)?;
         self.membership_revision = index;
         self.free_leases_of(index, id);
@@ -165,7 +165,7 @@
     }
 
     /// Marks the session as stable, so that it may hold leases.
-    pub(super) fn mark_session_stable(&mut self, id: SessionId) -> Applied {
+    pub(super) fn mark_session_stable(&mut self, id: SessionId) -> CommandResult {
         let session = self.sessions.get_mut(&id).filter(|session| !session.superseded);
         session.ok_or(CommandRejection::NoSuchSession)?.stable = true;
         Ok(CommandOutcome::SessionStable(id))
--- a/crates/dispatcher/src/net/planned_drain/observation.rs
+++ b/crates/dispatcher/src/net/planned_drain/observation.rs
@@ -11,8 +11,8 @@
 use cluster_member::wire::{Operation, Response};
 use coordination::{FencingToken, LeaseId, Micros};
 use disruption_budget::{
-    Availability, AvailabilityObserver, DisruptionCommand, DisruptionState, FleetMember, ObservationUrgency,
-    ReadinessReport, StatusChanges, TargetKind, OBSERVER_LEASE,
+    Availability, AvailabilityObserver, DisruptionCommand, DisruptionState, ListedDispatcher,
+    ObservationUrgency, ReadinessReport, StatusChanges, TargetKind, OBSERVER_LEASE,
 };
 use tokio::time::Instant;
 
@@ -167,8 +167,8 @@
         let term = self.term.borrow();
         let term = term.as_ref()?;
         let peers = self.member.members();
-        let dispatchers: Vec<FleetMember<'_>> =
-            peers.iter().map(|peer| FleetMember { name: &peer.name, zone: &peer.zone }).collect();
+        let dispatchers: Vec<ListedDispatcher<'_>> =
+            peers.iter().map(|peer| ListedDispatcher { name: &peer.name, zone: &peer.zone }).collect();
         let now = clock::now();
         let mut changes = term.observer.borrow_mut().status_changes(now, &dispatchers, state)?;
         let workers = self.listed_workers();
--- a/crates/disruption-budget/src/lib.rs
+++ b/crates/disruption-budget/src/lib.rs
@@ -35,7 +35,7 @@
 mod target;
 mod worker_warmup;
 
-pub use availability_observer::{AvailabilityObserver, FleetMember, ReadinessReport, OBSERVER_LEASE};
+pub use availability_observer::{AvailabilityObserver, ListedDispatcher, ReadinessReport, OBSERVER_LEASE};
 pub use budget::{Amount, Budget, BudgetError, BudgetProblem, BudgetScope};
 pub use command::{
     DisruptionCommand, DisruptionOutcome, Rejection, MAX_BUDGETS, MAX_OPEN_PERMITS, MAX_TARGETS,
--- a/crates/disruption-budget/tests/availability_observer.rs
+++ b/crates/disruption-budget/tests/availability_observer.rs
@@ -1,8 +1,8 @@
 //! Dispatchers' availability, from their readiness reports and their silence.
 
 use disruption_budget::{
-    Availability, AvailabilityObserver, DisruptionCommand, DisruptionState, FleetMember, ReadinessReport,
-    StatusChanges, Target, TargetKind,
+    Availability, AvailabilityObserver, DisruptionCommand, DisruptionState, ListedDispatcher,
+    ReadinessReport, StatusChanges, Target, TargetKind,
 };
 
 const NORTH: &str = "north";
@@ -15,7 +15,7 @@
 fn silent_dispatcher_is_unavailable_once_it_had_time_to_report() {
     let mut observer = AvailabilityObserver::new(100, 1_000);
     let mut state = DisruptionState::default();
-    let members = ["a", "b"].map(|name| FleetMember { name, zone: NORTH });
+    let members = ["a", "b"].map(|name| ListedDispatcher { name, zone: NORTH });
     observer.record_report(report("a", 7, true), 1_010);
     assert_eq!(observer.status_changes(1_199, &members, &state), None);
     observer.record_report(report("a", 7, true), 1_150);
@@ -53,13 +53,13 @@
     (observer, state)
 }
 
-const LISTED: [FleetMember<'static>; 2] =
-    [FleetMember { name: "a", zone: NORTH }, FleetMember { name: "b", zone: NORTH }];
+const LISTED: [ListedDispatcher<'static>; 2] =
+    [ListedDispatcher { name: "a", zone: NORTH }, ListedDispatcher { name: "b", zone: NORTH }];
 
 /// The names and availabilities that an observer would change, with a report of "a" that is never too old.
 fn changes(
     observer: &mut AvailabilityObserver,
-    members: &[FleetMember<'_>],
+    members: &[ListedDispatcher<'_>],
     state: &DisruptionState,
     now: u64,
 ) -> Vec<(String, Availability)> {
--- a/crates/disruption-budget/tests/format.rs
+++ b/crates/disruption-budget/tests/format.rs
@@ -36,7 +36,7 @@
     Budget { name: name.into(), kind: TargetKind::Dispatcher, scope, max_unavailable, min_available }
 }
 
-fn ask(name: &str, requester: &str, force: bool) -> DisruptionCommand {
+fn request_permit(name: &str, requester: &str, force: bool) -> DisruptionCommand {
     let reason = "upgrade".into();
     let requester = requester.into();
     DisruptionCommand::RequestPermit {
@@ -97,9 +97,9 @@
             DisruptionCommand::SetBudgets { expected_version: 1, budgets: vec![budgets().remove(0); 65] },
         ),
         ("deregister an unknown target", deregister("z")),
-        ("request a permit", ask("a", "operator", false)),
-        ("request a second permit", ask("b", "agent", false)),
-        ("request with a long name", ask("c", &"x".repeat(257), false)),
+        ("request a permit", request_permit("a", "operator", false)),
+        ("request a second permit", request_permit("b", "agent", false)),
+        ("request with a long name", request_permit("c", &"x".repeat(257), false)),
         ("begin a waiting permit", DisruptionCommand::BeginPermit { permit: 6, incarnation: 5 }),
         ("an observation that grants", observe(9, 9, fleet, vec![])),
         ("begin a granted permit", DisruptionCommand::BeginPermit { permit: 6, incarnation: 5 }),
@@ -114,11 +114,11 @@
         ("cancel a granted permit", DisruptionCommand::CancelPermit { permit: 7 }),
         ("cancel a permit that is not open", DisruptionCommand::CancelPermit { permit: 7 }),
         ("deregister a target", deregister("c")),
-        ("request a forced permit", ask("b", "on call", true)),
-        ("request a permit again", ask("a", "agent", false)),
+        ("request a forced permit", request_permit("b", "on call", true)),
+        ("request a permit again", request_permit("a", "agent", false)),
         ("begin a forced permit", DisruptionCommand::BeginPermit { permit: 20, incarnation: 6 }),
         ("complete a forced permit", DisruptionCommand::CompletePermit { permit: 20 }),
-        ("request a permit for another target", ask("e", "agent", false)),
+        ("request a permit for another target", request_permit("e", "agent", false)),
     ]
 }
 
