--- a/crates/disruption-budget/src/state/observation.rs
+++ b/crates/disruption-budget/src/state/observation.rs
@@ -50,17 +50,18 @@
         }
     }
 
+    /// Records the status of a target; one of an older incarnation than known counts as unavailable.
     fn update_target(&mut self, status: &TargetStatus) {
-        let earlier = self.targets.get(&status.target).map_or(0, |record| record.incarnation);
-        let of_target = self.permits.values().filter(|permit| permit.target == status.target);
-        let newest = of_target.map(|permit| permit.incarnation).fold(earlier, u64::max);
+        let recorded = self.observed_incarnation(&status.target);
+        let permits_of_target = self.permits.values().filter(|permit| permit.target == status.target);
+        let newest = permits_of_target.map(|permit| permit.incarnation).fold(recorded, u64::max);
         // A status of a process that was replaced since proves nothing.
         let is_stale = status.incarnation < newest;
         let record = TargetRecord {
             zone: status.zone.clone(),
             pool: status.pool.clone(),
             availability: if is_stale { Availability::Unavailable } else { status.availability },
-            incarnation: status.incarnation.max(earlier),
+            incarnation: status.incarnation.max(recorded),
         };
         self.targets.insert(status.target.clone(), record);
     }
@@ -75,12 +76,15 @@
         closed
     }
 
+    /// Returns whether the target of a begun permit is proven to be available again by an observation at `known_revision`.
     fn has_recovered(&self, permit: &Permit, known_revision: u64) -> bool {
         let Some(record) = self.targets.get(&permit.target) else { return false };
-        let is_back = permit.state == PermitState::Begun && record.availability == Availability::Available;
+        if permit.state != PermitState::Begun || record.availability != Availability::Available {
+            return false;
+        }
         let completed_before = permit.completed_at.is_some_and(|completed_at| completed_at <= known_revision);
-        let restarted = record.incarnation > permit.incarnation;
-        is_back && (completed_before || restarted || self.has_bug(InjectedBug::AnyIncarnation))
+        let has_restarted = record.incarnation > permit.incarnation;
+        completed_before || has_restarted || self.has_bug(InjectedBug::AnyIncarnation)
     }
 
     /// Revokes permits that are granted and not begun, the newest first, while a budget that selects them is exceeded.
@@ -104,23 +108,23 @@
 
     /// Grants waiting permits that were requested before the observation, oldest first, as far as budgets allow.
     fn grant_waiting(&mut self, known_revision: u64) -> Vec<PermitId> {
-        let is_waiting = |permit: &Permit| permit.state == PermitState::Waiting;
-        let waiting = self.permits.iter().filter(|(_, permit)| is_waiting(permit));
-        let waiting: Vec<PermitId> = waiting.map(|(id, _)| *id).collect();
-        let any_age = self.has_bug(InjectedBug::StaleObservation);
-        let candidates = waiting.into_iter().filter(|id| *id <= known_revision || any_age);
-        candidates.filter(|id| self.try_grant(*id)).collect()
+        let accept_stale_observation = self.has_bug(InjectedBug::StaleObservation);
+        let is_candidate = |id: PermitId, permit: &Permit| {
+            permit.state == PermitState::Waiting && (id <= known_revision || accept_stale_observation)
+        };
+        let candidates = self.permits.iter().filter(|(id, permit)| is_candidate(**id, permit));
+        let candidates: Vec<PermitId> = candidates.map(|(id, _)| *id).collect();
+        candidates.into_iter().filter(|id| self.try_grant(*id)).collect()
     }
 
     /// Grants a waiting permit if its target is registered, has no active permit, and its budgets allow the disruption.
     fn try_grant(&mut self, id: PermitId) -> bool {
         let Some(target) = self.permits.get(&id).map(|permit| permit.target.clone()) else { return false };
-        let Some(record) = self.targets.get(&target) else { return false };
-        let incarnation = record.incarnation;
-        let is_disrupted = self.active_permits().any(|other| other.target == target);
-        if is_disrupted || !self.allows_disruption(&target) {
+        let has_active_permit = self.active_permits().any(|other| other.target == target);
+        if has_active_permit || !self.allows_disruption(&target) {
             return false;
         }
+        let incarnation = self.observed_incarnation(&target);
         let Some(permit) = self.permits.get_mut(&id) else { return false };
         permit.state = PermitState::Granted;
         permit.incarnation = incarnation;
--- a/crates/disruption-budget/src/state/permits.rs
+++ b/crates/disruption-budget/src/state/permits.rs
@@ -38,6 +38,7 @@
         Ok(DisruptionOutcome::PermitRequested { permit: index, state })
     }
 
+    /// Returns the requester's open permit for a target.
     fn open_permit(&self, target: &Target, requester: &str) -> Option<PermitId> {
         let is_same = |permit: &Permit| permit.target == *target && permit.requester == requester;
         self.permits.iter().find(|(_, permit)| is_same(permit)).map(|(id, _)| *id)
@@ -53,24 +54,22 @@
     ) -> Result<DisruptionOutcome, Rejection> {
         let incarnation = self.observed_incarnation(target);
         let permit = self.permits.get_mut(&id).ok_or(Rejection::UnknownPermit)?;
-        let is_forced_now = force && permit.state == PermitState::Waiting;
-        if is_forced_now {
-            permit.state = PermitState::Granted;
-            permit.forced = true;
-            permit.incarnation = incarnation;
+        if !force || permit.state != PermitState::Waiting {
+            return Ok(DisruptionOutcome::PermitRequested { permit: id, state: permit.state });
         }
-        let state = permit.state;
-        if is_forced_now {
-            self.count_forced(requester);
-        }
-        Ok(DisruptionOutcome::PermitRequested { permit: id, state })
+        permit.state = PermitState::Granted;
+        permit.forced = true;
+        permit.incarnation = incarnation;
+        self.count_forced(requester);
+        Ok(DisruptionOutcome::PermitRequested { permit: id, state: PermitState::Granted })
     }
 
     fn count_forced(&mut self, requester: &str) {
         self.forced = ForcedPermits { count: self.forced.count + 1, last_requester: requester.to_owned() };
     }
 
-    fn observed_incarnation(&self, target: &Target) -> u64 {
+    /// Returns the incarnation of a target as last observed, or 0 if it is not registered.
+    pub(super) fn observed_incarnation(&self, target: &Target) -> u64 {
         self.targets.get(target).map_or(0, |record| record.incarnation)
     }
 
@@ -80,14 +79,10 @@
         id: PermitId,
         incarnation: u64,
     ) -> Result<DisruptionOutcome, Rejection> {
-        let skip_check = self.has_bug(InjectedBug::BeginUnknownPermit);
-        let Some(permit) = self.permits.get_mut(&id) else {
-            return if skip_check {
-                Ok(DisruptionOutcome::PermitBegun(id))
-            } else {
-                Err(Rejection::UnknownPermit)
-            };
-        };
+        if !self.permits.contains_key(&id) && self.has_bug(InjectedBug::BeginUnknownPermit) {
+            return Ok(DisruptionOutcome::PermitBegun(id));
+        }
+        let permit = self.permits.get_mut(&id).ok_or(Rejection::UnknownPermit)?;
         match permit.state {
             PermitState::Waiting => Err(Rejection::NotGranted),
             PermitState::Granted => {
--- a/crates/disruption-budget/tests/state.rs
+++ b/crates/disruption-budget/tests/state.rs
@@ -60,21 +60,21 @@
         let availabilities = vec![(Availability::Available, 1); count];
         let mut fleet = Fleet { state: DisruptionState::default(), index: 0, availabilities };
         assert_eq!(
-            fleet.apply(DisruptionCommand::SetBudgets { expected_version: 0, budgets }),
+            fleet.apply(&DisruptionCommand::SetBudgets { expected_version: 0, budgets }),
             DisruptionOutcome::Applied
         );
         fleet
     }
 
-    fn apply(&mut self, command: DisruptionCommand) -> DisruptionOutcome {
+    fn apply(&mut self, command: &DisruptionCommand) -> DisruptionOutcome {
         self.index += 1;
-        self.state.apply(self.index, &command)
+        self.state.apply(self.index, command)
     }
 
     fn request(&mut self, name: &str, force: bool) -> u64 {
         let reason = "test".into();
         let requester = format!("requester of {name}");
-        match self.apply(DisruptionCommand::RequestPermit { target: target(name), reason, requester, force })
+        match self.apply(&DisruptionCommand::RequestPermit { target: target(name), reason, requester, force })
         {
             DisruptionOutcome::PermitRequested { permit, .. } => permit,
             other => panic!("{other:?}"),
@@ -95,7 +95,7 @@
     /// Observes all targets now.
     fn observe(&mut self) -> PermitChanges {
         let change = observation(1, self.index, self.targets(), vec![]);
-        match self.apply(change) {
+        match self.apply(&change) {
             DisruptionOutcome::ObservationRecorded { granted, revoked, closed } => {
                 PermitChanges { granted, revoked, closed }
             }
@@ -113,7 +113,7 @@
     // d3 is in the zone of d0, so the second permit of the fleet goes to d1, and none is left for d2.
     assert_eq!(fleet.observe().granted, [permits[0], permits[2]]);
     assert_eq!(fleet.state.blocking_budget(permits[1]).unwrap().scope, BudgetScope::Fleet);
-    assert_eq!(fleet.apply(begin(permits[0], 1)), DisruptionOutcome::PermitBegun(permits[0]));
+    assert_eq!(fleet.apply(&begin(permits[0], 1)), DisruptionOutcome::PermitBegun(permits[0]));
     fleet.availabilities[0] = (Availability::Unavailable, 1);
     assert_eq!(fleet.observe(), PermitChanges::default());
     // Available again with a higher incarnation: its permit is closed, and the next one of the zone is granted.
@@ -131,7 +131,7 @@
     let targets = fleet.targets();
     let permit = fleet.request("d0", false);
     let late = observation(1, known_revision, targets, vec![]);
-    assert_eq!(fleet.apply(late), no_effect());
+    assert_eq!(fleet.apply(&late), no_effect());
     assert_eq!(fleet.observe().granted, [permit]);
 }
 
@@ -141,11 +141,11 @@
     let first = fleet.request("d0", false);
     let second = fleet.request("d1", false);
     assert_eq!(fleet.observe().granted, [first, second]);
-    assert_eq!(fleet.apply(begin(first, 1)), DisruptionOutcome::PermitBegun(first));
+    assert_eq!(fleet.apply(&begin(first, 1)), DisruptionOutcome::PermitBegun(first));
     fleet.availabilities[5] = (Availability::Unavailable, 1);
     assert_eq!(fleet.observe(), PermitChanges { revoked: vec![second], ..PermitChanges::default() });
     // Its requester is rejected now, and gets it again when the budget allows.
-    assert_eq!(fleet.apply(begin(second, 1)), rejected(Rejection::NotGranted));
+    assert_eq!(fleet.apply(&begin(second, 1)), rejected(Rejection::NotGranted));
     // A target that warms up counts by the capacity that it lacks.
     fleet.availabilities[5] = (Availability::WarmingUp(900), 2);
     assert_eq!(fleet.observe().granted, []);
@@ -159,18 +159,18 @@
     let first = fleet.request("d0", false);
     let second = fleet.request("d1", false);
     fleet.observe();
-    fleet.apply(begin(first, 1));
+    fleet.apply(&begin(first, 1));
     // The requester sleeps: the target is available, and unavailable only later.
     assert_eq!(fleet.observe(), PermitChanges::default());
     assert_eq!(
-        fleet.apply(DisruptionCommand::CancelPermit { permit: first }),
+        fleet.apply(&DisruptionCommand::CancelPermit { permit: first }),
         rejected(Rejection::AlreadyBegun)
     );
     // The requester says that the step is complete: an observation made after that closes the permit.
     let known_revision = fleet.index;
     let targets = fleet.targets();
-    assert_eq!(fleet.apply(DisruptionCommand::CompletePermit { permit: first }), DisruptionOutcome::Applied);
-    let before = fleet.apply(observation(1, known_revision, targets, vec![]));
+    assert_eq!(fleet.apply(&DisruptionCommand::CompletePermit { permit: first }), DisruptionOutcome::Applied);
+    let before = fleet.apply(&observation(1, known_revision, targets, vec![]));
     assert_eq!(before, no_effect());
     assert_eq!(
         fleet.observe(),
@@ -184,16 +184,16 @@
     let mut fleet = Fleet::new(3, vec![budget(BudgetScope::Fleet, Amount::Count(1))]);
     let first = fleet.request("d0", false);
     fleet.observe();
-    assert_eq!(fleet.apply(begin(first, 1)), DisruptionOutcome::PermitBegun(first));
+    assert_eq!(fleet.apply(&begin(first, 1)), DisruptionOutcome::PermitBegun(first));
     assert_eq!(
-        fleet.apply(begin(first, 1)),
+        fleet.apply(&begin(first, 1)),
         DisruptionOutcome::PermitBegun(first),
         "the first answer may have been lost"
     );
     assert_eq!(fleet.request("d0", false), first);
-    assert_eq!(fleet.apply(begin(first, 2)), rejected(Rejection::UnknownPermit), "it came back since");
-    fleet.apply(DisruptionCommand::CompletePermit { permit: first });
-    assert_eq!(fleet.apply(begin(first, 1)), rejected(Rejection::UnknownPermit));
+    assert_eq!(fleet.apply(&begin(first, 2)), rejected(Rejection::UnknownPermit), "it came back since");
+    fleet.apply(&DisruptionCommand::CompletePermit { permit: first });
+    assert_eq!(fleet.apply(&begin(first, 1)), rejected(Rejection::UnknownPermit));
 }
 
 #[test]
@@ -202,15 +202,15 @@
     let first = fleet.request("d3", false);
     let second = fleet.request("d0", false);
     assert_eq!(fleet.observe().granted, [first], "both are in the north");
-    fleet.apply(begin(first, 1));
+    fleet.apply(&begin(first, 1));
     fleet.availabilities.pop();
     let vanished = observation(1, fleet.index, vec![], vec![target("d3")]);
-    assert_eq!(fleet.apply(vanished), no_effect());
+    assert_eq!(fleet.apply(&vanished), no_effect());
     assert_eq!(fleet.observe().granted, [], "nor later");
     let deregister =
         DisruptionCommand::DeregisterTarget { target: target("d3"), operator: "an operator".into() };
-    assert_eq!(fleet.apply(deregister.clone()), DisruptionOutcome::Applied);
-    assert_eq!(fleet.apply(deregister), rejected(Rejection::UnknownTarget));
+    assert_eq!(fleet.apply(&deregister), DisruptionOutcome::Applied);
+    assert_eq!(fleet.apply(&deregister), rejected(Rejection::UnknownTarget));
     // d0 alone is left in the north: whatever the budget says, the last one must be available.
     assert_eq!(fleet.observe().granted, []);
     fleet.availabilities.push((Availability::Available, 7));
@@ -223,13 +223,13 @@
     fleet.availabilities[0].1 = 5;
     let first = fleet.request("d0", false);
     fleet.observe();
-    fleet.apply(begin(first, 1));
+    fleet.apply(&begin(first, 1));
     fleet.availabilities[0].1 = 4;
     assert_eq!(fleet.observe().closed, []);
     let newer = observation(9, fleet.index, fleet.targets(), vec![]);
-    fleet.apply(newer);
+    fleet.apply(&newer);
     let older = observation(8, fleet.index, fleet.targets(), vec![]);
-    assert_eq!(fleet.apply(older), rejected(Rejection::StaleObserver { newest_token: 9 }));
+    assert_eq!(fleet.apply(&older), rejected(Rejection::StaleObserver { newest_token: 9 }));
 }
 
 #[test]
@@ -255,10 +255,10 @@
     fleet.observe();
     fleet.availabilities.resize(4_097, (Availability::Available, 1));
     let full = observation(1, fleet.index, fleet.targets(), vec![]);
-    assert!(matches!(fleet.apply(full), DisruptionOutcome::Rejected(Rejection::LimitExceeded(_))));
+    assert!(matches!(fleet.apply(&full), DisruptionOutcome::Rejected(Rejection::LimitExceeded(_))));
     let long = TargetStatus { zone: "z".repeat(300), ..fleet.targets().remove(0) };
     let long = observation(1, fleet.index, vec![long], vec![]);
-    assert!(matches!(fleet.apply(long), DisruptionOutcome::Rejected(Rejection::LimitExceeded(_))));
+    assert!(matches!(fleet.apply(&long), DisruptionOutcome::Rejected(Rejection::LimitExceeded(_))));
 }
 
 #[test]
@@ -267,16 +267,16 @@
     let version = fleet.state.budgets_version();
     let budgets = vec![budget(BudgetScope::Fleet, Amount::Count(2))];
     assert_eq!(
-        fleet.apply(DisruptionCommand::SetBudgets { expected_version: version, budgets: budgets.clone() }),
+        fleet.apply(&DisruptionCommand::SetBudgets { expected_version: version, budgets: budgets.clone() }),
         DisruptionOutcome::Applied
     );
-    let outcome = fleet.apply(DisruptionCommand::SetBudgets { expected_version: version, budgets });
+    let outcome = fleet.apply(&DisruptionCommand::SetBudgets { expected_version: version, budgets });
     assert_eq!(outcome, rejected(Rejection::VersionConflict { version: 2 }));
     // Lowered below what is granted: what was not begun is revoked.
     let permits = [fleet.request("d0", false), fleet.request("d1", false)];
     assert_eq!(fleet.observe().granted, permits);
     let budgets = vec![budget(BudgetScope::Fleet, Amount::Count(1))];
-    fleet.apply(DisruptionCommand::SetBudgets { expected_version: 2, budgets });
+    fleet.apply(&DisruptionCommand::SetBudgets { expected_version: 2, budgets });
     assert_eq!(fleet.observe().revoked, [permits[1]]);
 }
 
