--- a/crates/disruption-budget/src/canary_analysis.rs
+++ b/crates/disruption-budget/src/canary_analysis/mod.rs
@@ -9,14 +9,14 @@
 //! exceeds `1 / a` is at most `a` while the canary is no worse (Ville's inequality). The inverse ratio, and the
 //! canary's own failure share against an acceptable one, are the evidence that it is good.
 
+mod evidence;
+mod settings;
+
 use std::collections::BTreeMap;
 
-use statrs::function::factorial::ln_binomial;
+use evidence::{Evidence, FailureSplit};
 
-/// Odds ratios, canary against baseline, that the test can detect.
-const TESTED_ODDS_RATIOS: [f64; 4] = [1.5, 2.0, 4.0, 16.0];
-/// A canary whose failure share is this fraction of the acceptable one passes quickly.
-const CLEARLY_GOOD_FRACTION: f64 = 0.25;
+pub use settings::AnalysisSettings;
 
 /// Kind of failure of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -33,33 +33,6 @@
     const ALL: [FailureKind; 3] = [FailureKind::Rejected, FailureKind::Failed, FailureKind::Late];
 }
 
-/// Error rates and bounds of the test.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct AnalysisSettings {
-    /// Probability that a canary that is no worse ever fails the test.
-    pub false_positive_rate: f64,
-    /// Probability that a canary with [`harmful_odds_ratio`](Self::harmful_odds_ratio) ever passes.
-    pub false_negative_rate: f64,
-    /// Lowest ratio of the odds of a failure, canary against baseline, at which a canary is harmful.
-    pub harmful_odds_ratio: f64,
-    /// Failure share (0 to 1) up to which a canary is good whatever the baseline does.
-    pub acceptable_failure_share: f64,
-    /// Failure share of the baseline (0 to 1) above which a release pauses.
-    pub pause_above: f64,
-}
-
-impl Default for AnalysisSettings {
-    fn default() -> AnalysisSettings {
-        AnalysisSettings {
-            false_positive_rate: 0.02,
-            false_negative_rate: 0.02,
-            harmful_odds_ratio: 2.0,
-            acceptable_failure_share: 0.05,
-            pause_above: 0.2,
-        }
-    }
-}
-
 /// Jobs of one side, of one class, in one window and zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct JobCounts {
@@ -104,17 +77,6 @@
     },
 }
 
-/// Logarithms of products of likelihood ratios, for one class and kind of failure.
-#[derive(Debug, Clone, Default)]
-struct Evidence {
-    /// That the canary is worse, for each of [`TESTED_ODDS_RATIOS`].
-    regression: [f64; TESTED_ODDS_RATIOS.len()],
-    /// That the canary is not harmful compared with the baseline.
-    no_regression: f64,
-    /// That the canary's own failure share is acceptable.
-    acceptable: f64,
-}
-
 /// Jobs of the baseline in the last window of a zone and class.
 #[derive(Debug, Clone, Copy)]
 struct BaselineWindow {
@@ -144,38 +106,6 @@
     baseline: BTreeMap<ZoneClass, BaselineWindow>,
 }
 
-/// Jobs and failures of both sides in one window.
-#[derive(Debug, Clone, Copy)]
-struct FailureSplit {
-    canary_jobs: u64,
-    baseline_jobs: u64,
-    canary_failures: u64,
-    all_failures: u64,
-}
-
-impl FailureSplit {
-    /// Returns the logarithm of the probability of the split, given the sums, if the odds of a failure on the canary are
-    /// `odds_ratio` times the baseline's.
-    fn ln_probability(&self, odds_ratio: f64) -> f64 {
-        let ln_weight = |canary_failures: u64| {
-            ln_binomial(self.canary_jobs, canary_failures)
-                + ln_binomial(self.baseline_jobs, self.all_failures - canary_failures)
-                + canary_failures as f64 * odds_ratio.ln()
-        };
-        let fewest = self.all_failures.saturating_sub(self.baseline_jobs);
-        let most = self.all_failures.min(self.canary_jobs);
-        let ln_weights: Vec<f64> = (fewest..=most).map(ln_weight).collect();
-        ln_weight(self.canary_failures) - (ln_mean(&ln_weights) + (ln_weights.len() as f64).ln())
-    }
-}
-
-/// Returns the logarithm of the mean of values that are given by their logarithms.
-fn ln_mean(logarithms: &[f64]) -> f64 {
-    let largest = logarithms.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    let sum: f64 = logarithms.iter().map(|logarithm| (logarithm - largest).exp()).sum();
-    largest + (sum / logarithms.len() as f64).ln()
-}
-
 impl CanaryAnalysis {
     /// Starts an analysis without evidence.
     pub fn new(settings: AnalysisSettings) -> CanaryAnalysis {
@@ -208,14 +138,13 @@
         let tests = self.evidence.len().max(1) as f64;
         let regression_bound = (tests / self.settings.false_positive_rate).ln();
         let regressed =
-            self.evidence.iter().find(|(_, evidence)| ln_mean(&evidence.regression) > regression_bound);
+            self.evidence.iter().find(|(_, evidence)| evidence.ln_regression() > regression_bound);
         if let Some((ClassFailure { class, failure }, _)) = regressed {
             return Verdict::Regressed { class: class.clone(), failure: *failure };
         }
         // Every class has to pass by itself, so the error rate needs no correction for their number.
         let pass_bound = (1.0 / self.settings.false_negative_rate).ln();
-        let passes =
-            |evidence: &Evidence| ln_mean(&[evidence.no_regression, evidence.acceptable]) > pass_bound;
+        let passes = |evidence: &Evidence| evidence.ln_no_regression() > pass_bound;
         if !self.evidence.is_empty() && self.evidence.values().all(passes) {
             Verdict::Passed
         } else {
@@ -230,19 +159,3 @@
         jobs > 0 && failures as f64 > self.settings.pause_above * jobs as f64
     }
 }
-
-impl Evidence {
-    fn add(&mut self, split: &FailureSplit, settings: &AnalysisSettings) {
-        let equal = split.ln_probability(1.0);
-        for (regression, odds_ratio) in self.regression.iter_mut().zip(TESTED_ODDS_RATIOS) {
-            *regression += split.ln_probability(odds_ratio) - equal;
-        }
-        self.no_regression += equal - split.ln_probability(settings.harmful_odds_ratio);
-        let acceptable = settings.acceptable_failure_share;
-        let clearly_good = acceptable * CLEARLY_GOOD_FRACTION;
-        let failures = split.canary_failures as f64;
-        let successes = (split.canary_jobs - split.canary_failures) as f64;
-        self.acceptable += failures * (clearly_good / acceptable).ln()
-            + successes * ((1.0 - clearly_good) / (1.0 - acceptable)).ln();
-    }
-}
--- a/crates/disruption-budget/src/lib.rs
+++ b/crates/disruption-budget/src/lib.rs
@@ -28,6 +28,8 @@
 pub mod canary_analysis;
 mod command;
 mod injected_bug;
+mod limits;
+mod outcome;
 mod permit;
 mod permit_timeouts;
 mod state;
@@ -37,11 +39,10 @@
 
 pub use availability_observer::{AvailabilityObserver, ListedDispatcher, ReadinessReport, OBSERVER_LEASE};
 pub use budget::{Amount, Budget, BudgetError, BudgetProblem, BudgetScope};
-pub use command::{
-    DisruptionCommand, DisruptionOutcome, Rejection, MAX_BUDGETS, MAX_OPEN_PERMITS, MAX_TARGETS,
-    MAX_TEXT_BYTES,
-};
+pub use command::DisruptionCommand;
 pub use injected_bug::InjectedBug;
+pub use limits::{MAX_BUDGETS, MAX_OPEN_PERMITS, MAX_TARGETS, MAX_TEXT_BYTES};
+pub use outcome::{DisruptionOutcome, Rejection};
 pub use permit::{ForcedPermits, Permit, PermitId, PermitState};
 pub use permit_timeouts::{BegunPermit, PermitTimeouts, BEGIN_TIMEOUT, RENEWAL_TIMEOUT};
 pub use state::{BudgetUsage, DisruptionState, DisruptionTotals, ObservationUrgency};
--- a/crates/disruption-budget/src/state/budgets.rs
+++ b/crates/disruption-budget/src/state/budgets.rs
@@ -4,8 +4,11 @@
 
 use super::{DisruptionState, TargetRecord};
 use crate::budget::THOUSANDTHS_PER_TARGET;
-use crate::command::{check_text_length, DisruptionOutcome, Rejection, MAX_BUDGETS};
-use crate::{Availability, Budget, BudgetScope, InjectedBug, PermitId, PermitState, Target};
+use crate::limits::{check_text_length, MAX_BUDGETS};
+use crate::{
+    Availability, Budget, BudgetScope, DisruptionOutcome, InjectedBug, PermitId, PermitState, Rejection,
+    Target,
+};
 
 /// Unavailable targets of a group. All sums but the number of targets are in thousandths of a target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
--- a/crates/disruption-budget/src/state/mod.rs
+++ b/crates/disruption-budget/src/state/mod.rs
@@ -8,10 +8,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::command::{DisruptionCommand, DisruptionOutcome, Rejection};
 use crate::{
-    Availability, Budget, ForcedPermits, InjectedBug, Permit, PermitId, PermitState, Target, TargetKind,
-    TargetStatus,
+    Availability, Budget, DisruptionCommand, DisruptionOutcome, ForcedPermits, InjectedBug, Permit, PermitId,
+    PermitState, Rejection, Target, TargetKind, TargetStatus,
 };
 
 pub use budgets::{BudgetUsage, DisruptionTotals};
--- a/crates/disruption-budget/src/state/observation.rs
+++ b/crates/disruption-budget/src/state/observation.rs
@@ -1,8 +1,11 @@
 //! Effects of an observation: the status of targets, then the permits that it closes, revokes and grants.
 
 use super::{DisruptionState, TargetRecord};
-use crate::command::{check_text_length, DisruptionOutcome, Rejection, MAX_TARGETS};
-use crate::{Availability, InjectedBug, Permit, PermitId, PermitState, Target, TargetStatus};
+use crate::limits::{check_text_length, MAX_TARGETS};
+use crate::{
+    Availability, DisruptionOutcome, InjectedBug, Permit, PermitId, PermitState, Rejection, Target,
+    TargetStatus,
+};
 
 impl DisruptionState {
     /// Records the observed statuses, then closes, revokes and grants permits, in this order.
--- a/crates/disruption-budget/src/state/permits.rs
+++ b/crates/disruption-budget/src/state/permits.rs
@@ -1,8 +1,10 @@
 //! Commands of requesters and operators: request, begin, complete and cancel a permit, deregister a target.
 
 use super::DisruptionState;
-use crate::command::{check_text_length, DisruptionOutcome, Rejection, MAX_OPEN_PERMITS};
-use crate::{ForcedPermits, InjectedBug, Permit, PermitId, PermitState, Target};
+use crate::limits::{check_text_length, MAX_OPEN_PERMITS};
+use crate::{
+    DisruptionOutcome, ForcedPermits, InjectedBug, Permit, PermitId, PermitState, Rejection, Target,
+};
 
 impl DisruptionState {
     /// Opens a permit numbered `index`, unless the requester has an open one for the target.
