--- a/crates/dispatcher/src/engine/clock.rs
+++ b/crates/dispatcher/src/engine/clock.rs
@@ -1,4 +1,4 @@
-//! Time as the engine counts it: whole microseconds of Unix time, on a monotonic clock.
+//! Time of the engine: microseconds of Unix time, read from a monotonic clock.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -7,18 +7,18 @@
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
 
-/// A span in seconds as microseconds.
+/// Converts seconds to microseconds.
 pub fn micros(seconds: Seconds) -> Micros {
     (seconds.max(0.0) * 1e6).round() as Micros
 }
 
-/// A span in microseconds as seconds.
+/// Converts microseconds to seconds.
 pub(super) fn seconds(span: Micros) -> Seconds {
     span as f64 / 1e6
 }
 
-/// The monotonic clock, anchored once to Unix time: the module's turns at cold workers use a clock that all
-/// dispatchers share, and workers tell their start in Unix time.
+/// A monotonic clock that was anchored once to Unix time. All dispatchers have to agree on Unix time, since they take
+/// turns at workers in slow start, and discovery names the starts of workers in it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -26,18 +26,18 @@
 }
 
 impl Clock {
-    /// Anchors the clock.
+    /// Starts the clock at the present Unix time.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), anchor: unix.as_micros() as Micros }
     }
 
-    /// Microseconds of Unix time, as of the anchor.
+    /// Returns the microseconds of Unix time.
     pub fn now(&self) -> Micros {
         self.anchor + self.start.elapsed().as_micros() as Micros
     }
 
-    /// That time for the runtime's timers.
+    /// Returns a time of this clock for the runtime's timers.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
         (self.start + Duration::from_micros(at.saturating_sub(self.anchor))).into()
     }
--- a/crates/dispatcher/src/engine/handle.rs
+++ b/crates/dispatcher/src/engine/handle.rs
@@ -1,4 +1,4 @@
-//! The way to the engine's queue for all other tasks.
+//! Access to the engine for all other tasks.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 use super::messages::{Answer, Input, Job};
 use dispatch_core::api::RequestId;
 
-/// The way to the engine's queue.
+/// Sender of inputs to the engine.
 #[derive(Clone, Debug)]
 pub struct Handle {
     inputs: mpsc::UnboundedSender<Input>,
@@ -16,19 +16,19 @@
 }
 
 impl Handle {
-    /// A queue and the way to it. It is as long as there are connections at the most: each has one request
-    /// open, and takes turns with the engine.
+    /// Creates the queue of inputs. It needs no bound: each connection has at most one open request, so that its length
+    /// follows the number of connections.
     pub fn channel() -> (Handle, mpsc::UnboundedReceiver<Input>) {
         let (inputs, queue) = mpsc::unbounded_channel();
         (Handle { inputs, next_id: Rc::new(Cell::new(1)) }, queue)
     }
 
-    /// Tells the engine. One that has ended has no more need to know.
+    /// Sends an input; one that comes after the end of the engine is dropped.
     pub fn send(&self, input: Input) {
         let _ = self.inputs.send(input);
     }
 
-    /// Hands in a job. Dropping the ticket tells that the client left.
+    /// Submits a job. Dropping the returned value before the answer means that the client disconnected.
     pub fn submit(&self, job: Job) -> PendingJob {
         let id = RequestId(self.next_id.get());
         self.next_id.set(id.0 + 1);
@@ -38,7 +38,7 @@
     }
 }
 
-/// A job that was handed in.
+/// A job that was submitted.
 #[derive(Debug)]
 pub struct PendingJob {
     id: RequestId,
@@ -48,7 +48,7 @@
 }
 
 impl PendingJob {
-    /// Waits for the final answer.
+    /// Waits for the final answer; [`Answer::Failed`] if the engine ended.
     pub async fn answer(&mut self) -> Answer {
         let answer = (&mut self.answer).await;
         self.answered = true;
--- a/crates/dispatcher/src/engine/mod.rs
+++ b/crates/dispatcher/src/engine/mod.rs
@@ -1,12 +1,14 @@
 //! The engine: one task that owns the decision module, the table of open requests and the timers.
 //!
-//! Everything reaches it as an [`Input`] on one queue and leaves as a [`Command`] or an [`Answer`]; nothing here knows
-//! of sockets or of a protocol. It takes no decision. What it adds to the module is bookkeeping: an attempt ends
-//! exactly once, a request is answered exactly once, and nothing outlives its deadline.
+//! It receives an [`Input`] from one queue and sends a [`Command`] or an [`Answer`]; it has no sockets and knows no protocol.
+//! It makes no decisions. It guarantees that an attempt ends exactly once, that a request is answered exactly once, and
+//! that neither outlives its deadline.
 
+mod actions;
 mod clock;
 mod event_loop;
 mod handle;
+mod inputs;
 mod messages;
 mod request_table;
 mod requests;
--- a/crates/dispatcher/src/engine/request_table.rs
+++ b/crates/dispatcher/src/engine/request_table.rs
@@ -10,38 +10,55 @@
 use super::messages::{Answer, AttemptId, Payload};
 use dispatch_core::api::RequestId;
 
-/// A request in the table.
+/// An open request.
 pub(super) struct OpenRequest {
     pub(super) deadline: Micros,
     pub(super) payload: Rc<Payload>,
-    /// Where the answer goes; none once it is concluded.
+    /// Channel for the final answer; `None` once the request is concluded.
     pub(super) answer_sender: Option<oneshot::Sender<Answer>>,
     pub(super) class: usize,
     pub(super) attempts: Vec<Attempt>,
 }
 
-/// An attempt at a request.
+/// An attempt at an open request.
 pub(super) struct Attempt {
-    /// When it was sent on its way.
+    /// Time at which it was passed to the network layer.
     pub(super) sent_at: Micros,
     pub(super) in_flight: bool,
-    /// No outcome proves that it never ran.
+    /// True until an outcome proves that the attempt never ran.
     pub(super) may_have_run: bool,
 }
 
 impl OpenRequest {
-    /// Takes where the answer goes, once; from then on no attempt begins.
+    /// Concludes the request, so that no further attempt is written; returns the channel for the answer the first time.
     pub(super) fn conclude(&mut self) -> Option<oneshot::Sender<Answer>> {
         self.payload.concluded.set(true);
         self.answer_sender.take()
     }
 
-    pub(super) fn has_attempt_in_flight(&self) -> bool {
+    /// Sends the final answer, unless the request is concluded already.
+    pub(super) fn answer(&mut self, answer: Answer) {
+        if let Some(answer_sender) = self.conclude() {
+            // The client may have left.
+            let _ = answer_sender.send(answer);
+        }
+    }
+
+    pub(super) fn is_concluded(&self) -> bool {
+        self.answer_sender.is_none()
+    }
+
+    /// Returns when the first attempt that may have run was sent.
+    pub(super) fn first_sent_that_may_have_run(&self) -> Option<Micros> {
+        self.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.sent_at)
+    }
+
+    fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 }
 
-/// The open requests by the engine's id, and the ids that clients gave to them.
+/// The open requests, by the engine's ids, and the ids that clients gave them.
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: FxHashMap<RequestId, OpenRequest>,
@@ -49,7 +66,7 @@
 }
 
 impl RequestTable {
-    /// Takes a client's id for a request; false where another open request has it.
+    /// Claims a client's id for a new request; returns false if another open request has it.
     pub(super) fn claim_client_id(&mut self, id: &Bytes) -> bool {
         id.is_empty() || self.client_ids.insert(id.clone())
     }
@@ -70,32 +87,33 @@
         self.requests.len()
     }
 
-    /// The open requests in the order in which they came.
+    /// Returns the open requests in the order of their arrival.
     pub(super) fn ids(&self) -> Vec<RequestId> {
         let mut ids: Vec<RequestId> = self.requests.keys().copied().collect();
         ids.sort_unstable();
         ids
     }
 
-    /// How many attempts a request has had, in flight or ended.
+    /// Returns the number of attempts of a request, in flight or ended.
     pub(super) fn attempts(&self, id: RequestId) -> u32 {
         self.get(id).map_or(0, |open| open.attempts.len() as u32)
     }
 
-    /// Whether this attempt was started and has not ended.
+    /// Returns whether this attempt was started and has not ended.
     pub(super) fn is_in_flight(&self, attempt: AttemptId) -> bool {
         let attempt = self.get(attempt.request).and_then(|open| open.attempts.get(attempt.number as usize));
         attempt.is_some_and(|attempt| attempt.in_flight)
     }
 
-    /// Forgets a request once it is concluded and none of its attempts is in flight.
+    /// Removes a request once it is concluded and none of its attempts is in flight.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
-        let finished =
-            self.get(id).is_some_and(|open| open.answer_sender.is_none() && !open.has_attempt_in_flight());
-        if finished {
-            if let Some(open) = self.requests.remove(&id) {
-                self.client_ids.remove(&open.payload.id);
-            }
+        let is_finished =
+            self.get(id).is_some_and(|open| open.is_concluded() && !open.has_attempt_in_flight());
+        if !is_finished {
+            return;
+        }
+        if let Some(open) = self.requests.remove(&id) {
+            self.client_ids.remove(&open.payload.id);
         }
     }
 }
--- a/crates/dispatcher/src/engine/requests.rs
+++ b/crates/dispatcher/src/engine/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request in the engine: opened, sent in attempts, answered once, forgotten.
+//! Life of a request in the engine: opened, sent in attempts, answered once, removed.
 
 use std::rc::Rc;
 
@@ -12,44 +12,74 @@
 use dispatch_core::api::{Event, Outcome, Request, RequestId, Seconds, WorkerId};
 
 impl Engine {
-    pub(super) fn open_request(&mut self, id: RequestId, job: Job, answer: oneshot::Sender<Answer>) {
+    pub(super) fn open_request(&mut self, id: RequestId, job: Job, answer_sender: oneshot::Sender<Answer>) {
         if self.shutting_down {
-            let _ = answer.send(Answer::Rejected { retry_after: None });
+            let _ = answer_sender.send(Answer::Rejected { retry_after: None });
             return;
         }
-        // Workers know jobs by these ids: a second one would be taken for the first, and a cancel would end both.
+        // Workers identify jobs by the client's id: two open requests of one id would be one job to them.
         if !self.requests.claim_client_id(&job.payload.id) {
-            let _ = answer.send(Answer::Invalid(InvalidRequest::DuplicateId));
+            let _ = answer_sender.send(Answer::Invalid(InvalidRequest::DuplicateId));
             return;
         }
         let deadline = self.now + job.timeout;
         let open = OpenRequest {
             deadline,
             payload: Rc::new(job.payload),
-            answer_sender: Some(answer),
+            answer_sender: Some(answer_sender),
             class: job.request.class as usize,
             attempts: Vec::new(),
         };
         self.requests.insert(id, open);
         self.timers.set(deadline, Timer::Deadline(id));
         let request = Request { id, timeout: seconds(job.timeout), ..job.request };
-        match &mut self.held_for_initial_list {
-            Some(held) => held.push(request),
+        match &mut self.awaiting_initial_list {
+            Some(awaiting) => awaiting.push(request),
             None => self.notify_policy(Event::Request(request)),
         }
     }
 
-    /// Discovery was heard, or waited for for long enough: hands on what came before.
-    pub(super) fn release_held_requests(&mut self) {
-        for request in self.held_for_initial_list.take().unwrap_or_default() {
-            if let Some(open) = self.requests.get(request.id).filter(|open| open.answer_sender.is_some()) {
-                let timeout = seconds(open.deadline.saturating_sub(self.now));
-                self.notify_policy(Event::Request(Request { timeout, ..request }));
-            }
+    /// Passes the requests that wait for the first endpoint list to the decision module, and lets later ones pass.
+    pub(super) fn release_awaiting_requests(&mut self) {
+        for request in self.awaiting_initial_list.take().unwrap_or_default() {
+            let Some(open) = self.requests.get(request.id).filter(|open| !open.is_concluded()) else {
+                continue;
+            };
+            let timeout = seconds(open.deadline.saturating_sub(self.now));
+            self.notify_policy(Event::Request(Request { timeout, ..request }));
+        }
+    }
+
+    /// Starts an attempt for the decision module.
+    pub(super) fn start_attempt(&mut self, request: RequestId, worker: WorkerId, timeout: Option<Seconds>) {
+        let Some(open) = self.requests.get_mut(request) else { return };
+        let attempt = AttemptId { request, number: open.attempts.len() as u32 };
+        let first_sent_at = open.first_sent_that_may_have_run();
+        open.attempts.push(Attempt { sent_at: self.now, in_flight: true, may_have_run: true });
+        let may_send =
+            !open.is_concluded() && self.now < open.deadline && open.attempts.len() <= self.max_attempts;
+        if !may_send {
+            self.abandoned_attempts.push_back(AttemptEnd::without_result(attempt, Outcome::NotSent));
+            return;
+        }
+        // A timeout of 0 means none.
+        let timeout = timeout.filter(|timeout| *timeout != 0.0);
+        let timeout_at = timeout.map_or(Micros::MAX, |timeout| self.now + micros(timeout));
+        if timeout_at < open.deadline {
+            self.timers.set(timeout_at, Timer::Attempt(attempt));
         }
+        let retry_window = self.retry_windows.get(open.class).copied().unwrap_or(0);
+        let not_after = first_sent_at.map_or(Micros::MAX, |sent_at| sent_at.saturating_add(retry_window));
+        let _ = self.commands.send(Command::Attempt {
+            attempt,
+            worker,
+            payload: open.payload.clone(),
+            deadline: timeout_at.min(open.deadline),
+            not_after,
+        });
     }
 
-    /// Stops waiting for an attempt that is out, and notes its end for the module.
+    /// Cancels an attempt in flight; its end is reported by [`Self::report_abandoned_attempts`].
     pub(super) fn abandon_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
         if self.requests.is_in_flight(attempt) {
             let _ = self.commands.send(Command::Cancel(attempt));
@@ -57,7 +87,7 @@
         }
     }
 
-    /// Tells the module of the ends that are noted; what it does then may cause more.
+    /// Reports the ends of abandoned attempts to the decision module, also of those that it abandons in response.
     pub(super) fn report_abandoned_attempts(&mut self) {
         while let Some(end) = self.abandoned_attempts.pop_front() {
             if self.requests.is_in_flight(end.attempt) {
@@ -66,69 +96,41 @@
         }
     }
 
+    /// Ends an attempt that is in flight, and answers its request if the outcome is final.
     pub(super) fn end_attempt(&mut self, end: AttemptEnd) {
         let AttemptEnd { attempt: AttemptId { request, number }, outcome, result, load } = end;
         let Some(open) = self.requests.get_mut(request) else { return };
         let ended = &mut open.attempts[number as usize];
-        (ended.in_flight, ended.may_have_run) = (false, !outcome.never_ran());
-        if outcome == Outcome::Ok {
-            if let Some(answer) = open.conclude() {
-                let _ = answer.send(Answer::Served(result));
-            }
-        } else if outcome == Outcome::InvalidRequest {
-            if let Some(answer) = open.conclude() {
-                let _ = answer.send(Answer::Invalid(InvalidRequest::Unusable));
-            }
+        ended.in_flight = false;
+        ended.may_have_run = !outcome.never_ran();
+        match outcome {
+            Outcome::Ok => open.answer(Answer::Served(result)),
+            Outcome::InvalidRequest => open.answer(Answer::Invalid(InvalidRequest::Unusable)),
+            _ => {}
         }
-        let complete = open.answer_sender.is_none();
+        let complete = open.is_concluded();
         self.notify_policy(Event::AttemptEnded { request, attempt: number, outcome, complete, load });
         self.requests.remove_if_finished(request);
     }
 
-    /// Answers a request in the module's stead: it is overdue, or the program ends.
+    /// Answers a request in place of the decision module, since it is overdue or the process ends.
     pub(super) fn force_close(&mut self, request: RequestId) {
         let Some(open) = self.requests.get_mut(request) else { return };
-        let harmless = !open.attempts.iter().any(|attempt| attempt.may_have_run);
-        if let Some(answer) = open.conclude() {
-            let _ =
-                answer.send(if harmless { Answer::Rejected { retry_after: None } } else { Answer::Failed });
+        let may_have_run = open.first_sent_that_may_have_run().is_some();
+        let answer = if may_have_run { Answer::Failed } else { Answer::Rejected { retry_after: None } };
+        if let Some(answer_sender) = open.conclude() {
+            let _ = answer_sender.send(answer);
             self.notify_policy(Event::ClientDisconnected(request));
         }
-        let attempts = self.requests.attempts(request);
-        for number in 0..attempts {
+        for number in 0..self.requests.attempts(request) {
             self.abandon_attempt(AttemptId { request, number }, Outcome::Cancelled);
         }
         self.requests.remove_if_finished(request);
     }
 
-    pub(super) fn start_attempt(&mut self, request: RequestId, worker: WorkerId, timeout: Option<Seconds>) {
-        let Some(open) = self.requests.get_mut(request) else { return };
-        let attempt = AttemptId { request, number: open.attempts.len() as u32 };
-        let may_have_run =
-            open.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.sent_at);
-        open.attempts.push(Attempt { sent_at: self.now, in_flight: true, may_have_run: true });
-        if open.answer_sender.is_none()
-            || self.now >= open.deadline
-            || open.attempts.len() > self.max_attempts
-        {
-            self.abandoned_attempts.push_back(AttemptEnd::without_result(attempt, Outcome::NotSent));
-            return;
-        }
-        let wanted = timeout.filter(|t| *t != 0.0).map_or(Micros::MAX, |t| self.now + micros(t));
-        let deadline = wanted.min(open.deadline);
-        if wanted < open.deadline {
-            self.timers.set(wanted, Timer::Attempt(attempt));
-        }
-        let within = self.retry_windows.get(open.class).copied().unwrap_or(0);
-        let latest = may_have_run.map_or(Micros::MAX, |sent| sent.saturating_add(within));
-        let payload = open.payload.clone();
-        let _ =
-            self.commands.send(Command::Attempt { attempt, worker, payload, deadline, not_after: latest });
-    }
-
     pub(super) fn answer_request(&mut self, request: RequestId, answer: Answer) {
-        if let Some(sender) = self.requests.get_mut(request).and_then(OpenRequest::conclude) {
-            let _ = sender.send(answer);
+        if let Some(open) = self.requests.get_mut(request) {
+            open.answer(answer);
         }
         self.requests.remove_if_finished(request);
     }
--- a/crates/dispatcher/src/engine/timers.rs
+++ b/crates/dispatcher/src/engine/timers.rs
@@ -7,17 +7,22 @@
 use super::messages::AttemptId;
 use dispatch_core::api::RequestId;
 
-/// What a timer is for. Of timers due at the same time those of the earlier variants fire first.
+/// Purpose of a timer. Of timers due at the same time, those of the earlier variants fire first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
+    /// Set by the decision module, with its token.
     Policy(u64),
+    /// Timeout of an attempt.
     Attempt(AttemptId),
+    /// Deadline of a request.
     Deadline(RequestId),
+    /// Time at which the engine answers a request in place of the decision module.
     Overdue(RequestId),
+    /// End of the wait for the first endpoint list.
     InitialListTimeout,
 }
 
-/// All timers that are set, the earliest first.
+/// The timers that are set, the earliest first.
 #[derive(Debug, Default)]
 pub(super) struct Timers(BinaryHeap<Reverse<(Micros, Timer)>>);
 
@@ -27,12 +32,12 @@
         self.0.push(Reverse((at, timer)));
     }
 
-    /// When the next one is due.
+    /// Returns the time at which the next timer is due.
     pub(super) fn next_at(&self) -> Option<Micros> {
         self.0.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes the next timer that is due by now.
+    /// Removes and returns the next timer that is due by now.
     pub(super) fn take_due(&mut self, now: Micros) -> Option<Timer> {
         self.next_at().filter(|at| *at <= now)?;
         self.0.pop().map(|Reverse((_, timer))| timer)
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -111,7 +111,7 @@
                 settings,
                 config: &first,
                 pool: pool.clone(),
-                mean_job_work: engine.usual_job_cost(),
+                mean_job_work: engine.mean_job_work(),
                 metrics: metrics.register_cluster(),
                 status,
             };
