--- a/crates/coordinator/src/cli/commands.rs
+++ b/crates/coordinator/src/cli/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out a command. Each returns what is printed.
+//! Subcommands that need the settings. Each returns the text to be printed.
 
 use std::net::SocketAddr;
 
@@ -12,10 +12,10 @@
 use super::error::CommandError;
 use super::{metrics, output};
 
-/// Who is noted to have deregistered a target, where the operator does not say.
+/// Default of `--by` for a deregistered target.
 const DEFAULT_REQUESTER: &str = "an operator";
 
-/// Carries out a command that needs the settings.
+/// Runs a subcommand that needs the settings.
 pub(super) async fn run(
     subcommand: Subcommand,
     arguments: &Arguments,
@@ -35,7 +35,7 @@
         Subcommand::Deregister => deregister(arguments, config).await,
         Subcommand::Metrics => print_metrics(config).await,
         Subcommand::CheckConfig | Subcommand::Help | Subcommand::Version => {
-            Ok("the configuration is fine\n".to_owned())
+            Ok("the configuration is valid\n".to_owned())
         }
     }
 }
@@ -44,23 +44,27 @@
     config.serve.as_ref().ok_or(CommandError::NoServeBlock)
 }
 
-/// The value of an argument that the command needs.
+/// Returns the value of a required argument.
 fn required<T: Clone>(value: &Option<T>, name: &'static str) -> Result<T, CommandError> {
     value.clone().ok_or(CommandError::MissingArgument(name))
 }
 
 fn bootstrap(arguments: &Arguments, config: &Config) -> Result<String, CommandError> {
     let serve = serve_config(config)?;
-    let (directory, id) = (&serve.store_directory, serve.coordinator_id);
+    let directory = &serve.store_directory;
+    let id = serve.replica_id;
     let installation = &config.installation;
     let store_id = clock::random_id();
     if arguments.joining {
         store::bootstrap_joining(directory, installation, id, store_id)?;
-        return Ok(format!("{}: the store of keeper {id}, which is to join\n", directory.display()));
+        return Ok(format!(
+            "{}: created the store of replica {id}, which joins a running installation\n",
+            directory.display()
+        ));
     }
-    let voters: Vec<u64> = config.coordinators.keys().copied().collect();
+    let voters: Vec<u64> = config.replicas.keys().copied().collect();
     store::bootstrap(directory, installation, id, &voters, config.first_token, store_id)?;
-    Ok(format!("{}: an empty store of keeper {id}\n", directory.display()))
+    Ok(format!("{}: created an empty store for replica {id}\n", directory.display()))
 }
 
 async fn serve(arguments: &Arguments, config: &Config) -> Result<String, CommandError> {
@@ -75,10 +79,10 @@
 
 async fn status(arguments: &Arguments, config: &Config) -> Result<String, CommandError> {
     let mut text = String::new();
-    for (coordinator, status) in operator_client::statuses(config).await {
-        text += &match status {
+    for result in operator_client::statuses(config).await {
+        text += &match result.status {
             Ok(status) if arguments.json => output::json_line(&status),
-            Ok(status) => output::status_line(coordinator, &status),
+            Ok(status) => output::status_line(result.replica, &status),
             Err(error) => format!("{error}\n"),
         };
     }
@@ -115,7 +119,7 @@
         return Err(CommandError::InvalidAddress(address));
     }
     operator_client::replace(config, old, new, address).await?;
-    Ok(format!("keeper {new} has taken the place of keeper {old}\n"))
+    Ok(format!("replica {new} has replaced replica {old}\n"))
 }
 
 async fn disruption_state(arguments: &Arguments, config: &Config) -> Result<String, CommandError> {
@@ -131,7 +135,7 @@
     let budgets = config::read_budgets(&file)?;
     let expected_version = match arguments.seen_version {
         Some(version) => version,
-        // An operator who does not say what version was seen has just looked.
+        // Without `--seen` the present version is replaced.
         None => operator_client::disruption_state(config).await?.state.budgets_version(),
     };
     let count = budgets.len();
@@ -140,10 +144,10 @@
         DisruptionCommand::SetBudgets { expected_version, budgets },
     )
     .await?;
-    Ok(format!("{count} budgets hold from now on\n"))
+    Ok(format!("{count} budgets are in effect\n"))
 }
 
-/// Requests a permit, begins it, says that its step is done, or cancels it.
+/// Requests, begins, completes or cancels a permit.
 async fn permit(arguments: &Arguments, config: &Config) -> Result<String, CommandError> {
     let outcome = operator_client::change_disruption_state(config, permit_change(arguments)?).await?;
     match outcome {
@@ -160,7 +164,7 @@
 
 fn permit_change(arguments: &Arguments) -> Result<DisruptionCommand, CommandError> {
     let permit = || required(&arguments.permit, "permit");
-    match arguments.permit_verb.as_str() {
+    match arguments.permit_operation.as_str() {
         "ask" => Ok(DisruptionCommand::RequestPermit {
             target: required(&arguments.target, "target")?,
             reason: arguments.reason.clone().unwrap_or_default(),
@@ -172,7 +176,7 @@
         }
         "done" => Ok(DisruptionCommand::CompletePermit { permit: permit()? }),
         "void" => Ok(DisruptionCommand::CancelPermit { permit: permit()? }),
-        other => Err(CommandError::UnknownPermitVerb(other.to_owned())),
+        other => Err(CommandError::UnknownPermitOperation(other.to_owned())),
     }
 }
 
@@ -188,7 +192,7 @@
 }
 
 async fn print_metrics(config: &Config) -> Result<String, CommandError> {
-    let own_id = serve_config(config)?.coordinator_id;
+    let own_id = serve_config(config)?.replica_id;
     let status = operator_client::status(config, own_id).await?;
     Ok(metrics::prometheus_text(&status))
 }
--- a/crates/coordinator/src/cli/mod.rs
+++ b/crates/coordinator/src/cli/mod.rs
@@ -1,12 +1,12 @@
-//! The command line of a coordinator.
+//! Command line of a coordinator.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `arguments` | usage, and what the arguments say |
-//! | `commands` | carries out a command |
-//! | `error` | why a command fails, and the exit code for it |
-//! | `output` | what commands print, as text or JSON |
-//! | `metrics` | the metrics in the text form of Prometheus |
+//! | `arguments` | usage and arguments |
+//! | `commands` | subcommands |
+//! | `error` | errors and exit codes |
+//! | `output` | printed text and JSON |
+//! | `metrics` | metrics in the text format of Prometheus |
 
 mod arguments;
 mod commands;
@@ -19,12 +19,10 @@
 use std::process::ExitCode;
 
 use arguments::{Arguments, Subcommand, USAGE};
-use coordinator::config;
+use coordinator::{config, exit_code};
 use error::CommandError;
 
 const PROGRAM: &str = env!("CARGO_BIN_NAME");
-/// The exit code where the arguments cannot be understood.
-const BAD_USAGE: u8 = 2;
 
 /// Runs the program with the arguments of the process.
 pub(crate) fn run() -> ExitCode {
@@ -49,7 +47,7 @@
     }
     let Some(file) = &arguments.config else {
         eprintln!("{PROGRAM}: --config FILE is missing");
-        return ExitCode::from(BAD_USAGE);
+        return ExitCode::from(exit_code::BAD_USAGE);
     };
     match run_subcommand(subcommand, &arguments, file) {
         Ok(text) => {
@@ -65,10 +63,10 @@
 
 fn bad_usage(error: &dyn std::error::Error) -> ExitCode {
     eprintln!("{PROGRAM}: {error}\n\n{USAGE}");
-    ExitCode::from(BAD_USAGE)
+    ExitCode::from(exit_code::BAD_USAGE)
 }
 
-/// Runs a command that needs the settings file, and returns what it prints.
+/// Runs a subcommand that needs the settings file, and returns the text to be printed.
 fn run_subcommand(
     subcommand: Subcommand,
     arguments: &Arguments,
--- a/crates/coordinator/src/cli/output.rs
+++ b/crates/coordinator/src/cli/output.rs
@@ -1,6 +1,4 @@
-//! What commands print, as text for operators or as JSON for programs.
-
-use std::fmt::Write as _;
+//! Output of subcommands: text for operators, JSON for programs.
 
 use cluster_member::wire::{CommitLatency, LeaseStatus, MemberStatus, ReplicaStatus};
 use coordinator::operator_client::DisruptionSnapshot;
@@ -8,22 +6,22 @@
 use serde::Serialize;
 use serde_json::{json, Value};
 
-/// Weights of targets are counted in thousandths of a target.
+/// Weight of one target; weights are counted in thousandths.
 const WEIGHT_UNIT: f64 = 1e3;
-/// Thousandths in a percent.
+/// Thousandths in one percent.
 const PER_PERCENT: f64 = 10.0;
 
-/// A value as one line of JSON.
+/// Formats a value as one line of JSON.
 pub(super) fn json_line<T: Serialize>(value: &T) -> String {
     serde_json::to_string(value).unwrap_or_default() + "\n"
 }
 
-/// One coordinator, for `status`.
-pub(super) fn status_line(coordinator: u64, status: &ReplicaStatus) -> String {
-    let role = if status.is_leader { "leads" } else { "follows" };
+/// Formats the status of one replica, for `status`.
+pub(super) fn status_line(replica: u64, status: &ReplicaStatus) -> String {
+    let role = if status.is_leader { "leader" } else { "follower" };
     let CommitLatency { p50_us, p99_us, .. } = status.commit_latency;
     format!(
-        "keeper {coordinator}: {role}, term {}, applied {} of {}, {} members, commit p50 {p50_us} us p99 \
+        "replica {replica}: {role}, term {}, applied {} of {}, {} members, commit p50 {p50_us} us p99 \
          {p99_us} us\n",
         status.raft_term,
         status.applied_index,
@@ -32,11 +30,11 @@
     )
 }
 
-/// One session, for `members`.
+/// Formats one session, for `members`.
 pub(super) fn member_line(member: &MemberStatus) -> String {
     let state = match (member.superseded, member.stable) {
         (true, _) => "superseded",
-        (false, true) => "settled",
+        (false, true) => "stable",
         (false, false) => "new",
     };
     let peer = &member.peer;
@@ -46,15 +44,15 @@
     )
 }
 
-/// One lease, for `duties`.
+/// Formats one lease, for `duties`.
 pub(super) fn lease_line(lease: &LeaseStatus) -> String {
     match &lease.holder {
         Some(holder) => format!("{}: {}, token {}\n", lease.lease, holder.member, holder.token.0),
-        None => format!("{}: nobody, tokens below {} are over\n", lease.lease, lease.minimum_token.0),
+        None => format!("{}: no holder, minimum token {}\n", lease.lease, lease.minimum_token.0),
     }
 }
 
-/// The state of budgets and permits, for programs.
+/// Formats the disruption state as JSON. The keys are a stable format.
 pub(super) fn disruption_state_json(snapshot: &DisruptionSnapshot) -> String {
     let state = &snapshot.state;
     let version = state.budgets_version();
@@ -62,14 +60,14 @@
     let permits: Vec<Value> =
         state.permits().iter().map(|(id, permit)| permit_json(state, *id, permit)).collect();
     let targets: Vec<Value> = state.targets().map(|target| target_json(&target)).collect();
-    let account = json!({
+    let disruption_state = json!({
         "version": version,
         "forced": state.forced().count,
         "budgets": budgets,
         "permits": permits,
         "targets": targets,
     });
-    json!({"revision": snapshot.revision, "account": account}).to_string() + "\n"
+    json!({"revision": snapshot.revision, "account": disruption_state}).to_string() + "\n"
 }
 
 fn budget_json(usage: &BudgetUsage<'_>) -> Value {
@@ -110,15 +108,15 @@
     })
 }
 
-/// The state of budgets and permits, for operators.
+/// Formats the disruption state as text.
 pub(super) fn disruption_state_text(state: &DisruptionState) -> String {
     let mut text = String::new();
-    let _ = writeln!(text, "budgets, version {}:", state.budgets_version());
+    text += &format!("budgets, version {}:\n", state.budgets_version());
     for usage in state.budget_usage() {
         text += &budget_line(&usage);
     }
     if state.budgets().is_empty() {
-        text += "  none: every permit is granted while one other target is in\n";
+        text += "  none: every permit is granted while another target is available\n";
     }
     for (id, permit) in state.permits() {
         text += &permit_line(state, *id, permit);
@@ -126,7 +124,7 @@
     for target in state.targets() {
         text += &target_line(&target);
     }
-    let _ = writeln!(text, "forced so far: {}", state.forced().count);
+    text += &format!("forced permits: {}\n", state.forced().count);
     text
 }
 
@@ -138,32 +136,33 @@
     let fault =
         budget.validate_for(totals.targets).map_or_else(|fault| format!("; {fault}"), |()| String::new());
     format!(
-        "  {}{group}: {by_plan} out by plan, {unplanned} otherwise, of {}{fault}\n",
+        "  {}{group}: {by_plan} unavailable by plan, {unplanned} otherwise, of {}{fault}\n",
         budget.name, totals.targets
     )
 }
 
 fn permit_line(state: &DisruptionState, id: PermitId, permit: &Permit) -> String {
-    let held_by = state.blocking_budget(id).map(|budget| format!(", held by budget {}", budget.name));
+    let blocking_budget =
+        state.blocking_budget(id).map(|budget| format!(", blocked by budget {}", budget.name));
     format!(
         "permit {id}: {}, {}{}{}{}; {}: {}\n",
         permit.target,
         permit.state,
         if permit.completed_at.is_some() { ", done" } else { "" },
         if permit.forced { ", forced" } else { "" },
-        held_by.unwrap_or_default(),
+        blocking_budget.unwrap_or_default(),
         permit.requester,
         permit.reason
     )
 }
 
-/// A target that is not available; nothing for one that is.
+/// Formats a target that is not available; returns an empty text for an available one.
 fn target_line(target: &TargetStatus) -> String {
     match target.availability {
         Availability::Available => String::new(),
-        Availability::Unavailable => format!("{}: out\n", target.target),
+        Availability::Unavailable => format!("{}: unavailable\n", target.target),
         Availability::WarmingUp(part) => {
-            format!("{}: warming, {} %\n", target.target, f64::from(part) / PER_PERCENT)
+            format!("{}: warming up, {} %\n", target.target, f64::from(part) / PER_PERCENT)
         }
     }
 }
--- a/crates/coordinator/src/server/listener.rs
+++ b/crates/coordinator/src/server/listener.rs
@@ -1,4 +1,4 @@
-//! Incoming connections: the handshake, then messages of Raft from a peer, or requests of a member or an operator.
+//! Incoming connections: the handshake, then Raft messages of a peer, or requests of a member or an operator.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -18,27 +18,27 @@
 use super::Event;
 use crate::replica::{decode_message, ConnectionId};
 
-/// The most messages that wait for a client to read them.
+/// Length of the queue to a client, in messages.
 const CLIENT_QUEUE_LENGTH: usize = 64;
-/// The most connections beyond the limit that are rejected with a reason; further ones are closed at once.
+/// Maximum number of connections beyond the limit that are rejected with a reason; further ones are closed.
 const MAX_REJECTIONS: usize = 32;
-/// The pause after a connection could not be accepted, as where file descriptors have run out.
+/// Delay after a failed accept, most likely for want of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What every incoming connection needs.
+/// Listener for connections of peers, members and operators. Each connection has a clone.
 #[derive(Clone)]
 pub(super) struct Listener {
     pub(super) installation: Rc<str>,
     pub(super) protocol_version: u16,
-    /// The name of this coordinator in its handshakes.
+    /// Name of this replica in handshakes.
     pub(super) name: Rc<str>,
-    /// One for each connection that may be open.
+    /// One permit for each open connection.
     pub(super) connection_permits: Arc<Semaphore>,
     pub(super) events: mpsc::Sender<Event>,
 }
 
 impl Listener {
-    /// Accepts connections for as long as the process lives.
+    /// Accepts connections until the process ends.
     pub(super) async fn accept_connections(self, listener: TcpListener) {
         let mut last_connection: ConnectionId = 0;
         let rejection_permits = Arc::new(Semaphore::new(MAX_REJECTIONS));
@@ -50,14 +50,14 @@
             last_connection += 1;
             let connection = last_connection;
             let permit = self.connection_permits.clone().try_acquire_owned();
-            let full = permit.is_err();
+            let over_limit = permit.is_err();
             let Ok(permit) = permit.or_else(|_| rejection_permits.clone().try_acquire_owned()) else {
                 continue;
             };
             let listener = self.clone();
             spawn_local(async move {
                 let _permit = permit;
-                if let Err(error) = listener.serve_connection(stream, connection, full).await {
+                if let Err(error) = listener.serve_connection(stream, connection, over_limit).await {
                     tracing::debug!(%remote, %error, "connection ended");
                 }
                 let _ = listener.events.send(Event::ConnectionClosed { connection }).await;
@@ -69,10 +69,10 @@
         &self,
         stream: TcpStream,
         connection: ConnectionId,
-        full: bool,
+        over_limit: bool,
     ) -> Result<(), ConnectionError> {
         let (mut link, hello) = Connection::accept(stream).await?;
-        if let Err(reason) = self.check(&hello, full) {
+        if let Err(reason) = self.check(&hello, over_limit) {
             tracing::warn!(?hello, %reason, "connection rejected");
             return link.send_server_hello(&ServerHello::Rejected(reason)).await;
         }
@@ -89,25 +89,25 @@
         }
     }
 
-    fn check(&self, hello: &ClientHello, full: bool) -> Result<(), HandshakeRejection> {
-        if full {
+    fn check(&self, hello: &ClientHello, over_limit: bool) -> Result<(), HandshakeRejection> {
+        if over_limit {
             return Err(HandshakeRejection::TooManyConnections);
         }
         validate_client_hello_for_version(self.protocol_version, hello, &self.installation)
     }
 
-    /// Passes on the messages of a peer, once the replica has accepted it.
+    /// Forwards the messages of a peer once the replica has accepted it.
     async fn serve_peer(
         &self,
         mut link: Connection,
         identity: StoreIdentity,
         protocol_version: u16,
     ) -> Result<(), ConnectionError> {
-        let (response, welcome) = oneshot::channel();
+        let (response, server_hello) = oneshot::channel();
         let _ = self.events.send(Event::PeerHandshake { identity, protocol_version, response }).await;
-        let Ok(welcome) = welcome.await else { return Ok(()) };
-        link.send_server_hello(&welcome).await?;
-        if matches!(welcome, ServerHello::Rejected(_)) {
+        let Ok(server_hello) = server_hello.await else { return Ok(()) };
+        link.send_server_hello(&server_hello).await?;
+        if matches!(server_hello, ServerHello::Rejected(_)) {
             return Ok(());
         }
         loop {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Passes on the requests of a member or an operator, and sends what the replica answers.
+    /// Forwards the requests of a member or an operator, and sends the messages of the replica.
     async fn serve_client(&self, link: Connection, connection: ConnectionId) {
         let (outgoing, mut messages) = mpsc::channel::<Bytes>(CLIENT_QUEUE_LENGTH);
         let (mut sink, mut frames) = link.split();
