--- a/crates/dispatcher/tests/scenario/mod.rs
+++ b/crates/dispatcher/tests/scenario/mod.rs
@@ -30,6 +30,9 @@
 //! `discovery...` the next one that discovery gets and `elsewhere...` the next one at its other address. Each wait for something is bounded, far above what a slow
 //! machine needs, so that only a real fault fails.
 
+mod messages;
+mod party;
+
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -37,9 +40,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bytes::BytesMut;
 use dispatcher::config::Config;
-use dispatcher::net::http::{Decoder, Head, Piece, Start};
 use dispatcher::net::{self, reload, shutdown};
 use serde_json::{json, Value};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -48,12 +49,12 @@
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tokio::time::{sleep, timeout};
 
+use messages::{encode, list_entry};
+use party::{Party, ENDED};
+
 /// No wait for something that must come takes longer.
 const LIMIT: Duration = Duration::from_secs(30);
 
-/// What a message is noted as where its connection ended before it came.
-const ENDED: &str = "    (the connection ended)";
-
 /// Plays a script; returns the transcript.
 pub fn play(script: &str) -> String {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -74,13 +75,6 @@
     })
 }
 
-/// One end of a connection.
-struct Party {
-    stream: TcpStream,
-    buf: BytesMut,
-    is_server: bool,
-}
-
 struct Stage {
     parties: HashMap<String, Party>,
     front: SocketAddr,
@@ -90,7 +84,7 @@
     elsewhere: SocketAddr,
     file: Rc<RefCell<Value>>,
     hangup: mpsc::Sender<()>,
-    listeners: Vec<(JoinHandle<()>, SocketAddr)>,
+    listeners: Vec<WorkerListener>,
     jam: Vec<socket2::Socket>,
     jammed: Option<TcpStream>,
     phase: watch::Sender<shutdown::ShutdownPhase>,
@@ -99,8 +93,14 @@
     transcript: String,
 }
 
+/// A listener of a worker, with its address.
+struct WorkerListener {
+    task: JoinHandle<()>,
+    address: SocketAddr,
+}
+
 /// A listener whose connections go to the queue.
-async fn listen(queue: mpsc::UnboundedSender<TcpStream>) -> (JoinHandle<()>, SocketAddr) {
+async fn listen(queue: mpsc::UnboundedSender<TcpStream>) -> WorkerListener {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let task = spawn_local(async move {
@@ -108,15 +108,15 @@
             let _ = queue.send(stream);
         }
     });
-    (task, address)
+    WorkerListener { task, address }
 }
 
 fn put(root: &mut Value, path: &str, value: Value) {
     let place = path.split('.').fold(root, |at, key| match key.parse::<usize>() {
-        Ok(i) => {
+        Ok(index) => {
             let items = at.as_array_mut().expect("a list");
-            items.resize(items.len().max(i + 1), Value::Null);
-            &mut items[i]
+            items.resize(items.len().max(index + 1), Value::Null);
+            &mut items[index]
         }
         Err(_) => &mut at[key],
     });
@@ -129,7 +129,7 @@
         let (to_workers, at_workers) = mpsc::unbounded_channel();
         let (to_discovery, at_discovery) = mpsc::unbounded_channel();
         let (to_elsewhere, at_elsewhere) = mpsc::unbounded_channel();
-        let discovery = listen(to_discovery).await.1.to_string();
+        let discovery = listen(to_discovery).await.address.to_string();
         let mut config = json!({
             "name": "n1", "seed": "1", "listen": "127.0.0.1:0",
             "discovery": discovery,
@@ -155,9 +155,9 @@
             }
         }
         let mut listeners = Vec::new();
-        for i in 1..=workers {
+        for number in 1..=workers {
             listeners.push(listen(to_workers.clone()).await);
-            let entry = member(i, listeners[i - 1].1, "in_service");
+            let entry = list_entry(number, listeners[number - 1].address, "in_service");
             config["known"]["members"].as_array_mut().expect("a list").push(entry);
         }
         let file = Rc::new(RefCell::new(config));
@@ -181,7 +181,7 @@
             at_workers,
             at_discovery,
             at_elsewhere,
-            elsewhere: listen(to_elsewhere).await.1,
+            elsewhere: listen(to_elsewhere).await.address,
             file,
             hangup,
             listeners,
@@ -220,25 +220,27 @@
             ["file", path, value] => put(&mut self.file.borrow_mut(), path, value.parse().expect("JSON")),
             ["workers", "expect", id, "alone"] => loop {
                 let stream = self.at_workers.recv().await.expect("a connection");
-                let mut party = Party { stream, buf: BytesMut::new(), is_server: true };
+                let mut party = Party::server(stream);
                 let seen = party.message().await;
                 if seen != ENDED {
                     assert!(seen.contains(&format!("Request-Id: {id},")), "found {seen:?}");
                     break;
                 }
-                assert!(party.buf.is_empty(), "found {:?}", party.buf);
+                assert!(party.buffer.is_empty(), "found {:?}", party.buffer);
             },
             ["program", "expect"] => (&mut self.program).await.expect("no panic").expect("an orderly end"),
             ["listener", n, "close"] => {
-                let task = &mut self.listeners[n.parse::<usize>().expect("a number") - 1].0;
-                task.abort();
-                let _ = task.await;
+                let listener = &mut self.listeners[n.parse::<usize>().expect("a number") - 1];
+                listener.task.abort();
+                let _ = (&mut listener.task).await;
             }
             ["listener", n, "jam"] => self.jam(n.parse().expect("a number")).await,
             ["listener", _, "free"] => self.free().await,
             [name, "send", what, ..] => {
                 let rest = step.splitn(4, ' ').nth(3).unwrap_or("");
-                let bytes = self.bytes(what, rest);
+                let workers: Vec<SocketAddr> =
+                    self.listeners.iter().map(|listener| listener.address).collect();
+                let bytes = encode(what, rest, &workers);
                 let _ = self.party(name).await.stream.write_all(&bytes).await;
             }
             [name, "expect"] => {
@@ -247,21 +249,25 @@
             }
             [name, "expect", "end"] => {
                 let party = self.party(name).await;
-                let read = party.stream.read_buf(&mut party.buf).await;
+                let read = party.stream.read_buf(&mut party.buffer).await;
                 let error = party.stream.take_error().expect("the state of a socket");
                 let good = matches!(read, Ok(0)) && error.is_none();
                 assert!(good, "{name}: expected the end, found {read:?}, {error:?}\n{}", self.transcript);
             }
             [name, "expect", "nothing"] => {
                 let party = self.party(name).await;
-                let read = party.stream.try_read_buf(&mut party.buf);
+                let read = party.stream.try_read_buf(&mut party.buffer);
                 let nothing = read.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock);
-                assert!(nothing && party.buf.is_empty(), "{name}: something has come\n{}", self.transcript);
+                assert!(
+                    nothing && party.buffer.is_empty(),
+                    "{name}: something has come\n{}",
+                    self.transcript
+                );
             }
             [name, "expect", "close"] => {
                 let party = self.party(name).await;
-                while matches!(party.stream.read_buf(&mut party.buf).await, Ok(1..)) {}
-                let seen = String::from_utf8_lossy(&party.buf).into_owned();
+                while matches!(party.stream.read_buf(&mut party.buffer).await, Ok(1..)) {}
+                let seen = String::from_utf8_lossy(&party.buffer).into_owned();
                 assert!(seen.is_empty(), "{name}: expected the end, found {seen:?}\n{}", self.transcript);
             }
             [name, "close"] => drop(self.parties.remove(name)),
@@ -280,74 +286,23 @@
     /// The party of this name, which may have to come first.
     async fn party(&mut self, name: &str) -> &mut Party {
         if !self.parties.contains_key(name) {
-            let (stream, is_server) = match name {
-                _ if name.starts_with("client") => (TcpStream::connect(self.front).await.ok(), false),
-                _ if name.starts_with("worker") => (self.at_workers.recv().await, true),
-                _ if name.starts_with("discovery") => (self.at_discovery.recv().await, true),
-                _ if name.starts_with("elsewhere") => (self.at_elsewhere.recv().await, true),
+            let party = match name {
+                _ if name.starts_with("client") => {
+                    TcpStream::connect(self.front).await.ok().map(Party::client)
+                }
+                _ if name.starts_with("worker") => self.at_workers.recv().await.map(Party::server),
+                _ if name.starts_with("discovery") => self.at_discovery.recv().await.map(Party::server),
+                _ if name.starts_with("elsewhere") => self.at_elsewhere.recv().await.map(Party::server),
                 _ => panic!("nobody is called {name}"),
             };
-            let stream = stream.expect("a connection");
-            self.parties.insert(name.to_owned(), Party { stream, buf: BytesMut::new(), is_server });
+            self.parties.insert(name.to_owned(), party.expect("a connection"));
         }
         self.parties.get_mut(name).expect("a party")
     }
 
-    fn bytes(&self, what: &str, rest: &str) -> Vec<u8> {
-        let chunk = |line: &str| format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
-        let ok = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        match what {
-            "raw" => unescape(rest),
-            "job" => {
-                let mut words = rest.split(' ').peekable();
-                let id = words.next().unwrap_or("");
-                let class = words.next_if_eq(&"keyed").unwrap_or("safe");
-                let key = if class == "keyed" { "Idempotency-Key: k\r\n" } else { "" };
-                let more: String = words.map(|w| format!("{}\r\n", w.replacen('=', ": ", 1))).collect();
-                format!(
-                    "POST /{class}?sid=7f HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\nTenant: acme\r\n\
-                     {key}{more}Content-Length: 2\r\n\r\nhi"
-                )
-                .into_bytes()
-            }
-            "ok" => ok.into(),
-            "whole" => {
-                // The whole list as a message of a known length.
-                let list = self.list(rest).to_string();
-                format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()).into_bytes()
-            }
-            "line" => chunk(rest).into_bytes(),
-            "end" => b"0\r\n\r\n".to_vec(),
-            "done" => {
-                let (id, result) = rest.split_once(' ').expect("an id and a result");
-                let line = json!({"id": id, "state": "done", "result": result}).to_string();
-                format!("{ok}{}0\r\n\r\n", chunk(&line)).into_bytes()
-            }
-            "list" => chunk(&self.list(rest).to_string()).into_bytes(),
-            "indented" => {
-                chunk(&serde_json::to_string_pretty(&self.list(rest)).expect("a list")).into_bytes()
-            }
-            other => panic!("nobody can send '{other}'"),
-        }
-    }
-
-    /// `REVISION whole|changes [NUMBER=PHASE]...` in discovery's form.
-    fn list(&self, text: &str) -> Value {
-        let mut words = text.split(' ');
-        let revision: u64 = words.next().and_then(|w| w.parse().ok()).expect("a revision");
-        let complete = words.next() == Some("whole");
-        let entries = words.map(|w| {
-            let (n, phase) = w.split_once('=').expect("NUMBER=PHASE");
-            let n: usize = n.parse().expect("a number");
-            member(n, self.listeners[n - 1].1, phase)
-        });
-        let members: Vec<Value> = entries.collect();
-        json!({"revision": revision, "complete": complete, "members": members})
-    }
-
     /// Replaces a worker's listener by one that has no room for a connection.
-    async fn jam(&mut self, n: usize) {
-        let (task, address) = &mut self.listeners[n - 1];
+    async fn jam(&mut self, number: usize) {
+        let WorkerListener { task, address } = &mut self.listeners[number - 1];
         task.abort();
         let _ = task.await;
         let socket =
@@ -376,69 +331,3 @@
         });
     }
 }
-
-impl Party {
-    /// Reads one message; what depends on the time is masked.
-    async fn message(&mut self) -> String {
-        let head = loop {
-            let read =
-                if self.is_server { Head::request(&mut self.buf) } else { Head::response(&mut self.buf) };
-            match read.expect("a readable head") {
-                Some(head) => break head,
-                None => match self.stream.read_buf(&mut self.buf).await {
-                    Ok(0) | Err(_) => return ENDED.to_owned(),
-                    Ok(_) => {}
-                },
-            }
-        };
-        let mut seen = match &head.start {
-            Start::Request { method, target } => {
-                format!("    {} {}", String::from_utf8_lossy(method), String::from_utf8_lossy(target))
-            }
-            Start::Response(status) => format!("    {status}"),
-        };
-        for header in &head.headers {
-            let name = String::from_utf8_lossy(&header.name);
-            let value = String::from_utf8_lossy(&header.value);
-            match &*name {
-                "Host" | "Content-Length" => {}
-                "Request-Timeout-Ms" | "Retry-After" => seen.push_str(&format!(", {name}: (figure)")),
-                _ => seen.push_str(&format!(", {name}: {value}")),
-            }
-        }
-        let (mut body, mut decoder) = (Vec::new(), Decoder::new(head.framing));
-        loop {
-            match decoder.next(&mut self.buf).expect("a readable body") {
-                Piece::Data(data) => body.extend_from_slice(&data),
-                Piece::End => break,
-                Piece::More => {
-                    let read = self.stream.read_buf(&mut self.buf).await;
-                    assert!(matches!(read, Ok(1..)), "the body ended early after {seen}");
-                }
-            }
-        }
-        match body.len() {
-            0..=200 => format!("{seen}\n    {:?}", String::from_utf8_lossy(&body)),
-            long => format!("{seen}\n    ({long} bytes)"),
-        }
-    }
-}
-
-fn member(n: usize, address: SocketAddr, phase: &str) -> Value {
-    json!({"id": format!("w{n}"), "host_port": address.to_string(), "locality": "north", "flavor": "m1",
-           "cell": n, "phase": phase, "size": 1.0, "up_since_ms": 0})
-}
-
-fn unescape(text: &str) -> Vec<u8> {
-    let mut out = Vec::new();
-    let mut rest = text.replace("\\r", "\r").replace("\\n", "\n").replace("\\x", "\u{e9}");
-    while let Some(star) = rest.find('*') {
-        let digits: String = rest[star + 1..].chars().take_while(char::is_ascii_digit).collect();
-        out.extend_from_slice(&rest.as_bytes()[..star]);
-        let last = *out.last().expect("a byte before");
-        out.extend(std::iter::repeat_n(last, digits.parse::<usize>().expect("a count") - 1));
-        rest = rest[star + 1 + digits.len()..].to_owned();
-    }
-    out.extend_from_slice(rest.as_bytes());
-    out
-}
