--- a/crates/coordinator/src/cli/output.rs
+++ b/crates/coordinator/src/cli/output.rs
@@ -1,7 +1,5 @@
 //! Output of subcommands: text for operators, JSON for programs.
 
-use std::fmt::Write as _;
-
 use cluster_member::wire::{CommitLatency, LeaseStatus, MemberStatus, ReplicaStatus};
 use coordinator::operator_client::DisruptionSnapshot;
 use disruption_budget::{Availability, BudgetUsage, DisruptionState, Permit, PermitId, TargetStatus};
@@ -19,11 +17,11 @@
 }
 
 /// Formats the status of one replica, for `status`.
-pub(super) fn status_line(coordinator: u64, status: &ReplicaStatus) -> String {
+pub(super) fn status_line(replica: u64, status: &ReplicaStatus) -> String {
     let role = if status.is_leader { "leader" } else { "follower" };
     let CommitLatency { p50_us, p99_us, .. } = status.commit_latency;
     format!(
-        "replica {coordinator}: {role}, term {}, applied {} of {}, {} members, commit p50 {p50_us} us p99 \
+        "replica {replica}: {role}, term {}, applied {} of {}, {} members, commit p50 {p50_us} us p99 \
          {p99_us} us\n",
         status.raft_term,
         status.applied_index,
@@ -62,14 +60,14 @@
     let permits: Vec<Value> =
         state.permits().iter().map(|(id, permit)| permit_json(state, *id, permit)).collect();
     let targets: Vec<Value> = state.targets().map(|target| target_json(&target)).collect();
-    let account = json!({
+    let disruption_state = json!({
         "version": version,
         "forced": state.forced().count,
         "budgets": budgets,
         "permits": permits,
         "targets": targets,
     });
-    json!({"revision": snapshot.revision, "account": account}).to_string() + "\n"
+    json!({"revision": snapshot.revision, "account": disruption_state}).to_string() + "\n"
 }
 
 fn budget_json(usage: &BudgetUsage<'_>) -> Value {
@@ -113,7 +111,7 @@
 /// Formats the disruption state as text.
 pub(super) fn disruption_state_text(state: &DisruptionState) -> String {
     let mut text = String::new();
-    let _ = writeln!(text, "budgets, version {}:", state.budgets_version());
+    text += &format!("budgets, version {}:\n", state.budgets_version());
     for usage in state.budget_usage() {
         text += &budget_line(&usage);
     }
@@ -126,7 +124,7 @@
     for target in state.targets() {
         text += &target_line(&target);
     }
-    let _ = writeln!(text, "forced permits: {}", state.forced().count);
+    text += &format!("forced permits: {}\n", state.forced().count);
     text
 }
 
@@ -144,14 +142,15 @@
 }
 
 fn permit_line(state: &DisruptionState, id: PermitId, permit: &Permit) -> String {
-    let held_by = state.blocking_budget(id).map(|budget| format!(", blocked by budget {}", budget.name));
+    let blocking_budget =
+        state.blocking_budget(id).map(|budget| format!(", blocked by budget {}", budget.name));
     format!(
         "permit {id}: {}, {}{}{}{}; {}: {}\n",
         permit.target,
         permit.state,
         if permit.completed_at.is_some() { ", done" } else { "" },
         if permit.forced { ", forced" } else { "" },
-        held_by.unwrap_or_default(),
+        blocking_budget.unwrap_or_default(),
         permit.requester,
         permit.reason
     )
