--- a/crates/simulator-adapter/tests/recorded_batch.rs
+++ b/crates/simulator-adapter/tests/recorded_batch.rs
@@ -11,6 +11,16 @@
 const STEPS: u32 = 400;
 const STEP_MICROS: u64 = 20_000;
 const WORKERS: u64 = 12;
+
+/// Outcomes of attempts and probes by their numbers on the wire.
+const OK: u32 = 0;
+const CANCELLED: u32 = 1;
+const TIMEOUT: u32 = 4;
+const OVERLOADED: u32 = 8;
+const NOT_SENT: u32 = 9;
+const RESET: u32 = 10;
+const ERROR: u32 = 13;
+const CONNECT_FAILED: u32 = 14;
 const INSTANCES: [&str; 2] = ["scheduler/0", "scheduler/1"];
 
 const SETTINGS: &str = "azs=a,b,c balancers=2 profiles.count=3 profiles.0.promise-s=0.5 profiles.0.idempotency=free \
@@ -62,14 +72,36 @@
     insta::assert_snapshot!("a_long_closed_loop", transcript);
 }
 
-/// A request that an instance holds: its last attempt's number, and the worker of each attempt that is out.
+/// An open request of an instance.
 #[derive(Default)]
-struct Open {
+struct OpenRequest {
+    /// Number of attempts so far.
     attempts: u32,
-    out: BTreeMap<u32, String>,
+    /// Workers of the attempts in flight, by the attempt's number.
+    in_flight: BTreeMap<u32, String>,
     answered: bool,
 }
 
+/// Identifies a request of an instance.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct RequestKey {
+    instance: usize,
+    request: u64,
+}
+
+/// Time of a planned line; lines of the same time follow the order in which they were planned.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct DueTime {
+    at: u64,
+    sequence: u64,
+}
+
+/// A planned line for an instance.
+struct DueLine {
+    instance: usize,
+    line: PlannedLine,
+}
+
 /// A model of the simulator's side of the wire.
 struct Loop {
     host: Host,
@@ -77,18 +109,18 @@
     now: u64,
     next_request: u64,
     transcript: String,
-    /// Lines to come, by time, order and instance.
-    due: BTreeMap<(u64, u64), (usize, Planned)>,
+    /// Planned lines.
+    due: BTreeMap<DueTime, DueLine>,
     sequence: u64,
-    open: BTreeMap<(usize, u64), Open>,
+    open: BTreeMap<RequestKey, OpenRequest>,
 }
 
-enum Planned {
-    Started(u64, u32),
-    Note(u64, u32),
-    Ended(u64, u32, u32),
-    Timer(String),
-    Probed(String),
+enum PlannedLine {
+    StreamStarted { request: u64, attempt: u32 },
+    Updates { request: u64, attempt: u32 },
+    AttemptEnded { request: u64, attempt: u32, outcome: u32 },
+    Timer { token: String },
+    ProbeEnded { worker: String },
 }
 
 fn workers_of(rng: &mut Rng, now: u64, count: u64) -> String {
@@ -156,77 +188,80 @@
         let reply = String::from_utf8(reply).expect("replies are UTF-8");
         input.lines().for_each(|line| self.transcript += &format!("> {line}\n"));
         reply.lines().for_each(|line| self.transcript += &format!("< {line}\n"));
-        let mut speaker = 0;
+        let mut instance = 0;
         for line in reply.lines() {
             let words: Vec<&str> = line.split(' ').collect();
             match words[0] {
                 "ON_BEHALF" => {
-                    speaker = INSTANCES.iter().position(|name| *name == words[1]).expect("an instance")
+                    instance = INSTANCES.iter().position(|name| *name == words[1]).expect("an instance")
                 }
-                "PLACE" => self.place(speaker, words[1].parse().expect("a request"), words[2]),
+                "PLACE" => self.place(instance, words[1].parse().expect("a request"), words[2]),
                 "BUSY" | "DROP_REQUEST" => {
                     let request = words[1].parse().expect("a request");
-                    self.open.entry((speaker, request)).or_default().answered = true;
+                    self.open.entry(RequestKey { instance, request }).or_default().answered = true;
                 }
                 "ABANDON" => {
-                    let (request, attempt) = (words[1].parse(), words[2].parse());
-                    let ended = Planned::Ended(request.expect("a request"), attempt.expect("an attempt"), 1);
-                    self.plan(speaker, 1_000, ended);
+                    let request = words[1].parse().expect("a request");
+                    let attempt = words[2].parse().expect("an attempt");
+                    let ended = PlannedLine::AttemptEnded { request, attempt, outcome: CANCELLED };
+                    self.plan(instance, 1_000, ended);
+                }
+                "SOUND_OUT" => {
+                    let worker = words[1].to_owned();
+                    self.plan(instance, 4_000, PlannedLine::ProbeEnded { worker });
                 }
-                "SOUND_OUT" => self.plan(speaker, 4_000, Planned::Probed(words[1].to_owned())),
                 "SET_TIMER" => {
                     let after: f64 = words[1].parse().expect("a span");
-                    self.plan(speaker, (after * 1e6) as u64, Planned::Timer(words[2].to_owned()));
+                    let token = words[2].to_owned();
+                    self.plan(instance, (after * 1e6) as u64, PlannedLine::Timer { token });
                 }
                 _ => {}
             }
         }
     }
 
-    fn plan(&mut self, instance: usize, after: u64, what: Planned) {
+    fn plan(&mut self, instance: usize, after: u64, line: PlannedLine) {
         self.sequence += 1;
-        self.due.insert((self.now + after, self.sequence), (instance, what));
+        let due = DueTime { at: self.now + after, sequence: self.sequence };
+        self.due.insert(due, DueLine { instance, line });
     }
 
-    /// A worker takes an attempt, turns it away or fails.
+    /// A worker accepts an attempt, rejects it or fails.
     fn place(&mut self, instance: usize, request: u64, worker: &str) {
-        let open = self.open.entry((instance, request)).or_default();
+        let open = self.open.entry(RequestKey { instance, request }).or_default();
         let attempt = open.attempts;
         open.attempts += 1;
-        open.out.insert(attempt, worker.to_owned());
+        open.in_flight.insert(attempt, worker.to_owned());
         let hangs = worker == "worker.5" && (103_000_000..108_000_000).contains(&self.now);
-        let (code, after) = match self.rng.u32(..24) {
-            _ if hangs => (4, 4_000_000),
-            0 => (13, 50_000),
-            1 | 2 => (8, 4_000),
-            3 => (14, 200_000),
-            4 => (10, 30_000),
-            5 => (9, 1_000),
-            _ => (0, 30_000 + self.rng.u64(..400_000)),
+        let (outcome, after) = match self.rng.u32(..24) {
+            _ if hangs => (TIMEOUT, 4_000_000),
+            0 => (ERROR, 50_000),
+            1 | 2 => (OVERLOADED, 4_000),
+            3 => (CONNECT_FAILED, 200_000),
+            4 => (RESET, 30_000),
+            5 => (NOT_SENT, 1_000),
+            _ => (OK, 30_000 + self.rng.u64(..400_000)),
         };
-        if code == 0 {
+        if outcome == OK {
             let started = if self.rng.u32(..20) == 0 {
-                Planned::Started(request, attempt)
+                PlannedLine::StreamStarted { request, attempt }
             } else {
-                Planned::Note(request, attempt)
+                PlannedLine::Updates { request, attempt }
             };
             self.plan(instance, after / 4, started);
         }
-        self.plan(instance, after, Planned::Ended(request, attempt, code));
+        self.plan(instance, after, PlannedLine::AttemptEnded { request, attempt, outcome });
     }
 
     /// The lines of one instance in this step.
     fn lines(&mut self, instance: usize) -> String {
         let mut lines = String::new();
-        let due: Vec<(u64, u64)> = self
-            .due
-            .range(..=(self.now, u64::MAX))
-            .filter(|(_, (to, _))| *to == instance)
-            .map(|(at, _)| *at)
-            .collect();
-        for at in due {
-            let (_, what) = self.due.remove(&at).expect("a planned line");
-            self.planned_line(instance, what, &mut lines);
+        let until = DueTime { at: self.now, sequence: u64::MAX };
+        let of_instance = self.due.range(..=until).filter(|(_, due)| due.instance == instance);
+        let times: Vec<DueTime> = of_instance.map(|(time, _)| *time).collect();
+        for time in times {
+            let due = self.due.remove(&time).expect("a planned line");
+            self.planned_line(instance, due.line, &mut lines);
         }
         if self.rng.u32(..3) > 0 {
             self.knock(instance, &mut lines);
@@ -235,59 +270,72 @@
         lines
     }
 
-    fn planned_line(&mut self, instance: usize, what: Planned, lines: &mut String) {
-        let open = &mut self.open;
-        let worker = |open: &mut BTreeMap<(usize, u64), Open>, request: u64, attempt: u32| {
-            open.get(&(instance, request)).and_then(|known| known.out.get(&attempt).cloned())
-        };
-        let _ = match what {
-            Planned::Timer(token) => writeln!(lines, "DEADLINE_HIT {token}"),
-            Planned::Probed(name) => {
-                let (free, held) = (self.rng.u32(..5), self.rng.u32(..6));
-                writeln!(lines, "HEALTH_RESULT {} {name} 0.004 {free},{held},0", u32::from(free == 4) * 4)
+    /// Returns the worker of an attempt that is in flight.
+    fn worker_of(&self, instance: usize, request: u64, attempt: u32) -> Option<String> {
+        self.open.get(&RequestKey { instance, request })?.in_flight.get(&attempt).cloned()
+    }
+
+    fn planned_line(&mut self, instance: usize, line: PlannedLine, lines: &mut String) {
+        let _ = match line {
+            PlannedLine::Timer { token } => writeln!(lines, "DEADLINE_HIT {token}"),
+            PlannedLine::ProbeEnded { worker } => {
+                let free = self.rng.u32(..5);
+                let in_flight = self.rng.u32(..6);
+                let outcome = if free == 4 { TIMEOUT } else { OK };
+                writeln!(lines, "HEALTH_RESULT {outcome} {worker} 0.004 {free},{in_flight},0")
             }
-            Planned::Started(request, attempt) => match worker(open, request, attempt) {
-                Some(name) => writeln!(lines, "STARTED {request} {attempt} {name}"),
-                None => Ok(()),
-            },
-            Planned::Note(request, attempt) => {
-                match worker(open, request, attempt) {
-                    Some(name) => {
-                        writeln!(lines, "UPDATE_OF {request} {name} 1 {attempt}\nUPDATE_OF {request} {name} 2 {attempt} 0.5")
-                    }
+            PlannedLine::StreamStarted { request, attempt } => {
+                match self.worker_of(instance, request, attempt) {
+                    Some(worker) => writeln!(lines, "STARTED {request} {attempt} {worker}"),
                     None => Ok(()),
                 }
             }
-            Planned::Ended(request, attempt, code) => match worker(open, request, attempt) {
-                Some(name) => {
-                    let known = open.get_mut(&(instance, request)).expect("a known request");
-                    known.out.remove(&attempt);
-                    known.answered |= code == 0;
-                    let complete = u32::from(known.answered);
-                    let load = format!("{},{},-", self.rng.u32(..5), self.rng.u32(..6));
-                    writeln!(lines, "RESPONSE {request} 0.1 {name} {attempt} - {complete} {code} {load}")
+            PlannedLine::Updates { request, attempt } => match self.worker_of(instance, request, attempt) {
+                Some(worker) => {
+                    let _ = writeln!(lines, "UPDATE_OF {request} {worker} 1 {attempt}");
+                    writeln!(lines, "UPDATE_OF {request} {worker} 2 {attempt} 0.5")
                 }
                 None => Ok(()),
             },
+            PlannedLine::AttemptEnded { request, attempt, outcome } => {
+                match self.worker_of(instance, request, attempt) {
+                    Some(worker) => {
+                        let key = RequestKey { instance, request };
+                        let open = self.open.get_mut(&key).expect("an open request");
+                        open.in_flight.remove(&attempt);
+                        open.answered |= outcome == OK;
+                        let complete = u32::from(open.answered);
+                        let load = format!("{},{},-", self.rng.u32(..5), self.rng.u32(..6));
+                        writeln!(
+                            lines,
+                            "RESPONSE {request} 0.1 {worker} {attempt} - {complete} {outcome} {load}"
+                        )
+                    }
+                    None => Ok(()),
+                }
+            }
         };
     }
 
     fn knock(&mut self, instance: usize, lines: &mut String) {
         let request = self.next_request;
         self.next_request += 1;
-        self.open.insert((instance, request), Open::default());
-        let (slots, tenant) = (1 + self.rng.u32(..3), self.rng.u32(..2));
-        let (patience, memory) = (["0.5", "2.0", "4.5"][self.rng.usize(..3)], self.rng.u32(..2));
+        self.open.insert(RequestKey { instance, request }, OpenRequest::default());
+        let slots = 1 + self.rng.u32(..3);
+        let tenant = self.rng.u32(..2);
+        let timeout = ["0.5", "2.0", "4.5"][self.rng.usize(..3)];
+        let memory = self.rng.u32(..2);
         let flags = self.rng.u32(..4);
         let work = ["0.1", "0.2", "0.4"][self.rng.usize(..3)];
-        let (class, key) = (self.rng.u32(..4), ["-", "-", "3", "4", "5"][self.rng.usize(..5)]);
+        let class = self.rng.u32(..4);
+        let key = ["-", "-", "3", "4", "5"][self.rng.usize(..5)];
         let _ = writeln!(
             lines,
-            "KNOCK {request} {slots} {patience} {tenant} {flags} {memory} {work} {class} {key}"
+            "KNOCK {request} {slots} {timeout} {tenant} {flags} {memory} {work} {class} {key}"
         );
     }
 
-    /// What happens now and then.
+    /// Writes a line of a rare event, now and then.
     fn odd_line(&mut self, instance: usize, lines: &mut String) {
         let _ = match self.rng.u32(..60) {
             0 => {
@@ -302,8 +350,8 @@
             3 => writeln!(lines, "WHISPER {} aGVsbG8=", 1 - instance),
             4 | 5 => writeln!(lines, "CANCELLED_BY_CLIENT {}", self.next_request.saturating_sub(1)),
             6 if self.rng.u32(..4) == 0 => {
-                self.open.retain(|(of, _), _| *of != instance);
-                self.due.retain(|_, (of, _)| *of != instance);
+                self.open.retain(|key, _| key.instance != instance);
+                self.due.retain(|_, due| due.instance != instance);
                 let init = self.init(instance);
                 write!(lines, "KILL\n{init}FLEET SAVED 0 1\n")
             }
