--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -115,15 +115,7 @@
         let now = self.now();
         let mut events = std::mem::take(&mut self.job_events);
         for note in events.drain(..) {
-            let n = match note {
-                JobEvent::Started(n)
-                | JobEvent::Progress(n, _)
-                | JobEvent::Done(n)
-                | JobEvent::Failed(n)
-                | JobEvent::Rejected(n)
-                | JobEvent::Lost(n) => n,
-            };
-            let attempt = &mut self.attempts[n];
+            let attempt = &mut self.attempts[note.attempt()];
             match note {
                 JobEvent::Started(_) => {
                     attempt.run = Some(self.record.runs.len() as u32);
@@ -136,7 +128,7 @@
                         self.record.runs[run as usize].ended_at = now;
                     }
                 }
-                JobEvent::Progress(..) | JobEvent::Rejected(_) => {}
+                JobEvent::Progress { .. } | JobEvent::Rejected(_) => {}
             }
             // A connection that is closed needs no word.
             let _ = attempt.events.send(note);
--- a/crates/emulator/src/sockets/worker.rs
+++ b/crates/emulator/src/sockets/worker.rs
@@ -230,7 +230,9 @@
         };
         let (line, last) = match note {
             JobEvent::Started(_) => (line("started", ""), false),
-            JobEvent::Progress(_, share) => (line("running", &format!(",\"share\":{share:.3}")), false),
+            JobEvent::Progress { completed_share, .. } => {
+                (line("running", &format!(",\"share\":{completed_share:.3}")), false)
+            }
             JobEvent::Done(_) => (line("done", &format!(",\"result\":\"{id:016x} by w-{w}\"")), true),
             JobEvent::Failed(_) => (line("failed", ""), true),
             JobEvent::Rejected(n) => {
--- a/crates/emulator/src/virtual_time/simulation/workers.rs
+++ b/crates/emulator/src/virtual_time/simulation/workers.rs
@@ -106,14 +106,7 @@
     /// Takes what a worker says, and wakes it when it is due next.
     pub(super) fn process_job_events(&mut self, w: u32, mut events: Vec<JobEvent>) {
         for note in events.drain(..) {
-            let n = match note {
-                JobEvent::Started(n)
-                | JobEvent::Progress(n, _)
-                | JobEvent::Done(n)
-                | JobEvent::Failed(n)
-                | JobEvent::Rejected(n)
-                | JobEvent::Lost(n) => n as u32,
-            };
+            let n = note.attempt() as u32;
             match note {
                 JobEvent::Started(_) => {
                     let job = self.submissions[self.attempts[n as usize].submission as usize].job;
@@ -154,7 +147,7 @@
         let (request, attempt) = (Self::request_id(try_no), number);
         let outcome = match note {
             JobEvent::Started(_) => return self.deliver(host, Event::JobStarted { request, attempt }),
-            JobEvent::Progress(_, done) => {
+            JobEvent::Progress { completed_share: done, .. } => {
                 return self.deliver(host, Event::Progress { request, attempt, done })
             }
             JobEvent::Done(_) => Outcome::Ok,
