--- a/crates/emulator/src/worker/mod.rs
+++ b/crates/emulator/src/worker/mod.rs
@@ -1,8 +1,9 @@
-//! A worker: slots on a few cores, a bounded queue whose head waits until it fits, a cold start.
+//! Model of a worker: slots on a few cores, a bounded FIFO queue and a slow start.
 //!
-//! Jobs that run share the cores evenly, so one service clock serves them all: it runs at the worker's speed of the
-//! moment, and a job ends when the clock has moved by its work. A change of speed (warmth, a neighbour, one more job
-//! than cores) moves the clock's pace and nothing else.
+//! Running jobs share the cores evenly, so one service clock serves them all: it runs at the current speed of the
+//! worker, and a job completes when the clock has advanced by its work. A change of speed (warm-up, a noisy neighbour,
+//! more jobs than cores) changes the rate of the clock and nothing else. The model has no clock and no I/O of its own:
+//! callers pass the time and call [`Worker::wake`] when [`Worker::next_event`] is due.
 
 mod job;
 mod overload;
@@ -15,28 +16,39 @@
 pub use self::overload::{Overload, OverloadLimit};
 use crate::day::{micros, seconds, Micros, WorkerPlan};
 
-/// While a worker warms up its pace is taken anew this often.
+/// Interval at which the speed of a warming worker is recomputed.
 const WARM_UP_STEP: Micros = 250_000;
-/// Work is done within this, in seconds; the clock's sums are not exact.
+/// Rounding tolerance of the service clock, in seconds of work.
 const WORK_TOLERANCE: f64 = 1e-9;
+/// A completion up to this much earlier than a whole microsecond counts as reached.
+const COMPLETION_TOLERANCE_MICROS: f64 = 1e-3;
+/// Upper bound of the time until a completion, so that it fits [`Micros`].
+const MAX_REMAINING_MICROS: f64 = 1e15;
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Shortest warm-up, in seconds.
+const MIN_WARM_UP_SECONDS: f64 = 1e-6;
+/// Part of the work of a full-speed warm-up period after which a worker is warm, however early.
+const WARM_UP_WORK_SHARE: f64 = 0.5;
+/// Largest part of a machine that another program takes.
+const MAX_STOLEN_SHARE: f64 = 0.99;
 
-/// How a worker is.
+/// Lifecycle phase of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Takes jobs.
+    /// Accepts jobs.
     Serving,
-    /// Finishes what runs.
+    /// Finishes running jobs and rejects new ones.
     Draining,
-    /// Its process has ended.
+    /// The process has ended.
     Ended,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct RunningJob {
     job: AssignedJob,
-    /// Where the service clock stands when it is done.
+    /// Service clock at completion.
     done_at_clock: f64,
-    /// When it says next how far it is.
+    /// Time of the next progress event.
     next_progress: Micros,
 }
 
@@ -59,21 +71,22 @@
     }
 }
 
-/// A worker process.
+/// Worker process.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// What it is.
+    /// Properties drawn for the day.
     pub plan: WorkerPlan,
-    /// How it is.
+    /// Lifecycle phase.
     pub phase: Phase,
-    /// When it started; none for long ago.
+    /// Start of the process; none if it was warm from the beginning of the day.
     pub started_at: Option<Micros>,
     running: Vec<RunningJob>,
     waiting: VecDeque<AssignedJob>,
-    /// The service clock, and when it was last moved.
+    /// Seconds of work that each running job has received since the worker was created.
     service_clock: f64,
+    /// Time up to which the service clock has advanced.
     clock_moved_at: Micros,
-    /// Work that it did since its start, in slot-seconds.
+    /// Work done since the start, in slot-seconds.
     work_done: f64,
     hung: bool,
     stolen_share: f64,
@@ -82,12 +95,17 @@
 }
 
 impl Worker {
-    /// A worker as it starts: cold, where `since` says when, or long since warm.
-    pub fn new(plan: WorkerPlan, since: Option<Micros>, now: Micros, progress: Micros) -> Worker {
+    /// Creates a serving worker: warming up if it has a start time, warm otherwise.
+    pub fn new(
+        plan: WorkerPlan,
+        started_at: Option<Micros>,
+        now: Micros,
+        progress_interval: Micros,
+    ) -> Worker {
         Worker {
             plan,
             phase: Phase::Serving,
-            started_at: since,
+            started_at,
             running: Vec::new(),
             waiting: VecDeque::new(),
             service_clock: 0.0,
@@ -96,128 +114,128 @@
             hung: false,
             stolen_share: 0.0,
             warm_up_load: WarmUpLoad::default(),
-            progress_interval: progress.max(1),
+            progress_interval: progress_interval.max(1),
         }
     }
 
-    /// Its capacity as a part of the full one. It grows evenly with time, or with the work done where that is more.
+    /// Returns the part of the full capacity that is available. It grows linearly with time or with the work done,
+    /// whichever is faster.
     pub fn slow_start_factor(&self, now: Micros) -> f64 {
-        let Some(since) = self.started_at else { return 1.0 };
-        let warm = self.plan.warm_up.max(1e-6);
-        let by_time = seconds(now.saturating_sub(since)) / warm;
-        let by_work = self.work_done / (self.plan.cores * self.plan.speed * warm * 0.5);
-        let cold = self.plan.initial_capacity;
-        cold + (1.0 - cold) * by_time.max(by_work).clamp(0.0, 1.0)
+        let Some(started_at) = self.started_at else { return 1.0 };
+        let warm_up = self.plan.warm_up.max(MIN_WARM_UP_SECONDS);
+        let progress_by_time = seconds(now.saturating_sub(started_at)) / warm_up;
+        let full_work = self.plan.cores * self.plan.speed * warm_up * WARM_UP_WORK_SHARE;
+        let progress_by_work = self.work_done / full_work;
+        let initial = self.plan.initial_capacity;
+        initial + (1.0 - initial) * progress_by_time.max(progress_by_work).clamp(0.0, 1.0)
     }
 
-    /// Work it can do a second now, in slot-seconds.
+    /// Returns the work that it can do in a second, in slot-seconds.
     pub fn capacity(&self, now: Micros) -> f64 {
         self.plan.speed * self.plan.cores.min(f64::from(self.plan.slots)) * self.slow_start_factor(now)
     }
 
-    /// Slots taken by what runs.
+    /// Returns the number of slots that running jobs occupy.
     pub fn busy(&self) -> u32 {
-        self.running.iter().map(|r| r.job.slots).sum()
+        self.running.iter().map(|running| running.job.slots).sum()
     }
 
-    /// Service clock seconds for each second, now.
+    /// Returns the rate of the service clock.
     fn service_rate(&self, now: Micros) -> f64 {
         if self.hung || self.phase == Phase::Ended {
             return 0.0;
         }
-        let shared = (self.plan.cores / f64::from(self.busy().max(1))).min(1.0);
-        self.plan.speed * self.slow_start_factor(now) * (1.0 - self.stolen_share) * shared
+        let cores_per_slot = (self.plan.cores / f64::from(self.busy().max(1))).min(1.0);
+        self.plan.speed * self.slow_start_factor(now) * (1.0 - self.stolen_share) * cores_per_slot
     }
 
-    /// Moves the service clock to now.
+    /// Advances the service clock to a time.
     fn advance_to(&mut self, now: Micros) {
-        let passed = seconds(now.saturating_sub(self.clock_moved_at));
-        if passed > 0.0 {
-            let moved = passed * self.service_rate(self.clock_moved_at);
-            self.service_clock += moved;
-            self.work_done += moved * f64::from(self.busy());
+        let elapsed = seconds(now.saturating_sub(self.clock_moved_at));
+        if elapsed > 0.0 {
+            let service = elapsed * self.service_rate(self.clock_moved_at);
+            self.service_clock += service;
+            self.work_done += service * f64::from(self.busy());
             self.clock_moved_at = now;
         }
     }
 
-    /// When [`Worker::wake`] is due, where anything is.
+    /// Returns the time at which [`Worker::wake`] is due; none if nothing runs.
     pub fn next_event(&self) -> Option<Micros> {
-        let pace = self.service_rate(self.clock_moved_at);
-        if pace <= 0.0 || self.running.is_empty() {
+        let service_rate = self.service_rate(self.clock_moved_at);
+        if service_rate <= 0.0 || self.running.is_empty() {
             return None;
         }
-        let first = self.running.iter().map(|r| r.done_at_clock).fold(f64::INFINITY, f64::min);
-        // Up to a thousandth of a microsecond early counts as done.
-        let done = (first - self.service_clock).max(0.0) / pace * 1e6 - 1e-3;
-        let done = self.clock_moved_at + done.ceil().clamp(0.0, 1e15) as Micros;
-        let note = self.running.iter().map(|r| r.next_progress).min().unwrap_or(Micros::MAX);
-        let mut next = done.min(note);
+        let ends_at_clock = self.running.iter().map(|running| running.done_at_clock);
+        let first_end_at_clock = ends_at_clock.fold(f64::INFINITY, f64::min);
+        let remaining_service = (first_end_at_clock - self.service_clock).max(0.0);
+        let remaining = remaining_service / service_rate * MICROS_PER_SECOND - COMPLETION_TOLERANCE_MICROS;
+        let completion = self.clock_moved_at + remaining.ceil().clamp(0.0, MAX_REMAINING_MICROS) as Micros;
+        let progress = self.running.iter().map(|running| running.next_progress).min().unwrap_or(Micros::MAX);
+        let mut next = completion.min(progress);
         if self.slow_start_factor(self.clock_moved_at) < 1.0 {
             next = next.min(self.clock_moved_at + WARM_UP_STEP);
         }
         Some(next.max(self.clock_moved_at + 1))
     }
 
-    /// Does what is due.
-    pub fn wake(&mut self, now: Micros, notes: &mut Vec<JobEvent>) {
+    /// Completes running jobs, reports progress and starts waiting jobs, as due.
+    pub fn wake(&mut self, now: Micros, events: &mut Vec<JobEvent>) {
         self.advance_to(now);
         if self.hung || self.phase == Phase::Ended {
             return;
         }
         let service_clock = self.service_clock;
         let progress_interval = self.progress_interval;
-        self.running.retain_mut(|r| {
-            if r.is_done(service_clock) {
-                notes.push(r.final_event());
+        self.running.retain_mut(|running| {
+            if running.is_done(service_clock) {
+                events.push(running.final_event());
                 return false;
             }
-            if r.next_progress <= now {
-                r.next_progress = now + progress_interval;
-                notes.push(r.progress_event(service_clock));
+            if running.next_progress <= now {
+                running.next_progress = now + progress_interval;
+                events.push(running.progress_event(service_clock));
             }
             true
         });
-        self.start_waiting(now, notes);
+        self.start_waiting(now, events);
     }
 
-    /// Starts waiting jobs in order; the first waits until it fits.
-    fn start_waiting(&mut self, now: Micros, notes: &mut Vec<JobEvent>) {
-        while let Some(head) = self.waiting.front().copied() {
-            if self.hung || self.busy() + head.slots > self.plan.slots {
+    /// Starts waiting jobs in order. The first blocks the others until enough slots are free.
+    fn start_waiting(&mut self, now: Micros, events: &mut Vec<JobEvent>) {
+        while let Some(job) = self.waiting.front().copied() {
+            if self.hung || self.busy() + job.slots > self.plan.slots {
                 return;
             }
             self.waiting.pop_front();
-            let until = self.service_clock + head.work;
-            self.running.push(RunningJob {
-                job: head,
-                done_at_clock: until,
-                next_progress: now + self.progress_interval,
-            });
-            notes.push(JobEvent::Started(head.attempt));
+            let done_at_clock = self.service_clock + job.work;
+            self.running.push(RunningJob { job, done_at_clock, next_progress: now + self.progress_interval });
+            events.push(JobEvent::Started(job.attempt));
         }
     }
 
-    /// A job arrives. True where that makes a cold worker fall over.
+    /// Queues, starts or rejects a job. Returns the overload if the job overloads a warming worker, whose process then
+    /// ends.
     pub fn offer(
         &mut self,
-        task: AssignedJob,
+        job: AssignedJob,
         now: Micros,
-        fall: OverloadLimit,
-        notes: &mut Vec<JobEvent>,
+        limit: OverloadLimit,
+        events: &mut Vec<JobEvent>,
     ) -> Option<Overload> {
         self.advance_to(now);
-        let fallen = self.record_warm_up_load(&task, now, fall);
-        if fallen.is_some() {
-            self.end(now, notes);
-            notes.push(JobEvent::Lost(task.attempt));
-            return fallen;
+        let overload = self.record_warm_up_load(&job, now, limit);
+        if overload.is_some() {
+            self.end(now, events);
+            events.push(JobEvent::Lost(job.attempt));
+            return overload;
         }
-        if !self.accepts(&task) {
-            notes.push(JobEvent::Rejected(task.attempt));
+        if !self.accepts(&job) {
+            events.push(JobEvent::Rejected(job.attempt));
             return None;
         }
-        self.waiting.push_back(task);
-        self.start_waiting(now, notes);
+        self.waiting.push_back(job);
+        self.start_waiting(now, events);
         None
     }
 
@@ -240,50 +258,51 @@
         self.warm_up_load.record(job, now, self.capacity(now), limit)
     }
 
-    /// The dispatcher gave an attempt up; what waits is dropped where this worker does that. True if it was.
-    pub fn cancel(&mut self, attempt: AttemptId, now: Micros, notes: &mut Vec<JobEvent>) -> bool {
+    /// Cancels an attempt: removes it from the queue, if the worker supports cancellation. Returns whether it was
+    /// removed.
+    pub fn cancel(&mut self, attempt: AttemptId, now: Micros, events: &mut Vec<JobEvent>) -> bool {
         if !self.plan.drops_cancelled {
             return false;
         }
         self.advance_to(now);
-        let before = self.waiting.len();
-        self.waiting.retain(|task| task.attempt != attempt);
-        self.start_waiting(now, notes);
-        self.waiting.len() < before
+        let waiting_before = self.waiting.len();
+        self.waiting.retain(|job| job.attempt != attempt);
+        self.start_waiting(now, events);
+        self.waiting.len() < waiting_before
     }
 
-    /// It finishes what runs and hands back what waits.
-    pub fn drain(&mut self, now: Micros, notes: &mut Vec<JobEvent>) {
+    /// Starts a graceful shutdown: rejects waiting jobs and finishes running ones.
+    pub fn drain(&mut self, now: Micros, events: &mut Vec<JobEvent>) {
         self.advance_to(now);
         if self.phase == Phase::Serving {
             self.phase = Phase::Draining;
-            notes.extend(self.waiting.drain(..).map(|task| JobEvent::Rejected(task.attempt)));
+            events.extend(self.waiting.drain(..).map(|job| JobEvent::Rejected(job.attempt)));
         }
     }
 
-    /// Its process ends; what it has is lost.
-    pub fn end(&mut self, now: Micros, notes: &mut Vec<JobEvent>) {
+    /// Ends the process; running and waiting jobs are lost.
+    pub fn end(&mut self, now: Micros, events: &mut Vec<JobEvent>) {
         self.advance_to(now);
         self.phase = Phase::Ended;
-        notes.extend(self.running.drain(..).map(|r| JobEvent::Lost(r.job.attempt)));
-        notes.extend(self.waiting.drain(..).map(|task| JobEvent::Lost(task.attempt)));
+        events.extend(self.running.drain(..).map(|running| JobEvent::Lost(running.job.attempt)));
+        events.extend(self.waiting.drain(..).map(|job| JobEvent::Lost(job.attempt)));
     }
 
-    /// It stops answering, or goes on.
-    pub fn set_hung(&mut self, hung: bool, now: Micros, notes: &mut Vec<JobEvent>) {
+    /// Suspends or resumes all work and answers.
+    pub fn set_hung(&mut self, hung: bool, now: Micros, events: &mut Vec<JobEvent>) {
         self.advance_to(now);
         self.hung = hung;
-        self.start_waiting(now, notes);
+        self.start_waiting(now, events);
     }
 
-    /// Another program takes this part of the machine.
-    pub fn set_stolen_share(&mut self, part: f64, now: Micros) {
+    /// Sets the part of the machine that another program takes.
+    pub fn set_stolen_share(&mut self, share: f64, now: Micros) {
         self.advance_to(now);
-        self.stolen_share = part.clamp(0.0, 0.99);
+        self.stolen_share = share.clamp(0.0, MAX_STOLEN_SHARE);
     }
 }
 
-/// The span between two notes of progress.
+/// Returns the interval between two progress events of a job.
 pub fn progress_interval() -> Micros {
     micros(1.0)
 }
--- a/crates/emulator/tests/worker.rs
+++ b/crates/emulator/tests/worker.rs
@@ -3,7 +3,7 @@
 use emulator::day::{Micros, WorkerPlan};
 use emulator::worker::{progress_interval, AssignedJob, JobEvent, Overload, OverloadLimit, Worker};
 
-const FALL: OverloadLimit = OverloadLimit { multiple: 3.0, window: 1_500_000 };
+const LIMIT: OverloadLimit = OverloadLimit { multiple: 3.0, window: 1_500_000 };
 
 fn plan(slots: u32, speed: f64) -> WorkerPlan {
     WorkerPlan {
@@ -22,7 +22,7 @@
     }
 }
 
-fn task(attempt: usize, slots: u32, work: f64) -> AssignedJob {
+fn job(attempt: usize, slots: u32, work: f64) -> AssignedJob {
     AssignedJob {
         attempt,
         slots,
@@ -33,26 +33,29 @@
     }
 }
 
-/// Runs a worker until it is idle, and returns what it said with the times.
-fn run(worker: &mut Worker, notes: &mut Vec<JobEvent>, now: Micros) -> Vec<(Micros, JobEvent)> {
-    let mut said: Vec<(Micros, JobEvent)> = notes.drain(..).map(|note| (now, note)).collect();
+/// Runs a worker until it is idle, and returns its events with their times.
+fn run(worker: &mut Worker, events: &mut Vec<JobEvent>, now: Micros) -> Vec<(Micros, JobEvent)> {
+    let mut reported: Vec<(Micros, JobEvent)> = events.drain(..).map(|event| (now, event)).collect();
     while let Some(next) = worker.next_event() {
-        worker.wake(next, notes);
-        said.extend(
-            notes.drain(..).filter(|n| !matches!(n, JobEvent::Progress { .. })).map(|note| (next, note)),
+        worker.wake(next, events);
+        reported.extend(
+            events
+                .drain(..)
+                .filter(|event| !matches!(event, JobEvent::Progress { .. }))
+                .map(|event| (next, event)),
         );
     }
-    said
+    reported
 }
 
 #[test]
 fn the_head_of_the_queue_waits_until_it_fits() {
     let mut worker = Worker::new(plan(4, 1.0), None, 0, progress_interval());
-    let mut notes = Vec::new();
-    for one in [task(0, 2, 1.0), task(1, 4, 0.5), task(2, 1, 0.1)] {
-        worker.offer(one, 0, FALL, &mut notes);
+    let mut events = Vec::new();
+    for job in [job(0, 2, 1.0), job(1, 4, 0.5), job(2, 1, 0.1)] {
+        worker.offer(job, 0, LIMIT, &mut events);
     }
-    let said = run(&mut worker, &mut notes, 0);
+    let reported = run(&mut worker, &mut events, 0);
     let expected = [
         (0, JobEvent::Started(0)),
         (1_000_000, JobEvent::Done(0)),
@@ -61,73 +64,73 @@
         (1_500_000, JobEvent::Started(2)),
         (1_600_000, JobEvent::Done(2)),
     ];
-    assert_eq!(said, expected);
+    assert_eq!(reported, expected);
 }
 
 #[test]
 fn jobs_beyond_the_cores_share_them() {
     let mut worker = Worker::new(plan(8, 1.0), None, 0, progress_interval());
-    let mut notes = Vec::new();
+    let mut events = Vec::new();
     (0..8).for_each(|n| {
-        worker.offer(task(n, 1, 0.2), 0, FALL, &mut notes);
+        worker.offer(job(n, 1, 0.2), 0, LIMIT, &mut events);
     });
-    assert_eq!(run(&mut worker, &mut notes, 0).last(), Some(&(400_000, JobEvent::Done(7))));
+    assert_eq!(run(&mut worker, &mut events, 0).last(), Some(&(400_000, JobEvent::Done(7))));
 }
 
 #[test]
 fn a_cold_worker_is_slow_and_falls_over_when_sent_too_much() {
     let mut worker = Worker::new(plan(4, 1.0), Some(0), 0, progress_interval());
-    let mut notes = Vec::new();
+    let mut events = Vec::new();
     // 0.2 of 4 cores for 1.5 s, three times over and the slack: 4.14 slot-seconds.
-    assert_eq!(worker.offer(task(0, 4, 1.0), 0, FALL, &mut notes), None);
-    let fallen = worker.offer(task(1, 1, 1.0), 1000, FALL, &mut notes);
-    assert_eq!(fallen, Some(Overload { by_informed_senders: true }));
-    assert_eq!(notes, [JobEvent::Started(0), JobEvent::Lost(0), JobEvent::Lost(1)]);
-    let mut patient = Worker::new(plan(4, 1.0), Some(0), 0, progress_interval());
-    notes.clear();
-    patient.offer(task(0, 1, 0.5), 0, FALL, &mut notes);
-    let (end, _) = run(&mut patient, &mut notes, 0)[1];
+    assert_eq!(worker.offer(job(0, 4, 1.0), 0, LIMIT, &mut events), None);
+    let overload = worker.offer(job(1, 1, 1.0), 1000, LIMIT, &mut events);
+    assert_eq!(overload, Some(Overload { by_informed_senders: true }));
+    assert_eq!(events, [JobEvent::Started(0), JobEvent::Lost(0), JobEvent::Lost(1)]);
+    let mut slow = Worker::new(plan(4, 1.0), Some(0), 0, progress_interval());
+    events.clear();
+    slow.offer(job(0, 1, 0.5), 0, LIMIT, &mut events);
+    let (end, _) = run(&mut slow, &mut events, 0)[1];
     assert!((1_500_000..2_500_000).contains(&end), "about a fifth of the speed at first: {end}");
 }
 
 #[test]
 fn a_hung_worker_says_nothing_and_goes_on_later() {
     let mut worker = Worker::new(plan(4, 1.0), None, 0, progress_interval());
-    let mut notes = Vec::new();
-    worker.offer(task(0, 1, 1.0), 0, FALL, &mut notes);
-    worker.set_hung(true, 500_000, &mut notes);
-    worker.offer(task(1, 1, 1.0), 600_000, FALL, &mut notes);
-    assert_eq!((worker.next_event(), notes.len()), (None, 1));
-    worker.set_hung(false, 5_000_000, &mut notes);
-    let said = run(&mut worker, &mut notes, 5_000_000);
-    assert_eq!(said[2..], [(5_500_000, JobEvent::Done(0)), (6_000_000, JobEvent::Done(1))]);
+    let mut events = Vec::new();
+    worker.offer(job(0, 1, 1.0), 0, LIMIT, &mut events);
+    worker.set_hung(true, 500_000, &mut events);
+    worker.offer(job(1, 1, 1.0), 600_000, LIMIT, &mut events);
+    assert_eq!((worker.next_event(), events.len()), (None, 1));
+    worker.set_hung(false, 5_000_000, &mut events);
+    let reported = run(&mut worker, &mut events, 5_000_000);
+    assert_eq!(reported[2..], [(5_500_000, JobEvent::Done(0)), (6_000_000, JobEvent::Done(1))]);
 }
 
 #[test]
 fn a_draining_worker_hands_back_what_waits_and_ends_what_runs() {
     let mut worker = Worker::new(plan(4, 1.0), None, 0, progress_interval());
-    let mut notes = Vec::new();
-    worker.offer(task(0, 4, 1.0), 0, FALL, &mut notes);
-    worker.offer(task(1, 1, 1.0), 0, FALL, &mut notes);
-    worker.drain(1, &mut notes);
-    worker.offer(task(2, 1, 1.0), 2, FALL, &mut notes);
-    assert_eq!(notes, [JobEvent::Started(0), JobEvent::Rejected(1), JobEvent::Rejected(2)]);
-    notes.clear();
-    worker.end(3, &mut notes);
-    assert_eq!(notes, [JobEvent::Lost(0)]);
+    let mut events = Vec::new();
+    worker.offer(job(0, 4, 1.0), 0, LIMIT, &mut events);
+    worker.offer(job(1, 1, 1.0), 0, LIMIT, &mut events);
+    worker.drain(1, &mut events);
+    worker.offer(job(2, 1, 1.0), 2, LIMIT, &mut events);
+    assert_eq!(events, [JobEvent::Started(0), JobEvent::Rejected(1), JobEvent::Rejected(2)]);
+    events.clear();
+    worker.end(3, &mut events);
+    assert_eq!(events, [JobEvent::Lost(0)]);
 }
 
-/// What the oracle foresees is what happens, where nothing else comes.
+/// The prediction equals the completion if no other job arrives.
 #[test]
 fn foresight_agrees_with_the_outcome() {
     let mut worker = Worker::new(plan(4, 0.8), None, 0, progress_interval());
-    let mut notes = Vec::new();
-    for one in [task(0, 2, 1.0), task(1, 1, 0.3), task(2, 4, 0.5), task(3, 1, 0.2)] {
-        worker.offer(one, 0, FALL, &mut notes);
+    let mut events = Vec::new();
+    for job in [job(0, 2, 1.0), job(1, 1, 0.3), job(2, 4, 0.5), job(3, 1, 0.2)] {
+        worker.offer(job, 0, LIMIT, &mut events);
     }
-    let foreseen = worker.predict_completion(0, 2, 0.4).expect("it fits");
-    worker.offer(task(4, 2, 0.4), 0, FALL, &mut notes);
-    let said = run(&mut worker, &mut notes, 0);
-    let (end, _) = said.iter().find(|(_, note)| *note == JobEvent::Done(4)).expect("its end");
-    assert!((foreseen * 1e6 - *end as f64).abs() < 10.0, "{foreseen} against {end}");
+    let predicted = worker.predict_completion(0, 2, 0.4).expect("the job fits");
+    worker.offer(job(4, 2, 0.4), 0, LIMIT, &mut events);
+    let reported = run(&mut worker, &mut events, 0);
+    let (end, _) = reported.iter().find(|(_, event)| *event == JobEvent::Done(4)).expect("the job completes");
+    assert!((predicted * 1e6 - *end as f64).abs() < 10.0, "{predicted} against {end}");
 }
