--- a/crates/disruption-budget/tests/availability_observer.rs
+++ b/crates/disruption-budget/tests/availability_observer.rs
@@ -1,8 +1,8 @@
 //! Dispatchers' availability, from their readiness reports and their silence.
 
 use disruption_budget::{
-    Availability, AvailabilityObserver, DisruptionCommand, DisruptionState, FleetMember, ReadinessReport,
-    StatusChanges, Target, TargetKind,
+    Availability, AvailabilityObserver, DisruptionCommand, DisruptionState, ListedDispatcher,
+    ReadinessReport, StatusChanges, Target, TargetKind,
 };
 
 const NORTH: &str = "north";
@@ -13,8 +13,9 @@
 
 #[test]
 fn silent_dispatcher_is_unavailable_once_it_had_time_to_report() {
-    let (mut observer, mut state) = (AvailabilityObserver::new(100, 1_000), DisruptionState::default());
-    let members = ["a", "b"].map(|name| FleetMember { name, zone: NORTH });
+    let mut observer = AvailabilityObserver::new(100, 1_000);
+    let mut state = DisruptionState::default();
+    let members = ["a", "b"].map(|name| ListedDispatcher { name, zone: NORTH });
     observer.record_report(report("a", 7, true), 1_010);
     assert_eq!(observer.status_changes(1_199, &members, &state), None);
     observer.record_report(report("a", 7, true), 1_150);
@@ -37,7 +38,8 @@
 /// An observer whose dispatcher "b" is lost, counted as unavailable and then deregistered, while the list of members
 /// still has it.
 fn observer_after_deregistration() -> (AvailabilityObserver, DisruptionState) {
-    let (mut observer, mut state) = (AvailabilityObserver::new(100, 1_000), DisruptionState::default());
+    let mut observer = AvailabilityObserver::new(100, 1_000);
+    let mut state = DisruptionState::default();
     observer.record_report(report("a", 7, true), 1_250);
     let StatusChanges { changed, removed } = observer.status_changes(1_250, &LISTED, &state).unwrap();
     state.apply(
@@ -51,13 +53,13 @@
     (observer, state)
 }
 
-const LISTED: [FleetMember<'static>; 2] =
-    [FleetMember { name: "a", zone: NORTH }, FleetMember { name: "b", zone: NORTH }];
+const LISTED: [ListedDispatcher<'static>; 2] =
+    [ListedDispatcher { name: "a", zone: NORTH }, ListedDispatcher { name: "b", zone: NORTH }];
 
 /// The names and availabilities that an observer would change, with a report of "a" that is never too old.
 fn changes(
     observer: &mut AvailabilityObserver,
-    members: &[FleetMember<'_>],
+    members: &[ListedDispatcher<'_>],
     state: &DisruptionState,
     now: u64,
 ) -> Vec<(String, Availability)> {
@@ -98,7 +100,8 @@
 /// A report from before the deregistration proves nothing after it.
 #[test]
 fn report_from_before_the_deregistration_does_not_bring_a_dispatcher_back() {
-    let (mut observer, mut state) = (AvailabilityObserver::new(100, 1_000), DisruptionState::default());
+    let mut observer = AvailabilityObserver::new(100, 1_000);
+    let mut state = DisruptionState::default();
     for name in ["a", "b"] {
         observer.record_report(report(name, 7, true), 1_250);
     }
