--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -160,7 +160,7 @@
             Some(listener) => tokio::net::TcpListener::from_std(listener)?,
             None => tokio::net::TcpListener::bind(config.listen).await?,
         };
-        net::serve(config, listener, phase, reload).await
+        net::serve(net::ServeParameters { config, listener, phase, reload }).await
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     match runtime.and_then(|runtime| tokio::task::LocalSet::new().block_on(&runtime, run)) {
--- a/crates/dispatcher/src/net/console.rs
+++ b/crates/dispatcher/src/net/console.rs
@@ -5,6 +5,7 @@
 //! the health check follow. Its connections are bounded, and each has a deadline for its call, so that callers
 //! that connect and say nothing can hold neither it nor the clients' descriptors.
 
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -12,13 +13,14 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
-use tokio::task::JoinSet;
-use tokio::time::{sleep, timeout};
+use tokio::task::{spawn_local, JoinSet};
+use tokio::time::{sleep, timeout, Instant};
 
+use super::client::is_ready;
 use super::http::{Head, Start};
 use super::metrics::Metrics;
 use super::mode::Mode;
-use super::planned_drain::PlannedDrain;
+use super::planned_drain::{LocalStatus, PlannedDrain};
 use super::read_more;
 
 /// A call must have come whole within this from connecting on; a caller waits 1 s for its answer.
@@ -41,7 +43,28 @@
     pub planned_drain: Option<Rc<PlannedDrain>>,
 }
 
-/// Answers the operators' calls for as long as the program runs.
+/// Listens for operators' calls and serves them. A dispatcher whose console cannot listen serves its clients all the same.
+pub(super) async fn start(
+    address: SocketAddr,
+    metrics: Rc<Metrics>,
+    status: LocalStatus,
+    planned_drain: Option<Rc<PlannedDrain>>,
+) {
+    let listener = match TcpListener::bind(address).await {
+        Ok(listener) => listener,
+        Err(error) => {
+            tracing::error!(%error, at = %address, "the console cannot listen");
+            return;
+        }
+    };
+    let started_at = Instant::now();
+    let LocalStatus { mode, ready, phase } = status;
+    // The console itself takes the mode into account, which it also names in its answer.
+    let ready = Box::new(move || is_ready(*ready.borrow(), started_at, *phase.borrow(), Mode::Active));
+    spawn_local(serve(listener, Rc::new(Console { metrics, mode, ready, planned_drain })));
+}
+
+/// Serves operators' calls. Never returns.
 pub async fn serve(listener: TcpListener, console: Rc<Console>) {
     let mut calls = JoinSet::new();
     loop {
--- a/crates/dispatcher/src/net/metrics.rs
+++ b/crates/dispatcher/src/net/metrics.rs
@@ -2,6 +2,8 @@
 
 use prometheus::{Counter, Encoder, Gauge, IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
 
+use crate::names::ClassInfo;
+
 /// The figures, counted where each event happens.
 #[derive(Debug)]
 pub struct Metrics {
@@ -180,7 +182,14 @@
         self.requests.with_label_values(&[class, outcome.label()]).inc();
     }
 
-    /// Every class shows all four, from 0 on, so that a scrape tells 0 from unknown.
+    /// Registers the figures of these classes, so that they are shown from 0 on.
+    pub(super) fn register_classes(&self, classes: &[ClassInfo]) {
+        for class in classes {
+            self.register_class(&class.name);
+        }
+    }
+
+    /// Registers the figures of a class, so that they are shown from 0 on.
     pub fn register_class(&self, class: &str) {
         for outcome in [Outcome::Served, Outcome::Refused, Outcome::Failed, Outcome::Attempt] {
             self.requests.with_label_values(&[class, outcome.label()]);
--- /dev/null
+++ b/crates/dispatcher/src/net/server.rs
@@ -0,0 +1,112 @@
+//! Start of a dispatcher: its tasks are created, connected by channels and run until the shutdown.
+
+use std::rc::Rc;
+
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, watch};
+use tokio::task::spawn_local;
+
+use super::cluster::{self, ClusterHandle, JoinParameters};
+use super::discovery::follow_endpoint_list;
+use super::metrics::Metrics;
+use super::mode::Mode;
+use super::planned_drain::LocalStatus;
+use super::reload::{apply_reloads, Reload};
+use super::shutdown::ShutdownPhase;
+use super::worker::pool::Pool;
+use super::{client, console, worker};
+use crate::config::Config;
+use crate::engine::{Clock, Command, Engine, Handle, Micros};
+
+/// Parameters of [`serve`].
+#[expect(missing_debug_implementations, reason = "a reload contains a function")]
+pub struct ServeParameters {
+    /// Configuration.
+    pub config: Config,
+    /// Listener for clients.
+    pub listener: TcpListener,
+    /// Phase of the shutdown.
+    pub phase: watch::Receiver<ShutdownPhase>,
+    /// Requests to reload the configuration.
+    pub reload: Reload,
+}
+
+/// Runs a dispatcher until it is shut down and all requests are answered. Requires a [`tokio::task::LocalSet`].
+///
+/// # Errors
+/// Returns an error if one of its tasks ended, without which it cannot serve.
+pub async fn serve(parameters: ServeParameters) -> std::io::Result<()> {
+    let ServeParameters { config, listener, phase, reload } = parameters;
+    let clock = Clock::start();
+    let metrics = Rc::new(Metrics::new());
+    metrics.register_classes(&config.names.classes);
+    let console_address = config.console;
+    let (handle, inputs) = Handle::channel();
+    let (commands, command_receiver) = mpsc::unbounded_channel();
+    let mut engine = create_engine(&config, clock, commands);
+    let (config_sender, configs) = watch::channel(Rc::new(config));
+    let pool = Pool::new(configs.clone(), clock, handle.clone(), metrics.clone());
+    let (ready_sender, ready) = watch::channel(false);
+    let (mode_sender, mode) = watch::channel(Mode::Active);
+    // Kept until the end: without a sender, receivers of the mode would be woken as if it had changed.
+    let status = LocalStatus { mode: mode_sender, ready: ready.clone(), phase: phase.clone() };
+    let config = configs.borrow().clone();
+    let cluster = join_cluster(&config, &pool, &mut engine, &metrics, &status).await;
+    let (shared_list, planned_drain) = match cluster {
+        Some(handle) => (Some(handle.shared_list), handle.planned_drain),
+        None => (None, None),
+    };
+    let mut workers = spawn_local(worker::run(pool, command_receiver));
+    let mut engine = spawn_local(engine.run(inputs));
+    let discovery = follow_endpoint_list(configs.clone(), handle.clone(), ready_sender, shared_list);
+    let mut discovery = spawn_local(discovery);
+    let mut reloads = spawn_local(apply_reloads(reload, config_sender, handle.clone(), metrics.clone()));
+    if let Some(address) = console_address {
+        console::start(address, metrics.clone(), status.clone(), planned_drain).await;
+    }
+    tokio::select! {
+        () = client::accept(configs, listener, handle, phase, ready, mode, metrics) => Ok(()),
+        _ = &mut workers => task_ended("reaches workers"),
+        _ = &mut engine => task_ended("owns the module"),
+        _ = &mut discovery => task_ended("follows discovery"),
+        _ = &mut reloads => task_ended("reads the configuration again"),
+    }
+}
+
+fn create_engine(config: &Config, clock: Clock, commands: mpsc::UnboundedSender<Command>) -> Engine {
+    let saved_endpoints = config.saved_list.endpoints.clone();
+    let mut engine = Engine::new(config.settings.clone(), config.seed, saved_endpoints, clock, commands);
+    if config.list_is_pushed {
+        engine.await_initial_list(client::INITIAL_LIST_TIMEOUT.as_micros() as Micros);
+    }
+    engine
+}
+
+/// Joins the cluster that the settings name, if any. The dispatcher serves without it if it cannot listen for it.
+async fn join_cluster(
+    config: &Config,
+    pool: &Rc<Pool>,
+    engine: &mut Engine,
+    metrics: &Metrics,
+    status: &LocalStatus,
+) -> Option<ClusterHandle> {
+    let parameters = JoinParameters {
+        settings: config.cluster.as_ref()?,
+        config,
+        pool: pool.clone(),
+        mean_job_work: engine.mean_job_work(),
+        metrics: metrics.register_cluster(),
+        status: status.clone(),
+    };
+    match cluster::join(parameters).await {
+        Ok(handle) => Some(handle),
+        Err(error) => {
+            tracing::error!(%error, "cannot listen for the cluster; continuing without it");
+            None
+        }
+    }
+}
+
+fn task_ended(purpose: &str) -> std::io::Result<()> {
+    Err(std::io::Error::other(format!("the task that {purpose} ended")))
+}
--- a/crates/dispatcher/tests/crowd.rs
+++ b/crates/dispatcher/tests/crowd.rs
@@ -122,7 +122,12 @@
         let (phase, phases) = watch::channel(ShutdownPhase::Serving);
         let (_hangup, requests) = mpsc::channel(1);
         let reload = Reload { requests, read: Box::new(|old: &Config| Ok(old.clone())) };
-        let served = dispatcher::net::serve(config, listener, phases, reload);
+        let served = dispatcher::net::serve(dispatcher::net::ServeParameters {
+            config,
+            listener,
+            phase: phases,
+            reload,
+        });
         let shutdown = async {
             match ended.await {
                 Ok(()) => run_phases(&phase, longest).await,
--- a/crates/dispatcher/tests/scenario/mod.rs
+++ b/crates/dispatcher/tests/scenario/mod.rs
@@ -173,8 +173,12 @@
         let front = TcpListener::bind(config.listen).await.expect("a port");
         let address = front.local_addr().expect("an address");
         let (phase, phases) = watch::channel(shutdown::ShutdownPhase::Serving);
-        let program =
-            spawn_local(net::serve(config, front, phases, reload::Reload { requests: asked, read }));
+        let program = spawn_local(net::serve(net::ServeParameters {
+            config,
+            listener: front,
+            phase: phases,
+            reload: reload::Reload { requests: asked, read },
+        }));
         Stage {
             parties: HashMap::new(),
             front: address,
