--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -4,7 +4,8 @@
 //! | --- | --- |
 //! | `event_loop` | the task that owns the replica: handles events, executes outputs |
 //! | `listener` | incoming connections of peers, members and operators |
-//! | `peer_link` | connections to the other replicas |
+//! | `peer_link` | connection to another replica |
+//! | `peer_links` | all links, with their queues of Raft messages |
 //! | `log` | log lines of applied commands |
 //! | `record` | records for the checkers of the emulator |
 
@@ -12,6 +13,7 @@
 mod listener;
 mod log;
 mod peer_link;
+mod peer_links;
 mod record;
 
 use std::sync::Arc;
@@ -34,9 +36,10 @@
 use crate::store::Store;
 use crate::CoordinatorError;
 
-use event_loop::{EventLoop, PeerLinks};
+use event_loop::EventLoop;
 use listener::Listener;
 use peer_link::LinkSettings;
+use peer_links::PeerLinks;
 
 /// Length of the event queue.
 const EVENT_QUEUE_LENGTH: usize = 4_096;
