--- a/crates/cluster-member/src/wire/handshake.rs
+++ b/crates/cluster-member/src/wire/handshake.rs
@@ -1,5 +1,7 @@
 //! Handshake: identity of the client, and whether the server accepts it.
 
+use std::fmt;
+
 use serde::{Deserialize, Serialize};
 
 /// Version of the messages.
@@ -39,6 +41,20 @@
     },
 }
 
+/// Names are quoted and escaped, since clients are not trusted before the handshake.
+impl fmt::Display for ClientIdentity {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ClientIdentity::Replica(identity) => write!(f, "replica {}", identity.replica_id),
+            ClientIdentity::Member { name } => write!(f, "member {name:?}"),
+            ClientIdentity::Operator => f.write_str("operator"),
+            ClientIdentity::LeaseHolder { name, incarnation } => {
+                write!(f, "lease holder {name:?}, incarnation {incarnation}")
+            }
+        }
+    }
+}
+
 /// Identity of a replica's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreIdentity {
--- a/crates/cluster-member/tests/format.rs
+++ b/crates/cluster-member/tests/format.rs
@@ -154,6 +154,24 @@
     assert_pinned("client_hello", &text);
 }
 
+/// Names of clients in log lines, which a name cannot break into two.
+#[test]
+fn client_identities_as_text() {
+    let store = StoreIdentity { replica_id: 3, store_id: 7, start_count: 2, raft_term: 4 };
+    let texts = [
+        (ClientIdentity::Replica(store), "replica 3"),
+        (ClientIdentity::Member { name: "d1\n".to_owned() }, r#"member "d1\n""#),
+        (ClientIdentity::Operator, "operator"),
+        (
+            ClientIdentity::LeaseHolder { name: "d2".to_owned(), incarnation: 9 },
+            r#"lease holder "d2", incarnation 9"#,
+        ),
+    ];
+    for (identity, text) in texts {
+        assert_eq!(identity.to_string(), text);
+    }
+}
+
 #[test]
 fn server_hello() {
     let mut text = encoded("accepted", &ServerHello::Accepted { name: "coordinator 1".to_owned() });
--- a/crates/coordinator/src/server/listener.rs
+++ b/crates/coordinator/src/server/listener.rs
@@ -73,7 +73,13 @@
     ) -> Result<(), ConnectionError> {
         let (mut link, hello) = Connection::accept(stream).await?;
         if let Err(reason) = self.check(&hello, over_limit) {
-            tracing::warn!(?hello, %reason, "connection rejected");
+            tracing::warn!(
+                client = %hello.identity,
+                installation = hello.installation,
+                version = hello.schema_version,
+                %reason,
+                "connection rejected"
+            );
             return link.send_server_hello(&ServerHello::Rejected(reason)).await;
         }
         match hello.identity {
--- a/crates/coordinator/src/server/log.rs
+++ b/crates/coordinator/src/server/log.rs
@@ -34,7 +34,9 @@
         CommandOutcome::LeaseReleased { lease, token } => {
             tracing::info!(%lease, token = token.0, "lease released")
         }
-        CommandOutcome::Rejected(reason) => tracing::debug!(%reason, ?command, "command rejected"),
+        CommandOutcome::Rejected(reason) => {
+            tracing::debug!(%reason, command = command_name(command), "command rejected")
+        }
         CommandOutcome::SessionStable(_) | CommandOutcome::Acknowledged => {}
     }
 }
@@ -72,7 +74,38 @@
         ) if !(granted.is_empty() && revoked.is_empty() && closed.is_empty()) => {
             tracing::info!(?granted, ?revoked, ?closed, "permits changed");
         }
-        (_, DisruptionOutcome::Rejected(reason)) => tracing::info!(%reason, ?change, "change rejected"),
+        (_, DisruptionOutcome::Rejected(reason)) => {
+            tracing::info!(%reason, change = change_text(change), "change rejected")
+        }
         _ => {}
     }
 }
+
+/// Names a command in log lines.
+fn command_name(command: &Command) -> &'static str {
+    match command {
+        Command::OpenSession { .. } => "open session",
+        Command::CloseSession { .. } => "close session",
+        Command::ExpireSession { .. } => "expire session",
+        Command::MarkSessionStable { .. } => "mark session stable",
+        Command::GrantLease { .. } => "grant lease",
+        Command::ReleaseLease { .. } => "release lease",
+        Command::RecordReplicaStart { .. } => "record replica start",
+        Command::ReplaceReplica { .. } => "replace replica",
+        Command::CompleteReplacement { .. } => "complete replacement",
+        Command::Disruption(_) => "change disruption state",
+    }
+}
+
+/// Describes a disruption command in log lines.
+fn change_text(change: &DisruptionCommand) -> String {
+    match change {
+        DisruptionCommand::SetBudgets { .. } => "set budgets".to_owned(),
+        DisruptionCommand::RequestPermit { target, .. } => format!("request a permit for {target}"),
+        DisruptionCommand::BeginPermit { permit, .. } => format!("begin permit {permit}"),
+        DisruptionCommand::CompletePermit { permit } => format!("complete permit {permit}"),
+        DisruptionCommand::CancelPermit { permit } => format!("cancel permit {permit}"),
+        DisruptionCommand::RecordObservation { .. } => "record an observation".to_owned(),
+        DisruptionCommand::DeregisterTarget { target, .. } => format!("deregister {target}"),
+    }
+}
