--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -1,5 +1,7 @@
-//! Holds dispatchers to the four rules, by what the emulated parties saw: clients their answers, workers the jobs that
-//! reached them, discovery what it told. A dispatcher's own word counts for nothing here.
+//! Rule checker: counts violations of the four rules by a dispatcher.
+//!
+//! Its records come from the emulated peers only: the answers that clients received, the attempts that reached workers,
+//! and the changes that discovery notified. Nothing that a dispatcher reports about itself is used.
 
 use dispatch_core::api::{Idempotency, KeyScope};
 use rustc_hash::FxHashMap;
@@ -7,44 +9,48 @@
 
 use crate::day::Micros;
 
-/// Breaches of the four rules.
+/// Number of violations of each of the four rules.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RuleViolations {
-    /// New work at a worker later than the grace after its drain was told.
+    /// Attempts sent to a worker after the grace period that follows the notice of its drain.
     pub drain: u64,
-    /// A request that may have run sent on where its class does not allow it, or refused.
-    pub dup: u64,
-    /// A request taken that got no final answer in time, or more than one.
-    pub lost: u64,
-    /// A cold worker pushed over by dispatchers that knew of its start.
-    pub failback: u64,
+    /// Requests that may have run and were retried or rejected although their class does not allow it.
+    #[serde(rename = "dup")]
+    pub repeated: u64,
+    /// Accepted requests without exactly one final answer in time.
+    #[serde(rename = "lost")]
+    pub unanswered: u64,
+    /// Workers overloaded during slow start by dispatchers that had been notified of the start.
+    #[serde(rename = "failback")]
+    pub slow_start_overload: u64,
 }
 
 impl RuleViolations {
-    /// All of them.
+    /// Returns the number of violations of all rules.
     pub fn total(self) -> u64 {
-        self.drain + self.dup + self.lost + self.failback
+        self.drain + self.repeated + self.unanswered + self.slow_start_overload
     }
 
-    /// Adds others.
+    /// Adds the violations of another run.
     pub fn add(&mut self, other: RuleViolations) {
         self.drain += other.drain;
-        self.dup += other.dup;
-        self.lost += other.lost;
-        self.failback += other.failback;
+        self.repeated += other.repeated;
+        self.unanswered += other.unanswered;
+        self.slow_start_overload += other.slow_start_overload;
     }
 }
 
-/// What the rules say in figures.
+/// Time limits of the rules.
 #[derive(Clone, Copy, Debug)]
 pub struct RuleLimits {
-    /// New work ends this long after a drain was told.
+    /// Time after the notice of a drain within which attempts may still be sent.
     pub drain_grace: Micros,
-    /// Answers come this long after the deadline at the latest.
+    /// Time after the deadline within which an answer is still in time.
     pub answer_slack: Micros,
 }
 
-/// A dispatcher's life, from one start to its end; what one life was told another does not know.
+/// Incarnation of a dispatcher: one run of its process, unique among all dispatchers. Notices to one incarnation are
+/// unknown to the next.
 pub type Incarnation = u32;
 
 /// Attempt as the worker that received it observed it.
@@ -105,7 +111,7 @@
     deadline: Micros,
     answer_count: u32,
     attempts: Vec<SentAttempt>,
-    /// The client left or the dispatcher was killed: no answer is owed.
+    /// Whether no answer is required: the client disconnected or the dispatcher was killed.
     answer_waived: bool,
 }
 
@@ -135,42 +141,48 @@
     }
 }
 
-/// The records, and the breaches found in them so far.
+/// Records of open requests and drains, and the violations detected so far.
 #[derive(Debug)]
 pub struct RuleChecker {
     limits: RuleLimits,
     drain_notices: FxHashMap<DrainNotice, Micros>,
-    accepted: FxHashMap<u64, AcceptedRequest>,
+    open_requests: FxHashMap<u64, AcceptedRequest>,
     violations: RuleViolations,
 }
 
 impl RuleChecker {
-    /// A checker with no records.
+    /// Creates a checker without records.
     pub fn new(limits: RuleLimits) -> RuleChecker {
         RuleChecker {
             limits,
             drain_notices: FxHashMap::default(),
-            accepted: FxHashMap::default(),
+            open_requests: FxHashMap::default(),
             violations: RuleViolations::default(),
         }
     }
 
-    /// Discovery told a dispatcher that a worker drains or is gone.
-    pub fn record_drain_notice(&mut self, life: Incarnation, worker: u64, now: Micros) {
-        self.drain_notices.entry(DrainNotice { incarnation: life, worker }).or_insert(now);
+    /// Records that discovery notified a dispatcher of the drain or the removal of a worker.
+    pub fn record_drain_notice(&mut self, incarnation: Incarnation, worker: u64, now: Micros) {
+        self.drain_notices.entry(DrainNotice { incarnation, worker }).or_insert(now);
     }
 
-    /// A client handed in a request, and a dispatcher took it.
-    pub fn record_accepted(&mut self, request: u64, repeat: Idempotency, window: Micros, deadline: Micros) {
-        let taken = AcceptedRequest {
-            idempotency: repeat,
-            retry_window: window,
+    /// Records a request that a dispatcher accepted.
+    pub fn record_accepted(
+        &mut self,
+        request: u64,
+        idempotency: Idempotency,
+        retry_window: Micros,
+        deadline: Micros,
+    ) {
+        let accepted_request = AcceptedRequest {
+            idempotency,
+            retry_window,
             deadline,
             answer_count: 0,
             attempts: Vec::new(),
             answer_waived: false,
         };
-        self.accepted.insert(request, taken);
+        self.open_requests.insert(request, accepted_request);
     }
 
     /// Records an attempt; returns its number among the attempts of the request.
@@ -178,18 +190,18 @@
         if self.is_after_drain(attempt) {
             self.violations.drain += 1;
         }
-        let Some(taken) = self.accepted.get_mut(&attempt.request) else { return 0 };
-        if !taken.allows_attempt(attempt) {
-            self.violations.dup += 1;
-        } else if taken.answer_count > 0 {
-            self.violations.lost += 1;
+        let Some(accepted) = self.open_requests.get_mut(&attempt.request) else { return 0 };
+        if !accepted.allows_attempt(attempt) {
+            self.violations.repeated += 1;
+        } else if accepted.answer_count > 0 {
+            self.violations.unanswered += 1;
         }
-        taken.attempts.push(SentAttempt {
+        accepted.attempts.push(SentAttempt {
             sent_at: attempt.sent_at,
             location: attempt.location,
             never_ran: false,
         });
-        taken.attempts.len() - 1
+        accepted.attempts.len() - 1
     }
 
     fn is_after_drain(&self, attempt: ObservedAttempt) -> bool {
@@ -198,45 +210,47 @@
         notified_at.is_some_and(|notified_at| attempt.sent_at > notified_at + self.limits.drain_grace)
     }
 
-    /// A dispatcher was shown that a send never ran.
-    pub fn record_never_ran(&mut self, request: u64, send: usize) {
-        if let Some(sent) = self.accepted.get_mut(&request).and_then(|taken| taken.attempts.get_mut(send)) {
+    /// Records that a dispatcher was notified that an attempt never ran.
+    pub fn record_never_ran(&mut self, request: u64, attempt: usize) {
+        if let Some(sent) =
+            self.open_requests.get_mut(&request).and_then(|accepted| accepted.attempts.get_mut(attempt))
+        {
             sent.never_ran = true;
         }
     }
 
-    /// A client got a final answer.
-    pub fn record_answer(&mut self, request: u64, refused: bool, now: Micros) {
-        let Some(taken) = self.accepted.get_mut(&request) else { return };
-        taken.answer_count += 1;
-        let late = now > taken.deadline + self.limits.answer_slack;
-        if (taken.answer_count > 1 || late) && !taken.answer_waived {
-            self.violations.lost += 1;
+    /// Records a final answer that a client received.
+    pub fn record_answer(&mut self, request: u64, rejected: bool, now: Micros) {
+        let Some(accepted) = self.open_requests.get_mut(&request) else { return };
+        accepted.answer_count += 1;
+        let late = now > accepted.deadline + self.limits.answer_slack;
+        if (accepted.answer_count > 1 || late) && !accepted.answer_waived {
+            self.violations.unanswered += 1;
         }
-        if refused && taken.may_have_run() && !taken.may_fail_after_execution() {
-            self.violations.dup += 1;
+        if rejected && accepted.may_have_run() && !accepted.may_fail_after_execution() {
+            self.violations.repeated += 1;
         }
     }
 
-    /// No answer is owed to a request any more: its client left, or its dispatcher was killed.
+    /// Waives the answer to a request whose client disconnected or whose dispatcher was killed.
     pub fn waive_answer(&mut self, request: u64) {
-        if let Some(taken) = self.accepted.get_mut(&request) {
-            taken.answer_waived = true;
+        if let Some(accepted) = self.open_requests.get_mut(&request) {
+            accepted.answer_waived = true;
         }
     }
 
-    /// A request is over; its records are of no more use. One without an answer is lost.
+    /// Closes a request and removes its records; one without an answer is a violation.
     pub fn close_request(&mut self, request: u64) {
-        if let Some(taken) = self.accepted.remove(&request) {
-            if taken.answer_count == 0 && !taken.answer_waived {
-                self.violations.lost += 1;
+        if let Some(accepted) = self.open_requests.remove(&request) {
+            if accepted.answer_count == 0 && !accepted.answer_waived {
+                self.violations.unanswered += 1;
             }
         }
     }
 
-    /// A cold worker fell over; dispatchers that knew of its start had sent two thirds of what it got.
-    pub fn record_cold_overload(&mut self, by_informed: bool) {
-        self.violations.failback += u64::from(by_informed);
+    /// Records the overload of a worker during slow start; a violation if informed senders caused it.
+    pub fn record_slow_start_overload(&mut self, by_informed_senders: bool) {
+        self.violations.slow_start_overload += u64::from(by_informed_senders);
     }
 
     /// Returns the violations so far.
@@ -244,9 +258,9 @@
         self.violations
     }
 
-    /// What was found; requests that are still open count as lost.
+    /// Closes the open requests, and returns the violations.
     pub fn finish(mut self) -> RuleViolations {
-        let mut open: Vec<u64> = self.accepted.keys().copied().collect();
+        let mut open: Vec<u64> = self.open_requests.keys().copied().collect();
         open.sort_unstable();
         for request in open {
             self.close_request(request);
--- a/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
@@ -290,7 +290,7 @@
             None => checker.waive_answer(event.job),
         }
     }
-    let repeated = checker.finish().dup;
+    let repeated = checker.finish().repeated;
     if repeated > 0 {
         let description = format!("{repeated} repeated sends, or rejections after a send");
         violations.add(HealthCheckRule::NoRepeatedExecution, description);
--- a/crates/emulator/src/report/table.rs
+++ b/crates/emulator/src/report/table.rs
@@ -64,9 +64,9 @@
         case.sends.mean,
         case.large_starved,
         case.rules.drain,
-        case.rules.dup,
-        case.rules.lost,
-        case.rules.failback,
+        case.rules.repeated,
+        case.rules.unanswered,
+        case.rules.slow_start_overload,
     );
 }
 
--- a/crates/emulator/src/sockets/worker.rs
+++ b/crates/emulator/src/sockets/worker.rs
@@ -206,7 +206,7 @@
     let mut fallen = None;
     shared.with_worker(w, |worker, now, events| fallen = worker.offer(task, now, fall, events));
     if let Some(fallen) = fallen {
-        shared.checker.record_cold_overload(fallen.by_informed_senders);
+        shared.checker.record_slow_start_overload(fallen.by_informed_senders);
         shared.kill_worker(w);
         let silent = shared.day.discovery.death_notice;
         drop(guard);
--- a/crates/emulator/src/virtual_time/simulation/workers.rs
+++ b/crates/emulator/src/virtual_time/simulation/workers.rs
@@ -96,7 +96,7 @@
         let mut events = std::mem::take(&mut self.job_events);
         let fallen = self.workers[w as usize].offer(task, self.now, fall, &mut events);
         if let Some(fallen) = fallen {
-            self.checker.record_cold_overload(fallen.by_informed_senders);
+            self.checker.record_slow_start_overload(fallen.by_informed_senders);
             self.processes[w as usize] += 1;
             self.publish(self.list_entry_as(w, WorkerState::Removed), self.day.discovery.death_notice);
         }
--- a/crates/emulator/tests/rule_checker.rs
+++ b/crates/emulator/tests/rule_checker.rs
@@ -18,7 +18,7 @@
 
 /// Each rule is shown to fail on a dispatcher that breaks it, and to pass just before.
 #[test]
-fn a_send_after_the_grace_is_found() {
+fn an_attempt_after_the_grace_is_detected() {
     let mut checker = checker();
     checker.record_drain_notice(0, 7, 100);
     checker.record_attempt(attempt(0, 1, 7, 0, 600));
@@ -26,7 +26,7 @@
     assert_eq!(checker.violations(), RuleViolations::default());
     checker.record_accepted(2, Idempotency::Idempotent, 0, 5000);
     checker.record_attempt(attempt(0, 2, 7, 0, 601));
-    // Another life was not told.
+    // Another incarnation was not notified.
     checker.record_attempt(attempt(1, 2, 7, 0, 9000));
     checker.record_answer(2, false, 700);
     assert_eq!(checker.finish(), RuleViolations { drain: 1, ..RuleViolations::default() });
@@ -34,43 +34,43 @@
 
 #[test]
 fn a_keyed_request_must_stay_on_its_rack_and_within_its_window() {
-    for (rack, at, dup) in [(3, 900, 0), (4, 900, 1), (3, 1101, 1)] {
+    for (rack, at, repeated) in [(3, 900, 0), (4, 900, 1), (3, 1101, 1)] {
         let mut checker = checker();
         checker.record_attempt(attempt(0, 1, 7, 3, 100));
         checker.record_attempt(attempt(0, 1, 8, rack, at));
         checker.record_answer(1, false, 2000);
-        assert_eq!(checker.finish().dup, dup, "rack {rack} at {at}");
+        assert_eq!(checker.finish().repeated, repeated, "rack {rack} at {at}");
     }
 }
 
 #[test]
-fn what_never_ran_may_go_anywhere_and_be_refused() {
-    for (shown, dup) in [(true, 0), (false, 2)] {
+fn an_attempt_that_never_ran_allows_any_retry_and_rejection() {
+    for (notified, repeated) in [(true, 0), (false, 2)] {
         let mut checker = checker();
-        let send = checker.record_attempt(attempt(0, 1, 7, 3, 100));
-        if shown {
-            checker.record_never_ran(1, send);
+        let number = checker.record_attempt(attempt(0, 1, 7, 3, 100));
+        if notified {
+            checker.record_never_ran(1, number);
         }
-        let send = checker.record_attempt(attempt(0, 1, 8, 4, 200));
-        if shown {
-            checker.record_never_ran(1, send);
+        let number = checker.record_attempt(attempt(0, 1, 8, 4, 200));
+        if notified {
+            checker.record_never_ran(1, number);
         }
         checker.record_answer(1, true, 300);
-        assert_eq!(checker.finish().dup, dup);
+        assert_eq!(checker.finish().repeated, repeated);
     }
 }
 
 #[test]
-fn no_answer_a_late_one_and_two_are_lost() {
-    assert_eq!(checker().finish().lost, 1);
-    for (answers, lost) in [(vec![5050], 0), (vec![5051], 1), (vec![100, 101], 1)] {
+fn no_answer_a_late_one_and_two_are_violations() {
+    assert_eq!(checker().finish().unanswered, 1);
+    for (answers, unanswered) in [(vec![5050], 0), (vec![5051], 1), (vec![100, 101], 1)] {
         let mut checker = checker();
         for at in &answers {
             checker.record_answer(1, false, *at);
         }
-        assert_eq!(checker.finish().lost, lost, "{answers:?}");
+        assert_eq!(checker.finish().unanswered, unanswered, "{answers:?}");
     }
-    let mut gone = checker();
-    gone.waive_answer(1);
-    assert_eq!(gone.finish().lost, 0);
+    let mut waived = checker();
+    waived.waive_answer(1);
+    assert_eq!(waived.finish().unanswered, 0);
 }
--- a/crates/emulator/tests/sockets.rs
+++ b/crates/emulator/tests/sockets.rs
@@ -68,7 +68,7 @@
 #[test]
 fn a_careless_program_is_caught() {
     let figures = play("examples/careless_dispatcher");
-    assert!(figures.rules.lost >= figures.jobs / 2, "made up or unanswered: {figures:?}");
+    assert!(figures.rules.unanswered >= figures.jobs / 2, "made up or unanswered: {figures:?}");
     assert_eq!(figures.all.earned, 0.0, "what no worker made earns nothing");
 }
 
--- a/crates/emulator/tests/virtual_time.rs
+++ b/crates/emulator/tests/virtual_time.rs
@@ -112,7 +112,7 @@
             actions.push(Action::Send { request, worker, timeout: None });
         }
     });
-    assert!(found.dup > 0, "{found:?}");
+    assert!(found.repeated > 0, "{found:?}");
 }
 
 /// It refuses what has begun to run.
@@ -123,7 +123,7 @@
             actions.push(Action::Reject { request, retry_after: None });
         }
     });
-    assert!(found.dup > 0, "{found:?}");
+    assert!(found.repeated > 0, "{found:?}");
 }
 
 /// It sends everything to one worker that just started.
@@ -137,5 +137,5 @@
             }
         }
     });
-    assert!(found.failback > 0, "{found:?}");
+    assert!(found.slow_start_overload > 0, "{found:?}");
 }
