--- a/crates/coordination/tests/format.rs
+++ b/crates/coordination/tests/format.rs
@@ -1,4 +1,4 @@
-//! What other processes and older stores depend on: bytes of log entries, snapshots and messages, JSON, texts.
+//! Formats that other processes and older stores depend on: bytes of log entries, snapshots and messages, JSON, texts.
 //!
 //! The snapshots of this file change only with the version of a format.
 
@@ -39,7 +39,9 @@
     eligible_leases: Vec<LeaseId>,
     short_lived: bool,
 ) -> Command {
-    let (name, zone, address) = (name.to_owned(), zone.to_owned(), format!("10.0.0.{boot_id}:7000"));
+    let name = name.to_owned();
+    let zone = zone.to_owned();
+    let address = format!("10.0.0.{boot_id}:7000");
     Command::OpenSession { name, boot_id, zone, address, eligible_leases, short_lived }
 }
 
@@ -211,8 +213,10 @@
 /// Sessions that are stable, superseded and ended; leases of all scopes, held, free and released.
 fn version_1_log() -> Log {
     let mut log = Log { state: StateMachine::new(70), index: 0 };
-    let (list, account) = (LeaseId::fleet("list"), LeaseId::fleet("account"));
-    let (slow_start, watch) = (LeaseId::zone("cold", "north"), LeaseId::worker_set("watch", 300));
+    let list = LeaseId::fleet("list");
+    let account = LeaseId::fleet("account");
+    let slow_start = LeaseId::zone("cold", "north");
+    let watch = LeaseId::worker_set("watch", 300);
     let all = vec![list.clone(), account.clone(), slow_start, watch.clone()];
     let first = log.open_session(&open_session_command("a", 1, "north", all.clone(), false));
     let second = log.open_session(&open_session_command("b", 2, "south", all.clone(), false));
@@ -234,11 +238,8 @@
         log.apply(&Command::ExpireSession { session: third, short_lived: true }),
         CommandOutcome::SessionEnded(third)
     );
-    for (keeper, boots) in [(1, 2), (2, 1), (3, 300)] {
-        assert_eq!(
-            log.apply(&Command::RecordReplicaStart { replica: keeper, starts: boots }),
-            CommandOutcome::Acknowledged
-        );
+    for (replica, starts) in [(1, 2), (2, 1), (3, 300)] {
+        assert_eq!(log.apply(&Command::RecordReplicaStart { replica, starts }), CommandOutcome::Acknowledged);
     }
     log
 }
@@ -313,7 +314,8 @@
         );
     }
     for name in ["a", "b", "c"] {
-        let (short, incarnation) = (state.consecutive_short_sessions(name), state.incarnation_of(name));
+        let short = state.consecutive_short_sessions(name);
+        let incarnation = state.incarnation_of(name);
         let _ = writeln!(text, "name {name}: short sessions {short} incarnation {incarnation}");
     }
     for (id, lease) in state.leases() {
@@ -351,7 +353,7 @@
     }
 }
 
-/// Values without an accessor are kept too: processes of a name, and numbers of replicas that were used.
+/// Values without an accessor are restored too: processes of a name, and numbers of replicas that were used.
 #[test]
 fn a_restored_snapshot_decides_as_the_state_that_it_was_taken_of() {
     let log = version_3_log();
@@ -412,7 +414,7 @@
     ]
 }
 
-/// What `status --json` of the command line and files of the emulator carry.
+/// Values in the output of `status --json` and in files of the emulator.
 #[test]
 fn json_keeps_its_keys() {
     fn json<T: Serialize>(value: &T) -> String {
