--- a/crates/emulator/src/cluster/cluster_harness/observation.rs
+++ b/crates/emulator/src/cluster/cluster_harness/observation.rs
@@ -152,9 +152,9 @@
     /// Returns [`ClusterError::Timeout`] after [`MAX_WAIT`].
     pub async fn wait_for_watches(&self, expected: u64) -> Result<Duration, ClusterError> {
         let start = Instant::now();
-        while self.discovery.connection_counts().1 != expected {
+        while self.discovery.open_watches() != expected {
             if start.elapsed() > MAX_WAIT {
-                let watches = self.discovery.connection_counts().1;
+                let watches = self.discovery.open_watches();
                 return Err(self.timeout(format!("{watches} watches, not {expected}")));
             }
             sleep(Duration::from_millis(10)).await;
--- a/crates/emulator/src/cluster/dispatch_latency.rs
+++ b/crates/emulator/src/cluster/dispatch_latency.rs
@@ -203,7 +203,7 @@
         max_ms: tally.times.max() as f64 / 1e3,
         worst_gap_ms: tally.longest_gap.as_secs_f64() * 1e3,
         killed,
-        watches: cluster.discovery.connection_counts().1,
+        watches: cluster.discovery.open_watches(),
     })
 }
 
--- a/crates/emulator/src/cluster/emulated_discovery.rs
+++ b/crates/emulator/src/cluster/emulated_discovery.rs
@@ -1,4 +1,4 @@
-//! A emulated for a discovery service that all dispatchers of a fleet ask. It counts who asks.
+//! An emulated discovery service for the dispatchers of a cluster, which counts their requests and watches.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,10 +16,10 @@
 
 use crate::sockets::http::{self, chunk, CHUNKED};
 
-/// An empty line comes this often while nothing changes.
+/// Interval of empty lines on a watch while nothing changes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The service. Clones are the same one.
+/// The service; clones share its state.
 #[derive(Debug, Clone)]
 pub struct EmulatedDiscovery {
     shared: Rc<RefCell<Shared>>,
@@ -31,7 +31,7 @@
     revision: u64,
     /// By worker: the revision of its last change, and its entry.
     workers: BTreeMap<String, (u64, Value)>,
-    /// When those started that did not start long ago, in Unix milliseconds.
+    /// Start times of workers in slow start, in Unix milliseconds.
     started_at: BTreeMap<usize, u64>,
     connections: u64,
     watches: u64,
@@ -49,35 +49,35 @@
 }
 
 impl EmulatedDiscovery {
-    /// A list of so many workers in service, none of which is there.
+    /// Returns a service that lists so many workers in service, none of which is reachable.
     pub fn new(workers: usize) -> EmulatedDiscovery {
         let discovery = EmulatedDiscovery { shared: Rc::default(), changed: watch::Sender::new(0) };
         (0..workers).for_each(|worker| discovery.set_unreachable(worker, "in_service"));
         discovery
     }
 
-    /// Adds a worker that is there, or moves one.
+    /// Adds a reachable worker, or changes its address.
     pub fn add(&self, worker: usize, address: SocketAddr) {
         self.add_in("north", worker, address);
     }
 
-    /// Adds a worker that is there in this zone.
+    /// Adds a reachable worker in this zone.
     pub fn add_in(&self, zone: &str, worker: usize, address: SocketAddr) {
         self.put(zone, worker, "in_service", &address.to_string());
     }
 
-    /// Adds a worker that has just started.
+    /// Adds a worker in this zone that starts now.
     pub fn add_cold(&self, zone: &str, worker: usize, address: SocketAddr) {
         self.record_start(worker);
         self.put(zone, worker, "in_service", &address.to_string());
     }
 
-    /// Changes the phase of a worker that is not there.
+    /// Changes the phase of a worker that is not reachable.
     pub fn set_unreachable(&self, worker: usize, phase: &str) {
         self.put("north", worker, phase, &format!("127.0.0.1:{}", 9 + worker));
     }
 
-    /// Lets a worker that was added drain, end, or come back as one that has just started, by its phase.
+    /// Changes the phase of a reachable worker: it drains, ends, or comes back with a new start.
     pub fn set_phase(&self, worker: usize, phase: &str) {
         let entry = self.shared.borrow().workers.get(&format!("w-{worker:04}")).cloned();
         let Some((_, entry)) = entry else { return };
@@ -107,38 +107,47 @@
         self.changed.send_replace(revision);
     }
 
-    /// Connections that were opened so far, and watches that are open now.
-    pub fn connection_counts(&self) -> (u64, u64) {
-        let shared = self.shared.borrow();
-        (shared.connections, shared.watches)
+    /// Returns the number of connections so far.
+    pub fn connections(&self) -> u64 {
+        self.shared.borrow().connections
     }
 
-    /// Requests so far, and messages sent in answer to them.
-    pub fn message_counts(&self) -> (u64, u64) {
-        let shared = self.shared.borrow();
-        (shared.requests, shared.messages)
+    /// Returns the number of open watches.
+    pub fn open_watches(&self) -> u64 {
+        self.shared.borrow().watches
+    }
+
+    /// Returns the number of requests so far.
+    pub fn requests(&self) -> u64 {
+        self.shared.borrow().requests
+    }
+
+    /// Returns the number of messages sent so far.
+    pub fn messages(&self) -> u64 {
+        self.shared.borrow().messages
     }
 
-    /// From now on it says nothing on open watches and answers no new ones, or speaks again.
+    /// Stops or resumes all sending, on open watches and to new requests.
     pub fn set_silent(&self, silent: bool) {
         self.shared.borrow_mut().silent = silent;
     }
 
     fn list(&self, after: u64) -> Value {
         let shared = self.shared.borrow();
-        let gone = |entry: &Value| after == 0 && entry["phase"] == "terminated";
-        let members = shared.workers.values().filter(|(revision, entry)| *revision > after && !gone(entry));
+        let is_omitted = |entry: &Value| after == 0 && entry["phase"] == "terminated";
+        let members =
+            shared.workers.values().filter(|(revision, entry)| *revision > after && !is_omitted(entry));
         let members: Vec<&Value> = members.map(|(_, entry)| entry).collect();
         json!({"revision": shared.revision, "complete": after == 0, "members": members})
     }
 
-    /// Serves whoever connects.
+    /// Serves all connections of a listener.
     pub async fn serve(self, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             self.shared.borrow_mut().connections += 1;
             let discovery = self.clone();
             spawn_local(async move {
-                // A connection that breaks is the other side's matter.
+                // Dispatchers close and reset connections; faults cut them.
                 let _ = discovery.connection(stream).await;
             });
         }
@@ -162,8 +171,8 @@
                 let index = head.path.rsplit_once("index=").and_then(|(_, index)| index.parse().ok());
                 return self.watch(stream, index.unwrap_or(0)).await;
             }
-            let whole = self.list(0).to_string();
-            let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{whole}", whole.len());
+            let list = self.list(0).to_string();
+            let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
             self.shared.borrow_mut().messages += 1;
             stream.write_all(answer.as_bytes()).await?;
         }
@@ -189,7 +198,7 @@
                     self.shared.borrow_mut().messages += 1;
                     stream.write_all(&chunk("")).await?;
                 }
-                // Whoever watches says nothing more: this is its end.
+                // A dispatcher sends nothing after its request, so this is the end of the connection.
                 _ = stream.peek(&mut byte) => return Ok(()),
             }
         }
--- a/crates/emulator/src/cluster/scaling_cost.rs
+++ b/crates/emulator/src/cluster/scaling_cost.rs
@@ -187,12 +187,11 @@
     fn take(cluster: &ClusterHarness, worker: &ProbedWorker) -> Sample {
         let ProcessIds { coordinators, dispatchers } = cluster.process_ids();
         let cpu = |ids: &[u32]| -> Vec<f64> { ids.iter().map(|id| cpu_seconds(*id)).collect() };
-        let (discovery_calls, discovery_messages) = cluster.discovery.message_counts();
         Sample {
             coordinator_cpu: cpu(&coordinators),
             dispatcher_cpu: cpu(&dispatchers),
-            discovery_calls,
-            discovery_messages,
+            discovery_calls: cluster.discovery.requests(),
+            discovery_messages: cluster.discovery.messages(),
             probes: worker.probes.get(),
             bytes: cluster.network.as_ref().map_or(0, |network| network.borrow().bytes),
         }
@@ -218,7 +217,7 @@
     Side {
         calls_to_begin: before.discovery_calls,
         calls_per_s: rate(after.discovery_calls, before.discovery_calls),
-        watches: cluster.discovery.connection_counts().1,
+        watches: cluster.discovery.open_watches(),
         told_per_s: rate(after.discovery_messages, before.discovery_messages),
         probes_per_s: rate(after.probes, before.probes),
         bytes_per_s: rate(after.bytes, before.bytes),
--- a/crates/emulator/src/cluster/schedule.rs
+++ b/crates/emulator/src/cluster/schedule.rs
@@ -1,4 +1,4 @@
-//! What an experiment of the mode `fleet` says, and the schedules of faults that a seed draws from it.
+//! Experiments with processes (`drive = "fleet"`), and the schedules of faults that a seed draws from them.
 
 use coordination::Timing;
 use hcl_config::{HclError as HclFault, Section};
@@ -9,69 +9,69 @@
 /// An experiment with processes.
 #[derive(Debug, Clone)]
 pub struct ClusterExperiment {
-    /// Its name.
+    /// Name of the experiment.
     pub name: String,
-    /// What it is about.
+    /// Description.
     pub about: String,
-    /// How long a schedule lasts, in seconds, before everything is healed.
+    /// Length of a schedule until all faults end, in seconds.
     pub length: f64,
-    /// How long the fleet then has to be well again, in seconds.
+    /// Time that the cluster then has to recover, in seconds.
     pub recovery_time: f64,
-    /// Seconds between two faults, on the mean.
+    /// Mean time between two faults, in seconds.
     pub fault_interval: f64,
     /// The arms.
     pub arms: Vec<Arm>,
-    /// The times of the agreement.
+    /// Durations of sessions, leases and elections.
     pub times: Timing,
 }
 
-/// One arm.
+/// One arm of an experiment.
 #[derive(Debug, Clone)]
 pub struct Arm {
-    /// Its name.
+    /// Name of the arm.
     pub name: String,
-    /// Three or five.
+    /// Coordinators, three or five.
     pub coordinators: usize,
-    /// How many.
+    /// Lightweight members.
     pub members: usize,
-    /// The kinds of fault that it draws from.
+    /// Kinds of fault to draw from.
     pub fault_kinds: Vec<FaultKind>,
 }
 
 /// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultKind {
-    /// An holder is killed, and started again later.
+    /// SIGKILL to the lease holder, started again later.
     KillHolder,
-    /// An holder is stopped for so long, then continued.
+    /// SIGSTOP to the lease holder, SIGCONT later.
     PauseHolder,
-    /// What coordinators answer an holder is late by 300 ms, and while it waits the holder is stopped, then continued.
+    /// Responses of the coordinators to the lease holder are delayed by 300 ms, and it is paused while it waits for one.
     PauseHolderDuringRenewal,
-    /// An holder ends in good order, and is started again.
+    /// SIGTERM to the lease holder, started again later.
     TerminateHolder,
-    /// An holder reaches no coordinator, but members.
+    /// The lease holder and the coordinators do not reach each other; members reach both.
     PartitionHolderFromCoordinators,
-    /// An holder reaches no member, but coordinators.
+    /// The lease holder and the other members do not reach each other; coordinators reach both.
     PartitionHolderFromMembers,
-    /// An holder reaches coordinators, but hears nothing of them.
+    /// The lease holder reaches the coordinators and receives nothing from them.
     HolderHearsNoCoordinator,
-    /// Some member is killed and started again.
+    /// SIGKILL to a member, started again later.
     KillMember,
-    /// Some member is stopped, then continued.
+    /// SIGSTOP to a member, SIGCONT later.
     PauseMember,
-    /// Half of the members are started anew within 2 s.
+    /// Half of the members are restarted within 2 s.
     RestartHalfOfMembers,
-    /// A second process of a member's name is started, for a while.
+    /// A second process with a member's name runs for a while.
     DuplicateMember,
-    /// The leading coordinator is killed and started again.
+    /// SIGKILL to the leading coordinator, started again later.
     KillLeader,
-    /// The leading coordinator is stopped, then continued.
+    /// SIGSTOP to the leading coordinator, SIGCONT later.
     PauseLeader,
-    /// Some coordinator is cut off from the others.
+    /// A coordinator and the others do not reach each other.
     PartitionCoordinator,
-    /// A coordinator is not heard by the others, but hears them.
+    /// A coordinator receives messages of the others, and they receive none of its messages.
     CoordinatorNotHeard,
-    /// All coordinators are killed at once and come back.
+    /// SIGKILL to all coordinators at once, started again later.
     KillAllCoordinators,
     /// Every link is late by 200 ms each way and one connection in twenty is reset.
     SlowNetwork,
@@ -131,11 +131,11 @@
 /// A fault of a schedule.
 #[derive(Debug, Clone, Copy)]
 pub struct ScheduledFault {
-    /// When it begins, in seconds.
+    /// Time of its begin, in seconds.
     pub at: f64,
-    /// What it is.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// How long it lasts, in seconds.
+    /// Duration, in seconds.
     pub duration: f64,
     /// Which process, where the kind leaves a choice.
     pub target_choice: usize,
--- a/crates/emulator/src/cluster/shared_health_checks/faults.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/faults.rs
@@ -209,7 +209,7 @@
         sleep(WORKER_RESTART).await;
         {
             let mut observations = self.observations.borrow_mut();
-            let cold = WorkerModel::new((SLOTS, RUN_TIME), true, self.plan.seed ^ clock::now());
+            let cold = WorkerModel::new(SLOTS, RUN_TIME, true, self.plan.seed ^ clock::now());
             let old = std::mem::replace(&mut observations.workers[worker], cold);
             observations.replaced_workers.push(old);
         }
--- a/crates/emulator/src/cluster/shared_health_checks/mod.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/mod.rs
@@ -321,7 +321,7 @@
 
 impl Observations {
     fn new(plan: &Plan) -> Observations {
-        let worker = |number: usize| WorkerModel::new((SLOTS, RUN_TIME), false, plan.seed ^ number as u64);
+        let worker = |number: usize| WorkerModel::new(SLOTS, RUN_TIME, false, plan.seed ^ number as u64);
         Observations {
             probes: vec![Vec::new(); plan.workers],
             jobs: vec![Vec::new(); plan.workers],
--- a/crates/emulator/src/cluster/shared_health_checks/tests.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/tests.rs
@@ -48,7 +48,7 @@
 #[test]
 fn a_cold_worker_that_falls_is_found_and_a_warm_one_is_not_counted() {
     for (since, sends, broken) in [(true, 60, true), (true, 20, false), (false, 60, false)] {
-        let worker = WorkerModel::new((SLOTS, RUN_TIME), since, 1);
+        let worker = WorkerModel::new(SLOTS, RUN_TIME, since, 1);
         let now = Instant::now();
         (0..sends).for_each(|_| {
             worker.accept_job(now);
--- a/crates/emulator/src/cluster/slow_start.rs
+++ b/crates/emulator/src/cluster/slow_start.rs
@@ -177,7 +177,7 @@
     for number in 0..workers {
         let bound = bind_listener("a worker").await?;
         discovery.add(number, bound.address);
-        let model = WorkerModel::new((SLOTS, RUN_TIME), false, plan.seed ^ number as u64);
+        let model = WorkerModel::new(SLOTS, RUN_TIME, false, plan.seed ^ number as u64);
         spawn_local(serve_worker(Rc::new(Worker(model)), bound.listener));
     }
     let quota_settings = format!("cold {{\nslots = {SLOTS}\n}}\n");
@@ -220,7 +220,7 @@
     let mut replacements = Vec::new();
     for number in 0..plan.workers.replaced {
         let name = FIRST_REPLACEMENT + number;
-        let model = WorkerModel::new((SLOTS, RUN_TIME), true, plan.seed ^ name as u64);
+        let model = WorkerModel::new(SLOTS, RUN_TIME, true, plan.seed ^ name as u64);
         let bound = bind_listener("a worker").await?;
         discovery.add_cold("north", name, bound.address);
         spawn_local(serve_worker(Rc::new(Worker(model.clone())), bound.listener));
--- a/crates/emulator/src/cluster/worker_model.rs
+++ b/crates/emulator/src/cluster/worker_model.rs
@@ -1,4 +1,4 @@
-//! What a emulated worker bears: slots, a pace that grows while it is cold, and a fall where it is sent too much.
+//! Capacity of an emulated worker: slots, a slow start, and an overload by too much work in one window.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,26 +10,29 @@
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::time::Instant;
 
-/// The part of its capacity with which a worker starts.
+/// Part of its capacity with which a worker starts.
 pub const INITIAL_CAPACITY: f64 = 0.14;
-/// How long a worker takes to reach its full capacity.
+/// Time until a worker reaches its full capacity.
 pub const WARM_UP: Duration = Duration::from_secs(24);
-/// A worker is overloaded by more than this multiple of what it can do in one window.
+/// Work in one window that overloads a worker, as a multiple of its capacity.
 pub const OVERLOAD_MULTIPLE: f64 = 3.0;
-/// The window over which work is summed up.
+/// Window over which work is added up.
 pub const OVERLOAD_WINDOW: Duration = Duration::from_millis(1_500);
-/// How long a worker that was pushed over takes nothing.
+/// Time for which an overloaded worker accepts no jobs.
 const DOWN_TIME: Duration = Duration::from_secs(5);
 
-/// A worker with slots, which is slow while it is cold and falls when it is sent more than it bears.
+/// Standard deviation of the logarithm of running times.
+const RUN_TIME_DEVIATION: f64 = 0.3;
+
+/// A worker with slots. In slow start it runs jobs more slowly, and is overloaded by more work than it tolerates.
 #[derive(Debug)]
 pub struct WorkerModel {
     slots: Semaphore,
     slot_count: usize,
     run_time: Duration,
-    /// When it started, if not long ago.
+    /// Start time of a worker in slow start.
     started_at: Option<Instant>,
-    /// When work was sent to it.
+    /// Times at which jobs arrived.
     arrivals: RefCell<Vec<Instant>>,
     down_until: Cell<Option<Instant>>,
     overloads: Cell<u64>,
@@ -37,13 +40,13 @@
 }
 
 impl WorkerModel {
-    /// One with so many slots, in which a job runs so long where it is warm.
-    pub fn new((count, run): (usize, Duration), cold: bool, seed: u64) -> Rc<WorkerModel> {
+    /// Returns a worker with so many slots, on which a job runs this long at full capacity.
+    pub fn new(slot_count: usize, run_time: Duration, is_starting: bool, seed: u64) -> Rc<WorkerModel> {
         Rc::new(WorkerModel {
-            slots: Semaphore::new(count),
-            slot_count: count,
-            run_time: run,
-            started_at: cold.then(Instant::now),
+            slots: Semaphore::new(slot_count),
+            slot_count,
+            run_time,
+            started_at: is_starting.then(Instant::now),
             arrivals: RefCell::default(),
             down_until: Cell::default(),
             overloads: Cell::default(),
@@ -51,13 +54,13 @@
         })
     }
 
-    /// Which part of its pace it has.
+    /// Returns the part of its full capacity that it has.
     pub fn slow_start_factor(&self, at: Instant) -> f64 {
         let age = |since: Instant| at.duration_since(since).as_secs_f64() / WARM_UP.as_secs_f64();
         self.started_at.map_or(1.0, |since| INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age(since).min(1.0))
     }
 
-    /// Jobs that it bears in a span that ends then.
+    /// Returns the number of jobs that it tolerates in a window that ends at this time.
     pub fn capacity_in_window(&self, at: Instant) -> f64 {
         OVERLOAD_MULTIPLE
             * self.slow_start_factor(at)
@@ -66,22 +69,23 @@
             / self.run_time.as_secs_f64()
     }
 
-    /// Jobs sent in the span that ends with the last of these.
-    pub fn arrivals_in_window(sent: &[Instant]) -> f64 {
-        let Some(last) = sent.last() else { return 0.0 };
-        sent.iter().rev().take_while(|at| *last - **at < OVERLOAD_WINDOW).count() as f64
+    /// Returns the number of jobs in the window that ends with the last of these arrivals.
+    pub fn arrivals_in_window(arrivals: &[Instant]) -> f64 {
+        let Some(last) = arrivals.last() else { return 0.0 };
+        arrivals.iter().rev().take_while(|arrival| *last - **arrival < OVERLOAD_WINDOW).count() as f64
     }
 
-    /// A job came; false where it pushed the worker over, or finds it down.
+    /// Records the arrival of a job; returns false if it overloads the worker, or finds it overloaded.
     pub fn accept_job(&self, now: Instant) -> bool {
         self.arrivals.borrow_mut().push(now);
         if self.down_until.get().is_some_and(|until| now < until) {
             return false;
         }
-        let bears = self.capacity_in_window(now);
-        if self.started_at.is_some()
-            && WorkerModel::arrivals_in_window(&self.arrivals.borrow()) > bears + 3.0 * bears.sqrt() + 3.0
-        {
+        let tolerated = self.capacity_in_window(now);
+        // The rules allow for the chance by which independent arrivals exceed their mean.
+        let limit = tolerated + 3.0 * tolerated.sqrt() + 3.0;
+        let arrived = WorkerModel::arrivals_in_window(&self.arrivals.borrow());
+        if self.started_at.is_some() && arrived > limit {
             self.down_until.set(Some(now + DOWN_TIME));
             self.overloads.set(self.overloads.get() + 1);
             return false;
@@ -89,28 +93,29 @@
         true
     }
 
-    /// A slot, when one is free.
+    /// Waits for a free slot.
     pub async fn slot(&self) -> Option<SemaphorePermit<'_>> {
         self.slots.acquire().await.ok()
     }
 
-    /// How long a job runs that begins then.
+    /// Draws the running time of a job that begins at this time.
     pub fn sample_run_time(&self, at: Instant) -> Duration {
-        let varies = LogNormal::new(0.0, 0.3).map_or(1.0, |d| d.sample(&mut *self.random.borrow_mut()));
-        self.run_time.mul_f64(varies / self.slow_start_factor(at))
+        let distribution = LogNormal::new(0.0, RUN_TIME_DEVIATION);
+        let factor = distribution.map_or(1.0, |factors| factors.sample(&mut *self.random.borrow_mut()));
+        self.run_time.mul_f64(factor / self.slow_start_factor(at))
     }
 
-    /// When it started, if not long ago.
+    /// Returns the start time of a worker in slow start.
     pub fn started_at(&self) -> Option<Instant> {
         self.started_at
     }
 
-    /// When jobs were sent to it.
+    /// Returns the times at which jobs arrived.
     pub fn arrivals(&self) -> Vec<Instant> {
         self.arrivals.borrow().clone()
     }
 
-    /// How often it was pushed over.
+    /// Returns the number of overloads.
     pub fn overloads(&self) -> u64 {
         self.overloads.get()
     }
--- a/crates/emulator/tests/discovery_leader.rs
+++ b/crates/emulator/tests/discovery_leader.rs
@@ -82,10 +82,10 @@
 fn a_silent_discovery_is_noticed_by_those_who_rely_on_the_owner() {
     play(async {
         let (_dir, fleet) = start(true).await;
-        let before = fleet.discovery.connection_counts().0;
+        let before = fleet.discovery.connections();
         fleet.discovery.set_silent(true);
         let start = Instant::now();
-        while fleet.discovery.connection_counts().0 < before + DISPATCHERS as u64 {
+        while fleet.discovery.connections() < before + DISPATCHERS as u64 {
             assert!(start.elapsed() < Duration::from_secs(10), "not everybody asks\n{}", fleet.logs());
             sleep(Duration::from_millis(10)).await;
         }
@@ -117,7 +117,7 @@
         sleep(Duration::from_millis(500)).await;
         assert_eq!(fleet.known_workers(moved).await, Some(5));
         assert_eq!(fleet.known_workers(owner).await, Some(WORKERS - 1));
-        assert_eq!(other.connection_counts().1, 1);
+        assert_eq!(other.open_watches(), 1);
     });
 }
 
@@ -191,7 +191,7 @@
     play(async {
         let (_dir, fleet) = start(false).await;
         sleep(Duration::from_secs(4)).await;
-        assert_eq!(fleet.discovery.connection_counts().1, DISPATCHERS as u64);
+        assert_eq!(fleet.discovery.open_watches(), DISPATCHERS as u64);
     });
 }
 
