--- a/crates/dispatcher/src/net/console.rs
+++ b/crates/dispatcher/src/net/console.rs
@@ -1,9 +1,8 @@
-//! The operators' console: its own listener, HTTP/1.1 with one call a connection.
+//! The operators' console: HTTP/1.1 on a listener of its own, with one call for each connection.
 //!
-//! It never waits on the data path: what it shows is read from counters and from the watches that the other
-//! parts keep, and what it changes (standby, active) goes out on a watch of its own that the clients' part and
-//! the health check follow. Its connections are bounded, and each has a deadline for its call, so that callers
-//! that connect and say nothing can hold neither it nor the clients' descriptors.
+//! A call never waits for a job: it reads counters and watch channels, and changes the mode on a watch channel that the
+//! clients' connections follow. The number of connections and the time for a call are limited, so that idle callers use
+//! up neither the console nor the descriptors for clients.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,23 +22,23 @@
 use super::planned_drain::{LocalStatus, PlannedDrain};
 use super::read_more;
 
-/// A call must have come whole within this from connecting on; a caller waits 1 s for its answer.
+/// Longest time from the connection to the last byte of a call, and for its answer; callers wait 1 s.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Connections at once; those beyond are answered 503 at once, unread.
+/// Most connections at the same time; further ones are answered with 503 at once.
 const MAX_CALLS: usize = 32;
-/// After an accept that failed.
+/// Pause after an accept that failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What the console reads and changes.
+/// State that the console reads and changes.
 #[expect(missing_debug_implementations, reason = "a function has nothing to show")]
 pub struct Console {
-    /// The figures.
+    /// Metrics of the dispatcher.
     pub metrics: Rc<Metrics>,
-    /// Set by standby and active.
+    /// Mode, set by `/standby` and `/active`.
     pub mode: watch::Sender<Mode>,
-    /// Whether the process is ready: it says yes to the health check.
+    /// Returns whether the process is ready, as its health check answers.
     pub ready: Box<dyn Fn() -> bool>,
-    /// Who decides on a standby, where that is agreed across the fleet.
+    /// Planned drains; `None` unless a standby takes a permit.
     pub planned_drain: Option<Rc<PlannedDrain>>,
 }
 
@@ -75,7 +74,7 @@
                     calls.spawn_local(serve_call(stream, console.clone()));
                 }
                 Ok((stream, _)) => {
-                    // Answered unread, but without waiting: a caller that does not read holds nothing here.
+                    // The call is not read, and the write does not wait for a slow caller.
                     let _ = stream.try_write(&response(503, "text/plain", b"too many calls at once\n"));
                 }
                 Err(error) => {
@@ -87,7 +86,7 @@
     }
 }
 
-/// One call and its answer.
+/// Serves one call.
 async fn serve_call(mut stream: TcpStream, console: Rc<Console>) {
     let _ = stream.set_nodelay(true);
     let head = timeout(CALL_TIMEOUT, async {
@@ -106,7 +105,7 @@
     let answer = match head.await {
         Ok(Some(head)) => match &head.start {
             Start::Request { method, target } => match &console.planned_drain {
-                Some(leave) if is_standby(method, target) => answer_standby(leave, target).await,
+                Some(drain) if is_standby(method, target) => answer_standby(drain, target).await,
                 _ => answer(&console, method, target),
             },
             Start::Response(_) => response(400, "text/plain", b"a call is a request\n"),
@@ -122,10 +121,10 @@
     method == b"POST" && target.split(|b| *b == b'?').next() == Some(b"/standby")
 }
 
-/// The answer to a call for standby where the fleet has a say: granted and done, or why not and when to ask again.
-async fn answer_standby(leave: &PlannedDrain, target: &[u8]) -> Vec<u8> {
+/// Requests a planned drain and returns the response: done, or rejected with a reason and a `Retry-After`.
+async fn answer_standby(drain: &PlannedDrain, target: &[u8]) -> Vec<u8> {
     let force = target.split(|b| matches!(b, b'?' | b'&')).skip(1).any(|pair| pair == b"force=1");
-    match leave.enter_standby("an operator's standby", force).await {
+    match drain.enter_standby("an operator's standby", force).await {
         Ok(()) => response(200, "text/plain", b"standby\n"),
         Err(rejection) => {
             let text = format!("not now: {rejection}\n");
@@ -135,7 +134,7 @@
     }
 }
 
-/// The answer to a call.
+/// Returns the response to a call.
 #[must_use]
 pub fn answer(console: &Console, method: &[u8], target: &[u8]) -> Vec<u8> {
     let path = target.split(|b| *b == b'?').next().unwrap_or_default();
@@ -160,7 +159,9 @@
         (b"POST", b"/active") => {
             if console.mode.send_replace(Mode::Active) == Mode::Standby {
                 tracing::info!("active: work is invited again");
-                console.planned_drain.iter().for_each(|leave| leave.record_return());
+                if let Some(drain) = &console.planned_drain {
+                    drain.record_return();
+                }
             }
             response(200, "text/plain", b"active\n")
         }
--- a/crates/dispatcher/src/net/mode.rs
+++ b/crates/dispatcher/src/net/mode.rs
@@ -1,10 +1,10 @@
-//! Whether the operators invite work at this dispatcher.
+//! Mode of a dispatcher, set by operators.
 
-/// Whether the operators have emptied the dispatcher.
+/// Mode of a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Work is invited.
+    /// New work is accepted.
     Active,
-    /// No new work is invited, and open connections are closed once they are idle.
+    /// Clients are sent elsewhere: connections are closed once they are idle.
     Standby,
 }
--- a/crates/dispatcher/src/net/shutdown.rs
+++ b/crates/dispatcher/src/net/shutdown.rs
@@ -1,4 +1,4 @@
-//! A graceful shutdown: its phases from the first SIGTERM or SIGINT on.
+//! Graceful shutdown: its phases from the first SIGTERM or SIGINT on.
 
 use std::time::Duration;
 
@@ -8,36 +8,38 @@
 
 use crate::engine::Micros;
 
-/// This long after the signal clients are sent elsewhere. New connections come for up to 0.4 s; those that
-/// clients have are served for longer, since elsewhere may be nobody: restarts roll, and a dispatcher that went
-/// just before takes this long to be back. What comes late still has time to end before SIGKILL.
+/// Time after the signal at which clients are sent elsewhere. New connections arrive for up to 0.4 s; open ones are served
+/// for longer, since in a rolling restart the dispatcher before this one may need that time to be back.
 const DRAIN_PERIOD: Duration = Duration::from_secs(2);
-/// The longest deadline counts as this where it is longer, and so long after it SIGKILL may come.
+/// Largest fraction of the time until [`ShutdownPhase::Finishing`] that clients are served as before.
+const DRAIN_FRACTION: f64 = 0.6;
+/// Upper bound of the longest request timeout in the time that is left until SIGKILL.
 const MAX_COUNTED_TIMEOUT: Micros = 3_000_000;
+/// Time that the platform leaves after the longest request timeout, until SIGKILL.
 const KILL_GRACE: Duration = Duration::from_millis(700);
-/// All is answered so long before SIGKILL may come.
+/// Time before SIGKILL at which all requests are answered.
 const FINISH_RESERVE: Duration = Duration::from_millis(250);
 
-/// How far the end has come.
+/// Phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// Serving.
+    /// No shutdown was requested.
     Serving,
-    /// Told to end; clients may not know yet, and all that comes is served.
+    /// A shutdown was requested; all requests are still served, since clients may not know of it yet.
     Draining,
-    /// Connections on which nothing is asked are closed, and no new ones are awaited.
+    /// Idle connections are closed, and new ones are no longer waited for.
     Closing,
-    /// Time is up: what is open is answered now.
+    /// All open requests are answered now.
     Finishing,
-    /// What has no answer by now has no whole request, or does not read.
+    /// Connections that are still open are dropped: their request is incomplete, or the client does not read.
     Finished,
 }
 
-/// Goes through the phases from the first SIGTERM or SIGINT on.
+/// Runs the phases from the first SIGTERM or SIGINT on. `longest_timeout` is that of all classes.
 ///
 /// # Errors
-/// The signals cannot be caught.
-pub fn listen_for_termination(longest: Micros) -> std::io::Result<watch::Receiver<ShutdownPhase>> {
+/// Returns an error if the signals cannot be handled.
+pub fn listen_for_termination(longest_timeout: Micros) -> std::io::Result<watch::Receiver<ShutdownPhase>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let (sender, phase) = watch::channel(ShutdownPhase::Serving);
@@ -46,21 +48,21 @@
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        run_phases(&sender, longest).await;
+        run_phases(&sender, longest_timeout).await;
     });
     Ok(phase)
 }
 
-/// The phases after the signal, by the time that a platform leaves before it kills.
-pub async fn run_phases(phase: &watch::Sender<ShutdownPhase>, longest: Micros) {
+/// Runs the phases after the signal within the time that the platform leaves before SIGKILL.
+pub async fn run_phases(phase: &watch::Sender<ShutdownPhase>, longest_timeout: Micros) {
     phase.send_replace(ShutdownPhase::Draining);
-    let finish =
-        (Duration::from_micros(longest.min(MAX_COUNTED_TIMEOUT)) + KILL_GRACE).saturating_sub(FINISH_RESERVE);
-    // Where deadlines are short SIGKILL comes early.
-    let closing = DRAIN_PERIOD.min(finish.mul_f64(0.6));
-    sleep(closing).await;
+    let until_finishing = (Duration::from_micros(longest_timeout.min(MAX_COUNTED_TIMEOUT)) + KILL_GRACE)
+        .saturating_sub(FINISH_RESERVE);
+    // With short timeouts SIGKILL comes early.
+    let until_closing = DRAIN_PERIOD.min(until_finishing.mul_f64(DRAIN_FRACTION));
+    sleep(until_closing).await;
     phase.send_replace(ShutdownPhase::Closing);
-    sleep(finish - closing).await;
+    sleep(until_finishing - until_closing).await;
     phase.send_replace(ShutdownPhase::Finishing);
     sleep(FINISH_RESERVE / 2).await;
     phase.send_replace(ShutdownPhase::Finished);
