--- a/crates/dispatcher/src/net/client/connection.rs
+++ b/crates/dispatcher/src/net/client/connection.rs
@@ -268,7 +268,7 @@
 fn outcome_of(answer: &Answer) -> Outcome {
     match answer {
         Answer::Served(_) => Outcome::Served,
-        Answer::Rejected { .. } | Answer::Invalid(InvalidRequest::DuplicateId) => Outcome::Refused,
+        Answer::Rejected { .. } | Answer::Invalid(InvalidRequest::DuplicateId) => Outcome::Rejected,
         Answer::Failed | Answer::Invalid(InvalidRequest::Unusable) => Outcome::Failed,
     }
 }
--- a/crates/dispatcher/src/net/discovery/connection.rs
+++ b/crates/dispatcher/src/net/discovery/connection.rs
@@ -36,7 +36,7 @@
     /// `Retry-After` of a response with another status.
     pub(super) retry_after: Option<Micros>,
     /// Time of the last complete value, or of the last request.
-    pub(super) last_heard_at: Instant,
+    pub(super) last_value_at: Instant,
     /// The present response was read to its end.
     pub(super) response_complete: bool,
 }
@@ -62,7 +62,7 @@
             is_watch: false,
             answered: false,
             retry_after: None,
-            last_heard_at: Instant::now(),
+            last_value_at: Instant::now(),
             response_complete: true,
         };
         connection.send_request(query).await?;
@@ -83,7 +83,7 @@
             Ok(read) => read?,
             Err(_) => return Err(WatchError::ResponseTimeout),
         }
-        connection.last_heard_at = Instant::now();
+        connection.last_value_at = Instant::now();
         Ok(connection)
     }
 
@@ -95,7 +95,7 @@
         self.response_complete = false;
         self.is_watch = !query.is_empty();
         self.body = None;
-        self.last_heard_at = Instant::now();
+        self.last_value_at = Instant::now();
         let request = format!("GET {LIST_PATH}{query} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address);
         let written = write_all(&mut self.stream, &mut Bytes::from(request)).await;
         written.map_err(WatchError::Send)
@@ -103,7 +103,7 @@
 
     /// Returns the time at which the watch counts as silent unless something complete comes before.
     pub(super) fn silence_deadline(&self) -> Instant {
-        self.last_heard_at + WATCH_SILENCE_TIMEOUT
+        self.last_value_at + WATCH_SILENCE_TIMEOUT
     }
 
     /// Reads more bytes into the buffer.
--- a/crates/dispatcher/src/net/discovery/mod.rs
+++ b/crates/dispatcher/src/net/discovery/mod.rs
@@ -125,7 +125,7 @@
         Duration::from_micros(self.schedule.next_delay(without_watch, ended.retry_after))
     }
 
-    /// Discards the revision, which holds for one source only, and tells the shared list of the new source.
+    /// Discards the revision, which holds for one source only, and passes the new source to the shared list.
     fn forget_source(&self) {
         self.context.notified.revision.set(None);
         if let Some(shared_list) = &self.context.shared_list {
--- a/crates/dispatcher/src/net/discovery/watch_session.rs
+++ b/crates/dispatcher/src/net/discovery/watch_session.rs
@@ -193,7 +193,7 @@
 
     fn process_tokens(&self, connection: &mut DiscoveryConnection) -> Result<(), WatchError> {
         while let Some(token) = connection.json.next_token() {
-            connection.last_heard_at = Instant::now();
+            connection.last_value_at = Instant::now();
             self.handle_token(&token)?;
         }
         Ok(())
@@ -263,7 +263,7 @@
     let was_silent = matches!(error, WatchError::Silent);
     // A request that was never answered may have begun just before discovery could be reached.
     let without_watch_since =
-        if was_silent || !connection.answered { connection.last_heard_at } else { Instant::now() };
+        if was_silent || !connection.answered { connection.last_value_at } else { Instant::now() };
     WatchEnded {
         error,
         answered: connection.answered,
--- a/crates/dispatcher/src/net/metrics/mod.rs
+++ b/crates/dispatcher/src/net/metrics/mod.rs
@@ -34,7 +34,7 @@
     /// The client got a worker's result.
     Served,
     /// Admission declined the job and nothing ran.
-    Refused,
+    Rejected,
     /// The job failed, or the request was invalid.
     Failed,
     /// The last byte of an attempt was written to a worker.
@@ -45,7 +45,7 @@
     fn label(self) -> &'static str {
         match self {
             Outcome::Served => "served",
-            Outcome::Refused => "refused",
+            Outcome::Rejected => "refused",
             Outcome::Failed => "failed",
             Outcome::Attempt => "attempts",
         }
@@ -117,7 +117,7 @@
 
     /// Registers the figures of a class, so that they are shown from 0 on.
     pub fn register_class(&self, class: &str) {
-        for outcome in [Outcome::Served, Outcome::Refused, Outcome::Failed, Outcome::Attempt] {
+        for outcome in [Outcome::Served, Outcome::Rejected, Outcome::Failed, Outcome::Attempt] {
             self.requests.with_label_values(&[class, outcome.label()]);
         }
     }
--- a/crates/dispatcher/tests/console.rs
+++ b/crates/dispatcher/tests/console.rs
@@ -69,7 +69,7 @@
     for _ in 0..7 {
         metrics.count("stock-lookup", Outcome::Served);
     }
-    metrics.count("stock-lookup", Outcome::Refused);
+    metrics.count("stock-lookup", Outcome::Rejected);
     (0..9).for_each(|_| metrics.count("stock-lookup", Outcome::Attempt));
     metrics.reloads_failed.inc();
     metrics.workers_known.set(12);
--- a/crates/dispatcher/tests/engine.rs
+++ b/crates/dispatcher/tests/engine.rs
@@ -66,15 +66,15 @@
         Bench { handle, commands }
     }
 
-    fn submit(&self, patience: u64) -> PendingJob {
-        self.submit_job(patience, Payload::default())
+    fn submit(&self, timeout: u64) -> PendingJob {
+        self.submit_job(timeout, Payload::default())
     }
 
     fn submit_as(&self, id: &'static str) -> PendingJob {
         self.submit_job(HOUR, Payload { id: Bytes::from(id), ..Payload::default() })
     }
 
-    fn submit_job(&self, patience: u64, payload: Payload) -> PendingJob {
+    fn submit_job(&self, timeout: u64, payload: Payload) -> PendingJob {
         let request = Request {
             id: RequestId(0),
             class: 0,
@@ -86,7 +86,7 @@
             expected_run_time: None,
             affinity_key: None,
         };
-        self.handle.submit(Job { request, timeout: patience, payload })
+        self.handle.submit(Job { request, timeout, payload })
     }
 
     /// The next attempt that is wanted.
@@ -121,14 +121,14 @@
     run(async {
         let bench = Bench::start(5.0);
         let mut tickets: Vec<PendingJob> = (0..200).map(|_| bench.submit(HOUR)).collect();
-        let mut refused = 0;
+        let mut rejected = 0;
         for ticket in tickets.iter_mut().rev().take(150) {
             match ticket.answer().await {
-                Answer::Rejected { retry_after: Some(after) } if after > 0.0 && after <= 2.0 => refused += 1,
+                Answer::Rejected { retry_after: Some(after) } if after > 0.0 && after <= 2.0 => rejected += 1,
                 other => panic!("{other:?}"),
             }
         }
-        assert_eq!(refused, 150);
+        assert_eq!(rejected, 150);
     });
 }
 
@@ -182,7 +182,7 @@
         let mut bench = Bench::start(1000.0);
         let mut ticket = bench.submit(50_000);
         let attempt = bench.attempt().await;
-        assert!(matches!(ticket.answer().await, Answer::Rejected { .. }), "safe to repeat: refused");
+        assert!(matches!(ticket.answer().await, Answer::Rejected { .. }), "nothing ran: rejected");
         let cancelled = bench.commands.recv().await;
         assert!(matches!(cancelled, Some(Command::Cancel(id)) if id == attempt), "{cancelled:?}");
     });
@@ -201,8 +201,8 @@
     });
 }
 
-/// Guards against requests that are left open when the program ends: one that may run is failed, not refused,
-/// and what comes after is refused.
+/// Guards against requests that are left open when the program ends: one that may run is failed, not rejected,
+/// and what comes after is rejected.
 #[test]
 fn the_end_answers_what_is_open() {
     run(async {
--- a/crates/dispatcher/tests/pinned_console.rs
+++ b/crates/dispatcher/tests/pinned_console.rs
@@ -13,7 +13,7 @@
     let metrics = Metrics::new();
     metrics.register_class("order");
     for (outcome, count) in
-        [(Outcome::Served, 2), (Outcome::Refused, 3), (Outcome::Failed, 4), (Outcome::Attempt, 5)]
+        [(Outcome::Served, 2), (Outcome::Rejected, 3), (Outcome::Failed, 4), (Outcome::Attempt, 5)]
     {
         (0..count).for_each(|_| metrics.count("order", outcome));
     }
