--- a/crates/emulator/src/sockets/client.rs
+++ b/crates/emulator/src/sockets/client.rs
@@ -8,8 +8,8 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
+use super::environment::{Environment, SharedEnvironment};
 use super::http;
-use super::{Environment, SharedEnvironment};
 use crate::day::{micros, Micros};
 use crate::metrics::JobOutcome;
 
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -9,12 +9,55 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
+use super::environment::{Environment, ListEntry, SharedEnvironment};
 use super::http::{self, chunk, CHUNKED};
-use super::{Environment, SharedEnvironment};
+use crate::day::Micros;
 
 /// An empty line comes this often while nothing changes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
+/// Phase of a worker in the list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum EndpointPhase {
+    /// Accepts jobs.
+    InService,
+    /// Drains.
+    Terminating,
+    /// Is removed.
+    Terminated,
+}
+
+impl EndpointPhase {
+    /// Returns the name of the phase in the protocol of discovery.
+    fn as_str(self) -> &'static str {
+        match self {
+            EndpointPhase::InService => "in_service",
+            EndpointPhase::Terminating => "terminating",
+            EndpointPhase::Terminated => "terminated",
+        }
+    }
+}
+
+/// A change of the list goes out with the others of its period, to each dispatcher by its own delay.
+pub(super) fn publish(environment: &SharedEnvironment, w: usize, phase: EndpointPhase, after: Micros) {
+    let shared = environment.borrow();
+    let period = shared.day.discovery.publish_period.max(1);
+    let at = (shared.now() + after).div_ceil(period) * period;
+    let since = shared.workers[w].started_at;
+    for host in 0..shared.agents.len() {
+        let due = shared.instant(at + shared.day.dispatchers[host].list_delay);
+        let environment = environment.clone();
+        spawn_local(async move {
+            tokio::time::sleep_until(due).await;
+            let agent = &mut environment.borrow_mut().agents[host];
+            agent.revision += 1;
+            let revision = agent.revision;
+            agent.entries.insert(w, ListEntry { revision, phase, started_at: since });
+            agent.changed.notify_waiters();
+        });
+    }
+}
+
 /// Serves a dispatcher's agent.
 pub(super) async fn serve(environment: SharedEnvironment, host: usize, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
@@ -29,7 +72,10 @@
 /// The lines newer than a revision, as discovery words them; what drains counts as told once this is written.
 pub(super) fn list(shared: &Environment, host: usize, after: u64) -> Value {
     let agent = &shared.agents[host];
-    let lines = agent.entries.iter().filter(|(_, line)| line.revision > after);
+    // Removed workers are listed among changes only.
+    let is_listed = |phase: EndpointPhase| after > 0 || phase != EndpointPhase::Terminated;
+    let changed = agent.entries.iter().filter(|(_, line)| line.revision > after);
+    let lines = changed.filter(|(_, line)| is_listed(line.phase));
     let members: Vec<Value> = lines
         .map(|(w, line)| {
             let plan = &shared.workers[*w].plan;
@@ -39,13 +85,11 @@
                 "locality": format!("zone-{}", plan.zone),
                 "flavor": shared.experiment.kinds[plan.kind].name,
                 "cell": plan.rack,
-                "phase": line.phase,
+                "phase": line.phase.as_str(),
                 "size": 1.0,
                 "up_since_ms": line.started_at.map_or(0, |since| shared.unix_ms(since)),
             })
         })
-        // What is gone stands among changes only.
-        .filter(|member| after > 0 || member["phase"] != "terminated")
         .collect();
     json!({"revision": agent.revision, "complete": after == 0, "members": members})
 }
@@ -53,7 +97,8 @@
 fn record_drain_notices(shared: &mut Environment, host: usize, after: u64) {
     let (life, now) = (shared.incarnation_id(host), shared.now());
     let agent = &shared.agents[host];
-    let drained = agent.entries.iter().filter(|(_, l)| l.revision > after && l.phase != "in_service");
+    let drained =
+        agent.entries.iter().filter(|(_, l)| l.revision > after && l.phase != EndpointPhase::InService);
     let drained: Vec<usize> = drained.map(|(w, _)| *w).collect();
     for w in drained {
         shared.checker.record_drain_notice(life, w as u64, now);
--- /dev/null
+++ b/crates/emulator/src/sockets/environment.rs
@@ -0,0 +1,261 @@
+//! State that all emulated parties of a run over sockets share.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::{Duration, Instant, SystemTime};
+
+use rand_pcg::Pcg64Mcg;
+use tokio::sync::{mpsc, Notify};
+
+use super::discovery::EndpointPhase;
+use crate::checker::{RuleChecker, RuleLimits};
+use crate::day::{micros, random_stream, seconds, Day, Micros, DAY_START};
+use crate::metrics::{JobOutcome, JobRun, RunRecord};
+use crate::spec::Experiment;
+use crate::worker::{progress_interval, JobEvent, Phase, Worker};
+
+/// A line of the worker list, as discovery tells it.
+#[derive(Clone, Debug)]
+pub(super) struct ListEntry {
+    pub(super) revision: u64,
+    pub(super) phase: EndpointPhase,
+    pub(super) started_at: Option<Micros>,
+}
+
+/// The list as the agent beside one dispatcher has it.
+#[derive(Debug, Default)]
+pub(super) struct DiscoveryAgent {
+    pub(super) revision: u64,
+    pub(super) entries: BTreeMap<usize, ListEntry>,
+    pub(super) changed: Rc<Notify>,
+}
+
+/// An attempt as its worker sees it.
+#[derive(Debug)]
+pub(super) struct Attempt {
+    pub(super) events: mpsc::UnboundedSender<JobEvent>,
+    pub(super) request: u64,
+    pub(super) job: u32,
+    pub(super) checker_send: usize,
+    pub(super) run: Option<u32>,
+}
+
+/// What all emulated parties share.
+pub(super) struct Environment {
+    pub(super) experiment: Experiment,
+    pub(super) day: Day,
+    pub(super) start: Instant,
+    /// Unix time at dawn.
+    pub(super) unix_start: Micros,
+    pub(super) workers: Vec<Worker>,
+    /// Counted up when a process ends.
+    pub(super) processes: Vec<u32>,
+    pub(super) ended: Vec<Rc<Notify>>,
+    pub(super) wake: Vec<Rc<Notify>>,
+    /// Where each worker listens, by dispatcher.
+    pub(super) ports: Vec<Vec<u16>>,
+    pub(super) connections: Vec<u32>,
+    pub(super) agents: Vec<DiscoveryAgent>,
+    /// The life of each dispatcher, and whether it runs.
+    pub(super) incarnations: Vec<(u32, bool)>,
+    pub(super) listen: Vec<u16>,
+    pub(super) attempts: Vec<Attempt>,
+    /// The job of each try, by the number in its id.
+    pub(super) submissions: Vec<u32>,
+    pub(super) limits: RuleLimits,
+    pub(super) checker: RuleChecker,
+    pub(super) record: RunRecord,
+    pub(super) rng: Pcg64Mcg,
+    pub(super) job_events: Vec<JobEvent>,
+}
+
+pub(super) type SharedEnvironment = Rc<RefCell<Environment>>;
+
+impl Environment {
+    pub(super) fn now(&self) -> Micros {
+        DAY_START + self.start.elapsed().as_micros() as Micros
+    }
+
+    pub(super) fn instant(&self, at: Micros) -> tokio::time::Instant {
+        (self.start + Duration::from_micros(at.saturating_sub(DAY_START))).into()
+    }
+
+    pub(super) fn incarnation_id(&self, host: usize) -> u32 {
+        self.incarnations[host].0 * self.incarnations.len() as u32 + host as u32
+    }
+
+    /// One way between a dispatcher and a worker, beyond what loopback takes.
+    pub(super) fn network_delay(&self, host: usize, worker: usize) -> Duration {
+        let net = &self.day.network;
+        let near = self.day.dispatchers[host].zone == self.workers[worker].plan.zone;
+        Duration::from_micros(micros(if near { net.same_zone } else { net.cross_zone }))
+    }
+
+    /// Passes on what a worker said, and wakes its driver.
+    fn process_job_events(&mut self, w: usize) {
+        let now = self.now();
+        let mut events = std::mem::take(&mut self.job_events);
+        for note in events.drain(..) {
+            self.record_run(w, now, note);
+            // A connection that is closed needs no word.
+            let _ = self.attempts[note.attempt()].events.send(note);
+        }
+        self.job_events = events;
+        self.wake[w].notify_one();
+    }
+
+    /// Records the start or the end of a run that an event reports.
+    fn record_run(&mut self, w: usize, now: Micros, event: JobEvent) {
+        let attempt = &mut self.attempts[event.attempt()];
+        match event {
+            JobEvent::Started(_) => {
+                attempt.run = Some(self.record.runs.len() as u32);
+                self.record.runs.push(JobRun {
+                    job: attempt.job,
+                    worker: w as u32,
+                    started_at: now,
+                    ended_at: Micros::MAX,
+                });
+            }
+            JobEvent::Done(_) | JobEvent::Failed(_) | JobEvent::Lost(_) => {
+                if let Some(run) = attempt.run.take() {
+                    self.record.runs[run as usize].ended_at = now;
+                }
+            }
+            JobEvent::Progress { .. } | JobEvent::Rejected(_) => {}
+        }
+    }
+
+    pub(super) fn with_worker(
+        &mut self,
+        w: usize,
+        change: impl FnOnce(&mut Worker, Micros, &mut Vec<JobEvent>),
+    ) {
+        let now = self.now();
+        let mut events = std::mem::take(&mut self.job_events);
+        change(&mut self.workers[w], now, &mut events);
+        self.job_events = events;
+        self.process_job_events(w);
+    }
+
+    /// A process ends: what it has is lost, and its connections break.
+    pub(super) fn kill_worker(&mut self, w: usize) {
+        self.processes[w] += 1;
+        self.record.workers[w].3 = self.now();
+        self.with_worker(w, |worker, now, events| worker.end(now, events));
+        self.ended[w].notify_waiters();
+    }
+
+    pub(super) fn add_worker(&mut self, worker: Worker) -> usize {
+        let w = self.workers.len();
+        let warm_from = worker.started_at.map_or(0, |since| since + micros(worker.plan.warm_up));
+        self.record.workers.push((worker.plan.speed, worker.plan.slots, warm_from, Micros::MAX));
+        self.workers.push(worker);
+        self.processes.push(0);
+        self.ended.push(Rc::default());
+        self.wake.push(Rc::default());
+        self.ports.push(Vec::new());
+        self.connections.push(0);
+        w
+    }
+}
+
+/// Unix time now, in microseconds.
+fn unix_now() -> Micros {
+    let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    unix.as_micros() as Micros
+}
+
+impl Environment {
+    /// All workers serve and all agents have the whole list; no dispatcher runs yet.
+    pub(super) fn new(experiment: Experiment, day: Day) -> Environment {
+        let jobs = day.jobs.len();
+        let hosts = day.dispatchers.len();
+        let rules = &experiment.rules;
+        let limits =
+            RuleLimits { drain_grace: micros(rules.drain_grace), answer_slack: micros(rules.answer_slack) };
+        let mut environment = Environment {
+            start: Instant::now(),
+            unix_start: unix_now(),
+            workers: Vec::new(),
+            processes: Vec::new(),
+            ended: Vec::new(),
+            wake: Vec::new(),
+            ports: Vec::new(),
+            connections: Vec::new(),
+            agents: (0..hosts).map(|_| DiscoveryAgent::default()).collect(),
+            incarnations: vec![(0, false); hosts],
+            listen: Vec::new(),
+            attempts: Vec::new(),
+            submissions: Vec::new(),
+            limits,
+            checker: RuleChecker::new(limits),
+            record: RunRecord {
+                outcomes: vec![None; jobs],
+                admitted: vec![false; jobs],
+                first_sent: vec![None; jobs],
+                ..RunRecord::default()
+            },
+            rng: random_stream(day.seed, 5),
+            job_events: Vec::new(),
+            experiment,
+            day,
+        };
+        environment.add_workers();
+        environment
+    }
+
+    /// Adds the workers of the day, and lists them at all agents.
+    fn add_workers(&mut self) {
+        for plan in self.day.workers.clone() {
+            self.add_worker(Worker::new(plan, None, DAY_START, progress_interval()));
+        }
+        for agent in &mut self.agents {
+            agent.revision = 1;
+            let entry = ListEntry { revision: 1, phase: EndpointPhase::InService, started_at: None };
+            agent.entries = (0..self.workers.len()).map(|worker| (worker, entry.clone())).collect();
+        }
+    }
+
+    /// The day's clock starts now; dispatchers reckon in Unix time.
+    pub(super) fn start_clock(&mut self) {
+        self.start = Instant::now();
+        self.unix_start = unix_now();
+        for worker in &mut self.workers {
+            *worker = Worker::new(worker.plan.clone(), None, DAY_START, progress_interval());
+        }
+    }
+
+    /// What was recorded, at the end of the day.
+    pub(super) fn take_record(&mut self) -> RunRecord {
+        let checker = std::mem::replace(&mut self.checker, RuleChecker::new(self.limits));
+        let mut record = std::mem::take(&mut self.record);
+        record.violations = checker.finish();
+        record.submissions = self.submissions.len() as u64;
+        for (w, worker) in self.workers.iter().enumerate() {
+            if worker.phase == Phase::Serving {
+                record.workers[w].3 = Micros::MAX;
+            }
+        }
+        record
+    }
+
+    /// A client's job is over.
+    pub(super) fn record_outcome(&mut self, job: u32, end: JobOutcome) {
+        self.record.outcomes[job as usize] = Some(end);
+    }
+
+    pub(super) fn unix_ms(&self, at: Micros) -> u64 {
+        (self.unix_start + at.saturating_sub(DAY_START)) / 1000
+    }
+
+    pub(super) fn timeout(&self, job: u32) -> Micros {
+        let class = self.day.jobs[job as usize].class as usize;
+        micros(self.experiment.traffic.classes[class].timeout)
+    }
+
+    pub(super) fn seconds_left(&self, until: Micros) -> f64 {
+        seconds(until.saturating_sub(self.now()))
+    }
+}
--- a/crates/emulator/src/sockets/program.rs
+++ b/crates/emulator/src/sockets/program.rs
@@ -13,7 +13,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-use super::{discovery, http, SharedEnvironment};
+use super::environment::SharedEnvironment;
+use super::{discovery, http};
 use crate::day::seconds;
 use crate::spec::Arm;
 use crate::worker::progress_interval;
--- a/crates/emulator/src/sockets/worker.rs
+++ b/crates/emulator/src/sockets/worker.rs
@@ -11,8 +11,9 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
+use super::discovery::{publish, EndpointPhase};
+use super::environment::{Attempt, SharedEnvironment};
 use super::http::{self, chunk, CHUNKED, LAST_CHUNK};
-use super::{Attempt, SharedEnvironment};
 use crate::checker::{Location, ObservedAttempt};
 use crate::day::{micros, Micros};
 use crate::worker::{AssignedJob, JobEvent, OverloadLimit, Phase};
@@ -210,7 +211,7 @@
         shared.kill_worker(w);
         let silent = shared.day.discovery.death_notice;
         drop(guard);
-        super::publish(environment, w, "terminated", silent);
+        publish(environment, w, EndpointPhase::Terminated, silent);
     }
 }
 
