--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// A change of the list goes out with the others of its period, to each dispatcher by its own delay.
+/// Publishes a change of the list with the others of its period, to each dispatcher after its own delay.
 pub(super) fn publish(environment: &SharedEnvironment, w: usize, phase: EndpointPhase, after: Micros) {
     let shared = environment.borrow();
     let period = shared.day.discovery.publish_period.max(1);
--- a/crates/emulator/src/sockets/environment.rs
+++ b/crates/emulator/src/sockets/environment.rs
@@ -15,7 +15,7 @@
 use crate::spec::Experiment;
 use crate::worker::{progress_interval, JobEvent, Phase, Worker};
 
-/// A line of the worker list, as discovery tells it.
+/// Entry of the endpoint list of discovery.
 #[derive(Clone, Debug)]
 pub(super) struct ListEntry {
     pub(super) revision: u64,
@@ -23,7 +23,7 @@
     pub(super) started_at: Option<Micros>,
 }
 
-/// The list as the agent beside one dispatcher has it.
+/// Endpoint list of the discovery agent of one dispatcher.
 #[derive(Debug, Default)]
 pub(super) struct DiscoveryAgent {
     pub(super) revision: u64,
@@ -31,7 +31,7 @@
     pub(super) changed: Rc<Notify>,
 }
 
-/// An attempt as its worker sees it.
+/// Attempt as its worker observes it.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) events: mpsc::UnboundedSender<JobEvent>,
@@ -41,27 +41,27 @@
     pub(super) run: Option<u32>,
 }
 
-/// What all emulated parties share.
+/// State that all emulated parties share.
 pub(super) struct Environment {
     pub(super) experiment: Experiment,
     pub(super) day: Day,
     pub(super) start: Instant,
-    /// Unix time at dawn.
+    /// Unix time at the start of the day.
     pub(super) unix_start: Micros,
     pub(super) workers: Vec<Worker>,
-    /// Counted up when a process ends.
+    /// Number of processes of each worker that have ended.
     pub(super) processes: Vec<u32>,
     pub(super) ended: Vec<Rc<Notify>>,
     pub(super) wake: Vec<Rc<Notify>>,
-    /// Where each worker listens, by dispatcher.
+    /// Ports of each worker, by dispatcher.
     pub(super) ports: Vec<Vec<u16>>,
     pub(super) connections: Vec<u32>,
     pub(super) agents: Vec<DiscoveryAgent>,
-    /// The life of each dispatcher, and whether it runs.
+    /// Incarnation of each dispatcher, and whether it runs.
     pub(super) incarnations: Vec<(u32, bool)>,
     pub(super) listen: Vec<u16>,
     pub(super) attempts: Vec<Attempt>,
-    /// The job of each try, by the number in its id.
+    /// Job of each submission, by the number in its id.
     pub(super) submissions: Vec<u32>,
     pub(super) limits: RuleLimits,
     pub(super) checker: RuleChecker,
@@ -85,20 +85,20 @@
         self.incarnations[host].0 * self.incarnations.len() as u32 + host as u32
     }
 
-    /// One way between a dispatcher and a worker, beyond what loopback takes.
+    /// Returns the one-way delay between a dispatcher and a worker, without the delay of loopback.
     pub(super) fn network_delay(&self, host: usize, worker: usize) -> Duration {
         let net = &self.day.network;
         let near = self.day.dispatchers[host].zone == self.workers[worker].plan.zone;
         Duration::from_micros(micros(if near { net.same_zone } else { net.cross_zone }))
     }
 
-    /// Passes on what a worker said, and wakes its driver.
+    /// Forwards the events of a worker to its connections, and wakes its task.
     fn process_job_events(&mut self, w: usize) {
         let now = self.now();
         let mut events = std::mem::take(&mut self.job_events);
         for note in events.drain(..) {
             self.record_run(w, now, note);
-            // A connection that is closed needs no word.
+            // The receiver is gone if the connection was closed.
             let _ = self.attempts[note.attempt()].events.send(note);
         }
         self.job_events = events;
@@ -139,7 +139,7 @@
         self.process_job_events(w);
     }
 
-    /// A process ends: what it has is lost, and its connections break.
+    /// Ends the process of a worker: its jobs are lost and its connections close.
     pub(super) fn kill_worker(&mut self, w: usize) {
         self.processes[w] += 1;
         self.record.workers[w].3 = self.now();
@@ -161,14 +161,14 @@
     }
 }
 
-/// Unix time now, in microseconds.
+/// Returns the Unix time in microseconds.
 fn unix_now() -> Micros {
     let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     unix.as_micros() as Micros
 }
 
 impl Environment {
-    /// All workers serve and all agents have the whole list; no dispatcher runs yet.
+    /// Creates the state before any dispatcher runs: all workers serve, and all agents have the complete list.
     pub(super) fn new(experiment: Experiment, day: Day) -> Environment {
         let jobs = day.jobs.len();
         let hosts = day.dispatchers.len();
@@ -218,7 +218,7 @@
         }
     }
 
-    /// The day's clock starts now; dispatchers reckon in Unix time.
+    /// Starts the clock of the day.
     pub(super) fn start_clock(&mut self) {
         self.start = Instant::now();
         self.unix_start = unix_now();
@@ -227,7 +227,7 @@
         }
     }
 
-    /// What was recorded, at the end of the day.
+    /// Returns the record of the day, and leaves an empty one.
     pub(super) fn take_record(&mut self) -> RunRecord {
         let checker = std::mem::replace(&mut self.checker, RuleChecker::new(self.limits));
         let mut record = std::mem::take(&mut self.record);
@@ -241,7 +241,7 @@
         record
     }
 
-    /// A client's job is over.
+    /// Records the final outcome of a job for its client.
     pub(super) fn record_outcome(&mut self, job: u32, end: JobOutcome) {
         self.record.outcomes[job as usize] = Some(end);
     }
--- a/crates/emulator/src/sockets/faults.rs
+++ b/crates/emulator/src/sockets/faults.rs
@@ -25,7 +25,7 @@
         match fault {
             Fault::RestartDispatcher(host, duration) => {
                 programs[host].kill(environment);
-                // It is started again below, in the order of time.
+                // Restarted below, in the order of time.
                 restarts.spawn_local(async move {
                     tokio::time::sleep(Duration::from_micros(duration)).await;
                     host
--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -24,17 +24,17 @@
 use crate::metrics::RunRecord;
 use crate::spec::{Arm, Experiment};
 
-/// What is not over this long after the last client came is not waited for.
+/// Time after the last arrival for which open jobs are awaited.
 const MAX_TAIL: Duration = Duration::from_secs(12);
-/// The day begins this long after all dispatchers are ready.
+/// Time between the readiness of all dispatchers and the start of the day.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
-/// Dispatchers are ready within this, or the run fails.
+/// Time within which a dispatcher must become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Plays a day against the program at a path.
+/// Runs a day against the program at a path.
 ///
 /// # Errors
-/// The program does not start, or a socket cannot be opened.
+/// Returns the I/O error if the program does not start or become ready, or if a socket cannot be opened.
 pub fn play(experiment: &Experiment, arm: &Arm, day: &Day, program: &Path) -> io::Result<RunRecord> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, run(experiment.clone(), arm.clone(), day.clone(), program))
