--- a/crates/emulator/src/cli/experiments.rs
+++ b/crates/emulator/src/cli/experiments.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use emulator::cluster::results::run as run_schedules;
+use emulator::cluster::results::{run as run_schedules, RunOptions};
 use emulator::cluster::schedule::ClusterExperiment;
 use emulator::report::{compare, Results};
 use emulator::run::{run_over_sockets, run_virtual, Run};
@@ -40,13 +40,18 @@
     let seeds: Vec<u64> = (arguments.seed..arguments.seed.saturating_add(arguments.seeds)).collect();
     let programs = lease_programs()?;
     let bar = progress_bar(seeds.len() * plan.arms.len(), "schedules");
-    let bug = arguments.seeded_bug.as_deref();
-    let at_once = arguments.at_once.into();
-    let results = run_schedules(&plan, &seeds, &programs, &arguments.out, bug, at_once, &bar)?;
+    let options = RunOptions {
+        seeds: &seeds,
+        programs: &programs,
+        out: &arguments.out,
+        injected_bug: arguments.seeded_bug.as_deref(),
+        parallel: arguments.at_once.into(),
+    };
+    let results = run_schedules(&plan, options, &bar)?;
     bar.finish_and_clear();
     results.write(&arguments.out).map_err(CliError::file(&arguments.out))?;
     print!("{}", results.table());
-    if results.broken() {
+    if results.is_violated() {
         Err(CliError::RulesViolated)
     } else {
         Ok(())
--- a/crates/emulator/src/cluster/lightweight_member.rs
+++ b/crates/emulator/src/cluster/lightweight_member.rs
@@ -1,4 +1,4 @@
-//! A member without jobs: the real session, the real links, and a lease whose effects say nothing but their token.
+//! A cluster member without jobs: a real session on the real transport, and a lease whose effects carry their token only.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -16,45 +16,47 @@
 
 use super::error::ClusterError;
 
-/// How often an holder has something to say, and in how many pieces with how much time between them.
+/// Pause between two rounds of effects.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
+/// Effects of each lease in a round.
 const EFFECTS_PER_ROUND: u32 = 5;
+/// Time from one effect of a round to the next.
 const EFFECT_INTERVAL: Duration = Duration::from_millis(4);
 
-/// What a lightweight member is told, as JSON.
+/// Configuration of a lightweight member, as JSON.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MemberConfig {
-    /// The installation.
+    /// Name of the installation.
     pub installation: String,
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Where it takes effects.
+    /// Address at which it receives effects.
     pub listen: SocketAddr,
-    /// Where others are told that it is.
+    /// Address that others are given.
     pub address: SocketAddr,
-    /// The address that its connections come from.
+    /// Source address of its connections.
     pub bind: Option<IpAddr>,
-    /// The coordinators.
+    /// Addresses of the coordinators, by number.
     #[serde(rename = "keepers")]
     pub coordinators: BTreeMap<u64, SocketAddr>,
-    /// The leases that it offers.
+    /// Leases that it may hold.
     #[serde(rename = "duties")]
     pub leases: Vec<String>,
-    /// The times, as the coordinators have them.
+    /// Durations of sessions and leases, the same as those of the coordinators.
     pub times: Timing,
-    /// Where it records.
+    /// File of its record.
     pub record: Option<PathBuf>,
-    /// A bug put in, by name.
+    /// Name of the bug to inject.
     #[serde(rename = "bug")]
     pub injected_bug: Option<String>,
-    /// Its seed.
+    /// Seed of its random draws.
     pub seed: u64,
 }
 
-/// Runs a lightweight member until it is told to end.
+/// Runs a lightweight member until SIGTERM.
 ///
 /// # Errors
-/// It cannot start.
+/// Returns a [`ClusterError`] if its configuration cannot be read, or a socket, file or signal handler cannot be set up.
 pub fn run(file: &Path) -> Result<(), ClusterError> {
     let text = std::fs::read_to_string(file).map_err(ClusterError::io(file.display()))?;
     let light: MemberConfig =
@@ -98,14 +100,14 @@
     match member.run().await {
         MembershipEnd::Left => Ok(()),
         MembershipEnd::Superseded { .. } | MembershipEnd::Rejected(_) | MembershipEnd::NoReplicas => {
-            // No member any more, and alive: it would go on with its own work.
+            // A real member would go on with its own work.
             sleep(Duration::from_secs(3_600)).await;
             Ok(())
         }
     }
 }
 
-/// Does the rounds of every lease that this member owns.
+/// Publishes effects of every lease that this member holds.
 async fn publish_effects(member: Member) {
     let mut terms: BTreeMap<LeaseId, Publisher> = BTreeMap::new();
     loop {
--- a/crates/emulator/src/cluster/results.rs
+++ b/crates/emulator/src/cluster/results.rs
@@ -1,4 +1,4 @@
-//! Adds up the schedules of an experiment: results.json and a table.
+//! Results of an experiment with processes: sums over its schedules, results.json and a table.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -11,19 +11,19 @@
 
 use super::error::ClusterError;
 use super::lease_harness::{play, Programs, SchedulePlan, ScheduleResult};
-use super::schedule::{Arm, ClusterExperiment};
+use super::schedule::ClusterExperiment;
 use super::violations::Rule;
 
-/// Seconds at half, 99 of 100, and the longest.
+/// Quantiles of times, in seconds.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Quantiles {
-    /// How many.
+    /// Number of times.
     pub count: u64,
-    /// At half.
+    /// Median.
     pub p50: f64,
-    /// At 99 of 100.
+    /// 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// Maximum.
     pub max: f64,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// What one arm gave.
+/// Result of one arm.
 #[derive(Debug, Default, Serialize)]
 pub struct ArmResult {
     /// Violations by rule.
@@ -57,56 +57,64 @@
     pub schedules: u64,
     /// Faults injected, by kind.
     pub faults: BTreeMap<&'static str, u64>,
-    /// Effects that were taken.
+    /// Effects that receivers accepted.
     pub taken: u64,
-    /// Effects that were refused.
+    /// Effects that receivers rejected.
     pub refused_tokens: u64,
-    /// Terms that were granted.
+    /// Lease terms granted.
     pub terms: u64,
-    /// From a fault at an holder to the first effect of the next term.
+    /// Times from a fault of a lease holder to the first effect of the next term.
     pub takeover_s: Quantiles,
     /// The same by kind of fault.
     pub takeover_by_cause_s: BTreeMap<&'static str, Quantiles>,
-    /// The seeds of schedules that broke a rule.
+    /// Seeds of the schedules that violated a rule.
     pub broken: Vec<u64>,
 }
 
-/// All of it.
+/// Results of all arms.
 #[derive(Debug, Serialize)]
 pub struct Results {
-    /// The experiment.
+    /// Name of the experiment.
     pub experiment: String,
-    /// `fleet`.
+    /// Execution mode: `fleet`.
     pub drive: &'static str,
-    /// The bug put in, if there was one.
+    /// Name of the injected bug.
     pub seeded_bug: Option<String>,
-    /// By arm.
+    /// Results by arm.
     pub arms: BTreeMap<String, ArmResult>,
 }
 
 impl Results {
-    /// Whether a rule was broken.
-    pub fn broken(&self) -> bool {
+    /// Whether a rule was violated.
+    #[must_use]
+    pub fn is_violated(&self) -> bool {
         self.arms.values().any(|arm| !arm.broken.is_empty())
     }
 
-    /// A table for people.
+    /// Returns the results as tables in Markdown.
     pub fn table(&self) -> String {
         let mut text =
             "| arm | schedules | violations | terms | effects taken | refused | takeover p50 | p99 | max |\n\
                         | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
                 .to_owned();
         for (name, arm) in &self.arms {
-            let (rules, over) = (arm.rules.values().sum::<u64>(), arm.takeover_s);
+            let violations = arm.rules.values().sum::<u64>();
+            let takeover = arm.takeover_s;
             text += &format!(
-                "| {name} | {} | {rules} | {} | {} | {} | {:.3} s | {:.3} s | {:.3} s |\n",
-                arm.schedules, arm.terms, arm.taken, arm.refused_tokens, over.p50, over.p99, over.max
+                "| {name} | {} | {violations} | {} | {} | {} | {:.3} s | {:.3} s | {:.3} s |\n",
+                arm.schedules,
+                arm.terms,
+                arm.taken,
+                arm.refused_tokens,
+                takeover.p50,
+                takeover.p99,
+                takeover.max
             );
         }
         text += "\n| arm | cause | takeovers | p50 | p99 | max |\n| --- | --- | --- | --- | --- | --- |\n";
         for (name, arm) in &self.arms {
-            for (cause, over) in &arm.takeover_by_cause_s {
-                let (count, p50, p99, max) = (over.count, over.p50, over.p99, over.max);
+            for (cause, takeover) in &arm.takeover_by_cause_s {
+                let Quantiles { count, p50, p99, max } = takeover;
                 text += &format!("| {name} | {cause} | {count} | {p50:.3} s | {p99:.3} s | {max:.3} s |\n");
             }
         }
@@ -116,7 +124,7 @@
     /// Writes results.json and table.md into this folder.
     ///
     /// # Errors
-    /// They cannot be written.
+    /// Returns the error of the file that cannot be written.
     pub fn write(&self, out: &Path) -> std::io::Result<()> {
         std::fs::create_dir_all(out)?;
         std::fs::write(out.join("results.json"), serde_json::to_vec_pretty(self)?)?;
@@ -124,89 +132,123 @@
     }
 }
 
-/// Plays all schedules, so many at once, each in a lane of its own.
+/// Options of a run of an experiment.
+#[derive(Debug, Clone, Copy)]
+pub struct RunOptions<'a> {
+    /// Seeds of the schedules of each arm.
+    pub seeds: &'a [u64],
+    /// Programs that the processes run.
+    pub programs: &'a Programs,
+    /// Folder of the schedules' files.
+    pub out: &'a Path,
+    /// Bug to inject, by name.
+    pub injected_bug: Option<&'a str>,
+    /// Schedules that are played in parallel.
+    pub parallel: usize,
+}
+
+/// Plays all schedules of an experiment, several in parallel.
 ///
 /// # Errors
-/// The harness could not do its work.
+/// Returns the [`ClusterError`] of a schedule whose harness failed, with its arm and seed.
 pub fn run(
-    plan: &ClusterExperiment,
-    seeds: &[u64],
-    programs: &Programs,
-    out: &Path,
-    bug: Option<&str>,
-    lanes: usize,
+    experiment: &ClusterExperiment,
+    options: RunOptions<'_>,
     bar: &ProgressBar,
 ) -> Result<Results, ClusterError> {
-    let all: Vec<(&Arm, u64)> =
-        plan.arms.iter().flat_map(|arm| seeds.iter().map(move |seed| (arm, *seed))).collect();
-    let pool = rayon::ThreadPoolBuilder::new().num_threads(lanes).build()?;
-    let said = Mutex::new(());
-    let played: Result<Vec<(&Arm, ScheduleResult)>, ClusterError> = pool.install(|| {
-        let one = |(arm, seed): &(&'_ Arm, u64)| {
-            let schedule = SchedulePlan { experiment: plan, arm, seed: *seed, injected_bug: bug };
-            let played = play(schedule, programs, out);
-            bar.inc(1);
-            let played = played.map_err(|source| ClusterError::Schedule {
-                arm: arm.name.clone(),
-                seed: *seed,
-                source: Box::new(source),
-            })?;
-            if !played.violations.is_empty() {
-                let _one = said.lock();
-                bar.suspend(|| report(plan, arm, &played, bug));
-            }
-            Ok(played)
-        };
-        all.par_iter().with_max_len(1).map(|job| one(job).map(|played| (job.0, played))).collect()
-    });
-    let mut arms: BTreeMap<String, ArmResult> = BTreeMap::new();
-    let mut times: BTreeMap<String, Vec<u64>> = BTreeMap::new();
-    let mut by_cause: BTreeMap<(String, &'static str), Vec<u64>> = BTreeMap::new();
-    for (arm, played) in played? {
-        let result = arms.entry(arm.name.clone()).or_default();
+    let pool = rayon::ThreadPoolBuilder::new().num_threads(options.parallel).build()?;
+    let mut schedules = Vec::new();
+    for arm in &experiment.arms {
+        for seed in options.seeds {
+            schedules.push(SchedulePlan { experiment, arm, seed: *seed, injected_bug: options.injected_bug });
+        }
+    }
+    let report_lock = Mutex::new(());
+    let play_one = |schedule: &SchedulePlan<'_>| {
+        let result = play(*schedule, options.programs, options.out);
+        bar.inc(1);
+        let result = result.map_err(|source| ClusterError::Schedule {
+            arm: schedule.arm.name.clone(),
+            seed: schedule.seed,
+            source: Box::new(source),
+        })?;
+        if !result.violations.is_empty() {
+            let _report = report_lock.lock();
+            bar.suspend(|| report(schedule, &result));
+        }
+        Ok(result)
+    };
+    let results: Result<Vec<ScheduleResult>, ClusterError> =
+        pool.install(|| schedules.par_iter().with_max_len(1).map(play_one).collect());
+    let mut totals = Totals::default();
+    for (schedule, result) in schedules.iter().zip(results?) {
+        totals.add(&schedule.arm.name, &result);
+    }
+    Ok(Results {
+        experiment: experiment.name.clone(),
+        drive: "fleet",
+        seeded_bug: options.injected_bug.map(str::to_owned),
+        arms: totals.into_arms(),
+    })
+}
+
+/// Sums over the schedules of each arm.
+#[derive(Default)]
+struct Totals {
+    arms: BTreeMap<String, ArmResult>,
+    /// Takeover times by arm, in microseconds.
+    takeovers: BTreeMap<String, Vec<u64>>,
+    /// Takeover times by arm and kind of fault, in microseconds.
+    takeovers_by_cause: BTreeMap<(String, &'static str), Vec<u64>>,
+}
+
+impl Totals {
+    fn add(&mut self, arm: &str, schedule: &ScheduleResult) {
+        let result = self.arms.entry(arm.to_owned()).or_default();
         result.schedules += 1;
-        result.taken += played.effects_accepted;
-        result.refused_tokens += played.effects_rejected;
-        result.terms += played.lease_terms;
-        for (kind, count) in &played.faults {
+        result.taken += schedule.effects_accepted;
+        result.refused_tokens += schedule.effects_rejected;
+        result.terms += schedule.lease_terms;
+        for (kind, count) in &schedule.faults {
             *result.faults.entry(kind.name()).or_default() += count;
         }
-        *result.faults.entry("connections reset").or_default() += played.resets;
-        *result.faults.entry("connections doubled").or_default() += played.duplicates;
-        for (rule, texts) in played.violations.iter() {
-            *result.rules.entry(rule.text().to_owned()).or_default() += texts.len() as u64;
+        *result.faults.entry("connections reset").or_default() += schedule.resets;
+        *result.faults.entry("connections doubled").or_default() += schedule.duplicates;
+        for (rule, descriptions) in schedule.violations.iter() {
+            *result.rules.entry(rule.text().to_owned()).or_default() += descriptions.len() as u64;
         }
-        if !played.violations.is_empty() {
-            result.broken.push(played.seed);
+        if !schedule.violations.is_empty() {
+            result.broken.push(schedule.seed);
         }
-        for (kind, taken) in &played.takeovers {
-            times.entry(arm.name.clone()).or_default().extend(taken);
-            by_cause.entry((arm.name.clone(), kind.name())).or_default().extend(taken);
+        for (kind, times) in &schedule.takeovers {
+            self.takeovers.entry(arm.to_owned()).or_default().extend(times);
+            self.takeovers_by_cause.entry((arm.to_owned(), kind.name())).or_default().extend(times);
         }
     }
-    for (name, times) in times {
-        arms.entry(name).or_default().takeover_s = Quantiles::of(&times);
-    }
-    for ((name, cause), times) in by_cause {
-        arms.entry(name).or_default().takeover_by_cause_s.insert(cause, Quantiles::of(&times));
+
+    fn into_arms(mut self) -> BTreeMap<String, ArmResult> {
+        for (arm, times) in self.takeovers {
+            self.arms.entry(arm).or_default().takeover_s = Quantiles::of(&times);
+        }
+        for ((arm, cause), times) in self.takeovers_by_cause {
+            let result = self.arms.entry(arm).or_default();
+            result.takeover_by_cause_s.insert(cause, Quantiles::of(&times));
+        }
+        self.arms
     }
-    Ok(Results { experiment: plan.name.clone(), drive: "fleet", seeded_bug: bug.map(str::to_owned), arms })
 }
 
-fn report(plan: &ClusterExperiment, arm: &Arm, played: &ScheduleResult, bug: Option<&str>) {
-    for (rule, texts) in played.violations.iter() {
-        let first = texts.first().map_or("", String::as_str);
-        eprintln!(
-            "{} seed {}: {}: {} times, first: {first}",
-            arm.name,
-            played.seed,
-            rule.text(),
-            texts.len()
-        );
+/// Prints the violations of a schedule, and the command that plays it again.
+fn report(schedule: &SchedulePlan<'_>, result: &ScheduleResult) {
+    let SchedulePlan { experiment, arm, seed, injected_bug } = schedule;
+    for (rule, descriptions) in result.violations.iter() {
+        let first = descriptions.first().map_or("", String::as_str);
+        let count = descriptions.len();
+        eprintln!("{} seed {seed}: {}: {count} times, first: {first}", arm.name, rule.text());
     }
-    let bug = bug.map_or(String::new(), |bug| format!(" --seeded-bug {bug}"));
+    let injected_bug = injected_bug.map_or(String::new(), |bug| format!(" --seeded-bug {bug}"));
     eprintln!(
-        "  to play it again: emulator run experiments/{}.hcl --seed {} --seeds 1 --arm {} --out again{bug}",
-        plan.name, played.seed, arm.name
+        "  to play it again: emulator run experiments/{}.hcl --seed {seed} --seeds 1 --arm {} --out again{injected_bug}",
+        experiment.name, arm.name
     );
 }
--- a/crates/emulator/src/cluster/virtual_time_soak/mod.rs
+++ b/crates/emulator/src/cluster/virtual_time_soak/mod.rs
@@ -75,7 +75,7 @@
         self.late_effects + self.overlapping_holders + self.decreasing_tokens > 0
     }
 
-    fn merge(self, other: SoakResult) -> SoakResult {
+    fn merge(&self, other: &SoakResult) -> SoakResult {
         SoakResult {
             hours: self.hours + other.hours,
             events: self.events + other.events,
@@ -96,5 +96,6 @@
         let seed = seed ^ hour.wrapping_mul(SEED_STEP);
         Simulation::new(seed, skew_ppm, injected_bug).run(HOUR)
     };
-    (0..hours).into_par_iter().map(run_hour).reduce(SoakResult::default, SoakResult::merge)
+    let results = (0..hours).into_par_iter().map(run_hour);
+    results.reduce(SoakResult::default, |total, hour| total.merge(&hour))
 }
--- a/crates/emulator/tests/lease_schedules.rs
+++ b/crates/emulator/tests/lease_schedules.rs
@@ -5,7 +5,7 @@
 
 use emulator::cluster::lease_harness::Programs;
 use emulator::cluster::record_checker::{check, takeovers, InjectedFault, LeaseRule, RecordLine, Records};
-use emulator::cluster::results::run;
+use emulator::cluster::results::{run, RunOptions};
 use emulator::cluster::schedule::{ClusterExperiment, FaultKind};
 use indicatif::ProgressBar;
 
@@ -45,8 +45,10 @@
     let programs = Programs { coordinator: built("coordinator"), emulator: built("emulator") };
     let out = tempfile::tempdir().unwrap();
     let seeds: Vec<u64> = (1..=6).collect();
-    let results = run(&plan, &seeds, &programs, out.path(), None, 6, &ProgressBar::hidden()).unwrap();
-    assert!(!results.broken(), "{results:#?}");
+    let options =
+        RunOptions { seeds: &seeds, programs: &programs, out: out.path(), injected_bug: None, parallel: 6 };
+    let results = run(&plan, options, &ProgressBar::hidden()).unwrap();
+    assert!(!results.is_violated(), "{results:#?}");
     let arms: Vec<_> = results.arms.values().collect();
     assert_eq!(arms.iter().map(|arm| arm.schedules).sum::<u64>(), 12);
     assert!(arms.iter().all(|arm| arm.taken > 0), "{results:#?}");
