--- a/crates/emulator/src/sockets/client.rs
+++ b/crates/emulator/src/sockets/client.rs
@@ -106,6 +106,7 @@
         shared.submissions.push(job);
         shared.submissions.len() as u64
     };
+    let submission = Submission { host, job, id, deadline };
     let until = leaves.unwrap_or(Micros::MAX).min(deadline + GIVE_UP_AFTER);
     let due = environment.borrow().instant(until);
     let mut taken = None;
@@ -114,7 +115,8 @@
             .pop()
             .filter(|(life, _)| *life == environment.borrow().incarnations[host].0);
         if let Some((life, stream)) = kept {
-            match exchange(environment, pool, host, job, id, deadline, (life, stream), &mut taken).await {
+            let connection = ClientConnection { incarnation: life, stream };
+            match exchange(environment, pool, submission, connection, &mut taken).await {
                 Ok(ended) => return ended,
                 // Closed between two requests: sent once more, on a new connection.
                 Err(_) if environment.borrow().incarnations[host] == (life, true) => {}
@@ -128,7 +130,8 @@
         let Ok(stream) = TcpStream::connect(("127.0.0.1", port)).await else {
             return SubmissionOutcome::Unreachable;
         };
-        match exchange(environment, pool, host, job, id, deadline, (life, stream), &mut taken).await {
+        let connection = ClientConnection { incarnation: life, stream };
+        match exchange(environment, pool, submission, connection, &mut taken).await {
             Ok(ended) => ended,
             Err(_) if environment.borrow().incarnations[host] == (life, true) => SubmissionOutcome::Failed,
             Err(_) => SubmissionOutcome::DispatcherKilled,
@@ -150,18 +153,33 @@
     ended
 }
 
-/// Writes a request and reads its answer.
-#[allow(clippy::too_many_arguments, reason = "all of it is one request")]
-async fn exchange(
-    environment: &SharedEnvironment,
-    pool: &Pool,
+/// A submission of a job to a dispatcher.
+#[derive(Clone, Copy)]
+struct Submission {
+    /// Number of the dispatcher.
     host: usize,
     job: u32,
+    /// Id of the request.
     id: u64,
     deadline: Micros,
-    (life, mut stream): (u32, TcpStream),
+}
+
+/// A connection to one incarnation of a dispatcher.
+struct ClientConnection {
+    incarnation: u32,
+    stream: TcpStream,
+}
+
+/// Writes a request and reads its answer.
+async fn exchange(
+    environment: &SharedEnvironment,
+    pool: &Pool,
+    submission: Submission,
+    connection: ClientConnection,
     taken: &mut Option<u64>,
 ) -> io::Result<SubmissionOutcome> {
+    let Submission { host, job, id, deadline } = submission;
+    let ClientConnection { incarnation, mut stream } = connection;
     stream.set_nodelay(true)?;
     let message = request(&environment.borrow(), job, id, deadline);
     stream.write_all(message.as_bytes()).await?;
@@ -182,7 +200,7 @@
     shared.checker.record_answer(id, refused, now);
     let after = head.get("retry-after").and_then(|v| v.parse().ok());
     if head.get("connection").is_none_or(|v| !v.eq_ignore_ascii_case("close")) {
-        pool.borrow_mut()[host].push((life, stream));
+        pool.borrow_mut()[host].push((incarnation, stream));
     }
     Ok(match head.status {
         // Served with what no worker made for it is as good as lost.
--- a/crates/emulator/src/sockets/environment.rs
+++ b/crates/emulator/src/sockets/environment.rs
@@ -143,7 +143,7 @@
     pub(super) fn kill_worker(&mut self, w: usize) {
         self.processes[w] += 1;
         self.record.workers[w].3 = self.now();
-        self.with_worker(w, |worker, now, events| worker.end(now, events));
+        self.with_worker(w, Worker::end);
         self.ended[w].notify_waiters();
     }
 
--- a/crates/emulator/src/sockets/faults.rs
+++ b/crates/emulator/src/sockets/faults.rs
@@ -68,7 +68,7 @@
     let next = {
         let mut shared = environment.borrow_mut();
         shared.record.workers[w].3 = shared.now();
-        shared.with_worker(w, |worker, now, events| worker.drain(now, events));
+        shared.with_worker(w, Worker::drain);
         let plan = shared.workers[w].plan.clone();
         let since = shared.now() + duration;
         let mut successor = Worker::new(plan, Some(since), since, progress_interval());
--- a/crates/emulator/src/sockets/worker.rs
+++ b/crates/emulator/src/sockets/worker.rs
@@ -16,7 +16,7 @@
 use super::http::{self, chunk, CHUNKED, LAST_CHUNK};
 use crate::checker::{Location, ObservedAttempt};
 use crate::day::{micros, Micros};
-use crate::worker::{AssignedJob, JobEvent, OverloadLimit, Phase};
+use crate::worker::{AssignedJob, JobEvent, OverloadLimit, Phase, Worker};
 
 /// Opens a worker's listeners, one for each dispatcher, and runs its model until its process ends.
 pub(super) async fn serve(environment: &SharedEnvironment, w: usize) -> io::Result<()> {
@@ -51,7 +51,7 @@
             () = due.notified() => {}
             () = sleep => {
                 if environment.borrow().processes[w] == process {
-                    environment.borrow_mut().with_worker(w, |worker, now, events| worker.wake(now, events));
+                    environment.borrow_mut().with_worker(w, Worker::wake);
                 }
             }
         }
