--- a/crates/emulator/src/cluster/cluster_harness/mod.rs
+++ b/crates/emulator/src/cluster/cluster_harness/mod.rs
@@ -1,7 +1,7 @@
 //! A cluster of real coordinators and dispatchers as processes, with emulated discovery.
 //!
-//! [`setup`] writes configurations and allocates addresses; [`processes`] starts, stops and signals processes;
-//! [`observation`] reads their logs, consoles and records. Coordinators count from 1, dispatchers from 0.
+//! `setup` writes configurations and allocates addresses; `processes` starts, stops and signals processes;
+//! `observation` reads their logs, consoles and records. Coordinators count from 1, dispatchers from 0.
 
 mod observation;
 mod processes;
--- a/crates/emulator/src/cluster/cluster_harness/observation.rs
+++ b/crates/emulator/src/cluster/cluster_harness/observation.rs
@@ -112,7 +112,7 @@
     /// Waits until all dispatchers that run know so many workers; returns the time that it took.
     ///
     /// # Errors
-    /// Returns [`ClusterError::Timeout`] after [`MAX_WAIT`].
+    /// Returns [`ClusterError::Timeout`] after `MAX_WAIT`.
     pub async fn wait_for_workers(&self, workers: usize) -> Result<Duration, ClusterError> {
         let start = Instant::now();
         for n in (0..self.dispatchers.len()).filter(|n| self.dispatchers[*n].is_some()) {
@@ -130,7 +130,7 @@
     /// of its workers yet; returns the time that it took. The leader moves one set in each stability period.
     ///
     /// # Errors
-    /// Returns [`ClusterError::Timeout`] after [`MAX_WAIT`].
+    /// Returns [`ClusterError::Timeout`] after `MAX_WAIT`.
     pub async fn wait_for_balanced_sets(&self, sets: usize) -> Result<Duration, ClusterError> {
         let start = Instant::now();
         loop {
@@ -149,7 +149,7 @@
     /// Waits until so many watches are open at discovery; returns the time that it took.
     ///
     /// # Errors
-    /// Returns [`ClusterError::Timeout`] after [`MAX_WAIT`].
+    /// Returns [`ClusterError::Timeout`] after `MAX_WAIT`.
     pub async fn wait_for_watches(&self, expected: u64) -> Result<Duration, ClusterError> {
         let start = Instant::now();
         while self.discovery.open_watches() != expected {
--- a/crates/emulator/src/cluster/lease_harness/mod.rs
+++ b/crates/emulator/src/cluster/lease_harness/mod.rs
@@ -1,8 +1,8 @@
 //! Plays one schedule of the lease experiments: real coordinators and lightweight members, every link between two of them
 //! through a proxy, and faults drawn by a seed.
 //!
-//! [`setup`] allocates addresses and writes configurations, [`processes`] starts and stops processes, [`faults`] injects
-//! faults, [`recovery`] ends them, and [`evaluation`] checks the end of a schedule and the records.
+//! `setup` allocates addresses and writes configurations, `processes` starts and stops processes, `faults` injects
+//! faults, `recovery` ends them, and `evaluation` checks the end of a schedule and the records.
 
 mod evaluation;
 mod faults;
--- a/crates/emulator/src/cluster/planned_drains/mod.rs
+++ b/crates/emulator/src/cluster/planned_drains/mod.rs
@@ -273,7 +273,7 @@
 ///
 /// # Errors
 /// Returns a [`ClusterError`] if a process cannot be set up, the coordinators reject the budgets, or the dispatchers are not
-/// known to be available within [`MAX_SETUP_TIME`].
+/// known to be available within `MAX_SETUP_TIME`.
 pub async fn start_cluster(
     dir: &Path,
     binaries: Binaries,
