--- a/crates/cluster-member/tests/connection.rs
+++ b/crates/cluster-member/tests/connection.rs
@@ -10,7 +10,7 @@
 };
 use support::{assert_pinned, hex};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 fn hello(schema: u16) -> ClientHello {
     ClientHello {
@@ -118,8 +118,10 @@
 
 #[tokio::test]
 async fn other_errors_are_no_rejections() {
-    let (listener, address) = listen().await;
-    drop(listener);
+    // Bound and not listening: refuses connections, and no other test can be given its port.
+    let refusing = TcpSocket::new_v4().unwrap();
+    refusing.bind("127.0.0.1:0".parse().unwrap()).unwrap();
+    let address = refusing.local_addr().unwrap();
     let error = Connection::connect(address, None, &hello(SCHEMA_VERSION)).await.unwrap_err();
     assert_eq!(error.handshake_rejection(), None);
     assert_eq!(error.to_string(), "Connection refused (os error 111)");
