--- a/crates/dispatcher/src/net/cluster/shared_list.rs
+++ b/crates/dispatcher/src/net/cluster/shared_list.rs
@@ -12,7 +12,7 @@
 use cluster_member::member::Member;
 use cluster_member::wire::Effect;
 use coordination::{FencingToken, LeaseId, Micros};
-use disruption_budget::ListedWorker;
+use disruption_budget::WorkerEndpoint;
 use serde_json::Value;
 use tokio::sync::{mpsc, watch};
 
@@ -96,7 +96,7 @@
     }
 
     /// Returns the listed workers, with the verdicts of the cluster's health checks.
-    pub(super) fn workers(&self, health_checks: Option<&ClusterHealthChecks>) -> Vec<ListedWorker> {
+    pub(super) fn workers(&self, health_checks: Option<&ClusterHealthChecks>) -> Vec<WorkerEndpoint> {
         let snapshot = self.snapshot.borrow();
         let entries = snapshot.entries().map(EndpointEntry::new);
         entries.map(|entry| listed_worker(entry, health_checks)).collect()
@@ -223,9 +223,9 @@
     }
 }
 
-fn listed_worker(entry: EndpointEntry<'_>, health_checks: Option<&ClusterHealthChecks>) -> ListedWorker {
+fn listed_worker(entry: EndpointEntry<'_>, health_checks: Option<&ClusterHealthChecks>) -> WorkerEndpoint {
     let name = entry.name().unwrap_or_default();
-    ListedWorker {
+    WorkerEndpoint {
         name: name.to_owned(),
         zone: entry.zone().unwrap_or_default().to_owned(),
         pool: entry.kind().unwrap_or_default().to_owned(),
--- a/crates/dispatcher/src/net/planned_drain/mod.rs
+++ b/crates/dispatcher/src/net/planned_drain/mod.rs
@@ -15,7 +15,7 @@
 use cluster_member::member::Member;
 use cluster_member::wire::ClientIdentity;
 use coordination::Micros;
-use disruption_budget::{ListedWorker, PermitId, ReadinessReport, WarmupTracker};
+use disruption_budget::{PermitId, ReadinessReport, WarmupTracker, WorkerEndpoint};
 use tokio::sync::{watch, Mutex};
 use tokio::time::Instant;
 
@@ -42,7 +42,7 @@
 }
 
 /// Returns the listed workers with the verdicts of the health checks.
-pub(super) type ListWorkers = Box<dyn Fn() -> Vec<ListedWorker>>;
+pub(super) type ListWorkers = Box<dyn Fn() -> Vec<WorkerEndpoint>>;
 
 /// This dispatcher's part in planned drains.
 pub struct PlannedDrain {
@@ -92,7 +92,7 @@
         *self.list_workers.borrow_mut() = Some(list_workers);
     }
 
-    fn listed_workers(&self) -> Vec<ListedWorker> {
+    fn listed_workers(&self) -> Vec<WorkerEndpoint> {
         self.list_workers.borrow().as_ref().map_or_else(Vec::new, |list_workers| list_workers())
     }
 
--- a/crates/dispatcher/src/net/planned_drain/observation.rs
+++ b/crates/dispatcher/src/net/planned_drain/observation.rs
@@ -11,7 +11,7 @@
 use cluster_member::wire::{Operation, Response};
 use coordination::{FencingToken, LeaseId, Micros};
 use disruption_budget::{
-    Availability, AvailabilityObserver, DisruptionCommand, DisruptionState, ListedDispatcher,
+    Availability, AvailabilityObserver, DispatcherMember, DisruptionCommand, DisruptionState,
     ObservationUrgency, ReadinessReport, StatusChanges, TargetKind, OBSERVER_LEASE,
 };
 use tokio::time::Instant;
@@ -167,8 +167,8 @@
         let term = self.term.borrow();
         let term = term.as_ref()?;
         let peers = self.member.members();
-        let dispatchers: Vec<ListedDispatcher<'_>> =
-            peers.iter().map(|peer| ListedDispatcher { name: &peer.name, zone: &peer.zone }).collect();
+        let dispatchers: Vec<DispatcherMember<'_>> =
+            peers.iter().map(|peer| DispatcherMember { name: &peer.name, zone: &peer.zone }).collect();
         let now = clock::now();
         let mut changes = term.observer.borrow_mut().status_changes(now, &dispatchers, state)?;
         let workers = self.listed_workers();
--- a/crates/disruption-budget/src/availability_observer.rs
+++ b/crates/disruption-budget/src/availability_observer.rs
@@ -50,7 +50,7 @@
 
 /// A dispatcher in the list of cluster members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ListedDispatcher<'a> {
+pub struct DispatcherMember<'a> {
     /// Name of the dispatcher.
     pub name: &'a str,
     /// Zone of the dispatcher.
@@ -102,7 +102,7 @@
     pub fn status_changes(
         &mut self,
         now: Micros,
-        members: &[ListedDispatcher<'_>],
+        members: &[DispatcherMember<'_>],
         state: &DisruptionState,
     ) -> Option<StatusChanges> {
         let registered = state.targets_by_name(TargetKind::Dispatcher);
@@ -124,7 +124,7 @@
     /// Records dispatchers that were removed from the state since the last call, and discards their reports.
     fn track_deregistered(
         &mut self,
-        members: &[ListedDispatcher<'_>],
+        members: &[DispatcherMember<'_>],
         registered: &BTreeMap<String, TargetStatus>,
     ) {
         for name in std::mem::take(&mut self.registered) {
@@ -143,7 +143,7 @@
         &self,
         now: Micros,
         name: &str,
-        member: Option<&ListedDispatcher<'_>>,
+        member: Option<&DispatcherMember<'_>>,
         registered: Option<&TargetStatus>,
     ) -> TargetStatus {
         if let Some(report) = self.valid_report(now, name) {
--- a/crates/disruption-budget/src/lib.rs
+++ b/crates/disruption-budget/src/lib.rs
@@ -37,7 +37,7 @@
 mod target;
 mod worker_warmup;
 
-pub use availability_observer::{AvailabilityObserver, ListedDispatcher, ReadinessReport, OBSERVER_LEASE};
+pub use availability_observer::{AvailabilityObserver, DispatcherMember, ReadinessReport, OBSERVER_LEASE};
 pub use budget::{Amount, Budget, BudgetError, BudgetProblem, BudgetScope};
 pub use command::DisruptionCommand;
 pub use injected_bug::InjectedBug;
@@ -48,7 +48,7 @@
 pub use state::{BudgetUsage, DisruptionState, DisruptionTotals, ObservationUrgency};
 pub use status::{Availability, StatusChanges, TargetStatus};
 pub use target::{ParseTargetError, Target, TargetKind};
-pub use worker_warmup::{ListedWorker, WarmupTracker};
+pub use worker_warmup::{WarmupTracker, WorkerEndpoint};
 
 /// Microseconds on the caller's monotonic clock; never compared between processes.
 pub type Micros = u64;
--- a/crates/disruption-budget/src/worker_warmup.rs
+++ b/crates/disruption-budget/src/worker_warmup.rs
@@ -11,7 +11,7 @@
 
 /// A worker of the endpoint list, with the result of health checks.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ListedWorker {
+pub struct WorkerEndpoint {
     /// Name of the worker.
     pub name: String,
     /// Zone of the worker.
@@ -52,7 +52,7 @@
     }
 
     /// Records new starts. To be called whenever the endpoint list may have changed.
-    pub fn update_list(&mut self, now: Micros, workers: &[ListedWorker]) {
+    pub fn update_list(&mut self, now: Micros, workers: &[WorkerEndpoint]) {
         let earlier = std::mem::take(&mut self.starts);
         for worker in workers {
             let same_start =
@@ -71,7 +71,7 @@
     pub fn status_changes(
         &self,
         now: Micros,
-        workers: &[ListedWorker],
+        workers: &[WorkerEndpoint],
         state: &DisruptionState,
     ) -> StatusChanges {
         let registered = state.targets_by_name(TargetKind::Worker);
@@ -83,7 +83,12 @@
         StatusChanges { changed, removed: unlisted.map(|status| status.target.clone()).collect() }
     }
 
-    fn status(&self, now: Micros, worker: &ListedWorker, registered: Option<&TargetStatus>) -> TargetStatus {
+    fn status(
+        &self,
+        now: Micros,
+        worker: &WorkerEndpoint,
+        registered: Option<&TargetStatus>,
+    ) -> TargetStatus {
         TargetStatus {
             target: Target::worker(&worker.name),
             zone: worker.zone.clone(),
@@ -100,7 +105,7 @@
     fn availability(
         &self,
         now: Micros,
-        worker: &ListedWorker,
+        worker: &WorkerEndpoint,
         registered: Option<Availability>,
     ) -> Availability {
         if !worker.in_service || worker.unhealthy {
--- a/crates/disruption-budget/tests/availability_observer.rs
+++ b/crates/disruption-budget/tests/availability_observer.rs
@@ -1,7 +1,7 @@
 //! Dispatchers' availability, from their readiness reports and their silence.
 
 use disruption_budget::{
-    Availability, AvailabilityObserver, DisruptionCommand, DisruptionState, ListedDispatcher,
+    Availability, AvailabilityObserver, DispatcherMember, DisruptionCommand, DisruptionState,
     ReadinessReport, StatusChanges, Target, TargetKind,
 };
 
@@ -15,7 +15,7 @@
 fn silent_dispatcher_is_unavailable_once_it_had_time_to_report() {
     let mut observer = AvailabilityObserver::new(100, 1_000);
     let mut state = DisruptionState::default();
-    let members = ["a", "b"].map(|name| ListedDispatcher { name, zone: NORTH });
+    let members = ["a", "b"].map(|name| DispatcherMember { name, zone: NORTH });
     observer.record_report(report("a", 7, true), 1_010);
     assert_eq!(observer.status_changes(1_199, &members, &state), None);
     observer.record_report(report("a", 7, true), 1_150);
@@ -53,13 +53,13 @@
     (observer, state)
 }
 
-const LISTED: [ListedDispatcher<'static>; 2] =
-    [ListedDispatcher { name: "a", zone: NORTH }, ListedDispatcher { name: "b", zone: NORTH }];
+const LISTED: [DispatcherMember<'static>; 2] =
+    [DispatcherMember { name: "a", zone: NORTH }, DispatcherMember { name: "b", zone: NORTH }];
 
 /// The names and availabilities that an observer would change, with a report of "a" that is never too old.
 fn changes(
     observer: &mut AvailabilityObserver,
-    members: &[ListedDispatcher<'_>],
+    members: &[DispatcherMember<'_>],
     state: &DisruptionState,
     now: u64,
 ) -> Vec<(String, Availability)> {
--- a/crates/disruption-budget/tests/worker_warmup.rs
+++ b/crates/disruption-budget/tests/worker_warmup.rs
@@ -1,22 +1,22 @@
 //! Workers' availability, from the endpoint list, health checks and the time since each one's start.
 
 use disruption_budget::{
-    Availability, DisruptionCommand, DisruptionState, ListedWorker, StatusChanges, Target, TargetKind,
-    WarmupTracker,
+    Availability, DisruptionCommand, DisruptionState, StatusChanges, Target, TargetKind, WarmupTracker,
+    WorkerEndpoint,
 };
 
-fn worker(in_service: bool, start_id: u64, unhealthy: bool) -> ListedWorker {
+fn worker(in_service: bool, start_id: u64, unhealthy: bool) -> WorkerEndpoint {
     let name = "w".to_owned();
     let zone = "north".to_owned();
     let pool = "small".to_owned();
-    ListedWorker { name, zone, pool, in_service, start_id, unhealthy }
+    WorkerEndpoint { name, zone, pool, in_service, start_id, unhealthy }
 }
 
 #[test]
 fn restarted_worker_warms_up_by_the_observers_own_clock() {
     let mut tracker = WarmupTracker::new(0.2, 1_000);
     let mut state = DisruptionState::default();
-    let mut observe = |now, worker: ListedWorker| {
+    let mut observe = |now, worker: WorkerEndpoint| {
         let workers = [worker];
         tracker.update_list(now, &workers);
         let StatusChanges { changed, removed } = tracker.status_changes(now, &workers, &state);
