--- a/crates/cluster-member/tests/format.rs
+++ b/crates/cluster-member/tests/format.rs
@@ -89,7 +89,7 @@
         ("not free", CommandRejection::LeaseNotFree),
         ("not the holder", CommandRejection::NotLeaseHolder),
         ("full", CommandRejection::LimitExceeded("sessions".to_owned())),
-        ("old store", CommandRejection::StaleDisk { starts: 5 }),
+        ("old store", CommandRejection::StaleStore { starts: 5 }),
         ("coordinators", CommandRejection::InvalidReplacement("no".to_owned())),
     ]
 }
--- a/crates/coordination/src/outcome.rs
+++ b/crates/coordination/src/outcome.rs
@@ -63,10 +63,10 @@
     /// A limit would be exceeded; the text names it.
     #[error("limit exceeded: {0}")]
     LimitExceeded(String),
-    /// The store of a replica was already seen with more starts: it is an old copy.
-    #[error("the disk is stale: it was already seen with {starts} starts")]
-    StaleDisk {
-        /// Highest start count seen.
+    /// The store of a replica has a lower start count than was recorded for it, so it is an old copy.
+    #[error("the store is an old copy: its recorded start count is already {starts}")]
+    StaleStore {
+        /// Highest recorded start count of the replica's store.
         starts: u64,
     },
     /// The replacement of a replica is not possible; the text gives the reason.
--- a/crates/coordination/src/state_machine/replicas.rs
+++ b/crates/coordination/src/state_machine/replicas.rs
@@ -33,7 +33,7 @@
     pub(super) fn record_replica_start(&mut self, replica: u64, starts: u64) -> CommandResult {
         let seen = self.replica_starts.entry(replica).or_default();
         if starts < *seen {
-            return Err(CommandRejection::StaleDisk { starts: *seen });
+            return Err(CommandRejection::StaleStore { starts: *seen });
         }
         *seen = starts;
         Ok(CommandOutcome::Acknowledged)
--- a/crates/coordination/tests/format.rs
+++ b/crates/coordination/tests/format.rs
@@ -393,7 +393,7 @@
         ("rejection 2", CommandRejection::LeaseNotFree),
         ("rejection 3", CommandRejection::NotLeaseHolder),
         ("rejection 4", CommandRejection::LimitExceeded("much".to_owned())),
-        ("rejection 5", CommandRejection::StaleDisk { starts: 301 }),
+        ("rejection 5", CommandRejection::StaleStore { starts: 301 }),
         ("rejection 6", CommandRejection::InvalidReplacement("why".to_owned())),
     ]
 }
