--- a/crates/disruption-budget/src/budget.rs
+++ b/crates/disruption-budget/src/budget.rs
@@ -85,13 +85,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BudgetProblem {
     /// No target may ever be unavailable.
-    #[error("0 can never be met: nothing could ever be taken out")]
+    #[error("0 never allows a disruption")]
     NoneUnavailable,
     /// All targets may be unavailable at once.
     #[error("100 % or more allows the last target to be unavailable")]
     AllUnavailable,
     /// All targets must always be available.
-    #[error("100 % or more can never be met: nothing could ever be taken out")]
+    #[error("100 % or more never allows a disruption")]
     AllAvailable,
     /// No target has to be available.
     #[error("0 allows the last target to be unavailable")]
