--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -4,11 +4,11 @@
 
 use crate::{FencingToken, LeaseId, Revision, SessionId};
 
-/// Sessions, leases and starts of replicas.
+/// Has sessions, leases and starts of replicas.
 const VERSION_BASE: u16 = 1;
-/// Version 1 and replacements of replicas.
+/// Adds replacements of replicas.
 const VERSION_REPLICA_CHANGES: u16 = 2;
-/// Version 2 and the disruption state.
+/// Adds the disruption state.
 const VERSION_DISRUPTION: u16 = 3;
 
 /// Latest version of log entries that this program writes and reads.
@@ -27,33 +27,33 @@
         boot_id: u64,
         /// Zone of the member; empty if it has none.
         zone: String,
-        /// Address at which other members reach it.
+        /// Address at which other members reach this member.
         address: String,
         /// Leases that the member may be granted.
         eligible_leases: Vec<LeaseId>,
-        /// Whether the session that this one supersedes was short, by the leader's clock.
+        /// Whether the current session of the name, which this one supersedes, was short by the leader's clock.
         short_lived: bool,
     },
-    /// Ends a session at the member's request; its leases are free at once.
+    /// Ends a session at the member's request, which frees its leases at once.
     CloseSession {
         /// The session.
         session: SessionId,
-        /// Whether it was short, by the leader's clock.
+        /// Whether the session was short, by the leader's clock.
         short_lived: bool,
     },
     /// Ends a session that was not renewed in time.
     ExpireSession {
         /// The session.
         session: SessionId,
-        /// Whether it was short, by the leader's clock.
+        /// Whether the session was short, by the leader's clock.
         short_lived: bool,
     },
-    /// Marks a session that lasted its stability period, so that it may hold leases.
+    /// Marks a session as stable after its stability period, so that it may hold leases.
     MarkSessionStable {
         /// The session.
         session: SessionId,
     },
-    /// Grants a lease if it is still free since `fencing_revision`.
+    /// Grants a lease if it is free and was not fenced again after `fencing_revision`.
     GrantLease {
         /// The lease.
         lease: LeaseId,
@@ -68,7 +68,7 @@
         lease: LeaseId,
         /// Token of the term; a term with another token is not ended.
         token: FencingToken,
-        /// Whether the holder has to become stable again before it is granted a lease.
+        /// Whether the holder must become stable again before it is granted a lease.
         reset_stability: bool,
     },
     /// Records the start of a replica.
@@ -99,11 +99,11 @@
 /// A log entry that this program cannot apply.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CommandDecodeError {
-    /// Written by a later version of the program. The replica has to stop: skipping the entry would make its state
-    /// diverge.
+    /// Written by a later version of the program. The replica must stop, because skipping the entry would make its
+    /// state diverge.
     #[error(
-        "a log entry has version {version} and this replica supports versions up to {supported}: it stops rather than skip \
-         a committed entry; upgrade this replica"
+        "a log entry has version {version} and this replica supports versions up to {supported}: it stops rather than \
+         skip a committed entry; upgrade this replica"
     )]
     UnsupportedVersion {
         /// Version of the entry.
@@ -128,7 +128,8 @@
         postcard::to_stdvec(&(self.version(), self)).unwrap_or_default()
     }
 
-    /// Returns the first version with this command. Replicas of earlier versions read the log until it is used.
+    /// Returns the lowest version that has this command. Entries are encoded with this version, so replicas of earlier
+    /// versions can read the log until a newer command is used.
     pub fn version(&self) -> u16 {
         match self {
             Command::Disruption(_) => VERSION_DISRUPTION,
--- a/crates/coordination/src/injected_bug.rs
+++ b/crates/coordination/src/injected_bug.rs
@@ -5,16 +5,16 @@
 pub enum InjectedBug {
     /// A receiver accepts every effect.
     SkipTokenCheck,
-    /// The session's expiry is measured from the response instead of from before the renewal was requested.
+    /// The session's expiry is measured from the response to a renewal instead of from its request.
     LeaseFromResponse,
     /// A receiver drops the minimum tokens that it was notified of.
     ForgetMinimumToken,
-    /// A holder checks the expiry once a round instead of before each effect.
+    /// A holder checks the expiry before the first effect of a round or connection instead of before each effect.
     SkipExpiryCheck,
 }
 
 impl InjectedBug {
-    /// Returns the bugs by name; empty unless built with the feature `seeded-bugs`.
+    /// Returns all bugs with their names on the command line; empty unless built with the feature `seeded-bugs`.
     pub fn names() -> &'static [(&'static str, InjectedBug)] {
         #[cfg(feature = "seeded-bugs")]
         return &[
--- a/crates/coordination/src/leader_state.rs
+++ b/crates/coordination/src/leader_state.rs
@@ -1,13 +1,13 @@
 //! Volatile state of the leading replica, reinitialized after each election.
 //!
-//! A new leader gives every session its full duration again and waits anew for acknowledgements. Safety rests on the
-//! checks of the state machine and on the waits made here, never on the volatile state of an earlier leader.
+//! A new leader gives every session its full duration again and waits again for all acknowledgements. Safety depends on
+//! the checks of the state machine and on these waits, never on the volatile state of an earlier leader.
 
 use crate::lease_assigner::{AssignmentContext, LeaseAssigner, LeaseCounts};
 use crate::session_monitor::SessionMonitor;
 use crate::{Command, CommandRejection, Micros, Revision, SessionId, StateMachine, Timing};
 
-/// Volatile state of the leader, and the commands that follow from the passing of time.
+/// Volatile state of the leader, from which it derives the commands that become due as time passes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaderState {
     sessions: SessionMonitor,
@@ -23,16 +23,16 @@
         leader
     }
 
-    /// Follows the state machine after entries were applied.
+    /// Updates the volatile state after log entries were applied to the state machine.
     pub fn on_entries_applied(&mut self, now: Micros, state: &StateMachine) {
         self.sessions.on_entries_applied(now, state);
         self.assigner.on_entries_applied(state);
     }
 
-    /// Renews a session whose member acknowledged the view of this revision. To be called only after a majority
-    /// confirmed, since the request, that this replica leads.
+    /// Renews a session whose member acknowledged the view of this revision. Must be called only after a majority
+    /// has confirmed, after the request arrived, that this replica still leads.
     ///
-    /// The member measures the session from before the request and the leader from now, which is later.
+    /// The member measures the session from its request and the leader from `now`, which is later.
     ///
     /// # Errors
     /// Returns [`CommandRejection::NoSuchSession`] if the session is unknown or about to expire, and
@@ -53,9 +53,10 @@
         current.is_some_and(|(id, _)| self.sessions.is_short(id, now))
     }
 
-    /// Returns the commands to propose now: expiries, stability, grants, and a rebalance if nothing else is due.
+    /// Returns the commands to propose now: those that expire sessions, mark sessions as stable and grant leases, or a
+    /// rebalance if there are none.
     ///
-    /// Each is returned once, unless it is passed to [`LeaderState::proposal_rejected`].
+    /// A command is returned once, and again only after it was passed to [`LeaderState::proposal_rejected`].
     pub fn due_commands(&mut self, now: Micros, state: &StateMachine) -> Vec<Command> {
         let mut due = self.sessions.due_commands(now, state);
         let mut counts = LeaseCounts::of(state);
@@ -67,7 +68,7 @@
         due
     }
 
-    /// Allows a command to be proposed again that did not get into the log or was rejected when it was applied.
+    /// Allows a command to be proposed again because it did not get into the log or was rejected when it was applied.
     pub fn proposal_rejected(&mut self, command: &Command) {
         match command {
             Command::ExpireSession { session, .. } => self.sessions.expiry_rejected(*session),
--- a/crates/coordination/src/lease_assigner.rs
+++ b/crates/coordination/src/lease_assigner.rs
@@ -56,7 +56,7 @@
     fnv1a(&key)
 }
 
-/// A grant that was proposed and not applied yet.
+/// A grant that was proposed and is not applied yet.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct ProposedGrant {
     lease: LeaseId,
@@ -110,11 +110,11 @@
         grants
     }
 
-    /// Returns the release of one set of workers whose holder has more leases, by [`REBALANCE_THRESHOLD`], than the member
-    /// that would be granted it.
+    /// Returns the command that releases a set of workers if its holder has at least [`REBALANCE_THRESHOLD`] leases
+    /// more than the member that would be granted it.
     ///
-    /// One set moves at a time, and the next only after a stability period, so that members that join and leave do not
-    /// make the sets move back and forth.
+    /// One set moves at a time, and the next one only after a stability period, so that members that join and leave do
+    /// not make the sets move back and forth.
     pub(crate) fn rebalance(
         &mut self,
         context: &AssignmentContext<'_>,
@@ -128,8 +128,8 @@
         let sets = leases.filter(|(id, _)| matches!(id.scope, LeaseScope::WorkerSet(_)));
         let with_holder = sets.filter_map(|(id, lease)| Some((id, lease.holder?)));
         let (id, holder) = with_holder.max_by_key(|(id, holder)| (counts.get(holder.session), *id))?;
-        let target = context.choose_holder(id, counts)?;
-        if counts.get(target) + REBALANCE_THRESHOLD > counts.get(holder.session) {
+        let candidate = context.choose_holder(id, counts)?;
+        if counts.get(candidate) + REBALANCE_THRESHOLD > counts.get(holder.session) {
             return None;
         }
         self.last_rebalance = Some(now);
--- a/crates/coordination/src/lease_client.rs
+++ b/crates/coordination/src/lease_client.rs
@@ -1,4 +1,4 @@
-//! Lease client: a member's session, the leases that it holds, and the check of effects of other holders.
+//! Lease client: a member's session, the leases that it holds, and the check of the effects that it receives.
 
 use std::collections::BTreeMap;
 
@@ -13,9 +13,9 @@
 pub struct ClientSession {
     /// The session.
     pub id: SessionId,
-    /// Number of the session among those of the member's name, from one.
+    /// Number of the session among all sessions of the member's name, starting at 1.
     pub incarnation: u64,
-    /// Time at which the session expires unless it is renewed, by this member's clock.
+    /// Time by this member's clock at which the session expires unless it is renewed.
     pub expires_at: Micros,
 }
 
@@ -28,7 +28,7 @@
     pub token: FencingToken,
 }
 
-/// Reason for which a receiver rejects an effect.
+/// Reason why a receiver rejects an effect.
 ///
 /// Holders receive these as postcard: the order of variants and fields is part of the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, thiserror::Error, Serialize, Deserialize)]
@@ -36,7 +36,7 @@
     /// The receiver has no session, so its minimum tokens may be stale. The holder may retry later.
     #[error("the receiver has no session, so it accepts no effects")]
     NoSession,
-    /// The receiver was notified of a later term. The holder has to stop.
+    /// The receiver was notified of a later term. The holder must stop sending effects.
     #[error("the term has ended: the minimum token is {}", minimum_token.0)]
     StaleToken {
         /// Lowest token that the receiver accepts.
@@ -103,12 +103,12 @@
         self
     }
 
-    /// Returns the injected bug, for drivers that check the expiry.
+    /// Returns the injected bug, for callers that check the expiry themselves.
     pub fn injected_bug(&self) -> Option<InjectedBug> {
         self.injected_bug
     }
 
-    /// Records that the session was opened that was requested at `requested_at`.
+    /// Records that a session was opened, which this member requested at `requested_at`.
     pub fn on_session_opened(
         &mut self,
         id: SessionId,
@@ -118,7 +118,8 @@
         view: ClusterView,
     ) {
         if self.session.is_none_or(|session| session.id != id) {
-            // The first view of a session replaces all earlier ones, also after an installation was set up anew.
+            // The first view of a session replaces all earlier views, whatever their revisions: if the installation was
+            // set up again, its revisions start at zero again.
             self.revision = 0;
             self.leases = BTreeMap::new();
             self.session = Some(ClientSession { id, incarnation, expires_at: 0 });
@@ -126,7 +127,7 @@
         self.on_session_renewed(id, requested_at, now, Some(view));
     }
 
-    /// Records that the session was renewed, as requested at `requested_at`.
+    /// Records that the session was renewed, which this member requested at `requested_at`.
     pub fn on_session_renewed(
         &mut self,
         id: SessionId,
@@ -142,7 +143,8 @@
         }
     }
 
-    /// Applies a changed view of the session. Returns whether it was newer, so that it has to be acknowledged at once.
+    /// Applies a view that arrived between renewals. Returns whether it is newer than the last one; the member must
+    /// then acknowledge it at once.
     pub fn on_view_changed(&mut self, id: SessionId, view: ClusterView) -> bool {
         self.session.is_some_and(|session| session.id == id) && self.apply_view(view)
     }
@@ -152,7 +154,7 @@
         self.session = None;
     }
 
-    /// Returns the expiry of a session. By invariant 4 of the crate it is measured from before the renewal was requested.
+    /// Returns the expiry of a session, measured from the request of its renewal by invariant 4 of the crate.
     fn expiry(&self, requested_at: Micros, now: Micros) -> Micros {
         let start =
             if self.injected_bug == Some(InjectedBug::LeaseFromResponse) { now } else { requested_at };
@@ -166,8 +168,8 @@
         self.revision = view.revision;
         for mut lease in view.leases {
             // An accepted effect may have raised the minimum above that of this view.
-            if let Some(known) = self.leases.get(&lease.lease) {
-                lease.minimum_token = lease.minimum_token.max(known.minimum_token);
+            if let Some(previous) = self.leases.get(&lease.lease) {
+                lease.minimum_token = lease.minimum_token.max(previous.minimum_token);
             }
             if self.injected_bug == Some(InjectedBug::ForgetMinimumToken) {
                 lease.minimum_token = FencingToken(0);
@@ -202,14 +204,14 @@
         self.leases.values().filter_map(held_by_session).collect()
     }
 
-    /// Returns whether this member may send an effect of that term now. To be called immediately before each effect.
+    /// Returns whether this member may send an effect of this term now. Must be called immediately before each effect.
     pub fn holds_lease(&self, lease: &LeaseId, token: FencingToken, now: Micros) -> bool {
         let Some(session) = self.active_session(now) else { return false };
         let holder = self.leases.get(lease).and_then(|lease| lease.holder);
         holder.is_some_and(|holder| holder.session == session.id && holder.token == token)
     }
 
-    /// Accepts or rejects an effect with that token, and counts the decision. Accepting raises the minimum token.
+    /// Accepts or rejects an effect with this token, and counts the result. Accepting raises the minimum token.
     ///
     /// # Errors
     /// Returns [`EffectRejection`] if the effect must not be applied.
--- a/crates/coordination/src/lease_id.rs
+++ b/crates/coordination/src/lease_id.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// A text that is not a [`LeaseId`].
+/// Error for a text that is not a [`LeaseId`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{text:?} is not a lease; expected NAME, NAME@zone/ZONE or NAME@set/NUMBER")]
 pub struct LeaseIdParseError {
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -2,20 +2,22 @@
 //!
 //! The package is pure: no clock, no I/O, no randomness. Times are passed in as microseconds.
 //!
-//! A *lease* is the exclusive right of one member to do one task on behalf of all. It has at most one holder, with a
-//! *fencing token* that only grows. The safety invariants, which the checkers and the model verify:
+//! A *lease* is the exclusive right of one member to do one task on behalf of all members. It has at most one holder.
+//! Each grant begins a *term* of the lease with a new *fencing token*, higher than that of every earlier grant. A
+//! holder sends *effects* with its token, and the members that receive them check the token. The safety invariants,
+//! which the checkers and the model verify:
 //!
 //! 1. **Tokens are monotonic.** They are assigned by the replicated log, one for each grant, and never reused.
 //! 2. **A term ends at every receiver before the next begins.** A lease that lost its holder is *fenced* first: every
 //!    session older than the fencing revision has either acknowledged it or has ended. Only then is the lease granted
 //!    again, so no receiver accepts an effect of the old term once the new one is granted.
 //! 3. **A receiver without a session rejects every effect**, since its minimum tokens may be stale.
-//! 4. **A holder acts only while its session lasts**, measured on its own clock from before the renewal was requested,
-//!    and checked immediately before each effect.
+//! 4. **A holder acts only while its session lasts.** It measures the session on its own clock, from the time at which
+//!    it requested the latest renewal, and checks it immediately before each effect.
 //!
-//! Expiry gives liveness: a member that does not respond delays the next grant until its session expires (2). Tokens
-//! give safety even if clocks drift by more than [`Timing::max_clock_skew_ppm`]: a receiver that was notified of a
-//! higher token rejects the effect of an earlier holder.
+//! Expiry gives liveness: a member that does not respond delays the next grant only until its session expires (2).
+//! Tokens give safety even if clocks drift by more than [`Timing::max_clock_skew_ppm`]: a receiver that was notified of
+//! a higher token rejects the effect of an earlier holder.
 //!
 //! | type | role |
 //! | --- | --- |
--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -12,8 +12,9 @@
 /// Maximum length of a name, a zone or an address, in bytes.
 pub const MAX_TEXT_BYTES: usize = 128;
 
-/// Maximum number of names with a history: those with a session, and as many without.
+/// Maximum number of names with a history: one for each open session, and as many for names without a session.
 pub(crate) const MAX_NAME_HISTORIES: usize = 2 * MAX_SESSIONS;
 
-/// Maximum number of processes that the history of a name records, so that an earlier one is recognized.
+/// Maximum number of boot ids in the history of a name. A process that was superseded is rejected only while its boot
+/// id is in the history.
 pub(crate) const MAX_REMEMBERED_BOOT_IDS: usize = 8;
--- a/crates/coordination/src/outcome.rs
+++ b/crates/coordination/src/outcome.rs
@@ -11,14 +11,14 @@
     SessionOpened {
         /// The session, new or already open.
         session: SessionId,
-        /// Number of the session among those of the member's name, from one.
+        /// Number of the session among all sessions of the member's name, starting at 1.
         incarnation: u64,
     },
     /// The session has ended.
     SessionEnded(SessionId),
     /// The session may hold leases now.
     SessionStable(SessionId),
-    /// The lease has a holder.
+    /// The lease was granted.
     LeaseGranted {
         /// The lease.
         lease: LeaseId,
@@ -34,13 +34,13 @@
     },
     /// Outcome of a change of the disruption state.
     Disruption(disruption_budget::DisruptionOutcome),
-    /// Recorded, or applied before.
+    /// The command was recorded, or its log entry was applied before.
     Acknowledged,
     /// The command changed nothing.
     Rejected(CommandRejection),
 }
 
-/// Reason for which a command changed nothing.
+/// Reason why a command changed nothing.
 ///
 /// Members receive these as postcard: the order of variants and fields is part of the protocol.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
@@ -48,16 +48,16 @@
     /// The session does not exist or has ended. The member may open a new one.
     #[error("there is no such session, or it has ended")]
     NoSuchSession,
-    /// A later process of the same name has a session; the member has to stop.
+    /// A later process of the same name has a session; the member must stop.
     #[error("superseded by process {incarnation} of the same name")]
     Superseded {
-        /// Number of the latest session of the name.
+        /// Incarnation of the latest session of the name.
         incarnation: u64,
     },
     /// The lease is held, was fenced again, or is unknown.
     #[error("the lease is not free")]
     LeaseNotFree,
-    /// The lease has no term with this token, or has no longer.
+    /// The term with this token has ended, or the lease never had one.
     #[error("the term with this token has ended")]
     NotLeaseHolder,
     /// A limit would be exceeded; the text names it.
--- a/crates/coordination/src/session_monitor.rs
+++ b/crates/coordination/src/session_monitor.rs
@@ -7,15 +7,15 @@
 /// Liveness of one session, by the leader's clock.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct SessionLiveness {
-    /// Time at which the last renewal was confirmed; at first, that of `first_seen`.
+    /// Time of the last confirmed renewal, or `first_seen` before the first one.
     last_renewal: Micros,
     /// Time at which this leader first saw the session.
     first_seen: Micros,
-    /// Time since which this leader has seen the session as unstable.
+    /// Time at which this leader first saw the session as unstable; `None` while it is stable.
     unstable_since: Option<Micros>,
     /// Revision of the latest view that the member acknowledged.
     acknowledged: Revision,
-    /// Whether the session's expiry was proposed, so that no renewal is confirmed any more.
+    /// Whether the session's expiry was proposed. No renewal is confirmed after that.
     expiry_proposed: bool,
 }
 
@@ -46,7 +46,7 @@
         now.saturating_sub(self.unstable_since.unwrap_or(now))
     }
 
-    /// Returns whether the session, which is not marked as stable, has lasted its stability period.
+    /// Returns whether the session has lasted its stability period and is not marked as stable yet.
     fn has_become_stable(
         &self,
         now: Micros,
@@ -75,7 +75,7 @@
         SessionMonitor { timing, sessions: BTreeMap::new(), stability_proposed: BTreeSet::new() }
     }
 
-    /// Follows sessions that were opened, ended, or became stable or unstable.
+    /// Updates the liveness records after sessions were opened or ended, or became stable or unstable.
     pub(crate) fn on_entries_applied(&mut self, now: Micros, state: &StateMachine) {
         let sessions = state.sessions();
         self.sessions.retain(|id, _| sessions.contains_key(id));
@@ -115,16 +115,16 @@
         self.sessions.get(&id).is_some_and(|liveness| liveness.is_short(now, &self.timing))
     }
 
-    /// Returns whether the session was renewed within half its duration, so that a grant is likely to reach its member in
-    /// time.
+    /// Returns whether the session was renewed less than half of its duration ago, so that a grant is likely to reach
+    /// its member before it expires.
     pub(crate) fn is_responsive(&self, id: SessionId, now: Micros) -> bool {
         self.sessions.get(&id).is_some_and(|liveness| {
             !liveness.expiry_proposed && liveness.since_renewal(now) < self.timing.lease_duration / 2
         })
     }
 
-    /// Returns whether every session older than the fencing revision has acknowledged it. A later session received a view
-    /// that contains it when it was opened.
+    /// Returns whether every session older than the fencing revision has acknowledged it. A later session received a
+    /// view with this revision when it was opened.
     pub(crate) fn fence_acknowledged(&self, fencing_revision: Revision, state: &StateMachine) -> bool {
         state.sessions().keys().all(|id| id.0 >= fencing_revision || self.acknowledged(*id, fencing_revision))
     }
--- a/crates/coordination/src/state_machine/leases.rs
+++ b/crates/coordination/src/state_machine/leases.rs
@@ -10,14 +10,14 @@
 pub struct Lease {
     /// Lowest token that receivers accept; lower ones belong to terms that ended.
     pub minimum_token: FencingToken,
-    /// Revision at which the last term ended. Every older session acknowledges it before the next grant.
+    /// Revision at which the last term ended. Every older session must acknowledge it before the next grant.
     pub fencing_revision: Revision,
     /// The holder, unless the lease is free.
     pub holder: Option<LeaseHolder>,
 }
 
 impl StateMachine {
-    /// Adds the leases that do not exist yet, free from this entry on.
+    /// Adds the leases that do not exist yet, without a holder and fenced by this entry.
     pub(super) fn add_leases(&mut self, index: Revision, ids: &[LeaseId]) {
         for id in ids {
             if !self.leases.contains_key(id) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Grants a lease that was not granted or fenced since the proposer saw it.
+    /// Grants a lease that was not granted or fenced since the leader proposed the grant.
     pub(super) fn grant_lease(
         &mut self,
         index: Revision,
@@ -64,7 +64,7 @@
         Ok(CommandOutcome::LeaseGranted { lease: id.clone(), holder })
     }
 
-    /// Ends the term with this token, and no other.
+    /// Ends the term of a lease if the term has this token.
     pub(super) fn release_lease(
         &mut self,
         index: Revision,
--- a/crates/coordination/src/state_machine/mod.rs
+++ b/crates/coordination/src/state_machine/mod.rs
@@ -54,7 +54,7 @@
 }
 
 impl StateMachine {
-    /// Creates the state of a new installation. `first_token` must be above every token of an earlier one.
+    /// Creates the state of a new installation. `first_token` must be above every token of an earlier installation.
     pub fn new(first_token: u64) -> StateMachine {
         StateMachine {
             revision: 0,
@@ -71,17 +71,17 @@
         }
     }
 
-    /// Returns the last entry that was applied.
+    /// Returns the position of the last entry that was applied.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Returns the last entry that changed a lease's holder or fencing revision.
+    /// Returns the position of the last entry that changed a lease's holder or fencing revision.
     pub fn lease_revision(&self) -> Revision {
         self.lease_revision
     }
 
-    /// Returns the last entry that opened or ended a session.
+    /// Returns the position of the last entry that opened or ended a session.
     pub fn membership_revision(&self) -> Revision {
         self.membership_revision
     }
@@ -127,12 +127,12 @@
         StateMachine { disruption: self.disruption.with_injected_bug(bug), ..self }
     }
 
-    /// Returns the last entry that changed the disruption state.
+    /// Returns the position of the last entry that changed the disruption state.
     pub fn disruption_revision(&self) -> Revision {
         self.disruption_revision
     }
 
-    /// Returns the view of which members are notified.
+    /// Returns the view that members are notified of.
     pub fn view(&self) -> ClusterView {
         let lease_view = |(id, lease): (&LeaseId, &Lease)| LeaseView {
             lease: id.clone(),
@@ -142,7 +142,7 @@
         ClusterView { revision: self.lease_revision, leases: self.leases.iter().map(lease_view).collect() }
     }
 
-    /// Counts a log entry that carries no command.
+    /// Records that a log entry without a command was applied.
     pub fn skip_entry(&mut self, index: Revision) {
         self.revision = self.revision.max(index);
     }
@@ -187,8 +187,8 @@
         }
     }
 
-    /// Applies a change of the disruption state. An observation is rejected unless its token is that of the present holder
-    /// of the observer's lease.
+    /// Applies a change of the disruption state. An observation is rejected unless its token is that of the current
+    /// holder of the observer's lease.
     fn change_disruption(&mut self, index: Revision, change: &DisruptionCommand) -> CommandResult {
         if let DisruptionCommand::RecordObservation { fencing_token, .. } = change {
             let observer = self.leases.get(&LeaseId::fleet(OBSERVER_LEASE)).and_then(|lease| lease.holder);
--- a/crates/coordination/src/state_machine/replicas.rs
+++ b/crates/coordination/src/state_machine/replicas.rs
@@ -1,4 +1,4 @@
-//! Membership changes of the replicas: starts of their stores, and the replacement of one by another.
+//! Start counts of the replicas' stores, and the replacement of one replica by another.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,7 +17,7 @@
     pub new: u64,
 }
 
-/// Membership changes of the replicas since the installation was set up. Since version 2 of the snapshot.
+/// Membership changes of the replicas since the installation was set up. Part of snapshots since version 2.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct ReplicaChanges {
     /// Addresses of the added replicas.
@@ -29,21 +29,22 @@
 }
 
 impl StateMachine {
-    /// Records the start count of a replica's store. A lower count than seen before means an old copy of the store.
+    /// Records the start count of a replica's store. A count below the recorded one means that the store is an old
+    /// copy.
     pub(super) fn record_replica_start(&mut self, replica: u64, starts: u64) -> CommandResult {
-        let seen = self.replica_starts.entry(replica).or_default();
-        if starts < *seen {
-            return Err(CommandRejection::StaleStore { starts: *seen });
+        let recorded = self.replica_starts.entry(replica).or_default();
+        if starts < *recorded {
+            return Err(CommandRejection::StaleStore { starts: *recorded });
         }
-        *seen = starts;
+        *recorded = starts;
         Ok(CommandOutcome::Acknowledged)
     }
 
-    /// Begins a replacement. Idempotent while it is in progress, since the operator may have missed the response.
+    /// Begins a replacement. Idempotent while it is in progress, since an operator that missed the response repeats it.
     pub(super) fn replace_replica(&mut self, old: u64, new: u64, address: &str) -> CommandResult {
-        let wanted = ReplicaReplacement { old, new };
+        let requested = ReplicaReplacement { old, new };
         if let Some(current) = self.replica_changes.in_progress {
-            if current == wanted {
+            if current == requested {
                 return Ok(CommandOutcome::Acknowledged);
             }
             return invalid(format!(
@@ -64,11 +65,11 @@
             return Err(CommandRejection::LimitExceeded(reason));
         }
         self.replica_changes.addresses.insert(new, address.to_owned());
-        self.replica_changes.in_progress = Some(wanted);
+        self.replica_changes.in_progress = Some(requested);
         Ok(CommandOutcome::Acknowledged)
     }
 
-    /// Ends the replacement of this replica, whose number is retired.
+    /// Completes the replacement of this replica and retires its number.
     pub(super) fn complete_replacement(&mut self, old: u64) -> CommandOutcome {
         let changes = &mut self.replica_changes;
         if changes.in_progress.is_some_and(|replacement| replacement.old == old) {
--- a/crates/coordination/src/state_machine/sessions.rs
+++ b/crates/coordination/src/state_machine/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions of members, and the history of their names.
+//! Sessions of members, and the history of each member's name.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,19 +14,19 @@
 pub struct Session {
     /// Name of the member.
     pub name: String,
-    /// Number of the session among those of the name, from one.
+    /// Number of the session among all sessions of the name, starting at 1.
     pub incarnation: u64,
     /// Random number that the member's process drew at its start.
     pub boot_id: u64,
     /// Zone of the member; empty if it has none.
     pub zone: String,
-    /// Address at which other members reach it.
+    /// Address at which other members reach this member.
     pub address: String,
     /// Leases that the member may be granted.
     pub eligible_leases: Vec<LeaseId>,
     /// Whether the session lasted its stability period.
     pub stable: bool,
-    /// Whether a later process of the same name has a session, so that this one is not renewed any more.
+    /// Whether a later process of the same name has a session. A superseded session is not renewed any more.
     pub superseded: bool,
 }
 
@@ -45,10 +45,10 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct NameHistory {
     incarnation: u64,
-    /// Boot ids of the last processes of the name, the latest last.
+    /// Boot ids of the last processes of the name, oldest first.
     boot_ids: Vec<u64>,
     last_session_short: bool,
-    /// Counted by process: a process that reconnects adds none.
+    /// Counted by process: another session of the same process adds nothing.
     consecutive_short_sessions: u8,
 }
 
@@ -111,23 +111,23 @@
 }
 
 impl StateMachine {
-    /// Returns the number of sessions in a row of this name that were short.
+    /// Returns the number of consecutive short sessions of this name.
     pub fn consecutive_short_sessions(&self, name: &str) -> u8 {
         self.names.get(name).map_or(0, |history| history.consecutive_short_sessions)
     }
 
-    /// Returns the session of this name that may be renewed.
+    /// Returns the session of this name that is not superseded; no other one may be renewed.
     pub fn current_session_of(&self, name: &str) -> Option<(SessionId, &Session)> {
         let mut sessions = self.sessions.iter().map(|(id, session)| (*id, session));
         sessions.find(|(_, session)| session.name == name && !session.superseded)
     }
 
-    /// Returns the number of the latest session of this name, or 0 for an unknown name.
+    /// Returns the incarnation of the latest session of this name, or 0 for an unknown name.
     pub fn incarnation_of(&self, name: &str) -> u64 {
         self.names.get(name).map_or(0, |history| history.incarnation)
     }
 
-    /// Opens a session. Idempotent for the same process; a later process supersedes the session.
+    /// Opens a session. Idempotent for the same process; supersedes the session of an earlier process.
     pub(super) fn open_session(&mut self, index: Revision, request: &SessionRequest<'_>) -> CommandResult {
         let current = self.current_session_of(request.name);
         if let Some((id, session)) = current.filter(|(_, session)| session.boot_id == request.boot_id) {
@@ -155,7 +155,7 @@
         let session = self.sessions.remove(&id).ok_or(CommandRejection::NoSuchSession)?;
         self.membership_revision = index;
         self.free_leases_of(index, id);
-        // The length of a superseded session was recorded when its successor was opened.
+        // Whether a superseded session was short was recorded when its successor was opened.
         if !session.superseded {
             if let Some(history) = self.names.get_mut(&session.name) {
                 history.last_session_short = short_lived;
@@ -173,7 +173,9 @@
 
     fn check_limits(&self, request: &SessionRequest<'_>) -> Result<(), CommandRejection> {
         if !request.texts_within_limit() {
-            let reason = format!("a name or an address is empty or over {MAX_TEXT_BYTES} bytes");
+            let reason = format!(
+                "the member's name is empty, or a name, zone or address is over {MAX_TEXT_BYTES} bytes"
+            );
             return Err(CommandRejection::LimitExceeded(reason));
         }
         let is_new = |lease: &&LeaseId| !self.leases.contains_key(lease);
@@ -182,14 +184,15 @@
             || leases > MAX_LEASES
             || request.eligible_leases.len() > MAX_ELIGIBLE_LEASES
         {
-            let reason =
-                format!("at most {MAX_SESSIONS} sessions, {MAX_LEASES} leases and {MAX_ELIGIBLE_LEASES} eligible leases of a member");
+            let reason = format!(
+                "at most {MAX_SESSIONS} sessions, {MAX_LEASES} leases and {MAX_ELIGIBLE_LEASES} eligible leases per member"
+            );
             return Err(CommandRejection::LimitExceeded(reason));
         }
         Ok(())
     }
 
-    /// Drops histories of names without a session, those with the fewest sessions first, while there are too many.
+    /// Removes histories of names without a session, those with the fewest sessions first, down to the limit.
     fn trim_name_histories(&mut self) {
         while self.names.len() > MAX_NAME_HISTORIES {
             let has_session = |name: &str| self.sessions.values().any(|session| session.name == name);
--- a/crates/coordination/src/state_machine/snapshot.rs
+++ b/crates/coordination/src/state_machine/snapshot.rs
@@ -1,8 +1,8 @@
 //! The snapshot codec.
 //!
-//! A snapshot is its version and then, in postcard, the state machine, the membership changes of the replicas (since
-//! version 2) and the disruption state (since version 3). It is written in the first version that can express the
-//! state, so that replicas of earlier versions read it until a newer kind of entry is committed.
+//! A snapshot consists of its version followed, in postcard, by the state machine, the membership changes of the
+//! replicas (since version 2) and the disruption state (since version 3). It is written in the lowest version that can
+//! express the state, so that replicas of earlier versions can read it until a newer kind of entry is committed.
 
 use disruption_budget::DisruptionState;
 use serde::Deserialize;
@@ -10,14 +10,14 @@
 use super::{ReplicaChanges, StateMachine};
 use crate::hash::fnv1a;
 
-/// Sessions, names, leases and starts of replicas.
+/// Has sessions, names, leases and starts of replicas.
 const VERSION_BASE: u16 = 1;
-/// Version 1 and membership changes of the replicas.
+/// Adds membership changes of the replicas.
 const VERSION_REPLICA_CHANGES: u16 = 2;
-/// Version 2 and the disruption state.
+/// Adds the disruption state.
 const VERSION_DISRUPTION: u16 = 3;
 
-/// A snapshot that this program cannot read.
+/// Error for a snapshot that this program cannot read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
     /// Written by a later version of the program.
@@ -46,7 +46,7 @@
         encoded.unwrap_or_default()
     }
 
-    /// Decodes a snapshot of any version up to the present one.
+    /// Decodes a snapshot of any version up to the current one.
     ///
     /// # Errors
     /// Returns [`SnapshotError`] if the snapshot is of a later version or malformed.
--- a/crates/coordination/src/timing.rs
+++ b/crates/coordination/src/timing.rs
@@ -6,7 +6,7 @@
 
 const PARTS_PER_MILLION: u64 = 1_000_000;
 
-/// Maximum clock skew that can be configured: a tenth.
+/// Maximum clock skew that can be configured: 10 %.
 const MAX_CLOCK_SKEW_PPM: u64 = 100_000;
 
 /// Minimum number of heartbeats in an election timeout.
@@ -21,7 +21,7 @@
 /// Minimum number of election timeouts in the duration of a session.
 const MIN_ELECTIONS_PER_LEASE: u64 = 2;
 
-/// Maximum number of times that short sessions double the stability period.
+/// Maximum number of times that consecutive short sessions double the stability period.
 const MAX_STABILITY_DOUBLINGS: u8 = 5;
 
 /// Durations in microseconds, the same for all replicas and members of one installation.
@@ -36,7 +36,8 @@
     /// Time that a member waits for the response of a replica before it tries another.
     #[serde(rename = "call")]
     pub call_timeout: Micros,
-    /// Age at which a session may hold a lease; doubled for each short session before it.
+    /// Age from which a session may hold leases; doubled for each consecutive short session before it, up to five
+    /// times.
     #[serde(rename = "stay")]
     pub stability_period: Micros,
     /// Age below which a session that ends counts as short.
@@ -53,9 +54,9 @@
     pub heartbeat_interval: Micros,
 }
 
-/// Two durations that contradict each other, by their settings keys.
+/// Error for two durations that contradict each other, with their settings keys.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{key} does not fit to {against}: {problem}")]
+#[error("{key} is inconsistent with {against}: {problem}")]
 pub struct TimingError {
     /// Settings key of the invalid duration.
     pub key: &'static str,
@@ -91,7 +92,11 @@
         self.validate_stability()?;
         require(
             self.max_clock_skew_ppm <= MAX_CLOCK_SKEW_PPM,
-            TimingError { key: "skew_ppm", against: "lease", problem: "must be at most 100000, a tenth" },
+            TimingError {
+                key: "skew_ppm",
+                against: "lease",
+                problem: "must be at most 100000, which is 10 %",
+            },
         )
     }
 
@@ -155,7 +160,8 @@
         )
     }
 
-    /// Returns the time, by the leader's clock, after which a session that was not renewed has expired for its member too.
+    /// Returns the time, by the leader's clock, after which a session that was not renewed has expired for its member
+    /// too.
     ///
     /// The member's clock may run slow by the bound and the leader's fast, so both differences are added. The result
     /// is rounded up, with one microsecond more for the granularity of both readings.
@@ -164,7 +170,7 @@
         self.lease_duration + skew + 1
     }
 
-    /// Returns the stability period of a member with this many short sessions in a row.
+    /// Returns the stability period of a member after this many consecutive short sessions.
     pub fn stability_period_after(&self, consecutive_short_sessions: u8) -> Micros {
         self.stability_period << consecutive_short_sessions.min(MAX_STABILITY_DOUBLINGS)
     }
--- a/crates/coordination/src/types.rs
+++ b/crates/coordination/src/types.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionId(pub u64);
 
-/// A fencing token. A later grant has a higher one.
+/// Fencing token of a grant. Later grants have higher tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingToken(pub u64);
 
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -1,4 +1,4 @@
-//! Views: the leases at a revision, of which members are notified.
+//! Views of the leases at a revision, which are sent to members.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/disruption-budget/src/availability_observer.rs
+++ b/crates/disruption-budget/src/availability_observer.rs
@@ -93,8 +93,8 @@
         self.reports.insert(report.name.clone(), ReceivedReport { received_at: now, report });
     }
 
-    /// Compares the listed and the registered dispatchers with the state. Returns `None` until every dispatcher had time
-    /// to report in this term. No dispatcher is ever removed.
+    /// Compares the listed and the registered dispatchers with the state. Returns `None` until every dispatcher had
+    /// time to report in this term. No dispatcher is ever removed.
     ///
     /// A deregistered dispatcher is ignored until it reports again or is listed anew. The list of members arrives with
     /// a session's renewal, so it may be older than the state and contains a lost dispatcher until its session ends:
--- a/crates/disruption-budget/src/canary_analysis/evidence.rs
+++ b/crates/disruption-budget/src/canary_analysis/evidence.rs
@@ -57,8 +57,8 @@
 }
 
 impl FailureSplit {
-    /// Returns the logarithm of the probability of the split, given the sums, if the odds of a failure on the canary are
-    /// `odds_ratio` times the baseline's.
+    /// Returns the logarithm of the probability of the split, given the sums, if the odds of a failure on the canary
+    /// are `odds_ratio` times the baseline's.
     fn ln_probability(&self, odds_ratio: f64) -> f64 {
         let ln_weight = |canary_failures: u64| {
             ln_binomial(self.canary_jobs, canary_failures)
--- a/crates/disruption-budget/src/canary_analysis/mod.rs
+++ b/crates/disruption-budget/src/canary_analysis/mod.rs
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Returns the verdict by now. The error rates of the settings hold for a caller that reads it after each window, and
-    /// for all classes and kinds of failure together.
+    /// Returns the verdict by now. The error rates of the settings hold for a caller that reads it after each window,
+    /// and for all classes and kinds of failure together.
     pub fn verdict(&self) -> Verdict {
         let tests = self.evidence.len().max(1) as f64;
         let regression_bound = (tests / self.settings.false_positive_rate).ln();
--- a/crates/disruption-budget/src/lib.rs
+++ b/crates/disruption-budget/src/lib.rs
@@ -9,17 +9,18 @@
 //!
 //! 1. **No permit is granted beyond a budget.** Every budget that selects a target has to allow the disruption. Targets
 //!    that are unavailable for any reason and targets with a granted permit count together.
-//! 2. **A permit that was not begun can be revoked; one that was begun counts as unavailable** until its target is proven
-//!    available again, or an operator deregisters the target. No timeout ends it. The proof is a target that is available
-//!    with a higher incarnation than it had when the permit was granted, or after the requester reported that the
-//!    disruption is complete. A target that is available because the disruption was not carried out yet proves nothing.
+//! 2. **A permit that was not begun can be revoked; one that was begun counts as unavailable** until its target is
+//!    proven available again, or an operator deregisters the target. No timeout ends it. The proof is a target that is
+//!    available with a higher incarnation than it had when the permit was granted, or after the requester reported that
+//!    the disruption is complete. A target that is available because the disruption was not carried out yet proves
+//!    nothing.
 //! 3. **Beginning a permit is checked once more.** A permit that was revoked or cancelled meanwhile is rejected, so a
 //!    requester that was paused for long takes no target out of service.
 //! 4. **An observation is valid in its observer's term only**: an observer with an older fencing token changes nothing.
 //! 5. **A permit is granted only by an observation that was made after the permit was requested.**
 //!
-//! [`Budget`] is a bound, [`DisruptionState`] the replicated state, [`DisruptionCommand`] an entry of the replicated log
-//! that changes it. [`PermitTimeouts`] expires permits by the leading replica's clock, [`AvailabilityObserver`] and
+//! [`Budget`] is a bound, [`DisruptionState`] the replicated state, [`DisruptionCommand`] an entry of the replicated
+//! log that changes it. [`PermitTimeouts`] expires permits by the leading replica's clock, [`AvailabilityObserver`] and
 //! [`WarmupTracker`] turn readiness reports and the endpoint list into observations, and [`canary_analysis`] decides
 //! whether a new version fails more often than the old one.
 
--- a/crates/disruption-budget/src/state/budgets.rs
+++ b/crates/disruption-budget/src/state/budgets.rs
@@ -119,8 +119,8 @@
         usage
     }
 
-    /// Returns the first budget that prevents the grant of a waiting permit; `None` if there is none, or the permit does
-    /// not wait.
+    /// Returns the first budget that prevents the grant of a waiting permit; `None` if there is none, or the permit
+    /// does not wait.
     pub fn blocking_budget(&self, id: PermitId) -> Option<&Budget> {
         let permit = self.permits.get(&id).filter(|permit| permit.state == PermitState::Waiting)?;
         self.budget_exceeded_by_disruption(&permit.target)
--- a/crates/disruption-budget/src/state/mod.rs
+++ b/crates/disruption-budget/src/state/mod.rs
@@ -15,7 +15,8 @@
 
 pub use budgets::{BudgetUsage, DisruptionTotals};
 
-/// Targets with their last observed status, budgets, and open permits. The order of fields is part of the stored format.
+/// Targets with their last observed status, budgets, and open permits. The order of fields is part of the stored
+/// format.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DisruptionState {
     /// Log entry that set the budgets; 0 before the first.
--- a/crates/disruption-budget/src/state/observation.rs
+++ b/crates/disruption-budget/src/state/observation.rs
@@ -79,7 +79,8 @@
         closed
     }
 
-    /// Returns whether the target of a begun permit is proven to be available again by an observation at `known_revision`.
+    /// Returns whether the target of a begun permit is proven to be available again by an observation at
+    /// `known_revision`.
     fn has_recovered(&self, permit: &Permit, known_revision: u64) -> bool {
         let Some(record) = self.targets.get(&permit.target) else { return false };
         if permit.state != PermitState::Begun || record.availability != Availability::Available {
--- a/crates/disruption-budget/src/worker_warmup.rs
+++ b/crates/disruption-budget/src/worker_warmup.rs
@@ -100,8 +100,8 @@
         }
     }
 
-    /// A worker of the first list counts as available if the state has it as available, and otherwise as started when it
-    /// was first seen.
+    /// A worker of the first list counts as available if the state has it as available, and otherwise as started when
+    /// it was first seen.
     fn availability(
         &self,
         now: Micros,
--- a/crates/disruption-budget/tests/availability_observer.rs
+++ b/crates/disruption-budget/tests/availability_observer.rs
@@ -68,8 +68,8 @@
     changed.into_iter().map(|status| (status.target.name, status.availability)).collect()
 }
 
-/// Regression test: an operator deregistered a lost dispatcher that the observer's list of members still had, and the next
-/// observation registered it again as unavailable, permanently, since an observation removes no dispatcher.
+/// Regression test: an operator deregistered a lost dispatcher that the observer's list of members still had, and the
+/// next observation registered it again as unavailable, permanently, since an observation removes no dispatcher.
 #[test]
 fn deregistered_dispatcher_stays_unknown_though_it_is_still_listed() {
     let (mut observer, state) = observer_after_deregistration();
--- a/crates/disruption-budget/tests/canary_analysis.rs
+++ b/crates/disruption-budget/tests/canary_analysis.rs
@@ -19,8 +19,8 @@
     counts
 }
 
-/// A wave of one canary with three dispatchers of the old version in a zone, window by window. The failures of both sides
-/// rise and fall; the canary's `reserve-item` fails more often by `loss`. Returns the verdict and its window.
+/// A wave of one canary with three dispatchers of the old version in a zone, window by window. The failures of both
+/// sides rise and fall; the canary's `reserve-item` fails more often by `loss`. Returns the verdict and its window.
 fn release(seed: u64, loss: f64, jobs: u64) -> (Verdict, u64) {
     let mut random = Pcg64::seed_from_u64(seed);
     let mut analysis = CanaryAnalysis::new(AnalysisSettings::default());
--- a/crates/disruption-budget/tests/format.rs
+++ b/crates/disruption-budget/tests/format.rs
@@ -1,5 +1,5 @@
-//! Bytes and texts that other processes, stored logs and operators rely on. Postcard writes variants and fields by their
-//! order, so a snapshot may change only together with the version of the format.
+//! Bytes and texts that other processes, stored logs and operators rely on. Postcard writes variants and fields by
+//! their order, so a snapshot may change only together with the version of the format.
 
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
