--- a/crates/coordination/tests/coordination/cluster.rs
+++ b/crates/coordination/tests/coordination/cluster.rs
@@ -4,10 +4,10 @@
     Command, CommandOutcome, FencingToken, LeaderState, LeaseId, Revision, SessionId, StateMachine, Timing,
 };
 
-/// In microseconds.
+/// One second, in microseconds.
 pub const SECOND: u64 = 1_000_000;
 
-/// A state machine with its log position and its leader, all at one clock.
+/// A state machine with its log position, and the volatile state of its leader. All use one clock.
 pub struct Cluster {
     pub state: StateMachine,
     pub leader: LeaderState,
@@ -20,10 +20,10 @@
         Cluster { leader: LeaderState::new(Timing::default(), 0, &state), state, index: 0 }
     }
 
-    /// One member, which holds the lease.
+    /// Creates a cluster with one member, which holds [`list_lease`].
     pub fn with_lease_holder() -> Cluster {
         let mut cluster = Cluster::new();
-        let session = cluster.session(0, "a", 1);
+        let session = cluster.open_session(0, "a", 1);
         cluster.run_until_idle(SECOND, &[session]);
         assert!(cluster.holder().is_some());
         cluster
@@ -39,7 +39,7 @@
         outcome
     }
 
-    pub fn open_session(&mut self, now: u64, name: &str, boot_id: u64) -> CommandOutcome {
+    pub fn request_session(&mut self, now: u64, name: &str, boot_id: u64) -> CommandOutcome {
         let short_lived = self.leader.is_short_session(name, now, &self.state);
         let zone = "north".to_owned();
         let address = "127.0.0.1:1".to_owned();
@@ -56,18 +56,19 @@
         )
     }
 
-    pub fn session(&mut self, now: u64, name: &str, boot_id: u64) -> SessionId {
-        match self.open_session(now, name, boot_id) {
+    pub fn open_session(&mut self, now: u64, name: &str, boot_id: u64) -> SessionId {
+        match self.request_session(now, name, boot_id) {
             CommandOutcome::SessionOpened { session: id, .. } => id,
             other => panic!("{other:?}"),
         }
     }
 
-    /// Renews these sessions with every view acknowledged and applies all due commands, until there are none.
-    pub fn run_until_idle(&mut self, now: u64, alive: &[SessionId]) -> Vec<CommandOutcome> {
+    /// Renews these sessions, each acknowledging the latest view, and applies all due commands; repeats this until no
+    /// command is due.
+    pub fn run_until_idle(&mut self, now: u64, renewed: &[SessionId]) -> Vec<CommandOutcome> {
         let mut outcomes = Vec::new();
         loop {
-            for id in alive {
+            for id in renewed {
                 self.leader.renew_session(*id, self.state.lease_revision(), now, &self.state).unwrap();
             }
             let due = self.leader.due_commands(now, &self.state);
--- a/crates/coordination/tests/coordination/hash.rs
+++ b/crates/coordination/tests/coordination/hash.rs
@@ -1,4 +1,4 @@
-//! The hash of digests and of rendezvous hashing: stored digests rely on its values.
+//! The hash of digests and of rendezvous hashing. Its values must not change, because digests are stored.
 
 use std::hash::Hasher as _;
 
@@ -6,7 +6,7 @@
 
 use crate::cluster::Cluster;
 
-/// FNV-1a with 64 bits, as written out in versions before the crate `fnv` was used.
+/// FNV-1a with 64 bits, as implemented by versions before the crate `fnv` was used.
 fn former_fnv1a(bytes: &[u8]) -> u64 {
     let offset_basis = 0xcbf2_9ce4_8422_2325;
     bytes.iter().fold(offset_basis, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3))
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn hash_has_the_values_of_the_former_code() {
+fn crate_fnv_returns_the_values_of_the_former_implementation() {
     let bytes: Vec<u8> = (0..=u8::MAX).cycle().take(2_000).collect();
     for start in 0..256 {
         for length in [0, 1, 7, 8, 9, 255, 1_024] {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn digest_of_a_snapshot_has_the_value_of_the_former_code() {
+fn digest_of_a_snapshot_has_the_value_of_the_former_implementation() {
     let state = Cluster::with_lease_holder().state;
     assert_eq!(state.digest(), former_fnv1a(&state.snapshot()));
 }
--- a/crates/coordination/tests/coordination/leader_state.rs
+++ b/crates/coordination/tests/coordination/leader_state.rs
@@ -1,4 +1,4 @@
-//! Expiry of sessions, grants and rebalancing, as the leader proposes them.
+//! Commands that the leader proposes: expiry of sessions, grants and rebalancing.
 
 use coordination::{Command, CommandOutcome, CommandRejection, LeaderState, LeaseId, SessionId, Timing};
 
@@ -7,14 +7,14 @@
 #[test]
 fn next_holder_gets_a_higher_token_after_expiry() {
     let mut cluster = Cluster::new();
-    let a = cluster.session(0, "a", 1);
-    let b = cluster.session(0, "b", 2);
+    let a = cluster.open_session(0, "a", 1);
+    let b = cluster.open_session(0, "b", 2);
     assert!(cluster.run_until_idle(SECOND / 2, &[a, b]).is_empty(), "no session is stable yet");
     cluster.run_until_idle(SECOND, &[a, b]);
     let (first, token) = cluster.holder().unwrap();
     let other = if first == a { b } else { a };
     let expiry = SECOND + Timing::default().expiry_wait();
-    assert!(cluster.run_until_idle(expiry, &[other]).is_empty(), "not before its time");
+    assert!(cluster.run_until_idle(expiry, &[other]).is_empty(), "the expiry wait is not over");
     cluster.run_until_idle(expiry + 1, &[other]);
     let (second, later) = cluster.holder().unwrap();
     assert_eq!(second, other);
@@ -22,9 +22,10 @@
 }
 
 #[test]
-fn grant_waits_until_older_sessions_acknowledge_the_fence() {
+fn grant_waits_until_older_sessions_acknowledge_the_fencing_revision() {
     let mut cluster = Cluster::new();
-    let ids = [cluster.session(0, "a", 1), cluster.session(0, "b", 2), cluster.session(0, "c", 3)];
+    let ids =
+        [cluster.open_session(0, "a", 1), cluster.open_session(0, "b", 2), cluster.open_session(0, "c", 3)];
     cluster.run_until_idle(SECOND, &ids);
     let (holder, token) = cluster.holder().unwrap();
     let others: Vec<SessionId> = ids.into_iter().filter(|id| *id != holder).collect();
@@ -34,22 +35,23 @@
     cluster.leader.renew_session(others[1], fence - 1, SECOND, &cluster.state).unwrap();
     assert!(
         cluster.leader.due_commands(SECOND, &cluster.state).is_empty(),
-        "one of them has not acknowledged the fence"
+        "one session has not acknowledged the fencing revision"
     );
     cluster.leader.renew_session(others[1], fence, SECOND, &cluster.state).unwrap();
     assert!(matches!(&cluster.leader.due_commands(SECOND, &cluster.state)[..], [Command::GrantLease { .. }]));
-    // A new leader does not know what was acknowledged, and waits anew.
+    // A new leader does not know which sessions acknowledged the revision, and waits for all of them again.
     cluster.leader = LeaderState::new(Timing::default(), SECOND, &cluster.state);
     assert!(cluster.leader.due_commands(SECOND, &cluster.state).is_empty());
     assert!(cluster.state.leases()[&list_lease()].minimum_token > token);
 }
 
-/// Found by the emulator (three replicas, seed 3): a lease stayed free for ten seconds, until the leader changed.
+/// Regression test: after a grant was rejected because its session had been superseded, the lease stayed free for ten
+/// seconds, until the leader changed (three replicas, seed 3 of the emulator).
 #[test]
-fn rejected_grant_is_made_to_another_member() {
+fn lease_goes_to_another_member_after_a_rejected_grant() {
     let mut cluster = Cluster::new();
-    let a = cluster.session(0, "a", 1);
-    let b = cluster.session(0, "b", 2);
+    let a = cluster.open_session(0, "a", 1);
+    let b = cluster.open_session(0, "b", 2);
     for id in [a, b] {
         cluster.leader.renew_session(id, cluster.state.lease_revision(), SECOND, &cluster.state).unwrap();
     }
@@ -60,8 +62,9 @@
     let Command::GrantLease { session: chosen, .. } = grant else { panic!("{grant:?}") };
     let other = if chosen == a { b } else { a };
     let name = if chosen == a { "a" } else { "b" };
-    // A later process of that name is there before the grant is applied.
-    cluster.session(SECOND, name, 9);
+    // A later process of the chosen member opens a session before the grant is applied, so the chosen one is
+    // superseded.
+    cluster.open_session(SECOND, name, 9);
     assert_eq!(cluster.apply(SECOND, &grant), CommandOutcome::Rejected(CommandRejection::NoSuchSession));
     let again = cluster.leader.due_commands(SECOND, &cluster.state);
     assert!(matches!(again[..], [Command::GrantLease { session, .. }] if session == other), "{again:?}");
@@ -70,7 +73,7 @@
 #[test]
 fn expiring_session_is_not_renewed_unless_its_expiry_is_rejected() {
     let mut cluster = Cluster::new();
-    let a = cluster.session(0, "a", 1);
+    let a = cluster.open_session(0, "a", 1);
     let late = 3 * SECOND;
     let due = cluster.leader.due_commands(late, &cluster.state);
     assert!(matches!(due[..], [Command::ExpireSession { .. }]));
@@ -83,47 +86,48 @@
 }
 
 #[test]
-fn restarting_member_gets_no_lease_until_it_is_stable() {
+fn restarting_member_is_granted_no_lease_until_it_is_stable() {
     let mut cluster = Cluster::new();
-    let mut at = 0;
-    for boot in 0..4 {
-        cluster.session(at, "a", boot);
-        at += SECOND / 2;
+    let mut opened_at = 0;
+    for boot_id in 0..4 {
+        cluster.open_session(opened_at, "a", boot_id);
+        opened_at += SECOND / 2;
     }
-    let a = cluster.session(at, "a", 9);
+    let a = cluster.open_session(opened_at, "a", 9);
     assert_eq!(cluster.state.consecutive_short_sessions("a"), 4);
-    let mut granted = None;
+    let mut granted_after = None;
     for tenth in 0..400 {
-        let now = at + tenth * SECOND / 10;
+        let now = opened_at + tenth * SECOND / 10;
         cluster.run_until_idle(now, &[a]);
         if cluster.holder().is_some() {
-            granted = Some(now - at);
+            granted_after = Some(now - opened_at);
             break;
         }
     }
-    assert_eq!(granted, Some(16 * SECOND));
+    assert_eq!(granted_after, Some(16 * SECOND), "the stability period was doubled four times");
 }
 
 #[test]
 fn zone_lease_is_granted_in_its_zone_only() {
     let mut cluster = Cluster::new();
-    let far = vec![LeaseId::zone("list", "south")];
+    let other_zone = vec![LeaseId::zone("list", "south")];
     let open_session = Command::OpenSession {
         name: "a".into(),
         boot_id: 1,
         zone: "north".into(),
         address: String::new(),
-        eligible_leases: far.clone(),
+        eligible_leases: other_zone.clone(),
         short_lived: false,
     };
     let CommandOutcome::SessionOpened { session: a, .. } = cluster.apply(0, &open_session) else { panic!() };
     cluster.run_until_idle(SECOND, &[a]);
-    assert_eq!(cluster.state.leases()[&far[0]].holder, None);
+    assert_eq!(cluster.state.leases()[&other_zone[0]].holder, None);
 }
 
-/// The first member that stays gets every set; those that come later take over their part, one set at a time.
+/// The first stable member is granted all six sets. The second and the third member take over their shares, one set at
+/// a time.
 #[test]
-fn worker_sets_are_rebalanced_one_at_a_time_and_then_stay() {
+fn worker_sets_move_one_at_a_time_until_they_are_balanced() {
     let mut cluster = Cluster::new();
     let sets: Vec<LeaseId> = (0..6).map(|set| LeaseId::worker_set("watch", set)).collect();
     let mut alive = Vec::new();
@@ -148,17 +152,17 @@
             let released =
                 |outcome: &&CommandOutcome| matches!(outcome, CommandOutcome::LeaseReleased { .. });
             let outcomes = cluster.run_until_idle(now, &alive);
-            let in_one_round = outcomes.iter().filter(released).count();
-            assert!(in_one_round <= 1, "{in_one_round} sets moved at once");
-            moves += in_one_round;
+            let moved = outcomes.iter().filter(released).count();
+            assert!(moved <= 1, "{moved} sets moved at once");
+            moves += moved;
         }
-        let of = |id: &SessionId| {
+        let lease_count = |id: &SessionId| {
             let holders = cluster.state.leases().values().filter_map(|lease| lease.holder);
             holders.filter(|holder| holder.session == *id).count()
         };
-        let least = alive.iter().map(of).min().unwrap_or(0);
-        let most = alive.iter().map(of).max().unwrap_or(0);
-        assert!(most - least <= 1 && least > 0, "{name}: from {least} to {most}");
+        let least = alive.iter().map(lease_count).min().unwrap_or(0);
+        let most = alive.iter().map(lease_count).max().unwrap_or(0);
+        assert!(most - least <= 1 && least > 0, "after {name}: {least} to {most} leases per member");
     }
-    assert_eq!(moves, 3 + 2, "three go to the second member, two to the third, and none wanders");
+    assert_eq!(moves, 3 + 2, "three sets move to the second member, two to the third, and none moves again");
 }
--- a/crates/coordination/tests/coordination/lease_client.rs
+++ b/crates/coordination/tests/coordination/lease_client.rs
@@ -1,20 +1,20 @@
-//! A member's side: when it holds a lease and which effects it accepts.
+//! The lease client of a member: when it holds a lease and which effects it accepts.
 
 use coordination::{Command, EffectRejection, FencingToken, LeaseClient, LeaseId, Timing};
 
 use crate::cluster::{list_lease, Cluster, SECOND};
 
 #[test]
-fn lease_is_measured_from_before_the_request() {
+fn session_duration_is_measured_from_the_request() {
     let mut cluster = Cluster::new();
-    let a = cluster.session(0, "a", 1);
+    let a = cluster.open_session(0, "a", 1);
     cluster.run_until_idle(SECOND, &[a]);
     let (_, token) = cluster.holder().unwrap();
     let mut client = LeaseClient::new(Timing::default());
     client.on_session_opened(a, 1, 0, 5 * SECOND, cluster.state.view());
     assert!(
         !client.holds_lease(&list_lease(), token, 5 * SECOND),
-        "the response came after the lease had ended"
+        "the response arrives after the session has expired"
     );
     client.on_session_renewed(a, 5 * SECOND, 6 * SECOND, None);
     assert!(client.holds_lease(&list_lease(), token, 6_599_999));
@@ -22,9 +22,9 @@
 }
 
 #[test]
-fn rejects_stale_tokens_and_everything_without_a_session() {
+fn rejects_stale_tokens_and_rejects_every_effect_without_a_session() {
     let mut cluster = Cluster::new();
-    let a = cluster.session(0, "a", 1);
+    let a = cluster.open_session(0, "a", 1);
     cluster.run_until_idle(SECOND, &[a]);
     let (_, token) = cluster.holder().unwrap();
     let mut client = LeaseClient::new(Timing::default());
@@ -33,7 +33,7 @@
     assert_eq!(client.accept_effect(&list_lease(), token, 1), Ok(()));
     assert_eq!(client.accept_effect(&LeaseId::fleet("other"), token, 1), Err(EffectRejection::UnknownLease));
     cluster.apply(0, &Command::ReleaseLease { lease: list_lease(), token, reset_stability: true });
-    assert!(client.on_view_changed(a, cluster.state.view()), "a new view is acknowledged at once");
+    assert!(client.on_view_changed(a, cluster.state.view()), "a newer view must be acknowledged at once");
     let minimum_token = FencingToken(token.0 + 1);
     assert_eq!(
         client.accept_effect(&list_lease(), token, 1),
--- a/crates/coordination/tests/coordination/lease_id.rs
+++ b/crates/coordination/tests/coordination/lease_id.rs
@@ -1,4 +1,4 @@
-//! The text form of lease ids.
+//! Text form of lease ids.
 
 use coordination::{LeaseId, LeaseScope};
 
--- a/crates/coordination/tests/coordination/main.rs
+++ b/crates/coordination/tests/coordination/main.rs
@@ -1,4 +1,4 @@
-//! The state machine, the leader's state and a member's side, each by itself.
+//! Tests of the state machine, the leader's volatile state and the lease client, without processes or a network.
 
 mod cluster;
 mod hash;
--- a/crates/coordination/tests/coordination/state_machine.rs
+++ b/crates/coordination/tests/coordination/state_machine.rs
@@ -7,15 +7,15 @@
 use crate::cluster::{Cluster, SECOND};
 
 #[test]
-fn later_process_supersedes_and_the_older_one_is_rejected() {
+fn later_process_supersedes_the_earlier_one_which_is_then_rejected() {
     let mut cluster = Cluster::new();
-    let old = cluster.session(0, "a", 1);
+    let old = cluster.open_session(0, "a", 1);
     assert_eq!(
-        cluster.open_session(0, "a", 1),
+        cluster.request_session(0, "a", 1),
         CommandOutcome::SessionOpened { session: old, incarnation: 1 },
-        "requested twice, one session"
+        "a repeated request returns the same session"
     );
-    let CommandOutcome::SessionOpened { session: new, incarnation: 2 } = cluster.open_session(0, "a", 2)
+    let CommandOutcome::SessionOpened { session: new, incarnation: 2 } = cluster.request_session(0, "a", 2)
     else {
         panic!()
     };
@@ -25,7 +25,7 @@
     );
     assert_eq!(cluster.leader.renew_session(new, 9, 0, &cluster.state), Ok(()));
     assert_eq!(
-        cluster.open_session(0, "a", 1),
+        cluster.request_session(0, "a", 1),
         CommandOutcome::Rejected(CommandRejection::Superseded { incarnation: 2 })
     );
 }
@@ -33,7 +33,7 @@
 #[test]
 fn entries_round_trip_and_later_or_longer_ones_are_rejected() {
     let mut cluster = Cluster::new();
-    let session = cluster.session(0, "a", 1);
+    let session = cluster.open_session(0, "a", 1);
     let command = Command::CloseSession { session, short_lived: true };
     assert_eq!(Command::decode(&command.encode()), Ok(command.clone()));
     assert_eq!(command.encode()[0], 1);
@@ -58,20 +58,20 @@
     assert!(StateMachine::restore(&snapshot).unwrap_err().to_string().contains("version 7"));
 }
 
-/// Entries and snapshots keep version 1 until a replacement is agreed on, so that older replicas read them.
+/// Entries and snapshots have version 1 until a replacement is committed, so that older replicas can read them.
 #[test]
 fn replacements_go_one_at_a_time_and_numbers_are_not_reused() {
     let mut cluster = Cluster::with_lease_holder();
     let replace = |old, new| Command::ReplaceReplica { old, new, address: "127.0.0.1:1".into() };
     assert_eq!(replace(3, 4).encode()[0], 2);
     assert_eq!(cluster.apply(SECOND, &replace(3, 4)), CommandOutcome::Acknowledged);
-    assert_eq!(cluster.apply(SECOND, &replace(3, 4)), CommandOutcome::Acknowledged, "requested again");
+    assert_eq!(cluster.apply(SECOND, &replace(3, 4)), CommandOutcome::Acknowledged, "a repeated request");
     let second = cluster.apply(SECOND, &replace(2, 5));
-    assert!(is_invalid_replacement(&second), "one at a time");
+    assert!(is_invalid_replacement(&second), "another replacement is in progress");
     let complete = Command::CompleteReplacement { old: 3 };
     assert_eq!(cluster.apply(SECOND, &complete), CommandOutcome::Acknowledged);
     let reused = cluster.apply(SECOND, &replace(4, 3));
-    assert!(is_invalid_replacement(&reused), "a retired number");
+    assert!(is_invalid_replacement(&reused), "the number was retired");
     assert_eq!(cluster.state.snapshot()[0], 2);
     assert_eq!(StateMachine::restore(&cluster.state.snapshot()), Ok(cluster.state.clone()));
 }
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn observation_of_an_ended_term_is_rejected() {
+fn observation_is_rejected_unless_it_has_the_token_of_the_current_term() {
     let mut cluster = Cluster::new();
     let observe = |token| {
         Command::Disruption(DisruptionCommand::RecordObservation {
@@ -115,7 +115,7 @@
     assert_eq!(
         cluster.apply(SECOND, &observe(1)),
         CommandOutcome::Rejected(CommandRejection::NotLeaseHolder),
-        "nobody holds the lease"
+        "the lease has no holder"
     );
     let open_session = Command::OpenSession {
         name: "a".into(),
@@ -135,8 +135,8 @@
         panic!("not granted")
     };
     assert!(matches!(cluster.apply(SECOND, &observe(holder.token.0)), CommandOutcome::Disruption(_)));
-    let late = cluster.apply(SECOND, &observe(holder.token.0 - 1));
-    assert_eq!(late, CommandOutcome::Rejected(CommandRejection::NotLeaseHolder));
+    let earlier = cluster.apply(SECOND, &observe(holder.token.0 - 1));
+    assert_eq!(earlier, CommandOutcome::Rejected(CommandRejection::NotLeaseHolder));
     cluster.apply(SECOND, &Command::ExpireSession { session, short_lived: false });
     assert_eq!(
         cluster.apply(SECOND, &observe(holder.token.0)),
--- a/crates/coordination/tests/coordination/timing.rs
+++ b/crates/coordination/tests/coordination/timing.rs
@@ -1,9 +1,9 @@
-//! Durations that contradict each other.
+//! Validation of durations against each other.
 
 use coordination::Timing;
 
 #[test]
-fn contradicting_durations_name_both_settings() {
+fn error_for_contradicting_durations_names_both_settings() {
     let good = Timing::default();
     assert_eq!(good.validate(), Ok(()));
     for (timing, key, against) in [
@@ -16,7 +16,7 @@
         let error = timing.validate().unwrap_err();
         assert_eq!((error.key, error.against), (key, against));
     }
-    // Two clocks at the far ends of the bound: the member's slow, the leader's fast.
-    let member_takes = (good.lease_duration as f64) / 0.999;
-    assert!(good.expiry_wait() as f64 / 1.001 >= member_takes - 5.0);
+    // The worst case of the clock skew: the member's clock is slow and the leader's is fast, each by the bound.
+    let member_duration = (good.lease_duration as f64) / 0.999;
+    assert!(good.expiry_wait() as f64 / 1.001 >= member_duration - 5.0);
 }
--- a/crates/coordination/tests/format.rs
+++ b/crates/coordination/tests/format.rs
@@ -1,6 +1,7 @@
-//! Formats that other processes and older stores depend on: bytes of log entries, snapshots and messages, JSON, texts.
+//! Formats that other processes and existing stores depend on: bytes of log entries, snapshots and messages, JSON and
+//! texts.
 //!
-//! The snapshots of this file change only with the version of a format.
+//! The bytes and keys in the snapshots of this file change only together with the version of a format.
 
 use std::fmt::{Display, Write as _};
 
@@ -49,12 +50,12 @@
     let eligible_leases =
         vec![LeaseId::fleet("list"), LeaseId::zone("cold", "north"), LeaseId::worker_set("watch", 300)];
     vec![
-        ("0 join", open_session_command("a", 200, "north", eligible_leases, true)),
-        ("1 leave", Command::CloseSession { session: SessionId(5), short_lived: true }),
-        ("2 end", Command::ExpireSession { session: SessionId(300), short_lived: false }),
-        ("3 settle", Command::MarkSessionStable { session: SessionId(7) }),
+        ("0 open session", open_session_command("a", 200, "north", eligible_leases, true)),
+        ("1 close session", Command::CloseSession { session: SessionId(5), short_lived: true }),
+        ("2 expire session", Command::ExpireSession { session: SessionId(300), short_lived: false }),
+        ("3 mark session stable", Command::MarkSessionStable { session: SessionId(7) }),
         (
-            "4 grant",
+            "4 grant lease",
             Command::GrantLease {
                 lease: LeaseId::zone("cold", "north"),
                 session: SessionId(8),
@@ -62,21 +63,24 @@
             },
         ),
         (
-            "5 release",
+            "5 release lease",
             Command::ReleaseLease {
                 lease: LeaseId::fleet("list"),
                 token: FencingToken(9),
                 reset_stability: true,
             },
         ),
-        ("6 started", Command::RecordReplicaStart { replica: 3, starts: 11 }),
+        ("6 record replica start", Command::RecordReplicaStart { replica: 3, starts: 11 }),
     ]
 }
 
 fn version_2_commands() -> Vec<(&'static str, Command)> {
     vec![
-        ("7 replace", Command::ReplaceReplica { old: 2, new: 4, address: "10.0.0.4:7100".to_owned() }),
-        ("8 replaced", Command::CompleteReplacement { old: 2 }),
+        (
+            "7 replace replica",
+            Command::ReplaceReplica { old: 2, new: 4, address: "10.0.0.4:7100".to_owned() },
+        ),
+        ("8 complete replacement", Command::CompleteReplacement { old: 2 }),
     ]
 }
 
@@ -137,15 +141,18 @@
     ];
     vec![
         (
-            "9.0 budgets",
+            "9.0 set budgets",
             Command::Disruption(DisruptionCommand::SetBudgets { expected_version: 300, budgets: budgets() }),
         ),
-        ("9.1 ask", Command::Disruption(request_permit("w1", true))),
-        ("9.2 begin", Command::Disruption(DisruptionCommand::BeginPermit { permit: 6, incarnation: 2 })),
-        ("9.3 done", Command::Disruption(DisruptionCommand::CompletePermit { permit: 6 })),
-        ("9.4 void", Command::Disruption(DisruptionCommand::CancelPermit { permit: 7 })),
+        ("9.1 request permit", Command::Disruption(request_permit("w1", true))),
+        (
+            "9.2 begin permit",
+            Command::Disruption(DisruptionCommand::BeginPermit { permit: 6, incarnation: 2 }),
+        ),
+        ("9.3 complete permit", Command::Disruption(DisruptionCommand::CompletePermit { permit: 6 })),
+        ("9.4 cancel permit", Command::Disruption(DisruptionCommand::CancelPermit { permit: 7 })),
         (
-            "9.5 observe",
+            "9.5 record observation",
             Command::Disruption(DisruptionCommand::RecordObservation {
                 fencing_token: 4,
                 known_revision: 5,
@@ -154,7 +161,7 @@
             }),
         ),
         (
-            "9.6 strike",
+            "9.6 deregister target",
             Command::Disruption(DisruptionCommand::DeregisterTarget {
                 target: dispatcher,
                 operator: "ops".to_owned(),
@@ -164,7 +171,7 @@
 }
 
 #[test]
-fn log_entries_keep_their_bytes_and_are_read_back() {
+fn bytes_of_log_entries_are_pinned_and_decoded() {
     for (version, commands) in
         [(1, version_1_commands()), (2, version_2_commands()), (3, version_3_commands())]
     {
@@ -182,7 +189,7 @@
     }
 }
 
-/// A state and the log that made it.
+/// A state machine and the position of the last entry of its log.
 struct Log {
     state: StateMachine,
     index: Revision,
@@ -210,7 +217,8 @@
     }
 }
 
-/// Sessions that are stable, superseded and ended; leases of all scopes, held, free and released.
+/// Returns a log with sessions that are stable, superseded and ended, and leases of all scopes that are held, free and
+/// released.
 fn version_1_log() -> Log {
     let mut log = Log { state: StateMachine::new(70), index: 0 };
     let list = LeaseId::fleet("list");
@@ -230,9 +238,9 @@
     log.grant_lease(&account, second);
     let token = log.grant_lease(&watch, second);
     log.apply(&Command::ReleaseLease { lease: watch, token, reset_stability: false });
-    // A second process of a name supersedes the first, after a short session.
+    // A second process of the name "a" supersedes the first after a short session.
     log.open_session(&open_session_command("a", 3, "north", all.clone(), true));
-    // A third name comes and goes again.
+    // A session of a third name is opened and expires.
     let third = log.open_session(&open_session_command("c", 4, "", vec![], false));
     assert_eq!(
         log.apply(&Command::ExpireSession { session: third, short_lived: true }),
@@ -244,7 +252,7 @@
     log
 }
 
-/// The same with a replacement of a replica that is completed and one in progress.
+/// Returns the log of version 1 with a completed replacement of a replica and one in progress.
 fn version_2_log() -> Log {
     let mut log = version_1_log();
     let replace = |old, new| Command::ReplaceReplica { old, new, address: format!("10.0.0.{new}:7100") };
@@ -254,7 +262,7 @@
     log
 }
 
-/// The same with budgets, targets and permits in every state.
+/// Returns the log of version 2 with budgets, targets, and permits in every state.
 fn version_3_log() -> Log {
     let mut log = version_2_log();
     let token = log.state.leases()[&LeaseId::fleet("account")].holder.unwrap().token.0;
@@ -268,10 +276,9 @@
         observed(worker("w2"), Availability::WarmingUp(250), 2),
         observed(worker("w3"), Availability::Unavailable, 3),
     ];
-    let seen = 1_000;
     change(DisruptionCommand::RecordObservation {
         fencing_token: token,
-        known_revision: seen,
+        known_revision: 1_000,
         changed: targets,
         removed: vec![],
     });
@@ -287,7 +294,8 @@
     log
 }
 
-/// Every value that the state shows, under names that are not those of the code.
+/// Lists every value that the state's accessors return. The labels are not taken from the code, so that the text does
+/// not change when an identifier is renamed.
 fn described(state: &StateMachine) -> String {
     let mut text = format!(
         "revisions: {} leases {} members {} disruption {}\nnext token: {}\n",
@@ -301,7 +309,7 @@
         let eligible: Vec<String> = session.eligible_leases.iter().map(LeaseId::to_string).collect();
         let _ = writeln!(
             text,
-            "session {}: name {:?} incarnation {} boot {} zone {:?} address {:?} offers {} stable {} superseded {}",
+            "session {}: name {:?} incarnation {} boot {} zone {:?} address {:?} eligible {} stable {} superseded {}",
             id.0,
             session.name,
             session.incarnation,
@@ -338,7 +346,7 @@
 }
 
 #[test]
-fn snapshots_keep_their_bytes_and_restore_every_value() {
+fn bytes_of_snapshots_are_pinned_and_restore_every_value() {
     for (version, log) in [(1, version_1_log()), (2, version_2_log()), (3, version_3_log())] {
         let bytes = log.state.snapshot();
         assert_eq!(u16::from(bytes[0]), version);
@@ -353,9 +361,10 @@
     }
 }
 
-/// Values without an accessor are restored too: processes of a name, and numbers of replicas that were used.
+/// Values without an accessor are restored too: the boot ids and the last short session of a name, and the used numbers
+/// of replicas.
 #[test]
-fn a_restored_snapshot_decides_as_the_state_that_it_was_taken_of() {
+fn restored_state_decides_as_the_state_of_the_snapshot() {
     let log = version_3_log();
     let mut restored = Log { state: StateMachine::restore(&log.state.snapshot()).unwrap(), index: log.index };
     let old_process = restored.apply(&open_session_command("a", 1, "north", vec![], false));
@@ -366,13 +375,13 @@
         CommandOutcome::Rejected(CommandRejection::InvalidReplacement(_))
     ));
     restored.open_session(&open_session_command("c", 5, "", vec![], false));
-    assert_eq!(restored.state.consecutive_short_sessions("c"), 1, "the session before was short");
+    assert_eq!(restored.state.consecutive_short_sessions("c"), 1, "the session before it was short");
 }
 
 #[test]
-fn messages_keep_their_bytes() {
+fn bytes_of_messages_are_pinned() {
     let holder = LeaseHolder { session: SessionId(300), token: FencingToken(7) };
-    let seats = vec![
+    let leases = vec![
         LeaseView { lease: LeaseId::fleet("list"), minimum_token: FencingToken(7), holder: Some(holder) },
         LeaseView { lease: LeaseId::zone("cold", "north"), minimum_token: FencingToken(300), holder: None },
         LeaseView { lease: LeaseId::worker_set("watch", 300), minimum_token: FencingToken(1), holder: None },
@@ -380,9 +389,9 @@
     let counts = EffectCounts { accepted: 1, stale_tokens: 2, without_session: 3, unknown_leases: 4 };
     let mut text = lines(&command_rejections(), postcard_hex);
     text += &lines(&effect_rejections(), postcard_hex);
-    let _ = writeln!(text, "view: {}", postcard_hex(&ClusterView { revision: 513, leases: seats }));
+    let _ = writeln!(text, "view: {}", postcard_hex(&ClusterView { revision: 513, leases }));
     let _ = writeln!(text, "counts: {}", postcard_hex(&counts));
-    let _ = writeln!(text, "times: {}", postcard_hex(&Timing::default()));
+    let _ = writeln!(text, "timing: {}", postcard_hex(&Timing::default()));
     insta::assert_snapshot!("messages", text);
 }
 
@@ -416,14 +425,14 @@
 
 /// Values in the output of `status --json` and in files of the emulator.
 #[test]
-fn json_keeps_its_keys() {
+fn json_keys_are_pinned() {
     fn json<T: Serialize>(value: &T) -> String {
         serde_json::to_string(value).unwrap()
     }
     let mut text = lines(&ids(), json);
     let _ = writeln!(text, "session: {}", json(&SessionId(300)));
     let _ = writeln!(text, "token: {}", json(&FencingToken(300)));
-    let _ = writeln!(text, "times: {}", json(&Timing::default()));
+    let _ = writeln!(text, "timing: {}", json(&Timing::default()));
     insta::assert_snapshot!("json", text);
     for (label, id) in ids() {
         assert_eq!(serde_json::from_str::<LeaseId>(&json(&id)).unwrap(), id, "{label}");
@@ -433,31 +442,33 @@
 }
 
 #[test]
-fn texts_stay() {
+fn texts_of_rejections_ids_and_errors_are_pinned() {
     let shown = |label: &str, text: &dyn Display| format!("{label}: {text}\n");
     let mut text = lines(&command_rejections(), CommandRejection::to_string);
     text += &lines(&effect_rejections(), EffectRejection::to_string);
     text += &lines(&ids(), LeaseId::to_string);
-    for wrong in ["", "@zone/a", "list@", "list@zone/", "list@set/x", "list@set/70000", "list@shop/a"] {
-        text += &shown(&format!("id {wrong:?}"), &wrong.parse::<LeaseId>().unwrap_err());
+    for text_without_id in
+        ["", "@zone/a", "list@", "list@zone/", "list@set/x", "list@set/70000", "list@shop/a"]
+    {
+        text += &shown(&format!("id {text_without_id:?}"), &text_without_id.parse::<LeaseId>().unwrap_err());
     }
-    let good = Timing::default();
-    for times in [
-        Timing { heartbeat_interval: 200_000, ..good },
-        Timing { renewal_interval: 900_000, ..good },
-        Timing { call_timeout: 0, ..good },
-        Timing { election_timeout: 900_000, ..good },
-        Timing { stability_period: 1, ..good },
-        Timing { short_session_limit: 1, ..good },
-        Timing { max_clock_skew_ppm: 100_001, ..good },
+    let valid = Timing::default();
+    for timing in [
+        Timing { heartbeat_interval: 200_000, ..valid },
+        Timing { renewal_interval: 900_000, ..valid },
+        Timing { call_timeout: 0, ..valid },
+        Timing { election_timeout: 900_000, ..valid },
+        Timing { stability_period: 1, ..valid },
+        Timing { short_session_limit: 1, ..valid },
+        Timing { max_clock_skew_ppm: 100_001, ..valid },
     ] {
-        text += &shown("times", &times.validate().unwrap_err());
+        text += &shown("timing", &timing.validate().unwrap_err());
     }
     insta::assert_snapshot!("texts", text);
 }
 
 #[test]
-fn too_many_or_too_long_values_are_named() {
+fn rejections_name_the_exceeded_limit_or_the_invalid_replacement() {
     let mut log = Log { state: StateMachine::new(1), index: 0 };
     let long = "x".repeat(129);
     let address = |address: &str| Command::ReplaceReplica { old: 1, new: 9, address: address.to_owned() };
@@ -468,21 +479,33 @@
         ("empty name", open_session_command("", 1, "", vec![], false)),
         ("long name", open_session_command(&long, 1, "", vec![], false)),
         ("long zone", open_session_command("a", 1, &long, vec![], false)),
-        ("long lease", open_session_command("a", 1, "", vec![LeaseId::fleet(&long)], false)),
-        ("many offers", open_session_command("a", 1, "", many, false)),
+        ("long lease name", open_session_command("a", 1, "", vec![LeaseId::fleet(&long)], false)),
+        ("too many eligible leases", open_session_command("a", 1, "", many, false)),
         ("empty address", address("")),
         ("long address", address(&long)),
-        ("used number", Command::ReplaceReplica { old: 2, new: 1, address: "10.0.0.1:7100".to_owned() }),
-        ("itself", Command::ReplaceReplica { old: 2, new: 2, address: "10.0.0.1:7100".to_owned() }),
-        ("old disk", Command::RecordReplicaStart { replica: 1, starts: 6 }),
-        ("first", Command::ReplaceReplica { old: 1, new: 2, address: "10.0.0.1:7100".to_owned() }),
-        ("second", Command::ReplaceReplica { old: 3, new: 4, address: "10.0.0.1:7100".to_owned() }),
-        ("over", Command::CompleteReplacement { old: 1 }),
-        ("again", Command::ReplaceReplica { old: 1, new: 4, address: "10.0.0.1:7100".to_owned() }),
+        (
+            "used replica number",
+            Command::ReplaceReplica { old: 2, new: 1, address: "10.0.0.1:7100".to_owned() },
+        ),
+        (
+            "old and new number equal",
+            Command::ReplaceReplica { old: 2, new: 2, address: "10.0.0.1:7100".to_owned() },
+        ),
+        ("old store", Command::RecordReplicaStart { replica: 1, starts: 6 }),
+        (
+            "first replacement",
+            Command::ReplaceReplica { old: 1, new: 2, address: "10.0.0.1:7100".to_owned() },
+        ),
+        (
+            "second replacement",
+            Command::ReplaceReplica { old: 3, new: 4, address: "10.0.0.1:7100".to_owned() },
+        ),
+        ("completed", Command::CompleteReplacement { old: 1 }),
+        ("already replaced", Command::ReplaceReplica { old: 1, new: 4, address: "10.0.0.1:7100".to_owned() }),
     ] {
         let result = match log.apply(&command) {
             CommandOutcome::Rejected(reason) => reason.to_string(),
-            CommandOutcome::Acknowledged => "done".to_owned(),
+            CommandOutcome::Acknowledged => "acknowledged".to_owned(),
             other => panic!("{label}: {other:?}"),
         };
         let _ = writeln!(text, "{label}: {result}");
@@ -491,14 +514,14 @@
 }
 
 #[test]
-fn entries_and_snapshots_of_later_versions_are_refused_with_both_versions() {
+fn errors_for_later_versions_name_both_versions() {
     let mut text = String::new();
     let mut shown = |label: &str, error: &dyn Display| {
         let _ = writeln!(text, "{label}: {error}");
     };
-    for (known, commands) in [(1, version_2_commands()), (2, version_3_commands())] {
+    for (supported, commands) in [(1, version_2_commands()), (2, version_3_commands())] {
         for (label, command) in commands {
-            shown(label, &Command::decode_with_supported_version(known, &command.encode()).unwrap_err());
+            shown(label, &Command::decode_with_supported_version(supported, &command.encode()).unwrap_err());
         }
     }
     let mut entry = version_1_commands()[1].1.encode();
