--- a/crates/coordination/src/state_machine/sessions.rs
+++ b/crates/coordination/src/state_machine/sessions.rs
@@ -185,7 +185,8 @@
             || request.eligible_leases.len() > MAX_ELIGIBLE_LEASES
         {
             let reason = format!(
-                "at most {MAX_SESSIONS} sessions, {MAX_LEASES} leases and {MAX_ELIGIBLE_LEASES} eligible leases per member"
+                "at most {MAX_SESSIONS} sessions, {MAX_LEASES} leases and {MAX_ELIGIBLE_LEASES} eligible leases per \
+                 member"
             );
             return Err(CommandRejection::LimitExceeded(reason));
         }
--- a/crates/coordination/src/state_machine/snapshot.rs
+++ b/crates/coordination/src/state_machine/snapshot.rs
@@ -21,7 +21,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
     /// Written by a later version of the program.
-    #[error("cannot decode the snapshot: it has version {version} and this replica supports versions up to {supported}")]
+    #[error(
+        "cannot decode the snapshot: it has version {version} and this replica supports versions up to {supported}"
+    )]
     UnsupportedVersion {
         /// Version of the snapshot.
         version: u16,
--- a/crates/disruption-budget/src/availability_observer.rs
+++ b/crates/disruption-budget/src/availability_observer.rs
@@ -9,10 +9,10 @@
 /// Name of the availability observer's lease in settings and records.
 pub const OBSERVER_LEASE: &str = "account";
 
-/// Report lifetimes that a new term waits before a dispatcher without a report counts as unavailable.
+/// Number of report lifetimes from the start of a term until a dispatcher without a report counts as unavailable.
 const TERM_GRACE_REPORT_LIFETIMES: Micros = 2;
 
-/// Answer of a dispatcher to an observer's poll. The order of fields is the wire format.
+/// Response of a dispatcher to an observer's poll. The order of fields is the wire format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadinessReport {
     /// Name of the dispatcher.
@@ -26,12 +26,12 @@
 }
 
 impl ReadinessReport {
-    /// Encodes the report as the body of an answer to a poll.
+    /// Encodes the report as the body of a response to a poll.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes an answer to a poll; `None` if the bytes are not a report.
+    /// Decodes the body of a response to a poll; `None` if the bytes are not a report.
     pub fn decode(bytes: &[u8]) -> Option<ReadinessReport> {
         postcard::from_bytes(bytes).ok()
     }
@@ -69,7 +69,7 @@
     report_lifetime: Micros,
     term_started: Micros,
     reports: BTreeMap<String, ReceivedReport>,
-    /// Dispatchers that the state had at the last call of [`Self::status_changes`].
+    /// Dispatchers that were registered in the state at the last call of [`Self::status_changes`].
     registered: BTreeSet<String>,
     /// Listed dispatchers that were deregistered in this term and have not reported since.
     deregistered: BTreeSet<String>,
@@ -93,12 +93,13 @@
         self.reports.insert(report.name.clone(), ReceivedReport { received_at: now, report });
     }
 
-    /// Compares the listed and the registered dispatchers with the state. Returns `None` until every dispatcher had
-    /// time to report in this term. No dispatcher is ever removed.
+    /// Returns the listed and the registered dispatchers whose status differs from the state, or `None` until every
+    /// dispatcher had time to report in this term. No dispatcher is ever removed.
     ///
-    /// A deregistered dispatcher is ignored until it reports again or is listed anew. The list of members arrives with
-    /// a session's renewal, so it may be older than the state and contains a lost dispatcher until its session ends:
-    /// without this rule the next observation would undo the deregistration.
+    /// A deregistered dispatcher is ignored until it reports again, or leaves the list of members and is listed again.
+    /// The list of members arrives with a session's renewal, so it may be older than the state, and it contains a lost
+    /// dispatcher until that dispatcher's session ends. Without this rule, the next observation would undo the
+    /// deregistration.
     pub fn status_changes(
         &mut self,
         now: Micros,
@@ -138,7 +139,7 @@
         self.registered = registered.keys().cloned().collect();
     }
 
-    /// Returns a dispatcher's status: by its report, or unavailable without a valid one.
+    /// Returns a dispatcher's status by its report, or as unavailable if it has no valid report.
     fn status(
         &self,
         now: Micros,
--- a/crates/disruption-budget/src/budget.rs
+++ b/crates/disruption-budget/src/budget.rs
@@ -71,7 +71,7 @@
     pub min_available: Option<Amount>,
 }
 
-/// An invalid budget.
+/// Error for an invalid budget.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {problem}")]
 pub struct BudgetError {
@@ -93,7 +93,7 @@
     /// All targets must always be available.
     #[error("100 % or more never allows a disruption")]
     AllAvailable,
-    /// No target has to be available.
+    /// No target needs to be available.
     #[error("0 allows the last target to be unavailable")]
     NoneAvailable,
     /// Neither bound is set.
@@ -124,11 +124,11 @@
 }
 
 impl Budget {
-    /// Checks that the budget allows a disruption in a large enough group, but not that of the last target.
+    /// Checks that the budget allows a disruption in a large enough group, but never that of the last available target.
     ///
     /// # Errors
     ///
-    /// Returns [`BudgetError`] if a bound allows no disruption or that of all targets, or if no bound is set.
+    /// Returns [`BudgetError`] if a bound allows no disruption or allows that of all targets, or if no bound is set.
     pub fn validate(&self) -> Result<(), BudgetError> {
         match self.max_unavailable {
             Some(Amount::Count(0) | Amount::Percent(0)) => {
--- a/crates/disruption-budget/src/canary_analysis/evidence.rs
+++ b/crates/disruption-budget/src/canary_analysis/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence for and against a regression: likelihood ratios of the failures of both sides.
+//! Evidence for and against a regression: likelihood ratios of the failures of the canary and the baseline.
 
 use statrs::function::factorial::ln_binomial;
 
@@ -12,11 +12,11 @@
 /// Logarithms of products of likelihood ratios, for one class and kind of failure.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Evidence {
-    /// That the canary is worse, for each of [`TESTED_ODDS_RATIOS`].
+    /// Evidence that the canary is worse, for each of [`TESTED_ODDS_RATIOS`].
     regression: [f64; TESTED_ODDS_RATIOS.len()],
-    /// That the canary is not harmful compared with the baseline.
+    /// Evidence that the canary is not harmful compared with the baseline.
     no_regression: f64,
-    /// That the canary's own failure share is acceptable.
+    /// Evidence that the canary's own failure share is acceptable.
     acceptable: f64,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Jobs and failures of both sides in one window.
+/// Jobs and failures of the canary and the baseline in one window.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FailureSplit {
     pub(super) canary_jobs: u64,
@@ -57,8 +57,8 @@
 }
 
 impl FailureSplit {
-    /// Returns the logarithm of the probability of the split, given the sums, if the odds of a failure on the canary
-    /// are `odds_ratio` times the baseline's.
+    /// Returns the logarithm of the probability of the split, given the numbers of jobs and of all failures, if the
+    /// odds of a failure on the canary are `odds_ratio` times the baseline's.
     fn ln_probability(&self, odds_ratio: f64) -> f64 {
         let ln_weight = |canary_failures: u64| {
             ln_binomial(self.canary_jobs, canary_failures)
--- a/crates/disruption-budget/src/canary_analysis/mod.rs
+++ b/crates/disruption-budget/src/canary_analysis/mod.rs
@@ -21,11 +21,11 @@
 /// Kind of failure of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FailureKind {
-    /// Rejected.
+    /// The job was rejected.
     Rejected,
-    /// Failed or lost.
+    /// The job failed or was lost.
     Failed,
-    /// Served later than its latency objective allows.
+    /// The job was served later than its latency objective allows.
     Late,
 }
 
@@ -33,7 +33,7 @@
     const ALL: [FailureKind; 3] = [FailureKind::Rejected, FailureKind::Failed, FailureKind::Late];
 }
 
-/// Jobs of one side, of one class, in one window and zone.
+/// Jobs of one class on one side, canary or baseline, in one window and zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct JobCounts {
     /// Number of all jobs.
@@ -64,7 +64,7 @@
 /// Result of the analysis so far.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// Too little evidence.
+    /// There is too little evidence for another verdict.
     Inconclusive,
     /// No class is worse on the canary.
     Passed,
@@ -77,7 +77,7 @@
     },
 }
 
-/// Jobs of the baseline in the last window of a zone and class.
+/// Jobs and failures of the baseline in the last window of a zone and class.
 #[derive(Debug, Clone, Copy)]
 struct BaselineWindow {
     jobs: u64,
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Returns the verdict by now. The error rates of the settings hold for a caller that reads it after each window,
-    /// and for all classes and kinds of failure together.
+    /// Returns the verdict on all windows so far. The error rates of the settings hold for a caller that reads it after
+    /// each window, and for all classes and kinds of failure together.
     pub fn verdict(&self) -> Verdict {
         let tests = self.evidence.len().max(1) as f64;
         let regression_bound = (tests / self.settings.false_positive_rate).ln();
@@ -142,7 +142,7 @@
         if let Some((ClassFailure { class, failure }, _)) = regressed {
             return Verdict::Regressed { class: class.clone(), failure: *failure };
         }
-        // Every class has to pass by itself, so the error rate needs no correction for their number.
+        // Every class must pass by itself, so the error rate needs no correction for the number of classes.
         let pass_bound = (1.0 / self.settings.false_negative_rate).ln();
         let passes = |evidence: &Evidence| evidence.ln_no_regression() > pass_bound;
         if !self.evidence.is_empty() && self.evidence.values().all(passes) {
--- a/crates/disruption-budget/src/command.rs
+++ b/crates/disruption-budget/src/command.rs
@@ -28,7 +28,7 @@
         /// Whether the permit is granted at once, without regard to the budgets, and counted as forced.
         force: bool,
     },
-    /// Begins a granted permit, for the named incarnation of the target and no later one.
+    /// Begins a granted permit, for this incarnation of the target and no later one.
     BeginPermit {
         /// The permit.
         permit: PermitId,
@@ -54,7 +54,7 @@
         known_revision: u64,
         /// Targets that are new, or whose status differs from the state.
         changed: Vec<TargetStatus>,
-        /// Targets that are not listed any more.
+        /// Targets that are no longer listed.
         removed: Vec<Target>,
     },
     /// Removes a target that an operator declares permanently lost, and closes its permits. The target is registered
--- a/crates/disruption-budget/src/injected_bug.rs
+++ b/crates/disruption-budget/src/injected_bug.rs
@@ -7,7 +7,7 @@
     AnyIncarnation,
     /// Unplanned losses do not count against budgets.
     PlannedOnly,
-    /// A permit is granted by an observation that was made before it was requested.
+    /// A permit is granted by an observation that was made before the permit was requested.
     StaleObservation,
     /// A command to begin a permit that is not open succeeds.
     BeginUnknownPermit,
--- a/crates/disruption-budget/src/lib.rs
+++ b/crates/disruption-budget/src/lib.rs
@@ -1,28 +1,29 @@
 //! Disruption budgets: bounds on the dispatchers and workers that are unavailable at once, and permits to take one out
 //! of service.
 //!
-//! The package is pure: no clock, no I/O, no randomness. The same commands lead to the same state on every replica. Its
-//! model is Kubernetes' `PodDisruptionBudget`, with permits that are requested, granted and begun one by one.
+//! The package is pure: no clock, no I/O, no randomness. The same commands lead to the same state on every replica. It
+//! follows Kubernetes' `PodDisruptionBudget`, with permits that are requested, granted and begun one by one.
 //!
 //! A [`Target`] is a dispatcher or a worker. It is *available* if the latest observation proves it, and unavailable
 //! otherwise. A requester needs a [`Permit`] to take a target out of service. The invariants are:
 //!
-//! 1. **No permit is granted beyond a budget.** Every budget that selects a target has to allow the disruption. Targets
-//!    that are unavailable for any reason and targets with a granted permit count together.
-//! 2. **A permit that was not begun can be revoked; one that was begun counts as unavailable** until its target is
-//!    proven available again, or an operator deregisters the target. No timeout ends it. The proof is a target that is
-//!    available with a higher incarnation than it had when the permit was granted, or after the requester reported that
-//!    the disruption is complete. A target that is available because the disruption was not carried out yet proves
-//!    nothing.
-//! 3. **Beginning a permit is checked once more.** A permit that was revoked or cancelled meanwhile is rejected, so a
-//!    requester that was paused for long takes no target out of service.
+//! 1. **No permit is granted beyond a budget.** Every budget that selects a target must allow the disruption. Targets
+//!    that are unavailable for any reason and targets with a granted or begun permit count together. Only a requester
+//!    that forces a permit exceeds a budget.
+//! 2. **A permit that was not begun can be revoked. The target of a begun permit counts as unavailable** until it is
+//!    proven available again, or an operator deregisters it. No timeout ends a begun permit. The proof is an
+//!    observation of the target as available, either with a higher incarnation than it had when the permit was granted
+//!    or begun, or made after the requester reported that the disruption is complete. Without one of these, a target
+//!    that is available proves nothing, because the disruption may not have been carried out yet.
+//! 3. **A permit is checked again when it is begun.** A permit that was revoked or cancelled since its grant is
+//!    rejected, so a requester that was paused for a long time takes no target out of service.
 //! 4. **An observation is valid in its observer's term only**: an observer with an older fencing token changes nothing.
 //! 5. **A permit is granted only by an observation that was made after the permit was requested.**
 //!
-//! [`Budget`] is a bound, [`DisruptionState`] the replicated state, [`DisruptionCommand`] an entry of the replicated
-//! log that changes it. [`PermitTimeouts`] expires permits by the leading replica's clock, [`AvailabilityObserver`] and
-//! [`WarmupTracker`] turn readiness reports and the endpoint list into observations, and [`canary_analysis`] decides
-//! whether a new version fails more often than the old one.
+//! [`Budget`] is a bound, [`DisruptionState`] the replicated state, and [`DisruptionCommand`] an entry of the
+//! replicated log that changes this state. [`PermitTimeouts`] expires permits by the leading replica's clock,
+//! [`AvailabilityObserver`] and [`WarmupTracker`] turn readiness reports and the endpoint list into observations, and
+//! [`canary_analysis`] decides whether a new version fails more often than the old one.
 
 mod availability_observer;
 mod budget;
--- a/crates/disruption-budget/src/outcome.rs
+++ b/crates/disruption-budget/src/outcome.rs
@@ -24,7 +24,7 @@
     ObservationRecorded {
         /// Permits that the observation granted.
         granted: Vec<PermitId>,
-        /// Permits that were granted before and wait again.
+        /// Permits that were granted and not begun, and now wait again.
         revoked: Vec<PermitId>,
         /// Permits whose targets are proven available again.
         closed: Vec<PermitId>,
@@ -33,10 +33,10 @@
     Rejected(Rejection),
 }
 
-/// Reason for which a [`DisruptionCommand`](crate::DisruptionCommand) changed nothing.
+/// Reason why a [`DisruptionCommand`](crate::DisruptionCommand) changed nothing.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
-    /// No such permit is open: it expired, was cancelled or closed. The requester has to request a new one.
+    /// No such permit is open: it expired, was cancelled or closed. The requester must request a new one.
     #[error("no such permit is open: it expired, was cancelled, or has ended")]
     UnknownPermit,
     /// Neither the target nor a permit for it is in the state.
@@ -57,7 +57,7 @@
     /// The budgets were changed since the operator read them.
     #[error("the budgets were changed meanwhile and are at version {version}; read them again")]
     VersionConflict {
-        /// Present version of the budgets.
+        /// Current version of the budgets.
         version: u64,
     },
     /// A budget is invalid.
@@ -68,7 +68,7 @@
         /// Text of the [`BudgetError`](crate::BudgetError).
         reason: String,
     },
-    /// A limit of this module would be exceeded; the text names it.
+    /// A limit on the size of the state would be exceeded; the text names it.
     #[error("limit exceeded: {0}")]
     LimitExceeded(String),
 }
--- a/crates/disruption-budget/src/permit.rs
+++ b/crates/disruption-budget/src/permit.rs
@@ -54,6 +54,6 @@
 pub struct ForcedPermits {
     /// Number of forced permits since the installation was set up.
     pub count: u64,
-    /// Requester of the latest one; empty before the first.
+    /// Requester of the latest forced permit; empty if there was none.
     pub last_requester: String,
 }
--- a/crates/disruption-budget/src/permit_timeouts.rs
+++ b/crates/disruption-budget/src/permit_timeouts.rs
@@ -1,7 +1,7 @@
 //! Timeouts of open permits, by the leading replica's clock.
 //!
-//! The times are lost with the leadership, and the next leader starts them anew: a permit may then last longer than its
-//! timeout, but never shorter.
+//! The times are lost when the leader changes, and the next leader starts them again. A permit may then outlast its
+//! timeout, but it never expires early.
 
 use std::collections::BTreeMap;
 
@@ -50,7 +50,8 @@
 }
 
 impl PermitTimeouts {
-    /// Follows the open permits, after each change of the state and when this replica becomes leader.
+    /// Updates the entries to the open permits. Must be called after each change of the state and when this replica
+    /// becomes leader.
     pub fn update(&mut self, now: Micros, state: &DisruptionState) {
         let permits = state.permits();
         self.entries.retain(|id, entry| permits.get(id).is_some_and(|permit| permit.state == entry.state));
@@ -67,7 +68,7 @@
     }
 
     /// Returns the commands that cancel expired permits. A command that is proposed and not committed yet is returned
-    /// again, which is harmless: a permit is cancelled once.
+    /// again. This is harmless, because a permit can be cancelled only once.
     pub fn expired(&self, now: Micros) -> Vec<DisruptionCommand> {
         let expired = self.entries.iter().filter(|(_, entry)| entry.is_expired(now));
         expired.map(|(id, _)| DisruptionCommand::CancelPermit { permit: *id }).collect()
--- a/crates/disruption-budget/src/state/budgets.rs
+++ b/crates/disruption-budget/src/state/budgets.rs
@@ -40,7 +40,8 @@
 }
 
 impl TargetRecord {
-    /// Returns the unavailable part. A target with an active permit counts as planned alone, whatever its availability.
+    /// Returns the unavailable part of the target. A target with an active permit is counted only as planned, whatever
+    /// its availability.
     fn disruption(&self, has_active_permit: bool) -> Disruption {
         if has_active_permit {
             return Disruption { planned: THOUSANDTHS_PER_TARGET, unplanned: 0 };
@@ -55,7 +56,7 @@
 }
 
 impl Budget {
-    /// Returns whether the budget selects this target of its kind.
+    /// Returns whether the budget selects this target, which must be of the budget's kind.
     fn selects(&self, record: &TargetRecord) -> bool {
         match &self.scope {
             BudgetScope::Fleet | BudgetScope::EachZone | BudgetScope::EachPool => true,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Returns the group in which the budget counts this target of its kind.
+    /// Returns the group in which the budget counts this target, which must be of the budget's kind.
     fn group_of<'a>(&self, record: &'a TargetRecord) -> &'a str {
         match self.scope {
             BudgetScope::Fleet => "",
@@ -75,7 +76,7 @@
 }
 
 impl DisruptionState {
-    /// Replaces the budgets. Grants that exceed the new ones are revoked with the next observation.
+    /// Replaces the budgets. Grants that exceed the new budgets are revoked by the next observation.
     pub(super) fn set_budgets(
         &mut self,
         index: u64,
@@ -119,7 +120,7 @@
         usage
     }
 
-    /// Returns the first budget that prevents the grant of a waiting permit; `None` if there is none, or the permit
+    /// Returns the first budget that prevents the grant of a waiting permit; `None` if no budget does, or the permit
     /// does not wait.
     pub fn blocking_budget(&self, id: PermitId) -> Option<&Budget> {
         let permit = self.permits.get(&id).filter(|permit| permit.state == PermitState::Waiting)?;
@@ -132,7 +133,7 @@
         self.exceeded_budget(target, record, 0).is_none()
     }
 
-    /// Returns whether a target is registered and its budgets allow it to be unavailable as well.
+    /// Returns whether a target is registered and its budgets allow it to become unavailable.
     pub(super) fn allows_disruption(&self, target: &Target) -> bool {
         self.targets.contains_key(target) && self.budget_exceeded_by_disruption(target).is_none()
     }
@@ -140,12 +141,12 @@
     fn budget_exceeded_by_disruption(&self, target: &Target) -> Option<&Budget> {
         let record = self.targets.get(target)?;
         let has_active_permit = self.active_permits().any(|permit| permit.target == *target);
-        let present = record.disruption(has_active_permit);
-        let additional = THOUSANDTHS_PER_TARGET - present.planned - present.unplanned;
+        let current = record.disruption(has_active_permit);
+        let additional = THOUSANDTHS_PER_TARGET - current.planned - current.unplanned;
         self.exceeded_budget(target, record, additional)
     }
 
-    /// Returns the first budget that selects a target and does not allow `additional` thousandths on top of the present
+    /// Returns the first budget that selects a target and does not allow `additional` thousandths on top of the current
     /// disruptions.
     fn exceeded_budget(&self, target: &Target, record: &TargetRecord, additional: u64) -> Option<&Budget> {
         let planned_targets = self.planned_targets();
--- a/crates/disruption-budget/src/state/mod.rs
+++ b/crates/disruption-budget/src/state/mod.rs
@@ -19,7 +19,7 @@
 /// format.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DisruptionState {
-    /// Log entry that set the budgets; 0 before the first.
+    /// Position of the log entry that set the budgets; 0 if none did.
     budgets_version: u64,
     budgets: Vec<Budget>,
     /// Newest fencing token of an observer.
@@ -65,7 +65,7 @@
         &self.budgets
     }
 
-    /// Returns the version of the budgets, which [`DisruptionCommand::SetBudgets`] has to name.
+    /// Returns the version of the budgets, which the next [`DisruptionCommand::SetBudgets`] must name.
     pub fn budgets_version(&self) -> u64 {
         self.budgets_version
     }
--- a/crates/disruption-budget/src/state/observation.rs
+++ b/crates/disruption-budget/src/state/observation.rs
@@ -43,7 +43,7 @@
             .try_for_each(|status| check_text_length(&[&status.target.name, &status.zone, &status.pool]))
     }
 
-    /// Removes a target that is not listed any more; one with a begun permit stays and counts as unavailable.
+    /// Removes a target that is no longer listed. A target with a begun permit is kept and counts as unavailable.
     fn remove_target(&mut self, target: &Target) {
         let is_begun = |permit: &Permit| permit.target == *target && permit.state == PermitState::Begun;
         if !self.permits.values().any(is_begun) {
@@ -53,12 +53,13 @@
         }
     }
 
-    /// Records the status of a target; one of an older incarnation than known counts as unavailable.
+    /// Records the status of a target. If the status is of an older incarnation than the newest known one, the target
+    /// counts as unavailable.
     fn update_target(&mut self, status: &TargetStatus) {
         let recorded = self.observed_incarnation(&status.target);
         let permits_of_target = self.permits.values().filter(|permit| permit.target == status.target);
         let newest = permits_of_target.map(|permit| permit.incarnation).fold(recorded, u64::max);
-        // A status of a process that was replaced since proves nothing.
+        // A status of an earlier process of the target proves nothing about the current one.
         let is_stale = status.incarnation < newest;
         let record = TargetRecord {
             zone: status.zone.clone(),
@@ -79,7 +80,7 @@
         closed
     }
 
-    /// Returns whether the target of a begun permit is proven to be available again by an observation at
+    /// Returns whether the permit is begun and its target is proven to be available again by an observation at
     /// `known_revision`.
     fn has_recovered(&self, permit: &Permit, known_revision: u64) -> bool {
         let Some(record) = self.targets.get(&permit.target) else { return false };
@@ -91,8 +92,8 @@
         completed_before || has_restarted || self.has_bug(InjectedBug::AnyIncarnation)
     }
 
-    /// Revokes permits that are granted and not begun, the newest first, while a budget that selects them is exceeded.
-    /// A revoked permit waits again at its former position.
+    /// Revokes permits that are granted and not begun, the newest first, while a budget that selects their targets is
+    /// exceeded. A revoked permit waits again at its former position.
     fn revoke_exceeding_permits(&mut self) -> Vec<PermitId> {
         let mut revoked = Vec::new();
         while let Some(id) = self.newest_exceeding_permit() {
--- a/crates/disruption-budget/src/state/permits.rs
+++ b/crates/disruption-budget/src/state/permits.rs
@@ -46,7 +46,7 @@
         self.permits.iter().find(|(_, permit)| is_same(permit)).map(|(id, _)| *id)
     }
 
-    /// Repeats the request for an open permit; a waiting one is granted if it is forced now.
+    /// Handles a repeated request for an open permit. A waiting permit is granted if the repeated request is forced.
     fn repeat_request(
         &mut self,
         id: PermitId,
@@ -89,12 +89,13 @@
             PermitState::Waiting => Err(Rejection::NotGranted),
             PermitState::Granted => {
                 permit.state = PermitState::Begun;
-                // The target may have restarted by itself since the grant: only a later incarnation proves its return.
+                // The target may have restarted by itself since the grant, so only an incarnation later than the one
+                // that the requester knows proves its return.
                 permit.incarnation = permit.incarnation.max(incarnation);
                 Ok(DisruptionOutcome::PermitBegun(id))
             }
-            // The first answer to a repeated command may have been lost. But a permit allows one disruption only: if
-            // its target returned since, the next observation closes it.
+            // A requester repeats the command if it missed the first response. A permit allows only one disruption, so
+            // the repetition is rejected if the target has returned since. The next observation closes the permit.
             PermitState::Begun if permit.completed_at.is_some() || incarnation > permit.incarnation => {
                 Err(Rejection::UnknownPermit)
             }
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Records the entry in which the requester reported that the disruption is complete; only the first one counts.
+    /// Records the entry in which the requester reported that the disruption is complete; only the first report counts.
     pub(super) fn complete_permit(
         &mut self,
         index: u64,
--- a/crates/disruption-budget/src/status.rs
+++ b/crates/disruption-budget/src/status.rs
@@ -26,7 +26,7 @@
     pub pool: String,
     /// Availability of the target.
     pub availability: Availability,
-    /// Incarnation, raised with each start and each return to service; 0 if the target has none.
+    /// Incarnation, raised with each start and each return from standby; 0 if the target has none.
     pub incarnation: u64,
 }
 
@@ -35,7 +35,7 @@
 pub struct StatusChanges {
     /// Targets that are new, or whose status differs.
     pub changed: Vec<TargetStatus>,
-    /// Targets that are not listed any more.
+    /// Targets that are no longer listed.
     pub removed: Vec<Target>,
 }
 
@@ -45,7 +45,7 @@
         self.changed.is_empty() && self.removed.is_empty()
     }
 
-    /// Appends the changes of other targets.
+    /// Appends changes, which must be of other targets.
     pub fn extend(&mut self, other: StatusChanges) {
         self.changed.extend(other.changed);
         self.removed.extend(other.removed);
--- a/crates/disruption-budget/src/target.rs
+++ b/crates/disruption-budget/src/target.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// A text that is not a [`Target`].
+/// Error for a text that is not a [`Target`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ParseTargetError {
     /// The text does not start with a known kind and a slash.
--- a/crates/disruption-budget/src/worker_warmup.rs
+++ b/crates/disruption-budget/src/worker_warmup.rs
@@ -6,10 +6,11 @@
 
 /// Full capacity of a worker, in thousandths.
 const FULL_CAPACITY_THOUSANDTHS: f64 = 1e3;
-/// Step in which capacity is reported, in thousandths. Each step is an entry of the replicated log.
+/// Step in which the capacity of a worker is reported, in thousandths. Smaller steps would add more entries to the
+/// replicated log, since each change is an entry.
 const CAPACITY_STEP_THOUSANDTHS: u16 = 100;
 
-/// A worker of the endpoint list, with the result of health checks.
+/// An endpoint of the endpoint list, with the result of health checks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerEndpoint {
     /// Name of the worker.
@@ -18,25 +19,25 @@
     pub zone: String,
     /// Pool of the worker.
     pub pool: String,
-    /// Whether the endpoint list has it in service, so that it accepts new work.
+    /// Whether the endpoint list has the worker in service, so that it accepts new jobs.
     pub in_service: bool,
-    /// Identifies the worker's start. Compared for equality only: discovery derives it from the worker's clock, which
-    /// may go back.
+    /// Identifies the worker's start. Compared only for equality, because discovery derives it from the worker's clock,
+    /// which may go back.
     pub start_id: u64,
-    /// Whether health checks report it as failing.
+    /// Whether health checks report the worker as unhealthy.
     pub unhealthy: bool,
 }
 
-/// First sight of a worker's start by this process.
+/// A start of a worker, and when this process first saw it.
 #[derive(Debug, Clone, Copy)]
 struct ObservedStart {
     start_id: u64,
     first_seen: Micros,
-    /// Whether the worker was in the first list that this process received, so that its age is unknown.
+    /// Whether the worker was in the first non-empty list that this process received, so that its age is unknown.
     in_first_list: bool,
 }
 
-/// Warm-up of workers, measured from the first sight of each start by this process's clock.
+/// Warm-up of workers, measured by this process's clock from the time at which it first saw each start.
 #[derive(Debug, Clone)]
 pub struct WarmupTracker {
     initial_share: f64,
@@ -46,12 +47,13 @@
 }
 
 impl WarmupTracker {
-    /// Creates a tracker: a worker has `initial_share` of its capacity (0 to 1) at its start, and all after `duration`.
+    /// Creates a tracker: a worker has `initial_share` of its capacity (0 to 1) at its start, and all of it after
+    /// `duration`.
     pub fn new(initial_share: f64, duration: Micros) -> WarmupTracker {
         WarmupTracker { initial_share, duration, starts: BTreeMap::new(), list_received: false }
     }
 
-    /// Records new starts. To be called whenever the endpoint list may have changed.
+    /// Records new starts. Must be called whenever the endpoint list may have changed.
     pub fn update_list(&mut self, now: Micros, workers: &[WorkerEndpoint]) {
         let earlier = std::mem::take(&mut self.starts);
         for worker in workers {
@@ -67,7 +69,8 @@
         self.list_received |= !workers.is_empty();
     }
 
-    /// Returns the workers whose status differs from the state, and those of the state that are not listed any more.
+    /// Returns the workers whose status differs from the replicated state, and the registered workers that are no
+    /// longer listed.
     pub fn status_changes(
         &self,
         now: Micros,
@@ -100,8 +103,8 @@
         }
     }
 
-    /// A worker of the first list counts as available if the state has it as available, and otherwise as started when
-    /// it was first seen.
+    /// Returns the availability of a worker. A worker of the first list counts as available if it is registered as
+    /// available, because its age is unknown. All other workers count as started when they were first seen.
     fn availability(
         &self,
         now: Micros,
