--- a/crates/disruption-budget/tests/availability_observer.rs
+++ b/crates/disruption-budget/tests/availability_observer.rs
@@ -1,4 +1,4 @@
-//! Dispatchers' availability, from their readiness reports and their silence.
+//! Availability of dispatchers, derived from their readiness reports and from missing reports.
 
 use disruption_budget::{
     Availability, AvailabilityObserver, DispatcherMember, DisruptionCommand, DisruptionState,
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn silent_dispatcher_is_unavailable_once_it_had_time_to_report() {
+fn dispatcher_without_a_report_is_unavailable_once_it_had_time_to_report() {
     let mut observer = AvailabilityObserver::new(100, 1_000);
     let mut state = DisruptionState::default();
     let members = ["a", "b"].map(|name| DispatcherMember { name, zone: NORTH });
@@ -27,16 +27,21 @@
     state.apply(1, &observation);
     observer.record_report(report("a", 7, true), 1_250);
     let unchanged = Some(StatusChanges::default());
-    assert_eq!(observer.status_changes(1_260, &members, &state), unchanged, "as the state has it");
-    // One that left the list of members still counts, and one in standby is unavailable.
+    assert_eq!(
+        observer.status_changes(1_260, &members, &state),
+        unchanged,
+        "no status differs from the registered one"
+    );
+    // Dispatcher "a" has left the list of members and its report has expired, and "b" reports from standby. Both count
+    // as unavailable.
     observer.record_report(report("b", 1, false), 1_300);
     let changed = observer.status_changes(1_360, &members[1..], &state).unwrap().changed;
     assert_eq!(changed.len(), 2);
     assert!(changed.iter().all(|status| status.availability == Availability::Unavailable));
 }
 
-/// An observer whose dispatcher "b" is lost, counted as unavailable and then deregistered, while the list of members
-/// still has it.
+/// Returns an observer and the state after dispatcher "b", which never reported, was registered as unavailable and then
+/// deregistered. The list of members still contains "b".
 fn observer_after_deregistration() -> (AvailabilityObserver, DisruptionState) {
     let mut observer = AvailabilityObserver::new(100, 1_000);
     let mut state = DisruptionState::default();
@@ -56,7 +61,8 @@
 const LISTED: [DispatcherMember<'static>; 2] =
     [DispatcherMember { name: "a", zone: NORTH }, DispatcherMember { name: "b", zone: NORTH }];
 
-/// The names and availabilities that an observer would change, with a report of "a" that is never too old.
+/// Records a report of dispatcher "a", so that it is available, and returns the names and availabilities that the next
+/// observation would change.
 fn changes(
     observer: &mut AvailabilityObserver,
     members: &[DispatcherMember<'_>],
@@ -68,10 +74,10 @@
     changed.into_iter().map(|status| (status.target.name, status.availability)).collect()
 }
 
-/// Regression test: an operator deregistered a lost dispatcher that the observer's list of members still had, and the
-/// next observation registered it again as unavailable, permanently, since an observation removes no dispatcher.
+/// Regression test: an operator deregistered a lost dispatcher that the observer's list of members still contained. The
+/// next observation registered it again as unavailable, permanently, because an observation removes no dispatcher.
 #[test]
-fn deregistered_dispatcher_stays_unknown_though_it_is_still_listed() {
+fn deregistered_dispatcher_stays_unregistered_while_it_is_still_listed() {
     let (mut observer, state) = observer_after_deregistration();
     for now in [1_310, 1_400, 1_600] {
         assert_eq!(changes(&mut observer, &LISTED, &state, now), []);
@@ -87,9 +93,9 @@
     assert_eq!(changes(&mut observer, &LISTED, &state, 1_330), expected);
 }
 
-/// The dispatcher's next process has joined and does not report: that is a loss again.
+/// Dispatcher "b" leaves the list of members, is listed again and does not report, so it counts as unavailable again.
 #[test]
-fn deregistered_dispatcher_counts_again_once_it_is_listed_anew() {
+fn deregistered_dispatcher_counts_again_once_it_left_the_list_and_is_listed_again() {
     let (mut observer, state) = observer_after_deregistration();
     assert_eq!(changes(&mut observer, &LISTED, &state, 1_310), []);
     assert_eq!(changes(&mut observer, &LISTED[..1], &state, 1_320), []);
@@ -97,9 +103,9 @@
     assert_eq!(changes(&mut observer, &LISTED, &state, 1_330), expected);
 }
 
-/// A report from before the deregistration proves nothing after it.
+/// A report that was received before the deregistration does not count after it.
 #[test]
-fn report_from_before_the_deregistration_does_not_bring_a_dispatcher_back() {
+fn report_from_before_the_deregistration_does_not_register_the_dispatcher_again() {
     let mut observer = AvailabilityObserver::new(100, 1_000);
     let mut state = DisruptionState::default();
     for name in ["a", "b"] {
--- a/crates/disruption-budget/tests/format.rs
+++ b/crates/disruption-budget/tests/format.rs
@@ -56,7 +56,7 @@
     DisruptionCommand::RecordObservation { fencing_token, known_revision, changed, removed }
 }
 
-/// Every scope and both kinds of amount.
+/// Returns budgets with every scope and both kinds of amount.
 fn budgets() -> Vec<Budget> {
     vec![
         budget("fleet", BudgetScope::Fleet, Some(Amount::Count(2)), None),
@@ -67,15 +67,15 @@
     ]
 }
 
-/// Commands in the order of a log from entry 1 on, which together give every outcome and every rejection.
+/// Returns the commands of a log from entry 1 on. Together they have every outcome and every rejection.
 fn history() -> Vec<(&'static str, DisruptionCommand)> {
     let available = |name| observed(name, Availability::Available, 5);
-    let unmet = budget("unmet", BudgetScope::Fleet, Some(Amount::Count(0)), None);
+    let never_allows = budget("unmet", BudgetScope::Fleet, Some(Amount::Count(0)), None);
     let workers = Budget {
         kind: TargetKind::Worker,
         ..budget("workers", BudgetScope::Fleet, Some(Amount::Count(1)), None)
     };
-    let fleet = ["a", "b", "c", "d", "e"].map(available).into();
+    let all_available = ["a", "b", "c", "d", "e"].map(available).into();
     let warming =
         vec![observed("d", Availability::WarmingUp(300), 6), observed("e", Availability::Unavailable, 5)];
     let deregister = |name| DisruptionCommand::DeregisterTarget {
@@ -90,7 +90,7 @@
         ),
         (
             "set a budget that allows nothing",
-            DisruptionCommand::SetBudgets { expected_version: 1, budgets: vec![unmet] },
+            DisruptionCommand::SetBudgets { expected_version: 1, budgets: vec![never_allows] },
         ),
         (
             "set too many budgets",
@@ -101,7 +101,7 @@
         ("request a second permit", request_permit("b", "agent", false)),
         ("request with a long name", request_permit("c", &"x".repeat(257), false)),
         ("begin a waiting permit", DisruptionCommand::BeginPermit { permit: 6, incarnation: 5 }),
-        ("an observation that grants", observe(9, 9, fleet, vec![])),
+        ("an observation that grants", observe(9, 9, all_available, vec![])),
         ("begin a granted permit", DisruptionCommand::BeginPermit { permit: 6, incarnation: 5 }),
         ("an observation that revokes", observe(9, 11, warming, vec![target(TargetKind::Worker, "w")])),
         ("cancel a begun permit", DisruptionCommand::CancelPermit { permit: 6 }),
@@ -122,7 +122,7 @@
     ]
 }
 
-/// Applies the history: each command with its outcome, and the state at the end.
+/// Applies the history. Returns each command with its outcome, and the final state.
 fn applied_history() -> (Vec<(&'static str, DisruptionCommand, DisruptionOutcome)>, DisruptionState) {
     let mut state = DisruptionState::default();
     let mut entries = Vec::new();
@@ -144,7 +144,7 @@
         let outcome_bytes = postcard::to_stdvec(&outcome).unwrap();
         assert_eq!(postcard::from_bytes::<DisruptionCommand>(&command_bytes).unwrap(), command, "{label}");
         assert_eq!(postcard::from_bytes::<DisruptionOutcome>(&outcome_bytes).unwrap(), outcome, "{label}");
-        // Of the long ones the start and the length are enough.
+        // Of a long command, only the first bytes and the length are pinned.
         let shown = if command_bytes.len() > 400 { &command_bytes[..48] } else { &command_bytes[..] };
         writeln!(
             text,
@@ -154,8 +154,8 @@
             hex(&outcome_bytes)
         )
         .unwrap();
-        if let DisruptionOutcome::Rejected(why) = &outcome {
-            writeln!(text, "  {why}").unwrap();
+        if let DisruptionOutcome::Rejected(rejection) = &outcome {
+            writeln!(text, "  {rejection}").unwrap();
             rejections.insert(outcome_bytes[1]);
         }
         commands.insert(command_bytes[0]);
@@ -180,8 +180,8 @@
     for (id, permit) in state.permits() {
         writeln!(text, "permit {id}\n  {}", hex(&postcard::to_stdvec(permit).unwrap())).unwrap();
     }
-    for one in state.targets() {
-        writeln!(text, "{}\n  {}", one.target, hex(&postcard::to_stdvec(&one).unwrap())).unwrap();
+    for status in state.targets() {
+        writeln!(text, "{}\n  {}", status.target, hex(&postcard::to_stdvec(&status).unwrap())).unwrap();
     }
     insta::assert_snapshot!(text);
 }
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn names_that_others_read() {
+fn names_in_settings_records_and_the_command_line() {
     assert_eq!(OBSERVER_LEASE, "account", "the name of the lease in settings and records");
     let bugs: Vec<&str> = InjectedBug::names().iter().map(|(name, _)| *name).collect();
     assert_eq!(bugs, ["any-process", "planned-only", "old-observation", "begin-unasked"]);
@@ -226,13 +226,13 @@
         let budget = budget("b", BudgetScope::Fleet, max_unavailable, min_available);
         let shown = |result: Result<(), BudgetError>| match result {
             Ok(()) => "fine".to_owned(),
-            Err(fault) => fault.to_string(),
+            Err(error) => error.to_string(),
         };
         writeln!(text, "{}; of {targets}: {}", shown(budget.validate()), shown(budget.validate_for(targets)))
             .unwrap();
     }
-    for word in ["", "w1", "shop/w1", "worker/", "dispatcher/"] {
-        writeln!(text, "{}", word.parse::<Target>().unwrap_err()).unwrap();
+    for text_without_target in ["", "w1", "shop/w1", "worker/", "dispatcher/"] {
+        writeln!(text, "{}", text_without_target.parse::<Target>().unwrap_err()).unwrap();
     }
     insta::assert_snapshot!(text);
 }
--- a/crates/disruption-budget/tests/model.rs
+++ b/crates/disruption-budget/tests/model.rs
@@ -1,5 +1,5 @@
-//! Disruption state and permits in every order of events up to a bound, with requesters that sleep, observers that are
-//! late, and targets that fail: a model check of the very module that the coordinators run.
+//! Model check of the disruption state that the coordinators run: explores every order of events up to a bound, with
+//! requesters that are paused, observations that arrive late, and targets that fail.
 
 use std::collections::BTreeSet;
 
@@ -9,21 +9,23 @@
 };
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
+/// Maximum number of unavailable targets that the budget allows.
 const MAX_UNAVAILABLE: usize = 1;
 /// Maximum number of messages in flight.
 const MAX_MESSAGES: usize = 2;
-/// Entries by which messages in flight may still exceed the bound on the log.
+/// Number of entries by which messages in flight may exceed the bound on the log.
 const MESSAGE_ENTRIES: u64 = 2;
 
 const WITHIN_BUDGET: &str = "planned disruptions never exceed the budget";
-const NO_GRANT_ON_LOSSES: &str = "no grant while losses use the budget up";
-const TARGET_RECOVERS: &str = "a target is proven available again";
+const NO_GRANT_ON_LOSSES: &str = "no permit is granted while unplanned losses use up the budget";
+const TARGET_RECOVERS: &str = "some target is proven available again";
 
+/// Bounds of the model.
 #[derive(Clone, Debug)]
-struct Permits {
+struct PermitModel {
     injected_bug: Option<InjectedBug>,
     targets: usize,
-    /// Number of faults, together: targets that fail, observers that change, and requesters that restart.
+    /// Maximum number of faults in total: failures of targets, changes of the observer, and restarts of requesters.
     faults: u8,
     /// Maximum number of entries in the log.
     entries: u64,
@@ -33,7 +35,7 @@
 enum Requester {
     Idle,
     Requested(PermitId),
-    /// May carry out the disruption of the target with this incarnation, and has not done so.
+    /// May carry out the disruption of the target with this incarnation, and has not done so yet.
     MayAct {
         permit: PermitId,
         incarnation: u64,
@@ -46,7 +48,7 @@
 struct Process {
     incarnation: u64,
     is_drained: bool,
-    /// Last log entry at the time at which the process failed by itself.
+    /// Last log entry at the time of an unplanned failure of the process; `None` unless it has failed.
     failed_at: Option<u64>,
     requester: Requester,
 }
@@ -57,7 +59,7 @@
     }
 }
 
-/// A target as an observer saw it.
+/// Status of a target in an observation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct ObservedTarget {
     is_available: bool,
@@ -91,18 +93,19 @@
     in_flight: BTreeSet<Message>,
     fencing_token: u64,
     faults: u8,
-    /// A permit was granted although losses before its request had used the budget up.
+    /// Whether a permit was granted although losses before its request had used up the budget.
     granted_on_losses: bool,
+    /// Whether an observation closed a permit.
     recovered: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Event {
     Request(usize),
-    /// A requester that sees its permit granted sends that it begins, or sends it again.
+    /// A requester whose permit is granted sends the command to begin it, possibly again.
     Begin(usize),
     Act(usize),
-    /// The target returns; its requester reports this, or nobody does.
+    /// The target returns to service; its requester may or may not report that the disruption is complete.
     Return {
         process: usize,
         is_reported: bool,
@@ -113,7 +116,7 @@
     Fail(usize),
     Recover(usize),
     NewObserver,
-    /// The requester restarts without memory.
+    /// The requester restarts and loses its state.
     Restart(usize),
 }
 
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Sends that a permit is begun; `None` if the requester has none.
+    /// Sends the command to begin a permit; `None` if the requester has requested none.
     fn begin(&mut self, process: usize) -> Option<()> {
         let Requester::Requested(permit) = self.processes[process].requester else { return None };
         let incarnation = self.processes[process].incarnation;
@@ -194,7 +197,7 @@
     fn restart_requester(&mut self, process: usize) {
         self.faults += 1;
         let process = &mut self.processes[process];
-        // A disruption that was carried out remains; the target returns without a report of it.
+        // If the disruption was carried out, the target returns to service without a report that it is complete.
         if process.is_drained {
             process.is_drained = false;
             process.incarnation += 1;
@@ -202,7 +205,7 @@
         process.requester = Requester::Idle;
     }
 
-    /// Delivers a message; `None` if no process waits for it.
+    /// Delivers a message; `None` if it has no effect because no requester waits for it.
     fn deliver(&mut self, message: Message) -> Option<()> {
         self.in_flight.remove(&message);
         match message {
@@ -242,16 +245,16 @@
         }
     }
 
-    /// Targets without an active permit that failed before this permit was requested.
+    /// Returns the number of targets without an active permit that failed before this permit was requested.
     fn losses_before(&self, permit: PermitId) -> usize {
         let has_permit =
             |process: usize| self.state.active_permits().any(|active| active.target == target(process));
         let failed_before = |process: &Process| process.failed_at.is_some_and(|failed_at| failed_at < permit);
-        let lost = self.processes.iter().enumerate().filter(|(_, process)| failed_before(process));
-        lost.filter(|(process, _)| !has_permit(*process)).count()
+        let failed = self.processes.iter().enumerate().filter(|(_, process)| failed_before(process));
+        failed.filter(|(process, _)| !has_permit(*process)).count()
     }
 
-    fn can_log(&self, model: &Permits) -> bool {
+    fn can_log(&self, model: &PermitModel) -> bool {
         self.index < model.entries
     }
 
@@ -259,7 +262,7 @@
         self.in_flight.len() < MAX_MESSAGES
     }
 
-    fn requester_actions(&self, model: &Permits, process: usize, actions: &mut Vec<Event>) {
+    fn requester_actions(&self, model: &PermitModel, process: usize, actions: &mut Vec<Event>) {
         let Process { incarnation, requester, .. } = &self.processes[process];
         match requester {
             Requester::Idle if self.can_log(model) => actions.push(Event::Request(process)),
@@ -282,7 +285,7 @@
         }
     }
 
-    fn fault_actions(&self, model: &Permits, process: usize, actions: &mut Vec<Event>) {
+    fn fault_actions(&self, model: &PermitModel, process: usize, actions: &mut Vec<Event>) {
         if self.faults < model.faults {
             actions.push(Event::Restart(process));
             if self.processes[process].is_available() {
@@ -295,7 +298,7 @@
     }
 }
 
-impl Model for Permits {
+impl Model for PermitModel {
     type State = World;
     type Action = Event;
 
@@ -376,8 +379,8 @@
     }
 }
 
-/// The number of states, and the properties with an example or a counterexample.
-fn search(model: Permits) -> (usize, Vec<&'static str>) {
+/// Returns the number of states, and the properties for which an example or a counterexample was found.
+fn search(model: PermitModel) -> (usize, Vec<&'static str>) {
     let checker = model.checker().threads(4).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     for (name, path) in checker.discoveries() {
         if name != TARGET_RECOVERS {
@@ -389,7 +392,7 @@
     (checker.unique_state_count(), found)
 }
 
-const BASE: Permits = Permits { injected_bug: None, targets: 2, faults: 1, entries: 7 };
+const BASE: PermitModel = PermitModel { injected_bug: None, targets: 2, faults: 1, entries: 7 };
 
 #[test]
 fn permits_stay_within_budgets_in_every_order_of_events() {
@@ -401,8 +404,8 @@
 #[test]
 fn every_injected_bug_is_found() {
     for (name, injected_bug) in InjectedBug::names() {
-        let (_, found) = search(Permits { injected_bug: Some(*injected_bug), ..BASE });
-        let broken: Vec<_> = found.into_iter().filter(|found| *found != TARGET_RECOVERS).collect();
-        assert!(!broken.is_empty(), "{name}");
+        let (_, found) = search(PermitModel { injected_bug: Some(*injected_bug), ..BASE });
+        let violated: Vec<_> = found.into_iter().filter(|found| *found != TARGET_RECOVERS).collect();
+        assert!(!violated.is_empty(), "{name}");
     }
 }
--- a/crates/disruption-budget/tests/permit_timeouts.rs
+++ b/crates/disruption-budget/tests/permit_timeouts.rs
@@ -1,4 +1,4 @@
-//! Timeouts of permits by the leading coordinator's clock.
+//! Timeouts of permits by the leading replica's clock.
 
 use disruption_budget::{
     BegunPermit, DisruptionCommand, DisruptionState, PermitTimeouts, Target, TargetKind, BEGIN_TIMEOUT,
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn permits_expire_until_they_are_begun() {
+fn permits_expire_unless_they_are_begun() {
     let mut state = DisruptionState::default();
     let mut timeouts = PermitTimeouts::default();
     let target = Target { kind: TargetKind::Worker, name: "w".into() };
@@ -19,7 +19,7 @@
     state.apply(1, &request(false));
     timeouts.update(0, &state);
     timeouts.renew(1, 50_000_000);
-    assert!(timeouts.expired(RENEWAL_TIMEOUT + 1).is_empty(), "it was requested again");
+    assert!(timeouts.expired(RENEWAL_TIMEOUT + 1).is_empty(), "the repeated request restarted the timeout");
     let cancel = DisruptionCommand::CancelPermit { permit: 1 };
     assert_eq!(timeouts.expired(50_000_001 + RENEWAL_TIMEOUT), std::slice::from_ref(&cancel));
     state.apply(2, &request(true));
--- a/crates/disruption-budget/tests/state.rs
+++ b/crates/disruption-budget/tests/state.rs
@@ -1,4 +1,4 @@
-//! The disruption state, command by command.
+//! Effects of commands on the disruption state.
 
 use disruption_budget::{
     Amount, Availability, Budget, BudgetScope, DisruptionCommand, DisruptionOutcome, DisruptionState,
@@ -48,10 +48,12 @@
     closed: Vec<PermitId>,
 }
 
-/// Dispatchers d0, d1 and so on, in three zones in turn, with the state and the length of its log.
+/// Dispatchers d0, d1 and so on, assigned to three zones in turn, with the disruption state and the position of the
+/// last entry of its log.
 struct Fleet {
     state: DisruptionState,
     index: u64,
+    /// Availability and incarnation of each dispatcher.
     availabilities: Vec<(Availability, u64)>,
 }
 
@@ -92,7 +94,7 @@
         self.availabilities.iter().enumerate().map(status).collect()
     }
 
-    /// Observes all targets now.
+    /// Records an observation of all targets, made after the last log entry.
     fn observe(&mut self) -> PermitChanges {
         let change = observation(1, self.index, self.targets(), vec![]);
         match self.apply(&change) {
@@ -110,13 +112,14 @@
         vec![budget(BudgetScope::Fleet, Amount::Count(2)), budget(BudgetScope::EachZone, Amount::Count(1))];
     let mut fleet = Fleet::new(12, budgets);
     let permits: Vec<u64> = ["d0", "d3", "d1", "d2"].map(|name| fleet.request(name, false)).into();
-    // d3 is in the zone of d0, so the second permit of the fleet goes to d1, and none is left for d2.
+    // The budget of zone north allows d0 and not d3. The second disruption that the fleet's budget allows is that of
+    // d1, so d2 must wait.
     assert_eq!(fleet.observe().granted, [permits[0], permits[2]]);
     assert_eq!(fleet.state.blocking_budget(permits[1]).unwrap().scope, BudgetScope::Fleet);
     assert_eq!(fleet.apply(&begin(permits[0], 1)), DisruptionOutcome::PermitBegun(permits[0]));
     fleet.availabilities[0] = (Availability::Unavailable, 1);
     assert_eq!(fleet.observe(), PermitChanges::default());
-    // Available again with a higher incarnation: its permit is closed, and the next one of the zone is granted.
+    // d0 is available again with a higher incarnation, so its permit is closed and the one of d3 is granted.
     fleet.availabilities[0] = (Availability::Available, 2);
     assert_eq!(
         fleet.observe(),
@@ -144,9 +147,9 @@
     assert_eq!(fleet.apply(&begin(first, 1)), DisruptionOutcome::PermitBegun(first));
     fleet.availabilities[5] = (Availability::Unavailable, 1);
     assert_eq!(fleet.observe(), PermitChanges { revoked: vec![second], ..PermitChanges::default() });
-    // Its requester is rejected now, and gets it again when the budget allows.
+    // The requester cannot begin the revoked permit. The permit is granted again once the budget allows it.
     assert_eq!(fleet.apply(&begin(second, 1)), rejected(Rejection::NotGranted));
-    // A target that warms up counts by the capacity that it lacks.
+    // A target that warms up counts as unavailable by the capacity that it lacks.
     fleet.availabilities[5] = (Availability::WarmingUp(900), 2);
     assert_eq!(fleet.observe().granted, []);
     fleet.availabilities[5] = (Availability::Available, 2);
@@ -160,13 +163,14 @@
     let second = fleet.request("d1", false);
     fleet.observe();
     fleet.apply(&begin(first, 1));
-    // The requester sleeps: the target is available, and unavailable only later.
+    // The requester is paused before it acts, so the target is still available. The permit must stay open.
     assert_eq!(fleet.observe(), PermitChanges::default());
     assert_eq!(
         fleet.apply(&DisruptionCommand::CancelPermit { permit: first }),
         rejected(Rejection::AlreadyBegun)
     );
-    // The requester says that the step is complete: an observation made after that closes the permit.
+    // The requester reports that the disruption is complete. An observation made before the report must not close the
+    // permit; the next one closes it.
     let known_revision = fleet.index;
     let targets = fleet.targets();
     assert_eq!(fleet.apply(&DisruptionCommand::CompletePermit { permit: first }), DisruptionOutcome::Applied);
@@ -178,9 +182,10 @@
     );
 }
 
-/// Found by the model: a requester that restarts gets its old permit again, and must not use it for a second step.
+/// Regression test for a fault that the model check found: a requester that restarts and repeats its request receives
+/// its old permit, and must not be able to use it for a second disruption.
 #[test]
-fn rejects_second_step_with_one_permit() {
+fn rejects_second_disruption_with_one_permit() {
     let mut fleet = Fleet::new(3, vec![budget(BudgetScope::Fleet, Amount::Count(1))]);
     let first = fleet.request("d0", false);
     fleet.observe();
@@ -188,30 +193,34 @@
     assert_eq!(
         fleet.apply(&begin(first, 1)),
         DisruptionOutcome::PermitBegun(first),
-        "the first answer may have been lost"
+        "the first response may have been lost"
     );
     assert_eq!(fleet.request("d0", false), first);
-    assert_eq!(fleet.apply(&begin(first, 2)), rejected(Rejection::UnknownPermit), "it came back since");
+    assert_eq!(
+        fleet.apply(&begin(first, 2)),
+        rejected(Rejection::UnknownPermit),
+        "the target has restarted since"
+    );
     fleet.apply(&DisruptionCommand::CompletePermit { permit: first });
     assert_eq!(fleet.apply(&begin(first, 1)), rejected(Rejection::UnknownPermit));
 }
 
 #[test]
-fn counts_vanished_target_until_it_is_deregistered() {
+fn counts_unlisted_target_until_it_is_deregistered() {
     let mut fleet = Fleet::new(4, vec![budget(BudgetScope::EachZone, Amount::Count(1))]);
     let first = fleet.request("d3", false);
     let second = fleet.request("d0", false);
-    assert_eq!(fleet.observe().granted, [first], "both are in the north");
+    assert_eq!(fleet.observe().granted, [first], "both targets are in zone north");
     fleet.apply(&begin(first, 1));
     fleet.availabilities.pop();
-    let vanished = observation(1, fleet.index, vec![], vec![target("d3")]);
-    assert_eq!(fleet.apply(&vanished), no_effect());
-    assert_eq!(fleet.observe().granted, [], "nor later");
+    let unlisted = observation(1, fleet.index, vec![], vec![target("d3")]);
+    assert_eq!(fleet.apply(&unlisted), no_effect());
+    assert_eq!(fleet.observe().granted, [], "the target still counts as unavailable");
     let deregister =
         DisruptionCommand::DeregisterTarget { target: target("d3"), operator: "an operator".into() };
     assert_eq!(fleet.apply(&deregister), DisruptionOutcome::Applied);
     assert_eq!(fleet.apply(&deregister), rejected(Rejection::UnknownTarget));
-    // d0 alone is left in the north: whatever the budget says, the last one must be available.
+    // d0 is the only target left in zone north. Every budget requires at least one available target in a group.
     assert_eq!(fleet.observe().granted, []);
     fleet.availabilities.push((Availability::Available, 7));
     assert_eq!(fleet.observe().granted, [second]);
@@ -241,12 +250,12 @@
     assert_eq!(fleet.request("d1", true), second, "the same permit, now granted");
     assert_eq!(fleet.state.permits()[&second].state, PermitState::Granted);
     assert_eq!(fleet.state.forced().count, 1);
-    // A permit that was granted within the budget and not begun is revoked for it.
+    // The forced permit uses up the budget, so the permit that was granted and not begun is revoked.
     assert_eq!(fleet.observe().revoked, [first]);
     assert_eq!(fleet.state.budget_usage()[0].totals.planned, 1_000);
 }
 
-/// All targets of a large fleet may change at once: known ones do not count as new.
+/// All targets of a large fleet may change at once, because registered targets do not count as new.
 #[test]
 fn limits_new_targets_and_text_lengths() {
     let mut fleet = Fleet::new(3_000, vec![budget(BudgetScope::Fleet, Amount::Count(1))]);
@@ -272,7 +281,7 @@
     );
     let outcome = fleet.apply(&DisruptionCommand::SetBudgets { expected_version: version, budgets });
     assert_eq!(outcome, rejected(Rejection::VersionConflict { version: 2 }));
-    // Lowered below what is granted: what was not begun is revoked.
+    // A budget below the number of granted permits revokes the newest permit that was not begun.
     let permits = [fleet.request("d0", false), fleet.request("d1", false)];
     assert_eq!(fleet.observe().granted, permits);
     let budgets = vec![budget(BudgetScope::Fleet, Amount::Count(1))];
@@ -281,7 +290,7 @@
 }
 
 #[test]
-fn rejects_budgets_that_allow_none_or_all() {
+fn rejects_budgets_that_allow_no_disruption_or_that_of_all_targets() {
     let with = |max_unavailable, min_available| Budget {
         max_unavailable,
         min_available,
@@ -298,9 +307,17 @@
     }
     let tenth = with(Some(Amount::Percent(10)), None);
     assert_eq!(tenth.validate(), Ok(()));
-    assert_eq!(tenth.validate_for(9).unwrap_err().key, "most_out", "rounded down it is none of 9");
+    assert_eq!(
+        tenth.validate_for(9).unwrap_err().key,
+        "most_out",
+        "10 % of 9 targets is rounded down to none"
+    );
     assert_eq!(tenth.validate_for(10), Ok(()));
     let nine_tenths = with(None, Some(Amount::Percent(90)));
-    assert_eq!(nine_tenths.validate_for(5).unwrap_err().key, "least_in", "rounded up it is all of 5");
+    assert_eq!(
+        nine_tenths.validate_for(5).unwrap_err().key,
+        "least_in",
+        "90 % of 5 targets is rounded up to all"
+    );
     assert_eq!(nine_tenths.validate_for(20), Ok(()));
 }
--- a/crates/disruption-budget/tests/worker_warmup.rs
+++ b/crates/disruption-budget/tests/worker_warmup.rs
@@ -1,4 +1,4 @@
-//! Workers' availability, from the endpoint list, health checks and the time since each one's start.
+//! Availability of workers, derived from the endpoint list, health checks and the time since each worker's start.
 
 use disruption_budget::{
     Availability, DisruptionCommand, DisruptionState, StatusChanges, Target, TargetKind, WarmupTracker,
@@ -27,25 +27,25 @@
         state.apply(now, &observation);
         availability
     };
-    // Nobody knows its age: it counts as just started.
+    // The worker is in the first list and not registered, so its age is unknown: it counts as just started.
     assert_eq!(observe(5_000, worker(true, 77, false)), Some(Availability::WarmingUp(200)));
     assert_eq!(observe(6_000, worker(true, 77, false)), Some(Availability::Available));
-    assert_eq!(observe(6_100, worker(true, 77, false)), None, "as the state has it");
+    assert_eq!(observe(6_100, worker(true, 77, false)), None, "the status equals the registered one");
     assert_eq!(observe(6_200, worker(false, 77, false)), Some(Availability::Unavailable));
-    // Another start, by a clock that went back an hour.
+    // The worker restarts. Its start id is lower than before, because the worker's clock went back.
     assert_eq!(observe(6_300, worker(true, 5, false)), Some(Availability::WarmingUp(200)));
     assert_eq!(observe(6_900, worker(true, 5, false)), Some(Availability::WarmingUp(600)));
     assert_eq!(
         observe(6_950, worker(true, 5, true)),
         Some(Availability::Unavailable),
-        "a health check reports it as failing"
+        "health checks report the worker as unhealthy"
     );
     assert_eq!(observe(7_300, worker(true, 5, false)), Some(Availability::Available));
-    // Another observer finds it as the state has it.
-    let mut other = WarmupTracker::new(0.2, 1_000);
+    // The worker is in the first list of another observer, which takes its availability from the state.
+    let mut other_tracker = WarmupTracker::new(0.2, 1_000);
     let workers = [worker(true, 5, false)];
-    other.update_list(9_000, &workers);
-    assert_eq!(other.status_changes(9_000, &workers, &state), StatusChanges::default());
+    other_tracker.update_list(9_000, &workers);
+    assert_eq!(other_tracker.status_changes(9_000, &workers, &state), StatusChanges::default());
     let removed = vec![Target { kind: TargetKind::Worker, name: "w".into() }];
-    assert_eq!(other.status_changes(9_000, &[], &state), StatusChanges { changed: vec![], removed });
+    assert_eq!(other_tracker.status_changes(9_000, &[], &state), StatusChanges { changed: vec![], removed });
 }
