--- a/crates/coordination/src/leader_state.rs
+++ b/crates/coordination/src/leader_state.rs
@@ -68,7 +68,7 @@
         due
     }
 
-    /// Allows a command to be proposed again because it did not get into the log or was rejected when it was applied.
+    /// Allows a command to be proposed again after it did not get into the log or was rejected when it was applied.
     pub fn proposal_rejected(&mut self, command: &Command) {
         match command {
             Command::ExpireSession { session, .. } => self.sessions.expiry_rejected(*session),
--- a/crates/coordination/src/lease_client.rs
+++ b/crates/coordination/src/lease_client.rs
@@ -118,8 +118,8 @@
         view: ClusterView,
     ) {
         if self.session.is_none_or(|session| session.id != id) {
-            // The first view of a session replaces all earlier views, whatever their revisions: if the installation was
-            // set up again, its revisions start at zero again.
+            // The first view of a session replaces all earlier views, whatever their revisions: when an installation is
+            // set up again, its revisions restart at zero.
             self.revision = 0;
             self.leases = BTreeMap::new();
             self.session = Some(ClientSession { id, incarnation, expires_at: 0 });
--- a/crates/coordination/src/session_monitor.rs
+++ b/crates/coordination/src/session_monitor.rs
@@ -11,11 +11,11 @@
     last_renewal: Micros,
     /// Time at which this leader first saw the session.
     first_seen: Micros,
-    /// Time at which this leader first saw the session as unstable; `None` while it is stable.
+    /// Start of the current unstable period, as seen by this leader; `None` while the session is stable.
     unstable_since: Option<Micros>,
     /// Revision of the latest view that the member acknowledged.
     acknowledged: Revision,
-    /// Whether the session's expiry was proposed. No renewal is confirmed after that.
+    /// Whether the session's expiry was proposed. No renewal is confirmed unless the proposal is rejected.
     expiry_proposed: bool,
 }
 
--- a/crates/coordination/src/state_machine/replicas.rs
+++ b/crates/coordination/src/state_machine/replicas.rs
@@ -40,7 +40,8 @@
         Ok(CommandOutcome::Acknowledged)
     }
 
-    /// Begins a replacement. Idempotent while it is in progress, since an operator that missed the response repeats it.
+    /// Begins a replacement. Idempotent while the replacement is in progress, because an operator that missed the
+    /// response repeats the command.
     pub(super) fn replace_replica(&mut self, old: u64, new: u64, address: &str) -> CommandResult {
         let requested = ReplicaReplacement { old, new };
         if let Some(current) = self.replica_changes.in_progress {
