--- a/crates/dispatch-core/src/api/action.rs
+++ b/crates/dispatch-core/src/api/action.rs
@@ -1,8 +1,8 @@
-//! Actions of a dispatcher.
+//! The actions that a dispatcher returns to its caller.
 
 use super::ids::{RequestId, Seconds, WorkerId};
 
-/// An action for the caller to carry out, in the order of the list.
+/// An action for the caller to carry out. Actions must be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Sends the request to the worker. Attempts are numbered 0, 1, ... in the order of their sends.
@@ -11,17 +11,17 @@
         request: RequestId,
         /// The worker.
         worker: WorkerId,
-        /// Timeout of the attempt; `None` for the client's own.
+        /// Timeout of the attempt; `None` for the timeout of the client.
         timeout: Option<Seconds>,
     },
-    /// Answers the request for good: rejected, a retry does no harm.
+    /// Sends the final response "rejected", which tells the client that a retry is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// Time after which a retry makes sense, where the settings allow a retry-after.
+        /// Time after which a retry may succeed; `None` if the settings do not allow a retry-after.
         retry_after: Option<Seconds>,
     },
-    /// Answers the request for good: failed, without a promise that a retry is harmless.
+    /// Sends the final response "failed": the job may have run, so a retry may run it twice.
     Fail {
         /// The request.
         request: RequestId,
@@ -33,7 +33,7 @@
         /// The number of the attempt.
         attempt: u32,
     },
-    /// Probes a worker for its load.
+    /// Probes a worker for its load; the result returns as [`Event::ProbeEnded`](super::Event::ProbeEnded).
     Probe(WorkerId),
     /// Arms the timer, which fires as [`Event::Timer`](super::Event::Timer).
     SetTimer {
@@ -42,17 +42,17 @@
         /// Token to return with the event.
         token: u64,
     },
-    /// Begins to watch the endpoint list, or ends the watch.
+    /// Opens a watch on the endpoint list (`true`), or closes it (`false`).
     Watch(bool),
-    /// Polls the whole endpoint list once.
+    /// Requests the whole endpoint list once, without a watch.
     FetchEndpointList,
     /// Closes the idle connections to a worker.
     CloseIdle(WorkerId),
-    /// Sends a short message to one dispatcher, or to all.
+    /// Sends a short message to one other dispatcher, or to all of them.
     SendToPeer {
-        /// Number of the dispatcher; `None` for all.
+        /// Instance number of the receiver; `None` for all.
         to: Option<u32>,
-        /// The bytes.
+        /// Content of the message.
         data: Vec<u8>,
     },
     /// Writes a line to the log.
--- a/crates/dispatch-core/src/api/event.rs
+++ b/crates/dispatch-core/src/api/event.rs
@@ -1,10 +1,10 @@
-//! Events of a dispatcher, and the types in them.
+//! The events that a caller passes to a dispatcher, and the types in them.
 
 use super::ids::{RequestId, Seconds, WorkerId};
 use super::settings::Settings;
 use crate::load_report::LoadReport;
 
-/// A job as it arrives.
+/// A request of a client for a job to run.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
     /// Id of the request.
@@ -15,46 +15,46 @@
     pub tenant: u32,
     /// Slots that the job needs.
     pub slots: f64,
-    /// Memory that the job needs, in units; 0 where memory is not counted.
+    /// Memory that the job needs, in memory units; 0 if memory is not counted.
     pub memory: f64,
-    /// Time for which the client waits from now.
+    /// Time from now for which the client waits for a response.
     pub timeout: Seconds,
-    /// Whether this is a client's retry, where clients mark them.
+    /// Whether the client marked the request as a retry; always false if clients do not mark retries.
     pub is_retry: bool,
-    /// Expected running time on a standard core, where the client gave a hint.
+    /// Expected running time on a standard core, if the client sent a hint.
     pub expected_run_time: Option<Seconds>,
-    /// Key of the data that the job needs; a worker may still have it from an earlier job of that key.
+    /// Key of the data that the job needs; a worker may still hold that data from an earlier job with this key.
     pub affinity_key: Option<u64>,
 }
 
 /// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The worker ran the job and responded.
     Ok,
     /// The worker responded with an error; the job may have run.
     Error,
-    /// The worker rejected the job for want of capacity; it never ran.
+    /// The worker rejected the job because it lacks capacity; the job never ran.
     Overloaded,
-    /// No response in time; the job may have run or be running.
+    /// No response arrived in time; the job may have run or may still be running.
     Timeout,
-    /// No connection could be made; the job never ran.
+    /// No connection could be established; the job never ran.
     ConnectFailed,
-    /// The connection broke; the job may have run.
+    /// The connection ended before a response; the job may have run.
     Reset,
-    /// Cancelled; the job may have run.
+    /// The attempt was canceled; the job may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
-    /// An idle connection broke as soon as it was used again: the worker had closed it. The request was written
-    /// completely, so the job may have run; this is no failure of the worker.
+    /// An idle connection ended as soon as it was used again, because the worker had closed it. The request was
+    /// written completely, so the job may have run; this does not count as a failure of the worker.
     StaleConnection,
-    /// The request is invalid for any worker; the job never ran and the worker is not at fault.
+    /// Every worker would reject the request as invalid; the job never ran, and the worker is not at fault.
     InvalidRequest,
 }
 
 impl Outcome {
-    /// Whether the job is certain not to have run.
+    /// Whether the job certainly did not run.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -71,49 +71,49 @@
 /// The state of a worker on the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerState {
-    /// Takes jobs.
+    /// The worker accepts jobs.
     #[default]
     Serving,
-    /// Finishes its jobs and takes no more.
+    /// The worker finishes its jobs and accepts no new ones.
     Draining,
-    /// Withdrawn.
+    /// The worker is no longer on the list.
     Removed,
 }
 
-/// One line of the endpoint list.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
     /// The worker.
     pub worker: WorkerId,
-    /// Kind of machine.
+    /// Kind of machine, as a number.
     pub kind: u32,
-    /// Zone.
+    /// Zone, as a number.
     pub zone: u32,
-    /// Cell.
+    /// Cell: a group of workers within a zone that may share idempotency keys.
     pub cell: u32,
-    /// Time of its last start; 0 for long ago.
+    /// Time of the worker's last start; 0 if it started long ago.
     pub started_at: Seconds,
     /// State of the worker.
     pub state: WorkerState,
 }
 
-/// Part of the endpoint list in an event.
+/// The part of the endpoint list that an event carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// The whole list; a worker that is absent is removed.
+    /// The whole list; workers that are absent from it are removed.
     Full,
-    /// The whole list as saved before a restart, possibly out of date.
+    /// The whole list as it was saved before a restart; it may be out of date.
     Cached,
-    /// Changed endpoints only.
+    /// Only the endpoints that changed.
     Incremental,
-    /// No endpoints: a poll failed or the watch broke.
+    /// No endpoints: a poll failed or the watch ended.
     Failed,
 }
 
 /// An input of a dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// Settings changed. Classes and tenants keep their positions; new ones may follow them.
+    /// The settings changed. Existing classes and tenants keep their positions; new ones may be appended.
     Settings(&'a Settings),
     /// A request arrived.
     Request(Request),
@@ -137,10 +137,10 @@
         request: RequestId,
         /// The number of the attempt.
         attempt: u32,
-        /// Part of the job that is done, from 0 to 1.
+        /// The part of the job that has been completed, from 0 to 1.
         done: f64,
     },
-    /// An attempt ended; exactly one for each [`Action::Send`](super::Action::Send).
+    /// An attempt ended. The caller passes exactly one such event for each [`Action::Send`](super::Action::Send).
     AttemptEnded {
         /// The request.
         request: RequestId,
@@ -148,12 +148,12 @@
         attempt: u32,
         /// Outcome of the attempt.
         outcome: Outcome,
-        /// Whether the request has its final answer, by this outcome or earlier.
+        /// Whether the client has its final response, by this outcome or earlier.
         complete: bool,
-        /// Load report of the worker, where one came with the response.
+        /// Load report of the worker, if the response carried one.
         load: Option<LoadReport>,
     },
-    /// The client disconnected; no answer is expected any more.
+    /// The client disconnected and expects no response any more.
     ClientDisconnected(RequestId),
     /// The timer set with [`Action::SetTimer`](super::Action::SetTimer) fired.
     Timer(u64),
@@ -163,19 +163,21 @@
         worker: WorkerId,
         /// Whether the worker responded.
         ok: bool,
-        /// Load report of the worker.
+        /// Load report of the worker, if the probe returned one.
         load: Option<LoadReport>,
     },
-    /// A health checker, which probes workers for all dispatchers, found a worker unhealthy, or withdraws that verdict.
+    /// A health checker, which probes workers on behalf of all dispatchers, found a worker unhealthy or withdraws that
+    /// verdict.
     UnhealthyVerdict {
         /// The worker.
         worker: WorkerId,
-        /// Time since the failure was observed; any sign of life that this dispatcher saw since then counts for more.
+        /// Time since the failure was observed; a sign of life that this dispatcher saw since then overrides the
+        /// verdict.
         observed_ago: Seconds,
-        /// Time for which the verdict is valid from now on; 0 where it is withdrawn.
+        /// Time from now for which the verdict is valid; 0 if it is withdrawn.
         valid_for: Seconds,
     },
-    /// The leader that allocates slow-start budgets to all dispatchers granted work beyond the planned share.
+    /// The leader that allocates slow-start budgets to all dispatchers granted this one work beyond its planned share.
     SlowStartGrant {
         /// The worker in slow start.
         worker: WorkerId,
@@ -184,18 +186,18 @@
         /// Time until which the grant is valid.
         expires_at: Seconds,
     },
-    /// The endpoint list or a part of it arrived, or could not be had.
+    /// The endpoint list or a part of it arrived, or a request for it failed.
     EndpointList {
-        /// Part of the list.
+        /// The part of the list that arrived.
         scope: ListScope,
         /// Endpoints in that part.
         endpoints: &'a [Endpoint],
     },
     /// A message from another dispatcher.
     PeerMessage {
-        /// Number of the dispatcher.
+        /// Instance number of the sender.
         from: u32,
-        /// The bytes.
+        /// Content of the message.
         data: &'a [u8],
     },
 }
--- a/crates/dispatch-core/src/api/mod.rs
+++ b/crates/dispatch-core/src/api/mod.rs
@@ -1,7 +1,7 @@
-//! The interface of the decision module: settings, events, actions, and the ids in them.
+//! The interface of the decision module: settings, events, actions and the ids in them.
 //!
-//! Times are seconds on the caller's clock, which may start anywhere and only moves forward. Ids are opaque: the module
-//! only compares and hashes them.
+//! Times are seconds on the caller's clock, which may have any origin and must not move backward. Ids are opaque: the
+//! module only compares and hashes them.
 
 mod action;
 mod event;
--- a/crates/dispatch-core/src/api/settings.rs
+++ b/crates/dispatch-core/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a dispatcher.
+//! The settings of a dispatcher that affect its decisions.
 
 use super::ids::Seconds;
 use crate::load_report::LoadReportFormat;
@@ -6,47 +6,49 @@
 /// Idempotency of a class of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// A repeat is harmless.
+    /// A job may run any number of times.
     Idempotent,
-    /// Requests carry an idempotency key: workers of one scope drop repeats within [`Class::key_window`].
+    /// Requests carry an idempotency key: workers within the scope drop repeats with the same key for
+    /// [`Class::key_window`].
     WithKey(KeyScope),
     /// A job must not run twice.
     NotIdempotent,
 }
 
-/// Workers that share their idempotency keys.
+/// The workers that share their idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All workers.
     All,
-    /// Workers of one zone.
+    /// All workers of a zone.
     Zone,
-    /// Workers of one cell.
+    /// All workers of a cell.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Effect of a repeat.
+    /// Whether and where a job may run more than once.
     pub idempotency: Idempotency,
-    /// Time for which a repeat with the same key is dropped, from the first send that may have run.
+    /// Time for which workers drop a repeat with the same key, counted from the first attempt that may have run.
     pub key_window: Seconds,
-    /// Time within which a response is in time, without [`Class::run_time_allowance`].
+    /// Time after arrival within which a response is in time, not counting [`Class::run_time_allowance`].
     pub latency_objective: Seconds,
-    /// Further time within which a response is in time, as a multiple of the job's own running time.
+    /// Time added to [`Class::latency_objective`], as a multiple of the job's own running time.
     pub run_time_allowance: f64,
-    /// Part of its priority weight that a late response still earns.
+    /// Fraction of its priority weight with which a late response still counts.
     pub late_weight: f64,
-    /// The only kind of machine that can run the class, where there is one.
+    /// The only kind of machine that can run the class; `None` if every kind can.
     pub required_kind: Option<u32>,
 }
 
-/// Part of the key window within which a job is retried: the clocks of worker and dispatcher may differ.
+/// Fraction of the key window within which a job is retried; the rest is a margin, because the clocks of worker and
+/// dispatcher may differ.
 const USABLE_KEY_WINDOW: f64 = 0.9;
 
 impl Class {
-    /// Returns the time after a send that may have run within which a job may be sent again.
+    /// Returns the time for which a job may be sent again after an attempt that may have run.
     pub fn retry_window(&self) -> Seconds {
         match self.idempotency {
             Idempotency::Idempotent => f64::INFINITY,
@@ -55,7 +57,8 @@
         }
     }
 
-    /// Whether a client may retry a job so long after a send that may have run. The retry may reach any worker.
+    /// Whether a client may retry a job when this time has passed since an attempt that may have run. The client's
+    /// retry may reach any worker.
     pub fn allows_client_retry(&self, after: Seconds) -> bool {
         let any_worker =
             matches!(self.idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All));
@@ -79,88 +82,91 @@
 /// A tenant of the fleet.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Share of the service. Shares need not sum to one; they are scaled.
+    /// Share of the admission rate. Shares need not sum to one; they are scaled.
     pub share: f64,
-    /// Quota in requests a second over all dispatchers; 0 where unstated.
+    /// Quota in requests per second over all dispatchers; 0 if there is none.
     pub quota: f64,
 }
 
-/// The way in which load reports reach a dispatcher.
+/// The source from which a dispatcher receives load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReports {
-    /// Never.
+    /// There are no load reports.
     None,
-    /// With responses, and with probe results where probes are allowed.
+    /// Responses carry them, and probe results do if probes are allowed.
     WithResponses,
-    /// With probe results only.
+    /// Only probe results carry them.
     WithProbes,
 }
 
 /// Reservation of capacity for large jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacityReservation {
-    /// Least number of slots of a large job.
+    /// Minimum number of slots of a large job.
     pub min_slots: f64,
-    /// Price of a worker that is reserved for jobs of the other size, as a multiple of the running time.
+    /// Cost of sending a job to a worker that is reserved for jobs of the other size, as a multiple of its running
+    /// time.
     pub price: f64,
 }
 
 /// Settings of a dispatcher, at its start or after a reload.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Number of this dispatcher among [`Settings::instances`], from 0.
+    /// Number of this dispatcher, from 0 to [`Settings::instances`] - 1.
     pub instance: u32,
     /// Number of dispatchers.
     pub instances: u32,
     /// Zone of this dispatcher.
     pub zone: u32,
-    /// Classes of requests; a class beyond the list counts as its last.
+    /// Classes of requests; a class number beyond the list is treated as the last class.
     pub classes: Vec<Class>,
-    /// Tenants; empty where there are none.
+    /// Tenants; empty if all requests share one token bank.
     pub tenants: Vec<Tenant>,
-    /// Whether the endpoint list must be polled; otherwise changes arrive unprompted.
+    /// Whether the dispatcher must request the endpoint list and watch it; otherwise changes arrive without a request.
     pub polls_endpoint_list: bool,
-    /// Longest time between polls while there is no watch, with [`Settings::polls_endpoint_list`]; 0 if unstated.
+    /// Maximum time between polls while no watch is open, if [`Settings::polls_endpoint_list`] is set; 0 for no
+    /// maximum.
     pub max_poll_interval: Seconds,
-    /// The way in which load reports arrive.
+    /// The source of load reports.
     pub load_reports: LoadReports,
-    /// Figures of a load report.
+    /// The figures of a load report and their order.
     pub load_report_format: LoadReportFormat,
-    /// Whether clients mark their retries; else only a shorter timeout shows one.
+    /// Whether clients mark their retries; otherwise a retry is recognized by its shorter timeout.
     pub clients_mark_retries: bool,
-    /// Whether probes are allowed.
+    /// Whether workers may be probed for their load.
     pub probes_allowed: bool,
-    /// Price of one probe a request, as a part of the service.
+    /// Price of one probe per request, as a fraction of the value of a served request.
     pub probe_price: f64,
     /// Whether attempts may be cancelled.
     pub cancellation_allowed: bool,
-    /// Highest number of attempts of a request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Longest retry-after that a client honours on a rejection; 0 where rejections carry none.
+    /// Maximum retry-after that a client honors on a rejection; 0 if rejections carry none.
     pub max_retry_after: Seconds,
     /// Whether workers report the start of a job.
     pub reports_job_start: bool,
-    /// Interval between progress reports of a running job; 0 where there are none.
+    /// Interval between progress reports of a running job; 0 if there are none.
     pub progress_interval: Seconds,
-    /// Whether a second attempt may be open while the first is: a hedged request.
+    /// Whether hedged requests are allowed: a second attempt while the first is still open.
     pub hedging_allowed: bool,
-    /// Least part of its capacity with which a worker starts.
+    /// Minimum capacity of a worker at its start, as a fraction of its full capacity.
     pub slow_start_min_capacity: f64,
-    /// Longest time from a worker's start to its full capacity, which grows at least linearly.
+    /// Maximum time from a worker's start to its full capacity; until then the capacity grows at least linearly.
     pub slow_start_duration: Seconds,
-    /// Multiple of its capacity beyond which a worker in slow start is overloaded, over [`Settings::overload_window`].
+    /// A worker in slow start is overloaded if it gets more work than this multiple of its capacity within
+    /// [`Settings::overload_window`].
     pub overload_multiple: f64,
-    /// Time over which the work that all dispatchers send to a worker in slow start is counted.
+    /// Time window over which the work that all dispatchers send to a worker in slow start is summed.
     pub overload_window: Seconds,
-    /// Price of crossing zones once a request, as a part of the service.
+    /// Price of sending a request to another zone, as a fraction of the value of a served request.
     pub cross_zone_price: f64,
-    /// Price of a new connection for each request, as a part of the service.
+    /// Price of opening a connection for a request, as a fraction of the value of a served request.
     pub handshake_price: f64,
-    /// Time after which an idle connection is closed; 0 where connections are not kept open.
+    /// Time after which an idle connection is closed; 0 if connections are not kept open.
     pub keep_alive: Seconds,
     /// Resolution of the caller's clock.
     pub clock_resolution: Seconds,
-    /// Reservation of capacity for large jobs; `None` where there is none.
+    /// Reservation of capacity for large jobs; `None` disables it.
     pub capacity_reservation: Option<CapacityReservation>,
 }
 
@@ -199,12 +205,13 @@
 }
 
 impl Settings {
-    /// Returns the quotas of all tenants together, in requests a second.
+    /// Returns the sum of the quotas of all tenants, in requests per second.
     pub fn total_quota(&self) -> f64 {
         self.tenants.iter().map(|tenant| tenant.quota.max(0.0)).sum()
     }
 
-    /// Returns the settings with at least so many classes, default classes filling up, and at least one instance.
+    /// Returns the settings with at least `min_classes` classes, filled up with default classes, and at least one
+    /// instance.
     pub(crate) fn normalized(mut self, min_classes: usize) -> Settings {
         self.classes.resize(self.classes.len().max(min_classes), Class::default());
         self.instances = self.instances.max(1);
--- a/crates/dispatch-core/src/capacity_reservation.rs
+++ b/crates/dispatch-core/src/capacity_reservation.rs
@@ -1,25 +1,26 @@
-//! Capacity reservation: some workers are reserved for large jobs, in proportion to their part of the work.
+//! Capacity reservation: some workers are reserved for large jobs, in proportion to the large jobs' share of the work.
 //!
-//! A worker starts waiting jobs in order, so a job of four slots behind small ones waits until four slots are free at
-//! once, and delays all behind it meanwhile. Where large and small jobs go to workers of their own, slots come free
-//! together and nothing is delayed. Dispatchers share no state, but they see the same list: each sorts the workers in
-//! the same order, by kind and a hash of their names, and reserves every n-th, so they agree without communication, up
-//! to differences in the traffic that each has seen.
+//! A worker starts queued jobs in order, so a job of four slots behind small jobs waits until four slots are free at
+//! the same time, and delays all jobs behind it meanwhile. If large and small jobs go to separate workers, slots become
+//! free together and no job is delayed by one of the other size. Dispatchers share no state, but they have the same
+//! endpoint list: each sorts the workers in the same order, by kind and a hash of the id, and reserves every n-th. So
+//! they agree without communication, except where the traffic that they have seen differs.
 //!
-//! The reservation is a preference with a price, not a partition: a small job still goes to a reserved worker when the
-//! wait at the others would cost more than the price, and a large job to any worker that seems empty.
+//! The reservation is a preference with a price, not a partition: a small job still goes to a reserved worker if the
+//! wait at the other workers would cost more than the price, and a large job goes to any worker that seems empty.
 
 use crate::api::{CapacityReservation, WorkerState};
 use crate::hashing::mix_bits;
 use crate::worker::Worker;
 
-/// Learning rate of the work of either size, by jobs.
+/// Learning rate per job of the moving averages of small and large work.
 const LEARNING_RATE: f64 = 1.0 / 256.0;
-/// Change of the large jobs' part of the work at which the workers are assigned anew.
+/// Change of the large jobs' share of the work at which the set of reserved workers is recomputed.
 const REASSIGN_THRESHOLD: f64 = 0.04;
 
-/// Part of a worker still to be reserved from which on the next one is: the number of workers is rounded.
-const RESERVE_FROM: f64 = 0.5;
+/// Outstanding fraction of a worker from which the next worker is reserved: half, which rounds the number of reserved
+/// workers to the nearest whole number.
+const RESERVE_THRESHOLD: f64 = 0.5;
 
 /// A worker in the order in which workers are reserved, which is the same at every dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -33,12 +34,13 @@
 #[derive(Debug, Default)]
 pub(crate) struct ReservedWorkers {
     settings: Option<CapacityReservation>,
-    /// Work of arriving jobs of either size, as moving averages.
+    /// Work per arriving job that is due to small jobs, as a moving average.
     small_work: f64,
+    /// Work per arriving job that is due to large jobs, as a moving average.
     large_work: f64,
-    /// Part of large work by which the workers were assigned.
+    /// The large jobs' share of the work when the reserved workers were last computed.
     reserved_share: f64,
-    /// Whether each worker is reserved, by position.
+    /// Whether each worker is reserved, by its position in the fleet.
     reserved: Vec<bool>,
 }
 
@@ -48,7 +50,7 @@
         ReservedWorkers { settings, ..ReservedWorkers::default() }
     }
 
-    /// Applies other settings; the estimates of the traffic stay only if the size of a large job is the same.
+    /// Applies new settings; keeps the estimates of the traffic only if the size of a large job is unchanged.
     pub(crate) fn configure(&mut self, settings: Option<CapacityReservation>) {
         let min_slots = |settings: Option<CapacityReservation>| settings.map(|settings| settings.min_slots);
         if min_slots(settings) != min_slots(self.settings) {
@@ -61,7 +63,8 @@
         self.settings.is_some_and(|settings| slots >= settings.min_slots)
     }
 
-    /// Counts the work of an arriving job, and assigns the workers anew where the part of large work has moved by much.
+    /// Counts the work of an arriving job, and recomputes the reserved workers if the share of large work has changed
+    /// by more than [`REASSIGN_THRESHOLD`].
     pub(crate) fn record_job(&mut self, slots: f64, work: f64, workers: &[Worker]) {
         let is_large = self.is_large(slots);
         let large_work = if is_large { work } else { 0.0 };
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Returns the large jobs' part of the work.
+    /// Returns the large jobs' share of the work.
     fn large_share(&self) -> f64 {
         let all = self.large_work + self.small_work;
         if all > 0.0 {
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Reserves every n-th of the workers that serve, in an order that all dispatchers share.
+    /// Reserves every n-th serving worker, in an order that is the same at all dispatchers.
     pub(crate) fn assign(&mut self, workers: &[Worker]) {
         self.reserved_share = self.large_share();
         self.reserved.clear();
@@ -96,12 +99,12 @@
             .map(|(index, worker)| OrderedWorker { kind: worker.kind, hash: mix_bits(worker.id.0), index })
             .collect();
         order.sort_unstable();
-        // Sorting by kind spreads the reservation over kinds, which differ in speed; rounding carries over between
-        // them.
+        // Sorting by kind spreads the reservation over the kinds of machines, which differ in speed; the rounding error
+        // carries over from one kind to the next.
         let mut outstanding = 0.0;
         for worker in order {
             outstanding += self.reserved_share;
-            if outstanding >= RESERVE_FROM {
+            if outstanding >= RESERVE_THRESHOLD {
                 self.reserved[worker.index] = true;
                 outstanding -= 1.0;
             }
--- a/crates/dispatch-core/src/fleet.rs
+++ b/crates/dispatch-core/src/fleet.rs
@@ -1,4 +1,4 @@
-//! All workers that were ever listed, with indexes by id, zone and affinity key.
+//! All workers that were ever on the endpoint list, with indexes by id, zone and affinity key.
 
 use rustc_hash::FxHashMap;
 
@@ -9,30 +9,30 @@
 use crate::run_time::{Slowdown, SlowdownModel, WorkerSlowdowns};
 use crate::worker::Worker;
 
-/// Number of points of each worker on the ring of keys; more points spread keys more evenly.
+/// Number of points of each worker on the consistent-hashing ring; more points spread keys more evenly.
 const RING_POINTS: u64 = 16;
-/// Highest zone; zones beyond count as this one.
+/// Highest zone number; higher numbers are treated as this one.
 const MAX_ZONE: u32 = 255;
-/// Highest kind; kinds beyond count as this one.
+/// Highest kind number; higher numbers are treated as this one.
 const MAX_KIND: usize = 4095;
-/// Largest size of a job, in slots; sums of sizes stay exact.
+/// Maximum size of a job, in slots; the limit keeps sums of sizes exact.
 const MAX_JOB_SLOTS: f64 = 1e6;
-/// Slots that a worker may have for each slot that was reported free.
+/// Assumed maximum ratio of a worker's slots to the slots that were reported free.
 const MAX_SLOTS_PER_REPORTED: f64 = 2.0;
-/// Longest time from a worker's start until discovery lists it.
+/// Maximum time from a worker's start until discovery lists it.
 const MAX_LISTING_DELAY: Seconds = 5.0;
 
 /// Estimates of a kind of machine.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MachineKind {
-    /// Number of slots; 0 until it was reported.
+    /// Number of slots per worker; 0 as long as none was reported.
     pub slots: f64,
-    /// Running times relative to those of the fleet.
+    /// Slowdown of the kind relative to the fleet.
     pub slowdown: Slowdown,
 }
 
 impl MachineKind {
-    /// Returns the size of the largest job that a worker of the kind may be able to take, in slots.
+    /// Returns an upper bound of the size of a job that a worker of the kind can run, in slots.
     fn max_job_slots(&self) -> f64 {
         if self.slots > 0.0 {
             MAX_SLOTS_PER_REPORTED * self.slots
@@ -42,57 +42,58 @@
     }
 }
 
-/// Mean load of the workers of one kind in one zone.
+/// Mean load of the workers of a cohort: those of one kind in one zone.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Cohort {
-    /// Mean part of a worker's slots that other dispatchers use.
+    /// Mean fraction of a worker's slots that other dispatchers use.
     pub utilization: f64,
     /// Number of observations.
     pub samples: f64,
 }
 
-/// A point of a worker on the ring of keys.
+/// A point of a worker on the consistent-hashing ring.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RingPoint {
     hash: u64,
     index: usize,
 }
 
-/// Zone and kind of a cohort.
+/// The zone and the kind that identify a cohort.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct CohortKey {
     zone: u32,
     kind: usize,
 }
 
-/// All workers.
+/// All workers that were ever listed, with their indexes.
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
     pub workers: Vec<Worker>,
+    /// Positions of the workers in [`Fleet::workers`].
     pub index: FxHashMap<WorkerId, usize>,
-    /// Positions of the workers that serve, by zone.
+    /// Positions of the serving workers in [`Fleet::workers`], by zone.
     pub serving_by_zone: Vec<Vec<usize>>,
-    /// Number of workers that serve and are unhealthy.
+    /// Number of serving workers that are unhealthy.
     pub unhealthy_count: usize,
     /// Mean loads by cohort.
     pub cohorts: Vec<Cohort>,
     /// Estimates by kind of machine.
     pub kinds: Vec<MachineKind>,
-    /// Largest size of a job so far, in slots.
+    /// Size of the largest job so far, in slots.
     pub largest_job: i64,
-    /// Mean wait at workers by their utilization.
+    /// Mean wait at a worker as a function of its utilization.
     pub queueing_curve: QueueingCurve,
     /// See [`Settings::slow_start_min_capacity`].
     pub slow_start_min_capacity: f64,
     /// See [`Settings::slow_start_duration`].
     pub slow_start_duration: Seconds,
-    /// Points of the workers that serve, in the order of a hash that all dispatchers share.
+    /// The consistent-hashing ring of the serving workers, sorted by hash; it is the same at all dispatchers.
     ring: Vec<RingPoint>,
-    /// Suspicions by zone.
+    /// Outage detectors by zone.
     zone_outages: Vec<ZoneOutage>,
     /// Positions in [`Fleet::cohorts`] by zone and kind.
     cohort_index: FxHashMap<CohortKey, usize>,
-    /// Time at which discovery last sent the list or a change of it.
+    /// Time at which discovery last sent the list or a change to it.
     list_received_at: Option<Seconds>,
 }
 
@@ -104,14 +105,14 @@
         fleet
     }
 
-    /// Applies other settings.
+    /// Applies new settings.
     pub(crate) fn configure(&mut self, settings: &Settings) {
         self.slow_start_min_capacity = settings.slow_start_min_capacity;
         self.slow_start_duration = settings.slow_start_duration;
     }
 
-    /// Rebuilds the indexes after a change of the workers; `zone` exists even if it has none. `received_at` is the time
-    /// of the change if it came from discovery rather than from a saved list.
+    /// Rebuilds the indexes after a change of the workers. The index by zone includes `zone` even if it has no workers.
+    /// `received_at` is the time of the change if it came from discovery rather than from a saved list.
     pub(crate) fn rebuild_indexes(&mut self, zone: u32, received_at: Option<Seconds>) {
         self.list_received_at = received_at.or(self.list_received_at);
         let zones = self.workers.iter().map(|worker| worker.zone).chain([zone]).max();
@@ -157,14 +158,15 @@
         }
     }
 
-    /// Returns the start of a worker by this dispatcher's clock. Clocks may be wrong by much: no start is in the
-    /// future, and one that was not on the list that discovery sent last was not long before that.
+    /// Returns the start time of a worker on this dispatcher's clock. Clocks of other processes may be wrong by hours, so
+    /// the listed time is bounded: a worker did not start in the future, and a start that was not on the last list from
+    /// discovery happened at most [`MAX_LISTING_DELAY`] before that list arrived.
     fn plausible_start(&self, listed_start: Seconds, now: Seconds) -> Seconds {
         let earliest = self.list_received_at.map_or(0.0, |received_at| received_at - MAX_LISTING_DELAY);
         listed_start.min(now).max(earliest)
     }
 
-    /// Marks workers as removed that are absent from a whole list.
+    /// Marks all workers as removed that are absent from a full list.
     pub(crate) fn remove_absent(&mut self, endpoints: &[Endpoint]) {
         let mut listed_ids: Vec<WorkerId> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
         listed_ids.sort_unstable();
@@ -175,12 +177,12 @@
         }
     }
 
-    /// Returns the size of the largest job that a worker may be able to take, in slots; zero without workers.
+    /// Returns an upper bound of the size of a job that any worker can run, in slots; zero if there are no workers.
     pub(crate) fn max_job_slots(&self) -> f64 {
         self.kinds.iter().map(MachineKind::max_job_slots).fold(0.0, f64::max).min(MAX_JOB_SLOTS)
     }
 
-    /// Returns the next `count` workers on the ring from a key on, each once.
+    /// Returns the first `count` distinct workers on the ring that follow a key.
     pub(crate) fn ring_workers(&self, key: u64, count: usize) -> Vec<usize> {
         let start = self.ring.partition_point(|point| point.hash < mix_bits(key));
         let mut workers: Vec<usize> = Vec::with_capacity(count);
@@ -195,20 +197,20 @@
         workers
     }
 
-    /// Returns the logarithm of the present slowdown of a worker.
+    /// Returns the logarithm of the current slowdown of a worker.
     pub(crate) fn log_slowdown(&self, index: usize, slowdowns: &SlowdownModel, now: Seconds) -> f64 {
         let worker = &self.workers[index];
         let kind = &self.kinds[worker.kind].slowdown;
         slowdowns.log_slowdown(kind, &worker.slowdown, &worker.running, now)
     }
 
-    /// Returns the slowdowns that act on the jobs of a worker, to update them.
+    /// Returns mutable references to the slowdowns that act on the jobs of a worker.
     pub(crate) fn slowdowns_of(&mut self, index: usize) -> WorkerSlowdowns<'_> {
         let worker = &mut self.workers[index];
         WorkerSlowdowns { kind: &mut self.kinds[worker.kind].slowdown, worker: &mut worker.slowdown }
     }
 
-    /// Counts a failure of a worker; `jitter` is drawn from 0 to 1.
+    /// Counts a failure of a worker; `jitter` must be a random number from 0 to 1.
     pub(crate) fn record_failure(&mut self, index: usize, now: Seconds, jitter: f64) {
         let worker = &mut self.workers[index];
         self.zone_outages[zone_index(worker)].record_failure(index, now, jitter);
@@ -233,12 +235,13 @@
         }
     }
 
-    /// Whether the zone of a worker seems lost now.
-    pub(crate) fn is_zone_lost(&self, worker: &Worker, now: Seconds) -> bool {
+    /// Whether an outage of the worker's zone is suspected now.
+    pub(crate) fn is_zone_suspected(&self, worker: &Worker, now: Seconds) -> bool {
         self.zone_outages[zone_index(worker)].is_suspected(now)
     }
 
-    /// Applies the verdict of a health checker that observed a failure `observed_ago`, valid for a time from `now` on.
+    /// Applies the verdict of a health checker that observed a failure `observed_ago` seconds before `now`; the verdict
+    /// is valid for `valid_for` seconds from `now`.
     pub(crate) fn apply_verdict(
         &mut self,
         worker: WorkerId,
@@ -260,19 +263,20 @@
         }
     }
 
-    /// Whether more than half of all workers are unhealthy: then the fault is the network's or our own.
+    /// Whether more than half of all workers are unhealthy, in which case the cause is probably the network or this
+    /// dispatcher.
     pub(crate) fn most_are_unhealthy(&self) -> bool {
         2 * self.unhealthy_count > self.index.len()
     }
 
-    /// Counts the unhealthy workers among those that serve.
+    /// Recomputes the number of unhealthy workers among those that serve.
     pub(crate) fn count_unhealthy(&mut self) {
         let serving = self.workers.iter().filter(|worker| worker.state == WorkerState::Serving);
         self.unhealthy_count = serving.filter(|worker| worker.health.is_unhealthy()).count();
     }
 }
 
-/// Returns the position of a worker's zone.
+/// Returns the position of a worker's zone in the indexes by zone.
 fn zone_index(worker: &Worker) -> usize {
     worker.zone.min(MAX_ZONE) as usize
 }
--- a/crates/dispatch-core/src/hashing.rs
+++ b/crates/dispatch-core/src/hashing.rs
@@ -1,4 +1,4 @@
-//! Hashes that are the same at all dispatchers, whatever their version: of the names of workers and of affinity keys.
+//! Hashes of worker names and affinity keys. They must be the same in dispatchers of all versions.
 
 use std::hash::Hasher as _;
 
@@ -6,16 +6,16 @@
 
 use crate::api::WorkerId;
 
-/// Returns the id of a worker by its name.
+/// Returns the id of the worker with this name.
 pub fn worker_id(name: &str) -> WorkerId {
     WorkerId(hash_bytes(name.as_bytes()))
 }
 
-/// Returns the hash of an affinity key that is not a number.
+/// Returns the hash of a worker name, or of an affinity key that is not a number.
 pub fn hash_bytes(text: &[u8]) -> u64 {
     let mut hasher = FxHasher::default();
     hasher.write(text);
-    // FxHash leaves the low bits of similar names alike; one more round spreads them over all bits.
+    // The low bits of FxHash are often equal for similar names; one more round mixes the high bits into them.
     let mut hash = hasher.finish();
     hash = (hash ^ (hash >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     hash ^ (hash >> 32)
--- a/crates/dispatch-core/src/hedging.rs
+++ b/crates/dispatch-core/src/hedging.rs
@@ -1,36 +1,36 @@
 //! The budget for hedged requests: second attempts that are sent while the first may still be running.
 
-/// Hedged requests allowed for each send.
+/// Hedged requests that each send adds to the budget.
 const HEDGES_PER_SEND: f64 = 0.1;
-/// Most hedged requests that are saved up.
-const MAX_SAVED: f64 = 4.0;
+/// Maximum size of the budget, in hedged requests.
+const MAX_HEDGES: f64 = 4.0;
 
-/// Budget of hedged requests.
+/// A token bucket that limits hedged requests to a fraction of all sends.
 #[derive(Debug)]
 pub(crate) struct HedgeBudget {
-    /// Number of hedged requests that may be sent.
-    saved: f64,
+    /// Number of hedged requests that may be sent now.
+    available: f64,
 }
 
 impl Default for HedgeBudget {
     fn default() -> Self {
-        HedgeBudget { saved: MAX_SAVED }
+        HedgeBudget { available: MAX_HEDGES }
     }
 }
 
 impl HedgeBudget {
-    /// Adds the part of a hedged request that each send allows.
+    /// Counts a send, which adds a fraction of a hedged request to the budget.
     pub(crate) fn record_send(&mut self) {
-        self.saved = (self.saved + HEDGES_PER_SEND).min(MAX_SAVED);
+        self.available = (self.available + HEDGES_PER_SEND).min(MAX_HEDGES);
     }
 
     /// Whether a hedged request may be sent.
-    pub(crate) fn is_left(&self) -> bool {
-        self.saved >= 1.0
+    pub(crate) fn allows_hedge(&self) -> bool {
+        self.available >= 1.0
     }
 
-    /// Takes out a hedged request that is sent.
+    /// Takes one hedged request, which is sent now, out of the budget.
     pub(crate) fn spend(&mut self) {
-        self.saved -= 1.0;
+        self.available -= 1.0;
     }
 }
--- a/crates/dispatch-core/src/job.rs
+++ b/crates/dispatch-core/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs and their attempts, from the arrival of a request to the end of its last attempt.
+//! The state of jobs and their attempts, from the arrival of a request to the end of its last attempt.
 
 use crate::api::{Action, Class, Outcome, Request, Seconds};
 use crate::run_time::RunTimeModel;
@@ -6,47 +6,47 @@
 /// The state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JobState {
-    /// Waits for tokens in its tenant's buffer.
+    /// The job waits for tokens in its tenant's job buffer.
     Queued,
-    /// Waits for a worker.
+    /// The job waits for a worker.
     Admitted,
-    /// Has an open attempt.
+    /// The job has an open attempt.
     InFlight,
-    /// Has its final answer; attempts may still be open.
+    /// The final response was sent; attempts may still be open.
     Ended,
 }
 
-/// A request from its arrival on.
+/// A request and its state since its arrival.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub request: Request,
-    /// Expected running time: the mean of the class, or the hint if that is longer.
+    /// Expected running time: the mean of the class, or the client's hint if that is longer.
     pub run_time: Seconds,
-    /// Logarithm of the work.
+    /// Logarithm of the expected work.
     pub log_work: f64,
-    /// Time by which the response meets the latency objective.
+    /// Time until which a response meets the latency objective.
     pub objective_due: Seconds,
-    /// Slots that are withdrawn from the tenant's bank.
+    /// Slots that the job takes from the tenant's token bank.
     pub slots: i64,
     pub arrived_at: Seconds,
-    /// Latest time at which a start makes sense.
+    /// Latest time at which the job can start and still be of use to its client.
     pub start_by: Seconds,
     pub state: JobState,
     pub attempts: Vec<Attempt>,
 }
 
-/// Times of a job at its arrival.
+/// Time limits of a job, as determined at its arrival.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct JobTiming {
     pub arrived_at: Seconds,
     /// Time since the client's first attempt.
     pub age: Seconds,
-    /// The latest time at which a start makes sense.
+    /// Latest time at which the job can start and still be of use to its client.
     pub start_by: Seconds,
 }
 
 impl Job {
-    /// Returns a job that arrives now and waits for tokens.
+    /// Returns a queued job for a request that has just arrived.
     pub(crate) fn new(
         request: Request,
         slots: i64,
@@ -80,12 +80,13 @@
         self.request.tenant as usize
     }
 
-    /// Returns the time at which the job stops waiting for a free worker, as a part of the time that it has to start.
+    /// Returns the time at which the job stops waiting for a free worker; `part` is the fraction of its time to start
+    /// that the job may wait.
     pub(crate) fn placement_deadline(&self, part: f64) -> Seconds {
         self.arrived_at + part * (self.start_by - self.arrived_at)
     }
 
-    /// Whether the client's timeout is over, to the resolution of the clock.
+    /// Whether the client's timeout is over, within the resolution of the clock.
     pub(crate) fn has_expired(&self, now: Seconds, clock_resolution: Seconds) -> bool {
         now - self.arrived_at >= self.request.timeout - clock_resolution
     }
@@ -95,7 +96,7 @@
         self.attempts.iter().filter(|attempt| !attempt.outcome.is_some_and(Outcome::never_ran))
     }
 
-    /// Whether all attempts have ended and none can have run.
+    /// Whether no attempt can have run the job; an open attempt may run it.
     pub(crate) fn never_ran(&self) -> bool {
         self.possible_runs().next().is_none()
     }
@@ -105,7 +106,7 @@
         self.attempts.iter().any(|attempt| attempt.outcome.is_none())
     }
 
-    /// Whether the job was sent to a worker, other than on an idle connection that the worker had closed.
+    /// Whether the job was sent to this worker, not counting attempts on an idle connection that the worker had closed.
     pub(crate) fn was_tried_at(&self, worker: usize) -> bool {
         let stale = Some(Outcome::StaleConnection);
         self.attempts.iter().any(|attempt| attempt.worker == worker && attempt.outcome != stale)
@@ -122,8 +123,8 @@
         Some(*attempt)
     }
 
-    /// Returns the last attempt, if it is open and its worker should give signs of life: until the job starts, or for
-    /// as long as it runs where progress is reported.
+    /// Returns the last attempt, if it is open and its worker must give signs of life: until the job starts, and while
+    /// it runs if workers report progress.
     pub(crate) fn attempt_to_watch(&self, reports_progress: bool) -> Option<Attempt> {
         let attempt = self.attempts.last()?;
         let is_watched = attempt.outcome.is_none() && (attempt.started_at.is_none() || reports_progress);
@@ -154,12 +155,13 @@
         open.map(|(number, _)| Action::Cancel { request: self.request.id, attempt: number as u32 })
     }
 
-    /// Returns the work of the job, in slots by seconds.
+    /// Returns the work of the job, in slot-seconds.
     pub(crate) fn work(&self) -> f64 {
         self.size() * self.run_time
     }
 
-    /// Returns the size of the job in slots of a worker, which has a unit of memory for each slot.
+    /// Returns the size of the job in slots. A job that needs more memory units than slots counts by its memory,
+    /// because workers have one unit of memory per slot.
     pub(crate) fn size(&self) -> f64 {
         (self.slots as f64).max(self.request.memory)
     }
@@ -170,18 +172,18 @@
 pub(crate) struct Attempt {
     pub worker: usize,
     pub sent_at: Seconds,
-    /// Time at which the job began to run, where that was reported.
+    /// Time at which the job began to run, if the worker reported it.
     pub started_at: Option<Seconds>,
     /// Whether the worker was expected to have a free slot.
     pub had_free_slot: bool,
-    /// Expected utilization of the worker with the job.
+    /// Expected utilization of the worker, this job included.
     pub utilization: f64,
     /// Outcome of the attempt; `None` while it is open.
     pub outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    /// Returns an attempt that is sent now.
+    /// Returns an open attempt that is sent now.
     pub(crate) fn new(candidate: &Candidate, now: Seconds) -> Attempt {
         Attempt {
             worker: candidate.worker,
@@ -194,32 +196,32 @@
     }
 }
 
-/// An attempt that has just ended, with the state of its job by which the end is judged.
+/// An attempt that has just ended, with the state of its job that is needed to evaluate the outcome.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedAttempt {
     pub attempt: Attempt,
     pub outcome: Outcome,
     pub request: Request,
-    /// Size of the job in slots.
+    /// Size of the job, in slots.
     pub size: f64,
-    /// Logarithm of the job's work.
+    /// Logarithm of the job's expected work.
     pub log_work: f64,
-    /// Whether it was not the first attempt.
+    /// Whether this was not the first attempt at the job.
     pub is_retry: bool,
-    /// Whether an earlier attempt broke or ended with an error.
+    /// Whether an earlier attempt ended with a reset connection or an error.
     pub failed_before: bool,
-    /// Whether the client had its answer before.
+    /// Whether the client had its final response before this attempt ended.
     pub was_answered: bool,
 }
 
 impl EndedAttempt {
-    /// Returns the running time of the job; from its send where its start was not reported.
+    /// Returns the running time of the job, counted from its send if its start was not reported.
     pub(crate) fn run_time(&self, now: Seconds) -> Seconds {
         now - self.attempt.started_at.unwrap_or(self.attempt.sent_at)
     }
 
-    /// Returns the wait of the job at the worker. Where its start was not reported, it is assumed to have run for no
-    /// longer than `likely_run_time`.
+    /// Returns the wait of the job at the worker. If its start was not reported, the job is assumed to have run for at
+    /// most `likely_run_time`.
     pub(crate) fn wait(&self, now: Seconds, likely_run_time: Seconds) -> Seconds {
         let run_time = self.run_time(now);
         let has_start = self.attempt.started_at.is_some();
@@ -227,13 +229,14 @@
         now - self.attempt.sent_at - run_time
     }
 
-    /// Whether the running time was measured: where its start was not reported, only if the worker was free.
+    /// Whether the running time is known: if the start was reported, or if the worker had a free slot and the job did
+    /// not wait.
     pub(crate) fn has_measured_run(&self) -> bool {
         self.attempt.started_at.is_some() || self.attempt.had_free_slot
     }
 }
 
-/// A worker that a job may be sent to.
+/// A worker to which a job may be sent, with the estimates by which it is compared to others.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
     pub worker: usize,
@@ -241,7 +244,7 @@
     pub cost: f64,
     /// Whether the worker is expected to have a free slot for the job.
     pub has_free_slot: bool,
-    /// Expected utilization of the worker with the job: slots in use, as a part of those it has.
+    /// Expected utilization of the worker, this job included: slots in use as a fraction of all its slots.
     pub utilization: f64,
     /// Probability that the job is late at the worker.
     pub lateness_probability: f64,
--- a/crates/dispatch-core/src/lib.rs
+++ b/crates/dispatch-core/src/lib.rs
@@ -1,10 +1,10 @@
-//! The decisions of a dispatcher, and nothing else: no clock, no I/O, no sockets, no tasks.
+//! The decision logic of a dispatcher as a pure library: it has no clock, performs no I/O and starts no tasks.
 //!
 //! [`Dispatcher`] is the decision module: it decides which worker gets a job, whether to retry and which jobs to
-//! reject. Its caller (the engine of the real program, the simulator's adapter, the emulator) passes [`Event`]s with
-//! the time and carries out the [`Action`]s that are returned; `api` defines both.
+//! reject. Its caller (the engine of the dispatcher process, the simulator adapter or the emulator) passes [`Event`]s
+//! with the current time and carries out the [`Action`]s that are returned; `api` defines both.
 //!
-//! `policy` holds the decisions. The private modules hold the state and the estimates on which they are based.
+//! `policy` makes the decisions. The private modules hold the state and the estimates on which they are based.
 
 pub mod api;
 pub mod backoff;
--- a/crates/dispatch-core/src/policy/outlier_detection.rs
+++ b/crates/dispatch-core/src/policy/outlier_detection.rs
@@ -67,6 +67,6 @@
         self.settings.hedging_allowed
             && idempotency != Idempotency::NotIdempotent
             && job.attempts.len() < self.settings.max_attempts as usize
-            && self.hedge_budget.is_left()
+            && self.hedge_budget.allows_hedge()
     }
 }
--- a/crates/dispatch-core/src/policy/worker_cost.rs
+++ b/crates/dispatch-core/src/policy/worker_cost.rs
@@ -16,7 +16,7 @@
 /// Part of a rate window for which the load of a worker is fresh after a report, where probes are allowed.
 const FRESH_WINDOWS: f64 = 0.25;
 /// Cost of a worker in a zone that seems lost, in seconds: it is the last choice.
-const LOST_ZONE_COST: f64 = 1e3;
+const SUSPECTED_ZONE_COST: f64 = 1e3;
 /// Cost of certain lateness, as a multiple of the job's work.
 const LATENESS_COST: f64 = 80.0;
 /// Cost of a price, which is a part of the service, as a multiple of the job's work.
@@ -34,16 +34,16 @@
         let time_left = job.objective_due - self.now;
         let run_times = &self.workload.run_times[job.class()];
         let lateness_probability = run_times.lateness_probability(time_left, run_time, wait);
-        let is_zone_lost = self.fleet.is_zone_lost(worker, self.now);
+        let is_zone_suspected = self.fleet.is_zone_suspected(worker, self.now);
         let reservation_price = self.reserved_workers.price(index, job.slots as f64);
         let run_cost = run_time * (1.0 + queueing_cost(utilization) + reservation_price);
         let lateness_cost = self.lateness_cost(job, lateness_probability);
         let price_and_lateness_cost = (PRICE_COST * self.path_price(worker) + lateness_cost) * work;
-        let zone_cost = if is_zone_lost { LOST_ZONE_COST } else { 0.0 };
+        let zone_cost = if is_zone_suspected { SUSPECTED_ZONE_COST } else { 0.0 };
         Candidate {
             worker: index,
             cost: run_cost + price_and_lateness_cost + zone_cost,
-            has_free_slot: utilization <= 1.0 && self.has_fresh_load(worker) && !is_zone_lost,
+            has_free_slot: utilization <= 1.0 && self.has_fresh_load(worker) && !is_zone_suspected,
             utilization,
             lateness_probability,
         }
--- a/crates/dispatch-core/src/timers.rs
+++ b/crates/dispatch-core/src/timers.rs
@@ -1,27 +1,27 @@
-//! Timer events of a dispatcher by time; the caller's timer is armed for the earliest.
+//! The pending timer events of a dispatcher. The caller provides a single timer, which is armed for the earliest event.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use crate::api::{Action, RequestId, Seconds};
 
-/// Tolerance with which a deadline counts as reached: times are rounded to microseconds.
+/// Tolerance within which a deadline counts as reached, because times are rounded to microseconds.
 pub(crate) const TIMER_TOLERANCE: Seconds = 1e-6;
 
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Value of [`TimerQueue::armed_for`] while no timer is armed.
+/// Value of [`TimerQueue::armed_for`] while the timer is not armed.
 const NOT_ARMED: u64 = u64::MAX;
 
-/// A reason to wake up. Events that are due at one time are handled in the order of the variants.
+/// An event that is due at some time. Events that are due at the same time are handled in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerEvent {
-    /// The tokens for the head of a tenant's job buffer are due.
+    /// The tokens for the job at the head of a tenant's job buffer have accrued.
     TokensDue(usize),
     /// An admitted job stops waiting for a free worker.
     PlacementTimeout(RequestId),
-    /// A job that was not sent has no time left to start.
+    /// A job that was not sent yet has no time left to start.
     QueueTimeout(RequestId),
-    /// Workers of other zones are probed for an admitted job that still waits.
+    /// Workers of other zones must be probed for an admitted job that still waits.
     ProbeOtherZones(RequestId),
     /// The worker of a job in flight may have stalled.
     StallCheck(RequestId),
@@ -40,11 +40,11 @@
     event: TimerEvent,
 }
 
-/// The pending events, and the one timer that is armed for the earliest of them.
+/// The pending events, and the state of the caller's timer.
 #[derive(Debug)]
 pub(crate) struct TimerQueue {
     pending: BinaryHeap<Reverse<ScheduledEvent>>,
-    /// Time for which the caller's timer is armed, in microseconds; [`NOT_ARMED`] if it is not.
+    /// Time for which the caller's timer is armed, in microseconds; [`NOT_ARMED`] if it is not armed.
     armed_for: u64,
 }
 
@@ -70,14 +70,15 @@
         Some(next.event)
     }
 
-    /// Records that the caller's timer fired. Tokens of timers that were replaced are ignored.
+    /// Records that the caller's timer fired. The token of a timer that was replaced by an earlier one is ignored.
     pub(crate) fn on_fired(&mut self, token: u64) {
         if token >= self.armed_for {
             self.armed_for = NOT_ARMED;
         }
     }
 
-    /// Returns the action that arms the caller's timer, if it is not armed or too late. Its token is its time.
+    /// Returns the action that arms the caller's timer for the earliest event, or `None` if it is armed for that time
+    /// or an earlier one. The token is the time, in microseconds.
     pub(crate) fn arm(&mut self, now: Seconds, resolution: Seconds) -> Option<Action> {
         let Reverse(next) = *self.pending.peek()?;
         if next.due_at >= self.armed_for {
--- a/crates/dispatch-core/src/token_bank.rs
+++ b/crates/dispatch-core/src/token_bank.rs
@@ -1,41 +1,42 @@
-//! Token banks with a job buffer, after Berger and Whitt: the state that throttles a tenant.
+//! Token banks with a job buffer, after Berger and Whitt, which limit the rate of each tenant.
 //!
-//! Tokens and buffer are folded into one balance in slots, U = T - J + C_J, which falls by each job that is taken and
-//! rises by tokens, between zero and the sum of both capacities. Jobs are queued while U - C_J does not cover them.
+//! The tokens T and the slots J of buffered jobs are combined into one balance in slots, U = T - J + C_J, where C_J is
+//! the capacity of the buffer and C_T that of the bank. The balance falls with each job that is accepted, rises with
+//! each token, and stays between zero and C_J + C_T. A job of k slots is queued if U - C_J < k.
 
 use std::collections::VecDeque;
 
 use crate::api::{RequestId, Seconds, Tenant};
 
-/// Least part of a token to wait for.
+/// Minimum fraction of a token to wait for.
 const MIN_MISSING_TOKENS: f64 = 0.01;
 
 /// A tenant's token bank and job buffer.
 #[derive(Debug, Default)]
 pub(crate) struct TokenBank {
-    /// Share of the tenant in the admission rate; all shares sum to one.
+    /// The tenant's share of the admission rate; all shares sum to one.
     pub share: f64,
-    /// U = T - J + C_J, in slots.
+    /// Balance U = T - J + C_J, in slots.
     pub balance: i64,
     /// Token capacity C_T, in slots.
     pub token_capacity: i64,
     /// Buffer capacity C_J, in slots.
     pub buffer_capacity: i64,
-    /// Part of the next token that has accrued.
+    /// Fraction of the next token that has accrued.
     pub partial_token: f64,
-    /// First attempts of clients in this window of the admission rate.
+    /// Number of clients' first attempts in this window of the admission rate.
     pub window_arrivals: f64,
-    /// Mean rate of first attempts, in requests a second.
+    /// Mean rate of clients' first attempts, in requests per second.
     pub arrival_rate: f64,
-    /// Jobs in the buffer, first come first.
+    /// Jobs in the buffer, in the order of arrival.
     pub queued: VecDeque<RequestId>,
     /// Slots of the jobs in the buffer.
     pub queued_slots: i64,
 }
 
 impl TokenBank {
-    /// Returns a bank for each tenant, or one if there are none; shares are scaled to sum to one. The phase of the
-    /// tokens is random, so that dispatchers do not release jobs in step.
+    /// Returns a bank for each tenant, or a single bank if there are no tenants; shares are scaled to sum to one. The
+    /// fraction of the first token is random, so that dispatchers do not release jobs in lockstep.
     pub(crate) fn for_tenants(tenants: &[Tenant], rng: &mut fastrand::Rng) -> Vec<TokenBank> {
         let total: f64 = tenants.iter().map(|tenant| tenant.share.max(0.0)).sum();
         let count = tenants.len().max(1);
@@ -49,12 +50,12 @@
             .collect()
     }
 
-    /// Returns the tokens that the bank can still take.
+    /// Returns the number of tokens that the bank can hold beyond its balance.
     fn headroom(&self) -> i64 {
         self.token_capacity + self.buffer_capacity - self.balance
     }
 
-    /// Sets C_T and C_J; queued jobs stay queued.
+    /// Sets the capacities C_T and C_J; queued jobs stay queued.
     pub(crate) fn resize(&mut self, token_capacity: i64, buffer_capacity: i64) {
         let balance = self.balance + buffer_capacity - self.buffer_capacity;
         self.balance = balance.clamp(0, token_capacity + buffer_capacity);
@@ -62,7 +63,7 @@
         self.buffer_capacity = buffer_capacity;
     }
 
-    /// Withdraws a job's slots. Returns whether tokens have paid for it; else the job is queued.
+    /// Withdraws a job's slots. Returns whether tokens cover the job; otherwise the job is queued.
     pub(crate) fn withdraw(&mut self, id: RequestId, slots: i64) -> bool {
         let is_paid = self.balance - self.buffer_capacity >= slots;
         self.balance -= slots;
@@ -73,10 +74,11 @@
         is_paid
     }
 
-    /// Returns the tokens that the job at the head of the queue still waits for, or removes it and returns `None`.
+    /// Returns the number of tokens that the job at the head of the queue still waits for, or removes the job from the
+    /// queue and returns `None`.
     pub(crate) fn release_head(&mut self, slots: i64) -> Option<f64> {
-        let owed = (self.buffer_capacity - self.balance).max(0);
-        let missing = slots - (self.queued_slots - owed);
+        let unpaid_slots = (self.buffer_capacity - self.balance).max(0);
+        let missing = slots - (self.queued_slots - unpaid_slots);
         if missing > 0 {
             return Some((missing as f64 - self.partial_token).max(MIN_MISSING_TOKENS));
         }
@@ -85,7 +87,7 @@
         None
     }
 
-    /// Removes a queued job that was not sent.
+    /// Removes a queued job that will not be sent, and returns its slots to the bank.
     pub(crate) fn remove_queued(&mut self, id: RequestId, slots: i64) {
         self.queued.retain(|&queued| queued != id);
         self.queued_slots -= slots;
@@ -102,7 +104,7 @@
         self.balance = (self.balance + slots).min(self.buffer_capacity + self.token_capacity);
     }
 
-    /// Adds tokens. Returns those that overflow.
+    /// Adds tokens. Returns the number of whole tokens that overflow.
     pub(crate) fn add_tokens(&mut self, tokens: f64) -> f64 {
         self.partial_token += tokens;
         let whole_tokens = self.partial_token.floor();
@@ -112,8 +114,8 @@
         whole_tokens - added as f64
     }
 
-    /// Updates the arrival rate at the end of a window. Returns it as a part of the tenant's quota, or one if there is
-    /// no quota.
+    /// Updates the arrival rate at the end of a window. Returns it as a fraction of the tenant's quota, or one if there
+    /// is no quota.
     pub(crate) fn end_window(&mut self, window: Seconds, learning_rate: f64, quota: f64) -> f64 {
         self.arrival_rate += learning_rate * (self.window_arrivals / window - self.arrival_rate);
         self.window_arrivals = 0.0;
@@ -125,8 +127,8 @@
     }
 }
 
-/// Adds tokens to all banks by share. Tokens that overflow full banks, the paper's O_T, are offered to the others by
-/// share.
+/// Adds tokens to all banks in proportion to their shares. Tokens that overflow full banks, O_T in the paper, are
+/// offered to the other banks, also in proportion to their shares.
 pub(crate) fn accrue(banks: &mut [TokenBank], tokens: f64) {
     let mut overflow = 0.0;
     for bank in banks.iter_mut() {
@@ -140,7 +142,7 @@
     }
 }
 
-/// Applies other tenants: existing banks keep their balance and take the new shares.
+/// Applies new tenants: existing banks keep their balance and get the new shares.
 pub(crate) fn update_shares(banks: &mut Vec<TokenBank>, tenants: &[Tenant], rng: &mut fastrand::Rng) {
     for (index, new) in TokenBank::for_tenants(tenants, rng).into_iter().enumerate() {
         match banks.get_mut(index) {
--- a/crates/dispatch-core/src/workload.rs
+++ b/crates/dispatch-core/src/workload.rs
@@ -1,61 +1,61 @@
-//! Estimates of the jobs that arrive at a dispatcher: their running times by class, their slots and waits.
+//! Estimates for the jobs that arrive at a dispatcher: running times by class, slots and waits.
 
 use crate::api::Seconds;
 use crate::run_time::{RunTimeModel, SlowdownModel, WorkerSlowdowns, CLASS_LEARNING_RATE};
 
-/// Learning rate of the wait at workers.
+/// Learning rate of the mean wait at workers.
 const WAIT_LEARNING_RATE: f64 = 1.0 / 16.0;
-/// Bounds of a window of the admission rate.
+/// Bounds of the length of a window of the admission rate.
 const MIN_RATE_WINDOW: Seconds = 0.2;
 const MAX_RATE_WINDOW: Seconds = 2.0;
 
 /// Estimates of the jobs of all classes.
 #[derive(Debug)]
 pub(crate) struct Workload {
-    /// Running times by class.
+    /// Models of the running time, by class.
     pub run_times: Vec<RunTimeModel>,
     pub slowdowns: SlowdownModel,
     /// Mean number of slots of a job.
     pub mean_slots: f64,
-    /// Mean wait at workers, of recent jobs.
+    /// Mean wait of recent jobs at workers before they started.
     pub mean_wait: Seconds,
 }
 
 impl Workload {
-    /// Returns initial estimates for so many classes.
+    /// Returns initial estimates for this number of classes.
     pub(crate) fn new(classes: usize) -> Workload {
         let run_times = vec![RunTimeModel::default(); classes];
         Workload { run_times, slowdowns: SlowdownModel::default(), mean_slots: 1.0, mean_wait: 0.0 }
     }
 
-    /// Adds initial estimates up to so many classes.
+    /// Extends the estimates to this number of classes with initial ones.
     pub(crate) fn resize(&mut self, classes: usize) {
         self.run_times.resize(classes, RunTimeModel::default());
     }
 
-    /// Returns the length of a window of the admission rate: about a running time, in which the effect of a change
-    /// shows.
+    /// Returns the length of a window of the admission rate: about a mean running time, because the effect of a change
+    /// of the rate becomes visible only after that time.
     pub(crate) fn rate_window(&self) -> Seconds {
         let sum = self.run_times.iter().map(|run_times| run_times.mean).sum::<f64>();
         (sum / self.run_times.len() as f64).clamp(MIN_RATE_WINDOW, MAX_RATE_WINDOW)
     }
 
-    /// Returns the mean work of a job, in slots by seconds.
+    /// Returns the mean work of a job, in slot-seconds.
     pub(crate) fn mean_job_work(&self) -> f64 {
         self.mean_slots * self.rate_window()
     }
 
-    /// Learns from the slots of a job that arrived.
+    /// Updates the mean number of slots with a job that arrived.
     pub(crate) fn record_slots(&mut self, slots: f64) {
         self.mean_slots += CLASS_LEARNING_RATE * (slots - self.mean_slots);
     }
 
-    /// Learns from the wait of a job that started.
+    /// Updates the mean wait with a job that started.
     pub(crate) fn record_wait(&mut self, wait: Seconds) {
         self.mean_wait += WAIT_LEARNING_RATE * (wait - self.mean_wait);
     }
 
-    /// Learns from a job that ended, by its class and the slowdowns of its worker.
+    /// Updates the running times of the class and the slowdowns of the worker with a job that ended.
     pub(crate) fn record_run(
         &mut self,
         class: usize,
