--- a/crates/dispatch-core/src/endpoint_list.rs
+++ b/crates/dispatch-core/src/endpoint_list.rs
@@ -1,35 +1,38 @@
-//! State of the watch on the endpoint list, with the delay of a retry after a failure.
+//! The state of the watch on the endpoint list, and the delay of a retry after a failure.
 
 use crate::api::Seconds;
 
-/// Shortest delay of a retry.
+/// Minimum delay of a retry.
 const MIN_RETRY_DELAY: Seconds = 0.2;
-/// Longest delay of a retry where the settings state no poll interval.
+/// Maximum delay of a retry if the settings state no poll interval.
 const MAX_RETRY_DELAY: Seconds = 2.0;
-/// Parts of the longest poll interval, one of which is the longest delay of a retry.
+/// Number of retries within the maximum poll interval, which determines the maximum delay of a retry.
 const RETRIES_PER_POLL_INTERVAL: f64 = 4.0;
 
 /// State of the watch on the endpoint list.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointListState {
     is_watching: bool,
+    /// Whether a watch was requested and discovery has not responded yet.
     is_pending: bool,
+    /// Delay of the last retry without jitter; 0 after a success.
     retry_delay: Seconds,
 }
 
 impl EndpointListState {
     /// Records that a watch was requested.
-    pub(crate) fn record_call(&mut self) {
+    pub(crate) fn record_watch_request(&mut self) {
         self.is_pending = true;
     }
 
     /// Records that the list, or a change of it, arrived.
-    pub(crate) fn record_answer(&mut self) {
+    pub(crate) fn record_update(&mut self) {
         *self = EndpointListState { is_watching: true, is_pending: false, retry_delay: 0.0 };
     }
 
-    /// Records that a call failed or the watch broke. Returns the delay before the next call, without jitter; it
-    /// doubles up to a part of the longest poll interval, where one is stated.
+    /// Records that a call failed or the watch ended. Returns the delay before the next call, without jitter. The delay
+    /// doubles with each failure, up to [`MAX_RETRY_DELAY`] or a fraction of the maximum poll interval, if there is
+    /// one.
     pub(crate) fn record_failure(&mut self, max_poll_interval: Seconds) -> Seconds {
         let longest = if max_poll_interval > 0.0 {
             max_poll_interval / RETRIES_PER_POLL_INTERVAL
--- a/crates/dispatch-core/src/fleet.rs
+++ b/crates/dispatch-core/src/fleet.rs
@@ -158,9 +158,9 @@
         }
     }
 
-    /// Returns the start time of a worker on this dispatcher's clock. Clocks of other processes may be wrong by hours, so
-    /// the listed time is bounded: a worker did not start in the future, and a start that was not on the last list from
-    /// discovery happened at most [`MAX_LISTING_DELAY`] before that list arrived.
+    /// Returns the start time of a worker on this dispatcher's clock. Clocks of other processes may be wrong by hours,
+    /// so the listed time is bounded: a worker did not start in the future, and a start that was not on the last list
+    /// from discovery happened at most [`MAX_LISTING_DELAY`] before that list arrived.
     fn plausible_start(&self, listed_start: Seconds, now: Seconds) -> Seconds {
         let earliest = self.list_received_at.map_or(0.0, |received_at| received_at - MAX_LISTING_DELAY);
         listed_start.min(now).max(earliest)
--- a/crates/dispatch-core/src/load.rs
+++ b/crates/dispatch-core/src/load.rs
@@ -1,9 +1,9 @@
-//! Estimates of the load of workers: the slots that other dispatchers use there.
+//! Estimates of the load of workers, in particular of the slots that other dispatchers use.
 //!
-//! The slots of our own attempts are counted. Those of others are observed now and then: by load reports, by the wait
-//! of our jobs before they start, by rejections. Observations age and decay to the mean of the workers of that kind in
-//! that zone. Times are in windows of the admission rate, which are about a running time long: within a few of them all
-//! jobs at a worker have changed.
+//! The slots of this dispatcher's own attempts are counted. The slots that other dispatchers use are only observed from
+//! time to time: through load reports, through rejections, and through the wait of our own jobs before they start. An
+//! observation decays to the mean of the worker's cohort. Times are measured in windows of the admission rate, each of
+//! which is about a running time long, because all jobs at a worker change within a few running times.
 
 use crate::api::{LoadReport, Seconds, WorkerState};
 use crate::fleet::Fleet;
@@ -11,19 +11,19 @@
 use crate::worker::Worker;
 
 /// Time constant with which an observation of a worker's load decays, in windows.
-const OCCUPANCY_FADE_WINDOWS: f64 = 4.0;
+const LOAD_DECAY_WINDOWS: f64 = 4.0;
 /// Mean delay of a load report, in windows.
 const REPORT_DELAY_WINDOWS: f64 = 0.5;
-/// Learning rate of the slots of a kind, by its largest reports.
+/// Learning rate of the number of slots of a kind, which is learned from the reports with the most free slots.
 const SLOTS_LEARNING_RATE: f64 = 0.5;
-/// Weight of a report; the rest is the weight of the earlier estimate, since reports are late and noisy.
+/// Weight of a report; the rest is the weight of the earlier estimate, because reports are late and noisy.
 const REPORT_WEIGHT: f64 = 0.5;
-/// Number of observations that the initial mean of a cohort is worth.
+/// Weight of the initial mean of a cohort, in observations.
 const INITIAL_COHORT_SAMPLES: f64 = 24.0;
-/// Time from send to start of a job that did not wait: round trips and a handshake.
-pub(crate) const PROMPT_START: Seconds = 0.1;
+/// Time from the send to the start of a job that does not wait at the worker: round trips and a handshake.
+pub(crate) const UNQUEUED_START_DELAY: Seconds = 0.1;
 
-/// The present, by which the age of observations is measured.
+/// The current time, from which the age of observations is measured.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ObservationTime {
     pub now: Seconds,
@@ -37,7 +37,7 @@
         self.kinds[worker.kind].slots.max(self.largest_job as f64)
     }
 
-    /// Returns a lower bound of a worker's present capacity, as a part of its full capacity.
+    /// Returns a lower bound of a worker's current capacity, as a fraction of its full capacity.
     pub(crate) fn warm_capacity(&self, worker: &Worker, now: Seconds) -> f64 {
         if worker.listed_start <= 0.0 || self.slow_start_duration <= 0.0 {
             return 1.0;
@@ -57,13 +57,12 @@
         let cohort_mean = self.cohorts[worker.cohort].utilization
             * self.slots_of(worker)
             * self.warm_capacity(worker, time.now);
-        let decay =
-            (-(time.now - worker.other_slots_observed_at) / (OCCUPANCY_FADE_WINDOWS * time.window)).exp();
+        let decay = (-(time.now - worker.other_slots_observed_at) / (LOAD_DECAY_WINDOWS * time.window)).exp();
         cohort_mean + (worker.other_slots - cohort_mean) * decay
     }
 
-    /// Returns the expected wait at a worker of this utilization, in running times; zero where the number of its slots
-    /// was never reported.
+    /// Returns the expected wait at a worker with this utilization, in running times; zero if no number of slots was
+    /// reported for its kind.
     pub(crate) fn expected_wait(&self, worker: &Worker, utilization: f64) -> f64 {
         if self.kinds[worker.kind].slots > 0.0 {
             self.queueing_curve.mean_wait(utilization)
@@ -72,7 +71,7 @@
         }
     }
 
-    /// Counts slots that our jobs take at a worker or, if negative, give back.
+    /// Counts slots that our jobs occupy at a worker or, if negative, free.
     pub(crate) fn add_slots(&mut self, index: usize, slots: f64, time: ObservationTime) {
         self.workers[index].add_slots(slots, time.now, REPORT_DELAY_WINDOWS * time.window);
     }
@@ -89,8 +88,8 @@
         worker.other_slots_observed_at = now;
     }
 
-    /// Updates the estimates by a load report, if it states free slots; `job_slots` is the mean number of slots of a
-    /// job. Returns the slots of jobs that wait at the worker.
+    /// Updates the estimates with a load report, if it states free slots; `job_slots` is the mean number of slots of a
+    /// job. Returns the slots of the jobs that wait at the worker.
     pub(crate) fn apply_load_report(
         &mut self,
         index: usize,
@@ -104,7 +103,7 @@
         self.learn_slots_of_kind(self.workers[index].kind, free_slots);
         let worker = &self.workers[index];
         let slots = self.slots_of(worker);
-        // A worker that holds more than its slots has a queue, unless it has room.
+        // If a worker has more requests than slots, the excess is queued, unless a slot is reported free.
         let in_flight = load.in_flight.filter(|_| free < 1.0);
         let excess = in_flight.map_or(0.0, |in_flight| (in_flight * job_slots - slots).max(0.0));
         let queue = load.queue_length.unwrap_or(excess);
@@ -114,18 +113,18 @@
         Some(queue.round().min(slots))
     }
 
-    /// Raises the slots of a kind towards the most free slots that a worker of it has reported.
+    /// Raises the estimated number of slots of a kind toward the number of free slots in a report, if that is higher.
     fn learn_slots_of_kind(&mut self, kind: usize, free_slots: f64) {
         let kind = &mut self.kinds[kind];
         let learning_rate = if kind.slots == 0.0 { 1.0 } else { SLOTS_LEARNING_RATE };
         kind.slots += (free_slots - kind.slots).max(0.0) * learning_rate;
     }
 
-    /// Estimates the slots of other dispatchers by the wait of one of our jobs: each slot becomes free once in a
-    /// running time.
+    /// Estimates the slots that other dispatchers use from the delay between send and start of one of our jobs, under
+    /// the assumption that each slot becomes free once per running time.
     pub(crate) fn record_wait(&mut self, index: usize, delay: Seconds, time: ObservationTime) {
         let worker = &self.workers[index];
-        let waited = delay - PROMPT_START / self.warm_capacity(worker, time.now);
+        let waited = delay - UNQUEUED_START_DELAY / self.warm_capacity(worker, time.now);
         let slots = self.slots_of(worker);
         let rest = (slots - worker.our_slots).max(0.0);
         let other_slots = if waited > 0.0 {
--- a/crates/dispatch-core/src/load_report.rs
+++ b/crates/dispatch-core/src/load_report.rs
@@ -1,7 +1,8 @@
-//! Load reports of workers, with the figures that the settings name. A codec, no I/O.
+//! Decoder for load reports of workers, with the figures that the settings name. It performs no I/O.
 //!
-//! The simulator's wire gives the figures by position, workers on sockets by name. Both mean the same, and the names
-//! are defined here only. A report is advice: one that cannot be used fails no job.
+//! The simulator's protocol transmits the figures by position; workers on sockets transmit them by name. The meaning is
+//! the same, and only this module defines the names. A report is advisory: a job does not fail because of a report that
+//! cannot be used.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -11,28 +12,28 @@
 
 use crate::settings_pairs::{InvalidValue, SettingsPairs};
 
-/// Highest number of figures of one report; the settings name four at most.
+/// Maximum number of figures per report; the settings name at most four.
 const MAX_FIGURES: usize = 16;
-/// Highest number of figures of one JSON object that are read, including unknown ones.
+/// Maximum number of figures that are read from a JSON object, including unknown ones.
 const MAX_JSON_FIGURES: usize = 4 * MAX_FIGURES;
 const MILLIS_PER_SECOND: f64 = 1e3;
-/// Prefix of a report in a header.
+/// Prefix of a report in an HTTP header.
 const TEXT_PREFIX: &str = "TEXT";
 
-/// Load of a worker as reported. Absent fields were not reported.
+/// Load of a worker as reported; `None` for figures that were not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Free slots.
     pub free_slots: Option<f64>,
-    /// Free memory units.
+    /// Free memory, in memory units.
     pub free_memory: Option<f64>,
-    /// Number of requests that wait.
+    /// Number of requests that wait in the worker's queue.
     pub queue_length: Option<f64>,
     /// Number of requests that wait or run.
     pub in_flight: Option<f64>,
-    /// Recent service time without waiting, in seconds.
+    /// Recent service time without the wait, in seconds.
     pub latency: Option<f64>,
-    /// Errors per second.
+    /// Number of errors per second.
     pub error_rate: Option<f64>,
 }
 
@@ -50,7 +51,7 @@
     }
 }
 
-/// Meaning of one figure.
+/// Meaning of a figure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Figure {
     FreeSlots,
@@ -76,23 +77,23 @@
     }
 }
 
-/// A figure by the name under which a deployment's workers report it.
+/// A figure, with the name under which the workers of this deployment report it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct NamedFigure {
     name: Box<str>,
     figure: Figure,
 }
 
-/// Figures of a deployment's load reports, in their order.
+/// The figures of a deployment's load reports, in the order of positional reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoadReportFormat(Vec<NamedFigure>);
 
-/// A load report with figures by name, as far as it could be read.
+/// The readable part of a load report with figures by name.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ParsedLoadReport {
     /// The usable figures; `None` if there are none.
     pub load: Option<LoadReport>,
-    /// Whether some figures were malformed and left out.
+    /// Whether some figures were malformed and therefore ignored.
     pub malformed: bool,
 }
 
@@ -101,7 +102,8 @@
 }
 
 impl LoadReportFormat {
-    /// Returns the format of the settings: `report.names`, and for x0 and x1 their meaning under `family-info`.
+    /// Returns the format that the settings describe: `report.names` lists the names, and `family-info.report-x0` and
+    /// `family-info.report-x1` state the meaning of the names `x0` and `x1`.
     pub fn from_settings(pairs: &SettingsPairs<'_>) -> LoadReportFormat {
         let described = |name: &str| pairs.text(&format!("family-info.report-{name}")).replace(' ', "_");
         let figure = |name: &str| match name {
@@ -113,7 +115,8 @@
         LoadReportFormat(figures.collect())
     }
 
-    /// Reads a report that gives its figures by position, separated by commas; `-` or nothing where one is absent.
+    /// Parses a report with figures by position, separated by commas; `-` or an empty field stands for an absent
+    /// figure.
     ///
     /// # Errors
     /// Returns [`InvalidValue`] if a figure is not a number.
@@ -132,8 +135,8 @@
         Ok(load)
     }
 
-    /// Reads a report that gives its figures by name. Names that are not in the settings are ignored. A figure that is
-    /// not a number, negative, infinite, or given twice is left out: of two values neither can be trusted.
+    /// Parses a report with figures by name. Names that are not in the settings are ignored. A figure that is not a
+    /// number, negative, infinite or given twice is left out; of two values for a figure neither can be trusted.
     fn parse_named<'a>(&self, figures: impl Iterator<Item = ReportedFigure<'a>>) -> ParsedLoadReport {
         let mut load = LoadReport::default();
         let mut malformed = false;
@@ -149,15 +152,15 @@
         ParsedLoadReport { load: Some(load).filter(|load| *load != LoadReport::default()), malformed }
     }
 
-    /// Reads a report as an object of JSON: `{"inflight":7,"queue":2}`.
+    /// Parses a report in JSON, such as `{"inflight":7,"queue":2}`.
     pub fn parse_json(&self, text: &str) -> ParsedLoadReport {
-        match serde_json::from_str::<Object<'_>>(text) {
-            Ok(Object(figures)) => self.parse_named(figures.into_iter()),
+        match serde_json::from_str::<FigureList<'_>>(text) {
+            Ok(FigureList(figures)) => self.parse_named(figures.into_iter()),
             Err(_) => ParsedLoadReport::UNREADABLE,
         }
     }
 
-    /// Reads a report of a header: the word TEXT, then `name=value` separated by commas.
+    /// Parses a report in an HTTP header: the word TEXT, then `name=value` pairs separated by commas.
     pub fn parse_text(&self, text: &str) -> ParsedLoadReport {
         let Some(rest) = text.trim().strip_prefix(TEXT_PREFIX) else {
             return ParsedLoadReport::UNREADABLE;
@@ -172,38 +175,38 @@
     }
 }
 
-/// A figure of a report, with its value if that is a number.
+/// A figure in a report; `value` is `None` if it is not a number.
 struct ReportedFigure<'a> {
     name: Cow<'a, str>,
     value: Option<f64>,
 }
 
-/// Figures of a JSON object in their order: a map would hide that one was given twice.
-struct Object<'a>(Vec<ReportedFigure<'a>>);
+/// The figures of a JSON object in their order. A list, because a map would hide that a figure was given twice.
+struct FigureList<'a>(Vec<ReportedFigure<'a>>);
 
-impl<'de> Deserialize<'de> for Object<'de> {
+impl<'de> Deserialize<'de> for FigureList<'de> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_map(ObjectVisitor)
+        deserializer.deserialize_map(FigureListVisitor)
     }
 }
 
-struct ObjectVisitor;
+struct FigureListVisitor;
 
-impl<'de> Visitor<'de> for ObjectVisitor {
-    type Value = Object<'de>;
+impl<'de> Visitor<'de> for FigureListVisitor {
+    type Value = FigureList<'de>;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("an object of figures")
+        formatter.write_str("a JSON object with figures by name")
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Object<'de>, A::Error> {
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<FigureList<'de>, A::Error> {
         let mut figures = Vec::new();
         while let Some((name, value)) = map.next_entry::<Cow<'de, str>, Value>()? {
             if figures.len() < MAX_JSON_FIGURES {
                 figures.push(ReportedFigure { name, value: value.as_f64() });
             }
         }
-        Ok(Object(figures))
+        Ok(FigureList(figures))
     }
 }
 
--- a/crates/dispatch-core/src/policy/admission.rs
+++ b/crates/dispatch-core/src/policy/admission.rs
@@ -1,19 +1,21 @@
-//! Admission of a request: validation, an estimate of how long it may wait, and the decision. A k-slot job
-//! needs U >= k and time to start, or is rejected at once, whole, with a retry-after.
+//! **Admission.** Validates a request, estimates by when its job must start, and admits, queues or rejects
+//! it. A job of k slots is accepted if its tenant's balance U is at least k and it can start in time.
+//! Otherwise it is rejected at once, as a whole, with a retry-after.
 
 use super::Dispatcher;
 use crate::api::{Action, Request, RequestId, Seconds};
 use crate::job::{Job, JobTiming};
 
-/// Least time that a job has to start, unless half its timeout is shorter.
+/// Minimum time that a job is given to start, unless half of its timeout is shorter.
 const MIN_START_TIME: Seconds = 0.01;
-/// Steps of the clock between the latest start of a job and the timeout of its client.
-const CLOCK_STEPS_TO_ANSWER: f64 = 4.0;
-/// Shortest retry-after of a rejection.
+/// Clock steps between the latest start of a job and the timeout of its client, in which the response is
+/// sent.
+const CLOCK_STEPS_TO_RESPOND: f64 = 4.0;
+/// Minimum retry-after of a rejection.
 const MIN_RETRY_AFTER: Seconds = 0.001;
 
 impl Dispatcher {
-    /// Admits, queues or rejects a request. One whose id is open already is ignored.
+    /// Admits, queues or rejects a request. A request whose id is already in use is ignored.
     pub(super) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
         if self.jobs.contains_key(&request.id) {
             return;
@@ -37,7 +39,7 @@
         self.enqueue(job, actions);
     }
 
-    /// Returns the request with class and tenant within the lists of the settings.
+    /// Returns the request with its class and tenant limited to the lists of the settings.
     fn with_valid_positions(&self, request: Request) -> Request {
         let class = (request.class as usize).min(self.settings.classes.len() - 1);
         let tenant = (request.tenant as usize).min(self.banks.len() - 1);
@@ -45,7 +47,7 @@
     }
 
     /// Whether a job of this size may fit a worker. The banks are enlarged for the largest job so far, but
-    /// not for one beyond any worker, which would open them to everything that follows.
+    /// not for a job that no worker can run, because such large banks would admit all requests that follow.
     fn fits_some_worker(&mut self, slots: i64) -> bool {
         if slots <= self.fleet.largest_job {
             return true;
@@ -58,7 +60,7 @@
         true
     }
 
-    /// Learns the sizes of jobs and the rates of keys from an arrival.
+    /// Updates the estimates of job sizes and key rates with an arrival.
     fn record_arrival(&mut self, request: &Request, slots: f64) {
         self.workload.record_slots(slots);
         let work = slots * self.workload.run_times[request.class as usize].mean;
@@ -68,20 +70,22 @@
         }
     }
 
-    /// Estimates the age of a request and the time by which its job must start to be in time.
+    /// Estimates the age of a request and the time by which its job must start for the response to be in
+    /// time.
     fn estimate_timing(&mut self, request: &Request) -> JobTiming {
         let class = request.class as usize;
         let slack = self.workload.run_times[class]
             .start_slack(&self.settings.classes[class], request.expected_run_time);
         let age = self.request_age(request);
-        let latest_start = request.timeout - CLOCK_STEPS_TO_ANSWER * self.settings.clock_resolution;
+        let latest_start = request.timeout - CLOCK_STEPS_TO_RESPOND * self.settings.clock_resolution;
         JobTiming { arrived_at: self.now, age, start_by: self.now + (slack - age).min(latest_start) }
     }
 
-    /// Returns the time since the client's first attempt. First attempts count as arrivals of the tenant.
+    /// Returns the time since the client's first attempt. Counts a first attempt as an arrival of the tenant.
     fn request_age(&mut self, request: &Request) -> Seconds {
         let run_times = &mut self.workload.run_times[request.class as usize];
-        // A first attempt with a shorter timeout than others is no older than they.
+        // The timeout of a retry is shorter by the time since the first attempt, but a first attempt may have
+        // a short timeout of its own. If clients mark retries, only the mark decides.
         let age = run_times.record_timeout(request.timeout) - request.timeout;
         let seems_first = age < self.settings.clock_resolution;
         let is_first = if self.settings.clients_mark_retries { !request.is_retry } else { seems_first };
@@ -92,7 +96,8 @@
         age
     }
 
-    /// Returns the wait to suggest to the client if the request is rejected, or `None` if it is taken.
+    /// Returns the retry-after to suggest to the client if the request is rejected, or `None` if it is
+    /// accepted.
     fn rejection_wait(&mut self, request: &Request, slots: i64, timing: JobTiming) -> Option<Seconds> {
         let late_weight = self.settings.classes[request.class as usize].late_weight;
         let is_too_late = timing.start_by <= self.now && late_weight == 0.0;
@@ -107,7 +112,7 @@
         Some(wait)
     }
 
-    /// Returns a rejection with a retry-after, as far as the settings allow one.
+    /// Returns a rejection, with a retry-after if the settings allow one.
     pub(super) fn rejection(&self, request: RequestId, wait: Seconds) -> Action {
         let longest = self.settings.max_retry_after;
         let retry_after = (longest > 0.0).then(|| wait.clamp(MIN_RETRY_AFTER, longest));
--- a/crates/dispatch-core/src/policy/attempts.rs
+++ b/crates/dispatch-core/src/policy/attempts.rs
@@ -1,11 +1,12 @@
-//! 5. **Attempts.** A job that never ran is sent again; one that may have run only as its class allows.
+//! **Attempts.** A job that never ran may be sent again; a job that may have run is sent again only if its
+//! class allows it.
 
 use super::Dispatcher;
 use crate::api::{Action, Idempotency, LoadReport, LoadReports, Outcome, RequestId};
 use crate::job::{Attempt, EndedAttempt, Job, JobState};
 use crate::run_time::RunningJob;
 
-/// Part of the time that a job has to start beyond which its wait at a worker counts as a rejection.
+/// Fraction of the time to start of a job beyond which its wait at a worker counts as a rejection.
 const CONGESTED_WAIT: f64 = 0.5;
 /// Estimated utilization of a worker that rejected a job as overloaded.
 const OVERLOADED_UTILIZATION: f64 = 1.5;
@@ -17,19 +18,19 @@
     /// The number of the attempt.
     pub number: u32,
     pub outcome: Outcome,
-    /// Whether the request has its final answer.
+    /// Whether the client has its final response.
     pub is_complete: bool,
-    /// The worker's load report, where one came with the response.
+    /// The worker's load report, if the response carried one.
     pub load: Option<LoadReport>,
 }
 
 impl Dispatcher {
-    /// Ends a job that was not served: rejected where its client may send it again, else failed.
+    /// Ends a job that was not served: as rejected if its client may send it again, otherwise as failed.
     pub(super) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id) else { return };
         let class = &self.settings.classes[job.class()];
         let wait = (job.slots as f64 / self.rate.partial(1.0)).min(self.settings.max_retry_after);
-        // A client that honours the retry-after must come back within the retry window.
+        // A client that honors the retry-after must be able to retry within the retry window.
         let may_return = |attempt: &Attempt| class.allows_client_retry(self.now + wait - attempt.sent_at);
         let is_retry_harmless = job.possible_runs().next().is_none_or(may_return);
         let action = if is_retry_harmless { self.rejection(id, wait) } else { Action::Fail { request: id } };
@@ -37,7 +38,7 @@
         self.finish(id);
     }
 
-    /// Marks a job as answered; it is remembered until its attempts have ended.
+    /// Marks a job as answered; its state is kept until all its attempts have ended.
     fn finish(&mut self, id: RequestId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.state = JobState::Ended;
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Learns from the wait of a job that began to run.
+    /// Updates the estimates with the wait of a job that began to run.
     pub(super) fn on_job_started(&mut self, id: RequestId, number: u32) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let class = job.class();
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Takes a progress report as a sign of life of the worker.
+    /// Records a progress report as a sign of life of the worker.
     pub(super) fn on_progress(&mut self, id: RequestId, number: u32) {
         let Some(job) = self.jobs.get(&id) else { return };
         if let Some(attempt) = job.attempts.get(number as usize) {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Learns from the end of an attempt, then answers the job or tries again.
+    /// Updates the estimates with the end of an attempt, then ends the job or sends it again.
     pub(super) fn on_attempt_ended(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
         let id = end.request;
         let Some(job) = self.jobs.get_mut(&id) else { return };
@@ -111,7 +112,7 @@
         is_harmless && !has_expired && job.start_by > self.now
     }
 
-    /// Updates worker, rate and running times by the end of an attempt.
+    /// Updates the state of the worker, the admission rate and the running times with the end of an attempt.
     fn record_attempt(&mut self, ended: &EndedAttempt, load: Option<LoadReport>) {
         let index = ended.attempt.worker;
         self.fleet.add_slots(index, -ended.size, self.observation_time());
@@ -127,10 +128,10 @@
             Outcome::Overloaded => self.record_overloaded(ended),
             Outcome::Timeout => self.record_timeout(ended),
             Outcome::ConnectFailed => self.record_failure(index),
-            // A job that fails at one worker after another is at fault itself, and must not eject them all.
+            // A job that fails at several workers is probably the cause itself, and must not eject them all.
             Outcome::Reset | Outcome::Error if ended.failed_before => {}
             Outcome::Reset | Outcome::Error => self.record_failure(index),
-            // An invalid request was no job: its tenant gets the tokens back.
+            // An invalid request never ran as a job, so its tenant gets the tokens back.
             Outcome::InvalidRequest => {
                 let slots = ended.size.ceil() as i64;
                 self.banks[ended.request.tenant as usize].refund(slots);
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Updates the estimate of a worker that rejected a job. Its answer is newer than the report that came
-    /// with it.
+    /// Updates the load estimate of a worker that rejected a job as overloaded. The rejection itself is newer
+    /// than the load report in the response, so the report is not applied.
     fn record_overloaded(&mut self, ended: &EndedAttempt) {
         let index = ended.attempt.worker;
         if ended.is_retry {
@@ -151,7 +152,7 @@
         self.fleet.record_other_slots(index, other_slots, self.now);
     }
 
-    /// Counts a timeout as congestion, and as a failure of the worker where the job did not even start.
+    /// Counts a timeout as congestion, and also as a failure of the worker if the job did not start.
     fn record_timeout(&mut self, ended: &EndedAttempt) {
         self.rate.record_rejection(ended.attempt.worker, ended.size);
         if ended.attempt.started_at.is_none() {
@@ -159,8 +160,7 @@
         }
     }
 
-    /// Learns from a job that was served: its wait for the rate, its run for the estimates, its worker's
-    /// health.
+    /// Updates the admission rate, the running times and the health of the worker with a job that was served.
     fn record_served(&mut self, ended: &EndedAttempt) {
         let index = ended.attempt.worker;
         self.record_served_wait(ended);
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Counts a served job as accepted, or as rejected if it waited long: a long wait is congestion, whereas
-    /// a long run is a matter of the job or its worker.
+    /// Counts a served job as accepted, or as rejected if it waited long. A long wait indicates congestion,
+    /// whereas a long run depends on the job or the worker.
     fn record_served_wait(&mut self, ended: &EndedAttempt) {
         let class = ended.request.class as usize;
         let settings = &self.settings.classes[class];
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Drops a job whose client is gone, and cancels its open attempts where that is allowed.
+    /// Ends a job whose client has disconnected, and cancels its open attempts if that is allowed.
     pub(super) fn on_client_disconnect(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         match std::mem::replace(&mut job.state, JobState::Ended) {
--- a/crates/dispatch-core/src/policy/endpoint_list.rs
+++ b/crates/dispatch-core/src/policy/endpoint_list.rs
@@ -1,26 +1,27 @@
-//! 6. **Endpoint list.** Follows the list of workers, which may be late, silent or out of reach.
+//! **Endpoint list.** Applies changes of the list of workers, and requests the list again after a failure.
+//! Discovery may be late, unresponsive or unreachable.
 
 use super::Dispatcher;
 use crate::api::{Action, Endpoint, ListScope};
 use crate::timers::TimerEvent;
 
-/// Shortest delay before the next call with jitter, as a part of its length; the jitter spans the whole
-/// length.
-const MIN_DELAY_PART: f64 = 0.5;
+/// Minimum delay before the next call, as a fraction of the delay without jitter. The jitter adds up to one
+/// whole delay.
+const MIN_DELAY_FACTOR: f64 = 0.5;
 
 impl Dispatcher {
-    /// Begins to watch the endpoint list.
+    /// Requests a watch on the endpoint list.
     pub(super) fn watch_endpoint_list(&mut self, actions: &mut Vec<Action>) {
-        self.endpoint_list.record_call();
+        self.endpoint_list.record_watch_request();
         actions.push(Action::Watch(true));
     }
 
-    /// Takes the endpoint list, a change of it, or the failure of a call or watch.
+    /// Applies the endpoint list, a change of it, or the failure of a call or watch.
     pub(super) fn on_endpoint_list(&mut self, scope: ListScope, endpoints: &[Endpoint]) {
         match scope {
             ListScope::Failed => return self.retry_endpoint_list(),
             ListScope::Cached => {}
-            ListScope::Full | ListScope::Incremental => self.endpoint_list.record_answer(),
+            ListScope::Full | ListScope::Incremental => self.endpoint_list.record_update(),
         }
         if scope != ListScope::Incremental {
             self.fleet.remove_absent(endpoints);
@@ -36,7 +37,7 @@
     /// Schedules the next call after a failure.
     fn retry_endpoint_list(&mut self) {
         let delay = self.endpoint_list.record_failure(self.settings.max_poll_interval);
-        let jitter = MIN_DELAY_PART + self.rng.f64();
+        let jitter = MIN_DELAY_FACTOR + self.rng.f64();
         self.schedule(delay * jitter, TimerEvent::EndpointListRetry);
     }
 }
--- a/crates/dispatch-core/src/policy/mod.rs
+++ b/crates/dispatch-core/src/policy/mod.rs
@@ -1,8 +1,8 @@
-//! All decisions of one dispatcher; no clock, no I/O, no shared state.
+//! All decisions of one dispatcher, without a clock, I/O or shared state.
 //!
-//! A job passes `admission` and `throttle`, which `rate_control` sets the rate of; `placement` sends it to a
-//! worker that `worker_selection` chooses by `worker_cost` and `slow_start`; `attempts` answers it or sends
-//! it again. Each file opens with its rule.
+//! A job passes `admission` and then `throttle`, whose rate `rate_control` sets. `placement` sends it to a
+//! worker, which `worker_selection` chooses by `worker_cost` and `slow_start`. `attempts` ends the job or
+//! sends it again. The rule that a file implements is stated at its top.
 
 mod admission;
 mod attempts;
@@ -35,20 +35,20 @@
 use attempts::AttemptEnd;
 use probing::ProbeScope;
 
-/// The admission rate R starts at this multiple of our part of the quotas: a fleet has more capacity than is
-/// promised.
+/// Initial admission rate R, as a multiple of this dispatcher's share of the quotas: a fleet has more
+/// capacity than its quotas promise.
 const INITIAL_RATE_MULTIPLE: f64 = 1.5;
-/// Longest delay of the first probe.
+/// Maximum delay of the first probe.
 const MAX_FIRST_PROBE_DELAY: Seconds = 0.1;
 
-/// One dispatcher.
+/// The decision logic of one dispatcher, with its state.
 #[derive(Debug)]
 pub struct Dispatcher {
     settings: Settings,
     rng: fastrand::Rng,
     now: Seconds,
     banks: Vec<TokenBank>,
-    /// Time at which tokens were added last.
+    /// Time at which tokens were last added to the banks.
     accrued_at: Seconds,
     rate: AdmissionRate,
     workload: Workload,
@@ -57,17 +57,17 @@
     reserved_workers: ReservedWorkers,
     key_rates: KeyRates,
     jobs: FxHashMap<RequestId, Job>,
-    /// Jobs that wait for a worker, first come first.
+    /// Admitted jobs that wait for a worker, in the order of admission.
     admitted: VecDeque<RequestId>,
     slow_start_shares: SlowStartShares,
-    /// Workers that answered a probe or left an idle connection, latest first.
+    /// Workers that answered a probe or left an idle connection, the latest first.
     recently_probed: VecDeque<usize>,
     timers: TimerQueue,
     endpoint_list: EndpointListState,
 }
 
 impl Dispatcher {
-    /// Returns a dispatcher without any workers. The same seed and events give the same actions.
+    /// Returns a dispatcher without any workers. Equal seeds and events give equal actions.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let settings = settings.normalized(1);
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Begins work: subscribes to the endpoint list and arms the timer.
+    /// Starts the dispatcher: requests a watch on the endpoint list if the settings ask for it, and arms the
+    /// timer.
     pub fn start(&mut self, now: Seconds, actions: &mut Vec<Action>) {
         self.now = now;
         self.accrued_at = now;
@@ -110,12 +111,12 @@
         self.arm_timer(actions);
     }
 
-    /// Returns the mean work of a job, in slots by seconds.
+    /// Returns the mean work of a job, in slot-seconds.
     pub fn mean_job_work(&self) -> f64 {
         self.workload.mean_job_work()
     }
 
-    /// Takes one event and appends the actions to carry out.
+    /// Handles one event and appends the actions that the caller must carry out.
     pub fn on_event(&mut self, now: Seconds, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.handle(event, actions);
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Applies other settings: estimates stay, banks follow their tenants' new shares.
+    /// Applies new settings. Estimates are kept, and the banks get the new shares of their tenants.
     fn on_settings(&mut self, settings: &Settings) {
         self.accrue_tokens();
         let settings = settings.clone().normalized(self.workload.run_times.len());
@@ -163,12 +164,12 @@
         self.reserved_workers.assign(&self.fleet.workers);
     }
 
-    /// Wakes the dispatcher for a timer event after this time, or at once.
+    /// Schedules a timer event after this time; a negative time means at once.
     fn schedule(&mut self, after: Seconds, event: TimerEvent) {
         self.timers.schedule(self.now + after.max(0.0), event);
     }
 
-    /// Arms the caller's timer for the earliest timer event where it is not armed for it.
+    /// Arms the caller's timer for the earliest timer event, unless it is already armed for it.
     fn arm_timer(&mut self, actions: &mut Vec<Action>) {
         actions.extend(self.timers.arm(self.now, self.settings.clock_resolution));
     }
--- a/crates/dispatch-core/src/policy/outlier_detection.rs
+++ b/crates/dispatch-core/src/policy/outlier_detection.rs
@@ -1,17 +1,18 @@
-//! Workers that fail or stall are ejected for a while and readmitted; jobs at stalled workers are hedged.
+//! **Outlier detection.** Workers that fail or stall are ejected for some time and then readmitted. Jobs at
+//! stalled workers are hedged.
 
 use super::Dispatcher;
 use crate::api::{Action, Idempotency, LoadReports, RequestId, Seconds};
 use crate::job::{Attempt, Job, JobState};
 use crate::timers::{TimerEvent, TIMER_TOLERANCE};
 
-/// Time without a sign of life after which a worker is stalled while a job of ours waits there, before
-/// [`STALL_WAITS`] is added.
+/// Time without a sign of life after which a worker counts as stalled while a job of this dispatcher waits
+/// there; [`STALL_WAITS`] mean waits are added.
 const STALL_TIMEOUT: Seconds = 1.5;
-/// Mean waits by which the stall timeout of a job that waits is longer.
+/// Number of mean waits that are added to [`STALL_TIMEOUT`] for a job that waits at a worker.
 const STALL_WAITS: f64 = 16.0;
-/// Intervals between progress reports after which a worker without a sign of life is stalled while a job of
-/// ours runs there.
+/// Number of progress intervals without a sign of life after which a worker counts as stalled while a job of
+/// this dispatcher runs there.
 const STALL_PROGRESS_INTERVALS: f64 = 2.2;
 
 impl Dispatcher {
@@ -21,8 +22,8 @@
         self.fleet.record_failure(index, self.now, jitter);
     }
 
-    /// Ejects a worker that took a job and gives no sign of life, until it does, and hedges the job; checks
-    /// again later where the stall timeout is not over.
+    /// Ejects a worker that holds a job and gives no sign of life, until it gives one, and hedges the job. If
+    /// the stall timeout is not over yet, schedules the next check.
     pub(super) fn on_stall_check(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id).filter(|job| job.state == JobState::InFlight) else { return };
         let reports_progress = self.settings.progress_interval > 0.0;
@@ -42,7 +43,7 @@
         self.hedge(id, actions);
     }
 
-    /// Returns the time without a sign of life after which the worker of an attempt is stalled.
+    /// Returns the time without a sign of life after which the worker of an attempt counts as stalled.
     fn stall_timeout(&self, attempt: &Attempt) -> Seconds {
         if attempt.started_at.is_none() {
             STALL_TIMEOUT + STALL_WAITS * self.workload.mean_wait
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Sends a hedged request where settings, class and budget allow one.
+    /// Sends a hedged request if settings, class and budget allow one and a worker is available.
     fn hedge(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.remove(&id) else { return };
         let candidate = if self.may_hedge(&job) { self.choose_worker(&job) } else { None };
--- a/crates/dispatch-core/src/policy/placement.rs
+++ b/crates/dispatch-core/src/policy/placement.rs
@@ -1,22 +1,23 @@
-//! 3. **Placement.** An admitted job is sent to the best worker of a sample, waits a while for a free one
-//!    where loads are reported, or is given up.
+//! **Placement.** An admitted job is sent to the best worker of a sample. If loads are reported and no worker
+//! seems free, the job waits for a short time first. A job that no worker can run in time is rejected.
 
 use super::Dispatcher;
 use crate::api::{Action, LoadReports, RequestId};
 use crate::job::{Attempt, Candidate, Job, JobState};
-use crate::load::PROMPT_START;
+use crate::load::UNQUEUED_START_DELAY;
 use crate::timers::{TimerEvent, TIMER_TOLERANCE};
 
-/// Part of the time that a job has to start for which it waits for a free worker.
+/// Fraction of its time to start for which a job waits for a free worker.
 pub(super) const PLACEMENT_WAIT: f64 = 0.1;
-/// Attempts after which a job is sent only to a worker that seems free: others would reject it as well.
-const BLIND_ATTEMPTS: usize = 2;
-/// Part of the jobs with an unreachable deadline that is sent all the same, to correct wrong estimates.
+/// Number of attempts after which a job is sent only to a worker that seems free, because other workers would
+/// probably reject it as well.
+const MAX_BLIND_ATTEMPTS: usize = 2;
+/// Fraction of the jobs with an unreachable deadline that is sent nevertheless, to correct wrong estimates.
 const UNREACHABLE_SEND_RATE: f64 = 1.0 / 16.0;
-/// Most admitted jobs that are tried at one event.
+/// Maximum number of admitted jobs that are tried per event.
 pub(super) const MAX_PLACEMENTS: usize = 3;
 
-/// The decision on an admitted job.
+/// The decision about an admitted job.
 #[derive(Clone, Copy, Debug)]
 enum Placement {
     /// The job waits for a free worker.
@@ -25,13 +26,13 @@
     Send(Candidate),
     /// The job would be late even at the best worker.
     DeadlineUnreachable(Candidate),
-    /// No worker may get the job.
+    /// No worker is eligible for the job.
     NoWorker,
 }
 
 impl Dispatcher {
-    /// Places admitted jobs, first come first. Only the first few are tried: where they find no worker, those
-    /// behind them would not either.
+    /// Places admitted jobs in the order of admission. Only the first few are tried: if they find no worker,
+    /// the jobs behind them would find none either.
     pub(super) fn place_admitted(&mut self, actions: &mut Vec<Action>) {
         let mut waiting = Vec::with_capacity(MAX_PLACEMENTS);
         while waiting.len() < MAX_PLACEMENTS {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Sends a job, or ends it where that is of no use. Returns whether the job is to wait for a free worker.
+    /// Sends a job, or ends it if a send is of no use. Returns whether the job must wait for a free worker.
     fn place(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(job) = self.jobs.remove(&id) else { return false };
         let placement = self.decide_placement(&job);
@@ -86,7 +87,7 @@
         if self.deadline_unreachable(job, candidate) && self.rng.f64() > UNREACHABLE_SEND_RATE {
             return Placement::DeadlineUnreachable(candidate);
         }
-        let may_send_blind = !has_reports || job.attempts.len() < BLIND_ATTEMPTS;
+        let may_send_blind = !has_reports || job.attempts.len() < MAX_BLIND_ATTEMPTS;
         if is_free || may_send_blind {
             Placement::Send(candidate)
         } else {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Whether the job is nearly certain to be late at its best worker and worth nothing then.
+    /// Whether the job is almost certain to be late at its best worker and a late response has no weight.
     fn deadline_unreachable(&self, job: &Job, candidate: Candidate) -> bool {
         let late_weight = self.settings.classes[job.class()].late_weight;
         let run_times = &self.workload.run_times[job.class()];
@@ -103,7 +104,7 @@
             && run_times.deadline_unreachable(candidate.lateness_probability)
     }
 
-    /// Sends a job to a worker and counts what it takes there.
+    /// Sends a job to a worker and counts the slots and the slow-start budget that it uses there.
     pub(super) fn send(&mut self, id: RequestId, candidate: Candidate, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let size = job.size();
@@ -119,7 +120,7 @@
         actions.push(Action::Send { request: id, worker: worker.id, timeout: None });
         self.hedge_budget.record_send();
         if self.settings.reports_job_start {
-            self.schedule(2.0 * PROMPT_START, TimerEvent::StallCheck(id));
+            self.schedule(2.0 * UNQUEUED_START_DELAY, TimerEvent::StallCheck(id));
         }
     }
 }
--- a/crates/dispatch-core/src/policy/probing.rs
+++ b/crates/dispatch-core/src/policy/probing.rs
@@ -1,4 +1,4 @@
-//! Probes of workers for their load, and the load reports that come with probe results and responses.
+//! **Probing.** Probes workers for their load, and applies the load reports of probe results and responses.
 
 use super::worker_selection::MAX_SAMPLE;
 use super::Dispatcher;
@@ -7,9 +7,9 @@
 use crate::load::ObservationTime;
 use crate::timers::TimerEvent;
 
-/// Workers probed for one job that waits.
+/// Number of workers that are probed for a waiting job.
 const PROBES_PER_JOB: f64 = 3.0;
-/// Highest price of all probes for one job, as a part of the service.
+/// Maximum price of all probes for one job, as a fraction of the value of a served request.
 const MAX_PROBE_COST: f64 = 0.01;
 
 /// The zones whose workers are probed for a job.
@@ -22,13 +22,13 @@
 }
 
 impl Dispatcher {
-    /// Whether workers may be probed for jobs that wait.
+    /// Whether workers may be probed for waiting jobs.
     pub(super) fn may_probe(&self) -> bool {
         self.settings.probes_allowed && self.settings.load_reports == LoadReports::WithResponses
     }
 
-    /// Probes a few workers while an admitted job waits for a free one: where traffic is thin, reports are
-    /// old.
+    /// Probes a few workers while an admitted job waits for a free one, because load reports are old if this
+    /// dispatcher has little traffic.
     pub(super) fn probe(&mut self, id: RequestId, scope: ProbeScope, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id).filter(|job| job.state == JobState::Admitted) else { return };
         let zones = self.fleet.serving_by_zone.len() as u32;
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Probes a random worker and schedules the next such probe: each worker about once a second, but no more
-    /// than one probe a request, since probes have a price.
+    /// Probes a random worker and schedules the next such probe. Each worker is probed about once per second,
+    /// but at most one probe is sent per request, because probes have a price.
     pub(super) fn on_probe_due(&mut self, actions: &mut Vec<Action>) {
         let count = self.fleet.workers.len();
         let index = self.rng.usize(..count.max(1));
@@ -66,7 +66,7 @@
         self.schedule(after, TimerEvent::ProbeDue);
     }
 
-    /// Takes the result of a probe; `load` is `None` if the worker did not answer.
+    /// Handles the result of a probe; `load` is `None` if the worker did not respond or sent no load report.
     pub(super) fn on_probed(&mut self, id: WorkerId, load: Option<LoadReport>, actions: &mut Vec<Action>) {
         let Some(&index) = self.fleet.index.get(&id) else { return };
         self.fleet.workers[index].probing = false;
@@ -77,24 +77,24 @@
         }
     }
 
-    /// Remembers a worker as the latest that was probed or left a connection.
+    /// Puts a worker first on the list of those that answered a probe or left an idle connection.
     pub(super) fn remember_probed(&mut self, index: usize) {
         self.recently_probed.truncate(MAX_SAMPLE - 1);
         self.recently_probed.push_front(index);
     }
 
-    /// Updates the estimate of a worker's load by a report.
+    /// Updates the estimate of a worker's load with a load report.
     pub(super) fn apply_load_report(&mut self, index: usize, load: Option<LoadReport>) {
         let Some(load) = load else { return };
         let time = self.observation_time();
         let waiting = self.fleet.apply_load_report(index, &load, self.workload.mean_slots, time);
         if let Some(waiting) = waiting.filter(|slots| *slots > 0.0 && !self.settings.reports_job_start) {
-            // Job starts are not reported, but a queue shows that some jobs have not started.
+            // Job starts are not reported, but the queue shows that some jobs have not started.
             self.rate.record_rejection(index, waiting);
         }
     }
 
-    /// Returns the present, as the time of an observation.
+    /// Returns the current time as the time of an observation.
     pub(super) fn observation_time(&self) -> ObservationTime {
         ObservationTime { now: self.now, window: self.workload.rate_window() }
     }
--- a/crates/dispatch-core/src/policy/rate_control.rs
+++ b/crates/dispatch-core/src/policy/rate_control.rs
@@ -1,35 +1,35 @@
-//! 2. **Rate.** A tenant's tokens come at its share of the admission rate R. R rises while it limits and jobs
-//!    are accepted; it is cut once per congestion episode. Tokens that overflow a full bank go to the other
-//!    tenants by share.
+//! **Rate control.** The tokens of a tenant accrue at its share of the admission rate R. R rises while it
+//! limits admission and workers accept the jobs; it is cut after a window with congestion. Tokens that
+//! overflow a full bank go to the other tenants in proportion to their shares.
 
 use super::{Dispatcher, INITIAL_RATE_MULTIPLE};
 use crate::admission_rate::AdmissionRate;
 use crate::api::Seconds;
 use crate::timers::TimerEvent;
 
-/// Learning rate of arrivals and of jobs that are served, by windows.
+/// Learning rate per window of the arrival rates and of the rate that is served in time.
 const TRAFFIC_LEARNING_RATE: f64 = 0.1;
-/// Rise of R in a window in which it limits, as a part of R, after the first cut.
+/// Rise of R in a window in which R limits admission, as a fraction of R, after the first cut.
 const RATE_RISE: f64 = 0.05;
-/// Rise of R in a window in which it limits, as a part of R, before the first cut.
+/// Rise of R in a window in which R limits admission, as a fraction of R, before the first cut.
 const INITIAL_RATE_RISE: f64 = 0.1;
-/// Largest rise of R in a window, as a part of R.
+/// Maximum rise of R in a window, as a fraction of R.
 const MAX_RATE_RISE: f64 = 1.0;
-/// Rejected part of a window's sends above which the window is congested.
+/// Fraction of rejected sends above which a window is congested.
 const CONGESTED_SHARE: f64 = 0.15;
-/// Cut of R for each rejected part of the sends, as a part of R.
+/// Cut of R relative to the fraction of rejected sends.
 const CUT_PER_REJECTED: f64 = 0.5;
-/// Largest cut of R in a window, as a part of R.
+/// Maximum cut of R in a window, as a fraction of R.
 const MAX_CUT: f64 = 0.3;
-/// Rejected part of the sends above which quotas cannot be served for now.
+/// Fraction of rejected sends above which the fleet cannot serve the quotas, so that R may fall below them.
 const COLLAPSED_SHARE: f64 = 0.75;
 
-/// The traffic of a window, in slots a second.
+/// The traffic of a window, in slots per second.
 #[derive(Clone, Copy, Debug)]
 struct WindowTraffic {
     /// First attempts of clients.
     arrivals: f64,
-    /// Our part of the quotas of all tenants.
+    /// This dispatcher's share of the quotas of all tenants.
     quota: f64,
 }
 
@@ -51,7 +51,8 @@
         self.schedule(self.workload.rate_window(), TimerEvent::RateWindowEnd);
     }
 
-    /// Returns a lower bound of our part of the traffic: the quietest tenant is taken to use its quota.
+    /// Returns a lower bound of this dispatcher's share of the traffic, under the assumption that the tenant
+    /// with the least traffic relative to its quota uses its whole quota.
     fn traffic_share(&mut self, window: Seconds) -> f64 {
         let mut share = 1.0_f64;
         for (tenant, bank) in self.banks.iter_mut().enumerate() {
@@ -61,7 +62,7 @@
         share.max(1.0 / f64::from(self.settings.instances))
     }
 
-    /// Cuts R after a congested window; raises it where it limited the jobs that workers accept.
+    /// Cuts R after a congested window, or raises R if it limited admission while workers accepted the jobs.
     fn adjust_rate(&mut self, window: Seconds, traffic: WindowTraffic) {
         let rate = &mut self.rate;
         rate.served_rate += TRAFFIC_LEARNING_RATE * (rate.accepted / window - rate.served_rate);
@@ -74,8 +75,8 @@
     }
 }
 
-/// Cuts R by the rejected part of the sends, but not below the rate that is served in time, nor below our
-/// part of the quotas unless most is rejected.
+/// Cuts R in proportion to the fraction of rejected sends, but neither below the rate that is served in time
+/// nor, unless most sends are rejected, below this dispatcher's share of the quotas.
 fn cut_rate(rate: &mut AdmissionRate, rejected_share: f64, quota: f64) {
     let quota_factor = ((1.0 - rejected_share) / (1.0 - COLLAPSED_SHARE)).min(1.0);
     let lowest = rate.served_rate.max(quota * quota_factor).min(rate.slots_per_second);
@@ -84,8 +85,8 @@
     rate.was_cut = true;
 }
 
-/// Raises R by a small part, or towards its target: our part of the quotas after a cut, a multiple of the
-/// arrivals before.
+/// Raises R by a small fraction, or further toward its target: this dispatcher's share of the quotas after
+/// the first cut, a multiple of the arrivals before.
 fn raise_rate(rate: &mut AdmissionRate, traffic: WindowTraffic) {
     let rise = if rate.was_cut { RATE_RISE } else { INITIAL_RATE_RISE };
     let target = if rate.was_cut { traffic.quota } else { INITIAL_RATE_MULTIPLE * traffic.arrivals };
--- a/crates/dispatch-core/src/policy/slow_start.rs
+++ b/crates/dispatch-core/src/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! 4. **Slow start.** A worker that just started gets work by a budget of all dispatchers together.
+//! **Slow start.** All dispatchers together send a worker that has just started no more work than its budget.
 
 use super::worker_selection::MAX_SAMPLE;
 use super::Dispatcher;
@@ -8,17 +8,19 @@
 use crate::slow_start::{time_slice, BudgetSlice};
 use crate::worker::Worker;
 
-/// Part of the budget that is planned for: running times vary, and sends of two slices may overlap.
+/// Fraction of the budget that is planned; the rest is a margin, because running times vary and work that was
+/// sent in two slices may overlap.
 const PLANNED_BUDGET_SHARE: f64 = 0.25;
 
 impl Dispatcher {
-    /// Returns the number of the present time slice.
+    /// Returns the number of the current time slice.
     pub(super) fn time_slice(&self) -> u64 {
         time_slice(self.now, self.settings.overload_window)
     }
 
-    /// Returns the planned budget of a worker in this slice. It is planned in parts of about a job, each
-    /// assigned to one dispatcher: of many dispatchers none has the traffic to use up more.
+    /// Returns the planned budget of a worker in this slice. It is divided into parts of about one job, each
+    /// of which is assigned to one dispatcher, because none of many dispatchers has enough traffic to use
+    /// more.
     fn planned_budget(&self, worker: &Worker) -> BudgetSlice {
         let settings = &self.settings;
         let capacity = self.fleet.warm_capacity(worker, self.now) * self.fleet.slots_of(worker);
@@ -30,14 +32,14 @@
         }
     }
 
-    /// Returns our share of the planned budget of a worker in this slice, as work.
+    /// Returns this dispatcher's share of the planned budget of a worker in this slice, in slot-seconds.
     fn planned_share(&self, budget: &BudgetSlice) -> f64 {
         self.slow_start_shares.planned_share(budget, &self.settings)
     }
 
-    /// Whether the job fits our budget of a worker in slow start, if the worker is in slow start at all. A
-    /// job of more work than our share goes there by chance, drawn once a slice, so that the mean is our
-    /// share.
+    /// Whether the job fits this dispatcher's budget of a worker, or the worker is not in slow start. A job
+    /// of more work than the share may be sent with a probability, drawn once per slice, at which the mean of
+    /// the work sent equals the share.
     pub(super) fn has_slow_start_budget(&self, worker: &Worker, job: &Job) -> bool {
         let work = job.work();
         if !self.fleet.is_warming_up(worker, self.now) || worker.slow_start.granted_work(self.now) >= work {
@@ -53,7 +55,7 @@
         work <= budget.work && drawn as f64 / u64::MAX as f64 * work < own_share
     }
 
-    /// Whether a worker is in slow start and a part of its budget is ours.
+    /// Whether a worker is in slow start and this dispatcher has a part of its budget.
     fn has_slow_start_share(&self, index: usize) -> bool {
         let worker = &self.fleet.workers[index];
         self.fleet.is_warming_up(worker, self.now)
@@ -61,8 +63,8 @@
                 || self.planned_share(&self.planned_budget(worker)) > 0.0)
     }
 
-    /// Considers some workers in slow start of which a share is ours: a sample of all workers hardly contains
-    /// them.
+    /// Considers some of the workers in slow start of whose budget this dispatcher has a share, because a
+    /// sample of all workers rarely contains them.
     pub(super) fn consider_warming_up(&mut self, job: &Job, best: &mut Option<Candidate>) {
         self.update_slow_start_shares();
         for _ in 0..MAX_SAMPLE.min(self.slow_start_shares.workers.len()) {
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Lists the workers of which a share is ours, once a time slice.
+    /// Lists the workers of whose budget this dispatcher has a share, once per time slice.
     fn update_slow_start_shares(&mut self) {
         let time_slice = self.time_slice();
         if self.slow_start_shares.time_slice == time_slice {
@@ -82,14 +84,14 @@
         self.slow_start_shares.time_slice = time_slice;
     }
 
-    /// Takes a grant beyond our planned share, from the leader that allocates slow-start budgets.
+    /// Applies a grant beyond the planned share, from the leader that allocates slow-start budgets.
     pub(super) fn on_slow_start_grant(&mut self, worker: WorkerId, work: f64, expires_at: Seconds) {
         self.fleet.apply_grant(worker, work, expires_at, self.now);
         self.slow_start_shares.invalidate();
     }
 
-    /// Gives up the planned share of slow-start budgets for good: this process ends, and its successor, which
-    /// has the same number, may serve already. Work that was granted is still sent.
+    /// Releases the planned share of all slow-start budgets until this process ends: its successor, which has
+    /// the same instance number, may already serve and use that share. Granted work may still be sent.
     pub fn release_slow_start_share(&mut self) {
         self.slow_start_shares.planned_from = Seconds::INFINITY;
         self.slow_start_shares.invalidate();
--- a/crates/dispatch-core/src/policy/throttle.rs
+++ b/crates/dispatch-core/src/policy/throttle.rs
@@ -1,6 +1,6 @@
-//! 1. **Throttle.** Each tenant has a token bank and a small job buffer (Berger and Whitt), folded into one
-//!    counter in slots, U = T - J + C_J. With k tokens banked a k-slot job is admitted at once; else it is
-//!    queued, and tokens pay the head of the queue.
+//! **Throttle.** Each tenant has a token bank and a small job buffer (Berger and Whitt), combined into one
+//! balance in slots, U = T - J + C_J. If the bank holds k tokens, a job of k slots is admitted at once.
+//! Otherwise it is queued, and new tokens are spent on the job at the head of the queue.
 
 use super::placement::{MAX_PLACEMENTS, PLACEMENT_WAIT};
 use super::probing::ProbeScope;
@@ -10,13 +10,14 @@
 use crate::timers::{TimerEvent, TIMER_TOLERANCE};
 use crate::token_bank;
 
-/// Time in which the tokens of a full bank accrue: a burst evens out over a running time or two.
+/// Time in which the tokens of a full bank accrue: workers absorb a burst of that size within a running time
+/// or two.
 const BANK_TIME: Seconds = 1.0;
-/// Part of the wait for a free worker after which workers of other zones are probed.
+/// Fraction of the wait for a free worker after which workers of other zones are probed.
 const PROBE_OTHER_ZONES_AFTER: f64 = 0.2;
 
 impl Dispatcher {
-    /// Sets the capacities of all banks by the present rate and the largest job.
+    /// Sets the capacities of all banks according to the current rate and the largest job.
     pub(super) fn resize_banks(&mut self) {
         let objectives = self.settings.classes.iter().map(|class| class.latency_objective);
         let shortest_objective = objectives.fold(f64::INFINITY, f64::min);
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Adds the tokens that have come since the last call.
+    /// Adds the tokens that have accrued since the last call.
     pub(super) fn accrue_tokens(&mut self) {
         let elapsed = self.now - std::mem::replace(&mut self.accrued_at, self.now);
         if elapsed > 0.0 {
@@ -37,7 +38,8 @@
         }
     }
 
-    /// Withdraws the job's slots from its tenant's bank and admits it, or queues it until tokens pay for it.
+    /// Withdraws the job's slots from its tenant's bank and admits the job, or queues it until tokens cover
+    /// it.
     pub(super) fn enqueue(&mut self, job: Job, actions: &mut Vec<Action>) {
         let id = job.request.id;
         let tenant = job.tenant();
@@ -52,7 +54,7 @@
         self.release_queued(tenant, actions);
     }
 
-    /// Admits jobs from the head of a tenant's queue for as long as tokens pay for them.
+    /// Admits jobs from the head of a tenant's queue while tokens cover them.
     pub(super) fn release_queued(&mut self, tenant: usize, actions: &mut Vec<Action>) {
         while let Some(&id) = self.banks[tenant].queued.front() {
             let Some(job) = self.jobs.get(&id) else { return };
@@ -64,7 +66,8 @@
         }
     }
 
-    /// Lets a job wait for a worker: its tokens are paid, or were paid for an attempt that never ran.
+    /// Admits a job, which then waits for a worker. Its tokens have been spent, now or for an earlier
+    /// attempt.
     pub(super) fn admit(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.state = JobState::Admitted;
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Bounds the wait of an admitted job for a free worker, and probes for one in the meantime.
+    /// Limits the wait of an admitted job for a free worker, and probes workers in the meantime.
     fn await_free_worker(&mut self, id: RequestId, wait: Seconds, actions: &mut Vec<Action>) {
         self.schedule(wait, TimerEvent::PlacementTimeout(id));
         if self.may_probe() && self.admitted.len() <= MAX_PLACEMENTS {
--- a/crates/dispatch-core/src/policy/worker_cost.rs
+++ b/crates/dispatch-core/src/policy/worker_cost.rs
@@ -1,5 +1,5 @@
-//! The cost of sending a job to a worker, in seconds: its running time there, its wait, the prices of the
-//! path and the chance of being late.
+//! **Worker cost.** The cost of sending a job to a worker, in seconds. It consists of the running time there,
+//! the wait, the prices of the path and the probability of a late response.
 
 use super::Dispatcher;
 use crate::api::Seconds;
@@ -8,18 +8,18 @@
 
 /// Cost of queueing delay, as a multiple of the running time.
 const WAIT_COST: f64 = 4.0;
-/// Cost of a worker's utilization, as a multiple of the running time: load reports are late, so of workers
-/// that seem free the emptier one is preferred.
+/// Cost of a worker's utilization, as a multiple of the running time. Load reports are late, so among workers
+/// that seem free the one with the lowest utilization is preferred.
 const UTILIZATION_COST: f64 = 0.6;
-/// Utilization from which on a worker's cost by utilization grows no further.
+/// Utilization above which the cost of a worker's utilization no longer grows.
 const MAX_UTILIZATION: f64 = 2.0;
-/// Part of a rate window for which the load of a worker is fresh after a report, where probes are allowed.
+/// Fraction of a rate window for which a load report counts as fresh, if probes are allowed.
 const FRESH_WINDOWS: f64 = 0.25;
-/// Cost of a worker in a zone that seems lost, in seconds: it is the last choice.
+/// Cost of a worker in a zone with a suspected outage, in seconds; it makes such a worker the last choice.
 const SUSPECTED_ZONE_COST: f64 = 1e3;
-/// Cost of certain lateness, as a multiple of the job's work.
+/// Cost of a response that is certainly late, as a multiple of the job's work.
 const LATENESS_COST: f64 = 80.0;
-/// Cost of a price, which is a part of the service, as a multiple of the job's work.
+/// Cost of a price of one, the whole value of a served request, as a multiple of the job's work.
 const PRICE_COST: f64 = 5.0;
 
 impl Dispatcher {
@@ -49,13 +49,14 @@
         }
     }
 
-    /// Returns the running time at a worker relative to the work, with the reduced capacity of slow start.
+    /// Returns the running time at a worker relative to the work, including the reduced capacity in slow
+    /// start.
     fn slowdown(&self, index: usize) -> f64 {
         let log_slowdown = self.fleet.log_slowdown(index, &self.workload.slowdowns, self.now);
         log_slowdown.exp() / self.fleet.warm_capacity(&self.fleet.workers[index], self.now)
     }
 
-    /// Returns the expected utilization of a worker with the job.
+    /// Returns the expected utilization of a worker, this job included.
     fn utilization_with(&self, worker: &Worker, job: &Job) -> f64 {
         let other_slots = self.fleet.other_slots(worker, self.observation_time());
         (worker.our_slots + other_slots + job.size()) / self.fleet.slots_of(worker)
@@ -70,8 +71,8 @@
         self.now - worker.other_slots_observed_at < fresh_for
     }
 
-    /// Returns the price of the path to a worker, as a part of the service: crossing zones and a new
-    /// connection.
+    /// Returns the price of the path to a worker, as a fraction of the value of a served request: that of
+    /// crossing zones and of a new connection.
     fn path_price(&self, worker: &Worker) -> f64 {
         let settings = &self.settings;
         let crossing = if worker.zone == settings.zone { 0.0 } else { settings.cross_zone_price };
@@ -85,7 +86,7 @@
         self.fleet.expected_wait(worker, utilization) * self.workload.rate_window() * slowdown
     }
 
-    /// Returns the cost of probable lateness, as a multiple of the job's work.
+    /// Returns the cost of the risk of a late response, as a multiple of the job's work.
     fn lateness_cost(&self, job: &Job, lateness_probability: f64) -> f64 {
         let late_weight = self.settings.classes[job.class()].late_weight;
         let lateness_weight = self.workload.run_times[job.class()].lateness_weight();
@@ -93,7 +94,7 @@
     }
 }
 
-/// Returns the cost of waiting at a worker of this utilization, as a multiple of the running time.
+/// Returns the cost of a worker's utilization, the wait included, as a multiple of the running time.
 fn queueing_cost(utilization: f64) -> f64 {
     let wait_cost = WAIT_COST * (utilization - 1.0).max(0.0);
     let utilization_cost = UTILIZATION_COST * utilization.min(MAX_UTILIZATION).powi(2);
--- a/crates/dispatch-core/src/policy/worker_selection.rs
+++ b/crates/dispatch-core/src/policy/worker_selection.rs
@@ -1,23 +1,23 @@
-//! Selection of a worker for a job: those that are known to be free, the homes of its affinity key, those in
-//! slow start, then a sample of each zone, the own zone first.
+//! **Worker selection.** Considers for a job, in this order: recently probed workers, the homes of its
+//! affinity key, workers in slow start, and a sample of each zone, starting with the zone of this dispatcher.
 
 use super::Dispatcher;
 use crate::api::{Idempotency, LoadReports, WorkerState};
 use crate::job::{Candidate, Job};
 use crate::worker::Worker;
 
-/// Most workers considered in one step of the selection.
+/// Maximum number of workers considered in one step of the selection.
 pub(super) const MAX_SAMPLE: usize = 6;
-/// Fewest workers considered in a zone where loads are reported: dispatchers share old reports, and the more
-/// workers each of them considers, the more they choose alike.
+/// Minimum number of workers considered in a zone if loads are reported. All dispatchers see the same old
+/// reports, so the more workers each of them considers, the more of them choose the same worker.
 const MIN_SAMPLE: usize = 2;
-/// Sampled workers together, for each worker that serves, over all dispatchers.
+/// Number of samples per serving worker, over all dispatchers.
 const SAMPLES_PER_WORKER: usize = 2;
-/// Workers on the ring that a key may go to.
+/// Number of workers on the ring that are the homes of a key.
 const KEY_HOMES: usize = 3;
-/// Further workers that a key may go to, for each worker that its jobs could fill.
+/// Number of further homes of a key, per worker that the jobs of the key could keep busy.
 const KEY_SPREAD: f64 = 0.3;
-/// Costs are drawn up to this part higher, so that equal workers take turns.
+/// Maximum random increase of a cost, as a fraction of it, so that workers of equal cost take turns.
 const COST_JITTER: f64 = 0.01;
 
 fn has_free_slot(best: Option<Candidate>) -> bool {
@@ -51,7 +51,7 @@
         best
     }
 
-    /// Replaces the best candidate by this worker if it may get the job and costs less.
+    /// Replaces the best candidate by this worker if it is eligible for the job and costs less.
     pub(super) fn consider(&mut self, index: usize, job: &Job, best: &mut Option<Candidate>) {
         if !self.is_eligible(index, job) {
             return;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Whether a worker may get the job at all.
+    /// Whether a worker is eligible for the job.
     pub(super) fn is_eligible(&self, index: usize, job: &Job) -> bool {
         let worker = &self.fleet.workers[index];
         let required_kind = self.settings.classes[job.class()].required_kind;
@@ -98,21 +98,21 @@
         let offset = self.rng.usize(..in_zone.max(1));
         let sample = self.sample_size(in_all);
         for step in 0..sample.min(in_zone) {
-            // A stride that spreads the sample walks the zone without repeats.
+            // The stride spreads the sample over the zone without repeats.
             let position = (offset + step * in_zone.div_ceil(sample)) % in_zone;
             self.consider(self.fleet.serving_by_zone[zone][position], job, best);
         }
     }
 
-    /// Returns the number of workers to consider in each zone, by the number of workers that serve.
+    /// Returns the number of workers to consider in each zone, given the number of serving workers.
     fn sample_size(&self, workers: usize) -> usize {
         let least = if self.settings.load_reports == LoadReports::None { MAX_SAMPLE } else { MIN_SAMPLE };
         (SAMPLES_PER_WORKER * workers / self.settings.instances as usize).clamp(least, MAX_SAMPLE)
     }
 
-    /// Considers the homes of a key: the next workers on the ring, the same at every dispatcher, and the more
-    /// of them the higher the rate of the key. The job takes one of them, or one of those that follow where
-    /// that is busy.
+    /// Considers the homes of a key: the workers that follow the key on the ring, which are the same at every
+    /// dispatcher. The higher the rate of the key, the more homes it has. A random number of homes is
+    /// skipped, and the next few are considered, so that the job can go to another home if one is busy.
     fn consider_key_homes(&mut self, key: u64, job: &Job, best: &mut Option<Candidate>) {
         let rate = self.key_rates.rate(key, self.now) * f64::from(self.settings.instances);
         let work = rate * self.workload.rate_window() * self.workload.mean_slots;
--- a/crates/dispatch-core/src/settings.rs
+++ b/crates/dispatch-core/src/settings.rs
@@ -1,5 +1,5 @@
-//! Parser of the settings of a dispatcher from path=value pairs. The simulator's adapter gets them in its first
-//! message; the real program gets the same object as nested JSON.
+//! Parser for the settings of a dispatcher, from path=value pairs. The simulator adapter receives the pairs in its
+//! first message; the dispatcher process reads the same settings as nested JSON.
 
 use crate::api::{Class, Idempotency, KeyScope, LoadReports, Settings, Tenant};
 use crate::load_report::LoadReportFormat;
@@ -8,7 +8,7 @@
 /// Parses the settings of the decision module.
 ///
 /// # Errors
-/// Returns [`InvalidValue`] with the path of the value if it is not of its type, negative or not finite.
+/// Returns [`InvalidValue`] with the path of the value, if a value has the wrong type, is negative or is not finite.
 pub fn parse_settings(pairs: &SettingsPairs<'_>) -> Result<Settings, InvalidValue> {
     let defaults = Settings::default();
     let class_count = pairs.count("profiles")?;
@@ -57,7 +57,7 @@
         latency_objective: pairs.non_negative(&path("promise-s"), defaults.latency_objective)?,
         run_time_allowance: pairs.non_negative(&path("aim-stretch"), allowance)?,
         late_weight: pairs.non_negative(&path("late-worth"), defaults.late_weight)?,
-        // On the wire a negative kind stands for no kind.
+        // A negative kind stands for no required kind.
         required_kind: pairs
             .nth::<i64>("family-info.class-kind", index)?
             .and_then(|kind| u32::try_from(kind).ok()),
@@ -76,8 +76,8 @@
     })
 }
 
-/// Parses a key scope; all workers where none is named. An unknown one is an error: read as a wider scope than was
-/// meant, it would let a request be retried at a worker without its key, and run twice.
+/// Parses a key scope; an empty one means all workers. An unknown scope is an error: if it were read as a wider scope
+/// than intended, a request could be retried at a worker that does not have its key, and its job would run twice.
 fn parse_key_scope(path: &str, scope: &str) -> Result<KeyScope, InvalidValue> {
     match scope {
         "" | "all" => Ok(KeyScope::All),
@@ -102,7 +102,7 @@
     }
 }
 
-/// Parses the longest retry-after of a rejection; zero unless the settings allow rejections to carry one.
+/// Parses the maximum retry-after of a rejection; zero unless the settings allow rejections to carry one.
 fn parse_max_retry_after(pairs: &SettingsPairs<'_>, defaults: &Settings) -> Result<f64, InvalidValue> {
     if pairs.get("caps.retry-after", false)? {
         pairs.non_negative("caps.max-retry-after-s", defaults.max_retry_after)
--- a/crates/dispatch-core/src/settings_pairs.rs
+++ b/crates/dispatch-core/src/settings_pairs.rs
@@ -1,4 +1,5 @@
-//! Settings as path=value pairs, from a line of the simulator's wire or from nested JSON with the same paths.
+//! Settings as path=value pairs, parsed from a line of the simulator's protocol or from nested JSON with the same
+//! paths.
 
 use std::borrow::Cow;
 use std::str::FromStr;
@@ -6,23 +7,23 @@
 use rustc_hash::FxHashMap;
 use serde_json::Value;
 
-/// Highest number of objects of one list that are read.
+/// Maximum number of objects that are read from a list.
 const MAX_LIST_LENGTH: usize = 4096;
-/// Highest number of characters of an invalid value that are quoted.
+/// Maximum number of characters of an invalid value that are quoted in an error.
 const MAX_QUOTED: usize = 80;
 
-/// Error for a value that cannot be used.
+/// Error for an invalid value.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("expected {expected}, found '{found}'")]
 pub struct InvalidValue {
-    /// The expected value: a path of the settings, or a description.
+    /// The path of the setting, or a description of the expected value.
     pub expected: String,
-    /// The value itself.
+    /// The value that was found, or its first characters.
     pub found: String,
 }
 
 impl InvalidValue {
-    /// Returns an error for a value, of which the first characters are quoted.
+    /// Returns an error that quotes the first characters of the value.
     pub fn new(expected: &str, found: &str) -> InvalidValue {
         InvalidValue { expected: expected.to_owned(), found: found.chars().take(MAX_QUOTED).collect() }
     }
@@ -33,7 +34,7 @@
 pub struct SettingsPairs<'a>(FxHashMap<Cow<'a, str>, Cow<'a, str>>);
 
 impl<'a> SettingsPairs<'a> {
-    /// Parses the fields of a line of the wire.
+    /// Parses the fields of a line of the simulator's protocol; empty fields and `-` are ignored.
     ///
     /// # Errors
     /// Returns [`InvalidValue`] if a field is not of the form `path=value`.
@@ -48,7 +49,8 @@
         Ok(SettingsPairs(pairs))
     }
 
-    /// Converts nested JSON: names are joined by dots, lists of objects are numbered, other lists are joined by commas.
+    /// Converts nested JSON: names are joined by dots, the objects of a list are numbered, and the values of other
+    /// lists are joined by commas.
     pub fn from_json(value: &'a Value) -> Self {
         let mut pairs = SettingsPairs(FxHashMap::default());
         pairs.insert(String::new(), value);
@@ -80,10 +82,10 @@
         }
     }
 
-    /// Returns the value at a path, or the default if there is none.
+    /// Returns the value at a path, or the default if the path is absent.
     ///
     /// # Errors
-    /// Returns [`InvalidValue`] if the value is not of the type.
+    /// Returns [`InvalidValue`] if the value does not have the type `T`.
     pub fn get<T: FromStr>(&self, path: &str, default: T) -> Result<T, InvalidValue> {
         match self.0.get(path) {
             None => Ok(default),
@@ -91,10 +93,10 @@
         }
     }
 
-    /// Returns the finite number at a path that is not negative, or the default if there is none.
+    /// Returns the finite, non-negative number at a path, or the default if the path is absent.
     ///
     /// # Errors
-    /// Returns [`InvalidValue`] if the value is anything else.
+    /// Returns [`InvalidValue`] if the value is not such a number.
     pub fn non_negative(&self, path: &str, default: f64) -> Result<f64, InvalidValue> {
         match self.get(path, default)? {
             value if value.is_finite() && value >= 0.0 => Ok(value),
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Returns the text at a path; empty if there is none.
+    /// Returns the text at a path, or an empty text if the path is absent.
     pub fn text(&self, path: &str) -> &str {
         self.0.get(path).map_or("", |value| value)
     }
@@ -112,7 +114,7 @@
         self.text(path).split(',').filter(|value| !value.is_empty())
     }
 
-    /// Returns the names of a list of objects, in order.
+    /// Returns the `name` of each object of a list, in order.
     ///
     /// # Errors
     /// Returns [`InvalidValue`] if the list's count is not a number.
@@ -132,7 +134,7 @@
     /// Returns the value at a position of a list of plain values.
     ///
     /// # Errors
-    /// Returns [`InvalidValue`] if the value is not of the type.
+    /// Returns [`InvalidValue`] if the value does not have the type `T`.
     pub fn nth<T: FromStr>(&self, path: &str, position: usize) -> Result<Option<T>, InvalidValue> {
         self.list(path).nth(position).map(|value| parse_value(path, value)).transpose()
     }
--- a/crates/dispatch-core/tests/backoff.rs
+++ b/crates/dispatch-core/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Delays between calls: capped exponential backoff with full jitter.
+//! Tests of the delays between calls: capped exponential backoff with full jitter.
 
 #[path = "common/service.rs"]
 mod service;
@@ -9,7 +9,7 @@
 const FIRST: Micros = 100_000;
 const CAP: Micros = 2_000_000;
 
-/// Returns the longest delay over many seeds after so many failures, and optionally a success.
+/// Returns the longest delay over many seeds after this number of failures and, if `succeeded`, a success.
 fn longest_delay(failures: usize, succeeded: bool) -> Micros {
     let delay = |seed| {
         let mut backoff = Backoff::new(FIRST, CAP, seed);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn pauses_double_up_to_the_cap_and_reset_after_a_success() {
+fn delays_double_up_to_the_cap_and_restart_after_a_success() {
     for (failures, longest) in
         [100_000, 200_000, 400_000, 800_000, 1_600_000, CAP, CAP].into_iter().enumerate()
     {
@@ -36,14 +36,14 @@
 }
 
 #[test]
-fn honours_a_retry_after_up_to_the_cap() {
+fn honors_a_retry_after_up_to_the_cap() {
     let mut backoff = Backoff::new(FIRST, CAP, 7);
     assert!((1_000_000..=1_000_000 + FIRST).contains(&backoff.next_delay(Some(1_000_000))));
     assert!(backoff.next_delay(Some(Micros::MAX)) <= 2 * CAP);
 }
 
-/// Returns how many of 100 dispatchers, whose watches broke at one moment, are answered within 30 s by a service that
-/// takes 90 ms for a call.
+/// Returns how many of 100 dispatchers, whose watches ended at the same time, are answered within 30 s by a service
+/// that takes 90 ms per call.
 fn answered(delay: impl Fn(&mut Backoff) -> Micros) -> usize {
     let callers = (0..100).map(|seed| {
         let client = Backoff::new(15_000_000, 40_000_000, seed);
@@ -52,9 +52,9 @@
     answered_callers(callers.collect(), 90_000, 30_000_000, delay)
 }
 
-/// With the former fixed delay of 0.1 s only the callers in the first queue were ever answered.
+/// With an earlier fixed delay of 0.1 s, the service answered only the callers that found a place in its first queue.
 #[test]
-fn a_herd_thins_out_until_all_are_served() {
+fn jittered_retries_after_a_common_failure_are_answered() {
     let (fixed, jittered) = (answered(|_| 100_000), answered(|backoff| backoff.next_delay(None)));
-    assert!(jittered >= 95 && fixed < 50, "{jittered} of 100 with the backoff, {fixed} with a fixed pause");
+    assert!(jittered >= 95 && fixed < 50, "{jittered} of 100 with the backoff, {fixed} with a fixed delay");
 }
--- a/crates/dispatch-core/tests/common/service.rs
+++ b/crates/dispatch-core/tests/common/service.rs
@@ -1,21 +1,21 @@
-//! A model of a service that answers one call at a time, as it was measured.
+//! A model of a discovery service that answers one call at a time.
 
 use dispatch_core::backoff::Micros;
 
-/// Longest wait for an answer; a call that would wait longer is rejected.
+/// Maximum wait of a call; a call that would wait longer is rejected.
 const MAX_WAIT: Micros = 2_000_000;
-/// Longest time from the arrival of a call until the service is free again.
+/// Maximum time from the arrival of a call until the service is idle again.
 const MAX_BACKLOG: Micros = 2_500_000;
 
-/// A caller that retries until it is answered.
+/// A caller that retries until its call is answered.
 pub struct Caller<C> {
     pub next_call: Micros,
-    /// State from which the delay before the next call is computed.
+    /// State of the caller, from which the delay before its next call is computed.
     pub client: C,
 }
 
-/// Returns how many callers are answered `within` a time by a service that takes the time `call` for each, even if it
-/// is rejected.
+/// Returns how many callers are answered within the time `within` by a service that takes the time `call` per call,
+/// even for calls that it rejects.
 pub fn answered_callers<C>(
     mut callers: Vec<Caller<C>>,
     call: Micros,
--- a/crates/dispatch-core/tests/poll_schedule.rs
+++ b/crates/dispatch-core/tests/poll_schedule.rs
@@ -1,4 +1,4 @@
-//! Discovery is polled again early enough for changes to be known when they count as notified.
+//! Tests that discovery is polled again so early that a dispatcher has a change by the time it counts as notified.
 
 #[path = "common/service.rs"]
 mod service;
@@ -14,8 +14,8 @@
     Settings { instances, polls_endpoint_list, max_poll_interval: 10.0, ..Settings::default() }
 }
 
-/// Whatever the duration of a call and the number of failures before: after the end of a watch the next call begins so
-/// early that its answer, which may take 2 s, arrives in time.
+/// After the end of a watch the next call must begin so early that its response, which may take 2 s, arrives in time.
+/// This must hold for any duration of the last call and any number of earlier failures.
 #[test]
 fn polls_again_within_the_notification_time() {
     for instances in [1, 6, 30, 300] {
@@ -32,7 +32,8 @@
     }
 }
 
-/// An agent's changes count as notified at once, so the grace of a worker that drains is all the time there is.
+/// Dispatchers count as notified of an agent's changes at once, so the next call must begin well within the grace of a
+/// worker that drains.
 #[test]
 fn polls_an_agent_again_within_a_fraction_of_the_grace() {
     for seed in 0..50 {
@@ -41,9 +42,9 @@
     }
 }
 
-/// Settings may state no grace, or an unbounded one: there is a delay all the same, and an agent has time to answer.
+/// For a grace of zero or without a bound there must still be delays between calls, and time for an agent to respond.
 #[test]
-fn keeps_pauses_for_a_grace_of_nothing_or_for_ever() {
+fn bounds_the_delays_for_a_zero_or_unlimited_grace() {
     for grace in [0, Micros::MAX] {
         let mut schedule = PollSchedule::new(&settings(1, false), grace, 1);
         assert!((0..20).map(|_| schedule.next_delay(0, None)).max() > Some(5_000));
@@ -51,7 +52,8 @@
     }
 }
 
-/// Returns how many dispatchers, whose watches ended at one moment, are answered `within` a time.
+/// Returns how many dispatchers, whose watches ended at the same time, are answered within the time `within` by a
+/// service that takes the time `call` per call.
 fn answered(
     instances: u32,
     call: Micros,
@@ -66,10 +68,10 @@
     answered_callers(callers.collect(), call, within, &delay)
 }
 
-/// Callers are spread, the more of them the wider, until all are answered; with a fixed delay of 0.1 s the service
-/// answers no more callers once its queue is full.
+/// The more callers there are, the more widely their calls must be spread, so that all are answered. With a fixed delay of
+/// 0.1 s the service answers no further callers once its queue is full.
 #[test]
-fn a_herd_thins_out_until_all_are_answered() {
+fn polls_after_a_common_failure_are_all_answered() {
     for (instances, call) in [(6, 227_000), (6, 333_000), (32, 60_000), (300, 12_000)] {
         assert_eq!(
             answered(instances, call, 12_000_000, |schedule| schedule.next_delay(0, None)),
@@ -77,5 +79,5 @@
         );
     }
     let fixed = answered(300, 12_000, 12_000_000, |_| 100_000);
-    assert!(fixed < 200, "{fixed} of 300 with a fixed pause");
+    assert!(fixed < 200, "{fixed} of 300 with a fixed delay");
 }
--- a/crates/dispatch-core/tests/shared_numbers.rs
+++ b/crates/dispatch-core/tests/shared_numbers.rs
@@ -1,4 +1,5 @@
-//! Hashes that must be the same in dispatchers of all versions, and delays that follow from a seed.
+//! Tests of hashes that must be the same in dispatchers of all versions, and of delays that must depend on the seed
+//! only.
 
 use std::fmt::Write as _;
 
@@ -8,7 +9,7 @@
 use dispatch_core::Settings;
 
 #[test]
-fn names_of_workers_and_keys_hash_to_the_same_numbers() {
+fn hashes_of_names_and_keys_do_not_change() {
     let mut text = String::new();
     for name in ["", "w", "worker.a", "worker.b", "10.0.0.7:8080", "a name that is longer than eight bytes"] {
         let _ = writeln!(text, "{name:?}: {} {}", worker_id(name).0, hash_bytes(name.as_bytes()));
@@ -17,7 +18,7 @@
 }
 
 #[test]
-fn pauses_follow_from_the_seed() {
+fn delays_depend_on_the_seed_only() {
     let mut text = String::new();
     for seed in 0..3 {
         let mut backoff = Backoff::new(100_000, 2_000_000, seed);
@@ -31,10 +32,13 @@
             let mut delays: Vec<u64> = (0..6).map(|n| schedule.next_delay(n * 700_000, None)).collect();
             schedule.record_success();
             delays.push(schedule.next_delay(0, Some(1_000_000)));
-            let _ = writeln!(text, "polls of {instances}, asked {polls_list}, seed {seed}: {delays:?}");
+            let _ = writeln!(
+                text,
+                "polls, {instances} dispatchers, polls_list {polls_list}, seed {seed}: {delays:?}"
+            );
         }
     }
     let limits = [0, 50_000, 500_000, u64::MAX].map(standby_watch_delay);
-    let _ = writeln!(text, "a second connection to an agent after: {limits:?}");
+    let _ = writeln!(text, "standby watch after: {limits:?}");
     insta::assert_snapshot!("pauses_by_seed", text);
 }
--- a/crates/dispatch-core/tests/throttle.rs
+++ b/crates/dispatch-core/tests/throttle.rs
@@ -1,4 +1,5 @@
-//! The token bank with job buffer: the dispatcher's admission compared with the paper's recursion.
+//! Tests of the token bank with job buffer: the dispatcher's admission must follow the recursion in the paper by Berger
+//! and Whitt.
 
 mod common;
 
@@ -6,8 +7,8 @@
 use dispatch_core::api::*;
 use fastrand::Rng;
 
-/// Returns settings with one tenant whose rate stays at 1.5 times its quota, since no attempt ends; no job waits for a
-/// free worker, since no load is reported.
+/// Returns settings with one tenant. Its rate stays at 1.5 times its quota, because no attempt ends, and no job waits
+/// for a free worker, because no load is reported.
 fn plain(quota: f64) -> Settings {
     let classes = vec![Class {
         idempotency: Idempotency::Idempotent,
@@ -25,8 +26,8 @@
     }
 }
 
-/// The paper's (2.8) for jobs of several slots: U falls by an accepted job, rises by the tokens between two jobs
-/// and stays within [0, C_J + C_T]. A job is admitted while U covers it, and waits while U - C_J does not.
+/// Equation (2.8) of the paper for jobs of several slots: U falls with an accepted job, rises with the tokens between
+/// two jobs and stays within 0 and C_J + C_T. A job of k slots is rejected if U < k and queued if U - C_J < k.
 #[test]
 fn admission_follows_the_recursion() {
     let mut rejected = 0;
@@ -36,7 +37,8 @@
         let quota = 10.0 + rng.f64() * 70.0;
         let rate = 1.5 * quota;
         let mut driver = Driver::new(plain(quota), seed, &fleet(1));
-        // The largest job comes first: the capacities follow from it, and it is rejected while the banks are empty.
+        // The largest job comes first, because the capacities depend on it. It may be rejected, because the banks are
+        // empty.
         driver.request(Request { slots: 4.0, timeout: 50.0, ..request(0) });
         let (bank, buffer) = ((rate as i64).max(8), ((rate * 0.5) as i64).max(4));
         let mut u = buffer;
@@ -44,7 +46,7 @@
             u -= 4;
         }
         for id in 1..400 {
-            // Jobs arrive a whole number of tokens apart, in bursts and lulls.
+            // A whole number of tokens accrues between two jobs, which arrive in bursts with pauses between them.
             let tokens = if rng.u32(..30) == 0 { rng.i64(0..80) } else { rng.i64(0..4) };
             driver.advance(tokens as f64 / rate);
             u = (u + tokens).min(bank + buffer);
@@ -67,13 +69,13 @@
     }
     assert!(
         rejected > 400 && queued > 400,
-        "the streams exceed the rate: {rejected} rejected, {queued} queued"
+        "the streams must exceed the rate: {rejected} rejected, {queued} queued"
     );
 }
 
-/// Queued jobs leave first come, first served, each when its own tokens have accrued and no sooner.
+/// Queued jobs are sent in the order of arrival, each as soon as its tokens have accrued.
 #[test]
-fn tokens_pay_the_head_slot_by_slot() {
+fn queued_jobs_are_sent_in_order_as_tokens_accrue() {
     let mut driver = Driver::new(plain(20.0), 3, &fleet(1));
     for (id, slots) in [(1, 3.0), (2, 1.0), (3, 2.0)] {
         driver.request(Request { slots, timeout: 50.0, ..request(id) });
@@ -81,13 +83,17 @@
     driver.advance(1.0);
     let at = |id: u64| (driver.requests[&id].sends[0].sent_at - 100.0) * 30.0;
     for (id, tokens) in [(1, 3.0), (2, 4.0), (3, 6.0)] {
-        assert!((at(id) - tokens).abs() <= 1.1, "job {id} left after {} tokens of {tokens}", at(id));
+        assert!(
+            (at(id) - tokens).abs() <= 1.1,
+            "job {id} was sent after {} tokens instead of {tokens}",
+            at(id)
+        );
     }
 }
 
-/// The paper's O_T: the tokens of an idle tenant go to the busy one once the idle bank is full.
+/// The overflow O_T of the paper: once the bank of an idle tenant is full, its tokens go to the busy tenant.
 #[test]
-fn passes_an_idle_share_on() {
+fn tokens_of_an_idle_tenant_go_to_the_busy_one() {
     let tenants = vec![Tenant { share: 3.0, quota: 30.0 }, Tenant { share: 1.0, quota: 10.0 }];
     let mut driver = Driver::new(Settings { tenants, ..plain(0.0) }, 3, &fleet(1));
     for id in 0..800 {
@@ -95,11 +101,12 @@
         driver.request(Request { tenant: 1, ..request(id) });
     }
     let sent = (400..800).filter(|id| !driver.requests[id].sends.is_empty()).count();
-    // Five seconds at R = 60; the tenant's own share is 15 a second.
+    // Five seconds at R = 60 per second; the tenant's own share is 15 per second.
     assert!((280..=320).contains(&sent), "{sent} sent in five seconds");
 }
 
-/// A rejection carries the missing tokens divided by the tenant's rate, as far as clients honour it.
+/// The retry-after of a rejection is the number of missing tokens divided by the tenant's rate, up to the maximum that
+/// clients honor.
 #[test]
 fn a_rejection_carries_a_retry_after() {
     let mut driver = Driver::new(Settings { max_retry_after: 2.0, ..plain(20.0) }, 3, &fleet(1));
@@ -112,5 +119,5 @@
         }
     }
     let wait = waits.last().copied().flatten().expect("a full buffer rejects with a retry-after");
-    assert!(wait > 0.0 && wait <= 4.0 / 30.0 + 1e-9, "at most four slots at 30 a second: {wait}");
+    assert!(wait > 0.0 && wait <= 4.0 / 30.0 + 1e-9, "at most four slots at 30 per second: {wait}");
 }
--- a/crates/dispatch-core/tests/unit/load.rs
+++ b/crates/dispatch-core/tests/unit/load.rs
@@ -2,7 +2,7 @@
 use crate::api::{Endpoint, Settings, WorkerId};
 use crate::fleet::MachineKind;
 
-/// A report shows a queue by the requests in flight beyond the slots, and only while no slot is free.
+/// Requests in flight beyond the number of slots count as queued, but only if the report states no free slot.
 #[test]
 fn requests_beyond_the_slots_of_a_worker_count_as_queued() {
     let mut fleet = Fleet::new(&Settings::default());
@@ -25,41 +25,46 @@
     };
     assert_eq!(fleet.apply_load_report(0, &report(4.0, 0.0), 1.0, time), Some(0.0));
     assert_eq!(fleet.apply_load_report(0, &report(2.0, 9.0), 1.0, time), Some(0.0), "a slot is free");
-    assert_eq!(fleet.apply_load_report(0, &report(0.0, 7.0), 1.0, time), Some(3.0), "seven in four slots");
+    assert_eq!(
+        fleet.apply_load_report(0, &report(0.0, 7.0), 1.0, time),
+        Some(3.0),
+        "seven requests for four slots"
+    );
     assert!(fleet.other_slots(&fleet.workers[0], time) > 3.0);
     assert_eq!(fleet.apply_load_report(0, &LoadReport::default(), 1.0, time), None);
 }
 
-/// Seen in experiments/wrong-clocks.hcl: a clock that was an hour ahead made every worker in slow start seem warm, and
-/// one that is behind would make every warm worker seem to be in slow start.
+/// Guards against wrong clocks of other processes (experiments/wrong-clocks.hcl). With a clock that was an hour ahead,
+/// every worker in slow start seemed to have its full capacity; with a clock that is behind, every worker would seem to
+/// be in slow start.
 #[test]
-fn slow_start_does_not_rest_on_the_clocks_of_others() {
+fn slow_start_tolerates_wrong_clocks_of_other_processes() {
     let mut fleet = Fleet::default();
     (fleet.slow_start_min_capacity, fleet.slow_start_duration) = (0.2, 20.0);
-    let endpoint = |worker, since| Endpoint {
+    let endpoint = |worker, started_at| Endpoint {
         worker: WorkerId(worker),
         kind: 0,
         zone: 0,
         cell: 0,
-        started_at: since,
+        started_at,
         state: WorkerState::Serving,
     };
     fleet.kinds.push(MachineKind::default());
-    let warmth = |fleet: &Fleet, worker: usize, now| {
+    let capacity = |fleet: &Fleet, worker: usize, now| {
         (fleet.warm_capacity(&fleet.workers[worker], now) * 1e6).round() / 1e6
     };
-    // Workers of the first list are as old as it states, but did not start in the future.
+    // The start times in the first list are accepted, but none may be in the future.
     fleet.upsert(&endpoint(1, 9_990.0), 10_000.0);
     fleet.upsert(&endpoint(2, 13_600.0), 10_000.0);
     fleet.rebuild_indexes(0, Some(10_000.0));
-    assert_eq!((warmth(&fleet, 0, 10_000.0), warmth(&fleet, 1, 10_000.0)), (0.6, 0.2));
-    assert_eq!(warmth(&fleet, 1, 10_020.0), 1.0, "not an hour later");
-    // A worker that is listed later, or restarts, started after the last list from discovery, or shortly before.
+    assert_eq!((capacity(&fleet, 0, 10_000.0), capacity(&fleet, 1, 10_000.0)), (0.6, 0.2));
+    assert_eq!(capacity(&fleet, 1, 10_020.0), 1.0, "the worker must not stay in slow start for another hour");
+    // A worker that is first listed or has restarted since the last list started shortly before that list or later.
     fleet.upsert(&endpoint(3, 6_400.0), 10_010.0);
     fleet.upsert(&endpoint(2, 13_601.0), 10_010.0);
-    assert_eq!((warmth(&fleet, 2, 10_010.0), warmth(&fleet, 1, 10_010.0)), (0.8, 0.2));
-    // A worker that is listed again has not restarted.
+    assert_eq!((capacity(&fleet, 2, 10_010.0), capacity(&fleet, 1, 10_010.0)), (0.8, 0.2));
+    // A worker that is listed again with the same start time has not restarted.
     fleet.rebuild_indexes(0, Some(10_010.0));
     fleet.upsert(&endpoint(3, 6_400.0), 10_014.0);
-    assert_eq!(warmth(&fleet, 2, 10_015.0), 1.0);
+    assert_eq!(capacity(&fleet, 2, 10_015.0), 1.0);
 }
--- a/crates/dispatch-core/tests/unit/load_report.rs
+++ b/crates/dispatch-core/tests/unit/load_report.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn positional_and_named_reports_mean_the_same() {
+fn positional_and_named_reports_give_the_same_load() {
     let load = LoadReport {
         error_rate: Some(0.5),
         latency: Some(0.12),
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn malformed_figures_are_left_out_and_the_rest_is_used() {
+fn malformed_figures_are_ignored_and_the_others_are_used() {
     for text in ["x0=-1", "x0=inf", "x0=NaN", "x0=", "x0", "x0=3,x0=4"] {
         let parsed = format().parse_text(&format!("TEXT inflight=2,{text}"));
         let load = LoadReport { in_flight: Some(2.0), ..LoadReport::default() };
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn settings_without_reports_read_none() {
+fn without_names_in_the_settings_all_figures_are_ignored() {
     let none = LoadReportFormat::from_settings(&SettingsPairs::parse(std::iter::empty()).expect("settings"));
     assert_eq!(none.parse_text("TEXT x0=3"), ParsedLoadReport { load: None, malformed: false });
     assert_eq!(none.parse_positional("1,2"), Ok(LoadReport::default()));
--- a/crates/dispatch-core/tests/unit/slow_start.rs
+++ b/crates/dispatch-core/tests/unit/slow_start.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn grants_are_spent_once_first_and_not_after_they_expire() {
+fn grants_are_spent_once_before_the_planned_share_and_not_after_they_expire() {
     let mut budget = SlowStartBudget::default();
     budget.spend(1.0, 7, 10.0);
     assert_eq!((budget.spent_in_slice(7), budget.spent_in_slice(8)), (Some(1.0), None));
@@ -9,15 +9,15 @@
     budget.grant(0.7, 12.0, 10.0);
     assert!((budget.granted_work(10.5) - 1.2).abs() < 1e-9 && budget.granted_work(11.5) == 0.7);
     budget.spend(1.0, 8, 10.5);
-    assert_eq!(budget.spent_in_slice(8), None, "the grants covered it");
+    assert_eq!(budget.spent_in_slice(8), None, "the grants covered the work");
     assert!((budget.granted_work(10.5) - 0.2).abs() < 1e-9);
     budget.spend(0.3, 8, 10.5);
-    assert_eq!(budget.spent_in_slice(8), Some(0.3), "they do not cover this one, and stay");
-    assert!(budget.granted_work(12.0) == 0.0, "expired");
+    assert_eq!(budget.spent_in_slice(8), Some(0.3), "the grants do not cover the work and stay unspent");
+    assert!(budget.granted_work(12.0) == 0.0, "both grants have expired");
 }
 
 #[test]
-fn what_makes_no_sense_is_no_grant() {
+fn invalid_and_excess_grants_are_ignored() {
     let mut budget = SlowStartBudget::default();
     for (work, until) in [(f64::NAN, 20.0), (-1.0, 20.0), (f64::INFINITY, 20.0), (1.0, 9.0)] {
         budget.grant(work, until, 10.0);
--- a/examples/scheduler.rs
+++ b/examples/scheduler.rs
@@ -1,7 +1,8 @@
-//! A small scheduler around the `Dispatcher`: what a program of your own does with its events and actions.
+//! A small scheduler that embeds the `Dispatcher`: it passes events and carries out the actions.
 //!
-//! The workers here are three ids that answer at once; put your own transport in `send`, your own
-//! clock in `now` and your own timer in `SetTimer`. Run it with `cargo run --example scheduler`.
+//! The three workers here are simulated and respond at once. A real scheduler replaces `send` by its
+//! transport and `now` by its clock, and arms a timer for `SetTimer`. Run the example with `cargo run
+//! --example scheduler`.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -29,8 +30,8 @@
     let mut actions = Vec::new();
     dispatcher.start(now, &mut actions);
 
-    // The ids of workers must be the same at every scheduler: a hash of the name, say.
-    let member = |id| Endpoint {
+    // The id of a worker must be the same at every scheduler, for example a hash of its name.
+    let endpoint = |id| Endpoint {
         worker: WorkerId(id),
         kind: 0,
         zone: 0,
@@ -38,15 +39,15 @@
         started_at: 0.0,
         state: WorkerState::Serving,
     };
-    let workers: Vec<Endpoint> = [11, 12, 13].map(member).to_vec();
+    let workers: Vec<Endpoint> = [11, 12, 13].map(endpoint).to_vec();
     dispatcher.on_event(
         now,
         Event::EndpointList { scope: ListScope::Full, endpoints: &workers },
         &mut actions,
     );
 
-    let (mut served, mut refused) = (0, 0);
-    let mut tries: HashMap<RequestId, u32> = HashMap::new();
+    let (mut served, mut rejected) = (0, 0);
+    let mut last_attempts: HashMap<RequestId, u32> = HashMap::new();
     for id in 0..120 {
         now += 0.01;
         let job = Request {
@@ -62,34 +63,36 @@
         };
         dispatcher.on_event(now, Event::Request(job), &mut actions);
 
-        // Carry out what is wanted; each attempt ends exactly once, and its end may want more.
-        let mut todo: VecDeque<Action> = actions.drain(..).collect();
-        while let Some(action) = todo.pop_front() {
+        // Carries out the actions. Each attempt ends exactly once, and its end may cause further actions.
+        let mut pending: VecDeque<Action> = actions.drain(..).collect();
+        while let Some(action) = pending.pop_front() {
             match action {
                 Action::Send { request, worker, .. } => {
                     let outcome = send(request, worker);
                     let complete = outcome == Outcome::Ok;
                     served += u32::from(complete);
                     // Attempts are numbered in the order of their sends.
-                    let attempt = *tries.entry(request).and_modify(|n| *n += 1).or_insert(0);
+                    let attempt =
+                        *last_attempts.entry(request).and_modify(|attempt| *attempt += 1).or_insert(0);
                     let ended = Event::AttemptEnded { request, attempt, outcome, complete, load: None };
                     dispatcher.on_event(now, ended, &mut actions);
-                    todo.extend(actions.drain(..));
+                    pending.extend(actions.drain(..));
                 }
                 Action::Reject { request, retry_after } => {
-                    refused += 1;
-                    println!("{request:?} refused, come back in {retry_after:?} s");
+                    rejected += 1;
+                    println!("{request:?} rejected, retry after {retry_after:?} s");
                 }
-                // A real scheduler arms its timer, cancels, probes and follows the worker list here.
+                // A real scheduler arms its timer, cancels attempts, probes workers and watches the endpoint
+                // list here.
                 other => println!("at {now:.2} s: {other:?}"),
             }
         }
     }
-    println!("{served} served, {refused} refused");
-    assert!(served > 60 && served + refused <= 120);
+    println!("{served} served, {rejected} rejected");
+    assert!(served > 60 && served + rejected <= 120);
 }
 
-/// Stands for the network.
+/// Sends a job to a worker; here every job is served at once.
 fn send(_request: RequestId, _worker: WorkerId) -> Outcome {
     Outcome::Ok
 }
