--- a/crates/dispatch-core/tests/common/mod.rs
+++ b/crates/dispatch-core/tests/common/mod.rs
@@ -1,4 +1,13 @@
-//! Shared parts of the tests: settings, events, and a driver that checks the four rules on every action.
+//! Shared parts of the tests: settings, events, and a driver that checks every action against the rules of a
+//! dispatcher:
+//!
+//! - Rule 1: each request gets exactly one final response, at the latest when its client's timeout ends, and no attempt
+//!   is sent after that response.
+//! - Rule 2: a job that may have run is sent again, or rejected, only if its class allows that.
+//! - Rule 3: a worker that drains or is removed gets no job after the grace.
+//!
+//! Rule 4 limits the work that all dispatchers together send to a worker in slow start, so tests with several
+//! dispatchers check it themselves.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -47,7 +56,7 @@
     Endpoint { worker: WorkerId(worker), kind: 0, zone, cell: zone, started_at: 0.0, state }
 }
 
-/// Workers 1 to n, all serving; the even ones are in zone 0.
+/// Returns the workers 1 to n, all serving; those with even numbers are in zone 0.
 pub fn fleet(n: u64) -> Vec<Endpoint> {
     (1..=n).map(|worker| endpoint(worker, WorkerState::Serving)).collect()
 }
@@ -66,7 +75,7 @@
     }
 }
 
-/// A send of a request.
+/// An attempt at a request, as sent by the dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub struct SendRecord {
     pub sent_at: f64,
@@ -75,11 +84,12 @@
     pub outcome: Option<Outcome>,
 }
 
-/// The answers and sends of one request.
+/// The responses to a request and its attempts.
 #[derive(Debug, Default)]
 pub struct RequestRecord {
     pub class: usize,
-    pub answers: u32,
+    /// Number of final responses.
+    pub responses: u32,
     pub sends: Vec<SendRecord>,
     /// Time at which the client's timeout is over.
     pub due: f64,
@@ -108,7 +118,7 @@
     pub cell: u32,
 }
 
-/// Drives one dispatcher and checks the rules of a single scheduler on every action.
+/// Drives one dispatcher and checks rules 1 to 3 on every action.
 pub struct Driver {
     pub cfg: Settings,
     pub dispatcher: Dispatcher,
@@ -117,8 +127,9 @@
     pub log: Vec<Action>,
     pub timers: Vec<ArmedTimer>,
     pub open_attempts: Vec<OpenAttempt>,
+    /// Times at which workers began to drain or were removed.
     pub excluded_since: BTreeMap<u64, f64>,
-    /// Locations of all workers that were listed.
+    /// Locations of all workers that were ever listed.
     pub locations: BTreeMap<u64, Location>,
 }
 
@@ -149,8 +160,8 @@
 
     pub fn send_list(&mut self, scope: ListScope, endpoints: &[Endpoint]) -> Vec<Action> {
         if matches!(scope, ListScope::Full | ListScope::Cached) {
-            let gone: Vec<u64> = self.locations.keys().copied().collect();
-            for worker in gone
+            let known: Vec<u64> = self.locations.keys().copied().collect();
+            for worker in known
                 .into_iter()
                 .filter(|worker| !endpoints.iter().any(|endpoint| endpoint.worker.0 == *worker))
             {
@@ -177,26 +188,26 @@
     }
 
     pub fn end_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        let record = self.requests.get_mut(&id).expect("a known request");
+        let record = self.requests.get_mut(&id).expect("the request must be known");
         record.sends[attempt as usize].outcome = Some(outcome);
         self.open_attempts.retain(|open| (open.request, open.number) != (id, attempt));
-        let complete = outcome == Outcome::Ok || record.answers > 0;
-        if outcome == Outcome::Ok && record.answers == 0 {
-            record.answers = 1;
+        let complete = outcome == Outcome::Ok || record.responses > 0;
+        if outcome == Outcome::Ok && record.responses == 0 {
+            record.responses = 1;
         }
         self.event(Event::AttemptEnded { request: RequestId(id), attempt, outcome, complete, load: None })
     }
 
-    /// Advances the clock, firing the timers that are due and ending attempts at their client's timeout.
+    /// Advances the clock, fires the timers that are due, and ends open attempts at the timeout of their client.
     pub fn advance(&mut self, span: f64) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
         loop {
             let timer = (0..self.timers.len())
-                .min_by(|&one, &other| self.timers[one].due.total_cmp(&self.timers[other].due));
+                .min_by(|&left, &right| self.timers[left].due.total_cmp(&self.timers[right].due));
             let timer_due = timer.map_or(f64::INFINITY, |position| self.timers[position].due);
             let attempt =
-                self.open_attempts.iter().copied().min_by(|one, other| one.due.total_cmp(&other.due));
+                self.open_attempts.iter().copied().min_by(|left, right| left.due.total_cmp(&right.due));
             match (timer, attempt) {
                 (_, Some(attempt)) if attempt.due <= timer_due.min(end) => {
                     self.now = self.now.max(attempt.due);
@@ -220,13 +231,14 @@
         self.event(Event::ProbeEnded { worker, ok: true, load })
     }
 
+    /// Passes an event to the dispatcher and checks the actions that it returns.
     pub fn event(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.dispatcher.on_event(self.now, event, &mut actions);
         self.check_actions(actions)
     }
 
-    /// Checks the dispatcher's actions by the rules and records them.
+    /// Checks the dispatcher's actions against the rules and records them.
     pub fn check_actions(&mut self, actions: Vec<Action>) -> Vec<Action> {
         for action in &actions {
             match action {
@@ -236,9 +248,9 @@
                 Action::Send { request, worker, .. } => self.check_send(request.0, *worker),
                 Action::Reject { request, .. } => {
                     self.check_rejection(request.0);
-                    self.record_answer(request.0);
+                    self.record_response(request.0);
                 }
-                Action::Fail { request } => self.record_answer(request.0),
+                Action::Fail { request } => self.record_response(request.0),
                 _ => {}
             }
         }
@@ -246,22 +258,22 @@
         actions
     }
 
-    fn record_answer(&mut self, id: u64) {
-        let record = self.requests.get_mut(&id).expect("an answer to a known request");
-        record.answers += 1;
-        assert_eq!(record.answers, 1, "rule 1: request {id} answered twice");
+    fn record_response(&mut self, id: u64) {
+        let record = self.requests.get_mut(&id).expect("the response must belong to a known request");
+        record.responses += 1;
+        assert_eq!(record.responses, 1, "rule 1: request {id} answered twice");
         assert!(self.now <= record.due + 0.016, "rule 1: request {id} answered late");
     }
 
     fn check_send(&mut self, id: u64, worker: WorkerId) {
         let now = self.now;
         if let Some(since) = self.excluded_since.get(&worker.0) {
-            assert!(now - since <= DRAIN_GRACE, "rule 3: {worker:?} drains");
+            assert!(now - since <= DRAIN_GRACE, "rule 3: job sent to {worker:?} after the grace");
         }
         let locations = &self.locations;
         let cfg = &self.cfg;
-        let record = self.requests.get_mut(&id).expect("a send of a known request");
-        assert_eq!(record.answers, 0, "rule 1: request {id} sent after its end");
+        let record = self.requests.get_mut(&id).expect("the attempt must belong to a known request");
+        assert_eq!(record.responses, 0, "rule 1: request {id} sent after its response");
         assert!(record.sends.len() < cfg.max_attempts as usize, "request {id}: too many attempts");
         let open = record.sends.iter().any(|send| send.outcome.is_none());
         assert!(!open || cfg.hedging_allowed, "request {id}: two attempts are open");
@@ -269,15 +281,26 @@
         for earlier in record.sends.iter().filter(may_have_run) {
             match cfg.classes[record.class].idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NotIdempotent => panic!("rule 2: unsafe request {id} sent again"),
+                Idempotency::NotIdempotent => {
+                    panic!("rule 2: request {id} is not idempotent and was sent again")
+                }
                 Idempotency::WithKey(scope) => {
                     let key_window = cfg.classes[record.class].key_window;
-                    assert!(now - earlier.sent_at <= key_window, "rule 2: key window of {id}");
-                    let was = locations[&earlier.worker.0];
-                    let is = locations[&worker.0];
-                    let same =
-                        if scope == KeyScope::Cell { was.cell == is.cell } else { was.zone == is.zone };
-                    assert!(scope == KeyScope::All || same, "rule 2: key scope of {id}");
+                    assert!(
+                        now - earlier.sent_at <= key_window,
+                        "rule 2: request {id} sent after its key window"
+                    );
+                    let earlier_location = locations[&earlier.worker.0];
+                    let location = locations[&worker.0];
+                    let same = if scope == KeyScope::Cell {
+                        earlier_location.cell == location.cell
+                    } else {
+                        earlier_location.zone == location.zone
+                    };
+                    assert!(
+                        scope == KeyScope::All || same,
+                        "rule 2: request {id} sent outside its key scope"
+                    );
                 }
             }
         }
--- a/crates/dispatch-core/tests/decisions.rs
+++ b/crates/dispatch-core/tests/decisions.rs
@@ -1,7 +1,8 @@
-//! Digests of all actions of a dispatcher over long pseudo-random event streams: a different decision changes a digest.
+//! Snapshots of the digests of all actions of a dispatcher over long pseudo-random event streams. Any changed decision
+//! changes a digest.
 //!
-//! The streams come from a small model of a fleet that reacts to the dispatcher (queues, slow starts, outages, workers
-//! that hang, list changes, reloads). All of it follows from the seed; there is no clock.
+//! The streams come from a small model of a fleet that reacts to the dispatcher, with queues, slow starts, outages,
+//! workers that hang, changes of the endpoint list, and reloads. Everything follows from the seed; there is no clock.
 
 mod common;
 
@@ -19,10 +20,10 @@
 const DURATION: f64 = 60.0;
 const WORKERS: u64 = 24;
 const ZONES: u64 = 3;
-const STANDARD_RUN: f64 = 0.2;
+const STANDARD_RUN_TIME: f64 = 0.2;
 const ROUND_TRIP: f64 = 0.004;
 
-/// Traffic of a stream: its rate, and the optional properties of its requests.
+/// The request rate of a stream, and the optional properties of its requests.
 #[derive(Clone, Copy)]
 struct Traffic {
     requests_per_second: f64,
@@ -38,15 +39,15 @@
     number: u32,
 }
 
-/// An event that the model has scheduled.
+/// An event that the model schedules for itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Planned {
+enum ModelEvent {
     Arrival,
     Timer(u64),
     Started(AttemptId),
     Progress(AttemptId),
     Ended { attempt: AttemptId, outcome_code: u8 },
-    ClientGone(u64),
+    ClientDisconnects(u64),
     Probed(u64),
     FleetChange,
     WatchAnswered,
@@ -54,12 +55,12 @@
     Reload,
 }
 
-/// A scheduled event with its time in microseconds; events of one time happen in the order of scheduling.
+/// A scheduled event with its time in microseconds; events at the same time are handled in the order of scheduling.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Scheduled {
     at: u64,
     sequence: u64,
-    planned: Planned,
+    event: ModelEvent,
 }
 
 const OUTCOMES: [Outcome; 10] = [
@@ -76,7 +77,7 @@
 ];
 
 fn outcome_code(outcome: Outcome) -> u8 {
-    OUTCOMES.iter().position(|known| *known == outcome).expect("a known outcome") as u8
+    OUTCOMES.iter().position(|listed| *listed == outcome).expect("the outcome must be listed") as u8
 }
 
 #[derive(Clone, Copy)]
@@ -105,7 +106,7 @@
     traffic: Traffic,
     rng: Rng,
     now: f64,
-    planned: BinaryHeap<Reverse<Scheduled>>,
+    events: BinaryHeap<Reverse<Scheduled>>,
     sequence: u64,
     workers: BTreeMap<u64, ModelWorker>,
     requests: BTreeMap<u64, OpenRequest>,
@@ -125,7 +126,7 @@
             traffic,
             rng: Rng::with_seed(!seed),
             now: START,
-            planned: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             sequence: 0,
             workers: BTreeMap::new(),
             requests: BTreeMap::new(),
@@ -133,38 +134,38 @@
             counts: BTreeMap::new(),
         };
         for number in 1..=WORKERS {
-            let since = if number % 5 == 0 { START - 2.0 } else { 0.0 };
-            model.workers.insert(number, model_worker(number, since));
+            let started_at = if number % 5 == 0 { START - 2.0 } else { 0.0 };
+            model.workers.insert(number, model_worker(number, started_at));
         }
         let mut actions = Vec::new();
         model.dispatcher.start(START, &mut actions);
         model.carry_out(actions);
         model.send_list(ListScope::Cached, None);
-        model.plan(0.0, Planned::Arrival);
-        model.plan(1.0, Planned::FleetChange);
-        model.plan(0.5, Planned::PeerInput);
-        model.plan(DURATION / 2.0, Planned::Reload);
+        model.schedule(0.0, ModelEvent::Arrival);
+        model.schedule(1.0, ModelEvent::FleetChange);
+        model.schedule(0.5, ModelEvent::PeerInput);
+        model.schedule(DURATION / 2.0, ModelEvent::Reload);
         model
     }
 
-    fn plan(&mut self, after: f64, planned: Planned) {
+    fn schedule(&mut self, after: f64, event: ModelEvent) {
         self.sequence += 1;
         let at = micros(self.now + after.max(0.0)) as u64;
-        self.planned.push(Reverse(Scheduled { at, sequence: self.sequence, planned }));
+        self.events.push(Reverse(Scheduled { at, sequence: self.sequence, event }));
     }
 
-    fn plan_end(&mut self, after: f64, attempt: AttemptId, outcome: Outcome) {
-        self.plan(after, Planned::Ended { attempt, outcome_code: outcome_code(outcome) });
+    fn schedule_end(&mut self, after: f64, attempt: AttemptId, outcome: Outcome) {
+        self.schedule(after, ModelEvent::Ended { attempt, outcome_code: outcome_code(outcome) });
     }
 
-    /// Plays the stream to its end.
-    fn play(mut self) -> String {
-        while let Some(Reverse(next)) = self.planned.pop() {
+    /// Runs the stream to its end. Returns the number of actions by kind, and the digest.
+    fn run(mut self) -> String {
+        while let Some(Reverse(next)) = self.events.pop() {
             self.now = self.now.max(next.at as f64 / 1e6);
             if self.now > START + DURATION {
                 break;
             }
-            self.happen(next.planned);
+            self.handle(next.event);
         }
         let mut text = String::new();
         for (kind, count) in &self.counts {
@@ -173,33 +174,33 @@
         text + &format!("digest {:016x}", self.digest)
     }
 
-    fn happen(&mut self, planned: Planned) {
-        match planned {
-            Planned::Arrival => self.arrival(),
-            Planned::Timer(token) => self.event(Event::Timer(token)),
-            Planned::Started(attempt) => self.start(attempt),
-            Planned::Progress(attempt) => self.progress(attempt),
-            Planned::Ended { attempt, outcome_code } => {
+    fn handle(&mut self, event: ModelEvent) {
+        match event {
+            ModelEvent::Arrival => self.arrival(),
+            ModelEvent::Timer(token) => self.event(Event::Timer(token)),
+            ModelEvent::Started(attempt) => self.start(attempt),
+            ModelEvent::Progress(attempt) => self.progress(attempt),
+            ModelEvent::Ended { attempt, outcome_code } => {
                 self.end_attempt(attempt, OUTCOMES[outcome_code as usize]);
             }
-            Planned::ClientGone(id) => {
+            ModelEvent::ClientDisconnects(id) => {
                 if let Some(open) = self.requests.get_mut(&id).filter(|open| !open.answered) {
                     open.answered = true;
                     self.event(Event::ClientDisconnected(RequestId(id)));
                 }
             }
-            Planned::Probed(worker) => {
+            ModelEvent::Probed(worker) => {
                 let ok = self.rng.u32(..10) > 0;
                 let load = Some(self.load_of(worker));
                 self.event(Event::ProbeEnded { worker: WorkerId(worker), ok, load });
             }
-            Planned::FleetChange => self.fleet_change(),
-            Planned::WatchAnswered => match self.rng.u32(..3) {
+            ModelEvent::FleetChange => self.fleet_change(),
+            ModelEvent::WatchAnswered => match self.rng.u32(..3) {
                 0 => self.event(Event::EndpointList { scope: ListScope::Failed, endpoints: &[] }),
                 _ => self.send_list(ListScope::Full, None),
             },
-            Planned::PeerInput => self.peer_input(),
-            Planned::Reload => self.reload(),
+            ModelEvent::PeerInput => self.peer_input(),
+            ModelEvent::Reload => self.reload(),
         }
     }
 
@@ -222,12 +223,12 @@
         }
         let request = RequestId(attempt.request);
         self.event(Event::Progress { request, attempt: attempt.number, done: 0.5 });
-        self.plan(1.0, Planned::Progress(attempt));
+        self.schedule(1.0, ModelEvent::Progress(attempt));
     }
 
     fn arrival(&mut self) {
         let id = self.sequence;
-        let run = STANDARD_RUN * [0.25, 0.5, 1.0, 1.0, 2.0, 4.0][self.rng.usize(..6)];
+        let run = STANDARD_RUN_TIME * [0.25, 0.5, 1.0, 1.0, 2.0, 4.0][self.rng.usize(..6)];
         let timeout = [0.3, 1.0, 2.0, 5.0][self.rng.usize(..4)];
         let request = Request {
             id: RequestId(id),
@@ -246,12 +247,12 @@
         self.event(Event::Request(request));
         if self.rng.u32(..50) == 0 {
             let after = 0.1 + timeout * self.rng.f64() / 2.0;
-            self.plan(after, Planned::ClientGone(id));
+            self.schedule(after, ModelEvent::ClientDisconnects(id));
         }
-        // Bursts: every tenth second carries four times the usual traffic.
+        // Every tenth second has four times the usual traffic.
         let burst = if (self.now as u64) % 10 == 7 { 4.0 } else { 1.0 };
-        let pause = 2.0 * self.rng.f64() / (self.traffic.requests_per_second * burst);
-        self.plan(pause, Planned::Arrival);
+        let interval = 2.0 * self.rng.f64() / (self.traffic.requests_per_second * burst);
+        self.schedule(interval, ModelEvent::Arrival);
     }
 
     fn is_running(&self, attempt: AttemptId) -> bool {
@@ -263,7 +264,7 @@
         if !self.is_running(id) {
             return;
         }
-        let open = self.requests.get_mut(&id.request).expect("a known request");
+        let open = self.requests.get_mut(&id.request).expect("the request must exist");
         let model_attempt = &mut open.attempts[id.number as usize];
         let worker = model_attempt.worker;
         model_attempt.is_running = false;
@@ -282,32 +283,32 @@
         self.event(Event::AttemptEnded { request, attempt, outcome, complete, load: None });
     }
 
-    /// Returns a report of a worker's load; now and then it leaves figures out.
+    /// Returns a load report of a worker, from which some figures are missing at random.
     fn load_of(&mut self, worker: u64) -> LoadReport {
-        let Some(known) = self.workers.get(&worker) else { return LoadReport::default() };
-        let free = (known.slots - known.busy).max(0.0);
-        let queue = (known.busy - known.slots).max(0.0);
+        let Some(worker) = self.workers.get(&worker) else { return LoadReport::default() };
+        let free = (worker.slots - worker.busy).max(0.0);
+        let queue = (worker.busy - worker.slots).max(0.0);
         let with_queue = self.rng.u32(..2) == 0;
         LoadReport {
             free_slots: Some(free).filter(|_| self.rng.u32(..10) > 0),
             free_memory: Some(free + 1.0).filter(|_| self.rng.u32(..3) == 0),
             queue_length: Some(queue).filter(|_| with_queue),
-            in_flight: Some(known.busy),
+            in_flight: Some(worker.busy),
             ..LoadReport::default()
         }
     }
 
-    /// Workers drain, are removed, restart, and discovery fails or sends the whole list.
+    /// Drains, removes or restarts a worker; discovery then sends the change or the whole list, or fails.
     fn fleet_change(&mut self) {
         let number = 1 + self.rng.u64(..WORKERS + 2);
-        let since = self.now - 0.5;
-        let worker = self.workers.entry(number).or_insert_with(|| model_worker(number, since));
+        let started_at = self.now - 0.5;
+        let worker = self.workers.entry(number).or_insert_with(|| model_worker(number, started_at));
         match self.rng.u32(..6) {
             0 => worker.endpoint.state = WorkerState::Draining,
             1 => worker.endpoint.state = WorkerState::Removed,
             2 | 3 => {
                 worker.endpoint.state = WorkerState::Serving;
-                worker.endpoint.started_at = since;
+                worker.endpoint.started_at = started_at;
                 worker.busy = 0.0;
             }
             _ => worker.endpoint.state = WorkerState::Serving,
@@ -318,11 +319,11 @@
             2 => self.send_list(ListScope::Cached, None),
             _ => self.send_list(ListScope::Incremental, Some(number)),
         }
-        let pause = 0.2 + self.rng.f64();
-        self.plan(pause, Planned::FleetChange);
+        let interval = 0.2 + self.rng.f64();
+        self.schedule(interval, ModelEvent::FleetChange);
     }
 
-    /// Verdicts of health checkers, grants for workers in slow start and messages of peers.
+    /// Passes a verdict of a health checker, a grant for a worker in slow start or a message of a peer.
     fn peer_input(&mut self) {
         let number = 1 + self.rng.u64(..WORKERS + 2);
         let worker = WorkerId(number);
@@ -330,17 +331,17 @@
             0 => self.event(Event::UnhealthyVerdict { worker, observed_ago: 0.5, valid_for: 2.0 }),
             1 => self.event(Event::UnhealthyVerdict { worker, observed_ago: 0.5, valid_for: 0.0 }),
             2 => {
-                let cold = 5 * (number % 5);
-                let until = self.now + 3.0;
-                self.event(Event::SlowStartGrant { worker: WorkerId(cold), work: 2.0, expires_at: until });
+                let worker = WorkerId(5 * (number % 5));
+                let expires_at = self.now + 3.0;
+                self.event(Event::SlowStartGrant { worker, work: 2.0, expires_at });
             }
             _ => self.event(Event::PeerMessage { from: 1, data: b"load" }),
         }
-        let pause = 0.5 * self.rng.f64();
-        self.plan(pause, Planned::PeerInput);
+        let interval = 0.5 * self.rng.f64();
+        self.schedule(interval, ModelEvent::PeerInput);
     }
 
-    /// Changes the settings: other shares, one more class and one more tenant.
+    /// Reloads the settings with another share, one more class and one more tenant.
     fn reload(&mut self) {
         if let Some(tenant) = self.cfg.tenants.first_mut() {
             tenant.share *= 3.0;
@@ -353,10 +354,10 @@
     }
 
     fn send_list(&mut self, scope: ListScope, only: Option<u64>) {
-        let named = |number: &u64| only.is_none_or(|only| only == *number);
-        let lines =
-            self.workers.iter().filter(|(number, _)| named(number)).map(|(_, worker)| worker.endpoint);
-        let endpoints: Vec<Endpoint> = lines.collect();
+        let is_sent = |number: &u64| only.is_none_or(|only| only == *number);
+        let sent =
+            self.workers.iter().filter(|(number, _)| is_sent(number)).map(|(_, worker)| worker.endpoint);
+        let endpoints: Vec<Endpoint> = sent.collect();
         self.event(Event::EndpointList { scope, endpoints: &endpoints });
     }
 
@@ -370,19 +371,19 @@
         for action in actions {
             let (kind, text) = describe(&action);
             *self.counts.entry(kind).or_insert(0) += 1;
-            self.mix_in(&format!("{} {kind} {text}\n", micros(self.now)));
+            self.add_to_digest(&format!("{} {kind} {text}\n", micros(self.now)));
             match action {
-                Action::Send { request, worker, .. } => self.attempt(request.0, worker.0),
+                Action::Send { request, worker, .. } => self.send_attempt(request.0, worker.0),
                 Action::Reject { request, .. } | Action::Fail { request } => {
-                    self.requests.get_mut(&request.0).expect("a known request").answered = true;
+                    self.requests.get_mut(&request.0).expect("the request must exist").answered = true;
                 }
                 Action::Cancel { request, attempt } => {
                     let attempt = AttemptId { request: request.0, number: attempt };
-                    self.plan_end(0.001, attempt, Outcome::Cancelled);
+                    self.schedule_end(0.001, attempt, Outcome::Cancelled);
                 }
-                Action::Probe(worker) => self.plan(ROUND_TRIP, Planned::Probed(worker.0)),
-                Action::SetTimer { after, token } => self.plan(after, Planned::Timer(token)),
-                Action::Watch(_) => self.plan(0.05, Planned::WatchAnswered),
+                Action::Probe(worker) => self.schedule(ROUND_TRIP, ModelEvent::Probed(worker.0)),
+                Action::SetTimer { after, token } => self.schedule(after, ModelEvent::Timer(token)),
+                Action::Watch(_) => self.schedule(0.05, ModelEvent::WatchAnswered),
                 Action::FetchEndpointList
                 | Action::CloseIdle(_)
                 | Action::SendToPeer { .. }
@@ -391,71 +392,72 @@
         }
     }
 
-    /// FNV-1a, 64 bits.
-    fn mix_in(&mut self, text: &str) {
+    /// Adds a text to the digest, which is FNV-1a with 64 bits.
+    fn add_to_digest(&mut self, text: &str) {
         for byte in text.bytes() {
             self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
         }
     }
 
-    /// Sends an attempt to a worker, which runs, queues or rejects it, fails or hangs.
-    fn attempt(&mut self, id: u64, number: u64) {
+    /// Sends an attempt to a worker and schedules its end: the worker runs, queues or rejects the job, fails or hangs.
+    fn send_attempt(&mut self, id: u64, number: u64) {
         let now = self.now;
-        let open = self.requests.get_mut(&id).expect("a known request");
+        let open = self.requests.get_mut(&id).expect("the request must exist");
         let attempt = AttemptId { request: id, number: open.attempts.len() as u32 };
         open.attempts.push(ModelAttempt { worker: number, is_running: true });
         let slots = open.request.slots;
         let expected = open.request.expected_run_time;
         let deadline = open.deadline;
-        let worker = self.workers.get_mut(&number).expect("a known worker");
-        let full = worker.busy >= 2.0 * worker.slots;
+        let worker = self.workers.get_mut(&number).expect("the worker must exist");
+        let is_full = worker.busy >= 2.0 * worker.slots;
         let queued = (worker.busy + slots - worker.slots).max(0.0) / worker.slots;
         worker.busy += slots;
         let second = (now - START) as u64;
-        let zone_lost = worker.endpoint.zone == 1 && (20..26).contains(&second);
+        let is_zone_down = worker.endpoint.zone == 1 && (20..26).contains(&second);
         let hangs = number == 7 && (10..18).contains(&second) || number == 14 && (40..44).contains(&second);
-        let sick = number == 9 && second < 30;
-        let slow = if number == 4 { 6.0 } else { 1.0 + 2.0 * f64::from(worker.endpoint.kind) };
-        let run = expected.unwrap_or(STANDARD_RUN) * slow * (0.8 + 0.4 * self.rng.f64());
-        let (outcome, after) = if zone_lost {
+        let is_failing = number == 9 && second < 30;
+        let slowdown = if number == 4 { 6.0 } else { 1.0 + 2.0 * f64::from(worker.endpoint.kind) };
+        let run = expected.unwrap_or(STANDARD_RUN_TIME) * slowdown * (0.8 + 0.4 * self.rng.f64());
+        let (outcome, after) = if is_zone_down {
             (Outcome::ConnectFailed, 0.25)
-        } else if sick {
+        } else if is_failing {
             (if self.rng.u32(..2) == 0 { Outcome::Error } else { Outcome::Reset }, 0.02)
-        } else if full {
+        } else if is_full {
             (Outcome::Overloaded, ROUND_TRIP)
         } else if hangs {
             (Outcome::Timeout, f64::INFINITY)
         } else {
-            let start = ROUND_TRIP + queued * STANDARD_RUN * slow;
+            let start = ROUND_TRIP + queued * STANDARD_RUN_TIME * slowdown;
             if self.cfg.reports_job_start && now + start < deadline {
-                self.plan(start, Planned::Started(attempt));
+                self.schedule(start, ModelEvent::Started(attempt));
             }
             if self.cfg.progress_interval > 0.0 {
-                self.plan(start + 0.3, Planned::Progress(attempt));
+                self.schedule(start + 0.3, ModelEvent::Progress(attempt));
             }
-            let odd = OUTCOMES[self.rng.usize(..OUTCOMES.len())];
-            (if self.rng.u32(..25) == 0 { odd } else { Outcome::Ok }, start + run)
+            let random_outcome = OUTCOMES[self.rng.usize(..OUTCOMES.len())];
+            (if self.rng.u32(..25) == 0 { random_outcome } else { Outcome::Ok }, start + run)
         };
         let left = deadline - now;
         let (outcome, after) = if after < left { (outcome, after) } else { (Outcome::Timeout, left) };
-        self.plan_end(after, attempt, outcome);
+        self.schedule_end(after, attempt, outcome);
     }
 }
 
-fn model_worker(number: u64, since: f64) -> ModelWorker {
+fn model_worker(number: u64, started_at: f64) -> ModelWorker {
     let kind = u32::from(number % 4 == 1);
     let endpoint = Endpoint {
         worker: WorkerId(number),
         kind,
         zone: (number % ZONES) as u32,
         cell: (number % 6) as u32,
-        started_at: since,
+        started_at,
         state: WorkerState::Serving,
     };
     ModelWorker { endpoint, slots: if kind == 1 { 8.0 } else { 4.0 }, busy: 0.0 }
 }
 
-/// An action as a kind and its values; times by the microsecond.
+/// Returns the kind of an action and its values as text, with times in microseconds. The words are part of the digests,
+/// so they must not change.
 fn describe(action: &Action) -> (&'static str, String) {
     let span = |seconds: &Option<f64>| seconds.map_or(-1, micros);
     match action {
@@ -476,20 +478,21 @@
 }
 
 fn digests(cfg: &Settings, traffic: Traffic) -> String {
-    let line = |seed| format!("seed {seed}: {}\n", Model::new(cfg.clone(), traffic, seed).play());
+    let line = |seed| format!("seed {seed}: {}\n", Model::new(cfg.clone(), traffic, seed).run());
     SEEDS.map(line).collect()
 }
 
-const PLAIN: Traffic = Traffic { requests_per_second: 60.0, hints: false, keys: false, largest_slots: 2 };
+const PLAIN_TRAFFIC: Traffic =
+    Traffic { requests_per_second: 60.0, hints: false, keys: false, largest_slots: 2 };
 
 #[test]
-fn load_with_answers() {
-    insta::assert_snapshot!("load_with_answers", digests(&settings(), PLAIN));
+fn load_with_responses() {
+    insta::assert_snapshot!("load_with_answers", digests(&settings(), PLAIN_TRAFFIC));
 }
 
-/// Hints, keys, probes, a polled list, hedged requests, prices and workers that are reserved for large jobs.
+/// Enables hints, keys, probes, a polled list, hedged requests, prices and capacity reservation.
 #[test]
-fn everything_that_settings_allow() {
+fn all_optional_settings() {
     let classes = settings().classes;
     let cfg = Settings {
         classes: vec![
@@ -518,14 +521,14 @@
 }
 
 #[test]
-fn load_by_probes_alone() {
+fn load_with_probes_only() {
     let cfg = Settings {
         load_reports: LoadReports::WithProbes,
         probes_allowed: true,
         reports_job_start: false,
         ..settings()
     };
-    insta::assert_snapshot!("load_by_probes_alone", digests(&cfg, Traffic { keys: true, ..PLAIN }));
+    insta::assert_snapshot!("load_by_probes_alone", digests(&cfg, Traffic { keys: true, ..PLAIN_TRAFFIC }));
 }
 
 /// Many dispatchers, no load reports, a class with a required kind of machine, no cancellation.
@@ -549,6 +552,6 @@
         max_attempts: 2,
         ..settings()
     };
-    let traffic = Traffic { requests_per_second: 25.0, hints: true, ..PLAIN };
+    let traffic = Traffic { requests_per_second: 25.0, hints: true, ..PLAIN_TRAFFIC };
     insta::assert_snapshot!("many_dispatchers_without_load_reports", digests(&cfg, traffic));
 }
--- a/crates/dispatch-core/tests/odd.rs
+++ b/crates/dispatch-core/tests/odd.rs
@@ -1,19 +1,20 @@
-//! Bad input and unusual faults: the dispatcher's behaviour stays defined and keeps the rules.
+//! Tests with invalid input and unusual faults: the dispatcher must keep the rules and must not panic.
 
 mod common;
 
 use common::*;
 use dispatch_core::api::*;
 
-/// Sends requests at a constant rate and ends each attempt after a tenth of a second with the given outcome.
-fn play(driver: &mut Driver, from: u64, count: u64, answer: impl Fn(WorkerId) -> Outcome) -> usize {
+/// Sends `count` requests at a constant rate, starting with the id `from`, and ends each attempt after a tenth of a
+/// second with the outcome that `outcome_of` returns for its worker. Returns the number of requests that were served.
+fn serve(driver: &mut Driver, from: u64, count: u64, outcome_of: impl Fn(WorkerId) -> Outcome) -> usize {
     for id in from..from + count {
         driver.request(request(id));
         driver.advance(0.05);
         for open in driver.open_attempts.clone() {
             let send = driver.requests[&open.request].sends[open.number as usize];
             if driver.now - send.sent_at >= 0.1 {
-                driver.end_attempt(open.request, open.number, answer(send.worker));
+                driver.end_attempt(open.request, open.number, outcome_of(send.worker));
             }
         }
     }
@@ -21,6 +22,7 @@
     (from..from + count).filter(served).count()
 }
 
+/// Returns the number of attempts at this worker.
 fn sends_to(driver: &Driver, worker: u64) -> usize {
     driver
         .requests
@@ -40,7 +42,7 @@
             ..settings()
         },
         Settings { tenants: vec![Tenant { share: f64::NAN, quota: f64::NAN }], ..settings() },
-        // Shorter than the least delay between two calls: reversed bounds caused a panic.
+        // Guards against a panic: the maximum delay between two calls was below the minimum.
         Settings { polls_endpoint_list: true, max_poll_interval: 0.3, ..settings() },
         Settings {
             max_attempts: 0,
@@ -53,9 +55,9 @@
         let mut driver = Driver::new(Settings { max_attempts: cfg.max_attempts.max(1), ..cfg }, 1, &fleet(3));
         driver.advance(2.0);
         driver.send_list(ListScope::Failed, &[]);
-        let served = play(&mut driver, 0, 60, |_| Outcome::Ok);
+        let served = serve(&mut driver, 0, 60, |_| Outcome::Ok);
         driver.advance(10.0);
-        assert!(driver.requests.values().all(|record| record.answers == 1));
+        assert!(driver.requests.values().all(|record| record.responses == 1));
         assert!(served > 0, "{:?}", driver.cfg.tenants);
     }
 }
@@ -64,14 +66,14 @@
 fn rejects_every_job_without_workers() {
     let mut driver = Driver::new(settings(), 1, &[]);
     driver.advance(2.0);
-    play(&mut driver, 0, 10, |_| Outcome::Ok);
+    serve(&mut driver, 0, 10, |_| Outcome::Ok);
     driver.advance(10.0);
-    assert!(driver.requests.values().all(|record| record.answers == 1 && record.sends.is_empty()));
+    assert!(driver.requests.values().all(|record| record.responses == 1 && record.sends.is_empty()));
 }
 
-/// One job of a million slots must not open the banks to everything that follows.
+/// Guards against banks that grow with a job of a million slots and then admit all requests that follow.
 #[test]
-fn rejects_a_job_larger_than_any_worker_without_growing_the_banks() {
+fn rejects_a_job_larger_than_any_worker_without_enlarging_the_banks() {
     let mut driver = Driver::new(settings(), 1, &fleet(3));
     for worker in 1..=3 {
         driver.probed(WorkerId(worker), 4.0);
@@ -79,17 +81,20 @@
     driver.advance(2.0);
     for (id, slots) in [(1, 1e9), (2, f64::INFINITY), (3, 50.0)] {
         driver.request(Request { slots, ..request(id) });
-        assert!(driver.requests[&id].sends.is_empty() && driver.requests[&id].answers == 1);
+        assert!(driver.requests[&id].sends.is_empty() && driver.requests[&id].responses == 1);
     }
     for id in 10..3000 {
         driver.request(request(id));
     }
-    let admitted = driver.requests.values().filter(|record| record.answers == 0).count();
-    assert!(admitted < 400, "R is 120 a second, banks hold a second or two: {admitted} admitted at once");
+    let admitted = driver.requests.values().filter(|record| record.responses == 0).count();
+    assert!(
+        admitted < 400,
+        "R is 120 per second and banks hold one or two seconds: {admitted} admitted at once"
+    );
 }
 
 #[test]
-fn takes_figures_that_are_no_numbers_for_the_least() {
+fn handles_invalid_numbers_as_minimum_values() {
     let mut driver = Driver::new(settings(), 1, &fleet(3));
     driver.advance(2.0);
     driver.request(Request { slots: f64::NAN, memory: f64::NAN, ..request(1) });
@@ -97,12 +102,12 @@
     let load =
         Some(LoadReport { free_slots: Some(f64::NAN), free_memory: Some(-7.0), ..LoadReport::default() });
     driver.event(Event::ProbeEnded { worker: WorkerId(1), ok: true, load });
-    assert!(play(&mut driver, 10, 20, |_| Outcome::Ok) > 10);
+    assert!(serve(&mut driver, 10, 20, |_| Outcome::Ok) > 10);
 }
 
-/// A clock that stands still, falls back or leaps a year ahead.
+/// The clock stands still, goes back and jumps ahead by a year; the dispatcher must continue to serve.
 #[test]
-fn survives_clocks_that_stop_fall_back_or_leap() {
+fn continues_after_clock_stops_and_jumps() {
     let mut driver = Driver::new(settings(), 1, &fleet(3));
     driver.advance(2.0);
     for id in 0..50 {
@@ -114,82 +119,89 @@
     driver.now += 3.2e7;
     driver.event(Event::Timer(u64::MAX));
     driver.now += 1.0;
-    assert!(play(&mut driver, 200, 40, |_| Outcome::Ok) > 20, "it continues to serve after a leap");
+    assert!(serve(&mut driver, 200, 40, |_| Outcome::Ok) > 20, "the dispatcher must serve after the jump");
 }
 
-/// A report that is frozen at "all free" counts for less than the worker's own answers that it is overloaded.
+/// A worker whose load report always states free slots rejects all jobs as overloaded. The rejections must outweigh the
+/// reports.
 #[test]
-fn trusts_overloaded_answers_over_false_load_reports() {
+fn rejections_outweigh_false_load_reports() {
     let mut driver = Driver::new(settings(), 1, &fleet(8));
     driver.advance(2.0);
     for id in 0..100 {
         driver.probed(WorkerId(2), 9.0);
-        play(&mut driver, id, 1, |worker| if worker.0 == 2 { Outcome::Overloaded } else { Outcome::Ok });
+        serve(&mut driver, id, 1, |worker| if worker.0 == 2 { Outcome::Overloaded } else { Outcome::Ok });
     }
     let sends_to_full = sends_to(&driver, 2);
     assert!(
         sends_to_full < 40,
-        "{sends_to_full} of 100 jobs were sent to the worker that reports free slots and is full"
+        "{sends_to_full} of 100 jobs were sent to the full worker that reports free slots"
     );
 }
 
-/// A worker that fails fast seems fast and empty: it is ejected, and tried again later.
+/// A worker that fails quickly seems to be fast and empty. It must be ejected, and readmitted once it serves jobs.
 #[test]
 fn ejects_a_worker_on_fast_errors_and_readmits_it() {
     let mut driver = Driver::new(settings(), 1, &fleet(6));
     driver.advance(2.0);
-    play(&mut driver, 0, 200, |worker| if worker.0 == 2 { Outcome::Error } else { Outcome::Ok });
+    serve(&mut driver, 0, 200, |worker| if worker.0 == 2 { Outcome::Error } else { Outcome::Ok });
     let sends_to_failing = sends_to(&driver, 2);
     assert!(
         (2..=14).contains(&sends_to_failing),
         "{sends_to_failing} of 200 jobs were sent to the failing worker"
     );
     driver.advance(10.0);
-    play(&mut driver, 1000, 200, |_| Outcome::Ok);
-    assert!(sends_to(&driver, 2) > sends_to_failing + 10, "once it works it gets its share again");
+    serve(&mut driver, 1000, 200, |_| Outcome::Ok);
+    assert!(sends_to(&driver, 2) > sends_to_failing + 10, "a worker that serves again must get its share");
 }
 
-/// Only some workers can be reached: jobs go to these as before.
+/// Some workers are unreachable; nearly all jobs must be served by the others.
 #[test]
 fn avoids_unreachable_workers() {
     let mut driver = Driver::new(settings(), 1, &fleet(10));
     driver.advance(2.0);
-    play(&mut driver, 0, 100, |worker| if worker.0 > 6 { Outcome::ConnectFailed } else { Outcome::Ok });
+    serve(&mut driver, 0, 100, |worker| if worker.0 > 6 { Outcome::ConnectFailed } else { Outcome::Ok });
     let served =
-        play(&mut driver, 100, 200, |worker| if worker.0 > 6 { Outcome::ConnectFailed } else { Outcome::Ok });
-    assert!(served > 180, "{served} of 200 served by the six that can be reached");
+        serve(
+            &mut driver,
+            100,
+            200,
+            |worker| if worker.0 > 6 { Outcome::ConnectFailed } else { Outcome::Ok },
+        );
+    assert!(served > 180, "{served} of 200 jobs were served by the six reachable workers");
 }
 
-/// All workers seem unhealthy: the fault is the network's or our own, and service resumes as soon as a worker responds.
+/// If all workers seem unhealthy, the cause is probably the network or the dispatcher itself. Jobs must still be sent,
+/// so that service resumes as soon as workers respond.
 #[test]
 fn keeps_sending_when_all_workers_fail() {
     let mut driver = Driver::new(settings(), 1, &fleet(6));
     driver.advance(2.0);
-    play(&mut driver, 0, 100, |_| Outcome::Reset);
-    let served = play(&mut driver, 1000, 100, |_| Outcome::Ok);
-    assert!(served > 60, "{served} of 100 served at once when the network is back");
+    serve(&mut driver, 0, 100, |_| Outcome::Reset);
+    let served = serve(&mut driver, 1000, 100, |_| Outcome::Ok);
+    assert!(served > 60, "{served} of 100 jobs were served right after the network recovered");
 }
 
-/// An old list arrives late: it does not undo a restart that is newer, and a newer list follows.
+/// A saved list that arrives late must not undo a newer restart, and the newer list that follows must apply.
 #[test]
 fn keeps_the_rules_on_an_outdated_endpoint_list() {
     let mut driver = Driver::new(settings(), 1, &fleet(6));
     driver.advance(2.0);
-    let young = Endpoint { started_at: driver.now, ..endpoint(2, WorkerState::Serving) };
-    driver.send_list(ListScope::Incremental, &[young, endpoint(4, WorkerState::Draining)]);
+    let restarted = Endpoint { started_at: driver.now, ..endpoint(2, WorkerState::Serving) };
+    driver.send_list(ListScope::Incremental, &[restarted, endpoint(4, WorkerState::Draining)]);
     let old = fleet(6);
     driver.send_list(ListScope::Cached, &old);
-    play(&mut driver, 0, 40, |_| Outcome::Ok);
-    driver.send_list(ListScope::Full, &[young, endpoint(1, WorkerState::Serving)]);
+    serve(&mut driver, 0, 40, |_| Outcome::Ok);
+    driver.send_list(ListScope::Full, &[restarted, endpoint(1, WorkerState::Serving)]);
     let before = driver.requests.len() as u64;
-    play(&mut driver, before, 40, |_| Outcome::Ok);
-    let ok = |worker: &WorkerId| worker.0 == 1 || worker.0 == 2;
+    serve(&mut driver, before, 40, |_| Outcome::Ok);
+    let is_listed = |worker: &WorkerId| worker.0 == 1 || worker.0 == 2;
     let sends = driver.requests.range(before..).flat_map(|(_, record)| &record.sends);
-    assert!(sends.clone().all(|send| ok(&send.worker)) && sends.count() > 20);
+    assert!(sends.clone().all(|send| is_listed(&send.worker)) && sends.count() > 20);
 }
 
-/// Returns the number of workers of the own zone that get jobs from this request on.
-fn near_in_use(driver: &Driver, from: u64) -> usize {
+/// Returns the number of workers of the own zone that get jobs for the requests from the id `from` on.
+fn used_workers_of_own_zone(driver: &Driver, from: u64) -> usize {
     let used = |worker: &u64| {
         driver
             .requests
@@ -199,29 +211,29 @@
     (2..=6).step_by(2).filter(used).count()
 }
 
-/// Invalid requests, from clients that retry them as soon as they are rejected: they are the clients' fault, and no
-/// worker is ejected for them (each ejected four, and took the tokens of four from its tenant's bank).
+/// Clients send invalid requests and retry them as soon as they are rejected. Guards against ejecting workers for them:
+/// each such request was sent four times, ejected four workers and took the tokens of four jobs from its tenant's bank.
 #[test]
 fn invalid_requests_eject_no_worker() {
     let mut driver = Driver::new(settings(), 1, &fleet(6));
     driver.advance(2.0);
-    play(&mut driver, 0, 30, |_| Outcome::InvalidRequest);
+    serve(&mut driver, 0, 30, |_| Outcome::InvalidRequest);
     assert!(
         driver.requests.values().all(|record| record.sends.len() <= 1),
-        "an invalid request is not retried"
+        "an invalid request must not be retried"
     );
     assert!(
-        driver.requests.values().filter(|record| record.answers == 1).count() >= 28,
-        "most invalid requests are answered at once"
+        driver.requests.values().filter(|record| record.responses == 1).count() >= 28,
+        "most invalid requests must be answered at once"
     );
-    let served = play(&mut driver, 1000, 40, |_| Outcome::Ok);
-    assert!(served > 30, "{served} of 40 served");
-    assert_eq!(near_in_use(&driver, 1000), 3, "all are used at once");
+    let served = serve(&mut driver, 1000, 40, |_| Outcome::Ok);
+    assert!(served > 30, "{served} of 40 jobs were served");
+    assert_eq!(used_workers_of_own_zone(&driver, 1000), 3, "all workers of the own zone must be used");
 }
 
-/// A request that fails at one worker after another is at fault itself: only the first failure counts.
+/// A request that fails at several workers is probably the cause itself, so only its first failure must count.
 #[test]
-fn one_failing_request_ejects_no_second_worker() {
+fn one_failing_request_ejects_at_most_one_worker() {
     let mut driver = Driver::new(settings(), 1, &fleet(6));
     driver.advance(2.0);
     for id in 0..2 {
@@ -230,6 +242,6 @@
             driver.end_attempt(open.request, open.number, Outcome::Reset);
         }
     }
-    play(&mut driver, 1000, 8, |_| Outcome::Ok);
-    assert!(near_in_use(&driver, 1000) >= 2, "two failures are at most one worker's");
+    serve(&mut driver, 1000, 8, |_| Outcome::Ok);
+    assert!(used_workers_of_own_zone(&driver, 1000) >= 2, "at most one worker may be ejected");
 }
--- a/crates/dispatch-core/tests/poll_schedule.rs
+++ b/crates/dispatch-core/tests/poll_schedule.rs
@@ -68,8 +68,8 @@
     answered_callers(callers.collect(), call, within, &delay)
 }
 
-/// The more callers there are, the more widely their calls must be spread, so that all are answered. With a fixed delay of
-/// 0.1 s the service answers no further callers once its queue is full.
+/// The more callers there are, the more widely their calls must be spread, so that all are answered. With a fixed delay
+/// of 0.1 s the service answers no further callers once its queue is full.
 #[test]
 fn polls_after_a_common_failure_are_all_answered() {
     for (instances, call) in [(6, 227_000), (6, 333_000), (32, 60_000), (300, 12_000)] {
--- a/crates/dispatch-core/tests/rules.rs
+++ b/crates/dispatch-core/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The four rules, on random streams of events and case by case.
+//! Tests of the four rules of a dispatcher (see `common`), on random event streams and in single cases.
 
 mod common;
 
@@ -17,7 +17,7 @@
     Outcome::NotSent,
 ];
 
-/// Returns a request of a random class, tenant and size. Classes beyond the settings are drawn as the last one.
+/// Returns a request of a random class, tenant and size. The last class is drawn twice as often as the others.
 fn random_request(rng: &mut Rng, id: u64) -> Request {
     Request {
         class: rng.u32(..5).min(3),
@@ -29,9 +29,9 @@
     }
 }
 
-/// Plays a random stream of requests, outcomes, reports, list changes and unexpected events; the driver checks every
-/// action. The stream is no model of a fleet: outcomes are random.
-fn stream(seed: u64, cfg: Settings) -> Vec<Action> {
+/// Runs a random stream of requests, outcomes, list changes and unexpected events, and returns the actions; the driver
+/// checks each of them. The stream does not model a fleet: its outcomes are random.
+fn run_random_stream(seed: u64, cfg: Settings) -> Vec<Action> {
     let mut rng = Rng::with_seed(seed);
     let workers = fleet(9);
     let mut driver = Driver::new(cfg, seed, &workers);
@@ -46,19 +46,17 @@
             }
             4..=7 if !open.is_empty() => {
                 let attempt = open[rng.usize(..open.len())];
-                let good = rng.u32(..3) > 0;
-                let outcome = if good { Outcome::Ok } else { OUTCOMES[rng.usize(..OUTCOMES.len())] };
+                let is_ok = rng.u32(..3) > 0;
+                let outcome = if is_ok { Outcome::Ok } else { OUTCOMES[rng.usize(..OUTCOMES.len())] };
                 driver.end_attempt(attempt.request, attempt.number, outcome);
             }
             8 => {
                 let worker = rng.u64(1..=10);
                 let state =
                     [WorkerState::Serving, WorkerState::Draining, WorkerState::Removed][rng.usize(..3)];
-                let since = if rng.u32(..4) == 0 { driver.now - 1.0 } else { 0.0 };
-                driver.send_list(
-                    ListScope::Incremental,
-                    &[Endpoint { started_at: since, ..endpoint(worker, state) }],
-                );
+                let started_at = if rng.u32(..4) == 0 { driver.now - 1.0 } else { 0.0 };
+                driver
+                    .send_list(ListScope::Incremental, &[Endpoint { started_at, ..endpoint(worker, state) }]);
             }
             _ => {
                 driver.event(Event::JobStarted {
@@ -81,17 +79,17 @@
     }
     driver.advance(12.0);
     for (id, record) in &driver.requests {
-        assert_eq!(record.answers, 1, "rule 1: request {id} was never answered");
+        assert_eq!(record.responses, 1, "rule 1: request {id} must get one response");
     }
     driver.log
 }
 
 #[test]
-fn random_streams_keep_the_rules() {
+fn rules_hold_on_random_streams() {
     for seed in 0..60 {
-        stream(seed, settings());
-        stream(seed, Settings { max_attempts: 2, ..settings() });
-        stream(
+        run_random_stream(seed, settings());
+        run_random_stream(seed, Settings { max_attempts: 2, ..settings() });
+        run_random_stream(
             seed,
             Settings {
                 load_reports: LoadReports::None,
@@ -104,16 +102,16 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn equal_events_and_seeds_give_equal_actions() {
     for seed in 0..5 {
-        assert_eq!(stream(seed, settings()), stream(seed, settings()));
+        assert_eq!(run_random_stream(seed, settings()), run_random_stream(seed, settings()));
     }
 }
 
-/// The outcome of the first attempt and the class decide whether there is a retry.
+/// The class and the outcome of the first attempt must decide whether the job is sent again or failed.
 #[test]
 fn retries_and_rejections_follow_the_class() {
-    for (class, outcome, again) in [
+    for (class, outcome, is_retried) in [
         (0, Outcome::Overloaded, true),
         (0, Outcome::Reset, true),
         (0, Outcome::Error, true),
@@ -131,33 +129,33 @@
         assert_eq!(
             driver.requests[&1].sends.len(),
             1,
-            "class {class} is sent at once with tokens in the bank"
+            "with tokens in the bank, class {class} must be sent at once"
         );
         driver.advance(0.01);
         let mut actions = driver.end_attempt(1, 0, outcome);
         actions.extend(driver.advance(0.3));
         assert_eq!(
             driver.requests[&1].sends.len() == 2,
-            again,
+            is_retried,
             "class {class} after {outcome:?}: {actions:?}"
         );
         let failed = actions.contains(&Action::Fail { request: RequestId(1) });
-        assert_eq!(failed, !again, "class {class} after {outcome:?}: {actions:?}");
+        assert_eq!(failed, !is_retried, "class {class} after {outcome:?}: {actions:?}");
     }
 }
 
-/// Retries with an idempotency key stay within the key scope and the key window; where neither allows one, the request
-/// is answered instead.
+/// Retries with an idempotency key must stay within the key scope and the key window; outside of them the request gets
+/// a final response instead.
 #[test]
 fn retries_with_a_key_stay_in_their_scope_and_window() {
-    for (group, wait, again) in [
+    for (scope, wait, is_retried) in [
         (KeyScope::All, 0.1, true),
         (KeyScope::Zone, 0.1, true),
         (KeyScope::Cell, 0.1, true),
         (KeyScope::Zone, 6.0, false),
         (KeyScope::All, 6.0, false),
     ] {
-        let classes = vec![Class { latency_objective: 20.0, ..class(Idempotency::WithKey(group)) }];
+        let classes = vec![Class { latency_objective: 20.0, ..class(Idempotency::WithKey(scope)) }];
         let workers: Vec<Endpoint> = (1..=6)
             .map(|worker| Endpoint { cell: (worker % 3) as u32, ..endpoint(worker, WorkerState::Serving) })
             .collect();
@@ -168,11 +166,14 @@
         driver.end_attempt(1, 0, Outcome::Reset);
         driver.advance(3.0);
         let sends = &driver.requests[&1].sends;
-        assert_eq!(sends.len() > 1, again, "{group:?} after {wait} s: {sends:?}");
-        if let (KeyScope::Cell, Some(second)) = (group, sends.get(1)) {
-            assert_eq!(second.worker.0 % 3, sends[0].worker.0 % 3, "the same cell");
+        assert_eq!(sends.len() > 1, is_retried, "{scope:?} after {wait} s: {sends:?}");
+        if let (KeyScope::Cell, Some(second)) = (scope, sends.get(1)) {
+            assert_eq!(second.worker.0 % 3, sends[0].worker.0 % 3, "the retry must stay in the cell");
         }
-        assert!(again || driver.requests[&1].answers == 1, "{group:?} after {wait} s is answered");
+        assert!(
+            is_retried || driver.requests[&1].responses == 1,
+            "{scope:?} after {wait} s must be answered"
+        );
     }
 }
 
@@ -203,8 +204,8 @@
     assert!(sends.clone().count() > 10 && sends.clone().all(|send| send.worker == WorkerId(4)));
 }
 
-/// Rule 4 is a budget for all dispatchers together: the work that hundreds of them send to one worker that has just
-/// started must stay under multiple x present capacity x span, within any span.
+/// Rule 4 is a budget for all dispatchers together: within any time window, the work that hundreds of them send to a
+/// worker that has just started must stay below the overload multiple times the worker's capacity times the window.
 #[test]
 fn all_dispatchers_together_keep_the_slow_start_budget() {
     for instances in [1_u32, 3, 40, 230] {
@@ -227,19 +228,23 @@
         }
         let sends = all.iter().flat_map(|driver| driver.requests.values()).flat_map(|record| &record.sends);
         let sent: Vec<f64> = sends.map(|send| send.sent_at).collect();
-        // The budget of a worker of one slot; the module plans by the largest job.
-        let (share, warm, span, multiple) = (0.2, 20.0, 2.0, 3.0);
+        // The worker is assumed to have one slot, because the largest job so far has one.
+        let (min_capacity, duration, window, multiple) = (0.2, 20.0, 2.0, 3.0);
         for &from in &sent {
-            let in_span = sent.iter().filter(|sent_at| **sent_at >= from && **sent_at < from + span);
-            let work: f64 = in_span.map(|_| 0.3).sum();
-            let capacity = share + (1.0 - share) * ((from - start) / warm).min(1.0);
-            assert!(work <= multiple * capacity * span, "{instances} instances: {work} at {}", from - start);
+            let in_window = sent.iter().filter(|sent_at| **sent_at >= from && **sent_at < from + window);
+            let work: f64 = in_window.map(|_| 0.3).sum();
+            let capacity = min_capacity + (1.0 - min_capacity) * ((from - start) / duration).min(1.0);
+            assert!(
+                work <= multiple * capacity * window,
+                "{instances} instances: {work} at {}",
+                from - start
+            );
         }
-        assert!(!sent.is_empty(), "{instances} instances: a worker in slow start gets some work");
+        assert!(!sent.is_empty(), "{instances} instances: a worker in slow start must get some work");
     }
 }
 
-/// Returns the times at which a process sent jobs to the only worker; it gets a request every 10 ms.
+/// Passes a request to a dispatcher process every 10 ms and returns the times at which it sent jobs to the only worker.
 fn sends_of_process(process: &mut Driver, until: f64, first_id: u64) -> Vec<f64> {
     let mut id = first_id;
     while process.now < until - 0.005 {
@@ -250,32 +255,32 @@
     process.requests.values().flat_map(|record| &record.sends).map(|send| send.sent_at).collect()
 }
 
-/// A process used its share of the present slice of the slow-start budget, though the process before it may have spent
-/// it. One that crashed again and again sent its share each time, and a worker that had just started got several times
-/// its capacity.
+/// Guards against a process that uses its share of the slow-start budget in the slice in which it starts, although an
+/// earlier process with the same number may have spent it. With repeated crashes each process sent the whole share, and
+/// a worker in slow start got several times its capacity.
 #[test]
-fn processes_that_restart_within_a_slice_keep_the_slow_start_budget() {
+fn processes_that_restart_within_a_slice_stay_within_the_slow_start_budget() {
     let worker = Endpoint { started_at: 100.0, ..endpoint(1, WorkerState::Serving) };
-    let (share, warm, span, multiple, work) = (0.2, 20.0, 2.0, 3.0, 0.3);
+    let (min_capacity, duration, window, multiple, work) = (0.2, 20.0, 2.0, 3.0, 0.3);
     let mut sent = Vec::new();
-    for incarnation in 0..40_u64 {
-        // Some incarnations span the border of two slices.
-        let begins = 100.1 + incarnation as f64 / 4.0;
-        let mut process = Driver::new_at(begins, settings(), 7 + incarnation, &[worker]);
-        sent.extend(sends_of_process(&mut process, begins + 0.25, incarnation * 1000));
+    for process_number in 0..40_u64 {
+        // Some processes run across the boundary of two slices.
+        let start = 100.1 + process_number as f64 / 4.0;
+        let mut process = Driver::new_at(start, settings(), 7 + process_number, &[worker]);
+        sent.extend(sends_of_process(&mut process, start + 0.25, process_number * 1000));
     }
-    assert!(!sent.is_empty(), "a worker in slow start gets some work");
+    assert!(!sent.is_empty(), "a worker in slow start must get some work");
     for &from in &sent {
-        let in_span = sent.iter().filter(|at| (from..from + span).contains(*at)).count();
-        let capacity = share + (1.0 - share) * (from - 100.0) / warm;
-        let allowed = multiple * capacity * span;
-        assert!(in_span as f64 * work <= allowed, "{in_span} sends from {from} on, {allowed} allowed");
+        let sends = sent.iter().filter(|at| (from..from + window).contains(*at)).count();
+        let capacity = min_capacity + (1.0 - min_capacity) * (from - 100.0) / duration;
+        let allowed = multiple * capacity * window;
+        assert!(sends as f64 * work <= allowed, "{sends} sends from {from} on, work of {allowed} is allowed");
     }
 }
 
-/// A process uses its share of the slow-start budget from the slice after its start on.
+/// A process must use its share of the slow-start budget only from the slice after its start.
 #[test]
-fn a_process_takes_its_part_of_the_slow_start_budget_up_in_the_slice_after_its_start() {
+fn a_process_uses_its_slow_start_share_from_the_slice_after_its_start() {
     let worker = Endpoint { started_at: 100.0, ..endpoint(1, WorkerState::Serving) };
     let mut process = Driver::new_at(105.0, settings(), 7, &[worker]);
     let sent = sends_of_process(&mut process, 110.0, 0);
@@ -283,9 +288,10 @@
     assert!(sent.iter().any(|at| *at < 108.0), "{sent:?}");
 }
 
-/// Slices are numbered by the length in the settings: with a longer one the share must not wait for the old number.
+/// The numbers of slices depend on their length in the settings. After a reload with longer slices, a process must not
+/// wait for a slice number that was computed with the old length before it uses its share.
 #[test]
-fn a_process_keeps_its_part_of_the_slow_start_budget_when_the_settings_name_longer_slices() {
+fn a_process_keeps_its_slow_start_share_when_a_reload_makes_slices_longer() {
     let worker = Endpoint { started_at: 100.0, ..endpoint(1, WorkerState::Serving) };
     let mut process = Driver::new_at(101.0, settings(), 7, &[worker]);
     let longer = Settings { overload_window: 3.0, ..settings() };
@@ -293,9 +299,9 @@
     assert!(!sends_of_process(&mut process, 110.0, 0).is_empty());
 }
 
-/// A process that shuts down gives up its share at once: its successor may serve already.
+/// A process that shuts down must release its share at once, because its successor may already serve.
 #[test]
-fn a_process_that_drains_gives_its_part_of_the_slow_start_budget_up() {
+fn a_process_that_shuts_down_releases_its_slow_start_share() {
     let worker = Endpoint { started_at: 100.0, ..endpoint(1, WorkerState::Serving) };
     let mut process = Driver::new_at(101.0, settings(), 7, &[worker]);
     assert!(!sends_of_process(&mut process, 104.0, 0).is_empty());
@@ -305,9 +311,9 @@
     assert_eq!(after, before);
 }
 
-/// Six in ten of 60 workers have just started, and 100 dispatchers carry the traffic, one of them a third of it: the
-/// workers in slow start get some of it, and the sum stays within the budget. Some dispatchers restart meanwhile, and
-/// some receive the list late.
+/// 36 of 60 workers have just started, and 100 dispatchers carry the traffic, one of them a third of it. Some
+/// dispatchers restart meanwhile, and some receive the list late. The workers in slow start must get part of the
+/// traffic, and each must stay within its budget.
 #[test]
 fn a_large_fleet_warms_up_within_the_slow_start_budget() {
     for seed in 0..3 {
@@ -323,8 +329,8 @@
             slow_start_duration: 24.0,
             ..settings()
         };
-        let named = |n: u32| if n % 7 == 3 { &list[..24] } else { &list[..] };
-        let drivers = (0..instances).map(|n| Driver::new(cfg(n), seed * 1000 + u64::from(n), named(n)));
+        let listed = |n: u32| if n % 7 == 3 { &list[..24] } else { &list[..] };
+        let drivers = (0..instances).map(|n| Driver::new(cfg(n), seed * 1000 + u64::from(n), listed(n)));
         let mut all: Vec<Driver> = drivers.collect();
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut sent: Vec<SendRecord> = Vec::new();
@@ -336,7 +342,7 @@
                     .for_each(|driver| drop(driver.send_list(ListScope::Full, &list)));
             }
             for driver in all[60..90].iter_mut().filter(|_| step == 500) {
-                // Its open attempts still count; the new process knows nothing of them.
+                // The open attempts of the old process still count; the new process does not have them.
                 let open = driver.open_attempts.iter();
                 sent.extend(open.map(|open| driver.requests[&open.request].sends[open.number as usize]));
                 *driver = Driver::new(driver.cfg.clone(), seed + 77, &list);
@@ -345,7 +351,7 @@
             let driver = &mut all[n];
             driver.advance(now - driver.now);
             driver.request(request(step));
-            // Each runs for 0.3 s.
+            // Each job runs for 0.3 s.
             for driver in &mut all {
                 for open in driver.open_attempts.clone() {
                     let send = driver.requests[&open.request].sends[open.number as usize];
@@ -359,20 +365,20 @@
         }
         let is_warming_up = |send: &SendRecord| send.worker.0 > 24;
         let late = sent.iter().filter(|send| send.sent_at > start + 8.0);
-        let part = late.clone().filter(|send| is_warming_up(send)).count() as f64 / late.count() as f64;
-        assert!(part > 0.1, "{part} of the sends went to the six in ten in slow start");
+        let fraction = late.clone().filter(|send| is_warming_up(send)).count() as f64 / late.count() as f64;
+        assert!(fraction > 0.1, "the workers in slow start got only {fraction} of the sends");
         for &SendRecord { sent_at: from, worker, .. } in sent.iter().filter(|send| is_warming_up(send)) {
             let to_worker = sent.iter().filter(|send| send.worker == worker);
-            let span = to_worker.filter(|send| (from..from + 1.5).contains(&send.sent_at));
+            let in_window = to_worker.filter(|send| (from..from + 1.5).contains(&send.sent_at));
             let capacity = 0.2 + 0.8 * (from - start) / 24.0;
-            // The module takes a worker to have as many slots as the largest job: one, and a run for 0.3 s.
-            assert!(span.count() as f64 * 0.3 <= 3.0 * capacity * 1.5, "{worker:?} at {}", from - start);
+            // The worker is assumed to have one slot, because the largest job so far has one; each job runs for 0.3 s.
+            assert!(in_window.count() as f64 * 0.3 <= 3.0 * capacity * 1.5, "{worker:?} at {}", from - start);
         }
     }
 }
 
-/// A job that waits for a free worker must not go to one that began to drain meanwhile, though the grace is not over:
-/// the module uses none of it.
+/// A job that waits for a free worker must not be sent to a worker that began to drain meanwhile. The grace is not over
+/// then, but the dispatcher does not make use of it.
 #[test]
 fn sends_no_waiting_job_to_a_worker_that_began_to_drain() {
     let mut driver = Driver::new(settings(), 5, &[endpoint(1, WorkerState::Serving)]);
@@ -386,11 +392,11 @@
     driver.send_list(ListScope::Incremental, &[endpoint(1, WorkerState::Draining)]);
     driver.advance(5.0);
     let sends = driver.log[before..].iter().filter(|action| matches!(action, Action::Send { .. })).count();
-    assert!(waiting > 0 && sends == 0, "{waiting} waited, {sends} were sent after the drain");
+    assert!(waiting > 0 && sends == 0, "{waiting} jobs waited, {sends} were sent after the drain began");
 }
 
-/// Each rule's check must detect a dispatcher that breaks the rule.
-mod broken {
+/// The check of each rule must detect a dispatcher that violates it.
+mod violations {
     use super::*;
 
     fn driver(class: u32) -> Driver {
@@ -407,15 +413,15 @@
 
     #[test]
     #[should_panic(expected = "rule 1: request 1 answered twice")]
-    fn two_answers() {
+    fn two_responses() {
         let mut driver = driver(0);
         driver.end_attempt(1, 0, Outcome::Ok);
         driver.check_actions(vec![Action::Fail { request: RequestId(1) }]);
     }
 
     #[test]
-    #[should_panic(expected = "rule 1: request 1 sent after its end")]
-    fn a_send_after_the_end() {
+    #[should_panic(expected = "rule 1: request 1 sent after its response")]
+    fn a_send_after_the_response() {
         let mut driver = driver(0);
         driver.end_attempt(1, 0, Outcome::Ok);
         driver.check_actions(send(3));
@@ -423,7 +429,7 @@
 
     #[test]
     #[should_panic(expected = "rule 1: request 1 answered late")]
-    fn a_late_answer() {
+    fn a_late_response() {
         let mut driver = driver(1);
         driver.open_attempts.clear();
         driver.advance(2.0);
@@ -431,8 +437,8 @@
     }
 
     #[test]
-    #[should_panic(expected = "rule 2: unsafe request 1 sent again")]
-    fn a_retry_that_is_not_idempotent() {
+    #[should_panic(expected = "rule 2: request 1 is not idempotent and was sent again")]
+    fn a_retry_of_a_job_that_is_not_idempotent() {
         let mut driver = driver(1);
         driver.requests.get_mut(&1).expect("request 1").sends[0].outcome = Some(Outcome::Reset);
         driver.check_actions(send(3));
@@ -440,15 +446,15 @@
 
     #[test]
     #[should_panic(expected = "rule 2: request 1 rejected")]
-    fn a_rejection_that_is_not_idempotent() {
+    fn a_rejection_of_a_job_that_may_have_run() {
         let mut driver = driver(1);
         driver.requests.get_mut(&1).expect("request 1").sends[0].outcome = Some(Outcome::Reset);
         driver.check_actions(vec![Action::Reject { request: RequestId(1), retry_after: None }]);
     }
 
     #[test]
-    #[should_panic(expected = "rule 3")]
-    fn a_send_past_the_grace() {
+    #[should_panic(expected = "rule 3: job sent to WorkerId(3) after the grace")]
+    fn a_send_after_the_grace() {
         let mut driver = driver(0);
         driver.send_list(ListScope::Incremental, &[endpoint(3, WorkerState::Draining)]);
         driver.advance(DRAIN_GRACE + 0.001);
--- a/crates/dispatch-core/tests/settings_keys.rs
+++ b/crates/dispatch-core/tests/settings_keys.rs
@@ -1,11 +1,11 @@
-//! Every key of the settings with an example and the value that is read from it; path=value pairs and nested JSON give
-//! the same values.
+//! Tests of every key of the settings with an example and the value that is read from it. Path=value pairs and nested
+//! JSON must give the same values.
 
 use dispatch_core::api::{Idempotency, KeyScope, LoadReport, LoadReports, Settings};
 use dispatch_core::settings::parse_settings;
 use dispatch_core::settings_pairs::SettingsPairs;
 
-/// A key, an example, and the value that is read from it, as text.
+/// A key of the settings with an example, and the value that `read` must return for it.
 struct Key {
     path: &'static str,
     example: &'static str,
@@ -13,10 +13,11 @@
     read: fn(&Settings) -> String,
 }
 
-/// Further pairs that are necessary for a key to be read.
+/// Further pairs without which some keys are not read.
 const CONTEXT: &str = "profiles.count=2 projects.count=2 caps.retry-after=true report.names=x0,x1,eps";
 
-fn first_repeat(settings: &Settings) -> String {
+/// Describes when a job of the first class may run again.
+fn idempotency_of_first_class(settings: &Settings) -> String {
     match settings.classes[0].idempotency {
         Idempotency::Idempotent => "any time",
         Idempotency::WithKey(KeyScope::All) => "by key, everywhere",
@@ -27,17 +28,18 @@
     .to_owned()
 }
 
-fn reports(settings: &Settings) -> String {
+/// Describes the source of load reports.
+fn report_source(settings: &Settings) -> String {
     match settings.load_reports {
         LoadReports::None => "none",
-        LoadReports::WithResponses => "with answers",
+        LoadReports::WithResponses => "with responses",
         LoadReports::WithProbes => "with probes",
     }
     .to_owned()
 }
 
-/// Returns the load that is read from a report of three figures.
-fn report_of_three(settings: &Settings) -> String {
+/// Returns the load that is read from a positional report with three figures.
+fn parse_three_figures(settings: &Settings) -> String {
     let load = settings.load_report_format.parse_positional("3,40,0.5").expect("a report");
     let LoadReport { free_slots, free_memory, queue_length: queue, in_flight, latency, error_rate: errors } =
         load;
@@ -49,12 +51,17 @@
     Key { path: "balancers", example: "7", value: "7", read: |s| s.instances.to_string() },
     Key { path: "zone", example: "2", value: "2", read: |s| s.zone.to_string() },
     Key { path: "profiles.count", example: "3", value: "3", read: |s| s.classes.len().to_string() },
-    Key { path: "profiles.0.idempotency", example: "free", value: "any time", read: first_repeat },
+    Key {
+        path: "profiles.0.idempotency",
+        example: "free",
+        value: "any time",
+        read: idempotency_of_first_class,
+    },
     Key {
         path: "profiles.0.idempotency",
         example: "guarded",
         value: "by key, everywhere",
-        read: first_repeat,
+        read: idempotency_of_first_class,
     },
     Key {
         path: "profiles.0.window-s",
@@ -136,31 +143,31 @@
         value: "1.5",
         read: |s| s.overload_window.to_string(),
     },
-    Key { path: "report.how", example: "answers", value: "with answers", read: reports },
-    Key { path: "report.how", example: "probe", value: "with probes", read: reports },
+    Key { path: "report.how", example: "answers", value: "with responses", read: report_source },
+    Key { path: "report.how", example: "probe", value: "with probes", read: report_source },
     Key {
         path: "report.names",
         example: "inflight,queue,latency_ms",
         value: "None None Some(40.0) Some(3.0) Some(0.0005) None",
-        read: report_of_three,
+        read: parse_three_figures,
     },
     Key {
         path: "report.names",
         example: "free_slots,free_memory,eps",
         value: "Some(3.0) Some(40.0) None None None Some(0.5)",
-        read: report_of_three,
+        read: parse_three_figures,
     },
     Key {
         path: "family-info.report-x0",
         example: "free_slots",
         value: "Some(3.0) None None None None Some(0.5)",
-        read: report_of_three,
+        read: parse_three_figures,
     },
     Key {
         path: "family-info.report-x1",
         example: "free_memory",
         value: "None Some(40.0) None None None Some(0.5)",
-        read: report_of_three,
+        read: parse_three_figures,
     },
     Key {
         path: "clients.marks-retry",
@@ -247,7 +254,7 @@
 }
 
 #[test]
-fn every_key_alone_sets_its_value() {
+fn each_key_sets_its_value() {
     for Key { path, example, value, read: field } in &KEYS {
         let without = field(&read(CONTEXT));
         assert_ne!(&without, value, "{path}: the example must differ from the default");
@@ -256,24 +263,23 @@
 }
 
 #[test]
-fn a_key_scope_narrows_what_a_key_covers() {
+fn the_key_scope_limits_the_workers_that_share_keys() {
     for (scope, value) in
         [("zone", "by key, within a zone"), ("cell", "by key, within a cell"), ("all", "by key, everywhere")]
     {
         let text = format!("profiles.count=1 profiles.0.idempotency=guarded profiles.0.key-scope={scope}");
-        assert_eq!(first_repeat(&read(&text)), value);
+        assert_eq!(idempotency_of_first_class(&read(&text)), value);
     }
 }
 
 #[test]
-fn a_retry_after_needs_its_switch() {
+fn a_retry_after_must_be_enabled() {
     assert_eq!(read("caps.max-retry-after-s=2.5").max_retry_after, 0.0);
     assert_eq!(read("caps.max-retry-after-s=2.5 caps.retry-after=true").max_retry_after, 2.5);
 }
 
-/// The keys of lists, which name others.
 #[test]
-fn lists_give_names_and_counts() {
+fn lists_have_names_and_counts() {
     let pairs =
         SettingsPairs::parse("projects.count=2 projects.0.name=web projects.1.name=batch azs=a,b".split(' '));
     let pairs = pairs.expect("pairs");
@@ -282,9 +288,9 @@
     assert_eq!(pairs.count("profiles"), Ok(0));
 }
 
-/// The same settings as nested JSON, key by key.
+/// The same settings as nested JSON and as pairs must give the same value for each key.
 #[test]
-fn nested_json_reads_like_pairs() {
+fn nested_json_gives_the_same_settings_as_pairs() {
     let json: serde_json::Value =
         serde_json::from_str(include_str!("fixtures/settings.json")).expect("the example is JSON");
     let nested = parse_settings(&SettingsPairs::from_json(&json)).expect("settings");
@@ -297,17 +303,17 @@
     insta::assert_snapshot!("settings_of_the_example", values.join("\n"));
 }
 
-/// A fault names the path of the settings.
+/// The error for an invalid value must name the path of the setting.
 #[test]
-fn faults_name_the_path() {
+fn errors_name_the_path() {
     for (text, path) in [
         ("slot-no=x", "slot-no"),
         ("zone=-1", "zone"),
         ("resolution-s=nan", "resolution-s"),
         ("caps.probes=perhaps", "caps.probes"),
         ("profiles.count=1 profiles.0.window-s=-3", "profiles.0.window-s"),
-        // Any unknown scope was read as the widest, so that a misspelt one let a request with a key be retried at a
-        // worker without the key, which ran it twice.
+        // Guards against reading an unknown scope as the widest one. With a misspelled scope, a request with a key was
+        // retried at a worker that did not have the key, and its job ran twice.
         (
             "profiles.count=1 profiles.0.idempotency=guarded profiles.0.key-scope=zones",
             "profiles.0.key-scope",
@@ -316,7 +322,7 @@
         ("profiles.count=1 family-info.class-stretch=wide", "family-info.class-stretch"),
         ("projects.count=1 projects.0.quota-per-s=many", "projects.0.quota-per-s"),
     ] {
-        let fault = parse_settings(&SettingsPairs::parse(text.split(' ')).expect("pairs")).expect_err(text);
-        assert_eq!(fault.expected, path, "{text}");
+        let error = parse_settings(&SettingsPairs::parse(text.split(' ')).expect("pairs")).expect_err(text);
+        assert_eq!(error.expected, path, "{text}");
     }
 }
--- a/crates/dispatch-core/tests/throttle.rs
+++ b/crates/dispatch-core/tests/throttle.rs
@@ -42,7 +42,7 @@
         driver.request(Request { slots: 4.0, timeout: 50.0, ..request(0) });
         let (bank, buffer) = ((rate as i64).max(8), ((rate * 0.5) as i64).max(4));
         let mut u = buffer;
-        if driver.requests[&0].answers == 0 {
+        if driver.requests[&0].responses == 0 {
             u -= 4;
         }
         for id in 1..400 {
