--- a/crates/dispatch-core/src/api/event.rs
+++ b/crates/dispatch-core/src/api/event.rs
@@ -19,7 +19,7 @@
     pub memory: f64,
     /// Time from now for which the client waits for a response.
     pub timeout: Seconds,
-    /// Whether the client marked the request as a retry; always false if clients do not mark retries.
+    /// Whether the client marked the request as a retry; ignored unless [`Settings::clients_mark_retries`] is set.
     pub is_retry: bool,
     /// Expected running time on a standard core, if the client sent a hint.
     pub expected_run_time: Option<Seconds>,
@@ -76,7 +76,7 @@
     Serving,
     /// The worker finishes its jobs and accepts no new ones.
     Draining,
-    /// The worker is no longer on the list.
+    /// The worker was withdrawn from service.
     Removed,
 }
 
@@ -89,7 +89,7 @@
     pub kind: u32,
     /// Zone, as a number.
     pub zone: u32,
-    /// Cell: a group of workers within a zone that may share idempotency keys.
+    /// Cell, as a number: a group of workers that may share their idempotency keys.
     pub cell: u32,
     /// Time of the worker's last start; 0 if it started long ago.
     pub started_at: Seconds,
@@ -177,11 +177,11 @@
         /// Time from now for which the verdict is valid; 0 if it is withdrawn.
         valid_for: Seconds,
     },
-    /// The leader that allocates slow-start budgets to all dispatchers granted this one work beyond its planned share.
+    /// The leader that allocates slow-start budgets granted this dispatcher work beyond its planned share.
     SlowStartGrant {
         /// The worker in slow start.
         worker: WorkerId,
-        /// Work that may be sent to it, in slots by seconds on a standard core.
+        /// Work that may be sent to it, in slot-seconds on a standard core.
         work: f64,
         /// Time until which the grant is valid.
         expires_at: Seconds,
--- a/crates/dispatch-core/src/api/settings.rs
+++ b/crates/dispatch-core/src/api/settings.rs
@@ -124,8 +124,8 @@
     pub tenants: Vec<Tenant>,
     /// Whether the dispatcher must request the endpoint list and watch it; otherwise changes arrive without a request.
     pub polls_endpoint_list: bool,
-    /// Maximum time between polls while no watch is open, if [`Settings::polls_endpoint_list`] is set; 0 for no
-    /// maximum.
+    /// Maximum time between polls while no watch is open, if [`Settings::polls_endpoint_list`] is set; 0 if there
+    /// is none.
     pub max_poll_interval: Seconds,
     /// The source of load reports.
     pub load_reports: LoadReports,
@@ -137,7 +137,7 @@
     pub probes_allowed: bool,
     /// Price of one probe per request, as a fraction of the value of a served request.
     pub probe_price: f64,
-    /// Whether attempts may be cancelled.
+    /// Whether attempts may be canceled.
     pub cancellation_allowed: bool,
     /// Maximum number of attempts per request.
     pub max_attempts: u32,
--- a/crates/dispatch-core/src/job.rs
+++ b/crates/dispatch-core/src/job.rs
@@ -80,10 +80,10 @@
         self.request.tenant as usize
     }
 
-    /// Returns the time at which the job stops waiting for a free worker; `part` is the fraction of its time to start
-    /// that the job may wait.
-    pub(crate) fn placement_deadline(&self, part: f64) -> Seconds {
-        self.arrived_at + part * (self.start_by - self.arrived_at)
+    /// Returns the time at which the job stops waiting for a free worker; it may wait for this fraction of the time
+    /// within which it must start.
+    pub(crate) fn placement_deadline(&self, fraction: f64) -> Seconds {
+        self.arrived_at + fraction * (self.start_by - self.arrived_at)
     }
 
     /// Whether the client's timeout is over, within the resolution of the clock.
--- a/crates/dispatch-core/src/load_report.rs
+++ b/crates/dispatch-core/src/load_report.rs
@@ -181,7 +181,7 @@
     value: Option<f64>,
 }
 
-/// The figures of a JSON object in their order. A list, because a map would hide that a figure was given twice.
+/// The figures of a JSON object in their order. This is a list, because a map would hide that a figure was given twice.
 struct FigureList<'a>(Vec<ReportedFigure<'a>>);
 
 impl<'de> Deserialize<'de> for FigureList<'de> {
--- a/crates/dispatch-core/src/policy/attempts.rs
+++ b/crates/dispatch-core/src/policy/attempts.rs
@@ -6,7 +6,7 @@
 use crate::job::{Attempt, EndedAttempt, Job, JobState};
 use crate::run_time::RunningJob;
 
-/// Fraction of the time to start of a job beyond which its wait at a worker counts as a rejection.
+/// Fraction of the time within which a job must start; a longer wait at a worker counts as a rejection.
 const CONGESTED_WAIT: f64 = 0.5;
 /// Estimated utilization of a worker that rejected a job as overloaded.
 const OVERLOADED_UTILIZATION: f64 = 1.5;
@@ -112,7 +112,8 @@
         is_harmless && !has_expired && job.start_by > self.now
     }
 
-    /// Updates the state of the worker, the admission rate and the running times with the end of an attempt.
+    /// Updates the state of the worker, the counts of the rate window and the running times with the end of
+    /// an attempt.
     fn record_attempt(&mut self, ended: &EndedAttempt, load: Option<LoadReport>) {
         let index = ended.attempt.worker;
         self.fleet.add_slots(index, -ended.size, self.observation_time());
@@ -160,7 +161,8 @@
         }
     }
 
-    /// Updates the admission rate, the running times and the health of the worker with a job that was served.
+    /// Updates the counts of the rate window, the running times and the health of the worker with a job that
+    /// was served.
     fn record_served(&mut self, ended: &EndedAttempt) {
         let index = ended.attempt.worker;
         self.record_served_wait(ended);
--- a/crates/dispatch-core/src/policy/placement.rs
+++ b/crates/dispatch-core/src/policy/placement.rs
@@ -7,7 +7,7 @@
 use crate::load::UNQUEUED_START_DELAY;
 use crate::timers::{TimerEvent, TIMER_TOLERANCE};
 
-/// Fraction of its time to start for which a job waits for a free worker.
+/// Fraction of the time within which a job must start that it may wait for a free worker.
 pub(super) const PLACEMENT_WAIT: f64 = 0.1;
 /// Number of attempts after which a job is sent only to a worker that seems free, because other workers would
 /// probably reject it as well.
--- a/crates/dispatch-core/src/queueing.rs
+++ b/crates/dispatch-core/src/queueing.rs
@@ -1,8 +1,8 @@
 //! The mean wait of jobs at a worker as a function of its expected utilization, learned from observations.
 //!
-//! How reliable load reports are depends on their delay and noise, and on the number of dispatchers that choose workers
-//! by the same report. Therefore the wait is not computed from the utilization: the curve is learned from the expected
-//! utilization at the send of each job and the wait that followed.
+//! The reliability of load reports depends on their delay and noise, and on the number of dispatchers that choose
+//! workers by the same report. Therefore the wait is not computed from the utilization. Instead the curve is learned:
+//! for each job the expected utilization at its send is compared with the wait that followed.
 
 /// Number of steps of the curve per unit of utilization.
 const STEPS_PER_UNIT: f64 = 8.0;
--- a/crates/dispatch-core/src/run_time.rs
+++ b/crates/dispatch-core/src/run_time.rs
@@ -32,7 +32,8 @@
 const INITIAL_HINTED_VARIANCE: f64 = 0.25;
 /// Initial variance of the logarithms of the running times of a class, if jobs carry no hints.
 const INITIAL_VARIANCE: f64 = 1.0;
-/// Minimum variance of the logarithms of the running times of a class: the same job differs from run to run.
+/// Minimum variance of the logarithms of the running times of a class, because the running time of the same job differs
+/// from run to run.
 const MIN_RUN_TIME_VARIANCE: f64 = 0.02;
 /// Maximum squared error that is learned from, as a multiple of the variance; larger errors are clamped.
 const MAX_ERROR: f64 = 4.0;
@@ -164,10 +165,10 @@
     pub(crate) fn lateness_probability(&self, left: Seconds, run_time: Seconds, wait: Seconds) -> f64 {
         let deviation = (self.variance + RESIDUAL_VARIANCE).sqrt();
         let excess = (run_time / left.max(MIN_RUN_TIME)).ln();
-        let runs_in_time = 1.0 / (1.0 + (LOGISTIC_SCALE / deviation * excess).exp());
+        let run_in_time_probability = 1.0 / (1.0 + (LOGISTIC_SCALE / deviation * excess).exp());
         // Waits are assumed to be exponentially distributed, because little more than their mean is known.
-        let waits_too_long = if wait > 0.0 { (-(left - run_time).max(0.0) / wait).exp() } else { 0.0 };
-        1.0 - runs_in_time * (1.0 - waits_too_long)
+        let long_wait_probability = if wait > 0.0 { (-(left - run_time).max(0.0) / wait).exp() } else { 0.0 };
+        1.0 - run_in_time_probability * (1.0 - long_wait_probability)
     }
 
     /// Returns the confidence in the estimates, from 0 to 1: near 1 if running times can be predicted, and low if they
--- a/examples/scheduler.rs
+++ b/examples/scheduler.rs
@@ -1,8 +1,9 @@
 //! A small scheduler that embeds the `Dispatcher`: it passes events and carries out the actions.
 //!
 //! The three workers here are simulated and respond at once. A real scheduler replaces `send` by its
-//! transport and `now` by its clock, and arms a timer for `SetTimer`. Run the example with `cargo run
-//! --example scheduler`.
+//! transport and `now` by its clock, and arms a timer for `SetTimer`.
+//!
+//! Run the example with `cargo run --example scheduler`.
 
 use std::collections::{HashMap, VecDeque};
 
