--- a/crates/dispatcher/src/engine/actions.rs
+++ b/crates/dispatcher/src/engine/actions.rs
@@ -2,7 +2,7 @@
 
 use super::clock::micros;
 use super::event_loop::Engine;
-use super::messages::{Answer, AttemptId, Command};
+use super::messages::{AttemptId, Command, FinalResponse};
 use super::timers::Timer;
 use dispatch_core::api::{Action, Outcome};
 
@@ -19,9 +19,9 @@
         match action {
             Action::Send { request, worker, timeout } => self.start_attempt(request, worker, timeout),
             Action::Reject { request, retry_after } => {
-                self.answer_request(request, Answer::Rejected { retry_after });
+                self.answer_request(request, FinalResponse::Rejected { retry_after });
             }
-            Action::Fail { request } => self.answer_request(request, Answer::Failed),
+            Action::Fail { request } => self.answer_request(request, FinalResponse::Failed),
             Action::Cancel { request, attempt } => {
                 self.abandon_attempt(AttemptId { request, number: attempt }, Outcome::Cancelled);
             }
--- a/crates/dispatcher/src/engine/handle.rs
+++ b/crates/dispatcher/src/engine/handle.rs
@@ -5,7 +5,7 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use super::messages::{Answer, Input, Job};
+use super::messages::{FinalResponse, Input, Job};
 use dispatch_core::api::RequestId;
 
 /// Sender of inputs to the engine.
@@ -16,43 +16,43 @@
 }
 
 impl Handle {
-    /// Creates the queue of inputs. It needs no bound: each connection has at most one open request, so that its length
-    /// follows the number of connections.
+    /// Creates the input queue. It is unbounded: each connection has at most one open request, so the number of
+    /// connections limits its length.
     pub fn channel() -> (Handle, mpsc::UnboundedReceiver<Input>) {
         let (inputs, queue) = mpsc::unbounded_channel();
         (Handle { inputs, next_id: Rc::new(Cell::new(1)) }, queue)
     }
 
-    /// Sends an input; one that comes after the end of the engine is dropped.
+    /// Sends an input; it is dropped if the engine has ended.
     pub fn send(&self, input: Input) {
         let _ = self.inputs.send(input);
     }
 
-    /// Submits a job. Dropping the returned value before the answer means that the client disconnected.
+    /// Submits a job. Dropping the returned value before the final response means that the client disconnected.
     pub fn submit(&self, job: Job) -> PendingJob {
         let id = RequestId(self.next_id.get());
         self.next_id.set(id.0 + 1);
-        let (answer_sender, answer) = oneshot::channel();
-        self.send(Input::Submit { id, job: Box::new(job), answer_sender });
-        PendingJob { id, answer, answered: false, handle: self.clone() }
+        let (response_sender, response) = oneshot::channel();
+        self.send(Input::Submit { id, job: Box::new(job), response_sender });
+        PendingJob { id, response, answered: false, handle: self.clone() }
     }
 }
 
-/// A job that was submitted.
+/// A submitted job whose final response is pending.
 #[derive(Debug)]
 pub struct PendingJob {
     id: RequestId,
-    answer: oneshot::Receiver<Answer>,
+    response: oneshot::Receiver<FinalResponse>,
     answered: bool,
     handle: Handle,
 }
 
 impl PendingJob {
-    /// Waits for the final answer; [`Answer::Failed`] if the engine ended.
-    pub async fn answer(&mut self) -> Answer {
-        let answer = (&mut self.answer).await;
+    /// Waits for the final response; [`FinalResponse::Failed`] if the engine ended.
+    pub async fn final_response(&mut self) -> FinalResponse {
+        let response = (&mut self.response).await;
         self.answered = true;
-        answer.unwrap_or(Answer::Failed)
+        response.unwrap_or(FinalResponse::Failed)
     }
 }
 
--- a/crates/dispatcher/src/engine/inputs.rs
+++ b/crates/dispatcher/src/engine/inputs.rs
@@ -8,7 +8,7 @@
 impl Engine {
     pub(super) fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Submit { id, job, answer_sender } => self.open_request(id, *job, answer_sender),
+            Input::Submit { id, job, response_sender } => self.open_request(id, *job, response_sender),
             Input::ClientDisconnected(request) => self.handle_client_disconnect(request),
             Input::JobStarted(attempt) => self.handle_job_started(attempt),
             Input::Progress { attempt, done } => self.handle_progress(attempt, done),
--- a/crates/dispatcher/src/engine/messages.rs
+++ b/crates/dispatcher/src/engine/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of the engine: its inputs, its commands to the network layer, and the final answers to jobs.
+//! Messages of the engine: its inputs, its commands to the network layer, and the final responses to jobs.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -42,9 +42,9 @@
     pub payload: Payload,
 }
 
-/// The final answer to a job.
+/// The final response to a job.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum FinalResponse {
     /// Result of a worker.
     Served(Bytes),
     /// Admission declined the job and nothing ran, so that a retry is harmless.
@@ -90,8 +90,8 @@
 }
 
 impl AttemptStage {
-    /// Returns the outcome of an attempt whose connection breaks at this stage.
-    pub fn outcome_if_broken(self) -> Outcome {
+    /// Returns the outcome of an attempt whose connection ends at this stage.
+    pub fn outcome_if_disconnected(self) -> Outcome {
         if self < AttemptStage::Written {
             Outcome::ConnectFailed
         } else {
@@ -145,8 +145,8 @@
         id: RequestId,
         /// The job.
         job: Box<Job>,
-        /// Channel for the final answer.
-        answer_sender: oneshot::Sender<Answer>,
+        /// Channel for the final response.
+        response_sender: oneshot::Sender<FinalResponse>,
     },
     /// The client of a request disconnected.
     ClientDisconnected(RequestId),
--- a/crates/dispatcher/src/engine/mod.rs
+++ b/crates/dispatcher/src/engine/mod.rs
@@ -1,6 +1,6 @@
 //! The engine: one task that owns the decision module, the table of open requests and the timers.
 //!
-//! It receives an [`Input`] from one queue and sends a [`Command`] or an [`Answer`]; it has no sockets and knows no protocol.
+//! It receives an [`Input`] from one queue and sends a [`Command`] or an [`FinalResponse`]; it has no sockets and knows no protocol.
 //! It makes no decisions. It guarantees that an attempt ends exactly once, that a request is answered exactly once, and
 //! that neither outlives its deadline.
 
@@ -18,5 +18,6 @@
 pub use event_loop::Engine;
 pub use handle::{Handle, PendingJob};
 pub use messages::{
-    Answer, AttemptEnd, AttemptId, AttemptStage, Command, Input, InvalidRequest, Job, ListedEndpoint, Payload,
+    AttemptEnd, AttemptId, AttemptStage, Command, FinalResponse, Input, InvalidRequest, Job, ListedEndpoint,
+    Payload,
 };
--- a/crates/dispatcher/src/engine/request_table.rs
+++ b/crates/dispatcher/src/engine/request_table.rs
@@ -7,15 +7,15 @@
 use tokio::sync::oneshot;
 
 use super::clock::Micros;
-use super::messages::{Answer, AttemptId, Payload};
+use super::messages::{AttemptId, FinalResponse, Payload};
 use dispatch_core::api::RequestId;
 
 /// An open request.
 pub(super) struct OpenRequest {
     pub(super) deadline: Micros,
     pub(super) payload: Rc<Payload>,
-    /// Channel for the final answer; `None` once the request is concluded.
-    pub(super) answer_sender: Option<oneshot::Sender<Answer>>,
+    /// Channel for the final response; `None` once the request is concluded.
+    pub(super) response_sender: Option<oneshot::Sender<FinalResponse>>,
     pub(super) class: usize,
     pub(super) attempts: Vec<Attempt>,
 }
@@ -30,22 +30,22 @@
 }
 
 impl OpenRequest {
-    /// Concludes the request, so that no further attempt is written; returns the channel for the answer the first time.
-    pub(super) fn conclude(&mut self) -> Option<oneshot::Sender<Answer>> {
+    /// Concludes the request, so that no further attempt is written; returns the channel for the response the first time.
+    pub(super) fn conclude(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.payload.concluded.set(true);
-        self.answer_sender.take()
+        self.response_sender.take()
     }
 
-    /// Sends the final answer, unless the request is concluded already.
-    pub(super) fn answer(&mut self, answer: Answer) {
-        if let Some(answer_sender) = self.conclude() {
+    /// Sends the final response, unless the request is concluded already.
+    pub(super) fn answer(&mut self, response: FinalResponse) {
+        if let Some(response_sender) = self.conclude() {
             // The client may have left.
-            let _ = answer_sender.send(answer);
+            let _ = response_sender.send(response);
         }
     }
 
     pub(super) fn is_concluded(&self) -> bool {
-        self.answer_sender.is_none()
+        self.response_sender.is_none()
     }
 
     /// Returns when the first attempt that may have run was sent.
--- a/crates/dispatcher/src/engine/requests.rs
+++ b/crates/dispatcher/src/engine/requests.rs
@@ -6,27 +6,32 @@
 
 use super::clock::{micros, seconds, Micros};
 use super::event_loop::Engine;
-use super::messages::{Answer, AttemptEnd, AttemptId, Command, InvalidRequest, Job};
+use super::messages::{AttemptEnd, AttemptId, Command, FinalResponse, InvalidRequest, Job};
 use super::request_table::{Attempt, OpenRequest};
 use super::timers::Timer;
 use dispatch_core::api::{Event, Outcome, Request, RequestId, Seconds, WorkerId};
 
 impl Engine {
-    pub(super) fn open_request(&mut self, id: RequestId, job: Job, answer_sender: oneshot::Sender<Answer>) {
+    pub(super) fn open_request(
+        &mut self,
+        id: RequestId,
+        job: Job,
+        response_sender: oneshot::Sender<FinalResponse>,
+    ) {
         if self.shutting_down {
-            let _ = answer_sender.send(Answer::Rejected { retry_after: None });
+            let _ = response_sender.send(FinalResponse::Rejected { retry_after: None });
             return;
         }
         // Workers identify jobs by the client's id: two open requests of one id would be one job to them.
         if !self.requests.claim_client_id(&job.payload.id) {
-            let _ = answer_sender.send(Answer::Invalid(InvalidRequest::DuplicateId));
+            let _ = response_sender.send(FinalResponse::Invalid(InvalidRequest::DuplicateId));
             return;
         }
         let deadline = self.now + job.timeout;
         let open = OpenRequest {
             deadline,
             payload: Rc::new(job.payload),
-            answer_sender: Some(answer_sender),
+            response_sender: Some(response_sender),
             class: job.request.class as usize,
             attempts: Vec::new(),
         };
@@ -104,8 +109,8 @@
         ended.in_flight = false;
         ended.may_have_run = !outcome.never_ran();
         match outcome {
-            Outcome::Ok => open.answer(Answer::Served(result)),
-            Outcome::InvalidRequest => open.answer(Answer::Invalid(InvalidRequest::Unusable)),
+            Outcome::Ok => open.answer(FinalResponse::Served(result)),
+            Outcome::InvalidRequest => open.answer(FinalResponse::Invalid(InvalidRequest::Unusable)),
             _ => {}
         }
         let complete = open.is_concluded();
@@ -117,9 +122,10 @@
     pub(super) fn force_close(&mut self, request: RequestId) {
         let Some(open) = self.requests.get_mut(request) else { return };
         let may_have_run = open.first_sent_that_may_have_run().is_some();
-        let answer = if may_have_run { Answer::Failed } else { Answer::Rejected { retry_after: None } };
-        if let Some(answer_sender) = open.conclude() {
-            let _ = answer_sender.send(answer);
+        let response =
+            if may_have_run { FinalResponse::Failed } else { FinalResponse::Rejected { retry_after: None } };
+        if let Some(response_sender) = open.conclude() {
+            let _ = response_sender.send(response);
             self.notify_policy(Event::ClientDisconnected(request));
         }
         for number in 0..self.requests.attempts(request) {
@@ -128,9 +134,9 @@
         self.requests.remove_if_finished(request);
     }
 
-    pub(super) fn answer_request(&mut self, request: RequestId, answer: Answer) {
+    pub(super) fn answer_request(&mut self, request: RequestId, response: FinalResponse) {
         if let Some(open) = self.requests.get_mut(request) {
-            open.answer(answer);
+            open.answer(response);
         }
         self.requests.remove_if_finished(request);
     }
--- a/crates/dispatcher/src/net/client/connection.rs
+++ b/crates/dispatcher/src/net/client/connection.rs
@@ -14,7 +14,7 @@
 use super::response::Response;
 use super::wait::{evicted, idle_close, read_closed, request_overdue, REQUEST_TIMEOUT};
 use super::ClientContext;
-use crate::engine::{Answer, InvalidRequest, Job};
+use crate::engine::{FinalResponse, InvalidRequest, Job};
 use crate::net::http::{Head, Malformed, Start, MAX_BODY};
 use crate::net::metrics::{InFlight, Outcome};
 use crate::net::shutdown::ShutdownPhase;
@@ -22,7 +22,7 @@
 use dispatch_core::api::Seconds;
 
 /// Time within which a client must read its answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time for which bytes are read and dropped after the last answer: closing a connection over unread bytes resets it, and
 /// the answer would be lost.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
@@ -165,24 +165,24 @@
             && !self.context.is_standby()
     }
 
-    async fn answer(&mut self, request: ClientRequest, body: Bytes) -> Result<Answer, ConnectionEnd> {
+    async fn answer(&mut self, request: ClientRequest, body: Bytes) -> Result<FinalResponse, ConnectionEnd> {
         let mut job = match request {
             ClientRequest::HealthCheck => return Ok(self.context.readiness()),
             ClientRequest::Job(job) => job,
         };
         let class = job.payload.class.clone();
-        let answer = if self.accepted_while_crowded {
-            Answer::Rejected { retry_after: Some(CROWDED_RETRY_AFTER) }
+        let response = if self.accepted_while_crowded {
+            FinalResponse::Rejected { retry_after: Some(CROWDED_RETRY_AFTER) }
         } else {
             job.payload.body = body;
-            self.await_answer(*job).await?
+            self.await_response(*job).await?
         };
-        self.context.metrics.count(&class, outcome_of(&answer));
-        Ok(answer)
+        self.context.metrics.count(&class, outcome_of(&response));
+        Ok(response)
     }
 
     /// Submits the job and waits for its answer, or for the client to disconnect.
-    async fn await_answer(&mut self, job: Job) -> Result<Answer, ConnectionEnd> {
+    async fn await_response(&mut self, job: Job) -> Result<FinalResponse, ConnectionEnd> {
         let _in_flight = InFlight::new(&self.context.metrics);
         let mut pending = self.context.handle.submit(job);
         loop {
@@ -195,7 +195,7 @@
             };
             tokio::select! {
                 biased;
-                answer = pending.answer() => return Ok(answer),
+                response = pending.final_response() => return Ok(response),
                 read = read_ahead => match read {
                     Ok(true) => {}
                     // Sockets do not show whether the client has left or only ended its sending. It counts as gone, but
@@ -255,20 +255,22 @@
         }
     }
 
-    /// Writes a message within [`ANSWER_TIMEOUT`].
+    /// Writes a message within [`RESPONSE_WRITE_TIMEOUT`].
     pub(super) async fn write_message(&mut self, mut message: impl Buf) -> Result<(), ConnectionEnd> {
-        match timeout(ANSWER_TIMEOUT, write_all(&mut self.stream, &mut message)).await {
+        match timeout(RESPONSE_WRITE_TIMEOUT, write_all(&mut self.stream, &mut message)).await {
             Ok(Ok(())) => Ok(()),
             _ => Err(ConnectionEnd::Lost),
         }
     }
 }
 
-/// Returns the outcome under which the metrics count an answer.
-fn outcome_of(answer: &Answer) -> Outcome {
-    match answer {
-        Answer::Served(_) => Outcome::Served,
-        Answer::Rejected { .. } | Answer::Invalid(InvalidRequest::DuplicateId) => Outcome::Rejected,
-        Answer::Failed | Answer::Invalid(InvalidRequest::Unusable) => Outcome::Failed,
+/// Returns the outcome under which the metrics count a final response.
+fn outcome_of(response: &FinalResponse) -> Outcome {
+    match response {
+        FinalResponse::Served(_) => Outcome::Served,
+        FinalResponse::Rejected { .. } | FinalResponse::Invalid(InvalidRequest::DuplicateId) => {
+            Outcome::Rejected
+        }
+        FinalResponse::Failed | FinalResponse::Invalid(InvalidRequest::Unusable) => Outcome::Failed,
     }
 }
--- a/crates/dispatcher/src/net/client/mod.rs
+++ b/crates/dispatcher/src/net/client/mod.rs
@@ -1,4 +1,4 @@
-//! Clients: their connections, their requests as jobs, and the answers.
+//! Client connections: reads requests, submits them as jobs and writes the responses.
 
 mod acceptor;
 mod body;
@@ -22,7 +22,7 @@
 use super::mode::Mode;
 use super::shutdown::ShutdownPhase;
 use super::ConfigReceiver;
-use crate::engine::{Answer, Handle};
+use crate::engine::{FinalResponse, Handle};
 use acceptor::Acceptor;
 use connection_limit::ConnectionLimit;
 use protocol::READY_BODY;
@@ -50,13 +50,13 @@
 }
 
 impl ClientContext {
-    /// Returns the answer to a health check.
-    fn readiness(&self) -> Answer {
+    /// Returns the response to a health check.
+    fn readiness(&self) -> FinalResponse {
         let list_received = *self.list_received.borrow();
         if is_ready(list_received, self.started_at, *self.phase.borrow(), *self.mode.borrow()) {
-            Answer::Served(Bytes::from_static(READY_BODY))
+            FinalResponse::Served(Bytes::from_static(READY_BODY))
         } else {
-            Answer::Rejected { retry_after: None }
+            FinalResponse::Rejected { retry_after: None }
         }
     }
 
--- a/crates/dispatcher/src/net/client/response.rs
+++ b/crates/dispatcher/src/net/client/response.rs
@@ -7,7 +7,7 @@
 
 use super::protocol::{DUPLICATE_ID_BODY, FAILED_BODY, REJECTED_BODY, UNUSABLE_BODY};
 use super::request_error::RequestError;
-use crate::engine::{micros, Answer, InvalidRequest};
+use crate::engine::{micros, FinalResponse, InvalidRequest};
 use crate::net::http::status::{self, reason, Status};
 use dispatch_core::api::Seconds;
 
@@ -45,21 +45,21 @@
     }
 }
 
-impl From<Answer> for Response {
-    fn from(answer: Answer) -> Response {
-        match answer {
-            Answer::Served(result) => Response::new(status::OK, result),
-            Answer::Rejected { retry_after } => {
+impl From<FinalResponse> for Response {
+    fn from(response: FinalResponse) -> Response {
+        match response {
+            FinalResponse::Served(result) => Response::new(status::OK, result),
+            FinalResponse::Rejected { retry_after } => {
                 let body = Bytes::from_static(REJECTED_BODY);
                 Response { status: status::SERVICE_UNAVAILABLE, retry_after, body }
             }
-            Answer::Invalid(InvalidRequest::DuplicateId) => {
+            FinalResponse::Invalid(InvalidRequest::DuplicateId) => {
                 Response::new(status::CONFLICT, Bytes::from_static(DUPLICATE_ID_BODY))
             }
-            Answer::Invalid(InvalidRequest::Unusable) => {
+            FinalResponse::Invalid(InvalidRequest::Unusable) => {
                 Response::new(status::BAD_REQUEST, Bytes::from_static(UNUSABLE_BODY))
             }
-            Answer::Failed => Response::new(status::BAD_GATEWAY, Bytes::from_static(FAILED_BODY)),
+            FinalResponse::Failed => Response::new(status::BAD_GATEWAY, Bytes::from_static(FAILED_BODY)),
         }
     }
 }
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -1,5 +1,6 @@
 //! The network layer: all tasks with sockets. They turn what they read into an [`Input`](crate::engine::Input) and carry out
-//! each [`Command`](crate::engine::Command) and [`Answer`](crate::engine::Answer); none of them makes a decision.
+//! each [`Command`](crate::engine::Command) and [`FinalResponse`](crate::engine::FinalResponse); none of them makes a
+//! decision.
 
 pub mod client;
 mod cluster;
--- a/crates/dispatcher/src/net/worker/attempt.rs
+++ b/crates/dispatcher/src/net/worker/attempt.rs
@@ -66,7 +66,7 @@
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.report_without_result(self.stage.outcome_if_broken());
+        self.report_without_result(self.stage.outcome_if_disconnected());
     }
 }
 
--- a/crates/dispatcher/tests/engine.rs
+++ b/crates/dispatcher/tests/engine.rs
@@ -8,8 +8,8 @@
     WorkerState,
 };
 use dispatcher::engine::{
-    Answer, AttemptEnd, AttemptId, AttemptStage, Clock, Command, Engine, Handle, Input, InvalidRequest, Job,
-    ListedEndpoint, Payload, PendingJob,
+    AttemptEnd, AttemptId, AttemptStage, Clock, Command, Engine, FinalResponse, Handle, Input,
+    InvalidRequest, Job, ListedEndpoint, Payload, PendingJob,
 };
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
@@ -123,8 +123,10 @@
         let mut tickets: Vec<PendingJob> = (0..200).map(|_| bench.submit(HOUR)).collect();
         let mut rejected = 0;
         for ticket in tickets.iter_mut().rev().take(150) {
-            match ticket.answer().await {
-                Answer::Rejected { retry_after: Some(after) } if after > 0.0 && after <= 2.0 => rejected += 1,
+            match ticket.final_response().await {
+                FinalResponse::Rejected { retry_after: Some(after) } if after > 0.0 && after <= 2.0 => {
+                    rejected += 1
+                }
                 other => panic!("{other:?}"),
             }
         }
@@ -147,12 +149,12 @@
         bench.handle.send(Input::JobStarted(attempt));
         bench.handle.send(attempt_ended(AttemptId { number: 17, ..attempt }, Outcome::Ok, Bytes::new()));
         bench.handle.send(Input::ClientDisconnected(attempt.request));
-        assert_eq!(ticket.answer().await, Answer::Served(Bytes::from("first")));
+        assert_eq!(ticket.final_response().await, FinalResponse::Served(Bytes::from("first")));
         // It goes on.
         let mut next = bench.submit(HOUR);
         let attempt = bench.attempt().await;
         bench.handle.send(attempt_ended(attempt, Outcome::Ok, Bytes::from("next")));
-        assert_eq!(next.answer().await, Answer::Served(Bytes::from("next")));
+        assert_eq!(next.final_response().await, FinalResponse::Served(Bytes::from("next")));
     });
 }
 
@@ -164,14 +166,17 @@
         let mut bench = Bench::start(1000.0);
         let mut first = bench.submit_as("a1");
         let attempt = bench.attempt().await;
-        assert_eq!(bench.submit_as("a1").answer().await, Answer::Invalid(InvalidRequest::DuplicateId));
+        assert_eq!(
+            bench.submit_as("a1").final_response().await,
+            FinalResponse::Invalid(InvalidRequest::DuplicateId)
+        );
         bench.handle.send(attempt_ended(attempt, Outcome::Ok, Bytes::from("one")));
-        assert_eq!(first.answer().await, Answer::Served(Bytes::from("one")));
+        assert_eq!(first.final_response().await, FinalResponse::Served(Bytes::from("one")));
         let mut again = bench.submit_as("a1");
         let attempt = bench.attempt().await;
         // What a worker cannot use ends here: no other is asked.
         bench.handle.send(attempt_ended(attempt, Outcome::InvalidRequest, Bytes::new()));
-        assert_eq!(again.answer().await, Answer::Invalid(InvalidRequest::Unusable));
+        assert_eq!(again.final_response().await, FinalResponse::Invalid(InvalidRequest::Unusable));
     });
 }
 
@@ -182,7 +187,10 @@
         let mut bench = Bench::start(1000.0);
         let mut ticket = bench.submit(50_000);
         let attempt = bench.attempt().await;
-        assert!(matches!(ticket.answer().await, Answer::Rejected { .. }), "nothing ran: rejected");
+        assert!(
+            matches!(ticket.final_response().await, FinalResponse::Rejected { .. }),
+            "nothing ran: rejected"
+        );
         let cancelled = bench.commands.recv().await;
         assert!(matches!(cancelled, Some(Command::Cancel(id)) if id == attempt), "{cancelled:?}");
     });
@@ -210,8 +218,8 @@
         let mut open = bench.submit(HOUR);
         bench.attempt().await;
         bench.handle.send(Input::Shutdown);
-        assert_eq!(open.answer().await, Answer::Failed);
-        assert_eq!(bench.submit(HOUR).answer().await, Answer::Rejected { retry_after: None });
+        assert_eq!(open.final_response().await, FinalResponse::Failed);
+        assert_eq!(bench.submit(HOUR).final_response().await, FinalResponse::Rejected { retry_after: None });
     });
 }
 
@@ -225,7 +233,7 @@
         AttemptStage::Written,
         AttemptStage::Started,
     ]
-    .map(AttemptStage::outcome_if_broken);
+    .map(AttemptStage::outcome_if_disconnected);
     assert_eq!(outcomes, [Outcome::ConnectFailed, Outcome::ConnectFailed, Outcome::Reset, Outcome::Reset]);
     assert_eq!(outcomes.map(Outcome::never_ran), [true, true, false, false]);
 }
@@ -241,8 +249,8 @@
             Some(Command::EndpointList { scope: ListScope::Cached, .. })
         ));
         assert_eq!(
-            bench.submit(20_000).answer().await,
-            Answer::Rejected { retry_after: None },
+            bench.submit(20_000).final_response().await,
+            FinalResponse::Rejected { retry_after: None },
             "its time is up"
         );
         drop(bench.submit(HOUR));
@@ -253,7 +261,7 @@
             Some(Command::EndpointList { scope: ListScope::Full, .. })
         ));
         assert!(
-            matches!(waits.answer().await, Answer::Rejected { retry_after: Some(_) }),
+            matches!(waits.final_response().await, FinalResponse::Rejected { retry_after: Some(_) }),
             "no worker is left"
         );
         assert!(bench.commands.try_recv().is_err(), "nothing was sent");
@@ -282,7 +290,10 @@
         assert!(
             matches!(bench.commands.recv().await, Some(Command::EndpointList { scope: ListScope::Full, endpoints: all }) if all.is_empty())
         );
-        assert!(matches!(bench.submit(HOUR).answer().await, Answer::Rejected { retry_after: Some(_) }));
+        assert!(matches!(
+            bench.submit(HOUR).final_response().await,
+            FinalResponse::Rejected { retry_after: Some(_) }
+        ));
     });
 }
 
@@ -322,7 +333,7 @@
         let mut first = bench.submit(HOUR);
         let attempt = bench.attempt().await;
         bench.handle.send(attempt_ended(attempt, Outcome::Ok, Bytes::from("x")));
-        assert_eq!(first.answer().await, Answer::Served(Bytes::from("x")));
+        assert_eq!(first.final_response().await, FinalResponse::Served(Bytes::from("x")));
         bench.handle.send(Input::Draining);
         let _second = bench.submit(HOUR);
         // Without the share it would be sent at once, or with the next slice of 0.1 s.
