--- a/crates/dispatcher/src/engine/actions.rs
+++ b/crates/dispatcher/src/engine/actions.rs
@@ -1,4 +1,4 @@
-//! Actions of the decision module, carried out by the engine.
+//! Carries out the actions of the decision module.
 
 use super::clock::micros;
 use super::event_loop::Engine;
@@ -35,7 +35,7 @@
                 let _ = self.commands.send(Command::HealthCheck(worker));
             }
             Action::Log(text) => tracing::info!(target: "dispatcher::policy", "{text}"),
-            // The network layer always watches discovery, and no message between dispatchers exists on sockets.
+            // No effect on sockets: the network layer always watches discovery, and dispatchers exchange no messages.
             Action::Watch(_) | Action::FetchEndpointList | Action::SendToPeer { .. } => {}
         }
     }
--- a/crates/dispatcher/src/engine/clock.rs
+++ b/crates/dispatcher/src/engine/clock.rs
@@ -17,8 +17,8 @@
     span as f64 / 1e6
 }
 
-/// A monotonic clock that was anchored once to Unix time. All dispatchers have to agree on Unix time, since they take
-/// turns at workers in slow start, and discovery names the starts of workers in it.
+/// A monotonic clock that was anchored once to Unix time. All dispatchers must agree on Unix time, because it defines
+/// their time slices at workers in slow start, and discovery states the start times of workers in it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -26,18 +26,18 @@
 }
 
 impl Clock {
-    /// Starts the clock at the present Unix time.
+    /// Starts the clock at the current Unix time.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), anchor: unix.as_micros() as Micros }
     }
 
-    /// Returns the microseconds of Unix time.
+    /// Returns the current Unix time.
     pub fn now(&self) -> Micros {
         self.anchor + self.start.elapsed().as_micros() as Micros
     }
 
-    /// Returns a time of this clock for the runtime's timers.
+    /// Converts a time of this clock to an instant for the runtime's timers.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
         (self.start + Duration::from_micros(at.saturating_sub(self.anchor))).into()
     }
--- a/crates/dispatcher/src/engine/event_loop.rs
+++ b/crates/dispatcher/src/engine/event_loop.rs
@@ -1,4 +1,4 @@
-//! The task that owns the decision module: inputs and timers are handled in turns.
+//! The task that owns the decision module and handles inputs and timers in turns.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -14,7 +14,7 @@
 use dispatch_core::api::{Action, Event, ListScope, Outcome, Request, RequestId, Settings};
 use dispatch_core::Dispatcher;
 
-/// Most inputs handled in one turn of the loop.
+/// Maximum number of inputs handled in one turn of the loop.
 const MAX_INPUTS_PER_TURN: usize = 128;
 /// Time after a request's deadline at which the engine answers it in place of the decision module.
 const OVERDUE_GRACE: Micros = 10_000;
@@ -25,15 +25,15 @@
     pub(super) max_attempts: usize,
     /// Retry window of each class.
     pub(super) retry_windows: Vec<Micros>,
-    /// Requests that wait for the first endpoint list; `None` once none is awaited.
+    /// Requests that wait for the first endpoint list; `None` if no list is awaited.
     pub(super) awaiting_initial_list: Option<Vec<Request>>,
     pub(super) clock: Clock,
-    /// Time of the present turn.
+    /// Time of the current turn.
     pub(super) now: Micros,
     pub(super) requests: RequestTable,
     pub(super) timers: Timers,
     pub(super) actions: Vec<Action>,
-    /// Ends of attempts that the engine caused and the decision module was not notified of yet.
+    /// Ends of attempts that the engine caused and has not yet reported to the decision module.
     pub(super) abandoned_attempts: VecDeque<AttemptEnd>,
     pub(super) commands: mpsc::UnboundedSender<Command>,
     pub(super) shutting_down: bool,
@@ -48,7 +48,7 @@
 }
 
 impl Engine {
-    /// Creates an engine with the endpoint list that was saved before the start.
+    /// Creates an engine that starts with the saved endpoint list.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -77,8 +77,9 @@
         engine
     }
 
-    /// Holds requests until discovery sends a list, for at most `timeout`. Required where discovery pushes the list: a
-    /// worker that it has withdrawn gets no work from the start of the process on, whatever the saved list contains.
+    /// Holds requests until discovery sends a list, for at most `timeout`. Required where discovery pushes the list:
+    /// from its start on, the process must send no work to a withdrawn worker, even if the saved list still contains
+    /// it.
     pub fn await_initial_list(&mut self, timeout: Micros) {
         self.awaiting_initial_list = Some(Vec::new());
         self.timers.set(self.now + timeout, Timer::InitialListTimeout);
@@ -153,7 +154,7 @@
     }
 }
 
-/// Sleeps until this time; for ever if there is none.
+/// Sleeps until this time, or forever if there is none.
 async fn sleep_until(at: Option<tokio::time::Instant>) {
     match at {
         Some(at) => tokio::time::sleep_until(at).await,
--- a/crates/dispatcher/src/engine/inputs.rs
+++ b/crates/dispatcher/src/engine/inputs.rs
@@ -1,4 +1,4 @@
-//! Inputs of the engine, passed to the decision module as events.
+//! Handles the inputs of the engine and passes them to the decision module as events.
 
 use super::clock::seconds;
 use super::event_loop::Engine;
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Passes a list to the network layer first, which needs a worker's address before the decision module can choose it
-    /// and bars a withdrawn one.
+    /// Passes a list to the network layer before the decision module: the network layer must know a worker's address
+    /// before the worker can be chosen, and must send nothing more to a withdrawn one.
     fn update_endpoints(&mut self, scope: ListScope, listed: Vec<ListedEndpoint>) {
         let endpoints: Vec<Endpoint> = listed.iter().map(|entry| entry.endpoint).collect();
         let _ = self.commands.send(Command::EndpointList { scope, endpoints: listed });
--- a/crates/dispatcher/src/engine/messages.rs
+++ b/crates/dispatcher/src/engine/messages.rs
@@ -70,7 +70,7 @@
 /// Identifies one attempt at a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The request.
+    /// Request that the attempt serves.
     pub request: RequestId,
     /// Number of the attempt, from 0 on.
     pub number: u32,
@@ -103,9 +103,9 @@
 /// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
-    /// The attempt.
+    /// Attempt that ended.
     pub attempt: AttemptId,
-    /// Its outcome.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
     /// Result of the worker; empty unless the outcome is [`Outcome::Ok`].
     pub result: Bytes,
@@ -143,7 +143,7 @@
     Submit {
         /// Id of the request, drawn by [`Handle::submit`](super::Handle::submit).
         id: RequestId,
-        /// The job.
+        /// Job as the client submitted it.
         job: Box<Job>,
         /// Channel for the final response.
         response_sender: oneshot::Sender<FinalResponse>,
@@ -154,26 +154,26 @@
     JobStarted(AttemptId),
     /// A worker reported progress of a job.
     Progress {
-        /// The attempt.
+        /// Attempt that runs the job.
         attempt: AttemptId,
         /// Part of the job that is done, from 0 to 1.
         done: f64,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// A health check ended. Each [`Command::HealthCheck`] is followed by one; a check that was in flight already
-    /// answers both.
+    /// A health check ended. Each [`Command::HealthCheck`] leads to this input; commands for a worker whose check is in
+    /// flight share that check and its end.
     HealthCheckEnded {
-        /// The worker.
+        /// Worker that was checked.
         worker: WorkerId,
         /// Whether the worker answered that it is healthy.
         healthy: bool,
-        /// Load report in its answer.
+        /// Load report in the worker's response.
         load: Option<LoadReport>,
     },
-    /// The cluster's health checks found a worker unhealthy, or no longer so.
+    /// The cluster's health checks found a worker unhealthy, or healthy again.
     UnhealthyReported {
-        /// The worker.
+        /// Worker to which the verdict applies.
         worker: WorkerId,
         /// Time since the last failed health check.
         observed_ago: Micros,
@@ -182,7 +182,7 @@
     },
     /// The cluster granted this process work at a worker in slow start.
     QuotaGranted {
-        /// The worker.
+        /// Worker in slow start.
         worker: WorkerId,
         /// Work in slot-seconds.
         work: f64,
@@ -198,20 +198,20 @@
     },
     /// New settings take effect.
     Configure(Box<Settings>),
-    /// A graceful shutdown began: shares by instance are released, since a successor may serve already.
+    /// A graceful shutdown began: this instance releases its slow-start share, because a successor may already use it.
     Draining,
-    /// The process ends: all open requests are answered now.
+    /// The process ends: the engine answers all open requests immediately.
     Shutdown,
 }
 
-/// A request of the engine to the network layer.
+/// A command of the engine to the network layer.
 #[derive(Debug)]
 pub enum Command {
     /// Send a job to a worker.
     Attempt {
-        /// The attempt.
+        /// Id of the attempt.
         attempt: AttemptId,
-        /// The worker.
+        /// Worker that receives the job.
         worker: WorkerId,
         /// Parts of the job for the worker.
         payload: Rc<Payload>,
--- a/crates/dispatcher/src/engine/mod.rs
+++ b/crates/dispatcher/src/engine/mod.rs
@@ -1,8 +1,9 @@
 //! The engine: one task that owns the decision module, the table of open requests and the timers.
 //!
-//! It receives an [`Input`] from one queue and sends a [`Command`] or an [`FinalResponse`]; it has no sockets and knows no protocol.
-//! It makes no decisions. It guarantees that an attempt ends exactly once, that a request is answered exactly once, and
-//! that neither outlives its deadline.
+//! It receives each [`Input`] from one queue, and sends each [`Command`] to the network layer and each
+//! [`FinalResponse`] to the client's connection. It has no sockets, knows no protocol and makes no decisions. It
+//! guarantees that an attempt ends exactly once, that a request is answered exactly once, and that neither outlives its
+//! deadline.
 
 mod actions;
 mod clock;
--- a/crates/dispatcher/src/engine/request_table.rs
+++ b/crates/dispatcher/src/engine/request_table.rs
@@ -22,7 +22,7 @@
 
 /// An attempt at an open request.
 pub(super) struct Attempt {
-    /// Time at which it was passed to the network layer.
+    /// Time at which the attempt was passed to the network layer.
     pub(super) sent_at: Micros,
     pub(super) in_flight: bool,
     /// True until an outcome proves that the attempt never ran.
@@ -30,7 +30,8 @@
 }
 
 impl OpenRequest {
-    /// Concludes the request, so that no further attempt is written; returns the channel for the response the first time.
+    /// Concludes the request, so that no further attempt is written; returns the channel for the response the first
+    /// time.
     pub(super) fn conclude(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.payload.concluded.set(true);
         self.response_sender.take()
@@ -48,7 +49,7 @@
         self.response_sender.is_none()
     }
 
-    /// Returns when the first attempt that may have run was sent.
+    /// Returns the time at which the first attempt that may have run was sent.
     pub(super) fn first_sent_that_may_have_run(&self) -> Option<Micros> {
         self.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.sent_at)
     }
--- a/crates/dispatcher/src/engine/requests.rs
+++ b/crates/dispatcher/src/engine/requests.rs
@@ -1,4 +1,4 @@
-//! Life of a request in the engine: opened, sent in attempts, answered once, removed.
+//! Life cycle of a request in the engine: it is opened, sent in attempts, answered once and removed.
 
 use std::rc::Rc;
 
@@ -22,7 +22,7 @@
             let _ = response_sender.send(FinalResponse::Rejected { retry_after: None });
             return;
         }
-        // Workers identify jobs by the client's id: two open requests of one id would be one job to them.
+        // Workers identify jobs by the client's id: two open requests with the same id would be one job to them.
         if !self.requests.claim_client_id(&job.payload.id) {
             let _ = response_sender.send(FinalResponse::Invalid(InvalidRequest::DuplicateId));
             return;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Passes the requests that wait for the first endpoint list to the decision module, and lets later ones pass.
+    /// Passes the requests that wait for the first endpoint list to the decision module, and holds no more of them.
     pub(super) fn release_awaiting_requests(&mut self) {
         for request in self.awaiting_initial_list.take().unwrap_or_default() {
             let Some(open) = self.requests.get(request.id).filter(|open| !open.is_concluded()) else {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Starts an attempt for the decision module.
+    /// Starts an attempt that the decision module requested.
     pub(super) fn start_attempt(&mut self, request: RequestId, worker: WorkerId, timeout: Option<Seconds>) {
         let Some(open) = self.requests.get_mut(request) else { return };
         let attempt = AttemptId { request, number: open.attempts.len() as u32 };
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Reports the ends of abandoned attempts to the decision module, also of those that it abandons in response.
+    /// Reports the ends of abandoned attempts to the decision module, including attempts that it abandons in response.
     pub(super) fn report_abandoned_attempts(&mut self) {
         while let Some(end) = self.abandoned_attempts.pop_front() {
             if self.requests.is_in_flight(end.attempt) {
@@ -118,7 +118,7 @@
         self.requests.remove_if_finished(request);
     }
 
-    /// Answers a request in place of the decision module, since it is overdue or the process ends.
+    /// Answers a request in place of the decision module, because the request is overdue or the process ends.
     pub(super) fn force_close(&mut self, request: RequestId) {
         let Some(open) = self.requests.get_mut(request) else { return };
         let may_have_run = open.first_sent_that_may_have_run().is_some();
--- a/crates/dispatcher/src/engine/timers.rs
+++ b/crates/dispatcher/src/engine/timers.rs
@@ -32,7 +32,7 @@
         self.0.push(Reverse((at, timer)));
     }
 
-    /// Returns the time at which the next timer is due.
+    /// Returns the time of the next timer.
     pub(super) fn next_at(&self) -> Option<Micros> {
         self.0.peek().map(|Reverse((at, _))| *at)
     }
--- a/crates/dispatcher/src/net/http/body.rs
+++ b/crates/dispatcher/src/net/http/body.rs
@@ -1,10 +1,10 @@
-//! Decoder of bodies.
+//! Decoder of message bodies: sized, chunked, or ended by the close of the connection.
 
 use bytes::{Bytes, BytesMut};
 
 use super::{Framing, Malformed};
 
-/// Maximum length of a line with the size of a chunk and its extensions, or of a trailer, in bytes.
+/// Maximum length in bytes of a trailer, or of a line with the size of a chunk and its extensions.
 const MAX_CHUNK_LINE: usize = 4096;
 /// Maximum number of digits in the size of a chunk: all such sizes fit 64 bits.
 const MAX_CHUNK_SIZE_DIGITS: usize = 15;
@@ -15,13 +15,13 @@
 pub enum Piece {
     /// The next bytes of the body.
     Data(Bytes),
-    /// The buffer is used up; more must be read.
+    /// The buffer is empty; more bytes must be read.
     More,
     /// The body is complete.
     End,
 }
 
-/// Takes a body off the read buffer, piece by piece.
+/// Decodes a body from the read buffer, piece by piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decoder {
     /// This many bytes remain.
--- a/crates/dispatcher/src/net/http/head.rs
+++ b/crates/dispatcher/src/net/http/head.rs
@@ -119,17 +119,17 @@
         Ok(Head { start, headers, framing, keep_alive })
     }
 
-    /// Returns the value of the first header of this name.
+    /// Returns the value of the first header with this name.
     pub fn header(&self, name: &str) -> Option<&Bytes> {
         self.headers.iter().find(|header| header.has_name(name)).map(|header| &header.value)
     }
 
-    /// Returns the value of the first header of this name, if it is valid UTF-8.
+    /// Returns the value of the first header with this name, if it is valid UTF-8.
     pub fn header_text(&self, name: &str) -> Option<&str> {
         self.header(name).and_then(text)
     }
 
-    /// Returns the number of headers of this name.
+    /// Returns the number of headers with this name.
     pub fn count_headers(&self, name: &str) -> usize {
         self.headers.iter().filter(|header| header.has_name(name)).count()
     }
@@ -158,7 +158,7 @@
         }
     }
     match (chunked, length) {
-        // Both at once allow request smuggling past one of two parsers.
+        // A message with both would allow request smuggling, because two parsers may choose different ones.
         (true, Some(_)) => Err(Malformed::Framing),
         (true, None) => Ok(Some(Framing::Chunked)),
         (false, length) => Ok(length.map(Framing::Length)),
--- a/crates/dispatcher/src/net/http/lines.rs
+++ b/crates/dispatcher/src/net/http/lines.rs
@@ -1,10 +1,10 @@
-//! Splits a body into lines, however its pieces were cut.
+//! Splits a body into lines, regardless of the pieces in which it arrives.
 
 use bytes::{Bytes, BytesMut};
 
 use super::Malformed;
 
-/// Splits a body into lines.
+/// Buffer of a body that is split into lines.
 #[derive(Debug, Default)]
 pub struct Lines(BytesMut);
 
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Returns the next complete line without its end.
+    /// Returns the next complete line without its line end.
     pub fn next_line(&mut self) -> Option<Bytes> {
         let end = self.0.iter().position(|byte| *byte == b'\n')?;
         let line = self.0.split_to(end + 1).freeze();
@@ -34,7 +34,7 @@
         Some(line.slice(..length))
     }
 
-    /// Returns the rest of a body that has ended: a last line without an end.
+    /// Returns what remains once the body has ended: a last line without a line end.
     pub fn rest(&mut self) -> Bytes {
         self.0.split().freeze()
     }
--- a/crates/dispatcher/src/net/http/mod.rs
+++ b/crates/dispatcher/src/net/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 codec: parses heads and bodies from a read buffer, however the bytes were split in transit.
+//! HTTP/1.1 codec: parses heads and bodies from a read buffer, regardless of how the bytes were split in transit.
 //!
 //! Parsed parts are slices of the buffer that the bytes were read into. The codec does no I/O.
 
@@ -18,7 +18,7 @@
 /// Maximum length of the body of a message, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
 
-/// Error of a message that breaks the protocol or a limit.
+/// Error of a message that violates the protocol or exceeds a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
     /// The head is not valid HTTP/1.1.
--- a/crates/dispatcher/src/net/http/status.rs
+++ b/crates/dispatcher/src/net/http/status.rs
@@ -7,7 +7,7 @@
 pub const OK: Status = 200;
 /// The request is invalid.
 pub const BAD_REQUEST: Status = 400;
-/// The path names nothing.
+/// Nothing exists at the path.
 pub const NOT_FOUND: Status = 404;
 /// The path does not accept the method.
 pub const METHOD_NOT_ALLOWED: Status = 405;
@@ -23,7 +23,7 @@
 pub const HEADER_FIELDS_TOO_LARGE: Status = 431;
 /// An upstream server failed.
 pub const BAD_GATEWAY: Status = 502;
-/// The server cannot serve the request at present.
+/// The server cannot serve the request at the moment.
 pub const SERVICE_UNAVAILABLE: Status = 503;
 /// An upstream server did not respond in time.
 pub const GATEWAY_TIMEOUT: Status = 504;
--- a/crates/dispatcher/src/net/json_framing.rs
+++ b/crates/dispatcher/src/net/json_framing.rs
@@ -1,5 +1,5 @@
-//! Splits a stream into JSON values, however they are laid out: one a line, indented over several, or several on one
-//! line. The splitter does no I/O.
+//! Splits a stream into JSON values in any layout: one per line, indented over several lines, or several on one line.
+//! The splitter does no I/O.
 
 use bytes::{Buf as _, Bytes, BytesMut};
 
@@ -8,26 +8,26 @@
 /// The next part of the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Token {
-    /// A value, or text that is none: it is not parsed yet.
+    /// Text of a value; it is not parsed, and may be invalid JSON.
     Value(Bytes),
     /// An empty line between values.
     Blank,
 }
 
-/// Splits the stream. Each byte is scanned once, whatever pieces the bytes arrive in.
+/// Splits the stream. Each byte is scanned once, regardless of the pieces in which the stream arrives.
 #[derive(Debug, Default)]
 pub struct JsonStream {
     /// Bytes not yet returned; a value that has begun starts at the first one.
     buffer: BytesMut,
     /// Number of bytes of the buffer that were scanned.
     scanned: usize,
-    /// Open brackets of the value.
+    /// Number of brackets of the value that are open.
     depth: usize,
-    /// The scan is within the quotes of a string.
+    /// The scan is inside a string.
     in_string: bool,
     /// The scan is right after a backslash in a string.
     escaped: bool,
-    /// The present line held a value.
+    /// The current line contained a value.
     line_has_value: bool,
 }
 
@@ -69,7 +69,8 @@
             _ if self.escaped => self.escaped = false,
             b'\\' => self.escaped = true,
             b'"' => self.in_string = false,
-            // No string contains a line end, so this is no value, and no end of it will come.
+            // JSON strings contain no line ends. The text is invalid, its end cannot be found, and it is returned as it
+            // is.
             b'\n' => return Some(self.split_value(0)),
             _ => {}
         }
@@ -105,13 +106,13 @@
         None
     }
 
-    /// Returns the rest of a stream that has ended: a value without its end, or nothing.
+    /// Returns what remains once the stream has ended: an incomplete value, or nothing.
     pub fn take_rest(&mut self) -> Bytes {
         self.scanned = self.buffer.len();
         self.split_scanned(0)
     }
 
-    /// Takes the scanned value off the buffer, except for its last bytes.
+    /// Takes the scanned bytes off the buffer as a value, except for the last `excluded` ones.
     fn split_value(&mut self, excluded: usize) -> Token {
         Token::Value(self.split_scanned(excluded))
     }
@@ -127,7 +128,7 @@
     }
 }
 
-/// Returns whether a byte is whitespace of JSON.
+/// Returns whether a byte is JSON whitespace.
 fn is_whitespace(byte: u8) -> bool {
     matches!(byte, b' ' | b'\t' | b'\r' | b'\n')
 }
--- a/crates/dispatcher/src/net/socket_io.rs
+++ b/crates/dispatcher/src/net/socket_io.rs
@@ -1,4 +1,4 @@
-//! Reads and writes on sockets that clients, workers and discovery share.
+//! Socket reads and writes, shared by the connections to clients, workers and discovery.
 
 use std::mem::MaybeUninit;
 
@@ -10,10 +10,11 @@
 use super::http::status::Status;
 use super::http::{Head, Start};
 
-/// Bytes by which a buffer grows for one read.
+/// Capacity that is reserved in a buffer for each read, in bytes.
 const READ_SIZE: usize = 8 * 1024;
 
-/// Returns whether bytes wait to be read. Asks the socket itself, since the runtime's readiness may be older.
+/// Returns whether the socket has unread bytes. Queries the socket itself, because the runtime's readiness may be
+/// stale.
 pub(crate) fn has_unread_bytes(stream: &TcpStream) -> bool {
     let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
     peeked.is_ok_and(|count| count > 0)
@@ -28,8 +29,8 @@
     Ok(stream.read_buf(buffer).await? > 0)
 }
 
-/// Reads the status and head of a response, without interim responses; `None` if the connection ends before, or the head
-/// is malformed.
+/// Reads the status and head of a response and skips interim responses. Returns `None` if the connection ends before
+/// the head is complete, or if the head is malformed.
 pub(crate) async fn read_response_head(
     stream: &mut TcpStream,
     buffer: &mut BytesMut,
@@ -47,7 +48,7 @@
     }
 }
 
-/// Writes a message completely, its parts in one call if the socket takes them.
+/// Writes a message completely, all its parts in one system call if the socket accepts them.
 ///
 /// # Errors
 /// Returns the error of the socket.
--- a/crates/dispatcher/tests/engine.rs
+++ b/crates/dispatcher/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine without sockets: what the queue promises whatever the network does.
+//! The engine without sockets: its guarantees for attempts and requests, regardless of what the network does.
 
 use std::net::SocketAddr;
 
@@ -14,23 +14,23 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-/// An engine, the way to it, and what it wants done.
-struct Bench {
+/// A running engine with its input handle and its commands.
+struct EngineHarness {
     handle: Handle,
     commands: mpsc::UnboundedReceiver<Command>,
 }
 
-impl Bench {
-    fn start(quota: f64) -> Bench {
-        Bench::start_with(quota, |_| {})
+impl EngineHarness {
+    fn start(quota: f64) -> EngineHarness {
+        EngineHarness::start_with(quota, |_| {})
     }
 
-    /// One that waits for discovery for so long at the most.
-    fn start_unheard(longest: u64) -> Bench {
-        Bench::start_with(1000.0, |engine| engine.await_initial_list(longest))
+    /// Starts an engine that waits for discovery's first list, for at most `timeout` microseconds.
+    fn start_awaiting_list(timeout: u64) -> EngineHarness {
+        EngineHarness::start_with(1000.0, |engine| engine.await_initial_list(timeout))
     }
 
-    fn start_with(quota: f64, prepare: impl FnOnce(&mut Engine)) -> Bench {
+    fn start_with(quota: f64, prepare: impl FnOnce(&mut Engine)) -> EngineHarness {
         let settings = Settings {
             classes: vec![Class {
                 idempotency: Idempotency::Idempotent,
@@ -44,7 +44,7 @@
             ..Settings::default()
         };
         let address = Some(SocketAddr::from(([127, 0, 0, 1], 9)));
-        let member = Endpoint {
+        let endpoint = Endpoint {
             worker: WorkerId(7),
             kind: 0,
             zone: 0,
@@ -54,23 +54,18 @@
         };
         let (sender, commands) = mpsc::unbounded_channel();
         let (handle, inputs) = Handle::channel();
-        let mut engine = Engine::new(
-            settings,
-            1,
-            vec![ListedEndpoint { endpoint: member, address }],
-            Clock::start(),
-            sender,
-        );
+        let mut engine =
+            Engine::new(settings, 1, vec![ListedEndpoint { endpoint, address }], Clock::start(), sender);
         prepare(&mut engine);
         tokio::task::spawn_local(engine.run(inputs));
-        Bench { handle, commands }
+        EngineHarness { handle, commands }
     }
 
     fn submit(&self, timeout: u64) -> PendingJob {
         self.submit_job(timeout, Payload::default())
     }
 
-    fn submit_as(&self, id: &'static str) -> PendingJob {
+    fn submit_with_id(&self, id: &'static str) -> PendingJob {
         self.submit_job(HOUR, Payload { id: Bytes::from(id), ..Payload::default() })
     }
 
@@ -89,8 +84,8 @@
         self.handle.submit(Job { request, timeout, payload })
     }
 
-    /// The next attempt that is wanted.
-    async fn attempt(&mut self) -> AttemptId {
+    /// Waits for the engine's next attempt command.
+    async fn next_attempt(&mut self) -> AttemptId {
         loop {
             match self.commands.recv().await.expect("a command") {
                 Command::Attempt { attempt, .. } => return attempt,
@@ -112,18 +107,19 @@
     Input::AttemptEnded(AttemptEnd { attempt, outcome, result, load: None })
 }
 
+/// Timeout of a request that must be answered long before its deadline, in microseconds.
 const HOUR: u64 = 3_600_000_000;
 
-/// Guards against answers held back until near the deadline: with an hour to go, what the throttle declines is
-/// answered at once, and the client is told when to come back.
+/// Guards against responses that are held back until the deadline: a request that exceeds the tenant's quota is
+/// rejected immediately, an hour before its deadline, with the time after which the client may try again.
 #[test]
-fn what_the_module_declines_is_answered_at_once() {
+fn requests_over_the_quota_are_rejected_immediately() {
     run(async {
-        let bench = Bench::start(5.0);
-        let mut tickets: Vec<PendingJob> = (0..200).map(|_| bench.submit(HOUR)).collect();
+        let engine = EngineHarness::start(5.0);
+        let mut pending_jobs: Vec<PendingJob> = (0..200).map(|_| engine.submit(HOUR)).collect();
         let mut rejected = 0;
-        for ticket in tickets.iter_mut().rev().take(150) {
-            match ticket.final_response().await {
+        for pending in pending_jobs.iter_mut().rev().take(150) {
+            match pending.final_response().await {
                 FinalResponse::Rejected { retry_after: Some(after) } if after > 0.0 && after <= 2.0 => {
                     rejected += 1
                 }
@@ -134,99 +130,100 @@
     });
 }
 
-/// Guards against an attempt that ends twice or a request that is answered twice: a late end, a late start and
-/// the client's leaving after the answer change nothing.
+/// Guards against an attempt that ends twice or a request that is answered twice: after the first end, further ends, a
+/// late start and a disconnect of the client have no effect.
 #[test]
 fn an_attempt_ends_once_and_a_request_is_answered_once() {
     run(async {
-        let mut bench = Bench::start(1000.0);
-        let mut ticket = bench.submit(HOUR);
-        let attempt = bench.attempt().await;
+        let mut engine = EngineHarness::start(1000.0);
+        let mut pending = engine.submit(HOUR);
+        let attempt = engine.next_attempt().await;
         for result in ["first", "second"] {
-            bench.handle.send(attempt_ended(attempt, Outcome::Ok, Bytes::from(result)));
+            engine.handle.send(attempt_ended(attempt, Outcome::Ok, Bytes::from(result)));
         }
-        bench.handle.send(attempt_ended(attempt, Outcome::Reset, Bytes::new()));
-        bench.handle.send(Input::JobStarted(attempt));
-        bench.handle.send(attempt_ended(AttemptId { number: 17, ..attempt }, Outcome::Ok, Bytes::new()));
-        bench.handle.send(Input::ClientDisconnected(attempt.request));
-        assert_eq!(ticket.final_response().await, FinalResponse::Served(Bytes::from("first")));
-        // It goes on.
-        let mut next = bench.submit(HOUR);
-        let attempt = bench.attempt().await;
-        bench.handle.send(attempt_ended(attempt, Outcome::Ok, Bytes::from("next")));
+        engine.handle.send(attempt_ended(attempt, Outcome::Reset, Bytes::new()));
+        engine.handle.send(Input::JobStarted(attempt));
+        engine.handle.send(attempt_ended(AttemptId { number: 17, ..attempt }, Outcome::Ok, Bytes::new()));
+        engine.handle.send(Input::ClientDisconnected(attempt.request));
+        assert_eq!(pending.final_response().await, FinalResponse::Served(Bytes::from("first")));
+        // The engine still serves further requests.
+        let mut next = engine.submit(HOUR);
+        let attempt = engine.next_attempt().await;
+        engine.handle.send(attempt_ended(attempt, Outcome::Ok, Bytes::from("next")));
         assert_eq!(next.final_response().await, FinalResponse::Served(Bytes::from("next")));
     });
 }
 
-/// Guards against two open requests of one id: workers know jobs by it. The first is left alone, and once it has
-/// ended its id is free.
+/// Guards against two open requests with the same id, by which workers identify jobs. The second request is rejected,
+/// the first one is not affected, and the id can be used again once the first one has ended.
 #[test]
-fn an_id_that_is_open_is_not_taken_again() {
+fn the_id_of_an_open_request_cannot_be_used_again() {
     run(async {
-        let mut bench = Bench::start(1000.0);
-        let mut first = bench.submit_as("a1");
-        let attempt = bench.attempt().await;
+        let mut engine = EngineHarness::start(1000.0);
+        let mut first = engine.submit_with_id("a1");
+        let attempt = engine.next_attempt().await;
         assert_eq!(
-            bench.submit_as("a1").final_response().await,
+            engine.submit_with_id("a1").final_response().await,
             FinalResponse::Invalid(InvalidRequest::DuplicateId)
         );
-        bench.handle.send(attempt_ended(attempt, Outcome::Ok, Bytes::from("one")));
+        engine.handle.send(attempt_ended(attempt, Outcome::Ok, Bytes::from("one")));
         assert_eq!(first.final_response().await, FinalResponse::Served(Bytes::from("one")));
-        let mut again = bench.submit_as("a1");
-        let attempt = bench.attempt().await;
-        // What a worker cannot use ends here: no other is asked.
-        bench.handle.send(attempt_ended(attempt, Outcome::InvalidRequest, Bytes::new()));
+        let mut again = engine.submit_with_id("a1");
+        let attempt = engine.next_attempt().await;
+        // A request that a worker rejects as unusable is answered without an attempt at another worker.
+        engine.handle.send(attempt_ended(attempt, Outcome::InvalidRequest, Bytes::new()));
         assert_eq!(again.final_response().await, FinalResponse::Invalid(InvalidRequest::Unusable));
     });
 }
 
-/// Guards against an attempt that outlives its client's deadline, and against a request without an answer there.
+/// Guards against an attempt that outlives its request's deadline, and against a request that is unanswered at its
+/// deadline.
 #[test]
-fn the_deadline_ends_the_attempt_and_answers() {
+fn the_deadline_cancels_the_attempt_and_answers_the_request() {
     run(async {
-        let mut bench = Bench::start(1000.0);
-        let mut ticket = bench.submit(50_000);
-        let attempt = bench.attempt().await;
+        let mut engine = EngineHarness::start(1000.0);
+        let mut pending = engine.submit(50_000);
+        let attempt = engine.next_attempt().await;
         assert!(
-            matches!(ticket.final_response().await, FinalResponse::Rejected { .. }),
-            "nothing ran: rejected"
+            matches!(pending.final_response().await, FinalResponse::Rejected { .. }),
+            "nothing ran, so the request is rejected"
         );
-        let cancelled = bench.commands.recv().await;
+        let cancelled = engine.commands.recv().await;
         assert!(matches!(cancelled, Some(Command::Cancel(id)) if id == attempt), "{cancelled:?}");
     });
 }
 
-/// Guards against work for a client that has left.
+/// Guards against work for a client that has disconnected.
 #[test]
-fn a_dropped_ticket_cancels_its_attempt() {
+fn dropping_a_pending_job_cancels_its_attempt() {
     run(async {
-        let mut bench = Bench::start(1000.0);
-        let ticket = bench.submit(HOUR);
-        let attempt = bench.attempt().await;
-        drop(ticket);
-        let cancelled = bench.commands.recv().await;
+        let mut engine = EngineHarness::start(1000.0);
+        let pending = engine.submit(HOUR);
+        let attempt = engine.next_attempt().await;
+        drop(pending);
+        let cancelled = engine.commands.recv().await;
         assert!(matches!(cancelled, Some(Command::Cancel(id)) if id == attempt), "{cancelled:?}");
     });
 }
 
-/// Guards against requests that are left open when the program ends: one that may run is failed, not rejected,
-/// and what comes after is rejected.
+/// Guards against requests that stay unanswered when the process ends: a request whose job may be running fails instead
+/// of being rejected, and requests after the shutdown are rejected.
 #[test]
-fn the_end_answers_what_is_open() {
+fn shutdown_answers_open_requests() {
     run(async {
-        let mut bench = Bench::start(1000.0);
-        let mut open = bench.submit(HOUR);
-        bench.attempt().await;
-        bench.handle.send(Input::Shutdown);
+        let mut engine = EngineHarness::start(1000.0);
+        let mut open = engine.submit(HOUR);
+        engine.next_attempt().await;
+        engine.handle.send(Input::Shutdown);
         assert_eq!(open.final_response().await, FinalResponse::Failed);
-        assert_eq!(bench.submit(HOUR).final_response().await, FinalResponse::Rejected { retry_after: None });
+        assert_eq!(engine.submit(HOUR).final_response().await, FinalResponse::Rejected { retry_after: None });
     });
 }
 
-/// Guards against taking what may have run for what never did: only a request whose last byte was not written is
-/// known not to have run.
+/// Guards against treating a job that may have run as one that never ran: a job certainly did not run only if the last
+/// byte of its request was not written.
 #[test]
-fn a_broken_connection_means_what_was_written_on_it() {
+fn the_outcome_of_a_lost_connection_depends_on_what_was_written() {
     let outcomes = [
         AttemptStage::NotConnected,
         AttemptStage::PartiallyWritten,
@@ -238,70 +235,71 @@
     assert_eq!(outcomes.map(Outcome::never_ran), [true, true, false, false]);
 }
 
-/// Guards against a job that goes by the list as last held before discovery was heard, where lists are pushed; and
-/// against one that waits there for longer than its client, or for a client that has left.
+/// Guards against a job that is sent according to the saved list before discovery, which pushes its lists, has sent
+/// one. While it waits, a request is still answered at its deadline, and is dropped if its client disconnects.
 #[test]
-fn what_comes_before_discovery_is_heard_waits_for_it() {
+fn requests_wait_for_the_first_list_of_discovery() {
     run(async {
-        let mut bench = Bench::start_unheard(HOUR);
+        let mut engine = EngineHarness::start_awaiting_list(HOUR);
         assert!(matches!(
-            bench.commands.recv().await,
+            engine.commands.recv().await,
             Some(Command::EndpointList { scope: ListScope::Cached, .. })
         ));
         assert_eq!(
-            bench.submit(20_000).final_response().await,
+            engine.submit(20_000).final_response().await,
             FinalResponse::Rejected { retry_after: None },
-            "its time is up"
+            "the deadline passed while the request waited"
         );
-        drop(bench.submit(HOUR));
-        let mut waits = bench.submit(HOUR);
-        bench.handle.send(Input::EndpointList { scope: ListScope::Full, endpoints: Vec::new() });
+        drop(engine.submit(HOUR));
+        let mut waiting = engine.submit(HOUR);
+        engine.handle.send(Input::EndpointList { scope: ListScope::Full, endpoints: Vec::new() });
         assert!(matches!(
-            bench.commands.recv().await,
+            engine.commands.recv().await,
             Some(Command::EndpointList { scope: ListScope::Full, .. })
         ));
         assert!(
-            matches!(waits.final_response().await, FinalResponse::Rejected { retry_after: Some(_) }),
+            matches!(waiting.final_response().await, FinalResponse::Rejected { retry_after: Some(_) }),
             "no worker is left"
         );
-        assert!(bench.commands.try_recv().is_err(), "nothing was sent");
+        assert!(engine.commands.try_recv().is_err(), "no job was sent");
     });
 }
 
-/// Without word of discovery the list as last held serves after a while.
+/// If discovery sends no list within the timeout, waiting requests use the saved list.
 #[test]
-fn what_waits_for_discovery_goes_on_without_it_in_the_end() {
+fn requests_use_the_saved_list_after_the_timeout() {
     run(async {
-        let mut bench = Bench::start_unheard(20_000);
-        let _ticket = bench.submit(HOUR);
-        bench.attempt().await;
+        let mut engine = EngineHarness::start_awaiting_list(20_000);
+        let _pending = engine.submit(HOUR);
+        engine.next_attempt().await;
     });
 }
 
-/// A list that discovery sends bars workers for the sockets before the module hears of it, and names all.
+/// The network layer receives each list with all its entries, and before the decision module sends a job according to
+/// it.
 #[test]
-fn the_list_reaches_the_sockets_first() {
+fn the_list_reaches_the_network_layer_first() {
     run(async {
-        let mut bench = Bench::start(1000.0);
+        let mut engine = EngineHarness::start(1000.0);
         assert!(
-            matches!(bench.commands.recv().await, Some(Command::EndpointList { scope: ListScope::Cached, endpoints: all }) if all.len() == 1)
+            matches!(engine.commands.recv().await, Some(Command::EndpointList { scope: ListScope::Cached, endpoints: all }) if all.len() == 1)
         );
-        bench.handle.send(Input::EndpointList { scope: ListScope::Full, endpoints: Vec::new() });
+        engine.handle.send(Input::EndpointList { scope: ListScope::Full, endpoints: Vec::new() });
         assert!(
-            matches!(bench.commands.recv().await, Some(Command::EndpointList { scope: ListScope::Full, endpoints: all }) if all.is_empty())
+            matches!(engine.commands.recv().await, Some(Command::EndpointList { scope: ListScope::Full, endpoints: all }) if all.is_empty())
         );
         assert!(matches!(
-            bench.submit(HOUR).final_response().await,
+            engine.submit(HOUR).final_response().await,
             FinalResponse::Rejected { retry_after: Some(_) }
         ));
     });
 }
 
-/// The successor of a process that drains may serve already, and has the same part of each slow-start budget.
+/// A draining process must release its slow-start share, because its successor may already use the same share.
 #[test]
-fn a_process_that_drains_sends_no_more_to_a_worker_that_is_warming_up() {
+fn a_draining_process_sends_no_more_work_to_a_worker_in_slow_start() {
     run(async {
-        let mut bench = Bench::start(1000.0);
+        let mut engine = EngineHarness::start(1000.0);
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock");
         let settings = Settings {
             classes: vec![Class { idempotency: Idempotency::Idempotent, ..Class::default() }],
@@ -314,7 +312,7 @@
             overload_window: 0.1,
             ..Settings::default()
         };
-        bench.handle.send(Input::Configure(Box::new(settings)));
+        engine.handle.send(Input::Configure(Box::new(settings)));
         let endpoint = Endpoint {
             worker: WorkerId(8),
             kind: 0,
@@ -324,20 +322,20 @@
             state: WorkerState::Serving,
         };
         let address = Some(SocketAddr::from(([127, 0, 0, 1], 9)));
-        bench.handle.send(Input::EndpointList {
+        engine.handle.send(Input::EndpointList {
             scope: ListScope::Full,
             endpoints: vec![ListedEndpoint { endpoint, address }],
         });
-        // The slice of the start is over.
+        // The time slice that contains the start of the process ends after 0.1 s.
         tokio::time::sleep(std::time::Duration::from_millis(200)).await;
-        let mut first = bench.submit(HOUR);
-        let attempt = bench.attempt().await;
-        bench.handle.send(attempt_ended(attempt, Outcome::Ok, Bytes::from("x")));
+        let mut first = engine.submit(HOUR);
+        let attempt = engine.next_attempt().await;
+        engine.handle.send(attempt_ended(attempt, Outcome::Ok, Bytes::from("x")));
         assert_eq!(first.final_response().await, FinalResponse::Served(Bytes::from("x")));
-        bench.handle.send(Input::Draining);
-        let _second = bench.submit(HOUR);
-        // Without the share it would be sent at once, or with the next slice of 0.1 s.
-        let sent = tokio::time::timeout(std::time::Duration::from_millis(400), bench.attempt()).await;
+        engine.handle.send(Input::Draining);
+        let _second = engine.submit(HOUR);
+        // With the share, the job would be sent immediately or in the next time slice of 0.1 s.
+        let sent = tokio::time::timeout(std::time::Duration::from_millis(400), engine.next_attempt()).await;
         assert!(sent.is_err(), "{sent:?}");
     });
 }
