--- a/crates/dispatcher/src/net/discovery/connection.rs
+++ b/crates/dispatcher/src/net/discovery/connection.rs
@@ -13,9 +13,9 @@
 use crate::net::json_framing::JsonStream;
 use crate::net::{has_unread_bytes, read_more, write_all};
 
-/// Longest time between two complete values of a watch; discovery sends an empty line every 2 s.
-const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2800);
-/// Longest time for a connection to discovery, whose agent runs on the same machine.
+/// Maximum time between two complete values of a watch; discovery sends an empty line every 2 s.
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(2800);
+/// Timeout for connecting to discovery, whose agent runs on the same machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Path of the endpoint list.
 const LIST_PATH: &str = "/v1/servers";
@@ -25,11 +25,11 @@
     stream: TcpStream,
     address: SocketAddr,
     buffer: BytesMut,
-    /// Decoder of the present response's body; `None` until its head was read.
+    /// Decoder of the current response's body; `None` until the head is read.
     body: Option<Decoder>,
     pub(super) json: JsonStream,
     pub(super) keep_alive: bool,
-    /// The present request is a watch, not a request for the complete list.
+    /// The current request is a watch, not a request for the complete list.
     pub(super) is_watch: bool,
     /// A response with status 200 began.
     pub(super) answered: bool,
@@ -37,12 +37,12 @@
     pub(super) retry_after: Option<Micros>,
     /// Time of the last complete value, or of the last request.
     pub(super) last_value_at: Instant,
-    /// The present response was read to its end.
+    /// The current response was read to its end.
     pub(super) response_complete: bool,
 }
 
 impl DiscoveryConnection {
-    /// Connects and sends a request with this query; an empty one requests the complete list.
+    /// Connects and sends a request with this query; an empty query requests the complete list.
     ///
     /// # Errors
     /// Returns [`WatchError`] if no connection is established in time, or the request cannot be written.
@@ -78,7 +78,7 @@
         query: &str,
     ) -> Result<DiscoveryConnection, WatchError> {
         let mut connection = DiscoveryConnection::open(address, query).await?;
-        let deadline = connection.silence_deadline();
+        let deadline = connection.idle_deadline();
         match timeout_at(deadline, connection.read_more()).await {
             Ok(read) => read?,
             Err(_) => return Err(WatchError::ResponseTimeout),
@@ -101,24 +101,24 @@
         written.map_err(WatchError::Send)
     }
 
-    /// Returns the time at which the watch counts as silent unless something complete comes before.
-    pub(super) fn silence_deadline(&self) -> Instant {
-        self.last_value_at + WATCH_SILENCE_TIMEOUT
+    /// Returns the time at which the watch times out unless a complete value arrives before.
+    pub(super) fn idle_deadline(&self) -> Instant {
+        self.last_value_at + WATCH_IDLE_TIMEOUT
     }
 
     /// Reads more bytes into the buffer.
     ///
     /// # Errors
-    /// Returns [`WatchError`] if the connection ended or broke.
+    /// Returns [`WatchError`] if the connection was closed or failed.
     pub(super) async fn read_more(&mut self) -> Result<(), WatchError> {
         match read_more(&mut self.stream, &mut self.buffer).await {
             Ok(true) => Ok(()),
             Ok(false) => Err(WatchError::ConnectionClosed),
-            Err(error) => Err(WatchError::ConnectionBroken(error)),
+            Err(error) => Err(WatchError::ConnectionFailed(error)),
         }
     }
 
-    /// Reads what the socket has received already.
+    /// Reads the bytes that the socket has already received.
     pub(super) async fn read_received(&mut self) {
         while has_unread_bytes(&self.stream) && read_more(&mut self.stream, &mut self.buffer).await.is_ok() {}
     }
--- a/crates/dispatcher/src/net/discovery/error.rs
+++ b/crates/dispatcher/src/net/discovery/error.rs
@@ -15,27 +15,27 @@
     #[error("cannot connect: {0}")]
     Connect(#[source] io::Error),
     /// No connection was established in time.
-    #[error("no connection in time")]
+    #[error("cannot connect: timed out")]
     ConnectTimeout,
     /// The request could not be written.
     #[error("cannot send the request: {0}")]
     Send(#[source] io::Error),
-    /// No byte of a response came in time.
-    #[error("no response in time")]
+    /// No byte of a response arrived in time.
+    #[error("discovery did not respond in time")]
     ResponseTimeout,
     /// No connection was attempted.
     #[error("no connection was attempted")]
     NoAttempt,
     /// Discovery closed the connection.
-    #[error("the connection ended")]
+    #[error("discovery closed the connection")]
     ConnectionClosed,
-    /// The connection broke.
-    #[error("the connection broke: {0}")]
-    ConnectionBroken(#[source] io::Error),
-    /// The response has another status than 200.
+    /// The connection failed, for example by a reset.
+    #[error("the connection failed: {0}")]
+    ConnectionFailed(#[source] io::Error),
+    /// The response has a status other than 200.
     #[error("discovery answered with status {0}")]
     UnexpectedStatus(Status),
-    /// The response breaks the protocol or a limit.
+    /// The response violates the protocol or exceeds a limit.
     #[error(transparent)]
     Malformed(#[from] Malformed),
     /// A value of the response is not valid JSON.
@@ -45,11 +45,11 @@
     #[error(transparent)]
     InvalidList(#[from] ConfigError),
     /// Discovery ended the response of a watch.
-    #[error("the watch ended")]
+    #[error("discovery ended the response of the watch")]
     ResponseEnded,
-    /// Nothing complete came in time.
-    #[error("the watch fell silent")]
-    Silent,
+    /// No complete value arrived in time.
+    #[error("the watch timed out without a complete value")]
+    IdleTimeout,
     /// The configuration changed the source, or the member relies on the shared list.
     #[error("the watch was stopped")]
     Stopped,
--- a/crates/dispatcher/src/net/discovery/mod.rs
+++ b/crates/dispatcher/src/net/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! Discovery of workers: a watch on the endpoint list, opened again from the last revision whenever it ends or falls silent,
-//! and at another address once the configuration names one.
+//! Discovery of workers: follows the endpoint list by a watch, which is opened again from the last revision when it
+//! ends or times out, and at the new address when the configuration changes the address.
 
 mod connection;
 mod error;
@@ -23,8 +23,8 @@
 use shared_list::follow_shared_list;
 use watch_session::{source_changed, Watch, WatchContext, WatchEnded};
 
-/// Follows the endpoint list and passes it to the engine. Never returns. `ready` turns true with the first list. In a
-/// cluster the watch pauses while the member relies on the shared list.
+/// Follows the endpoint list and passes it to the engine. Never returns. Sets `ready` to true at the first list. In a
+/// cluster, the watch pauses while the member relies on the shared list.
 pub(super) async fn follow_endpoint_list(
     configs: ConfigReceiver,
     handle: Handle,
@@ -51,13 +51,13 @@
     WatchLoop::new(context).run().await;
 }
 
-/// Opens one watch after the other.
+/// Runs one watch after another.
 struct WatchLoop {
     context: Rc<WatchContext>,
     configs: ConfigReceiver,
     polls_discovery: watch::Receiver<bool>,
     schedule: PollSchedule,
-    /// The last watch brought no list. Only the first failure of a series is logged.
+    /// The last watch brought no new revision. Only the first failure of a series is logged.
     failing: bool,
 }
 
@@ -125,7 +125,7 @@
         Duration::from_micros(self.schedule.next_delay(without_watch, ended.retry_after))
     }
 
-    /// Discards the revision, which holds for one source only, and passes the new source to the shared list.
+    /// Discards the revision, which is valid for one source only, and passes the new source to the shared list.
     fn forget_source(&self) {
         self.context.notified.revision.set(None);
         if let Some(shared_list) = &self.context.shared_list {
--- a/crates/dispatcher/src/net/discovery/notified.rs
+++ b/crates/dispatcher/src/net/discovery/notified.rs
@@ -1,4 +1,4 @@
-//! The state that all watches together have passed to the engine.
+//! The state of the workers that all watches together have passed to the engine.
 
 use std::cell::{Cell, RefCell};
 
@@ -13,9 +13,9 @@
     state: WorkerState,
 }
 
-/// The state that all watches together have passed to the engine.
+/// The state of the workers that all watches together have passed to the engine.
 pub(super) struct NotifiedState {
-    /// Last revision of the present source; `None` if the complete list has to be requested.
+    /// Last revision of the current source; `None` if the complete list must be requested.
     pub(super) revision: Cell<Option<u64>>,
     /// Highest revision of all sources.
     pub(super) newest_revision: Cell<u64>,
@@ -23,7 +23,7 @@
 }
 
 impl NotifiedState {
-    /// Creates the state after the endpoint list that was saved before the start.
+    /// Creates the state that corresponds to the saved endpoint list.
     pub(super) fn from_saved(revision: Option<u64>, endpoints: &mut [ListedEndpoint]) -> NotifiedState {
         let state = NotifiedState {
             revision: Cell::default(),
@@ -36,23 +36,23 @@
         state
     }
 
-    /// Records a list, and corrects its entries if it is older than one before: a source that lags behind must not return
-    /// a worker to service that is known to drain or to be removed.
+    /// Records a list. If it is older than an earlier list, corrects its entries, because a source that lags behind
+    /// must not return a worker to service that drains or was removed.
     pub(super) fn record(&self, revision: u64, endpoints: &mut [ListedEndpoint]) {
         let is_outdated = revision < self.newest_revision.get();
         self.revision.set(Some(revision));
         self.newest_revision.set(self.newest_revision.get().max(revision));
         let mut workers = self.workers.borrow_mut();
         for ListedEndpoint { endpoint, .. } in endpoints {
-            let known = workers
+            let notified = workers
                 .entry(endpoint.worker)
                 .or_insert(NotifiedWorker { started_at: endpoint.started_at, state: endpoint.state });
-            let is_same_start = endpoint.started_at <= known.started_at;
+            let is_same_start = endpoint.started_at <= notified.started_at;
             if is_outdated && is_same_start && endpoint.state == WorkerState::Serving {
-                endpoint.state = known.state;
+                endpoint.state = notified.state;
             }
-            known.started_at = known.started_at.max(endpoint.started_at);
-            known.state = endpoint.state;
+            notified.started_at = notified.started_at.max(endpoint.started_at);
+            notified.state = endpoint.state;
         }
     }
 }
--- a/crates/dispatcher/src/net/discovery/shared_list.rs
+++ b/crates/dispatcher/src/net/discovery/shared_list.rs
@@ -1,4 +1,4 @@
-//! Following of the shared list: its events are passed to the engine unless they are older than what is known.
+//! Follows the shared list and passes its events to the engine, unless their revision is already known.
 
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Passes a complete list to the engine, unless its revision is known already.
+/// Passes a complete list to the engine, unless its revision is already known.
 fn apply_event(context: &WatchContext, event: &WatchEvent) -> Result<(), ConfigError> {
     if !event.is_complete() || event.revision() <= context.notified.newest_revision.get() {
         return Ok(());
@@ -36,8 +36,8 @@
     Ok(())
 }
 
-/// Relies on the lease holder, unless the event names a revision that is not known here: then the member goes on polling
-/// until it receives a complete list.
+/// Relies on the lease holder, unless the event names a revision that this member has not received: then the member
+/// keeps polling until it receives a complete list.
 fn rely_on_event(context: &WatchContext, list: &SharedList, event: &WatchEvent) {
     let is_current = context.notified.newest_revision.get() >= event.revision();
     if is_current && *context.ready.borrow() {
--- a/crates/dispatcher/src/net/discovery/watch_session.rs
+++ b/crates/dispatcher/src/net/discovery/watch_session.rs
@@ -21,15 +21,15 @@
 use crate::net::ConfigReceiver;
 use dispatch_core::poll_schedule::standby_watch_delay;
 
-/// Connections attempted at the same time while discovery does not answer; beyond it the oldest is closed.
+/// Maximum number of concurrent connection attempts while discovery does not respond; one more closes the oldest.
 const MAX_STANDBY_WATCHES: usize = 8;
-/// Longest endpoint list in bytes: some thousands of workers.
+/// Maximum length of an endpoint list in bytes, enough for some thousands of workers.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
-/// Longest time for reading what the socket has received by the end of a watch.
+/// Maximum time for reading what the socket has received by the end of a watch.
 const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Returns whether a list read under the old configuration may not hold under the new one: it came from another address,
-/// or was read by other names.
+/// Returns whether a list read under the old configuration may be invalid under the new one: the address of discovery,
+/// or the number of zones or kinds, by which lists are parsed, has changed.
 pub(super) fn source_changed(old: &Config, new: &Config) -> bool {
     old.discovery != new.discovery
         || old.names.zones.len() != new.names.zones.len()
@@ -48,14 +48,14 @@
     pub(super) polls_discovery: watch::Receiver<bool>,
 }
 
-/// The end of a watch.
+/// Result of a watch that ended.
 pub(super) struct WatchEnded {
     pub(super) error: WatchError,
     /// A response with status 200 began.
     pub(super) answered: bool,
     /// `Retry-After` of discovery's response.
     pub(super) retry_after: Option<Micros>,
-    /// Time from which on changes may have been missed.
+    /// Time since which changes may have been missed.
     pub(super) without_watch_since: Instant,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// One watch.
+/// A watch under one configuration.
 pub(super) struct Watch {
     config: Rc<Config>,
     context: Rc<WatchContext>,
@@ -96,7 +96,7 @@
             () = &mut stopped => {}
             error = self.listen(&mut connection) => return watch_failed(&connection, error),
         }
-        // What this source has sent counts, even if it was not read yet.
+        // Lists that the source has already sent are still valid, even if they were not read yet.
         let _ = timeout(FINAL_READ_TIMEOUT, connection.read_received()).await;
         let _ = self.process_buffer(&mut connection);
         WatchEnded { answered: connection.answered, ..WatchEnded::now(WatchError::Stopped) }
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Connects and sends the request. Unless the list is polled, waits until discovery answers, with further connections
-    /// beside the first while it does not.
+    /// Connects and sends the request. Unless the list is polled, waits until discovery responds, and opens further
+    /// connections in parallel while it does not.
     async fn connect(&self) -> Result<DiscoveryConnection, WatchError> {
         let address = self.config.discovery;
         let query = self.query();
@@ -154,7 +154,7 @@
         revision.map_or_else(String::new, |revision| format!("?stream=1&index={revision}"))
     }
 
-    /// Processes what comes on the connection until the watch fails.
+    /// Processes what arrives on the connection until the watch fails.
     async fn listen(&self, connection: &mut DiscoveryConnection) -> WatchError {
         loop {
             if let Err(error) = self.process_buffer(connection) {
@@ -166,12 +166,12 @@
                     return error;
                 }
             }
-            // Counted from the last complete value: a list that never ends carries no information.
-            let deadline = connection.silence_deadline();
+            // Measured from the last complete value, because a list that never ends carries no information.
+            let deadline = connection.idle_deadline();
             match timeout_at(deadline, connection.read_more()).await {
                 Ok(Ok(())) => {}
                 Ok(Err(error)) => return error,
-                Err(_) => return WatchError::Silent,
+                Err(_) => return WatchError::IdleTimeout,
             }
         }
     }
@@ -199,11 +199,11 @@
         Ok(())
     }
 
-    /// Ends the present response. Only that to a request for the complete list is followed by another one.
+    /// Ends the current response. Another request follows on the connection only after a complete list.
     fn process_end(&self, connection: &mut DiscoveryConnection) -> Result<(), WatchError> {
         let incomplete_value = connection.json.take_rest();
         if !incomplete_value.is_empty() {
-            // The parser names the error of a value without its end.
+            // The parser reports the error of an incomplete value.
             self.handle_token(&Token::Value(incomplete_value))?;
         }
         connection.response_complete = true;
@@ -213,7 +213,7 @@
         Ok(())
     }
 
-    /// Handles a list, or an empty line, by which discovery states that nothing changed.
+    /// Handles a list, or an empty line, with which discovery reports that nothing changed.
     fn handle_token(&self, token: &Token) -> Result<(), WatchError> {
         match token {
             Token::Value(text) => {
@@ -245,7 +245,7 @@
     }
 }
 
-/// Returns the first attempt that is answered, or the error of the last one.
+/// Returns the first connection that is answered, or the error of the last attempt if all fail.
 async fn first_answered(
     attempts: &mut JoinSet<Result<DiscoveryConnection, WatchError>>,
 ) -> Result<DiscoveryConnection, WatchError> {
@@ -260,10 +260,11 @@
 }
 
 fn watch_failed(connection: &DiscoveryConnection, error: WatchError) -> WatchEnded {
-    let was_silent = matches!(error, WatchError::Silent);
-    // A request that was never answered may have begun just before discovery could be reached.
+    let is_idle_timeout = matches!(error, WatchError::IdleTimeout);
+    // Without a response, changes may have been missed since the request was sent; after a timeout, since the last
+    // complete value.
     let without_watch_since =
-        if was_silent || !connection.answered { connection.last_value_at } else { Instant::now() };
+        if is_idle_timeout || !connection.answered { connection.last_value_at } else { Instant::now() };
     WatchEnded {
         error,
         answered: connection.answered,
--- a/crates/dispatcher/src/net/worker/answer.rs
+++ b/crates/dispatcher/src/net/worker/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of workers to attempts.
+//! Responses of workers to attempts.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use tokio::time::{timeout_at, Instant};
 
 use super::attempt::AttemptGuard;
-use super::protocol::{AnswerLine, AnswerState, LOAD_HEADER, NOT_STARTED, NOT_STARTED_HEADER};
+use super::protocol::{JobState, ResponseLine, LOAD_HEADER, NOT_STARTED, NOT_STARTED_HEADER};
 use crate::engine::{AttemptStage, Input, Payload};
 use crate::net::http::status::{self, Status};
 use crate::net::http::{Decoder, Head, Lines, Malformed, Piece, MAX_BODY};
@@ -16,52 +16,52 @@
 use dispatch_core::api::Outcome;
 use dispatch_core::hashing::worker_id;
 
-/// Maximum length of a line of an answer: a result as large as a body, with room for escapes.
+/// Maximum length of a line of a response, in bytes: a result as large as a body, with room for escapes.
 const MAX_LINE_BYTES: usize = 2 * MAX_BODY + 1024;
-/// Time within which the framing of an answer must end after its last line for the connection to be used again.
+/// Time within which the framing of a response must end after its last line for the connection to be used again.
 const FRAMING_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// State of a connection after a complete answer.
+/// State of a connection after a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
     /// The connection can be used for another request.
     Reusable,
-    /// The worker closes the connection, or sent bytes after the answer.
+    /// The worker closes the connection, or sent bytes after the response.
     Closing,
 }
 
-/// Error that makes a connection unusable before the answer's framing ends.
+/// Error that makes a connection unusable before the framing of the response ends.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum AnswerError {
+pub(super) enum ResponseError {
     /// The connection ended.
-    #[error("the connection ended within the answer")]
+    #[error("the connection ended within the response")]
     Disconnected,
-    /// The answer breaks HTTP/1.1 or a limit.
+    /// The response violates HTTP/1.1 or exceeds a limit.
     #[error(transparent)]
     Malformed(#[from] Malformed),
-    /// A line is invalid or answers another request.
-    #[error("a line of the answer is invalid")]
+    /// A line is invalid or belongs to another request.
+    #[error("a line of the response is invalid")]
     InvalidLine,
-    /// The answer ended without a final state.
-    #[error("the answer has no final state")]
+    /// The response ended without a final state.
+    #[error("the response has no final state")]
     Incomplete,
     /// The framing did not end in time after the final state.
-    #[error("the answer did not end in time")]
+    #[error("the response did not end in time")]
     FramingTimeout,
 }
 
-/// Reads the answer to an attempt and reports the attempt's end.
+/// Reads the response to an attempt and reports the end of the attempt.
 ///
 /// # Errors
-/// Returns [`AnswerError`] if the connection cannot be used again; the attempt's end may have been reported before.
-pub(super) async fn read_answer(
+/// Returns [`ResponseError`] if the connection cannot be used again; the end of the attempt may be reported already.
+pub(super) async fn read_response(
     stream: &mut TcpStream,
     payload: &Payload,
     guard: &mut AttemptGuard,
-) -> Result<ConnectionState, AnswerError> {
+) -> Result<ConnectionState, ResponseError> {
     let mut buffer = BytesMut::new();
     let response = read_response_head(stream, &mut buffer).await;
-    let (status, head) = response.ok_or(AnswerError::Disconnected)?;
+    let (status, head) = response.ok_or(ResponseError::Disconnected)?;
     if status == status::OK {
         guard.stage = AttemptStage::Started;
     } else {
@@ -95,7 +95,7 @@
     }
 }
 
-/// Reads the body of an answer.
+/// Reads the body of a response.
 struct BodyReader<'a> {
     stream: &'a mut TcpStream,
     buffer: BytesMut,
@@ -104,7 +104,7 @@
 
 impl BodyReader<'_> {
     /// Handles lines until the end of the attempt is reported.
-    async fn read_lines(&mut self, payload: &Payload, guard: &mut AttemptGuard) -> Result<(), AnswerError> {
+    async fn read_lines(&mut self, payload: &Payload, guard: &mut AttemptGuard) -> Result<(), ResponseError> {
         let mut lines = Lines::default();
         while !guard.is_reported() {
             match self.decoder.next(&mut self.buffer)? {
@@ -117,13 +117,13 @@
                 Piece::More => {
                     if !self.read_more().await? {
                         handle_line(&lines.rest(), payload, guard)?;
-                        return Err(AnswerError::Disconnected);
+                        return Err(ResponseError::Disconnected);
                     }
                 }
                 Piece::End => {
                     handle_line(&lines.rest(), payload, guard)?;
                     if !guard.is_reported() {
-                        return Err(AnswerError::Incomplete);
+                        return Err(ResponseError::Incomplete);
                     }
                 }
             }
@@ -132,7 +132,7 @@
     }
 
     /// Skips the rest of the body, which must end within [`FRAMING_TIMEOUT`].
-    async fn skip_rest(&mut self) -> Result<(), AnswerError> {
+    async fn skip_rest(&mut self) -> Result<(), ResponseError> {
         let deadline = Instant::now() + FRAMING_TIMEOUT;
         loop {
             match self.decoder.next(&mut self.buffer)? {
@@ -140,8 +140,8 @@
                 Piece::End => return Ok(()),
                 Piece::More => {
                     let read = timeout_at(deadline, self.read_more()).await;
-                    if !read.map_err(|_| AnswerError::FramingTimeout)?? {
-                        return Err(AnswerError::Disconnected);
+                    if !read.map_err(|_| ResponseError::FramingTimeout)?? {
+                        return Err(ResponseError::Disconnected);
                     }
                 }
             }
@@ -149,43 +149,43 @@
     }
 
     /// Reads more bytes; returns false at the end of the stream.
-    async fn read_more(&mut self) -> Result<bool, AnswerError> {
-        read_more(self.stream, &mut self.buffer).await.map_err(|_| AnswerError::Disconnected)
+    async fn read_more(&mut self) -> Result<bool, ResponseError> {
+        read_more(self.stream, &mut self.buffer).await.map_err(|_| ResponseError::Disconnected)
     }
 }
 
-/// Handles a line; lines after the attempt's end and empty ones are ignored.
-fn handle_line(line: &Bytes, payload: &Payload, guard: &mut AttemptGuard) -> Result<(), AnswerError> {
+/// Handles a line. Empty lines, and lines after the end of the attempt, are ignored.
+fn handle_line(line: &Bytes, payload: &Payload, guard: &mut AttemptGuard) -> Result<(), ResponseError> {
     if guard.is_reported() || line.trim_ascii().is_empty() {
         return Ok(());
     }
-    let answer: AnswerLine<'_> = serde_json::from_slice(line).map_err(|_| AnswerError::InvalidLine)?;
-    // Another worker may have taken over the address; it did not get this job.
-    let is_other_worker = answer.worker.is_some_and(|name| worker_id(&name) != guard.worker);
-    if is_other_worker || answer.request_id.as_bytes() != payload.id {
-        return Err(AnswerError::InvalidLine);
+    let response: ResponseLine<'_> = serde_json::from_slice(line).map_err(|_| ResponseError::InvalidLine)?;
+    // Another worker may have taken over the address; it did not receive this job.
+    let is_other_worker = response.worker.is_some_and(|name| worker_id(&name) != guard.worker);
+    if is_other_worker || response.request_id.as_bytes() != payload.id {
+        return Err(ResponseError::InvalidLine);
     }
-    if let Some(load) = answer.load {
+    if let Some(load) = response.load {
         guard.load = guard.pool.parse_load_report(|format| format.parse_json(load.get()));
     }
     let attempt = guard.attempt;
-    match answer.state {
-        AnswerState::Started => guard.pool.handle.send(Input::JobStarted(attempt)),
-        AnswerState::Running => guard.pool.handle.send(Input::Progress { attempt, done: answer.done }),
-        AnswerState::Done => {
-            let result = result_bytes(line, answer.result).ok_or(AnswerError::InvalidLine)?;
+    match response.state {
+        JobState::Started => guard.pool.handle.send(Input::JobStarted(attempt)),
+        JobState::Running => guard.pool.handle.send(Input::Progress { attempt, done: response.done }),
+        JobState::Done => {
+            let result = result_bytes(line, response.result).ok_or(ResponseError::InvalidLine)?;
             guard.report(Outcome::Ok, result);
         }
-        AnswerState::Failed => guard.report(Outcome::Error, Bytes::new()),
-        AnswerState::Rejected => guard.report(Outcome::Overloaded, Bytes::new()),
-        AnswerState::Lost => guard.report(Outcome::Reset, Bytes::new()),
-        AnswerState::Unknown => {}
+        JobState::Failed => guard.report(Outcome::Error, Bytes::new()),
+        JobState::Rejected => guard.report(Outcome::Overloaded, Bytes::new()),
+        JobState::Lost => guard.report(Outcome::Reset, Bytes::new()),
+        JobState::Unknown => {}
     }
     Ok(())
 }
 
-/// Returns the result of a job: the text of a JSON string, as a slice of its line if it contains no escapes, or the JSON
-/// text of another value.
+/// Returns the result of a job: the text of a JSON string, as a slice of its line if it contains no escapes, or the
+/// JSON text of another value.
 fn result_bytes(line: &Bytes, result: Option<&RawValue>) -> Option<Bytes> {
     let json = result?.get();
     match json.strip_prefix('"').and_then(|rest| rest.strip_suffix('"')) {
--- a/crates/dispatcher/src/net/worker/attempt.rs
+++ b/crates/dispatcher/src/net/worker/attempt.rs
@@ -1,11 +1,11 @@
-//! Attempts: a job is written to a worker, and the worker's answer is read to its end.
+//! Attempts: a job is written to a worker, and the worker's response is read to its end.
 
 use std::rc::Rc;
 
 use bytes::{Buf, Bytes, BytesMut};
 use tokio::task::spawn_local;
 
-use super::answer::{read_answer, ConnectionState};
+use super::answer::{read_response, ConnectionState};
 use super::connection::{reuse_or_connect, ConnectError, Connection};
 use super::pool::{Pool, Worker};
 use super::protocol::{IDEMPOTENCY_KEY_HEADER, REQUEST_ID_HEADER, TIMEOUT_HEADER};
@@ -14,13 +14,13 @@
 use crate::net::write_all;
 use dispatch_core::api::{LoadReport, Outcome, WorkerId};
 
-/// Time after a request on a reused connection within which a break means that the worker had closed the connection
-/// before.
+/// If a reused connection ends within this time after the request was written, the worker had closed the connection
+/// before it received the request.
 const STALE_CONNECTION_WINDOW: Micros = 250_000;
 /// Initial capacity for the head of a request without its target, in bytes.
 const HEAD_CAPACITY: usize = 256;
 
-/// An attempt as ordered by the engine.
+/// An attempt that the engine commands.
 pub(super) struct Attempt {
     pub(super) id: AttemptId,
     pub(super) worker: WorkerId,
@@ -31,7 +31,7 @@
     pub(super) not_after: Micros,
 }
 
-/// Reports the end of an attempt to the engine, exactly once, also if the attempt was aborted or panicked.
+/// Reports the end of an attempt to the engine, exactly once, even if the attempt was aborted or panicked.
 pub(super) struct AttemptGuard {
     pub(super) pool: Rc<Pool>,
     pub(super) attempt: AttemptId,
@@ -93,20 +93,21 @@
     let pool = guard.pool.clone();
     let mut connection = match reuse_or_connect(&pool, &worker).await {
         Ok(connection) => connection,
-        // The worker is not at fault.
+        // All connections are in use, for which the worker is not at fault.
         Err(ConnectError::NoCapacity) => return guard.report_without_result(Outcome::NotSent),
         Err(ConnectError::Unreachable) => return,
     };
-    // The worker may have begun to drain while the connection was established: the drain grace ends at the write.
+    // The worker may have begun to drain while the connection was established. The drain grace limits the time of the
+    // write, not the time at which the worker was chosen.
     if !worker.accepts_work.get() {
         return;
     }
-    // Likewise, the request may have ended meanwhile, or the retry window, after which the worker would not recognize
-    // a repeated request.
+    // Likewise, the request may have been concluded meanwhile, or the retry window may be over, after which the worker
+    // would not recognize a repeated request.
     if attempt.payload.concluded.get() || pool.clock.now() >= attempt.not_after {
         return guard.report_without_result(Outcome::NotSent);
     }
-    let written_from = pool.clock.now();
+    let write_started_at = pool.clock.now();
     if !write_request(&mut connection, &worker, &attempt, &mut guard).await {
         // A reused connection that accepts no write was closed by the worker, and nothing was sent.
         if connection.is_reused && guard.stage < AttemptStage::Written {
@@ -114,22 +115,22 @@
         }
         return;
     }
-    let answer = read_answer(&mut connection.stream, &attempt.payload, &mut guard).await;
+    let response = read_response(&mut connection.stream, &attempt.payload, &mut guard).await;
     if connection.is_reused
         && !guard.is_reported()
         && guard.stage == AttemptStage::Written
-        && pool.clock.now() < written_from + STALE_CONNECTION_WINDOW
+        && pool.clock.now() < write_started_at + STALE_CONNECTION_WINDOW
     {
-        // The worker has closed its other idle connections too.
+        // The worker is assumed to have closed the other idle connections too.
         pool.close_idle(&worker);
         guard.report_without_result(Outcome::StaleConnection);
     }
-    if matches!(answer, Ok(ConnectionState::Reusable)) {
+    if matches!(response, Ok(ConnectionState::Reusable)) {
         pool.return_connection(&worker, connection);
     }
 }
 
-/// Writes the request and records the stage that it reaches; returns false if the connection broke.
+/// Writes the request and records the stage that it reaches; returns false if the write failed.
 async fn write_request(
     connection: &mut Connection,
     worker: &Worker,
--- a/crates/dispatcher/src/net/worker/connection.rs
+++ b/crates/dispatcher/src/net/worker/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to workers.
+//! Connections to workers, new or from the pool.
 
 use std::mem::MaybeUninit;
 use std::rc::Rc;
@@ -13,9 +13,9 @@
 
 /// A connection that is in use. It counts as open until it is dropped.
 pub(crate) struct Connection {
-    /// Socket.
+    /// Socket of the connection.
     pub(crate) stream: TcpStream,
-    /// True if the connection was idle in the pool before.
+    /// True if the connection was taken from the idle ones of the pool.
     pub(crate) is_reused: bool,
     pub(super) guard: ConnectionGuard,
 }
@@ -43,8 +43,8 @@
 }
 
 impl IdleConnection {
-    /// Returns true if the worker has neither closed the connection nor sent unsolicited bytes. It queries the socket
-    /// itself, since the readiness that the runtime knows may be stale.
+    /// Returns true if the worker has neither closed the connection nor sent unsolicited bytes. Queries the socket
+    /// itself, because the runtime's readiness may be stale.
     pub(super) fn is_usable(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&self.stream).peek(&mut byte);
@@ -63,11 +63,11 @@
     Unreachable,
 }
 
-/// Returns the connection to a worker that was used last and is still usable, or else a new one.
+/// Returns the most recently used idle connection to a worker that is still usable, or else a new one.
 ///
 /// # Errors
-/// Returns [`ConnectError::NoCapacity`] if no descriptor is left for a new connection, and [`ConnectError::Unreachable`]
-/// if it is not established within the dial timeout.
+/// Returns [`ConnectError::NoCapacity`] if no descriptor is left for a new connection, and
+/// [`ConnectError::Unreachable`] if it is not established within the dial timeout.
 pub(super) async fn reuse_or_connect(pool: &Rc<Pool>, worker: &Worker) -> Result<Connection, ConnectError> {
     match pool.take_idle(worker) {
         Some(connection) => Ok(connection),
--- a/crates/dispatcher/src/net/worker/health_check.rs
+++ b/crates/dispatcher/src/net/worker/health_check.rs
@@ -1,7 +1,7 @@
 //! Health checks: a worker is polled for its load report, or for its health if workers report no load.
 //!
-//! A check runs on a pooled connection like an attempt. Each one is reported to the engine, whatever its end: a guard
-//! reports one that was aborted. At most one check of a worker is in flight.
+//! A check runs on a pooled connection like an attempt. A guard reports the end of each check to the engine, also if
+//! the check was aborted. At most one check of a worker is in flight.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -41,7 +41,7 @@
     }
 }
 
-/// Result of a health check; the default is that of an unanswered one.
+/// Result of a health check; the default is the result of an unanswered check.
 #[derive(Default)]
 struct HealthCheckResult {
     healthy: bool,
@@ -110,8 +110,9 @@
     })
 }
 
-/// Probes a worker on behalf of the cluster, over a new connection, so that a pooled one that the worker has closed is
-/// not taken for a failure. `may_write` is called immediately before the write; if it returns false, nothing is written.
+/// Probes a worker on behalf of the cluster. The connection is new, so that a pooled one that the worker has closed is
+/// not mistaken for a failure of the worker. `may_write` is called immediately before the write; if it returns false,
+/// nothing is written.
 ///
 /// Returns whether the worker is healthy, or none if the probe is inconclusive.
 pub(crate) async fn check_on_new_connection(
--- a/crates/dispatcher/src/net/worker/pool.rs
+++ b/crates/dispatcher/src/net/worker/pool.rs
@@ -17,28 +17,29 @@
 /// A worker of the endpoint list.
 #[derive(Default)]
 pub(crate) struct Worker {
-    /// Position of its zone in the settings.
+    /// Index of the worker's zone in the settings.
     pub(crate) zone: Cell<u32>,
-    /// Start time according to discovery.
+    /// Start time of the worker according to discovery, in seconds of Unix time.
     pub(crate) started_at: Cell<f64>,
-    /// Address on which it listens, if known.
+    /// Address on which the worker listens; `None` if the list had no address for it.
     pub(crate) address: Cell<Option<SocketAddr>>,
-    /// True if it takes new work according to discovery.
+    /// True if the worker takes new work according to discovery.
     pub(crate) accepts_work: Cell<bool>,
-    /// True if it is on the list, whether it takes new work or drains.
+    /// True if the worker is in the endpoint list, serving or draining.
     listed: Cell<bool>,
-    /// Idle connections by the time of their last use, latest last.
+    /// Idle connections, the most recently used last.
     idle: RefCell<Vec<IdleConnection>>,
 }
 
 impl Worker {
-    /// Time since which its longest idle connection is idle; none without an idle connection.
+    /// Returns the time at which the connection that has been idle longest became idle; `None` without idle
+    /// connections.
     fn longest_idle_since(&self) -> Option<Micros> {
         self.idle.borrow().first().map(|connection| connection.idle_since)
     }
 }
 
-/// Workers, connections to them, and the tasks that use these.
+/// The workers, the connections to them, and the tasks that use the connections.
 pub(crate) struct Pool {
     pub(crate) metrics: Rc<Metrics>,
     pub(crate) config: ConfigReceiver,
@@ -46,7 +47,7 @@
     pub(crate) handle: Handle,
     /// Number of attempts started so far.
     pub(crate) attempts_started: Cell<u64>,
-    /// Workers of the endpoint list, and those that are still in use.
+    /// Workers of the endpoint list, and removed workers that are still in use.
     pub(crate) workers: RefCell<FxHashMap<WorkerId, Rc<Worker>>>,
     /// Attempts in flight.
     pub(crate) attempts: RefCell<FxHashMap<AttemptId, AbortHandle>>,
@@ -76,12 +77,12 @@
         })
     }
 
-    /// Updates the workers from the endpoint list or a part of it. Connections and health checks of workers that take no
-    /// more work are closed.
+    /// Updates the workers from the endpoint list or a part of it. Closes the idle connections to workers that take no
+    /// more work, and aborts their health checks.
     pub(crate) fn update_workers(&self, scope: ListScope, endpoints: &[ListedEndpoint]) {
         let mut workers = self.workers.borrow_mut();
         if scope != ListScope::Incremental {
-            // Workers that a full list lacks are removed.
+            // Workers without an entry in a full list are removed.
             for worker in workers.values() {
                 worker.accepts_work.set(false);
                 worker.listed.set(false);
@@ -93,12 +94,12 @@
         }
         for (id, worker) in workers.iter().filter(|(_, worker)| !worker.accepts_work.get()) {
             self.close_idle(worker);
-            // The result of a health check no longer matters.
+            // The result of its health check no longer matters.
             if let Some(task) = self.health_checks.borrow().get(id) {
                 task.abort();
             }
         }
-        // A worker off the list is kept until the last attempt that uses it has ended.
+        // A worker that is no longer listed is kept until the last attempt that uses it has ended.
         workers.retain(|_, worker| worker.listed.get() || Rc::strong_count(worker) > 1);
         let listed = workers.values().filter(|worker| worker.listed.get()).count();
         self.metrics.workers_known.set(listed.try_into().unwrap_or(i64::MAX));
@@ -137,8 +138,8 @@
         self.open_connections.set(self.open_connections.get() - (before - idle.len()));
     }
 
-    /// Returns true if one more connection may be opened; at the limit, the connection that was idle longest is closed
-    /// for it.
+    /// Returns true if one more connection may be opened; at the limit, the connection that has been idle longest is
+    /// closed to make room.
     pub(super) fn ensure_capacity(&self) -> bool {
         if self.open_connections.get() < self.config.borrow().worker_sockets {
             return true;
@@ -153,14 +154,15 @@
         true
     }
 
-    /// Returns the idle connection that was used last and is still usable.
+    /// Returns the most recently used idle connection that is still usable.
     pub(super) fn take_idle(self: &Rc<Self>, worker: &Worker) -> Option<Connection> {
         let now = self.clock.now();
         let idle_timeout = self.config.borrow().idle_timeout;
         loop {
             let idle = worker.idle.borrow_mut().pop()?;
             self.open_connections.set(self.open_connections.get() - 1);
-            // A request written to a connection that the worker has closed is reset, and counts as one that may have run.
+            // If the worker has closed the connection, a request written to it is reset and counts as a job that may
+            // have run.
             if now < idle.idle_since + idle_timeout && idle.is_usable() {
                 let guard = ConnectionGuard::new(self);
                 return Some(Connection { stream: idle.stream, is_reused: true, guard });
--- a/crates/dispatcher/src/net/worker/protocol.rs
+++ b/crates/dispatcher/src/net/worker/protocol.rs
@@ -1,4 +1,4 @@
-//! Protocol of the workers: paths, headers and lines of an answer by their names on the wire.
+//! Protocol of the workers: paths, headers and lines of a response by their names on the wire.
 
 use std::borrow::Cow;
 
@@ -25,11 +25,11 @@
 /// Header field that asks the worker to close the connection after its response.
 pub(super) const CLOSE_HEADER_FIELD: &str = "Connection: close\r\n";
 
-/// State of a job in a line of an answer.
+/// State of a job in a line of a worker's response.
 // `field_identifier` accepts a string only; the derived default would also accept an object with one key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(field_identifier)]
-pub(super) enum AnswerState {
+pub(super) enum JobState {
     /// The worker began to run the job.
     #[serde(rename = "started")]
     Started,
@@ -48,29 +48,29 @@
     /// The worker lost the job, which may have run.
     #[serde(rename = "lost")]
     Lost,
-    /// A state of a later version, which is ignored.
+    /// A state that this version does not know; it is ignored.
     #[serde(other)]
     Unknown,
 }
 
-/// A line of an answer.
+/// A line of a worker's response.
 #[derive(Deserialize)]
-pub(super) struct AnswerLine<'a> {
+pub(super) struct ResponseLine<'a> {
     /// Id of the request.
     #[serde(borrow, rename = "id")]
     pub(super) request_id: Cow<'a, str>,
-    /// Name of the worker, if it is stated.
+    /// Name of the worker that responds, if the line states it.
     #[serde(borrow, default, rename = "from")]
     pub(super) worker: Option<Cow<'a, str>>,
     /// State of the job.
-    pub(super) state: AnswerState,
+    pub(super) state: JobState,
     /// Part of the job that is done, from 0 to 1.
     #[serde(default, rename = "share")]
     pub(super) done: f64,
-    /// Result of the job.
+    /// Result of the job, in JSON.
     #[serde(borrow, default)]
     pub(super) result: Option<&'a RawValue>,
-    /// Load report of the worker.
+    /// Load report of the worker, in JSON.
     #[serde(borrow, default)]
     pub(super) load: Option<&'a RawValue>,
 }
