--- a/crates/dispatcher/src/net/client/acceptor.rs
+++ b/crates/dispatcher/src/net/client/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections and runs their tasks, up to the end of a graceful shutdown.
+//! Accepts client connections and runs their tasks until the end of a graceful shutdown.
 
 use std::io;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 /// The listener and the tasks of its connections.
 pub(super) struct Acceptor {
     context: Rc<ClientContext>,
-    /// None once the listener is closed.
+    /// `None` once the listener is closed.
     listener: Option<TcpListener>,
     connections: JoinSet<()>,
     phase: watch::Receiver<ShutdownPhase>,
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Accepts and serves connections until the shutdown is finished, or the listener is closed and no connection is left.
+    /// Accepts and serves connections until the shutdown is finished, or the listener is closed and no connection is
+    /// left.
     pub(super) async fn run(mut self) {
         loop {
             let phase = *self.phase.borrow_and_update();
@@ -54,7 +55,7 @@
                 return;
             }
             let limit = self.context.config.borrow().client_sockets;
-            self.context.update_crowded(self.connections.len(), limit);
+            self.context.update_near_limit(self.connections.len(), limit);
             tokio::select! {
                 biased;
                 // First, so that a connection that has ended does not count against a new one.
@@ -64,7 +65,7 @@
                 }
                 changed = self.phase.changed() => {
                     if changed.is_err() {
-                        // The sender of phases is gone: no other will follow.
+                        // The sender of phases was dropped: no further phase follows.
                         return;
                     }
                 }
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Notifies the engine of a graceful shutdown, once at each step.
+    /// Notifies the engine of a graceful shutdown, once for each step.
     fn notify_engine(&mut self, phase: ShutdownPhase) {
         if phase >= ShutdownPhase::Draining && !std::mem::replace(&mut self.draining_sent, true) {
             self.context.handle.send(Input::Draining);
@@ -93,10 +94,11 @@
         }
     }
 
-    /// Serves a new connection. At the limit it takes the place of an idle one; if none gives way, it is closed unread.
+    /// Serves a new connection. At the limit, an idle connection is evicted for it; if none can be evicted, the new one
+    /// is closed unread.
     async fn admit(&mut self, stream: TcpStream, limit: usize) {
         if self.connections.len() >= limit && self.context.limit.evict_oldest() {
-            // A connection whose request arrives at this moment does not end.
+            // An evicted connection stays open if its request arrives at this moment.
             if let Ok(Some(result)) = timeout(EVICTION_TIMEOUT, self.connections.join_next()).await {
                 log_panic(&result);
             }
@@ -105,13 +107,13 @@
             self.context.limit.record_rejected();
             return;
         }
-        let crowded = self.context.update_crowded(self.connections.len(), limit);
+        let near_limit = self.context.update_near_limit(self.connections.len(), limit);
         let _ = stream.set_nodelay(true);
-        self.connections.spawn_local(Connection::serve(stream, self.context.clone(), crowded));
+        self.connections.spawn_local(Connection::serve(stream, self.context.clone(), near_limit));
     }
 }
 
-/// Returns the next connection, or none if the listener is to be closed.
+/// Returns the next connection, or `None` if the listener must be closed.
 async fn next_connection(
     listener: Option<&TcpListener>,
     phase: ShutdownPhase,
@@ -125,7 +127,7 @@
     Some(accepted.map(|(stream, _)| stream))
 }
 
-/// Logs the panic of a connection's task, which ends this connection alone.
+/// Logs the panic of a connection's task, which ends only this connection.
 fn log_panic(result: &Result<(), JoinError>) {
     if result.is_err() {
         tracing::error!("a connection's task panicked; its connection is closed");
--- a/crates/dispatcher/src/net/client/body.rs
+++ b/crates/dispatcher/src/net/client/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests.
+//! Reads the bodies of requests.
 
 use bytes::{Bytes, BytesMut};
 
@@ -8,7 +8,7 @@
 use crate::net::read_more;
 
 impl Connection {
-    /// Reads the body of a request as one slice.
+    /// Reads the complete body of a request.
     pub(super) async fn read_body(&mut self, head: &Head) -> Result<Bytes, ConnectionEnd> {
         let expectation = head.header_text(EXPECT_HEADER);
         let expects_continue = expectation.is_some_and(|value| value.eq_ignore_ascii_case(EXPECT_CONTINUE));
--- a/crates/dispatcher/src/net/client/connection.rs
+++ b/crates/dispatcher/src/net/client/connection.rs
@@ -1,4 +1,4 @@
-//! A client connection: requests are read, submitted as jobs and answered, one after the other.
+//! A client connection: requests are read, submitted as jobs and answered, one after another.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,27 +21,27 @@
 use crate::net::{has_unread_bytes, read_more, write_all};
 use dispatch_core::api::Seconds;
 
-/// Time within which a client must read its answer.
+/// Time within which a client must read its response.
 const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for which bytes are read and dropped after the last answer: closing a connection over unread bytes resets it, and
-/// the answer would be lost.
+/// Time for which bytes are read and dropped after the last response. Closing a connection that has unread bytes resets
+/// it, and the client would lose the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Maximum number of bytes that are read and dropped after the last answer.
+/// Maximum number of bytes that are read and dropped after the last response.
 const LINGER_BYTES: usize = 4 * MAX_BODY;
-/// Number of bytes that are read ahead while a request awaits its answer.
+/// Number of bytes that are read ahead while a request awaits its response.
 const READ_AHEAD_BYTES: usize = 16 * 1024;
-/// Retry-After of requests on connections over the limit, which are rejected without a decision.
-const CROWDED_RETRY_AFTER: Seconds = 1.0;
+/// Retry-After of requests that are rejected without a decision, because their connection was accepted near the limit.
+const NEAR_LIMIT_RETRY_AFTER: Seconds = 1.0;
 
-/// End of a connection.
+/// Reason for which a connection ends.
 pub(super) enum ConnectionEnd {
-    /// Regular end after an answer or between requests.
+    /// Regular end after a response or between requests.
     Close,
-    /// The client is gone.
+    /// The client disconnected, or the connection failed.
     Lost,
-    /// Closed unread without any request so far, in favor of another connection.
+    /// Closed unread, before its first request, in favor of another connection.
     Evicted,
-    /// Closed after the response to a request that cannot be accepted.
+    /// Closed after the response to an invalid request.
     Error(RequestError),
 }
 
@@ -55,11 +55,11 @@
 enum HeadEvent {
     /// A read returned: true with bytes, false at the end of the stream.
     Read(std::io::Result<bool>),
-    /// Another connection needs the place of this one.
+    /// The connection is evicted in favor of another one.
     Evicted,
-    /// The connection must be closed, since no request has begun.
+    /// The connection is idle and must be closed.
     IdleClose(ConnectionEnd),
-    /// A request has begun and is not complete in time.
+    /// A request has begun and was not complete in time.
     RequestOverdue,
 }
 
@@ -68,25 +68,25 @@
     pub(super) stream: TcpStream,
     pub(super) buffer: BytesMut,
     context: Rc<ClientContext>,
-    /// Accepted while connections were scarce: the first request is rejected, and the connection closed.
-    accepted_while_crowded: bool,
-    /// No request was read so far.
+    /// Accepted near the limit on client connections: the first request is rejected, and the connection is closed.
+    accepted_near_limit: bool,
+    /// No request was read yet.
     awaiting_first_request: bool,
-    /// Registration for eviction, up to the first byte of the first request.
+    /// Registration for eviction, until the first byte of the first request arrives.
     first_request_wait: Option<FirstRequestWait>,
-    /// Start of the request timeout: the first byte of the present request, or the connect for the first one.
+    /// Start of the request timeout: the first byte of the current request, or the accept for the first request.
     request_started_at: Instant,
 }
 
 impl Connection {
-    /// Serves a connection to its end.
-    pub(super) async fn serve(stream: TcpStream, context: Rc<ClientContext>, accepted_while_crowded: bool) {
+    /// Serves a connection until it ends.
+    pub(super) async fn serve(stream: TcpStream, context: Rc<ClientContext>, accepted_near_limit: bool) {
         let first_request_wait = Some(context.limit.start_waiting());
         let mut connection = Connection {
             stream,
             buffer: BytesMut::new(),
             context,
-            accepted_while_crowded,
+            accepted_near_limit,
             awaiting_first_request: true,
             first_request_wait,
             request_started_at: Instant::now(),
@@ -121,7 +121,7 @@
         let _ = timeout(LINGER_TIMEOUT, self.linger()).await;
     }
 
-    /// Ends the sending, and reads and drops bytes until the client ends its own.
+    /// Closes the sending direction, then reads and drops bytes until the client closes its own.
     async fn linger(&mut self) {
         if self.stream.shutdown().await.is_err() {
             return;
@@ -156,11 +156,11 @@
         Ok(keep_alive)
     }
 
-    /// Returns whether the connection stays open after the present answer. In standby it does not, so that clients connect
-    /// elsewhere for their next request.
+    /// Returns whether the connection stays open after the current response. In standby it is closed, so that clients
+    /// connect to another dispatcher for their next request.
     fn keeps_alive(&self, head: &Head) -> bool {
         head.keep_alive
-            && !self.accepted_while_crowded
+            && !self.accepted_near_limit
             && *self.context.phase.borrow() <= ShutdownPhase::Draining
             && !self.context.is_standby()
     }
@@ -171,8 +171,8 @@
             ClientRequest::Job(job) => job,
         };
         let class = job.payload.class.clone();
-        let response = if self.accepted_while_crowded {
-            FinalResponse::Rejected { retry_after: Some(CROWDED_RETRY_AFTER) }
+        let response = if self.accepted_near_limit {
+            FinalResponse::Rejected { retry_after: Some(NEAR_LIMIT_RETRY_AFTER) }
         } else {
             job.payload.body = body;
             self.await_response(*job).await?
@@ -181,7 +181,7 @@
         Ok(response)
     }
 
-    /// Submits the job and waits for its answer, or for the client to disconnect.
+    /// Submits the job and waits for its final response, or for the client to disconnect.
     async fn await_response(&mut self, job: Job) -> Result<FinalResponse, ConnectionEnd> {
         let _in_flight = InFlight::new(&self.context.metrics);
         let mut pending = self.context.handle.submit(job);
@@ -198,8 +198,8 @@
                 response = pending.final_response() => return Ok(response),
                 read = read_ahead => match read {
                     Ok(true) => {}
-                    // Sockets do not show whether the client has left or only ended its sending. It counts as gone, but
-                    // receives a complete response if it still reads.
+                    // The socket does not show whether the client has disconnected or only closed its sending
+                    // direction. It counts as disconnected, but receives a complete response if it still reads.
                     Ok(false) => return Err(ConnectionEnd::Error(RequestError::ClientDisconnected)),
                     Err(_) => return Err(ConnectionEnd::Lost),
                 },
@@ -223,8 +223,8 @@
                 HeadEvent::RequestOverdue => return Err(ConnectionEnd::Error(RequestError::Timeout)),
                 HeadEvent::Evicted if has_unread_bytes(&self.stream) => {}
                 HeadEvent::Evicted => return Err(ConnectionEnd::Evicted),
-                // A request that arrives now is read first. A later one is read and dropped while the connection lingers,
-                // and the client sends it again.
+                // A request that arrives now is read first. A later one is read and dropped while the connection
+                // lingers, and the client sends it again.
                 HeadEvent::IdleClose(_) if has_unread_bytes(&self.stream) => tokio::task::yield_now().await,
                 HeadEvent::IdleClose(end) => return Err(end),
             }
--- a/crates/dispatcher/src/net/client/connection_limit.rs
+++ b/crates/dispatcher/src/net/client/connection_limit.rs
@@ -1,8 +1,9 @@
 //! Limit on client connections. At the limit, a new connection evicts the one that has waited longest for its first
-//! request; if none waits, the new one is closed unread.
+//! request; if no connection awaits its first request, the new one is closed unread.
 //!
-//! Accepting never pauses: a connection in the listener's queue could not be answered in time, since idle ones may keep
-//! their places for over a second, and the time that it has spent in the queue is unknown when it is accepted.
+//! Accepting never pauses, because a connection in the listener's queue could not be answered in time: idle connections
+//! may stay open for over a second, and the time that a connection has spent in the queue is unknown when it is
+//! accepted.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -10,18 +11,18 @@
 
 use tokio::sync::Notify;
 
-/// Registration of a connection that awaits its first request; notified of its eviction.
+/// Registration of a connection that awaits its first request; notified when the connection is evicted.
 pub(super) type FirstRequestWait = Rc<Notify>;
 
-/// Connections that await their first request, and the numbers of those closed at the limit.
+/// Connections that await their first request, and the numbers of connections closed at the limit.
 #[derive(Default)]
 pub(super) struct ConnectionLimit {
-    /// Connections by the time of their accept. Those that wait no more are dropped when they reach the front, which is
-    /// soon, since the wait for a first request is short.
+    /// Connections in the order in which they were accepted. An entry whose connection waits no more is dropped when it
+    /// reaches the front, which happens soon, because the wait for a first request is short.
     waiting: RefCell<VecDeque<Weak<Notify>>>,
-    /// Number of connections evicted since connections were last scarce.
+    /// Number of connections evicted since the number was last logged.
     evicted: Cell<u64>,
-    /// Number of connections closed unread since connections were last scarce.
+    /// Number of connections closed unread since the number was last logged.
     rejected: Cell<u64>,
 }
 
@@ -37,7 +38,8 @@
         wait
     }
 
-    /// Evicts the connection that has waited longest for its first request; returns false if none waits.
+    /// Evicts the connection that has waited longest for its first request; returns false if no connection waits for
+    /// one.
     pub(super) fn evict_oldest(&self) -> bool {
         let mut waiting = self.waiting.borrow_mut();
         while let Some(oldest) = waiting.pop_front() {
@@ -55,9 +57,10 @@
         self.rejected.set(self.rejected.get() + 1);
     }
 
-    /// Logs that connections have become scarce, or that they no longer are, with the numbers of those closed meanwhile.
-    pub(super) fn log_change(&self, crowded: bool, open: usize, limit: usize) {
-        if crowded {
+    /// Logs that the number of open connections has come near the limit, or that it has fallen again, with the numbers
+    /// of connections closed meanwhile.
+    pub(super) fn log_change(&self, near_limit: bool, open: usize, limit: usize) {
+        if near_limit {
             tracing::warn!(open, limit, "nearly all client connections are in use; idle ones are closed");
             return;
         }
--- a/crates/dispatcher/src/net/client/mod.rs
+++ b/crates/dispatcher/src/net/client/mod.rs
@@ -27,10 +27,10 @@
 use connection_limit::ConnectionLimit;
 use protocol::READY_BODY;
 
-/// Part of the client connections, in percent, from which on idle ones are closed and requests on new ones rejected:
-/// without free descriptors, a dispatcher can neither accept a client nor reach a worker.
-const CROWDED_PERCENT: usize = 90;
-/// Time after which the saved endpoint list serves if discovery does not respond.
+/// Percentage of the limit on client connections from which on idle connections are closed and requests on new ones are
+/// rejected. Without free descriptors, a dispatcher can neither accept a client nor reach a worker.
+const NEAR_LIMIT_PERCENT: usize = 90;
+/// Time after which the saved endpoint list is used if discovery does not respond.
 pub(super) const INITIAL_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// State shared by all client connections.
@@ -40,11 +40,11 @@
     phase: watch::Receiver<ShutdownPhase>,
     /// True once an endpoint list was received.
     list_received: watch::Receiver<bool>,
-    /// True while nearly all client connections are in use.
-    crowded: watch::Sender<bool>,
+    /// True while the number of client connections is near its limit.
+    near_limit: watch::Sender<bool>,
     limit: ConnectionLimit,
     started_at: Instant,
-    /// Mode set by the operators' console.
+    /// Mode that operators set on the console.
     mode: watch::Receiver<Mode>,
     metrics: Rc<Metrics>,
 }
@@ -60,14 +60,15 @@
         }
     }
 
-    /// Updates whether connections are scarce, and returns it.
-    fn update_crowded(&self, open: usize, limit: usize) -> bool {
-        let crowded = open >= limit * CROWDED_PERCENT / 100;
-        let changed = self.crowded.send_if_modified(|before| std::mem::replace(before, crowded) != crowded);
+    /// Updates whether the number of open connections is near the limit, and returns the result.
+    fn update_near_limit(&self, open: usize, limit: usize) -> bool {
+        let near_limit = open >= limit * NEAR_LIMIT_PERCENT / 100;
+        let changed =
+            self.near_limit.send_if_modified(|before| std::mem::replace(before, near_limit) != near_limit);
         if changed {
-            self.limit.log_change(crowded, open, limit);
+            self.limit.log_change(near_limit, open, limit);
         }
-        crowded
+        near_limit
     }
 
     fn is_standby(&self) -> bool {
@@ -75,8 +76,8 @@
     }
 }
 
-/// Returns whether the process is ready: it has received an endpoint list, or waited long enough to serve with the saved
-/// one; it is not shutting down; it is not in standby.
+/// Returns whether the process is ready: it has received an endpoint list, or waited long enough to use the saved one;
+/// it is not shutting down; and it is not in standby.
 pub(crate) fn is_ready(list_received: bool, started_at: Instant, phase: ShutdownPhase, mode: Mode) -> bool {
     (list_received || started_at.elapsed() >= INITIAL_LIST_TIMEOUT)
         && phase == ShutdownPhase::Serving
@@ -98,7 +99,7 @@
         handle,
         phase,
         list_received,
-        crowded: watch::Sender::new(false),
+        near_limit: watch::Sender::new(false),
         limit: ConnectionLimit::default(),
         started_at: Instant::now(),
         mode,
--- a/crates/dispatcher/src/net/client/protocol.rs
+++ b/crates/dispatcher/src/net/client/protocol.rs
@@ -1,4 +1,4 @@
-//! Protocol of the clients: paths, methods, headers and texts by their names on the wire.
+//! Protocol of the clients: paths, methods, headers and response bodies as they are on the wire.
 
 /// Path of the dispatcher's health check.
 pub(super) const HEALTH_PATH: &str = "/healthz";
@@ -30,7 +30,7 @@
 /// Interim response to [`EXPECT_CONTINUE`].
 pub(super) const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Headers that a request may have once at most, since a worker might read another one of several values.
+/// Headers that a request may contain only once, because a worker might use a different one of several values.
 pub(super) const SINGLE_HEADERS: [&str; 6] = [
     REQUEST_ID_HEADER,
     IDEMPOTENCY_KEY_HEADER,
@@ -46,16 +46,16 @@
 /// A figure in [`REQUEST_INFO_HEADER`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestFigure {
-    /// Slots that the job takes.
+    /// Number of slots that the job occupies.
     Slots,
-    /// Memory units that the job takes.
+    /// Memory that the job occupies, in memory units.
     Memory,
     /// Expected running time, in seconds.
     ExpectedRunTime,
 }
 
 impl RequestFigure {
-    /// Returns the figure of this name; each has two names.
+    /// Returns the figure with this name; each figure has two names.
     pub(super) fn from_name(name: &str) -> Option<RequestFigure> {
         match name {
             "slots" | "cores-needed" => Some(RequestFigure::Slots),
@@ -70,7 +70,7 @@
 pub(super) const READY_BODY: &[u8] = b"ready\n";
 /// Body of the response to a request that was rejected.
 pub(super) const REJECTED_BODY: &[u8] = b"try again later\n";
-/// Body of the response to a request whose id is in use.
+/// Body of the response to a request with the id of another open request.
 pub(super) const DUPLICATE_ID_BODY: &[u8] = b"a request of this id is open";
 /// Body of the response to a request that no worker can use.
 pub(super) const UNUSABLE_BODY: &[u8] = b"no worker can use this request";
--- a/crates/dispatcher/src/net/client/request.rs
+++ b/crates/dispatcher/src/net/client/request.rs
@@ -1,4 +1,4 @@
-//! Requests as jobs: the head of a request is parsed and validated before any decision.
+//! Parses requests: the head of a request is validated before any decision, and becomes a job.
 
 use std::cell::Cell;
 use std::str::FromStr;
@@ -19,7 +19,7 @@
 
 /// Maximum length of an id or key, in bytes.
 const MAX_ID_BYTES: usize = 256;
-/// Maximum of a figure of a job.
+/// Maximum value of a figure of a job; a larger value is reduced to it.
 const MAX_FIGURE: f64 = 1e9;
 const MICROS_PER_MS: Micros = 1_000;
 const MICROS_PER_S: f64 = 1e6;
@@ -107,7 +107,7 @@
     Ok(Target { path, query })
 }
 
-/// Returns the position of the class that the first segment of a path names.
+/// Returns the index of the class that the first segment of a path names.
 fn parse_class(path: &str, names: &Names) -> Result<usize, RequestError> {
     let name = path[1..].split('/').next().unwrap_or("");
     let position = names.classes.iter().position(|class| class.name == name);
@@ -121,7 +121,8 @@
     Ok(())
 }
 
-/// Parses the ids strictly: a worker that cannot read one closes the connection, with the other requests on it.
+/// Parses the ids strictly, because a worker that cannot read an id closes the connection, with the other requests on
+/// it.
 fn parse_ids(head: &Head) -> Result<RequestIds, RequestError> {
     let request_id = head.header(REQUEST_ID_HEADER).filter(|id| !id.is_empty());
     let request_id = request_id.ok_or(RequestError::MissingRequestId)?.clone();
@@ -133,7 +134,7 @@
     Ok(RequestIds { request_id, idempotency_key })
 }
 
-/// Returns the position of the tenant in the settings; 0 if these have no tenants.
+/// Returns the index of the tenant in the settings; 0 if the settings contain no tenants.
 fn parse_tenant(head: &Head, names: &Names) -> Result<u32, RequestError> {
     if names.tenants.is_empty() {
         return Ok(0);
@@ -143,21 +144,21 @@
     position.map(|position| position as u32).ok_or(RequestError::UnknownTenant)
 }
 
-/// Returns the timeout of a request, which the class limits.
+/// Returns the timeout of a request; the timeout of its class is the default and the maximum.
 fn parse_timeout(head: &Head, class: &ClassInfo) -> Result<Micros, RequestError> {
     let Some(text) = head.header_text(TIMEOUT_HEADER) else { return Ok(class.timeout) };
     let timeout_ms: Micros = parse_number(text, RequestError::InvalidTimeout)?;
     Ok(timeout_ms.saturating_mul(MICROS_PER_MS).min(class.timeout))
 }
 
-/// Returns the expected running time in seconds; none if it is 0.
+/// Returns the expected running time in seconds; `None` if it is 0 or not stated.
 fn parse_work_hint(head: &Head) -> Result<Option<f64>, RequestError> {
     let Some(value) = head.header(WORK_HINT_HEADER) else { return Ok(None) };
     let micros: u64 = parse_number(text(value).unwrap_or(""), RequestError::InvalidWorkHint)?;
     Ok((micros > 0).then_some(micros as f64 / MICROS_PER_S))
 }
 
-/// Returns the affinity key of a query; the same text gives the same key at every dispatcher.
+/// Returns the affinity key of a query; the same text results in the same key at every dispatcher.
 fn parse_affinity_key(query: &str) -> Option<u64> {
     let text = query.split('&').find_map(|parameter| parameter.strip_prefix(AFFINITY_KEY_PARAMETER))?;
     if text.is_empty() {
@@ -166,7 +167,7 @@
     Some(u64::from_str_radix(text, HEXADECIMAL).unwrap_or_else(|_| hash_bytes(text.as_bytes())))
 }
 
-/// Applies the figures of the job that the client states.
+/// Applies the figures of the job that the client states in [`REQUEST_INFO_HEADER`].
 fn apply_request_info(request: &mut Request, head: &Head) -> Result<(), RequestError> {
     for pair in head.header_text(REQUEST_INFO_HEADER).unwrap_or("").split(',') {
         let Some((name, value)) = pair.split_once('=') else { continue };
@@ -184,12 +185,12 @@
     Ok(())
 }
 
-/// Parses a number from 0 on.
+/// Parses a number of at least 0.
 fn parse_number<T: FromStr + PartialOrd + Default>(
     text: &str,
     error: RequestError,
 ) -> Result<T, RequestError> {
-    // The comparison is also false for a value that is not a number.
+    // The comparison is also false for NaN.
     match text.trim().parse::<T>() {
         Ok(value) if value >= T::default() => Ok(value),
         _ => Err(error),
--- a/crates/dispatcher/src/net/client/request_error.rs
+++ b/crates/dispatcher/src/net/client/request_error.rs
@@ -3,26 +3,26 @@
 use crate::net::http::status::{self, reason, Status};
 use crate::net::http::Malformed;
 
-/// Error of a request that is not accepted; its text is the body of the response.
+/// Error of a request that is not accepted as a job; its text is the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RequestError {
-    /// The message breaks HTTP/1.1 or a limit.
+    /// The message violates HTTP/1.1 or exceeds a limit.
     #[error("{}", reason(.0.status()))]
     Malformed(#[from] Malformed),
-    /// The target is no path of graphic characters.
-    #[error("the target must be a path")]
+    /// The target is not a path of printable ASCII characters.
+    #[error("the request target must be a path of printable ASCII characters")]
     InvalidTarget,
     /// The method of a health check is wrong.
-    #[error("ask for this with GET")]
+    #[error("health checks must use GET")]
     HealthMethod,
-    /// The path names no class.
-    #[error("there is no such class of request")]
+    /// The first segment of the path is not the name of a class.
+    #[error("unknown class of request")]
     UnknownClass,
     /// The method of a job is wrong.
-    #[error("jobs come by POST")]
+    #[error("jobs must use POST")]
     JobMethod,
-    /// A header that may occur once occurs more often.
-    #[error("a header that must come once comes again")]
+    /// A header that may occur only once is repeated.
+    #[error("a header that may occur only once is repeated")]
     RepeatedHeader,
     /// The request has no id.
     #[error("Request-Id is missing")]
@@ -30,29 +30,29 @@
     /// The request has no idempotency key, which its class requires.
     #[error("Idempotency-Key is missing")]
     MissingIdempotencyKey,
-    /// The id or the idempotency key is too long or has other than graphic characters.
-    #[error("Request-Id and Idempotency-Key are plain words")]
+    /// The id or the idempotency key is too long, or contains spaces or characters that are not printable ASCII.
+    #[error("Request-Id and Idempotency-Key must be at most 256 printable ASCII characters without spaces")]
     InvalidId,
     /// The request names no tenant.
     #[error("Tenant is missing")]
     MissingTenant,
-    /// The settings have no such tenant.
-    #[error("there is no such Tenant")]
+    /// The settings contain no tenant with this name.
+    #[error("unknown Tenant")]
     UnknownTenant,
-    /// The timeout is no whole number.
-    #[error("Request-Timeout-Ms is no whole number")]
+    /// The timeout is not a whole number.
+    #[error("Request-Timeout-Ms is not a whole number")]
     InvalidTimeout,
-    /// The expected running time is no whole number.
-    #[error("Work-Hint is no whole number of microseconds")]
+    /// The expected running time is not a whole number.
+    #[error("Work-Hint is not a whole number of microseconds")]
     InvalidWorkHint,
-    /// A figure of the job is no number.
-    #[error("Request-Info holds what is no number")]
+    /// A figure of the job is not a number of at least 0.
+    #[error("a figure in Request-Info is not a number of at least 0")]
     InvalidRequestInfo,
     /// The request was not complete in time.
-    #[error("the request did not come in time")]
+    #[error("the request was not complete in time")]
     Timeout,
-    /// The client ended its sending while it waited for the answer.
-    #[error("the client left before the answer")]
+    /// The client closed its sending direction while it waited for the response.
+    #[error("the client disconnected before the response")]
     ClientDisconnected,
 }
 
--- a/crates/dispatcher/src/net/client/wait.rs
+++ b/crates/dispatcher/src/net/client/wait.rs
@@ -1,4 +1,4 @@
-//! Conditions that end the wait for a request or for its answer.
+//! Conditions that end the wait for a request or for its response.
 
 use std::time::Duration;
 
@@ -12,35 +12,36 @@
 use crate::net::mode::Mode;
 use crate::net::shutdown::ShutdownPhase;
 
-/// Time in which the first request must be complete from the connect on, and each further one from its first byte on,
-/// head and body together. Clients that exceed it must be answered or closed within 3 s.
+/// Time within which a request must be complete, head and body together: the first request from the accept on, each
+/// further one from its first byte on. Clients that exceed it must be answered or closed within 3 s.
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Request timeout while client connections are scarce.
-const CROWDED_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Interval at which a connection with more bytes than are read ahead is checked for a disconnect.
+/// Request timeout while the number of client connections is near its limit.
+const NEAR_LIMIT_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval at which a connection is checked for a disconnect if it has more unread bytes than are read ahead.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Time for which a connection without any request so far remains open before it is closed as idle.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(400);
 
-/// Waits until the client ends its sending, behind more bytes than are read ahead: these wake no reader, but the socket's
-/// state shows the end.
+/// Waits until the client closes its sending direction, on a connection with more unread bytes than are read ahead. No
+/// read reaches the end of the stream behind them, but the state of the socket shows it.
 pub(super) async fn read_closed(stream: &TcpStream) {
     while stream.ready(Interest::READABLE).await.is_ok_and(|ready| !ready.is_read_closed()) {
         sleep(DISCONNECT_POLL_INTERVAL).await;
     }
 }
 
-/// Waits until a connection without a request in progress must be closed, and returns its end. Without any request so
-/// far, the first one may be in transit and would be lost, since clients do not repeat it: hence the grace.
+/// Waits until a connection without a request in progress must be closed, and returns its end. Before the first
+/// request, the connection stays open for a grace period: the request may be in transit, and would be lost, because
+/// clients do not repeat it.
 pub(super) async fn idle_close(context: &ClientContext, awaiting_first_request: bool) -> ConnectionEnd {
     let mut phase = context.phase.clone();
-    let mut crowded = context.crowded.subscribe();
+    let mut near_limit = context.near_limit.subscribe();
     let mut mode = context.mode.clone();
-    // No answer was written that a reset could destroy.
-    let end_if_crowded = if awaiting_first_request { ConnectionEnd::Evicted } else { ConnectionEnd::Close };
+    // Before the first request, no response was written that a reset could destroy.
+    let end_near_limit = if awaiting_first_request { ConnectionEnd::Evicted } else { ConnectionEnd::Close };
     let end = tokio::select! {
         _ = phase.wait_for(|phase| *phase >= ShutdownPhase::Closing) => ConnectionEnd::Close,
-        _ = crowded.wait_for(|crowded| *crowded) => end_if_crowded,
+        _ = near_limit.wait_for(|near_limit| *near_limit) => end_near_limit,
         _ = mode.wait_for(|mode| *mode == Mode::Standby) => ConnectionEnd::Close,
     };
     if awaiting_first_request {
@@ -49,20 +50,21 @@
     end
 }
 
-/// Waits until the timeout of a request that began at this time; it is shorter while client connections are scarce.
+/// Waits until the timeout of a request that began at this time. The timeout is shorter while the number of client
+/// connections is near its limit.
 pub(super) async fn request_overdue(context: &ClientContext, started_at: Instant) {
-    let mut crowded = context.crowded.subscribe();
-    let overdue_when_crowded = async {
-        let _ = crowded.wait_for(|crowded| *crowded).await;
-        sleep_until(started_at + CROWDED_REQUEST_TIMEOUT).await;
+    let mut near_limit = context.near_limit.subscribe();
+    let overdue_near_limit = async {
+        let _ = near_limit.wait_for(|near_limit| *near_limit).await;
+        sleep_until(started_at + NEAR_LIMIT_REQUEST_TIMEOUT).await;
     };
     tokio::select! {
         () = sleep_until(started_at + REQUEST_TIMEOUT) => {}
-        () = overdue_when_crowded => {}
+        () = overdue_near_limit => {}
     }
 }
 
-/// Waits until the connection is evicted, which only one that awaits its first request can be.
+/// Waits until the connection is evicted. Only a connection that awaits its first request can be evicted.
 pub(super) async fn evicted(wait: Option<FirstRequestWait>) {
     match wait {
         Some(wait) => wait.notified().await,
