--- a/crates/dispatcher/tests/crowd.rs
+++ b/crates/dispatcher/tests/crowd.rs
@@ -1,14 +1,14 @@
-//! Callers beside a crowd: idle clients fill the limit on client connections within a moment.
+//! Requests on new connections while idle clients use up the limit on client connections.
 //!
-//! What happened: each request came on a new connection with 300 ms of time, and while 306 idle connections were open
-//! the next ones waited 0.9 to 2.1 s for their 503. Every caller has its final answer within its time and half a
-//! second, or its new connection is closed unread.
+//! What must hold: every client receives its final response within its timeout and 0.5 s more, or its new connection is
+//! closed unread.
 //!
-//! Why: at the limit nothing was accepted, and callers waited in the listener's queue behind the crowd. An idle
-//! connection held its place for 0.4 s of grace and another 0.5 s in which its close was read to the end, one that came
-//! late for 1.0 s and 0.5 s. Seen in a trace of the accept loop: "accepting rests, 129 of 129 open", "accepting goes on
-//! after 903.4 ms", then a rest of 597.5 ms and one of 303.0 ms; 206 connections that were never used ended by the grace
-//! and 58 by the 1.0 s.
+//! The failure that this guards against: each request came on a new connection with a timeout of 300 ms, and while 306
+//! idle connections were open, requests waited 0.9 to 2.1 s for their 503. At the limit the dispatcher accepted
+//! nothing, and clients waited in the listener's queue behind the idle ones. An idle connection held its place for a
+//! grace period of 0.4 s and then 0.5 s of lingering, one that was accepted late for 1.0 s and 0.5 s. A trace of the
+//! accept loop showed pauses of 903.4 ms (with 129 of 129 connections open), 597.5 ms and 303.0 ms; of the connections
+//! that were never used, 206 ended by the grace period and 58 by the 1.0 s.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -22,39 +22,39 @@
 use socket2::{Domain, Socket, Type};
 use tokio::sync::{mpsc, watch};
 
-/// The fewest descriptors that a platform gives.
-const SOCKETS: u64 = 256;
-/// More than the limit on client connections at that, twice over.
+/// Smallest limit on descriptors that a platform sets.
+const DESCRIPTORS: u64 = 256;
+/// More than twice the limit on client connections that follows from [`DESCRIPTORS`].
 const IDLE_CLIENTS: usize = 306;
-/// Clients that keep their connections.
-const KEPT_CLIENTS: usize = 12;
-/// What a caller gives its request.
-const REQUEST_TIME: Duration = Duration::from_millis(300);
-/// An answer up to so much later earns nothing, but is no loss.
-const LATE_ANSWER_TIME: Duration = Duration::from_millis(500);
-/// What clocks may differ by.
-const SLACK: Duration = Duration::from_millis(50);
-/// How long callers go on beside the crowd.
-const CROWD_TIME: Duration = Duration::from_millis(2_500);
-/// Served, rejected, failed.
+/// Number of clients that send further requests on the same connection.
+const KEEP_ALIVE_CLIENTS: usize = 12;
+/// Timeout that a client states in its request.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time after the timeout within which a response is late, but not a violation.
+const LATE_RESPONSE_TIME: Duration = Duration::from_millis(500);
+/// Maximum difference between the clocks of client and dispatcher.
+const CLOCK_TOLERANCE: Duration = Duration::from_millis(50);
+/// Time for which clients send requests while the idle connections are open.
+const OBSERVATION_TIME: Duration = Duration::from_millis(2_500);
+/// Statuses of final responses: served, failed, rejected, timed out.
 const FINAL_STATUSES: [u16; 4] = [200, 502, 503, 504];
-/// No read of a caller takes longer; only a fault comes near it.
-const READ_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout of a client's read, which only a fault reaches.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A listener that takes connections and says nothing.
-fn silent_listener() -> SocketAddr {
+/// Starts a listener that accepts connections and never responds.
+fn unresponsive_listener() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
-        let mut taken = Vec::new();
+        let mut connections = Vec::new();
         while let Ok((stream, _)) = listener.accept() {
-            taken.push(stream);
+            connections.push(stream);
         }
     });
     address
 }
 
-/// The clients' listener, with room for a crowd that comes at once.
+/// Creates the dispatcher's listener, with a queue for all idle clients at once.
 fn listener() -> TcpListener {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
@@ -62,7 +62,7 @@
     socket.into()
 }
 
-/// A dispatcher in a thread of its own; its one worker takes jobs and never answers.
+/// A dispatcher in a thread of its own. Its only worker accepts jobs and never responds.
 struct Dispatcher {
     address: SocketAddr,
     end: Option<tokio::sync::oneshot::Sender<()>>,
@@ -74,10 +74,10 @@
         let mut config: Value =
             serde_json::from_str(include_str!("../../../examples/config.json")).expect("an example");
         config["listen"] = json!("127.0.0.1:0");
-        config["discovery"] = json!(silent_listener().to_string());
-        config["limits"]["sockets"] = json!(SOCKETS);
+        config["discovery"] = json!(unresponsive_listener().to_string());
+        config["limits"]["sockets"] = json!(DESCRIPTORS);
         config["settings"]["discovery"] = json!("ask");
-        config["known"]["members"][0]["host_port"] = json!(silent_listener().to_string());
+        config["known"]["members"][0]["host_port"] = json!(unresponsive_listener().to_string());
         config["known"]["members"].as_array_mut().expect("a list").truncate(1);
         let config = Config::parse(&config.to_string(), |_| None).expect("a configuration");
         let listener = listener();
@@ -93,13 +93,13 @@
 
     fn is_ready(&self) -> bool {
         let mut stream = TcpStream::connect(self.address).expect("a connection");
-        stream.write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n").expect("a call");
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("an answer");
-        answer.starts_with("HTTP/1.1 200")
+        stream.write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n").expect("a request");
+        let mut response = String::new();
+        stream.read_to_string(&mut response).expect("a response");
+        response.starts_with("HTTP/1.1 200")
     }
 
-    /// The signal to end.
+    /// Starts a graceful shutdown.
     fn terminate(&mut self) {
         self.end.take().expect("one signal").send(()).expect("a dispatcher");
     }
@@ -112,15 +112,15 @@
     }
 }
 
-/// Serves until it is told to end in good order, or nobody can tell it any more.
+/// Serves until a graceful shutdown is finished, or until the sender of the shutdown signal is dropped.
 fn serve(config: Config, listener: TcpListener, ended: tokio::sync::oneshot::Receiver<()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         listener.set_nonblocking(true).expect("a socket");
         let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
-        let longest = config.longest_timeout;
+        let longest_timeout = config.longest_timeout;
         let (phase, phases) = watch::channel(ShutdownPhase::Serving);
-        let (_hangup, requests) = mpsc::channel(1);
+        let (_reload_requests, requests) = mpsc::channel(1);
         let reload = Reload { requests, read: Box::new(|old: &Config| Ok(old.clone())) };
         let served = dispatcher::net::serve(dispatcher::net::ServeParameters {
             config,
@@ -130,29 +130,29 @@
         });
         let shutdown = async {
             match ended.await {
-                Ok(()) => run_phases(&phase, longest).await,
+                Ok(()) => run_phases(&phase, longest_timeout).await,
                 Err(_) => drop(phase.send_replace(ShutdownPhase::Finished)),
             }
             std::future::pending::<()>().await;
         };
         tokio::select! {
-            result = served => result.expect("an orderly end"),
+            result = served => result.expect("a regular end"),
             () = shutdown => {}
         }
     });
 }
 
-/// How a caller's request ended, and how long that took from connecting on.
+/// End of a client's request, with the time since the client began to connect.
 #[derive(Debug)]
-enum Ending {
+enum RequestEnd {
     Answered(u16, Duration),
-    /// The connection ended with no byte of an answer.
+    /// The connection ended without any byte of a response.
     Closed(Duration),
 }
 
-/// A request, and whether the connection is to be kept after it.
+/// Returns a request; with `keep`, the client keeps the connection open after it.
 fn request(id: &str, keep: bool) -> String {
-    let millis = REQUEST_TIME.as_millis();
+    let millis = REQUEST_TIMEOUT.as_millis();
     let connection = if keep { "keep-alive" } else { "close" };
     format!(
         "POST /lookup HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\nTenant: web\r\nRequest-Timeout-Ms: {millis}\r\n\
@@ -160,59 +160,63 @@
     )
 }
 
-/// One request on a new connection.
+/// Sends one request on a new connection.
 ///
 /// # Panics
-/// Half an answer came, or in all that time nothing.
-fn call(address: SocketAddr, id: &str) -> Ending {
-    let begun = Instant::now();
-    let Ok(mut stream) = TcpStream::connect(address) else { return Ending::Closed(begun.elapsed()) };
-    stream.set_read_timeout(Some(READ_LIMIT)).expect("a socket");
+/// If the response is incomplete, or if nothing arrives within [`READ_TIMEOUT`].
+fn send_request(address: SocketAddr, id: &str) -> RequestEnd {
+    let started_at = Instant::now();
+    let Ok(mut stream) = TcpStream::connect(address) else { return RequestEnd::Closed(started_at.elapsed()) };
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a socket");
     let _ = stream.write_all(request(id, false).as_bytes());
-    let mut answer = Vec::new();
-    let read = stream.read_to_end(&mut answer);
-    let took = begun.elapsed();
-    let text = String::from_utf8_lossy(&answer);
-    match (read, parse_whole_answer(&text)) {
-        (_, Some(status)) => Ending::Answered(status, took),
-        (Err(error), None) if error.kind() == ErrorKind::WouldBlock => panic!("no end: {text:?}"),
-        (_, None) if answer.is_empty() => Ending::Closed(took),
-        _ => panic!("half an answer: {text:?}"),
+    let mut response = Vec::new();
+    let read = stream.read_to_end(&mut response);
+    let elapsed = started_at.elapsed();
+    let text = String::from_utf8_lossy(&response);
+    match (read, parse_complete_response(&text)) {
+        (_, Some(status)) => RequestEnd::Answered(status, elapsed),
+        (Err(error), None) if error.kind() == ErrorKind::WouldBlock => panic!("timeout: {text:?}"),
+        (_, None) if response.is_empty() => RequestEnd::Closed(elapsed),
+        _ => panic!("incomplete response: {text:?}"),
     }
 }
 
-/// One request on a connection that is kept, and whether it stays open for another.
+/// Sends one request on a kept connection, and returns whether the connection stays open for another.
 ///
 /// # Panics
-/// Half an answer came, or in all that time nothing.
-fn call_kept(stream: &mut TcpStream, id: &str) -> (Ending, bool) {
-    let begun = Instant::now();
+/// If the response is incomplete, or if nothing arrives within [`READ_TIMEOUT`].
+fn send_request_on(stream: &mut TcpStream, id: &str) -> (RequestEnd, bool) {
+    let started_at = Instant::now();
     let _ = stream.write_all(request(id, true).as_bytes());
-    let (mut answer, mut part) = (Vec::new(), [0; 4096]);
+    let (mut response, mut part) = (Vec::new(), [0; 4096]);
     loop {
-        let text = String::from_utf8_lossy(&answer).into_owned();
-        if let Some(status) = parse_whole_answer(&text) {
-            return (Ending::Answered(status, begun.elapsed()), !text.contains("Connection: close"));
+        let text = String::from_utf8_lossy(&response).into_owned();
+        if let Some(status) = parse_complete_response(&text) {
+            return (RequestEnd::Answered(status, started_at.elapsed()), !text.contains("Connection: close"));
         }
         match stream.read(&mut part) {
-            Ok(count) if count > 0 => answer.extend_from_slice(&part[..count]),
-            Err(error) if error.kind() == ErrorKind::WouldBlock => panic!("no end: {text:?}"),
-            _ if answer.is_empty() => return (Ending::Closed(begun.elapsed()), false),
-            _ => panic!("half an answer: {text:?}"),
+            Ok(count) if count > 0 => response.extend_from_slice(&part[..count]),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => panic!("timeout: {text:?}"),
+            _ if response.is_empty() => return (RequestEnd::Closed(started_at.elapsed()), false),
+            _ => panic!("incomplete response: {text:?}"),
         }
     }
 }
 
-/// A client that keeps its connection and uses it for as long as it is open, and then a new one, until none is taken. It
-/// waits once, after its first request.
-fn call_on_kept_connections(address: SocketAddr, name: usize, first_answered: &Barrier) -> Vec<Ending> {
-    let mut endings = Vec::new();
+/// Runs a client that sends requests on one connection while it stays open, and then on a new one, until the dispatcher
+/// accepts no more connections. After its first request, it waits for the barrier.
+fn send_requests_on_kept_connections(
+    address: SocketAddr,
+    name: usize,
+    first_answered: &Barrier,
+) -> Vec<RequestEnd> {
+    let mut ends = Vec::new();
     while let Ok(mut stream) = TcpStream::connect(address) {
-        stream.set_read_timeout(Some(READ_LIMIT)).expect("a socket");
+        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a socket");
         loop {
-            let (ending, open) = call_kept(&mut stream, &format!("{name}-{}", endings.len()));
-            endings.push(ending);
-            if endings.len() == 1 {
+            let (end, open) = send_request_on(&mut stream, &format!("{name}-{}", ends.len()));
+            ends.push(end);
+            if ends.len() == 1 {
                 first_answered.wait();
             }
             if !open {
@@ -221,115 +225,119 @@
             std::thread::sleep(Duration::from_millis(5));
         }
     }
-    endings
+    ends
 }
 
-/// The status of an answer that came whole.
-fn parse_whole_answer(text: &str) -> Option<u16> {
+/// Returns the status of a response, or `None` if the response is incomplete.
+fn parse_complete_response(text: &str) -> Option<u16> {
     let (head, body) = text.split_once("\r\n\r\n")?;
     let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: "))?;
-    let whole = body.len() == length.parse::<usize>().ok()?;
-    head.split(' ').nth(1)?.parse().ok().filter(|_| whole)
+    let complete = body.len() == length.parse::<usize>().ok()?;
+    head.split(' ').nth(1)?.parse().ok().filter(|_| complete)
 }
 
-/// So many clients that connect and say nothing.
-fn crowd(address: SocketAddr) -> Vec<TcpStream> {
+/// Connects [`IDLE_CLIENTS`] clients that send nothing.
+fn connect_idle_clients(address: SocketAddr) -> Vec<TcpStream> {
     (0..IDLE_CLIENTS).map(|_| TcpStream::connect(address).expect("a connection")).collect()
 }
 
-/// Three callers, each with one request after the other, until the time is over; all endings.
-fn call_for(address: SocketAddr, duration: Duration) -> Vec<Ending> {
+/// Runs three clients that send one request after another for this time, and returns the ends of all requests.
+fn send_requests_for(address: SocketAddr, duration: Duration) -> Vec<RequestEnd> {
     let until = Instant::now() + duration;
-    let caller = |name: usize| {
-        let mut endings = Vec::new();
+    let client = |name: usize| {
+        let mut ends = Vec::new();
         while Instant::now() < until {
-            endings.push(call(address, &format!("{name}-{}", endings.len())));
-            // A caller that was turned away comes back a moment later.
+            ends.push(send_request(address, &format!("{name}-{}", ends.len())));
+            // Pause before the next request, as after a rejected one.
             std::thread::sleep(Duration::from_millis(20));
         }
-        endings
+        ends
     };
     std::thread::scope(|scope| {
-        let callers: Vec<_> = (0..3).map(|name| scope.spawn(move || caller(name))).collect();
-        callers.into_iter().flat_map(|caller| caller.join().expect("no panic")).collect()
+        let clients: Vec<_> = (0..3).map(|name| scope.spawn(move || client(name))).collect();
+        clients.into_iter().flat_map(|client| client.join().expect("no panic")).collect()
     })
 }
 
-/// The endings that no caller may see.
-fn lost(endings: &[Ending]) -> Vec<&Ending> {
-    let bad = |ending: &&Ending| match ending {
-        Ending::Answered(status, took) => {
-            !FINAL_STATUSES.contains(status) || *took > REQUEST_TIME + LATE_ANSWER_TIME + SLACK
+/// Returns the ends that violate the rule in the documentation of this file.
+fn violations(ends: &[RequestEnd]) -> Vec<&RequestEnd> {
+    let is_violation = |end: &&RequestEnd| match end {
+        RequestEnd::Answered(status, elapsed) => {
+            !FINAL_STATUSES.contains(status)
+                || *elapsed > REQUEST_TIMEOUT + LATE_RESPONSE_TIME + CLOCK_TOLERANCE
         }
-        Ending::Closed(took) => *took > REQUEST_TIME + SLACK,
+        RequestEnd::Closed(elapsed) => *elapsed > REQUEST_TIMEOUT + CLOCK_TOLERANCE,
     };
-    endings.iter().filter(bad).collect()
+    ends.iter().filter(is_violation).collect()
 }
 
 #[test]
-fn a_caller_beside_a_crowd_is_answered_within_its_time_or_closed_unread_at_once() {
+fn at_the_limit_a_client_is_answered_in_time_or_its_connection_is_closed_unread() {
     let dispatcher = Dispatcher::start();
-    let crowd = crowd(dispatcher.address);
-    let endings = call_for(dispatcher.address, CROWD_TIME);
-    drop(crowd);
-    assert!(lost(&endings).is_empty(), "{:?} of {}", lost(&endings), endings.len());
-    // Where the crowd has left nobody is closed unread.
-    let after = call_for(dispatcher.address, REQUEST_TIME);
-    assert!(after.iter().all(|ending| matches!(ending, Ending::Answered(..))), "{after:?}");
+    let idle_clients = connect_idle_clients(dispatcher.address);
+    let ends = send_requests_for(dispatcher.address, OBSERVATION_TIME);
+    drop(idle_clients);
+    assert!(violations(&ends).is_empty(), "{:?} of {}", violations(&ends), ends.len());
+    // Once the idle clients have disconnected, no connection is closed unread.
+    let after = send_requests_for(dispatcher.address, REQUEST_TIMEOUT);
+    assert!(after.iter().all(|end| matches!(end, RequestEnd::Answered(..))), "{after:?}");
 }
 
-/// A crowd that is there when the signal comes, and new connections for as long as they are taken.
+/// The limit is reached when a graceful shutdown begins. Clients open new connections while the dispatcher accepts
+/// them.
 #[test]
-fn a_caller_beside_a_crowd_is_not_left_waiting_by_a_shutdown() {
+fn at_the_limit_a_shutdown_leaves_no_client_waiting() {
     let mut dispatcher = Dispatcher::start();
-    let crowd = crowd(dispatcher.address);
+    let idle_clients = connect_idle_clients(dispatcher.address);
     dispatcher.terminate();
-    let endings = call_for(dispatcher.address, CROWD_TIME);
-    drop(crowd);
-    assert!(lost(&endings).is_empty(), "{:?} of {}", lost(&endings), endings.len());
+    let ends = send_requests_for(dispatcher.address, OBSERVATION_TIME);
+    drop(idle_clients);
+    assert!(violations(&ends).is_empty(), "{:?} of {}", violations(&ends), ends.len());
 }
 
-/// Clients use open connections until the dispatcher has ended, a crowd beside them.
+/// Clients send requests on kept connections until the dispatcher has ended, while idle clients use up the limit.
 #[test]
-fn clients_on_kept_connections_beside_a_crowd_are_not_left_waiting_by_a_shutdown() {
+fn at_the_limit_a_shutdown_leaves_no_client_on_a_kept_connection_waiting() {
     let mut dispatcher = Dispatcher::start();
     let address = dispatcher.address;
-    let first_answered = &Barrier::new(KEPT_CLIENTS + 1);
-    let endings: Vec<Ending> = std::thread::scope(|scope| {
-        let client = |name| scope.spawn(move || call_on_kept_connections(address, name, first_answered));
-        let clients: Vec<_> = (0..KEPT_CLIENTS).map(client).collect();
+    let first_answered = &Barrier::new(KEEP_ALIVE_CLIENTS + 1);
+    let ends: Vec<RequestEnd> = std::thread::scope(|scope| {
+        let client =
+            |name| scope.spawn(move || send_requests_on_kept_connections(address, name, first_answered));
+        let clients: Vec<_> = (0..KEEP_ALIVE_CLIENTS).map(client).collect();
         first_answered.wait();
-        let crowd = crowd(address);
+        let idle_clients = connect_idle_clients(address);
         dispatcher.terminate();
-        let endings = clients.into_iter().flat_map(|client| client.join().expect("no panic")).collect();
-        drop(crowd);
-        endings
+        let ends = clients.into_iter().flat_map(|client| client.join().expect("no panic")).collect();
+        drop(idle_clients);
+        ends
     });
-    assert!(lost(&endings).is_empty(), "{:?} of {}", lost(&endings), endings.len());
-    assert!(endings.len() > 3 * KEPT_CLIENTS, "{endings:?}");
+    assert!(violations(&ends).is_empty(), "{:?} of {}", violations(&ends), ends.len());
+    assert!(ends.len() > 3 * KEEP_ALIVE_CLIENTS, "{ends:?}");
 }
 
-/// The crowd gives way: it has asked nothing, and a caller asks at once.
+/// A new client that sends its request immediately is answered, because an idle connection without a request is
+/// evicted.
 #[test]
-fn a_caller_beside_a_crowd_gets_an_answer_since_idle_clients_give_way() {
+fn at_the_limit_an_idle_connection_is_evicted_for_a_new_client() {
     let dispatcher = Dispatcher::start();
-    let crowd = crowd(dispatcher.address);
-    let ending = call(dispatcher.address, "a1");
+    let idle_clients = connect_idle_clients(dispatcher.address);
+    let end = send_request(dispatcher.address, "a1");
     assert!(
-        matches!(ending, Ending::Answered(..)) && lost(std::slice::from_ref(&ending)).is_empty(),
-        "{ending:?}"
+        matches!(end, RequestEnd::Answered(..)) && violations(std::slice::from_ref(&end)).is_empty(),
+        "{end:?}"
     );
-    // One that is asked of is never closed for another.
+    // A connection on which a request has begun is never evicted.
     let mut kept = TcpStream::connect(dispatcher.address).expect("a connection");
     kept.write_all(b"POST /lookup HTTP/1.1\r\nRequest-Id: a2\r\nTenant: web\r\nContent-Le")
         .expect("half a head");
-    // The dispatcher reads what was there before it takes in the next connection.
-    call(dispatcher.address, "a3");
+    // The dispatcher reads what it has received before it accepts the next connection.
+    send_request(dispatcher.address, "a3");
     let more: Vec<_> = (0..IDLE_CLIENTS).map(|_| TcpStream::connect(dispatcher.address)).collect();
     kept.write_all(b"ngth: 0\r\nRequest-Timeout-Ms: 300\r\nConnection: close\r\n\r\n").expect("the rest");
     let _ = kept.shutdown(Shutdown::Write);
-    let mut answer = String::new();
-    kept.read_to_string(&mut answer).expect("an answer");
-    assert!(parse_whole_answer(&answer).is_some(), "{answer:?}");
-    drop((crowd, more));
+    let mut response = String::new();
+    kept.read_to_string(&mut response).expect("a response");
+    assert!(parse_complete_response(&response).is_some(), "{response:?}");
+    drop((idle_clients, more));
 }
--- a/crates/dispatcher/tests/net.rs
+++ b/crates/dispatcher/tests/net.rs
@@ -1,5 +1,5 @@
-//! Plays the scenarios in `tests/scenarios/` against the program's network code and compares what each party
-//! saw with a snapshot. The language is in `tests/scenario/mod.rs`.
+//! Runs the scenarios in `tests/scenarios/` against the dispatcher's network layer and compares the messages that each
+//! party received with a snapshot. `tests/scenario/mod.rs` describes the language.
 
 mod scenario;
 
@@ -7,6 +7,6 @@
 fn scenarios() {
     insta::glob!("scenarios/*.txt", |path| {
         let script = std::fs::read_to_string(path).expect("a readable scenario");
-        insta::assert_snapshot!(scenario::play(&script));
+        insta::assert_snapshot!(scenario::run(&script));
     });
 }
--- a/crates/dispatcher/tests/scenario/messages.rs
+++ b/crates/dispatcher/tests/scenario/messages.rs
@@ -1,4 +1,4 @@
-//! Encoder of the messages that a script sends.
+//! Encodes the messages that a script sends.
 
 use std::net::SocketAddr;
 
@@ -7,14 +7,14 @@
 const OK_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const LAST_CHUNK: &str = "0\r\n\r\n";
 
-/// Encodes a message of a kind of the language; `workers` are the addresses of the workers in order.
+/// Encodes a message; `kind` is the word after `send`, and `workers` are the addresses of the workers in order.
 pub fn encode(kind: &str, arguments: &str, workers: &[SocketAddr]) -> Vec<u8> {
     match kind {
         "raw" => unescape(arguments),
         "job" => job(arguments).into_bytes(),
         "ok" => OK_HEAD.into(),
         "whole" => {
-            // A complete list as a message of a known length.
+            // A complete list in a response with a known length.
             let list = list(arguments, workers).to_string();
             format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()).into_bytes()
         }
@@ -30,16 +30,16 @@
             let text = serde_json::to_string_pretty(&list(arguments, workers)).expect("a list");
             chunk(&text).into_bytes()
         }
-        other => panic!("nobody can send '{other}'"),
+        other => panic!("unknown kind of message: '{other}'"),
     }
 }
 
-/// Encodes a line as one chunk.
+/// Encodes a line as one chunk of a body.
 fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
 
-/// Encodes `ID [keyed] [HEADER=VALUE]...` as a job.
+/// Encodes `ID [keyed] [HEADER=VALUE]...` as the request of a job.
 fn job(arguments: &str) -> String {
     let mut words = arguments.split(' ').peekable();
     let id = words.next().unwrap_or("");
@@ -52,7 +52,7 @@
     )
 }
 
-/// `REVISION whole|changes [NUMBER=PHASE]...` in discovery's form.
+/// Encodes `REVISION whole|changes [NUMBER=PHASE]...` in the format of discovery.
 fn list(arguments: &str, workers: &[SocketAddr]) -> Value {
     let mut words = arguments.split(' ');
     let revision: u64 = words.next().and_then(|word| word.parse().ok()).expect("a revision");
@@ -66,12 +66,13 @@
     json!({"revision": revision, "complete": complete, "members": entries})
 }
 
-/// The entry of a worker in discovery's form.
+/// Returns the list entry of a worker in the format of discovery.
 pub fn list_entry(number: usize, address: SocketAddr, phase: &str) -> Value {
     json!({"id": format!("w{number}"), "host_port": address.to_string(), "locality": "north", "flavor": "m1",
            "cell": number, "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
+/// Replaces the escapes of `send raw`.
 fn unescape(text: &str) -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut rest = text.replace("\\r", "\r").replace("\\n", "\n").replace("\\x", "\u{e9}");
--- a/crates/dispatcher/tests/scenario/mod.rs
+++ b/crates/dispatcher/tests/scenario/mod.rs
@@ -1,34 +1,34 @@
-//! The scenario language: one step a line, played in order against a dispatcher in this process.
+//! The scenario language: one step per line, run in order against a dispatcher in the process of the test.
 //!
 //! | step | meaning |
 //! | --- | --- |
-//! | `set PATH JSON` | a figure of the configuration, before the first other step |
-//! | `workers N` | so many workers, the same way |
-//! | `PARTY send raw TEXT` | these bytes; `\r`, `\n`, `\x` (a letter that is not ASCII) and `*N` (the byte before, N times) are understood |
-//! | `PARTY send job ID [HEADER]...` | a job of class `safe`; `keyed` after the id: of class `keyed` |
-//! | `PARTY send ok`, `line JSON`, `end` | a chunked 200, one line of it, its last chunk |
-//! | `PARTY send done ID RESULT` | the three of these: a whole answer |
-//! | `PARTY send whole REVISION whole [N=PHASE]...` | the whole list, as one message |
-//! | `PARTY send indented REVISION whole|changes [N=PHASE]...` | the same, laid out over many lines |
-//! | `PARTY send list REVISION whole|changes [N=PHASE]...` | a line of discovery on these workers |
-//! | `PARTY expect` | one whole message, noted in the transcript |
-//! | `PARTY expect close` | the end of the connection, with nothing before it |
-//! | `workers expect ID alone` | the next request that any worker gets has this id; connections that come before it end with nothing sent |
-//! | `PARTY expect nothing` | nothing has come so far: what was awaited by then came before it |
-//! | `PARTY expect end` | the other side has ended its sending in good order, with nothing before it: no reset |
-//! | `PARTY close [sending]` | close the connection, or one direction of it |
-//! | `PARTY reset` | end the connection with a reset |
-//! | `wait MS` | let time pass |
-//! | `limit S` | each step from here on is done within so many seconds, or the scenario fails |
-//! | `program send TERM`, `program expect` | the signal; the program's end |
-//! | `file PATH JSON`, `file discovery elsewhere`, `file raw TEXT` | the configuration file is changed |
-//! | `program send HUP` | the file is to be read again |
-//! | `program send CLOSING` | the phase in which idle connections are closed, at once |
-//! | `listener N close`, `jam`, `free` | worker N refuses connections; lets none come up; lets them again |
+//! | `set PATH JSON` | sets a value of the configuration; must come before all other steps |
+//! | `workers N` | sets the number of workers; must come before all other steps |
+//! | `PARTY send raw TEXT` | sends these bytes, with the escapes `\r`, `\n`, `\x` (a letter that is not ASCII) and `*N` (the byte before, N times) |
+//! | `PARTY send job ID [HEADER]...` | sends a job of class `safe`, or of class `keyed` with `keyed` after the id |
+//! | `PARTY send ok`, `line JSON`, `end` | sends the head of a chunked 200, one line of its body, its last chunk |
+//! | `PARTY send done ID RESULT` | sends these three as one complete response |
+//! | `PARTY send whole REVISION whole [N=PHASE]...` | sends the complete list as one response with a known length |
+//! | `PARTY send indented REVISION whole|changes [N=PHASE]...` | sends a list as one chunk, indented over many lines |
+//! | `PARTY send list REVISION whole|changes [N=PHASE]...` | sends a list of these workers as one line of a watch |
+//! | `PARTY expect` | waits for one complete message and adds it to the transcript |
+//! | `PARTY expect close` | waits for the end of the connection, of any kind, with no bytes before it |
+//! | `workers expect ID alone` | waits for the next request that any worker receives, which must have this id; connections before it must end with nothing sent |
+//! | `PARTY expect nothing` | checks that no byte has arrived yet |
+//! | `PARTY expect end` | waits until the peer closes its sending direction without a reset, with no bytes before |
+//! | `PARTY close [sending]` | closes the connection, or only its sending direction |
+//! | `PARTY reset` | resets the connection |
+//! | `wait MS` | waits for this time |
+//! | `limit S` | sets the timeout of each further step; the scenario fails if a step exceeds it |
+//! | `program send TERM`, `program expect` | starts a graceful shutdown of the dispatcher; waits for its end |
+//! | `file PATH JSON`, `file discovery elsewhere`, `file raw TEXT` | changes the configuration file |
+//! | `program send HUP` | lets the dispatcher reload the configuration file |
+//! | `program send CLOSING` | starts the shutdown phase in which idle connections are closed |
+//! | `listener N close`, `jam`, `free` | worker N refuses connections; lets connection attempts hang; accepts them again |
 //!
-//! `client...` connects at its first step; `worker...` is the next connection that any worker gets,
-//! `discovery...` the next one that discovery gets and `elsewhere...` the next one at its other address. Each wait for something is bounded, far above what a slow
-//! machine needs, so that only a real fault fails.
+//! `client...` connects at its first step. `worker...` is the next connection that any worker accepts, `discovery...`
+//! the next one that discovery accepts, and `elsewhere...` the next one at discovery's other address. Each wait has a
+//! timeout far above the needs of a slow machine, so that only a real fault fails a scenario.
 
 mod messages;
 mod party;
@@ -52,54 +52,58 @@
 use messages::{encode, list_entry};
 use party::{Party, ENDED};
 
-/// No wait for something that must come takes longer.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of each step, unless `limit` sets another one.
+const DEFAULT_STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Plays a script; returns the transcript.
-pub fn play(script: &str) -> String {
+/// Runs a script and returns the transcript.
+pub fn run(script: &str) -> String {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let mut stage = Stage::set(script).await;
-        let mut limit = LIMIT;
+        let mut harness = Harness::start(script).await;
+        let mut limit = DEFAULT_STEP_TIMEOUT;
         for step in script.lines().map(str::trim).filter(|l| !l.is_empty() && !l.starts_with('#')) {
             if let Some(seconds) = step.strip_prefix("limit ") {
                 limit = Duration::from_secs_f64(seconds.parse().expect("seconds"));
                 continue;
             }
-            match timeout(limit, stage.step(step)).await {
+            match timeout(limit, harness.step(step)).await {
                 Ok(()) => {}
-                Err(_) => panic!("nothing came at '{step}'; so far:\n{}", stage.transcript),
+                Err(_) => panic!("timeout at '{step}'; transcript so far:\n{}", harness.transcript),
             }
         }
-        stage.transcript
+        harness.transcript
     })
 }
 
-struct Stage {
+/// A dispatcher that runs in this process, and everything that a script connects to it.
+struct Harness {
     parties: HashMap<String, Party>,
-    front: SocketAddr,
-    at_workers: mpsc::UnboundedReceiver<TcpStream>,
-    at_discovery: mpsc::UnboundedReceiver<TcpStream>,
-    at_elsewhere: mpsc::UnboundedReceiver<TcpStream>,
+    dispatcher_address: SocketAddr,
+    worker_connections: mpsc::UnboundedReceiver<TcpStream>,
+    discovery_connections: mpsc::UnboundedReceiver<TcpStream>,
+    elsewhere_connections: mpsc::UnboundedReceiver<TcpStream>,
+    /// Second address of discovery, which a reload can set.
     elsewhere: SocketAddr,
-    file: Rc<RefCell<Value>>,
-    hangup: mpsc::Sender<()>,
+    config_file: Rc<RefCell<Value>>,
+    reload_requests: mpsc::Sender<()>,
     listeners: Vec<WorkerListener>,
-    jam: Vec<socket2::Socket>,
-    jammed: Option<TcpStream>,
+    /// Worker's listener whose queue is full, between `jam` and `free`; at most one.
+    full_listener: Vec<socket2::Socket>,
+    /// Connection that fills the queue of `full_listener`.
+    queued_connection: Option<TcpStream>,
     phase: watch::Sender<shutdown::ShutdownPhase>,
-    program: JoinHandle<std::io::Result<()>>,
-    longest: u64,
+    dispatcher: JoinHandle<std::io::Result<()>>,
+    longest_timeout: u64,
     transcript: String,
 }
 
-/// A listener of a worker, with its address.
+/// A worker's listener, with its address.
 struct WorkerListener {
     task: JoinHandle<()>,
     address: SocketAddr,
 }
 
-/// A listener whose connections go to the queue.
+/// Starts a listener that passes its connections to the queue.
 async fn listen(queue: mpsc::UnboundedSender<TcpStream>) -> WorkerListener {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -111,7 +115,8 @@
     WorkerListener { task, address }
 }
 
-fn put(root: &mut Value, path: &str, value: Value) {
+/// Sets the value at a path of keys and indices, separated by dots.
+fn set_path(root: &mut Value, path: &str, value: Value) {
     let place = path.split('.').fold(root, |at, key| match key.parse::<usize>() {
         Ok(index) => {
             let items = at.as_array_mut().expect("a list");
@@ -123,12 +128,12 @@
     *place = value;
 }
 
-impl Stage {
+impl Harness {
     #[expect(clippy::too_many_lines, reason = "one configuration, read in one piece")]
-    async fn set(script: &str) -> Stage {
-        let (to_workers, at_workers) = mpsc::unbounded_channel();
-        let (to_discovery, at_discovery) = mpsc::unbounded_channel();
-        let (to_elsewhere, at_elsewhere) = mpsc::unbounded_channel();
+    async fn start(script: &str) -> Harness {
+        let (to_workers, worker_connections) = mpsc::unbounded_channel();
+        let (to_discovery, discovery_connections) = mpsc::unbounded_channel();
+        let (to_elsewhere, elsewhere_connections) = mpsc::unbounded_channel();
         let discovery = listen(to_discovery).await.address.to_string();
         let mut config = json!({
             "name": "n1", "seed": "1", "listen": "127.0.0.1:0",
@@ -143,13 +148,13 @@
                 "projects": [{"name": "acme", "share": 1.0, "quota-per-s": 1000.0}],
                 "caps": {"cancel": true, "send-cap": 4, "retry-after": true, "max-retry-after-s": 2.0,
                          "dial-timeout-s": 10.0, "keepalive-s": 60.0},
-                // Long, so that no further watch is opened beside one that a script answers late.
+                // Long, so that no second watch is opened in parallel to one that a script answers late.
                 "obligations": {"drain-grace-s": 60.0},
                 "family-info": {"tells-start": true}, "resolution-s": 0.005}});
         let mut workers = 1;
         for words in script.lines().map(|l| l.split_whitespace().collect::<Vec<_>>()) {
             match words[..] {
-                ["set", path, value] => put(&mut config, path, value.parse().expect("JSON")),
+                ["set", path, value] => set_path(&mut config, path, value.parse().expect("JSON")),
                 ["workers", n] => workers = n.parse().expect("a number"),
                 _ => {}
             }
@@ -162,38 +167,38 @@
         }
         let file = Rc::new(RefCell::new(config));
         let config = Config::parse(&file.borrow().to_string(), |_| None).expect("a configuration");
-        let (hangup, asked) = mpsc::channel(1);
+        let (reload_requests, reload_receiver) = mpsc::channel(1);
         let changed = file.clone();
         let variable = move |name: &str| Some(discovery.clone()).filter(|_| name == "BALANCER_DISCOVERY");
         let read = Box::new(move |old: &Config| match &*changed.borrow() {
             Value::String(raw) => old.replace(raw, &variable),
             file => old.replace(&file.to_string(), &variable),
         });
-        let longest = config.longest_timeout;
-        let front = TcpListener::bind(config.listen).await.expect("a port");
-        let address = front.local_addr().expect("an address");
+        let longest_timeout = config.longest_timeout;
+        let listener = TcpListener::bind(config.listen).await.expect("a port");
+        let address = listener.local_addr().expect("an address");
         let (phase, phases) = watch::channel(shutdown::ShutdownPhase::Serving);
-        let program = spawn_local(net::serve(net::ServeParameters {
+        let dispatcher = spawn_local(net::serve(net::ServeParameters {
             config,
-            listener: front,
+            listener,
             phase: phases,
-            reload: reload::Reload { requests: asked, read },
+            reload: reload::Reload { requests: reload_receiver, read },
         }));
-        Stage {
+        Harness {
             parties: HashMap::new(),
-            front: address,
-            at_workers,
-            at_discovery,
-            at_elsewhere,
+            dispatcher_address: address,
+            worker_connections,
+            discovery_connections,
+            elsewhere_connections,
             elsewhere: listen(to_elsewhere).await.address,
-            file,
-            hangup,
+            config_file: file,
+            reload_requests,
             listeners,
-            jam: Vec::new(),
-            jammed: None,
+            full_listener: Vec::new(),
+            queued_connection: None,
             phase,
-            program,
-            longest,
+            dispatcher,
+            longest_timeout,
             transcript: String::new(),
         }
     }
@@ -206,24 +211,26 @@
             ["set", ..] | ["workers", _] => {}
             ["wait", ms] => sleep(Duration::from_millis(ms.parse().expect("milliseconds"))).await,
             ["program", "send", "TERM"] => {
-                let (phase, longest) = (self.phase.clone(), self.longest);
-                spawn_local(async move { shutdown::run_phases(&phase, longest).await });
+                let (phase, longest_timeout) = (self.phase.clone(), self.longest_timeout);
+                spawn_local(async move { shutdown::run_phases(&phase, longest_timeout).await });
             }
             ["program", "send", "CLOSING"] => drop(self.phase.send_replace(shutdown::ShutdownPhase::Closing)),
             ["program", "send", "HUP"] => {
-                self.hangup.send(()).await.expect("a program");
-                // The file is read in the same turn in which the wish is taken.
-                while self.hangup.capacity() == 0 {
+                self.reload_requests.send(()).await.expect("a dispatcher");
+                // The file is read in the same turn in which the reload request is received.
+                while self.reload_requests.capacity() == 0 {
                     tokio::task::yield_now().await;
                 }
             }
             ["file", "discovery", "elsewhere"] => {
-                put(&mut self.file.borrow_mut(), "discovery", json!(self.elsewhere.to_string()));
+                set_path(&mut self.config_file.borrow_mut(), "discovery", json!(self.elsewhere.to_string()));
+            }
+            ["file", "raw", text] => *self.config_file.borrow_mut() = json!(text),
+            ["file", path, value] => {
+                set_path(&mut self.config_file.borrow_mut(), path, value.parse().expect("JSON"))
             }
-            ["file", "raw", text] => *self.file.borrow_mut() = json!(text),
-            ["file", path, value] => put(&mut self.file.borrow_mut(), path, value.parse().expect("JSON")),
             ["workers", "expect", id, "alone"] => loop {
-                let stream = self.at_workers.recv().await.expect("a connection");
+                let stream = self.worker_connections.recv().await.expect("a connection");
                 let mut party = Party::server(stream);
                 let seen = party.message().await;
                 if seen != ENDED {
@@ -232,7 +239,7 @@
                 }
                 assert!(party.buffer.is_empty(), "found {:?}", party.buffer);
             },
-            ["program", "expect"] => (&mut self.program).await.expect("no panic").expect("an orderly end"),
+            ["program", "expect"] => (&mut self.dispatcher).await.expect("no panic").expect("a regular end"),
             ["listener", n, "close"] => {
                 let listener = &mut self.listeners[n.parse::<usize>().expect("a number") - 1];
                 listener.task.abort();
@@ -264,7 +271,7 @@
                 let nothing = read.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock);
                 assert!(
                     nothing && party.buffer.is_empty(),
-                    "{name}: something has come\n{}",
+                    "{name}: unexpected bytes or end of the connection\n{}",
                     self.transcript
                 );
             }
@@ -283,28 +290,32 @@
             [name, "close", "sending"] => {
                 let _ = self.party(name).await.stream.shutdown().await;
             }
-            _ => panic!("no step of the language: {step}"),
+            _ => panic!("unknown step: {step}"),
         }
     }
 
-    /// The party of this name, which may have to come first.
+    /// Returns the party of this name, and connects or accepts it at its first use.
     async fn party(&mut self, name: &str) -> &mut Party {
         if !self.parties.contains_key(name) {
             let party = match name {
                 _ if name.starts_with("client") => {
-                    TcpStream::connect(self.front).await.ok().map(Party::client)
+                    TcpStream::connect(self.dispatcher_address).await.ok().map(Party::client)
+                }
+                _ if name.starts_with("worker") => self.worker_connections.recv().await.map(Party::server),
+                _ if name.starts_with("discovery") => {
+                    self.discovery_connections.recv().await.map(Party::server)
+                }
+                _ if name.starts_with("elsewhere") => {
+                    self.elsewhere_connections.recv().await.map(Party::server)
                 }
-                _ if name.starts_with("worker") => self.at_workers.recv().await.map(Party::server),
-                _ if name.starts_with("discovery") => self.at_discovery.recv().await.map(Party::server),
-                _ if name.starts_with("elsewhere") => self.at_elsewhere.recv().await.map(Party::server),
-                _ => panic!("nobody is called {name}"),
+                _ => panic!("unknown party: {name}"),
             };
             self.parties.insert(name.to_owned(), party.expect("a connection"));
         }
         self.parties.get_mut(name).expect("a party")
     }
 
-    /// Replaces a worker's listener by one that has no room for a connection.
+    /// Replaces a worker's listener by one whose queue is full, so that further connection attempts hang.
     async fn jam(&mut self, number: usize) {
         let WorkerListener { task, address } = &mut self.listeners[number - 1];
         task.abort();
@@ -314,20 +325,21 @@
         socket.set_reuse_address(true).expect("a reusable address");
         socket.bind(&(*address).into()).expect("the same address");
         socket.listen(0).expect("a listener");
-        self.jam = vec![socket];
-        self.jammed = timeout(LIMIT, TcpStream::connect(*address)).await.ok().and_then(Result::ok);
-        assert!(self.jammed.is_some(), "one connection fills it");
+        self.full_listener = vec![socket];
+        self.queued_connection =
+            timeout(DEFAULT_STEP_TIMEOUT, TcpStream::connect(*address)).await.ok().and_then(Result::ok);
+        assert!(self.queued_connection.is_some(), "one connection fills the queue");
     }
 
-    /// Makes room again: the next connection that comes up is a worker's.
+    /// Accepts connections again; later connections are passed on as those of a worker.
     async fn free(&mut self) {
-        self.jammed = None;
-        let listener: std::net::TcpListener = self.jam.pop().expect("a jammed listener").into();
+        self.queued_connection = None;
+        let listener: std::net::TcpListener = self.full_listener.pop().expect("a full listener").into();
         listener.set_nonblocking(true).expect("a listener");
         let listener = TcpListener::from_std(listener).expect("a listener");
         let _ = listener.accept().await;
-        let (queue, at_workers) = mpsc::unbounded_channel();
-        self.at_workers = at_workers;
+        let (queue, worker_connections) = mpsc::unbounded_channel();
+        self.worker_connections = worker_connections;
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let _ = queue.send(stream);
--- a/crates/dispatcher/tests/scenario/party.rs
+++ b/crates/dispatcher/tests/scenario/party.rs
@@ -1,4 +1,4 @@
-//! One end of a connection, and the messages that it reads.
+//! A party of a scenario: its end of a connection, and the messages that it receives.
 
 use bytes::BytesMut;
 use dispatcher::net::http::{Decoder, Head, Piece, Start};
@@ -8,7 +8,7 @@
 /// Transcript of a message whose connection ended before it was complete.
 pub const ENDED: &str = "    (the connection ended)";
 
-/// One end of a connection.
+/// A client, a worker or discovery, at its end of a connection to the dispatcher.
 pub struct Party {
     pub stream: TcpStream,
     pub buffer: BytesMut,
@@ -16,12 +16,12 @@
 }
 
 impl Party {
-    /// An end that sends requests.
+    /// Creates a party that sends requests and receives responses.
     pub fn client(stream: TcpStream) -> Party {
         Party { stream, buffer: BytesMut::new(), is_server: false }
     }
 
-    /// An end that receives requests.
+    /// Creates a party that receives requests and sends responses.
     pub fn server(stream: TcpStream) -> Party {
         Party { stream, buffer: BytesMut::new(), is_server: true }
     }
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Reads a head; returns none if the connection ends before it is complete.
+    /// Reads a head; returns `None` if the connection ends before the head is complete.
     async fn head(&mut self) -> Option<Head> {
         loop {
             let head = if self.is_server {
@@ -59,7 +59,7 @@
             } else {
                 Head::response(&mut self.buffer)
             };
-            if let Some(head) = head.expect("a readable head") {
+            if let Some(head) = head.expect("a valid head") {
                 return Some(head);
             }
             match self.stream.read_buf(&mut self.buffer).await {
@@ -73,7 +73,7 @@
         let mut body = Vec::new();
         let mut decoder = Decoder::new(head.framing);
         loop {
-            match decoder.next(&mut self.buffer).expect("a readable body") {
+            match decoder.next(&mut self.buffer).expect("a valid body") {
                 Piece::Data(data) => body.extend_from_slice(&data),
                 Piece::End => return body,
                 Piece::More => {
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,13 +1,13 @@
-//! A toy fleet to try the dispatcher with: two workers and the discovery that lists them, all in one process.
+//! A minimal environment to try the dispatcher with: two workers, and a discovery service that lists them, in one process.
 //!
-//! Run it with `cargo run --example toy_server`, and beside it
-//! `cargo run --bin dispatcher -- serve --config examples/config.json`. Then hand in a job:
+//! Run it with `cargo run --example toy_server`, and in another terminal
+//! `cargo run --bin dispatcher -- serve --config examples/config.json`. Then submit a job:
 //!
 //! ```sh
 //! curl -i http://127.0.0.1:7070/lookup -H 'Request-Id: 1' -H 'Tenant: web' -d 'which sofas?'
 //! ```
 //!
-//! Each worker runs one job at a time, for 200 ms, and tells when it starts.
+//! Each worker runs one job at a time, for 200 ms, and reports its start.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -15,9 +15,12 @@
 use std::thread;
 use std::time::Duration;
 
+/// Names and addresses of the workers.
 const WORKERS: [(&str, &str); 2] = [("toy-1", "127.0.0.1:9101"), ("toy-2", "127.0.0.1:9102")];
+/// Address of discovery.
 const DISCOVERY: &str = "127.0.0.1:8500";
-const RUN: Duration = Duration::from_millis(200);
+/// Running time of a job.
+const JOB_RUN_TIME: Duration = Duration::from_millis(200);
 
 fn main() -> std::io::Result<()> {
     for (name, address) in WORKERS {
@@ -25,7 +28,7 @@
         listen(address, move |stream| worker(name, &one_at_a_time, stream))?;
     }
     listen(DISCOVERY, discovery)?;
-    println!("workers on {WORKERS:?}, discovery on {DISCOVERY}; end with Ctrl-C");
+    println!("workers on {WORKERS:?}, discovery on {DISCOVERY}; press Ctrl-C to stop");
     loop {
         thread::park();
     }
@@ -40,15 +43,16 @@
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let serve = serve.clone();
-            // A connection that breaks is the other side's matter.
+            // An error ends only this connection; the peer must handle it.
             thread::spawn(move || serve(stream));
         }
     });
     Ok(())
 }
 
-/// The first line and the headers of a request that the example needs; none when the connection ends.
-fn head(reader: &mut impl BufRead) -> std::io::Result<Option<(String, String, usize)>> {
+/// Reads the head of a request: its first line, its id and the length of its body. Returns `None` at the end of the
+/// connection.
+fn read_head(reader: &mut impl BufRead) -> std::io::Result<Option<(String, String, usize)>> {
     let (mut first, mut id, mut length) = (String::new(), String::new(), 0);
     if reader.read_line(&mut first)? == 0 {
         return Ok(None);
@@ -67,44 +71,50 @@
     }
 }
 
-fn chunk(mut out: impl Write, line: &str) -> std::io::Result<()> {
+/// Writes a line as one chunk of a body.
+fn write_chunk(mut out: impl Write, line: &str) -> std::io::Result<()> {
     out.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes())
 }
 
-const STREAM: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// Head of a response whose body is a stream of lines.
+const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
+/// Runs the jobs that arrive on one connection to a worker.
 fn worker(name: &str, one_at_a_time: &Mutex<()>, mut stream: TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut reader = BufReader::new(stream.try_clone()?);
-    while let Some((first, id, length)) = head(&mut reader)? {
+    while let Some((first, id, length)) = read_head(&mut reader)? {
         let mut body = vec![0; length];
         reader.read_exact(&mut body)?;
-        stream.write_all(STREAM)?;
-        let turn = one_at_a_time.lock();
-        chunk(&stream, &format!(r#"{{"id":"{id}","from":"{name}","state":"started"}}"#))?;
-        thread::sleep(RUN);
-        drop(turn);
+        stream.write_all(STREAM_HEAD)?;
+        let running = one_at_a_time.lock();
+        write_chunk(&stream, &format!(r#"{{"id":"{id}","from":"{name}","state":"started"}}"#))?;
+        thread::sleep(JOB_RUN_TIME);
+        drop(running);
         let job = first.split(' ').nth(1).unwrap_or("").replace(['"', '\\'], "");
         let result = format!("{name} did {job} with {length} bytes");
-        chunk(&stream, &format!(r#"{{"id":"{id}","from":"{name}","state":"done","result":"{result}"}}"#))?;
+        write_chunk(
+            &stream,
+            &format!(r#"{{"id":"{id}","from":"{name}","state":"done","result":"{result}"}}"#),
+        )?;
         stream.write_all(b"0\r\n\r\n")?;
     }
     Ok(())
 }
 
-/// Lists both workers, and then says every 2 s that nothing changed.
+/// Sends the list of both workers, and then an empty line every 2 s to report that nothing changed.
 fn discovery(mut stream: TcpStream) -> std::io::Result<()> {
-    head(&mut BufReader::new(stream.try_clone()?))?;
+    read_head(&mut BufReader::new(stream.try_clone()?))?;
     let members = WORKERS.map(|(id, address)| {
         format!(
             r#"{{"id":"{id}","host_port":"{address}","locality":"north","flavor":"small","cell":0,"phase":"in_service","size":1.0,"up_since_ms":0}}"#
         )
     });
-    stream.write_all(STREAM)?;
+    stream.write_all(STREAM_HEAD)?;
     let line = format!(r#"{{"revision":2,"complete":true,"members":[{}]}}"#, members.join(","));
-    chunk(&stream, &line)?;
+    write_chunk(&stream, &line)?;
     loop {
         thread::sleep(Duration::from_secs(2));
-        chunk(&stream, "")?;
+        write_chunk(&stream, "")?;
     }
 }
