--- a/crates/dispatcher/src/engine/messages.rs
+++ b/crates/dispatcher/src/engine/messages.rs
@@ -47,18 +47,18 @@
 pub enum FinalResponse {
     /// Result of a worker.
     Served(Bytes),
-    /// Admission declined the job and nothing ran, so that a retry is harmless.
+    /// Admission rejected the job and nothing ran, so that a retry is harmless.
     Rejected {
         /// Time after which the client may try again, if the decision module named one.
         retry_after: Option<Seconds>,
     },
     /// No result; the job may have run.
     Failed,
-    /// The request itself is at fault.
+    /// The request is invalid.
     Invalid(InvalidRequest),
 }
 
-/// Reason why a request cannot be a job.
+/// Reason for which a request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InvalidRequest {
     /// Another open request has the same id.
--- a/crates/dispatcher/src/engine/requests.rs
+++ b/crates/dispatcher/src/engine/requests.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Passes the requests that wait for the first endpoint list to the decision module, and holds no more of them.
+    /// Passes the requests that wait for the first endpoint list to the decision module, and stops holding new ones.
     pub(super) fn release_awaiting_requests(&mut self) {
         for request in self.awaiting_initial_list.take().unwrap_or_default() {
             let Some(open) = self.requests.get(request.id).filter(|open| !open.is_concluded()) else {
--- a/crates/dispatcher/tests/crowd.rs
+++ b/crates/dispatcher/tests/crowd.rs
@@ -36,7 +36,7 @@
 const CLOCK_TOLERANCE: Duration = Duration::from_millis(50);
 /// Time for which clients send requests while the idle connections are open.
 const OBSERVATION_TIME: Duration = Duration::from_millis(2_500);
-/// Statuses of final responses: served, failed, rejected, timed out.
+/// Statuses of final responses: served, rejected or failed.
 const FINAL_STATUSES: [u16; 4] = [200, 502, 503, 504];
 /// Timeout of a client's read, which only a fault reaches.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
