--- a/crates/dispatcher/tests/engine.rs
+++ b/crates/dispatcher/tests/engine.rs
@@ -220,8 +220,8 @@
     });
 }
 
-/// Guards against treating a job that may have run as one that never ran: a job certainly did not run only if the last
-/// byte of its request was not written.
+/// Guards against treating a job that may have run as one that never ran: only a job whose request was not written up to
+/// its last byte is certain not to have run.
 #[test]
 fn the_outcome_of_a_lost_connection_depends_on_what_was_written() {
     let outcomes = [
