--- a/crates/dispatcher/src/engine/mod.rs
+++ b/crates/dispatcher/src/engine/mod.rs
@@ -1,8 +1,9 @@
 //! The engine: one task that owns the decision module, the table of open requests and the timers.
 //!
-//! It receives an [`Input`] from one queue and sends a [`Command`] or an [`Answer`]; it has no sockets and knows no protocol.
-//! It makes no decisions. It guarantees that an attempt ends exactly once, that a request is answered exactly once, and
-//! that neither outlives its deadline.
+//! It receives each [`Input`] from one queue, and sends each [`Command`] to the network layer and each
+//! [`FinalResponse`] to the client's connection. It has no sockets, knows no protocol and makes no decisions. It
+//! guarantees that an attempt ends exactly once, that a request is answered exactly once, and that neither outlives its
+//! deadline.
 
 mod actions;
 mod clock;
@@ -18,5 +19,6 @@
 pub use event_loop::Engine;
 pub use handle::{Handle, PendingJob};
 pub use messages::{
-    Answer, AttemptEnd, AttemptId, AttemptStage, Command, Input, InvalidRequest, Job, ListedEndpoint, Payload,
+    AttemptEnd, AttemptId, AttemptStage, Command, FinalResponse, Input, InvalidRequest, Job, ListedEndpoint,
+    Payload,
 };
