--- a/crates/dispatcher/src/config/mod.rs
+++ b/crates/dispatcher/src/config/mod.rs
@@ -1,9 +1,9 @@
-//! The one place where configuration is read, checked and given defaults.
+//! Configuration: the only module that reads and checks it and sets defaults.
 //!
-//! The platform hands over a JSON file ([`CONFIG_VARIABLE`]) and repeats the name and the addresses in variables of their
-//! own, which take precedence. Errors name the faulty key. A reload at run time replaces the whole configuration (with
-//! the local settings of `settings_file.rs`) or none of it, and there the file's `discovery` takes precedence over its
-//! variable, which cannot change any more.
+//! The platform passes a JSON file ([`CONFIG_VARIABLE`]). The name and the addresses may also be set by environment
+//! variables, which take precedence. Errors name the faulty key. A reload replaces the whole configuration, including
+//! the local settings of `settings_file.rs`, or nothing. In a reload the file's `discovery` takes precedence over its
+//! variable, because the environment of a running process cannot change.
 
 mod parser;
 
@@ -20,7 +20,7 @@
 
 /// Environment variable with the path of the configuration file.
 pub const CONFIG_VARIABLE: &str = "BALANCER_CONFIG";
-/// Environment variable with the name of this dispatcher.
+/// Environment variable with the dispatcher's name.
 const NAME_VARIABLE: &str = "BALANCER_NAME";
 /// Environment variable with the address that clients connect to.
 const LISTEN_VARIABLE: &str = "BALANCER_LISTEN";
@@ -43,7 +43,7 @@
     pub discovery: SocketAddr,
     /// Address of the operators' console, if there is one.
     pub console: Option<SocketAddr>,
-    /// Seed of random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
     /// Maximum number of client connections.
     pub client_sockets: usize,
@@ -59,17 +59,18 @@
     pub idle_timeout: Micros,
     /// Time for which a draining worker may still receive work after the notification.
     pub drain_grace: Micros,
-    /// True if an agent on this machine receives the endpoint list by push: its content counts as notified from the start.
+    /// True if discovery pushes the endpoint list to an agent on this machine. Its content counts as notified from the
+    /// start.
     pub list_is_pushed: bool,
     /// Longest timeout of a class.
     pub longest_timeout: Micros,
-    /// Endpoint list as last held before the start.
+    /// Endpoint list that was saved before the start.
     pub saved_list: SavedList,
-    /// Settings of the cluster that this dispatcher is a member of, if the local settings name one.
+    /// Cluster that the dispatcher joins, if the local settings name one.
     pub cluster: Option<ClusterSettings>,
 }
 
-/// Endpoint list as last held before the start; empty if none was saved.
+/// Endpoint list that was saved before the start; empty if none was saved.
 #[derive(Clone, Debug, Default)]
 pub struct SavedList {
     /// Discovery's revision of the list.
@@ -89,7 +90,7 @@
         Ok(config)
     }
 
-    /// Reads the files again for a program that runs with this configuration.
+    /// Reads the files again in order to replace this configuration at run time.
     ///
     /// # Errors
     /// Returns a [`ConfigError`] for the first key that is missing or invalid, or that cannot change at run time.
@@ -103,8 +104,8 @@
         Ok(config)
     }
 
-    /// Parses the text of a file that replaces this configuration. Names keep their positions, by which the decision
-    /// module knows the open jobs; new names follow them.
+    /// Parses the text of a file that replaces this configuration at run time. The current names must keep their
+    /// positions, because the decision module refers to them by position for open jobs. New names may follow them.
     ///
     /// # Errors
     /// Returns a [`ConfigError`] for the first key that is missing or invalid, or that cannot change at run time.
@@ -118,13 +119,13 @@
             _ => variable(name),
         });
         let mut new = match from_file {
-            // Without the key in the file, the variable remains in effect.
+            // The variable remains in effect if the file does not set the key.
             Err(error) if error.key == DISCOVERY_KEY && error.is_missing() => Config::parse(text, variable)?,
             result => result?,
         };
         self.check_listen_address(&new)?;
         self.check_names(&new)?;
-        // Listeners stay where they are.
+        // Listeners are not moved at run time.
         new.listen = self.listen;
         new.console = self.console;
         Ok(new)
@@ -150,18 +151,21 @@
         invalid("listen", format!("cannot change while the program runs: it listens on {}", self.listen))
     }
 
-    /// Checks that each list of names begins with the names that it has now.
+    /// Checks that each list of names begins with its current names.
     fn check_names(&self, new: &Config) -> Result<(), ConfigError> {
-        let present = &self.names;
+        let current = &self.names;
         let new = &new.names;
-        for (key, extends_present) in [
-            ("settings.profiles", class_names(new).starts_with(&class_names(present))),
-            ("settings.projects", new.tenants.starts_with(&present.tenants)),
-            ("settings.azs", new.zones.starts_with(&present.zones)),
-            ("settings.flavors", new.kinds.starts_with(&present.kinds)),
+        for (key, extends_current) in [
+            ("settings.profiles", class_names(new).starts_with(&class_names(current))),
+            ("settings.projects", new.tenants.starts_with(&current.tenants)),
+            ("settings.azs", new.zones.starts_with(&current.zones)),
+            ("settings.flavors", new.kinds.starts_with(&current.kinds)),
         ] {
-            if !extends_present {
-                return invalid(key, "cannot change while the program runs, but for names added at the end");
+            if !extends_current {
+                return invalid(
+                    key,
+                    "cannot change while the program runs, except for names added at the end",
+                );
             }
         }
         Ok(())
--- a/crates/dispatcher/src/config/parser.rs
+++ b/crates/dispatcher/src/config/parser.rs
@@ -18,13 +18,13 @@
 
 /// Default name of a dispatcher.
 const DEFAULT_NAME: &str = "cairncrank";
-/// Default number of file descriptors.
+/// Default of the number of file descriptors that the process may open.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Descriptors reserved for files, the runtime, the listener and discovery.
+/// File descriptors reserved for files, the runtime, the listener and discovery.
 const RESERVED_SOCKETS: usize = 40;
-/// Minimum number of descriptors to start with.
+/// Minimum number of file descriptors; the process does not start with fewer.
 const MIN_SOCKETS: usize = 2 * RESERVED_SOCKETS;
-/// Share of the unreserved descriptors that clients may take, in percent; workers have the rest.
+/// Share of the unreserved descriptors for client connections, in percent; connections to workers get the rest.
 const CLIENT_SOCKETS_PERCENT: usize = 60;
 /// Default of the dial timeout, in seconds.
 const DEFAULT_DIAL_TIMEOUT_S: f64 = 1.0;
@@ -32,8 +32,8 @@
 const MIN_DIAL_TIMEOUT_S: f64 = 0.001;
 /// Default of the keep-alive time of idle connections, in seconds.
 const DEFAULT_KEEPALIVE_S: f64 = 5.0;
-/// Part of the keep-alive time for which an idle connection is used: clocks of both sides differ, and a request that
-/// crosses the worker's close would be lost.
+/// Fraction of the keep-alive time for which an idle connection is used. The clocks of both sides differ, and a request
+/// that is sent while the worker closes the connection would be lost.
 const KEEPALIVE_FRACTION: f64 = 0.8;
 /// Default of the drain grace, in seconds.
 const DEFAULT_DRAIN_GRACE_S: f64 = 0.5;
@@ -93,13 +93,13 @@
     })
 }
 
-/// Texts that are given by an environment variable or else by a key of the file.
+/// Sources of a text: an environment variable or else a key of the file.
 struct TextSources<'a, V> {
     root: &'a Value,
     variable: V,
 }
 
-/// A text, and the variable or key that it is from.
+/// A text, and the variable or key that it was read from.
 struct SourcedText {
     source: String,
     text: String,
@@ -132,7 +132,7 @@
     }
 }
 
-/// Parses the number of descriptors that the program may open.
+/// Parses the number of file descriptors that the process may open.
 fn parse_socket_limit(value: &Value) -> Result<usize, ConfigError> {
     if value.is_null() {
         return Ok(DEFAULT_SOCKETS);
@@ -154,7 +154,7 @@
     }
 }
 
-/// Parses a seed in hexadecimal digits or as a number; any other text is hashed.
+/// Parses a seed: a number, or a text of hexadecimal digits. Any other text is hashed.
 fn parse_seed(value: &Value) -> Result<u64, ConfigError> {
     match value {
         Value::String(text) => Ok(u64::from_str_radix(text, 16).unwrap_or_else(|_| worker_id(text).0)),
@@ -180,7 +180,7 @@
     let list = |key: &str| pairs.list(key).map(str::to_owned).collect();
     let names = Names { classes, tenants, zones: list("azs"), kinds: list("flavors") };
     if names.classes.is_empty() {
-        return invalid("settings.profiles", "expected one class of request or more");
+        return invalid("settings.profiles", "expected at least one class of request");
     }
     check_all_named("profiles", names.classes.iter().map(|class| class.name.as_str()))?;
     check_all_named("projects", names.tenants.iter().map(String::as_str))?;
@@ -201,7 +201,7 @@
     Ok(classes)
 }
 
-/// Checks that no entry of a list of the settings lacks its name.
+/// Checks that each entry of a list in the settings has a name.
 fn check_all_named<'a>(list: &str, mut names: impl Iterator<Item = &'a str>) -> Result<(), ConfigError> {
     match names.position(str::is_empty) {
         Some(position) => invalid(&format!("settings.{list}.{position}.name"), MISSING),
--- a/crates/dispatcher/src/config_error.rs
+++ b/crates/dispatcher/src/config_error.rs
@@ -1,15 +1,15 @@
 //! Error of an invalid configuration.
 
-/// Problem of a key that is not set.
+/// Problem text of a key that is not set.
 pub(crate) const MISSING: &str = "missing";
 
-/// Error of an invalid configuration, by the faulty key.
+/// An invalid or missing configuration value.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {problem}")]
 pub struct ConfigError {
-    /// Faulty key.
+    /// Path of the faulty key, or the environment variable or file that was read.
     pub key: String,
-    /// Problem of its value.
+    /// What is wrong with the value of the key.
     pub problem: String,
 }
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// Returns the error of a faulty key.
+/// Returns a [`ConfigError`] for this key.
 pub(crate) fn invalid<T>(key: &str, problem: impl Into<String>) -> Result<T, ConfigError> {
     Err(ConfigError { key: key.to_owned(), problem: problem.into() })
 }
--- a/crates/dispatcher/src/endpoint_list.rs
+++ b/crates/dispatcher/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in discovery's JSON. No other module spells the keys and words of that protocol.
+//! The endpoint list in discovery's JSON. This is the only module that spells out the keys and values of that format.
 
 use std::net::SocketAddr;
 
@@ -25,7 +25,7 @@
     pub(super) const STARTED_AT_MS: &str = "up_since_ms";
 }
 
-/// Words for the state of a worker.
+/// Values of [`keys::STATE`].
 mod states {
     pub(super) const SERVING: &str = "in_service";
     pub(super) const DRAINING: &str = "terminating";
@@ -37,13 +37,13 @@
 pub struct EndpointList {
     /// Revision of the list at discovery.
     pub revision: u64,
-    /// Part of the list that the entries are.
+    /// Whether the entries are the complete list or only the changes.
     pub scope: ListScope,
-    /// The entries.
+    /// Entries in the order of the response.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// An entry of the list as discovery wrote it.
+/// An entry of the list as received from discovery.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndpointEntry<'a>(&'a Value);
 
@@ -60,12 +60,12 @@
         self.0[keys::ZONE].as_str()
     }
 
-    /// Returns the kind of machine, which is also the name of the worker's pool.
+    /// Returns the worker's kind, which is also the name of its pool.
     pub(crate) fn kind(self) -> Option<&'a str> {
         self.0[keys::KIND].as_str()
     }
 
-    /// Returns the state; `None` if it is missing or no word of the protocol.
+    /// Returns the state; `None` if it is missing or unknown.
     pub(crate) fn state(self) -> Option<WorkerState> {
         match self.0[keys::STATE].as_str()? {
             states::SERVING => Some(WorkerState::Serving),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Returns a number that differs between two starts of a worker; 0 if discovery does not name the start.
+    /// Returns a number that differs between two starts of a worker; 0 if the entry has no start time.
     pub(crate) fn start_id(self) -> u64 {
         self.0[keys::STARTED_AT_MS].as_u64().unwrap_or(0)
     }
@@ -93,7 +93,7 @@
     }
 }
 
-/// Positions of names in a list of the settings.
+/// Positions of names in one of the lists of names in the settings.
 struct NamePositions<'a>(FxHashMap<&'a str, u32>);
 
 impl<'a> NamePositions<'a> {
@@ -101,14 +101,14 @@
         NamePositions(names.iter().map(String::as_str).zip(0..).collect())
     }
 
-    /// Returns the position of a name. All names that the settings do not list share the position after the last.
+    /// Returns the position of a name. Missing and unlisted names share the position after the last one.
     fn of(&self, name: Option<&str>) -> u32 {
         let unlisted = self.0.len() as u32;
         name.and_then(|name| self.0.get(name).copied()).unwrap_or(unlisted)
     }
 }
 
-/// Returns a list without entries, which states that nothing changed up to this revision.
+/// Returns a list without entries, which means that nothing changed up to this revision.
 pub(crate) fn unchanged_list(revision: u64) -> Value {
     json!({ (keys::REVISION): revision })
 }
--- a/crates/dispatcher/src/log/line_writer.rs
+++ b/crates/dispatcher/src/log/line_writer.rs
@@ -1,4 +1,4 @@
-//! Events as single lines of bounded length, handed to the thread that writes them.
+//! Formats events as single lines of bounded length and passes them to the writer thread.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -9,10 +9,11 @@
 use super::rate_limit::RateLimit;
 use super::Format;
 
-/// Maximum length of a line: longer ones are cut, since they may hold what a peer sent.
+/// Maximum length of a line. Longer ones are truncated, because they may contain text that a peer sent.
 pub const MAX_LINE_BYTES: usize = 1024;
 
-/// Hands lines to the thread that writes, each preceded by the number of lines that the rate limit dropped, if any.
+/// Passes lines to the writer thread. If the rate limit has dropped lines, their number is written before the next
+/// line.
 #[derive(Clone, Debug)]
 pub struct LineWriter {
     writer: NonBlocking,
@@ -21,7 +22,7 @@
 }
 
 impl LineWriter {
-    /// Creates a writer of lines in this format.
+    /// Creates a writer; `format` is that of the line that reports dropped lines.
     pub fn new(writer: NonBlocking, rate_limit: Arc<RateLimit>, format: Format) -> LineWriter {
         LineWriter { writer, rate_limit, format }
     }
@@ -40,7 +41,7 @@
         let dropped = self.rate_limit.take_dropped();
         if dropped > 0 {
             let line = match self.format {
-                Format::Text => format!("{dropped} lines left out\n"),
+                Format::Text => format!("{dropped} lines dropped by the rate limit\n"),
                 Format::Json => format!("{{\"level\":\"WARN\",\"left_out\":{dropped}}}\n"),
             };
             self.writer.write_all(line.as_bytes())?;
@@ -54,7 +55,8 @@
     }
 }
 
-/// Returns an event as one line of bounded length, so that text of a peer cannot forge a line of the log.
+/// Returns an event as one line of bounded length. Control characters become blanks, so that text from a peer cannot
+/// forge a line of the log.
 fn single_line(event: &[u8]) -> Vec<u8> {
     let text = event.strip_suffix(b"\n").unwrap_or(event);
     let blank = |&byte: &u8| if byte.is_ascii_control() { b' ' } else { byte };
--- a/crates/dispatcher/src/log/mod.rs
+++ b/crates/dispatcher/src/log/mod.rs
@@ -1,9 +1,8 @@
-//! The log: `tracing` events as lines of text or JSON on standard error, rate-limited and written by a thread of their
-//! own.
+//! The log: `tracing` events as lines of text or JSON on standard error, rate-limited and written by a separate thread.
 //!
-//! Under overload, logging each fault would take up the core, and a reader that does not read would block the program.
-//! Events over the rate limit are counted before they are formatted, and the next line reports how many were dropped.
-//! At most [`MAX_QUEUED_LINES`] wait for the thread that writes; further ones are dropped as well.
+//! Under overload, logging each error would take up the CPU core, and a log reader that stops reading would block the
+//! program. Events over the rate limit are therefore dropped before they are formatted, and the next line reports their
+//! number. At most [`MAX_QUEUED_LINES`] lines wait for the writer thread; further ones are dropped without a report.
 
 mod levels;
 mod line_writer;
@@ -30,15 +29,15 @@
 /// An invalid argument of `--log` or `--log-format`.
 #[derive(Debug, thiserror::Error)]
 pub enum LogArgumentError {
-    /// The text names no format of lines.
+    /// The text is not the name of a format.
     #[error("expected text or json, found '{0}'")]
     Format(String),
-    /// The text holds neither a level nor targets with levels.
+    /// The text is neither a level nor a list of targets with levels.
     #[error("'{text}': {error}")]
     Levels {
-        /// The argument.
+        /// The text as given.
         text: String,
-        /// The fault that the parser found in it.
+        /// Error of the parser.
         error: tracing_subscriber::filter::ParseError,
     },
     /// The text is empty.
@@ -46,13 +45,13 @@
     NoLevel,
 }
 
-/// Format of lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
     /// Text for people.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -81,8 +80,8 @@
     }
 }
 
-/// Returns a subscriber that writes to `sink`, and the guard of its thread: when dropped, it waits a moment for the
-/// queued lines.
+/// Returns a subscriber that writes to `sink`, and the guard of its writer thread. When the guard is dropped, it waits
+/// a short time for the queued lines to be written.
 pub fn subscriber<W: Write + Send + 'static>(
     sink: W,
     levels: Targets,
@@ -97,15 +96,15 @@
         Format::Text => layer.boxed(),
         Format::Json => layer.json().flatten_event(true).with_span_list(false).boxed(),
     };
-    // Levels are the outer filter, so that events below them do not count against the rate limit.
+    // Levels are the outer filter, so that events that they disable do not count against the rate limit.
     let layer = layer.with_filter(RateLimitFilter(rate_limit)).with_filter(levels);
     (Registry::default().with(layer), guard)
 }
 
-/// Sends the program's events to standard error. The guard must live until the end of `main`.
+/// Writes the program's events to standard error. The guard must be kept until the end of `main`.
 pub fn init(levels: Targets, format: Format) -> WorkerGuard {
     let (subscriber, guard) = subscriber(io::stderr(), levels, format);
-    // Fails only if a subscriber is set already, which then stays in place.
+    // Fails only if a subscriber is already set; that one stays in place.
     let _ = tracing::subscriber::set_global_default(subscriber);
     guard
 }
--- a/crates/dispatcher/src/log/rate_limit.rs
+++ b/crates/dispatcher/src/log/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Limit on the number of log lines a second.
+//! Limit on the number of log lines per second.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -6,10 +6,10 @@
 /// Maximum number of lines written in one second.
 pub const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// Length of a window in which lines are counted.
+/// Length of the windows in which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Counts lines by windows of one second, and those beyond [`MAX_LINES_PER_SECOND`] as dropped.
+/// Admits up to [`MAX_LINES_PER_SECOND`] lines in each window of one second, and counts the others as dropped.
 #[derive(Debug)]
 pub struct RateLimit(Mutex<Window>);
 
@@ -33,7 +33,7 @@
     }
 
     fn window(&self) -> MutexGuard<'_, Window> {
-        // A panic leaves counts that are valid on their own.
+        // The counts are valid even after a panic of the thread that held the lock, so poisoning is ignored.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -15,7 +15,7 @@
 dispatcher: a job dispatcher
 
 usage: dispatcher [serve] [--config FILE] [--settings FILE] [--log LEVELS] [--log-format text|json]    serve jobs
-       dispatcher check-config [--config FILE] [--settings FILE]    read the configuration and report its first fault
+       dispatcher check-config [--config FILE] [--settings FILE]    check the configuration and report its first error
        dispatcher version    print the version
 
 The configuration is the file that --config names, or else BALANCER_CONFIG. BALANCER_NAME, BALANCER_LISTEN and
@@ -25,7 +25,7 @@
 LEVELS is a level, or levels by target: info (the default), or warn,dispatcher::net=debug.
 ";
 
-/// Exit code of bad usage.
+/// Exit code for an invalid command line.
 const BAD_USAGE: u8 = 2;
 
 enum Command {
@@ -80,11 +80,11 @@
         "check-config" => Ok(Command::CheckConfig),
         "version" => Ok(Command::Version),
         "help" => Ok(Command::Help),
-        other => Err(format!("there is no command '{other}'").into()),
+        other => Err(format!("unknown command '{other}'").into()),
     }
 }
 
-/// An error that ends the program.
+/// An error that prevents the start.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
     #[error("configuration: {0}")]
@@ -123,7 +123,7 @@
         Command::CheckConfig => print_summary(&Config::from_environment(variable)?),
         Command::Serve => {
             let config = Config::from_environment(&variable)?;
-            // Before the log's thread starts: taking the socket sets environment variables.
+            // Must come before the logging thread starts, because taking the socket sets environment variables.
             let inherited = variable(socket_activation::VARIABLE)
                 .map(|text| {
                     socket_activation::parse_descriptor(&text).and_then(socket_activation::take_listener)
@@ -153,7 +153,7 @@
     variable: impl Fn(&str) -> Option<String> + 'static,
 ) -> ExitCode {
     let run = async {
-        // First, since a signal that arrives during the start must not kill the process.
+        // Must come first: without a handler, a signal during the start would kill the process.
         let phase = shutdown::listen_for_termination(config.longest_timeout)?;
         let reload = reload::listen_for_reload(move |old| old.reload(&variable))?;
         let listener = match inherited {
@@ -166,7 +166,7 @@
     match runtime.and_then(|runtime| tokio::task::LocalSet::new().block_on(&runtime, run)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            tracing::error!(%error, "stopped by an error");
+            tracing::error!(%error, "dispatcher stopped because of an error");
             ExitCode::FAILURE
         }
     }
--- a/crates/dispatcher/src/names.rs
+++ b/crates/dispatcher/src/names.rs
@@ -1,4 +1,5 @@
-//! Names of the settings. The decision module knows classes, tenants, zones and kinds by their positions in these lists.
+//! Names in the settings. The decision module refers to classes, tenants, zones and kinds by their positions in these
+//! lists.
 
 use crate::engine::Micros;
 
@@ -7,21 +8,21 @@
 pub struct ClassInfo {
     /// Name of the class, the first segment of a request's path.
     pub name: String,
-    /// Timeout of a request that sets none.
+    /// Timeout of a request that does not set its own.
     pub timeout: Micros,
     /// True if each job must have an idempotency key.
     pub requires_idempotency_key: bool,
 }
 
-/// Names of the settings by position.
+/// Names in the settings, in the order in which the settings list them.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Classes of requests.
+    /// Classes of requests, with the settings that only the network layer uses.
     pub classes: Vec<ClassInfo>,
-    /// Tenants.
+    /// Names of tenants.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// Names of zones.
     pub zones: Vec<String>,
-    /// Kinds of worker machines.
+    /// Names of the kinds of workers.
     pub kinds: Vec<String>,
 }
--- a/crates/dispatcher/src/net/cluster/effect_handlers.rs
+++ b/crates/dispatcher/src/net/cluster/effect_handlers.rs
@@ -1,4 +1,4 @@
-//! Dispatch of lease holders' effects to the components that handle them.
+//! Routes the effects of lease holders to the components that handle them.
 
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 use super::slow_start::SlowStartQuota;
 use crate::net::planned_drain::PlannedDrain;
 
-/// The components that handle effects; those that the settings turn off are `None`.
+/// Components that handle effects; those that the settings disable are `None`.
 pub(super) struct EffectHandlers {
     pub(super) shared_list: Rc<SharedList>,
     pub(super) planned_drain: Option<Rc<PlannedDrain>>,
--- a/crates/dispatcher/src/net/cluster/health_checks.rs
+++ b/crates/dispatcher/src/net/cluster/health_checks.rs
@@ -1,5 +1,5 @@
-//! Health checks for all members: this member probes the worker sets whose leases it holds, publishes which workers fail,
-//! and passes the verdicts of all reports to the engine.
+//! Health checks for the whole cluster: each member probes the worker sets whose leases it holds and publishes which
+//! workers fail. The verdicts that follow from the reports of all lease holders are passed to the engine.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -24,13 +24,13 @@
 use crate::net::worker::pool::Pool;
 use dispatch_core::api::WorkerId;
 
-/// A term of this member's lease of one worker set.
+/// A term of this member's lease on one worker set.
 struct Term {
     lease: LeaseId,
     token: FencingToken,
     scheduler: HealthCheckScheduler,
     publisher: Publisher,
-    /// Health checks in flight, by worker.
+    /// Tasks of the health checks in flight, by worker.
     checks_in_flight: BTreeMap<u64, AbortHandle>,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// A health check that is due.
+/// A health check to perform in a term of a lease.
 struct DueCheck {
     set: u16,
     lease: LeaseId,
@@ -58,10 +58,10 @@
     metrics: ClusterMetrics,
     /// Terms of the leases that this member holds, by worker set.
     terms: RefCell<BTreeMap<u16, Term>>,
-    /// Liveness of each zone, as seen by the checks of all sets of this member.
+    /// Liveness of each zone according to this member's checks of all its sets.
     zones: RefCell<ZoneLiveness>,
     reports: RefCell<HealthReports>,
-    /// Verdicts that the engine was notified of, by worker.
+    /// Verdicts that were last sent to the engine, by worker.
     notified: RefCell<BTreeMap<u64, UnhealthyVerdict>>,
 }
 
@@ -86,11 +86,11 @@
         }
     }
 
-    /// Records a health report of a lease holder, whose token was accepted.
+    /// Records a health report of a lease holder whose token was accepted.
     pub(super) fn handle_report(&self, effect: &Effect) {
         let Some(set) = self.config.set_of_lease(&effect.lease) else { return };
         let Some(report) = HealthReport::decode(&effect.body) else {
-            tracing::warn!(lease = %effect.lease, "health report cannot be decoded");
+            tracing::warn!(lease = %effect.lease, "cannot decode a health report of the lease holder");
             return;
         };
         self.reports.borrow_mut().record(set, effect.token, report, clock::now());
@@ -102,7 +102,7 @@
         self.notified.borrow().contains_key(&worker.0)
     }
 
-    /// Checks the workers of the sets whose leases this member holds, and publishes reports. Never returns.
+    /// Checks the workers of the sets whose leases this member holds, and publishes health reports. Never returns.
     pub(super) async fn run(self: Rc<Self>) {
         let mut ticks = periodic(PUBLISH_INTERVAL);
         loop {
@@ -110,7 +110,7 @@
             self.update_terms();
             self.start_due_checks();
             self.publish_reports();
-            // Verdicts also expire without a further report.
+            // Called on each tick, because verdicts expire even if no further report arrives.
             self.notify_engine();
         }
     }
@@ -160,7 +160,7 @@
         self.metrics.workers_failing.set(workers_failing as i64);
     }
 
-    /// Passes the workers of a set that take new work to the set's scheduler.
+    /// Updates the scheduler of a set with the workers of the set that accept new work.
     fn update_workers(&self, set: u16, term: &mut Term, now: Micros) {
         let config = self.pool.config.borrow();
         let zone_name = |index: u32| config.names.zones.get(index as usize).map_or("", String::as_str);
@@ -182,8 +182,8 @@
         });
     }
 
-    /// Returns whether the lease is still held, by a clock that is read immediately before the write, and records the
-    /// check if so.
+    /// Returns whether the lease is still held, and records the check if so. Called immediately before the request is
+    /// written, so that the clock reading is current.
     fn may_send(&self, check: &DueCheck) -> bool {
         let now = clock::now();
         let holds_lease = self.member.lease_client().borrow().holds_lease(&check.lease, check.token, now);
@@ -197,7 +197,7 @@
         true
     }
 
-    /// Changes the term of a check, unless that term has ended.
+    /// Applies a change to the term of a check, unless that term has ended.
     fn with_term(&self, check: &DueCheck, change: impl FnOnce(&mut Term)) {
         let mut terms = self.terms.borrow_mut();
         if let Some(term) = terms.get_mut(&check.set).filter(|term| term.token == check.token) {
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Publishes the reports that are due, and records them for this member as well.
+    /// Publishes the health reports that are due, and records them at this member as well.
     fn publish_reports(&self) {
         for (set, term) in self.terms.borrow_mut().iter_mut() {
             let now = clock::now();
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Notifies the engine of the verdicts that changed since the last call.
+    /// Sends the verdicts that have changed since the last call to the engine.
     fn notify_engine(&self) {
         let now = clock::now();
         let verdicts = self.reports.borrow().verdicts(now);
@@ -241,7 +241,7 @@
         *notified = verdicts;
     }
 
-    /// Sends a worker's verdict to the engine; `None` withdraws the last one.
+    /// Sends the verdict on a worker to the engine; `None` withdraws it.
     fn send_verdict(&self, worker: u64, now: Micros, verdict: Option<&UnhealthyVerdict>) {
         let observed_ago = verdict.map_or(0, |verdict| now.saturating_sub(verdict.last_failure));
         let valid_for = verdict.map_or(0, |verdict| verdict.expires_at.saturating_sub(now));
--- a/crates/dispatcher/src/net/cluster/membership.rs
+++ b/crates/dispatcher/src/net/cluster/membership.rs
@@ -20,12 +20,13 @@
 use crate::net::shutdown::ShutdownPhase;
 use crate::settings_file::ClusterSettings;
 
-/// Combined with the configured seed, so that the member's draws differ from those of the decision module.
+/// Combined with the configured seed, so that the random numbers of the member differ from those of the decision
+/// module.
 const MEMBER_SEED: u64 = 990_951;
 /// Interval at which the metrics of the session are updated.
 const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Creates the member, without a session, and records the start of the process.
+/// Creates the member without a session, and records the start of the process.
 ///
 /// # Errors
 /// Returns the error of the record file if it cannot be opened.
@@ -42,7 +43,7 @@
         address: address.to_string(),
         replicas: settings.coordinators.clone(),
         local_address: settings.bind_address,
-        timing: settings.times,
+        timing: settings.timing,
         eligible_leases: eligible_leases(settings, health_checks),
         seed: config.seed ^ MEMBER_SEED,
     };
@@ -50,12 +51,12 @@
         Some(path) => Recorder::append_to(path)?,
         None => Recorder::default(),
     };
-    let member = Member::new(member_config, LeaseClient::new(settings.times), recorder);
+    let member = Member::new(member_config, LeaseClient::new(settings.timing), recorder);
     RecordedEvent::ProcessStarted {}.write(member.recorder(), clock::now());
     Ok(member)
 }
 
-/// Returns the name of this dispatcher's zone; empty if the settings name none.
+/// Returns the name of this dispatcher's zone; empty if the settings list no zones.
 pub(super) fn zone_name(config: &Config) -> String {
     config.names.zones.get(config.settings.zone as usize).cloned().unwrap_or_default()
 }
@@ -77,7 +78,7 @@
     leases
 }
 
-/// Keeps a session until the coordinators reject the member or it leaves.
+/// Maintains a session until the member leaves or the coordinators reject it, and logs the end of the membership.
 pub(super) async fn run_member(member: Member) {
     match member.run().await {
         MembershipEnd::Left => tracing::info!("left the cluster"),
@@ -98,7 +99,7 @@
     }
 }
 
-/// Releases all leases once a shutdown begins, so that another member takes them over while this one drains.
+/// Leaves the cluster once a shutdown begins, so that other members take over its leases while this one drains.
 pub(super) async fn release_on_shutdown(member: Member, mut phase: watch::Receiver<ShutdownPhase>) {
     let _ = phase.wait_for(|phase| *phase != ShutdownPhase::Serving).await;
     member.leave();
--- a/crates/dispatcher/src/net/cluster/mod.rs
+++ b/crates/dispatcher/src/net/cluster/mod.rs
@@ -1,8 +1,8 @@
-//! Membership in a cluster, if the local settings name one: the endpoint list, health checks, slow-start quotas and planned
-//! drains of all dispatchers, each managed by the holder of a lease.
+//! Membership in a cluster, if the local settings name one. The dispatchers of a cluster share the endpoint list,
+//! health checks, slow-start quotas and planned drains; the holder of a lease manages each of these.
 //!
-//! No job waits for any of it. Without coordinators, a lease holder or its events, the dispatcher follows discovery as if
-//! there were no cluster.
+//! Jobs never wait for the cluster. If there are no coordinators, no lease holder or no events from it, the dispatcher
+//! follows discovery as if there were no cluster.
 
 mod effect_handlers;
 mod health_checks;
@@ -40,9 +40,11 @@
 pub(super) use shared_list::{SharedList, SharedListSubscription};
 pub(super) use timing::periodic;
 
-/// Longest time from the decision on a job to the last byte of its request, beside the time for a connection.
+/// Longest time from the decision on a job to the last byte of its request, excluding the time to connect, in
+/// microseconds.
 const MAX_WRITE_DELAY: Micros = 100_000;
-/// Combined with the configured seed, so that grants are drawn apart from the decision module and the member.
+/// Combined with the configured seed, so that the random numbers for grants differ from those of the decision module
+/// and of the member.
 const SLOW_START_SEED: u64 = 49_181;
 
 /// Parameters of [`join`].
@@ -56,17 +58,17 @@
     pub(super) status: LocalStatus,
 }
 
-/// Parts of the membership that the rest of the program uses.
+/// Components of the membership that the rest of the program uses.
 pub(super) struct ClusterHandle {
     pub(super) shared_list: SharedListSubscription,
-    /// `None` unless standby takes a permit.
+    /// `None` unless standby requires a permit.
     pub(super) planned_drain: Option<Rc<PlannedDrain>>,
 }
 
 /// Joins the cluster: listens for effects of lease holders and starts all tasks of the member.
 ///
 /// # Errors
-/// Returns the error of the listener, or of the record file, if it cannot be opened.
+/// Returns an error if the listener or the record file cannot be opened.
 pub(super) async fn join(parameters: JoinParameters<'_>) -> std::io::Result<ClusterHandle> {
     let settings = parameters.settings;
     let listener = TcpListener::bind(settings.listen).await?;
@@ -81,7 +83,7 @@
     Ok(components.into_handle())
 }
 
-/// Components of the member.
+/// Components of the membership; those that the settings disable are `None`.
 struct Components {
     member: Member,
     status: LocalStatus,
@@ -178,7 +180,7 @@
     }
 }
 
-/// Returns the settings of health checks with the number of zones, if the local settings turn them on.
+/// Returns the settings of health checks, completed by the number of zones; `None` if the local settings disable them.
 fn health_check_config(settings: &ClusterSettings, config: &Config) -> Option<HealthCheckConfig> {
     let zone_count = config.names.zones.len().clamp(1, usize::from(u16::MAX)) as u16;
     settings.health_checks.map(|checks| HealthCheckConfig { zone_count, ..checks })
--- a/crates/dispatcher/src/net/cluster/recorded_event.rs
+++ b/crates/dispatcher/src/net/cluster/recorded_event.rs
@@ -1,4 +1,4 @@
-//! Events in the record file, with the keys that its checkers read.
+//! Events in the record file, whose keys are read by the record checker of the emulator.
 
 use cluster_member::record::{RecordKind, Recorder};
 use coordination::{FencingToken, LeaseId, Micros};
@@ -10,20 +10,20 @@
 pub(in crate::net) enum RecordedEvent {
     /// The process started.
     ProcessStarted {},
-    /// A health check was sent for a lease.
+    /// A health check was sent on behalf of a lease.
     HealthCheckSent {
         #[serde(rename = "duty")]
         lease: String,
         token: u64,
         worker: u64,
     },
-    /// An observation was sent for a lease.
+    /// An observation was sent on behalf of a lease.
     ObservationSent {
         #[serde(rename = "duty")]
         lease: String,
         token: u64,
     },
-    /// The unhealthy verdict of a worker changed; one that is valid for 0 is withdrawn.
+    /// The unhealthy verdict on a worker changed. It is withdrawn if `valid_for` is 0.
     VerdictChanged {
         #[serde(rename = "holds")]
         valid_for: Micros,
@@ -37,7 +37,7 @@
         work: f64,
         worker: u64,
     },
-    /// The dispatcher entered standby, with a permit unless it was forced without the coordinators.
+    /// The dispatcher entered standby. `permit` is `None` if standby was forced without the coordinators.
     StandbyEntered { permit: Option<u64> },
     /// The dispatcher returned from standby.
     StandbyLeft {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Writes the event to the record file, with the time at which it happened.
+    /// Writes the event to the record file; `time` is when it happened.
     pub(in crate::net) fn write(&self, recorder: &Recorder, time: Micros) {
         recorder.record(time, self.kind(), self);
     }
--- a/crates/dispatcher/src/net/cluster/shared_list.rs
+++ b/crates/dispatcher/src/net/cluster/shared_list.rs
@@ -1,5 +1,5 @@
-//! The shared endpoint list: the holder of its lease watches discovery and publishes the list to all members, which
-//! rely on it while its events arrive.
+//! The shared endpoint list: the holder of its lease watches discovery and publishes the list to all members. The
+//! others rely on these events while they arrive, and poll discovery themselves otherwise.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -25,16 +25,16 @@
 use dispatch_core::api::WorkerState;
 use dispatch_core::hashing::worker_id;
 
-/// Watch events that may wait for the task that follows them.
+/// Maximum number of watch events that wait for the task that applies them.
 const WATCH_EVENT_QUEUE: usize = 16;
 
-/// The shared list, with the events of its lease holder.
+/// The shared list, and the receiver of the lease holder's events.
 pub(in crate::net) struct SharedListSubscription {
     pub(in crate::net) list: Rc<SharedList>,
     pub(in crate::net) events: mpsc::Receiver<WatchEvent>,
 }
 
-/// State of the list that was published last, which decides whether the next event carries a complete list.
+/// State of the list at the last publication. The next event carries a complete list if it has changed since.
 #[derive(Clone, Copy, Default, PartialEq)]
 struct PublishedState {
     revision: u64,
@@ -44,7 +44,7 @@
 /// This member's part in the shared endpoint list.
 pub(in crate::net) struct SharedList {
     settings: ClusterSettings,
-    /// Identifies the discovery service at which revisions count.
+    /// Name of the discovery service that the list comes from; revisions of different sources cannot be compared.
     source: RefCell<String>,
     member: Member,
     snapshot: RefCell<EndpointSnapshot>,
@@ -52,17 +52,17 @@
     /// Whether this member polls discovery itself.
     polls_discovery: watch::Sender<bool>,
     events: mpsc::Sender<WatchEvent>,
-    /// Publisher of the present term; `None` unless this member holds the lease.
+    /// Publisher of the current term; `None` unless this member holds the lease.
     publisher: RefCell<Option<Publisher>>,
-    /// Discovery sent something since the last event, if only that nothing changed.
+    /// Discovery has responded since the last published event, even if only to say that nothing changed.
     publish_due: Cell<bool>,
     published: Cell<PublishedState>,
-    /// Time at which discovery last sent something, or at which the present term began.
+    /// Time at which discovery last responded, or at which the current term began.
     last_discovery_event: Cell<Micros>,
 }
 
 impl SharedList {
-    /// Returns the list with the receiver of its events.
+    /// Creates the list and the receiver of the lease holder's events.
     pub(super) fn with_events(
         settings: &ClusterSettings,
         config: &Config,
@@ -70,7 +70,7 @@
     ) -> SharedListSubscription {
         let source = settings.list_source.clone().unwrap_or_else(|| config.discovery.to_string());
         let fallback =
-            DiscoveryFallback::with_seed(settings.list_silence, settings.fallback_per_s, config.seed);
+            DiscoveryFallback::with_seed(settings.list_event_timeout, settings.fallback_per_s, config.seed);
         let (sender, events) = mpsc::channel(WATCH_EVENT_QUEUE);
         let list = SharedList {
             settings: settings.clone(),
@@ -88,26 +88,26 @@
         SharedListSubscription { list: Rc::new(list), events }
     }
 
-    /// Passes on an event of the lease holder, whose token was accepted.
+    /// Forwards an event of the lease holder whose token was accepted.
     pub(super) fn handle_event(&self, effect: &Effect) {
         let Ok(event) = serde_json::from_slice::<WatchEvent>(&effect.body) else { return };
-        // An event that finds the queue full is dropped: each one supersedes those before it.
+        // An event is dropped if the queue is full: each later event supersedes it.
         let _ = self.events.try_send(event);
     }
 
-    /// Returns the listed workers, with the verdicts of the cluster's health checks.
+    /// Returns the listed workers with the verdicts of the cluster's health checks.
     pub(super) fn workers(&self, health_checks: Option<&ClusterHealthChecks>) -> Vec<ListedWorker> {
         let snapshot = self.snapshot.borrow();
         let entries = snapshot.entries().map(EndpointEntry::new);
         entries.map(|entry| listed_worker(entry, health_checks)).collect()
     }
 
-    /// Subscribes to whether this member polls discovery itself or relies on the shared list.
+    /// Returns a receiver of whether this member polls discovery itself (true) or relies on the shared list (false).
     pub(in crate::net) fn polls_discovery(&self) -> watch::Receiver<bool> {
         self.polls_discovery.subscribe()
     }
 
-    /// Records a response of discovery to this member: a list, or `None` if nothing changed.
+    /// Records a response of discovery to this member's poll: a list, or `None` if nothing changed.
     pub(in crate::net) fn record_discovery(&self, list: Option<&Value>) {
         self.last_discovery_event.set(clock::now());
         self.publish_due.set(true);
@@ -116,7 +116,8 @@
         }
     }
 
-    /// Discards the list after the configuration named another discovery service, or other names by which it is read.
+    /// Discards the list after a reload has changed the discovery service, or the names of zones and kinds in the
+    /// settings.
     pub(in crate::net) fn source_changed(&self, discovery: SocketAddr) {
         self.snapshot.borrow_mut().clear();
         self.fallback.borrow_mut().reset();
@@ -126,12 +127,13 @@
         }
     }
 
-    /// Returns whether an event is of the same discovery service, so that its revisions can be compared.
+    /// Returns whether an event comes from the same discovery service, so that its revision can be compared.
     pub(in crate::net) fn is_same_source(&self, event: &WatchEvent) -> bool {
         event.source == *self.source.borrow()
     }
 
-    /// Relies on the lease holder after one of its events: this member has all that the event contains.
+    /// Applies an event of the lease holder and relies on the holder from then on. The caller has checked that this
+    /// member has received the list up to the event's revision.
     pub(in crate::net) fn accept_event(&self, event: &WatchEvent) {
         self.snapshot.borrow_mut().apply(&event.list);
         self.fallback.borrow_mut().record_event(clock::now(), event.member_count);
@@ -148,13 +150,13 @@
             return;
         }
         if should_poll {
-            tracing::info!(holds_lease, "polls discovery itself");
+            tracing::info!(holds_lease, "polling discovery directly");
         } else {
-            tracing::info!(holds_lease, "relies on the shared list");
+            tracing::info!(holds_lease, "relying on the shared endpoint list");
         }
     }
 
-    /// Publishes the list while this member holds the lease, and decides who polls discovery. Never returns.
+    /// Publishes the list while this member holds the lease, and decides whether it polls discovery. Never returns.
     pub(super) async fn run(self: Rc<Self>) {
         let mut ticks = periodic(PUBLISH_INTERVAL);
         let mut lease_changes = self.member.subscribe();
@@ -179,7 +181,7 @@
         if is_new_term {
             self.start_term(lease.clone(), token);
         }
-        self.release_lease_if_discovery_is_silent(lease, token);
+        self.release_lease_if_discovery_is_unresponsive(lease, token);
     }
 
     fn start_term(&self, lease: LeaseId, token: FencingToken) {
@@ -189,17 +191,18 @@
         self.last_discovery_event.set(clock::now());
     }
 
-    fn release_lease_if_discovery_is_silent(&self, lease: LeaseId, token: FencingToken) {
-        let timeout = self.settings.list_silence + self.settings.list_silence / 2;
+    fn release_lease_if_discovery_is_unresponsive(&self, lease: LeaseId, token: FencingToken) {
+        let timeout = self.settings.list_event_timeout + self.settings.list_event_timeout / 2;
         if clock::now().saturating_sub(self.last_discovery_event.get()) <= timeout {
             return;
         }
-        tracing::warn!(token = token.0, "discovery is silent; releasing the list lease");
+        tracing::warn!(token = token.0, "no response from discovery; releasing the list lease");
         self.last_discovery_event.set(clock::now());
         self.member.release_lease(lease, token);
     }
 
-    /// Publishes what discovery sent: a complete list if the list or the members have changed, else its revision only.
+    /// Publishes the last response of discovery: a complete list if the list or the members have changed, else only its
+    /// revision.
     fn publish(&self) {
         if !self.publish_due.get() {
             return;
--- a/crates/dispatcher/src/net/cluster/slow_start.rs
+++ b/crates/dispatcher/src/net/cluster/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow-start quotas: the lease holder divides the work that workers in slow start tolerate among all processes, and each
-//! process passes its grants to the engine, in addition to its planned share.
+//! Slow-start quotas: the lease holder divides the work that workers in slow start can take among all processes. Each
+//! process passes its grants to the engine, which uses them in addition to the planned share.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -24,9 +24,9 @@
 
 /// Ticks between two allocations.
 const ALLOCATION_TICKS: u32 = 2;
-/// Ticks between two searches of the endpoint list for workers that started.
+/// Ticks between two updates of the ages of listed workers.
 const AGE_UPDATE_TICKS: u32 = 10;
-/// Weight of the newest sample in the smoothed rate of jobs.
+/// Weight of the newest sample in the exponential moving average of the job rate.
 const JOB_RATE_SMOOTHING: f64 = 0.1;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
@@ -44,7 +44,7 @@
     pub(super) profile: SlowStartProfile,
     /// Mean work of a job in slot-seconds, kept current by the engine.
     pub(super) mean_job_work: Rc<Cell<f64>>,
-    /// Seed of the draws by which processes are chosen for grants.
+    /// Seed of the random choice of processes for grants.
     pub(super) seed: u64,
 }
 
@@ -55,7 +55,7 @@
     member: Member,
     pool: Rc<Pool>,
     metrics: ClusterMetrics,
-    /// Random number that distinguishes this process from others of its name.
+    /// Random number that distinguishes this process from earlier and later ones with the same name.
     process_id: u64,
     mean_job_work: Rc<Cell<f64>>,
     jobs_per_second: Cell<f64>,
@@ -91,11 +91,12 @@
         }
     }
 
-    /// Accepts grants of the lease holder, whose token was accepted; returns the encoded usage report for it.
+    /// Accepts the grants of a lease holder whose token was accepted. Returns the encoded usage report for the lease
+    /// holder.
     pub(super) fn handle_grants(&self, effect: &Effect) -> Vec<u8> {
         match QuotaGrants::decode(&effect.body) {
             Some(grants) => self.accept_grants(effect.token, effect.sequence, &grants),
-            None => tracing::warn!("slow-start quota cannot be decoded"),
+            None => tracing::warn!("cannot decode a slow-start quota of the lease holder"),
         }
         self.usage_report().encode()
     }
@@ -128,7 +129,7 @@
         });
     }
 
-    /// Measures the rate of jobs, and allocates quotas while this member holds the lease. Never returns.
+    /// Measures the job rate, and allocates quotas while this member holds the lease. Never returns.
     pub(super) async fn run(self: Rc<Self>) {
         let mut ticks = periodic(PUBLISH_INTERVAL);
         let mut tick_count = 0u32;
@@ -198,7 +199,8 @@
         }
         let grants = self.allocate_grants(&mut term.allocator.borrow_mut(), now);
         let sequence = term.publisher.publish(grants.encode());
-        // As for other members, the lease is checked immediately before its effect.
+        // This member checks the lease immediately before it uses its own grants, as the publisher does for other
+        // members.
         if self.member.holds_lease(&LeaseId::fleet(SLOW_START_LEASE), term.token) {
             self.accept_grants(term.token, sequence, &grants);
         }
--- a/crates/dispatcher/src/net/socket_activation.rs
+++ b/crates/dispatcher/src/net/socket_activation.rs
@@ -1,9 +1,9 @@
-//! Socket activation: the clients' listening socket as handed over by the platform, where the platform holds the address
-//! itself so that an old and a new process can serve it in turn.
+//! Socket activation: takes over the listening socket for clients from the platform. The platform keeps the address
+//! bound, so that a new process can serve it after an old one.
 //!
-//! The platform names the descriptor in [`VARIABLE`]. Converting a number into a socket takes `unsafe`, which this
-//! project forbids in its own code, so the check and the conversion are left to `listenfd`. That crate reads descriptors
-//! from its own environment variables, which are set here once, before the program starts any thread.
+//! The platform passes the descriptor number in [`VARIABLE`]. Converting a number into a socket requires `unsafe`,
+//! which this project forbids in its own code, so `listenfd` does the check and the conversion. That crate reads
+//! descriptors from its own environment variables, which are set here once, before the program starts any thread.
 
 use std::net::TcpListener;
 
@@ -14,14 +14,14 @@
 const LISTEN_FIRST_VARIABLE: &str = "LISTEN_FDS_FIRST_FD";
 const LISTEN_PROCESS_VARIABLE: &str = "LISTEN_PID";
 
-/// Error of an inherited descriptor.
+/// An inherited descriptor that cannot be used.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InheritedSocketError {
-    /// The variable holds no descriptor number.
-    #[error("{VARIABLE}: '{0}' is no descriptor number")]
+    /// The value of the variable is not a descriptor number.
+    #[error("{VARIABLE}: '{0}' is not a descriptor number")]
     InvalidNumber(String),
-    /// The descriptor is no listening TCP socket: not open, or another kind of file.
-    #[error("{VARIABLE}: descriptor {descriptor} is no listening TCP socket: {reason}")]
+    /// The descriptor is not open, or it is not a listening TCP socket.
+    #[error("{VARIABLE}: descriptor {descriptor} is not a listening TCP socket: {reason}")]
     NotListening {
         /// Number of the descriptor.
         descriptor: i32,
@@ -33,7 +33,7 @@
 /// Parses the variable's text as a descriptor number.
 ///
 /// # Errors
-/// Returns [`InheritedSocketError::InvalidNumber`] if the text is no whole number from 0 on.
+/// Returns [`InheritedSocketError::InvalidNumber`] if the text is not a whole number of at least 0.
 pub fn parse_descriptor(text: &str) -> Result<i32, InheritedSocketError> {
     text.trim()
         .parse::<i32>()
@@ -46,7 +46,7 @@
 /// thread starts, since it sets environment variables.
 ///
 /// # Errors
-/// Returns [`InheritedSocketError::NotListening`] if the descriptor is no listening TCP socket.
+/// Returns [`InheritedSocketError::NotListening`] if the descriptor is not a listening TCP socket.
 pub fn take_listener(descriptor: i32) -> Result<TcpListener, InheritedSocketError> {
     let not_listening =
         |reason: &dyn ToString| InheritedSocketError::NotListening { descriptor, reason: reason.to_string() };
@@ -56,8 +56,8 @@
     let listener = listenfd::ListenFd::from_env()
         .take_tcp_listener(0)
         .map_err(|error| not_listening(&error))?
-        .ok_or_else(|| not_listening(&"not handed over"))?;
-    // A connected socket is a TCP socket too, but accepts no clients.
+        .ok_or_else(|| not_listening(&"it was not passed to this process"))?;
+    // A connected TCP socket passes the check of `listenfd`, but cannot accept clients.
     let is_listening =
         socket2::SockRef::from(&listener).is_listener().map_err(|error| not_listening(&error))?;
     if !is_listening {
--- a/crates/dispatcher/tests/log.rs
+++ b/crates/dispatcher/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log: levels by target, lines of bounded length and number, and a reader that does not read.
+//! The log: levels by target, the limits on the length and rate of lines, and a log reader that stops reading.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex};
@@ -23,48 +23,51 @@
     }
 }
 
-fn logged(levels: &str, format: Format, say: impl FnOnce()) -> Vec<String> {
+/// Returns the lines that are logged by `log_events` at these levels.
+fn logged(levels: &str, format: Format, log_events: impl FnOnce()) -> Vec<String> {
     let sink = Sink::default();
     let (subscriber, guard) = subscriber(sink.clone(), parse_levels(levels).expect("levels"), format);
-    tracing::subscriber::with_default(subscriber, say);
+    tracing::subscriber::with_default(subscriber, log_events);
     drop(guard);
     let text = String::from_utf8(sink.0.lock().expect("written").clone()).expect("text");
     text.lines().map(str::to_owned).collect()
 }
 
 #[test]
-fn levels_are_by_target() {
-    let lines = logged("warn,loud=debug", Format::Text, || {
+fn levels_apply_by_target() {
+    let lines = logged("warn,verbose=debug", Format::Text, || {
         tracing::info!("hidden");
-        tracing::debug!(target: "loud", worker = 3, "shown");
+        tracing::debug!(target: "verbose", worker = 3, "shown");
     });
     assert_eq!(lines.len(), 1, "{lines:?}");
     assert!(lines[0].contains("shown worker=3"), "{lines:?}");
 }
 
 #[test]
-fn what_a_peer_sends_stays_in_one_json_line() {
+fn text_with_line_breaks_is_logged_as_one_bounded_json_line() {
     let lines = logged("info", Format::Json, || tracing::warn!("a\r\n{}", "b".repeat(5000)));
     assert_eq!(lines.len(), 1);
     assert!(lines[0].len() <= MAX_LINE_BYTES && lines[0].contains("\"level\":\"WARN\""), "{lines:?}");
 }
 
-/// An attack that causes a line each time gets the bound of lines; those left out take no place by level.
+/// 10,000 events arrive at the same time, as in an attack that causes a line for each request. Only as many lines as
+/// the limit allows must be admitted, and the dropped ones must be counted once.
 #[test]
-fn lines_a_second_are_bounded_and_the_rest_is_counted() {
-    let budget = RateLimit::new();
+fn lines_per_second_are_limited_and_dropped_ones_are_counted() {
+    let rate_limit = RateLimit::new();
     let start = Instant::now();
-    let taken = (0..10_000).filter(|_| budget.admit(start)).count();
-    assert_eq!(taken, MAX_LINES_PER_SECOND as usize);
-    assert!(budget.admit(start + Duration::from_millis(1001)), "the next second has room");
-    assert_eq!((budget.take_dropped(), budget.take_dropped()), (10_000 - MAX_LINES_PER_SECOND, 0));
+    let admitted = (0..10_000).filter(|_| rate_limit.admit(start)).count();
+    assert_eq!(admitted, MAX_LINES_PER_SECOND as usize);
+    assert!(rate_limit.admit(start + Duration::from_millis(1001)), "a new window must admit lines");
+    assert_eq!((rate_limit.take_dropped(), rate_limit.take_dropped()), (10_000 - MAX_LINES_PER_SECOND, 0));
 }
 
-/// A reader that does not read holds up the thread that writes, and nothing else.
+/// The log reader stops reading, so that the writer thread blocks. Threads that log must not block: lines over the
+/// limit of the queue are dropped.
 #[test]
-fn a_reader_that_does_not_read_stops_nobody() {
-    struct Stuck(std::sync::mpsc::Receiver<()>);
-    impl Write for Stuck {
+fn a_blocked_log_reader_does_not_block_logging() {
+    struct BlockedSink(std::sync::mpsc::Receiver<()>);
+    impl Write for BlockedSink {
         fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
             let _ = self.0.recv();
             Ok(bytes.len())
@@ -73,9 +76,11 @@
             Ok(())
         }
     }
-    let (release, stuck) = std::sync::mpsc::channel();
-    let (writer, guard) =
-        NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_LINES).finish(Stuck(stuck));
+    let (release, released) = std::sync::mpsc::channel();
+    let (writer, guard) = NonBlockingBuilder::default()
+        .lossy(true)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
+        .finish(BlockedSink(released));
     let mut lines = LineWriter::new(writer.clone(), Arc::new(RateLimit::new()), Format::Text);
     for _ in 0..10 * MAX_QUEUED_LINES {
         lines.write_all(b"a line\n").expect("never fails");
--- a/crates/dispatcher/tests/log_targets.rs
+++ b/crates/dispatcher/tests/log_targets.rs
@@ -1,15 +1,15 @@
-//! Levels given to `--log` by target, under the present names of the packages and the former ones.
+//! Levels given to `--log` by target, with current and former names of packages and modules.
 
 use dispatcher::log::parse_levels;
 use tracing::Level;
 
-fn enabled(words: &str, target: &str, level: Level) -> bool {
-    parse_levels(words).expect("good levels").would_enable(target, &level)
+fn enabled(levels: &str, target: &str, level: Level) -> bool {
+    parse_levels(levels).expect("valid levels").would_enable(target, &level)
 }
 
 #[test]
-fn levels_by_former_targets_count_for_the_present_ones() {
-    for (former, present) in [
+fn former_package_names_apply_to_current_packages() {
+    for (former, current) in [
         ("cairncrank::net", "dispatcher::net::discovery"),
         ("cairncrank::policy", "dispatcher::policy"),
         ("cairncrank_core::policy", "dispatch_core::policy"),
@@ -18,15 +18,15 @@
         ("cairncrank_fleet::member", "cluster_member::member"),
     ] {
         let words = format!("warn,{former}=debug");
-        assert!(enabled(&words, present, Level::DEBUG), "{words} for {present}");
-        assert!(!enabled(&words, present, Level::TRACE), "{words} for {present}");
+        assert!(enabled(&words, current, Level::DEBUG), "{words} for {current}");
+        assert!(!enabled(&words, current, Level::TRACE), "{words} for {current}");
         assert!(!enabled(&words, "elsewhere", Level::INFO), "{words} elsewhere");
         assert!(enabled(&words, "elsewhere", Level::WARN), "{words} elsewhere");
     }
 }
 
 #[test]
-fn the_name_of_the_project_stands_for_all_its_packages() {
+fn the_project_name_applies_to_all_packages() {
     for package in ["dispatcher", "dispatch_core", "coordination", "disruption_budget", "cluster_member"] {
         assert!(enabled("cairncrank=trace", package, Level::TRACE), "{package}");
         assert!(!enabled("cairncrank::net=trace", &format!("{package}::log"), Level::ERROR), "{package}");
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn levels_by_former_modules_count_for_the_present_ones() {
-    for (former, present) in [
+fn former_module_names_apply_to_current_modules() {
+    for (former, current) in [
         ("own", "settings_file"),
         ("net::cold", "net::cluster::slow_start"),
         ("net::fleet", "net::cluster::timing"),
@@ -48,11 +48,11 @@
         ("net::values", "net::json_framing"),
         ("net::watchers", "net::cluster::health_checks"),
     ] {
-        let present = format!("dispatcher::{present}");
+        let current = format!("dispatcher::{current}");
         for package in ["cairncrank", "dispatcher"] {
             let words = format!("warn,{package}::{former}=debug");
-            assert!(enabled(&words, &present, Level::DEBUG), "{words} for {present}");
-            assert!(!enabled(&words, &present, Level::TRACE), "{words} for {present}");
+            assert!(enabled(&words, &current, Level::DEBUG), "{words} for {current}");
+            assert!(!enabled(&words, &current, Level::TRACE), "{words} for {current}");
             assert!(!enabled(&words, "dispatcher::net::console", Level::INFO), "{words} elsewhere");
             assert!(enabled(&words, "dispatcher::net::console", Level::WARN), "{words} elsewhere");
         }
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_present_module_wins_over_its_former_name() {
+fn a_current_module_name_takes_precedence_over_its_former_name() {
     for words in [
         "cairncrank::net::leave=trace,dispatcher::net::planned_drain=warn",
         "dispatcher::net::planned_drain=warn,dispatcher::net::leave=trace",
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn present_targets_are_understood_and_win() {
+fn current_target_names_are_accepted_and_take_precedence() {
     assert!(enabled("warn,dispatcher::net=debug", "dispatcher::net::client", Level::DEBUG));
     assert!(!enabled("warn,dispatcher::net=debug", "dispatcher::engine", Level::INFO));
     for words in ["cairncrank::net=trace,dispatcher::net=warn", "dispatcher::net=warn,cairncrank::net=trace"]
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_level_alone_is_the_level_of_all() {
+fn a_level_without_a_target_applies_to_all_targets() {
     assert!(enabled("debug", "dispatcher", Level::DEBUG) && enabled("debug", "tokio", Level::DEBUG));
     assert!(!enabled("debug", "dispatcher", Level::TRACE));
 }
--- a/crates/dispatcher/tests/pinned_command_line.rs
+++ b/crates/dispatcher/tests/pinned_command_line.rs
@@ -1,13 +1,13 @@
-//! What the command line prints and how it exits: help, version, the summary of a good configuration, and the faults of
-//! wrong calls and wrong files. The program's own name is masked.
+//! Output and exit codes of the command line: help, version, the summary of a valid configuration, and the errors of
+//! invalid arguments and files. The name of the program is masked.
 
 use std::process::Command;
 
 const PROGRAM: &str = env!("CARGO_PKG_NAME");
 const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/every_key.json");
 
-/// Exit code, standard output and standard error of a call.
-fn call_unmasked(arguments: &[&str], variables: &[(&str, &str)]) -> String {
+/// Runs the program and returns its exit code, standard output and standard error as text.
+fn run_unmasked(arguments: &[&str], variables: &[(&str, &str)]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_dispatcher"));
     for variable in ["CONFIG", "LISTEN", "DISCOVERY", "NAME", "CONSOLE", "ACCEPT_FD"] {
         command.env_remove(format!("BALANCER_{variable}"));
@@ -19,9 +19,9 @@
     format!("exit {:?}\n--- output\n{out}--- error\n{error}", output.status.code())
 }
 
-/// The same with the program's name and the file masked.
-fn call(arguments: &[&str], variables: &[(&str, &str)], file: &str) -> String {
-    let shown = call_unmasked(arguments, variables);
+/// Like [`run_unmasked`], with the name of the program and the path of the file masked.
+fn run(arguments: &[&str], variables: &[(&str, &str)], file: &str) -> String {
+    let shown = run_unmasked(arguments, variables);
     let shown = if file.is_empty() { shown } else { shown.replace(file, "FILE") };
     ["PROGRAM ", "PROGRAM: ", "PROGRAM::"]
         .iter()
@@ -29,25 +29,25 @@
 }
 
 #[test]
-fn help_says_how_to_call_the_program() {
-    let help = call(&["help"], &[], "");
+fn help_is_the_same_for_command_and_options() {
+    let help = run(&["help"], &[], "");
     insta::assert_snapshot!("help", help);
-    assert_eq!(call(&["--help"], &[], ""), help);
-    assert_eq!(call(&["-h"], &[], ""), help);
+    assert_eq!(run(&["--help"], &[], ""), help);
+    assert_eq!(run(&["-h"], &[], ""), help);
 }
 
-/// The version carries the name of the project.
+/// The version is printed with the name of the project, not of the package.
 #[test]
 fn version_is_one_line() {
     let expected =
         concat!("exit Some(0)\n--- output\ncairncrank ", env!("CARGO_PKG_VERSION"), "\n--- error\n");
     for argument in ["version", "--version", "-V"] {
-        assert_eq!(call_unmasked(&[argument], &[]), expected);
+        assert_eq!(run_unmasked(&[argument], &[]), expected);
     }
 }
 
 #[test]
-fn wrong_calls_are_told_with_the_usage() {
+fn invalid_arguments_are_reported_with_the_usage() {
     let mut seen = String::new();
     for arguments in [
         &["dance"][..],
@@ -59,8 +59,8 @@
         &["--log", "loud=much"],
         &["--log-format", "xml"],
     ] {
-        let shown = call(arguments, &[], "");
-        // The usage itself stands in another snapshot.
+        let shown = run(arguments, &[], "");
+        // The usage itself is in the snapshot of the help.
         let first = shown.split("\n\n").next().unwrap_or_default();
         assert!(shown.contains("usage: PROGRAM [serve]"), "{shown}");
         seen.push_str(&format!("{arguments:?}\n{first}\n\n"));
@@ -69,18 +69,18 @@
 }
 
 #[test]
-fn a_good_configuration_is_summed_up() {
-    let shown = call(&["check-config", "--config", EXAMPLE], &[], "");
+fn check_config_prints_a_summary() {
+    let shown = run(&["check-config", "--config", EXAMPLE], &[], "");
     insta::assert_snapshot!("check_config", shown);
-    assert_eq!(call(&["check-config"], &[("BALANCER_CONFIG", EXAMPLE)], ""), shown);
+    assert_eq!(run(&["check-config"], &[("BALANCER_CONFIG", EXAMPLE)], ""), shown);
 }
 
 #[test]
-fn wrong_files_are_named_with_line_and_key() {
+fn errors_of_local_settings_name_line_and_key() {
     let file = std::env::temp_dir().join(format!("wrong-settings-{}.hcl", std::process::id()));
     let name = file.display().to_string();
-    let fleet = "fleet {\n  installation = \"n\"\n  listen = \"127.0.0.1:1\"\n";
-    let keepers: String =
+    let cluster = "fleet {\n  installation = \"n\"\n  listen = \"127.0.0.1:1\"\n";
+    let coordinators: String =
         (1..=3).map(|n| format!("  keeper \"{n}\" {{\n    address = \"127.0.0.1:{n}\"\n  }}\n")).collect();
     let mut seen = String::new();
     for text in [
@@ -91,40 +91,40 @@
         "room {\n  from_slots = 1\n}\n".to_owned(),
         "fleet {\n}\n".to_owned(),
         "fleet {\n  installation = \"n\"\n  listen = \"here\"\n}\n".to_owned(),
-        format!("{fleet}}}\n"),
-        format!("{fleet}  bind = \"here\"\n{keepers}}}\n"),
-        format!("{fleet}  address = \"here\"\n{keepers}}}\n"),
-        format!("{fleet}  silence_ms = 1\n{keepers}}}\n"),
-        format!("{fleet}{keepers}  times {{\n    lease_ms = 900\n  }}\n}}\n"),
-        format!("{fleet}{keepers}  cold {{\n  }}\n}}\n"),
-        format!("{fleet}{keepers}  watch {{\n    every_ms = 2000\n    holds_ms = 3000\n  }}\n}}\n"),
-        format!("{fleet}{keepers}  account {{\n    holds_ms = 1\n  }}\n}}\n"),
-        format!("{fleet}{keepers}  listens = true\n}}\n"),
+        format!("{cluster}}}\n"),
+        format!("{cluster}  bind = \"here\"\n{coordinators}}}\n"),
+        format!("{cluster}  address = \"here\"\n{coordinators}}}\n"),
+        format!("{cluster}  silence_ms = 1\n{coordinators}}}\n"),
+        format!("{cluster}{coordinators}  times {{\n    lease_ms = 900\n  }}\n}}\n"),
+        format!("{cluster}{coordinators}  cold {{\n  }}\n}}\n"),
+        format!("{cluster}{coordinators}  watch {{\n    every_ms = 2000\n    holds_ms = 3000\n  }}\n}}\n"),
+        format!("{cluster}{coordinators}  account {{\n    holds_ms = 1\n  }}\n}}\n"),
+        format!("{cluster}{coordinators}  listens = true\n}}\n"),
     ] {
         std::fs::write(&file, &text).expect("a file");
-        let shown = call(&["check-config", "--config", EXAMPLE, "--settings", &name], &[], &name);
+        let shown = run(&["check-config", "--config", EXAMPLE, "--settings", &name], &[], &name);
         let variable = [("CAIRNCRANK_SETTINGS", name.as_str())];
-        assert_eq!(call(&["check-config", "--config", EXAMPLE], &variable, &name), shown);
+        assert_eq!(run(&["check-config", "--config", EXAMPLE], &variable, &name), shown);
         seen.push_str(&format!("{text}=> {shown}\n"));
     }
     let _ = std::fs::remove_file(&file);
     seen.push_str(&format!(
         "no such file => {}",
-        call(&["check-config", "--config", EXAMPLE, "--settings", &name], &[], &name)
+        run(&["check-config", "--config", EXAMPLE, "--settings", &name], &[], &name)
     ));
     insta::assert_snapshot!("wrong_settings", seen);
 }
 
 #[test]
-fn wrong_configurations_are_named_with_their_key() {
+fn errors_of_the_configuration_name_the_key() {
     let file = std::env::temp_dir().join(format!("wrong-configuration-{}.json", std::process::id()));
     let name = file.display().to_string();
-    let mut seen = call(&["check-config"], &[], "");
-    seen.push_str(&call(&["check-config", "--config", &name], &[], &name));
+    let mut seen = run(&["check-config"], &[], "");
+    seen.push_str(&run(&["check-config", "--config", &name], &[], &name));
     for text in ["{", "{}", r#"{"settings": 3}"#, r#"{"settings": {"profiles": []}}"#] {
         std::fs::write(&file, text).expect("a file");
         for command in ["check-config", "serve"] {
-            let shown = call(&[command, "--config", &name], &[], &name);
+            let shown = run(&[command, "--config", &name], &[], &name);
             seen.push_str(&format!("{command} {text} => {shown}"));
         }
     }
@@ -133,14 +133,14 @@
 }
 
 #[test]
-fn a_descriptor_that_is_no_socket_is_named_with_its_variable() {
-    // A program that passes the variable over ends as well, since the address is taken.
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = taken.local_addr().expect("an address").to_string();
+fn errors_of_the_inherited_descriptor_name_its_variable() {
+    // If the program ignored the variable, it would exit as well, because this address is in use.
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address").to_string();
     let mut seen = String::new();
     for value in ["x", "-1", "1000"] {
         let variables = [("BALANCER_ACCEPT_FD", value), ("BALANCER_LISTEN", address.as_str())];
-        let shown = call(&["serve", "--config", EXAMPLE], &variables, "");
+        let shown = run(&["serve", "--config", EXAMPLE], &variables, "");
         seen.push_str(&format!("{value} => {shown}\n"));
     }
     insta::assert_snapshot!("descriptors", seen);
--- a/crates/dispatcher/tests/pinned_settings.rs
+++ b/crates/dispatcher/tests/pinned_settings.rs
@@ -1,5 +1,5 @@
-//! Every key of the two settings files and every variable of the environment, with an example file that sets each to
-//! a value of its own. Renaming a key or a variable has to show here.
+//! All keys of the two settings files and all environment variables. The example files set each key to a different
+//! value, so that a renamed key or variable fails a test.
 
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
     serde_json::from_str(EVERY_KEY).expect("the example is JSON")
 }
 
-fn read(root: &Value) -> Result<Config, String> {
+fn parse(root: &Value) -> Result<Config, String> {
     Config::parse(&root.to_string(), |_| None).map_err(|error| error.to_string())
 }
 
@@ -31,8 +31,8 @@
 }
 
 #[test]
-fn keys_outside_the_settings_have_their_values() {
-    let config = read(&every_key()).expect("the example is good");
+fn keys_outside_of_settings_are_read() {
+    let config = parse(&every_key()).expect("the example is valid");
     assert_eq!(config.name, "every-key");
     assert_eq!(config.listen, address(7071));
     assert_eq!(config.discovery, address(8501));
@@ -62,38 +62,38 @@
 }
 
 #[test]
-fn the_known_list_has_its_values() {
-    let saved_list = read(&every_key()).expect("the example is good").saved_list;
+fn the_saved_list_is_read() {
+    let saved_list = parse(&every_key()).expect("the example is valid").saved_list;
     assert_eq!(saved_list.revision, Some(9));
     let found: Vec<_> = saved_list.endpoints.iter().map(|listed| (listed.endpoint, listed.address)).collect();
-    let member = |name: &str, kind, zone, cell, since, state| Endpoint {
+    let endpoint = |name: &str, kind, zone, cell, started_at, state| Endpoint {
         worker: worker_id(name),
         kind,
         zone,
         cell,
-        started_at: since,
+        started_at,
         state,
     };
     let expected = [
-        (member("w-1", 1, 1, 3, 1.5, WorkerState::Serving), Some(address(9101))),
-        (member("w-2", 1, 2, 4, 2.5, WorkerState::Draining), Some(address(9102))),
-        (member("w-3", 2, 1, 5, 3.5, WorkerState::Removed), Some(address(9103))),
+        (endpoint("w-1", 1, 1, 3, 1.5, WorkerState::Serving), Some(address(9101))),
+        (endpoint("w-2", 1, 2, 4, 2.5, WorkerState::Draining), Some(address(9102))),
+        (endpoint("w-3", 2, 1, 5, 3.5, WorkerState::Removed), Some(address(9103))),
     ];
     assert_eq!(format!("{found:?}"), format!("{:?}", Vec::from(expected)));
 }
 
 #[test]
-fn settings_of_the_decisions_have_their_values() {
-    let settings = read(&every_key()).expect("the example is good").settings;
+fn settings_of_the_decision_module_are_read() {
+    let settings = parse(&every_key()).expect("the example is valid").settings;
     assert_eq!(settings.instance, 3);
     assert_eq!(settings.instances, 7);
     assert_eq!(settings.zone, 1);
-    let class = |repeat, window, aim, stretch, late_worth, kind| Class {
-        idempotency: repeat,
-        key_window: window,
-        latency_objective: aim,
-        run_time_allowance: stretch,
-        late_weight: late_worth,
+    let class = |idempotency, key_window, latency_objective, run_time_allowance, late_weight, kind| Class {
+        idempotency,
+        key_window,
+        latency_objective,
+        run_time_allowance,
+        late_weight,
         required_kind: Some(kind),
     };
     let classes = vec![
@@ -128,42 +128,46 @@
 }
 
 #[test]
-fn load_reports_have_the_figures_that_the_settings_name() {
-    let form = read(&every_key()).expect("the example is good").settings.load_report_format;
+fn the_load_report_format_is_read() {
+    let format = parse(&every_key()).expect("the example is valid").settings.load_report_format;
     let load = LoadReport {
         free_slots: Some(3.0),
         queue_length: Some(4.0),
         latency: Some(0.5),
         ..LoadReport::default()
     };
-    assert_eq!(form.parse_json(r#"{"x0":3,"queue":4,"x1":500}"#).load, Some(load));
-    assert_eq!(form.parse_text("TEXT x0=3, queue=4, x1=500").load, Some(load));
+    assert_eq!(format.parse_json(r#"{"x0":3,"queue":4,"x1":500}"#).load, Some(load));
+    assert_eq!(format.parse_text("TEXT x0=3, queue=4, x1=500").load, Some(load));
 }
 
 #[test]
-fn words_of_a_key_with_a_choice_are_told_apart() {
-    let with = |path: [&str; 3], word: &str| {
+fn each_value_of_a_key_with_a_choice_is_read() {
+    let with_value = |path: [&str; 3], word: &str| {
         let mut root = every_key();
         match path {
             [outer, "", ""] => root["settings"][outer] = json!(word),
             [outer, inner, ""] => root["settings"][outer][inner] = json!(word),
             [outer, _, inner] => root["settings"][outer][0][inner] = json!(word),
         }
-        read(&root).expect("a good file")
+        parse(&root).expect("a valid file")
     };
-    let asked = with(["discovery", "", ""], "ask");
-    assert!(asked.settings.polls_endpoint_list && !asked.list_is_pushed);
-    let watched = with(["discovery", "", ""], "watch");
+    let polled = with_value(["discovery", "", ""], "ask");
+    assert!(polled.settings.polls_endpoint_list && !polled.list_is_pushed);
+    let watched = with_value(["discovery", "", ""], "watch");
     assert!(!watched.settings.polls_endpoint_list && !watched.list_is_pushed);
-    assert_eq!(with(["report", "how", ""], "answers").settings.load_reports, LoadReports::WithResponses);
-    assert_eq!(with(["report", "how", ""], "none").settings.load_reports, LoadReports::None);
-    let first = |word| with(["profiles", "0", "idempotency"], word).settings.classes[0].idempotency;
-    assert_eq!(first("free"), Idempotency::Idempotent);
-    assert_eq!(first("guarded"), Idempotency::WithKey(KeyScope::All));
-    assert_eq!(first("no"), Idempotency::NotIdempotent);
+    assert_eq!(
+        with_value(["report", "how", ""], "answers").settings.load_reports,
+        LoadReports::WithResponses
+    );
+    assert_eq!(with_value(["report", "how", ""], "none").settings.load_reports, LoadReports::None);
+    let first_idempotency =
+        |word| with_value(["profiles", "0", "idempotency"], word).settings.classes[0].idempotency;
+    assert_eq!(first_idempotency("free"), Idempotency::Idempotent);
+    assert_eq!(first_idempotency("guarded"), Idempotency::WithKey(KeyScope::All));
+    assert_eq!(first_idempotency("no"), Idempotency::NotIdempotent);
 }
 
-/// The paths of all values in a tree of JSON; a list of plain values is one value.
+/// Collects the paths of all values in a JSON tree. A list without objects counts as one value.
 fn leaves(value: &Value, path: Vec<String>, found: &mut Vec<Vec<String>>) {
     let under = |key: String| path.iter().cloned().chain([key]).collect();
     match value {
@@ -186,41 +190,41 @@
     map.insert(format!("{last}-renamed"), value);
 }
 
-/// A name that the settings do not list counts as none, so that its key makes no difference in these two places.
+/// Keys whose values the settings do not list. They are treated like missing keys, so renaming them has no effect.
 const UNLISTED_NAMES: [&str; 2] = ["known.members.1.locality", "known.members.2.flavor"];
 
-/// Each key of the example file is read under its name: under another name the outcome is another.
+/// Renames each key of the example file in turn: the configuration that is read, or the error, must differ.
 #[test]
-fn each_key_of_the_file_counts_by_its_name() {
-    let outcome = |root: &Value| read(root).map(|config| format!("{config:?}"));
+fn renaming_any_key_changes_the_configuration() {
+    let outcome = |root: &Value| parse(root).map(|config| format!("{config:?}"));
     let mut paths = Vec::new();
     leaves(&every_key(), Vec::new(), &mut paths);
     assert_eq!(paths.len(), 87);
-    let as_it_stands = outcome(&every_key());
+    let unchanged = outcome(&every_key());
     for path in paths {
         let mut root = every_key();
         rename_key(&mut root, &path);
         let path = path.join(".");
-        let differs = outcome(&root) != as_it_stands;
+        let differs = outcome(&root) != unchanged;
         assert_eq!(differs, !UNLISTED_NAMES.contains(&path.as_str()), "{path}");
     }
 }
 
 #[test]
-fn a_list_of_discovery_says_whether_it_is_complete() {
-    let names = read(&every_key()).expect("the example is good").names;
+fn an_endpoint_list_is_incremental_unless_marked_complete() {
+    let names = parse(&every_key()).expect("the example is valid").names;
     let list = |complete: Value| {
         let value = json!({"revision": 12, "complete": complete, "members": every_key()["known"]["members"]});
-        config::parse_endpoint_list(&value, &names).expect("a good list")
+        config::parse_endpoint_list(&value, &names).expect("a valid list")
     };
-    let whole = list(json!(true));
-    assert_eq!((whole.revision, whole.scope, whole.endpoints.len()), (12, ListScope::Full, 3));
+    let complete = list(json!(true));
+    assert_eq!((complete.revision, complete.scope, complete.endpoints.len()), (12, ListScope::Full, 3));
     assert_eq!(list(json!(false)).scope, ListScope::Incremental);
     assert_eq!(list(Value::Null).scope, ListScope::Incremental);
 }
 
 #[test]
-fn variables_of_the_environment_win_over_the_file() {
+fn environment_variables_take_precedence_over_the_file() {
     let variables = [
         ("BALANCER_NAME", "from-variable"),
         ("BALANCER_LISTEN", "127.0.0.1:1"),
@@ -228,21 +232,22 @@
         ("BALANCER_CONSOLE", "127.0.0.1:3"),
     ];
     let variable = |name: &str| variables.iter().find(|(n, _)| *n == name).map(|(_, v)| (*v).to_owned());
-    let config = Config::parse(EVERY_KEY, variable).expect("good variables");
+    let config = Config::parse(EVERY_KEY, variable).expect("valid variables");
     assert_eq!(config.name, "from-variable");
     assert_eq!((config.listen, config.discovery, config.console), (address(1), address(2), Some(address(3))));
     let mut unnamed = every_key();
     unnamed.as_object_mut().expect("an object").remove("name");
-    assert_eq!(read(&unnamed).map(|config| config.name), Ok("cairncrank".to_owned()));
+    assert_eq!(parse(&unnamed).map(|config| config.name), Ok("cairncrank".to_owned()));
     for name in ["BALANCER_LISTEN", "BALANCER_DISCOVERY", "BALANCER_CONSOLE"] {
-        let fault = Config::parse(EVERY_KEY, |asked| Some("nowhere".to_owned()).filter(|_| asked == name));
-        let fault = fault.expect_err("a fault").to_string();
-        assert_eq!(fault, format!("{name}: expected an address such as 127.0.0.1:7070, found 'nowhere'"));
+        let result =
+            Config::parse(EVERY_KEY, |variable| Some("nowhere".to_owned()).filter(|_| variable == name));
+        let error = result.expect_err("an invalid address").to_string();
+        assert_eq!(error, format!("{name}: expected an address such as 127.0.0.1:7070, found 'nowhere'"));
     }
 }
 
 #[test]
-fn two_variables_name_the_files() {
+fn environment_variables_name_both_files() {
     let json = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/every_key.json");
     let hcl = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/every_key.hcl");
     let variable = |name: &str| match name {
@@ -250,39 +255,40 @@
         "CAIRNCRANK_SETTINGS" => Some(hcl.to_owned()),
         _ => None,
     };
-    let config = Config::from_environment(variable).expect("good files");
+    let config = Config::from_environment(variable).expect("valid files");
     assert_eq!(
         config.settings.capacity_reservation,
         Some(CapacityReservation { min_slots: 8.0, price: 3.5 })
     );
-    assert_eq!(config.cluster, Some(expected_fleet()));
-    let fault = Config::from_environment(|_| None).expect_err("no file").to_string();
-    assert_eq!(fault, "BALANCER_CONFIG: not set; it names the configuration file");
+    assert_eq!(config.cluster, Some(expected_cluster()));
+    let error = Config::from_environment(|_| None).expect_err("no file").to_string();
+    assert_eq!(error, "BALANCER_CONFIG: not set; it names the configuration file");
 }
 
-/// Without a variable that names it, the file beside the configuration is read by its name.
+/// If no variable names the local settings, `cairncrank.hcl` in the folder of the configuration is read.
 #[test]
-fn the_file_beside_the_configuration_is_found_by_its_name() {
+fn local_settings_default_to_the_file_beside_the_configuration() {
     let folder = std::env::temp_dir().join(format!("beside-the-configuration-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let json = folder.join("config.json");
     std::fs::write(&json, EVERY_KEY).expect("a file");
     let variable = |name: &str| (name == "BALANCER_CONFIG").then(|| json.display().to_string());
-    let room = || Config::from_environment(variable).expect("good files").settings.capacity_reservation;
-    assert_eq!(room(), None);
+    let reservation =
+        || Config::from_environment(variable).expect("valid files").settings.capacity_reservation;
+    assert_eq!(reservation(), None);
     std::fs::write(folder.join("cairncrank.hcl"), "room {\n}\n").expect("a file");
-    assert_eq!(room(), Some(CapacityReservation { min_slots: 4.0, price: 16.0 }));
+    assert_eq!(reservation(), Some(CapacityReservation { min_slots: 4.0, price: 16.0 }));
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-fn expected_fleet() -> ClusterSettings {
+fn expected_cluster() -> ClusterSettings {
     ClusterSettings {
         installation: "north".to_owned(),
         listen: address(7301),
         advertised_address: Some(address(7302)),
         bind_address: Some("127.0.0.2".parse().expect("an address")),
         coordinators: BTreeMap::from([(1, address(7101)), (2, address(7102)), (5, address(7105))]),
-        times: Timing {
+        timing: Timing {
             lease_duration: 1_700_000,
             renewal_interval: 410_000,
             call_timeout: 420_000,
@@ -294,7 +300,7 @@
         },
         shared_list: false,
         list_source: Some("catalogue".to_owned()),
-        list_silence: 4_500_000,
+        list_event_timeout: 4_500_000,
         fallback_per_s: 12.5,
         record: Some("/var/log/fleet.jsonl".into()),
         health_checks: Some(HealthCheckConfig {
@@ -317,40 +323,40 @@
 }
 
 #[test]
-fn our_own_settings_have_their_values() {
+fn all_local_settings_are_read() {
     let expected = LocalSettings {
         capacity_reservation: Some(CapacityReservation { min_slots: 8.0, price: 3.5 }),
-        cluster: Some(expected_fleet()),
+        cluster: Some(expected_cluster()),
     };
     assert_eq!(
-        LocalSettings::parse("every_key.hcl", EVERY_KEY_HCL).map_err(|fault| fault.to_string()),
+        LocalSettings::parse("every_key.hcl", EVERY_KEY_HCL).map_err(|error| error.to_string()),
         Ok(expected)
     );
-    let not_held = EVERY_KEY_HCL.replace("hold       = true", "hold = false");
+    let disabled = EVERY_KEY_HCL.replace("hold       = true", "hold = false");
     assert_eq!(
-        LocalSettings::parse("every_key.hcl", &not_held).map(|own| own.capacity_reservation).ok(),
+        LocalSettings::parse("every_key.hcl", &disabled).map(|local| local.capacity_reservation).ok(),
         Some(None)
     );
 }
 
 #[test]
-fn our_own_settings_have_their_defaults() {
+fn local_settings_have_defaults() {
     let text = "room {\n}\nfleet {\n  installation = \"n\"\n  listen = \"127.0.0.1:1\"\n  keeper \"1\" {\n    \
                 address = \"127.0.0.1:1\"\n  }\n  keeper \"2\" {\n    address = \"127.0.0.1:2\"\n  }\n  keeper \
                 \"3\" {\n    address = \"127.0.0.1:3\"\n  }\n  account {\n  }\n  cold {\n    slots = 1\n  }\n  \
                 watch {\n  }\n}\n";
-    let own = LocalSettings::parse("defaults.hcl", text).expect("good settings");
-    assert_eq!(own.capacity_reservation, Some(CapacityReservation { min_slots: 4.0, price: 16.0 }));
+    let local = LocalSettings::parse("defaults.hcl", text).expect("valid settings");
+    assert_eq!(local.capacity_reservation, Some(CapacityReservation { min_slots: 4.0, price: 16.0 }));
     let expected = ClusterSettings {
         installation: "n".to_owned(),
         listen: address(1),
         advertised_address: None,
         bind_address: None,
         coordinators: BTreeMap::from([(1, address(1)), (2, address(2)), (3, address(3))]),
-        times: Timing::default(),
+        timing: Timing::default(),
         shared_list: true,
         list_source: None,
-        list_silence: 3_000_000,
+        list_event_timeout: 3_000_000,
         fallback_per_s: 20.0,
         record: None,
         health_checks: Some(HealthCheckConfig {
@@ -370,13 +376,13 @@
             skew_ppm: 1_000,
         }),
     };
-    assert_eq!(own.cluster, Some(expected));
+    assert_eq!(local.cluster, Some(expected));
 }
 
-/// Each key and block of the example file is known by its name only, and the fault names file, line and key.
+/// Renames each key and block of the example file in turn: the error must name the file, the line and the key.
 #[test]
-fn each_key_of_our_own_settings_counts_by_its_name() {
-    let mut faults = Vec::new();
+fn renaming_any_local_setting_is_an_error() {
+    let mut errors = Vec::new();
     for (index, line) in EVERY_KEY_HCL.lines().enumerate() {
         let name =
             line.split_whitespace().next().filter(|word| word.starts_with(|c: char| c.is_alphabetic()));
@@ -384,9 +390,9 @@
         let renamed = line.replacen(name, &format!("{name}_renamed"), 1);
         let mut lines: Vec<&str> = EVERY_KEY_HCL.lines().collect();
         lines[index] = &renamed;
-        let fault = LocalSettings::parse("every_key.hcl", &(lines.join("\n") + "\n"));
-        faults.push(fault.expect_err("a fault").to_string());
+        let result = LocalSettings::parse("every_key.hcl", &(lines.join("\n") + "\n"));
+        errors.push(result.expect_err("a renamed key").to_string());
     }
-    assert_eq!(faults.len(), 40);
-    insta::assert_snapshot!("faults_of_renamed_keys", faults.join("\n"));
+    assert_eq!(errors.len(), 40);
+    insta::assert_snapshot!("faults_of_renamed_keys", errors.join("\n"));
 }
--- a/deploy/cairncrank.hcl
+++ b/deploy/cairncrank.hcl
@@ -1,6 +1,7 @@
-# Local settings for this installation, beside the platform's. Everything here has a default.
+# Local settings of this installation, read in addition to the platform's configuration. All keys have defaults.
 
-# Capacity reservation for large jobs, see docs/operate/large-jobs.md. Off: it gains in the emulator, not yet on the bench.
+# Capacity reservation for large jobs, see docs/operate/large-jobs.md. It is off, because it improves the results in the
+# emulator but not yet on the bench.
 room {
   hold       = false
   from_slots = 4
