--- a/crates/dispatcher/src/net/metrics/mod.rs
+++ b/crates/dispatcher/src/net/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Metrics of a dispatcher, counted where each event happens, in the Prometheus text exposition format.
+//! Metrics of a dispatcher, updated where each event happens and exposed in the Prometheus text format.
 
 mod cluster;
 
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Jobs by class and outcome (served, refused, failed), and attempts written whole to workers.
+    /// Jobs by class and outcome (served, refused, failed), and attempts written completely to workers.
     pub requests: IntCounterVec,
     /// Jobs submitted and not yet answered.
     pub in_flight: IntGauge,
@@ -20,20 +20,20 @@
     pub workers_known: IntGauge,
     /// Listed workers that are ejected.
     pub workers_excluded: IntGauge,
-    /// Reloads that were applied.
+    /// Reloads of the configuration that were applied.
     pub reloads_ok: IntCounter,
-    /// Reloads that failed.
+    /// Reloads of the configuration that were rejected.
     pub reloads_failed: IntCounter,
-    /// Load reports of which a figure was malformed.
+    /// Load reports with a malformed figure.
     pub malformed_reports: IntCounter,
 }
 
-/// Outcome of a job for its client, or an attempt that was written completely.
+/// Value of the `outcome` label: the outcome of a job for its client, or an attempt that was written completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The client got a worker's result.
+    /// The client received a worker's result.
     Served,
-    /// Admission declined the job and nothing ran.
+    /// Admission rejected the job, and nothing ran.
     Rejected,
     /// The job failed, or the request was invalid.
     Failed,
@@ -62,24 +62,25 @@
     /// Creates the metrics, all at 0.
     ///
     /// # Panics
-    /// Never panics: the names are valid and differ.
+    /// Never panics: the names are valid and distinct.
     #[must_use]
     pub fn new() -> Metrics {
         let registry = Registry::new();
-        let opts = Opts::new("balancer_requests", "Jobs by class and outcome, and attempts written whole");
+        let opts =
+            Opts::new("balancer_requests", "Jobs by class and outcome, and attempts written completely");
         let requests = IntCounterVec::new(opts, &["class", "outcome"]).expect("a valid name");
         let gauge = |name: &str, help: &str| IntGauge::new(name, help).expect("a valid name");
         let counter = |name: &str, help: &str| IntCounter::new(name, help).expect("a valid name");
         let metrics = Metrics {
             requests,
-            in_flight: gauge("balancer_in_flight", "Jobs taken and not yet answered"),
-            workers_known: gauge("balancer_shop_workers_known", "Workers in the list"),
-            workers_excluded: gauge("balancer_shop_workers_excluded", "Listed workers that are avoided now"),
-            reloads_ok: counter("balancer_reloads_ok", "Settings taken at SIGHUP"),
-            reloads_failed: counter("balancer_reloads_failed", "Settings turned down at SIGHUP"),
+            in_flight: gauge("balancer_in_flight", "Jobs submitted and not yet answered"),
+            workers_known: gauge("balancer_shop_workers_known", "Workers on the endpoint list"),
+            workers_excluded: gauge("balancer_shop_workers_excluded", "Listed workers that are ejected"),
+            reloads_ok: counter("balancer_reloads_ok", "Configuration reloads that were applied"),
+            reloads_failed: counter("balancer_reloads_failed", "Configuration reloads that were rejected"),
             malformed_reports: counter(
                 "balancer_load_reports_malformed",
-                "Load reports of which a figure could not be used",
+                "Load reports with a malformed figure",
             ),
             registry,
         };
@@ -108,14 +109,14 @@
         self.requests.with_label_values(&[class, outcome.label()]).inc();
     }
 
-    /// Registers the figures of these classes, so that they are shown from 0 on.
+    /// Registers the counters of these classes, so that they are exposed at 0 before their first job.
     pub(super) fn register_classes(&self, classes: &[ClassInfo]) {
         for class in classes {
             self.register_class(&class.name);
         }
     }
 
-    /// Registers the figures of a class, so that they are shown from 0 on.
+    /// Registers the counters of a class, so that they are exposed at 0 before its first job.
     pub fn register_class(&self, class: &str) {
         for outcome in [Outcome::Served, Outcome::Rejected, Outcome::Failed, Outcome::Attempt] {
             self.requests.with_label_values(&[class, outcome.label()]);
@@ -126,13 +127,13 @@
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut text = Vec::new();
-        // Encoding fails only for a family without metrics, which registration rules out.
+        // Encoding fails only for a metric family without metrics, which cannot be registered.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         text
     }
 }
 
-/// Counts a job as in flight until it is dropped.
+/// Guard that counts a job as in flight until the guard is dropped.
 #[derive(Debug)]
 pub struct InFlight(IntGauge);
 
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -1,5 +1,6 @@
-//! The network layer: all tasks with sockets. They turn what they read into an [`Input`](crate::engine::Input) and carry out
-//! each [`Command`](crate::engine::Command) and [`Answer`](crate::engine::Answer); none of them makes a decision.
+//! The network layer: all tasks that use sockets. They convert what they read into an [`Input`](crate::engine::Input)
+//! and carry out each [`Command`](crate::engine::Command) and [`Answer`](crate::engine::Answer). All decisions are made
+//! by the engine.
 
 pub mod client;
 mod cluster;
@@ -26,5 +27,5 @@
 pub use server::{serve, ServeParameters};
 pub(crate) use socket_io::{has_unread_bytes, read_more, read_response_head, write_all};
 
-/// The present configuration. A change reaches all its receivers before any of them runs again.
+/// Receiver of the current configuration. A change is visible to all receivers before any of their tasks runs again.
 pub(crate) type ConfigReceiver = watch::Receiver<Rc<Config>>;
--- a/crates/dispatcher/src/net/mode.rs
+++ b/crates/dispatcher/src/net/mode.rs
@@ -1,10 +1,11 @@
-//! Mode of a dispatcher, set by operators.
+//! Mode of a dispatcher, which operators set at the console.
 
 /// Mode of a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// New work is accepted.
     Active,
-    /// Clients are sent elsewhere: connections are closed once they are idle.
+    /// The dispatcher reports that it is not ready and closes client connections once they are idle, so that clients
+    /// move to other dispatchers.
     Standby,
 }
--- a/crates/dispatcher/src/net/planned_drain/mod.rs
+++ b/crates/dispatcher/src/net/planned_drain/mod.rs
@@ -1,7 +1,7 @@
-//! Planned drains that the cluster agrees on, if the local settings ask for it: standby takes a permit of a disruption
-//! budget first, and the holder of the observer lease reports availability to the coordinators.
+//! Planned drains that are coordinated across the cluster, if the local settings enable this: standby requires a permit
+//! of the disruption budgets, and the holder of the observer lease reports availability to the coordinators.
 //!
-//! No job waits for any of it, and a shutdown by SIGTERM takes no permit.
+//! Jobs never wait for a drain decision, and a shutdown by SIGTERM requires no permit.
 
 mod observation;
 mod permit;
@@ -30,10 +30,11 @@
 
 /// Longest time from a request for standby to the decision.
 const DECISION_TIMEOUT: Duration = Duration::from_millis(800);
-/// Position of the session's incarnation in a dispatcher's incarnation; the lower bits count returns from standby.
+/// Number of low bits of a dispatcher's incarnation that count returns from standby; the session's incarnation is in
+/// the bits above.
 const SESSION_INCARNATION_SHIFT: u32 = 20;
 
-/// Status of this dispatcher, kept current by the rest of the program.
+/// Status of this dispatcher, which the other tasks keep current.
 #[derive(Clone)]
 pub(super) struct LocalStatus {
     pub(super) mode: watch::Sender<Mode>,
@@ -41,12 +42,12 @@
     pub(super) phase: watch::Receiver<ShutdownPhase>,
 }
 
-/// Returns the listed workers with the verdicts of the health checks.
+/// Function that returns the listed workers with the verdicts of the health checks.
 pub(super) type ListWorkers = Box<dyn Fn() -> Vec<ListedWorker>>;
 
 /// This dispatcher's part in planned drains.
 pub struct PlannedDrain {
-    /// Time for which a readiness report counts.
+    /// Time for which a readiness report is valid.
     readiness_validity: Micros,
     member: Member,
     status: LocalStatus,
@@ -54,7 +55,7 @@
     /// Number of returns from standby in this process.
     returns_from_standby: Cell<u64>,
     term: RefCell<Option<Term>>,
-    /// Locked while a request for standby is decided on.
+    /// Locked while a request for standby is being decided.
     decision: Mutex<()>,
     list_workers: RefCell<Option<ListWorkers>>,
     warmup: RefCell<WarmupTracker>,
@@ -102,7 +103,7 @@
         CoordinatorClient::new(&config.installation, identity, config.replicas.clone(), config.local_address)
     }
 
-    /// Returns the incarnation of this dispatcher, which rises with every session and every return from standby.
+    /// Returns the incarnation of this dispatcher, which increases with every session and every return from standby.
     fn incarnation(&self) -> u64 {
         let lease_client = self.member.lease_client().borrow();
         let session_incarnation = lease_client.last_session().map_or(0, |session| session.incarnation);
@@ -121,12 +122,13 @@
         }
     }
 
-    /// Returns the encoded answer to a readiness poll of the lease holder.
+    /// Returns the encoded response to a readiness poll of the observer lease's holder.
     pub(super) fn encoded_readiness(&self) -> Vec<u8> {
         self.readiness_report().encode()
     }
 
-    /// Enters standby once the coordinators grant a permit; with `force` also without one, if they do not answer.
+    /// Enters standby once the coordinators grant a permit. With `force`, also enters it if no majority of them
+    /// answers.
     ///
     /// # Errors
     /// Returns [`DrainRejected`] if no permit is granted within [`DECISION_TIMEOUT`].
@@ -139,7 +141,9 @@
         };
         let result = self.enter_standby_by_permit(reason, force).await;
         match &result {
-            Ok(()) => tracing::info!(reason, force, "standby: no new work is invited"),
+            Ok(()) => {
+                tracing::info!(reason, force, "entered standby: not ready, closing idle client connections")
+            }
             Err(rejection) => {
                 self.metrics.drains_rejected.inc();
                 tracing::info!(reason, why = rejection.to_string(), "drain rejected");
@@ -164,7 +168,7 @@
             Err(rejection) => return Err(rejection),
         };
         begin_permit(&mut coordinators, permit, incarnation, deadline).await?;
-        // With another incarnation the observer may have closed the permit already.
+        // If the incarnation has changed, the observer may already have closed the permit.
         if !self.has_session() || self.incarnation() != incarnation {
             return Err(DrainRejected::SessionLost);
         }
--- a/crates/dispatcher/src/net/planned_drain/observation.rs
+++ b/crates/dispatcher/src/net/planned_drain/observation.rs
@@ -1,5 +1,5 @@
-//! Observation of availability: the holder of the observer lease polls all dispatchers and reports to the coordinators
-//! how their status differs from the disruption state.
+//! Observation of availability: the holder of the observer lease polls the readiness of all dispatchers and reports to
+//! the coordinators where the status of dispatchers and workers differs from the disruption state.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 
 /// Interval at which readiness is polled and compared with the disruption state.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(200);
-/// Ticks between two reports without a change, while a permit is open and none waits.
+/// Ticks between two reports that contain no change, while a permit is open and none is waiting.
 const UNCHANGED_REPORT_TICKS: u32 = 5;
 
 /// A term of this member's observer lease.
@@ -31,20 +31,20 @@
     publisher: Publisher,
 }
 
-/// The disruption state as last read in the present term.
+/// The disruption state as last read in the current term.
 #[derive(Default)]
 struct KnownState {
     revision: u64,
     state: DisruptionState,
 }
 
-/// An observation in one term of the lease.
+/// Status changes observed in one term of the lease.
 struct Observation {
     token: FencingToken,
     changes: StatusChanges,
 }
 
-/// Variables of the observation loop.
+/// State of the observation loop.
 struct ObservationLoop {
     coordinators: CoordinatorClient,
     known: KnownState,
@@ -52,7 +52,7 @@
 }
 
 impl ObservationLoop {
-    /// Reads the disruption state if it changed; returns whether a replica answered by the deadline.
+    /// Reads the disruption state if it has changed. Returns whether a replica answered by the deadline.
     async fn update_known_state(&mut self, deadline: Instant) -> bool {
         let read = Operation::DisruptionState { known_revision: self.known.revision };
         match self.coordinators.call(&read, deadline).await {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Returns whether an observation is due even if it shows no change.
+    /// Returns whether a report is due even if it contains no change.
     fn is_unchanged_report_due(&self) -> bool {
         match self.known.state.observation_urgency() {
             Some(ObservationUrgency::Immediate) => true,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Compares what was observed with the disruption state, and reports to the coordinators if that is due.
+    /// Compares the observed status with the disruption state, and sends a report to the coordinators if one is due.
     async fn report_observation(&self, observation_loop: &mut ObservationLoop) {
         let deadline = Instant::now() + DECISION_TIMEOUT;
         if !observation_loop.update_known_state(deadline).await {
@@ -106,7 +106,7 @@
         if observation.changes.is_empty() && !observation_loop.is_unchanged_report_due() {
             return;
         }
-        // The lease is checked immediately before the report; the coordinators check the token as well.
+        // The lease is checked immediately before the report is sent; the coordinators check the token as well.
         let lease = LeaseId::fleet(OBSERVER_LEASE);
         if !self.member.holds_lease(&lease, observation.token) {
             return;
@@ -121,11 +121,11 @@
             changed: observation.changes.changed,
             removed: observation.changes.removed,
         };
-        // A report that fails is repeated with the next tick.
+        // If the call fails, the next tick reports again.
         let _ = observation_loop.coordinators.call(&Operation::ChangeDisruptionState(report), deadline).await;
     }
 
-    /// Updates the list of workers and the term, and polls the readiness of all dispatchers if the lease is held.
+    /// Updates the list of workers and the term. If the lease is held, polls the readiness of all dispatchers.
     fn poll_readiness(&self) {
         let now = clock::now();
         self.warmup.borrow_mut().update_list(now, &self.listed_workers());
@@ -161,8 +161,8 @@
         Term { token, observer, publisher }
     }
 
-    /// Returns how dispatchers and workers differ from the disruption state; `None` without a term, or before its first
-    /// poll is complete.
+    /// Returns the dispatchers and workers whose status differs from the disruption state. Returns `None` if the lease
+    /// is not held, or the first poll of the term is not complete.
     fn observe(&self, state: &DisruptionState) -> Option<Observation> {
         let term = self.term.borrow();
         let term = term.as_ref()?;
@@ -172,7 +172,7 @@
         let now = clock::now();
         let mut changes = term.observer.borrow_mut().status_changes(now, &dispatchers, state)?;
         let workers = self.listed_workers();
-        // An empty list means that none was received yet, not that all workers are gone.
+        // An empty list means that no list was received yet, not that all workers were removed.
         if !workers.is_empty() {
             changes.extend(self.warmup.borrow().status_changes(now, &workers, state));
         }
@@ -180,7 +180,8 @@
     }
 }
 
-/// Logs the changed dispatchers. Changed workers may be many, and are logged by the health checks.
+/// Logs the dispatchers that changed. Workers are left to the log of the health checks, because many may change at
+/// once.
 fn log_changes(known_revision: u64, changes: &StatusChanges) {
     let dispatchers = changes.changed.iter().filter(|status| status.target.kind == TargetKind::Dispatcher);
     for status in dispatchers {
--- a/crates/dispatcher/src/net/planned_drain/permit.rs
+++ b/crates/dispatcher/src/net/planned_drain/permit.rs
@@ -11,17 +11,18 @@
 
 /// A request for the permit of one drain.
 pub(super) struct PermitRequest<'a> {
-    /// Name of this dispatcher.
+    /// Name of this dispatcher, the target of the permit.
     pub(super) dispatcher: &'a str,
     pub(super) reason: &'a str,
-    /// Whether the permit is granted whatever the budgets allow.
+    /// Whether the permit is granted even if it exceeds a budget.
     pub(super) force: bool,
 }
 
 /// Requests a permit and returns it once it is granted.
 ///
 /// # Errors
-/// Returns [`DrainRejected`] if the permit has to wait, or no majority of the coordinators decides by the deadline.
+/// Returns [`DrainRejected`] if the permit is not granted at once, or no majority of the coordinators answers by the
+/// deadline.
 pub(super) async fn request_permit(
     coordinators: &mut CoordinatorClient,
     request: &PermitRequest<'_>,
@@ -50,8 +51,8 @@
     }
 }
 
-/// Returns the name of the budget that a waiting permit would exceed; `None` if no budget blocks it, or the state could
-/// not be read.
+/// Returns the name of the budget that a waiting permit would exceed. Returns `None` if no budget blocks it, or the
+/// disruption state could not be read.
 async fn blocking_budget(
     coordinators: &mut CoordinatorClient,
     permit: PermitId,
@@ -65,10 +66,10 @@
     state.blocking_budget(permit).map(|budget| budget.name.clone())
 }
 
-/// Begins a permit that was granted.
+/// Begins a permit that has been granted.
 ///
 /// # Errors
-/// Returns [`DrainRejected`] if the permit is over, or no majority of the coordinators confirms by the deadline.
+/// Returns [`DrainRejected`] if the begin is rejected, or no majority of the coordinators confirms by the deadline.
 pub(super) async fn begin_permit(
     coordinators: &mut CoordinatorClient,
     permit: PermitId,
--- a/crates/dispatcher/src/net/planned_drain/rejection.rs
+++ b/crates/dispatcher/src/net/planned_drain/rejection.rs
@@ -1,26 +1,26 @@
-//! Reasons for which a planned drain is rejected.
+//! Reasons why a planned drain is rejected.
 
 use cluster_member::coordinator_client::CallError;
 use coordination::CommandRejection;
 use disruption_budget::{PermitId, Rejection};
 
-/// `Retry-After` of a drain that another one has to precede, in seconds.
+/// `Retry-After` of a drain that must wait for another one, or that failed to begin, in seconds.
 const RETRY_AFTER_WAIT_S: u32 = 1;
-/// `Retry-After` of a drain that the coordinators cannot decide on or reject, in seconds.
+/// `Retry-After` of a drain that the coordinators rejected or could not decide, in seconds.
 const RETRY_AFTER_COORDINATORS_S: u32 = 5;
 
-/// Reason for which a planned drain is rejected; the dispatcher goes on serving.
+/// Reason why a planned drain is rejected. The dispatcher continues to serve.
 #[derive(Debug, thiserror::Error)]
 pub enum DrainRejected {
-    /// The decision on an earlier request is pending.
-    #[error("another call for standby is being decided on")]
+    /// An earlier request for standby is still being decided.
+    #[error("another request for standby is still being decided")]
     DecisionInProgress,
-    /// The permit is not granted yet.
+    /// The permit must wait until other disruptions end.
     #[error("permit {permit} waits for its turn{}", blocked_by(.blocking_budget.as_deref()))]
     WaitsForTurn {
-        /// The permit.
+        /// Permit that waits.
         permit: PermitId,
-        /// Name of the budget that is used up, if one is.
+        /// Name of the budget that blocks the permit, if any.
         blocking_budget: Option<String>,
     },
     /// The disruption state rejected the request for a permit.
@@ -29,34 +29,34 @@
     /// The coordinators rejected the request for a permit.
     #[error(transparent)]
     RequestRejected(CommandRejection),
-    /// The request for a permit got a response of another kind.
+    /// The coordinators sent a response of another kind to the request for a permit.
     #[error("the coordinators sent an unexpected response to the request for a permit")]
     UnexpectedResponse,
-    /// The coordinators did not answer the request for a permit.
-    #[error("no majority of the coordinators answers ({0}); serving goes on")]
+    /// No majority of the coordinators answered the request for a permit.
+    #[error("no majority of the coordinators answered ({0}); serving goes on")]
     NoMajority(#[source] CallError),
     /// The permit of the previous drain is still open.
-    #[error("the permit before this one is not over yet")]
+    #[error("the permit of the previous drain is still open")]
     PreviousPermitOpen,
-    /// The permit was granted, and the disruption state did not let it begin.
+    /// The permit was granted, but the disruption state rejected its begin.
     #[error(transparent)]
     BeginRejected(Rejection),
-    /// The permit was granted, and the coordinators rejected its begin.
-    #[error("the permit could not be begun: {0}")]
+    /// The permit was granted, but the coordinators rejected the request to begin it.
+    #[error("cannot begin the permit: {0}")]
     BeginRequestRejected(#[source] CommandRejection),
-    /// The permit was granted, and its begin was not confirmed.
-    #[error("the permit could not be begun: {0}")]
+    /// The permit was granted, but no majority of the coordinators confirmed its begin.
+    #[error("cannot begin the permit: {0}")]
     BeginFailed(#[source] CallError),
-    /// The permit was granted, and its begin got a response of another kind.
-    #[error("the permit could not be begun: unexpected response of the coordinators")]
+    /// The permit was granted, but the coordinators sent a response of another kind to the request to begin it.
+    #[error("cannot begin the permit: unexpected response from the coordinators")]
     BeginUnexpectedResponse,
-    /// The session ended during the decision, so that the permit may be over.
-    #[error("this dispatcher lost its session meanwhile")]
+    /// The session ended during the decision, so the permit may have been closed.
+    #[error("this dispatcher lost its session during the decision")]
     SessionLost,
 }
 
 impl DrainRejected {
-    /// Returns the time after which the request may be repeated, in seconds.
+    /// Returns the delay after which the request may be repeated, in seconds.
     pub fn retry_after_s(&self) -> u32 {
         match self {
             DrainRejected::PermitRejected(_)
--- a/crates/dispatcher/src/net/reload.rs
+++ b/crates/dispatcher/src/net/reload.rs
@@ -9,20 +9,20 @@
 use crate::config::{Config, ConfigError};
 use crate::engine::{Handle, Input};
 
-/// Reads the configuration that replaces the given one.
+/// Function that reads the configuration that replaces the given one.
 pub type ReadConfig = dyn Fn(&Config) -> Result<Config, ConfigError>;
 
 /// Requests to reload the configuration, and the function that reads it.
-#[expect(missing_debug_implementations, reason = "a function has nothing to show")]
+#[expect(missing_debug_implementations, reason = "contains a function")]
 pub struct Reload {
-    /// Receives one value for each request.
+    /// Receives one value per request to reload.
     pub requests: mpsc::Receiver<()>,
     /// Reads the configuration that replaces the given one.
     pub read: Box<ReadConfig>,
 }
 
-/// Requests a reload at each SIGHUP. A signal that arrives while a request is pending is merged with it, since the file is
-/// read after both.
+/// Requests a reload at each SIGHUP. A signal that arrives while a request is pending needs no request of its own,
+/// because the file is read after both signals.
 ///
 /// # Errors
 /// Returns an error if the signal cannot be handled.
@@ -39,8 +39,9 @@
     Ok(Reload { requests, read: Box::new(read) })
 }
 
-/// Applies each configuration that is reloaded. Never returns. The engine and the network layer get it before any of them
-/// runs again, so that no job is read by the names of one configuration and decided by the settings of another.
+/// Applies each reload of the configuration. Never returns. The engine and the network layer receive the new
+/// configuration before any of them runs again, so that no job is parsed with the names of one configuration and
+/// decided with the settings of another.
 pub(super) async fn apply_reloads(
     mut reload: Reload,
     configs: watch::Sender<Rc<Config>>,
@@ -48,8 +49,8 @@
     metrics: Rc<Metrics>,
 ) {
     while reload.requests.recv().await.is_some() {
-        let present = configs.borrow().clone();
-        match (reload.read)(&present) {
+        let current = configs.borrow().clone();
+        match (reload.read)(&current) {
             Ok(config) => {
                 tracing::info!(discovery = %config.discovery, "configuration reloaded");
                 metrics.reloads_ok.inc();
@@ -63,6 +64,6 @@
             }
         }
     }
-    // Without senders no reload can be requested any more; the dispatcher goes on.
+    // The sender is gone, so no further reload can be requested; the dispatcher continues to run.
     std::future::pending().await
 }
--- a/crates/dispatcher/src/net/server.rs
+++ b/crates/dispatcher/src/net/server.rs
@@ -1,4 +1,4 @@
-//! Start of a dispatcher: its tasks are created, connected by channels and run until the shutdown.
+//! Start of a dispatcher: creates its tasks, connects them by channels and runs them until the shutdown.
 
 use std::rc::Rc;
 
@@ -19,13 +19,13 @@
 use crate::engine::{Clock, Command, Engine, Handle, Micros};
 
 /// Parameters of [`serve`].
-#[expect(missing_debug_implementations, reason = "a reload contains a function")]
+#[expect(missing_debug_implementations, reason = "contains a function")]
 pub struct ServeParameters {
-    /// Configuration.
+    /// Configuration at the start.
     pub config: Config,
     /// Listener for clients.
     pub listener: TcpListener,
-    /// Phase of the shutdown.
+    /// Receiver of the phase of the shutdown.
     pub phase: watch::Receiver<ShutdownPhase>,
     /// Requests to reload the configuration.
     pub reload: Reload,
@@ -34,7 +34,7 @@
 /// Runs a dispatcher until it is shut down and all requests are answered. Requires a [`tokio::task::LocalSet`].
 ///
 /// # Errors
-/// Returns an error if one of its tasks ended, without which it cannot serve.
+/// Returns an error if a task ended that the dispatcher cannot serve without.
 pub async fn serve(parameters: ServeParameters) -> std::io::Result<()> {
     let ServeParameters { config, listener, phase, reload } = parameters;
     let clock = Clock::start();
@@ -48,7 +48,7 @@
     let pool = Pool::new(configs.clone(), clock, handle.clone(), metrics.clone());
     let (ready_sender, ready) = watch::channel(false);
     let (mode_sender, mode) = watch::channel(Mode::Active);
-    // Kept until the end: without a sender, receivers of the mode would be woken as if it had changed.
+    // Must live until the end: if all senders are dropped, the receivers of the mode are woken as if it had changed.
     let status = LocalStatus { mode: mode_sender, ready: ready.clone(), phase: phase.clone() };
     let config = configs.borrow().clone();
     let cluster = join_cluster(&config, &pool, &mut engine, &metrics, &status).await;
@@ -66,10 +66,10 @@
     }
     tokio::select! {
         () = client::accept(configs, listener, handle, phase, ready, mode, metrics) => Ok(()),
-        _ = &mut workers => task_ended("reaches workers"),
-        _ = &mut engine => task_ended("owns the module"),
+        _ = &mut workers => task_ended("connects to workers"),
+        _ = &mut engine => task_ended("runs the engine"),
         _ = &mut discovery => task_ended("follows discovery"),
-        _ = &mut reloads => task_ended("reads the configuration again"),
+        _ = &mut reloads => task_ended("reloads the configuration"),
     }
 }
 
@@ -82,7 +82,7 @@
     engine
 }
 
-/// Joins the cluster that the settings name, if any. The dispatcher serves without it if it cannot listen for it.
+/// Joins the cluster that the local settings name, if any. If that fails, the dispatcher serves without the cluster.
 async fn join_cluster(
     config: &Config,
     pool: &Rc<Pool>,
@@ -101,7 +101,7 @@
     match cluster::join(parameters).await {
         Ok(handle) => Some(handle),
         Err(error) => {
-            tracing::error!(%error, "cannot listen for the cluster; continuing without it");
+            tracing::error!(%error, "cannot join the cluster; continuing without it");
             None
         }
     }
--- a/crates/dispatcher/src/net/shutdown.rs
+++ b/crates/dispatcher/src/net/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: its phases from the first SIGTERM or SIGINT on.
+//! Graceful shutdown: its phases after the first SIGTERM or SIGINT.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 
 use crate::engine::Micros;
 
-/// Time after the signal at which clients are sent elsewhere. New connections arrive for up to 0.4 s; open ones are served
-/// for longer, since in a rolling restart the dispatcher before this one may need that time to be back.
+/// Time from the signal until idle client connections are closed. New connections arrive for up to 0.4 s. Open ones are
+/// served for longer, because in a rolling restart the previous dispatcher may need that time to serve again.
 const DRAIN_PERIOD: Duration = Duration::from_secs(2);
-/// Largest fraction of the time until [`ShutdownPhase::Finishing`] that clients are served as before.
+/// Maximum length of [`ShutdownPhase::Draining`], as a fraction of the time until [`ShutdownPhase::Finishing`].
 const DRAIN_FRACTION: f64 = 0.6;
-/// Upper bound of the longest request timeout in the time that is left until SIGKILL.
+/// Upper bound of the request timeout that the platform takes into account before it sends SIGKILL, in microseconds.
 const MAX_COUNTED_TIMEOUT: Micros = 3_000_000;
-/// Time that the platform leaves after the longest request timeout, until SIGKILL.
+/// Time from the longest request timeout until the platform sends SIGKILL.
 const KILL_GRACE: Duration = Duration::from_millis(700);
-/// Time before SIGKILL at which all requests are answered.
+/// Time before SIGKILL at which [`ShutdownPhase::Finishing`] begins.
 const FINISH_RESERVE: Duration = Duration::from_millis(250);
 
 /// Phase of a graceful shutdown.
@@ -25,17 +25,19 @@
 pub enum ShutdownPhase {
     /// No shutdown was requested.
     Serving,
-    /// A shutdown was requested; all requests are still served, since clients may not know of it yet.
+    /// A shutdown was requested. All requests are still served, because clients may not have noticed it yet.
     Draining,
-    /// Idle connections are closed, and new ones are no longer waited for.
+    /// Idle connections are closed, and no further connections are awaited.
     Closing,
-    /// All open requests are answered now.
+    /// All open requests are answered at once.
     Finishing,
-    /// Connections that are still open are dropped: their request is incomplete, or the client does not read.
+    /// Connections that are still open are dropped. Their request is incomplete, or the client does not read the
+    /// response.
     Finished,
 }
 
-/// Runs the phases from the first SIGTERM or SIGINT on. `longest_timeout` is that of all classes.
+/// Waits for the first SIGTERM or SIGINT and then runs the phases. `longest_timeout` is the longest request timeout of
+/// all classes.
 ///
 /// # Errors
 /// Returns an error if the signals cannot be handled.
@@ -53,12 +55,12 @@
     Ok(phase)
 }
 
-/// Runs the phases after the signal within the time that the platform leaves before SIGKILL.
+/// Runs the phases after the signal, within the time until the platform sends SIGKILL.
 pub async fn run_phases(phase: &watch::Sender<ShutdownPhase>, longest_timeout: Micros) {
     phase.send_replace(ShutdownPhase::Draining);
     let until_finishing = (Duration::from_micros(longest_timeout.min(MAX_COUNTED_TIMEOUT)) + KILL_GRACE)
         .saturating_sub(FINISH_RESERVE);
-    // With short timeouts SIGKILL comes early.
+    // Draining is shorter if the request timeouts are short, because SIGKILL then comes earlier.
     let until_closing = DRAIN_PERIOD.min(until_finishing.mul_f64(DRAIN_FRACTION));
     sleep(until_closing).await;
     phase.send_replace(ShutdownPhase::Closing);
--- a/crates/dispatcher/tests/pinned_console.rs
+++ b/crates/dispatcher/tests/pinned_console.rs
@@ -1,5 +1,5 @@
-//! What operators and their tools read at the console, byte for byte: the figures' names, help, types and order, the
-//! state of the process, and the answers to wrong calls.
+//! Responses of the console, byte for byte, as operators' tools read them: names, help texts, types and order of the
+//! metrics, the status of the process, and errors.
 
 use std::rc::Rc;
 
@@ -8,8 +8,8 @@
 use dispatcher::net::mode::Mode;
 use tokio::sync::watch;
 
-/// Metrics of a member of a fleet, each with a value of its own.
-fn counted() -> Rc<Metrics> {
+/// Returns the metrics of a cluster member, each with a different value.
+fn member_metrics() -> Rc<Metrics> {
     let metrics = Metrics::new();
     metrics.register_class("order");
     for (outcome, count) in
@@ -23,18 +23,18 @@
     metrics.reloads_ok.inc_by(9);
     metrics.reloads_failed.inc_by(10);
     metrics.malformed_reports.inc_by(11);
-    let fleet = metrics.register_cluster();
-    fleet.session.set(1);
-    fleet.leases_held.set(12);
-    fleet.effects_rejected.set(13);
-    fleet.workers_checked.set(14);
-    fleet.workers_failing.set(15);
-    fleet.workers_reported_failing.set(16);
-    fleet.health_checks.inc_by(17);
-    fleet.quota_granted.inc_by(18.5);
-    fleet.quota_allocated.set(19.5);
-    fleet.drains_rejected.inc_by(20);
-    fleet.drains_forced.inc_by(21);
+    let cluster = metrics.register_cluster();
+    cluster.session.set(1);
+    cluster.leases_held.set(12);
+    cluster.effects_rejected.set(13);
+    cluster.workers_checked.set(14);
+    cluster.workers_failing.set(15);
+    cluster.workers_reported_failing.set(16);
+    cluster.health_checks.inc_by(17);
+    cluster.quota_granted.inc_by(18.5);
+    cluster.quota_allocated.set(19.5);
+    cluster.drains_rejected.inc_by(20);
+    cluster.drains_forced.inc_by(21);
     Rc::new(metrics)
 }
 
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn figures_of_a_dispatcher_alone() {
+fn metrics_of_a_dispatcher_without_a_cluster() {
     let metrics = Metrics::new();
     metrics.register_class("order");
     let shown = text(answer(&console(Rc::new(metrics), true), b"GET", b"/status/metrics"));
@@ -56,15 +56,15 @@
 }
 
 #[test]
-fn figures_of_a_member() {
-    let shown = text(answer(&console(counted(), true), b"GET", b"/status/metrics"));
+fn metrics_of_a_cluster_member() {
+    let shown = text(answer(&console(member_metrics(), true), b"GET", b"/status/metrics"));
     insta::assert_snapshot!("figures_of_a_member", shown);
 }
 
 #[test]
-fn answers_to_calls() {
+fn responses_to_requests() {
     let console = console(Rc::new(Metrics::new()), true);
-    let _held = InFlight::new(&console.metrics);
+    let _in_flight = InFlight::new(&console.metrics);
     let mut seen = String::new();
     for (method, target) in [
         ("GET", "/status"),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_process_that_is_not_ready() {
+fn status_of_a_process_that_is_not_ready() {
     let shown = text(answer(&console(Rc::new(Metrics::new()), false), b"GET", b"/status"));
     insta::assert_snapshot!("not_ready", shown);
 }
