--- a/crates/dispatcher/src/net/planned_drain/mod.rs
+++ b/crates/dispatcher/src/net/planned_drain/mod.rs
@@ -127,11 +127,11 @@
         self.readiness_report().encode()
     }
 
-    /// Enters standby once the coordinators grant a permit. With `force`, also enters it if no majority of them
-    /// answers.
+    /// Enters standby once the coordinators grant a permit. With `force`, also enters it without a permit if no
+    /// majority of them answers the request for one.
     ///
     /// # Errors
-    /// Returns [`DrainRejected`] if no permit is granted within [`DECISION_TIMEOUT`].
+    /// Returns [`DrainRejected`] if no permit is granted and begun within [`DECISION_TIMEOUT`].
     pub(super) async fn enter_standby(&self, reason: &str, force: bool) -> Result<(), DrainRejected> {
         if *self.status.mode.borrow() == Mode::Standby {
             return Ok(());
