--- a/crates/coordinator/src/cli/arguments.rs
+++ b/crates/coordinator/src/cli/arguments.rs
@@ -10,29 +10,35 @@
 pub(super) const USAGE: &str = "\
 coordinator COMMAND --config FILE [options]
 
-  bootstrap       creates the empty store of this replica, once in the life of an installation
+  bootstrap       creates the empty store of this replica; only once, before its first start
   serve           runs this replica until SIGTERM
-  status          all replicas: role, Raft term, applied entries
-  members         the members that have a session
-  duties          the leases with their holders and fencing tokens
-  release-duty    ends the running term of the lease --duty NAME (with --token N only that term); another member gets it
+  status          prints the role, Raft term and applied entries of each replica
+  members         lists the members that have a session
+  duties          lists the leases with their holders and fencing tokens
+  release-duty    --duty NAME [--token N]: ends the running term of a lease, so that another member is granted it; with
+                  --token only if the running term has this fencing token
   replace         --keeper NUMBER --with NEW --address IP:PORT: replaces a replica by a new one
-  account         the disruption state: budgets and their use, permits, unavailable targets
-  budgets         --set FILE [--seen VERSION]: replaces the budgets, HCL; rejected if changed since that version
-  permit ask      --target KIND/NAME --by WHO [--reason TEXT] [--force]: requests a permit; 8 while it is not granted
-  permit begin    --permit N [--number M]: right before the step; done: after it; void: cancels a permit not begun
-  strike-off      --target KIND/NAME [--by WHO]: deregisters a target for good, with its permits
-  metrics         the metrics of this replica in the text format of Prometheus
-  check-config    reads and validates the configuration
+  account         prints the disruption state: budgets and their use, permits, unavailable targets
+  budgets         --set FILE [--seen VERSION]: replaces the budgets by those of an HCL file; with --seen only if the
+                  budgets have not changed since that version
+  permit ask      --target KIND/NAME --by WHO [--reason TEXT] [--force]: requests a permit; exits with 8 until granted
+  permit begin    --permit N [--number M]: begins a permit, right before the disruption;
+                  M is the incarnation of the target
+  permit done     --permit N: reports that the disruption is complete
+  permit void     --permit N: cancels a permit that has not begun
+  strike-off      --target KIND/NAME [--by WHO]: deregisters a target permanently, with its permits
+  metrics         prints the metrics of this replica in the text format of Prometheus
+  check-config    reads and validates the settings file
 
-  --config FILE   the configuration, HCL
+  --config FILE   the settings file, HCL
   --joining       with bootstrap: this replica joins a running installation in place of another
   --record FILE   with serve: appends a record of each applied entry as a line of JSON
   --log LEVEL     error, warn, info (the default), debug or trace
-  --json          with status, members, duties and account: JSON
+  --json          with status, members, duties and account: prints JSON
 
-Exit codes: 0 done, 1 error, 2 bad usage, 3 the store is an old copy or another replica's, 4 the store cannot be used,
-5 something was committed that this version does not support, 6 Raft failed, 7 replaced by another replica, 8 not now.
+Exit codes: 0 success, 1 error, 2 invalid arguments, 3 the store is an old copy or that of another replica, 4 the store
+cannot be used, 5 the snapshot or the log has a format that this version does not support, 6 Raft failed, 7 another
+replica has replaced this one, 8 the permit is not granted yet.
 ";
 
 /// Subcommand of the program.
--- a/crates/coordinator/src/cli/commands.rs
+++ b/crates/coordinator/src/cli/commands.rs
@@ -135,7 +135,7 @@
     let budgets = config::read_budgets(&file)?;
     let expected_version = match arguments.seen_version {
         Some(version) => version,
-        // Without `--seen` the present version is replaced.
+        // Without `--seen`, the budgets are replaced whatever their version is.
         None => operator_client::disruption_state(config).await?.state.budgets_version(),
     };
     let count = budgets.len();
--- a/crates/coordinator/src/cli/metrics.rs
+++ b/crates/coordinator/src/cli/metrics.rs
@@ -4,7 +4,7 @@
 
 use cluster_member::wire::{CommitLatency, LeaseStatus, ReplicaStatus};
 
-/// Prefix of all names of metrics.
+/// Prefix of the name of each metric.
 const PREFIX: &str = "cairncrank_keeper_";
 
 /// Metric with its values.
@@ -78,20 +78,28 @@
 
 fn metrics(status: &ReplicaStatus) -> [Metric; 8] {
     [
-        Metric::gauge("leads", "Whether this keeper leads.", status.is_leader.into()),
-        Metric::gauge("term", "The term of Raft.", status.raft_term),
-        Metric::counter("applied_entries", "The last entry applied.", status.applied_index),
-        Metric::counter("elections_total", "Leaders seen since the start.", status.election_count),
-        Metric::counter("starts_total", "How often this disk was started.", status.start_count),
-        Metric::gauge("members", "Sessions of members.", status.members.len() as u64),
+        Metric::gauge("leads", "1 if this replica is the leader, 0 otherwise.", status.is_leader.into()),
+        Metric::gauge("term", "Current Raft term.", status.raft_term),
+        Metric::counter(
+            "applied_entries",
+            "Index of the last log entry that was applied.",
+            status.applied_index,
+        ),
+        Metric::counter(
+            "elections_total",
+            "Number of elected leaders that this replica has seen since it started.",
+            status.election_count,
+        ),
+        Metric::counter("starts_total", "Number of starts on the store of this replica.", status.start_count),
+        Metric::gauge("members", "Number of open sessions of members.", status.members.len() as u64),
         Metric::labelled_gauge(
             "commit_microseconds",
-            "From a proposal to its being applied, since the start.",
+            "Time from proposing a command to applying it, in microseconds, since this replica started.",
             commit_latencies(status),
         ),
         Metric::labelled_gauge(
             "duty_token",
-            "The token of a duty's running term, 0 without an owner.",
+            "Fencing token of the running term of a lease, 0 if the lease has no holder.",
             status.leases.iter().map(running_token).collect(),
         ),
     ]
--- a/crates/coordinator/src/config/budgets.rs
+++ b/crates/coordinator/src/config/budgets.rs
@@ -9,7 +9,7 @@
 
 /// Maximum length of the name of a budget, in bytes.
 const MAX_NAME_LENGTH: usize = 128;
-/// Highest number of targets in a bound.
+/// Maximum number of targets that a limit of a budget may name.
 const MAX_COUNT: u64 = 100_000;
 const MAX_PERCENT: u32 = 100;
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// Parses a number of targets, or a percentage such as `"10%"`.
+/// Parses a limit: a number of targets, or a percentage such as `"10%"`.
 fn parse_amount(section: &Section, key: &str) -> Result<Option<Amount>, HclError> {
     let Some(value) = section.value(key) else { return Ok(None) };
     if !matches!(value, Value::String(_)) {
--- a/crates/coordinator/src/config/mod.rs
+++ b/crates/coordinator/src/config/mod.rs
@@ -23,13 +23,13 @@
 const DEFAULT_CONNECTION_LIMIT: u64 = 1_024;
 /// Default of the first fencing token of an installation.
 const DEFAULT_FIRST_TOKEN: u64 = 1;
-/// Upper bound of the first fencing token; leaves enough tokens above it.
+/// Upper bound of the first fencing token, so that enough tokens remain above it.
 const MAX_FIRST_TOKEN: u64 = u64::MAX / 2;
 
 /// Configuration of a coordinator.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Name of the installation. Clients and peers of another one are rejected.
+    /// Name of the installation. Clients and peers of another installation are rejected.
     pub installation: String,
     /// Addresses of the replicas, by number.
     pub replicas: BTreeMap<u64, SocketAddr>,
@@ -54,7 +54,7 @@
     pub bind_address: Option<IpAddr>,
     /// Limit of concurrent connections.
     pub max_connections: usize,
-    /// Bug injected by an experiment that has to find it.
+    /// Bug injected for an experiment whose checkers must find it.
     pub injected_bug: Option<disruption_budget::InjectedBug>,
     /// Highest version of messages and commands that the replica uses.
     pub protocol_version: u16,
--- a/crates/coordinator/src/error.rs
+++ b/crates/coordinator/src/error.rs
@@ -16,12 +16,12 @@
     /// The store cannot be used. Free disk space, or replace the replica by a new one.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// A later version wrote something that may not be skipped. Run a version that supports it.
+    /// A later version wrote the snapshot or a log entry, which must not be skipped. Run a version that supports it.
     #[error(transparent)]
     UnsupportedFormat(#[from] UnsupportedFormat),
     /// A peer has seen another store of this replica, or a later state of it. Replace the replica.
     #[error("replica {peer} rejected the handshake: {rejection}")]
-    StaleDisk {
+    StaleStore {
         /// Number of the peer.
         peer: u64,
         /// Reason given by the peer.
@@ -67,7 +67,7 @@
         source: CommandDecodeError,
     },
     /// Change of the Raft configuration in the log.
-    #[error("entry {index} cannot be read: {source}")]
+    #[error("at entry {index}: cannot decode the change of the Raft configuration: {source}")]
     ConfigurationChange {
         /// Index of the log entry.
         index: Revision,
@@ -84,7 +84,7 @@
             CoordinatorError::Listen { .. }
             | CoordinatorError::SignalHandler(_)
             | CoordinatorError::LatencyHistogram(_) => exit_code::ERROR,
-            CoordinatorError::StaleDisk { .. } => exit_code::STALE_STORE,
+            CoordinatorError::StaleStore { .. } => exit_code::STALE_STORE,
             CoordinatorError::Store(_) => exit_code::STORE_UNUSABLE,
             CoordinatorError::UnsupportedFormat(_) => exit_code::UNSUPPORTED_FORMAT,
             CoordinatorError::Raft(_) => exit_code::RAFT_FAILED,
--- a/crates/coordinator/src/exit_code.rs
+++ b/crates/coordinator/src/exit_code.rs
@@ -1,10 +1,10 @@
 //! Exit codes of the program. Scripts and service managers rely on them.
 
-/// An error that is none of the following.
+/// Any error without an exit code of its own.
 pub const ERROR: u8 = 1;
 /// The arguments are invalid.
 pub const BAD_USAGE: u8 = 2;
-/// The store is an old copy, or that of another replica, as a peer has found.
+/// A peer rejected the store: it is an old copy, or not the store that the peer has recorded for this replica.
 pub const STALE_STORE: u8 = 3;
 /// The store cannot be used.
 pub const STORE_UNUSABLE: u8 = 4;
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,11 +1,11 @@
 //! Coordinator: one of three or five replicas that agree by Raft on the sessions, leases and permits of a fleet.
 //!
 //! - [`config`] reads the settings file.
-//! - [`store`] persists what has to outlive the process.
+//! - [`store`] persists the state that must survive a restart.
 //! - [`replica`] drives Raft and the replicated state, without sockets and clock.
 //! - [`server`] connects a replica to its peers, its clients and the clock.
 //! - [`operator_client`] calls coordinators on behalf of an operator.
-//! - [`error`] has the reasons for which a coordinator stops, [`exit_code`] the exit codes of the program.
+//! - [`error`] defines the errors that stop a coordinator, [`exit_code`] the exit codes of the program.
 
 pub mod config;
 mod display;
--- a/crates/coordinator/src/operator_client/error.rs
+++ b/crates/coordinator/src/operator_client/error.rs
@@ -35,7 +35,7 @@
         /// Address of the replica.
         address: SocketAddr,
     },
-    /// A replica sent a response that does not match the request.
+    /// A replica sent a response that does not match the operation.
     #[error("replica {replica}: unexpected response: {}", describe(.response))]
     UnexpectedResponse {
         /// Number of the replica.
@@ -43,17 +43,17 @@
         /// Response of the replica.
         response: Box<Response>,
     },
-    /// The leader sent a response that does not match the request.
-    #[error("unexpected response of the leader: {}", describe(.0))]
+    /// The leader sent a response that does not match the operation.
+    #[error("unexpected response from the leader: {}", describe(.0))]
     UnexpectedLeaderResponse(Box<Response>),
     /// No replica leads.
-    #[error("no replica leads: a majority has to run and reach each other{}", Lines(.unreachable))]
+    #[error("no replica leads: a majority of the replicas must run and reach each other{}", Lines(.unreachable))]
     NoLeader {
         /// Errors of the replicas that are not reached.
         unreachable: Vec<OperatorError>,
     },
     /// No leading replica responds.
-    #[error("{0}: a majority of the replicas has to run and reach each other")]
+    #[error("{0}: a majority of the replicas must run and reach each other")]
     LeaderUnavailable(CallError),
     /// The leader rejected the request.
     #[error("{0}")]
@@ -77,7 +77,7 @@
         /// Response of the replica.
         response: Box<Response>,
     },
-    /// A replacement was not complete in time. It continues; the request may be repeated.
+    /// A replacement was not complete within the timeout. It continues; the operator may repeat the command.
     #[error("replica {old} was not replaced within {} s: {progress}", REPLACEMENT_TIMEOUT.as_secs())]
     ReplacementTimeout {
         /// Number of the replica to be replaced.
@@ -93,7 +93,7 @@
     /// No replica was called yet.
     NotStarted,
     /// The replacement is in progress.
-    UnderWay {
+    InProgress {
         /// Numbers of the voters.
         voters: Vec<u64>,
         /// Numbers of the learners.
@@ -109,7 +109,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ReplacementProgress::NotStarted => f.write_str("not started"),
-            ReplacementProgress::UnderWay { voters, learners } => {
+            ReplacementProgress::InProgress { voters, learners } => {
                 write!(
                     f,
                     "in progress with voters {} and learners {}",
@@ -123,7 +123,7 @@
     }
 }
 
-/// Describes a response to an operator.
+/// Describes a response for an error message.
 fn describe(response: &Response) -> String {
     match response {
         Response::SessionOpened { .. } => "a session was opened".to_owned(),
--- a/crates/coordinator/src/operator_client/mod.rs
+++ b/crates/coordinator/src/operator_client/mod.rs
@@ -123,8 +123,8 @@
 /// Replaces a replica by a new one that was started with an empty store, and waits for completion.
 ///
 /// # Errors
-/// Returns [`OperatorError::Rejected`] if the leader rejects the replacement, [`OperatorError::ReplacementTimeout`] if it
-/// is not complete within `REPLACEMENT_TIMEOUT`, or an error of the call that starts it.
+/// Returns [`OperatorError::Rejected`] if the leader rejects the replacement, [`OperatorError::ReplacementTimeout`]
+/// if it is not complete within `REPLACEMENT_TIMEOUT`, or an error of the call that starts it.
 pub async fn replace(config: &Config, old: u64, new: u64, address: String) -> Result<(), OperatorError> {
     let deadline = Instant::now() + REPLACEMENT_TIMEOUT;
     let mut progress = ReplacementProgress::NotStarted;
@@ -133,7 +133,8 @@
         match leader_status(config).await {
             Ok(leader) if leader.voters.contains(&new) && !leader.voters.contains(&old) => return Ok(()),
             Ok(leader) if accepted => {
-                progress = ReplacementProgress::UnderWay { voters: leader.voters, learners: leader.learners };
+                progress =
+                    ReplacementProgress::InProgress { voters: leader.voters, learners: leader.learners };
             }
             Ok(leader) => {
                 let operation = Operation::ReplaceReplica { old, new, address: address.clone() };
@@ -155,7 +156,7 @@
 /// # Errors
 /// Returns [`OperatorError::LeaderUnavailable`] if no leading replica responds.
 pub async fn disruption_state(config: &Config) -> Result<DisruptionSnapshot, OperatorError> {
-    // A state that never changed is not sent: it is empty.
+    // The leader sends no state if it never changed, because it is empty then.
     match call_leader(config, Operation::DisruptionState { known_revision: 0 }).await? {
         Response::DisruptionState { revision, state } => {
             Ok(DisruptionSnapshot { revision, state: state.map(|state| *state).unwrap_or_default() })
@@ -183,7 +184,8 @@
     }
 }
 
-/// Ends the running term of a lease, or the one with this fencing token, so that another member is granted the lease.
+/// Ends the running term of a lease, or only the term with this fencing token, so that another member is granted the
+/// lease.
 ///
 /// # Errors
 /// Returns [`OperatorError::NoLeader`] if no replica leads, [`OperatorError::ReleaseRejected`] if the lease has no such
--- a/crates/coordinator/src/replica/apply.rs
+++ b/crates/coordinator/src/replica/apply.rs
@@ -10,7 +10,7 @@
 
 /// Number of entries between two snapshots.
 const SNAPSHOT_INTERVAL: u64 = 4_096;
-/// Number of entries retained before a snapshot, for peers that lag by a few.
+/// Number of entries retained before a snapshot, so that peers that lag by fewer entries need no snapshot.
 const RETAINED_ENTRIES: u64 = 512;
 
 /// Restores the replicated state from a snapshot.
@@ -21,8 +21,8 @@
 }
 
 impl Replica {
-    /// Processes what Raft has ready in the order that it requires: a leader's messages are sent at once, all others after
-    /// the state that they promise is stored; committed entries are applied last.
+    /// Processes Raft's ready state in the order that Raft requires: a leader's messages are sent at once, all others
+    /// after the state that they promise is stored; committed entries are applied last.
     pub(super) fn process_ready(&mut self, now: Micros) -> Result<(), CoordinatorError> {
         let mut ready = self.raw_node.ready();
         self.send_to_peers(ready.take_messages());
@@ -49,7 +49,7 @@
 
     fn store_ready(&mut self, ready: &Ready) -> Result<(), CoordinatorError> {
         let received = Some(ready.snapshot()).filter(|snapshot| !snapshot.is_empty());
-        // A commit index alone is recovered from the peers and needs no write.
+        // A changed commit index alone needs no write, because it is recovered from the peers.
         if !ready.must_sync() && received.is_none() && ready.entries().is_empty() {
             return Ok(());
         }
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    /// Continues from a snapshot that the leader sent.
+    /// Replaces log and replicated state by a snapshot that the leader sent.
     fn install_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), CoordinatorError> {
         self.raw_node.mut_store().log.wl().apply_snapshot(snapshot.clone())?;
         self.state = restore_state(snapshot)?.with_injected_disruption_bug(self.injected_bug);
@@ -106,14 +106,15 @@
         }
         if let Some(proposal) = self.proposals.remove(&entry.context) {
             let _ = self.commit_latency.record(now.saturating_sub(proposal.proposed_at).max(1));
-            self.reply_to_proposal(proposal.requester, &outcome, now);
+            self.respond_to_proposal(proposal.requester, &outcome, now);
         }
         let digest = if self.digests_enabled { self.state.digest() } else { 0 };
         self.outputs.push(Output::Applied { index, command, outcome, digest });
         Ok(())
     }
 
-    /// Compacts the log if it has grown long, or if the configuration changed, which the snapshot has to contain.
+    /// Compacts the log if it has grown by `SNAPSHOT_INTERVAL` entries, or if the configuration changed, because the
+    /// snapshot must contain the new configuration.
     pub(super) fn compact_log_if_due(&mut self) -> Result<(), CoordinatorError> {
         let last_snapshot = self.raw_node.store().snapshot.get_metadata().index;
         if self.configuration_changed || self.state.revision() >= last_snapshot + SNAPSHOT_INTERVAL {
--- a/crates/coordinator/src/replica/leadership.rs
+++ b/crates/coordinator/src/replica/leadership.rs
@@ -7,7 +7,7 @@
 use super::{Output, Replica};
 use crate::error::CoordinatorError;
 
-/// Number that no replica has.
+/// Placeholder for "no replica"; the numbers of replicas start at 1.
 const NO_REPLICA: u64 = 0;
 
 impl Replica {
@@ -20,7 +20,7 @@
     /// Transfers the leadership, if this replica has it, to the peer with the most complete log.
     ///
     /// # Errors
-    /// Returns an error if the replica has to stop.
+    /// Returns an error if the replica must stop.
     pub fn transfer_leadership(&mut self, now: Micros) -> Result<(), CoordinatorError> {
         self.transfer_leadership_except(NO_REPLICA);
         self.advance(now)
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Updates the leadership. A replica considers itself leader only after it has applied an entry of its term, and with it
-    /// all entries that were committed before.
+    /// Updates the leadership. A replica considers itself leader only after it has applied an entry of its term, and
+    /// with it all entries that were committed before.
     pub(super) fn update_leadership(&mut self, now: Micros) {
         let raft = &self.raw_node.raft;
         if raft.leader_id != self.leader_id {
@@ -64,13 +64,14 @@
         self.redirect_waiting_clients();
     }
 
-    /// Redirects all waiting clients to the next leader. Their proposals may still be committed; requests are idempotent.
+    /// Redirects all waiting clients to the next leader. Their proposals may still be committed, but requests are
+    /// idempotent.
     fn redirect_waiting_clients(&mut self) {
         let response = self.not_leader_response();
         let mut requesters = self.proposals.drain();
         requesters.extend(self.renewals.drain());
         for requester in requesters {
-            self.reply(requester, response.clone());
+            self.respond(requester, response.clone());
         }
     }
 }
--- a/crates/coordinator/src/replica/membership.rs
+++ b/crates/coordinator/src/replica/membership.rs
@@ -1,8 +1,9 @@
 //! Replacement of a replica by a new one, through a joint configuration.
 //!
-//! The new replica is added as a learner. When it has caught up, a joint configuration exchanges the two: majorities of the
-//! old and of the new voters have to agree. Leaving it completes the replacement. Each step is derived from committed
-//! state, so that the next leader continues a replacement that the last one began.
+//! The new replica is added as a learner. When it has caught up, a joint configuration exchanges the two replicas:
+//! majorities of both the old and the new voters must agree. Leaving the joint configuration completes the
+//! replacement. Each step is derived from committed state, so that the next leader continues a replacement that its
+//! predecessor began.
 
 use std::collections::BTreeMap;
 
@@ -24,7 +25,7 @@
 enum ReplacementStep {
     AddLearner,
     WaitForLearner,
-    /// The leader is the replica to be replaced: another leader has to continue.
+    /// The leader is the replica to be replaced, so another leader must continue.
     TransferLeadership,
     ExchangeVoters,
     LeaveJointConfiguration,
@@ -38,7 +39,7 @@
         self.state.added_replicas()
     }
 
-    /// Returns the reason for which the configuration does not allow to replace `old` by `new`, if there is one.
+    /// Returns why the configuration does not allow replacing `old` by `new`; `None` if it allows it.
     pub(super) fn replacement_rejection(&self, old: u64, new: u64) -> Option<CommandRejection> {
         let voters = self.configuration.get_voters();
         if !voters.contains(&old) && self.state.replacement_in_progress().is_none() {
@@ -111,7 +112,7 @@
         let _ = self.raw_node.propose_conf_change(Vec::new(), change);
     }
 
-    /// Proposes these changes. An empty list leaves a joint configuration.
+    /// Proposes these changes of the configuration. An empty list leaves a joint configuration.
     fn propose_change(&mut self, changes: &[ConfChangeSingle]) {
         let mut change = ConfChangeV2::default();
         change.set_changes(changes.to_vec().into());
--- a/crates/coordinator/src/replica/mod.rs
+++ b/crates/coordinator/src/replica/mod.rs
@@ -1,8 +1,8 @@
 //! Replica without I/O: Raft, the replicated state, and the volatile state of a leader.
 //!
-//! A [`Replica`] has no sockets and no clock. Its driver passes it the time, messages of peers and requests of clients, and
-//! executes the [`Output`]s that it takes with [`Replica::take_outputs`]. State that an output promises to another process
-//! is in the [`Store`] before the output is returned.
+//! A [`Replica`] has no sockets and no clock. Its driver passes it the time, messages of peers and requests of clients,
+//! and executes the [`Output`]s that it takes with [`Replica::take_outputs`]. State that an output promises to another
+//! process is in the [`Store`] before the output is returned.
 //!
 //! | module | concern |
 //! | --- | --- |
@@ -61,7 +61,7 @@
 /// Significant digits of the recorded commit latencies.
 const COMMIT_LATENCY_DIGITS: u8 = 2;
 
-/// Action for the driver.
+/// Action that the driver must execute.
 #[derive(Debug)]
 pub enum Output {
     /// Send a Raft message to the peer that it names.
@@ -105,7 +105,7 @@
     peers: PeerRegistry,
     /// Applied configuration: voters and learners.
     configuration: ConfState,
-    /// Whether it changed since the last snapshot, which has to contain the change.
+    /// Whether the configuration changed since the last snapshot; if so, a new snapshot is due, which must contain it.
     configuration_changed: bool,
     /// Time of the last proposed change of the configuration.
     configuration_proposed_at: Option<Micros>,
@@ -142,8 +142,8 @@
 impl Replica {
     /// Creates a replica from the recovered state of its store.
     ///
-    /// `tick` is the time between two calls of [`Replica::tick`]. `process_nonce` is a random number that distinguishes the
-    /// proposals of this process from those of earlier ones.
+    /// `tick` is the time between two calls of [`Replica::tick`]. `process_nonce` is a random number that distinguishes
+    /// the proposals of this process from those of earlier processes.
     ///
     /// # Errors
     /// Returns [`CoordinatorError::UnsupportedFormat`] if a later version wrote the snapshot, and
@@ -208,7 +208,7 @@
         self.supported_version = version;
     }
 
-    /// Sets whether [`Output::Applied`] carries a digest of the state, which takes time.
+    /// Sets whether [`Output::Applied`] carries a digest of the state. Off by default, because computing it takes time.
     pub fn enable_digests(&mut self, enabled: bool) {
         self.digests_enabled = enabled;
     }
@@ -221,7 +221,7 @@
     /// Advances the time by one tick.
     ///
     /// # Errors
-    /// Returns an error if the replica has to stop.
+    /// Returns an error if the replica must stop.
     pub fn tick(&mut self, now: Micros) -> Result<(), CoordinatorError> {
         self.raw_node.tick();
         self.abandon_expired_round(now);
@@ -230,7 +230,8 @@
         self.advance(now)
     }
 
-    /// Proposes due commands, processes what Raft has ready, and responds to waiting clients, until nothing is left to do.
+    /// Proposes due commands, processes Raft's ready state, and responds to waiting clients, until nothing is left to
+    /// do.
     fn advance(&mut self, now: Micros) -> Result<(), CoordinatorError> {
         loop {
             self.start_read_index_round(now);
@@ -240,7 +241,7 @@
             }
             self.process_ready(now)?;
             self.update_leadership(now);
-            self.reply_to_confirmed_renewals(now);
+            self.respond_to_confirmed_renewals(now);
         }
         self.compact_log_if_due()?;
         self.notify_of_changed_view();
@@ -256,7 +257,7 @@
     }
 
     fn propose_permit_expirations(&mut self, now: Micros) {
-        // Until the proposal is applied its permit remains due: it is not proposed again at once.
+        // A permit remains due until its proposed expiry is applied, so the expiry is not proposed again at once.
         if now.saturating_sub(self.permit_expiry_proposed_at) <= self.timing.heartbeat_interval {
             return;
         }
--- a/crates/coordinator/src/replica/peers.rs
+++ b/crates/coordinator/src/replica/peers.rs
@@ -18,14 +18,14 @@
     /// The peer is rejected. This replica continues.
     #[error("{0}")]
     Rejected(HandshakeRejection),
-    /// This replica has to stop.
+    /// This replica must stop.
     #[error(transparent)]
     Failed(#[from] CoordinatorError),
 }
 
 /// Identities and protocol versions of the peers.
 pub(super) struct PeerRegistry {
-    /// Identities of their stores, by the number of the peer.
+    /// Identities of the peers' stores, by the number of the peer.
     identities: BTreeMap<u64, StoreIdentity>,
     /// Message version of each peer in its last handshake with this process.
     protocol_versions: BTreeMap<u64, u16>,
@@ -62,7 +62,7 @@
         self.unsaved.push(changed);
     }
 
-    /// Returns the recorded identity of a peer, or one without starts for an unseen store.
+    /// Returns the recorded identity of a peer; if there is none, the claimed one with 0 starts and term 0.
     fn recorded(&self, claimed: StoreIdentity) -> StoreIdentity {
         let unseen_store = StoreIdentity { start_count: 0, raft_term: 0, ..claimed };
         self.identities.get(&claimed.replica_id).copied().unwrap_or(unseen_store)
@@ -70,7 +70,7 @@
 }
 
 /// Rejects a store that is not the recorded one, or an old copy of it with fewer starts or a lower term.
-/// `committed_start_count` is the number of its starts according to the log.
+/// `committed_start_count` is the store's number of starts according to the log.
 fn check_identity(
     claimed: StoreIdentity,
     recorded: StoreIdentity,
@@ -87,11 +87,11 @@
 }
 
 impl Replica {
-    /// Accepts a peer with this message version. The identity of its store is persisted before.
+    /// Accepts a peer with this message version, after persisting the identity of its store.
     ///
     /// # Errors
-    /// Returns [`HandshakeError::Rejected`] if the peer is unknown, has another store than before, or an old copy of it;
-    /// [`HandshakeError::Failed`] if the store of this replica cannot be written.
+    /// Returns [`HandshakeError::Rejected`] if the peer is unknown, has another store than the recorded one, or an
+    /// old copy of it; [`HandshakeError::Failed`] if the store of this replica cannot be written.
     pub fn accept_peer(
         &mut self,
         identity: StoreIdentity,
@@ -115,13 +115,15 @@
     }
 
     fn is_known_peer(&self, peer: u64) -> bool {
-        // A joining replica has no configuration yet; the others know it once its addition is committed.
+        // A joining replica has no configuration yet and accepts all peers. They know it once its addition is
+        // committed.
         let is_joining = self.configuration == ConfState::default();
         let votes_or_learns = self.raw_node.raft.prs().iter().any(|(id, _)| *id == peer);
         is_joining || votes_or_learns || self.state.added_replicas().contains_key(&peer)
     }
 
-    /// Proposes the start counts of all stores, so that replicas that were not connected learn them from the log.
+    /// Proposes the start counts of all stores, so that replicas that were not connected to a peer learn its start
+    /// count from the log.
     pub(super) fn propose_start_counts(&mut self) {
         if !self.is_leader() {
             return;
@@ -142,7 +144,7 @@
     /// Passes a message of an accepted peer to Raft.
     ///
     /// # Errors
-    /// Returns an error if the replica has to stop.
+    /// Returns an error if the replica must stop.
     pub fn receive_raft_message(
         &mut self,
         peer: u64,
--- a/crates/coordinator/src/replica/proposals.rs
+++ b/crates/coordinator/src/replica/proposals.rs
@@ -24,7 +24,8 @@
     pub(super) proposed_at: Micros,
 }
 
-/// Context of an entry or a read index in Raft, by which a process recognizes its own. These bytes are in the log.
+/// Context that Raft carries with an entry or a read-index round, by which a process recognizes its own requests. The
+/// encoded context is stored in the log.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(super) struct RequestContext {
     process_nonce: u64,
@@ -64,7 +65,7 @@
         RequestContext { process_nonce: self.process_nonce, request: self.last_request }
     }
 
-    /// Returns the number of the request with this context, if it is one of this process.
+    /// Returns the number of the request with this context, if this process made the request.
     pub(super) fn own_request(&self, context: &[u8]) -> Option<u64> {
         let context: RequestContext = postcard::from_bytes(context).ok()?;
         (context.process_nonce == self.process_nonce).then_some(context.request)
@@ -87,7 +88,8 @@
 }
 
 impl Replica {
-    /// Proposes a command for which no client waits. A failed proposal is ignored: callers propose again what remains due.
+    /// Proposes a command for which no client waits. A failed proposal is ignored, because callers propose again what
+    /// is still due.
     pub(super) fn propose_without_client(&mut self, command: &Command) {
         let _ = self.raw_node.propose(Vec::new(), command.encode());
     }
--- a/crates/coordinator/src/replica/read_index.rs
+++ b/crates/coordinator/src/replica/read_index.rs
@@ -1,5 +1,5 @@
-//! Renewals of sessions. They are not written to the log, but only the leader may confirm them: a read-index round lets a
-//! majority confirm the leadership, and the renewals of the round succeed once its read index is applied.
+//! Renewals of sessions. They are not written to the log, but only the leader may confirm them. A read-index round lets
+//! a majority confirm the leadership, and the renewals of the round succeed once its read index is applied.
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,7 @@
 use super::proposals::Requester;
 use super::{status, Replica};
 
-/// Renewal without a response so far.
+/// Renewal that has no response yet.
 pub(super) struct PendingRenewal {
     pub(super) requester: Requester,
     pub(super) session: SessionId,
@@ -34,7 +34,7 @@
     renewals: Vec<PendingRenewal>,
 }
 
-/// Renewals without a response so far.
+/// Renewals that have no response yet.
 #[derive(Default)]
 pub(super) struct RenewalQueue {
     /// Renewals of the next round.
@@ -83,7 +83,7 @@
             return;
         }
         for renewal in self.renewals.round.take().into_iter().flat_map(|round| round.renewals) {
-            self.reply(renewal.requester, Response::Busy);
+            self.respond(renewal.requester, Response::Busy);
         }
     }
 
@@ -101,18 +101,18 @@
     }
 
     /// Responds to the renewals whose read index is applied.
-    pub(super) fn reply_to_confirmed_renewals(&mut self, now: Micros) {
+    pub(super) fn respond_to_confirmed_renewals(&mut self, now: Micros) {
         let applied = self.state.revision();
         while self.renewals.confirmed.front().is_some_and(|confirmed| confirmed.read_index <= applied) {
             let Some(confirmed) = self.renewals.confirmed.pop_front() else { return };
             for renewal in confirmed.renewals {
                 let Some(response) = self.renewal_response(&renewal, now) else { return };
-                self.reply(renewal.requester, response);
+                self.respond(renewal.requester, response);
             }
         }
     }
 
-    /// Builds the response to a confirmed renewal; returns `None` if this replica does not lead any more.
+    /// Builds the response to a confirmed renewal; returns `None` if this replica no longer leads.
     fn renewal_response(&mut self, renewal: &PendingRenewal, now: Micros) -> Option<Response> {
         let leader_state = self.leader_state.as_mut()?;
         let renewed = leader_state.renew_session(renewal.session, renewal.known_view, now, &self.state);
--- a/crates/coordinator/src/replica/requests.rs
+++ b/crates/coordinator/src/replica/requests.rs
@@ -20,7 +20,7 @@
     /// Handles the request of a client. The response follows as [`Output::SendToClient`], now or after a later call.
     ///
     /// # Errors
-    /// Returns an error if the replica has to stop.
+    /// Returns an error if the replica must stop.
     pub fn handle_request(
         &mut self,
         connection: ConnectionId,
@@ -30,16 +30,16 @@
         let requester = Requester { connection, request_id: request.id };
         if let Operation::Status = request.operation {
             let status = self.status();
-            self.reply(requester, Response::Status(Box::new(status)));
+            self.respond(requester, Response::Status(Box::new(status)));
             return Ok(());
         }
         if !self.is_leader() {
             let response = self.not_leader_response();
-            self.reply(requester, response);
+            self.respond(requester, response);
             return Ok(());
         }
         if self.proposals.len() + self.renewals.queued() >= MAX_PENDING_REQUESTS {
-            self.reply(requester, Response::Busy);
+            self.respond(requester, Response::Busy);
             return Ok(());
         }
         self.handle_as_leader(requester, request.operation, now);
@@ -67,9 +67,9 @@
             }
             Operation::ChangeDisruptionState(change) => self.change_disruption_state(requester, change, now),
             Operation::DisruptionState { known_revision } => {
-                self.reply_with_disruption_state(requester, known_revision)
+                self.respond_with_disruption_state(requester, known_revision)
             }
-            // Handled before, since followers respond too.
+            // Handled by `handle_request`, because followers respond too.
             Operation::Status => {}
         }
     }
@@ -84,7 +84,7 @@
         self.leader_state.as_ref().is_some_and(|leader| leader.is_short_session(name, now, &self.state))
     }
 
-    /// Ends the term with this token; without one, the running term.
+    /// Ends the term of a lease with this token, or its running term if no token is given.
     fn release_lease(&mut self, requester: Requester, id: LeaseId, token: Option<FencingToken>, now: Micros) {
         let lease = self.state.leases().get(&id);
         let running = lease.and_then(|lease| lease.holder).map(|holder| holder.token);
@@ -94,13 +94,13 @@
                 &Command::ReleaseLease { lease: id, token, reset_stability: true },
                 now,
             ),
-            None => self.reply(requester, Response::Rejected(CommandRejection::NotLeaseHolder)),
+            None => self.respond(requester, Response::Rejected(CommandRejection::NotLeaseHolder)),
         }
     }
 
     fn replace(&mut self, requester: Requester, old: u64, new: u64, address: String, now: Micros) {
         match self.replacement_rejection(old, new) {
-            Some(reason) => self.reply(requester, Response::Rejected(reason)),
+            Some(reason) => self.respond(requester, Response::Rejected(reason)),
             None => self.propose(requester, &Command::ReplaceReplica { old, new, address }, now),
         }
     }
@@ -109,16 +109,16 @@
         match self.voter_without_permits() {
             Some(voter) => {
                 let reason = format!("replica {voter} runs a version that does not support permits");
-                self.reply(requester, Response::Rejected(CommandRejection::InvalidReplacement(reason)));
+                self.respond(requester, Response::Rejected(CommandRejection::InvalidReplacement(reason)));
             }
             None => self.propose(requester, &Command::Disruption(change), now),
         }
     }
 
-    fn reply_with_disruption_state(&mut self, requester: Requester, known_revision: Revision) {
+    fn respond_with_disruption_state(&mut self, requester: Requester, known_revision: Revision) {
         let revision = self.state.disruption_revision();
         let state = (revision > known_revision).then(|| Box::new(self.state.disruption().clone()));
-        self.reply(requester, Response::DisruptionState { revision, state });
+        self.respond(requester, Response::DisruptionState { revision, state });
     }
 
     /// Returns a voter whose version does not support permits: an unsupported command would stop it.
@@ -140,12 +140,17 @@
             Ok(()) => {
                 self.proposals.insert(context, PendingProposal { requester, proposed_at: now });
             }
-            Err(_) => self.reply(requester, Response::Busy),
+            Err(_) => self.respond(requester, Response::Busy),
         }
     }
 
     /// Responds to the client whose command was applied.
-    pub(super) fn reply_to_proposal(&mut self, requester: Requester, outcome: &CommandOutcome, now: Micros) {
+    pub(super) fn respond_to_proposal(
+        &mut self,
+        requester: Requester,
+        outcome: &CommandOutcome,
+        now: Micros,
+    ) {
         let response = match outcome {
             CommandOutcome::SessionOpened { session, incarnation } => {
                 self.session_opened_response(requester.connection, *session, *incarnation, now)
@@ -159,7 +164,7 @@
             }
             _ => Response::Done,
         };
-        self.reply(requester, response);
+        self.respond(requester, response);
     }
 
     /// Builds the response to a member that opened a session. It starts the session's lease, so only a leader sends it.
@@ -181,7 +186,7 @@
         }
     }
 
-    pub(super) fn reply(&mut self, requester: Requester, response: Response) {
+    pub(super) fn respond(&mut self, requester: Requester, response: Response) {
         let Requester { connection, request_id } = requester;
         let message = CoordinatorMessage::Response { id: request_id, response };
         self.outputs.push(Output::SendToClient { connection, message });
--- a/crates/coordinator/src/server/event_loop.rs
+++ b/crates/coordinator/src/server/event_loop.rs
@@ -77,7 +77,7 @@
         Ok(())
     }
 
-    /// Transfers the leadership, if this replica has it, within this time.
+    /// Transfers the leadership, if this replica has it, and waits at most `timeout` for another leader.
     pub(super) async fn shut_down(
         &mut self,
         sources: &mut Sources,
@@ -194,10 +194,10 @@
 /// Handles a rejection by a peer.
 ///
 /// # Errors
-/// Returns [`CoordinatorError::StaleDisk`] if the store of this replica is another one or an old copy.
+/// Returns [`CoordinatorError::StaleStore`] if the store of this replica is another one or an old copy.
 fn handle_rejection(peer: u64, rejection: HandshakeRejection) -> Result<(), CoordinatorError> {
     if matches!(rejection, HandshakeRejection::StaleStore { .. } | HandshakeRejection::StoreMismatch) {
-        return Err(CoordinatorError::StaleDisk { peer, rejection });
+        return Err(CoordinatorError::StaleStore { peer, rejection });
     }
     tracing::error!(replica = peer, reason = %rejection, "handshake rejected by peer");
     Ok(())
--- a/crates/coordinator/src/server/mod.rs
+++ b/crates/coordinator/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! Server: a replica with sockets and a clock. One task owns the replica and receives everything through one event queue.
+//! Server: a replica with sockets and a clock. One task owns the replica and receives all events through one queue.
 //!
 //! | module | concern |
 //! | --- | --- |
@@ -68,7 +68,7 @@
 /// Serves until SIGTERM.
 ///
 /// # Errors
-/// Returns an error if the replica cannot start or has to stop.
+/// Returns an error if the replica cannot start or must stop.
 pub async fn serve(config: &Config, serve: &ServeConfig, recorder: Recorder) -> Result<(), CoordinatorError> {
     let tick = (config.timing.heartbeat_interval / 2).clamp(MIN_TICK, MAX_TICK);
     let replica = open_replica(config, serve, &recorder, tick)?;
--- a/crates/coordinator/src/server/peer_link.rs
+++ b/crates/coordinator/src/server/peer_link.rs
@@ -14,8 +14,8 @@
 
 use super::Event;
 
-/// Range of the random delay before a reconnect, in milliseconds, so that replicas that were partitioned together do not
-/// reconnect together.
+/// Range of the random delay before a reconnect, in milliseconds. It is random so that replicas that were partitioned
+/// together do not reconnect together.
 const RECONNECT_DELAY_MS: std::ops::RangeInclusive<u64> = 20..=100;
 /// Additional delay after the peer rejected the handshake.
 const REJECTED_DELAY: Duration = Duration::from_secs(1);
--- a/crates/coordinator/src/store/bootstrap.rs
+++ b/crates/coordinator/src/store/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Creation of the store of a replica, once in its life.
+//! Creation of the store of a replica, once, before its first start.
 
 use std::fs::File;
 use std::path::Path;
@@ -40,8 +40,8 @@
     create(directory, &header(installation, replica_id, store_id), &snapshot)
 }
 
-/// Creates the store of a replica that joins a running installation. It has no state and does not vote; it receives the
-/// log once the other replicas have agreed to add it.
+/// Creates the store of a replica that joins a running installation. The replica has no state and does not vote; it
+/// receives the log once the other replicas have agreed to add it.
 ///
 /// # Errors
 /// Returns [`StoreError::AlreadyExists`], or another [`StoreError`] if the store cannot be written.
--- a/crates/coordinator/src/store/error.rs
+++ b/crates/coordinator/src/store/error.rs
@@ -6,7 +6,7 @@
 /// Error of creating, opening or writing a store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// There is no store in the directory. Create one, once in the life of a replica.
+    /// There is no store in the directory. It is created once, before the first start of a replica.
     #[error(
         "{}: there is no store. A replica does not start without its store, since it could vote twice. For a new \
          installation run `coordinator bootstrap`; a replica that lost its store is replaced by a new one \
--- a/crates/coordinator/src/store/mod.rs
+++ b/crates/coordinator/src/store/mod.rs
@@ -20,7 +20,7 @@
 use format::{StoreHeader, LOG_TABLE, META_TABLE, PEERS_TABLE, STORE_FORMAT};
 
 const LOCK_FILE: &str = "keeper.lock";
-/// Copy of the store that a start opens.
+/// Copy of the store that a start opens, and that then replaces the store.
 const OPENING_FILE: &str = "keeper.open";
 
 /// Content of the store at the start.
@@ -51,7 +51,7 @@
 pub struct WriteBatch<'a> {
     /// Term, vote and commit index.
     pub hard_state: Option<&'a HardState>,
-    /// New entries; they replace all entries from the first of them on.
+    /// New entries; they replace all stored ones from the first new entry's index on.
     pub entries: &'a [Entry],
     /// New snapshot.
     pub snapshot: Option<SnapshotWrite<'a>>,
@@ -93,8 +93,8 @@
             return Err(StoreError::Missing { file });
         }
         let lock = lock(directory)?;
-        // Opening repairs the file after a crash. If a write fails meanwhile, as on a full disk, redb marks a damaged file as
-        // intact. So a copy is opened, which is removed on failure, and the store remains unchanged.
+        // Opening repairs the file after a crash. If a write fails during the repair, as on a full disk, redb marks the
+        // damaged file as intact. A copy is opened instead, which is removed on failure: the store remains unchanged.
         let copy = directory.join(OPENING_FILE);
         let opened = Store::open_copy(&file, &copy, lock, installation, replica_id);
         if opened.is_err() {
@@ -184,7 +184,7 @@
     /// Writes the batch in one transaction, which is durable when this returns.
     ///
     /// # Errors
-    /// Returns an error if the disk is full or broken. The replica has to stop then, because it cannot persist what it
+    /// Returns an error if the disk is full or faulty. The replica must then stop, because it cannot persist what it
     /// promises to its peers.
     pub fn write(&self, batch: &WriteBatch<'_>) -> Result<(), StoreError> {
         let transaction = self.database.begin_write()?;
@@ -214,7 +214,7 @@
     Ok(())
 }
 
-/// Writes entries in place of all from the first of them on.
+/// Writes entries in place of all stored ones from the first new entry's index on.
 fn write_entries(transaction: &WriteTransaction, entries: &[Entry]) -> Result<(), StoreError> {
     let Some(first) = entries.first() else { return Ok(()) };
     let mut log = transaction.open_table(LOG_TABLE)?;
--- a/crates/coordinator/tests/cluster/agreement.rs
+++ b/crates/coordinator/tests/cluster/agreement.rs
@@ -1,4 +1,4 @@
-//! Sessions, leases and tokens while coordinators are lost, restarted or cut off.
+//! Sessions, leases and tokens while replicas are lost, restarted or partitioned.
 
 use cluster_member::wire::{
     CoordinatorMessage, HandshakeRejection, Operation, Request, Response, StoreIdentity,
@@ -14,37 +14,37 @@
     let mut cluster = Cluster::new();
     let (a, b) = (cluster.join("a", 1), cluster.join("b", 2));
     cluster.keep_alive(&[a, b], 2_000_000);
-    let (owner, token) = cluster.last_grant();
-    let other = if owner == a { b } else { a };
+    let (holder, token) = cluster.last_grant();
+    let other = if holder == a { b } else { a };
     let leader = cluster.leader();
     cluster.replicas.remove(&leader);
     let started = cluster.now;
     while cluster.last_grant().1 == token {
-        assert!(cluster.now - started < 3_000_000, "no next owner within 3 s");
+        assert!(cluster.now - started < 3_000_000, "no other holder within 3 s");
         cluster.renew(other);
         cluster.advance(TICK);
     }
     let lease = Timing::default().lease_duration;
-    assert!(cluster.now - started > lease, "the new leader gives the running lease its full time");
+    assert!(cluster.now - started > lease, "the new leader granted the lease before its duration had passed");
     assert_eq!(cluster.last_grant().0, other);
-    // The old leader comes back and agrees on the same.
+    // The restarted old leader must have the same leases as the new one.
     cluster.start(leader);
     cluster.keep_alive(&[other], 1_000_000);
-    let now = cluster.leader();
-    assert_eq!(cluster.replicas[&leader].status().leases, cluster.replicas[&now].status().leases);
+    let new_leader = cluster.leader();
+    assert_eq!(cluster.replicas[&leader].status().leases, cluster.replicas[&new_leader].status().leases);
 }
 
 #[test]
-fn tokens_and_sessions_survive_a_restart_of_all_coordinators() {
+fn tokens_and_sessions_survive_a_restart_of_all_replicas() {
     let mut cluster = Cluster::new();
     let a = cluster.join("a", 1);
     cluster.keep_alive(&[a], 2_000_000);
     let (_, token) = cluster.last_grant();
     cluster.replicas.clear();
-    (1..=3).for_each(|coordinator| cluster.start(coordinator));
+    (1..=3).for_each(|replica_id| cluster.start(replica_id));
     assert!(
         matches!(cluster.renew(a), Response::SessionRenewed { .. }),
-        "the session has its full time again"
+        "the session did not survive the restart"
     );
     cluster.request(Operation::ReleaseLease { lease: LeaseId::fleet("list"), token: Some(token) });
     cluster.keep_alive(&[a], 2_000_000);
@@ -59,42 +59,41 @@
     let mut cluster = Cluster::new();
     let a = cluster.join("a", 1);
     let leader = cluster.leader();
-    let mut cut = cluster.replicas.remove(&leader).unwrap();
+    let mut isolated = cluster.replicas.remove(&leader).unwrap();
     let request = Request {
         id: 1,
         operation: Operation::RenewSession { session: a, known_view: 0, known_members: None },
     };
-    cut.handle_request(7, request, cluster.now).unwrap();
+    isolated.handle_request(7, request, cluster.now).unwrap();
     for tick in 1..100 {
-        cut.tick(cluster.now + tick * TICK).unwrap();
-        let said: Vec<Response> = cut
+        isolated.tick(cluster.now + tick * TICK).unwrap();
+        let responses: Vec<Response> = isolated
             .take_outputs()
             .into_iter()
             .filter_map(|output| match output {
-                Output::SendToClient {
-                    message: CoordinatorMessage::Response { response: answer, .. },
-                    ..
-                } => Some(answer),
+                Output::SendToClient { message: CoordinatorMessage::Response { response, .. }, .. } => {
+                    Some(response)
+                }
                 _ => None,
             })
             .collect();
         assert!(
-            said.iter().all(|answer| matches!(answer, Response::Busy | Response::NotLeader { .. })),
-            "{said:?}"
+            responses.iter().all(|response| matches!(response, Response::Busy | Response::NotLeader { .. })),
+            "{responses:?}"
         );
-        if !said.is_empty() {
+        if !responses.is_empty() {
             return;
         }
     }
-    panic!("it never said that it cannot");
+    panic!("the isolated leader did not respond");
 }
 
 #[test]
-fn lagging_coordinator_catches_up_from_a_snapshot_after_compaction() {
+fn lagging_replica_catches_up_from_a_snapshot_after_compaction() {
     let mut cluster = Cluster::new();
     let leader = cluster.leader();
-    let away = if leader == 3 { 2 } else { 3 };
-    cluster.replicas.remove(&away);
+    let lagging = if leader == 3 { 2 } else { 3 };
+    cluster.replicas.remove(&lagging);
     for round in 0..2_200u64 {
         let session = cluster.join("a", round);
         cluster.request(Operation::CloseSession { session });
@@ -107,42 +106,42 @@
         status.first_log_index,
         status.applied_index
     );
-    cluster.start(away);
+    cluster.start(lagging);
     cluster.advance(2_000_000);
     let leader = cluster.leader();
     assert_eq!(
-        cluster.replicas[&away].status().applied_index,
+        cluster.replicas[&lagging].status().applied_index,
         cluster.replicas[&leader].status().applied_index
     );
-    assert_eq!(cluster.replicas[&away].next_token(), cluster.replicas[&leader].next_token());
-    // And from its own disk, after another start.
-    cluster.replicas.remove(&away);
-    cluster.start(away);
-    assert!(cluster.replicas[&away].status().applied_index > 3_000);
+    assert_eq!(cluster.replicas[&lagging].next_token(), cluster.replicas[&leader].next_token());
+    // Another start must recover the received state from the store.
+    cluster.replicas.remove(&lagging);
+    cluster.start(lagging);
+    assert!(cluster.replicas[&lagging].status().applied_index > 3_000);
 }
 
 #[test]
 fn rejects_handshake_of_an_old_copy_of_a_store() {
     let mut cluster = Cluster::new();
     let replica = cluster.replicas.get_mut(&1).unwrap();
-    let fresh = StoreIdentity { replica_id: 2, store_id: 102, start_count: 5, raft_term: 3 };
-    assert_eq!(handshake(replica, fresh), Ok(()));
-    let old = StoreIdentity { start_count: 4, ..fresh };
+    let current = StoreIdentity { replica_id: 2, store_id: 102, start_count: 5, raft_term: 3 };
+    assert_eq!(handshake(replica, current), Ok(()));
+    let old = StoreIdentity { start_count: 4, ..current };
     assert_eq!(handshake(replica, old), Err(HandshakeRejection::StaleStore { start_count: 5, raft_term: 3 }));
-    let older_term = StoreIdentity { start_count: 6, raft_term: 2, ..fresh };
+    let older_term = StoreIdentity { start_count: 6, raft_term: 2, ..current };
     assert_eq!(
         handshake(replica, older_term),
         Err(HandshakeRejection::StaleStore { start_count: 5, raft_term: 3 })
     );
     assert_eq!(
-        handshake(replica, StoreIdentity { store_id: 999, start_count: 9, ..fresh }),
+        handshake(replica, StoreIdentity { store_id: 999, start_count: 9, ..current }),
         Err(HandshakeRejection::StoreMismatch)
     );
     assert_eq!(
-        handshake(replica, StoreIdentity { replica_id: 9, ..fresh }),
+        handshake(replica, StoreIdentity { replica_id: 9, ..current }),
         Err(HandshakeRejection::UnknownReplica)
     );
-    // It knows so after a start, too.
+    // The recorded identity must survive a restart.
     cluster.replicas.remove(&1);
     cluster.start(1);
     let again = handshake(cluster.replicas.get_mut(&1).unwrap(), old);
@@ -150,23 +149,23 @@
 }
 
 #[test]
-fn store_is_created_once_and_opened_only_by_its_coordinator() {
-    let folder = tempfile::tempdir().unwrap();
-    let store = folder.path().join("s");
+fn store_is_created_once_and_opened_only_by_its_replica() {
+    let directory = tempfile::tempdir().unwrap();
+    let store = directory.path().join("s");
     let missing = Store::open(&store, "test", 1).unwrap_err();
     assert!(matches!(missing, StoreError::Missing { .. }), "{missing}");
     assert!(missing.to_string().contains("could vote twice"), "{missing}");
     store::bootstrap(&store, "test", 1, &[1, 2, 3], 1, 5).unwrap();
-    let twice = store::bootstrap(&store, "test", 1, &[1, 2, 3], 1, 5).unwrap_err();
-    assert!(twice.to_string().contains("was not changed"), "{twice}");
-    let other = Store::open(&store, "test", 2).unwrap_err();
-    assert!(other.to_string().contains("not of replica 2"), "{other}");
-    let stranger = Store::open(&store, "elsewhere", 1).unwrap_err();
-    assert!(stranger.to_string().contains("elsewhere"), "{stranger}");
+    let second = store::bootstrap(&store, "test", 1, &[1, 2, 3], 1, 5).unwrap_err();
+    assert!(second.to_string().contains("was not changed"), "{second}");
+    let other_replica = Store::open(&store, "test", 2).unwrap_err();
+    assert!(other_replica.to_string().contains("not of replica 2"), "{other_replica}");
+    let other_installation = Store::open(&store, "elsewhere", 1).unwrap_err();
+    assert!(other_installation.to_string().contains("elsewhere"), "{other_installation}");
     let (_, recovered) = Store::open(&store, "test", 1).unwrap();
     assert_eq!(
         (recovered.identity.start_count, recovered.identity.store_id),
         (1, 5),
-        "starts that failed do not count"
+        "failed starts must not count"
     );
 }
--- a/crates/coordinator/tests/cluster/harness.rs
+++ b/crates/coordinator/tests/cluster/harness.rs
@@ -1,4 +1,4 @@
-//! Three replicas with stores and a clock of the test's own: no sockets, no real time, every message passed by hand.
+//! Three replicas with real stores, without sockets: the test advances a simulated clock and delivers each message.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -11,19 +11,21 @@
 use coordinator::store::{self, Store};
 use coordinator::CoordinatorError;
 
+/// Tick interval, in microseconds.
 pub const TICK: u64 = 40_000;
 
 pub struct Cluster {
-    folder: tempfile::TempDir,
+    directory: tempfile::TempDir,
     pub replicas: BTreeMap<u64, Replica>,
     pub now: u64,
     responses: Vec<Response>,
     pub granted: Vec<(SessionId, FencingToken)>,
+    /// Digest of the state after each entry, which must be the same at all replicas.
     digests: BTreeMap<u64, u64>,
-    next: u64,
+    last_id: u64,
 }
 
-/// What a replica says to a peer with this identity.
+/// Returns the result of the handshake of a peer with this identity.
 pub fn handshake(replica: &mut Replica, identity: StoreIdentity) -> Result<(), HandshakeRejection> {
     match replica.accept_peer(identity, SCHEMA_VERSION) {
         Ok(()) => Ok(()),
@@ -35,43 +37,36 @@
 impl Cluster {
     pub fn new() -> Cluster {
         let mut cluster = Cluster {
-            folder: tempfile::tempdir().unwrap(),
+            directory: tempfile::tempdir().unwrap(),
             replicas: BTreeMap::new(),
             now: 0,
             responses: Vec::new(),
             granted: Vec::new(),
             digests: BTreeMap::new(),
-            next: 0,
+            last_id: 0,
         };
-        for coordinator in 1..=3 {
-            store::bootstrap(
-                &cluster.store(coordinator),
-                "test",
-                coordinator,
-                &[1, 2, 3],
-                1,
-                100 + coordinator,
-            )
-            .unwrap();
-            cluster.start(coordinator);
+        for replica_id in 1..=3 {
+            store::bootstrap(&cluster.store(replica_id), "test", replica_id, &[1, 2, 3], 1, 100 + replica_id)
+                .unwrap();
+            cluster.start(replica_id);
         }
         cluster
     }
 
-    pub fn store(&self, coordinator: u64) -> PathBuf {
-        self.folder.path().join(coordinator.to_string())
+    pub fn store(&self, replica_id: u64) -> PathBuf {
+        self.directory.path().join(replica_id.to_string())
     }
 
-    pub fn start(&mut self, coordinator: u64) {
-        let (store, recovered) = Store::open(&self.store(coordinator), "test", coordinator).unwrap();
-        self.next += 1;
+    pub fn start(&mut self, replica_id: u64) {
+        let (store, recovered) = Store::open(&self.store(replica_id), "test", replica_id).unwrap();
+        self.last_id += 1;
         let mut replica =
-            Replica::new(store, recovered, Timing::default(), TICK, coordinator << 32 | self.next).unwrap();
+            Replica::new(store, recovered, Timing::default(), TICK, replica_id << 32 | self.last_id).unwrap();
         replica.enable_digests(true);
-        self.replicas.insert(coordinator, replica);
+        self.replicas.insert(replica_id, replica);
     }
 
-    /// Lets so much time pass, and delivers every message between the keepers that are there.
+    /// Advances the clock and delivers all messages between the running replicas.
     pub fn advance(&mut self, micros: u64) {
         let end = self.now + micros;
         while self.now < end {
@@ -84,27 +79,27 @@
     }
 
     pub fn deliver(&mut self) {
-        assert!(self.deliver_until_idle().is_empty(), "a keeper was replaced");
+        assert!(self.deliver_until_idle().is_empty(), "a replica was replaced");
     }
 
-    /// Delivers all messages; returns who ended because another took its place.
+    /// Delivers all messages until there are none. Returns the replicas that stopped because they were replaced.
     pub fn deliver_until_idle(&mut self) -> Vec<u64> {
         let mut replaced = Vec::new();
         loop {
             let mut messages = Vec::new();
-            for (coordinator, replica) in &mut self.replicas {
+            for (replica_id, replica) in &mut self.replicas {
                 for output in replica.take_outputs() {
                     match output {
-                        Output::SendToPeer(message) => messages.push((*coordinator, message)),
+                        Output::SendToPeer(message) => messages.push((*replica_id, message)),
                         Output::SendToClient {
-                            message: CoordinatorMessage::Response { response: answer, .. },
+                            message: CoordinatorMessage::Response { response, .. },
                             ..
-                        } => self.responses.push(answer),
+                        } => self.responses.push(response),
                         Output::Applied { index, outcome, digest, .. } => {
-                            let known = self.digests.entry(index).or_insert(digest);
-                            assert_eq!(*known, digest, "entry {index} at coordinator {coordinator}");
-                            if let CommandOutcome::LeaseGranted { holder: owner, .. } = outcome {
-                                self.granted.push((owner.session, owner.token));
+                            let first = self.digests.entry(index).or_insert(digest);
+                            assert_eq!(*first, digest, "entry {index} at replica {replica_id}");
+                            if let CommandOutcome::LeaseGranted { holder, .. } = outcome {
+                                self.granted.push((holder.session, holder.token));
                             }
                         }
                         Output::SendToClient { .. }
@@ -125,7 +120,7 @@
                         self.replicas.remove(&to);
                         replaced.push(to);
                     }
-                    Err(stop) => panic!("keeper {to}: {stop}"),
+                    Err(error) => panic!("replica {to}: {error}"),
                 }
             }
         }
@@ -133,46 +128,46 @@
 
     pub fn leader(&mut self) -> u64 {
         for _ in 0..100 {
-            if let Some((coordinator, _)) = self.replicas.iter().find(|(_, replica)| replica.is_leader()) {
-                return *coordinator;
+            if let Some((replica_id, _)) = self.replicas.iter().find(|(_, replica)| replica.is_leader()) {
+                return *replica_id;
             }
             self.advance(TICK);
         }
-        panic!("nobody leads after 4 s");
+        panic!("no replica leads after 4 s");
     }
 
     pub fn request(&mut self, operation: Operation) -> Response {
         let leader = self.leader();
-        self.next += 1;
+        self.last_id += 1;
         self.responses.clear();
-        let request = Request { id: self.next, operation };
+        let request = Request { id: self.last_id, operation };
         self.replicas.get_mut(&leader).unwrap().handle_request(7, request, self.now).unwrap();
         for _ in 0..20 {
             self.deliver();
-            if let Some(answer) = self.responses.pop() {
-                return answer;
+            if let Some(response) = self.responses.pop() {
+                return response;
             }
             self.advance(TICK);
         }
-        panic!("no answer");
+        panic!("no response");
     }
 
-    pub fn join(&mut self, name: &str, boot: u64) -> SessionId {
-        let offers = vec![LeaseId::fleet("list")];
+    pub fn join(&mut self, name: &str, boot_id: u64) -> SessionId {
+        let eligible_leases = vec![LeaseId::fleet("list")];
         let (zone, address) = (String::new(), String::new());
         match self.request(Operation::OpenSession {
             name: name.to_owned(),
-            boot_id: boot,
+            boot_id,
             zone,
             address,
-            eligible_leases: offers,
+            eligible_leases,
         }) {
             Response::SessionOpened { session, .. } => session,
             other => panic!("{other:?}"),
         }
     }
 
-    /// Renews a session, as of a member that has seen all that there is.
+    /// Renews a session for a member that already has the latest view.
     pub fn renew(&mut self, session: SessionId) -> Response {
         self.request(Operation::RenewSession { session, known_view: u64::MAX, known_members: Some(0) })
     }
@@ -202,8 +197,8 @@
         self.request(Operation::ReplaceReplica { old, new, address: "127.0.0.1:7104".into() })
     }
 
-    /// Lets time pass until these vote, and nobody is being replaced.
-    pub fn until_voters(&mut self, wanted: &[u64]) {
+    /// Advances the clock until the voters are `wanted` and no replacement is in progress.
+    pub fn advance_until_voters(&mut self, wanted: &[u64]) {
         for _ in 0..500 {
             let leader = self.leader();
             let status = self.replicas[&leader].status();
--- a/crates/coordinator/tests/cluster/main.rs
+++ b/crates/coordinator/tests/cluster/main.rs
@@ -1,4 +1,4 @@
-//! Coordinators as values: what they agree on while some of them are lost, replaced or cut off.
+//! Replicas in one process, with a simulated clock and network: agreement while some are lost, replaced or partitioned.
 
 mod agreement;
 mod harness;
--- a/crates/coordinator/tests/compatibility/command_line.rs
+++ b/crates/coordinator/tests/compatibility/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: usage, and what each command prints for fixed answers of the coordinators.
+//! Command line: the usage, and the output of each subcommand for scripted responses of the replicas.
 
 use cluster_member::wire::{
     HandshakeRejection, LeaseStatus, MemberStatus, Operation, Peer, ReplicaStarts, ReplicaStatus, Response,
@@ -11,26 +11,20 @@
 
 use crate::support::{report, run_program, Installation, Script};
 
-const ACCOUNT_REVISION: Revision = 12;
+const DISRUPTION_REVISION: Revision = 12;
 
-fn member(session: u64, name: &str, settled: bool, superseded: bool) -> MemberStatus {
+fn member(session: u64, name: &str, stable: bool, superseded: bool) -> MemberStatus {
     let peer = Peer {
         name: name.to_owned(),
         incarnation: session + 1,
         zone: "east".to_owned(),
         address: format!("192.0.2.{session}:7200"),
     };
-    MemberStatus {
-        session: SessionId(session),
-        peer,
-        stable: settled,
-        superseded,
-        consecutive_short_sessions: 2,
-    }
+    MemberStatus { session: SessionId(session), peer, stable, superseded, consecutive_short_sessions: 2 }
 }
 
-/// A status in which no two values are the same.
-fn leading() -> ReplicaStatus {
+/// Returns the status of a leader. Its values differ, so that exchanged values would show in the output.
+fn leader_status() -> ReplicaStatus {
     ReplicaStatus {
         replica_id: 1,
         is_leader: true,
@@ -74,15 +68,15 @@
     }
 }
 
-fn following() -> ReplicaStatus {
-    let (members, duties) = (Vec::new(), Vec::new());
+fn follower_status() -> ReplicaStatus {
+    let (members, leases) = (Vec::new(), Vec::new());
     ReplicaStatus {
         replica_id: 2,
         is_leader: false,
         applied_index: 1_190,
         members,
-        leases: duties,
-        ..leading()
+        leases,
+        ..leader_status()
     }
 }
 
@@ -105,9 +99,9 @@
     Budget { name: name.to_owned(), kind, scope, max_unavailable, min_available }
 }
 
-/// One permit of each state, budgets of each kind, targets of each condition.
-fn account() -> DisruptionState {
-    let ask = |name: &str, force| DisruptionCommand::RequestPermit {
+/// Returns a state with permits in each state, budgets of different scopes, and targets of each availability.
+fn disruption_state() -> DisruptionState {
+    let request = |name: &str, force| DisruptionCommand::RequestPermit {
         target: target(TargetKind::Worker, name),
         reason: "release 7".to_owned(),
         requester: "shop a".to_owned(),
@@ -140,28 +134,30 @@
             changed: targets,
             removed: Vec::new(),
         },
-        ask("w1", true),
+        request("w1", true),
         DisruptionCommand::BeginPermit { permit: 3, incarnation: 4 },
         DisruptionCommand::CompletePermit { permit: 3 },
-        ask("w3", true),
-        ask("w5", false),
+        request("w3", true),
+        request("w5", false),
     ];
-    let mut account = DisruptionState::default();
+    let mut state = DisruptionState::default();
     for (index, change) in (1..).zip(&changes) {
-        let outcome = account.apply(index, change);
+        let outcome = state.apply(index, change);
         assert!(!matches!(outcome, DisruptionOutcome::Rejected(_)), "{change:?}: {outcome:?}");
     }
-    account
+    state
 }
 
-/// The first leads and is asked for its status and the account; other operations get this answer.
-fn installation(answer: Response) -> Installation {
-    Installation::answered_by(move |operation| match operation {
-        Operation::Status => Response::Status(Box::new(leading())),
-        Operation::DisruptionState { .. } => {
-            Response::DisruptionState { revision: ACCOUNT_REVISION, state: Some(Box::new(account())) }
-        }
-        _ => answer.clone(),
+/// Creates an installation whose leader responds with its status and the disruption state, and with `response` to all
+/// other operations.
+fn installation(response: Response) -> Installation {
+    Installation::with_responses(move |operation| match operation {
+        Operation::Status => Response::Status(Box::new(leader_status())),
+        Operation::DisruptionState { .. } => Response::DisruptionState {
+            revision: DISRUPTION_REVISION,
+            state: Some(Box::new(disruption_state())),
+        },
+        _ => response.clone(),
     })
 }
 
@@ -193,8 +189,8 @@
 #[test]
 fn status_members_and_duties() {
     let scripts = [
-        Script::Answers(Box::new(|_| Response::Status(Box::new(leading())))),
-        Script::Answers(Box::new(|_| Response::Status(Box::new(following())))),
+        Script::Responds(Box::new(|_| Response::Status(Box::new(leader_status())))),
+        Script::Responds(Box::new(|_| Response::Status(Box::new(follower_status())))),
         Script::Unreachable,
     ];
     let installation = Installation::new(scripts);
@@ -207,28 +203,28 @@
 }
 
 #[test]
-fn account_as_text_and_as_json() {
+fn account_prints_text_or_json() {
     let installation = installation(Response::Busy);
     let all = format!("{}\n{}", installation.run(&["account"]), installation.run(&["account", "--json"]));
     insta::assert_snapshot!("account", all);
-    let empty = Installation::answered_by(|_| Response::DisruptionState { revision: 3, state: None });
+    let empty = Installation::with_responses(|_| Response::DisruptionState { revision: 3, state: None });
     let all = format!("{}\n{}", empty.run(&["account"]), empty.run(&["account", "--json"]));
     insta::assert_snapshot!("empty_account", all);
 }
 
 #[test]
-fn metrics_in_the_text_form_of_prometheus() {
-    // The settings file is that of the second.
+fn metrics_are_in_the_text_format_of_prometheus() {
+    // The settings file is that of replica 2, whose status is requested.
     let scripts = [
         Script::Unreachable,
-        Script::Answers(Box::new(|_| Response::Status(Box::new(leading())))),
+        Script::Responds(Box::new(|_| Response::Status(Box::new(leader_status())))),
         Script::Unreachable,
     ];
     insta::assert_snapshot!("metrics", Installation::new(scripts).run(&["metrics"]));
 }
 
 #[test]
-fn permit_commands_and_what_they_ask_for() {
+fn permit_subcommands_and_their_requests() {
     let full = [
         "--target",
         "worker/w1",
@@ -242,7 +238,7 @@
         "--number",
         "4",
     ];
-    let answers = [
+    let outcomes = [
         DisruptionOutcome::PermitRequested { permit: 7, state: PermitState::Waiting },
         DisruptionOutcome::PermitRequested { permit: 8, state: PermitState::Waiting },
         DisruptionOutcome::PermitRequested { permit: 3, state: PermitState::Granted },
@@ -252,33 +248,33 @@
         DisruptionOutcome::Rejected(Rejection::NotGranted),
     ];
     let mut all = String::new();
-    for outcome in answers {
+    for outcome in outcomes {
         let installation = installation(Response::DisruptionStateChanged(outcome.clone()));
-        all += &format!("asked: {}\n", installation.run(&[&["permit", "ask"][..], &full].concat()));
+        all += &format!("requested: {}\n", installation.run(&[&["permit", "ask"][..], &full].concat()));
     }
     insta::assert_snapshot!("permit_ask", all);
     let installation = installation(Response::DisruptionStateChanged(DisruptionOutcome::PermitBegun(3)));
     let mut all = String::new();
-    for verb in ["ask", "begin", "done", "void"] {
-        all += &format!("{verb}: {}\n", installation.run(&[&["permit", verb][..], &full].concat()));
+    for operation in ["ask", "begin", "done", "void"] {
+        all += &format!("{operation}: {}\n", installation.run(&[&["permit", operation][..], &full].concat()));
     }
     all += &installation.run(&["permit", "ask", "--target", "dispatcher/d1", "--by", "shop a"]);
     all += &installation.run(&["permit", "begin", "--permit", "3"]);
     insta::assert_snapshot!("permit_verbs", all);
     let (reason, requester) = ("release 7".to_owned(), "shop a".to_owned());
-    let ask = DisruptionCommand::RequestPermit {
+    let forced = DisruptionCommand::RequestPermit {
         target: target(TargetKind::Worker, "w1"),
         reason,
         requester: requester.clone(),
         force: true,
     };
-    let (plain, reason) = (target(TargetKind::Dispatcher, "d1"), String::new());
+    let (other_target, reason) = (target(TargetKind::Dispatcher, "d1"), String::new());
     let changes = [
-        ask,
+        forced,
         DisruptionCommand::BeginPermit { permit: 3, incarnation: 4 },
         DisruptionCommand::CompletePermit { permit: 3 },
         DisruptionCommand::CancelPermit { permit: 3 },
-        DisruptionCommand::RequestPermit { target: plain, reason, requester, force: false },
+        DisruptionCommand::RequestPermit { target: other_target, reason, requester, force: false },
         DisruptionCommand::BeginPermit { permit: 3, incarnation: 0 },
     ];
     let expected: Vec<(u64, Operation)> =
@@ -287,7 +283,7 @@
 }
 
 #[test]
-fn budgets_and_strike_off_and_what_they_ask_for() {
+fn budgets_and_strike_off_and_their_requests() {
     let installation = installation(Response::DisruptionStateChanged(DisruptionOutcome::Applied));
     let file = installation.path("budgets.hcl");
     std::fs::write(&file, "budget \"workers\" {\n  targets = \"workers\"\n  most_out = 1\n}\n").unwrap();
@@ -301,13 +297,13 @@
     let budgets =
         vec![budget("workers", TargetKind::Worker, BudgetScope::Fleet, Some(Amount::Count(1)), None)];
     let target = target(TargetKind::Worker, "w1");
-    let strike =
+    let deregister =
         |by: &str| DisruptionCommand::DeregisterTarget { target: target.clone(), operator: by.to_owned() };
     let changes = [
         DisruptionCommand::SetBudgets { expected_version: 1, budgets: budgets.clone() },
         DisruptionCommand::SetBudgets { expected_version: 9, budgets },
-        strike("an operator"),
-        strike("shop a"),
+        deregister("an operator"),
+        deregister("shop a"),
     ];
     let mut expected: Vec<(u64, Operation)> =
         changes.map(|change| (1, Operation::ChangeDisruptionState(change))).into();
@@ -316,16 +312,16 @@
 }
 
 #[test]
-fn release_duty_and_what_it_asks_for() {
-    let answers = [
+fn release_duty_and_its_requests() {
+    let responses = [
         Response::Done,
         Response::Busy,
         Response::Rejected(CommandRejection::NotLeaseHolder),
         Response::NotLeader { leader: Some(2), address: None },
     ];
     let mut all = String::new();
-    for answer in answers {
-        let installation = installation(answer.clone());
+    for response in responses {
+        let installation = installation(response.clone());
         all += &installation.run(&["release-duty", "--duty", "list"]);
         all += &installation.run(&["release-duty", "--duty", "watch@set/3", "--token", "58"]);
         let expected = [
@@ -344,18 +340,22 @@
 }
 
 #[test]
-fn replace_and_what_it_asks_for() {
+fn replace_and_its_request() {
     let full = ["replace", "--keeper", "3", "--with", "4", "--address", "192.0.2.14:7100"];
-    let refused = installation(Response::Rejected(CommandRejection::InvalidReplacement(
-        "there is no keeper 3".to_owned(),
+    let rejecting = installation(Response::Rejected(CommandRejection::InvalidReplacement(
+        "there is no replica 3".to_owned(),
     )));
-    let mut all = refused.run(&full);
+    let mut all = rejecting.run(&full);
     let expected = Operation::ReplaceReplica { old: 3, new: 4, address: "192.0.2.14:7100".to_owned() };
-    assert_eq!(refused.requests(), [(1, expected)]);
-    let done = Installation::answered_by(|_| {
-        Response::Status(Box::new(ReplicaStatus { voters: vec![1, 2, 4], learners: Vec::new(), ..leading() }))
+    assert_eq!(rejecting.requests(), [(1, expected)]);
+    let replaced = Installation::with_responses(|_| {
+        Response::Status(Box::new(ReplicaStatus {
+            voters: vec![1, 2, 4],
+            learners: Vec::new(),
+            ..leader_status()
+        }))
     });
-    all += &done.run(&full);
+    all += &replaced.run(&full);
     insta::assert_snapshot!("replace", all);
 }
 
@@ -385,14 +385,14 @@
 }
 
 #[test]
-fn no_leader_is_found() {
+fn commands_without_a_leader() {
     let rejecting =
         || Script::Rejects(HandshakeRejection::WrongInstallation { expected: "south".to_owned() });
-    let follows = Script::Answers(Box::new(|operation| match operation {
-        Operation::Status => Response::Status(Box::new(following())),
+    let follower = Script::Responds(Box::new(|operation| match operation {
+        Operation::Status => Response::Status(Box::new(follower_status())),
         _ => Response::NotLeader { leader: None, address: None },
     }));
-    let installation = Installation::new([rejecting(), follows, Script::Unreachable]);
+    let installation = Installation::new([rejecting(), follower, Script::Unreachable]);
     let mut all = String::new();
     for command in ["status", "members", "duties"] {
         all += &format!("{command}: {}", installation.run(&[command]));
@@ -402,9 +402,9 @@
     all += &format!("metrics: {}", unreachable.run(&["metrics"]));
     all += &format!("release-duty: {}", unreachable.run(&["release-duty", "--duty", "list"]));
     insta::assert_snapshot!("no_leader", all);
-    // Which coordinator is named last depends on the time.
+    // The error names the replica that was called last, which depends on timing.
     let account = unreachable.run(&["account"]);
     assert!(account.starts_with("exit 1\n--- stdout\n--- stderr\nPROGRAM: "), "{account}");
-    let advice = ": a majority of the replicas has to run and reach each other\n";
+    let advice = ": a majority of the replicas must run and reach each other\n";
     assert!(account.ends_with(advice), "{account}");
 }
--- a/crates/coordinator/tests/compatibility/exit_codes.rs
+++ b/crates/coordinator/tests/compatibility/exit_codes.rs
@@ -1,4 +1,4 @@
-//! What the program ends with, and says, where it does not start or has to stop.
+//! Exit codes and error texts of the program when it cannot start or must stop.
 
 use std::path::Path;
 
@@ -16,17 +16,17 @@
 const META: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
 const SERVE: [&str; 3] = ["serve", "--log", "error"];
 
-/// An empty store of this coordinator.
-fn empty_store(folder: &Path, installation: &str, coordinator: u64) {
+/// Creates an empty store of this replica.
+fn create_empty_store(directory: &Path, installation: &str, replica_id: u64) {
     let _guard = no_process_starts();
-    store::bootstrap(folder, installation, coordinator, &[1, 2, 3], 1, 7).unwrap();
+    store::bootstrap(directory, installation, replica_id, &[1, 2, 3], 1, 7).unwrap();
 }
 
-/// The store of coordinator 2 with one entry that is agreed on.
-fn store_with(folder: &Path, entry: Entry) {
+/// Creates the store of replica 2 with one committed entry.
+fn create_store_with(directory: &Path, entry: Entry) {
     let _guard = no_process_starts();
-    store::bootstrap(folder, "north", 2, &[1, 2, 3], 1, 7).unwrap();
-    let (store, _) = Store::open(folder, "north", 2).unwrap();
+    store::bootstrap(directory, "north", 2, &[1, 2, 3], 1, 7).unwrap();
+    let (store, _) = Store::open(directory, "north", 2).unwrap();
     let hard_state = HardState { term: 2, vote: 2, commit: 2, ..HardState::default() };
     store
         .write(&WriteBatch { hard_state: Some(&hard_state), entries: &[entry], ..WriteBatch::default() })
@@ -40,10 +40,10 @@
 fn configuration_entry(removed: &[u64]) -> Entry {
     let changes: Vec<ConfChangeSingle> = removed
         .iter()
-        .map(|coordinator| {
+        .map(|replica_id| {
             let mut change = ConfChangeSingle::default();
             change.set_change_type(ConfChangeType::RemoveNode);
-            change.node_id = *coordinator;
+            change.node_id = *replica_id;
             change
         })
         .collect();
@@ -54,16 +54,17 @@
     entry
 }
 
-/// An entry as a program two versions later would write it.
+/// Returns the data of an entry as a program two versions later would write it.
 fn later_entry() -> Vec<u8> {
     let mut data = Command::RecordReplicaStart { replica: 1, starts: 1 }.encode();
     data[0] = 5;
     data
 }
 
-fn change_meta(folder: &Path, key: &str, change: impl Fn(&mut Vec<u8>)) {
+/// Changes the value of a key in the table `meta`.
+fn change_meta(directory: &Path, key: &str, change: impl Fn(&mut Vec<u8>)) {
     let _guard = no_process_starts();
-    let database = Database::open(folder.join("keeper.redb")).unwrap();
+    let database = Database::open(directory.join("keeper.redb")).unwrap();
     let write = database.begin_write().unwrap();
     {
         let mut meta = write.open_table(META).unwrap();
@@ -75,55 +76,55 @@
 }
 
 #[test]
-fn a_disk_that_others_know_better_ends_with_3() {
-    for (name, why) in [
+fn store_rejected_by_a_peer_exits_with_3() {
+    for (name, rejection) in [
         ("old_disk", HandshakeRejection::StaleStore { start_count: 9, raft_term: 4 }),
         ("wrong_disk", HandshakeRejection::StoreMismatch),
     ] {
         let installation =
-            Installation::new([Script::Rejects(why), Script::Unreachable, Script::Unreachable]);
-        empty_store(&installation.store(), "north", 2);
+            Installation::new([Script::Rejects(rejection), Script::Unreachable, Script::Unreachable]);
+        create_empty_store(&installation.store(), "north", 2);
         insta::assert_snapshot!(name, installation.run(&SERVE));
     }
 }
 
 #[test]
-fn a_store_that_cannot_be_used_ends_with_4() {
+fn unusable_store_exits_with_4() {
     let installation = Installation::unreachable();
     let store = installation.store();
     let mut all = format!("no store: {}", installation.run(&SERVE));
-    all += &format!("set up: {}", installation.run(&["bootstrap"]));
-    all += &format!("set up again: {}", installation.run(&["bootstrap"]));
+    all += &format!("bootstrap: {}", installation.run(&["bootstrap"]));
+    all += &format!("second bootstrap: {}", installation.run(&["bootstrap"]));
     change_meta(&store, "label", |label| label[0] = 2);
     all += &format!("a later format: {}", installation.run(&SERVE));
     std::fs::remove_dir_all(&store).unwrap();
-    all += &format!("set up to join: {}", installation.run(&["bootstrap", "--joining"]));
+    all += &format!("bootstrap of a joining replica: {}", installation.run(&["bootstrap", "--joining"]));
     std::fs::remove_dir_all(&store).unwrap();
-    empty_store(&store, "south", 3);
-    all += &format!("another's: {}", installation.run(&SERVE));
+    create_empty_store(&store, "south", 3);
+    all += &format!("store of another replica: {}", installation.run(&SERVE));
     std::fs::write(store.join("keeper.redb"), "no store").unwrap();
     all += &format!("not a store: {}", installation.run(&SERVE));
     std::fs::remove_dir_all(&store).unwrap();
-    empty_store(&store, "north", 2);
+    create_empty_store(&store, "north", 2);
     let _open = {
         let _guard = no_process_starts();
         Store::open(&store, "north", 2).unwrap()
     };
-    all += &format!("in use: {}", installation.run(&SERVE));
+    all += &format!("locked store: {}", installation.run(&SERVE));
     insta::assert_snapshot!("store", all);
 }
 
 #[test]
-fn what_a_later_version_wrote_ends_with_5_and_names_both_versions() {
+fn data_of_a_later_version_exits_with_5_and_names_both_versions() {
     let installation = Installation::unreachable();
     let store = installation.store();
-    store_with(&store, entry(later_entry()));
+    create_store_with(&store, entry(later_entry()));
     let mut all = format!("a later entry: {}", installation.run(&SERVE));
     std::fs::remove_dir_all(&store).unwrap();
-    store_with(&store, entry(vec![1, 99]));
-    all += &format!("an entry that is none: {}", installation.run(&SERVE));
+    create_store_with(&store, entry(vec![1, 99]));
+    all += &format!("a malformed entry: {}", installation.run(&SERVE));
     std::fs::remove_dir_all(&store).unwrap();
-    empty_store(&store, "north", 2);
+    create_empty_store(&store, "north", 2);
     change_meta(&store, "snapshot", |bytes| {
         let mut snapshot = Snapshot::default();
         snapshot.merge_from_bytes(bytes).unwrap();
@@ -137,56 +138,56 @@
 }
 
 #[test]
-fn what_a_later_version_wrote_stops_one_that_is_held_at_an_older_version() {
+fn entry_above_the_configured_version_exits_with_5() {
     let installation = Installation::unreachable();
     unpack_fixture("store-version-3.hex", &installation.store().join("keeper.redb"));
     let settings = std::fs::read_to_string(installation.settings_file()).unwrap();
-    let held = settings.replace("serve {\n", "serve {\n  speaks = 2\n");
-    std::fs::write(installation.settings_file(), held).unwrap();
+    let limited = settings.replace("serve {\n", "serve {\n  speaks = 2\n");
+    std::fs::write(installation.settings_file(), limited).unwrap();
     insta::assert_snapshot!("held_at_an_older_version", installation.run(&SERVE));
 }
 
 #[test]
-fn a_change_that_raft_refuses_ends_with_6() {
+fn change_rejected_by_raft_exits_with_6() {
     let installation = Installation::unreachable();
-    store_with(&installation.store(), configuration_entry(&[1, 2, 3]));
+    create_store_with(&installation.store(), configuration_entry(&[1, 2, 3]));
     insta::assert_snapshot!("raft", installation.run(&SERVE));
 }
 
 #[test]
-fn a_coordinator_that_was_replaced_ends_with_7() {
+fn replaced_replica_exits_with_7() {
     let installation = Installation::unreachable();
-    store_with(&installation.store(), configuration_entry(&[2]));
+    create_store_with(&installation.store(), configuration_entry(&[2]));
     insta::assert_snapshot!("replaced", installation.run(&SERVE));
 }
 
 #[test]
-fn settings_with_a_fault_end_with_1() {
+fn invalid_settings_exit_with_1() {
     let installation = Installation::unreachable();
     let file = installation.settings_file();
     let settings = std::fs::read_to_string(&file).unwrap();
-    let mut all = format!("fine: {}", installation.run(&["check-config"]));
+    let mut all = format!("valid settings: {}", installation.run(&["check-config"]));
     std::fs::write(&file, settings.replace("store = ", "stroe = ")).unwrap();
-    all += &format!("a key: {}", installation.run(&["check-config"]));
+    all += &format!("misspelled key: {}", installation.run(&["check-config"]));
     std::fs::write(&file, settings.replace("127.0.0.1:0", "192.0.2.1:1")).unwrap();
-    empty_store(&installation.store(), "north", 2);
-    all += &format!("the listening address: {}", installation.run(&SERVE));
+    create_empty_store(&installation.store(), "north", 2);
+    all += &format!("address that cannot be bound: {}", installation.run(&SERVE));
     std::fs::write(&file, &settings[..settings.find("serve {").unwrap()]).unwrap();
-    all += &format!("no serve: {}", installation.run(&SERVE));
-    all += &format!("no serve: {}", installation.run(&["bootstrap"]));
-    all += &format!("no serve: {}", installation.run(&["metrics"]));
+    all += &format!("no block serve: {}", installation.run(&SERVE));
+    all += &format!("no block serve: {}", installation.run(&["bootstrap"]));
+    all += &format!("no block serve: {}", installation.run(&["metrics"]));
     std::fs::remove_file(&file).unwrap();
-    all += &format!("no file: {}", installation.run(&["check-config"]));
+    all += &format!("no settings file: {}", installation.run(&["check-config"]));
     all += &report(&run_program(&["serve", "--config"]));
     insta::assert_snapshot!("settings", all);
 }
 
 #[test]
-fn the_entry_of_an_empty_configuration_is_read_by_one_that_joins() {
+fn joining_replica_recovers_an_empty_configuration() {
     let _guard = no_process_starts();
-    let folder = tempfile::tempdir().unwrap();
-    store::bootstrap_joining(folder.path(), "north", 4, 9).unwrap();
-    let (_, recovered) = Store::open(folder.path(), "north", 4).unwrap();
+    let directory = tempfile::tempdir().unwrap();
+    store::bootstrap_joining(directory.path(), "north", 4, 9).unwrap();
+    let (_, recovered) = Store::open(directory.path(), "north", 4).unwrap();
     assert_eq!(*recovered.snapshot.get_metadata().get_conf_state(), ConfState::default());
     assert_eq!(
         (recovered.identity.replica_id, recovered.identity.start_count, recovered.entries.len()),
--- a/crates/coordinator/tests/compatibility/main.rs
+++ b/crates/coordinator/tests/compatibility/main.rs
@@ -1,4 +1,5 @@
-//! What may not change from one version to the next: the store's bytes, the settings, the command line, the exit codes, the records.
+//! Compatibility: what must not change between versions. The bytes of the store, the settings, the command line, the
+//! exit codes, and the records.
 
 mod command_line;
 mod exit_codes;
--- a/crates/coordinator/tests/compatibility/records.rs
+++ b/crates/coordinator/tests/compatibility/records.rs
@@ -1,4 +1,5 @@
-//! The records that `serve --record` appends, which checkers of other programs read; and that SIGTERM ends with 0.
+//! Records that `serve --record` appends, which the checkers of the emulator read. Also tests that SIGTERM ends the
+//! program with exit code 0.
 
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener};
@@ -13,34 +14,35 @@
 
 use crate::support::{report, run_program, start_program};
 
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of electing a leader and of granting a lease.
+const TIMEOUT: Duration = Duration::from_secs(30);
 const LEADERSHIP_LOST: &str = r#"{"t":0,"kind":"leads","term":null}"#;
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Three coordinators as processes, each with a file of records.
-struct Coordinators {
-    folder: tempfile::TempDir,
+/// Three replicas as processes, each with a file of records.
+struct ReplicaProcesses {
+    directory: tempfile::TempDir,
     addresses: [SocketAddr; 3],
     processes: Vec<Child>,
 }
 
-impl Coordinators {
-    fn start() -> Coordinators {
-        let folder = tempfile::tempdir().unwrap();
+impl ReplicaProcesses {
+    fn start() -> ReplicaProcesses {
+        let directory = tempfile::tempdir().unwrap();
         let listeners = [0; 3].map(|_| TcpListener::bind("127.0.0.1:0").unwrap());
         let addresses = listeners.map(|listener| listener.local_addr().unwrap());
-        let mut coordinators = Coordinators { folder, addresses, processes: Vec::new() };
+        let mut replicas = ReplicaProcesses { directory, addresses, processes: Vec::new() };
         for number in 1..=3 {
-            let settings = coordinators.write_settings(number);
+            let settings = replicas.write_settings(number);
             let settings = settings.to_str().unwrap();
-            let set_up = run_program(&["bootstrap", "--config", settings]);
-            assert!(set_up.status.success(), "{}", report(&set_up));
-            let records = coordinators.records_file(number);
+            let bootstrap = run_program(&["bootstrap", "--config", settings]);
+            assert!(bootstrap.status.success(), "{}", report(&bootstrap));
+            let records = replicas.records_file(number);
             let arguments = ["serve", "--log", "error", "--config", settings, "--record"];
             let process = start_program(&[&arguments[..], &[records.to_str().unwrap()]].concat());
-            coordinators.processes.push(process);
+            replicas.processes.push(process);
         }
-        coordinators
+        replicas
     }
 
     fn write_settings(&self, number: usize) -> std::path::PathBuf {
@@ -48,18 +50,18 @@
         for (other, address) in (1..).zip(self.addresses) {
             text += &format!("keeper \"{other}\" {{\n  address = \"{address}\"\n}}\n");
         }
-        let store = self.folder.path().join(format!("store-{number}"));
+        let store = self.directory.path().join(format!("store-{number}"));
         text += &format!("serve {{\n  keeper = {number}\n  store = \"{}\"\n}}\n", store.display());
-        let file = self.folder.path().join(format!("keeper-{number}.hcl"));
+        let file = self.directory.path().join(format!("keeper-{number}.hcl"));
         std::fs::write(&file, text).unwrap();
         file
     }
 
     fn records_file(&self, number: usize) -> std::path::PathBuf {
-        self.folder.path().join(format!("records-{number}.jsonl"))
+        self.directory.path().join(format!("records-{number}.jsonl"))
     }
 
-    /// Ends all by SIGTERM; returns the records of all.
+    /// Stops all replicas by SIGTERM, and returns the records of all.
     fn stop(mut self) -> String {
         for process in &mut self.processes {
             let pid = process.id().to_string();
@@ -70,7 +72,7 @@
     }
 }
 
-/// A session of a member with whichever coordinator leads.
+/// Session of a member with the leader.
 struct Member {
     connection: Connection,
     session: SessionId,
@@ -90,9 +92,9 @@
         let identity = ClientIdentity::Member { name: "berlin".to_owned() };
         let hello =
             ClientHello { schema_version: SCHEMA_VERSION, installation: "north".to_owned(), identity };
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TIMEOUT;
         for address in addresses.iter().cycle() {
-            assert!(Instant::now() < deadline, "no coordinator leads");
+            assert!(Instant::now() < deadline, "no replica leads");
             tokio::time::sleep(Duration::from_millis(50)).await;
             let Ok((mut connection, _)) = Connection::connect(*address, None, &hello).await else { continue };
             let operation = Operation::OpenSession {
@@ -109,9 +111,9 @@
         unreachable!()
     }
 
-    /// Renews the session until the records say that a lease was granted, then closes it.
+    /// Renews the session until a lease was granted according to the records, then closes it.
     async fn hold_until_granted(mut self, records: &[std::path::PathBuf]) {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TIMEOUT;
         while !records.iter().any(|file| has_grant(file)) {
             assert!(Instant::now() < deadline, "no lease was granted");
             let operation =
@@ -128,7 +130,7 @@
     std::fs::read_to_string(records).is_ok_and(|text| text.contains("\"granted\""))
 }
 
-/// The lines with each number replaced, once each and in order.
+/// Returns the distinct lines in order, with each number replaced by 0.
 fn forms(records: &str) -> String {
     let form = |line: &str| {
         let mut form = String::new();
@@ -141,19 +143,19 @@
         form
     };
     let mut forms: BTreeSet<String> = records.lines().map(form).collect();
-    // Whether the last one that leads says so depends on which of them ends first.
+    // Whether the last leader records its loss of the leadership depends on the order in which the replicas stop.
     forms.remove(LEADERSHIP_LOST);
     forms.into_iter().collect::<Vec<String>>().join("\n")
 }
 
 #[test]
-fn records_of_three_coordinators_and_a_member() {
-    let coordinators = Coordinators::start();
-    let files: Vec<std::path::PathBuf> = (1..=3).map(|number| coordinators.records_file(number)).collect();
+fn records_of_three_replicas_and_a_member() {
+    let replicas = ReplicaProcesses::start();
+    let files: Vec<std::path::PathBuf> = (1..=3).map(|number| replicas.records_file(number)).collect();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
-        let member = Member::join(&coordinators.addresses).await;
+        let member = Member::join(&replicas.addresses).await;
         member.hold_until_granted(&files).await;
     });
-    insta::assert_snapshot!("forms", forms(&coordinators.stop()));
+    insta::assert_snapshot!("forms", forms(&replicas.stop()));
 }
--- a/crates/coordinator/tests/compatibility/settings.rs
+++ b/crates/coordinator/tests/compatibility/settings.rs
@@ -1,4 +1,4 @@
-//! Every key of the settings file and of a file of budgets, with an example, and what is said where one is wrong.
+//! All keys of the settings file and of a budgets file, their defaults, and the errors of invalid values.
 
 use std::fmt::Write as _;
 use std::net::IpAddr;
@@ -8,7 +8,7 @@
 use coordinator::config::{parse, parse_budgets, read, read_budgets};
 use disruption_budget::{Amount, Budget, BudgetScope, TargetKind};
 
-const MEMBERS: &str = r#"installation = "north"
+const REPLICAS: &str = r#"installation = "north"
 keeper "1" {
   address = "192.0.2.11:7100"
 }
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn every_key_has_its_effect() {
+fn parses_every_key() {
     let config = read(&example("every-key.hcl")).unwrap();
     assert_eq!(config.installation, "north");
     let addresses: Vec<(u64, String)> =
@@ -34,7 +34,7 @@
     let expected = [(1, "192.0.2.11:7100"), (2, "192.0.2.12:7100"), (7, "[2001:db8::13]:7100")];
     assert_eq!(addresses, expected.map(|(number, address)| (number, address.to_owned())));
     assert_eq!(config.first_token, 5_000);
-    let times = Timing {
+    let timing = Timing {
         lease_duration: 2_000_000,
         renewal_interval: 500_000,
         call_timeout: 600_000,
@@ -44,7 +44,7 @@
         election_timeout: 480_000,
         heartbeat_interval: 90_000,
     };
-    assert_eq!(config.timing, times);
+    assert_eq!(config.timing, timing);
     let serve = config.serve.unwrap();
     assert_eq!(serve.replica_id, 7);
     assert_eq!(serve.listen.to_string(), "0.0.0.0:7101");
@@ -56,8 +56,8 @@
 }
 
 #[test]
-fn keys_that_are_left_out_have_their_defaults() {
-    let config = parse("keeper.hcl", &format!("{MEMBERS}{SERVE}")).unwrap();
+fn omitted_keys_have_defaults() {
+    let config = parse("keeper.hcl", &format!("{REPLICAS}{SERVE}")).unwrap();
     assert_eq!((config.first_token, config.timing), (1, Timing::default()));
     let serve = config.serve.unwrap();
     assert_eq!(serve.listen.to_string(), "192.0.2.11:7100");
@@ -65,11 +65,11 @@
         (serve.bind_address, serve.max_connections, serve.protocol_version, serve.injected_bug),
         (None, 1_024, 3, None)
     );
-    assert!(parse("keeper.hcl", MEMBERS).unwrap().serve.is_none());
+    assert!(parse("keeper.hcl", REPLICAS).unwrap().serve.is_none());
 }
 
 #[test]
-fn every_key_of_a_budget_has_its_effect() {
+fn parses_every_key_of_a_budget() {
     let budget = |name: &str, kind, scope, max_unavailable, min_available| Budget {
         name: name.to_owned(),
         kind,
@@ -77,7 +77,7 @@
         max_unavailable,
         min_available,
     };
-    let (count, percent) = (|count| Some(Amount::Count(count)), |part| Some(Amount::Percent(part)));
+    let (count, percent) = (|count| Some(Amount::Count(count)), |percent| Some(Amount::Percent(percent)));
     let (east, large) = (BudgetScope::Zone("east".to_owned()), BudgetScope::Pool("large".to_owned()));
     let expected = [
         budget("all", TargetKind::Worker, BudgetScope::Fleet, count(3), None),
@@ -91,23 +91,23 @@
 }
 
 #[test]
-fn faults_name_file_line_and_key() {
-    let members = |text: &str| format!("{MEMBERS}{text}");
-    let serve = |text: &str| format!("{MEMBERS}{}", SERVE.replace("}\n", &format!("{text}\n}}\n")));
+fn errors_name_file_line_and_key() {
+    let replicas = |text: &str| format!("{REPLICAS}{text}");
+    let serve = |text: &str| format!("{REPLICAS}{}", SERVE.replace("}\n", &format!("{text}\n}}\n")));
     let cases = [
         String::new(),
-        members("sevre {\n}\n"),
-        members("installation = \"south\"\n"),
-        members("first_token = 0\n"),
-        members("times {\n  lease_ms = 1000\n}\n"),
-        members("times {\n  lease = 1000\n}\n"),
-        members("keeper \"3\" {\n  address = \"192.0.2.1:1\"\n}\n"),
-        members("keeper \"x\" {\n  address = \"192.0.2.1:1\"\n}\n"),
-        members("keeper \"4\" {\n  address = \"192.0.2.1:1\"\n}\n"),
-        members("keeper \"4\" {\n  address = \"here\"\n}\n"),
-        members("serve {\n  store = \"x\"\n}\n"),
-        members("serve {\n  keeper = 4\n  store = \"x\"\n}\n"),
-        members("serve {\n  keeper = 1\n}\n"),
+        replicas("sevre {\n}\n"),
+        replicas("installation = \"south\"\n"),
+        replicas("first_token = 0\n"),
+        replicas("times {\n  lease_ms = 1000\n}\n"),
+        replicas("times {\n  lease = 1000\n}\n"),
+        replicas("keeper \"3\" {\n  address = \"192.0.2.1:1\"\n}\n"),
+        replicas("keeper \"x\" {\n  address = \"192.0.2.1:1\"\n}\n"),
+        replicas("keeper \"4\" {\n  address = \"192.0.2.1:1\"\n}\n"),
+        replicas("keeper \"4\" {\n  address = \"here\"\n}\n"),
+        replicas("serve {\n  store = \"x\"\n}\n"),
+        replicas("serve {\n  keeper = 4\n  store = \"x\"\n}\n"),
+        replicas("serve {\n  keeper = 1\n}\n"),
         serve("  listen = \"here\""),
         serve("  bind = \"here\""),
         serve("  connections = 7"),
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn faults_of_budgets_name_file_line_and_key() {
+fn errors_of_budgets_name_file_line_and_key() {
     let budget = |text: &str| format!("budget \"b\" {{\n  targets = \"workers\"\n{text}\n}}\n");
     let cases = [
         "budget {\n}\n".to_owned(),
@@ -151,12 +151,12 @@
 }
 
 fn with_injected_bug(name: &str) -> String {
-    format!("{MEMBERS}{}", SERVE.replace("}\n", &format!("  flaw = \"{name}\"\n}}\n")))
+    format!("{REPLICAS}{}", SERVE.replace("}\n", &format!("  flaw = \"{name}\"\n}}\n")))
 }
 
 #[cfg(feature = "seeded-bugs")]
 #[test]
-fn every_injected_bug_has_its_name() {
+fn parses_the_name_of_each_injected_bug() {
     use disruption_budget::InjectedBug;
     for (name, bug) in [
         ("any-process", InjectedBug::AnyIncarnation),
@@ -167,13 +167,13 @@
         let config = parse("keeper.hcl", &with_injected_bug(name)).unwrap();
         assert_eq!(config.serve.unwrap().injected_bug, Some(bug));
     }
-    let fault = parse("keeper.hcl", &with_injected_bug("unknown")).unwrap_err().to_string();
-    assert_eq!(fault, "keeper.hcl:14: serve.flaw: there is no flaw \"unknown\"");
+    let error = parse("keeper.hcl", &with_injected_bug("unknown")).unwrap_err().to_string();
+    assert_eq!(error, "keeper.hcl:14: serve.flaw: there is no flaw \"unknown\"");
 }
 
 #[cfg(not(feature = "seeded-bugs"))]
 #[test]
-fn injected_bugs_are_unknown_to_a_build_without_them() {
-    let fault = parse("keeper.hcl", &with_injected_bug("any-process")).unwrap_err().to_string();
-    assert!(fault.starts_with("keeper.hcl:14: ") && fault.contains("flaw"), "{fault}");
+fn build_without_injected_bugs_rejects_their_key() {
+    let error = parse("keeper.hcl", &with_injected_bug("any-process")).unwrap_err().to_string();
+    assert!(error.starts_with("keeper.hcl:14: ") && error.contains("flaw"), "{error}");
 }
--- a/crates/coordinator/tests/compatibility/store.rs
+++ b/crates/coordinator/tests/compatibility/store.rs
@@ -1,7 +1,8 @@
-//! The store's bytes: files written by the version that first had each format are opened with all values compared, and what
-//! is written today is the same, table by table and key by key.
+//! Bytes of the store. The fixtures are files written by the first version with each format. The present version must
+//! recover all their values, and must write the same tables, keys and bytes.
 //!
-//! With `WRITE_STORE_FIXTURES` set the files are written anew; that is for a new format, never for an old one.
+//! With the environment variable `WRITE_STORE_FIXTURES` the tests overwrite the fixtures. Use it only to add a
+//! fixture for a new format, never to change an old one.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -22,12 +23,13 @@
 
 use crate::support::{hex, no_process_starts, pack_fixture, unpack_fixture, write_snapshot};
 
-const COORDINATOR: u64 = 2;
-const DISK: u64 = 0x1122_3344;
+const REPLICA_ID: u64 = 2;
+const STORE_ID: u64 = 0x1122_3344;
 const FIRST_TOKEN: u64 = 50;
+/// Tick interval, in microseconds.
 const TICK: u64 = 40_000;
 
-/// One file: its snapshot is of this version, and its entries up to it.
+/// Content of a fixture: a snapshot in the format of its version, and log entries with commands up to that version.
 struct Example {
     fixture: &'static str,
     state: StateMachine,
@@ -64,7 +66,7 @@
     ]
 }
 
-/// Those of a later entry, once the ones above were applied from entry 2 on.
+/// Commands for the log after a snapshot of [`first_commands`], which are applied from entry 2 on.
 fn later_commands() -> Vec<Command> {
     vec![
         Command::ReleaseLease { lease: lease(), token: FencingToken(50), reset_stability: true },
@@ -105,15 +107,15 @@
     ]
 }
 
-/// Changes of budgets and permits, the first of them at this entry.
-fn permits(first: Revision) -> Vec<Command> {
+/// Commands for budgets and permits; `first` is the index of the first one.
+fn disruption_commands(first: Revision) -> Vec<Command> {
     let targets = vec![
         observed(TargetKind::Worker, "w1", Availability::Available),
         observed(TargetKind::Worker, "w2", Availability::Unavailable),
         observed(TargetKind::Worker, "w3", Availability::Available),
         observed(TargetKind::Dispatcher, "d1", Availability::WarmingUp(250)),
     ];
-    let gone = vec![target(TargetKind::Worker, "w9")];
+    let removed = vec![target(TargetKind::Worker, "w9")];
     let (reason, requester) = ("release 7".to_owned(), "shop a".to_owned());
     let forced = first + 2;
     let changes = [
@@ -122,7 +124,7 @@
             fencing_token: 51,
             known_revision: 5,
             changed: targets,
-            removed: gone,
+            removed,
         },
         DisruptionCommand::RequestPermit {
             target: target(TargetKind::Worker, "w1"),
@@ -146,7 +148,7 @@
     changes.into_iter().map(Command::Disruption).collect()
 }
 
-/// The state after these commands, the first of them at entry 2.
+/// Returns the state after these commands, the first of which is entry 2.
 fn state_after(commands: &[Command]) -> StateMachine {
     let mut state = StateMachine::new(FIRST_TOKEN);
     state.skip_entry(1);
@@ -172,9 +174,10 @@
     let second = [first_commands(), replacement()].concat();
     let observer =
         Command::GrantLease { lease: LeaseId::fleet("account"), session: SessionId(3), fencing_revision: 3 };
-    let third = [first_commands(), vec![observer], permits(7)].concat();
+    let third = [first_commands(), vec![observer], disruption_commands(7)].concat();
     let further =
-        [permits(14), vec![Command::Disruption(DisruptionCommand::CancelPermit { permit: 12 })]].concat();
+        [disruption_commands(14), vec![Command::Disruption(DisruptionCommand::CancelPermit { permit: 12 })]]
+            .concat();
     [
         example("store-version-1.hex", &first_commands(), later_commands()),
         Example { configuration: joint, ..example("store-version-2.hex", &second, replacement()) },
@@ -192,7 +195,8 @@
         snapshot
     }
 
-    /// The commands, then an empty entry as a new leader proposes, then a change of the configuration.
+    /// Returns entries with the commands, an empty entry as a new leader proposes it, and a change of the
+    /// configuration.
     fn entries(&self) -> Vec<Entry> {
         let first = self.state.revision() + 1;
         let mut change = ConfChangeV2::default();
@@ -230,10 +234,10 @@
         ]
     }
 
-    /// Writes the store by the code of today.
-    fn write(&self, folder: &Path) {
-        store::bootstrap(folder, "north", COORDINATOR, &[1, 2, 3], FIRST_TOKEN, DISK).unwrap();
-        let (store, _) = Store::open(folder, "north", COORDINATOR).unwrap();
+    /// Writes the store with the present version.
+    fn write(&self, directory: &Path) {
+        store::bootstrap(directory, "north", REPLICA_ID, &[1, 2, 3], FIRST_TOKEN, STORE_ID).unwrap();
+        let (store, _) = Store::open(directory, "north", REPLICA_ID).unwrap();
         let snapshot = self.snapshot();
         write_snapshot(&store, &snapshot);
         let (entries, hard_state) = (self.entries(), self.hard_state());
@@ -244,9 +248,10 @@
     }
 }
 
-/// All tables of a store with their keys and bytes.
+/// Formats all tables of a store with their keys and bytes.
 fn dump(file: &Path) -> String {
-    const BY_NAME: [&str; 1] = ["meta"];
+    /// Tables with text keys; the others have numbers as keys.
+    const TEXT_KEYED: [&str; 1] = ["meta"];
     let database = Database::open(file).unwrap();
     let read = database.begin_read().unwrap();
     let mut names: Vec<String> = read.list_tables().unwrap().map(|table| table.name().to_owned()).collect();
@@ -254,7 +259,7 @@
     let mut text = String::new();
     for name in names {
         let _ = writeln!(text, "table {name}");
-        if BY_NAME.contains(&name.as_str()) {
+        if TEXT_KEYED.contains(&name.as_str()) {
             let table = read.open_table(TableDefinition::<&str, &[u8]>::new(&name)).unwrap();
             for row in table.iter().unwrap() {
                 let (key, bytes) = row.unwrap();
@@ -272,35 +277,35 @@
 }
 
 #[test]
-fn writes_the_same_tables_keys_and_bytes_as_the_version_of_the_fixtures() {
+fn writes_the_same_tables_keys_and_bytes_as_the_fixtures() {
     let _guard = no_process_starts();
     let mut all = String::new();
     for example in examples() {
-        let folder = tempfile::tempdir().unwrap();
-        let store = folder.path().join("store");
+        let directory = tempfile::tempdir().unwrap();
+        let store = directory.path().join("store");
         example.write(&store);
         let file = store.join("keeper.redb");
         if std::env::var_os("WRITE_STORE_FIXTURES").is_some() {
             pack_fixture(example.fixture, &file);
         }
         let written = dump(&file);
-        let kept = folder.path().join("kept.redb");
-        unpack_fixture(example.fixture, &kept);
-        assert_eq!(written, dump(&kept), "{}", example.fixture);
+        let fixture = directory.path().join("fixture.redb");
+        unpack_fixture(example.fixture, &fixture);
+        assert_eq!(written, dump(&fixture), "{}", example.fixture);
         let _ = writeln!(all, "{}\n{written}", example.fixture);
     }
     insta::assert_snapshot!("tables", all);
 }
 
 #[test]
-fn an_empty_store_has_the_same_tables_keys_and_bytes_as_ever() {
+fn bootstrap_writes_unchanged_tables_keys_and_bytes() {
     let _guard = no_process_starts();
-    let folder = tempfile::tempdir().unwrap();
-    let (first, joining) = (folder.path().join("first"), folder.path().join("joining"));
-    store::bootstrap(&first, "north", COORDINATOR, &[1, 2, 3], FIRST_TOKEN, DISK).unwrap();
-    store::bootstrap_joining(&joining, "north", 4, DISK).unwrap();
+    let directory = tempfile::tempdir().unwrap();
+    let (first, joining) = (directory.path().join("first"), directory.path().join("joining"));
+    store::bootstrap(&first, "north", REPLICA_ID, &[1, 2, 3], FIRST_TOKEN, STORE_ID).unwrap();
+    store::bootstrap_joining(&joining, "north", 4, STORE_ID).unwrap();
     let all = format!(
-        "bootstrap\n{}\nbootstrap of one that joins\n{}",
+        "bootstrap\n{}\nbootstrap of a joining replica\n{}",
         dump(&first.join("keeper.redb")),
         dump(&joining.join("keeper.redb"))
     );
@@ -314,16 +319,16 @@
 }
 
 #[test]
-fn opens_the_store_of_each_version_with_all_its_values() {
+fn recovers_all_values_from_the_store_of_each_version() {
     let _guard = no_process_starts();
     for example in examples() {
-        let folder = tempfile::tempdir().unwrap();
-        unpack_fixture(example.fixture, &folder.path().join("keeper.redb"));
-        let (_, recovered) = Store::open(folder.path(), "north", COORDINATOR).unwrap();
+        let directory = tempfile::tempdir().unwrap();
+        unpack_fixture(example.fixture, &directory.path().join("keeper.redb"));
+        let (_, recovered) = Store::open(directory.path(), "north", REPLICA_ID).unwrap();
         let version = example.fixture;
-        // The fixture was started once, and this start counts.
+        // The fixture has one start, and opening it counts as the second.
         let identity =
-            StoreIdentity { replica_id: COORDINATOR, store_id: DISK, start_count: 2, raft_term: 4 };
+            StoreIdentity { replica_id: REPLICA_ID, store_id: STORE_ID, start_count: 2, raft_term: 4 };
         assert_eq!(recovered.identity, identity, "{version}");
         assert_eq!(recovered.hard_state, example.hard_state(), "{version}");
         assert_eq!(recovered.snapshot, example.snapshot(), "{version}");
@@ -339,35 +344,39 @@
 }
 
 #[test]
-fn applies_the_entries_of_each_version_after_a_start() {
+fn applies_the_log_of_each_version_after_a_start() {
     let _guard = no_process_starts();
     for example in examples() {
-        let folder = tempfile::tempdir().unwrap();
-        unpack_fixture(example.fixture, &folder.path().join("keeper.redb"));
-        let (store, recovered) = Store::open(folder.path(), "north", COORDINATOR).unwrap();
-        let mut node = Replica::new(store, recovered, Timing::default(), TICK, 1).unwrap();
-        node.tick(TICK).unwrap();
+        let directory = tempfile::tempdir().unwrap();
+        unpack_fixture(example.fixture, &directory.path().join("keeper.redb"));
+        let (store, recovered) = Store::open(directory.path(), "north", REPLICA_ID).unwrap();
+        let mut replica = Replica::new(store, recovered, Timing::default(), TICK, 1).unwrap();
+        replica.tick(TICK).unwrap();
         let mut expected = example.state.clone();
         for (index, command) in (example.state.revision() + 1..).zip(&example.commands) {
             expected.apply(index, command);
         }
-        let status = node.status();
+        let status = replica.status();
         let version = example.fixture;
         assert_eq!(status.applied_index, expected.revision(), "{version}");
         assert_eq!(status.committed_index, example.hard_state().commit, "{version}");
         assert_eq!(
             (status.replica_id, status.raft_term, status.start_count),
-            (COORDINATOR, 4, 2),
+            (REPLICA_ID, 4, 2),
             "{version}"
         );
-        assert_eq!(node.next_token(), expected.next_token(), "{version}");
+        assert_eq!(replica.next_token(), expected.next_token(), "{version}");
         assert_eq!(status.members.len(), expected.sessions().len(), "{version}");
         assert_eq!(status.leases.len(), expected.leases().len(), "{version}");
         for (status, (id, lease)) in status.leases.iter().zip(expected.leases()) {
-            let owner: Option<(FencingToken, Revision)> =
+            let holder: Option<(FencingToken, Revision)> =
                 status.holder.as_ref().map(|holder| (holder.token, status.fencing_revision));
             assert_eq!(status.lease, *id, "{version}");
-            assert_eq!(owner, lease.holder.map(|owner| (owner.token, lease.fencing_revision)), "{version}");
+            assert_eq!(
+                holder,
+                lease.holder.map(|holder| (holder.token, lease.fencing_revision)),
+                "{version}"
+            );
             assert_eq!(status.minimum_token, lease.minimum_token, "{version}");
         }
         let replaced = expected.replacement_in_progress().map(|replacing| (replacing.old, replacing.new));
--- a/crates/coordinator/tests/compatibility/support.rs
+++ b/crates/coordinator/tests/compatibility/support.rs
@@ -1,4 +1,4 @@
-//! Set-up shared by the tests: the program as a child process, coordinators with scripted answers, stores from fixtures.
+//! Set-up shared by the tests: the program as a child process, replicas with scripted responses, stores from fixtures.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -16,22 +16,24 @@
 
 const PROGRAM_PATH: &str = env!("CARGO_BIN_EXE_coordinator");
 const PROGRAM_NAME: &str = env!("CARGO_PKG_NAME");
+/// Bytes in one row of a fixture.
 const FIXTURE_ROW: usize = 32;
+/// Held for writing while a child process starts. See [`no_process_starts`].
 static PROCESS_START: RwLock<()> = RwLock::new(());
 
-/// How a scripted coordinator behaves.
+/// Behavior of a scripted replica.
 pub enum Script {
-    /// It accepts operators and answers by this function.
-    Answers(Box<dyn Fn(&Operation) -> Response + Send>),
-    /// It rejects whoever connects.
+    /// Accepts operators and sends the responses that this function returns.
+    Responds(Box<dyn Fn(&Operation) -> Response + Send>),
+    /// Rejects every handshake.
     Rejects(HandshakeRejection),
-    /// Nobody listens at its address.
+    /// Does not listen at its address, so that connections are refused.
     Unreachable,
 }
 
-/// Coordinators 1, 2 and 3 of installation `north` with scripted answers, and a folder with their settings file.
+/// Replicas 1, 2 and 3 of installation `north` with scripted responses, and a directory with their settings file.
 pub struct Installation {
-    folder: tempfile::TempDir,
+    directory: tempfile::TempDir,
     addresses: BTreeMap<u64, SocketAddr>,
     requests: Arc<Mutex<Vec<(u64, Operation)>>>,
 }
@@ -43,23 +45,23 @@
         for (number, script) in (1u8..).zip(scripts) {
             addresses.insert(u64::from(number), spawn_scripted(number, script, requests.clone()));
         }
-        let installation = Installation { folder: tempfile::tempdir().unwrap(), addresses, requests };
+        let installation = Installation { directory: tempfile::tempdir().unwrap(), addresses, requests };
         std::fs::write(installation.settings_file(), installation.settings()).unwrap();
         installation
     }
 
-    /// None of the three is reached.
+    /// Creates an installation without a reachable replica.
     pub fn unreachable() -> Installation {
         Installation::new([Script::Unreachable, Script::Unreachable, Script::Unreachable])
     }
 
-    /// The first leads and answers by this function; the others are not reached.
-    pub fn answered_by(answers: impl Fn(&Operation) -> Response + Send + 'static) -> Installation {
-        Installation::new([Script::Answers(Box::new(answers)), Script::Unreachable, Script::Unreachable])
+    /// Creates an installation in which replica 1 sends the responses of this function, and the others are unreachable.
+    pub fn with_responses(responses: impl Fn(&Operation) -> Response + Send + 'static) -> Installation {
+        Installation::new([Script::Responds(Box::new(responses)), Script::Unreachable, Script::Unreachable])
     }
 
     pub fn path(&self, name: &str) -> PathBuf {
-        self.folder.path().join(name)
+        self.directory.path().join(name)
     }
 
     pub fn settings_file(&self) -> PathBuf {
@@ -75,7 +77,7 @@
         for (number, address) in &self.addresses {
             let _ = writeln!(text, "keeper \"{number}\" {{\n  address = \"{address}\"\n}}");
         }
-        // Its own listening address is one that is free: the scripted coordinator 2 may have the one above.
+        // The program listens at a free port, because the scripted replica 2 may listen at the address above.
         let store = self.store();
         let _ = writeln!(
             text,
@@ -85,8 +87,8 @@
         text
     }
 
-    /// Runs the program with the settings file and these arguments; the report names exit code and both streams, with what
-    /// differs from run to run (ports, folders, the program's name) replaced.
+    /// Runs the program with the settings file and these arguments. Returns exit code and both streams; ports,
+    /// directories and the name of the program, which differ between runs, are replaced by placeholders.
     pub fn run(&self, arguments: &[&str]) -> String {
         let settings = self.settings_file();
         let mut all = arguments.to_vec();
@@ -95,22 +97,22 @@
         for (number, address) in &self.addresses {
             report = report.replace(&address.to_string(), &format!("ADDRESS-{number}"));
         }
-        report.replace(&self.folder.path().display().to_string(), "FOLDER")
+        report.replace(&self.directory.path().display().to_string(), "FOLDER")
     }
 
-    /// What was asked of the scripted coordinators so far, but for their status.
+    /// Returns the operations that the scripted replicas received so far, except status requests.
     pub fn requests(&self) -> Vec<(u64, Operation)> {
         let requests = self.requests.lock().unwrap();
         requests.iter().filter(|(_, operation)| *operation != Operation::Status).cloned().collect()
     }
 }
 
-/// Runs the program; without settings file.
+/// Runs the program without a settings file.
 pub fn run_program(arguments: &[&str]) -> Output {
     start_program(arguments).wait_with_output().unwrap()
 }
 
-/// Starts the program; without settings file.
+/// Starts the program without a settings file.
 pub fn start_program(arguments: &[&str]) -> Child {
     let mut process = Process::new(PROGRAM_PATH);
     process.args(arguments).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
@@ -118,13 +120,13 @@
     process.spawn().unwrap()
 }
 
-/// A process that starts has for a moment all files that are open here, and with them the locks on stores. Whoever opens a
-/// store in the test's own process holds this meanwhile.
+/// Returns a guard that keeps this test process from starting children. A test holds it while it has a store open: a
+/// child that starts inherits all open files for a moment, and with them the lock on the store.
 pub fn no_process_starts() -> RwLockReadGuard<'static, ()> {
     PROCESS_START.read().unwrap()
 }
 
-/// Exit code and both streams as text, without the program's own name.
+/// Formats exit code and both streams; name and version of the program are replaced by placeholders.
 pub fn report(output: &Output) -> String {
     let (stdout, stderr) = (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
     let code = output.status.code().unwrap();
@@ -133,10 +135,10 @@
         .replace(env!("CARGO_PKG_VERSION"), "VERSION")
 }
 
-/// The address at which the coordinator answers from now on.
+/// Starts a scripted replica and returns its address.
 fn spawn_scripted(number: u8, script: Script, requests: Arc<Mutex<Vec<(u64, Operation)>>>) -> SocketAddr {
     if matches!(script, Script::Unreachable) {
-        // Nobody listens at port 1.
+        // No process listens at port 1, so connections to it are refused.
         return SocketAddr::from(([127, 0, 0, number], 1));
     }
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -148,24 +150,26 @@
             let listener = tokio::net::TcpListener::from_std(listener).unwrap();
             loop {
                 let (stream, _) = listener.accept().await.unwrap();
-                // One that goes away is of no concern; the next one is served.
-                let _ = serve_one(number.into(), stream, &script, &requests).await;
+                // A connection that fails is ignored, and the next one is accepted.
+                let _ = serve_connection(number.into(), stream, &script, &requests).await;
             }
         });
     });
     address
 }
 
-async fn serve_one(
+async fn serve_connection(
     number: u64,
     stream: tokio::net::TcpStream,
     script: &Script,
     requests: &Mutex<Vec<(u64, Operation)>>,
 ) -> Result<(), ConnectionError> {
     let (mut link, hello) = Connection::accept(stream).await?;
-    let answers = match script {
-        Script::Answers(answers) => answers,
-        Script::Rejects(why) => return link.send_server_hello(&ServerHello::Rejected(why.clone())).await,
+    let responses = match script {
+        Script::Responds(responses) => responses,
+        Script::Rejects(reason) => {
+            return link.send_server_hello(&ServerHello::Rejected(reason.clone())).await;
+        }
         Script::Unreachable => return Ok(()),
     };
     assert_eq!((hello.installation.as_str(), &hello.identity), ("north", &ClientIdentity::Operator));
@@ -173,7 +177,7 @@
     loop {
         let request: Request = link.receive().await?;
         requests.lock().unwrap().push((number, request.operation.clone()));
-        link.send(&CoordinatorMessage::Response { id: request.id, response: answers(&request.operation) })
+        link.send(&CoordinatorMessage::Response { id: request.id, response: responses(&request.operation) })
             .await?;
     }
 }
@@ -184,16 +188,15 @@
     store.write(&WriteBatch { snapshot: Some(written), ..WriteBatch::default() }).unwrap();
 }
 
-/// Writes the file of a fixture to `file`. Rows of zeros are left out of the fixture, and rows that are there several times in a
-/// row are there once, with their number.
+/// Unpacks a fixture to `file`. A fixture omits rows of zeros, and has equal consecutive rows once, with their count.
 pub fn unpack_fixture(name: &str, file: &Path) {
     let text = std::fs::read_to_string(fixture_path(name)).unwrap();
     let mut lines = text.lines();
     let length: usize = lines.next().unwrap().strip_prefix("length ").unwrap().parse().unwrap();
     let mut bytes = vec![0; length];
     for line in lines {
-        let (place, row) = line.split_once(' ').unwrap();
-        let (offset, count) = place.split_once('*').unwrap_or((place, "1"));
+        let (position, row) = line.split_once(' ').unwrap();
+        let (offset, count) = position.split_once('*').unwrap_or((position, "1"));
         let (mut offset, count) = (usize::from_str_radix(offset, 16).unwrap(), count.parse().unwrap());
         let row = unhex(row);
         for _ in 0..count {
@@ -205,19 +208,19 @@
     std::fs::write(file, bytes).unwrap();
 }
 
-/// The reverse of [`unpack_fixture`].
+/// Packs `file` into a fixture, as [`unpack_fixture`] expects it.
 pub fn pack_fixture(name: &str, file: &Path) {
     let bytes = std::fs::read(file).unwrap();
     let mut text = format!("length {}\n", bytes.len());
     let rows: Vec<&[u8]> = bytes.chunks(FIXTURE_ROW).collect();
-    let mut at = 0;
-    while at < rows.len() {
-        let count = rows[at..].iter().take_while(|row| **row == rows[at]).count();
-        if rows[at].iter().any(|byte| *byte != 0) {
+    let mut index = 0;
+    while index < rows.len() {
+        let count = rows[index..].iter().take_while(|row| **row == rows[index]).count();
+        if rows[index].iter().any(|byte| *byte != 0) {
             let repeated = if count > 1 { format!("*{count}") } else { String::new() };
-            let _ = writeln!(text, "{:x}{repeated} {}", at * FIXTURE_ROW, hex(rows[at]));
+            let _ = writeln!(text, "{:x}{repeated} {}", index * FIXTURE_ROW, hex(rows[index]));
         }
-        at += count;
+        index += count;
     }
     std::fs::write(fixture_path(name), text).unwrap();
 }
--- a/crates/coordinator/tests/full_disk.rs
+++ b/crates/coordinator/tests/full_disk.rs
@@ -1,5 +1,5 @@
-//! A keeper's store on a disk that is full: a child process writes under a bound on the size of its files until it fails;
-//! what it was told is on the disk has to be there afterwards, and the store has to go on.
+//! Store of a replica on a full disk. A child process writes under a limit on its file size (`ulimit -f`) until a write
+//! fails. Afterwards, every write that the store acknowledged must be there, and the store must accept new writes.
 
 use std::path::Path;
 use std::process::Command;
@@ -21,8 +21,8 @@
         .is_ok()
 }
 
-/// What stands in the store: the last entry, after all before it; and how often it was started.
-fn last(store: &Path) -> (u64, u64) {
+/// Opens the store, checks all entries, and returns the index of the last entry and the start count.
+fn last_entry_and_starts(store: &Path) -> (u64, u64) {
     let (opened, recovered) = Store::open(store, "test", 1).unwrap();
     for (entry, index) in recovered.entries.iter().zip(2..) {
         assert_eq!(*entry, self::entry(index));
@@ -32,14 +32,14 @@
     (recovered.hard_state.commit, recovered.identity.start_count)
 }
 
-/// Not a test of its own: the process that writes so many entries, says of each that it is on the disk, and is killed; or
-/// until it fails, and ends as a keeper does.
+/// Child process of the test below; does nothing in a normal test run. It writes `COUNT` entries, prints the index of
+/// each one that the store acknowledged, and aborts as if killed. If a write fails it exits, as a replica does.
 #[test]
 fn child() {
     let Ok(store) = std::env::var(STORE) else { return };
     let count: u64 = std::env::var(COUNT).unwrap().parse().unwrap();
     let Ok((opened, recovered)) = Store::open(Path::new(&store), "test", 1) else { return };
-    println!("boots {}", recovered.identity.start_count);
+    println!("starts {}", recovered.identity.start_count);
     let next = recovered.entries.last().map_or(2, |entry| entry.index + 1);
     for index in next..next + count {
         if !write(&opened, index) {
@@ -50,8 +50,9 @@
     std::process::abort();
 }
 
-/// What a child said last of entries and of starts.
-fn run(store: &Path, count: u64, blocks: Option<u32>) -> (Option<u64>, Option<u64>) {
+/// Runs the child with a limit of this many `ulimit` blocks on its file size. Returns the last acknowledged entry and
+/// the start count that it printed.
+fn run_child(store: &Path, count: u64, blocks: Option<u32>) -> (Option<u64>, Option<u64>) {
     let limit = blocks.map_or(String::new(), |blocks| format!("ulimit -f {blocks};"));
     let script = format!("trap '' XFSZ; ulimit -c 0; {limit} exec \"$0\" \"$@\"");
     let child = Command::new("/bin/sh")
@@ -61,33 +62,33 @@
         .envs([(STORE, store.as_os_str()), (COUNT, count.to_string().as_ref())])
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&child.stdout);
-    let told = |what: &str| {
-        said.lines().filter_map(|line| line.split_once(what)?.1.trim().parse::<u64>().ok()).next_back()
+    let stdout = String::from_utf8_lossy(&child.stdout);
+    let last_number = |prefix: &str| {
+        stdout.lines().filter_map(|line| line.split_once(prefix)?.1.trim().parse::<u64>().ok()).next_back()
     };
-    (told("written "), told("boots "))
+    (last_number("written "), last_number("starts "))
 }
 
 #[test]
 fn store_keeps_acknowledged_writes_when_the_disk_is_full() {
-    let mut failed = 0;
+    let mut full_disks = 0;
     for blocks in (8..4_200).step_by(131).chain([256, 300, 40, 64]) {
         let dir = tempfile::tempdir().unwrap();
         let store = dir.path().join("store");
         bootstrap(&store, "test", 1, &[1, 2, 3], 1, 7).unwrap();
-        assert_eq!(run(&store, 118, None), (Some(119), Some(1)));
-        let (written, boots) = run(&store, 300, Some(blocks));
-        let (written, boots) = (written.unwrap_or(119), boots.unwrap_or(1));
-        failed += u64::from(written < 419);
-        // At least what was said; what was cut short may be there too.
-        let (first, started) = last(&store);
+        assert_eq!(run_child(&store, 118, None), (Some(119), Some(1)));
+        let (written, starts) = run_child(&store, 300, Some(blocks));
+        let (written, starts) = (written.unwrap_or(119), starts.unwrap_or(1));
+        full_disks += u64::from(written < 419);
+        // All acknowledged entries must be there. The write that failed may be there too.
+        let (last, start_count) = last_entry_and_starts(&store);
         assert!(
-            first == written || first == written + 1,
-            "{blocks} blocks: {first} after {written} were said"
+            last == written || last == written + 1,
+            "{blocks} blocks: last entry {last}, last acknowledged entry {written}"
         );
-        assert!(started > boots, "{blocks} blocks: a start is forgotten");
-        assert_eq!(run(&store, 200, None).0, Some(first + 200), "{blocks} blocks");
-        assert_eq!(last(&store).0, first + 200, "{blocks} blocks");
+        assert!(start_count > starts, "{blocks} blocks: a start was not counted");
+        assert_eq!(run_child(&store, 200, None).0, Some(last + 200), "{blocks} blocks");
+        assert_eq!(last_entry_and_starts(&store).0, last + 200, "{blocks} blocks");
     }
-    assert!(failed > 10, "the disk was hardly ever full: {failed}");
+    assert!(full_disks > 10, "the disk was full in only {full_disks} runs");
 }
