--- a/crates/coordinator/tests/cluster/replacement.rs
+++ b/crates/coordinator/tests/cluster/replacement.rs
@@ -47,7 +47,7 @@
     );
     assert!(
         matches!(cluster.replace(leader, lost), Response::Rejected(CommandRejection::InvalidReplacement(_))),
-        "a replica was replaced by the one with a number used before"
+        "a replacement used the number of a replaced replica again"
     );
     // Without the old leader, the new replica and a remaining one are the majority, and both have the committed state.
     cluster.replicas.remove(&leader);
