--- a/crates/coordinator/tests/full_disk.rs
+++ b/crates/coordinator/tests/full_disk.rs
@@ -17,7 +17,11 @@
 fn write(store: &Store, index: u64) -> bool {
     let hard_state = HardState { term: 2, vote: 1, commit: index, ..HardState::default() };
     store
-        .write(&WriteBatch { hard_state: Some(&hard_state), entries: &[entry(index)], ..WriteBatch::default() })
+        .write(&WriteBatch {
+            hard_state: Some(&hard_state),
+            entries: &[entry(index)],
+            ..WriteBatch::default()
+        })
         .is_ok()
 }
 
