--- a/crates/cluster-member/src/slow_start/granted_quota.rs
+++ b/crates/cluster-member/src/slow_start/granted_quota.rs
@@ -17,7 +17,7 @@
 
 /// Filter of grant messages: accepts each message once, and of it the grants for this process.
 #[derive(Debug, Clone)]
-pub struct GrantedQuota {
+pub struct GrantFilter {
     process_id: u64,
     grant_ttl: Micros,
     last_accepted: MessagePosition,
@@ -31,11 +31,11 @@
     sequence: u64,
 }
 
-impl GrantedQuota {
+impl GrantFilter {
     /// Creates a filter for the process with this id.
-    pub fn new(process_id: u64, config: &QuotaConfig) -> GrantedQuota {
+    pub fn new(process_id: u64, config: &QuotaConfig) -> GrantFilter {
         let last_accepted = MessagePosition { token: FencingToken(0), sequence: 0 };
-        GrantedQuota { process_id, grant_ttl: config.grant_ttl, last_accepted }
+        GrantFilter { process_id, grant_ttl: config.grant_ttl, last_accepted }
     }
 
     /// Accepts a message and returns the unexpired grants for this process; none if the message is not newer than the
--- a/crates/cluster-member/src/slow_start/mod.rs
+++ b/crates/cluster-member/src/slow_start/mod.rs
@@ -26,7 +26,7 @@
 
 pub use allocator::QuotaAllocator;
 pub use endpoint_ages::EndpointAges;
-pub use granted_quota::{GrantedQuota, UsableQuota};
+pub use granted_quota::{GrantFilter, UsableQuota};
 pub use messages::{Grant, QuotaGrants, UsageReport};
 pub use profile::{QuotaConfig, SlowStartProfile};
 
--- a/crates/cluster-member/tests/slow_start.rs
+++ b/crates/cluster-member/tests/slow_start.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use cluster_member::slow_start::{
-    EndpointAges, Grant, GrantedQuota, QuotaAllocator, QuotaConfig, QuotaGrants, SlowStartProfile,
+    EndpointAges, Grant, GrantFilter, QuotaAllocator, QuotaConfig, QuotaGrants, SlowStartProfile,
     UsableQuota, UsageReport,
 };
 use coordination::{FencingToken, Micros};
@@ -59,8 +59,8 @@
 fn play(length: Micros, new_holders_at: &[Micros], receivers: Receivers) -> Vec<Delivery> {
     let mut random = fastrand::Rng::with_seed(11);
     let mut ages = EndpointAges::default();
-    let mut quotas: Vec<GrantedQuota> =
-        (0..PROCESSES as u64).map(|process| GrantedQuota::new(process, &CONFIG)).collect();
+    let mut filters: Vec<GrantFilter> =
+        (0..PROCESSES as u64).map(|process| GrantFilter::new(process, &CONFIG)).collect();
     let mut allocator = QuotaAllocator::new(CONFIG, PROFILE, 0);
     let (mut token, mut sequence) = (1, 0);
     let mut in_flight: Vec<InFlight> = Vec::new();
@@ -94,10 +94,10 @@
         while in_flight.first().is_some_and(|message| message.arrives_at <= now) {
             let message = in_flight.remove(0);
             if receivers == Receivers::ForgetAccepted {
-                quotas[message.process] = GrantedQuota::new(message.process as u64, &CONFIG);
+                filters[message.process] = GrantFilter::new(message.process as u64, &CONFIG);
             }
-            let quota = &mut quotas[message.process];
-            for usable in quota.accept(message.token, message.sequence, &message.grants, now) {
+            let filter = &mut filters[message.process];
+            for usable in filter.accept(message.token, message.sequence, &message.grants, now) {
                 let used_at = if random.bool() { now } else { usable.expires_at };
                 let at = used_at + random.u64(0..CONFIG.delivery_timeout);
                 deliveries.push(Delivery { at, work: usable.work });
@@ -184,18 +184,18 @@
 
 #[test]
 fn a_grant_is_for_one_process_until_it_expires_by_its_clock() {
-    let mut quota = GrantedQuota::new(9, &CONFIG);
+    let mut filter = GrantFilter::new(9, &CONFIG);
     let grant = |process_id, clock_reading| Grant { process_id, clock_reading, worker: 1, work: 0.2 };
     let grants =
         QuotaGrants(vec![grant(9, 900_000), grant(8, 900_000), grant(9, 300_000), grant(9, 1_100_000)]);
-    let usable = quota.accept(FencingToken(3), 1, &grants, SECOND);
+    let usable = filter.accept(FencingToken(3), 1, &grants, SECOND);
     assert_eq!(
         usable,
         [UsableQuota { worker: 1, work: 0.2, expires_at: 1_400_000 }],
         "not another's, not an expired one, not one of the future"
     );
-    assert!(quota.accept(FencingToken(3), 1, &grants, SECOND).is_empty());
-    assert!(quota.accept(FencingToken(2), 9, &grants, SECOND).is_empty());
+    assert!(filter.accept(FencingToken(3), 1, &grants, SECOND).is_empty());
+    assert!(filter.accept(FencingToken(2), 9, &grants, SECOND).is_empty());
     assert_eq!(QuotaGrants::decode(&grants.encode()), Some(grants));
     assert_eq!(
         QuotaGrants::decode(&QuotaGrants(vec![Grant { work: f64::NAN, ..grant(1, 1) }]).encode()),
--- a/crates/dispatcher/src/net/cluster/slow_start.rs
+++ b/crates/dispatcher/src/net/cluster/slow_start.rs
@@ -8,7 +8,7 @@
 use cluster_member::effects::Publisher;
 use cluster_member::member::Member;
 use cluster_member::slow_start::{
-    EndpointAges, GrantedQuota, QuotaAllocator, QuotaConfig, QuotaGrants, SlowStartProfile, UsableQuota,
+    EndpointAges, GrantFilter, QuotaAllocator, QuotaConfig, QuotaGrants, SlowStartProfile, UsableQuota,
     UsageReport, SLOW_START_LEASE,
 };
 use cluster_member::wire::Effect;
@@ -61,7 +61,7 @@
     jobs_per_second: Cell<f64>,
     attempts_counted: Cell<u64>,
     ages: RefCell<EndpointAges>,
-    granted: RefCell<GrantedQuota>,
+    granted: RefCell<GrantFilter>,
     term: RefCell<Option<Term>>,
     random: RefCell<fastrand::Rng>,
 }
@@ -85,7 +85,7 @@
             jobs_per_second: Cell::default(),
             attempts_counted: Cell::default(),
             ages: RefCell::default(),
-            granted: RefCell::new(GrantedQuota::new(process_id, &parameters.config)),
+            granted: RefCell::new(GrantFilter::new(process_id, &parameters.config)),
             term: RefCell::default(),
             random: RefCell::new(fastrand::Rng::with_seed(parameters.seed)),
         }
