--- a/crates/cluster-member/src/settings.rs
+++ b/crates/cluster-member/src/settings.rs
@@ -108,7 +108,7 @@
     }
     timing.validate().map_err(|error| {
         let key = format!("{}_ms", error.key);
-        section.error(&key, format!("does not fit to {}_ms: {}", error.against, error.problem))
+        section.error(&key, format!("conflicts with {}_ms: {}", error.against, error.problem))
     })?;
     Ok(timing)
 }
@@ -145,8 +145,9 @@
 /// Returns an error if a number is missing or out of bounds.
 pub fn quota_config(section: &Section, timing: &Timing) -> HclResult<QuotaConfig> {
     let slots = section.number("slots", 0.1..=1e6)?;
-    let slots = slots
-        .ok_or_else(|| section.error("slots", "is missing: the slots of the smallest kind of worker"))?;
+    let slots = slots.ok_or_else(|| {
+        section.error("slots", "is missing; expected the slots of the smallest kind of worker")
+    })?;
     let fraction = section.number("part", 0.0..=MAX_GRANTABLE_FRACTION)?;
     let ttl_ms = section.integer("expiry_ms", 200..=10_000)?.unwrap_or(DEFAULT_GRANT_TTL_MS);
     Ok(QuotaConfig {
@@ -164,7 +165,7 @@
     let Some(name) = section.string("flaw")? else { return Ok(None) };
     match InjectedBug::from_name(&name) {
         Some(bug) => Ok(Some(bug)),
-        None => Err(section.error("flaw", format!("there is no flaw {name:?}"))),
+        None => Err(section.error("flaw", format!("there is no injected bug {name:?}"))),
     }
 }
 
--- a/crates/cluster-member/src/wire/handshake.rs
+++ b/crates/cluster-member/src/wire/handshake.rs
@@ -103,12 +103,12 @@
     #[error("the server knows no replica with this number")]
     UnknownReplica,
     /// The replica had another store before.
-    #[error("the server knows this replica with another store; set it up as a new replica")]
+    #[error("the server has recorded another store for this replica; set it up as a new replica")]
     StoreMismatch,
     /// The store had more starts or a later Raft term before: this is an old copy.
     #[error(
-        "the server has seen this store with {start_count} starts and term {raft_term}: the present one is an old copy, \
-         which may not vote; set the replica up as a new one"
+        "the server has seen this store with {start_count} starts and Raft term {raft_term}: the replica now uses an \
+         old copy of it, which must not vote; set it up as a new replica"
     )]
     StaleStore {
         /// Highest number of starts that was seen.
