--- a/crates/hcl-config/src/error.rs
+++ b/crates/hcl-config/src/error.rs
@@ -9,9 +9,9 @@
 pub struct HclError {
     /// File, as the caller named it.
     pub file: String,
-    /// Line, from 1; 0 if the problem is with the entire file.
+    /// Line, from 1; 1 if the problem is with the entire file.
     pub line: usize,
-    /// Key with its enclosing blocks; empty if the text is not HCL.
+    /// Key with its enclosing blocks; empty for a syntax error or an error of the entire file.
     pub key: String,
     /// Problem at this place.
     pub problem: Problem,
@@ -37,16 +37,16 @@
         /// Value in the file.
         actual: Value,
     },
-    /// A block that may occur once occurs again.
+    /// A block that may occur at most once occurs again.
     #[error("there is more than one such block")]
     RepeatedBlock,
-    /// No getter read this key.
+    /// The key is unknown: no getter has read it.
     #[error("there is no such key here")]
     UnknownKey,
-    /// No getter read this block.
+    /// The block is unknown: no getter has read it.
     #[error("there is no such block here")]
     UnknownBlock,
-    /// Problem beyond types and bounds, reported by the reader of the settings.
+    /// Problem other than type and bounds, reported by the caller of the getters.
     #[error("{0}")]
     Invalid(String),
 }
@@ -66,17 +66,17 @@
 /// Reason for which an expression is not a plain value.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ValueError {
-    /// A number is infinite or out of the range of `f64`.
+    /// A number is not finite as an `f64`.
     #[error("the number is out of range")]
     NumberOutOfRange,
-    /// A key of an object needs evaluation.
+    /// A key of an object is an expression that needs evaluation.
     #[error("keys of an object must be names")]
     ComputedKey,
-    /// A minus precedes a value that is not a number.
-    #[error("a minus needs a number, found {0}")]
+    /// A minus sign precedes a value that is not a number.
+    #[error("expected a number after the minus sign, found {0}")]
     NegatedNonNumber(Value),
     /// An expression needs evaluation.
-    #[error("expected a plain value; variables, functions and templates are not read")]
+    #[error("expected a plain value; variables, functions and templates are not supported")]
     ComputedValue,
 }
 
--- a/crates/hcl-config/src/lib.rs
+++ b/crates/hcl-config/src/lib.rs
@@ -1,14 +1,14 @@
 //! Reads settings from HCL, with errors that name file, line and key.
 //!
 //! `hcl-edit` parses the text into expressions with their positions. This package stores plain values with their lines,
-//! and provides getters that check types and bounds. A key or block that no getter read is an error too
-//! ([`Section::deny_unknown_keys`]), so that a misspelt setting does not silently take its default.
+//! and provides getters that check types and bounds. A key or block that no getter has read is an error as
+//! well ([`Section::deny_unknown_keys`]): a misspelled key would otherwise leave its setting at the default.
 //!
-//! | module | concern |
+//! | module | content |
 //! | --- | --- |
 //! | `error` | errors that name file, line and key |
-//! | `value` | plain values, from HCL expressions |
-//! | `section` | a file or block, and getters for its settings |
+//! | `value` | plain values, converted from HCL expressions |
+//! | `section` | a file or block with getters for its settings |
 //! | `parser` | parses a text into sections |
 
 mod error;
--- a/crates/hcl-config/src/parser.rs
+++ b/crates/hcl-config/src/parser.rs
@@ -9,7 +9,7 @@
 use crate::section::{BlockHeader, Section};
 use crate::{HclError, HclResult, Problem, Value};
 
-/// Line of the first character, and of errors of the top-level section.
+/// Line of the first character, which is also the line of errors of the top-level section.
 const FIRST_LINE: usize = 1;
 
 impl Section {
--- a/crates/hcl-config/src/section.rs
+++ b/crates/hcl-config/src/section.rs
@@ -76,7 +76,7 @@
         self.entries.iter().find(|entry| entry.key == key)
     }
 
-    /// Returns the value at a key, of any type.
+    /// Returns the value at a key, of any type; `None` if the key is absent. Like every getter, marks the key as read.
     pub fn value(&self, key: &str) -> Option<&Value> {
         let entry = self.entry(key)?;
         entry.was_read.set(true);
@@ -127,7 +127,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Problem::Unexpected`] if the value is neither, out of bounds, or the lower end exceeds the upper one.
+    /// Returns [`Problem::Unexpected`] if the value is neither, a number is out of bounds, or the lower end exceeds the
+    /// upper one.
     pub fn number_range(&self, key: &str, bounds: RangeInclusive<f64>) -> HclResult<Option<(f64, f64)>> {
         let low = bounds.start();
         let high = bounds.end();
@@ -172,22 +173,22 @@
     ///
     /// Returns [`Problem::Unexpected`] if the value is not a string.
     pub fn string(&self, key: &str) -> HclResult<Option<String>> {
-        self.converted(key, "a text", |value| match value {
+        self.converted(key, "a string", |value| match value {
             Value::String(text) => Some(text.clone()),
             _ => None,
         })
     }
 
-    /// Returns the meaning of the keyword at a key.
+    /// Returns the value that `keywords` maps the keyword at a key to.
     ///
     /// # Errors
     ///
-    /// Returns [`Problem::Unexpected`] if the value is none of the keywords.
+    /// Returns [`Problem::Unexpected`] if the value is not one of the keywords.
     pub fn keyword<T: Copy>(&self, key: &str, keywords: &[(&str, T)]) -> HclResult<Option<T>> {
         let choices: Vec<&str> = keywords.iter().map(|(keyword, _)| *keyword).collect();
         self.converted(key, &format!("one of {}", choices.join(", ")), |value| match value {
             Value::String(text) => {
-                keywords.iter().find(|(keyword, _)| keyword == text).map(|(_, meaning)| *meaning)
+                keywords.iter().find(|(keyword, _)| keyword == text).map(|(_, mapped)| *mapped)
             }
             _ => None,
         })
@@ -199,7 +200,7 @@
         of_kind.inspect(|section| section.was_read.set(true))
     }
 
-    /// Returns the block of a kind that may occur once.
+    /// Returns the block of a kind that may occur at most once; `None` if there is none.
     ///
     /// # Errors
     ///
@@ -217,7 +218,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Problem::UnknownKey`] or [`Problem::UnknownBlock`] at the first one that was not.
+    /// Returns [`Problem::UnknownKey`] or [`Problem::UnknownBlock`] at the first key or block that was not read.
     pub fn deny_unknown_keys(&self) -> HclResult<()> {
         if let Some(entry) = self.entries.iter().find(|entry| !entry.was_read.get()) {
             return Err(self.error(&entry.key, Problem::UnknownKey));
--- a/crates/hcl-config/src/value.rs
+++ b/crates/hcl-config/src/value.rs
@@ -11,7 +11,7 @@
 pub enum Value {
     /// True or false.
     Bool(bool),
-    /// A finite number; integers are exact up to 2^53.
+    /// A finite number; integers up to 2^53 are exact.
     Number(f64),
     /// A string without interpolation.
     String(String),
--- a/crates/hcl-config/tests/error_text.rs
+++ b/crates/hcl-config/tests/error_text.rs
@@ -1,4 +1,4 @@
-//! Texts of errors as operators and their tools read them: file, line, key, problem.
+//! Complete texts of errors, which operators and their tools read: file, line, key and problem.
 
 use std::fmt::Write as _;
 
@@ -27,8 +27,8 @@
 }
 ";
 
-fn shown<T>(read: Result<T, HclError>) -> String {
-    match read {
+fn error_text<T>(result: Result<T, HclError>) -> String {
+    match result {
         Ok(_) => "read".to_owned(),
         Err(error) => format!("{error} [line {}, key {:?}]", error.line, error.key),
     }
@@ -42,26 +42,26 @@
     let limits = large.section("limits").unwrap().unwrap();
     let keywords = [("slow", 1), ("quick", 2)];
     let texts = [
-        shown(file.number("name", 0.0..=1.5)),
-        shown(room.number("share", 1.0..=2.0)),
-        shown(file.integer("debt", 1..=64)),
-        shown(file.integer("name", 0..=u64::MAX)),
-        shown(large.integer("slots", 1..=64)),
-        shown(file.number_range("wide", 2.0..=9.0)),
-        shown(file.number_range("deep", 2.0..=9.0)),
-        shown(room.number_list("many", 1.0..=2.0)),
-        shown(room.boolean("share")),
-        shown(file.boolean("deep")),
-        shown(room.string("on")),
-        shown(file.string("wide")),
-        shown(limits.keyword("rate", &keywords)),
-        shown(file.section("class").map(|_| ())),
-        shown::<()>(Err(limits.error("", "is of no use"))),
-        shown::<()>(Err(limits.error("absent", "is missing"))),
-        shown::<()>(Err(file.error("", "is empty"))),
-        shown(file.deny_unknown_keys()),
-        shown(room.deny_unknown_keys()),
-        shown(large.deny_unknown_keys()),
+        error_text(file.number("name", 0.0..=1.5)),
+        error_text(room.number("share", 1.0..=2.0)),
+        error_text(file.integer("debt", 1..=64)),
+        error_text(file.integer("name", 0..=u64::MAX)),
+        error_text(large.integer("slots", 1..=64)),
+        error_text(file.number_range("wide", 2.0..=9.0)),
+        error_text(file.number_range("deep", 2.0..=9.0)),
+        error_text(room.number_list("many", 1.0..=2.0)),
+        error_text(room.boolean("share")),
+        error_text(file.boolean("deep")),
+        error_text(room.string("on")),
+        error_text(file.string("wide")),
+        error_text(limits.keyword("rate", &keywords)),
+        error_text(file.section("class").map(|_| ())),
+        error_text::<()>(Err(limits.error("", "is not needed"))),
+        error_text::<()>(Err(limits.error("absent", "is missing"))),
+        error_text::<()>(Err(file.error("", "is empty"))),
+        error_text(file.deny_unknown_keys()),
+        error_text(room.deny_unknown_keys()),
+        error_text(large.deny_unknown_keys()),
     ];
     let text = texts.join("\n");
     insta::assert_snapshot!(text);
@@ -81,15 +81,15 @@
         "a = [1, !true]\n",
         "room \"x\" {\n",
     ] {
-        writeln!(text, "{}", shown(Section::parse("etc/a.hcl", source))).unwrap();
+        writeln!(text, "{}", error_text(Section::parse("etc/a.hcl", source))).unwrap();
     }
     let shared = "a = 1\nroom {\n  b = 2\n}\nroam {}\n";
     let file = Section::parse("etc/a.hcl", shared).unwrap();
     file.value("a");
-    writeln!(text, "{}", shown(file.deny_unknown_keys())).unwrap();
+    writeln!(text, "{}", error_text(file.deny_unknown_keys())).unwrap();
     let room = file.section("room").unwrap().unwrap();
-    writeln!(text, "{}", shown(file.deny_unknown_keys())).unwrap();
+    writeln!(text, "{}", error_text(file.deny_unknown_keys())).unwrap();
     room.value("b");
-    writeln!(text, "{}", shown(file.deny_unknown_keys())).unwrap();
+    writeln!(text, "{}", error_text(file.deny_unknown_keys())).unwrap();
     insta::assert_snapshot!(text);
 }
--- a/crates/hcl-config/tests/section.rs
+++ b/crates/hcl-config/tests/section.rs
@@ -1,4 +1,4 @@
-//! Settings by type and bounds, and errors that name file, line and key.
+//! Getters check the type and bounds of settings; their errors name file, line and key.
 
 use hcl_config::{HclError, Section};
 
@@ -19,14 +19,14 @@
 }
 ";
 
-fn read(text: &str) -> Section {
-    Section::parse("a.hcl", text).expect("HCL")
+fn parse(text: &str) -> Section {
+    Section::parse("a.hcl", text).expect("valid HCL")
 }
 
 #[test]
 fn values_are_read_by_type_and_bounds() {
-    let file = read(TEXT);
-    let room = file.section("room").expect("one").expect("there");
+    let file = parse(TEXT);
+    let room = file.section("room").expect("at most one block").expect("a block");
     assert_eq!(file.string("name"), Ok(Some("here".to_owned())));
     assert_eq!(room.number("share", 0.0..=1.0), Ok(Some(0.5)));
     assert_eq!(room.number_range("wide", 0.0..=9.0), Ok(Some((1.0, 2.5))));
@@ -38,17 +38,17 @@
 
 #[test]
 fn errors_name_file_line_and_key() {
-    let file = read(TEXT);
-    let shown = |error: HclError| error.to_string();
-    let room = file.section("room").expect("one").expect("there");
-    let wide = room.number("wide", 0.0..=1.0).map_err(shown);
+    let file = parse(TEXT);
+    let to_text = |error: HclError| error.to_string();
+    let room = file.section("room").expect("at most one block").expect("a block");
+    let wide = room.number("wide", 0.0..=1.0).map_err(to_text);
     assert_eq!(wide, Err("a.hcl:5: room.wide: expected a number from 0 to 1, found a list of 2".to_owned()));
-    let large = file.sections("class").last().expect("two");
-    let slots = large.integer("slots", 1..=64).map_err(shown);
+    let large = file.sections("class").last().expect("a block");
+    let slots = large.integer("slots", 1..=64).map_err(to_text);
     let expected = "a.hcl:13: class[large].slots: expected a whole number from 1 to 64, found -4";
     assert_eq!(slots, Err(expected.to_owned()));
-    let twice = file.section("class").map(|_| ()).map_err(shown);
-    assert_eq!(twice, Err("a.hcl:12: class[large]: there is more than one such block".to_owned()));
+    let repeated = file.section("class").map(|_| ()).map_err(to_text);
+    assert_eq!(repeated, Err("a.hcl:12: class[large]: there is more than one such block".to_owned()));
     let text = Section::parse("a.hcl", "a = 1\nb = = 2\n").map(|_| ()).map_err(|e| (e.line, e.key));
     assert_eq!(text, Err((2, String::new())));
     let call = Section::parse("a.hcl", "\na = env(\"HOME\")\n").map(|_| ()).map_err(|e| (e.line, e.key));
@@ -56,14 +56,14 @@
 }
 
 #[test]
-fn rejects_keys_that_nobody_reads() {
-    let file = read("room {\n  share = 1\n  shore = 2\n}\nroam {}\n");
-    let room = file.section("room").expect("one").expect("there");
+fn rejects_keys_and_blocks_that_no_getter_has_read() {
+    let file = parse("room {\n  share = 1\n  shore = 2\n}\nroam {}\n");
+    let room = file.section("room").expect("at most one block").expect("a block");
     let _ = room.number("share", 0.0..=1.0);
-    let shown = |file: &Section| file.deny_unknown_keys().map_err(|error| error.to_string());
-    assert_eq!(shown(&file), Err("a.hcl:3: room.shore: there is no such key here".to_owned()));
+    let unknown_key = |file: &Section| file.deny_unknown_keys().map_err(|error| error.to_string());
+    assert_eq!(unknown_key(&file), Err("a.hcl:3: room.shore: there is no such key here".to_owned()));
     let _ = room.value("shore");
-    assert_eq!(shown(&file), Err("a.hcl:5: roam: there is no such block here".to_owned()));
+    assert_eq!(unknown_key(&file), Err("a.hcl:5: roam: there is no such block here".to_owned()));
     let _ = file.section("roam");
-    assert_eq!(shown(&file), Ok(()));
+    assert_eq!(unknown_key(&file), Ok(()));
 }
