--- a/crates/cluster-member/src/coordinator_client.rs
+++ b/crates/cluster-member/src/coordinator_client.rs
@@ -1,4 +1,4 @@
-//! Client that calls the leading replica of the coordinator, with retries until a deadline.
+//! Client that calls the leader among the replicas of the coordinator, with retries until a deadline.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -17,13 +17,13 @@
 /// Delay before the next replica is called.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Error of a call. The operation may have been carried out.
+/// Error of a call. The operation may have been carried out nevertheless.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The deadline had passed before any replica was called.
+    /// The deadline had already passed when the call was made.
     #[error("the deadline had passed before a replica was called")]
     DeadlinePassed,
-    /// The last replica that responded knows no leader: there may be no majority. A retry may succeed.
+    /// The last replica that responded is not the leader; there may be no leader or no majority. A retry may succeed.
     #[error("no replica leads")]
     NoLeader,
     /// The leader has as many pending requests as it accepts. A retry may succeed.
@@ -45,7 +45,7 @@
     },
 }
 
-/// Client of the coordinator, for occasional calls.
+/// Client of the coordinator for single calls; keeps its connection between them.
 #[derive(Debug)]
 pub struct CoordinatorClient {
     installation: String,
@@ -78,13 +78,14 @@
         }
     }
 
-    /// Calls the leading replica. An operation may have been carried out even if the call fails.
+    /// Calls the leader. An operation may have been carried out even if the call fails.
     ///
     /// # Errors
     /// Returns the [`CallError`] of the last attempt if no leader responds by the deadline.
     pub async fn call(&mut self, operation: &Operation, deadline: Instant) -> Result<Response, CallError> {
         let mut last_error = CallError::DeadlinePassed;
-        // During an election two replicas may name each other as leader: only one hint in a row is followed without a delay.
+        // Around an election two replicas may name each other as leader, so only the first of consecutive hints is
+        // followed without a delay.
         let mut followed_hint = false;
         while Instant::now() < deadline {
             let replica = self.current;
@@ -92,8 +93,8 @@
             match timeout_at(attempt_deadline, self.call_current(operation)).await {
                 Ok(Ok(Response::NotLeader { leader, address })) => {
                     last_error = CallError::NoLeader;
-                    let is_other = self.follow_leader(LeaderHint::new(leader, address.as_deref()));
-                    if is_other && !std::mem::replace(&mut followed_hint, true) {
+                    let selected_leader = self.follow_leader(LeaderHint::new(leader, address.as_deref()));
+                    if selected_leader && !std::mem::replace(&mut followed_hint, true) {
                         continue;
                     }
                 }
@@ -114,7 +115,8 @@
         Err(last_error)
     }
 
-    /// Selects the named leader and returns true if it is another replica than the current one; selects the next one otherwise.
+    /// Selects the named leader and returns true if it is not the current replica; otherwise selects the next replica
+    /// and returns false.
     fn follow_leader(&mut self, leader: Option<LeaderHint>) -> bool {
         self.connection = None;
         let Some(leader) = leader.filter(|leader| leader.replica_id != self.current) else {
--- a/crates/cluster-member/src/discovery_fallback.rs
+++ b/crates/cluster-member/src/discovery_fallback.rs
@@ -1,4 +1,4 @@
-//! Fallback to polling discovery when the holder of the endpoint list lease is silent.
+//! Fallback to polling discovery when no more events arrive from the holder of the endpoint list lease.
 
 use coordination::Micros;
 
@@ -8,7 +8,7 @@
 /// Decides whether a member polls discovery or relies on the holder of the endpoint list lease.
 #[derive(Debug, Clone)]
 pub struct DiscoveryFallback {
-    silence_timeout: Micros,
+    event_timeout: Micros,
     members_per_second: f64,
     /// Position of this member, from 0 to 1, in the order in which members return to polling.
     position: f64,
@@ -17,12 +17,12 @@
 }
 
 impl DiscoveryFallback {
-    /// Creates a fallback for a member that polls until the first event. `silence_timeout` is the time without events, in
-    /// microseconds, after which members return to polling; `members_per_second` the rate at which all members together
-    /// do so; `position` is from 0 to 1.
-    pub fn new(silence_timeout: Micros, members_per_second: f64, position: f64) -> DiscoveryFallback {
+    /// Creates a fallback for a member that polls until the first event. `event_timeout` is the time without events, in
+    /// microseconds, after which members return to polling. `members_per_second` is the number of members that do so
+    /// per second. `position`, from 0 to 1, is the position of this member in their order.
+    pub fn new(event_timeout: Micros, members_per_second: f64, position: f64) -> DiscoveryFallback {
         DiscoveryFallback {
-            silence_timeout,
+            event_timeout,
             members_per_second,
             position: position.clamp(0.0, 1.0),
             last_event: None,
@@ -31,27 +31,28 @@
     }
 
     /// Creates a fallback with a position drawn from the seed.
-    pub fn with_seed(silence_timeout: Micros, members_per_second: f64, seed: u64) -> DiscoveryFallback {
+    pub fn with_seed(event_timeout: Micros, members_per_second: f64, seed: u64) -> DiscoveryFallback {
         let position = fastrand::Rng::with_seed(seed).f64();
-        DiscoveryFallback::new(silence_timeout, members_per_second, position)
+        DiscoveryFallback::new(event_timeout, members_per_second, position)
     }
 
-    /// Records an event of a lease holder that was applied.
+    /// Records that an event of the lease holder was applied. `member_count` is the number of members that the event
+    /// states.
     pub fn record_event(&mut self, now: Micros, member_count: u64) {
         self.last_event = Some(now);
         self.member_count = member_count;
     }
 
-    /// Discards earlier events, because the address or the names of discovery have changed.
+    /// Discards the recorded event, because members now read another discovery service, or other names of it.
     pub fn reset(&mut self) {
         self.last_event = None;
     }
 
-    /// Returns the time from which this member polls unless another event arrives.
+    /// Returns the time at which this member starts to poll unless another event arrives; 0 before the first event.
     pub fn polls_from(&self) -> Micros {
         let Some(last_event) = self.last_event else { return 0 };
         let spread_seconds = self.member_count as f64 / self.members_per_second * self.position;
-        last_event + self.silence_timeout + (spread_seconds * MICROS_PER_SECOND) as Micros
+        last_event + self.event_timeout + (spread_seconds * MICROS_PER_SECOND) as Micros
     }
 
     /// Returns whether this member polls discovery. A lease holder always does.
--- a/crates/cluster-member/src/effects/mod.rs
+++ b/crates/cluster-member/src/effects/mod.rs
@@ -1,5 +1,5 @@
-//! Effects of lease holders. The sender checks its lease by the clock immediately before each effect; the receiver accepts
-//! or rejects it by its fencing token.
+//! Effects of lease holders. The sender checks its lease against the clock immediately before it sends an effect; the
+//! receiver accepts or rejects the effect by its fencing token.
 
 mod publisher;
 mod receiver;
--- a/crates/cluster-member/src/effects/publisher.rs
+++ b/crates/cluster-member/src/effects/publisher.rs
@@ -1,4 +1,4 @@
-//! Sender of effects: sends the latest effect of a term to every other member.
+//! Publisher of effects: sends the latest effect of a term to every other member.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -20,9 +20,9 @@
     SCHEMA_VERSION,
 };
 
-/// Timeout of a receiver's response, after which the connection is replaced.
+/// Timeout of a receiver's response, after which the publisher reconnects.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Delay before a lost connection is replaced.
+/// Delay before the publisher reconnects to a receiver.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
 /// Latest effect of a term.
@@ -41,7 +41,7 @@
     token: u64,
 }
 
-/// Handler of the responses of receivers that accepted an effect.
+/// Handler that is called with the payload of the response of each receiver that accepted an effect.
 type ResponseHandler = Box<dyn Fn(&[u8])>;
 
 /// Term of a lease, and the handler of responses to its effects.
@@ -74,7 +74,8 @@
         Publisher::with_response_handler(member, lease, token, |_| {})
     }
 
-    /// Creates a publisher that calls `on_response` with each response of a receiver that accepted an effect.
+    /// Creates a publisher that calls `on_response` with the payload of each response of a receiver that accepted an
+    /// effect.
     pub fn with_response_handler(
         member: &Member,
         lease: LeaseId,
@@ -94,13 +95,13 @@
         self.term.token
     }
 
-    /// Sends an effect to all present members and returns its sequence number. It replaces earlier effects that were not
-    /// sent yet. An effect without a response may be delivered twice.
+    /// Sends an effect to all other members and returns its sequence number. The effect replaces earlier ones that were
+    /// not sent yet. If no response to it arrives, it is sent again and may be delivered twice.
     pub fn publish(&mut self, body: Vec<u8>) -> u64 {
         let own_name = &self.member.config().name;
         let peers: Vec<Peer> =
             self.member.members().into_iter().filter(|peer| peer.name != *own_name).collect();
-        self.stop_receivers_not_in(&peers);
+        self.retain_receivers(&peers);
         self.latest.send_modify(|latest| {
             *latest = PublishedEffect { sequence: latest.sequence + 1, body: Rc::new(body) };
         });
@@ -114,8 +115,8 @@
         self.latest.borrow().sequence
     }
 
-    /// Stops sending to receivers that are no longer members. `peers` is sorted.
-    fn stop_receivers_not_in(&mut self, peers: &[Peer]) {
+    /// Stops sending to receivers that are not in `peers`, which must be sorted.
+    fn retain_receivers(&mut self, peers: &[Peer]) {
         self.receivers.retain(|peer, task| {
             let wanted = peers.binary_search(peer).is_ok() && !task.is_finished();
             if !wanted {
@@ -132,7 +133,7 @@
     }
 }
 
-/// Sends to one receiver until the publisher is dropped, and reconnects when a connection fails.
+/// Sends the effects to one receiver until the publisher is dropped, and reconnects when a connection fails.
 async fn publish_to(
     member: Member,
     peer: Peer,
@@ -143,18 +144,18 @@
     latest.mark_changed();
     loop {
         if let Err(error) = publish_over_connection(&member, address, &term, &mut latest).await {
-            tracing::debug!(to = peer.name, %error, "receiver unreachable");
+            tracing::debug!(to = peer.name, %error, "connection to receiver failed");
         }
         if latest.has_changed().is_err() {
             return;
         }
         sleep(RECONNECT_DELAY).await;
-        // The last effect may not have been delivered.
+        // The last effect may not have been delivered, so it is sent again.
         latest.mark_changed();
     }
 }
 
-/// Sends to one receiver until the connection fails or the publisher is dropped.
+/// Sends the effects to one receiver until the connection fails or the publisher is dropped.
 async fn publish_over_connection(
     member: &Member,
     address: SocketAddr,
@@ -168,7 +169,7 @@
         let PublishedEffect { sequence, body } = latest.borrow_and_update().clone();
         let effect = Effect { lease: term.lease.clone(), token: term.token, sequence, body: body.to_vec() };
         let encoded = encode(&effect)?;
-        // The lease is checked last before the write: time that passes in between is not covered.
+        // Nothing but the record lies between this check and the write, because the lease may expire in between.
         let now = clock::now();
         if !lease_check.permits(member, term, now) {
             continue;
@@ -186,9 +187,9 @@
     Ok(())
 }
 
-/// Check of the lease before each effect on one connection.
+/// Checks, before each effect on one connection, that the lease is still held.
 struct LeaseCheck {
-    /// Set by [`InjectedBug::SkipExpiryCheck`].
+    /// Whether the check is skipped after it has passed once; set by [`InjectedBug::SkipExpiryCheck`].
     skip_after_first: bool,
     passed: bool,
 }
--- a/crates/cluster-member/src/effects/receiver.rs
+++ b/crates/cluster-member/src/effects/receiver.rs
@@ -19,10 +19,10 @@
 
 /// Maximum number of connections of lease holders.
 const MAX_PUBLISHER_CONNECTIONS: usize = 256;
-/// Delay after a failed accept, most likely for want of file descriptors.
+/// Delay after a failed accept, most likely due to a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Record of an effect.
+/// Record of an accepted or rejected effect.
 #[derive(Serialize)]
 struct EffectRecord<'a> {
     #[serde(rename = "duty")]
@@ -59,7 +59,7 @@
     }
 }
 
-/// Serves one connection until it is closed.
+/// Serves one connection until it fails or the lease holder closes it.
 async fn serve_publisher(
     member: &Member,
     stream: TcpStream,
--- a/crates/cluster-member/src/endpoint_list.rs
+++ b/crates/cluster-member/src/endpoint_list.rs
@@ -1,27 +1,28 @@
 //! Endpoint list: one lease holder watches discovery and broadcasts the complete list to all members. Pure: no I/O and no
 //! clock.
 //!
-//! A member applies an event only if its discovery revision is newer than the last one applied, in whatever order events
-//! arrive. The lease holder sends an event only when discovery has responded, so each event shows that discovery is alive:
-//! a member that relies on the lease holder notices a silent discovery as soon as one that watches it itself.
+//! Events may arrive in any order: a member does not apply one whose discovery revision is older than the last applied
+//! one. The lease holder sends an event only when discovery has responded, so each event shows that discovery is alive.
+//! A member that relies on the lease holder therefore notices a hanging discovery as soon as a member that watches
+//! discovery itself.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
-/// Name of the lease.
+/// Name of the lease whose holder broadcasts the endpoint list.
 pub const ENDPOINT_LIST_LEASE: &str = "list";
 
 /// Event that the lease holder broadcasts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// Name of the discovery that counts the revisions; those of different sources are not comparable.
+    /// Name of the discovery service that counts the revisions; revisions of different sources are not comparable.
     pub source: String,
-    /// Number of members, over which polls are spread when the lease holder is lost.
+    /// Number of members, by which the return to polling is spread when the lease holder is lost.
     #[serde(rename = "members")]
     pub member_count: u64,
-    /// Complete list as discovery sends it, or only its revision if nothing changed.
+    /// Complete list as discovery sends it, or only the revision if nothing has changed.
     pub list: Value,
 }
 
@@ -37,7 +38,7 @@
     }
 }
 
-/// Endpoint list assembled from complete lists and changes, with entries in the form of discovery.
+/// Endpoint list assembled from complete lists and changes, with the entries as discovery sends them.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EndpointSnapshot {
     revision: u64,
@@ -46,7 +47,7 @@
 }
 
 impl EndpointSnapshot {
-    /// Applies a complete list or changes. Older revisions than the present one are ignored.
+    /// Applies a complete list or changes. A revision that is older than the present one is ignored.
     pub fn apply(&mut self, list: &Value) {
         let (Some(revision), Some(members)) = (list["revision"].as_u64(), list["members"].as_array()) else {
             return;
@@ -79,7 +80,7 @@
         self.complete.then(|| json!({"revision": self.revision, "complete": true, "members": members}))
     }
 
-    /// Iterates over the entries in the form of discovery; over none before a complete list was received.
+    /// Iterates over the entries as discovery sends them; over none before a complete list was received.
     pub fn entries(&self) -> impl Iterator<Item = &Value> {
         self.entries.values().filter(|_| self.complete)
     }
@@ -89,7 +90,7 @@
         self.revision
     }
 
-    /// Clears the list, because the next one comes from another discovery.
+    /// Clears the list, because the next one comes from another discovery service.
     pub fn clear(&mut self) {
         *self = EndpointSnapshot::default();
     }
--- a/crates/cluster-member/src/health_check/config.rs
+++ b/crates/cluster-member/src/health_check/config.rs
@@ -2,15 +2,15 @@
 
 use coordination::{LeaseId, LeaseScope, Micros};
 
-/// Odd number near 2^64 divided by the golden ratio (Fibonacci hashing).
+/// Multiplier of Fibonacci hashing: an odd number near 2^64 divided by the golden ratio.
 const SPREADING_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Configuration of health checks; the same at all members.
+/// Configuration of health checks; must be the same at all members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HealthCheckConfig {
     /// Number of sets into which the workers are partitioned.
     pub set_count: u16,
-    /// Number of zones in the settings that all dispatchers start with.
+    /// Number of zones in the settings that a dispatcher starts with; must be the same at all dispatchers.
     pub zone_count: u16,
     /// Interval between two probes of a worker, in microseconds.
     pub probe_interval: Micros,
@@ -18,18 +18,18 @@
     pub failure_threshold: u16,
     /// Time to live of a report, in microseconds.
     pub report_ttl: Micros,
-    /// Bug injected by an experiment that has to find it.
+    /// Bug that an experiment injects to test that its checker finds it.
     pub injected_bug: Option<InjectedBug>,
 }
 
 /// Bug that an experiment injects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InjectedBug {
-    /// A lease holder probes as soon as its term begins.
+    /// A lease holder sends its first probes when its term begins, not one interval later.
     ProbeAtOnce,
-    /// Reports of observers that may be partitioned are trusted.
+    /// Every reported failure gives a verdict, even if the observer may be partitioned.
     TrustEveryReport,
-    /// Probes are sent without a check of the lease.
+    /// Probes are sent without checking that the lease is still held.
     SkipLeaseCheck,
 }
 
@@ -47,8 +47,8 @@
 }
 
 impl HealthCheckConfig {
-    /// Returns the name of the leases. It contains the numbers of sets and zones, so that members with different
-    /// settings do not confuse their sets.
+    /// Returns the name of the leases. It contains the numbers of sets and zones, because members with different
+    /// settings partition the workers differently and must not share leases.
     pub fn lease_name(&self) -> String {
         format!("watch-of-{}-in-{}", self.set_count, self.zone_count)
     }
@@ -69,8 +69,8 @@
     }
 
     /// Returns the set of a worker by its number and the index of its zone, which are the same at all members. The workers
-    /// of a zone share few sets: the observer of a set needs a healthy worker of the zone to distinguish a failing worker
-    /// from a network fault.
+    /// of a zone are assigned to few sets, because the observer of a set needs a healthy worker of the same zone to
+    /// distinguish a failing worker from a network fault.
     pub fn set_of_worker(&self, worker: u64, zone: u32) -> u16 {
         let sets = u64::from(self.set_count.max(1));
         let zones = u64::from(self.zone_count.max(1));
--- a/crates/cluster-member/src/health_check/scheduler.rs
+++ b/crates/cluster-member/src/health_check/scheduler.rs
@@ -8,12 +8,12 @@
 
 /// Minimum interval between two reports of a lease holder, in microseconds.
 const MIN_REPORT_INTERVAL: Micros = 100_000;
-/// The first probes of new workers are spread over this fraction of an interval.
+/// Divisor of the probe interval that gives the time over which the first probes of new workers are spread.
 const INITIAL_SPREAD_DIVISOR: u64 = 4;
-/// Number of probe intervals for which a healthy result counts as recent.
+/// Number of probe intervals during which a healthy result counts as recent.
 const RECENT_INTERVALS: u64 = 2;
 
-/// Time of the last healthy result in each zone, over all sets that one process checks.
+/// Time of the last healthy result in each zone, from all sets that one process checks.
 #[derive(Debug, Clone, Default)]
 pub struct ZoneLiveness(BTreeMap<String, Micros>);
 
@@ -39,13 +39,13 @@
     in_flight: bool,
     consecutive_failures: u16,
     first_failure: Micros,
-    /// Whether another worker of its zone was seen healthy between the first and the last failure.
+    /// Whether another worker of the zone was seen healthy between the first and the last failure.
     zone_reachable: bool,
     /// Time of the last result, healthy or not.
     last_result: Option<Micros>,
 }
 
-/// Reported part of the probe state. A report is due when it changes.
+/// Part of the probe state whose change makes a report due.
 #[derive(PartialEq)]
 struct ReportedState {
     failing: bool,
@@ -83,8 +83,8 @@
             self.first_failure = now;
         }
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
-        // Evaluated at each failure and not later: a worker that is seen healthy after a partition has healed is no
-        // evidence about failures during the partition.
+        // Evaluated at each failure and not later, because a worker that is seen healthy after a partition has healed
+        // does not show that the zone was reachable during the failures.
         self.zone_reachable |=
             self.consecutive_failures > 1 && zones.healthy_since(&self.zone, self.first_failure);
         self.last_result = Some(now);
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Sets the workers of the set, with their zones. New ones are first probed after one interval, since another lease
-    /// holder may have probed them until now.
+    /// Sets the workers to check, with their zones. New workers are first probed after one interval, because another
+    /// lease holder may have probed them until now.
     pub fn update_workers<'a>(&mut self, now: Micros, workers: impl Iterator<Item = (u64, &'a str)>) {
         let workers: BTreeMap<u64, &str> = workers.collect();
         self.workers.retain(|id, _| workers.contains_key(id));
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Returns the workers to be probed now. A worker is not returned again until its probe has finished.
+    /// Returns the workers to probe now. A worker is not returned again until its probe has finished.
     pub fn due_probes(&mut self, now: Micros) -> Vec<u64> {
         let mut due = Vec::new();
         for (id, worker) in &mut self.workers {
@@ -159,14 +159,14 @@
         due
     }
 
-    /// Records that a probe is about to be sent; the next one is due an interval later.
+    /// Records that a probe of a worker is about to be sent. The next probe is due one interval later.
     pub fn probe_sent(&mut self, worker: u64, now: Micros) {
         if let Some(worker) = self.workers.get_mut(&worker) {
             worker.next_probe = now + self.config.probe_interval;
         }
     }
 
-    /// Records the result of a probe; `None` if it has none.
+    /// Records the result of a probe. `healthy` is `None` if the probe was not sent or gave no result.
     pub fn probe_finished(
         &mut self,
         worker: u64,
@@ -191,7 +191,7 @@
         self.changed |= before != worker.reported(self.config.failure_threshold);
     }
 
-    /// Returns the report to be sent now, if one is due.
+    /// Returns a report if one is due now. The caller must send it.
     pub fn next_report(&mut self, now: Micros, zones: &ZoneLiveness) -> Option<HealthReport> {
         if !self.report_due(now) {
             return None;
@@ -205,8 +205,8 @@
         let Some(last) = self.last_report else {
             return self.workers.values().any(|worker| worker.last_result.is_some());
         };
-        let since = now.saturating_sub(last);
-        since >= self.config.probe_interval || (self.changed && since >= MIN_REPORT_INTERVAL)
+        let elapsed = now.saturating_sub(last);
+        elapsed >= self.config.probe_interval || (self.changed && elapsed >= MIN_REPORT_INTERVAL)
     }
 
     fn report(&self, now: Micros, zones: &ZoneLiveness) -> HealthReport {
@@ -247,7 +247,7 @@
     }
 }
 
-/// Returns the index of a zone in a report, after adding it if necessary.
+/// Returns the index of a zone among the reported zones; adds the zone if it is missing.
 fn zone_index(
     reported: &mut Vec<ZoneReport>,
     zone: &str,
--- a/crates/cluster-member/src/health_check/verdict.rs
+++ b/crates/cluster-member/src/health_check/verdict.rs
@@ -1,4 +1,4 @@
-//! Unhealthy verdicts, derived from the reports of all lease holders.
+//! Unhealthy verdicts, derived from the reports of all observers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 /// Latest report of one set.
 #[derive(Debug, Clone)]
 struct ReceivedReport {
-    /// Time of sending, converted to the receiver's clock.
+    /// Time of sending, estimated by the receiver's clock.
     sent_at: Micros,
     report: HealthReport,
 }
@@ -22,15 +22,16 @@
     clock_offsets: BTreeMap<u16, ClockOffset>,
 }
 
-/// Difference between the clocks of the receiver and of a set's lease holder, in the present term of the set's lease.
+/// Difference between the clocks of the receiver and of the observer of a set, in the present term of the set's lease.
 #[derive(Debug, Clone, Copy)]
 struct ClockOffset {
     token: FencingToken,
-    /// Smallest difference between the time of receipt and [`HealthReport::sent_at`]: that of the fastest report.
+    /// Smallest difference between the time of receipt and [`HealthReport::sent_at`], which is that of the fastest
+    /// report.
     smallest: i128,
 }
 
-/// Verdict that a worker is unhealthy.
+/// Verdict that a worker is unhealthy, based on the report of its observer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UnhealthyVerdict {
     /// Time of the last failure, by the receiver's clock.
@@ -45,7 +46,7 @@
         HealthReports { config, reports: BTreeMap::new(), clock_offsets: BTreeMap::new() }
     }
 
-    /// Records a report of the holder of a set's lease, whose fencing token was accepted.
+    /// Records a report of the observer of a set. The caller must have accepted its fencing token.
     pub fn record(&mut self, set: u16, token: FencingToken, report: HealthReport, now: Micros) {
         let offset = i128::from(now) - i128::from(report.sent_at);
         let new_term = ClockOffset { token, smallest: offset };
@@ -66,8 +67,8 @@
         all.filter(move |(_, received)| self.is_fresh(received, now))
     }
 
-    /// Returns whether this observer and one in another zone both find a zone unreachable, and the other one is not
-    /// partitioned itself.
+    /// Returns whether this report and the report of an observer in another zone both find a zone unreachable. The
+    /// other observer must see a healthy worker, or it may be partitioned itself.
     fn zone_unreachable(&self, set: u16, report: &HealthReport, zone: &str, now: Micros) -> bool {
         let confirms = |other: &HealthReport| {
             other.observer_zone != report.observer_zone
@@ -97,8 +98,8 @@
         verdicts
     }
 
-    /// Returns whether a failure is the worker's and not the observer's. `confirmed` is whether another observer finds the
-    /// zone unreachable.
+    /// Returns whether a failure is due to the worker or its zone and not to a partition of the observer. `confirmed`
+    /// is whether another observer also finds the zone unreachable.
     fn credible(&self, report: &HealthReport, failing: &FailingWorker, confirmed: bool) -> bool {
         let trusts_all = self.config.injected_bug == Some(InjectedBug::TrustEveryReport);
         trusts_all || (report.sees_healthy_worker && (failing.zone_reachable || confirmed))
--- a/crates/cluster-member/src/lib.rs
+++ b/crates/cluster-member/src/lib.rs
@@ -2,8 +2,8 @@
 //! effects of lease holders with their fencing tokens; and the pure logic of the three tasks that leases are granted for:
 //! the endpoint list, health checks and slow start.
 //!
-//! No request of a client waits for this package: a member that reaches no replica of the coordinator works as if there
-//! were no cluster.
+//! No client request waits for this package: a member that reaches no replica of the coordinator works as if it were
+//! not part of a cluster.
 
 pub mod clock;
 pub mod coordinator_client;
--- a/crates/cluster-member/src/member/mod.rs
+++ b/crates/cluster-member/src/member/mod.rs
@@ -28,17 +28,17 @@
     pub name: String,
     /// Zone of the member; may be empty.
     pub zone: String,
-    /// Address at which other members reach it.
+    /// Address at which the member receives effects of other members.
     pub address: String,
     /// Addresses of the replicas of the coordinator, by number.
     pub replicas: BTreeMap<u64, SocketAddr>,
     /// Local address of outgoing connections.
     pub local_address: Option<IpAddr>,
-    /// Durations of sessions and calls; the same as at the coordinator.
+    /// Durations of sessions and calls; must be the same as at the coordinator.
     pub timing: Timing,
     /// Leases that the member may be granted.
     pub eligible_leases: Vec<LeaseId>,
-    /// Seed of the delays between attempts.
+    /// Seed of the choice of the first replica and of the delays between attempts to connect.
     pub seed: u64,
 }
 
@@ -48,10 +48,10 @@
     config: Rc<MemberConfig>,
     lease_client: Rc<RefCell<LeaseClient>>,
     members: Rc<RefCell<MemberList>>,
-    /// Incremented whenever the leases of this member, or its view, may have changed.
+    /// Incremented whenever the leases of this member or its cluster view may have changed.
     change_count: watch::Sender<u64>,
     leave_requested: watch::Sender<bool>,
-    /// Terms that wait to be released.
+    /// Terms for which a release is still to be requested.
     pending_releases: watch::Sender<Vec<HeldLease>>,
     recorder: Recorder,
 }
@@ -59,7 +59,7 @@
 /// Reason for the end of a membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipEnd {
-    /// The member ended its session.
+    /// The member left: [`Member::leave`] was called.
     Left,
     /// A later process of the same name has a session.
     Superseded {
@@ -101,7 +101,7 @@
         &self.recorder
     }
 
-    /// Returns a receiver that is notified when the leases of this member, or its view, may have changed.
+    /// Returns a receiver that is notified when the leases of this member or its cluster view may have changed.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.change_count.subscribe()
     }
@@ -116,12 +116,12 @@
         self.lease_client.borrow().held_leases(clock::now())
     }
 
-    /// Returns whether this member holds the term now, by a reading of the clock in this call. Required before each effect.
+    /// Returns whether this member holds the term at this moment. Must be called immediately before each effect.
     pub fn holds_lease(&self, lease: &LeaseId, token: FencingToken) -> bool {
         self.lease_client.borrow().holds_lease(lease, token, clock::now())
     }
 
-    /// Releases a term, so that another member is granted the lease.
+    /// Requests the release of a term, so that another member can be granted the lease.
     pub fn release_lease(&self, lease: LeaseId, token: FencingToken) {
         let term = HeldLease { lease, token };
         self.pending_releases.send_if_modified(|releases| {
@@ -133,8 +133,8 @@
         });
     }
 
-    /// Ends the session and all leases; [`Member::run`] then returns. If no replica responds within twice the call timeout,
-    /// the session is left to expire.
+    /// Requests the end of the session and of all its leases, after which [`Member::run`] returns. If no replica
+    /// responds within twice the call timeout, `run` returns nevertheless and the session expires.
     pub fn leave(&self) {
         self.leave_requested.send_replace(true);
     }
@@ -142,12 +142,13 @@
     /// Maintains a session until the membership ends.
     pub async fn run(&self) -> MembershipEnd {
         let mut random = fastrand::Rng::with_seed(self.config.seed);
-        // Not from the seed: the next process of this name may have the same seed and would be taken for this one.
+        // Not drawn from the seed, because the next process of this name may have the same seed and would be mistaken
+        // for this one.
         let boot_id = clock::random_id();
         let lease_duration = self.config.timing.lease_duration;
         let mut replicas = ReplicaSelection::new(&self.config.replicas, &mut random);
         let mut backoff = Backoff::new(lease_duration);
-        // One timeout over all attempts, so that rejections do not restart it.
+        // One timeout for all attempts, so that a rejected attempt does not restart it.
         let leave_timeout = self.leave_timeout();
         tokio::pin!(leave_timeout);
         loop {
@@ -168,7 +169,7 @@
                 }
                 Ok(SessionOutcome::TryAnother(leader)) => leader,
                 Err(error) => {
-                    tracing::debug!(replica = replica.id, %error, "replica unreachable");
+                    tracing::debug!(replica = replica.id, %error, "connection to replica failed");
                     None
                 }
             };
--- a/crates/cluster-member/src/member/replica_selection.rs
+++ b/crates/cluster-member/src/member/replica_selection.rs
@@ -1,4 +1,4 @@
-//! Selection of the replica that a member connects to next, and the delay before.
+//! Selection of the replica that a member connects to next, and the delay before it connects.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,12 +8,15 @@
 
 use crate::wire::LeaderHint;
 
-/// Maximum number of replicas: configured ones and those learned from hints.
+/// Maximum number of replicas, both configured and learned from leader hints.
 const MAX_REPLICAS: usize = 32;
-/// Upper bound of the first delay, in microseconds, doubled for each attempt up to [`MAX_DOUBLINGS`].
+/// Base of the upper bound of the delay, in microseconds: each attempt doubles the bound, at most [`MAX_DOUBLINGS`]
+/// times.
 const INITIAL_BACKOFF: Micros = 10_000;
+/// Maximum number of times that the upper bound is doubled.
 const MAX_DOUBLINGS: u32 = 8;
-/// Upper bound of each delay, as a divisor of the lease duration: a session may expire meanwhile.
+/// Divisor of the lease duration that gives the upper bound of every delay, because a session may expire during the
+/// delay.
 const MAX_BACKOFF_DIVISOR: Micros = 4;
 
 /// Replica with its address.
@@ -23,7 +26,7 @@
     pub(super) address: SocketAddr,
 }
 
-/// Round-robin over the configured replicas and leaders learned from hints.
+/// Round-robin selection from the configured replicas and the leaders learned from hints.
 #[derive(Debug)]
 pub(super) struct ReplicaSelection {
     /// Configured replicas first, then learned ones.
@@ -44,7 +47,8 @@
         self.replicas.get(self.current).copied()
     }
 
-    /// Selects the leader if it is known and not the current replica, the next one in turn otherwise.
+    /// Selects the leader if its address is known and it is not the current replica; otherwise selects the next
+    /// replica.
     pub(super) fn advance(&mut self, leader: Option<LeaderHint>) {
         let leader = leader.and_then(|leader| self.update_address(leader));
         self.current = match leader {
@@ -53,7 +57,8 @@
         };
     }
 
-    /// Updates the address of a leader and returns its index.
+    /// Adds a leader or updates its address, and returns its index; `None` if it is not in the list and cannot be
+    /// added.
     fn update_address(&mut self, leader: LeaderHint) -> Option<usize> {
         let index = self.replicas.iter().position(|replica| replica.id == leader.replica_id);
         let Some(address) = leader.address else { return index };
@@ -69,27 +74,27 @@
     }
 }
 
-/// Exponential backoff with full jitter: the first retries are quick, because a session may expire, and members that lost
-/// the coordinator together do not reconnect together.
+/// Exponential backoff with full jitter. The first retries are quick, because a session may expire. The jitter spreads
+/// the reconnects of members that lost the coordinator at the same time.
 #[derive(Debug)]
 pub(super) struct Backoff {
-    max_span: Micros,
+    max_delay_bound: Micros,
     attempts: u32,
 }
 
 impl Backoff {
     pub(super) fn new(lease_duration: Micros) -> Backoff {
-        Backoff { max_span: lease_duration / MAX_BACKOFF_DIVISOR, attempts: 0 }
+        Backoff { max_delay_bound: lease_duration / MAX_BACKOFF_DIVISOR, attempts: 0 }
     }
 
-    /// Resets the backoff after an attempt that succeeded for long enough.
+    /// Resets the backoff after a connection that lasted long enough.
     pub(super) fn reset(&mut self) {
         self.attempts = 0;
     }
 
     pub(super) fn next_delay(&mut self, random: &mut fastrand::Rng) -> Duration {
         self.attempts = (self.attempts + 1).min(MAX_DOUBLINGS);
-        let max_delay = (INITIAL_BACKOFF << self.attempts).min(self.max_span);
+        let max_delay = (INITIAL_BACKOFF << self.attempts).min(self.max_delay_bound);
         Duration::from_micros(random.u64(1..=max_delay))
     }
 }
--- a/crates/cluster-member/src/member/session.rs
+++ b/crates/cluster-member/src/member/session.rs
@@ -26,21 +26,21 @@
 enum NextStep {
     /// Send the next request now.
     RequestNow,
-    /// Wait until the session has to be renewed.
+    /// Wait until the session must be renewed.
     AwaitRenewal,
     /// Close the connection.
     Stop(SessionOutcome),
 }
 
-/// Next request of a member, and the session that it is for.
+/// Next request of a member, with the session that it is sent for.
 struct PlannedRequest {
     session: Option<SessionId>,
     operation: Operation,
-    /// Whether the member was requested to leave when this was planned.
+    /// Whether the member had been requested to leave when the request was planned.
     leaving: bool,
 }
 
-/// Response to a request, with what arrived before it.
+/// Response to a request, and whether a new view arrived before it.
 struct ReceivedResponse {
     response: Response,
     /// Whether a new view was applied while the response was awaited.
@@ -55,7 +55,8 @@
 }
 
 impl Member {
-    /// Maintains the session at one replica until the connection fails or another replica is to be used.
+    /// Maintains the session at one replica until the membership ends, the connection fails, or the member must connect
+    /// to another replica.
     pub(super) async fn run_session(
         &self,
         replica: Replica,
@@ -109,7 +110,8 @@
     /// Returns the request that is due; `None` if this member leaves and has no session.
     fn plan_request(&self, boot_id: u64) -> Option<PlannedRequest> {
         let now = clock::now();
-        // A session that has expired by this clock is abandoned: its view may be outdated, and a new session gets a new one.
+        // A session that has expired by this clock is abandoned, because its view may be outdated; a new session starts
+        // with a current view.
         let session = self.lease_client.borrow().active_session(now).map(|session| session.id);
         let leaving = *self.leave_requested.borrow();
         let operation = match session {
@@ -170,13 +172,13 @@
         }
     }
 
-    /// Waits until a renewal is due, a new view has to be acknowledged, or a request is pending.
+    /// Waits until a renewal is due, a new view must be acknowledged, or a request is pending.
     async fn await_renewal(
         &self,
         connection: &mut Connection,
         requested_at: Micros,
     ) -> Result<(), ConnectionError> {
-        // By the clock of leases, from the time at which the last renewal was requested.
+        // Measured by the clock of leases from the time of the last request.
         let due_in = (requested_at + self.config.timing.renewal_interval).saturating_sub(clock::now());
         let due = Instant::now() + Duration::from_micros(due_in);
         let mut leave_requested = self.leave_requested.subscribe();
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Applies a view and returns whether it is a new one.
+    /// Applies a view and returns whether it is new.
     fn apply_view(&self, session: SessionId, view: ClusterView) -> bool {
         let is_new = self.lease_client.borrow_mut().on_view_changed(session, view);
         if is_new {
@@ -206,14 +208,14 @@
         is_new
     }
 
-    /// Applies a response.
+    /// Applies a response and returns the next step.
     fn apply_response(&self, planned: &PlannedRequest, requested_at: Micros, response: Response) -> NextStep {
         let completed = matches!(response, Response::Done | Response::Rejected(_));
         if planned.leaving && completed {
             return NextStep::Stop(SessionOutcome::Ended(MembershipEnd::Left));
         }
         if matches!(planned.operation, Operation::ReleaseLease { .. }) && completed {
-            // Released now, or ended before.
+            // The term was released by this request or had ended before it.
             self.pending_releases.send_modify(|releases| drop(releases.remove(0)));
             return NextStep::RequestNow;
         }
--- a/crates/cluster-member/src/record.rs
+++ b/crates/cluster-member/src/record.rs
@@ -1,4 +1,4 @@
-//! Records of what a process did and accepted, as lines of JSON, for the checkers of experiments.
+//! Records of events in a process, as lines of JSON, for the record checker of experiments.
 
 use std::cell::RefCell;
 use std::fs::File;
@@ -9,17 +9,18 @@
 use coordination::Micros;
 use serde::Serialize;
 
-/// Writer of records to a file; disabled by default. Each record is one write, so that a killed process leaves whole lines.
+/// Writer of records to a file; disabled by default. Each record is one write, so that the file of a killed process
+/// contains complete lines only.
 #[derive(Debug, Clone, Default)]
 pub struct Recorder(Option<Rc<RefCell<File>>>);
 
-/// Kind of a record. The words in the file are a stable format and differ from the names here.
+/// Kind of a record. The names in the file are a stable format and differ from those of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum RecordKind {
     /// A process started.
     #[serde(rename = "started")]
     ProcessStarted,
-    /// A replica became leader or lost the leadership.
+    /// A replica became the leader or lost the leadership.
     #[serde(rename = "leads")]
     LeadershipChanged,
     /// A replica applied an entry of the log.
@@ -76,12 +77,12 @@
         self.0.is_some()
     }
 
-    /// Writes a record of this kind with its fields. `time` is a reading of [`crate::clock::now`].
+    /// Writes a record with its fields. `time` is a reading of [`crate::clock::now`].
     pub fn record<T: Serialize>(&self, time: Micros, kind: RecordKind, fields: T) {
         let Some(file) = &self.0 else { return };
         let Ok(mut line) = serde_json::to_vec(&Line { time, kind, fields }) else { return };
         line.push(b'\n');
-        // A failed write costs the checker a record, and must not stop the process.
+        // A failed write only loses a record for the checker and must not stop the process.
         let _ = file.borrow_mut().write_all(&line);
     }
 }
--- a/crates/cluster-member/src/settings.rs
+++ b/crates/cluster-member/src/settings.rs
@@ -11,11 +11,11 @@
 
 /// Maximum length of a required text, in bytes.
 const MAX_TEXT_BYTES: usize = 128;
-/// Highest number of a replica.
+/// Maximum number of a replica.
 const MAX_REPLICA_ID: u64 = 1_000_000;
-/// Upper bound of all times, in milliseconds.
+/// Maximum of every duration, in milliseconds.
 const MAX_TIME_MS: u64 = 600_000;
-/// Upper bound of the difference between the rates of two clocks, in parts per million.
+/// Maximum of the setting that bounds the difference between the rates of two clocks, in parts per million.
 const MAX_SKEW_PPM: u64 = 100_000;
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1_000;
@@ -24,7 +24,7 @@
 const DEFAULT_PROBE_INTERVAL_MS: u64 = 1_000;
 /// Default number of sets of workers.
 const DEFAULT_SETS: u64 = 8;
-/// Maximum number of sets of workers: each has a lease, and the leases of a member are limited.
+/// Maximum number of sets of workers. Each set has a lease, and the number of leases of a member is limited.
 const MAX_SETS: u64 = 100;
 /// Default number of consecutive failures after which a worker is reported.
 const DEFAULT_FAILURE_THRESHOLD: u64 = 2;
@@ -37,8 +37,8 @@
 
 /// Default time to live of a grant, in milliseconds.
 const DEFAULT_GRANT_TTL_MS: u64 = 500;
-/// Default and maximum fraction of the tolerated work of a worker in slow start that may be granted. The planned shares of
-/// two slices may meet in one window and take the other half.
+/// Default and maximum fraction of the tolerated work of a worker in slow start that may be granted. The other half is
+/// left for the planned shares, because one window may contain the planned shares of two slices.
 const MAX_GRANTABLE_FRACTION: f64 = 0.5;
 
 /// Reads a required text of 1 to 128 bytes.
@@ -65,7 +65,7 @@
 /// Reads the blocks `keeper "NUMBER" { address = "IP:PORT" }`.
 ///
 /// # Errors
-/// Returns an error if there are not three or five, or a label or address is invalid.
+/// Returns an error if the number of replicas is not three or five, or a label or address is invalid.
 pub fn replicas(top: &Section) -> HclResult<BTreeMap<u64, SocketAddr>> {
     let mut replicas = BTreeMap::new();
     for section in top.sections("keeper") {
@@ -83,10 +83,10 @@
     }
 }
 
-/// Reads the times in the block `times`, in milliseconds, and checks them against each other.
+/// Reads the durations in the block `times`, in milliseconds, and checks them against each other.
 ///
 /// # Errors
-/// Returns an error if a time is out of bounds, or one that names both keys if two contradict each other.
+/// Returns an error if a duration is out of bounds, or an error that names both keys if two durations conflict.
 pub fn timing(top: &Section) -> HclResult<Timing> {
     let mut timing = Timing::default();
     let Some(section) = top.section("times")? else { return Ok(timing) };
@@ -116,7 +116,7 @@
 /// Reads the block `watch` with the settings of health checks. The caller sets the number of zones.
 ///
 /// # Errors
-/// Returns an error if a number is out of bounds, or one that names both keys if two contradict each other.
+/// Returns an error if a number is out of bounds, or an error that names both keys if two numbers conflict.
 pub fn health_check_config(section: &Section) -> HclResult<HealthCheckConfig> {
     let interval_ms = section.integer("every_ms", 100..=60_000)?.unwrap_or(DEFAULT_PROBE_INTERVAL_MS);
     let ttl_ms = section.integer("holds_ms", 200..=MAX_TIME_MS)?;
@@ -159,7 +159,7 @@
     })
 }
 
-/// Reads the injected bug. Only builds for experiments have this key.
+/// Reads the name of the bug to inject. Only builds for experiments accept this key.
 #[cfg(feature = "seeded-bugs")]
 fn injected_bug(section: &Section) -> HclResult<Option<InjectedBug>> {
     let Some(name) = section.string("flaw")? else { return Ok(None) };
--- a/crates/cluster-member/src/slow_start/allocator.rs
+++ b/crates/cluster-member/src/slow_start/allocator.rs
@@ -1,4 +1,4 @@
-//! Allocation of the quotas of workers in slow start, by the lease holder.
+//! Allocation of the quotas of workers in slow start, which is the task of the lease holder.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,11 +7,14 @@
 use super::messages::MAX_GRANTS;
 use super::{EndpointAges, Grant, QuotaConfig, QuotaGrants, SlowStartProfile, UsageReport};
 
-/// Usage reports expire after this fraction of the time to live of a grant: their clock readings are too old then.
+/// Divisor of the time to live of a grant that gives the maximum age of a usage report. With an older clock reading,
+/// too little of the time to live of a grant would be left.
 const USAGE_FRESHNESS_DIVISOR: u64 = 2;
-/// Minimum weight of a member, as a fraction of the mean usage, so that a member that becomes busy has some quota.
-const MIN_USAGE_WEIGHT: f64 = 0.05;
-/// Work of a grant, in typical jobs: less is of no use, and a rest of more is lost.
+/// Weight added for every member, as a fraction of the mean usage, so that a member that becomes busy already has
+/// quota.
+const BASE_USAGE_WEIGHT: f64 = 0.05;
+/// Work of a grant, as a multiple of the work of a typical job. Less would not suffice for a job, and of more the
+/// unused rest would be lost.
 const TYPICAL_JOBS_PER_GRANT: f64 = 1.25;
 
 #[derive(Debug, Clone, Copy)]
@@ -20,22 +23,22 @@
     usage: UsageReport,
 }
 
-/// Grant that a process may still use.
+/// Grant that is still accounted for, because a process may use it.
 #[derive(Debug, Clone, Copy)]
 struct OutstandingGrant {
     made_at: Micros,
     work: f64,
 }
 
-/// Allocator of quotas, in one term.
+/// Allocator of quotas in one term of the lease.
 #[derive(Debug, Clone)]
 pub struct QuotaAllocator {
     config: QuotaConfig,
     profile: SlowStartProfile,
-    /// Time from which quota is granted: the previous term may have granted until it ended.
+    /// Time from which quota is granted. Before it, grants of the previous term may still be used.
     grants_from: Micros,
     usage: BTreeMap<u64, ReceivedUsage>,
-    /// Outstanding grants by worker, the oldest first.
+    /// Outstanding grants by worker, oldest first.
     outstanding: BTreeMap<u64, VecDeque<OutstandingGrant>>,
     total_granted: f64,
 }
@@ -58,7 +61,7 @@
         self.usage.insert(usage.process_id, ReceivedUsage { received_at: now, usage });
     }
 
-    /// Grants the available quota. `draw` returns random numbers from 0 to 1.
+    /// Grants the available quota of all workers in slow start. `draw` returns random numbers from 0 to 1.
     pub fn allocate(
         &mut self,
         now: Micros,
@@ -80,7 +83,7 @@
         grants
     }
 
-    /// Grants the rest of one worker's quota to processes drawn by weight.
+    /// Grants the available quota of one worker to processes drawn by weight.
     fn allocate_worker(
         &mut self,
         worker: u64,
@@ -116,7 +119,7 @@
         self.usage.retain(|_, received| now.saturating_sub(received.received_at) < max_age);
     }
 
-    /// Drops grants that no process can use any more.
+    /// Drops grants that no process can use anymore.
     fn drop_expired_grants(&mut self, now: Micros) {
         let period = self.config.accounting_period(&self.profile);
         self.outstanding.retain(|_, grants| {
@@ -155,7 +158,7 @@
         let mean =
             reports.iter().map(|usage| usage.jobs_per_second).sum::<f64>() / reports.len().max(1) as f64;
         let weighted = |usage: UsageReport| {
-            let weight = usage.jobs_per_second + MIN_USAGE_WEIGHT * mean;
+            let weight = usage.jobs_per_second + BASE_USAGE_WEIGHT * mean;
             WeightedProcess { usage, weight }
         };
         let processes: Vec<WeightedProcess> =
--- a/crates/cluster-member/src/slow_start/endpoint_ages.rs
+++ b/crates/cluster-member/src/slow_start/endpoint_ages.rs
@@ -1,23 +1,24 @@
-//! Ages of the workers, by the clock of this process.
+//! Ages of the workers by the clock of this process.
 
 use std::collections::BTreeMap;
 
 use coordination::Micros;
 
-/// First observation of a start of a worker.
+/// First observation of a worker after one of its starts.
 #[derive(Debug, Clone, Copy)]
 struct FirstSeen {
-    /// Identifies the start among all starts of the worker.
+    /// Number that identifies the start among all starts of the worker.
     start: u64,
     at: Micros,
 }
 
-/// Ages of the workers since their first observation: lower bounds that no wall clock moves.
+/// Ages of the workers since their first observation, which are lower bounds of the true ages and independent of wall
+/// clocks.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointAges(BTreeMap<u64, FirstSeen>);
 
 impl EndpointAges {
-    /// Sets the serving workers, each with a number that identifies its start.
+    /// Sets the serving workers, each with the number that identifies its last start.
     pub fn update(&mut self, now: Micros, workers: impl Iterator<Item = (u64, u64)>) {
         let previous = std::mem::take(&mut self.0);
         for (worker, start) in workers {
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Returns whether any worker is younger than this.
+    /// Returns whether any worker is younger than `than`, in microseconds.
     pub fn any_younger(&self, now: Micros, than: Micros) -> bool {
         self.ages(now).any(|(_, age)| age < than)
     }
--- a/crates/cluster-member/src/slow_start/granted_quota.rs
+++ b/crates/cluster-member/src/slow_start/granted_quota.rs
@@ -1,4 +1,4 @@
-//! Grants that a process may use.
+//! Filter that selects the grants that this process may use.
 
 use coordination::{FencingToken, Micros};
 
@@ -15,7 +15,7 @@
     pub expires_at: Micros,
 }
 
-/// Filter of grant messages: accepts each message once, and of it the grants for this process.
+/// Filter of grant messages: accepts each message once and returns its grants for this process.
 #[derive(Debug, Clone)]
 pub struct GrantFilter {
     process_id: u64,
@@ -38,8 +38,8 @@
         GrantFilter { process_id, grant_ttl: config.grant_ttl, last_accepted }
     }
 
-    /// Accepts a message and returns the unexpired grants for this process; none if the message is not newer than the
-    /// last accepted one.
+    /// Accepts a message and returns its unexpired grants for this process. Returns none if the message is not newer
+    /// than the last accepted one.
     pub fn accept(
         &mut self,
         token: FencingToken,
@@ -58,7 +58,7 @@
     fn usable(&self, grant: &Grant, now: Micros) -> Option<UsableQuota> {
         let expires_at = grant.clock_reading + self.grant_ttl;
         let for_this_process = grant.process_id == self.process_id;
-        // A clock reading in the future cannot be one of this process.
+        // A reading of this process's clock cannot be in the future.
         let is_current = grant.clock_reading <= now && expires_at > now;
         (for_this_process && is_current).then_some(UsableQuota {
             worker: grant.worker,
--- a/crates/cluster-member/src/slow_start/messages.rs
+++ b/crates/cluster-member/src/slow_start/messages.rs
@@ -1,19 +1,19 @@
-//! Messages of slow start: grants of the lease holder, and usage reports of the members in response.
+//! Messages of slow start: the grants of the lease holder, and the usage reports with which members respond.
 
 use coordination::Micros;
 use serde::{Deserialize, Serialize};
 
 /// Maximum number of grants in one message.
 pub(super) const MAX_GRANTS: usize = 512;
-/// Upper bound of the numbers in a usage report; higher ones are invalid.
-const MAX_USAGE_FIGURE: f64 = 1e9;
+/// Exclusive upper bound of the numbers in a usage report.
+const MAX_USAGE_NUMBER: f64 = 1e9;
 
 /// Part of the quota of a worker in slow start, granted to one process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Id of the process that may use it.
+    /// Id of the process that may use the grant.
     pub process_id: u64,
-    /// Last clock reading of that process that the allocator has received.
+    /// Latest clock reading of that process that the allocator has received.
     pub clock_reading: Micros,
     /// Number of the worker, which is the same at all members.
     pub worker: u64,
@@ -31,7 +31,8 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes a message; returns `None` if it is malformed, has too many grants, or work that is not positive.
+    /// Decodes a message; returns `None` if it is malformed, has too many grants, or contains work that is not
+    /// positive.
     pub fn decode(bytes: &[u8]) -> Option<QuotaGrants> {
         let grants: QuotaGrants = postcard::from_bytes(bytes).ok()?;
         let valid = |grant: &Grant| grant.work.is_finite() && grant.work > 0.0;
@@ -44,9 +45,9 @@
 pub struct UsageReport {
     /// Id of the process that reports.
     pub process_id: u64,
-    /// Reading of its clock before it reported.
+    /// Reading of the process's clock, taken before it sent the report.
     pub clock_reading: Micros,
-    /// Recent rate of started jobs, per second.
+    /// Number of jobs that the process recently started per second.
     pub jobs_per_second: f64,
     /// Work of a typical job, in slot-seconds.
     pub typical_work: f64,
@@ -61,7 +62,7 @@
     /// Decodes a message; returns `None` if it is malformed, or a number is out of bounds.
     pub fn decode(bytes: &[u8]) -> Option<UsageReport> {
         let report: UsageReport = postcard::from_bytes(bytes).ok()?;
-        let valid = |figure: f64| figure.is_finite() && (0.0..MAX_USAGE_FIGURE).contains(&figure);
+        let valid = |number: f64| number.is_finite() && (0.0..MAX_USAGE_NUMBER).contains(&number);
         (valid(report.jobs_per_second) && valid(report.typical_work)).then_some(report)
     }
 }
--- a/crates/cluster-member/src/wire/codec.rs
+++ b/crates/cluster-member/src/wire/codec.rs
@@ -10,7 +10,7 @@
 /// Error of encoding or decoding a message.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// The bytes are not a message of the expected type: the other end is at fault, or uses another schema.
+    /// The bytes are not a message of the expected type: the peer is faulty or uses another schema version.
     #[error(transparent)]
     Malformed(#[from] postcard::Error),
     /// The message exceeds [`MAX_FRAME_BYTES`] and cannot be sent.
@@ -21,7 +21,8 @@
     },
 }
 
-/// Encodes a message. A message for several receivers is encoded once.
+/// Encodes a message. A message for several receivers can be encoded once and sent with
+/// [`Connection::send_encoded`](super::Connection::send_encoded).
 ///
 /// # Errors
 /// Returns [`MessageError::TooLong`] if the message exceeds [`MAX_FRAME_BYTES`].
--- a/crates/cluster-member/src/wire/connection.rs
+++ b/crates/cluster-member/src/wire/connection.rs
@@ -19,7 +19,7 @@
     OLDEST_SCHEMA_VERSION,
 };
 
-/// Maximum length of a frame until the handshake has identified the other end, in bytes.
+/// Maximum length of a frame until the handshake is complete, in bytes.
 const MAX_HANDSHAKE_FRAME_BYTES: usize = 4 << 10;
 /// Timeout of the handshake, and of each write.
 pub const IO_TIMEOUT: Duration = Duration::from_secs(2);
@@ -33,13 +33,13 @@
     /// Connecting failed, or the connection was lost. A retry may succeed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The other end took longer than [`IO_TIMEOUT`]. A retry may succeed.
+    /// The peer took longer than [`IO_TIMEOUT`]. A retry may succeed.
     #[error(transparent)]
     TimedOut(#[from] Elapsed),
     /// A message cannot be encoded, or received bytes cannot be decoded.
     #[error(transparent)]
     Message(#[from] MessageError),
-    /// The other end rejected the handshake. A retry fails in the same way until one of the two is reconfigured.
+    /// The peer rejected the handshake. Retries fail until one of the two ends is reconfigured.
     #[error("handshake rejected: {0}")]
     Rejected(HandshakeRejection),
 }
@@ -51,7 +51,7 @@
 }
 
 impl ConnectionError {
-    /// Returns the reason of a rejected handshake; `None` for other errors.
+    /// Returns the reason for a rejected handshake; `None` for other errors.
     pub fn handshake_rejection(&self) -> Option<&HandshakeRejection> {
         match self {
             ConnectionError::Rejected(rejection) => Some(rejection),
@@ -66,17 +66,17 @@
 
 impl Connection {
     fn from_stream(stream: TcpStream) -> Connection {
-        // Requests and responses are small; Nagle's algorithm would only add delay.
+        // Messages are small, so that Nagle's algorithm would only add delay.
         let _ = stream.set_nodelay(true);
         let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_HANDSHAKE_FRAME_BYTES).new_codec();
         Connection(Framed::new(stream, codec))
     }
 
-    /// Connects from a local address. Returns the connection and the name of the other end.
+    /// Connects from a local address and performs the handshake. Returns the connection and the name of the peer.
     ///
     /// # Errors
-    /// Returns [`ConnectionError::Rejected`] if the other end rejects the handshake, another [`ConnectionError`] if it
-    /// is not reached or does not complete the handshake within [`IO_TIMEOUT`].
+    /// Returns [`ConnectionError::Rejected`] if the peer rejects the handshake, and another [`ConnectionError`] if the
+    /// peer is unreachable or does not complete the handshake within [`IO_TIMEOUT`].
     pub async fn connect(
         to: SocketAddr,
         local_address: Option<IpAddr>,
@@ -88,7 +88,7 @@
             let (connection, response) = timeout(IO_TIMEOUT, handshake).await??;
             match response {
                 ServerHello::Accepted { name } => return Ok((connection, name)),
-                // The server supports an older schema only: retries with that one if this program supports it.
+                // The server supports only older schema versions: retries with its latest if this program supports it.
                 ServerHello::Rejected(HandshakeRejection::UnsupportedSchema { latest_supported })
                     if (OLDEST_SCHEMA_VERSION..hello.schema_version).contains(&latest_supported) =>
                 {
@@ -147,7 +147,7 @@
         self.send_encoded(encode(message)?).await
     }
 
-    /// Sends a message that is encoded already.
+    /// Sends a message that was encoded with [`encode`].
     ///
     /// # Errors
     /// Returns an error if the connection is closed, or a write takes longer than [`IO_TIMEOUT`].
@@ -155,7 +155,7 @@
         Ok(timeout(IO_TIMEOUT, self.0.send(encoded)).await??)
     }
 
-    /// Receives the bytes of the next message. Cancel safe: a dropped future loses no bytes.
+    /// Receives the bytes of the next message. Cancel safe: dropping the future loses no bytes.
     ///
     /// # Errors
     /// Returns an error if the connection is closed.
--- a/crates/cluster-member/src/wire/effect.rs
+++ b/crates/cluster-member/src/wire/effect.rs
@@ -3,7 +3,7 @@
 use coordination::{EffectRejection, FencingToken, LeaseId};
 use serde::{Deserialize, Serialize};
 
-/// Message of a lease holder, checked by its fencing token.
+/// Message of a lease holder, which the receiver accepts or rejects by its fencing token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Effect {
     /// Lease that the sender holds.
@@ -19,7 +19,7 @@
 /// Response to an effect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EffectResponse {
-    /// The effect was accepted; with the payload of the response.
+    /// The effect was accepted; contains the payload of the response.
     Accepted(Vec<u8>),
     /// The effect was rejected.
     Rejected(EffectRejection),
--- a/crates/cluster-member/src/wire/handshake.rs
+++ b/crates/cluster-member/src/wire/handshake.rs
@@ -1,18 +1,18 @@
-//! Handshake: identity of the client, and whether the server accepts it.
+//! Handshake: the client states its identity, and the server accepts or rejects it.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Version of the messages.
+/// Latest supported version of the message schema.
 pub const SCHEMA_VERSION: u16 = 3;
-/// Oldest version of the messages that is supported, for ends that support no later one.
+/// Oldest supported version of the message schema, for peers that support no later one.
 pub const OLDEST_SCHEMA_VERSION: u16 = 2;
 
 /// First frame of a client.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClientHello {
-    /// Version of the messages that the client sends, at most [`SCHEMA_VERSION`].
+    /// Schema version that the client uses, at most [`SCHEMA_VERSION`].
     pub schema_version: u16,
     /// Name of the installation; the same at both ends.
     pub installation: String,
@@ -41,7 +41,7 @@
     },
 }
 
-/// Names are quoted and escaped, since clients are not trusted before the handshake.
+/// Names are quoted and escaped, because clients are not trusted before the handshake.
 impl fmt::Display for ClientIdentity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -64,7 +64,7 @@
     pub store_id: u64,
     /// Number of starts of the replica on this store.
     pub start_count: u64,
-    /// Raft term that the store had at this start.
+    /// Raft term in the store at this start.
     pub raft_term: u64,
 }
 
@@ -102,18 +102,18 @@
     /// The client is a replica that is not in the configuration of the server.
     #[error("the server knows no replica with this number")]
     UnknownReplica,
-    /// The replica had another store before.
+    /// The replica used another store before.
     #[error("the server has recorded another store for this replica; set it up as a new replica")]
     StoreMismatch,
-    /// The store had more starts or a later Raft term before: this is an old copy.
+    /// The server has seen the store with more starts or a later Raft term, so the store is an old copy.
     #[error(
         "the server has seen this store with {start_count} starts and Raft term {raft_term}: the replica now uses an \
          old copy of it, which must not vote; set it up as a new replica"
     )]
     StaleStore {
-        /// Highest number of starts that was seen.
+        /// Highest number of starts that the server has seen.
         start_count: u64,
-        /// Highest Raft term that was seen.
+        /// Highest Raft term that the server has seen.
         raft_term: u64,
     },
     /// The server has as many connections as it accepts.
@@ -124,7 +124,7 @@
     WrongService,
 }
 
-/// Checks schema version and installation of a client.
+/// Checks the schema version and the installation of a client.
 ///
 /// # Errors
 /// Returns [`HandshakeRejection::UnsupportedSchema`] or [`HandshakeRejection::WrongInstallation`].
@@ -132,7 +132,8 @@
     validate_client_hello_for_version(SCHEMA_VERSION, hello, installation)
 }
 
-/// Checks a client as a server does that supports schema versions up to `latest_supported`.
+/// Checks the schema version and the installation of a client for a server that supports schema versions up to
+/// `latest_supported`.
 ///
 /// # Errors
 /// Returns [`HandshakeRejection::UnsupportedSchema`] or [`HandshakeRejection::WrongInstallation`].
--- a/crates/cluster-member/src/wire/messages.rs
+++ b/crates/cluster-member/src/wire/messages.rs
@@ -24,11 +24,11 @@
     OpenSession {
         /// Name of the member.
         name: String,
-        /// Random number drawn by its process at the start.
+        /// Random number that the member's process draws when it starts.
         boot_id: u64,
         /// Zone of the member.
         zone: String,
-        /// Address at which other members reach it.
+        /// Address at which the member receives effects of other members.
         address: String,
         /// Leases that the member may be granted.
         eligible_leases: Vec<LeaseId>,
@@ -37,7 +37,7 @@
     RenewSession {
         /// Session to renew.
         session: SessionId,
-        /// Revision of the last view that the member applied.
+        /// Revision of the last cluster view that the member applied.
         known_view: Revision,
         /// Revision of the member list that the member has; `None` if it needs no list.
         known_members: Option<Revision>,
@@ -51,12 +51,12 @@
     ReleaseLease {
         /// Lease to release.
         lease: LeaseId,
-        /// Fencing token of the term; `None` for the running one, as an operator requests it.
+        /// Fencing token of the term; `None`, as operators send it, for the present term.
         token: Option<FencingToken>,
     },
     /// Requests the status of the replica.
     Status,
-    /// Replaces a replica by a new one.
+    /// Replaces a replica with a new one.
     ReplaceReplica {
         /// Number of the replica to retire.
         old: u64,
@@ -86,7 +86,7 @@
     },
     /// The cluster view has changed.
     ViewChanged {
-        /// Session of the member that is notified.
+        /// Session of the notified member.
         session: SessionId,
         /// The new view.
         view: ClusterView,
@@ -118,7 +118,8 @@
     NotLeader {
         /// Number of the leader; `None` if there is none.
         leader: Option<u64>,
-        /// Address of a leader that was added after the installation was set up: members may not have it configured.
+        /// Address of a leader that was added after the installation was set up and may be missing in the settings of
+        /// members.
         address: Option<String>,
     },
     /// The replica cannot carry out the operation now. A retry may succeed.
@@ -157,7 +158,7 @@
 }
 
 impl LeaderHint {
-    /// Converts the fields of [`Response::NotLeader`]; `None` if they name no leader.
+    /// Converts the fields of [`Response::NotLeader`]; returns `None` if they name no leader.
     pub fn new(leader: Option<u64>, address: Option<&str>) -> Option<LeaderHint> {
         let address = address.and_then(|address| address.parse().ok());
         leader.map(|replica_id| LeaderHint { replica_id, address })
--- a/crates/cluster-member/src/wire/mod.rs
+++ b/crates/cluster-member/src/wire/mod.rs
@@ -1,8 +1,9 @@
 //! Messages between processes, and the connections that carry them: postcard in length-prefixed frames.
 //!
-//! The order of variants and fields is the format. A connection begins with a [`ClientHello`] and a [`ServerHello`]; both
-//! ends then use the schema version of the client's hello. Messages added in a later version are not sent to an end with
-//! an older one: they are responses to operations that it cannot request.
+//! The order of variants and fields defines the format. A connection begins with a [`ClientHello`] and a
+//! [`ServerHello`], after which both ends use the schema version of the client's hello. Messages that were added in a
+//! later version are not sent to a client with an older version, because they are responses to operations that it
+//! cannot request.
 
 mod codec;
 mod connection;
--- a/crates/cluster-member/src/wire/status.rs
+++ b/crates/cluster-member/src/wire/status.rs
@@ -3,7 +3,7 @@
 use coordination::{FencingToken, LeaseId, Revision, SessionId};
 use serde::{Deserialize, Serialize};
 
-/// Name and address of a member.
+/// Name, incarnation, zone and address of a member.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Peer {
     /// Name of the member.
@@ -12,7 +12,7 @@
     pub incarnation: u64,
     /// Zone of the member.
     pub zone: String,
-    /// Address at which it receives effects.
+    /// Address at which the member receives effects.
     pub address: String,
 }
 
@@ -37,10 +37,10 @@
     /// Index of the last entry that the replica knows to be committed.
     #[serde(rename = "committed")]
     pub committed_index: u64,
-    /// Index of the first entry that remains in its log.
+    /// Index of the first entry that remains in the log of the replica.
     #[serde(rename = "first")]
     pub first_log_index: u64,
-    /// Number of starts on its store.
+    /// Number of starts of the replica on its store.
     #[serde(rename = "boots")]
     pub start_count: u64,
     /// Number of elections since the process started.
@@ -59,14 +59,14 @@
     pub replicas: Vec<ReplicaStarts>,
     /// Replicas that vote; during a replacement those of both configurations.
     pub voters: Vec<u64>,
-    /// Replicas that receive the log and do not vote yet.
+    /// Replicas that receive the log but do not vote yet.
     pub learners: Vec<u64>,
     /// Replacement in progress.
     #[serde(rename = "replacing")]
     pub replacement: Option<ReplacementStatus>,
 }
 
-/// Percentiles of the time from a proposal until it is applied. In JSON an array of the three.
+/// Percentiles of the time from a proposal until it is applied. In JSON an array of the three numbers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64, u64)", into = "(u64, u64, u64)")]
 pub struct CommitLatency {
@@ -90,13 +90,13 @@
     }
 }
 
-/// Number of starts of a replica. In JSON an array of the two.
+/// Number of starts of a replica. In JSON an array of the two numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct ReplicaStarts {
     /// Number of the replica.
     pub replica_id: u64,
-    /// Number of starts on its store.
+    /// Number of starts of the replica on its store.
     pub start_count: u64,
 }
 
@@ -112,7 +112,7 @@
     }
 }
 
-/// Replacement in progress. In JSON an array of the two.
+/// Replacement in progress. In JSON an array of the two numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct ReplacementStatus {
@@ -151,7 +151,7 @@
     pub consecutive_short_sessions: u8,
 }
 
-/// Holder of a lease. In JSON an array of the two.
+/// Holder of a lease. In JSON an array of the name and the token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, FencingToken)", into = "(String, FencingToken)")]
 pub struct HolderStatus {
@@ -185,7 +185,7 @@
     /// Lowest fencing token that receivers accept.
     #[serde(rename = "floor")]
     pub minimum_token: FencingToken,
-    /// Log position at which the last term ended.
+    /// Position in the log at which the last term ended.
     #[serde(rename = "fenced")]
     pub fencing_revision: Revision,
 }
--- a/crates/cluster-member/tests/connection.rs
+++ b/crates/cluster-member/tests/connection.rs
@@ -1,4 +1,4 @@
-//! Frames and handshakes as they stand on a socket, and what errors of a connection say.
+//! Bytes of frames and handshakes on the socket, and the texts of connection errors.
 
 mod support;
 
@@ -26,7 +26,7 @@
     (listener, address)
 }
 
-/// Four bytes of length, the highest first, and so many bytes after them.
+/// Reads a frame with its length prefix of four bytes in big-endian order.
 async fn read_frame(stream: &mut TcpStream) -> Vec<u8> {
     let mut frame = vec![0; 4];
     stream.read_exact(&mut frame).await.unwrap();
@@ -43,12 +43,12 @@
 }
 
 #[tokio::test]
-async fn frames_have_their_length_before_them() {
+async fn frames_are_length_prefixed() {
     let (listener, address) = listen().await;
     let server = tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut text = format!("client hello: {}\n", hex(&read_frame(&mut stream).await));
-        // Accepted, by "k".
+        // Server hello: accepted by a server named "k".
         stream.write_all(&[0, 0, 0, 3, 0, 1, b'k']).await.unwrap();
         text += &format!("request: {}\n", hex(&read_frame(&mut stream).await));
         text += &format!("encoded before: {}\n", hex(&read_frame(&mut stream).await));
@@ -63,18 +63,18 @@
 }
 
 #[tokio::test]
-async fn a_server_of_an_older_schema_is_spoken_to_in_its_own() {
+async fn a_client_retries_with_the_schema_version_of_an_older_server() {
     let (listener, address) = listen().await;
     let server = tokio::spawn(async move {
         let mut schemas = Vec::new();
-        for welcome in [
+        for server_hello in [
             ServerHello::Rejected(HandshakeRejection::UnsupportedSchema { latest_supported: 2 }),
             ServerHello::Accepted { name: "k".to_owned() },
         ] {
             let (mut stream, _) = listener.accept().await.unwrap();
-            // The first part of the body is the schema.
+            // The first field of the body is the schema version.
             schemas.push(read_frame(&mut stream).await[4]);
-            write_frame(&mut stream, &encode(&welcome).unwrap()).await;
+            write_frame(&mut stream, &encode(&server_hello).unwrap()).await;
         }
         schemas
     });
@@ -83,8 +83,8 @@
 }
 
 #[tokio::test]
-async fn a_rejected_client_is_told_why() {
-    for (why, text) in [
+async fn a_rejected_client_receives_the_reason() {
+    for (rejection, text) in [
         (
             HandshakeRejection::TooManyConnections,
             "handshake rejected: the server has reached its limit of connections",
@@ -103,22 +103,22 @@
         ),
     ] {
         let (listener, address) = listen().await;
-        let welcome = ServerHello::Rejected(why.clone());
+        let server_hello = ServerHello::Rejected(rejection.clone());
         tokio::spawn(async move {
             let (stream, _) = listener.accept().await.unwrap();
-            let (mut connection, heard) = Connection::accept(stream).await.unwrap();
-            assert_eq!(heard, hello(SCHEMA_VERSION));
-            connection.send_server_hello(&welcome).await.unwrap();
+            let (mut connection, client_hello) = Connection::accept(stream).await.unwrap();
+            assert_eq!(client_hello, hello(SCHEMA_VERSION));
+            connection.send_server_hello(&server_hello).await.unwrap();
         });
         let error = Connection::connect(address, None, &hello(SCHEMA_VERSION)).await.unwrap_err();
-        assert_eq!(error.handshake_rejection(), Some(&why));
+        assert_eq!(error.handshake_rejection(), Some(&rejection));
         assert_eq!(error.to_string(), text);
     }
 }
 
 #[tokio::test]
-async fn other_errors_are_no_rejections() {
-    // Bound and not listening: refuses connections, and no other test can be given its port.
+async fn other_errors_are_not_handshake_rejections() {
+    // A socket that is bound but does not listen: connections to it are refused, and no other test can bind its port.
     let refusing = TcpSocket::new_v4().unwrap();
     refusing.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = refusing.local_addr().unwrap();
@@ -142,17 +142,18 @@
 }
 
 #[tokio::test]
-async fn a_client_hello_is_short_and_later_frames_may_be_long() {
-    let mut longest = hello(SCHEMA_VERSION);
-    longest.installation = "n".repeat(4_096 - encode(&longest).unwrap().len() + 4);
-    assert_eq!(encode(&longest).unwrap().len(), 4_096);
-    let longer = ClientHello { installation: format!("n{}", longest.installation), ..longest.clone() };
-    for (hello, fits) in [(longest, true), (longer, false)] {
+async fn the_frame_limit_is_raised_after_the_handshake() {
+    let mut longest_hello = hello(SCHEMA_VERSION);
+    longest_hello.installation = "n".repeat(4_096 - encode(&longest_hello).unwrap().len() + 4);
+    assert_eq!(encode(&longest_hello).unwrap().len(), 4_096);
+    let too_long =
+        ClientHello { installation: format!("n{}", longest_hello.installation), ..longest_hello.clone() };
+    for (hello, is_accepted) in [(longest_hello, true), (too_long, false)] {
         let (listener, address) = listen().await;
         let mut stream = TcpStream::connect(address).await.unwrap();
         write_frame(&mut stream, &encode(&hello).unwrap()).await;
         let accepted = Connection::accept(listener.accept().await.unwrap().0).await;
-        assert_eq!(accepted.is_ok(), fits);
+        assert_eq!(accepted.is_ok(), is_accepted);
         let Ok((mut connection, _)) = accepted else { continue };
         connection.send_server_hello(&ServerHello::Accepted { name: "k".to_owned() }).await.unwrap();
         let long = "x".repeat(100_000);
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn a_client_hello_is_checked() {
+fn schema_version_and_installation_are_checked() {
     let check = |schema, installation: &str| validate_client_hello(&hello(schema), installation);
     assert_eq!([check(2, "north"), check(3, "north")], [Ok(()), Ok(())]);
     assert_eq!(
@@ -177,7 +178,7 @@
         Err(HandshakeRejection::WrongInstallation { expected: "south".to_owned() })
     );
     assert_eq!(check(4, "south"), Err(HandshakeRejection::UnsupportedSchema { latest_supported: 3 }));
-    // An end that speaks no later schema than 2.
+    // A server that supports schema versions up to 2 only.
     assert_eq!(validate_client_hello_for_version(2, &hello(2), "north"), Ok(()));
     assert_eq!(
         validate_client_hello_for_version(2, &hello(3), "north"),
--- a/crates/cluster-member/tests/format.rs
+++ b/crates/cluster-member/tests/format.rs
@@ -1,4 +1,5 @@
-//! Bytes and texts that other processes, files and operators rely on: they stay as they are from version to version.
+//! Formats of messages, files and texts that other processes and operators rely on. They must not change between
+//! versions.
 
 mod support;
 
@@ -54,7 +55,7 @@
     }
 }
 
-/// What `status --json` prints, key for key.
+/// Complete output of `status --json`.
 const STATUS: &str = concat!(
     r#"{"keeper":2,"leads":true,"leader":3,"term":4,"applied":500,"committed":501,"first":6,"boots":7,"#,
     r#""elections":8,"commit_us":[900,1000,1100],"members":[{"session":12,"peer":{"name":"d1","#,
@@ -69,7 +70,7 @@
 }
 
 fn disruption_state() -> DisruptionState {
-    let mut account = DisruptionState::default();
+    let mut state = DisruptionState::default();
     let budget = Budget {
         name: "zone".to_owned(),
         kind: TargetKind::Dispatcher,
@@ -78,26 +79,26 @@
         min_available: Some(Amount::Percent(50)),
     };
     let budgets = DisruptionCommand::SetBudgets { expected_version: 0, budgets: vec![budget] };
-    assert_eq!(account.apply(5, &budgets), DisruptionOutcome::Applied);
-    account
+    assert_eq!(state.apply(5, &budgets), DisruptionOutcome::Applied);
+    state
 }
 
-fn reject_reasons() -> Vec<(&'static str, CommandRejection)> {
+fn command_rejections() -> Vec<(&'static str, CommandRejection)> {
     vec![
         ("no session", CommandRejection::NoSuchSession),
         ("superseded", CommandRejection::Superseded { incarnation: 4 }),
-        ("not free", CommandRejection::LeaseNotFree),
-        ("not the holder", CommandRejection::NotLeaseHolder),
-        ("full", CommandRejection::LimitExceeded("sessions".to_owned())),
-        ("old store", CommandRejection::StaleDisk { starts: 5 }),
-        ("coordinators", CommandRejection::InvalidReplacement("no".to_owned())),
+        ("lease not free", CommandRejection::LeaseNotFree),
+        ("not the lease holder", CommandRejection::NotLeaseHolder),
+        ("limit exceeded", CommandRejection::LimitExceeded("sessions".to_owned())),
+        ("stale disk", CommandRejection::StaleDisk { starts: 5 }),
+        ("invalid replacement", CommandRejection::InvalidReplacement("no".to_owned())),
     ]
 }
 
 fn effect_rejections() -> Vec<(&'static str, EffectRejection)> {
     vec![
         ("no session", EffectRejection::NoSession),
-        ("old token", EffectRejection::StaleToken { minimum_token: FencingToken(7) }),
+        ("stale token", EffectRejection::StaleToken { minimum_token: FencingToken(7) }),
         ("unknown lease", EffectRejection::UnknownLease),
     ]
 }
@@ -106,16 +107,16 @@
     vec![
         ("schema version", HandshakeRejection::UnsupportedSchema { latest_supported: 2 }),
         ("installation", HandshakeRejection::WrongInstallation { expected: "south".to_owned() }),
-        ("unknown coordinator", HandshakeRejection::UnknownReplica),
-        ("other store", HandshakeRejection::StoreMismatch),
+        ("unknown replica", HandshakeRejection::UnknownReplica),
+        ("store mismatch", HandshakeRejection::StoreMismatch),
         ("stale store", HandshakeRejection::StaleStore { start_count: 9, raft_term: 300 }),
-        ("full", HandshakeRejection::TooManyConnections),
-        ("other service", HandshakeRejection::WrongService),
+        ("too many connections", HandshakeRejection::TooManyConnections),
+        ("wrong service", HandshakeRejection::WrongService),
     ]
 }
 
 #[test]
-fn versions_and_bounds() {
+fn versions_and_limits() {
     assert_eq!((OLDEST_SCHEMA_VERSION, SCHEMA_VERSION), (2, 3));
     assert_eq!(MAX_FRAME_BYTES, 4_194_304);
     assert_eq!(IO_TIMEOUT.as_millis(), 2_000);
@@ -128,7 +129,7 @@
 fn client_hello() {
     let identities = [
         (
-            "coordinator",
+            "replica",
             ClientIdentity::Replica(StoreIdentity {
                 replica_id: 1,
                 store_id: 0x0102_0304_0506_0708,
@@ -142,11 +143,11 @@
     ];
     let mut text = String::new();
     for schema in OLDEST_SCHEMA_VERSION..=SCHEMA_VERSION {
-        for (label, who) in &identities {
+        for (label, identity) in &identities {
             let hello = ClientHello {
                 schema_version: schema,
                 installation: "north".to_owned(),
-                identity: who.clone(),
+                identity: identity.clone(),
             };
             text += &encoded(&format!("schema {schema}, {label}"), &hello);
         }
@@ -154,7 +155,7 @@
     assert_pinned("client_hello", &text);
 }
 
-/// Names of clients in log lines, which a name cannot break into two.
+/// Names of clients are escaped in log lines, so that a line break in a name does not split a line.
 #[test]
 fn client_identities_as_text() {
     let store = StoreIdentity { replica_id: 3, store_id: 7, start_count: 2, raft_term: 4 };
@@ -184,32 +185,41 @@
 #[test]
 fn requests() {
     let target = Target { kind: TargetKind::Dispatcher, name: "d1".to_owned() };
-    let offers =
+    let eligible_leases =
         vec![LeaseId::fleet("list"), LeaseId::worker_set("watch", 1), LeaseId::zone("probe", "north")];
     let operations = [
         (
-            "join",
+            "open session",
             Operation::OpenSession {
                 name: "d1".to_owned(),
                 boot_id: 0x0102_0304_0506_0708,
                 zone: "north".to_owned(),
                 address: "127.0.0.1:7201".to_owned(),
-                eligible_leases: offers,
+                eligible_leases,
             },
         ),
         (
-            "renew",
+            "renew session",
             Operation::RenewSession { session: SessionId(512), known_view: 1_000, known_members: None },
         ),
         (
-            "renew with members",
+            "renew session, with members",
             Operation::RenewSession { session: SessionId(512), known_view: 1_000, known_members: Some(900) },
         ),
-        ("leave", Operation::CloseSession { session: SessionId(512) }),
-        ("release", Operation::ReleaseLease { lease: LeaseId::fleet("list"), token: Some(FencingToken(7)) }),
-        ("release by an operator", Operation::ReleaseLease { lease: LeaseId::fleet("list"), token: None }),
+        ("close session", Operation::CloseSession { session: SessionId(512) }),
+        (
+            "release lease",
+            Operation::ReleaseLease { lease: LeaseId::fleet("list"), token: Some(FencingToken(7)) },
+        ),
+        (
+            "release lease, as an operator",
+            Operation::ReleaseLease { lease: LeaseId::fleet("list"), token: None },
+        ),
         ("status", Operation::Status),
-        ("replace", Operation::ReplaceReplica { old: 1, new: 4, address: "127.0.0.1:7104".to_owned() }),
+        (
+            "replace replica",
+            Operation::ReplaceReplica { old: 1, new: 4, address: "127.0.0.1:7104".to_owned() },
+        ),
         ("disruption state, since schema 3", Operation::DisruptionState { known_revision: 700 }),
         (
             "change of the disruption state, since schema 3",
@@ -232,12 +242,12 @@
 fn coordinator_messages() {
     let mut responses = vec![
         (
-            "joined".to_owned(),
+            "session opened".to_owned(),
             Response::SessionOpened { session: SessionId(512), incarnation: 300, view: view() },
         ),
-        ("renewed".to_owned(), Response::SessionRenewed { view: None, members: None }),
+        ("session renewed".to_owned(), Response::SessionRenewed { view: None, members: None }),
         (
-            "renewed with news".to_owned(),
+            "session renewed, with view and members".to_owned(),
             Response::SessionRenewed {
                 view: Some(view()),
                 members: Some(MemberList { revision: 900, members: vec![peer()] }),
@@ -246,19 +256,19 @@
         ("done".to_owned(), Response::Done),
         ("not the leader".to_owned(), Response::NotLeader { leader: None, address: None }),
         (
-            "not the leader, which is known".to_owned(),
+            "not the leader, with a hint".to_owned(),
             Response::NotLeader { leader: Some(4), address: Some("127.0.0.1:7104".to_owned()) },
         ),
         ("busy".to_owned(), Response::Busy),
     ];
-    for (label, reason) in reject_reasons() {
+    for (label, reason) in command_rejections() {
         responses.push((format!("rejected, {label}"), Response::Rejected(reason)));
     }
     responses.extend([
         ("status".to_owned(), Response::Status(Box::new(status()))),
-        ("status of a new coordinator".to_owned(), Response::Status(Box::default())),
+        ("default status".to_owned(), Response::Status(Box::default())),
         (
-            "disruption state is known, since schema 3".to_owned(),
+            "disruption state unchanged, since schema 3".to_owned(),
             Response::DisruptionState { revision: 700, state: None },
         ),
         (
@@ -273,20 +283,18 @@
             }),
         ),
         (
-            "disruption state not changed, since schema 3".to_owned(),
+            "change of the disruption state rejected, since schema 3".to_owned(),
             Response::DisruptionStateChanged(DisruptionOutcome::Rejected(Rejection::VersionConflict {
                 version: 5,
             })),
         ),
     ]);
     let mut text = String::new();
-    for (label, answer) in responses {
-        text += &encoded(&label, &CoordinatorMessage::Response { id: 300, response: answer });
+    for (label, response) in responses {
+        text += &encoded(&label, &CoordinatorMessage::Response { id: 300, response });
     }
-    text += &encoded(
-        "the view has changed",
-        &CoordinatorMessage::ViewChanged { session: SessionId(512), view: view() },
-    );
+    text +=
+        &encoded("view changed", &CoordinatorMessage::ViewChanged { session: SessionId(512), view: view() });
     assert_pinned("coordinator_messages", &text);
 }
 
@@ -300,8 +308,8 @@
     };
     let mut text = encoded("effect", &effect);
     text += &encoded("accepted", &EffectResponse::Accepted(vec![3, 4]));
-    for (label, refusal) in effect_rejections() {
-        text += &encoded(&format!("rejected, {label}"), &EffectResponse::Rejected(refusal));
+    for (label, rejection) in effect_rejections() {
+        text += &encoded(&format!("rejected, {label}"), &EffectResponse::Rejected(rejection));
     }
     assert_pinned("effects", &text);
 }
@@ -325,9 +333,9 @@
         }],
     };
     assert_eq!(HealthReport::decode(&report.encode()).as_ref(), Some(&report));
-    let mut of_no_zone = report.clone();
-    of_no_zone.failing[0].zone_index = 2;
-    assert_eq!(HealthReport::decode(&of_no_zone.encode()), None);
+    let mut without_zone = report.clone();
+    without_zone.failing[0].zone_index = 2;
+    assert_eq!(HealthReport::decode(&without_zone.encode()), None);
     assert_pinned("health_reports", &hex(&report.encode()));
 }
 
@@ -337,14 +345,16 @@
     let grants = QuotaGrants(vec![grant(0.25), grant(2.0)]);
     assert_eq!(QuotaGrants::decode(&grants.encode()).as_ref(), Some(&grants));
     assert_eq!(QuotaGrants::decode(&QuotaGrants(vec![grant(0.0)]).encode()), None);
-    let most = |count| QuotaGrants(vec![grant(1.0); count]).encode();
-    assert!(QuotaGrants::decode(&most(512)).is_some() && QuotaGrants::decode(&most(513)).is_none());
+    let message_of = |count| QuotaGrants(vec![grant(1.0); count]).encode();
+    assert!(
+        QuotaGrants::decode(&message_of(512)).is_some() && QuotaGrants::decode(&message_of(513)).is_none()
+    );
     let usage =
         UsageReport { process_id: 300, clock_reading: 1_000_000, jobs_per_second: 12.5, typical_work: 0.125 };
     assert_eq!(UsageReport::decode(&usage.encode()), Some(usage));
-    for wrong in [f64::NAN, f64::INFINITY, -1.0, 1e9] {
-        assert_eq!(UsageReport::decode(&UsageReport { jobs_per_second: wrong, ..usage }.encode()), None);
-        assert_eq!(UsageReport::decode(&UsageReport { typical_work: wrong, ..usage }.encode()), None);
+    for invalid in [f64::NAN, f64::INFINITY, -1.0, 1e9] {
+        assert_eq!(UsageReport::decode(&UsageReport { jobs_per_second: invalid, ..usage }.encode()), None);
+        assert_eq!(UsageReport::decode(&UsageReport { typical_work: invalid, ..usage }.encode()), None);
     }
     let text = format!("grants: {}\nusage: {}\n", hex(&grants.encode()), hex(&usage.encode()));
     assert_pinned("slow_start_grants_and_usage", &text);
@@ -358,7 +368,7 @@
     snapshot.apply(
         &json!({"revision": 5, "complete": false, "members": [member("b", "terminated"), member("c", "starting")]}),
     );
-    let whole = WatchEvent {
+    let complete = WatchEvent {
         source: "127.0.0.1:7000".to_owned(),
         member_count: 3,
         list: snapshot.complete_list().unwrap(),
@@ -368,10 +378,10 @@
         member_count: 3,
         list: json!({"revision": snapshot.revision()}),
     };
-    assert!(whole.is_complete() && !unchanged.is_complete());
-    assert_eq!((whole.revision(), unchanged.revision()), (5, 5));
+    assert!(complete.is_complete() && !unchanged.is_complete());
+    assert_eq!((complete.revision(), unchanged.revision()), (5, 5));
     let mut text = String::new();
-    for event in [whole, unchanged] {
+    for event in [complete, unchanged] {
         let line = serde_json::to_string(&event).unwrap();
         assert_eq!(serde_json::from_str::<WatchEvent>(&line).unwrap(), event);
         text += &format!("{line}\n");
@@ -390,8 +400,8 @@
         injected_bug: None,
     };
     let mut text = format!("list: {ENDPOINT_LIST_LEASE}\nslow start: {SLOW_START_LEASE}\nhealth checks:");
-    for duty in config.leases() {
-        text += &format!(" {duty}={:?}", config.set_of_lease(&duty));
+    for lease in config.leases() {
+        text += &format!(" {lease}={:?}", config.set_of_lease(&lease));
     }
     text += "\n";
     for (sets, zones) in [(8, 3), (8, 1), (2, 5), (100, 7)] {
@@ -407,19 +417,22 @@
     assert_pinned("leases_and_the_sets_of_workers", &text);
 }
 
-/// What `status --json`, `members --json` and `duties --json` print.
+/// JSON objects of which the output of `status --json`, `members --json` and `duties --json` consists.
 #[test]
 fn status_json() {
     assert_eq!(serde_json::to_string(&status()).unwrap(), STATUS);
-    let new = serde_json::to_string(&ReplicaStatus::default()).unwrap();
-    let with = |scope| serde_json::to_string(&LeaseId { name: "probe".to_owned(), scope }).unwrap();
-    let scopes =
-        [with(LeaseScope::Zone("north".to_owned())), with(LeaseScope::WorkerSet(3)), with(LeaseScope::Fleet)]
-            .join("\n");
-    assert_pinned("status_json", &format!("{new}\n{scopes}\n"));
+    let default_status = serde_json::to_string(&ReplicaStatus::default()).unwrap();
+    let lease_json = |scope| serde_json::to_string(&LeaseId { name: "probe".to_owned(), scope }).unwrap();
+    let scopes = [
+        lease_json(LeaseScope::Zone("north".to_owned())),
+        lease_json(LeaseScope::WorkerSet(3)),
+        lease_json(LeaseScope::Fleet),
+    ]
+    .join("\n");
+    assert_pinned("status_json", &format!("{default_status}\n{scopes}\n"));
 }
 
-/// Texts that stand in logs and on the console.
+/// Texts of rejections, which appear in logs and on the console.
 #[test]
 fn display_texts() {
     let mut text = String::new();
@@ -429,11 +442,11 @@
             ConnectionError::Rejected(rejection.clone())
         );
     }
-    for (label, reason) in reject_reasons() {
-        text += &format!("request rejected, {label}: {reason}\n");
+    for (label, rejection) in command_rejections() {
+        text += &format!("request rejected, {label}: {rejection}\n");
     }
-    for (label, refusal) in effect_rejections() {
-        text += &format!("effect rejected, {label}: {refusal}\n");
+    for (label, rejection) in effect_rejections() {
+        text += &format!("effect rejected, {label}: {rejection}\n");
     }
     assert_pinned("display_texts", &text);
 }
@@ -443,19 +456,19 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("records.jsonl");
     std::fs::write(&file, "{\"t\":1,\"kind\":\"earlier\"}\n").unwrap();
-    let record = Recorder::append_to(&file).unwrap();
-    assert!(record.is_enabled() && !Recorder::default().is_enabled());
-    record.record(1_000_000, RecordKind::EffectAccepted, json!({"token": 7, "duty": "list"}));
-    record.clone().record(1_000_001, RecordKind::ProcessStarted, json!({}));
+    let recorder = Recorder::append_to(&file).unwrap();
+    assert!(recorder.is_enabled() && !Recorder::default().is_enabled());
+    recorder.record(1_000_000, RecordKind::EffectAccepted, json!({"token": 7, "duty": "list"}));
+    recorder.clone().record(1_000_001, RecordKind::ProcessStarted, json!({}));
     Recorder::default().record(1_000_002, RecordKind::EntryApplied, json!({}));
     assert_pinned("records", &std::fs::read_to_string(&file).unwrap());
     assert!(Recorder::append_to(folder.path()).is_err());
 }
 
-/// The words by which checkers of experiments know the kinds of records.
+/// Names of the record kinds in the file, by which the record checker identifies them.
 #[test]
-fn words_of_record_kinds() {
-    let words = [
+fn names_of_record_kinds() {
+    let names = [
         (RecordKind::ProcessStarted, "started"),
         (RecordKind::LeadershipChanged, "leads"),
         (RecordKind::EntryApplied, "applied"),
@@ -468,7 +481,7 @@
         (RecordKind::StandbyEntered, "standby"),
         (RecordKind::StandbyLeft, "active"),
     ];
-    for (kind, word) in words {
-        assert_eq!(serde_json::to_value(kind).unwrap(), json!(word));
+    for (kind, name) in names {
+        assert_eq!(serde_json::to_value(kind).unwrap(), json!(name));
     }
 }
--- a/crates/cluster-member/tests/sessions.rs
+++ b/crates/cluster-member/tests/sessions.rs
@@ -1,5 +1,4 @@
-//! A member's session with a coordinator that the test plays: the requests in their order, and the records of all that
-//! is done.
+//! Sessions of members at simulated coordinators: the order of requests, and the records that the members write.
 
 mod support;
 
@@ -22,13 +21,13 @@
     ClusterView, CommandRejection, FencingToken, HeldLease, LeaseClient, LeaseHolder, LeaseId, LeaseView,
     SessionId, Timing,
 };
-use support::{assert_pinned, play_coordinator};
+use support::{assert_pinned, simulate_coordinator};
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// No step of a test takes longer.
-const LIMIT: Duration = Duration::from_secs(10);
+/// Timeout of each step of a test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 async fn listen() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -37,44 +36,41 @@
 }
 
 fn member(name: &str, address: SocketAddr, coordinator: SocketAddr, record: &Path) -> Member {
-    let times = Timing::default();
-    let settings = MemberConfig {
+    let timing = Timing::default();
+    let config = MemberConfig {
         installation: "north".to_owned(),
         name: name.to_owned(),
         zone: "z1".to_owned(),
         address: address.to_string(),
         replicas: BTreeMap::from([(1, coordinator)]),
         local_address: None,
-        timing: times,
+        timing,
         eligible_leases: vec![LeaseId::fleet("list")],
         seed: 7,
     };
-    Member::new(settings, LeaseClient::new(times), Recorder::append_to(record).unwrap())
+    Member::new(config, LeaseClient::new(timing), Recorder::append_to(record).unwrap())
 }
 
-/// The duty "list" is held by session 5 with token 7.
+/// Returns a view in which session 5 holds the lease "list" with token 7.
 fn view() -> ClusterView {
-    let owner = Some(LeaseHolder { session: SessionId(5), token: FencingToken(7) });
+    let holder = Some(LeaseHolder { session: SessionId(5), token: FencingToken(7) });
     ClusterView {
         revision: 9,
-        leases: vec![LeaseView {
-            lease: LeaseId::fleet("list"),
-            minimum_token: FencingToken(6),
-            holder: owner,
-        }],
+        leases: vec![LeaseView { lease: LeaseId::fleet("list"), minimum_token: FencingToken(6), holder }],
     }
 }
 
-async fn until(what: &str, holds: impl Fn() -> bool) {
-    let step = async {
-        while !holds() {
+/// Waits until the condition holds; panics with its description after the timeout.
+async fn wait_until(description: &str, condition: impl Fn() -> bool) {
+    let polling = async {
+        while !condition() {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(LIMIT, step).await.unwrap_or_else(|_| panic!("{what}"));
+    timeout(TEST_TIMEOUT, polling).await.unwrap_or_else(|_| panic!("timed out: {description}"));
 }
 
-/// The lines of a file of records, without their times and ports.
+/// Returns the lines of a file of records, with a placeholder for each time.
 fn records(path: &Path) -> String {
     let text = std::fs::read_to_string(path).unwrap();
     let line = |line: &str| {
@@ -85,7 +81,7 @@
     text.lines().map(line).collect()
 }
 
-/// What a coordinator responds to the holder, which learns of one other member.
+/// Returns the coordinator's response to a request of the lease holder. The member list contains one other member.
 fn respond_to_holder(request: &Request, other: &Peer) -> Response {
     match &request.operation {
         Operation::OpenSession { .. } => {
@@ -100,7 +96,7 @@
     }
 }
 
-/// What a coordinator responds to the receiver.
+/// Returns the coordinator's response to a request of the receiver.
 fn respond_to_receiver(request: &Request) -> Response {
     match &request.operation {
         Operation::OpenSession { .. } => {
@@ -111,7 +107,7 @@
     }
 }
 
-/// The holder publishes an effect, and hears what the receiver responds.
+/// Publishes an effect and checks the receiver's response.
 async fn publish_one_effect(holder: &Member) {
     let responses: Rc<RefCell<Vec<Vec<u8>>>> = Rc::default();
     let received = responses.clone();
@@ -119,12 +115,13 @@
     let lease = LeaseId::fleet("list");
     let mut publisher = Publisher::with_response_handler(holder, lease, FencingToken(7), on_response);
     assert_eq!((publisher.publish(b"one".to_vec()), publisher.token()), (1, FencingToken(7)));
-    until("the receiver has answered", || !responses.borrow().is_empty()).await;
+    wait_until("response of the receiver", || !responses.borrow().is_empty()).await;
     assert_eq!(*responses.borrow(), [b"seen one".to_vec()]);
 }
 
-/// A holder of an earlier term, one of a lease that unreachable knows, and a client of another kind are rejected.
-async fn send_what_is_rejected(receiver: SocketAddr) {
+/// Checks that the receiver rejects an effect with a stale token, an effect of an unknown lease, and a client of
+/// another kind.
+async fn check_rejections(receiver: SocketAddr) {
     let identity = ClientIdentity::LeaseHolder { name: "late".to_owned(), incarnation: 1 };
     let hello = ClientHello { schema_version: SCHEMA_VERSION, installation: "north".to_owned(), identity };
     let (mut connection, name) = Connection::connect(receiver, None, &hello).await.unwrap();
@@ -148,7 +145,7 @@
     );
 }
 
-/// The operations that the holder requested, in order.
+/// Checks the operations that the lease holder requested and their order, without further renewals.
 fn check_operations(mut operations: Vec<Operation>) {
     assert!(
         matches!(&operations[0], Operation::OpenSession { name, zone, .. } if name == "holder" && zone == "z1")
@@ -179,43 +176,43 @@
     let test = async {
         let (name, zone) = ("receiver".to_owned(), "z1".to_owned());
         let other = Peer { name, incarnation: 1, zone, address: effects_address.to_string() };
-        spawn_local(play_coordinator(coordinator, move |request: &Request| {
+        spawn_local(simulate_coordinator(coordinator, move |request: &Request| {
             requests.borrow_mut().push(request.operation.clone());
             Some(respond_to_holder(request, &other))
         }));
-        spawn_local(play_coordinator(receiver_coordinator, |request| Some(respond_to_receiver(request))));
+        spawn_local(simulate_coordinator(receiver_coordinator, |request| Some(respond_to_receiver(request))));
         let receiver = member("receiver", effects_address, receiver_coordinator_address, &receiver_file);
         let holder = member("holder", coordinator_address, coordinator_address, &holder_file);
-        let runs =
+        let running =
             [holder.clone(), receiver.clone()].map(|member| spawn_local(async move { member.run().await }));
         spawn_local(serve_effects(receiver.clone(), effects, |effect| [b"seen ", &effect.body[..]].concat()));
-        until("the holder knows the receiver", || !holder.members().is_empty()).await;
-        until("the receiver has a session", || records(&receiver_file).contains("session")).await;
+        wait_until("member list of the holder", || !holder.members().is_empty()).await;
+        wait_until("session of the receiver", || records(&receiver_file).contains("session")).await;
         let list = LeaseId::fleet("list");
         assert_eq!(holder.held_leases(), [HeldLease { lease: list.clone(), token: FencingToken(7) }]);
         assert!(holder.holds_lease(&list, FencingToken(7)) && receiver.held_leases().is_empty());
 
         publish_one_effect(&holder).await;
-        send_what_is_rejected(effects_address).await;
+        check_rejections(effects_address).await;
 
         holder.release_lease(list, FencingToken(7));
         let released = |operation: &Operation| matches!(operation, Operation::ReleaseLease { .. });
-        until("the term is given back", || requested.borrow().iter().any(released)).await;
+        wait_until("release of the term", || requested.borrow().iter().any(released)).await;
         holder.leave();
         receiver.leave();
-        for run in runs {
-            assert_eq!(timeout(LIMIT, run).await.unwrap().unwrap(), MembershipEnd::Left);
+        for run in running {
+            assert_eq!(timeout(TEST_TIMEOUT, run).await.unwrap().unwrap(), MembershipEnd::Left);
         }
     };
-    timeout(LIMIT, LocalSet::new().run_until(test)).await.unwrap();
+    timeout(TEST_TIMEOUT, LocalSet::new().run_until(test)).await.unwrap();
     check_operations(requested.take());
     let text = format!("holder\n{}receiver\n{}", records(&holder_file), records(&receiver_file));
     assert_pinned("session_records", &text);
 }
 
-/// What ends a membership, or lets it go on.
+/// A membership ends if the coordinator rejects the session or no replica is configured.
 #[tokio::test]
-async fn a_membership_ends_where_the_coordinators_say_so() {
+async fn a_membership_ends_when_the_coordinator_rejects_it() {
     let folder = tempfile::tempdir().unwrap();
     for (reason, end) in [
         (CommandRejection::Superseded { incarnation: 9 }, MembershipEnd::Superseded { incarnation: 9 }),
@@ -227,29 +224,29 @@
         let (coordinator, address) = listen().await;
         let member = member("d1", address, address, &folder.path().join("records"));
         let test = async {
-            spawn_local(play_coordinator(coordinator, move |_| Some(Response::Rejected(reason.clone()))));
+            spawn_local(simulate_coordinator(coordinator, move |_| Some(Response::Rejected(reason.clone()))));
             member.run().await
         };
-        assert_eq!(timeout(LIMIT, LocalSet::new().run_until(test)).await.unwrap(), end);
+        assert_eq!(timeout(TEST_TIMEOUT, LocalSet::new().run_until(test)).await.unwrap(), end);
     }
     let (_, address) = listen().await;
-    let mut alone = member("d1", address, address, &folder.path().join("records")).config().clone();
-    alone.replicas.clear();
-    let alone = Member::new(alone, LeaseClient::new(Timing::default()), Recorder::default());
-    assert_eq!(alone.run().await, MembershipEnd::NoReplicas);
+    let mut config = member("d1", address, address, &folder.path().join("records")).config().clone();
+    config.replicas.clear();
+    let member = Member::new(config, LeaseClient::new(Timing::default()), Recorder::default());
+    assert_eq!(member.run().await, MembershipEnd::NoReplicas);
 }
 
-/// What a call of the coordinators says where it fails: operators read it on the console.
+/// Texts of the errors of calls, which operators read on the console.
 #[tokio::test]
-async fn a_call_that_fails_says_why() {
+async fn errors_of_calls_name_the_cause() {
     let call = |respond: fn(&Request) -> Option<Response>, milliseconds: u64| async move {
         let (coordinator, address) = listen().await;
         let mut client =
             CoordinatorClient::new("north", ClientIdentity::Operator, BTreeMap::from([(1, address)]), None);
-        let by = Instant::now() + Duration::from_millis(milliseconds);
+        let deadline = Instant::now() + Duration::from_millis(milliseconds);
         let test = async {
-            spawn_local(play_coordinator(coordinator, respond));
-            client.call(&Operation::Status, by).await.map_err(|error| error.to_string())
+            spawn_local(simulate_coordinator(coordinator, respond));
+            client.call(&Operation::Status, deadline).await.map_err(|error| error.to_string())
         };
         LocalSet::new().run_until(test).await
     };
@@ -272,26 +269,27 @@
     drop(listener);
     let mut unreachable =
         CoordinatorClient::new("north", ClientIdentity::Operator, BTreeMap::from([(3, address)]), None);
-    let by = Instant::now() + Duration::from_millis(100);
-    let error = unreachable.call(&Operation::Status, by).await.unwrap_err().to_string();
+    let deadline = Instant::now() + Duration::from_millis(100);
+    let error = unreachable.call(&Operation::Status, deadline).await.unwrap_err().to_string();
     assert_eq!(error, "replica 3: Connection refused (os error 111)");
 }
 
-/// A call follows the leader that is named, also to one that was not configured.
+/// A call follows a leader hint to a replica that is not configured, and later calls go to the same leader.
 #[tokio::test]
-async fn a_call_follows_the_leader() {
+async fn a_call_follows_a_hint_to_an_unconfigured_leader() {
     let (first, first_address) = listen().await;
     let (second, second_address) = listen().await;
     let test = async {
-        spawn_local(play_coordinator(first, move |_| {
+        spawn_local(simulate_coordinator(first, move |_| {
             Some(Response::NotLeader { leader: Some(7), address: Some(second_address.to_string()) })
         }));
-        spawn_local(play_coordinator(second, |_| Some(Response::Done)));
-        let who = ClientIdentity::Member { name: "d1".to_owned() };
-        let mut client = CoordinatorClient::new("north", who, BTreeMap::from([(1, first_address)]), None);
-        let by = Instant::now() + LIMIT;
-        assert_eq!(client.call(&Operation::Status, by).await.unwrap(), Response::Done);
-        assert_eq!(client.call(&Operation::Status, by).await.unwrap(), Response::Done);
+        spawn_local(simulate_coordinator(second, |_| Some(Response::Done)));
+        let identity = ClientIdentity::Member { name: "d1".to_owned() };
+        let mut client =
+            CoordinatorClient::new("north", identity, BTreeMap::from([(1, first_address)]), None);
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        assert_eq!(client.call(&Operation::Status, deadline).await.unwrap(), Response::Done);
+        assert_eq!(client.call(&Operation::Status, deadline).await.unwrap(), Response::Done);
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/cluster-member/tests/settings.rs
+++ b/crates/cluster-member/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The keys of settings that members and coordinators share, and what faults say of them.
+//! Settings shared by members and coordinators: all keys, their defaults, and the texts of errors.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use hcl_config::{HclError, Section};
 use support::assert_pinned;
 
-/// Every key with a value that is not its default.
+/// Settings with every key, each with a value other than its default.
 const EVERY_KEY: &str = r#"
 installation = "north"
 listen = "127.0.0.1:7201"
@@ -42,8 +42,8 @@
 }
 "#;
 
-/// Only what has to be there.
-const SHORTEST: &str = r#"
+/// Settings with the required keys only.
+const REQUIRED_KEYS: &str = r#"
 installation = "north"
 listen = "127.0.0.1:7201"
 keeper "1" {
@@ -62,15 +62,15 @@
 }
 "#;
 
-/// What is read from a text, one value a line.
+/// Returns the values that are read from a text, one per line.
 fn values(text: &str) -> Result<String, HclError> {
     let top = Section::parse("member.hcl", text)?;
     let mut lines = vec![
         format!("installation: {}", settings::required_text(&top, "installation")?),
         format!("listen: {}", settings::required_address(&top, "listen")?),
     ];
-    for (number, address) in settings::replicas(&top)? {
-        lines.push(format!("coordinator {number}: {address}"));
+    for (replica_id, address) in settings::replicas(&top)? {
+        lines.push(format!("replica {replica_id}: {address}"));
     }
     let times = settings::timing(&top)?;
     lines.extend([
@@ -87,7 +87,7 @@
         let config = settings::health_check_config(section)?;
         lines.extend([
             format!("sets: {}, zones: {}", config.set_count, config.zone_count),
-            format!("period: {} us", config.probe_interval),
+            format!("probe interval: {} us", config.probe_interval),
             format!("failures: {}", config.failure_threshold),
             format!("holds: {} us", config.report_ttl),
             format!("bug: {}", config.injected_bug.is_some()),
@@ -98,7 +98,7 @@
         lines.extend([
             format!("slots: {}", quota.smallest_worker_slots),
             format!("part: {}", quota.grantable_fraction),
-            format!("expiry: {} us, written: {} us", quota.grant_ttl, quota.delivery_timeout),
+            format!("expiry: {} us, delivery timeout: {} us", quota.grant_ttl, quota.delivery_timeout),
             format!("skew: {} ppm", quota.skew_ppm),
         ]);
     }
@@ -112,12 +112,12 @@
 }
 
 #[test]
-fn defaults_hold_where_a_key_is_missing() {
-    assert_pinned("settings_defaults", &values(SHORTEST).unwrap());
+fn missing_keys_take_their_defaults() {
+    assert_pinned("settings_defaults", &values(REQUIRED_KEYS).unwrap());
 }
 
 #[test]
-fn faults_name_the_key_and_its_bounds() {
+fn errors_name_the_key_and_its_bounds() {
     let changes = [
         ("installation = \"north\"\n", ""),
         ("installation = \"north\"", "installation = \"\""),
@@ -153,8 +153,8 @@
     for (from, to) in changes {
         let changed = EVERY_KEY.replacen(from, to, 1);
         assert_ne!(changed, EVERY_KEY, "{from}");
-        let fault = values(&changed).expect_err(to);
-        text += &format!("{} -> {}\n    {fault}\n", from.trim(), to.trim());
+        let error = values(&changed).expect_err(to);
+        text += &format!("{} -> {}\n    {error}\n", from.trim(), to.trim());
     }
     let long = EVERY_KEY.replacen("north", &"n".repeat(129), 1);
     text += &format!("129 bytes\n    {}\n", values(&long).unwrap_err());
@@ -162,9 +162,9 @@
     assert_pinned("settings_faults", &text.replace("\n\n", "\n"));
 }
 
-/// A build for experiments knows bugs by name; any other build knows no such key.
+/// A build for experiments accepts the names of injected bugs; any other build rejects the key.
 #[test]
-fn injected_bugs_are_known_by_name_in_builds_for_experiments() {
+fn only_builds_for_experiments_accept_injected_bugs() {
     let with = |name: &str| values(&EVERY_KEY.replace("sets = 9", &format!("sets = 9\n  flaw = {name:?}")));
     for name in ["no-wait", "trusting", "no-look"] {
         if cfg!(feature = "seeded-bugs") {
--- a/crates/cluster-member/tests/slow_start.rs
+++ b/crates/cluster-member/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Quotas of workers in slow start: what is granted, whoever loses, delays or repeats messages.
+//! Quotas of workers in slow start, with lost, delayed and repeated messages and with changes of the lease holder.
 
 use std::collections::BTreeMap;
 
@@ -24,13 +24,13 @@
 };
 const PROCESSES: usize = 5;
 
-/// Random numbers from 0 to 1.
+/// Returns a source of random numbers from 0 to 1.
 fn draws() -> impl FnMut() -> f64 {
     let mut random = fastrand::Rng::with_seed(3);
     move || random.f64()
 }
 
-/// A message of the lease holder on its way to a process.
+/// Message of the lease holder that is in flight to a process.
 struct InFlight {
     arrives_at: Micros,
     process: usize,
@@ -45,18 +45,18 @@
     work: f64,
 }
 
-/// What the processes remember of the messages that they accepted.
+/// Whether processes keep track of the messages that they accepted.
 #[derive(Clone, Copy, PartialEq)]
 enum Receivers {
-    /// All of it, as they should.
+    /// They do, as in production.
     RememberAccepted,
-    /// Nothing: a message that comes twice counts twice.
+    /// They do not, so that a message that arrives twice counts twice.
     ForgetAccepted,
 }
 
-/// Plays a lease holder, and members that use all they get at once or at the last moment, with messages that are lost,
-/// late or repeated. Gives what reached the worker, in order.
-fn play(length: Micros, new_holders_at: &[Micros], receivers: Receivers) -> Vec<Delivery> {
+/// Simulates a lease holder and members that use each grant immediately or at the last moment, with messages that are
+/// lost, delayed or repeated. Returns the work that reached the worker, ordered by time.
+fn simulate(length: Micros, new_holders_at: &[Micros], receivers: Receivers) -> Vec<Delivery> {
     let mut random = fastrand::Rng::with_seed(11);
     let mut ages = EndpointAges::default();
     let mut filters: Vec<GrantFilter> =
@@ -68,7 +68,8 @@
     for now in (0..length).step_by(50_000) {
         ages.update(now, [(1, 7)].into_iter());
         if new_holders_at.contains(&now) {
-            // Messages of the holder before may still be on their way: its token is rejected from here on.
+            // Messages of the previous lease holder that are still in flight are dropped, because receivers reject its
+            // token from now on.
             (token, sequence) = (token + 1, 0);
             in_flight.retain(|message| message.token == FencingToken(token));
             allocator = QuotaAllocator::new(CONFIG, PROFILE, now);
@@ -108,7 +109,8 @@
     deliveries
 }
 
-/// The most work in any window, as a fraction of what the worker tolerated at the window's end.
+/// Returns the largest amount of work in any window, as a fraction of the work that the worker tolerated at the time of
+/// the last delivery in the window.
 fn fullest_window(deliveries: &[Delivery]) -> f64 {
     let fraction = |(first, start): (usize, &Delivery)| {
         let end = start.at + PROFILE.overload_window;
@@ -121,18 +123,21 @@
 }
 
 #[test]
-fn no_window_exceeds_the_grantable_fraction_whatever_becomes_of_messages() {
+fn no_window_exceeds_the_grantable_fraction_despite_message_faults() {
     let new_holders_at = [4 * SECOND, 4_500_000, 11 * SECOND];
-    let deliveries = play(20 * SECOND, &new_holders_at, Receivers::RememberAccepted);
+    let deliveries = simulate(20 * SECOND, &new_holders_at, Receivers::RememberAccepted);
     assert!(deliveries.len() > 20, "{} grants were used", deliveries.len());
-    let most = fullest_window(&deliveries);
-    assert!(most <= CONFIG.grantable_fraction && most > 0.3 * CONFIG.grantable_fraction, "{most}");
+    let max_fraction = fullest_window(&deliveries);
+    assert!(
+        max_fraction <= CONFIG.grantable_fraction && max_fraction > 0.3 * CONFIG.grantable_fraction,
+        "{max_fraction}"
+    );
 }
 
 #[test]
 fn a_message_that_counts_twice_exceeds_the_grantable_fraction() {
-    let most = fullest_window(&play(20 * SECOND, &[], Receivers::ForgetAccepted));
-    assert!(most > CONFIG.grantable_fraction, "{most}");
+    let max_fraction = fullest_window(&simulate(20 * SECOND, &[], Receivers::ForgetAccepted));
+    assert!(max_fraction > CONFIG.grantable_fraction, "{max_fraction}");
 }
 
 #[test]
@@ -146,11 +151,11 @@
     assert!(allocator.allocate(2_200_000, &ages, draws()).0.is_empty());
     allocator.record_usage(usage(2_300_000), 2_300_000);
     assert!(!allocator.allocate(2_300_000, &ages, draws()).0.is_empty());
-    assert!(allocator.allocate(2_300_000, &ages, draws()).0.is_empty(), "all is granted for now");
+    assert!(allocator.allocate(2_300_000, &ages, draws()).0.is_empty(), "the whole quota is granted");
 }
 
 #[test]
-fn grants_follow_usage_and_silent_members_get_none() {
+fn grants_follow_usage_and_members_with_stale_usage_get_none() {
     let mut ages = EndpointAges::default();
     ages.update(0, (0..40).map(|worker| (worker, 0)));
     let mut allocator = QuotaAllocator::new(CONFIG, PROFILE, 0);
@@ -159,8 +164,9 @@
         let usage = UsageReport { process_id, clock_reading: now, jobs_per_second, typical_work: 0.05 };
         allocator.record_usage(usage, now);
     }
-    let silent = UsageReport { process_id: 4, clock_reading: 0, jobs_per_second: 500.0, typical_work: 0.05 };
-    allocator.record_usage(silent, 2 * SECOND);
+    let stale_usage =
+        UsageReport { process_id: 4, clock_reading: 0, jobs_per_second: 500.0, typical_work: 0.05 };
+    allocator.record_usage(stale_usage, 2 * SECOND);
     let grants = allocator.allocate(now, &ages, draws()).0;
     let count = |process_id| grants.iter().filter(|grant| grant.process_id == process_id).count();
     assert!(
@@ -170,11 +176,11 @@
         count(2),
         count(3)
     );
-    assert_eq!(count(4), 0, "it has been silent");
+    assert_eq!(count(4), 0, "its usage report is stale");
 }
 
 #[test]
-fn a_restarted_worker_starts_over() {
+fn the_age_of_a_restarted_worker_starts_at_zero() {
     let mut ages = EndpointAges::default();
     ages.update(0, [(1, 7), (2, 7)].into_iter());
     ages.update(30 * SECOND, [(1, 8), (2, 7)].into_iter());
@@ -183,7 +189,7 @@
 }
 
 #[test]
-fn a_grant_is_for_one_process_until_it_expires_by_its_clock() {
+fn a_process_accepts_only_its_own_grants_until_they_expire() {
     let mut filter = GrantFilter::new(9, &CONFIG);
     let grant = |process_id, clock_reading| Grant { process_id, clock_reading, worker: 1, work: 0.2 };
     let grants =
@@ -192,7 +198,7 @@
     assert_eq!(
         usable,
         [UsableQuota { worker: 1, work: 0.2, expires_at: 1_400_000 }],
-        "not another's, not an expired one, not one of the future"
+        "not the grant of another process, an expired one, or one with a clock reading in the future"
     );
     assert!(filter.accept(FencingToken(3), 1, &grants, SECOND).is_empty());
     assert!(filter.accept(FencingToken(2), 9, &grants, SECOND).is_empty());
--- a/crates/cluster-member/tests/support/mod.rs
+++ b/crates/cluster-member/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of formats share: hexadecimal text of messages, snapshots, a coordinator played by the test.
+//! Helpers of several tests: hexadecimal text of messages, snapshots, and a simulated coordinator.
 
 #![allow(dead_code)]
 
@@ -9,8 +9,8 @@
 use serde::Serialize;
 use tokio::net::TcpListener;
 
-/// Compares a text with the snapshot of this name. The snapshot holds no Rust expression, so that a renamed item changes
-/// nothing in it.
+/// Compares a text with the snapshot of this name. The snapshot contains no Rust expression, so that renaming an item
+/// does not change it.
 pub fn assert_pinned(name: &str, text: &str) {
     let mut settings = insta::Settings::clone_current();
     settings.set_omit_expression(true);
@@ -19,12 +19,12 @@
     settings.bind(|| insta::assert_snapshot!(name, text));
 }
 
-/// Bytes as hexadecimal digits.
+/// Returns bytes as hexadecimal digits.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// One line with the bytes of a message, after seeing that they are read as the same message.
+/// Returns a line with the encoded message, after checking that decoding the bytes gives the same message.
 pub fn encoded<T>(label: &str, message: &T) -> String
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -34,8 +34,12 @@
     format!("{label}: {}\n", hex(&bytes))
 }
 
-/// Plays a coordinator that accepts whoever connects and responds to what `respond` has a response for.
-pub async fn play_coordinator(listener: TcpListener, mut respond: impl FnMut(&Request) -> Option<Response>) {
+/// Simulates a coordinator that accepts every client and sends the responses that `respond` returns. It does not
+/// respond to a request for which `respond` returns `None`.
+pub async fn simulate_coordinator(
+    listener: TcpListener,
+    mut respond: impl FnMut(&Request) -> Option<Response>,
+) {
     loop {
         let (stream, _) = listener.accept().await.unwrap();
         let (mut connection, _) = Connection::accept(stream).await.unwrap();
