--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,4 +1,4 @@
-//! Parser of the lines that are events of a dispatcher.
+//! Parser of the input lines that are events of a dispatcher.
 
 use base64::engine::general_purpose::STANDARD as BASE64;
 use base64::Engine as _;
@@ -15,15 +15,15 @@
 };
 use crate::worker_id;
 
-/// Descriptions of expected values, for errors.
-const EVENT: &str = "an event of the wire";
+// Descriptions of expected values, for errors.
+const EVENT: &str = "an event of the protocol";
 const REQUEST: &str = "a request";
 const ATTEMPT: &str = "an attempt number";
 const OUTCOME: &str = "an outcome";
 
 /// Parses the events of one instance.
 pub(crate) struct EventReader<'a> {
-    /// Format of load reports.
+    /// Format of the load reports that workers send to this instance.
     pub(crate) format: &'a LoadReportFormat,
     /// Endpoint lists that events refer to.
     pub(crate) lists: &'a EndpointLists,
@@ -32,7 +32,7 @@
 }
 
 impl<'a> EventReader<'a> {
-    /// Parses an event; returns none for an update that a dispatcher has no use for.
+    /// Parses an event; returns `None` for an update with a topic that dispatchers do not use.
     pub(crate) fn read(self, line: Line<'_>) -> Result<Option<Event<'a>>, InvalidValue> {
         let Some(kind) = EventKind::from_name(line.name) else {
             return Err(InvalidValue::new(EVENT, line.text));
@@ -67,7 +67,7 @@
     let is_retry = flags & FLAG_RETRY != 0;
     let expected_run_time = fields.number("expected work")?.filter(|_| flags & FLAG_EXPECTED_WORK != 0);
     let class = fields.optional("a class")?.unwrap_or(0);
-    let affinity_key = fields.optional("a key")?;
+    let affinity_key = fields.optional("an affinity key")?;
     Ok(Request { id, class, tenant, slots, memory, timeout, is_retry, expected_run_time, affinity_key })
 }
 
@@ -76,7 +76,7 @@
     Ok(Event::StreamStarted { request, attempt: fields.required(ATTEMPT)? })
 }
 
-/// Parses an update on a running job; returns none if a dispatcher has no use for its topic.
+/// Parses an update on a running job; returns `None` if dispatchers do not use its topic.
 fn read_update<'a>(mut fields: Fields<'_>) -> Result<Option<Event<'a>>, InvalidValue> {
     let request = RequestId(fields.required(REQUEST)?);
     fields.text();
@@ -86,7 +86,7 @@
     Ok(Some(match topic {
         UpdateTopic::JobStarted => Event::JobStarted { request, attempt },
         UpdateTopic::Progress => {
-            let done = fields.number("the part done")?.unwrap_or(0.0);
+            let done = fields.number("the completed fraction")?.unwrap_or(0.0);
             Event::Progress { request, attempt, done }
         }
     }))
@@ -94,7 +94,7 @@
 
 fn read_response<'a>(mut fields: Fields<'_>, format: &LoadReportFormat) -> Result<Event<'a>, InvalidValue> {
     let request = RequestId(fields.required(REQUEST)?);
-    fields.number("a time since the send")?;
+    fields.number("the time since the request was sent")?;
     fields.text();
     let attempt = fields.required(ATTEMPT)?;
     fields.text();
@@ -114,7 +114,7 @@
 }
 
 fn read_timer<'a>(mut fields: Fields<'_>) -> Result<Event<'a>, InvalidValue> {
-    Ok(Event::Timer(fields.required("a timer's name")?))
+    Ok(Event::Timer(fields.required("a timer token")?))
 }
 
 fn read_probe_result<'a>(
@@ -123,7 +123,7 @@
 ) -> Result<Event<'a>, InvalidValue> {
     let ok = fields.required::<u32>(OUTCOME)? == OUTCOME_OK;
     let worker = worker_id(fields.required_text("a worker")?);
-    fields.number("a time since the send")?;
+    fields.number("the time since the request was sent")?;
     let load = read_load(&mut fields, format)?;
     Ok(Event::ProbeEnded { worker, ok, load })
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Host of dispatchers: batches of lines in, a reply to each.
+//! Host of dispatchers: reads batches of lines and writes a reply to each batch.
 
 use std::fmt;
 use std::io::{self, BufRead, Write};
@@ -20,7 +20,7 @@
     BEGIN_BATCH, BEGIN_LIST, END_BATCH, LIST_ENTRY, REMOVE_INSTANCE, SELECT_INSTANCE, START_INSTANCE,
 };
 
-/// Error of a line that breaks the protocol.
+/// Error of a line that violates the protocol.
 #[derive(Debug, PartialEq, Eq, Error)]
 #[error("line {line}: expected {expected}, found '{found}'")]
 pub struct Malformed {
@@ -35,11 +35,11 @@
 /// Error that stops the host.
 #[derive(Debug, Error)]
 pub enum HostError {
-    /// The input breaks the protocol.
+    /// The input violates the protocol.
     #[error(transparent)]
     Malformed(Malformed),
     /// Reading or writing failed.
-    #[error("input or output failed: {0}")]
+    #[error("reading input or writing output failed: {0}")]
     Io(#[from] io::Error),
 }
 
@@ -51,18 +51,18 @@
 
 /// Hosts dispatchers for a simulator.
 ///
-/// Instances share only the endpoint lists and the names of workers. A worker's id is a hash of its name, so that it is
-/// the same in every process.
+/// Instances share only the endpoint lists and the names of workers. The id of a worker is a hash of its name, so that
+/// it is the same in every process.
 #[derive(Default)]
 pub struct Host {
     instances: FxHashMap<Box<str>, Instance>,
     worker_names: WorkerNames,
     lists: EndpointLists,
-    /// Instance that the lines of the batch concern.
+    /// Instance that the following lines refer to; empty if none was selected.
     selected_instance: Box<str>,
     now: Seconds,
     in_batch: bool,
-    /// Number of the present line, from 1.
+    /// Number of the current line, from 1; 0 before the first line.
     line: u64,
     actions: Vec<Action>,
     reply: Reply,
@@ -79,8 +79,8 @@
     /// Replies to batches until the input ends.
     ///
     /// # Errors
-    /// Returns [`HostError::Malformed`] for a line that breaks the protocol, and [`HostError::Io`] if reading or writing
-    /// fails. Only complete replies have been written by then.
+    /// Returns [`HostError::Malformed`] for a line that violates the protocol, and [`HostError::Io`] if reading or
+    /// writing fails. After a malformed line, only the replies to earlier batches have been written.
     pub fn serve(&mut self, mut input: impl BufRead, mut output: impl Write) -> Result<(), HostError> {
         let mut buffer = Vec::new();
         loop {
@@ -191,7 +191,7 @@
 
     fn handle_event(&mut self, line: Line<'_>) -> Result<(), InvalidValue> {
         let Some(instance) = self.instances.get_mut(&self.selected_instance) else {
-            // An event may arrive after the removal of its instance.
+            // The simulator may still send events of an instance that it has removed.
             return Ok(());
         };
         let reader = EventReader {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -5,11 +5,11 @@
 
 use simulator_adapter::Host;
 
-/// Size of the input buffer in bytes; batches may be large, and a large buffer saves system calls.
-const INPUT_BUFFER: usize = 1 << 18;
+/// Size of the input buffer in bytes. Batches may be large, and a large buffer saves system calls.
+const INPUT_BUFFER_BYTES: usize = 1 << 18;
 
 fn main() -> ExitCode {
-    let input = io::BufReader::with_capacity(INPUT_BUFFER, io::stdin().lock());
+    let input = io::BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     match Host::default().serve(input, io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -1,4 +1,4 @@
-//! Encoder of actions as lines of the wire.
+//! Encoder of actions as lines of the protocol.
 
 use std::fmt::{self, Write as _};
 
@@ -10,26 +10,26 @@
 
 use crate::wire::{self, ABSENT, ALL_PEERS};
 
-/// Number of timer tokens of the wire.
-const TOKENS: u64 = 1 << 63;
+/// Number of timer tokens in the protocol.
+const TOKEN_COUNT: u64 = 1 << 63;
 /// Maximum length of a message to a peer, in bytes.
-const MAX_MESSAGE: usize = 256;
-/// Longest time of a timer.
+const MAX_MESSAGE_BYTES: usize = 256;
+/// Maximum duration of a timer.
 const MAX_TIMER: Seconds = 71.0 * 60.0;
 
-/// Names of workers on the wire.
+/// Names of workers in the protocol.
 pub(crate) type WorkerNames = FxHashMap<WorkerId, Box<str>>;
 
 /// Reply to one batch.
 #[derive(Default)]
 pub(crate) struct Reply {
     text: String,
-    /// Instance of the last actions.
+    /// Instance of the last action in this batch; empty before the first action.
     instance: Box<str>,
 }
 
 impl Reply {
-    /// Begins a batch, in which the first action names its instance.
+    /// Begins a batch: the instance of the first action is named again.
     pub(crate) fn begin(&mut self) {
         self.instance = Box::default();
     }
@@ -39,12 +39,12 @@
         self.push_line(wire::END_REPLY);
     }
 
-    /// Takes the text that was written so far.
+    /// Takes the text that has been written so far.
     pub(crate) fn take(&mut self) -> String {
         std::mem::take(&mut self.text)
     }
 
-    /// Appends the actions of an instance.
+    /// Appends the actions of an instance and clears them.
     pub(crate) fn append(&mut self, instance: &str, actions: &mut Vec<Action>, names: &WorkerNames) {
         if actions.is_empty() {
             return;
@@ -65,7 +65,7 @@
     }
 }
 
-/// Writes an action as one line, or as none if its worker has no name on the wire.
+/// Writes an action as one line; writes nothing if the name of its worker is unknown.
 fn write_action(out: &mut String, action: &Action, names: &WorkerNames) -> fmt::Result {
     match action {
         Action::Send { request, worker, timeout } => match (names.get(worker), timeout) {
@@ -82,7 +82,7 @@
         Action::Probe(worker) => write_worker_action(out, wire::PROBE, *worker, names),
         Action::CloseIdle(worker) => write_worker_action(out, wire::CLOSE_IDLE, *worker, names),
         Action::SetTimer { after, token } => {
-            writeln!(out, "{} {} {}", wire::SET_TIMER, after.clamp(0.0, MAX_TIMER), token % TOKENS)
+            writeln!(out, "{} {} {}", wire::SET_TIMER, after.clamp(0.0, MAX_TIMER), token % TOKEN_COUNT)
         }
         Action::Watch(enabled) => writeln!(out, "{} {}", wire::WATCH, u8::from(*enabled)),
         Action::FetchEndpointList => writeln!(out, "{}", wire::FETCH_LIST),
@@ -101,7 +101,7 @@
 /// Writes a message to one peer, or to all.
 fn write_message(out: &mut String, to: Option<u32>, data: &[u8]) -> fmt::Result {
     let receiver = to.map_or(ALL_PEERS, i64::from);
-    let data = BASE64.encode(&data[..data.len().min(MAX_MESSAGE)]);
+    let data = BASE64.encode(&data[..data.len().min(MAX_MESSAGE_BYTES)]);
     let data = if data.is_empty() { ABSENT } else { &data };
     writeln!(out, "{} {receiver} {data}", wire::SEND_TO_PEER)
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! Protocol of the simulator: lines and values by their names on the wire.
+//! Protocol of the simulator: names of lines and values.
 
 use dispatch_core::api::{ListScope, Outcome, WorkerState};
 
@@ -6,13 +6,13 @@
 pub(crate) const BEGIN_BATCH: &str = "SYNC";
 /// Input line that ends a batch.
 pub(crate) const END_BATCH: &str = "EOF_BATCH";
-/// Input line that selects the instance of the following lines.
+/// Input line that selects the instance that the following lines refer to.
 pub(crate) const SELECT_INSTANCE: &str = "CONTEXT";
 /// Input line that starts the selected instance.
 pub(crate) const START_INSTANCE: &str = "INIT";
 /// Input line that removes the selected instance.
 pub(crate) const REMOVE_INSTANCE: &str = "KILL";
-/// Input line that announces an endpoint list.
+/// Input line that begins an endpoint list.
 pub(crate) const BEGIN_LIST: &str = "REGISTER";
 /// Input line with an entry of the endpoint list.
 pub(crate) const LIST_ENTRY: &str = "WORKER";
@@ -44,17 +44,17 @@
 /// Action that writes a line to the log.
 pub(crate) const LOG: &str = "NOTE_DOWN";
 
-/// Value that stands for an absent one.
+/// Placeholder of an absent value.
 pub(crate) const ABSENT: &str = "-";
-/// Receiver of a message to all other instances.
+/// Receiver number of a message to all other instances.
 pub(crate) const ALL_PEERS: i64 = -1;
 
-/// Flag of a request whose expected work is stated.
+/// Flag of a request that states its expected work.
 pub(crate) const FLAG_EXPECTED_WORK: u32 = 1;
-/// Flag of a request that is a client's retry.
+/// Flag of a request that is the retry of a client.
 pub(crate) const FLAG_RETRY: u32 = 2;
 
-/// Kind of an input line that is an event of a dispatcher.
+/// Kind of event of a dispatcher, named by an input line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EventKind {
     /// A client sent a request.
@@ -100,12 +100,12 @@
 pub(crate) enum UpdateTopic {
     /// The worker began to run the job.
     JobStarted,
-    /// The worker reports the part that is done.
+    /// The worker reports the completed fraction of the job.
     Progress,
 }
 
 impl UpdateTopic {
-    /// Returns the topic of this number; a dispatcher has no use for others.
+    /// Returns the topic with this number; `None` if dispatchers do not use it.
     pub(crate) fn from_number(number: u32) -> Option<UpdateTopic> {
         match number {
             1 => Some(UpdateTopic::JobStarted),
@@ -115,10 +115,10 @@
     }
 }
 
-/// Number of the outcome of an attempt that succeeded, or of a probe of a healthy worker.
+/// Outcome number of a successful attempt and of a probe of a healthy worker.
 pub(crate) const OUTCOME_OK: u32 = 0;
 
-/// Returns the outcome of this number.
+/// Returns the outcome with this number.
 pub(crate) fn outcome_from_number(number: u32) -> Option<Outcome> {
     match number {
         OUTCOME_OK => Some(Outcome::Ok),
@@ -133,10 +133,10 @@
     }
 }
 
-/// Description of the names of list scopes.
+/// Names of list scopes, for errors.
 pub(crate) const LIST_SCOPES: &str = "INCREMENTAL, FULL, SAVED or FAILED";
 
-/// Returns the list scope of this name.
+/// Returns the list scope with this name.
 pub(crate) fn list_scope_from_name(name: &str) -> Option<ListScope> {
     match name {
         "FULL" => Some(ListScope::Full),
@@ -147,10 +147,10 @@
     }
 }
 
-/// Description of the names of worker states.
+/// Names of worker states, for errors.
 pub(crate) const WORKER_STATES: &str = "SERVING, DRAINING or DELETED";
 
-/// Returns the worker state of this name.
+/// Returns the worker state with this name.
 pub(crate) fn worker_state_from_name(name: &str) -> Option<WorkerState> {
     match name {
         "SERVING" => Some(WorkerState::Serving),
--- a/crates/simulator-adapter/tests/recorded_batch.rs
+++ b/crates/simulator-adapter/tests/recorded_batch.rs
@@ -1,5 +1,5 @@
-//! All answers of the adapter to recorded batches: one of every kind of event, and a long closed loop with a small
-//! model of a simulator, whose every line follows from a seed.
+//! Replies of the adapter, pinned by snapshots: to recorded batches with every kind of event, and in a long closed loop
+//! with a small simulator whose lines are drawn from a seed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -12,7 +12,7 @@
 const STEP_MICROS: u64 = 20_000;
 const WORKERS: u64 = 12;
 
-/// Outcomes of attempts and probes by their numbers on the wire.
+/// Outcomes of attempts and probes by their numbers in the protocol.
 const OK: u32 = 0;
 const CANCELLED: u32 = 1;
 const TIMEOUT: u32 = 4;
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_long_closed_loop() {
-    let transcript = Loop::new().play();
+    let transcript = Loop::new().run();
     let kinds: BTreeSet<&str> = transcript.lines().filter_map(|line| line.split(' ').nth(1)).collect();
     for kind in [
         "KNOCK",
@@ -67,12 +67,12 @@
         "SET_TIMER",
         "OK",
     ] {
-        assert!(kinds.contains(kind), "the loop has no line of {kind}");
+        assert!(kinds.contains(kind), "the transcript has no line {kind}");
     }
     insta::assert_snapshot!("a_long_closed_loop", transcript);
 }
 
-/// An open request of an instance.
+/// A request that an instance has received.
 #[derive(Default)]
 struct OpenRequest {
     /// Number of attempts so far.
@@ -96,20 +96,20 @@
     sequence: u64,
 }
 
-/// A planned line for an instance.
+/// A line that is planned for an instance.
 struct DueLine {
     instance: usize,
     line: PlannedLine,
 }
 
-/// A model of the simulator's side of the wire.
+/// A small simulator in a closed loop with the adapter: its lines depend on the replies.
 struct Loop {
     host: Host,
     rng: Rng,
     now: u64,
     next_request: u64,
     transcript: String,
-    /// Planned lines.
+    /// Planned lines, ordered by time.
     due: BTreeMap<DueTime, DueLine>,
     sequence: u64,
     open: BTreeMap<RequestKey, OpenRequest>,
@@ -153,13 +153,14 @@
         }
     }
 
-    fn play(mut self) -> String {
+    /// Runs the loop and returns the transcript of all batches and replies.
+    fn run(mut self) -> String {
         let mut first = format!("SYNC {}\n", seconds(self.now));
         let _ = write!(first, "REGISTER 0 {WORKERS}\n{}", workers_of(&mut self.rng, 0, WORKERS));
         for (instance, name) in INSTANCES.iter().enumerate() {
             let _ = write!(first, "CONTEXT {name}\n{}FLEET SAVED 0 1\n", self.init(instance));
         }
-        self.batch(first);
+        self.exchange_batch(first);
         for _ in 0..STEPS {
             self.now += STEP_MICROS;
             let mut text = format!("SYNC {}\n", seconds(self.now));
@@ -169,7 +170,7 @@
                     let _ = write!(text, "CONTEXT {name}\n{lines}");
                 }
             }
-            self.batch(text);
+            self.exchange_batch(text);
         }
         self.transcript
     }
@@ -180,8 +181,8 @@
         format!("INIT {seed} slot-no={instance} zone={instance} discovery={discovery} {SETTINGS}\n")
     }
 
-    /// Hands a batch to the adapter, and plans what its answers lead to.
-    fn batch(&mut self, text: String) {
+    /// Sends a batch to the adapter, and plans the lines that follow from its reply.
+    fn exchange_batch(&mut self, text: String) {
         let input = text + "EOF_BATCH\n";
         let mut reply = Vec::new();
         self.host.serve(input.as_bytes(), &mut reply).expect("a well formed batch");
@@ -211,7 +212,7 @@
                     self.plan(instance, 4_000, PlannedLine::ProbeEnded { worker });
                 }
                 "SET_TIMER" => {
-                    let after: f64 = words[1].parse().expect("a span");
+                    let after: f64 = words[1].parse().expect("a duration");
                     let token = words[2].to_owned();
                     self.plan(instance, (after * 1e6) as u64, PlannedLine::Timer { token });
                 }
@@ -226,7 +227,7 @@
         self.due.insert(due, DueLine { instance, line });
     }
 
-    /// A worker accepts an attempt, rejects it or fails.
+    /// Simulates an attempt: the worker accepts it, rejects it or fails.
     fn place(&mut self, instance: usize, request: u64, worker: &str) {
         let open = self.open.entry(RequestKey { instance, request }).or_default();
         let attempt = open.attempts;
@@ -253,7 +254,7 @@
         self.plan(instance, after, PlannedLine::AttemptEnded { request, attempt, outcome });
     }
 
-    /// The lines of one instance in this step.
+    /// Returns the lines for one instance in this step.
     fn lines(&mut self, instance: usize) -> String {
         let mut lines = String::new();
         let until = DueTime { at: self.now, sequence: u64::MAX };
@@ -261,12 +262,12 @@
         let times: Vec<DueTime> = of_instance.map(|(time, _)| *time).collect();
         for time in times {
             let due = self.due.remove(&time).expect("a planned line");
-            self.planned_line(instance, due.line, &mut lines);
+            self.write_planned_line(instance, due.line, &mut lines);
         }
         if self.rng.u32(..3) > 0 {
-            self.knock(instance, &mut lines);
+            self.write_request(instance, &mut lines);
         }
-        self.odd_line(instance, &mut lines);
+        self.write_rare_event(instance, &mut lines);
         lines
     }
 
@@ -275,7 +276,7 @@
         self.open.get(&RequestKey { instance, request })?.in_flight.get(&attempt).cloned()
     }
 
-    fn planned_line(&mut self, instance: usize, line: PlannedLine, lines: &mut String) {
+    fn write_planned_line(&mut self, instance: usize, line: PlannedLine, lines: &mut String) {
         let _ = match line {
             PlannedLine::Timer { token } => writeln!(lines, "DEADLINE_HIT {token}"),
             PlannedLine::ProbeEnded { worker } => {
@@ -317,7 +318,7 @@
         };
     }
 
-    fn knock(&mut self, instance: usize, lines: &mut String) {
+    fn write_request(&mut self, instance: usize, lines: &mut String) {
         let request = self.next_request;
         self.next_request += 1;
         self.open.insert(RequestKey { instance, request }, OpenRequest::default());
@@ -335,8 +336,8 @@
         );
     }
 
-    /// Writes a line of a rare event, now and then.
-    fn odd_line(&mut self, instance: usize, lines: &mut String) {
+    /// Writes the line of a rare event with a low probability.
+    fn write_rare_event(&mut self, instance: usize, lines: &mut String) {
         let _ = match self.rng.u32(..60) {
             0 => {
                 let entries = workers_of(&mut self.rng, self.now, 3);
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Transcripts of the wire: what goes in, what comes out, and what is refused as malformed.
+//! Tests of the protocol: replies to batches, and errors of malformed lines.
 
 use std::io::Write as _;
 use std::process::{Command, Stdio};
@@ -16,10 +16,11 @@
     Ok(String::from_utf8(out).expect("replies are UTF-8"))
 }
 
-fn started(then: &str) -> String {
+/// Returns a batch that starts an instance with two workers, and a second batch with these lines.
+fn started(lines: &str) -> String {
     format!(
         "SYNC 10\nCONTEXT scheduler/0\n{INIT}\nREGISTER 0 2\nWORKER worker.a 0 1 - 0 0 SERVING\n\
-         WORKER worker.b 0 1 6.5 1 0 SERVING\nFLEET SAVED 0 4\nEOF_BATCH\nSYNC 12\nCONTEXT scheduler/0\n{then}\n\
+         WORKER worker.b 0 1 6.5 1 0 SERVING\nFLEET SAVED 0 4\nEOF_BATCH\nSYNC 12\nCONTEXT scheduler/0\n{lines}\n\
          EOF_BATCH\n"
     )
 }
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn a_killed_instance_is_forgotten_and_may_return_in_the_same_batch() {
+fn a_removed_instance_can_be_started_again_in_the_same_batch() {
     let text = started(&format!(
         "KILL\n{INIT}\nFLEET SAVED 0 4\nKNOCK 5 1 4.5\nDEADLINE_HIT 3\nKILL\nKNOCK 6 1 4.5"
     ));
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn a_list_number_may_be_used_again_within_a_batch() {
+fn a_list_number_can_be_reused_within_a_batch() {
     let text = started(
         "FLEET FULL 0 5\nREGISTER 0 1\nWORKER worker.c 0 1 - 0 0 SERVING\nFLEET FULL 0 6\nKNOCK 5 1 4.5 0 0",
     );
@@ -61,17 +62,21 @@
 }
 
 #[test]
-fn splitting_instances_over_processes_changes_nothing() {
-    let one = |name: &str| started("KNOCK 5 1 4.5\nKNOCK 7 2 4.5 0 0 1.5").replace("scheduler/0", name);
-    let both = |s: &str| s.lines().filter(|l| *l != "OK").map(str::to_owned).collect::<Vec<_>>();
-    let apart =
-        [both(&serve(&one("scheduler/0")).unwrap()), both(&serve(&one("scheduler/1")).unwrap())].concat();
-    let joined = serve(&format!("{}{}", one("scheduler/0"), one("scheduler/1"))).unwrap();
-    assert_eq!(apart, both(&joined));
+fn instances_in_separate_processes_take_the_same_actions() {
+    let batches = |name: &str| started("KNOCK 5 1 4.5\nKNOCK 7 2 4.5 0 0 1.5").replace("scheduler/0", name);
+    let actions =
+        |reply: &str| reply.lines().filter(|line| *line != "OK").map(str::to_owned).collect::<Vec<_>>();
+    let separate = [
+        actions(&serve(&batches("scheduler/0")).unwrap()),
+        actions(&serve(&batches("scheduler/1")).unwrap()),
+    ]
+    .concat();
+    let joined = serve(&format!("{}{}", batches("scheduler/0"), batches("scheduler/1"))).unwrap();
+    assert_eq!(separate, actions(&joined));
 }
 
 #[test]
-fn malformed_lines_name_what_was_expected() {
+fn errors_of_malformed_lines_name_the_expected_value() {
     for (line, expected) in [
         ("KNOCK x 1 2", "a request"),
         ("KNOCK 5 1 nan", "timeout"),
@@ -85,9 +90,9 @@
         ("SYNC 3", "an event"),
     ] {
         match serve(&started(line)) {
-            Err(HostError::Malformed(m)) => {
-                assert!(m.expected.contains(expected), "{line}: {m}");
-                assert_eq!(m.line, 11, "{line}: {m}");
+            Err(HostError::Malformed(malformed)) => {
+                assert!(malformed.expected.contains(expected), "{line}: {malformed}");
+                assert_eq!(malformed.line, 11, "{line}: {malformed}");
             }
             other => panic!("{line}: {other:?}"),
         }
@@ -99,15 +104,20 @@
     }
 }
 
-/// The adapter starts, answers an empty batch and ends with its input.
+/// The program replies to an empty batch and exits with success at the end of its input.
 #[test]
-fn the_adapter_answers() {
+fn the_program_replies_and_exits() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
-        .expect("the adapter runs");
-    child.stdin.take().expect("its input").write_all(b"SYNC 1.5\nEOF_BATCH\n").expect("a batch");
-    let output = child.wait_with_output().expect("its end");
+        .expect("the program starts");
+    child
+        .stdin
+        .take()
+        .expect("standard input")
+        .write_all(b"SYNC 1.5\nEOF_BATCH\n")
+        .expect("the batch is written");
+    let output = child.wait_with_output().expect("the program exits");
     assert_eq!((output.status.code(), output.stdout.as_slice()), (Some(0), &b"OK\n"[..]));
 }
