--- a/crates/cluster-member/src/discovery_fallback.rs
+++ b/crates/cluster-member/src/discovery_fallback.rs
@@ -43,7 +43,7 @@
         self.member_count = member_count;
     }
 
-    /// Discards the recorded event, because members now read another discovery service, or other names of it.
+    /// Discards the recorded event, after the address of discovery or the requested names have changed in the settings.
     pub fn reset(&mut self) {
         self.last_event = None;
     }
--- a/crates/cluster-member/src/endpoint_list.rs
+++ b/crates/cluster-member/src/endpoint_list.rs
@@ -19,7 +19,8 @@
 pub struct WatchEvent {
     /// Name of the discovery service that counts the revisions; revisions of different sources are not comparable.
     pub source: String,
-    /// Number of members, by which the return to polling is spread when the lease holder is lost.
+    /// Number of members. When the lease holder is lost, they return to polling at a limited rate, hence over a time that
+    /// depends on this number.
     #[serde(rename = "members")]
     pub member_count: u64,
     /// Complete list as discovery sends it, or only the revision if nothing has changed.
--- a/crates/cluster-member/src/member/replica_selection.rs
+++ b/crates/cluster-member/src/member/replica_selection.rs
@@ -15,8 +15,8 @@
 const INITIAL_BACKOFF: Micros = 10_000;
 /// Maximum number of times that the upper bound is doubled.
 const MAX_DOUBLINGS: u32 = 8;
-/// Divisor of the lease duration that gives the upper bound of every delay, because a session may expire during the
-/// delay.
+/// Divisor of the lease duration that gives the upper bound of every delay. The bound depends on the lease duration
+/// because a session may expire during a delay.
 const MAX_BACKOFF_DIVISOR: Micros = 4;
 
 /// Replica with its address.
--- a/crates/cluster-member/tests/coordinator_client.rs
+++ b/crates/cluster-member/tests/coordinator_client.rs
@@ -58,7 +58,8 @@
         .unwrap_err();
     assert!(matches!(error, CallError::NoLeader), "{error}");
     let calls = first_calls.load(Ordering::Relaxed) + second_calls.load(Ordering::Relaxed);
-    // Per delay at most two calls, to a replica and to the one that it names; and one more call to each.
+    // At most two calls per delay, one to a replica and one to the replica that it names, and one more pair of calls
+    // before the first delay.
     let max_calls = 2 * (CALL_TIMEOUT.as_millis() / RETRY_DELAY.as_millis()) as usize + 2;
     assert!((2..=max_calls).contains(&calls), "{calls} calls, expected 2 to {max_calls}");
 }
--- a/crates/hcl-config/src/section.rs
+++ b/crates/hcl-config/src/section.rs
@@ -1,4 +1,4 @@
-//! Sections: a file or a block of it, with getters for its settings.
+//! Sections: a file or a block in a file, with getters for its settings.
 
 use std::cell::Cell;
 use std::ops::RangeInclusive;
@@ -28,7 +28,7 @@
     pub(crate) label: String,
 }
 
-/// A file or a block of it.
+/// A file or a block in a file.
 #[derive(Debug)]
 pub struct Section {
     file: Rc<str>,
@@ -123,7 +123,7 @@
         })
     }
 
-    /// Returns the lower and the upper end of a range within bounds: a list of two numbers, or one number for both ends.
+    /// Returns the lower and the upper end of a range within bounds. It is a list of two numbers, or one number for both.
     ///
     /// # Errors
     ///
