--- a/crates/coordinator/tests/config.rs
+++ b/crates/coordinator/tests/config.rs
@@ -35,7 +35,7 @@
         parse("keeper.hcl", "installation = \"a\"\nkeeper \"1\" {\n  address = \"127.0.0.1:1\"\n}\n");
     assert!(one_replica.unwrap_err().to_string().contains("expected three or five replicas, found 1"));
     let times = error_text("times {\n  lease_ms = 1000\n}\n");
-    assert!(times.contains("keeper.hcl:") && times.contains("renew_ms: does not fit to lease_ms"), "{times}");
+    assert!(times.contains("keeper.hcl:") && times.contains("renew_ms: conflicts with lease_ms"), "{times}");
     assert!(error_text("serve {\n  keeper = 4\n  store = \"var\"\n}\n")
         .contains("there is no block keeper \"4\""));
     assert!(error_text("serve {\n  keeper = 1\n}\n").contains("store"));
