--- a/crates/coordination/src/state_machine/sessions.rs
+++ b/crates/coordination/src/state_machine/sessions.rs
@@ -173,9 +173,7 @@
 
     fn check_limits(&self, request: &SessionRequest<'_>) -> Result<(), CommandRejection> {
         if !request.texts_within_limit() {
-            let reason = format!(
-                "the member's name is empty, or a name, zone or address is over {MAX_TEXT_BYTES} bytes"
-            );
+            let reason = format!("a name or an address is empty or over {MAX_TEXT_BYTES} bytes");
             return Err(CommandRejection::LimitExceeded(reason));
         }
         let is_new = |lease: &&LeaseId| !self.leases.contains_key(lease);
@@ -185,7 +183,7 @@
             || request.eligible_leases.len() > MAX_ELIGIBLE_LEASES
         {
             let reason = format!(
-                "at most {MAX_SESSIONS} sessions, {MAX_LEASES} leases and {MAX_ELIGIBLE_LEASES} eligible leases per \
+                "at most {MAX_SESSIONS} sessions, {MAX_LEASES} leases and {MAX_ELIGIBLE_LEASES} eligible leases of a \
                  member"
             );
             return Err(CommandRejection::LimitExceeded(reason));
--- a/crates/dispatcher/src/net/client/request_error.rs
+++ b/crates/dispatcher/src/net/client/request_error.rs
@@ -10,19 +10,19 @@
     #[error("{}", reason(.0.status()))]
     Malformed(#[from] Malformed),
     /// The target is not a path of printable ASCII characters.
-    #[error("the request target must be a path of printable ASCII characters")]
+    #[error("the target must be a path")]
     InvalidTarget,
     /// The method of a health check is wrong.
-    #[error("health checks must use GET")]
+    #[error("ask for this with GET")]
     HealthMethod,
     /// The first segment of the path is not the name of a class.
-    #[error("unknown class of request")]
+    #[error("there is no such class of request")]
     UnknownClass,
     /// The method of a job is wrong.
-    #[error("jobs must use POST")]
+    #[error("jobs come by POST")]
     JobMethod,
     /// A header that may occur only once is repeated.
-    #[error("a header that may occur only once is repeated")]
+    #[error("a header that must come once comes again")]
     RepeatedHeader,
     /// The request has no id.
     #[error("Request-Id is missing")]
@@ -31,28 +31,28 @@
     #[error("Idempotency-Key is missing")]
     MissingIdempotencyKey,
     /// The id or the idempotency key is too long, or contains spaces or characters that are not printable ASCII.
-    #[error("Request-Id and Idempotency-Key must be at most 256 printable ASCII characters without spaces")]
+    #[error("Request-Id and Idempotency-Key are plain words")]
     InvalidId,
     /// The request names no tenant.
     #[error("Tenant is missing")]
     MissingTenant,
     /// The settings contain no tenant with this name.
-    #[error("unknown Tenant")]
+    #[error("there is no such Tenant")]
     UnknownTenant,
     /// The timeout is not a whole number.
-    #[error("Request-Timeout-Ms is not a whole number")]
+    #[error("Request-Timeout-Ms is no whole number")]
     InvalidTimeout,
     /// The expected running time is not a whole number.
-    #[error("Work-Hint is not a whole number of microseconds")]
+    #[error("Work-Hint is no whole number of microseconds")]
     InvalidWorkHint,
     /// A figure of the job is not a number of at least 0.
-    #[error("a figure in Request-Info is not a number of at least 0")]
+    #[error("Request-Info holds what is no number")]
     InvalidRequestInfo,
     /// The request was not complete in time.
-    #[error("the request was not complete in time")]
+    #[error("the request did not come in time")]
     Timeout,
     /// The client closed its sending direction while it waited for the response.
-    #[error("the client disconnected before the response")]
+    #[error("the client left before the answer")]
     ClientDisconnected,
 }
 
--- a/crates/dispatcher/src/net/console.rs
+++ b/crates/dispatcher/src/net/console.rs
@@ -77,7 +77,7 @@
                 }
                 Ok((stream, _)) => {
                     // The request is not read, and the write does not wait for a slow peer.
-                    let _ = stream.try_write(&response(503, "text/plain", b"too many connections\n"));
+                    let _ = stream.try_write(&response(503, "text/plain", b"too many calls at once\n"));
                 }
                 Err(error) => {
                     tracing::warn!(%error, "console cannot accept a connection");
@@ -110,10 +110,10 @@
                 Some(drain) if is_standby(method, target) => answer_standby(drain, target).await,
                 _ => answer(&console, method, target),
             },
-            Start::Response(_) => response(400, "text/plain", b"expected an HTTP request\n"),
+            Start::Response(_) => response(400, "text/plain", b"a call is a request\n"),
         },
-        Ok(None) => response(400, "text/plain", b"malformed HTTP/1.1 request\n"),
-        Err(_) => response(408, "text/plain", b"request timed out\n"),
+        Ok(None) => response(400, "text/plain", b"this is no HTTP/1.1 request\n"),
+        Err(_) => response(408, "text/plain", b"the call did not come in time\n"),
     };
     let _ = timeout(REQUEST_TIMEOUT, stream.write_all(&response)).await;
     let _ = stream.shutdown().await;
@@ -129,7 +129,7 @@
     match drain.enter_standby("an operator's standby", force).await {
         Ok(()) => response(200, "text/plain", b"standby\n"),
         Err(rejection) => {
-            let text = format!("standby rejected: {rejection}\n");
+            let text = format!("not now: {rejection}\n");
             let retry_after = format!("Retry-After: {}\r\n", rejection.retry_after_s());
             with_headers(503, "text/plain", &retry_after, text.as_bytes())
         }
@@ -167,9 +167,9 @@
             }
             response(200, "text/plain", b"active\n")
         }
-        (_, b"/status" | b"/status/metrics") => response(405, "text/plain", b"method not allowed; use GET\n"),
-        (_, b"/standby" | b"/active") => response(405, "text/plain", b"method not allowed; use POST\n"),
-        _ => response(404, "text/plain", b"unknown path\n"),
+        (_, b"/status" | b"/status/metrics") => response(405, "text/plain", b"ask for this with GET\n"),
+        (_, b"/standby" | b"/active") => response(405, "text/plain", b"ask for this with POST\n"),
+        _ => response(404, "text/plain", b"there is no such call\n"),
     }
 }
 
--- a/crates/dispatcher/src/net/planned_drain/rejection.rs
+++ b/crates/dispatcher/src/net/planned_drain/rejection.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum DrainRejected {
     /// An earlier request for standby is still being decided.
-    #[error("another request for standby is still being decided")]
+    #[error("another call for standby is being decided on")]
     DecisionInProgress,
     /// The permit must wait until other disruptions end.
     #[error("permit {permit} waits for its turn{}", blocked_by(.blocking_budget.as_deref()))]
@@ -33,25 +33,25 @@
     #[error("the coordinators sent an unexpected response to the request for a permit")]
     UnexpectedResponse,
     /// No majority of the coordinators answered the request for a permit.
-    #[error("no majority of the coordinators answered ({0}); serving goes on")]
+    #[error("no majority of the coordinators answers ({0}); serving goes on")]
     NoMajority(#[source] CallError),
     /// The permit of the previous drain is still open.
-    #[error("the permit of the previous drain is still open")]
+    #[error("the permit before this one is not over yet")]
     PreviousPermitOpen,
     /// The permit was granted, but the disruption state rejected its begin.
     #[error(transparent)]
     BeginRejected(Rejection),
     /// The permit was granted, but the coordinators rejected the request to begin it.
-    #[error("cannot begin the permit: {0}")]
+    #[error("the permit could not be begun: {0}")]
     BeginRequestRejected(#[source] CommandRejection),
     /// The permit was granted, but no majority of the coordinators confirmed its begin.
-    #[error("cannot begin the permit: {0}")]
+    #[error("the permit could not be begun: {0}")]
     BeginFailed(#[source] CallError),
     /// The permit was granted, but the coordinators sent a response of another kind to the request to begin it.
-    #[error("cannot begin the permit: unexpected response from the coordinators")]
+    #[error("the permit could not be begun: unexpected response of the coordinators")]
     BeginUnexpectedResponse,
     /// The session ended during the decision, so the permit may have been closed.
-    #[error("this dispatcher lost its session during the decision")]
+    #[error("this dispatcher lost its session meanwhile")]
     SessionLost,
 }
 
