--- a/crates/emulator/src/cluster/fault_injection.rs
+++ b/crates/emulator/src/cluster/fault_injection.rs
@@ -13,8 +13,8 @@
 const SLOW_NETWORK_DELAY: Duration = Duration::from_millis(50);
 /// Part of new connections that are reset under [`LinkFaultKind::SlowNetwork`].
 const SLOW_NETWORK_RESETS: f64 = 0.05;
-/// Delay of the coordinators' responses under [`LinkFaultKind::DelayedReplies`].
-const REPLY_DELAY: Duration = Duration::from_millis(300);
+/// Delay of the coordinators' responses under [`LinkFaultKind::DelayedResponses`].
+const RESPONSE_DELAY: Duration = Duration::from_millis(300);
 
 /// A fault at the processes or the links of a cluster. Dispatchers count from 0, coordinators from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,7 +49,7 @@
     /// Every link is slower, and some new connections are reset.
     SlowNetwork,
     /// Messages of the coordinators to a dispatcher are delayed.
-    DelayedReplies(usize),
+    DelayedResponses(usize),
 }
 
 /// A fault that has begun.
@@ -158,7 +158,7 @@
             LinkFaultKind::PartitionFromCoordinators(member) => {
                 of_member(member) && (coordinator(from) || coordinator(to))
             }
-            LinkFaultKind::HearsNoCoordinator(member) | LinkFaultKind::DelayedReplies(member) => {
+            LinkFaultKind::HearsNoCoordinator(member) | LinkFaultKind::DelayedResponses(member) => {
                 coordinator(from) && to == member_node(member)
             }
             LinkFaultKind::PartitionFromMembers(member) => {
@@ -177,7 +177,7 @@
                 link.delay = SLOW_NETWORK_DELAY;
                 link.reset_probability = SLOW_NETWORK_RESETS;
             }
-            LinkFaultKind::DelayedReplies(_) => link.delay = REPLY_DELAY,
+            LinkFaultKind::DelayedResponses(_) => link.delay = RESPONSE_DELAY,
             _ => link.partitioned = true,
         }
     }
--- a/crates/emulator/src/cluster/lease_harness/mod.rs
+++ b/crates/emulator/src/cluster/lease_harness/mod.rs
@@ -91,13 +91,13 @@
 ///
 /// # Errors
 /// Returns a [`ClusterError`] if the harness fails; violations of rules are part of the result.
-pub fn play(plan: SchedulePlan<'_>, programs: &Programs, out: &Path) -> Result<ScheduleResult, ClusterError> {
+pub fn run(plan: SchedulePlan<'_>, programs: &Programs, out: &Path) -> Result<ScheduleResult, ClusterError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.map_err(ClusterError::io("a runtime"))?, async {
         let mut harness = LeaseHarness::start_cluster(plan, programs, out).await?;
-        let played = harness.run_schedule().await;
+        let outcome = harness.run_schedule().await;
         harness.shut_down().await;
-        played?;
+        outcome?;
         harness.evaluate()
     })
 }
--- a/crates/emulator/src/cluster/lease_model.rs
+++ b/crates/emulator/src/cluster/lease_model.rs
@@ -22,12 +22,12 @@
     /// Messages on their way at once.
     pub messages: usize,
     /// How often the leading coordinator changes.
-    pub leaders: u8,
+    pub leader_changes: u8,
 }
 
 impl Default for Bounds {
     fn default() -> Bounds {
-        Bounds { time: 5, members: 2, messages: 3, leaders: 1 }
+        Bounds { time: 5, members: 2, messages: 3, leader_changes: 1 }
     }
 }
 
@@ -202,7 +202,7 @@
         if fleet.now < self.bounds.time {
             actions.push(Event::Tick);
         }
-        if fleet.leaders < self.bounds.leaders {
+        if fleet.leaders < self.bounds.leader_changes {
             actions.push(Event::NewLeader);
         }
         if !fleet.warden.clone().due_commands(fleet.now, &fleet.state).is_empty() {
--- a/crates/emulator/src/cluster/planned_drains/faults.rs
+++ b/crates/emulator/src/cluster/planned_drains/faults.rs
@@ -104,7 +104,7 @@
         match self {
             Fault::KillObserver | Fault::LoseDispatcher => ClusterFault::KillDispatcher(dispatcher),
             Fault::PauseObserver | Fault::PauseRequester => ClusterFault::PauseDispatcher(dispatcher),
-            Fault::SlowRequester => ClusterFault::Links(LinkFaultKind::DelayedReplies(dispatcher)),
+            Fault::SlowRequester => ClusterFault::Links(LinkFaultKind::DelayedResponses(dispatcher)),
             Fault::PartitionFromCoordinators => {
                 ClusterFault::Links(LinkFaultKind::PartitionFromCoordinators(dispatcher))
             }
--- a/crates/emulator/src/cluster/results.rs
+++ b/crates/emulator/src/cluster/results.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 use super::error::ClusterError;
-use super::lease_harness::{play, Programs, SchedulePlan, ScheduleResult};
+use super::lease_harness::{self, Programs, SchedulePlan, ScheduleResult};
 use super::schedule::ClusterExperiment;
 use super::violations::Rule;
 
@@ -58,17 +58,21 @@
     /// Faults injected, by kind.
     pub faults: BTreeMap<&'static str, u64>,
     /// Effects that receivers accepted.
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub effects_accepted: u64,
     /// Effects that receivers rejected.
-    pub refused_tokens: u64,
+    #[serde(rename = "refused_tokens")]
+    pub effects_rejected: u64,
     /// Lease terms granted.
-    pub terms: u64,
+    #[serde(rename = "terms")]
+    pub lease_terms: u64,
     /// Times from a fault of a lease holder to the first effect of the next term.
     pub takeover_s: Quantiles,
     /// The same by kind of fault.
     pub takeover_by_cause_s: BTreeMap<&'static str, Quantiles>,
     /// Seeds of the schedules that violated a rule.
-    pub broken: Vec<u64>,
+    #[serde(rename = "broken")]
+    pub violating_seeds: Vec<u64>,
 }
 
 /// Results of all arms.
@@ -88,7 +92,7 @@
     /// Whether a rule was violated.
     #[must_use]
     pub fn is_violated(&self) -> bool {
-        self.arms.values().any(|arm| !arm.broken.is_empty())
+        self.arms.values().any(|arm| !arm.violating_seeds.is_empty())
     }
 
     /// Returns the results as tables in Markdown.
@@ -103,9 +107,9 @@
             text += &format!(
                 "| {name} | {} | {violations} | {} | {} | {} | {:.3} s | {:.3} s | {:.3} s |\n",
                 arm.schedules,
-                arm.terms,
-                arm.taken,
-                arm.refused_tokens,
+                arm.lease_terms,
+                arm.effects_accepted,
+                arm.effects_rejected,
                 takeover.p50,
                 takeover.p99,
                 takeover.max
@@ -165,7 +169,7 @@
     }
     let report_lock = Mutex::new(());
     let play_one = |schedule: &SchedulePlan<'_>| {
-        let result = play(*schedule, options.programs, options.out);
+        let result = lease_harness::run(*schedule, options.programs, options.out);
         bar.inc(1);
         let result = result.map_err(|source| ClusterError::Schedule {
             arm: schedule.arm.name.clone(),
@@ -206,9 +210,9 @@
     fn add(&mut self, arm: &str, schedule: &ScheduleResult) {
         let result = self.arms.entry(arm.to_owned()).or_default();
         result.schedules += 1;
-        result.taken += schedule.effects_accepted;
-        result.refused_tokens += schedule.effects_rejected;
-        result.terms += schedule.lease_terms;
+        result.effects_accepted += schedule.effects_accepted;
+        result.effects_rejected += schedule.effects_rejected;
+        result.lease_terms += schedule.lease_terms;
         for (kind, count) in &schedule.faults {
             *result.faults.entry(kind.name()).or_default() += count;
         }
@@ -218,7 +222,7 @@
             *result.rules.entry(rule.text().to_owned()).or_default() += descriptions.len() as u64;
         }
         if !schedule.violations.is_empty() {
-            result.broken.push(schedule.seed);
+            result.violating_seeds.push(schedule.seed);
         }
         for (kind, times) in &schedule.takeovers {
             self.takeovers.entry(arm.to_owned()).or_default().extend(times);
--- a/crates/emulator/tests/lease_schedules.rs
+++ b/crates/emulator/tests/lease_schedules.rs
@@ -51,7 +51,7 @@
     assert!(!results.is_violated(), "{results:#?}");
     let arms: Vec<_> = results.arms.values().collect();
     assert_eq!(arms.iter().map(|arm| arm.schedules).sum::<u64>(), 12);
-    assert!(arms.iter().all(|arm| arm.taken > 0), "{results:#?}");
+    assert!(arms.iter().all(|arm| arm.effects_accepted > 0), "{results:#?}");
     assert!(
         arms.iter().map(|arm| arm.takeover_s.count).sum::<u64>() > 0,
         "no owner was ever lost: {results:#?}"
--- a/crates/emulator/tests/stable_text.rs
+++ b/crates/emulator/tests/stable_text.rs
@@ -242,12 +242,12 @@
         rules: LeaseRule::ALL.iter().map(|rule| (rule.text().to_owned(), 1)).collect(),
         schedules: 3,
         faults: FAULT_KINDS.iter().map(|(name, _)| (*name, 1)).collect(),
-        taken: 4,
-        refused_tokens: 5,
-        terms: 6,
+        effects_accepted: 4,
+        effects_rejected: 5,
+        lease_terms: 6,
         takeover_s: quantiles,
         takeover_by_cause_s: BTreeMap::from([(FaultKind::KillHolder.name(), quantiles)]),
-        broken: vec![9],
+        violating_seeds: vec![9],
     };
     Results {
         experiment: "an experiment".to_owned(),
