--- a/crates/emulator/src/cluster/lease_model.rs
+++ b/crates/emulator/src/cluster/lease_model.rs
@@ -1,8 +1,9 @@
-//! The leases protocol, checked in every order of events up to a bound, on the very modules that the processes run.
+//! Model of the lease protocol, checked in every order of events up to a bound. The model runs the same modules as the
+//! processes do.
 //!
-//! The coordinators are one agreed log here (what Raft gives); their leader may change at any moment. Time is a counter
-//! that all see. Messages may be delivered in any order, late or never. An holder may stop between its look at the
-//! clock and the effect.
+//! The coordinators are a single replicated log, as Raft provides it; the leader may change at any moment. All
+//! processes read the same clock, which counts up. Messages may be delivered in any order, late or never. A lease
+//! holder may pause between the check of its lease and the effect.
 
 use std::collections::BTreeSet;
 
@@ -15,13 +16,13 @@
 /// Bounds of the search.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// How far the clock goes.
+    /// Last reading of the clock.
     pub time: u64,
-    /// Members, the first of which owns the lease at the start.
+    /// Number of members, the first of which holds the lease at the start.
     pub members: u64,
-    /// Messages on their way at once.
+    /// Maximum number of messages in transit.
     pub messages: usize,
-    /// How often the leading coordinator changes.
+    /// Maximum number of changes of the leader.
     pub leader_changes: u8,
 }
 
@@ -31,67 +32,96 @@
     }
 }
 
-/// The protocol with a bug or without.
+/// Model of the lease protocol, with an injected bug or without.
 #[derive(Debug, Clone)]
 pub struct LeaseProtocol {
-    /// The bug put in.
+    /// The injected bug.
     pub injected_bug: Option<InjectedBug>,
-    /// How far to look.
+    /// Bounds of the search.
     pub bounds: Bounds,
 }
 
-/// A message on its way.
+/// A message in transit. Members are given by their position.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// The coordinators' answer to what was asked then, with the revision and the floor and holder that it shows.
-    RenewalReply(usize, u64, Option<ViewSummary>),
-    /// An effect of a term, to a receiver.
-    Effect(usize, FencingToken),
+    /// Response of the coordinators to a renewal.
+    RenewalResponse {
+        /// The member that sent the renewal.
+        to: usize,
+        /// Time at which the renewal was sent.
+        requested_at: u64,
+        /// The cluster view, if it is newer than the one that the member acknowledged.
+        view: Option<ViewSummary>,
+    },
+    /// An effect of a lease holder.
+    Effect {
+        /// The member that receives it.
+        to: usize,
+        /// Fencing token of the holder's term.
+        token: FencingToken,
+    },
 }
 
-type ViewSummary = (u64, FencingToken, Option<(SessionId, FencingToken)>);
+/// Contents of a [`ClusterView`] with the only lease of the model, in a form that has an order.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ViewSummary {
+    revision: u64,
+    minimum_token: FencingToken,
+    /// Session of the lease holder, and the token of its term.
+    holder: Option<(SessionId, FencingToken)>,
+}
 
-/// All there is.
+/// State of the whole model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Fleet {
+pub struct ModelState {
     now: u64,
+    /// Index of the last log entry.
     index: u64,
-    state: StateMachine,
-    warden: LeaderState,
-    leaders: u8,
+    state_machine: StateMachine,
+    leader_state: LeaderState,
+    leader_changes: u8,
     members: Vec<Member>,
     in_transit: BTreeSet<Message>,
+    /// Whether a receiver accepted an effect of an ended term.
     late_effect_accepted: bool,
+    /// Whether a member passed the check of its lease after a later term was granted.
     overlapping_holders: bool,
+    /// Whether the lease was granted a second time.
     handed_over: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Member {
     id: SessionId,
-    holder: LeaseClient,
+    lease_client: LeaseClient,
     last_renewal: Option<u64>,
+    /// Token with which the member has passed the check of its lease; it may send effects of that term.
     checked_token: Option<FencingToken>,
 }
 
-/// What may happen next.
+/// An event that may happen next. Members are given by their position.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The clock goes on.
+    /// The clock advances.
     Tick,
-    /// A member asks for its renewal, and the coordinators confirm it. (If it were long on its way to them, they would
-    /// count from later: that is on the safe side, so it is left out.)
+    /// A member sends a renewal, and the coordinators process it at once. A renewal that is delayed on its way to them
+    /// is left out: they would measure the session from a later time than the member does, which is safe.
     Renew(usize),
     /// A message arrives.
     Deliver(Message),
-    /// The leading coordinator does what is due.
-    Decide,
-    /// Another coordinator leads.
-    NewLeader,
-    /// An holder looks whether it may act.
+    /// The leading coordinator proposes the commands that are due.
+    ProposeDueCommands,
+    /// Another coordinator becomes leader.
+    ChangeLeader,
+    /// A lease holder checks whether it may send effects.
     CheckLease(usize),
-    /// An holder that has looked acts, towards a receiver.
-    Act(usize, usize),
+    /// A lease holder that has passed the check sends an effect to another member.
+    SendEffect {
+        /// The lease holder.
+        from: usize,
+        /// The receiver.
+        to: usize,
+    },
 }
 
 fn lease() -> LeaseId {
@@ -99,38 +129,42 @@
 }
 
 fn summarize(view: &ClusterView) -> ViewSummary {
-    let seat = &view.leases[0];
-    (view.revision, seat.minimum_token, seat.holder.map(|owner| (owner.session, owner.token)))
+    let lease = &view.leases[0];
+    ViewSummary {
+        revision: view.revision,
+        minimum_token: lease.minimum_token,
+        holder: lease.holder.map(|holder| (holder.session, holder.token)),
+    }
 }
 
-fn view((revision, floor, owner): ViewSummary) -> ClusterView {
-    let owner = owner.map(|(session, token)| coordination::LeaseHolder { session, token });
-    ClusterView {
-        revision,
-        leases: vec![coordination::LeaseView { lease: lease(), minimum_token: floor, holder: owner }],
-    }
+fn expand(summary: ViewSummary) -> ClusterView {
+    let ViewSummary { revision, minimum_token, holder } = summary;
+    let holder = holder.map(|(session, token)| coordination::LeaseHolder { session, token });
+    ClusterView { revision, leases: vec![coordination::LeaseView { lease: lease(), minimum_token, holder }] }
 }
 
-impl Fleet {
+impl ModelState {
     fn apply(&mut self, command: &Command) -> CommandOutcome {
         self.index += 1;
-        let outcome = self.state.apply(self.index, command);
-        self.warden.on_entries_applied(self.now, &self.state);
+        let outcome = self.state_machine.apply(self.index, command);
+        self.leader_state.on_entries_applied(self.now, &self.state_machine);
         if matches!(outcome, CommandOutcome::Rejected(_)) {
-            self.warden.proposal_rejected(command);
+            self.leader_state.proposal_rejected(command);
         }
-        if matches!(outcome, CommandOutcome::LeaseGranted { .. }) && self.state.next_token() > FencingToken(2)
+        if matches!(outcome, CommandOutcome::LeaseGranted { .. })
+            && self.state_machine.next_token() > FencingToken(2)
         {
             self.handed_over = true;
         }
         outcome
     }
 
-    /// The highest token that was granted.
-    fn newest(&self) -> FencingToken {
-        FencingToken(self.state.next_token().0 - 1)
+    /// Returns the highest token that was granted.
+    fn newest_token(&self) -> FencingToken {
+        FencingToken(self.state_machine.next_token().0 - 1)
     }
 
+    /// Puts a message in transit, or returns `None` at the bound.
     fn send(&mut self, message: Message, bounds: Bounds) -> Option<()> {
         (self.in_transit.len() < bounds.messages).then(|| {
             self.in_transit.insert(message);
@@ -139,12 +173,12 @@
 }
 
 impl Model for LeaseProtocol {
-    type State = Fleet;
+    type State = ModelState;
     type Action = Event;
 
-    /// Members that joined, one of them the holder of the only lease.
-    fn init_states(&self) -> Vec<Fleet> {
-        let times = Timing {
+    /// Returns the state in which all members have opened a session and one of them holds the only lease.
+    fn init_states(&self) -> Vec<ModelState> {
+        let timing = Timing {
             lease_duration: 2,
             renewal_interval: 1,
             call_timeout: 1,
@@ -154,14 +188,14 @@
             election_timeout: 1,
             heartbeat_interval: 1,
         };
-        let state = StateMachine::new(1);
-        let warden = LeaderState::new(times, 0, &state);
-        let mut fleet = Fleet {
+        let state_machine = StateMachine::new(1);
+        let leader_state = LeaderState::new(timing, 0, &state_machine);
+        let mut state = ModelState {
             now: 0,
             index: 0,
-            state,
-            warden,
-            leaders: 0,
+            state_machine,
+            leader_state,
+            leader_changes: 0,
             members: Vec::new(),
             in_transit: BTreeSet::new(),
             late_effect_accepted: false,
@@ -170,161 +204,166 @@
         };
         for boot in 0..self.bounds.members {
             let name = format!("m{boot}");
-            let offers = vec![lease()];
-            let join = Command::OpenSession {
+            let open_session = Command::OpenSession {
                 name,
                 boot_id: boot,
                 zone: String::new(),
                 address: String::new(),
-                eligible_leases: offers,
+                eligible_leases: vec![lease()],
                 short_lived: false,
             };
-            let CommandOutcome::SessionOpened { session: id, incarnation } = fleet.apply(&join) else {
+            let CommandOutcome::SessionOpened { session: id, incarnation } = state.apply(&open_session)
+            else {
                 return Vec::new();
             };
-            let mut holder = LeaseClient::new(times).with_injected_bug(self.injected_bug);
-            holder.on_session_opened(id, incarnation, 0, 0, fleet.state.view());
-            fleet.members.push(Member { id, holder, last_renewal: None, checked_token: None });
+            let mut lease_client = LeaseClient::new(timing).with_injected_bug(self.injected_bug);
+            lease_client.on_session_opened(id, incarnation, 0, 0, state.state_machine.view());
+            state.members.push(Member { id, lease_client, last_renewal: None, checked_token: None });
         }
         for _ in 0..2 {
-            for command in fleet.warden.due_commands(0, &fleet.state) {
-                fleet.apply(&command);
+            for command in state.leader_state.due_commands(0, &state.state_machine) {
+                state.apply(&command);
             }
         }
-        let view = fleet.state.view();
-        for member in &mut fleet.members {
-            member.holder.on_view_changed(member.id, view.clone());
+        let view = state.state_machine.view();
+        for member in &mut state.members {
+            member.lease_client.on_view_changed(member.id, view.clone());
         }
-        vec![fleet]
+        vec![state]
     }
 
-    fn actions(&self, fleet: &Fleet, actions: &mut Vec<Event>) {
-        if fleet.now < self.bounds.time {
+    fn actions(&self, state: &ModelState, actions: &mut Vec<Event>) {
+        if state.now < self.bounds.time {
             actions.push(Event::Tick);
         }
-        if fleet.leaders < self.bounds.leader_changes {
-            actions.push(Event::NewLeader);
+        if state.leader_changes < self.bounds.leader_changes {
+            actions.push(Event::ChangeLeader);
         }
-        if !fleet.warden.clone().due_commands(fleet.now, &fleet.state).is_empty() {
-            actions.push(Event::Decide);
+        if !state.leader_state.clone().due_commands(state.now, &state.state_machine).is_empty() {
+            actions.push(Event::ProposeDueCommands);
         }
-        actions.extend(fleet.in_transit.iter().cloned().map(Event::Deliver));
-        for (at, member) in fleet.members.iter().enumerate() {
-            if member.last_renewal.is_none_or(|asked| asked < fleet.now) {
-                actions.push(Event::Renew(at));
+        actions.extend(state.in_transit.iter().cloned().map(Event::Deliver));
+        for (position, member) in state.members.iter().enumerate() {
+            if member.last_renewal.is_none_or(|sent_at| sent_at < state.now) {
+                actions.push(Event::Renew(position));
             }
-            let owner = member
-                .holder
-                .held_leases(fleet.now)
+            let may_check = member
+                .lease_client
+                .held_leases(state.now)
                 .first()
                 .is_some_and(|held| member.checked_token != Some(held.token));
-            if owner {
-                actions.push(Event::CheckLease(at));
+            if may_check {
+                actions.push(Event::CheckLease(position));
             }
             if member.checked_token.is_some() {
-                actions.extend((0..fleet.members.len()).filter(|to| *to != at).map(|to| Event::Act(at, to)));
+                let receivers = (0..state.members.len()).filter(|to| *to != position);
+                actions.extend(receivers.map(|to| Event::SendEffect { from: position, to }));
             }
         }
     }
 
-    fn next_state(&self, fleet: &Fleet, event: Event) -> Option<Fleet> {
-        let mut fleet = fleet.clone();
-        let now = fleet.now;
+    fn next_state(&self, state: &ModelState, event: Event) -> Option<ModelState> {
+        let mut state = state.clone();
+        let now = state.now;
         match event {
-            Event::Tick => fleet.now += 1,
-            Event::NewLeader => {
-                fleet.leaders += 1;
-                let times = Timing { lease_duration: 2, ..Timing::default() };
-                fleet.warden = LeaderState::new(
-                    Timing { max_clock_skew_ppm: 0, stability_period: 0, short_session_limit: 0, ..times },
+            Event::Tick => state.now += 1,
+            Event::ChangeLeader => {
+                state.leader_changes += 1;
+                let timing = Timing { lease_duration: 2, ..Timing::default() };
+                state.leader_state = LeaderState::new(
+                    Timing { max_clock_skew_ppm: 0, stability_period: 0, short_session_limit: 0, ..timing },
                     now,
-                    &fleet.state,
+                    &state.state_machine,
                 );
             }
-            Event::Decide => {
-                for command in fleet.warden.due_commands(now, &fleet.state) {
-                    fleet.apply(&command);
+            Event::ProposeDueCommands => {
+                for command in state.leader_state.due_commands(now, &state.state_machine) {
+                    state.apply(&command);
                 }
             }
-            Event::Renew(at) => {
-                let member = &mut fleet.members[at];
+            Event::Renew(position) => {
+                let member = &mut state.members[position];
                 member.last_renewal = Some(now);
-                let (id, seen) = (member.id, member.holder.applied_revision());
-                fleet.warden.renew_session(id, seen, now, &fleet.state).ok()?;
-                let news = (fleet.state.lease_revision() > seen).then(|| summarize(&fleet.state.view()));
-                fleet.send(Message::RenewalReply(at, now, news), self.bounds)?;
+                let (id, applied_revision) = (member.id, member.lease_client.applied_revision());
+                state.leader_state.renew_session(id, applied_revision, now, &state.state_machine).ok()?;
+                let has_changed = state.state_machine.lease_revision() > applied_revision;
+                let view = has_changed.then(|| summarize(&state.state_machine.view()));
+                let response = Message::RenewalResponse { to: position, requested_at: now, view };
+                state.send(response, self.bounds)?;
             }
-            Event::CheckLease(at) => {
-                let token = fleet.members[at].holder.held_leases(now).first()?.token;
-                if fleet.members[at].holder.holds_lease(&lease(), token, now) {
-                    fleet.members[at].checked_token = Some(token);
-                    fleet.overlapping_holders |= token < fleet.newest();
+            Event::CheckLease(member) => {
+                let token = state.members[member].lease_client.held_leases(now).first()?.token;
+                if state.members[member].lease_client.holds_lease(&lease(), token, now) {
+                    state.members[member].checked_token = Some(token);
+                    state.overlapping_holders |= token < state.newest_token();
                 }
             }
-            Event::Act(at, to) => {
-                let token = fleet.members[at].checked_token?;
+            Event::SendEffect { from, to } => {
+                let token = state.members[from].checked_token?;
                 if self.injected_bug == Some(InjectedBug::SkipExpiryCheck) {
-                    fleet.overlapping_holders |= token < fleet.newest();
+                    state.overlapping_holders |= token < state.newest_token();
                 } else {
-                    fleet.members[at].checked_token = None;
+                    state.members[from].checked_token = None;
                 }
-                fleet.send(Message::Effect(to, token), self.bounds)?;
+                state.send(Message::Effect { to, token }, self.bounds)?;
             }
             Event::Deliver(message) => {
-                fleet.in_transit.remove(&message);
+                state.in_transit.remove(&message);
                 match message {
-                    Message::RenewalReply(at, asked, news) => {
-                        let member = &mut fleet.members[at];
-                        member.holder.on_session_renewed(member.id, asked, now, news.map(view));
+                    Message::RenewalResponse { to, requested_at, view } => {
+                        let member = &mut state.members[to];
+                        let view = view.map(expand);
+                        member.lease_client.on_session_renewed(member.id, requested_at, now, view);
                     }
-                    Message::Effect(at, token) => {
-                        if fleet.members[at].holder.accept_effect(&lease(), token, now).is_ok() {
-                            fleet.late_effect_accepted |= token < fleet.newest();
+                    Message::Effect { to, token } => {
+                        if state.members[to].lease_client.accept_effect(&lease(), token, now).is_ok() {
+                            state.late_effect_accepted |= token < state.newest_token();
                         }
-                        fleet.members[at].holder.reset_effect_counts();
+                        state.members[to].lease_client.reset_effect_counts();
                     }
                 }
             }
         }
-        Some(fleet)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no effect of an ended term is taken", |_, fleet: &Fleet| {
-                !fleet.late_effect_accepted
+            Property::always("no effect of an ended term is taken", |_, state: &ModelState| {
+                !state.late_effect_accepted
             }),
-            Property::always("no owner acts when a later term was granted", |_, fleet: &Fleet| {
-                !fleet.overlapping_holders
+            Property::always("no owner acts when a later term was granted", |_, state: &ModelState| {
+                !state.overlapping_holders
             }),
-            Property::sometimes("a duty is handed over", |_, fleet: &Fleet| fleet.handed_over),
+            Property::sometimes("a lease is handed over", |_, state: &ModelState| state.handed_over),
         ]
     }
 }
 
-/// What a search found.
+/// Result of a search.
 #[derive(Debug, Clone)]
 pub struct SearchResult {
-    /// Different states.
+    /// Number of distinct states.
     pub states: usize,
-    /// The longest row of events.
+    /// Length of the longest sequence of events.
     pub depth: usize,
-    /// A property that does not hold, and how many events lead there.
+    /// The property that does not hold, if there is one, and the number of events that lead to its violation.
     pub violated: Option<(&'static str, usize)>,
-    /// Whether a hand-over was reached at all.
+    /// Whether some sequence of events led to a second grant of the lease; otherwise the search has checked nothing.
     pub handed_over: bool,
 }
 
-/// Searches all orders of events within the bounds.
-pub fn search(flaw: Option<InjectedBug>, bounds: Bounds, threads: usize) -> SearchResult {
-    let model = LeaseProtocol { injected_bug: flaw, bounds };
+/// Searches all orders of events within the bounds, on this many threads.
+pub fn search(injected_bug: Option<InjectedBug>, bounds: Bounds, threads: usize) -> SearchResult {
+    let model = LeaseProtocol { injected_bug, bounds };
     let checker = model.checker().threads(threads).spawn_bfs().join();
-    let broken = ["no effect of an ended term is taken", "no owner acts when a later term was granted"];
-    let found = |name: &'static str| checker.discovery(name).map(|path| (name, path.into_actions().len()));
+    let rules = ["no effect of an ended term is taken", "no owner acts when a later term was granted"];
+    let violation =
+        |name: &'static str| checker.discovery(name).map(|path| (name, path.into_actions().len()));
     SearchResult {
         states: checker.unique_state_count(),
         depth: checker.max_depth(),
-        violated: broken.into_iter().find_map(found),
-        handed_over: checker.discovery("a duty is handed over").is_some(),
+        violated: rules.into_iter().find_map(violation),
+        handed_over: checker.discovery("a lease is handed over").is_some(),
     }
 }
--- a/crates/emulator/src/cluster/record_checker.rs
+++ b/crates/emulator/src/cluster/record_checker.rs
@@ -1,8 +1,9 @@
-//! Checks of a schedule by the records that its processes left, and by nothing else.
+//! Checks the rules of leases on the records that the processes of a schedule left. No other source is used.
 //!
-//! All records of a machine have one clock. A coordinator records a grant after it was agreed, an holder and a receiver
-//! record the reading of the clock on which they decided. So whatever decided later than a record of a later grant
-//! broke the rule, and no order of writing can make a sound run look broken.
+//! All records of a machine are timed by the same clock. A coordinator records a grant after the log entry is
+//! committed. A lease holder and a receiver record the time at which they checked the token. A check that passes later
+//! than the record of a later grant is therefore a violation, and the order in which processes write their records
+//! cannot make a correct run look like a violation.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -16,15 +17,15 @@
 use super::schedule::FaultKind;
 use super::violations::{Rule, Violations};
 
-/// A line of a record.
+/// Line of a record.
 #[derive(Debug, Clone, Deserialize)]
 pub struct RecordLine {
-    /// The reading of the clock, in microseconds.
+    /// Time of the record, in microseconds.
     #[serde(rename = "t")]
     pub time: u64,
-    /// What kind of line.
+    /// Word of the [kind](cluster_member::record::RecordKind) in the file.
     pub kind: String,
-    /// The rest.
+    /// All other fields.
     #[serde(flatten)]
     pub fields: BTreeMap<String, Value>,
 }
@@ -39,48 +40,48 @@
     }
 }
 
-/// What the harness did, by the same clock.
+/// A fault that the harness injected, timed by the clock of the records.
 #[derive(Debug, Clone)]
 pub struct InjectedFault {
-    /// When.
+    /// Time of the fault, in microseconds.
     pub time: u64,
-    /// What.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// Until when.
+    /// Time of its end, in microseconds.
     pub until: u64,
-    /// The term that the holder had whom it was done to, where it was done to an holder.
+    /// Fencing token of the lease holder, if the fault is for the lease holder.
     pub holder_token: Option<u64>,
 }
 
-/// Records by process.
+/// Records of all processes.
 #[derive(Debug, Default)]
 pub struct Records {
-    /// Coordinators, by number.
+    /// Records of the replicas, by number.
     pub coordinators: BTreeMap<u64, Vec<RecordLine>>,
-    /// Members, by name.
+    /// Records of the members, by the name of the file without its extension.
     pub members: BTreeMap<String, Vec<RecordLine>>,
 }
 
-/// A rule of leases that is checked by records.
+/// A rule of leases that is checked on records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LeaseRule {
     /// All replicas are in the same state after the same entry.
     SameState,
     /// A later grant has a higher token.
     TokensGrow,
-    /// No receiver accepts an effect of a term after the next one was granted.
+    /// No receiver accepts an effect of a term after a later term was granted.
     NoEffectOfEndedTerm,
-    /// No holder acts after a later term was granted.
+    /// No holder sends an effect after a later term was granted.
     NoActionInEndedTerm,
     /// No receiver accepts a lower token after a higher one.
     TokensGrowAtReceivers,
     /// Members use only tokens that were granted.
     OnlyGrantedTokens,
-    /// All works again after the last fault has ended.
+    /// The cluster works again after the last fault has ended.
     Recovery,
-    /// A replica without its store, or with an old one, does not serve.
+    /// A replica that has lost its store, or runs with an old copy of it, does not serve.
     NoServiceWithoutStore,
-    /// A session belongs to one process.
+    /// No process uses a session of an earlier process.
     SessionOfOneProcess,
     /// The history of a lease is linearizable.
     Linearizable,
@@ -122,28 +123,29 @@
 /// Violations of the rules of leases.
 pub type LeaseViolations = Violations<LeaseRule>;
 
-/// Reads one file of records. A last line that was cut by a kill is left out.
+/// Reads a file of records; returns no lines if it does not exist. Ignores a last line without a line break, which a
+/// killed process may leave.
 ///
 /// # Errors
-/// The file is there and cannot be read, or a line in its middle is none.
+/// Returns a [`ClusterError`] if the file exists and cannot be read, or if a complete line is no record.
 pub fn read(path: &Path) -> Result<Vec<RecordLine>, ClusterError> {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(Vec::new()),
         Err(source) => return Err(ClusterError::io(path.display())(source)),
     };
-    let whole = text.rsplit_once('\n').map_or("", |(whole, _)| whole);
-    let line = |(at, line): (usize, &str)| {
+    let complete = text.rsplit_once('\n').map_or("", |(complete, _)| complete);
+    let parse = |(position, line): (usize, &str)| {
         serde_json::from_str(line).map_err(|source| ClusterError::Record {
             path: path.to_owned(),
-            line: at + 1,
+            line: position + 1,
             source,
         })
     };
-    whole.lines().enumerate().map(line).collect()
+    complete.lines().enumerate().map(parse).collect()
 }
 
-/// A grant, as the first coordinator recorded it.
+/// Grant of a lease, with the earliest time at which a coordinator recorded it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Grant {
     index: u64,
@@ -152,22 +154,24 @@
     time: u64,
 }
 
+/// Returns all grants in the order of the log.
 fn grants(records: &Records) -> Vec<Grant> {
     let mut grants: BTreeMap<u64, Grant> = BTreeMap::new();
     for line in records.coordinators.values().flatten().filter(|line| line.kind == "applied") {
-        let (Some(index), Some(duty), Some(token)) =
+        let (Some(index), Some(lease), Some(token)) =
             (line.number("index"), line.text("granted"), line.number("token"))
         else {
             continue;
         };
-        let new = Grant { index, lease: duty.to_owned(), token, time: line.time };
-        let known = grants.entry(index).or_insert_with(|| new.clone());
-        known.time = known.time.min(line.time);
+        let new = Grant { index, lease: lease.to_owned(), token, time: line.time };
+        let grant = grants.entry(index).or_insert_with(|| new.clone());
+        grant.time = grant.time.min(line.time);
     }
     grants.into_values().collect()
 }
 
-/// Checks all rules but the seventh and the eighth, which the end of a schedule decides.
+/// Checks all rules but [`LeaseRule::Recovery`] and [`LeaseRule::NoServiceWithoutStore`], which the harness checks at
+/// the end of a schedule.
 pub fn check(records: &Records) -> LeaseViolations {
     let mut found = LeaseViolations::default();
     check_digests(records, &mut found);
@@ -186,24 +190,33 @@
     found
 }
 
-/// All coordinators are in the same state after the same entry.
+/// Checks that all coordinators are in the same state after the same entry.
 fn check_digests(records: &Records, found: &mut LeaseViolations) {
-    let mut digests: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
+    /// The first digest that was seen of the state after an entry.
+    struct FirstDigest {
+        coordinator: u64,
+        digest: u64,
+    }
+    let mut digests: BTreeMap<u64, FirstDigest> = BTreeMap::new();
     for (coordinator, lines) in &records.coordinators {
         for line in lines.iter().filter(|line| line.kind == "applied") {
             let (Some(index), Some(digest)) = (line.number("index"), line.number("digest")) else { continue };
-            let (first, known) = *digests.entry(index).or_insert((*coordinator, digest));
-            if known != digest {
-                let text = format!("entry {index}: keeper {coordinator} is not where keeper {first} is");
+            let first = digests.entry(index).or_insert(FirstDigest { coordinator: *coordinator, digest });
+            if first.digest != digest {
+                let text = format!(
+                    "entry {index}: replica {coordinator} and replica {} have different states",
+                    first.coordinator
+                );
                 found.add(LeaseRule::SameState, text);
             }
         }
     }
 }
 
-/// The terms of leases that were granted, and when each was over for good: at the next grant of the same lease.
+/// The terms of all leases, each given by its lease and fencing token.
 struct LeaseTerms<'a> {
     granted: BTreeSet<(&'a str, u64)>,
+    /// Time at which a term ended at the latest: the first grant of a later term of the same lease.
     ended: BTreeMap<(&'a str, u64), u64>,
 }
 
@@ -213,8 +226,8 @@
         for grant in grants {
             let older = grants.iter().filter(|older| older.lease == grant.lease && older.token < grant.token);
             for older in older {
-                let at = ended.entry((&older.lease, older.token)).or_insert(grant.time);
-                *at = (*at).min(grant.time);
+                let end = ended.entry((&older.lease, older.token)).or_insert(grant.time);
+                *end = (*end).min(grant.time);
             }
         }
         let granted = grants.iter().map(|grant| (grant.lease.as_str(), grant.token)).collect();
@@ -222,20 +235,20 @@
     }
 }
 
-/// Checks what one member accepted, sent and was told of its session.
+/// Checks the effects that one member accepted and sent, and its sessions.
 fn check_member(member: &str, lines: &[RecordLine], terms: &LeaseTerms<'_>, found: &mut LeaseViolations) {
     let mut highest: BTreeMap<&str, u64> = BTreeMap::new();
-    // Sessions of earlier processes that wrote this record, and of the one that writes it.
-    let (mut earlier, mut own) = (BTreeSet::new(), BTreeSet::new());
+    // Several processes, one after the other, write to the record of a member.
+    let (mut earlier_sessions, mut own_sessions) = (BTreeSet::new(), BTreeSet::new());
     for line in lines {
         if line.kind == "started" {
             highest.clear();
-            earlier.append(&mut own);
+            earlier_sessions.append(&mut own_sessions);
         }
         if let Some(session) = line.number("session").filter(|_| line.kind == "session") {
-            own.insert(session);
-            if earlier.contains(&session) {
-                let text = format!("{member} has session {session} of a process before it");
+            own_sessions.insert(session);
+            if earlier_sessions.contains(&session) {
+                let text = format!("{member} uses session {session} of an earlier process");
                 found.add(LeaseRule::SessionOfOneProcess, text);
             }
         }
@@ -244,7 +257,8 @@
         if line.kind == "taken" {
             let highest = highest.entry(lease).or_insert(token);
             if token < *highest {
-                let text = format!("{member} took {lease} token {token} after {highest}");
+                let text =
+                    format!("{member} accepted an effect of lease {lease} token {token} after {highest}");
                 found.add(LeaseRule::TokensGrowAtReceivers, text);
             }
             *highest = token.max(*highest);
@@ -252,7 +266,7 @@
     }
 }
 
-/// Whoever acts or accepts does so in a term that was granted and has not ended.
+/// Checks that an effect was sent or accepted in a term that was granted and had not ended.
 fn check_term(
     member: &str,
     line: &RecordLine,
@@ -260,119 +274,133 @@
     terms: &LeaseTerms<'_>,
     found: &mut LeaseViolations,
 ) {
-    let rule = match line.kind.as_str() {
-        "taken" => LeaseRule::NoEffectOfEndedTerm,
-        "acted" => LeaseRule::NoActionInEndedTerm,
+    let (rule, action) = match line.kind.as_str() {
+        "taken" => (LeaseRule::NoEffectOfEndedTerm, "accepted"),
+        "acted" => (LeaseRule::NoActionInEndedTerm, "sent"),
         _ => return,
     };
     if !terms.granted.contains(&(lease, token)) {
-        found.add(LeaseRule::OnlyGrantedTokens, format!("{member} {} {lease} {token}", line.kind));
+        let text =
+            format!("{member} {action} an effect of lease {lease} token {token}, which was not granted");
+        found.add(LeaseRule::OnlyGrantedTokens, text);
     }
     if let Some(ended) = terms.ended.get(&(lease, token)).filter(|ended| line.time > **ended) {
         let late = line.time - ended;
-        let text = format!("{member} {} {lease} token {token} {late} us after the next grant", line.kind);
+        let text = format!(
+            "{member} {action} an effect of lease {lease} token {token} {late} us after the next grant"
+        );
         found.add(rule, text);
     }
 }
 
-/// The leases whose history is not that of one register that holds the newest token: a grant writes it, at some moment
-/// after the grant before and before a coordinator recorded it; an effect that is taken reads it, at that moment. Of what one
-/// process took in one term the first and the last count. By the tester of `stateright`, as a second opinion: it knows
-/// nothing of tokens that only grow.
+/// Returns the leases whose history is not linearizable, when it is seen as the history of a register with the newest
+/// token. A grant writes the register at some time between the record of the previous grant and its own record. An
+/// accepted effect reads the register at the time of its record; of the effects that a member accepted in one term only
+/// the first and the last are checked.
+///
+/// This check is independent of the other rules: the tester of `stateright` does not rely on increasing tokens.
 fn non_linearizable_leases(records: &Records, grants: &[Grant]) -> Vec<String> {
-    /// Order of what has one reading of the clock: whatever can be sound is.
+    /// Step of a history. Steps with the same time are ordered by variant, so that a run is accepted if any order of
+    /// them is correct.
     #[derive(PartialEq, Eq, PartialOrd, Ord)]
     enum Step {
-        Read(u64, u64),
-        Granted,
-        Begins(u64),
+        Read { thread: u64, token: u64 },
+        EndWrite,
+        BeginWrite { token: u64 },
     }
-    let duties: BTreeSet<&str> = grants.iter().map(|grant| grant.lease.as_str()).collect();
-    let broken = duties.into_iter().filter(|duty| {
+    let leases: BTreeSet<&str> = grants.iter().map(|grant| grant.lease.as_str()).collect();
+    let violated = leases.into_iter().filter(|lease| {
         let mut steps: Vec<(u64, Step)> = Vec::new();
-        let mut before = 0;
-        for grant in grants.iter().filter(|grant| grant.lease == *duty) {
-            // One that was recorded before the grant that it followed is the matter of another rule.
-            steps.push((before.min(grant.time), Step::Begins(grant.token)));
-            steps.push((grant.time, Step::Granted));
-            before = grant.time;
+        let mut previous_grant = 0;
+        for grant in grants.iter().filter(|grant| grant.lease == *lease) {
+            // A grant that was recorded before its predecessor in the log is left to the other rules.
+            steps.push((previous_grant.min(grant.time), Step::BeginWrite { token: grant.token }));
+            steps.push((grant.time, Step::EndWrite));
+            previous_grant = grant.time;
         }
         for (thread, lines) in (1..).zip(records.members.values()) {
-            let mut ends: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
-            let of_duty = |line: &&RecordLine| line.kind == "taken" && line.text("duty") == Some(duty);
-            for line in lines.iter().filter(of_duty) {
+            let mut spans: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
+            let is_accepted = |line: &&RecordLine| line.kind == "taken" && line.text("duty") == Some(lease);
+            for line in lines.iter().filter(is_accepted) {
                 let Some(token) = line.number("token") else { continue };
-                let (first, last) = ends.entry(token).or_insert((line.time, line.time));
+                let (first, last) = spans.entry(token).or_insert((line.time, line.time));
                 (*first, *last) = ((*first).min(line.time), (*last).max(line.time));
             }
-            for (token, (first, last)) in ends {
-                steps.extend([first, last].map(|t| (t, Step::Read(thread, token))));
+            for (token, (first, last)) in spans {
+                steps.extend([first, last].map(|time| (time, Step::Read { thread, token })));
             }
         }
         steps.sort();
         let mut tester = LinearizabilityTester::new(Register(0u64));
         for (_, step) in steps {
-            let sound = match step {
-                Step::Begins(token) => tester.on_invoke(0u64, RegisterOp::Write(token)).is_ok(),
-                Step::Granted => tester.on_return(0, RegisterRet::WriteOk).is_ok(),
-                Step::Read(thread, token) => {
+            let is_valid = match step {
+                Step::BeginWrite { token } => tester.on_invoke(0u64, RegisterOp::Write(token)).is_ok(),
+                Step::EndWrite => tester.on_return(0, RegisterRet::WriteOk).is_ok(),
+                Step::Read { thread, token } => {
                     tester.on_invret(thread, RegisterOp::Read, RegisterRet::ReadOk(token)).is_ok()
                 }
             };
-            if !sound {
+            if !is_valid {
                 return true;
             }
         }
         !tester.is_consistent()
     });
-    broken.map(str::to_owned).collect()
+    violated.map(str::to_owned).collect()
 }
 
-/// From a fault at an holder to the first effect of a later term that somebody took, in microseconds, by kind.
+/// Returns the takeover times by kind of fault, in microseconds: the time from a fault of a lease holder to the first
+/// effect of a later term that a receiver accepted.
 ///
-/// Only the first fault of a term counts, and only one that has to end it: a stop or a cut that is shorter than the
-/// lease may go by unnoticed, and so may not hearing members.
-pub fn takeovers(records: &Records, done: &[InjectedFault], lease: u64) -> BTreeMap<FaultKind, Vec<u64>> {
-    let mut taken: BTreeMap<u64, u64> = BTreeMap::new();
+/// Only the first fault of a term is counted, and only if it ends the term. A pause or a partition from the
+/// coordinators ends it if it lasts for at least twice the lease duration; a shorter one may pass without a takeover,
+/// and so may a partition from the members.
+pub fn takeovers(
+    records: &Records,
+    faults: &[InjectedFault],
+    lease_duration: u64,
+) -> BTreeMap<FaultKind, Vec<u64>> {
+    let mut first_accepted: BTreeMap<u64, u64> = BTreeMap::new();
     for line in records.members.values().flatten().filter(|line| line.kind == "taken") {
         if let Some(token) = line.number("token") {
-            let first = taken.entry(token).or_insert(line.time);
+            let first = first_accepted.entry(token).or_insert(line.time);
             *first = (*first).min(line.time);
         }
     }
-    let mut counted = BTreeSet::new();
+    let mut counted_terms = BTreeSet::new();
     let mut takeovers: BTreeMap<FaultKind, Vec<u64>> = BTreeMap::new();
-    for fault in done {
-        let Some(token) = fault.holder_token.filter(|token| counted.insert(*token)) else { continue };
-        let ends = match fault.kind {
+    for fault in faults {
+        let Some(token) = fault.holder_token.filter(|token| counted_terms.insert(*token)) else { continue };
+        let ends_term = match fault.kind {
             FaultKind::KillHolder | FaultKind::TerminateHolder => true,
             FaultKind::PauseHolder
             | FaultKind::PauseHolderDuringRenewal
             | FaultKind::PartitionHolderFromCoordinators
-            | FaultKind::HolderHearsNoCoordinator => fault.until >= fault.time + 2 * lease,
+            | FaultKind::HolderHearsNoCoordinator => fault.until >= fault.time + 2 * lease_duration,
             _ => false,
         };
-        let next = taken.range(token + 1..).map(|(_, t)| *t).filter(|t| *t > fault.time).min();
-        if let Some(next) = next.filter(|_| ends) {
+        let later_terms = first_accepted.range(token + 1..).map(|(_, time)| *time);
+        let next = later_terms.filter(|time| *time > fault.time).min();
+        if let Some(next) = next.filter(|_| ends_term) {
             takeovers.entry(fault.kind).or_default().push(next - fault.time);
         }
     }
     takeovers
 }
 
-/// Effects that were refused, over all members.
+/// Returns the number of effects that members rejected.
 pub fn effects_rejected(records: &Records) -> u64 {
     records.members.values().flatten().filter(|line| line.kind == "refused").count() as u64
 }
 
-/// Effects that were taken, over all members.
+/// Returns the number of effects that members accepted.
 pub fn effects_accepted(records: &Records) -> u64 {
     records.members.values().flatten().filter(|line| line.kind == "taken").count() as u64
 }
 
-/// Whether somebody took an effect after this time.
-pub fn accepted_effect_after(records: &Records, t: u64) -> bool {
-    records.members.values().flatten().any(|line| line.kind == "taken" && line.time > t)
+/// Returns whether a member accepted an effect after this time.
+pub fn accepted_effect_after(records: &Records, time: u64) -> bool {
+    records.members.values().flatten().any(|line| line.kind == "taken" && line.time > time)
 }
 
 /// Grant of a lease to a session.
@@ -393,22 +421,22 @@
     lines.filter_map(grant).max()
 }
 
-/// The member of a session, by the coordinators' records.
+/// Returns the name of the member that opened a session, by the coordinators' records.
 pub fn member_of_session(records: &Records, session: u64) -> Option<String> {
     let lines = records.coordinators.values().flatten().filter(|line| line.number("joined") == Some(session));
     lines.filter_map(|line| line.text("name")).next().map(str::to_owned)
 }
 
-/// The coordinator that recorded last that it leads.
+/// Returns the number of the replica that recorded the leadership of the highest term.
 pub fn leader(records: &Records) -> Option<u64> {
-    let leads = |line: &&RecordLine| line.kind == "leads" && line.number("term").is_some();
+    let is_leader = |line: &&RecordLine| line.kind == "leads" && line.number("term").is_some();
     let last = |(coordinator, lines): (&u64, &Vec<RecordLine>)| {
-        Some((lines.iter().rfind(leads)?.number("term")?, *coordinator))
+        Some((lines.iter().rfind(is_leader)?.number("term")?, *coordinator))
     };
     records.coordinators.iter().filter_map(last).max().map(|(_, coordinator)| coordinator)
 }
 
-/// How many terms were granted.
+/// Returns the number of lease terms that were granted.
 pub fn lease_terms(records: &Records) -> u64 {
     grants(records).len() as u64
 }
--- a/crates/emulator/tests/lease_protocol.rs
+++ b/crates/emulator/tests/lease_protocol.rs
@@ -1,31 +1,32 @@
-//! The ownership protocol in every order of events, as it is and with each flaw.
+//! Tests of the lease protocol by model checking and by simulation in virtual time, without and with injected bugs.
 
 use coordination::InjectedBug;
 use emulator::cluster::lease_model::{search, Bounds};
 use emulator::cluster::virtual_time_soak::run_soak;
 
 #[test]
-fn the_protocol_holds_and_each_flaw_is_found() {
+fn the_model_satisfies_the_rules_and_each_injected_bug_is_found() {
     let bounds = Bounds { messages: 2, ..Bounds::default() };
-    let sound = search(None, bounds, 2);
-    assert_eq!(sound.violated, None);
-    assert!(sound.handed_over, "no hand-over within the bounds would mean that nothing was checked");
+    let correct = search(None, bounds, 2);
+    assert_eq!(correct.violated, None);
+    assert!(correct.handed_over, "the lease is granted only once within the bounds, so nothing was checked");
     assert_eq!(InjectedBug::names().len(), 4);
-    for (name, flaw) in InjectedBug::names() {
-        assert!(search(Some(*flaw), bounds, 2).violated.is_some(), "{name} was not found");
+    for (name, bug) in InjectedBug::names() {
+        assert!(search(Some(*bug), bounds, 2).violated.is_some(), "{name} was not found");
     }
 }
 
 #[test]
-fn hours_of_a_fleet_keep_the_rules_with_clocks_inside_the_bound_and_flaws_are_found() {
-    let sound = run_soak(4, 1, 1_000, None);
-    assert!(!sound.is_violated(), "{sound:#?}");
-    assert!(sound.lease_terms > 100 && sound.effects_rejected > 100, "{sound:#?}");
+fn a_soak_with_clock_rates_within_the_bound_violates_no_rule_and_finds_injected_bugs() {
+    let correct = run_soak(4, 1, 1_000, None);
+    assert!(!correct.is_violated(), "{correct:#?}");
+    assert!(correct.lease_terms > 100 && correct.effects_rejected > 100, "{correct:#?}");
     for name in ["receiver-without-check", "lease-from-answer", "token-not-stored"] {
-        let flaw = InjectedBug::names().iter().find(|(known, _)| *known == name).map(|(_, flaw)| *flaw);
-        assert!(run_soak(4, 1, 1_000, flaw).is_violated(), "{name} was not found");
+        let bug = InjectedBug::names().iter().find(|(other, _)| *other == name).map(|(_, bug)| *bug);
+        assert!(run_soak(4, 1, 1_000, bug).is_violated(), "{name} was not found");
     }
-    // Clocks far beyond the bound: two owners may act, and a receiver still never goes back to an older one.
-    let beyond = run_soak(4, 1, 300_000, None);
-    assert!(beyond.overlapping_holders > 0 && beyond.decreasing_tokens == 0, "{beyond:#?}");
+    // With clock rates far beyond the bound, two holders may act at the same time, and a receiver must still never
+    // accept a lower token after a higher one.
+    let out_of_bound = run_soak(4, 1, 300_000, None);
+    assert!(out_of_bound.overlapping_holders > 0 && out_of_bound.decreasing_tokens == 0, "{out_of_bound:#?}");
 }
