--- a/crates/emulator/src/cluster/error.rs
+++ b/crates/emulator/src/cluster/error.rs
@@ -7,7 +7,7 @@
 
 use coordination::LeaseIdParseError;
 
-/// Failure of a harness itself. A rule that a schedule violates is a result and no error.
+/// Failure of a harness itself. The violation of a rule by a schedule is a result, not an error.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
     /// A file, socket or process cannot be used.
@@ -18,12 +18,12 @@
         /// Error of the operating system.
         source: io::Error,
     },
-    /// A file of the harness is not the JSON that it should be.
+    /// A file of the harness is not valid JSON, or has not the expected fields.
     #[error("{}: {source}", .path.display())]
     Json {
         /// The file.
         path: PathBuf,
-        /// Position and kind of the fault.
+        /// Position and reason.
         source: serde_json::Error,
     },
     /// A line of a process's record cannot be read.
@@ -33,19 +33,19 @@
         path: PathBuf,
         /// The line, counted from one.
         line: usize,
-        /// Position and kind of the fault.
+        /// Position and reason.
         source: serde_json::Error,
     },
-    /// A program is missing beside the tests.
+    /// A program that a test starts has not been built.
     #[error("{} is missing: run the tests of the whole workspace", .0.display())]
     MissingProgram(PathBuf),
-    /// The build profile's folder is not known, so neither are the programs in it.
-    #[error("no folder of the build profile above {}", .0.display())]
+    /// The folder of the build profile, which contains the programs, was not found.
+    #[error("no build profile folder above {}", .0.display())]
     NoProfileFolder(PathBuf),
     /// A cluster was specified without a discovery service.
     #[error("the cluster has no discovery service")]
     NoDiscovery,
-    /// A process that a fault is for does not run.
+    /// The process that a fault is for is not running.
     #[error("{process} is not running")]
     NotRunning {
         /// Name of the process.
@@ -59,7 +59,7 @@
         /// Error of the operating system.
         source: rustix::io::Errno,
     },
-    /// A command of the coordinator's command line failed; the text is its standard error.
+    /// A command of the program `coordinator` failed. The message is its standard error.
     #[error("{stderr}")]
     Command {
         /// Text on standard error.
@@ -73,7 +73,7 @@
         /// Exit status of the command.
         status: ExitStatus,
     },
-    /// The settings of a replica to be replaced have no block for it.
+    /// The settings of a replica that is replaced have no block for it.
     #[error("replica {replica} has no block in its settings")]
     MissingReplicaBlock {
         /// Number of the replica.
@@ -88,7 +88,7 @@
     /// A state was not reached in time.
     #[error("{awaited}\n{logs}")]
     Timeout {
-        /// The state at the end, against the awaited one.
+        /// The awaited state and the state at the end.
         awaited: String,
         /// Logs of all processes.
         logs: String,
@@ -118,7 +118,7 @@
 }
 
 impl ClusterError {
-    /// Returns a conversion for `map_err` that names what an operation on files, sockets or processes was for.
+    /// Returns a conversion for `map_err`, which names the file, socket or process that an operation was for.
     pub(super) fn io(subject: impl Display) -> impl FnOnce(io::Error) -> ClusterError {
         move |source| ClusterError::Io { subject: subject.to_string(), source }
     }
--- a/crates/emulator/src/cluster/fault_injection.rs
+++ b/crates/emulator/src/cluster/fault_injection.rs
@@ -1,5 +1,5 @@
-//! Faults at the processes of a [`ClusterHarness`] and at the links between them. Begin and end are separate steps, so that an
-//! experiment decides what happens in between.
+//! Faults of the processes of a [`ClusterHarness`] and of the links between them. Beginning and ending a fault are
+//! separate steps, so that an experiment decides what happens in between.
 
 use std::time::Duration;
 
@@ -9,21 +9,21 @@
 use super::error::ClusterError;
 use super::fault_proxy::{Direction, LinkFault, NodeId};
 
-/// Delay of every link each way under [`LinkFaultKind::SlowNetwork`].
+/// Delay of every link in each direction under [`LinkFaultKind::SlowNetwork`].
 const SLOW_NETWORK_DELAY: Duration = Duration::from_millis(50);
-/// Part of new connections that are reset under [`LinkFaultKind::SlowNetwork`].
+/// Fraction of new connections that are reset under [`LinkFaultKind::SlowNetwork`].
 const SLOW_NETWORK_RESETS: f64 = 0.05;
 /// Delay of the coordinators' responses under [`LinkFaultKind::DelayedResponses`].
 const RESPONSE_DELAY: Duration = Duration::from_millis(300);
 
-/// A fault at the processes or the links of a cluster. Dispatchers count from 0, coordinators from 1.
+/// A fault of the processes or the links of a cluster. Dispatchers count from 0, coordinators from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClusterFault {
     /// SIGKILL to a dispatcher; it is started again at the end.
     KillDispatcher(usize),
     /// SIGSTOP to a dispatcher; SIGCONT at the end.
     PauseDispatcher(usize),
-    /// SIGTERM to a dispatcher; it is started again at the end, by then killed if it still runs.
+    /// SIGTERM to a dispatcher; it is killed at the end if it still runs, and started again.
     TerminateDispatcher(usize),
     /// SIGKILL to the leading coordinator; it is started again at the end.
     KillLeader,
@@ -64,8 +64,8 @@
     /// Begins the fault.
     ///
     /// # Errors
-    /// Returns [`ClusterError::NotRunning`] if its process does not run, [`ClusterError::NoLeader`] if it is for a leader and
-    /// there is none.
+    /// Returns [`ClusterError::NotRunning`] if its process does not run, or [`ClusterError::NoLeader`] if it is for the
+    /// leader and there is none.
     pub fn begin(self, cluster: &mut ClusterHarness) -> Result<ActiveFault, ClusterError> {
         let mut leader = None;
         match self {
@@ -105,7 +105,7 @@
     /// Ends the fault.
     ///
     /// # Errors
-    /// Returns a [`ClusterError`] if a process cannot be started again, or is to be continued and does not run.
+    /// Returns a [`ClusterError`] if a process cannot be started again, or if a paused process does not run.
     pub fn end(self, cluster: &mut ClusterHarness) -> Result<(), ClusterError> {
         match (self.fault, self.leader) {
             (ClusterFault::KillDispatcher(dispatcher), _) => cluster.start_dispatcher(dispatcher),
@@ -133,7 +133,7 @@
 }
 
 impl LinkFaultKind {
-    /// Begins the fault if the links pass proxies.
+    /// Begins the fault, if the links pass through proxies.
     fn apply(self, cluster: &ClusterHarness) {
         let Some(network) = &cluster.network else { return };
         let mut network = network.borrow_mut();
@@ -144,7 +144,7 @@
             nodes.iter().flat_map(|from| nodes.iter().map(move |to| Direction { from: *from, to: *to }));
         for direction in directions {
             if self.affects(direction, coordinators) {
-                network.update_link(direction, |link| self.break_link(link));
+                network.update_link(direction, |link| self.apply_to_link(link));
             }
         }
     }
@@ -152,26 +152,26 @@
     /// Whether the fault affects a direction; nodes up to `coordinators` are coordinators.
     fn affects(self, direction: Direction, coordinators: usize) -> bool {
         let Direction { from, to } = direction;
-        let coordinator = |node: NodeId| node <= coordinators;
+        let is_coordinator = |node: NodeId| node <= coordinators;
         let of_member = |member: usize| from == member_node(member) || to == member_node(member);
         match self {
             LinkFaultKind::PartitionFromCoordinators(member) => {
-                of_member(member) && (coordinator(from) || coordinator(to))
+                of_member(member) && (is_coordinator(from) || is_coordinator(to))
             }
             LinkFaultKind::HearsNoCoordinator(member) | LinkFaultKind::DelayedResponses(member) => {
-                coordinator(from) && to == member_node(member)
+                is_coordinator(from) && to == member_node(member)
             }
             LinkFaultKind::PartitionFromMembers(member) => {
-                of_member(member) && !coordinator(from) && !coordinator(to)
+                of_member(member) && !is_coordinator(from) && !is_coordinator(to)
             }
             LinkFaultKind::PartitionCoordinator(number) => {
-                coordinator(from) && coordinator(to) && (from == number || to == number)
+                is_coordinator(from) && is_coordinator(to) && (from == number || to == number)
             }
             LinkFaultKind::SlowNetwork => true,
         }
     }
 
-    fn break_link(self, link: &mut LinkFault) {
+    fn apply_to_link(self, link: &mut LinkFault) {
         match self {
             LinkFaultKind::SlowNetwork => {
                 link.delay = SLOW_NETWORK_DELAY;
--- a/crates/emulator/src/cluster/fault_proxy.rs
+++ b/crates/emulator/src/cluster/fault_proxy.rs
@@ -1,7 +1,10 @@
-//! A proxy between processes that injects faults by direction: delay, partition, a reset in the middle of a frame, a second
-//! connection with the same bytes, a narrow bandwidth.
+//! Proxy between processes that injects faults by direction: delay, partition, a reset in the middle of a frame, a
+//! second connection with the same bytes, a limited bandwidth.
 //!
-//! The process that connects is known by its source address, since each process of a harness has one of its own.
+//! The process that connects is identified by its source address, because each process of a harness has its own.
+
+#[cfg(test)]
+mod tests;
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,15 +24,15 @@
 /// Faults of one direction between two processes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LinkFault {
-    /// Whether nothing passes; bytes that were sent wait.
+    /// Whether no bytes pass; those that were sent are delivered after the partition.
     pub partitioned: bool,
     /// Additional delay of all bytes.
     pub delay: Duration,
-    /// Bandwidth in bytes a second, or 0 without a limit.
+    /// Bandwidth in bytes per second; 0 means no limit.
     pub bytes_per_second: u64,
-    /// Part of new connections that are reset after a few bytes, in the middle of a frame.
+    /// Fraction of new connections that are reset after a few bytes, in the middle of a frame.
     pub reset_probability: f64,
-    /// Part of new connections whose bytes arrive a second time on a connection of their own.
+    /// Fraction of new connections whose bytes arrive a second time, on a second connection.
     pub duplicate_probability: f64,
 }
 
@@ -57,15 +60,15 @@
     link_faults: BTreeMap<Direction, LinkFault>,
     nodes: BTreeMap<IpAddr, NodeId>,
     random: Pcg64,
-    /// Connections that were reset.
+    /// Number of connections that were reset.
     pub resets: u64,
-    /// Connections whose bytes were duplicated.
+    /// Number of connections whose bytes were duplicated.
     pub duplicates: u64,
-    /// Bytes that were carried, both ways.
+    /// Number of bytes that were forwarded, in all directions.
     pub bytes: u64,
 }
 
-/// A network that all proxies of a harness share.
+/// A network shared by all proxies of a harness.
 pub type SharedNetwork = Rc<RefCell<FaultyNetwork>>;
 
 impl FaultyNetwork {
@@ -117,53 +120,55 @@
 
 /// Range of the bytes after which a connection is reset.
 const RESET_AFTER_BYTES: std::ops::Range<usize> = 1..200;
-/// Chunks that wait in one direction of a connection, at most.
+/// Maximum number of chunks that are queued in one direction of a connection.
 const MAX_QUEUED_CHUNKS: usize = 64;
-/// Longest chunk that is read at once, in bytes.
+/// Maximum length of a chunk, in bytes.
 const CHUNK_BYTES: usize = 16_384;
-/// Time from one look whether a partition is over to the next.
+/// Interval at which a partitioned direction checks whether the partition has ended.
 const PARTITION_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Pieces a second into which a narrow link cuts its chunks.
+/// Number of pieces per second that a link with limited bandwidth forwards.
 const PIECES_PER_SECOND: u64 = 50;
 
 /// Faults of one connection.
 struct ConnectionFaults {
-    /// Bytes after which the connection is reset.
+    /// Number of bytes after which the connection is reset, if it is.
     reset_after: Option<usize>,
     /// Whether its bytes arrive a second time.
     is_duplicated: bool,
 }
 
-/// Relays connections to a process until the task is aborted.
+/// Forwards connections to a process until the task is aborted.
 pub async fn run_proxy(network: SharedNetwork, listener: TcpListener, node: NodeId, target: SocketAddr) {
     loop {
         let Ok((stream, source)) = listener.accept().await else {
             sleep(Duration::from_millis(20)).await;
             continue;
         };
-        // Other programs, such as an operator's tool, pass without faults, as if the process connected to itself.
+        // A connection from an unknown address, such as that of an operator's tool, has no faults: it is treated as one
+        // from the process to itself.
         let from = network.borrow().nodes.get(&source.ip()).copied().unwrap_or(node);
         spawn_local(relay(network.clone(), stream, Direction { from, to: node }, target));
     }
 }
 
-async fn relay(network: SharedNetwork, near: TcpStream, direction: Direction, target: SocketAddr) {
+async fn relay(network: SharedNetwork, client: TcpStream, direction: Direction, target: SocketAddr) {
     let faults = network.borrow_mut().draw_connection_faults(direction);
-    let Ok(far) = TcpStream::connect(target).await else { return };
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
+    let Ok(server) = TcpStream::connect(target).await else { return };
+    let _ = client.set_nodelay(true);
+    let _ = server.set_nodelay(true);
     let duplicate = if faults.is_duplicated { TcpStream::connect(target).await.ok() } else { None };
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
     let (duplicate_read, duplicate_write) = duplicate.map(TcpStream::into_split).unzip();
     if let Some(read) = duplicate_read {
         spawn_local(discard(read));
     }
-    let sink = Sink { write: far_write, duplicate: duplicate_write, bytes_until_reset: faults.reset_after };
-    let forward = copy_one_way(network.clone(), direction, near_read, sink);
-    let sink = Sink { write: near_write, duplicate: None, bytes_until_reset: None };
-    let back = copy_one_way(network.clone(), direction.reversed(), far_read, sink);
-    // Either end closing ends both, as does the reset.
+    let sink =
+        Sink { write: server_write, duplicate: duplicate_write, bytes_until_reset: faults.reset_after };
+    let forward = copy_one_way(network.clone(), direction, client_read, sink);
+    let sink = Sink { write: client_write, duplicate: None, bytes_until_reset: None };
+    let back = copy_one_way(network.clone(), direction.reversed(), server_read, sink);
+    // The connection ends in both directions when either end closes it or it is reset.
     tokio::select! {
         () = forward => {}
         () = back => {}
@@ -176,7 +181,7 @@
     while matches!(read.read(&mut buffer).await, Ok(count) if count > 0) {}
 }
 
-/// Bytes that arrived, with the time at which they are to be forwarded.
+/// Bytes that arrived, with the time at which they are due to be forwarded.
 struct Chunk {
     due: Instant,
     bytes: Vec<u8>,
@@ -185,25 +190,26 @@
 /// The receiving end of one direction of a connection.
 struct Sink {
     write: OwnedWriteHalf,
-    /// Second connection that gets the same bytes.
+    /// Second connection that receives the same bytes.
     duplicate: Option<OwnedWriteHalf>,
-    /// Bytes after which the connection is reset.
+    /// Number of remaining bytes after which the connection is reset, if it is.
     bytes_until_reset: Option<usize>,
 }
 
 impl Sink {
-    /// Counts a chunk towards the reset of the connection. If it is due, forwards the bytes up to it and returns true.
+    /// Counts the bytes of a chunk. If the reset of the connection is due within the chunk, forwards the bytes up to it
+    /// and returns true.
     async fn reset_is_due(&mut self, bytes: &[u8]) -> bool {
-        let Some(left) = &mut self.bytes_until_reset else { return false };
-        if bytes.len() >= *left {
-            let _ = self.write.write_all(&bytes[..*left]).await;
+        let Some(remaining) = &mut self.bytes_until_reset else { return false };
+        if bytes.len() >= *remaining {
+            let _ = self.write.write_all(&bytes[..*remaining]).await;
             return true;
         }
-        *left -= bytes.len();
+        *remaining -= bytes.len();
         false
     }
 
-    /// Forwards a chunk at a bandwidth in bytes a second, 0 without a limit.
+    /// Forwards a chunk with this bandwidth; 0 means no limit.
     async fn forward(&mut self, bytes: &[u8], bytes_per_second: u64) -> std::io::Result<()> {
         let is_limited = bytes_per_second != 0;
         let piece_length =
@@ -266,37 +272,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use tokio::task::LocalSet;
-    use tokio::time::timeout;
-
-    /// Found by schedules that ran out of descriptors: what one end closed stayed open at the other for ever.
-    #[test]
-    fn a_connection_that_one_end_closes_closes_at_the_other_after_what_was_said() {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-        LocalSet::new().block_on(&runtime, async {
-            let (target, door) = (
-                TcpListener::bind("127.0.0.1:0").await.unwrap(),
-                TcpListener::bind("127.0.0.1:0").await.unwrap(),
-            );
-            let at = door.local_addr().unwrap();
-            spawn_local(run_proxy(
-                FaultyNetwork::new(BTreeMap::new(), 1),
-                door,
-                0,
-                target.local_addr().unwrap(),
-            ));
-            let mut near = TcpStream::connect(at).await.unwrap();
-            let (mut far, _) = target.accept().await.unwrap();
-            near.write_all(b"the last word").await.unwrap();
-            drop(near);
-            let mut heard = Vec::new();
-            let read = timeout(Duration::from_secs(5), far.read_to_end(&mut heard)).await;
-            assert!(read.is_ok(), "it stays open");
-            assert_eq!(heard, b"the last word");
-        });
-    }
-}
--- a/crates/emulator/src/cluster/lease_harness/evaluation.rs
+++ b/crates/emulator/src/cluster/lease_harness/evaluation.rs
@@ -1,4 +1,4 @@
-//! The end of a schedule: whether all works again, and the rules on the records.
+//! Evaluation of a schedule: checks that the cluster has recovered, and checks the rules on the records.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -12,16 +12,16 @@
 use crate::cluster::fault_proxy::NodeId;
 use crate::cluster::record_checker::{self, LeaseRule, Records};
 
-/// Time before the end in which an effect has to be accepted, in microseconds.
+/// Time before the end of a schedule in which an effect must be accepted, in microseconds.
 const RECOVERED_EFFECT_WINDOW: u64 = 1_000_000;
-/// Takeover time from which on the files of a schedule are kept, in microseconds.
+/// Takeover time above which the files of a schedule are kept, in microseconds.
 const SLOW_TAKEOVER: u64 = 3_000_000;
-/// One schedule in so many keeps its files without a cause.
-const KEPT_SCHEDULES: u32 = 20;
-/// Exit codes of a coordinator with an old store, and without one.
+/// One schedule in this many keeps its files as a sample.
+const SAMPLED_SCHEDULE_INTERVAL: u32 = 20;
+/// Exit codes of a coordinator with an old store, and of one without a store.
 const STORE_EXIT_CODES: [i32; 2] = [3, 4];
 
-/// The last term of the lease.
+/// The last term of the lease, with its holder.
 pub(super) struct HolderTerm {
     pub(super) holder: NodeId,
     pub(super) token: u64,
@@ -70,7 +70,7 @@
         let since = clock::now().saturating_sub(RECOVERED_EFFECT_WINDOW);
         if !record_checker::accepted_effect_after(&self.records()?, since) {
             let description = format!(
-                "no effect was accepted in the last of {} s after all faults had ended",
+                "no effect was accepted in the last second of the {} s after all faults had ended",
                 self.plan.experiment.recovery_time
             );
             self.violations.add(LeaseRule::Recovery, description);
@@ -78,8 +78,8 @@
         Ok(())
     }
 
-    /// Checks that every coordinator whose store is intact still runs. A store that a full disk had damaged went unnoticed
-    /// before (seed 3008), since the others were a majority.
+    /// Checks that every coordinator whose store is intact still runs. Without this check, the damage of a store by a
+    /// full disk went unnoticed (seed 3008), because the other coordinators were a majority.
     pub(super) fn check_healthy_coordinators(&mut self) {
         for node in self.coordinators() {
             let process = &mut self.processes[node];
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Checks that every coordinator with an old store or none has ended with the exit code for that. One that another fault
-    /// has killed is not started again.
+    /// Checks that every coordinator with an old store or none has ended with the exit code for it, unless another
+    /// fault has killed it; it is not started again after that.
     pub(super) fn check_coordinators_without_store(&mut self) {
         for node in self.coordinators() {
             let process = &mut self.processes[node];
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Checks the rules on the records and collects the figures. The files of a schedule stay only where they may be needed.
+    /// Checks the rules on the records and collects the figures. Deletes the files of the schedule unless they may be
+    /// needed.
     pub(super) fn evaluate(mut self) -> Result<ScheduleResult, ClusterError> {
         let records = self.records()?;
         let mut violations = record_checker::check(&records);
@@ -143,12 +144,13 @@
         Ok(result)
     }
 
-    /// Whether the files of a schedule may be needed: it violated a rule, was slow, had a bug injected, or is a sample.
+    /// Whether the files of a schedule may be needed: it violated a rule, had a slow takeover, ran with an injected
+    /// bug, or is a sample.
     fn keeps_files(&mut self, result: &ScheduleResult) -> bool {
         let is_slow = result.takeovers.values().flatten().any(|takeover| *takeover > SLOW_TAKEOVER);
         !result.violations.is_empty()
             || is_slow
             || self.plan.injected_bug.is_some()
-            || self.random.random_range(0..KEPT_SCHEDULES) == 0
+            || self.random.random_range(0..SAMPLED_SCHEDULE_INTERVAL) == 0
     }
 }
--- a/crates/emulator/src/cluster/lease_harness/faults.rs
+++ b/crates/emulator/src/cluster/lease_harness/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a schedule, injected at processes, links and disks.
+//! Injects the faults of a schedule into processes, links and disks.
 
 use std::fs;
 use std::ops::Range;
@@ -20,24 +20,25 @@
 
 /// File of a coordinator's store.
 const STORE_FILE: &str = "keeper.redb";
-/// Time for which renewals are slow before the holder is paused, in seconds.
+/// Time for which responses to renewals are delayed before the lease holder is paused, in seconds.
 const PAUSE_AFTER_S: f64 = 1.0;
-/// Delay of the responses to renewals while the holder is paused among them.
+/// Delay of the responses to renewals under [`FaultKind::PauseHolderDuringRenewal`].
 const RENEWAL_DELAY: Duration = Duration::from_millis(300);
 /// Delay of every link in a slow network.
 const SLOW_NETWORK_DELAY: Duration = Duration::from_millis(200);
-/// Part of new connections that are reset in a slow network.
+/// Fraction of new connections that are reset in a slow network.
 const SLOW_NETWORK_RESETS: f64 = 0.05;
-/// Part of new connections that are duplicated.
+/// Fraction of new connections that are duplicated.
 const DUPLICATED_CONNECTIONS: f64 = 0.25;
-/// Bandwidth of a narrow link, in bytes a second.
+/// Bandwidth under [`FaultKind::NarrowBandwidth`], in bytes per second.
 const NARROW_BANDWIDTH: u64 = 4_000;
 /// Time from one step of restoring an old disk to the next, in seconds.
 const OLD_DISK_STEP_S: f64 = 0.8;
-/// Most processes of a schedule, duplicates of members included, so that their addresses stay below those of the proxies.
+/// Maximum number of processes of a schedule, including duplicates of members. It keeps the addresses of the processes
+/// below those of the proxies.
 const MAX_PROCESSES: usize = 100;
 
-/// The processes that a fault may be for.
+/// The processes that a fault may affect; its kind determines which.
 #[derive(Clone, Copy)]
 struct Candidates {
     holder: NodeId,
@@ -46,9 +47,9 @@
 }
 
 /// Returns both directions between a node and each of the others.
-fn both_ways(one: NodeId, others: Range<NodeId>) -> Vec<Direction> {
-    let both = |other| [Direction { from: one, to: other }, Direction { from: other, to: one }];
-    others.filter(|other| *other != one).flat_map(both).collect()
+fn both_ways(node: NodeId, others: Range<NodeId>) -> Vec<Direction> {
+    let both = |other| [Direction { from: node, to: other }, Direction { from: other, to: node }];
+    others.filter(|other| *other != node).flat_map(both).collect()
 }
 
 impl FaultKind {
@@ -108,7 +109,7 @@
                 self.partition(self.partitioned_links(fault.kind, candidates), fault.duration);
             }
             FaultKind::SlowNetwork | FaultKind::DuplicateConnections | FaultKind::NarrowBandwidth => {
-                self.break_all_links(fault, candidates.coordinator);
+                self.degrade_links(fault, candidates.coordinator);
             }
             FaultKind::FullDisk | FaultKind::FewDescriptors => self.limit_leader(fault).await?,
             FaultKind::RestoreOldDisk => {
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Kills a process, to be started again after this many seconds if it may run.
+    /// Kills a process, and schedules its start after this many seconds if it may be started again.
     async fn kill_for(&mut self, node: NodeId, duration: f64) {
         self.kill(node).await;
         if !self.processes[node].not_restartable {
@@ -153,7 +154,8 @@
         for response in &responses {
             self.network.borrow_mut().update_link(*response, |link| link.delay = RENEWAL_DELAY);
         }
-        // Renewals are sent all the time: after this one of them most likely waits for its response.
+        // Renewals follow each other without a long pause, so that the holder most likely waits for a response when it
+        // is paused.
         let pause = Recovery::Pause { node: holder, duration_s: duration - PAUSE_AFTER_S };
         self.recover_after(PAUSE_AFTER_S, pause);
         self.recover_after(duration + 0.5, Recovery::ClearDelay(responses));
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Returns the directions that a partition cuts.
+    /// Returns the directions in which a partition blocks all bytes.
     fn partitioned_links(&self, kind: FaultKind, candidates: Candidates) -> Vec<Direction> {
         let Candidates { holder, coordinator, .. } = candidates;
         let coordinators = self.coordinators();
@@ -193,8 +195,8 @@
         self.recover_after(duration, Recovery::Reconnect(directions));
     }
 
-    /// Affects all links between processes; of a narrow bandwidth only those of one coordinator.
-    fn break_all_links(&mut self, fault: ScheduledFault, coordinator: NodeId) {
+    /// Applies a fault to all links between processes, or a narrow bandwidth only to the links of one coordinator.
+    fn degrade_links(&mut self, fault: ScheduledFault, coordinator: NodeId) {
         let count = self.processes.len();
         let directions = (0..count).flat_map(|from| (0..count).map(move |to| Direction { from, to }));
         for direction in directions.filter(|direction| direction.from != direction.to) {
@@ -212,7 +214,8 @@
         self.recover_after(fault.duration, Recovery::ClearLinkFaults);
     }
 
-    /// Restarts the leading coordinator with a limit on its files or descriptors, for the duration of the fault.
+    /// Restarts the leading coordinator with a limit on the size of its files or on its descriptors, for the duration
+    /// of the fault.
     async fn limit_leader(&mut self, fault: ScheduledFault) -> Result<(), ClusterError> {
         let leader = self.leader()?;
         if self.processes[leader].not_restartable {
@@ -235,7 +238,7 @@
         self.start(coordinator)
     }
 
-    /// Carries out a step of restoring an old copy of a coordinator's disk, and schedules the next one.
+    /// Carries out one step of restoring an old copy of a coordinator's disk, and schedules the next step.
     pub(super) async fn restore_old_disk(
         &mut self,
         node: NodeId,
--- a/crates/emulator/src/cluster/lease_harness/mod.rs
+++ b/crates/emulator/src/cluster/lease_harness/mod.rs
@@ -1,8 +1,8 @@
-//! Plays one schedule of the lease experiments: real coordinators and lightweight members, every link between two of them
-//! through a proxy, and faults drawn by a seed.
+//! Runs one schedule of the lease experiments: real coordinators and lightweight members, a proxy on every link between
+//! two of them, and faults drawn by a seed.
 //!
-//! `setup` allocates addresses and writes configurations, `processes` starts and stops processes, `faults` injects
-//! faults, `recovery` ends them, and `evaluation` checks the end of a schedule and the records.
+//! `setup` allocates addresses and writes configurations, `processes` starts and ends processes, `faults` injects
+//! faults, `recovery` ends them, and `evaluation` checks the recovery of the cluster and the records.
 
 mod evaluation;
 mod faults;
@@ -25,25 +25,25 @@
 use super::record_checker::{InjectedFault, LeaseViolations};
 use super::schedule::{Arm, ClusterExperiment, FaultKind};
 
-/// Programs that the processes run.
+/// Paths of the programs that are started as processes.
 #[derive(Debug, Clone)]
 pub struct Programs {
-    /// `coordinator`.
+    /// The program `coordinator`.
     pub coordinator: PathBuf,
-    /// This program, which also runs as a lightweight member.
+    /// The program `emulator`, which also runs as a lightweight member.
     pub emulator: PathBuf,
 }
 
-/// A schedule to play.
+/// A schedule that the harness can run.
 #[derive(Debug, Clone, Copy)]
 pub struct SchedulePlan<'a> {
     /// The experiment.
     pub experiment: &'a ClusterExperiment,
-    /// Its arm.
+    /// Arm of the experiment.
     pub arm: &'a Arm,
     /// Seed of the faults.
     pub seed: u64,
-    /// Bug to inject into the members and coordinators, by name.
+    /// Name of the bug to inject into the members.
     pub injected_bug: Option<&'a str>,
 }
 
@@ -54,19 +54,19 @@
     pub seed: u64,
     /// Violations by rule.
     pub violations: LeaseViolations,
-    /// Faults by kind.
+    /// Number of injected faults by kind.
     pub faults: BTreeMap<FaultKind, u64>,
-    /// Connections that the proxies reset.
+    /// Number of connections that the proxies reset.
     pub resets: u64,
-    /// Connections that the proxies duplicated.
+    /// Number of connections that the proxies duplicated.
     pub duplicates: u64,
     /// Takeover times by kind of fault, in microseconds.
     pub takeovers: BTreeMap<FaultKind, Vec<u64>>,
-    /// Effects that receivers accepted.
+    /// Number of effects that receivers accepted.
     pub effects_accepted: u64,
-    /// Effects that receivers rejected.
+    /// Number of effects that receivers rejected.
     pub effects_rejected: u64,
-    /// Lease terms granted.
+    /// Number of lease terms granted.
     pub lease_terms: u64,
 }
 
@@ -78,7 +78,7 @@
     network: SharedNetwork,
     /// Coordinators, then members, then duplicates of members, each at the position of its proxy node.
     processes: Vec<Process>,
-    /// Middle parts of the loopback addresses of this schedule.
+    /// Second and third octet of the loopback addresses of this schedule.
     address_block: [u8; 2],
     injected: Vec<InjectedFault>,
     recoveries: Vec<ScheduledRecovery>,
@@ -87,13 +87,13 @@
     random: Pcg64,
 }
 
-/// Plays a schedule. Its processes leave their files in a folder of its own below `out`.
+/// Runs a schedule. Its processes write their files to a folder of their own below `out`.
 ///
 /// # Errors
 /// Returns a [`ClusterError`] if the harness fails; violations of rules are part of the result.
 pub fn run(plan: SchedulePlan<'_>, programs: &Programs, out: &Path) -> Result<ScheduleResult, ClusterError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    LocalSet::new().block_on(&runtime.map_err(ClusterError::io("a runtime"))?, async {
+    LocalSet::new().block_on(&runtime.map_err(ClusterError::io("Tokio runtime"))?, async {
         let mut harness = LeaseHarness::start_cluster(plan, programs, out).await?;
         let outcome = harness.run_schedule().await;
         harness.shut_down().await;
--- a/crates/emulator/src/cluster/lease_harness/processes.rs
+++ b/crates/emulator/src/cluster/lease_harness/processes.rs
@@ -1,4 +1,4 @@
-//! Processes of a schedule: start, signals, end.
+//! Starts, signals and ends the processes of a schedule.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -30,17 +30,18 @@
     pub(super) role: Role,
     pub(super) listen: SocketAddr,
     pub(super) child: Option<Child>,
-    /// Whether it is not to be started again: its disk is an old copy, or lost.
+    /// Whether it must not be started again: it is a coordinator whose disk is an old copy or lost, or a duplicate of a
+    /// member.
     pub(super) not_restartable: bool,
 }
 
 impl Process {
-    /// Returns a process that was not started yet.
+    /// Returns a process that has not been started yet.
     pub(super) fn new(role: Role, listen: SocketAddr) -> Process {
         Process { role, listen, child: None, not_restartable: false }
     }
 
-    /// Forgets the child if it has ended, so that the process can be started again.
+    /// Removes the child if it has ended, so that the process can be started again.
     pub(super) fn reap(&mut self) {
         let has_ended = |child: &mut Child| matches!(child.try_wait(), Ok(Some(_)));
         if self.child.as_mut().is_some_and(has_ended) {
@@ -49,11 +50,12 @@
     }
 }
 
-/// Limit that the shell sets on a coordinator's process.
+/// Resource limit that a shell sets for a coordinator.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum ResourceLimit {
-    /// Files may not grow, as on a full disk.
+    /// Limits the size of files, so that writes fail as on a full disk.
     FileSize,
+    /// Limits the number of open descriptors.
     Descriptors,
 }
 
@@ -80,7 +82,7 @@
         self.start_limited(node, None)
     }
 
-    /// Starts a process that does not run; a coordinator perhaps with a limit.
+    /// Starts a process unless it runs. The limit applies to coordinators only.
     pub(super) fn start_limited(
         &mut self,
         node: NodeId,
@@ -93,13 +95,13 @@
             .create(true)
             .append(true)
             .open(self.path(node, "log"))
-            .map_err(ClusterError::io("a log"))?;
+            .map_err(ClusterError::io("log file"))?;
         let mut command = match &self.processes[node].role {
             Role::Coordinator { number } => self.coordinator_command(node, *number, limit),
             Role::Member { config } => self.member_command(node, config)?,
         };
         let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).kill_on_drop(true).spawn();
-        self.processes[node].child = Some(child.map_err(ClusterError::io("a process"))?);
+        self.processes[node].child = Some(child.map_err(ClusterError::io("process"))?);
         Ok(())
     }
 
@@ -107,7 +109,8 @@
         let mut command = match limit {
             None => Command::new(&self.programs.coordinator),
             Some(limit) => {
-                // Ignored signals and limits are inherited by the program: a write then fails, as on a full disk.
+                // The program inherits the limit and the ignored SIGXFSZ, so that a write beyond the limit fails as on
+                // a full disk and does not end the process.
                 let script = format!("trap '' XFSZ; ulimit {}; exec \"$0\" \"$@\"", limit.arguments());
                 let mut shell = Command::new("/bin/sh");
                 shell.arg("-c").arg(script).arg(&self.programs.coordinator);
@@ -115,7 +118,8 @@
             }
         };
         command.args(["serve", "--config"]).arg(self.path(node, "hcl"));
-        // The record is on the full disk too, where there is one: other coordinators recorded the lines that it lacks.
+        // The record is subject to the limit on file sizes too. The lines that it then lacks are in the records of
+        // other coordinators.
         command.arg("--record").arg(self.dir.join(format!("k{number}.jsonl")));
         command
     }
@@ -130,7 +134,7 @@
         Ok(command)
     }
 
-    /// Sends a signal to a process; returns its id if it runs.
+    /// Sends a signal to a process. Returns its id, or `None` if it does not run.
     pub(super) fn signal(&self, node: NodeId, signal: Signal) -> Option<u32> {
         let id = self.processes[node].child.as_ref()?.id()?;
         let pid = Pid::from_raw(i32::try_from(id).ok()?)?;
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Ends a process by SIGTERM, or kills it after [`TERMINATION_TIMEOUT`].
+    /// Ends a process by SIGTERM, and kills it if it still runs after [`TERMINATION_TIMEOUT`].
     async fn terminate(&mut self, node: NodeId) {
         self.signal(node, Signal::TERM);
         if let Some(mut child) = self.processes[node].child.take() {
@@ -154,7 +158,7 @@
         }
     }
 
-    /// Ends all processes, coordinators last, and the proxies.
+    /// Ends all processes, the coordinators last, and then the proxies.
     pub(super) async fn shut_down(&mut self) {
         let duplicates = self.members().end..self.processes.len();
         for node in self.members().chain(duplicates).chain(self.coordinators()) {
--- a/crates/emulator/src/cluster/lease_harness/recovery.rs
+++ b/crates/emulator/src/cluster/lease_harness/recovery.rs
@@ -1,4 +1,4 @@
-//! The ends of faults.
+//! Ends the faults of a schedule.
 
 use std::time::Duration;
 
@@ -10,40 +10,38 @@
 use crate::cluster::error::ClusterError;
 use crate::cluster::fault_proxy::{Direction, NodeId};
 
-/// An action that ends a fault, or is the next step of one. Directions that other faults affect keep those.
+/// An action that ends a fault, or that is the next step of one.
 #[derive(Debug)]
 pub(super) enum Recovery {
+    /// Starts a process.
     Start(NodeId),
     /// Continues the process with this id.
-    Resume {
-        process: u32,
-    },
+    Resume { process: u32 },
+    /// Ends the partition of these directions; other faults of them remain.
     Reconnect(Vec<Direction>),
+    /// Ends the delay of these directions; other faults of them remain.
     ClearDelay(Vec<Direction>),
-    Pause {
-        node: NodeId,
-        duration_s: f64,
-    },
+    /// Pauses a process for this duration.
+    Pause { node: NodeId, duration_s: f64 },
+    /// Ends all faults of links but partitions.
     ClearLinkFaults,
+    /// Kills a process.
     Kill(NodeId),
-    /// The next step of restoring an old disk.
-    RestoreOldDisk {
-        node: NodeId,
-        step: OldDiskStep,
-    },
+    /// Carries out a step of restoring an old disk.
+    RestoreOldDisk { node: NodeId, step: OldDiskStep },
 }
 
 /// Step of restoring an old copy of a coordinator's disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OldDiskStep {
     Copy,
-    /// A start between copy and restore, which the copy does not count.
+    /// Starts the coordinator once more after the copy was made, so that the start count in the copy is too low.
     Restart,
     Restore,
 }
 
 impl OldDiskStep {
-    /// Returns the step after this one.
+    /// Returns the next step.
     pub(super) fn next(self) -> Option<OldDiskStep> {
         match self {
             OldDiskStep::Copy => Some(OldDiskStep::Restart),
@@ -66,7 +64,7 @@
         self.recoveries.push(ScheduledRecovery { at, recovery });
     }
 
-    /// Waits, and carries out the recoveries that are due meanwhile.
+    /// Waits until this time, and carries out the recoveries that are due in the meantime.
     pub(super) async fn recover_until(&mut self, until: Instant) -> Result<(), ClusterError> {
         loop {
             let next = self.recoveries.iter().map(|scheduled| scheduled.at).min().filter(|at| *at <= until);
@@ -80,7 +78,8 @@
         Ok(())
     }
 
-    /// Ends all faults at once and starts the processes that may run; then the cluster has to recover by itself.
+    /// Ends all faults at once and starts all processes that may be started again. The cluster must then recover by
+    /// itself.
     pub(super) async fn recover_all(&mut self) -> Result<(), ClusterError> {
         self.network.borrow_mut().clear_faults();
         for scheduled in std::mem::take(&mut self.recoveries) {
@@ -133,10 +132,11 @@
         Ok(())
     }
 
-    /// Continues a process, while it is a child of this harness: its id may be another process's after its end.
+    /// Continues a process if it is still a child of this harness, because another process may have its id after its
+    /// end.
     fn resume(&self, process: u32) {
         let is_child =
-            self.processes.iter().any(|own| own.child.as_ref().and_then(Child::id) == Some(process));
+            self.processes.iter().any(|running| running.child.as_ref().and_then(Child::id) == Some(process));
         let pid = i32::try_from(process).ok().and_then(Pid::from_raw);
         if let Some(pid) = pid.filter(|_| is_child) {
             let _ = kill_process(pid, Signal::CONT);
--- a/crates/emulator/src/cluster/lease_harness/setup.rs
+++ b/crates/emulator/src/cluster/lease_harness/setup.rs
@@ -1,4 +1,4 @@
-//! Setting up a schedule: addresses, proxies, and the configurations of its processes.
+//! Sets up a schedule: addresses, proxies, and the configurations of its processes.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -22,16 +22,16 @@
 
 /// Name of the installation.
 const INSTALLATION: &str = "rig";
-/// Name of the lease that the members offer.
+/// Name of the lease that the members are eligible for.
 const LEASE: &str = "pulse";
-/// Last part of the address of the first process.
+/// Last octet of the address of the first process.
 const FIRST_PROCESS_HOST: usize = 1;
-/// Last part of the address of the first proxy.
+/// Last octet of the address of the first proxy.
 const FIRST_PROXY_HOST: usize = 101;
-/// Distinguishes the draws of the harness from those of the schedule.
+/// XORed with the seed of a schedule for the draws of the harness, so that they differ from those of the schedule.
 const HARNESS_SEED: u64 = 24_301;
 
-/// Number of the next address block of this process, so that each schedule has addresses of its own.
+/// Number of the next address block of this process. Each schedule has an address block of its own.
 static NEXT_ADDRESS_BLOCK: AtomicU8 = AtomicU8::new(0);
 
 fn next_address_block() -> [u8; 2] {
@@ -47,22 +47,22 @@
     IpAddr::V4(Ipv4Addr::new(127, block[0], block[1], host as u8))
 }
 
-/// Returns an address of a host with a free port. The port stays free, since nobody else uses the host.
+/// Returns an address of a host with a free port. The port stays free because no other process uses the host.
 pub(super) fn free_address(host: IpAddr) -> Result<SocketAddr, ClusterError> {
-    let probe = std::net::TcpListener::bind((host, 0)).map_err(ClusterError::io("a free port"))?;
-    probe.local_addr().map_err(ClusterError::io("a free port"))
+    let probe = std::net::TcpListener::bind((host, 0)).map_err(ClusterError::io("free port"))?;
+    probe.local_addr().map_err(ClusterError::io("free port"))
 }
 
-/// Addresses of the processes, by node, with a proxy before each.
+/// Addresses of the processes and of their proxies, by node.
 struct ProxiedAddresses {
     /// Addresses at which the processes listen.
     listen: Vec<SocketAddr>,
-    /// Addresses of their proxies, which others are given.
+    /// Addresses of the proxies, which the processes advertise to each other.
     advertised: Vec<SocketAddr>,
     proxies: Vec<JoinHandle<()>>,
 }
 
-/// Allocates the addresses of so many processes and starts their proxies.
+/// Allocates addresses for this many processes and starts their proxies.
 async fn start_proxies(
     network: &SharedNetwork,
     block: [u8; 2],
@@ -72,8 +72,8 @@
     for node in 0..count {
         let listen = free_address(process_address(block, node))?;
         let host = loopback(block, FIRST_PROXY_HOST + node);
-        let proxy = TcpListener::bind((host, 0)).await.map_err(ClusterError::io("a proxy"))?;
-        addresses.advertised.push(proxy.local_addr().map_err(ClusterError::io("a proxy"))?);
+        let proxy = TcpListener::bind((host, 0)).await.map_err(ClusterError::io("proxy listener"))?;
+        addresses.advertised.push(proxy.local_addr().map_err(ClusterError::io("proxy listener"))?);
         addresses.listen.push(listen);
         addresses.proxies.push(spawn_local(run_proxy(network.clone(), proxy, node, listen)));
     }
@@ -131,7 +131,7 @@
         (0..self.processes.len()).try_for_each(|node| self.start(node))
     }
 
-    /// Has a coordinator create its store.
+    /// Creates the store of a coordinator with its command `bootstrap`.
     fn bootstrap(&self, node: NodeId) -> Result<(), ClusterError> {
         let status = std::process::Command::new(&self.programs.coordinator)
             .args(["bootstrap", "--config"])
@@ -168,7 +168,7 @@
     }
 }
 
-/// Returns the block `times` of a coordinator's settings.
+/// Returns the block `times` of a coordinator's settings, in milliseconds.
 fn timing_block(timing: &Timing) -> String {
     format!(
         "times {{\n  lease_ms = {}\n  renew_ms = {}\n  call_ms = {}\n  stay_ms = {}\n  short_ms = {}\n  \
--- a/crates/emulator/src/cluster/lightweight_member.rs
+++ b/crates/emulator/src/cluster/lightweight_member.rs
@@ -1,4 +1,5 @@
-//! A cluster member without jobs: a real session on the real transport, and a lease whose effects carry their token only.
+//! A cluster member without jobs. It has a real session on the real transport, and a lease whose effects carry only
+//! their fencing token.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -18,7 +19,7 @@
 
 /// Pause between two rounds of effects.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
-/// Effects of each lease in a round.
+/// Number of effects of each lease in a round.
 const EFFECTS_PER_ROUND: u32 = 5;
 /// Time from one effect of a round to the next.
 const EFFECT_INTERVAL: Duration = Duration::from_millis(4);
@@ -32,19 +33,19 @@
     pub name: String,
     /// Address at which it receives effects.
     pub listen: SocketAddr,
-    /// Address that others are given.
+    /// Address that it advertises to the other members.
     pub address: SocketAddr,
     /// Source address of its connections.
     pub bind: Option<IpAddr>,
     /// Addresses of the coordinators, by number.
     #[serde(rename = "keepers")]
     pub coordinators: BTreeMap<u64, SocketAddr>,
-    /// Leases that it may hold.
+    /// Leases that it is eligible for.
     #[serde(rename = "duties")]
     pub leases: Vec<String>,
     /// Durations of sessions and leases, the same as those of the coordinators.
     pub times: Timing,
-    /// File of its record.
+    /// File that its record is appended to.
     pub record: Option<PathBuf>,
     /// Name of the bug to inject.
     #[serde(rename = "bug")]
@@ -56,51 +57,53 @@
 /// Runs a lightweight member until SIGTERM.
 ///
 /// # Errors
-/// Returns a [`ClusterError`] if its configuration cannot be read, or a socket, file or signal handler cannot be set up.
+/// Returns a [`ClusterError`] if its configuration cannot be read, or a socket, file or signal handler cannot be set
+/// up.
 pub fn run(file: &Path) -> Result<(), ClusterError> {
     let text = std::fs::read_to_string(file).map_err(ClusterError::io(file.display()))?;
-    let light: MemberConfig =
+    let config: MemberConfig =
         serde_json::from_str(&text).map_err(|source| ClusterError::Json { path: file.to_owned(), source })?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(ClusterError::io("a runtime"))?;
-    tokio::task::LocalSet::new().block_on(&runtime, run_member(light))
+    let runtime = runtime.map_err(ClusterError::io("Tokio runtime"))?;
+    tokio::task::LocalSet::new().block_on(&runtime, run_member(config))
 }
 
-async fn run_member(light: MemberConfig) -> Result<(), ClusterError> {
-    let bug = light.injected_bug.as_deref();
-    let flaw = bug.and_then(InjectedBug::from_name);
-    let record = match &light.record {
+async fn run_member(config: MemberConfig) -> Result<(), ClusterError> {
+    let bug_name = config.injected_bug.as_deref();
+    let injected_bug = bug_name.and_then(InjectedBug::from_name);
+    let record = match &config.record {
         Some(path) => Recorder::append_to(path).map_err(ClusterError::io(path.display()))?,
         None => Recorder::default(),
     };
-    let offers: Result<Vec<LeaseId>, ClusterError> =
-        light.leases.iter().map(|lease| Ok(lease.parse::<LeaseId>()?)).collect();
-    let listener = TcpListener::bind(light.listen).await.map_err(ClusterError::io(light.listen))?;
+    let eligible_leases: Result<Vec<LeaseId>, ClusterError> =
+        config.leases.iter().map(|lease| Ok(lease.parse::<LeaseId>()?)).collect();
+    let listener = TcpListener::bind(config.listen).await.map_err(ClusterError::io(config.listen))?;
     let settings = member::MemberConfig {
-        installation: light.installation,
-        name: light.name,
+        installation: config.installation,
+        name: config.name,
         zone: String::new(),
-        address: light.address.to_string(),
-        replicas: light.coordinators,
-        local_address: light.bind,
-        timing: light.times,
-        eligible_leases: offers?,
-        seed: light.seed,
+        address: config.address.to_string(),
+        replicas: config.coordinators,
+        local_address: config.bind,
+        timing: config.times,
+        eligible_leases: eligible_leases?,
+        seed: config.seed,
     };
-    let member = Member::new(settings, LeaseClient::new(light.times).with_injected_bug(flaw), record);
+    let member =
+        Member::new(settings, LeaseClient::new(config.times).with_injected_bug(injected_bug), record);
     member.recorder().record(cluster_member::clock::now(), RecordKind::ProcessStarted, serde_json::json!({}));
     tokio::task::spawn_local(serve_effects(member.clone(), listener, |_| Vec::new()));
     tokio::task::spawn_local(publish_effects(member.clone()));
-    let mut terminate = signal(SignalKind::terminate()).map_err(ClusterError::io("handler of SIGTERM"))?;
-    let leaver = member.clone();
+    let mut terminate = signal(SignalKind::terminate()).map_err(ClusterError::io("SIGTERM handler"))?;
+    let leaving_member = member.clone();
     tokio::task::spawn_local(async move {
         terminate.recv().await;
-        leaver.leave();
+        leaving_member.leave();
     });
     match member.run().await {
         MembershipEnd::Left => Ok(()),
         MembershipEnd::Superseded { .. } | MembershipEnd::Rejected(_) | MembershipEnd::NoReplicas => {
-            // A real member would go on with its own work.
+            // A dispatcher would continue to serve its clients; this process idles until the harness ends it.
             sleep(Duration::from_secs(3_600)).await;
             Ok(())
         }
@@ -109,16 +112,18 @@
 
 /// Publishes effects of every lease that this member holds.
 async fn publish_effects(member: Member) {
-    let mut terms: BTreeMap<LeaseId, Publisher> = BTreeMap::new();
+    let mut publishers: BTreeMap<LeaseId, Publisher> = BTreeMap::new();
     loop {
-        let owned = member.held_leases();
-        terms.retain(|duty, term| owned.iter().any(|held| held.lease == *duty && held.token == term.token()));
-        for HeldLease { lease, token } in owned {
-            terms.entry(lease.clone()).or_insert_with(|| Publisher::new(&member, lease, token));
+        let held_leases = member.held_leases();
+        publishers.retain(|lease, publisher| {
+            held_leases.iter().any(|held| held.lease == *lease && held.token == publisher.token())
+        });
+        for HeldLease { lease, token } in held_leases {
+            publishers.entry(lease.clone()).or_insert_with(|| Publisher::new(&member, lease, token));
         }
         for _ in 0..EFFECTS_PER_ROUND {
-            terms.values_mut().for_each(|term| {
-                term.publish(Vec::new());
+            publishers.values_mut().for_each(|publisher| {
+                publisher.publish(Vec::new());
             });
             sleep(EFFECT_INTERVAL).await;
         }
--- a/crates/emulator/src/cluster/results.rs
+++ b/crates/emulator/src/cluster/results.rs
@@ -1,4 +1,4 @@
-//! Results of an experiment with processes: sums over its schedules, results.json and a table.
+//! Results of an experiment with processes: sums over its schedules, `results.json` and a table.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -53,7 +53,7 @@
 pub struct ArmResult {
     /// Violations by rule.
     pub rules: BTreeMap<String, u64>,
-    /// Schedules played.
+    /// Number of schedules.
     pub schedules: u64,
     /// Faults injected, by kind.
     pub faults: BTreeMap<&'static str, u64>,
@@ -66,9 +66,9 @@
     /// Lease terms granted.
     #[serde(rename = "terms")]
     pub lease_terms: u64,
-    /// Times from a fault of a lease holder to the first effect of the next term.
+    /// Takeover times: from a fault of a lease holder to the first accepted effect of a later term.
     pub takeover_s: Quantiles,
-    /// The same by kind of fault.
+    /// Takeover times by kind of fault.
     pub takeover_by_cause_s: BTreeMap<&'static str, Quantiles>,
     /// Seeds of the schedules that violated a rule.
     #[serde(rename = "broken")]
@@ -125,7 +125,7 @@
         text
     }
 
-    /// Writes results.json and table.md into this folder.
+    /// Writes `results.json` and `table.md` to this folder.
     ///
     /// # Errors
     /// Returns the error of the file that cannot be written.
@@ -141,17 +141,17 @@
 pub struct RunOptions<'a> {
     /// Seeds of the schedules of each arm.
     pub seeds: &'a [u64],
-    /// Programs that the processes run.
+    /// Programs that are started as processes.
     pub programs: &'a Programs,
     /// Folder of the schedules' files.
     pub out: &'a Path,
     /// Bug to inject, by name.
     pub injected_bug: Option<&'a str>,
-    /// Schedules that are played in parallel.
+    /// Number of schedules that run in parallel.
     pub parallel: usize,
 }
 
-/// Plays all schedules of an experiment, several in parallel.
+/// Runs all schedules of an experiment, several in parallel.
 ///
 /// # Errors
 /// Returns the [`ClusterError`] of a schedule whose harness failed, with its arm and seed.
@@ -168,7 +168,7 @@
         }
     }
     let report_lock = Mutex::new(());
-    let play_one = |schedule: &SchedulePlan<'_>| {
+    let run_one = |schedule: &SchedulePlan<'_>| {
         let result = lease_harness::run(*schedule, options.programs, options.out);
         bar.inc(1);
         let result = result.map_err(|source| ClusterError::Schedule {
@@ -183,7 +183,7 @@
         Ok(result)
     };
     let results: Result<Vec<ScheduleResult>, ClusterError> =
-        pool.install(|| schedules.par_iter().with_max_len(1).map(play_one).collect());
+        pool.install(|| schedules.par_iter().with_max_len(1).map(run_one).collect());
     let mut totals = Totals::default();
     for (schedule, result) in schedules.iter().zip(results?) {
         totals.add(&schedule.arm.name, &result);
@@ -242,7 +242,7 @@
     }
 }
 
-/// Prints the violations of a schedule, and the command that plays it again.
+/// Prints the violations of a schedule, and the command that repeats it.
 fn report(schedule: &SchedulePlan<'_>, result: &ScheduleResult) {
     let SchedulePlan { experiment, arm, seed, injected_bug } = schedule;
     for (rule, descriptions) in result.violations.iter() {
@@ -252,7 +252,7 @@
     }
     let injected_bug = injected_bug.map_or(String::new(), |bug| format!(" --seeded-bug {bug}"));
     eprintln!(
-        "  to play it again: emulator run experiments/{}.hcl --seed {seed} --seeds 1 --arm {} --out again{injected_bug}",
+        "  to run it again: emulator run experiments/{}.hcl --seed {seed} --seeds 1 --arm {} --out again{injected_bug}",
         experiment.name, arm.name
     );
 }
--- a/crates/emulator/src/cluster/schedule.rs
+++ b/crates/emulator/src/cluster/schedule.rs
@@ -1,11 +1,14 @@
-//! Experiments with processes (`drive = "fleet"`), and the schedules of faults that a seed draws from them.
+//! Experiments with processes (`drive = "fleet"`), and the schedules of faults that are drawn from them by a seed.
 
 use coordination::Timing;
-use hcl_config::{HclError as HclFault, Section};
+use hcl_config::{HclError, Section};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
+/// Time of the first fault, in seconds. By then the members have sessions and a lease holder that a fault can hit.
+const FIRST_FAULT_S: f64 = 3.0;
+
 /// An experiment with processes.
 #[derive(Debug, Clone)]
 pub struct ClusterExperiment {
@@ -19,7 +22,7 @@
     pub recovery_time: f64,
     /// Mean time between two faults, in seconds.
     pub fault_interval: f64,
-    /// The arms.
+    /// Arms of the experiment, at least one.
     pub arms: Vec<Arm>,
     /// Durations of sessions, leases and elections.
     pub times: Timing,
@@ -30,11 +33,11 @@
 pub struct Arm {
     /// Name of the arm.
     pub name: String,
-    /// Coordinators, three or five.
+    /// Number of coordinators, 3 or 5.
     pub coordinators: usize,
-    /// Lightweight members.
+    /// Number of lightweight members.
     pub members: usize,
-    /// Kinds of fault to draw from.
+    /// Kinds of fault that schedules draw from.
     pub fault_kinds: Vec<FaultKind>,
 }
 
@@ -45,7 +48,8 @@
     KillHolder,
     /// SIGSTOP to the lease holder, SIGCONT later.
     PauseHolder,
-    /// Responses of the coordinators to the lease holder are delayed by 300 ms, and it is paused while it waits for one.
+    /// Responses of the coordinators to the lease holder are delayed by 300 ms, and it is paused while it waits for
+    /// one.
     PauseHolderDuringRenewal,
     /// SIGTERM to the lease holder, started again later.
     TerminateHolder,
@@ -73,23 +77,23 @@
     CoordinatorNotHeard,
     /// SIGKILL to all coordinators at once, started again later.
     KillAllCoordinators,
-    /// Every link is late by 200 ms each way and one connection in twenty is reset.
+    /// Every link is delayed by 200 ms in each direction, and one connection in twenty is reset.
     SlowNetwork,
-    /// One connection in four is doubled.
+    /// The bytes of one connection in four arrive a second time, on a second connection.
     DuplicateConnections,
-    /// Every line to and from one coordinator is narrow.
+    /// Every link to and from one coordinator has a low bandwidth.
     NarrowBandwidth,
     /// The leading coordinator's disk is full, for a while.
     FullDisk,
-    /// The leading coordinator has hardly any descriptors, for a while.
+    /// The leading coordinator may open only a few descriptors, for a while.
     FewDescriptors,
-    /// A coordinator comes back with a copy of its disk that is some starts old.
+    /// A coordinator is restarted with an old copy of its disk, from before its last starts.
     RestoreOldDisk,
-    /// A coordinator comes back without its disk.
+    /// A coordinator is restarted without its disk.
     LoseDisk,
 }
 
-/// The kinds by name, as experiments and results have them.
+/// All kinds of fault with their names in experiments and results.
 pub const FAULT_KINDS: [(&str, FaultKind); 23] = [
     ("kill-owner", FaultKind::KillHolder),
     ("stop-owner", FaultKind::PauseHolder),
@@ -117,12 +121,12 @@
 ];
 
 impl FaultKind {
-    /// Its name.
+    /// Returns the name in experiments and results.
     pub fn name(self) -> &'static str {
         FAULT_KINDS.iter().find(|(_, kind)| *kind == self).map_or("", |(name, _)| name)
     }
 
-    /// Whether it can only be once in a schedule, since a coordinator does not come back from it.
+    /// Whether a schedule contains at most one fault of these kinds, because the coordinator does not serve again.
     fn only_once(self) -> bool {
         matches!(self, FaultKind::RestoreOldDisk | FaultKind::LoseDisk)
     }
@@ -131,13 +135,13 @@
 /// A fault of a schedule.
 #[derive(Debug, Clone, Copy)]
 pub struct ScheduledFault {
-    /// Time of its begin, in seconds.
+    /// Time at which it begins, in seconds from the start of the schedule.
     pub at: f64,
     /// Kind of fault.
     pub kind: FaultKind,
     /// Duration, in seconds.
     pub duration: f64,
-    /// Which process, where the kind leaves a choice.
+    /// Random number that selects the process, if the kind allows for several.
     pub target_choice: usize,
 }
 
@@ -145,13 +149,13 @@
     /// Reads an experiment with `drive = "fleet"`.
     ///
     /// # Errors
-    /// Something in it is wrong.
-    pub fn read(file: &str, text: &str) -> Result<ClusterExperiment, HclFault> {
+    /// Returns the position of the first unknown key, invalid value or missing block.
+    pub fn read(file: &str, text: &str) -> Result<ClusterExperiment, HclError> {
         let top = Section::parse(file, text)?;
         let head =
             top.section("experiment")?.ok_or_else(|| top.error("experiment", "the block is missing"))?;
-        let arms: Result<Vec<Arm>, HclFault> = head.sections("arm").map(arm).collect();
-        let plan = ClusterExperiment {
+        let arms: Result<Vec<Arm>, HclError> = head.sections("arm").map(arm).collect();
+        let experiment = ClusterExperiment {
             name: head.label().to_owned(),
             about: head.string("about")?.unwrap_or_default(),
             length: head.number("length_s", 1.0..=3_600.0)?.unwrap_or(20.0),
@@ -161,14 +165,14 @@
             times: cluster_member::settings::timing(head)?,
         };
         head.keyword("drive", &[("fleet", ())])?;
-        if plan.arms.is_empty() {
+        if experiment.arms.is_empty() {
             return Err(head.error("arm", "wanted at least one"));
         }
         top.deny_unknown_keys()?;
-        Ok(plan)
+        Ok(experiment)
     }
 
-    /// Whether an experiment's text is one of this execution mode.
+    /// Whether the text of an experiment selects this execution mode.
     pub fn is_cluster_experiment(file: &str, text: &str) -> bool {
         let top = Section::parse(file, text).ok();
         let drive = top.and_then(|top| {
@@ -177,20 +181,19 @@
         drive.flatten().is_some_and(|drive| drive == "fleet")
     }
 
-    /// The faults of a schedule.
+    /// Draws the faults of a schedule by its seed.
     pub fn draw(&self, arm: &Arm, seed: u64) -> Vec<ScheduledFault> {
         let mut random = Pcg64::seed_from_u64(seed);
         let mut kinds = arm.fault_kinds.clone();
         let mut faults = Vec::new();
-        // Members settle first: a fleet without an holder has nothing to lose.
-        let mut at = 3.0;
+        let mut at = FIRST_FAULT_S;
         while at < self.length {
             let Some(&kind) = kinds.choose(&mut random) else { break };
             if kind.only_once() {
                 kinds.retain(|other| !other.only_once());
             }
             let duration: f64 = match kind {
-                // Both shorter and longer than a lease; a few very long.
+                // Some pauses are shorter than a lease and some longer, and a few are very long.
                 FaultKind::PauseHolder | FaultKind::PauseMember | FaultKind::PauseLeader => {
                     match random.random_range(0..10) {
                         0..=3 => random.random_range(0.1..1.5),
@@ -215,7 +218,7 @@
     }
 }
 
-fn arm(section: &Section) -> Result<Arm, HclFault> {
+fn arm(section: &Section) -> Result<Arm, HclError> {
     let coordinators = section.integer("keepers", 3..=5)?.unwrap_or(3) as usize;
     if coordinators == 4 {
         return Err(section.error("keepers", "wanted 3 or 5"));
@@ -226,7 +229,7 @@
             ("all", _) => kinds.extend(FAULT_KINDS.iter().map(|(_, kind)| *kind)),
             ("none", _) => kinds.clear(),
             (_, Some((_, kind))) => kinds.push(*kind),
-            _ => return Err(section.error("faults", format!("{word:?} is no kind of fault"))),
+            _ => return Err(section.error("faults", format!("unknown kind of fault {word:?}"))),
         }
     }
     Ok(Arm {
--- a/crates/emulator/src/cluster/virtual_time_soak/event_queue.rs
+++ b/crates/emulator/src/cluster/virtual_time_soak/event_queue.rs
@@ -1,19 +1,19 @@
-//! Events of the simulation in the order of virtual time.
+//! Queue of the simulation's events, in the order of virtual time.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 use coordination::{ClusterView, FencingToken, SessionId};
 
-/// Identifies a renewal: the process that sent it, by its number among those of the member, and the time of the send by the
-/// member's clock.
+/// Identifies a renewal by the process that sent it, which is numbered among the processes of the member, and by the
+/// time at which it was sent, by the member's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct RenewalId {
     pub(super) process: u64,
     pub(super) sent_at: u64,
 }
 
-/// Event; members are given by their position.
+/// Event of the simulation. Members are given by their position.
 pub(super) enum Event {
     SendRenewal(usize),
     RenewalArrives {
@@ -22,10 +22,10 @@
         session: Option<SessionId>,
         applied_revision: u64,
     },
-    ReplyArrives {
+    ResponseArrives {
         to: usize,
         renewal: RenewalId,
-        reply: Reply,
+        response: Response,
     },
     ViewArrives {
         to: usize,
@@ -45,11 +45,11 @@
 }
 
 impl Event {
-    /// Returns the member that handles the event, if it is one of a member.
+    /// Returns the member that handles the event, or `None` if the coordinators or the simulation handle it.
     pub(super) fn member(&self) -> Option<usize> {
         match self {
             Event::SendRenewal(member) | Event::SendEffects(member) => Some(*member),
-            Event::ReplyArrives { to, .. }
+            Event::ResponseArrives { to, .. }
             | Event::ViewArrives { to, .. }
             | Event::EffectArrives { to, .. } => Some(*to),
             Event::RenewalArrives { .. } | Event::LeaderTick | Event::Fault => None,
@@ -57,14 +57,14 @@
     }
 }
 
-/// Reply of the coordinators to a renewal: the state of the session.
-pub(super) enum Reply {
+/// Response of the coordinators to a renewal, with the state of the session.
+pub(super) enum Response {
     Opened { session: SessionId, incarnation: u64, view: ClusterView },
     Renewed { session: SessionId, view: Option<ClusterView> },
     Expired,
 }
 
-/// An event with its time. Events of one time keep the order in which they were scheduled.
+/// An event with its time. Events with the same time are handled in the order in which they were scheduled.
 struct ScheduledEvent {
     at: u64,
     order: u64,
@@ -91,10 +91,11 @@
     }
 }
 
-/// Queue of events, with the virtual time of the last one that was taken.
+/// Queue of events, with the virtual time of the last event that was removed.
 #[derive(Default)]
 pub(super) struct EventQueue {
     now: u64,
+    /// Number of events scheduled so far.
     scheduled: u64,
     events: BinaryHeap<Reverse<ScheduledEvent>>,
 }
@@ -112,7 +113,8 @@
         self.events.push(Reverse(scheduled));
     }
 
-    /// Takes the next event, if one is due by this time, and advances the virtual time to it.
+    /// Removes the next event and advances the virtual time to it. Returns `None` if the next event is later than
+    /// `until`.
     pub(super) fn next_until(&mut self, until: u64) -> Option<Event> {
         let Reverse(next) = self.events.pop()?;
         if next.at > until {
--- a/crates/emulator/src/cluster/virtual_time_soak/faults.rs
+++ b/crates/emulator/src/cluster/virtual_time_soak/faults.rs
@@ -7,9 +7,9 @@
 use super::simulation::{Clock, Simulation};
 use super::{MEMBERS, SECOND};
 
-/// Part of the faults of members that hit the lease holder.
+/// Probability that a fault of a member is directed at the lease holder.
 const HOLDER_FAULT_PROBABILITY: f64 = 0.6;
-/// Longest time without a leader, in microseconds.
+/// Maximum time without a leader, in microseconds.
 const MAX_LEADER_CHANGE: u64 = 3 * SECOND;
 
 impl Simulation {
@@ -20,8 +20,8 @@
         self.result.faults += 1;
         let holder = self.lease_holder();
         let any_member = self.random.random_range(0..MEMBERS);
-        let hits_holder = self.random.random_bool(HOLDER_FAULT_PROBABILITY);
-        let target = if hits_holder { holder.unwrap_or(any_member) } else { any_member };
+        let targets_holder = self.random.random_bool(HOLDER_FAULT_PROBABILITY);
+        let target = if targets_holder { holder.unwrap_or(any_member) } else { any_member };
         let duration = self.draw_fault_duration();
         let end = self.queue.now() + duration;
         match self.random.random_range(0..4) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Replaces a member's process by a new one, which runs from this time on.
+    /// Replaces a member's process by a new one, which starts to run at this time.
     fn restart_member(&mut self, member: usize, runs_from: u64) {
         let member = &mut self.members[member];
         member.process += 1;
@@ -56,7 +56,7 @@
         member.resumes_at = runs_from;
     }
 
-    /// Has another coordinator lead after this duration, with a clock of its own.
+    /// Makes another coordinator leader after this duration, at most [`MAX_LEADER_CHANGE`]. It has a clock of its own.
     fn change_leader(&mut self, duration: u64) {
         self.leader_since = self.queue.now() + duration.min(MAX_LEADER_CHANGE);
         let rate = 1.0 + self.random.random_range(-self.skew..=self.skew);
--- a/crates/emulator/src/cluster/virtual_time_soak/mod.rs
+++ b/crates/emulator/src/cluster/virtual_time_soak/mod.rs
@@ -1,8 +1,9 @@
-//! Many hours of a cluster in virtual time, on the modules that the processes run: members and coordinators with clocks of
-//! different rates; messages that are delayed, lost or reordered; members that pause, restart or are disconnected; changes
-//! of the leader.
+//! Simulates many hours of a cluster in virtual time, with the same modules that the processes run. The clocks of
+//! members and coordinators have different rates; messages are delayed, lost or reordered; members pause, restart or
+//! are disconnected; the leader changes.
 //!
-//! The coordinators are one log here, as Raft gives it; Raft itself is tested with replicas and by the harness.
+//! The coordinators are a single replicated log, as Raft provides it. Raft itself is tested with replicas in the
+//! package `coordinator`, and with processes by the lease harness.
 
 mod event_queue;
 mod faults;
@@ -19,39 +20,39 @@
 /// Microseconds in an hour.
 const HOUR: u64 = 3_600 * SECOND;
 const MEMBERS: usize = 8;
-/// Factor that spreads the seeds of successive hours over all values.
+/// Factor that spreads the seeds of successive hours over the whole range.
 const SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Result of many hours.
+/// Sums over all simulated hours.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct SoakResult {
-    /// Virtual hours.
+    /// Number of simulated hours.
     pub hours: f64,
-    /// Events.
+    /// Number of events.
     pub events: u64,
-    /// Lease terms granted.
+    /// Number of lease terms granted.
     #[serde(rename = "terms")]
     pub lease_terms: u64,
-    /// Effects that receivers accepted.
+    /// Number of effects that receivers accepted.
     #[serde(rename = "taken")]
     pub effects_accepted: u64,
-    /// Effects that receivers rejected.
+    /// Number of effects that receivers rejected.
     #[serde(rename = "refused")]
     pub effects_rejected: u64,
-    /// Faults: members paused, restarted and disconnected, and changes of the leader.
+    /// Number of faults: members paused, restarted and disconnected, and changes of the leader.
     pub faults: u64,
-    /// Effects of an ended term that were accepted.
+    /// Number of effects of an ended term that were accepted.
     #[serde(rename = "late")]
     pub late_effects: u64,
-    /// Checks by which a holder was allowed to act after a later term was granted.
+    /// Number of times that a holder passed the check of its lease after a later term was granted.
     #[serde(rename = "doubly_owned")]
     pub overlapping_holders: u64,
-    /// Effects accepted with a lower token than one before at the same receiver.
+    /// Number of effects that a receiver accepted with a lower token than an earlier one.
     #[serde(rename = "backwards")]
     pub decreasing_tokens: u64,
 }
 
-/// The form that the command line prints, with the names of the JSON form.
+/// Formats the result for the command line, with the same names as in JSON.
 impl std::fmt::Display for SoakResult {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Hours")
@@ -90,7 +91,8 @@
     }
 }
 
-/// Runs a cluster for each of so many hours, each with a seed of its own. `skew_ppm` is the largest deviation of clock rates.
+/// Simulates this many hours, each as a cluster of its own with its own seed. `skew_ppm` is the maximum deviation of
+/// clock rates, in parts per million.
 pub fn run_soak(hours: u64, seed: u64, skew_ppm: u64, injected_bug: Option<InjectedBug>) -> SoakResult {
     let run_hour = |hour: u64| {
         let seed = seed ^ hour.wrapping_mul(SEED_STEP);
--- a/crates/emulator/src/cluster/virtual_time_soak/simulation.rs
+++ b/crates/emulator/src/cluster/virtual_time_soak/simulation.rs
@@ -1,4 +1,4 @@
-//! Members and coordinators in virtual time.
+//! Simulation of the members and coordinators in virtual time.
 
 use coordination::{
     Command, CommandOutcome, CommandRejection, FencingToken, HeldLease, InjectedBug, LeaderState,
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-use super::event_queue::{Event, EventQueue, RenewalId, Reply};
+use super::event_queue::{Event, EventQueue, RenewalId, Response};
 use super::{SoakResult, HOUR, MEMBERS, SECOND};
 
 /// Interval at which a lease holder sends an effect to every other member, in microseconds.
@@ -16,8 +16,8 @@
 const LEADER_TICK_INTERVAL: u64 = 40_000;
 /// Time of the first fault, in microseconds.
 const FIRST_FAULT_AT: u64 = 3 * SECOND;
-/// One message in so many is lost.
-const LOST_MESSAGES: u32 = 100;
+/// One message in this many is lost.
+const LOST_MESSAGE_INTERVAL: u32 = 100;
 
 /// A clock with a start and a rate of its own.
 #[derive(Debug, Clone, Copy)]
@@ -33,18 +33,18 @@
     }
 }
 
-/// A member with its present process.
+/// A member with its current process.
 pub(super) struct Member {
     pub(super) clock: Clock,
     pub(super) lease_client: LeaseClient,
     pub(super) boot_id: u64,
-    /// Virtual time from which on it runs; events before wait.
+    /// Virtual time at which it runs again; its events are delayed until then.
     pub(super) resumes_at: u64,
     /// Virtual time before which messages to and from coordinators are lost.
     pub(super) disconnected_until: u64,
-    /// Number of its process; messages for an earlier one are lost.
+    /// Number of its current process; messages to earlier processes are lost.
     pub(super) process: u64,
-    /// The highest token that this process accepted.
+    /// The highest token that the current process accepted.
     pub(super) highest_token: FencingToken,
     last_renewal_at: u64,
 }
@@ -53,14 +53,14 @@
 pub(super) struct Simulation {
     pub(super) random: Pcg64,
     pub(super) timing: Timing,
-    /// Largest deviation of clock rates.
+    /// Maximum deviation of clock rates, as a fraction.
     pub(super) skew: f64,
     pub(super) injected_bug: Option<InjectedBug>,
     pub(super) queue: EventQueue,
     pub(super) state: StateMachine,
     pub(super) leader_state: LeaderState,
     pub(super) leader_clock: Clock,
-    /// Virtual time before which no coordinator leads.
+    /// Virtual time before which there is no leader.
     pub(super) leader_since: u64,
     /// Index of the last log entry.
     index: u64,
@@ -131,7 +131,7 @@
         self.result
     }
 
-    /// Draws the time that a message takes: mostly short, rarely very long.
+    /// Draws the delay of a message, which is mostly short and rarely very long, in microseconds.
     fn draw_network_delay(&mut self) -> u64 {
         match self.random.random_range(0..1_000) {
             0..=2 => self.random.random_range(SECOND..5 * SECOND),
@@ -143,7 +143,7 @@
     /// Draws whether a message between a member and the coordinators arrives.
     fn draw_arrival(&mut self, member: usize) -> bool {
         self.queue.now() >= self.members[member].disconnected_until
-            && self.random.random_range(0..LOST_MESSAGES) != 0
+            && self.random.random_range(0..LOST_MESSAGE_INTERVAL) != 0
     }
 
     fn newest_token(&self) -> FencingToken {
@@ -154,7 +154,7 @@
         if let Some(member) = event.member() {
             let pause = self.members[member].resumes_at.saturating_sub(self.queue.now());
             if pause > 0 {
-                // Events that waited come together, in any order.
+                // The delayed events arrive shortly after the pause, in random order.
                 let delay = pause + self.random.random_range(0..1_000);
                 return self.queue.schedule(delay, event);
             }
@@ -167,7 +167,7 @@
             Event::RenewalArrives { from, renewal, session, applied_revision } => {
                 self.on_renewal(from, renewal, session, applied_revision);
             }
-            Event::ReplyArrives { to, renewal, reply } => self.on_reply(to, renewal, reply),
+            Event::ResponseArrives { to, renewal, response } => self.on_response(to, renewal, response),
             Event::ViewArrives { to, process, session, view } => {
                 let member = &mut self.members[to];
                 if process == member.process && member.lease_client.on_view_changed(session, view) {
@@ -249,30 +249,31 @@
         if self.queue.now() < self.leader_since {
             return;
         }
-        let reply = match session {
+        let response = match session {
             Some(session) => Some(self.renew_session(session, applied_revision)),
             None => self.open_session(from, renewal.process),
         };
-        let Some(reply) = reply else { return };
+        let Some(response) = response else { return };
         if self.draw_arrival(from) {
             let delay = self.draw_network_delay();
-            self.queue.schedule(delay, Event::ReplyArrives { to: from, renewal, reply });
+            self.queue.schedule(delay, Event::ResponseArrives { to: from, renewal, response });
         }
     }
 
-    fn renew_session(&mut self, session: SessionId, applied_revision: u64) -> Reply {
+    fn renew_session(&mut self, session: SessionId, applied_revision: u64) -> Response {
         let now = self.leader_clock.at(self.queue.now());
         match self.leader_state.renew_session(session, applied_revision, now, &self.state) {
             Ok(()) => {
                 let has_changed = self.state.lease_revision() > applied_revision;
-                Reply::Renewed { session, view: has_changed.then(|| self.state.view()) }
+                Response::Renewed { session, view: has_changed.then(|| self.state.view()) }
             }
-            Err(_) => Reply::Expired,
+            Err(_) => Response::Expired,
         }
     }
 
-    /// Opens a session for a process of a member, which may have ended by now; returns no reply if it cannot be opened.
-    fn open_session(&mut self, member: usize, process: u64) -> Option<Reply> {
+    /// Opens a session for a process of a member, which may have ended in the meantime. Returns no response if the
+    /// session cannot be opened.
+    fn open_session(&mut self, member: usize, process: u64) -> Option<Response> {
         let now = self.leader_clock.at(self.queue.now());
         let name = format!("m{member}");
         let short_lived = self.leader_state.is_short_session(&name, now, &self.state);
@@ -288,32 +289,32 @@
         match outcome {
             CommandOutcome::SessionOpened { session, incarnation } => {
                 self.leader_state.renew_session(session, 0, now, &self.state).ok()?;
-                Some(Reply::Opened { session, incarnation, view: self.state.view() })
+                Some(Response::Opened { session, incarnation, view: self.state.view() })
             }
-            CommandOutcome::Rejected(CommandRejection::Superseded { .. }) => Some(Reply::Expired),
+            CommandOutcome::Rejected(CommandRejection::Superseded { .. }) => Some(Response::Expired),
             _ => None,
         }
     }
 
-    fn on_reply(&mut self, to: usize, renewal: RenewalId, reply: Reply) {
+    fn on_response(&mut self, to: usize, renewal: RenewalId, response: Response) {
         let member = &mut self.members[to];
         let now = member.clock.at(self.queue.now());
         let sent_at = renewal.sent_at;
-        // The member has given up a call that exceeded its timeout, and one that a later call followed.
+        // A member drops the response to a renewal that exceeded the call timeout or was followed by a later renewal.
         let is_late =
             sent_at != member.last_renewal_at || now.saturating_sub(sent_at) > self.timing.call_timeout;
-        let is_given_up = is_late && self.injected_bug != Some(InjectedBug::LeaseFromResponse);
-        if renewal.process != member.process || is_given_up {
+        let is_dropped = is_late && self.injected_bug != Some(InjectedBug::LeaseFromResponse);
+        if renewal.process != member.process || is_dropped {
             return;
         }
-        match reply {
-            Reply::Opened { session, incarnation, view } => {
+        match response {
+            Response::Opened { session, incarnation, view } => {
                 member.lease_client.on_session_opened(session, incarnation, sent_at, now, view);
             }
-            Reply::Renewed { session, view } => {
+            Response::Renewed { session, view } => {
                 member.lease_client.on_session_renewed(session, sent_at, now, view);
             }
-            Reply::Expired => member.lease_client.on_session_ended(),
+            Response::Expired => member.lease_client.on_session_ended(),
         }
     }
 
@@ -327,7 +328,8 @@
         for to in (0..MEMBERS).filter(|to| *to != from) {
             if self.members[from].lease_client.holds_lease(&lease, token, now) {
                 self.result.overlapping_holders += u64::from(token < newest);
-                // The member may be paused between the check and the write, and the message may be delayed for long.
+                // The effect may arrive long after this check, because the member may be paused before it sends the
+                // effect, or the message may be delayed.
                 let delay = self.draw_network_delay();
                 self.queue.schedule(delay, Event::EffectArrives { to, token });
             }
