--- a/crates/emulator/src/cluster/lease_model.rs
+++ b/crates/emulator/src/cluster/lease_model.rs
@@ -63,7 +63,7 @@
 }
 
 /// Contents of a [`ClusterView`] with the only lease of the model, in a form that has an order.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ViewSummary {
     revision: u64,
     minimum_token: FencingToken,
@@ -281,15 +281,14 @@
                     state.apply(&command);
                 }
             }
-            Event::Renew(position) => {
-                let member = &mut state.members[position];
+            Event::Renew(from) => {
+                let member = &mut state.members[from];
                 member.last_renewal = Some(now);
                 let (id, applied_revision) = (member.id, member.lease_client.applied_revision());
                 state.leader_state.renew_session(id, applied_revision, now, &state.state_machine).ok()?;
                 let has_changed = state.state_machine.lease_revision() > applied_revision;
                 let view = has_changed.then(|| summarize(&state.state_machine.view()));
-                let response = Message::RenewalResponse { to: position, requested_at: now, view };
-                state.send(response, self.bounds)?;
+                state.send(Message::RenewalResponse { to: from, requested_at: now, view }, self.bounds)?;
             }
             Event::CheckLease(member) => {
                 let token = state.members[member].lease_client.held_leases(now).first()?.token;
@@ -311,9 +310,8 @@
                 state.in_transit.remove(&message);
                 match message {
                     Message::RenewalResponse { to, requested_at, view } => {
-                        let member = &mut state.members[to];
-                        let view = view.map(expand);
-                        member.lease_client.on_session_renewed(member.id, requested_at, now, view);
+                        let Member { id, lease_client, .. } = &mut state.members[to];
+                        lease_client.on_session_renewed(*id, requested_at, now, view.map(expand));
                     }
                     Message::Effect { to, token } => {
                         if state.members[to].lease_client.accept_effect(&lease(), token, now).is_ok() {
