--- a/crates/emulator/src/cluster/lease_harness/evaluation.rs
+++ b/crates/emulator/src/cluster/lease_harness/evaluation.rs
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Checks that every coordinator with an old store or none has ended with the exit code for it, unless another
-    /// fault has killed it; it is not started again after that.
+    /// Checks that every coordinator with an old store or none has ended with the exit code for it. A coordinator that
+    /// another fault has killed is skipped, because it is not started again.
     pub(super) fn check_coordinators_without_store(&mut self) {
         for node in self.coordinators() {
             let process = &mut self.processes[node];
--- a/crates/emulator/src/cluster/record_checker.rs
+++ b/crates/emulator/src/cluster/record_checker.rs
@@ -216,7 +216,7 @@
 /// The terms of all leases, each given by its lease and fencing token.
 struct LeaseTerms<'a> {
     granted: BTreeSet<(&'a str, u64)>,
-    /// Time at which a term ended at the latest: the first grant of a later term of the same lease.
+    /// Time by which a term had ended: the earliest recorded grant of a later term of the same lease.
     ended: BTreeMap<(&'a str, u64), u64>,
 }
 
--- a/crates/emulator/src/cluster/schedule.rs
+++ b/crates/emulator/src/cluster/schedule.rs
@@ -14,7 +14,7 @@
 pub struct ClusterExperiment {
     /// Name of the experiment.
     pub name: String,
-    /// Description.
+    /// Description of the experiment.
     pub about: String,
     /// Length of a schedule until all faults end, in seconds.
     pub length: f64,
@@ -48,8 +48,8 @@
     KillHolder,
     /// SIGSTOP to the lease holder, SIGCONT later.
     PauseHolder,
-    /// Responses of the coordinators to the lease holder are delayed by 300 ms, and it is paused while it waits for
-    /// one.
+    /// Responses of the coordinators to the lease holder are delayed by 300 ms, and it is paused while it waits for a
+    /// response.
     PauseHolderDuringRenewal,
     /// SIGTERM to the lease holder, started again later.
     TerminateHolder,
