--- a/crates/emulator/src/cluster/results.rs
+++ b/crates/emulator/src/cluster/results.rs
@@ -1,4 +1,4 @@
-//! Results of an experiment with processes: sums over its schedules, results.json and a table.
+//! Results of an experiment with processes: sums over its schedules, `results.json` and a table.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 use super::error::ClusterError;
-use super::lease_harness::{play, Programs, SchedulePlan, ScheduleResult};
+use super::lease_harness::{self, Programs, SchedulePlan, ScheduleResult};
 use super::schedule::ClusterExperiment;
 use super::violations::Rule;
 
@@ -53,22 +53,26 @@
 pub struct ArmResult {
     /// Violations by rule.
     pub rules: BTreeMap<String, u64>,
-    /// Schedules played.
+    /// Number of schedules.
     pub schedules: u64,
     /// Faults injected, by kind.
     pub faults: BTreeMap<&'static str, u64>,
     /// Effects that receivers accepted.
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub effects_accepted: u64,
     /// Effects that receivers rejected.
-    pub refused_tokens: u64,
+    #[serde(rename = "refused_tokens")]
+    pub effects_rejected: u64,
     /// Lease terms granted.
-    pub terms: u64,
-    /// Times from a fault of a lease holder to the first effect of the next term.
+    #[serde(rename = "terms")]
+    pub lease_terms: u64,
+    /// Takeover times: from a fault of a lease holder to the first accepted effect of a later term.
     pub takeover_s: Quantiles,
-    /// The same by kind of fault.
+    /// Takeover times by kind of fault.
     pub takeover_by_cause_s: BTreeMap<&'static str, Quantiles>,
     /// Seeds of the schedules that violated a rule.
-    pub broken: Vec<u64>,
+    #[serde(rename = "broken")]
+    pub violating_seeds: Vec<u64>,
 }
 
 /// Results of all arms.
@@ -88,7 +92,7 @@
     /// Whether a rule was violated.
     #[must_use]
     pub fn is_violated(&self) -> bool {
-        self.arms.values().any(|arm| !arm.broken.is_empty())
+        self.arms.values().any(|arm| !arm.violating_seeds.is_empty())
     }
 
     /// Returns the results as tables in Markdown.
@@ -103,9 +107,9 @@
             text += &format!(
                 "| {name} | {} | {violations} | {} | {} | {} | {:.3} s | {:.3} s | {:.3} s |\n",
                 arm.schedules,
-                arm.terms,
-                arm.taken,
-                arm.refused_tokens,
+                arm.lease_terms,
+                arm.effects_accepted,
+                arm.effects_rejected,
                 takeover.p50,
                 takeover.p99,
                 takeover.max
@@ -121,7 +125,7 @@
         text
     }
 
-    /// Writes results.json and table.md into this folder.
+    /// Writes `results.json` and `table.md` to this folder.
     ///
     /// # Errors
     /// Returns the error of the file that cannot be written.
@@ -137,17 +141,17 @@
 pub struct RunOptions<'a> {
     /// Seeds of the schedules of each arm.
     pub seeds: &'a [u64],
-    /// Programs that the processes run.
+    /// Programs that are started as processes.
     pub programs: &'a Programs,
     /// Folder of the schedules' files.
     pub out: &'a Path,
     /// Bug to inject, by name.
     pub injected_bug: Option<&'a str>,
-    /// Schedules that are played in parallel.
+    /// Number of schedules that run in parallel.
     pub parallel: usize,
 }
 
-/// Plays all schedules of an experiment, several in parallel.
+/// Runs all schedules of an experiment, several in parallel.
 ///
 /// # Errors
 /// Returns the [`ClusterError`] of a schedule whose harness failed, with its arm and seed.
@@ -164,8 +168,8 @@
         }
     }
     let report_lock = Mutex::new(());
-    let play_one = |schedule: &SchedulePlan<'_>| {
-        let result = play(*schedule, options.programs, options.out);
+    let run_one = |schedule: &SchedulePlan<'_>| {
+        let result = lease_harness::run(*schedule, options.programs, options.out);
         bar.inc(1);
         let result = result.map_err(|source| ClusterError::Schedule {
             arm: schedule.arm.name.clone(),
@@ -179,7 +183,7 @@
         Ok(result)
     };
     let results: Result<Vec<ScheduleResult>, ClusterError> =
-        pool.install(|| schedules.par_iter().with_max_len(1).map(play_one).collect());
+        pool.install(|| schedules.par_iter().with_max_len(1).map(run_one).collect());
     let mut totals = Totals::default();
     for (schedule, result) in schedules.iter().zip(results?) {
         totals.add(&schedule.arm.name, &result);
@@ -206,9 +210,9 @@
     fn add(&mut self, arm: &str, schedule: &ScheduleResult) {
         let result = self.arms.entry(arm.to_owned()).or_default();
         result.schedules += 1;
-        result.taken += schedule.effects_accepted;
-        result.refused_tokens += schedule.effects_rejected;
-        result.terms += schedule.lease_terms;
+        result.effects_accepted += schedule.effects_accepted;
+        result.effects_rejected += schedule.effects_rejected;
+        result.lease_terms += schedule.lease_terms;
         for (kind, count) in &schedule.faults {
             *result.faults.entry(kind.name()).or_default() += count;
         }
@@ -218,7 +222,7 @@
             *result.rules.entry(rule.text().to_owned()).or_default() += descriptions.len() as u64;
         }
         if !schedule.violations.is_empty() {
-            result.broken.push(schedule.seed);
+            result.violating_seeds.push(schedule.seed);
         }
         for (kind, times) in &schedule.takeovers {
             self.takeovers.entry(arm.to_owned()).or_default().extend(times);
@@ -238,7 +242,7 @@
     }
 }
 
-/// Prints the violations of a schedule, and the command that plays it again.
+/// Prints the violations of a schedule, and the command that repeats it.
 fn report(schedule: &SchedulePlan<'_>, result: &ScheduleResult) {
     let SchedulePlan { experiment, arm, seed, injected_bug } = schedule;
     for (rule, descriptions) in result.violations.iter() {
@@ -248,7 +252,7 @@
     }
     let injected_bug = injected_bug.map_or(String::new(), |bug| format!(" --seeded-bug {bug}"));
     eprintln!(
-        "  to play it again: emulator run experiments/{}.hcl --seed {seed} --seeds 1 --arm {} --out again{injected_bug}",
+        "  to run it again: emulator run experiments/{}.hcl --seed {seed} --seeds 1 --arm {} --out again{injected_bug}",
         experiment.name, arm.name
     );
 }
