--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -46,7 +46,7 @@
     /// Time after the notice of a drain within which attempts may still be sent.
     pub drain_grace: Micros,
     /// Time after the deadline within which an answer is still in time.
-    pub answer_slack: Micros,
+    pub response_slack: Micros,
 }
 
 /// Incarnation of a dispatcher: one run of its process, unique among all dispatchers. Notices to one incarnation are
@@ -109,10 +109,10 @@
     idempotency: Idempotency,
     retry_window: Micros,
     deadline: Micros,
-    answer_count: u32,
+    response_count: u32,
     attempts: Vec<SentAttempt>,
     /// Whether no answer is required: the client disconnected or the dispatcher was killed.
-    answer_waived: bool,
+    response_waived: bool,
 }
 
 impl AcceptedRequest {
@@ -178,9 +178,9 @@
             idempotency,
             retry_window,
             deadline,
-            answer_count: 0,
+            response_count: 0,
             attempts: Vec::new(),
-            answer_waived: false,
+            response_waived: false,
         };
         self.open_requests.insert(request, accepted_request);
     }
@@ -193,7 +193,7 @@
         let Some(accepted) = self.open_requests.get_mut(&attempt.request) else { return 0 };
         if !accepted.allows_attempt(attempt) {
             self.violations.repeated += 1;
-        } else if accepted.answer_count > 0 {
+        } else if accepted.response_count > 0 {
             self.violations.unanswered += 1;
         }
         accepted.attempts.push(SentAttempt {
@@ -220,11 +220,11 @@
     }
 
     /// Records a final answer that a client received.
-    pub fn record_answer(&mut self, request: u64, rejected: bool, now: Micros) {
+    pub fn record_response(&mut self, request: u64, rejected: bool, now: Micros) {
         let Some(accepted) = self.open_requests.get_mut(&request) else { return };
-        accepted.answer_count += 1;
-        let late = now > accepted.deadline + self.limits.answer_slack;
-        if (accepted.answer_count > 1 || late) && !accepted.answer_waived {
+        accepted.response_count += 1;
+        let late = now > accepted.deadline + self.limits.response_slack;
+        if (accepted.response_count > 1 || late) && !accepted.response_waived {
             self.violations.unanswered += 1;
         }
         if rejected && accepted.may_have_run() && !accepted.may_fail_after_execution() {
@@ -233,16 +233,16 @@
     }
 
     /// Waives the answer to a request whose client disconnected or whose dispatcher was killed.
-    pub fn waive_answer(&mut self, request: u64) {
+    pub fn waive_response(&mut self, request: u64) {
         if let Some(accepted) = self.open_requests.get_mut(&request) {
-            accepted.answer_waived = true;
+            accepted.response_waived = true;
         }
     }
 
     /// Closes a request and removes its records; one without an answer is a violation.
     pub fn close_request(&mut self, request: u64) {
         if let Some(accepted) = self.open_requests.remove(&request) {
-            if accepted.answer_count == 0 && !accepted.answer_waived {
+            if accepted.response_count == 0 && !accepted.response_waived {
                 self.violations.unanswered += 1;
             }
         }
--- a/crates/emulator/src/cluster/client.rs
+++ b/crates/emulator/src/cluster/client.rs
@@ -33,9 +33,9 @@
     );
     stream.write_all(request.as_bytes()).await?;
     let mut buffer = BytesMut::new();
-    let head = http::head(&mut stream, &mut buffer, false, || {}).await?;
+    let head = http::read_head(&mut stream, &mut buffer, http::MessageKind::Response, || {}).await?;
     let head = head.ok_or(std::io::ErrorKind::UnexpectedEof)?;
-    let _ = http::body(&mut stream, &mut buffer, &head).await?;
+    let _ = http::read_body(&mut stream, &mut buffer, &head).await?;
     if head.get("connection").is_none_or(|value| !value.eq_ignore_ascii_case("close")) {
         *kept_alive = Some(stream);
     }
--- a/crates/emulator/src/cluster/emulated_discovery.rs
+++ b/crates/emulator/src/cluster/emulated_discovery.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-use crate::sockets::http::{self, chunk, CHUNKED};
+use crate::sockets::http::{self, chunk, CHUNKED_HEAD};
 
 /// Interval of empty lines on a watch while nothing changes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
@@ -163,8 +163,12 @@
         stream.set_nodelay(true)?;
         let mut buffer = BytesMut::new();
         loop {
-            let Some(head) = http::head(&mut stream, &mut buffer, true, || {}).await? else { return Ok(()) };
-            let _ = http::body(&mut stream, &mut buffer, &head).await?;
+            let Some(head) =
+                http::read_head(&mut stream, &mut buffer, http::MessageKind::Request, || {}).await?
+            else {
+                return Ok(());
+            };
+            let _ = http::read_body(&mut stream, &mut buffer, &head).await?;
             self.shared.borrow_mut().requests += 1;
             self.wait_while_silent().await;
             if head.path.contains("stream=1") {
@@ -182,7 +186,7 @@
         self.shared.borrow_mut().watches += 1;
         let _open = OpenWatch(self.shared.clone());
         let mut changed = self.changed.subscribe();
-        stream.write_all(CHUNKED).await?;
+        stream.write_all(CHUNKED_HEAD).await?;
         let mut byte = [0];
         loop {
             self.wait_while_silent().await;
--- a/crates/emulator/src/cluster/emulated_worker.rs
+++ b/crates/emulator/src/cluster/emulated_worker.rs
@@ -10,7 +10,7 @@
 use tokio::task::spawn_local;
 
 use super::error::ClusterError;
-use crate::sockets::http::{self, chunk, Head, CHUNKED, LAST_CHUNK};
+use crate::sockets::http::{self, chunk, Head, CHUNKED_HEAD, LAST_CHUNK};
 
 /// Whether a connection serves another request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,8 +52,10 @@
 async fn serve_connection(worker: &impl EmulatedWorker, mut stream: TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut buffer = BytesMut::new();
-    while let Some(head) = http::head(&mut stream, &mut buffer, true, || {}).await? {
-        let _ = http::body(&mut stream, &mut buffer, &head).await?;
+    while let Some(head) =
+        http::read_head(&mut stream, &mut buffer, http::MessageKind::Request, || {}).await?
+    {
+        let _ = http::read_body(&mut stream, &mut buffer, &head).await?;
         if worker.serve_request(&head, &mut stream).await? == ConnectionUse::Close {
             return Ok(());
         }
@@ -82,7 +84,7 @@
 
 /// Writes the head of a response, and that the job has started.
 pub(super) async fn write_started(stream: &mut TcpStream, job: &str) -> std::io::Result<()> {
-    stream.write_all(&[CHUNKED, state_line(job, "started").as_slice()].concat()).await
+    stream.write_all(&[CHUNKED_HEAD, state_line(job, "started").as_slice()].concat()).await
 }
 
 /// Writes that the job is done, and the end of the response.
--- a/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
@@ -266,7 +266,7 @@
 /// Checks [`HealthCheckRule::NoRepeatedExecution`] by the rule checker of virtual time. A request that a worker has read
 /// completely may have run.
 pub(super) fn check_idempotency(observations: &Observations, violations: &mut HealthCheckViolations) {
-    let mut checker = RuleChecker::new(RuleLimits { drain_grace: u64::MAX, answer_slack: u64::MAX / 2 });
+    let mut checker = RuleChecker::new(RuleLimits { drain_grace: u64::MAX, response_slack: u64::MAX / 2 });
     for answer in &observations.answers {
         let is_idempotent = class_of(answer.job).is_idempotent;
         let idempotency = if is_idempotent { Idempotency::Idempotent } else { Idempotency::NotIdempotent };
@@ -285,9 +285,9 @@
             }
             None if event.status != 0 => {
                 let is_rejected = matches!(event.status, 429 | 503);
-                checker.record_answer(event.job, is_rejected, event.time);
+                checker.record_response(event.job, is_rejected, event.time);
             }
-            None => checker.waive_answer(event.job),
+            None => checker.waive_response(event.job),
         }
     }
     let repeated = checker.finish().repeated;
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -43,7 +43,7 @@
                     let ahead = if settings.instance % 2 == 1 { spec.clock_error } else { 0.0 };
                     with_clock_ahead(ahead, router(spec.router, settings, seed))
                 };
-                let record = virtual_time::play(experiment, spec, &day, &make);
+                let record = virtual_time::run_day(experiment, spec, &day, &make);
                 done.inc(1);
                 Run { arm, case, seed, metrics: RunMetrics::evaluate(experiment, &day, &record) }
             })
@@ -83,7 +83,7 @@
         all.par_iter()
             .map(|&(arm, case, seed)| {
                 let day = Day::draw(experiment, &experiment.cases[case], seed);
-                let record = sockets::play(experiment, &experiment.arms[arm], &day, program)?;
+                let record = sockets::run_day(experiment, &experiment.arms[arm], &day, program)?;
                 done.inc(1);
                 Ok(Run { arm, case, seed, metrics: RunMetrics::evaluate(experiment, &day, &record) })
             })
--- a/crates/emulator/src/sockets/client.rs
+++ b/crates/emulator/src/sockets/client.rs
@@ -145,7 +145,7 @@
         SubmissionOutcome::NoAnswer
     });
     if matches!(ended, SubmissionOutcome::ClientLeft | SubmissionOutcome::DispatcherKilled) {
-        shared.checker.waive_answer(id);
+        shared.checker.waive_response(id);
     }
     if taken.is_some() {
         shared.checker.close_request(id);
@@ -190,14 +190,15 @@
         shared.checker.record_accepted(id, repeat, window, deadline);
     }
     let mut buffer = BytesMut::with_capacity(512);
-    let Some(head) = http::head(&mut stream, &mut buffer, false, || {}).await? else {
+    let Some(head) = http::read_head(&mut stream, &mut buffer, http::MessageKind::Response, || {}).await?
+    else {
         return Err(io::ErrorKind::UnexpectedEof.into());
     };
-    let body = http::body(&mut stream, &mut buffer, &head).await?;
+    let body = http::read_body(&mut stream, &mut buffer, &head).await?;
     let refused = matches!(head.status, 429 | 503);
     let mut shared = environment.borrow_mut();
     let now = shared.now();
-    shared.checker.record_answer(id, refused, now);
+    shared.checker.record_response(id, refused, now);
     let after = head.get("retry-after").and_then(|v| v.parse().ok());
     if head.get("connection").is_none_or(|v| !v.eq_ignore_ascii_case("close")) {
         pool.borrow_mut()[host].push((incarnation, stream));
@@ -206,7 +207,7 @@
         // Served with what no worker made for it is as good as lost.
         200 if body.starts_with(format!("{id:016x} by ").as_bytes()) => SubmissionOutcome::Served,
         200 => {
-            shared.checker.record_answer(id, false, now);
+            shared.checker.record_response(id, false, now);
             SubmissionOutcome::Failed
         }
         _ if refused => SubmissionOutcome::Rejected(after),
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -10,7 +10,7 @@
 use tokio::task::spawn_local;
 
 use super::environment::{Environment, ListEntry, SharedEnvironment};
-use super::http::{self, chunk, CHUNKED};
+use super::http::{self, chunk, CHUNKED_HEAD};
 use crate::day::Micros;
 
 /// An empty line comes this often while nothing changes.
@@ -108,8 +108,11 @@
 async fn connection(environment: &SharedEnvironment, host: usize, mut stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut buffer = BytesMut::new();
-    let Some(head) = http::head(&mut stream, &mut buffer, true, || {}).await? else { return Ok(()) };
-    let _ = http::body(&mut stream, &mut buffer, &head).await?;
+    let Some(head) = http::read_head(&mut stream, &mut buffer, http::MessageKind::Request, || {}).await?
+    else {
+        return Ok(());
+    };
+    let _ = http::read_body(&mut stream, &mut buffer, &head).await?;
     let whole = list(&environment.borrow(), host, 0).to_string();
     if !head.path.contains("stream=1") {
         record_drain_notices(&mut environment.borrow_mut(), host, 0);
@@ -119,7 +122,7 @@
     }
     let mut revision = environment.borrow().agents[host].revision;
     record_drain_notices(&mut environment.borrow_mut(), host, 0);
-    stream.write_all(&[CHUNKED, chunk(&whole).as_slice()].concat()).await?;
+    stream.write_all(&[CHUNKED_HEAD, chunk(&whole).as_slice()].concat()).await?;
     loop {
         let changed = environment.borrow().agents[host].changed.clone();
         let news = changed.notified();
--- a/crates/emulator/src/sockets/environment.rs
+++ b/crates/emulator/src/sockets/environment.rs
@@ -174,7 +174,7 @@
         let hosts = day.dispatchers.len();
         let rules = &experiment.rules;
         let limits =
-            RuleLimits { drain_grace: micros(rules.drain_grace), answer_slack: micros(rules.answer_slack) };
+            RuleLimits { drain_grace: micros(rules.drain_grace), response_slack: micros(rules.answer_slack) };
         let mut environment = Environment {
             start: Instant::now(),
             unix_start: unix_now(),
--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 /// Returns the I/O error if the program does not start or become ready, or if a socket cannot be opened.
-pub fn play(experiment: &Experiment, arm: &Arm, day: &Day, program: &Path) -> io::Result<RunRecord> {
+pub fn run_day(experiment: &Experiment, arm: &Arm, day: &Day, program: &Path) -> io::Result<RunRecord> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, run(experiment.clone(), arm.clone(), day.clone(), program))
 }
--- a/crates/emulator/src/sockets/program.rs
+++ b/crates/emulator/src/sockets/program.rs
@@ -123,7 +123,7 @@
             if let Ok(mut stream) = TcpStream::connect(address).await {
                 stream.write_all(b"GET /healthz HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n").await?;
                 let (mut buffer, mut status) = (BytesMut::new(), None);
-                let answer = http::head(&mut stream, &mut buffer, false, || {});
+                let answer = http::read_head(&mut stream, &mut buffer, http::MessageKind::Response, || {});
                 if let Ok(Ok(Some(head))) = tokio::time::timeout(HEALTH_CALL_TIMEOUT, answer).await {
                     status = Some(head.status);
                 }
--- a/crates/emulator/src/sockets/worker.rs
+++ b/crates/emulator/src/sockets/worker.rs
@@ -13,7 +13,7 @@
 
 use super::discovery::{publish, EndpointPhase};
 use super::environment::{Attempt, SharedEnvironment};
-use super::http::{self, chunk, CHUNKED, LAST_CHUNK};
+use super::http::{self, chunk, CHUNKED_HEAD, LAST_CHUNK};
 use crate::checker::{Location, ObservedAttempt};
 use crate::day::{micros, Micros};
 use crate::worker::{AssignedJob, JobEvent, OverloadLimit, Phase, Worker};
@@ -111,10 +111,12 @@
     let mut buffer = BytesMut::with_capacity(4096);
     loop {
         let mut first: Option<Micros> = None;
-        let begins = http::head(&mut stream, &mut buffer, true, || first = Some(environment.borrow().now()));
+        let begins = http::read_head(&mut stream, &mut buffer, http::MessageKind::Request, || {
+            first = Some(environment.borrow().now())
+        });
         let Ok(head) = tokio::time::timeout(Duration::from_micros(idle), begins).await else { return Ok(()) };
         let Some(head) = head? else { return Ok(()) };
-        let _ = http::body(&mut stream, &mut buffer, &head).await?;
+        let _ = http::read_body(&mut stream, &mut buffer, &head).await?;
         // The last byte has come: from here on it counts.
         let begun = first.unwrap_or_else(|| environment.borrow().now());
         let id = head.get("request-id").and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or(0);
@@ -254,7 +256,7 @@
         };
         let mut message = Vec::new();
         if !std::mem::replace(&mut begun, true) {
-            message.extend_from_slice(CHUNKED);
+            message.extend_from_slice(CHUNKED_HEAD);
         }
         message.extend_from_slice(&chunk(&line));
         if last {
--- a/crates/emulator/src/virtual_time/mod.rs
+++ b/crates/emulator/src/virtual_time/mod.rs
@@ -8,7 +8,7 @@
 use crate::spec::{Arm, Experiment};
 
 /// Plays a day with an arm's routers; `make` makes one for a dispatcher's number, its settings and its seed.
-pub fn play(
+pub fn run_day(
     experiment: &Experiment,
     arm: &Arm,
     day: &Day,
--- a/crates/emulator/src/virtual_time/simulation/attempts.rs
+++ b/crates/emulator/src/virtual_time/simulation/attempts.rs
@@ -142,7 +142,7 @@
             open.never_ran &= outcome.never_ran();
         }
         if outcome == Outcome::Ok && self.is_open(try_no) {
-            self.checker.record_answer(id.0, false, self.now);
+            self.checker.record_response(id.0, false, self.now);
             self.record_outcome(try_no, JobOutcome::Served(self.now));
             self.mark_answered(try_no);
         }
--- a/crates/emulator/src/virtual_time/simulation/clients.rs
+++ b/crates/emulator/src/virtual_time/simulation/clients.rs
@@ -79,7 +79,7 @@
             return;
         }
         let id = Self::request_id(submission);
-        self.checker.waive_answer(id.0);
+        self.checker.waive_response(id.0);
         self.record_outcome(submission, JobOutcome::ClientLeft);
         self.mark_answered(submission);
         let host = self.day.jobs[self.submissions[submission as usize].job as usize].dispatcher;
@@ -124,7 +124,7 @@
             return;
         }
         let id = Self::request_id(submission);
-        self.checker.record_answer(id.0, refused.is_some(), self.now);
+        self.checker.record_response(id.0, refused.is_some(), self.now);
         let job = &self.day.jobs[self.submissions[submission as usize].job as usize];
         let class = &self.experiment.traffic.classes[job.class as usize];
         match refused {
--- a/crates/emulator/src/virtual_time/simulation/faults.rs
+++ b/crates/emulator/src/virtual_time/simulation/faults.rs
@@ -73,7 +73,7 @@
         open.sort_unstable_by_key(|(id, _)| *id);
         for (id, open) in open {
             let n = (id.0 - 1) as u32;
-            self.checker.waive_answer(id.0);
+            self.checker.waive_response(id.0);
             self.checker.close_request(id.0);
             for attempt in open.attempts {
                 if std::mem::replace(&mut self.attempts[attempt as usize].in_flight, false) {
--- a/crates/emulator/src/virtual_time/simulation/mod.rs
+++ b/crates/emulator/src/virtual_time/simulation/mod.rs
@@ -110,7 +110,7 @@
     ) -> Simulation<'a> {
         let rules = &experiment.rules;
         let limits =
-            RuleLimits { drain_grace: micros(rules.drain_grace), answer_slack: micros(rules.answer_slack) };
+            RuleLimits { drain_grace: micros(rules.drain_grace), response_slack: micros(rules.answer_slack) };
         let jobs = day.jobs.len();
         let noise = day.work_noise.iter().map(|cv| LogNormal::new(-cv * cv / 2.0, *cv).ok()).collect();
         let mut simulation = Simulation {
--- a/crates/emulator/tests/rule_checker.rs
+++ b/crates/emulator/tests/rule_checker.rs
@@ -6,7 +6,7 @@
 const CELL: Idempotency = Idempotency::WithKey(KeyScope::Cell);
 
 fn checker() -> RuleChecker {
-    let mut checker = RuleChecker::new(RuleLimits { drain_grace: 500, answer_slack: 50 });
+    let mut checker = RuleChecker::new(RuleLimits { drain_grace: 500, response_slack: 50 });
     checker.record_accepted(1, CELL, 1000, 5000);
     checker
 }
@@ -22,13 +22,13 @@
     let mut checker = checker();
     checker.record_drain_notice(0, 7, 100);
     checker.record_attempt(attempt(0, 1, 7, 0, 600));
-    checker.record_answer(1, false, 700);
+    checker.record_response(1, false, 700);
     assert_eq!(checker.violations(), RuleViolations::default());
     checker.record_accepted(2, Idempotency::Idempotent, 0, 5000);
     checker.record_attempt(attempt(0, 2, 7, 0, 601));
     // Another incarnation was not notified.
     checker.record_attempt(attempt(1, 2, 7, 0, 9000));
-    checker.record_answer(2, false, 700);
+    checker.record_response(2, false, 700);
     assert_eq!(checker.finish(), RuleViolations { drain: 1, ..RuleViolations::default() });
 }
 
@@ -38,7 +38,7 @@
         let mut checker = checker();
         checker.record_attempt(attempt(0, 1, 7, 3, 100));
         checker.record_attempt(attempt(0, 1, 8, rack, at));
-        checker.record_answer(1, false, 2000);
+        checker.record_response(1, false, 2000);
         assert_eq!(checker.finish().repeated, repeated, "rack {rack} at {at}");
     }
 }
@@ -55,7 +55,7 @@
         if notified {
             checker.record_never_ran(1, number);
         }
-        checker.record_answer(1, true, 300);
+        checker.record_response(1, true, 300);
         assert_eq!(checker.finish().repeated, repeated);
     }
 }
@@ -66,11 +66,11 @@
     for (answers, unanswered) in [(vec![5050], 0), (vec![5051], 1), (vec![100, 101], 1)] {
         let mut checker = checker();
         for at in &answers {
-            checker.record_answer(1, false, *at);
+            checker.record_response(1, false, *at);
         }
         assert_eq!(checker.finish().unanswered, unanswered, "{answers:?}");
     }
     let mut waived = checker();
-    waived.waive_answer(1);
+    waived.waive_response(1);
     assert_eq!(waived.finish().unanswered, 0);
 }
--- a/crates/emulator/tests/sockets.rs
+++ b/crates/emulator/tests/sockets.rs
@@ -53,7 +53,7 @@
 fn play(program: &str) -> RunMetrics {
     let experiment = experiment();
     let day = Day::draw(&experiment, &experiment.cases[0], 5);
-    let record = sockets::play(&experiment, &experiment.arms[0], &day, &built(program)).expect("a day");
+    let record = sockets::run_day(&experiment, &experiment.arms[0], &day, &built(program)).expect("a day");
     RunMetrics::evaluate(&experiment, &day, &record)
 }
 
@@ -77,6 +77,6 @@
     let experiment = experiment();
     let day = Day::draw(&experiment, &experiment.cases[0], 5);
     let nowhere = PathBuf::from("no-such-program");
-    let played = sockets::play(&experiment, &experiment.arms[0], &day, &nowhere);
+    let played = sockets::run_day(&experiment, &experiment.arms[0], &day, &nowhere);
     assert!(played.is_err_and(|error| error.to_string().contains("no-such-program")));
 }
--- a/crates/emulator/tests/stable_results.rs
+++ b/crates/emulator/tests/stable_results.rs
@@ -238,7 +238,7 @@
             transcripts.lock().expect("one thread").push(transcript.clone());
             Box::new(Recording { inner: router(RouterKind::DecisionModule, settings, seed), transcript })
         };
-        let record = virtual_time::play(experiment, &experiment.arms[arm], &day, &make);
+        let record = virtual_time::run_day(experiment, &experiment.arms[arm], &day, &make);
         let _ = writeln!(
             text,
             "{} seed {seed}: {} workers, {} jobs, {} events, {} tries, {} sends, {} connections, {} runs",
--- a/crates/emulator/tests/virtual_time.rs
+++ b/crates/emulator/tests/virtual_time.rs
@@ -92,7 +92,7 @@
             let good = router(RouterKind::DecisionModule, settings, seed);
             Box::new(Buggy { good, bug, workers: Vec::new() })
         };
-        let record = virtual_time::play(&experiment, &experiment.arms[0], &day, &make);
+        let record = virtual_time::run_day(&experiment, &experiment.arms[0], &day, &make);
         all.add(RunMetrics::evaluate(&experiment, &day, &record).rules);
     }
     all
