--- a/crates/emulator/examples/careless_dispatcher.rs
+++ b/crates/emulator/examples/careless_dispatcher.rs
@@ -1,14 +1,14 @@
-//! A dispatcher with seeded bugs, to show that the drive over sockets catches them: it follows no list, sends nothing
-//! to any worker, answers every second request with a result of its own and the others not at all.
+//! A dispatcher with injected bugs, which a run over sockets must detect: it ignores discovery and sends nothing to any
+//! worker. It answers requests with even ids with an invented result, and does not answer the others in time.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
 fn main() -> std::io::Result<()> {
-    // Called as the program is: serve --config FILE.
-    let file = std::env::args().nth(3).unwrap_or_default();
-    let config: serde_json::Value = serde_json::from_slice(&std::fs::read(file)?)?;
+    // Takes the arguments of the dispatcher program: serve --config FILE.
+    let config_file = std::env::args().nth(3).unwrap_or_default();
+    let config: serde_json::Value = serde_json::from_slice(&std::fs::read(config_file)?)?;
     let listener = TcpListener::bind(config["listen"].as_str().unwrap_or_default())?;
     for stream in listener.incoming() {
         let stream = stream?;
@@ -20,8 +20,8 @@
 fn serve(mut stream: TcpStream) -> std::io::Result<()> {
     let mut reader = BufReader::new(stream.try_clone()?);
     loop {
-        let (mut first, mut id) = (String::new(), String::new());
-        if reader.read_line(&mut first)? == 0 {
+        let (mut request_line, mut id) = (String::new(), String::new());
+        if reader.read_line(&mut request_line)? == 0 {
             return Ok(());
         }
         loop {
@@ -36,7 +36,8 @@
         if id.ends_with(['1', '3', '5', '7', '9', 'b', 'd', 'f']) {
             std::thread::sleep(Duration::from_secs(30));
         }
-        let body = if first.contains("/healthz") { "ready".to_owned() } else { format!("{id} made up") };
+        let body =
+            if request_line.contains("/healthz") { "ready".to_owned() } else { format!("{id} made up") };
         write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
     }
 }
--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -1,7 +1,7 @@
 //! Rule checker: counts violations of the four rules by a dispatcher.
 //!
-//! Its records come from the emulated peers only: the answers that clients received, the attempts that reached workers,
-//! and the changes that discovery notified. Nothing that a dispatcher reports about itself is used.
+//! Its records come from the emulated peers only: the responses that clients received, the attempts that reached
+//! workers, and the endpoint list changes that discovery sent. Nothing that a dispatcher reports about itself is used.
 
 use dispatch_core::api::{Idempotency, KeyScope};
 use rustc_hash::FxHashMap;
@@ -17,7 +17,7 @@
     /// Requests that may have run and were retried or rejected although their class does not allow it.
     #[serde(rename = "dup")]
     pub repeated: u64,
-    /// Accepted requests without exactly one final answer in time.
+    /// Accepted requests without exactly one final response in time, and attempts sent after the final response.
     #[serde(rename = "lost")]
     pub unanswered: u64,
     /// Workers overloaded during slow start by dispatchers that had been notified of the start.
@@ -45,18 +45,18 @@
 pub struct RuleLimits {
     /// Time after the notice of a drain within which attempts may still be sent.
     pub drain_grace: Micros,
-    /// Time after the deadline within which an answer is still in time.
+    /// Time after the deadline within which a response is still in time.
     pub response_slack: Micros,
 }
 
-/// Incarnation of a dispatcher: one run of its process, unique among all dispatchers. Notices to one incarnation are
-/// unknown to the next.
+/// Incarnation of a dispatcher: one run of its process, with a number that is unique among all dispatchers. A notice
+/// sent to one incarnation does not reach the next.
 pub type Incarnation = u32;
 
 /// Attempt as the worker that received it observed it.
 #[derive(Clone, Copy, Debug)]
 pub struct ObservedAttempt {
-    /// Dispatcher that sent it.
+    /// Incarnation of the dispatcher that sent it.
     pub incarnation: Incarnation,
     /// Number of the request.
     pub request: u64,
@@ -78,7 +78,7 @@
 }
 
 impl Location {
-    /// Returns whether a key with this scope that is known at the other location is known here.
+    /// Returns whether an idempotency key of this scope that a worker at the other location has seen is recognized here.
     fn shares_keys_with(self, other: Location, scope: KeyScope) -> bool {
         match scope {
             KeyScope::All => true,
@@ -111,7 +111,7 @@
     deadline: Micros,
     response_count: u32,
     attempts: Vec<SentAttempt>,
-    /// Whether no answer is required: the client disconnected or the dispatcher was killed.
+    /// Whether no response is required: the client disconnected or the dispatcher was killed.
     response_waived: bool,
 }
 
@@ -135,13 +135,13 @@
         }
     }
 
-    /// Returns whether executions that no answer reports do no harm.
+    /// Returns whether a request that may have run may still be rejected, because another execution does no harm.
     fn may_fail_after_execution(&self) -> bool {
         matches!(self.idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All))
     }
 }
 
-/// Records of open requests and drains, and the violations detected so far.
+/// Records of open requests and drain notices, and the violations detected so far.
 #[derive(Debug)]
 pub struct RuleChecker {
     limits: RuleLimits,
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Records a final answer that a client received.
+    /// Records a final response that a client received.
     pub fn record_response(&mut self, request: u64, rejected: bool, now: Micros) {
         let Some(accepted) = self.open_requests.get_mut(&request) else { return };
         accepted.response_count += 1;
@@ -232,14 +232,14 @@
         }
     }
 
-    /// Waives the answer to a request whose client disconnected or whose dispatcher was killed.
+    /// Waives the response to a request whose client disconnected or whose dispatcher was killed.
     pub fn waive_response(&mut self, request: u64) {
         if let Some(accepted) = self.open_requests.get_mut(&request) {
             accepted.response_waived = true;
         }
     }
 
-    /// Closes a request and removes its records; one without an answer is a violation.
+    /// Closes a request and removes its records; a request without a response is a violation, unless it was waived.
     pub fn close_request(&mut self, request: u64) {
         if let Some(accepted) = self.open_requests.remove(&request) {
             if accepted.response_count == 0 && !accepted.response_waived {
@@ -248,7 +248,8 @@
         }
     }
 
-    /// Records the overload of a worker during slow start; a violation if informed senders caused it.
+    /// Records the overload of a worker during slow start; it is a violation if dispatchers that had been notified of the
+    /// worker's start caused it.
     pub fn record_slow_start_overload(&mut self, by_informed_senders: bool) {
         self.violations.slow_start_overload += u64::from(by_informed_senders);
     }
@@ -258,7 +259,7 @@
         self.violations
     }
 
-    /// Closes the open requests, and returns the violations.
+    /// Closes the open requests and returns the violations.
     pub fn finish(mut self) -> RuleViolations {
         let mut open: Vec<u64> = self.open_requests.keys().copied().collect();
         open.sort_unstable();
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,9 +1,9 @@
-//! An emulator of a fleet, and experiments on it.
+//! Emulator of a fleet of workers, with experiments that compare dispatch policies on it.
 //!
-//! One model of workers, clients and the worker list ([`worker`], [`day`]) is driven in virtual time
-//! ([`virtual_time`]) with the real decision module in each dispatcher, and in real time over sockets ([`sockets`])
-//! against the real program. What is judged comes from the emulated parties' own
-//! records, never from a dispatcher's word ([`checker`]).
+//! An experiment draws simulated days from seeds ([`day`]) and runs them in one of two execution modes, which share one
+//! model of a worker ([`worker`]): in virtual time with the decision module of the dispatcher ([`virtual_time`]), or in
+//! real time over sockets with dispatcher processes ([`sockets`]). The results are evaluated from the records of the
+//! emulated workers, clients and discovery, never from what a dispatcher reports about itself ([`checker`]).
 
 pub mod checker;
 pub mod cluster;
--- a/crates/emulator/src/router.rs
+++ b/crates/emulator/src/router.rs
@@ -1,6 +1,7 @@
-//! Who decides in an arm: the decision module itself, or one of the policies that it is compared with.
+//! Routers, which take the decisions of a dispatcher in an arm: the decision module, or a reference policy that it is
+//! compared with.
 //!
-//! All of them are told the same events and answer with the same actions, so the execution modes know one kind of router.
+//! All routers take the same events and return the same kinds of actions, so the execution modes need only one interface.
 
 use dispatch_core::api::{
     Action, Endpoint, Event, Idempotency, ListScope, Outcome, Request, RequestId, Seconds, Settings,
@@ -14,23 +15,33 @@
 use crate::day::random_stream;
 use crate::spec::RouterKind;
 
-/// The true state of the fleet, for the one router that may see it.
+/// Longest wait that a reference policy asks of a client that it rejects, in seconds.
+const MAX_RETRY_AFTER: Seconds = 0.3;
+
+/// True state of the fleet. Only the oracle policy uses it.
 pub trait OracleView {
-    /// Seconds until the worker would be done with the request if it were sent now; none if it would not take it.
+    /// Returns the seconds until the worker would complete the request if it were sent now; none if the worker would not
+    /// accept it.
     fn predict_completion(&self, worker: WorkerId, request: RequestId) -> Option<Seconds>;
-    /// Seconds until the answer to the request is late.
+    /// Returns the seconds until the latency objective of the request is missed.
     fn time_to_objective(&self, request: RequestId) -> Seconds;
 }
 
-/// Decides for one dispatcher.
+/// Takes the decisions of one dispatcher.
 pub trait Router: Send {
-    /// Begins work.
+    /// Starts the router, and appends its first actions.
     fn start(&mut self, now: Seconds, actions: &mut Vec<Action>);
-    /// Takes an event and appends what is to be done.
-    fn on_event(&mut self, now: Seconds, event: Event<'_>, actions: &mut Vec<Action>, sight: &dyn OracleView);
+    /// Handles an event, and appends the resulting actions.
+    fn on_event(
+        &mut self,
+        now: Seconds,
+        event: Event<'_>,
+        actions: &mut Vec<Action>,
+        oracle: &dyn OracleView,
+    );
 }
 
-/// A router of a kind; the same seed gives the same decisions.
+/// Creates a router. The same seed and events lead to the same decisions.
 pub fn router(kind: RouterKind, settings: Settings, seed: u64) -> Box<dyn Router> {
     match kind {
         RouterKind::DecisionModule => Box::new(DecisionModule(Dispatcher::new(settings, seed))),
@@ -38,7 +49,7 @@
     }
 }
 
-/// The same on a machine whose clock is ahead by so many seconds.
+/// Wraps a router so that its clock is ahead by this many seconds.
 pub fn with_clock_ahead(seconds: Seconds, router: Box<dyn Router>) -> Box<dyn Router> {
     if seconds > 0.0 {
         Box::new(ClockAhead { seconds, router })
@@ -62,10 +73,10 @@
         now: Seconds,
         event: Event<'_>,
         actions: &mut Vec<Action>,
-        sight: &dyn OracleView,
+        oracle: &dyn OracleView,
     ) {
-        // What is to be done is told by how long from now: only the event's own times are of the right clock.
-        self.router.on_event(now + self.seconds, event, actions, sight);
+        // Actions hold durations, so they need no conversion. Times inside the event stay those of the correct clock.
+        self.router.on_event(now + self.seconds, event, actions, oracle);
     }
 }
 
@@ -81,15 +92,17 @@
     }
 }
 
-/// A policy to compare with: it sends every job at once to a worker of its choice, keeps drains, and tries again
-/// what never ran or may run twice. It admits all, knows no budget of cold workers and leaves none out.
+/// Reference policy: sends every job immediately to a worker that its kind chooses, sends nothing to draining workers,
+/// and retries requests that never ran or are idempotent. It has no admission control, no load limit for workers in slow
+/// start and no ejection.
 struct ReferencePolicy {
     kind: RouterKind,
     settings: Settings,
     rng: Pcg64Mcg,
-    /// The workers that serve, as the list says, and how many of ours each holds.
+    /// Workers that serve according to the endpoint list, in the order of their ids.
     serving: Vec<WorkerId>,
     states: FxHashMap<WorkerId, WorkerState>,
+    /// Number of attempts of this dispatcher that each worker holds.
     outstanding: FxHashMap<WorkerId, u32>,
     open_requests: FxHashMap<RequestId, OpenRequest>,
     round_robin_position: usize,
@@ -97,7 +110,7 @@
 
 struct OpenRequest {
     class: u32,
-    /// Where each attempt went, and how it ended.
+    /// Worker and outcome of each attempt; no outcome while it is in flight.
     attempts: Vec<(WorkerId, Option<Outcome>)>,
 }
 
@@ -119,64 +132,71 @@
         self.outstanding.get(&worker).copied().unwrap_or_default()
     }
 
-    fn choose_worker(&mut self, request: RequestId, sight: &dyn OracleView) -> Option<WorkerId> {
+    fn choose_worker(&mut self, request: RequestId, oracle: &dyn OracleView) -> Option<WorkerId> {
         let tried: Vec<WorkerId> = self
             .open_requests
             .get(&request)
-            .map(|o| o.attempts.iter().map(|(w, _)| *w).collect())
+            .map(|open| open.attempts.iter().map(|(worker, _)| *worker).collect())
             .unwrap_or_default();
-        let all: Vec<WorkerId> = self.serving.iter().copied().filter(|w| !tried.contains(w)).collect();
-        if all.is_empty() {
+        let candidates: Vec<WorkerId> =
+            self.serving.iter().copied().filter(|worker| !tried.contains(worker)).collect();
+        if candidates.is_empty() {
             return None;
         }
-        let any = |rng: &mut Pcg64Mcg| all[rng.random_range(0..all.len())];
+        let random_candidate = |rng: &mut Pcg64Mcg| candidates[rng.random_range(0..candidates.len())];
         Some(match self.kind {
             RouterKind::RoundRobin => {
                 self.round_robin_position += 1;
-                all[self.round_robin_position % all.len()]
+                candidates[self.round_robin_position % candidates.len()]
             }
             RouterKind::LeastOutstanding => {
-                let least = all.iter().map(|w| self.outstanding_at(*w)).min()?;
-                let equals: Vec<WorkerId> =
-                    all.iter().copied().filter(|w| self.outstanding_at(*w) == least).collect();
-                equals[self.rng.random_range(0..equals.len())]
+                let least = candidates.iter().map(|worker| self.outstanding_at(*worker)).min()?;
+                let least_loaded: Vec<WorkerId> = candidates
+                    .iter()
+                    .copied()
+                    .filter(|worker| self.outstanding_at(*worker) == least)
+                    .collect();
+                least_loaded[self.rng.random_range(0..least_loaded.len())]
             }
             RouterKind::PowerOfTwo => {
-                let (a, b) = (any(&mut self.rng), any(&mut self.rng));
-                if self.outstanding_at(a) <= self.outstanding_at(b) {
-                    a
+                let first = random_candidate(&mut self.rng);
+                let second = random_candidate(&mut self.rng);
+                if self.outstanding_at(first) <= self.outstanding_at(second) {
+                    first
                 } else {
-                    b
+                    second
                 }
             }
             RouterKind::Oracle => {
-                let ends =
-                    all.iter().filter_map(|w| sight.predict_completion(*w, request).map(|end| (end, *w)));
-                let (end, worker) = ends.min_by(|a, b| a.0.total_cmp(&b.0))?;
-                // What will be late would only make others late.
-                return (end <= sight.time_to_objective(request)).then_some(worker);
+                let predictions = candidates.iter().filter_map(|worker| {
+                    oracle.predict_completion(*worker, request).map(|completion| (completion, *worker))
+                });
+                let (completion, worker) = predictions.min_by(|left, right| left.0.total_cmp(&right.0))?;
+                // A request that misses its objective anyway would only delay others.
+                return (completion <= oracle.time_to_objective(request)).then_some(worker);
             }
-            _ => any(&mut self.rng),
+            _ => random_candidate(&mut self.rng),
         })
     }
 
-    fn dispatch(&mut self, request: RequestId, actions: &mut Vec<Action>, sight: &dyn OracleView) {
-        let choice = self.choose_worker(request, sight);
-        let Some(held) = self.open_requests.get_mut(&request) else { return };
-        let most = self.settings.max_attempts.max(1) as usize;
-        match choice.filter(|_| held.attempts.len() < most) {
+    fn dispatch(&mut self, request: RequestId, actions: &mut Vec<Action>, oracle: &dyn OracleView) {
+        let choice = self.choose_worker(request, oracle);
+        let Some(open) = self.open_requests.get_mut(&request) else { return };
+        let max_attempts = self.settings.max_attempts.max(1) as usize;
+        match choice.filter(|_| open.attempts.len() < max_attempts) {
             Some(worker) => {
-                held.attempts.push((worker, None));
+                open.attempts.push((worker, None));
                 *self.outstanding.entry(worker).or_default() += 1;
                 actions.push(Action::Send { request, worker, timeout: None });
             }
             None => {
-                let harmless = held.attempts.iter().all(|(_, end)| end.is_some_and(Outcome::never_ran))
-                    || self.idempotency(request) == Idempotency::Idempotent;
+                let may_reject =
+                    open.attempts.iter().all(|(_, outcome)| outcome.is_some_and(Outcome::never_ran))
+                        || self.idempotency(request) == Idempotency::Idempotent;
                 self.open_requests.remove(&request);
-                let wait = self.settings.max_retry_after.min(0.3);
-                actions.push(if harmless {
-                    Action::Reject { request, retry_after: Some(wait) }
+                let retry_after = self.settings.max_retry_after.min(MAX_RETRY_AFTER);
+                actions.push(if may_reject {
+                    Action::Reject { request, retry_after: Some(retry_after) }
                 } else {
                     Action::Fail { request }
                 });
@@ -189,15 +209,19 @@
         self.settings.classes.get(class).map_or(Idempotency::NotIdempotent, |class| class.idempotency)
     }
 
-    fn on_list(&mut self, scope: ListScope, members: &[Endpoint]) {
+    fn on_endpoint_list(&mut self, scope: ListScope, endpoints: &[Endpoint]) {
         if matches!(scope, ListScope::Full | ListScope::Cached) {
             self.states.clear();
         }
-        for member in members {
-            self.states.insert(member.worker, member.state);
+        for endpoint in endpoints {
+            self.states.insert(endpoint.worker, endpoint.state);
         }
-        self.serving =
-            self.states.iter().filter(|(_, s)| **s == WorkerState::Serving).map(|(w, _)| *w).collect();
+        self.serving = self
+            .states
+            .iter()
+            .filter(|(_, state)| **state == WorkerState::Serving)
+            .map(|(worker, _)| *worker)
+            .collect();
         self.serving.sort_unstable();
     }
 }
@@ -205,45 +229,45 @@
 impl Router for ReferencePolicy {
     fn start(&mut self, _: Seconds, _: &mut Vec<Action>) {}
 
-    fn on_event(&mut self, _: Seconds, event: Event<'_>, actions: &mut Vec<Action>, sight: &dyn OracleView) {
+    fn on_event(&mut self, _: Seconds, event: Event<'_>, actions: &mut Vec<Action>, oracle: &dyn OracleView) {
         match event {
             Event::Request(Request { id, class, .. }) => {
                 self.open_requests.insert(id, OpenRequest { class, attempts: Vec::new() });
-                self.dispatch(id, actions, sight);
+                self.dispatch(id, actions, oracle);
             }
             Event::AttemptEnded { request, attempt, outcome, complete, .. } => {
-                let Some(held) = self.open_requests.get_mut(&request) else { return };
-                let Some((worker, end)) = held.attempts.get_mut(attempt as usize) else { return };
+                let Some(open) = self.open_requests.get_mut(&request) else { return };
+                let Some((worker, attempt_outcome)) = open.attempts.get_mut(attempt as usize) else { return };
                 let worker = *worker;
-                *end = Some(outcome);
+                *attempt_outcome = Some(outcome);
                 if let Some(count) = self.outstanding.get_mut(&worker) {
                     *count = count.saturating_sub(1);
                 }
-                let expired = outcome == Outcome::Timeout;
+                let timed_out = outcome == Outcome::Timeout;
                 if complete {
                     self.open_requests.remove(&request);
-                } else if !expired
+                } else if !timed_out
                     && (outcome.never_ran() || self.idempotency(request) == Idempotency::Idempotent)
                 {
-                    self.dispatch(request, actions, sight);
+                    self.dispatch(request, actions, oracle);
                 } else {
                     self.open_requests.remove(&request);
                     actions.push(Action::Fail { request });
                 }
             }
             Event::ClientDisconnected(id) => {
-                if let Some(held) = self.open_requests.remove(&id) {
-                    for (n, (worker, end)) in held.attempts.iter().enumerate() {
-                        if end.is_none() {
+                if let Some(open) = self.open_requests.remove(&id) {
+                    for (number, (worker, outcome)) in open.attempts.iter().enumerate() {
+                        if outcome.is_none() {
                             if let Some(count) = self.outstanding.get_mut(worker) {
                                 *count = count.saturating_sub(1);
                             }
-                            actions.push(Action::Cancel { request: id, attempt: n as u32 });
+                            actions.push(Action::Cancel { request: id, attempt: number as u32 });
                         }
                     }
                 }
             }
-            Event::EndpointList { scope, endpoints: members } => self.on_list(scope, members),
+            Event::EndpointList { scope, endpoints } => self.on_endpoint_list(scope, endpoints),
             _ => {}
         }
     }
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -1,5 +1,5 @@
-//! Runs an experiment: every arm on every case by every seed, on all cores. Runs share nothing, so the results are
-//! the same however they are spread over threads.
+//! Runs an experiment: every arm on the simulated day of every case and seed, in parallel. Runs share no state, so in
+//! virtual time the results do not depend on how the runs are spread over threads.
 
 use std::io;
 use std::path::Path;
@@ -15,36 +15,36 @@
 use crate::spec::{Arm, Experiment, RouterKind};
 use crate::virtual_time;
 
-/// One arm on one day.
+/// Run of one arm on one simulated day.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The arm: a position in the experiment's.
+    /// Index of the arm in [`Experiment::arms`].
     pub arm: usize,
-    /// The case: a position in the experiment's.
+    /// Index of the case in [`Experiment::cases`].
     pub case: usize,
-    /// The seed of the day.
+    /// Seed by which the day was drawn.
     pub seed: u64,
-    /// What came of it.
+    /// Metrics of the run.
     pub metrics: RunMetrics,
 }
 
-/// Plays all of an experiment in virtual time; `done` is moved by one for each run.
-pub fn run_virtual(experiment: &Experiment, seeds: &[u64], done: &ProgressBar) -> Vec<Run> {
+/// Runs an experiment in virtual time, on all cores; `progress` advances by one for each run.
+pub fn run_virtual(experiment: &Experiment, seeds: &[u64], progress: &ProgressBar) -> Vec<Run> {
     let days: Vec<(usize, u64)> =
         (0..experiment.cases.len()).flat_map(|case| seeds.iter().map(move |seed| (case, *seed))).collect();
     let runs: Vec<Vec<Run>> = days
         .par_iter()
         .map(|&(case, seed)| {
-            // Drawn once: all arms see the same day.
+            // Drawn once, because all arms must run on the same day.
             let day = Day::draw(experiment, &experiment.cases[case], seed);
             let arms = experiment.arms.iter().enumerate();
             arms.map(|(arm, spec)| {
-                let make = |settings: Settings, seed| {
-                    let ahead = if settings.instance % 2 == 1 { spec.clock_error } else { 0.0 };
-                    with_clock_ahead(ahead, router(spec.router, settings, seed))
+                let make_router = |settings: Settings, seed| {
+                    let clock_error = if settings.instance % 2 == 1 { spec.clock_error } else { 0.0 };
+                    with_clock_ahead(clock_error, router(spec.router, settings, seed))
                 };
-                let record = virtual_time::run_day(experiment, spec, &day, &make);
-                done.inc(1);
+                let record = virtual_time::run_day(experiment, spec, &day, &make_router);
+                progress.inc(1);
                 Run { arm, case, seed, metrics: RunMetrics::evaluate(experiment, &day, &record) }
             })
             .collect()
@@ -53,41 +53,44 @@
     runs.into_iter().flatten().collect()
 }
 
-/// Plays an experiment over sockets, in real time, so many days side by side. Only arms of the real program can be
-/// played so; the others are left out of the experiment, and named in the result.
+/// Runs an experiment over sockets, in real time, with up to `max_parallel` days at the same time.
+///
+/// Only arms whose router is the decision module can run against dispatcher processes. The others are removed from the
+/// experiment; their names are returned beside the runs.
 ///
 /// # Errors
-/// The program does not start, or a socket cannot be opened.
+/// Returns the I/O error if a dispatcher process does not start or become ready, or if a socket cannot be opened.
 pub fn run_over_sockets(
     experiment: &mut Experiment,
     seeds: &[u64],
-    program: &Path,
-    at_once: usize,
-    done: &ProgressBar,
+    dispatcher_program: &Path,
+    max_parallel: usize,
+    progress: &ProgressBar,
 ) -> io::Result<(Vec<Run>, Vec<String>)> {
-    let (own, others): (Vec<Arm>, Vec<Arm>) =
+    let (kept, removed): (Vec<Arm>, Vec<Arm>) =
         experiment.arms.drain(..).partition(|arm| arm.router == RouterKind::DecisionModule);
-    experiment.arms = own;
-    let left_out = others.into_iter().map(|arm| arm.name).collect();
-    let mut all = Vec::new();
+    experiment.arms = kept;
+    let removed_names = removed.into_iter().map(|arm| arm.name).collect();
+    let mut planned = Vec::new();
     for case in 0..experiment.cases.len() {
         for seed in seeds {
-            // Arms on the same day one after the other: they share the machine alike.
-            all.extend((0..experiment.arms.len()).map(|arm| (arm, case, *seed)));
+            // The arms of a day are neighbors in the order, so that they run under a similar load of the machine.
+            planned.extend((0..experiment.arms.len()).map(|arm| (arm, case, *seed)));
         }
     }
     let pool =
-        rayon::ThreadPoolBuilder::new().num_threads(at_once.max(1)).build().map_err(io::Error::other)?;
+        rayon::ThreadPoolBuilder::new().num_threads(max_parallel.max(1)).build().map_err(io::Error::other)?;
     let experiment: &Experiment = experiment;
     let runs: io::Result<Vec<Run>> = pool.install(|| {
-        all.par_iter()
+        planned
+            .par_iter()
             .map(|&(arm, case, seed)| {
                 let day = Day::draw(experiment, &experiment.cases[case], seed);
-                let record = sockets::run_day(experiment, &experiment.arms[arm], &day, program)?;
-                done.inc(1);
+                let record = sockets::run_day(experiment, &experiment.arms[arm], &day, dispatcher_program)?;
+                progress.inc(1);
                 Ok(Run { arm, case, seed, metrics: RunMetrics::evaluate(experiment, &day, &record) })
             })
             .collect()
     });
-    Ok((runs?, left_out))
+    Ok((runs?, removed_names))
 }
--- a/crates/emulator/src/sockets/client.rs
+++ b/crates/emulator/src/sockets/client.rs
@@ -1,6 +1,8 @@
-//! Clients on sockets: each job comes at its time, on a kept connection where one is free.
+//! Clients of a run over sockets: each submits its job at the arrival time, on an idle connection if there is one.
 
+use std::cell::RefCell;
 use std::io;
+use std::rc::Rc;
 
 use bytes::BytesMut;
 use dispatch_core::api::Idempotency;
@@ -13,19 +15,19 @@
 use crate::day::{micros, Micros};
 use crate::metrics::JobOutcome;
 
-/// A client gives a request up this long after its deadline: an answer may come with a little slack.
-const GIVE_UP_AFTER: Micros = 60_000;
-/// A retry with less time than this is not worth a client's while.
+/// Time after the deadline for which a client waits for a response that is a little late.
+const RESPONSE_WAIT_AFTER_DEADLINE: Micros = 60_000;
+/// Shortest time left before the deadline in which a client still retries.
 const MIN_RETRY_TIME: Micros = 100_000;
 
-/// Connections that clients of a dispatcher keep, each with the life it was opened in.
-type Pool = std::rc::Rc<std::cell::RefCell<Vec<Vec<(u32, TcpStream)>>>>;
+/// Idle connections of the clients, by dispatcher.
+type ConnectionPool = Rc<RefCell<Vec<Vec<ClientConnection>>>>;
 
-/// Hands in all jobs of the day and waits for their ends.
-pub(super) async fn play(environment: SharedEnvironment) {
-    let hosts = environment.borrow().agents.len();
-    let pool: Pool = std::rc::Rc::new(std::cell::RefCell::new((0..hosts).map(|_| Vec::new()).collect()));
-    let mut open = JoinSet::new();
+/// Submits all jobs of the day and waits until each has its final outcome.
+pub(super) async fn run_clients(environment: SharedEnvironment) {
+    let dispatchers = environment.borrow().agents.len();
+    let pool: ConnectionPool = Rc::new(RefCell::new((0..dispatchers).map(|_| Vec::new()).collect()));
+    let mut open_jobs = JoinSet::new();
     let jobs = environment.borrow().day.jobs.len();
     for job in 0..jobs {
         let due = {
@@ -33,161 +35,180 @@
             shared.instant(shared.day.jobs[job].arrival)
         };
         tokio::time::sleep_until(due).await;
-        open.spawn_local(run_job(environment.clone(), pool.clone(), job as u32));
-        while open.try_join_next().is_some() {}
+        open_jobs.spawn_local(run_job(environment.clone(), pool.clone(), job as u32));
+        while open_jobs.try_join_next().is_some() {}
     }
-    while open.join_next().await.is_some() {}
+    while open_jobs.join_next().await.is_some() {}
 }
 
-/// How a try ended for its client.
+/// How a submission ended for its client.
 enum SubmissionOutcome {
     Served,
+    /// Rejected, with the seconds of the header `Retry-After` if there is one.
     Rejected(Option<f64>),
     Failed,
-    /// Nobody took it.
+    /// The connection could not be opened.
     Unreachable,
     /// The dispatcher was killed.
     DispatcherKilled,
-    /// The client left.
+    /// The client disconnected before its deadline.
     ClientLeft,
-    /// Its time was up and no answer had come.
-    NoAnswer,
+    /// No response came in time.
+    NoResponse,
 }
 
-/// One client with its job, and its retry.
-async fn run_job(environment: SharedEnvironment, pool: Pool, job: u32) {
-    let (deadline, leaves, retries, honours, safe) = {
+/// How a client behaves with its job.
+struct ClientBehavior {
+    deadline: Micros,
+    leaves_at: Option<Micros>,
+    /// Wait before the retry; none for a client that does not retry.
+    retry_backoff: Option<Micros>,
+    honours_retry_after: bool,
+    is_idempotent: bool,
+}
+
+/// Runs a client: submits its job, and retries at most once.
+async fn run_job(environment: SharedEnvironment, pool: ConnectionPool, job: u32) {
+    let client = {
         let shared = environment.borrow();
         let plan = &shared.day.jobs[job as usize];
         let class = &shared.experiment.traffic.classes[plan.class as usize];
-        let deadline = plan.arrival + shared.timeout(job);
-        (
-            deadline,
-            plan.client_leaves_at,
-            plan.retry_backoff,
-            plan.honours_retry_after,
-            class.idempotency == Idempotency::Idempotent,
-        )
+        ClientBehavior {
+            deadline: plan.arrival + shared.timeout(job),
+            leaves_at: plan.client_leaves_at,
+            retry_backoff: plan.retry_backoff,
+            honours_retry_after: plan.honours_retry_after,
+            is_idempotent: class.idempotency == Idempotency::Idempotent,
+        }
     };
-    let mut second = false;
+    let mut is_retry = false;
     loop {
-        let ended = submit(&environment, &pool, job, deadline, leaves).await;
+        let submission_outcome = submit(&environment, &pool, job, client.deadline, client.leaves_at).await;
         let now = environment.borrow().now();
-        let (end, again, after) = match ended {
+        let (outcome, may_retry, retry_after) = match submission_outcome {
             SubmissionOutcome::Served => (JobOutcome::Served(now), false, None),
-            SubmissionOutcome::Rejected(after) => (JobOutcome::Rejected(now), true, after),
-            SubmissionOutcome::Failed => (JobOutcome::Failed(now), safe, None),
+            SubmissionOutcome::Rejected(retry_after) => (JobOutcome::Rejected(now), true, retry_after),
+            SubmissionOutcome::Failed => (JobOutcome::Failed(now), client.is_idempotent, None),
             SubmissionOutcome::Unreachable => (JobOutcome::Failed(now), true, None),
-            SubmissionOutcome::DispatcherKilled => (JobOutcome::Failed(now), safe, None),
+            SubmissionOutcome::DispatcherKilled => (JobOutcome::Failed(now), client.is_idempotent, None),
             SubmissionOutcome::ClientLeft => (JobOutcome::ClientLeft, false, None),
-            SubmissionOutcome::NoAnswer => (JobOutcome::Failed(now), false, None),
+            SubmissionOutcome::NoResponse => (JobOutcome::Failed(now), false, None),
+        };
+        let backoff = client.retry_backoff.filter(|_| may_retry && !is_retry);
+        let requested_wait = retry_after.filter(|_| client.honours_retry_after).map_or(0, micros);
+        let retry_at = backoff
+            .map(|backoff| now + backoff.max(requested_wait))
+            .filter(|retry_at| retry_at + MIN_RETRY_TIME <= client.deadline);
+        let Some(retry_at) = retry_at else {
+            return environment.borrow_mut().record_outcome(job, outcome);
         };
-        let wait = retries.filter(|_| again && !second);
-        let asked = after.filter(|_| honours).map_or(0, micros);
-        let at = wait.map(|wait| now + wait.max(asked)).filter(|at| at + MIN_RETRY_TIME <= deadline);
-        let Some(at) = at else { return environment.borrow_mut().record_outcome(job, end) };
-        let due = environment.borrow().instant(at);
+        let due = environment.borrow().instant(retry_at);
         tokio::time::sleep_until(due).await;
-        second = true;
+        is_retry = true;
     }
 }
 
-/// One try: on a kept connection, or once more on a new one where the dispatcher had closed the kept one.
+/// Submits a job once: on an idle connection, then on a new one if the dispatcher had closed the idle connection.
 async fn submit(
     environment: &SharedEnvironment,
-    pool: &Pool,
+    pool: &ConnectionPool,
     job: u32,
     deadline: Micros,
-    leaves: Option<Micros>,
+    leaves_at: Option<Micros>,
 ) -> SubmissionOutcome {
-    let host = environment.borrow().day.jobs[job as usize].dispatcher as usize;
+    let dispatcher = environment.borrow().day.jobs[job as usize].dispatcher as usize;
     let id = {
         let mut shared = environment.borrow_mut();
         shared.submissions.push(job);
         shared.submissions.len() as u64
     };
-    let submission = Submission { host, job, id, deadline };
-    let until = leaves.unwrap_or(Micros::MAX).min(deadline + GIVE_UP_AFTER);
-    let due = environment.borrow().instant(until);
-    let mut taken = None;
-    let tried = tokio::time::timeout_at(due, async {
-        let kept = pool.borrow_mut()[host]
-            .pop()
-            .filter(|(life, _)| *life == environment.borrow().incarnations[host].0);
-        if let Some((life, stream)) = kept {
-            let connection = ClientConnection { incarnation: life, stream };
-            match exchange(environment, pool, submission, connection, &mut taken).await {
-                Ok(ended) => return ended,
-                // Closed between two requests: sent once more, on a new connection.
-                Err(_) if environment.borrow().incarnations[host] == (life, true) => {}
+    let submission = Submission { dispatcher, job, id, deadline };
+    let waits_until = leaves_at.unwrap_or(Micros::MAX).min(deadline + RESPONSE_WAIT_AFTER_DEADLINE);
+    let due = environment.borrow().instant(waits_until);
+    let mut recorded_id = None;
+    let submitted = tokio::time::timeout_at(due, async {
+        let idle = pool.borrow_mut()[dispatcher].pop().filter(|connection| {
+            connection.incarnation == environment.borrow().incarnations[dispatcher].number
+        });
+        if let Some(connection) = idle {
+            let incarnation = connection.incarnation;
+            match exchange(environment, pool, submission, connection, &mut recorded_id).await {
+                Ok(outcome) => return outcome,
+                // The dispatcher closed the connection while it was idle: send again on a new one.
+                Err(_) if environment.borrow().incarnations[dispatcher].runs_as(incarnation) => {}
                 Err(_) => return SubmissionOutcome::DispatcherKilled,
             }
         }
-        let (life, port) = {
+        let (incarnation, port) = {
             let shared = environment.borrow();
-            (shared.incarnations[host].0, shared.listen[host])
+            (shared.incarnations[dispatcher].number, shared.listen_ports[dispatcher])
         };
         let Ok(stream) = TcpStream::connect(("127.0.0.1", port)).await else {
             return SubmissionOutcome::Unreachable;
         };
-        let connection = ClientConnection { incarnation: life, stream };
-        match exchange(environment, pool, submission, connection, &mut taken).await {
-            Ok(ended) => ended,
-            Err(_) if environment.borrow().incarnations[host] == (life, true) => SubmissionOutcome::Failed,
+        let connection = ClientConnection { incarnation, stream };
+        match exchange(environment, pool, submission, connection, &mut recorded_id).await {
+            Ok(outcome) => outcome,
+            Err(_) if environment.borrow().incarnations[dispatcher].runs_as(incarnation) => {
+                SubmissionOutcome::Failed
+            }
             Err(_) => SubmissionOutcome::DispatcherKilled,
         }
     })
     .await;
     let mut shared = environment.borrow_mut();
-    let ended = tried.unwrap_or(if leaves.is_some_and(|at| at < deadline) {
+    let outcome = submitted.unwrap_or(if leaves_at.is_some_and(|at| at < deadline) {
         SubmissionOutcome::ClientLeft
     } else {
-        SubmissionOutcome::NoAnswer
+        SubmissionOutcome::NoResponse
     });
-    if matches!(ended, SubmissionOutcome::ClientLeft | SubmissionOutcome::DispatcherKilled) {
+    if matches!(outcome, SubmissionOutcome::ClientLeft | SubmissionOutcome::DispatcherKilled) {
         shared.checker.waive_response(id);
     }
-    if taken.is_some() {
+    if recorded_id.is_some() {
         shared.checker.close_request(id);
     }
-    ended
+    outcome
 }
 
-/// A submission of a job to a dispatcher.
+/// Submission of a job to a dispatcher.
 #[derive(Clone, Copy)]
 struct Submission {
-    /// Number of the dispatcher.
-    host: usize,
+    /// Index of the dispatcher.
+    dispatcher: usize,
     job: u32,
-    /// Id of the request.
+    /// Request id: the position of the submission in the run, from 1.
     id: u64,
     deadline: Micros,
 }
 
-/// A connection to one incarnation of a dispatcher.
+/// Connection to one incarnation of a dispatcher.
 struct ClientConnection {
     incarnation: u32,
     stream: TcpStream,
 }
 
-/// Writes a request and reads its answer.
+/// Writes a request and reads its response.
+///
+/// A request counts as accepted once it is written. `recorded_id` holds its id as soon as the rule checker has it, so
+/// that a second exchange of the same submission does not record it again.
 async fn exchange(
     environment: &SharedEnvironment,
-    pool: &Pool,
+    pool: &ConnectionPool,
     submission: Submission,
     connection: ClientConnection,
-    taken: &mut Option<u64>,
+    recorded_id: &mut Option<u64>,
 ) -> io::Result<SubmissionOutcome> {
-    let Submission { host, job, id, deadline } = submission;
+    let Submission { dispatcher, job, id, deadline } = submission;
     let ClientConnection { incarnation, mut stream } = connection;
     stream.set_nodelay(true)?;
-    let message = request(&environment.borrow(), job, id, deadline);
+    let message = request_head(&environment.borrow(), job, id, deadline);
     stream.write_all(message.as_bytes()).await?;
-    if taken.replace(id).is_none() {
+    if recorded_id.replace(id).is_none() {
         let mut shared = environment.borrow_mut();
         let class = &shared.experiment.traffic.classes[shared.day.jobs[job as usize].class as usize];
-        let (repeat, window) = (class.idempotency, micros(class.retry_window));
-        shared.checker.record_accepted(id, repeat, window, deadline);
+        let (idempotency, retry_window) = (class.idempotency, micros(class.retry_window));
+        shared.checker.record_accepted(id, idempotency, retry_window, deadline);
     }
     let mut buffer = BytesMut::with_capacity(512);
     let Some(head) = http::read_head(&mut stream, &mut buffer, http::MessageKind::Response, || {}).await?
@@ -195,37 +216,39 @@
         return Err(io::ErrorKind::UnexpectedEof.into());
     };
     let body = http::read_body(&mut stream, &mut buffer, &head).await?;
-    let refused = matches!(head.status, 429 | 503);
+    let is_rejected = matches!(head.status, 429 | 503);
     let mut shared = environment.borrow_mut();
     let now = shared.now();
-    shared.checker.record_response(id, refused, now);
-    let after = head.get("retry-after").and_then(|v| v.parse().ok());
-    if head.get("connection").is_none_or(|v| !v.eq_ignore_ascii_case("close")) {
-        pool.borrow_mut()[host].push((incarnation, stream));
+    shared.checker.record_response(id, is_rejected, now);
+    let retry_after = head.get("retry-after").and_then(|value| value.parse().ok());
+    if head.get("connection").is_none_or(|value| !value.eq_ignore_ascii_case("close")) {
+        pool.borrow_mut()[dispatcher].push(ClientConnection { incarnation, stream });
     }
     Ok(match head.status {
-        // Served with what no worker made for it is as good as lost.
+        // A result that no worker produced for this request is recorded as a second response, which is a violation.
         200 if body.starts_with(format!("{id:016x} by ").as_bytes()) => SubmissionOutcome::Served,
         200 => {
             shared.checker.record_response(id, false, now);
             SubmissionOutcome::Failed
         }
-        _ if refused => SubmissionOutcome::Rejected(after),
+        _ if is_rejected => SubmissionOutcome::Rejected(retry_after),
         _ => SubmissionOutcome::Failed,
     })
 }
 
-fn request(shared: &Environment, job: u32, id: u64, deadline: Micros) -> String {
+/// Returns the whole request of a submission; it has no body.
+fn request_head(shared: &Environment, job: u32, id: u64, deadline: Micros) -> String {
     let plan = &shared.day.jobs[job as usize];
     let class = &shared.experiment.traffic.classes[plan.class as usize];
-    let tenant = shared.experiment.traffic.tenants.get(plan.tenant as usize).map_or("", |t| &t.name);
-    let left = (shared.seconds_left(deadline) * 1e3) as u64;
+    let tenant =
+        shared.experiment.traffic.tenants.get(plan.tenant as usize).map_or("", |tenant| &tenant.name);
+    let timeout_ms = (shared.seconds_left(deadline) * 1e3) as u64;
     let key = match class.idempotency {
         Idempotency::WithKey(_) => format!("Idempotency-Key: {:032x}\r\n", u128::from(job) + 1),
         _ => String::new(),
     };
     format!(
-        "POST /{} HTTP/1.1\r\nHost: lab\r\nRequest-Id: {id:016x}\r\nTenant: {tenant}\r\nRequest-Timeout-Ms: {left}\r\n\
+        "POST /{} HTTP/1.1\r\nHost: lab\r\nRequest-Id: {id:016x}\r\nTenant: {tenant}\r\nRequest-Timeout-Ms: {timeout_ms}\r\n\
          Request-Info: slots={}\r\n{key}Content-Length: 0\r\n\r\n",
         class.name, plan.slots
     )
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery on sockets: the agent beside one dispatcher, which tells what it has been sent.
+//! Discovery of a run over sockets: one agent beside each dispatcher, which serves the endpoint list that it received.
 
 use std::io;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 use super::http::{self, chunk, CHUNKED_HEAD};
 use crate::day::Micros;
 
-/// An empty line comes this often while nothing changes.
+/// Interval between the empty lines of a stream while the list does not change.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Phase of a worker in the list.
+/// Phase of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EndpointPhase {
     /// Accepts jobs.
@@ -28,7 +28,7 @@
 }
 
 impl EndpointPhase {
-    /// Returns the name of the phase in the protocol of discovery.
+    /// Returns the name of the phase in the discovery protocol.
     fn as_str(self) -> &'static str {
         match self {
             EndpointPhase::InService => "in_service",
@@ -38,74 +38,80 @@
     }
 }
 
-/// Publishes a change of the list with the others of its period, to each dispatcher after its own delay.
+/// Publishes a new phase of a worker once `after` has passed, together with the other changes of the publish period.
+/// Each agent receives it after the list delay of its dispatcher.
 pub(super) fn publish(environment: &SharedEnvironment, w: usize, phase: EndpointPhase, after: Micros) {
     let shared = environment.borrow();
     let period = shared.day.discovery.publish_period.max(1);
     let at = (shared.now() + after).div_ceil(period) * period;
-    let since = shared.workers[w].started_at;
-    for host in 0..shared.agents.len() {
-        let due = shared.instant(at + shared.day.dispatchers[host].list_delay);
+    let started_at = shared.workers[w].started_at;
+    for dispatcher in 0..shared.agents.len() {
+        let due = shared.instant(at + shared.day.dispatchers[dispatcher].list_delay);
         let environment = environment.clone();
         spawn_local(async move {
             tokio::time::sleep_until(due).await;
-            let agent = &mut environment.borrow_mut().agents[host];
+            let agent = &mut environment.borrow_mut().agents[dispatcher];
             agent.revision += 1;
             let revision = agent.revision;
-            agent.entries.insert(w, ListEntry { revision, phase, started_at: since });
+            agent.entries.insert(w, ListEntry { revision, phase, started_at });
             agent.changed.notify_waiters();
         });
     }
 }
 
-/// Serves a dispatcher's agent.
-pub(super) async fn serve(environment: SharedEnvironment, host: usize, listener: TcpListener) {
+/// Runs the agent of a dispatcher.
+pub(super) async fn serve(environment: SharedEnvironment, dispatcher: usize, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         let environment = environment.clone();
         spawn_local(async move {
-            // A connection that breaks is the other side's matter.
-            let _ = connection(&environment, host, stream).await;
+            // An error ends only this connection: the dispatcher connects again.
+            let _ = serve_connection(&environment, dispatcher, stream).await;
         });
     }
 }
 
-/// The lines newer than a revision, as discovery words them; what drains counts as told once this is written.
-pub(super) fn list(shared: &Environment, host: usize, after: u64) -> Value {
-    let agent = &shared.agents[host];
-    // Removed workers are listed among changes only.
+/// Returns the entries newer than a revision in the format of the discovery protocol; the complete list for revision 0.
+pub(super) fn endpoint_list(shared: &Environment, dispatcher: usize, after: u64) -> Value {
+    let agent = &shared.agents[dispatcher];
+    // The complete list omits removed workers.
     let is_listed = |phase: EndpointPhase| after > 0 || phase != EndpointPhase::Terminated;
-    let changed = agent.entries.iter().filter(|(_, line)| line.revision > after);
-    let lines = changed.filter(|(_, line)| is_listed(line.phase));
-    let members: Vec<Value> = lines
-        .map(|(w, line)| {
+    let changed = agent.entries.iter().filter(|(_, entry)| entry.revision > after);
+    let listed = changed.filter(|(_, entry)| is_listed(entry.phase));
+    let endpoints: Vec<Value> = listed
+        .map(|(w, entry)| {
             let plan = &shared.workers[*w].plan;
             json!({
                 "id": format!("w-{w}"),
-                "host_port": format!("127.0.0.1:{}", shared.ports[*w].get(host).copied().unwrap_or_default()),
+                "host_port": format!("127.0.0.1:{}", shared.ports[*w].get(dispatcher).copied().unwrap_or_default()),
                 "locality": format!("zone-{}", plan.zone),
                 "flavor": shared.experiment.kinds[plan.kind].name,
                 "cell": plan.rack,
-                "phase": line.phase.as_str(),
+                "phase": entry.phase.as_str(),
                 "size": 1.0,
-                "up_since_ms": line.started_at.map_or(0, |since| shared.unix_ms(since)),
+                "up_since_ms": entry.started_at.map_or(0, |started_at| shared.unix_ms(started_at)),
             })
         })
         .collect();
-    json!({"revision": agent.revision, "complete": after == 0, "members": members})
+    json!({"revision": agent.revision, "complete": after == 0, "members": endpoints})
 }
 
-fn record_drain_notices(shared: &mut Environment, host: usize, after: u64) {
-    let (life, now) = (shared.incarnation_id(host), shared.now());
-    let agent = &shared.agents[host];
-    let drained =
-        agent.entries.iter().filter(|(_, l)| l.revision > after && l.phase != EndpointPhase::InService);
-    let drained: Vec<usize> = drained.map(|(w, _)| *w).collect();
-    for w in drained {
-        shared.checker.record_drain_notice(life, w as u64, now);
+/// Records for the rule checker that the dispatcher is notified of all drains newer than a revision.
+fn record_drain_notices(shared: &mut Environment, dispatcher: usize, after: u64) {
+    let (incarnation, now) = (shared.incarnation_id(dispatcher), shared.now());
+    let changed = shared.agents[dispatcher].entries.iter().filter(|(_, entry)| entry.revision > after);
+    let draining = changed.filter(|(_, entry)| entry.phase != EndpointPhase::InService);
+    let draining: Vec<usize> = draining.map(|(w, _)| *w).collect();
+    for w in draining {
+        shared.checker.record_drain_notice(incarnation, w as u64, now);
     }
 }
 
-async fn connection(environment: &SharedEnvironment, host: usize, mut stream: TcpStream) -> io::Result<()> {
+/// Serves one request: returns the complete list, or streams the list and its changes.
+async fn serve_connection(
+    environment: &SharedEnvironment,
+    dispatcher: usize,
+    mut stream: TcpStream,
+) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut buffer = BytesMut::new();
     let Some(head) = http::read_head(&mut stream, &mut buffer, http::MessageKind::Request, || {}).await?
@@ -113,31 +119,33 @@
         return Ok(());
     };
     let _ = http::read_body(&mut stream, &mut buffer, &head).await?;
-    let whole = list(&environment.borrow(), host, 0).to_string();
+    let complete_list = endpoint_list(&environment.borrow(), dispatcher, 0).to_string();
     if !head.path.contains("stream=1") {
-        record_drain_notices(&mut environment.borrow_mut(), host, 0);
-        let length = whole.len();
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{whole}");
-        return stream.write_all(answer.as_bytes()).await;
+        record_drain_notices(&mut environment.borrow_mut(), dispatcher, 0);
+        let length = complete_list.len();
+        let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{complete_list}");
+        return stream.write_all(response.as_bytes()).await;
     }
-    let mut revision = environment.borrow().agents[host].revision;
-    record_drain_notices(&mut environment.borrow_mut(), host, 0);
-    stream.write_all(&[CHUNKED_HEAD, chunk(&whole).as_slice()].concat()).await?;
+    let mut revision = environment.borrow().agents[dispatcher].revision;
+    record_drain_notices(&mut environment.borrow_mut(), dispatcher, 0);
+    stream.write_all(&[CHUNKED_HEAD, chunk(&complete_list).as_slice()].concat()).await?;
     loop {
-        let changed = environment.borrow().agents[host].changed.clone();
-        let news = changed.notified();
-        tokio::pin!(news);
-        news.as_mut().enable();
-        if environment.borrow().agents[host].revision == revision {
-            let quiet = tokio::time::timeout(KEEPALIVE_INTERVAL, news).await.is_err();
-            if quiet {
+        let changed = environment.borrow().agents[dispatcher].changed.clone();
+        let next_change = changed.notified();
+        tokio::pin!(next_change);
+        // Registered before the revision is compared, so that no change is missed in between.
+        next_change.as_mut().enable();
+        if environment.borrow().agents[dispatcher].revision == revision {
+            let unchanged = tokio::time::timeout(KEEPALIVE_INTERVAL, next_change).await.is_err();
+            if unchanged {
                 stream.write_all(&chunk("")).await?;
                 continue;
             }
         }
-        let line = list(&environment.borrow(), host, revision).to_string();
-        let before = std::mem::replace(&mut revision, environment.borrow().agents[host].revision);
-        record_drain_notices(&mut environment.borrow_mut(), host, before);
-        stream.write_all(&chunk(&line)).await?;
+        let changes = endpoint_list(&environment.borrow(), dispatcher, revision).to_string();
+        let sent_revision =
+            std::mem::replace(&mut revision, environment.borrow().agents[dispatcher].revision);
+        record_drain_notices(&mut environment.borrow_mut(), dispatcher, sent_revision);
+        stream.write_all(&chunk(&changes)).await?;
     }
 }
--- a/crates/emulator/src/sockets/environment.rs
+++ b/crates/emulator/src/sockets/environment.rs
@@ -1,4 +1,4 @@
-//! State that all emulated parties of a run over sockets share.
+//! Shared state of the emulated parties of a run over sockets.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -31,75 +31,103 @@
     pub(super) changed: Rc<Notify>,
 }
 
-/// Attempt as its worker observes it.
+/// Attempt as the worker that received it observes it.
 #[derive(Debug)]
 pub(super) struct Attempt {
+    /// Sends the events of the worker to the task of the connection.
     pub(super) events: mpsc::UnboundedSender<JobEvent>,
     pub(super) request: u64,
     pub(super) job: u32,
-    pub(super) checker_send: usize,
+    /// Number of the attempt in the rule checker.
+    pub(super) checker_attempt: usize,
+    /// Index of the run in the record, while the job runs.
     pub(super) run: Option<u32>,
 }
 
-/// State that all emulated parties share.
+/// Current process of a dispatcher.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct DispatcherIncarnation {
+    /// Number of processes of this dispatcher that were killed before.
+    pub(super) number: u32,
+    pub(super) running: bool,
+}
+
+impl DispatcherIncarnation {
+    /// Returns whether the dispatcher still runs as the incarnation of this number.
+    pub(super) fn runs_as(self, number: u32) -> bool {
+        self.running && self.number == number
+    }
+}
+
+/// State that the tasks of workers, clients, discovery agents and faults share.
 pub(super) struct Environment {
     pub(super) experiment: Experiment,
     pub(super) day: Day,
+    /// Start of the day on the clock of this process.
     pub(super) start: Instant,
     /// Unix time at the start of the day.
     pub(super) unix_start: Micros,
     pub(super) workers: Vec<Worker>,
     /// Number of processes of each worker that have ended.
-    pub(super) processes: Vec<u32>,
-    pub(super) ended: Vec<Rc<Notify>>,
+    pub(super) ended_processes: Vec<u32>,
+    /// Notified when the process of the worker ends.
+    pub(super) process_ended: Vec<Rc<Notify>>,
+    /// Notified when the time of the worker's next event changes.
     pub(super) wake: Vec<Rc<Notify>>,
     /// Ports of each worker, by dispatcher.
     pub(super) ports: Vec<Vec<u16>>,
+    /// Number of open connections of each worker.
     pub(super) connections: Vec<u32>,
+    /// Discovery agent of each dispatcher.
     pub(super) agents: Vec<DiscoveryAgent>,
-    /// Incarnation of each dispatcher, and whether it runs.
-    pub(super) incarnations: Vec<(u32, bool)>,
-    pub(super) listen: Vec<u16>,
+    /// Incarnation of each dispatcher.
+    pub(super) incarnations: Vec<DispatcherIncarnation>,
+    /// Port on which each dispatcher serves clients.
+    pub(super) listen_ports: Vec<u16>,
     pub(super) attempts: Vec<Attempt>,
-    /// Job of each submission, by the number in its id.
+    /// Job of each submission; the submission with request id `n` is at `n - 1`.
     pub(super) submissions: Vec<u32>,
     pub(super) limits: RuleLimits,
     pub(super) checker: RuleChecker,
     pub(super) record: RunRecord,
     pub(super) rng: Pcg64Mcg,
+    /// Reused buffer of [`Environment::with_worker`].
     pub(super) job_events: Vec<JobEvent>,
 }
 
 pub(super) type SharedEnvironment = Rc<RefCell<Environment>>;
 
 impl Environment {
+    /// Returns the time of the day.
     pub(super) fn now(&self) -> Micros {
         DAY_START + self.start.elapsed().as_micros() as Micros
     }
 
+    /// Converts a time of the day to an instant of the runtime's clock.
     pub(super) fn instant(&self, at: Micros) -> tokio::time::Instant {
         (self.start + Duration::from_micros(at.saturating_sub(DAY_START))).into()
     }
 
-    pub(super) fn incarnation_id(&self, host: usize) -> u32 {
-        self.incarnations[host].0 * self.incarnations.len() as u32 + host as u32
+    /// Returns a number of the dispatcher's incarnation that is unique among all dispatchers.
+    pub(super) fn incarnation_id(&self, dispatcher: usize) -> u32 {
+        self.incarnations[dispatcher].number * self.incarnations.len() as u32 + dispatcher as u32
     }
 
-    /// Returns the one-way delay between a dispatcher and a worker, without the delay of loopback.
-    pub(super) fn network_delay(&self, host: usize, worker: usize) -> Duration {
-        let net = &self.day.network;
-        let near = self.day.dispatchers[host].zone == self.workers[worker].plan.zone;
-        Duration::from_micros(micros(if near { net.same_zone } else { net.cross_zone }))
+    /// Returns the emulated one-way delay between a dispatcher and a worker. The delay of loopback comes on top.
+    pub(super) fn network_delay(&self, dispatcher: usize, worker: usize) -> Duration {
+        let network = &self.day.network;
+        let same_zone = self.day.dispatchers[dispatcher].zone == self.workers[worker].plan.zone;
+        Duration::from_micros(micros(if same_zone { network.same_zone } else { network.cross_zone }))
     }
 
     /// Forwards the events of a worker to its connections, and wakes its task.
     fn process_job_events(&mut self, w: usize) {
         let now = self.now();
         let mut events = std::mem::take(&mut self.job_events);
-        for note in events.drain(..) {
-            self.record_run(w, now, note);
+        for event in events.drain(..) {
+            self.record_run(w, now, event);
             // The receiver is gone if the connection was closed.
-            let _ = self.attempts[note.attempt()].events.send(note);
+            let _ = self.attempts[event.attempt()].events.send(event);
         }
         self.job_events = events;
         self.wake[w].notify_one();
@@ -127,6 +155,7 @@
         }
     }
 
+    /// Applies a change to the model of a worker, and processes the job events that result.
     pub(super) fn with_worker(
         &mut self,
         w: usize,
@@ -141,19 +170,20 @@
 
     /// Ends the process of a worker: its jobs are lost and its connections close.
     pub(super) fn kill_worker(&mut self, w: usize) {
-        self.processes[w] += 1;
+        self.ended_processes[w] += 1;
         self.record.workers[w].3 = self.now();
         self.with_worker(w, Worker::end);
-        self.ended[w].notify_waiters();
+        self.process_ended[w].notify_waiters();
     }
 
+    /// Adds a worker, and returns its index.
     pub(super) fn add_worker(&mut self, worker: Worker) -> usize {
         let w = self.workers.len();
-        let warm_from = worker.started_at.map_or(0, |since| since + micros(worker.plan.warm_up));
+        let warm_from = worker.started_at.map_or(0, |started_at| started_at + micros(worker.plan.warm_up));
         self.record.workers.push((worker.plan.speed, worker.plan.slots, warm_from, Micros::MAX));
         self.workers.push(worker);
-        self.processes.push(0);
-        self.ended.push(Rc::default());
+        self.ended_processes.push(0);
+        self.process_ended.push(Rc::default());
         self.wake.push(Rc::default());
         self.ports.push(Vec::new());
         self.connections.push(0);
@@ -168,10 +198,10 @@
 }
 
 impl Environment {
-    /// Creates the state before any dispatcher runs: all workers serve, and all agents have the complete list.
+    /// Creates the state before any dispatcher runs: all workers serve, and all agents have the complete endpoint list.
     pub(super) fn new(experiment: Experiment, day: Day) -> Environment {
         let jobs = day.jobs.len();
-        let hosts = day.dispatchers.len();
+        let dispatchers = day.dispatchers.len();
         let rules = &experiment.rules;
         let limits =
             RuleLimits { drain_grace: micros(rules.drain_grace), response_slack: micros(rules.answer_slack) };
@@ -179,14 +209,14 @@
             start: Instant::now(),
             unix_start: unix_now(),
             workers: Vec::new(),
-            processes: Vec::new(),
-            ended: Vec::new(),
+            ended_processes: Vec::new(),
+            process_ended: Vec::new(),
             wake: Vec::new(),
             ports: Vec::new(),
             connections: Vec::new(),
-            agents: (0..hosts).map(|_| DiscoveryAgent::default()).collect(),
-            incarnations: vec![(0, false); hosts],
-            listen: Vec::new(),
+            agents: (0..dispatchers).map(|_| DiscoveryAgent::default()).collect(),
+            incarnations: vec![DispatcherIncarnation::default(); dispatchers],
+            listen_ports: Vec::new(),
             attempts: Vec::new(),
             submissions: Vec::new(),
             limits,
@@ -206,7 +236,7 @@
         environment
     }
 
-    /// Adds the workers of the day, and lists them at all agents.
+    /// Adds the workers of the day, and enters them in the endpoint lists of all agents.
     fn add_workers(&mut self) {
         for plan in self.day.workers.clone() {
             self.add_worker(Worker::new(plan, None, DAY_START, progress_interval()));
@@ -218,7 +248,7 @@
         }
     }
 
-    /// Starts the clock of the day.
+    /// Sets the start of the day to now. Creates the workers anew, because their model must not have seen earlier times.
     pub(super) fn start_clock(&mut self) {
         self.start = Instant::now();
         self.unix_start = unix_now();
@@ -227,7 +257,7 @@
         }
     }
 
-    /// Returns the record of the day, and leaves an empty one.
+    /// Returns the record of the day with the violations, and leaves an empty record.
     pub(super) fn take_record(&mut self) -> RunRecord {
         let checker = std::mem::replace(&mut self.checker, RuleChecker::new(self.limits));
         let mut record = std::mem::take(&mut self.record);
@@ -242,19 +272,22 @@
     }
 
     /// Records the final outcome of a job for its client.
-    pub(super) fn record_outcome(&mut self, job: u32, end: JobOutcome) {
-        self.record.outcomes[job as usize] = Some(end);
+    pub(super) fn record_outcome(&mut self, job: u32, outcome: JobOutcome) {
+        self.record.outcomes[job as usize] = Some(outcome);
     }
 
+    /// Converts a time of the day to Unix time in milliseconds.
     pub(super) fn unix_ms(&self, at: Micros) -> u64 {
         (self.unix_start + at.saturating_sub(DAY_START)) / 1000
     }
 
+    /// Returns the request timeout of a job's class.
     pub(super) fn timeout(&self, job: u32) -> Micros {
         let class = self.day.jobs[job as usize].class as usize;
         micros(self.experiment.traffic.classes[class].timeout)
     }
 
+    /// Returns the seconds from now until a time of the day; 0 if it has passed.
     pub(super) fn seconds_left(&self, until: Micros) -> f64 {
         seconds(until.saturating_sub(self.now()))
     }
--- a/crates/emulator/src/sockets/faults.rs
+++ b/crates/emulator/src/sockets/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the day, injected at their times.
+//! Fault injection in a run over sockets.
 
 use std::io;
 use std::time::Duration;
@@ -12,85 +12,88 @@
 use crate::day::{micros, Fault, Micros};
 use crate::worker::{progress_interval, Phase, Worker};
 
-/// Injects the faults of the day at their times; dispatchers that were killed are started again.
+/// Injects the faults of the day at their times, and starts killed dispatchers again. Returns once all have restarted.
 pub(super) async fn run_faults(
     environment: &SharedEnvironment,
-    programs: &mut [DispatcherProcess],
+    dispatchers: &mut [DispatcherProcess],
 ) -> io::Result<()> {
     let faults = environment.borrow().day.faults.clone();
-    let mut restarts = JoinSet::new();
+    let mut due_restarts = JoinSet::new();
     for (at, fault) in faults {
         let due = environment.borrow().instant(at);
         tokio::time::sleep_until(due).await;
         match fault {
-            Fault::RestartDispatcher(host, duration) => {
-                programs[host].kill(environment);
-                // Restarted below, in the order of time.
-                restarts.spawn_local(async move {
-                    tokio::time::sleep(Duration::from_micros(duration)).await;
-                    host
+            Fault::RestartDispatcher(index, downtime) => {
+                dispatchers[index].kill(environment);
+                // The task only waits: the dispatcher is started below, where `dispatchers` is accessible.
+                due_restarts.spawn_local(async move {
+                    tokio::time::sleep(Duration::from_micros(downtime)).await;
+                    index
                 });
             }
             other => inject_fault(environment, other),
         }
-        while let Some(Ok(host)) = restarts.try_join_next() {
-            programs[host].start(environment)?;
+        while let Some(Ok(index)) = due_restarts.try_join_next() {
+            dispatchers[index].start(environment)?;
         }
     }
-    while let Some(restart) = restarts.join_next().await {
-        if let Ok(host) = restart {
-            programs[host].start(environment)?;
+    while let Some(due) = due_restarts.join_next().await {
+        if let Ok(index) = due {
+            dispatchers[index].start(environment)?;
         }
     }
     Ok(())
 }
 
+/// Injects a fault of a worker.
 fn inject_fault(environment: &SharedEnvironment, fault: Fault) {
     match fault {
         Fault::HangWorker(w, hung) => {
             environment.borrow_mut().with_worker(w, |worker, now, events| worker.set_hung(hung, now, events));
         }
-        Fault::NoisyNeighbour(w, part) => {
-            environment.borrow_mut().with_worker(w, |worker, now, _| worker.set_stolen_share(part, now));
+        Fault::NoisyNeighbour(w, share) => {
+            environment.borrow_mut().with_worker(w, |worker, now, _| worker.set_stolen_share(share, now));
         }
-        Fault::ReplaceWorker(w, duration) => replace_worker(environment, w, duration),
-        Fault::CrashWorker(w, duration) => crash_worker(environment, w, duration),
+        Fault::ReplaceWorker(w, drain_duration) => replace_worker(environment, w, drain_duration),
+        Fault::CrashWorker(w, downtime) => crash_worker(environment, w, downtime),
+        // Handled by the caller, which owns the dispatcher processes.
         Fault::RestartDispatcher(..) => {}
     }
 }
 
-/// Drains a worker; its successor starts when it has ended.
-fn replace_worker(environment: &SharedEnvironment, w: usize, duration: Micros) {
+/// Drains a worker and ends its process after `drain_duration`, at which its replacement starts in slow start.
+fn replace_worker(environment: &SharedEnvironment, w: usize, drain_duration: Micros) {
     if environment.borrow().workers[w].phase != Phase::Serving {
         return;
     }
-    let notice = environment.borrow().day.discovery.drain_notice;
-    let next = {
+    let notice_delay = environment.borrow().day.discovery.drain_notice;
+    let replacement = {
         let mut shared = environment.borrow_mut();
         shared.record.workers[w].3 = shared.now();
         shared.with_worker(w, Worker::drain);
         let plan = shared.workers[w].plan.clone();
-        let since = shared.now() + duration;
-        let mut successor = Worker::new(plan, Some(since), since, progress_interval());
-        successor.phase = Phase::Ended;
-        shared.add_worker(successor)
+        let starts_at = shared.now() + drain_duration;
+        let mut replacement = Worker::new(plan, Some(starts_at), starts_at, progress_interval());
+        replacement.phase = Phase::Ended;
+        shared.add_worker(replacement)
     };
-    publish(environment, w, EndpointPhase::Terminating, notice);
+    publish(environment, w, EndpointPhase::Terminating, notice_delay);
     let environment = environment.clone();
     spawn_local(async move {
-        tokio::time::sleep(Duration::from_micros(duration)).await;
+        tokio::time::sleep(Duration::from_micros(drain_duration)).await;
         environment.borrow_mut().kill_worker(w);
-        publish(&environment, w, EndpointPhase::Terminated, notice);
-        start_worker(&environment, next).await;
+        publish(&environment, w, EndpointPhase::Terminated, notice_delay);
+        start_worker(&environment, replacement).await;
     });
 }
 
-/// Kills a worker, and starts it again later.
-fn crash_worker(environment: &SharedEnvironment, w: usize, duration: Micros) {
+/// Ends the process of a worker without a drain, and starts it again after `downtime`. Discovery publishes only the new
+/// start.
+fn crash_worker(environment: &SharedEnvironment, w: usize, downtime: Micros) {
     environment.borrow_mut().kill_worker(w);
     let environment = environment.clone();
     spawn_local(async move {
-        tokio::time::sleep(Duration::from_micros(duration)).await;
+        tokio::time::sleep(Duration::from_micros(downtime)).await;
         start_worker(&environment, w).await;
     });
 }
@@ -101,14 +104,14 @@
         let mut shared = environment.borrow_mut();
         let now = shared.now();
         let plan = shared.workers[w].plan.clone();
-        let warm = micros(plan.warm_up);
+        let warm_up = micros(plan.warm_up);
         shared.workers[w] = Worker::new(plan, Some(now), now, progress_interval());
         let record = &mut shared.record.workers[w];
-        record.2 = now + warm;
+        record.2 = now + warm_up;
         record.3 = Micros::MAX;
     }
     if worker::serve(environment, w).await.is_ok() {
-        let add = environment.borrow().day.discovery.start_notice;
-        publish(environment, w, EndpointPhase::InService, add);
+        let notice_delay = environment.borrow().day.discovery.start_notice;
+        publish(environment, w, EndpointPhase::InService, notice_delay);
     }
 }
--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -1,7 +1,8 @@
-//! The run over sockets: the same day and the same worker model in real time, against the real program.
+//! Execution mode over sockets: runs the simulated day with the worker model in real time, against dispatcher processes.
 //!
-//! Each dispatcher of the day is a child process; workers, discovery and clients are tasks here, on loopback and free
-//! ports. Every worker listens once for each dispatcher, so that the emulated parties know who sent what without asking.
+//! Each dispatcher of the day is a child process. Workers, discovery and clients are tasks of this process that listen on
+//! free ports of the loopback interface. Every worker has one listener for each dispatcher, so the port tells which
+//! dispatcher sent an attempt.
 
 mod client;
 mod discovery;
@@ -24,50 +25,57 @@
 use crate::metrics::RunRecord;
 use crate::spec::{Arm, Experiment};
 
-/// Time after the last arrival for which open jobs are awaited.
+/// Longest wait for open jobs after the last arrival.
 const MAX_TAIL: Duration = Duration::from_secs(12);
 /// Time between the readiness of all dispatchers and the start of the day.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 /// Time within which a dispatcher must become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs a day against the program at a path.
+/// Runs a day against dispatcher processes, started from the program at `dispatcher_program`.
 ///
 /// # Errors
-/// Returns the I/O error if the program does not start or become ready, or if a socket cannot be opened.
-pub fn run_day(experiment: &Experiment, arm: &Arm, day: &Day, program: &Path) -> io::Result<RunRecord> {
+/// Returns the I/O error if a dispatcher process does not start or become ready, or if a socket cannot be opened.
+pub fn run_day(
+    experiment: &Experiment,
+    arm: &Arm,
+    day: &Day,
+    dispatcher_program: &Path,
+) -> io::Result<RunRecord> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, run(experiment.clone(), arm.clone(), day.clone(), program))
+    LocalSet::new().block_on(&runtime, run(experiment.clone(), arm.clone(), day.clone(), dispatcher_program))
 }
 
-async fn run(experiment: Experiment, arm: Arm, day: Day, program: &Path) -> io::Result<RunRecord> {
-    let hosts = day.dispatchers.len();
+async fn run(experiment: Experiment, arm: Arm, day: Day, dispatcher_program: &Path) -> io::Result<RunRecord> {
+    let dispatcher_count = day.dispatchers.len();
     let environment: SharedEnvironment = Rc::new(RefCell::new(Environment::new(experiment, day)));
     let workers = environment.borrow().workers.len();
     for w in 0..workers {
         worker::serve(&environment, w).await?;
     }
-    let mut programs = Vec::new();
-    for host in 0..hosts {
-        programs.push(program::DispatcherProcess::prepare(&environment, &arm, host, program).await?);
+    let mut dispatchers = Vec::new();
+    for index in 0..dispatcher_count {
+        let dispatcher =
+            program::DispatcherProcess::prepare(&environment, &arm, index, dispatcher_program).await?;
+        dispatchers.push(dispatcher);
     }
-    for program in &mut programs {
-        program.start(&environment)?;
+    for dispatcher in &mut dispatchers {
+        dispatcher.start(&environment)?;
     }
-    for program in &programs {
-        program.wait_until_ready(&environment, READY_TIMEOUT).await?;
+    for dispatcher in &dispatchers {
+        dispatcher.wait_until_ready(&environment, READY_TIMEOUT).await?;
     }
     tokio::time::sleep(SETTLE_TIME).await;
     environment.borrow_mut().start_clock();
-    let clients = spawn_local(client::play(environment.clone()));
+    let clients = spawn_local(client::run_clients(environment.clone()));
     let end = environment.borrow().instant(environment.borrow().day.last_arrival);
-    faults::run_faults(&environment, &mut programs).await?;
+    faults::run_faults(&environment, &mut dispatchers).await?;
     tokio::time::sleep_until(end).await;
     let _ = tokio::time::timeout(MAX_TAIL, clients).await;
-    for program in &mut programs {
-        program.kill(&environment);
+    for dispatcher in &mut dispatchers {
+        dispatcher.kill(&environment);
     }
-    drop(programs);
+    drop(dispatchers);
     let record = environment.borrow_mut().take_record();
     Ok(record)
 }
--- a/crates/emulator/src/sockets/worker.rs
+++ b/crates/emulator/src/sockets/worker.rs
@@ -1,4 +1,4 @@
-//! Workers on sockets: the model of [`crate::worker`] behind listeners.
+//! Workers of a run over sockets: listeners and connections in front of the model of [`crate::worker`].
 
 use std::io;
 use std::time::Duration;
@@ -18,25 +18,25 @@
 use crate::day::{micros, Micros};
 use crate::worker::{AssignedJob, JobEvent, OverloadLimit, Phase, Worker};
 
-/// Opens a worker's listeners, one for each dispatcher, and runs its model until its process ends.
+/// Opens the listeners of a worker, one for each dispatcher, and starts its model, which runs until its process ends.
 pub(super) async fn serve(environment: &SharedEnvironment, w: usize) -> io::Result<()> {
-    let hosts = environment.borrow().agents.len();
+    let dispatchers = environment.borrow().agents.len();
     let mut ports = Vec::new();
-    for host in 0..hosts {
+    for dispatcher in 0..dispatchers {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         ports.push(listener.local_addr()?.port());
-        spawn_local(listen(environment.clone(), w, host, listener));
+        spawn_local(accept_connections(environment.clone(), w, dispatcher, listener));
     }
     environment.borrow_mut().ports[w] = ports;
     spawn_local(run_model(environment.clone(), w));
     Ok(())
 }
 
-/// Wakes the model when it is due.
+/// Wakes the model of a worker whenever its next event is due, until the process ends.
 async fn run_model(environment: SharedEnvironment, w: usize) {
-    let process = environment.borrow().processes[w];
-    let due = environment.borrow().wake[w].clone();
-    while environment.borrow().processes[w] == process {
+    let process = environment.borrow().ended_processes[w];
+    let schedule_changed = environment.borrow().wake[w].clone();
+    while environment.borrow().ended_processes[w] == process {
         let next = {
             let shared = environment.borrow();
             shared.workers[w].next_event().map(|at| shared.instant(at))
@@ -48,9 +48,9 @@
             }
         };
         tokio::select! {
-            () = due.notified() => {}
+            () = schedule_changed.notified() => {}
             () = sleep => {
-                if environment.borrow().processes[w] == process {
+                if environment.borrow().ended_processes[w] == process {
                     environment.borrow_mut().with_worker(w, Worker::wake);
                 }
             }
@@ -58,18 +58,23 @@
     }
 }
 
-async fn listen(environment: SharedEnvironment, w: usize, host: usize, listener: TcpListener) {
-    let process = environment.borrow().processes[w];
-    let ended = environment.borrow().ended[w].clone();
+async fn accept_connections(
+    environment: SharedEnvironment,
+    w: usize,
+    dispatcher: usize,
+    listener: TcpListener,
+) {
+    let process = environment.borrow().ended_processes[w];
+    let process_ended = environment.borrow().process_ended[w].clone();
     loop {
         let stream = tokio::select! {
-            () = ended.notified() => return,
+            () = process_ended.notified() => return,
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => stream,
                 Err(_) => continue,
             },
         };
-        if environment.borrow().processes[w] != process {
+        if environment.borrow().ended_processes[w] != process {
             return;
         }
         {
@@ -80,12 +85,12 @@
             shared.connections[w] += 1;
             shared.record.new_connections += 1;
         }
-        let (environment, ended) = (environment.clone(), ended.clone());
+        let (environment, process_ended) = (environment.clone(), process_ended.clone());
         spawn_local(async move {
             tokio::select! {
-                // The process ends, and its connections with it.
-                () = ended.notified() => {}
-                _ = connection(&environment, w, host, stream) => {}
+                // The connections of a process end with it.
+                () = process_ended.notified() => {}
+                _ = serve_connection(&environment, w, dispatcher, stream) => {}
             }
             let count = &mut environment.borrow_mut().connections[w];
             *count = count.saturating_sub(1);
@@ -94,182 +99,187 @@
 }
 
 /// Serves the requests of a connection, one at a time.
-async fn connection(
+async fn serve_connection(
     environment: &SharedEnvironment,
     w: usize,
-    host: usize,
+    dispatcher: usize,
     mut stream: TcpStream,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    let (way, shake, idle) = {
+    let (network_delay, handshake_duration, idle_timeout) = {
         let shared = environment.borrow();
-        let net = &shared.day.network;
-        let way = shared.network_delay(host, w);
-        (way, 2 * way.mul_f64(net.handshake_rtts) + Duration::from_micros(micros(net.handshake)), net.idle)
+        let network = &shared.day.network;
+        let network_delay = shared.network_delay(dispatcher, w);
+        let handshake_delay = 2 * network_delay.mul_f64(network.handshake_rtts);
+        let handshake_cost = Duration::from_micros(micros(network.handshake));
+        (network_delay, handshake_delay + handshake_cost, Duration::from_micros(network.idle))
     };
-    tokio::time::sleep(shake).await;
+    tokio::time::sleep(handshake_duration).await;
     let mut buffer = BytesMut::with_capacity(4096);
     loop {
-        let mut first: Option<Micros> = None;
-        let begins = http::read_head(&mut stream, &mut buffer, http::MessageKind::Request, || {
-            first = Some(environment.borrow().now())
+        let mut first_byte_at: Option<Micros> = None;
+        let read = http::read_head(&mut stream, &mut buffer, http::MessageKind::Request, || {
+            first_byte_at = Some(environment.borrow().now())
         });
-        let Ok(head) = tokio::time::timeout(Duration::from_micros(idle), begins).await else { return Ok(()) };
+        let Ok(head) = tokio::time::timeout(idle_timeout, read).await else { return Ok(()) };
         let Some(head) = head? else { return Ok(()) };
         let _ = http::read_body(&mut stream, &mut buffer, &head).await?;
-        // The last byte has come: from here on it counts.
-        let begun = first.unwrap_or_else(|| environment.borrow().now());
+        // An attempt is recorded once its last byte has arrived, with the arrival of its first byte as the sending time.
+        let sent_at = first_byte_at.unwrap_or_else(|| environment.borrow().now());
         let id = head.get("request-id").and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or(0);
-        let Some((n, mut events)) = record_attempt(environment, w, host, id, begun) else {
+        let Some((attempt, mut events)) = record_attempt(environment, w, dispatcher, id, sent_at) else {
             stream.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await?;
             continue;
         };
-        tokio::time::sleep(way).await;
-        offer_job(environment, w, host, n);
-        let mut called_off = CancelOnDrop { environment, w, n, complete: false };
-        if !write_events(environment, w, &mut stream, &mut buffer, id, way, &mut events).await? {
+        tokio::time::sleep(network_delay).await;
+        offer_job(environment, w, dispatcher, attempt);
+        let mut cancel_guard = CancelOnDrop { environment, w, attempt, complete: false };
+        if !write_events(environment, w, &mut stream, &mut buffer, id, network_delay, &mut events).await? {
             return Ok(());
         }
-        called_off.complete = true;
+        cancel_guard.complete = true;
     }
 }
 
-/// An attempt whose connection is closed is given up.
+/// Cancels an attempt at the worker if it is dropped before the attempt is complete, as when the connection closes.
 struct CancelOnDrop<'a> {
     environment: &'a SharedEnvironment,
     w: usize,
-    n: usize,
+    attempt: usize,
     complete: bool,
 }
 
 impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         if !self.complete {
-            let n = self.n;
+            let attempt = self.attempt;
             self.environment.borrow_mut().with_worker(self.w, |worker, now, events| {
-                worker.cancel(n, now, events);
+                worker.cancel(attempt, now, events);
             });
         }
     }
 }
 
-/// Notes a request that came whole, for the checker.
+/// Records an attempt whose request has arrived completely. Returns its index and the receiver of its events; none if no
+/// client submitted a request with this id.
 fn record_attempt(
     environment: &SharedEnvironment,
     w: usize,
-    host: usize,
+    dispatcher: usize,
     id: u64,
-    begun: Micros,
+    sent_at: Micros,
 ) -> Option<(usize, mpsc::UnboundedReceiver<JobEvent>)> {
     let mut shared = environment.borrow_mut();
     let job = *shared.submissions.get(usize::try_from(id.checked_sub(1)?).ok()?)?;
     let plan = &shared.workers[w].plan;
     let location = Location { zone: plan.zone, rack: plan.rack };
-    let incarnation = shared.incarnation_id(host);
-    let send = shared.checker.record_attempt(ObservedAttempt {
+    let incarnation = shared.incarnation_id(dispatcher);
+    let checker_attempt = shared.checker.record_attempt(ObservedAttempt {
         incarnation,
         request: id,
         worker: w as u64,
         location,
-        sent_at: begun,
+        sent_at,
     });
     shared.record.sends += 1;
-    shared.record.cross_zone_sends += u64::from(location.zone != shared.day.dispatchers[host].zone);
+    shared.record.cross_zone_sends += u64::from(location.zone != shared.day.dispatchers[dispatcher].zone);
     shared.record.admitted[job as usize] = true;
-    let first = &mut shared.record.first_sent[job as usize];
-    *first = first.or(Some(begun));
+    let first_sent = &mut shared.record.first_sent[job as usize];
+    *first_sent = first_sent.or(Some(sent_at));
     let (sender, events) = mpsc::unbounded_channel();
-    shared.attempts.push(Attempt { events: sender, request: id, job, checker_send: send, run: None });
+    shared.attempts.push(Attempt { events: sender, request: id, job, checker_attempt, run: None });
     Some((shared.attempts.len() - 1, events))
 }
 
-/// The request reaches the model.
-fn offer_job(environment: &SharedEnvironment, w: usize, host: usize, n: usize) {
+/// Passes the job of an attempt to the model of the worker. Publishes the end of the process if the job overloads it.
+fn offer_job(environment: &SharedEnvironment, w: usize, dispatcher: usize, attempt: usize) {
     let mut guard = environment.borrow_mut();
     let shared = &mut *guard;
     if shared.workers[w].phase == Phase::Ended {
         return;
     }
-    let job = &shared.day.jobs[shared.attempts[n].job as usize];
+    let job = &shared.day.jobs[shared.attempts[attempt].job as usize];
     let cv = shared.day.work_noise[job.class as usize];
     let noise = LogNormal::new(-cv * cv / 2.0, cv).map_or(1.0, |noise| noise.sample(&mut shared.rng));
     let fails = shared.rng.random_bool(shared.workers[w].plan.error_rate);
-    let since = shared.workers[w].started_at;
-    let informed = shared.agents[host].entries.get(&w).is_some_and(|line| line.started_at >= since);
-    let task = AssignedJob {
-        attempt: n,
+    let started_at = shared.workers[w].started_at;
+    let list_entry = shared.agents[dispatcher].entries.get(&w);
+    let sender_knew_start = list_entry.is_some_and(|entry| entry.started_at >= started_at);
+    let assigned = AssignedJob {
+        attempt,
         slots: job.slots,
         work: job.work * noise,
         expected_work: shared.day.mean_work[job.class as usize] * f64::from(job.slots),
         fails,
-        sender_knew_start: informed,
+        sender_knew_start,
     };
     let rules = &shared.experiment.rules;
-    let fall = OverloadLimit { multiple: rules.overload_multiple, window: micros(rules.overload_window) };
-    let mut fallen = None;
-    shared.with_worker(w, |worker, now, events| fallen = worker.offer(task, now, fall, events));
-    if let Some(fallen) = fallen {
-        shared.checker.record_slow_start_overload(fallen.by_informed_senders);
+    let limit = OverloadLimit { multiple: rules.overload_multiple, window: micros(rules.overload_window) };
+    let mut overload = None;
+    shared.with_worker(w, |worker, now, events| overload = worker.offer(assigned, now, limit, events));
+    if let Some(overload) = overload {
+        shared.checker.record_slow_start_overload(overload.by_informed_senders);
         shared.kill_worker(w);
-        let silent = shared.day.discovery.death_notice;
+        let notice_delay = shared.day.discovery.death_notice;
         drop(guard);
-        publish(environment, w, EndpointPhase::Terminated, silent);
+        publish(environment, w, EndpointPhase::Terminated, notice_delay);
     }
 }
 
-/// Writes what the worker says of an attempt; false where the connection is of no more use.
+/// Writes the events of an attempt as lines of the response, until the final one. Returns whether the connection can
+/// serve another request.
 async fn write_events(
     environment: &SharedEnvironment,
     w: usize,
     stream: &mut TcpStream,
     buffer: &mut BytesMut,
     id: u64,
-    way: Duration,
+    network_delay: Duration,
     events: &mut mpsc::UnboundedReceiver<JobEvent>,
 ) -> io::Result<bool> {
-    let mut begun = false;
+    let mut head_written = false;
     loop {
-        let note = tokio::select! {
-            note = events.recv() => note,
-            // Nothing is sent while an answer is awaited: what comes is the end.
+        let event = tokio::select! {
+            event = events.recv() => event,
+            // A dispatcher sends nothing while it waits for a response, so readable means closed or a protocol error.
             end = readable(stream) => { end?; None }
         };
-        let Some(note) = note else { return Ok(false) };
-        tokio::time::sleep(way).await;
-        let line = |state: &str, more: &str| {
-            format!("{{\"id\":\"{id:016x}\",\"from\":\"w-{w}\",\"state\":\"{state}\"{more}}}")
+        let Some(event) = event else { return Ok(false) };
+        tokio::time::sleep(network_delay).await;
+        let line = |state: &str, other_fields: &str| {
+            format!("{{\"id\":\"{id:016x}\",\"from\":\"w-{w}\",\"state\":\"{state}\"{other_fields}}}")
         };
-        let (line, last) = match note {
+        let (line, is_last) = match event {
             JobEvent::Started(_) => (line("started", ""), false),
             JobEvent::Progress { completed_share, .. } => {
                 (line("running", &format!(",\"share\":{completed_share:.3}")), false)
             }
             JobEvent::Done(_) => (line("done", &format!(",\"result\":\"{id:016x} by w-{w}\"")), true),
             JobEvent::Failed(_) => (line("failed", ""), true),
-            JobEvent::Rejected(n) => {
+            JobEvent::Rejected(attempt) => {
                 let mut shared = environment.borrow_mut();
-                let (request, send) = (shared.attempts[n].request, shared.attempts[n].checker_send);
-                shared.checker.record_never_ran(request, send);
+                let Attempt { request, checker_attempt, .. } = shared.attempts[attempt];
+                shared.checker.record_never_ran(request, checker_attempt);
                 (line("returned", ""), true)
             }
             JobEvent::Lost(_) => return Ok(false),
         };
         let mut message = Vec::new();
-        if !std::mem::replace(&mut begun, true) {
+        if !std::mem::replace(&mut head_written, true) {
             message.extend_from_slice(CHUNKED_HEAD);
         }
         message.extend_from_slice(&chunk(&line));
-        if last {
+        if is_last {
             message.extend_from_slice(LAST_CHUNK);
         }
         stream.write_all(&message).await?;
-        if last {
+        if is_last {
             return Ok(buffer.is_empty());
         }
     }
 }
 
-/// Waits until the other side ends the connection or sends what it should not.
+/// Waits until the peer closes the connection, or sends data although it must wait for the response.
 async fn readable(stream: &TcpStream) -> io::Result<()> {
     stream.readable().await?;
     let mut byte = [0];
--- a/crates/emulator/src/virtual_time/mod.rs
+++ b/crates/emulator/src/virtual_time/mod.rs
@@ -1,4 +1,5 @@
-//! The run in virtual time: one queue of events, no clock, no threads. The same day and router give the same run.
+//! Execution mode in virtual time: a discrete-event simulation with one event queue, no threads and no real clock. The same
+//! day and routers always give the same run.
 
 mod simulation;
 
@@ -7,12 +8,12 @@
 use crate::router::Router;
 use crate::spec::{Arm, Experiment};
 
-/// Plays a day with an arm's routers; `make` makes one for a dispatcher's number, its settings and its seed.
+/// Runs a day in virtual time. `make_router` creates the router of a dispatcher process from its settings and seed.
 pub fn run_day(
     experiment: &Experiment,
     arm: &Arm,
     day: &Day,
-    make: &dyn Fn(dispatch_core::Settings, u64) -> Box<dyn Router>,
+    make_router: &dyn Fn(dispatch_core::Settings, u64) -> Box<dyn Router>,
 ) -> RunRecord {
-    simulation::Simulation::new(experiment, arm, day, make).run()
+    simulation::Simulation::new(experiment, arm, day, make_router).run()
 }
--- a/crates/emulator/src/virtual_time/simulation/attempts.rs
+++ b/crates/emulator/src/virtual_time/simulation/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: a request on its way from a dispatcher to a worker, until its end is known.
+//! Attempts, from the dispatcher's decision to send them until the dispatcher knows their outcome.
 
 use dispatch_core::api::{Event, Outcome, RequestId, Seconds, WorkerId, WorkerState};
 use rand::Rng as _;
@@ -11,146 +11,147 @@
 use crate::worker::Phase;
 
 impl Simulation<'_> {
-    pub(super) fn send(&mut self, host: u32, request: RequestId, worker: WorkerId, timeout: Option<Seconds>) {
+    /// Starts an attempt: takes an idle connection to the worker, or opens a new one.
+    pub(super) fn send(
+        &mut self,
+        dispatcher: u32,
+        request: RequestId,
+        worker: WorkerId,
+        timeout: Option<Seconds>,
+    ) {
         let Some(&w) = self.worker_index.get(&worker) else { return };
-        let try_no = (request.0 - 1) as u32;
-        let n = self.attempts.len() as u32;
-        let h = &mut self.dispatchers[host as usize];
-        let Some(open) = h.open_requests.get_mut(&request) else { return };
+        let submission = (request.0 - 1) as u32;
+        let attempt = self.attempts.len() as u32;
+        let host = &mut self.dispatchers[dispatcher as usize];
+        let Some(open) = host.open_requests.get_mut(&request) else { return };
         let number = open.attempts.len() as u32;
-        open.attempts.push(n);
-        let late = open.answered || self.now >= self.submissions[try_no as usize].deadline;
+        open.attempts.push(attempt);
+        let too_late = open.answered || self.now >= self.submissions[submission as usize].deadline;
         self.attempts.push(DispatchAttempt {
-            host,
-            incarnation: h.incarnation,
-            submission: try_no,
+            dispatcher,
+            incarnation: host.incarnation,
+            submission,
             number,
             worker: w,
-            process: self.processes[w as usize],
+            process: self.ended_processes[w as usize],
             in_flight: true,
-            checker_send: None,
+            checker_attempt: None,
             run: None,
         });
-        if late {
-            return self.end_attempt(n, Outcome::NotSent);
+        if too_late {
+            return self.end_attempt(attempt, Outcome::NotSent);
         }
         if let Some(timeout) = timeout {
-            self.schedule(self.now + micros(timeout), SimulationEvent::AttemptDeadline(n));
+            self.schedule(self.now + micros(timeout), SimulationEvent::AttemptTimeout(attempt));
         }
-        let kept = self.dispatchers[host as usize].idle_connections.get_mut(&w).and_then(|idle| {
-            let before = idle.len();
-            idle.retain(|used| used + self.day.network.idle > self.now);
-            let gone = (before - idle.len()) as u32;
-            self.connections[w as usize] = self.connections[w as usize].saturating_sub(gone);
+        let host = &mut self.dispatchers[dispatcher as usize];
+        let reused = host.idle_connections.get_mut(&w).and_then(|idle| {
+            let count_before = idle.len();
+            idle.retain(|last_used| last_used + self.day.network.idle > self.now);
+            let expired = (count_before - idle.len()) as u32;
+            self.connections[w as usize] = self.connections[w as usize].saturating_sub(expired);
             idle.pop()
         });
-        if kept.is_some() {
-            return self.on_connection_ready(n);
+        if reused.is_some() {
+            return self.on_connection_ready(attempt);
         }
         self.record.new_connections += 1;
-        let net = &self.day.network;
-        let way = self.network_delay(host, w);
-        let up = self.workers[w as usize].phase != Phase::Ended;
-        if !up || self.connections[w as usize] >= self.workers[w as usize].plan.max_connections {
-            return self.schedule(self.now + 2 * way, SimulationEvent::ConnectFailed(n));
+        let network = &self.day.network;
+        let delay = self.network_delay(dispatcher, w);
+        let has_process = self.workers[w as usize].phase != Phase::Ended;
+        if !has_process || self.connections[w as usize] >= self.workers[w as usize].plan.max_connections {
+            return self.schedule(self.now + 2 * delay, SimulationEvent::ConnectFailed(attempt));
         }
         self.connections[w as usize] += 1;
-        let shake = (2.0 * way as f64 * net.handshake_rtts) as Micros + micros(net.handshake);
-        self.schedule(self.now + shake, SimulationEvent::ConnectionReady(n));
+        let handshake_delay = (2.0 * delay as f64 * network.handshake_rtts) as Micros;
+        let handshake_duration = handshake_delay + micros(network.handshake);
+        self.schedule(self.now + handshake_duration, SimulationEvent::ConnectionReady(attempt));
     }
 
-    /// One way between a dispatcher and a worker, for this message.
-    pub(super) fn network_delay(&mut self, host: u32, worker: u32) -> Micros {
-        let net = &self.day.network;
-        let near = self.dispatchers[host as usize].zone == self.workers[worker as usize].plan.zone;
-        let way = if near { net.same_zone } else { net.cross_zone };
-        micros(way * (1.0 + net.jitter * self.rng.random_range(0.0..1.0))).max(1)
+    /// Draws the one-way delay of a message between a dispatcher and a worker.
+    pub(super) fn network_delay(&mut self, dispatcher: u32, worker: u32) -> Micros {
+        let network = &self.day.network;
+        let same_zone = self.dispatchers[dispatcher as usize].zone == self.workers[worker as usize].plan.zone;
+        let delay = if same_zone { network.same_zone } else { network.cross_zone };
+        micros(delay * (1.0 + network.jitter * self.rng.random_range(0.0..1.0))).max(1)
     }
 
-    /// The connection stands: the request is written, unless the worker was listed to drain meanwhile.
-    pub(super) fn on_connection_ready(&mut self, n: u32) {
-        let (host, w, try_no, out) = {
-            let a = &self.attempts[n as usize];
-            (
-                a.host,
-                a.worker,
-                a.submission,
-                a.in_flight && self.dispatchers[a.host as usize].incarnation == a.incarnation,
-            )
-        };
-        if !out {
+    /// Writes the request on its connection, unless the dispatcher has been notified meanwhile that the worker drains.
+    pub(super) fn on_connection_ready(&mut self, attempt: u32) {
+        let DispatchAttempt { dispatcher, incarnation, submission, worker: w, in_flight, .. } =
+            self.attempts[attempt as usize];
+        if !in_flight || self.dispatchers[dispatcher as usize].incarnation != incarnation {
             return;
         }
-        let serving = self.dispatchers[host as usize]
+        let is_serving = self.dispatchers[dispatcher as usize]
             .agent_list
             .get(&self.worker_ids[w as usize].0)
-            .is_some_and(|m| m.state == WorkerState::Serving);
-        if !serving {
-            return self.end_attempt(n, Outcome::NotSent);
+            .is_some_and(|endpoint| endpoint.state == WorkerState::Serving);
+        if !is_serving {
+            return self.end_attempt(attempt, Outcome::NotSent);
         }
         let plan = &self.workers[w as usize].plan;
         let location = Location { zone: plan.zone, rack: plan.rack };
-        let send = self.checker.record_attempt(ObservedAttempt {
-            incarnation: self.incarnation_id(host),
-            request: Self::request_id(try_no).0,
+        let checker_attempt = self.checker.record_attempt(ObservedAttempt {
+            incarnation: self.incarnation_id(dispatcher),
+            request: Self::request_id(submission).0,
             worker: self.worker_ids[w as usize].0,
             location,
             sent_at: self.now,
         });
-        self.attempts[n as usize].checker_send = Some(send);
+        self.attempts[attempt as usize].checker_attempt = Some(checker_attempt);
         self.record.sends += 1;
-        let job = self.submissions[try_no as usize].job as usize;
+        let job = self.submissions[submission as usize].job as usize;
         self.record.first_sent[job] = self.record.first_sent[job].or(Some(self.now));
-        self.record.cross_zone_sends += u64::from(location.zone != self.dispatchers[host as usize].zone);
-        let way = self.network_delay(host, w);
-        self.schedule(self.now + way, SimulationEvent::ReachWorker(n));
+        let dispatcher_zone = self.dispatchers[dispatcher as usize].zone;
+        self.record.cross_zone_sends += u64::from(location.zone != dispatcher_zone);
+        let delay = self.network_delay(dispatcher, w);
+        self.schedule(self.now + delay, SimulationEvent::ReachWorker(attempt));
     }
 
-    /// Stops waiting for an attempt that is out.
-    pub(super) fn abandon_attempt(&mut self, n: u32, outcome: Outcome) {
-        let (out, w) = (self.attempts[n as usize].in_flight, self.attempts[n as usize].worker);
-        if !out {
+    /// Closes the connection of an attempt in flight, which cancels it at the worker, and ends it with an outcome.
+    pub(super) fn abandon_attempt(&mut self, attempt: u32, outcome: Outcome) {
+        let DispatchAttempt { in_flight, worker: w, .. } = self.attempts[attempt as usize];
+        if !in_flight {
             return;
         }
         let mut events = std::mem::take(&mut self.job_events);
-        if self.workers[w as usize].cancel(n as usize, self.now, &mut events) {
-            // It never began, though nobody tells the dispatcher.
-            self.attempts[n as usize].run = None;
+        if self.workers[w as usize].cancel(attempt as usize, self.now, &mut events) {
+            // The job never ran, but the dispatcher is not notified of that.
+            self.attempts[attempt as usize].run = None;
         }
         self.process_job_events(w, events);
         self.connections[w as usize] = self.connections[w as usize].saturating_sub(1);
-        self.end_attempt(n, outcome);
+        self.end_attempt(attempt, outcome);
     }
 
-    /// An attempt ends for its dispatcher.
-    pub(super) fn end_attempt(&mut self, n: u32, outcome: Outcome) {
-        let (host, incarnation, number, try_no, send) = {
-            let a = &mut self.attempts[n as usize];
-            if !std::mem::replace(&mut a.in_flight, false) {
-                return;
-            }
-            (a.host, a.incarnation, a.number, a.submission, a.checker_send)
-        };
-        if self.dispatchers[host as usize].incarnation != incarnation {
+    /// Notifies the dispatcher of the outcome of an attempt in flight, and the client if the request was served.
+    pub(super) fn end_attempt(&mut self, attempt: u32, outcome: Outcome) {
+        let ended = &mut self.attempts[attempt as usize];
+        if !std::mem::replace(&mut ended.in_flight, false) {
             return;
         }
-        let id = Self::request_id(try_no);
-        if let (Some(send), true) = (send, outcome.never_ran()) {
-            self.checker.record_never_ran(id.0, send);
+        let DispatchAttempt { dispatcher, incarnation, number, submission, checker_attempt, .. } = *ended;
+        if self.dispatchers[dispatcher as usize].incarnation != incarnation {
+            return;
+        }
+        let id = Self::request_id(submission);
+        if let (Some(checker_attempt), true) = (checker_attempt, outcome.never_ran()) {
+            self.checker.record_never_ran(id.0, checker_attempt);
         }
-        if let Some(open) = self.dispatchers[host as usize].open_requests.get_mut(&id) {
+        if let Some(open) = self.dispatchers[dispatcher as usize].open_requests.get_mut(&id) {
             open.never_ran &= outcome.never_ran();
         }
-        if outcome == Outcome::Ok && self.is_open(try_no) {
+        if outcome == Outcome::Ok && self.is_open(submission) {
             self.checker.record_response(id.0, false, self.now);
-            self.record_outcome(try_no, JobOutcome::Served(self.now));
-            self.mark_answered(try_no);
+            self.record_outcome(submission, JobOutcome::Served(self.now));
+            self.mark_answered(submission);
         }
-        let complete = !self.is_open(try_no);
+        let complete = !self.is_open(submission);
         self.deliver(
-            host,
+            dispatcher,
             Event::AttemptEnded { request: id, attempt: number, outcome, complete, load: None },
         );
-        self.close_if_complete(host, id);
+        self.close_if_complete(dispatcher, id);
     }
 }
--- a/crates/emulator/src/virtual_time/simulation/clients.rs
+++ b/crates/emulator/src/virtual_time/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they submit jobs, leave, retry and take their answers.
+//! Clients, which submit jobs, disconnect, retry and receive responses.
 
 use dispatch_core::api::{Event, Idempotency, Outcome, Request, RequestId, Seconds};
 
@@ -7,12 +7,20 @@
 use crate::day::{micros, seconds, Micros};
 use crate::metrics::JobOutcome;
 
-/// A request that a router still holds this long after its deadline is answered without it.
+/// Time after the deadline at which a request is answered without a decision of the router.
 const OVERDUE_GRACE: Micros = 10_000;
-/// A retry with less time than this is not worth a client's while.
+/// Shortest time left before the deadline in which a client still retries.
 const MIN_RETRY_TIME: Micros = 100_000;
 
+/// Final response of a dispatcher that reports no success.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum Response {
+    Rejected { retry_after: Option<Seconds> },
+    Failed,
+}
+
 impl Simulation<'_> {
+    /// Schedules the first submission of a job, or its retry.
     pub(super) fn schedule_submission(&mut self, job: u32, is_retry: bool, at: Micros, deadline: Micros) {
         self.pending_submissions += 1;
         let submission = self.submissions.len() as u32;
@@ -20,21 +28,21 @@
         self.schedule(at, SimulationEvent::Submit(submission));
     }
 
+    /// Returns the request id of a submission: its index plus one.
     pub(super) fn request_id(submission: u32) -> RequestId {
         RequestId(u64::from(submission) + 1)
     }
 
     pub(super) fn on_submit(&mut self, submission: u32) {
         self.pending_submissions -= 1;
-        let (job_no, deadline) =
-            (self.submissions[submission as usize].job, self.submissions[submission as usize].deadline);
-        let job = &self.day.jobs[job_no as usize];
-        let host = job.dispatcher;
+        let Submission { job: job_number, deadline, .. } = self.submissions[submission as usize];
+        let job = &self.day.jobs[job_number as usize];
+        let dispatcher = job.dispatcher;
         if job.client_leaves_at.is_some_and(|leaves| leaves <= self.now) {
             return self.record_outcome(submission, JobOutcome::ClientLeft);
         }
-        if self.dispatchers[host as usize].router.is_none() {
-            // Nobody listens: any class may try again.
+        if self.dispatchers[dispatcher as usize].router.is_none() {
+            // The dispatcher is down, so the connection is refused and a retry is safe for every class.
             return self.retry_or(submission, None, JobOutcome::Failed(self.now));
         }
         self.open_submissions += 1;
@@ -42,7 +50,7 @@
         let class = &self.experiment.traffic.classes[job.class as usize];
         self.checker.record_accepted(id.0, class.idempotency, micros(class.retry_window), deadline);
         let open = OpenRequest { attempts: Vec::new(), answered: false, never_ran: true };
-        self.dispatchers[host as usize].open_requests.insert(id, open);
+        self.dispatchers[dispatcher as usize].open_requests.insert(id, open);
         self.schedule(deadline, SimulationEvent::Deadline(submission));
         if let Some(leaves) = job.client_leaves_at.filter(|leaves| *leaves < deadline) {
             self.schedule(leaves, SimulationEvent::ClientLeaves(submission));
@@ -58,17 +66,18 @@
             expected_run_time: None,
             affinity_key: None,
         };
-        self.deliver(host, Event::Request(request));
+        self.deliver(dispatcher, Event::Request(request));
         let answered =
-            self.dispatchers[host as usize].open_requests.get(&id).is_none_or(|open| open.answered);
+            self.dispatchers[dispatcher as usize].open_requests.get(&id).is_none_or(|open| open.answered);
         if !answered {
-            self.record.admitted[job_no as usize] = true;
+            self.record.admitted[job_number as usize] = true;
         }
     }
 
+    /// Returns whether a submission has reached its dispatcher and has no response yet.
     pub(super) fn is_open(&self, submission: u32) -> bool {
-        let host = self.day.jobs[self.submissions[submission as usize].job as usize].dispatcher;
-        self.dispatchers[host as usize]
+        let dispatcher = self.day.jobs[self.submissions[submission as usize].job as usize].dispatcher;
+        self.dispatchers[dispatcher as usize]
             .open_requests
             .get(&Self::request_id(submission))
             .is_some_and(|open| !open.answered)
@@ -82,21 +91,21 @@
         self.checker.waive_response(id.0);
         self.record_outcome(submission, JobOutcome::ClientLeft);
         self.mark_answered(submission);
-        let host = self.day.jobs[self.submissions[submission as usize].job as usize].dispatcher;
-        self.deliver(host, Event::ClientDisconnected(id));
-        self.close_if_complete(host, id);
+        let dispatcher = self.day.jobs[self.submissions[submission as usize].job as usize].dispatcher;
+        self.deliver(dispatcher, Event::ClientDisconnected(id));
+        self.close_if_complete(dispatcher, id);
     }
 
     pub(super) fn on_deadline(&mut self, submission: u32) {
         if !self.is_open(submission) {
             return;
         }
-        let host = self.day.jobs[self.submissions[submission as usize].job as usize].dispatcher;
-        let out = self.dispatchers[host as usize]
+        let dispatcher = self.day.jobs[self.submissions[submission as usize].job as usize].dispatcher;
+        let attempts = self.dispatchers[dispatcher as usize]
             .open_requests
             .get(&Self::request_id(submission))
-            .map(|o| o.attempts.clone());
-        for attempt in out.unwrap_or_default() {
+            .map(|open| open.attempts.clone());
+        for attempt in attempts.unwrap_or_default() {
             self.abandon_attempt(attempt, Outcome::Timeout);
         }
         if self.is_open(submission) {
@@ -109,62 +118,66 @@
             return;
         }
         let id = Self::request_id(submission);
-        let host = self.day.jobs[self.submissions[submission as usize].job as usize].dispatcher;
-        let open = self.dispatchers[host as usize].open_requests.get(&id);
-        let harmless = open
-            .is_some_and(|o| o.never_ran && !o.attempts.iter().any(|a| self.attempts[*a as usize].in_flight));
-        self.answer(submission, harmless.then_some(None));
-        self.deliver(host, Event::ClientDisconnected(id));
-        self.close_if_complete(host, id);
+        let dispatcher = self.day.jobs[self.submissions[submission as usize].job as usize].dispatcher;
+        let open = self.dispatchers[dispatcher as usize].open_requests.get(&id);
+        let may_reject = open.is_some_and(|open| {
+            let in_flight = |attempt: &u32| self.attempts[*attempt as usize].in_flight;
+            open.never_ran && !open.attempts.iter().any(in_flight)
+        });
+        let response = if may_reject { Response::Rejected { retry_after: None } } else { Response::Failed };
+        self.respond(submission, response);
+        self.deliver(dispatcher, Event::ClientDisconnected(id));
+        self.close_if_complete(dispatcher, id);
     }
 
-    /// Gives the client its answer: refused with when to come back, or failed.
-    pub(super) fn answer(&mut self, submission: u32, refused: Option<Option<Seconds>>) {
+    /// Sends the client a final response that reports no success.
+    pub(super) fn respond(&mut self, submission: u32, response: Response) {
         if !self.is_open(submission) {
             return;
         }
         let id = Self::request_id(submission);
-        self.checker.record_response(id.0, refused.is_some(), self.now);
+        let is_rejected = matches!(response, Response::Rejected { .. });
+        self.checker.record_response(id.0, is_rejected, self.now);
         let job = &self.day.jobs[self.submissions[submission as usize].job as usize];
         let class = &self.experiment.traffic.classes[job.class as usize];
-        match refused {
-            Some(after) => self.retry_or(submission, after, JobOutcome::Rejected(self.now)),
-            None if class.idempotency == Idempotency::Idempotent => {
+        match response {
+            Response::Rejected { retry_after } => {
+                self.retry_or(submission, retry_after, JobOutcome::Rejected(self.now))
+            }
+            Response::Failed if class.idempotency == Idempotency::Idempotent => {
                 self.retry_or(submission, None, JobOutcome::Failed(self.now))
             }
-            None => self.record_outcome(submission, JobOutcome::Failed(self.now)),
+            Response::Failed => self.record_outcome(submission, JobOutcome::Failed(self.now)),
         }
         self.mark_answered(submission);
     }
 
-    /// The client tries once more where it does that, or takes the end as it is.
-    pub(super) fn retry_or(&mut self, submission: u32, after: Option<Seconds>, end: JobOutcome) {
-        let (job_no, is_retry, deadline) = {
-            let entry = &self.submissions[submission as usize];
-            (entry.job, entry.is_retry, entry.deadline)
-        };
-        let job = &self.day.jobs[job_no as usize];
-        let Some(wait) = job.retry_backoff.filter(|_| !is_retry) else {
-            return self.record_outcome(submission, end);
+    /// Schedules the retry of the client, or records the outcome if the client does not retry.
+    pub(super) fn retry_or(&mut self, submission: u32, retry_after: Option<Seconds>, outcome: JobOutcome) {
+        let Submission { job: job_number, is_retry, deadline } = self.submissions[submission as usize];
+        let job = &self.day.jobs[job_number as usize];
+        let Some(backoff) = job.retry_backoff.filter(|_| !is_retry) else {
+            return self.record_outcome(submission, outcome);
         };
-        let asked = after.filter(|_| job.honours_retry_after).map_or(0, micros);
-        let at = self.now + wait.max(asked);
-        if at + MIN_RETRY_TIME > deadline {
-            return self.record_outcome(submission, end);
+        let requested_wait = retry_after.filter(|_| job.honours_retry_after).map_or(0, micros);
+        let retry_at = self.now + backoff.max(requested_wait);
+        if retry_at + MIN_RETRY_TIME > deadline {
+            return self.record_outcome(submission, outcome);
         }
-        self.schedule_submission(job_no, true, at, deadline);
+        self.schedule_submission(job_number, true, retry_at, deadline);
     }
 
-    pub(super) fn record_outcome(&mut self, submission: u32, end: JobOutcome) {
+    /// Records how the job of a submission ended for its client.
+    pub(super) fn record_outcome(&mut self, submission: u32, outcome: JobOutcome) {
         let job = self.submissions[submission as usize].job as usize;
-        self.record.outcomes[job] = Some(end);
+        self.record.outcomes[job] = Some(outcome);
     }
 
-    /// The try has its answer, or is owed none.
+    /// Marks a submission as one that expects no further response.
     pub(super) fn mark_answered(&mut self, submission: u32) {
-        let host = self.day.jobs[self.submissions[submission as usize].job as usize].dispatcher;
+        let dispatcher = self.day.jobs[self.submissions[submission as usize].job as usize].dispatcher;
         if let Some(open) =
-            self.dispatchers[host as usize].open_requests.get_mut(&Self::request_id(submission))
+            self.dispatchers[dispatcher as usize].open_requests.get_mut(&Self::request_id(submission))
         {
             if !open.answered {
                 open.answered = true;
--- a/crates/emulator/src/virtual_time/simulation/faults.rs
+++ b/crates/emulator/src/virtual_time/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: workers that hang, are replaced or crash, and dispatchers that are restarted.
+//! Fault injection: workers that hang, slow down, are replaced or crash, and dispatchers that restart.
 
 use dispatch_core::api::{Idempotency, RequestId, WorkerState};
 
@@ -9,6 +9,7 @@
 use crate::worker::{progress_interval, Phase, Worker};
 
 impl Simulation<'_> {
+    /// Injects a fault of the day.
     pub(super) fn inject_fault(&mut self, fault: Fault) {
         match fault {
             Fault::HangWorker(w, hung) => {
@@ -16,11 +17,11 @@
                 self.workers[w].set_hung(hung, self.now, &mut events);
                 self.process_job_events(w as u32, events);
             }
-            Fault::NoisyNeighbour(w, part) => {
-                self.workers[w].set_stolen_share(part, self.now);
+            Fault::NoisyNeighbour(w, share) => {
+                self.workers[w].set_stolen_share(share, self.now);
                 self.process_job_events(w as u32, Vec::new());
             }
-            Fault::ReplaceWorker(w, duration) => {
+            Fault::ReplaceWorker(w, drain_duration) => {
                 if self.workers[w].phase == Phase::Serving {
                     let mut events = std::mem::take(&mut self.job_events);
                     self.workers[w].drain(self.now, &mut events);
@@ -30,49 +31,54 @@
                         self.list_entry_as(w as u32, WorkerState::Draining),
                         self.day.discovery.drain_notice,
                     );
-                    let process = self.processes[w];
-                    self.schedule(self.now + duration, SimulationEvent::WorkerEnds(w as u32, process));
-                    // Its successor has another name.
+                    let process = self.ended_processes[w];
+                    let end = SimulationEvent::WorkerEnds { worker: w as u32, process };
+                    self.schedule(self.now + drain_duration, end);
+                    // The replacement has a worker id of its own.
                     let plan = self.workers[w].plan.clone();
-                    let since = self.now + duration;
-                    let mut successor = Worker::new(plan, Some(since), since, progress_interval());
-                    successor.phase = Phase::Ended;
-                    let next = self.add_worker(successor);
-                    self.schedule(since, SimulationEvent::WorkerStarts(next));
+                    let starts_at = self.now + drain_duration;
+                    let mut replacement = Worker::new(plan, Some(starts_at), starts_at, progress_interval());
+                    replacement.phase = Phase::Ended;
+                    let replacement = self.add_worker(replacement);
+                    self.schedule(starts_at, SimulationEvent::WorkerStarts(replacement));
                 }
             }
-            Fault::CrashWorker(w, duration) => {
+            Fault::CrashWorker(w, downtime) => {
                 self.kill_worker(w as u32);
-                self.schedule(self.now + duration, SimulationEvent::WorkerStarts(w as u32));
+                self.schedule(self.now + downtime, SimulationEvent::WorkerStarts(w as u32));
+            }
+            Fault::RestartDispatcher(dispatcher, downtime) => {
+                self.restart_dispatcher(dispatcher as u32, downtime)
             }
-            Fault::RestartDispatcher(host, duration) => self.restart_dispatcher(host as u32, duration),
         }
     }
 
+    /// Starts a process of a worker, in slow start, and publishes it.
     pub(super) fn on_worker_starts(&mut self, w: u32) {
         let plan = self.workers[w as usize].plan.clone();
-        let warm = micros(plan.warm_up);
+        let warm_up = micros(plan.warm_up);
         self.workers[w as usize] = Worker::new(plan, Some(self.now), self.now, progress_interval());
         (self.record.workers[w as usize].2, self.record.workers[w as usize].3) =
-            (self.now + warm, Micros::MAX);
+            (self.now + warm_up, Micros::MAX);
         self.publish(self.list_entry(w), self.day.discovery.start_notice);
     }
 
-    /// A dispatcher is killed, and comes back with nothing but its last list.
-    pub(super) fn restart_dispatcher(&mut self, host: u32, duration: Micros) {
-        let h = &mut self.dispatchers[host as usize];
-        if h.router.take().is_none() {
+    /// Kills a dispatcher and starts it again after `downtime`. Only its endpoint list survives; its open requests and
+    /// connections end.
+    pub(super) fn restart_dispatcher(&mut self, dispatcher: u32, downtime: Micros) {
+        let host = &mut self.dispatchers[dispatcher as usize];
+        if host.router.take().is_none() {
             return;
         }
-        h.incarnation += 1;
-        for (w, idle) in std::mem::take(&mut h.idle_connections) {
+        host.incarnation += 1;
+        for (w, idle) in std::mem::take(&mut host.idle_connections) {
             self.connections[w as usize] = self.connections[w as usize].saturating_sub(idle.len() as u32);
         }
-        let mut open: Vec<(RequestId, OpenRequest)> =
-            std::mem::take(&mut h.open_requests).into_iter().collect();
-        open.sort_unstable_by_key(|(id, _)| *id);
-        for (id, open) in open {
-            let n = (id.0 - 1) as u32;
+        let mut open_requests: Vec<(RequestId, OpenRequest)> =
+            std::mem::take(&mut host.open_requests).into_iter().collect();
+        open_requests.sort_unstable_by_key(|(id, _)| *id);
+        for (id, open) in open_requests {
+            let submission = (id.0 - 1) as u32;
             self.checker.waive_response(id.0);
             self.checker.close_request(id.0);
             for attempt in open.attempts {
@@ -86,14 +92,14 @@
             }
             if !open.answered {
                 self.open_submissions -= 1;
-                let job = &self.day.jobs[self.submissions[n as usize].job as usize];
+                let job = &self.day.jobs[self.submissions[submission as usize].job as usize];
                 let class = &self.experiment.traffic.classes[job.class as usize];
                 match class.idempotency {
-                    Idempotency::Idempotent => self.retry_or(n, None, JobOutcome::Failed(self.now)),
-                    _ => self.record_outcome(n, JobOutcome::Failed(self.now)),
+                    Idempotency::Idempotent => self.retry_or(submission, None, JobOutcome::Failed(self.now)),
+                    _ => self.record_outcome(submission, JobOutcome::Failed(self.now)),
                 }
             }
         }
-        self.schedule(self.now + duration.max(1), SimulationEvent::DispatcherStarts(host));
+        self.schedule(self.now + downtime.max(1), SimulationEvent::DispatcherStarts(dispatcher));
     }
 }
--- a/crates/emulator/src/virtual_time/simulation/mod.rs
+++ b/crates/emulator/src/virtual_time/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! All parties of a day, and the queue of events between them.
+//! Simulation of one day: the state of all parties, and the queue of events between them.
 
 mod attempts;
 mod clients;
@@ -25,52 +25,59 @@
 use crate::spec::{Arm, Experiment};
 use crate::worker::{progress_interval, JobEvent, Phase, Worker};
 
-/// What is not over this long after the last client came is not waited for.
+/// Time after the last arrival at which the simulation stops, even if submissions are open.
 const MAX_TAIL: Micros = 120_000_000;
 
-/// A dispatcher: its router, and what surrounds it in the real program.
+/// Dispatcher: its router, and the state that a dispatcher process keeps around the decision module.
 struct DispatcherHost {
+    /// None while the dispatcher is down.
     router: Option<Box<dyn Router>>,
     zone: u32,
     incarnation: u32,
-    /// The list, as the agent on its machine has it, and as it last held it itself.
+    /// Endpoint list of the discovery agent beside the dispatcher, by worker id. It also serves as the saved list.
     agent_list: BTreeMap<u64, Endpoint>,
-    /// Tries that it took and has not concluded, or whose attempts are out.
+    /// Requests that have no response yet or have attempts in flight.
     open_requests: FxHashMap<RequestId, OpenRequest>,
-    /// When the idle connections to each worker were last used.
+    /// Times at which the idle connections to each worker were last used.
     idle_connections: FxHashMap<u32, Vec<Micros>>,
 }
 
 struct OpenRequest {
+    /// Indices of its attempts.
     attempts: Vec<u32>,
+    /// Whether no further response is expected: the client has it, or disconnected.
     answered: bool,
+    /// Whether all attempts that ended never ran.
     never_ran: bool,
 }
 
-/// One go of a client at a job.
+/// Submission of a job by its client: the first one or the retry.
 struct Submission {
     job: u32,
     is_retry: bool,
     deadline: Micros,
 }
 
-/// One push of a try to a worker.
+/// Attempt of a dispatcher at a worker.
 struct DispatchAttempt {
-    host: u32,
+    dispatcher: u32,
+    /// Incarnation of the dispatcher that sent it.
     incarnation: u32,
     submission: u32,
+    /// Number among the attempts of the request.
     number: u32,
     worker: u32,
-    /// The worker's process: a later one of the same name knows nothing of it.
+    /// Process of the worker that it was sent to, as the number of processes that had ended before. A later process of
+    /// the worker does not have the job.
     process: u32,
     in_flight: bool,
-    /// Its number among the sends that the checker knows, once it is written.
-    checker_send: Option<usize>,
-    /// The run, while it runs.
+    /// Number of the attempt in the rule checker; none until the request is written.
+    checker_attempt: Option<usize>,
+    /// Index of the run in the record, while the job runs.
     run: Option<u32>,
 }
 
-/// A day being played.
+/// State of a simulation.
 pub(super) struct Simulation<'a> {
     experiment: &'a Experiment,
     day: &'a Day,
@@ -79,25 +86,34 @@
     rng: Pcg64Mcg,
     now: Micros,
     queue: BinaryHeap<Reverse<QueuedEvent>>,
-    order: u64,
+    /// Number of events scheduled so far.
+    scheduled: u64,
     dispatchers: Vec<DispatcherHost>,
     workers: Vec<Worker>,
     worker_ids: Vec<WorkerId>,
-    wake_turns: Vec<u32>,
-    processes: Vec<u32>,
+    /// Number of times that the next event of each worker was scheduled. Only the last one is valid.
+    wake_schedules: Vec<u32>,
+    /// Number of processes of each worker that have ended.
+    ended_processes: Vec<u32>,
+    /// Number of open connections of each worker.
     connections: Vec<u32>,
     worker_index: FxHashMap<WorkerId, u32>,
     submissions: Vec<Submission>,
     attempts: Vec<DispatchAttempt>,
-    list_changes: Vec<Vec<Endpoint>>,
-    publications: BTreeMap<Micros, u32>,
+    /// Changed endpoints of each publication of the endpoint list.
+    publications: Vec<Vec<Endpoint>>,
+    publications_by_time: BTreeMap<Micros, u32>,
+    /// Distribution of the factor between the work of an attempt and the work of its job, by class.
     work_noise: Vec<Option<LogNormal<f64>>>,
     checker: RuleChecker,
     record: RunRecord,
-    /// Tries to come, and those that are open.
+    /// Number of submissions that are scheduled.
     pending_submissions: u64,
+    /// Number of submissions that a dispatcher has received and not answered.
     open_submissions: u64,
+    /// Reused buffer for the events of a worker.
     job_events: Vec<JobEvent>,
+    /// Reused buffer for the actions of a router.
     actions: Vec<Action>,
 }
 
@@ -106,7 +122,7 @@
         experiment: &'a Experiment,
         arm: &'a Arm,
         day: &'a Day,
-        make: &'a dyn Fn(Settings, u64) -> Box<dyn Router>,
+        make_router: &'a dyn Fn(Settings, u64) -> Box<dyn Router>,
     ) -> Simulation<'a> {
         let rules = &experiment.rules;
         let limits =
@@ -117,22 +133,22 @@
             experiment,
             day,
             arm,
-            make_router: make,
+            make_router,
             rng: random_stream(day.seed, 4),
             now: DAY_START,
             queue: BinaryHeap::new(),
-            order: 0,
+            scheduled: 0,
             dispatchers: Vec::new(),
             workers: Vec::new(),
             worker_ids: Vec::new(),
-            wake_turns: Vec::new(),
-            processes: Vec::new(),
+            wake_schedules: Vec::new(),
+            ended_processes: Vec::new(),
             connections: Vec::new(),
             worker_index: FxHashMap::default(),
             submissions: Vec::with_capacity(jobs),
             attempts: Vec::with_capacity(jobs),
-            list_changes: Vec::new(),
-            publications: BTreeMap::new(),
+            publications: Vec::new(),
+            publications_by_time: BTreeMap::new(),
             work_noise: noise,
             checker: RuleChecker::new(limits),
             record: RunRecord {
@@ -146,13 +162,13 @@
             job_events: Vec::new(),
             actions: Vec::new(),
         };
-        simulation.add_actors();
+        simulation.add_workers_and_dispatchers();
         simulation.schedule_day();
         simulation
     }
 
-    /// Adds the workers and starts the dispatchers, which all know the whole list.
-    fn add_actors(&mut self) {
+    /// Adds the workers and starts the dispatchers, whose agents all have the complete endpoint list.
+    fn add_workers_and_dispatchers(&mut self) {
         for plan in &self.day.workers {
             self.add_worker(Worker::new(plan.clone(), None, DAY_START, progress_interval()));
         }
@@ -184,6 +200,7 @@
         }
     }
 
+    /// Runs the simulation until no submission is scheduled or open.
     pub(super) fn run(mut self) -> RunRecord {
         while let Some(Reverse(due)) = self.queue.pop() {
             if (self.pending_submissions == 0 && self.open_submissions == 0)
@@ -195,7 +212,7 @@
             self.record.events += 1;
             self.handle(due.event);
         }
-        // What still runs at the end has no end.
+        // Workers that still serve at the end of the run have no end in the record.
         for (w, worker) in self.workers.iter().enumerate() {
             if let Some(entry) = self.record.workers.get_mut(w) {
                 if worker.phase == Phase::Serving {
@@ -208,44 +225,49 @@
         self.record
     }
 
+    /// Puts an event into the queue.
     fn schedule(&mut self, at: Micros, event: SimulationEvent) {
-        self.order += 1;
-        self.queue.push(Reverse(QueuedEvent { at, order: self.order, event }));
+        self.scheduled += 1;
+        self.queue.push(Reverse(QueuedEvent { at, order: self.scheduled, event }));
     }
 
+    /// Handles an event that is due.
     fn handle(&mut self, event: SimulationEvent) {
         match event {
-            SimulationEvent::Submit(n) => self.on_submit(n),
-            SimulationEvent::ClientLeaves(n) => self.on_client_leaves(n),
-            SimulationEvent::Deadline(n) => self.on_deadline(n),
-            SimulationEvent::Overdue(n) => self.on_overdue(n),
-            SimulationEvent::AttemptDeadline(n) => self.abandon_attempt(n, Outcome::Timeout),
-            SimulationEvent::Timer(host, incarnation, token) => {
-                if self.dispatchers[host as usize].incarnation == incarnation {
-                    self.deliver(host, Event::Timer(token));
+            SimulationEvent::Submit(submission) => self.on_submit(submission),
+            SimulationEvent::ClientLeaves(submission) => self.on_client_leaves(submission),
+            SimulationEvent::Deadline(submission) => self.on_deadline(submission),
+            SimulationEvent::Overdue(submission) => self.on_overdue(submission),
+            SimulationEvent::AttemptTimeout(attempt) => self.abandon_attempt(attempt, Outcome::Timeout),
+            SimulationEvent::Timer { dispatcher, incarnation, token } => {
+                if self.dispatchers[dispatcher as usize].incarnation == incarnation {
+                    self.deliver(dispatcher, Event::Timer(token));
                 }
             }
-            SimulationEvent::ConnectionReady(n) => self.on_connection_ready(n),
-            SimulationEvent::ReachWorker(n) => self.on_reach_worker(n),
-            SimulationEvent::WakeWorker(w, turn) => {
-                if self.wake_turns[w as usize] == turn {
+            SimulationEvent::ConnectionReady(attempt) => self.on_connection_ready(attempt),
+            SimulationEvent::ReachWorker(attempt) => self.on_reach_worker(attempt),
+            SimulationEvent::WakeWorker { worker: w, schedule } => {
+                if self.wake_schedules[w as usize] == schedule {
                     let mut events = std::mem::take(&mut self.job_events);
                     self.workers[w as usize].wake(self.now, &mut events);
                     self.process_job_events(w, events);
                 }
             }
-            SimulationEvent::JobEventArrives(n, job_event) => self.on_job_event(n, job_event),
-            SimulationEvent::ConnectFailed(n) => self.end_attempt(n, Outcome::ConnectFailed),
-            SimulationEvent::Fault(n) => self.inject_fault(self.day.faults[n as usize].1),
-            SimulationEvent::PublishList(list) => {
-                for host in 0..self.dispatchers.len() {
-                    let spread = self.day.dispatchers[host].list_delay;
-                    self.schedule(self.now + spread, SimulationEvent::ListArrives(host as u32, list));
+            SimulationEvent::JobEventArrives(attempt, job_event) => self.on_job_event(attempt, job_event),
+            SimulationEvent::ConnectFailed(attempt) => self.end_attempt(attempt, Outcome::ConnectFailed),
+            SimulationEvent::Fault(fault) => self.inject_fault(self.day.faults[fault as usize].1),
+            SimulationEvent::PublishList(publication) => {
+                for dispatcher in 0..self.dispatchers.len() {
+                    let arrives_at = self.now + self.day.dispatchers[dispatcher].list_delay;
+                    let dispatcher = dispatcher as u32;
+                    self.schedule(arrives_at, SimulationEvent::ListArrives { dispatcher, publication });
                 }
             }
-            SimulationEvent::ListArrives(host, list) => self.on_list_arrives(host, list),
-            SimulationEvent::WorkerEnds(w, process) => {
-                if self.processes[w as usize] == process {
+            SimulationEvent::ListArrives { dispatcher, publication } => {
+                self.on_list_arrives(dispatcher, publication)
+            }
+            SimulationEvent::WorkerEnds { worker: w, process } => {
+                if self.ended_processes[w as usize] == process {
                     self.kill_worker(w);
                     self.publish(
                         self.list_entry_as(w, WorkerState::Removed),
@@ -254,7 +276,7 @@
                 }
             }
             SimulationEvent::WorkerStarts(w) => self.on_worker_starts(w),
-            SimulationEvent::DispatcherStarts(host) => self.start_dispatcher(host),
+            SimulationEvent::DispatcherStarts(dispatcher) => self.start_dispatcher(dispatcher),
         }
     }
 }
@@ -267,9 +289,9 @@
     }
 
     fn time_to_objective(&self, request_id: RequestId) -> Seconds {
-        let n = self.submissions[(request_id.0 - 1) as usize].job as usize;
-        let latency_objective =
-            self.day.jobs[n].arrival + crate::metrics::latency_objective(self.experiment, self.day, n);
-        (latency_objective as f64 - self.now as f64) / 1e6
+        let job = self.submissions[(request_id.0 - 1) as usize].job as usize;
+        let due_at =
+            self.day.jobs[job].arrival + crate::metrics::latency_objective(self.experiment, self.day, job);
+        (due_at as f64 - self.now as f64) / 1e6
     }
 }
--- a/crates/emulator/src/virtual_time/simulation/workers.rs
+++ b/crates/emulator/src/virtual_time/simulation/workers.rs
@@ -1,4 +1,4 @@
-//! Workers: jobs reach them, their events travel back, and the worker list tells of them.
+//! Workers: arrival of jobs, the way of their events back to the dispatchers, and changes of the endpoint list.
 
 use dispatch_core::api::{Endpoint, Event, Outcome, WorkerState};
 use dispatch_core::hashing::worker_id;
@@ -6,30 +6,33 @@
 use rand_distr::Distribution as _;
 
 use super::events::SimulationEvent;
-use super::Simulation;
+use super::{DispatchAttempt, Simulation};
 use crate::day::{micros, seconds, Micros};
 use crate::metrics::JobRun;
 use crate::worker::{AssignedJob, JobEvent, OverloadLimit, Phase, Worker};
 
 impl Simulation<'_> {
+    /// Adds a worker, and returns its index.
     pub(super) fn add_worker(&mut self, worker: Worker) -> u32 {
         let w = self.workers.len() as u32;
         let id = worker_id(&format!("w-{w}"));
-        let warm_from = worker.started_at.map_or(0, |since| since + micros(worker.plan.warm_up));
+        let warm_from = worker.started_at.map_or(0, |started_at| started_at + micros(worker.plan.warm_up));
         self.record.workers.push((worker.plan.speed, worker.plan.slots, warm_from, Micros::MAX));
         self.worker_index.insert(id, w);
         self.worker_ids.push(id);
         self.workers.push(worker);
-        self.wake_turns.push(0);
-        self.processes.push(0);
+        self.wake_schedules.push(0);
+        self.ended_processes.push(0);
         self.connections.push(0);
         w
     }
 
+    /// Returns the endpoint of a worker that serves.
     pub(super) fn list_entry(&self, w: u32) -> Endpoint {
         self.list_entry_as(w, WorkerState::Serving)
     }
 
+    /// Returns the endpoint of a worker in a state.
     pub(super) fn list_entry_as(&self, w: u32, state: WorkerState) -> Endpoint {
         let worker = &self.workers[w as usize];
         Endpoint {
@@ -42,75 +45,74 @@
         }
     }
 
-    /// A change of the list goes out with the others of its period.
-    pub(super) fn publish(&mut self, member: Endpoint, after: Micros) {
+    /// Publishes a change of the endpoint list once `after` has passed, together with the other changes of the publish
+    /// period.
+    pub(super) fn publish(&mut self, endpoint: Endpoint, after: Micros) {
         let period = self.day.discovery.publish_period.max(1);
         let at = (self.now + after).div_ceil(period) * period;
-        let list = match self.publications.get(&at) {
-            Some(list) => *list,
+        let publication = match self.publications_by_time.get(&at) {
+            Some(publication) => *publication,
             None => {
-                let list = self.list_changes.len() as u32;
-                self.list_changes.push(Vec::new());
-                self.publications.insert(at, list);
-                self.schedule(at, SimulationEvent::PublishList(list));
-                list
+                let publication = self.publications.len() as u32;
+                self.publications.push(Vec::new());
+                self.publications_by_time.insert(at, publication);
+                self.schedule(at, SimulationEvent::PublishList(publication));
+                publication
             }
         };
-        self.list_changes[list as usize].push(member);
+        self.publications[publication as usize].push(endpoint);
     }
 
-    pub(super) fn on_reach_worker(&mut self, n: u32) {
-        let (w, process, host, try_no) = {
-            let a = &self.attempts[n as usize];
-            (a.worker, a.process, a.host, a.submission)
-        };
-        if self.processes[w as usize] != process || self.workers[w as usize].phase == Phase::Ended {
-            let way = self.network_delay(host, w);
-            return self
-                .schedule(self.now + way, SimulationEvent::JobEventArrives(n, JobEvent::Lost(n as usize)));
+    /// Passes the job of an attempt to the model of its worker. Publishes the end of the process if the job overloads it.
+    pub(super) fn on_reach_worker(&mut self, attempt: u32) {
+        let DispatchAttempt { worker: w, process, dispatcher, submission, .. } =
+            self.attempts[attempt as usize];
+        if self.ended_processes[w as usize] != process || self.workers[w as usize].phase == Phase::Ended {
+            let delay = self.network_delay(dispatcher, w);
+            let lost = JobEvent::Lost(attempt as usize);
+            return self.schedule(self.now + delay, SimulationEvent::JobEventArrives(attempt, lost));
         }
-        let job = &self.day.jobs[self.submissions[try_no as usize].job as usize];
+        let job = &self.day.jobs[self.submissions[submission as usize].job as usize];
         let noise = match &self.work_noise[job.class as usize] {
             Some(noise) => noise.sample(&mut self.rng),
             None => 1.0,
         };
         let worker = &self.workers[w as usize];
         let fails = self.rng.random_bool(worker.plan.error_rate);
-        let known = self.dispatchers[host as usize].agent_list.get(&self.worker_ids[w as usize].0);
-        let since = worker.started_at.map_or(0.0, seconds);
-        let informed = known.is_some_and(|m| m.started_at >= since);
-        let usual = self.day.mean_work[job.class as usize] * f64::from(job.slots);
-        let work = job.work * noise;
-        let task = AssignedJob {
-            attempt: n as usize,
+        let list_entry = self.dispatchers[dispatcher as usize].agent_list.get(&self.worker_ids[w as usize].0);
+        let started_at = worker.started_at.map_or(0.0, seconds);
+        let sender_knew_start = list_entry.is_some_and(|endpoint| endpoint.started_at >= started_at);
+        let assigned = AssignedJob {
+            attempt: attempt as usize,
             slots: job.slots,
-            work,
-            expected_work: usual,
+            work: job.work * noise,
+            expected_work: self.day.mean_work[job.class as usize] * f64::from(job.slots),
             fails,
-            sender_knew_start: informed,
+            sender_knew_start,
         };
-        let fall = OverloadLimit {
+        let limit = OverloadLimit {
             multiple: self.experiment.rules.overload_multiple,
             window: micros(self.experiment.rules.overload_window),
         };
         let mut events = std::mem::take(&mut self.job_events);
-        let fallen = self.workers[w as usize].offer(task, self.now, fall, &mut events);
-        if let Some(fallen) = fallen {
-            self.checker.record_slow_start_overload(fallen.by_informed_senders);
-            self.processes[w as usize] += 1;
+        let overload = self.workers[w as usize].offer(assigned, self.now, limit, &mut events);
+        if let Some(overload) = overload {
+            self.checker.record_slow_start_overload(overload.by_informed_senders);
+            self.ended_processes[w as usize] += 1;
             self.publish(self.list_entry_as(w, WorkerState::Removed), self.day.discovery.death_notice);
         }
         self.process_job_events(w, events);
     }
 
-    /// Takes what a worker says, and wakes it when it is due next.
+    /// Records the events of a worker and sends them to the dispatchers of their attempts. Schedules the worker's next
+    /// event, which replaces the one scheduled before.
     pub(super) fn process_job_events(&mut self, w: u32, mut events: Vec<JobEvent>) {
-        for note in events.drain(..) {
-            let n = note.attempt() as u32;
-            match note {
+        for event in events.drain(..) {
+            let attempt = event.attempt() as u32;
+            match event {
                 JobEvent::Started(_) => {
-                    let job = self.submissions[self.attempts[n as usize].submission as usize].job;
-                    self.attempts[n as usize].run = Some(self.record.runs.len() as u32);
+                    let job = self.submissions[self.attempts[attempt as usize].submission as usize].job;
+                    self.attempts[attempt as usize].run = Some(self.record.runs.len() as u32);
                     self.record.runs.push(JobRun {
                         job,
                         worker: w,
@@ -119,51 +121,61 @@
                     });
                 }
                 JobEvent::Done(_) | JobEvent::Failed(_) | JobEvent::Lost(_) => {
-                    if let Some(run) = self.attempts[n as usize].run.take() {
+                    if let Some(run) = self.attempts[attempt as usize].run.take() {
                         self.record.runs[run as usize].ended_at = self.now;
                     }
                 }
                 _ => {}
             }
-            let host = self.attempts[n as usize].host;
-            let way = self.network_delay(host, w);
-            self.schedule(self.now + way, SimulationEvent::JobEventArrives(n, note));
+            let dispatcher = self.attempts[attempt as usize].dispatcher;
+            let delay = self.network_delay(dispatcher, w);
+            self.schedule(self.now + delay, SimulationEvent::JobEventArrives(attempt, event));
         }
         self.job_events = events;
-        self.wake_turns[w as usize] += 1;
+        self.wake_schedules[w as usize] += 1;
         if let Some(next) = self.workers[w as usize].next_event() {
-            self.schedule(next, SimulationEvent::WakeWorker(w, self.wake_turns[w as usize]));
+            let schedule = self.wake_schedules[w as usize];
+            self.schedule(next, SimulationEvent::WakeWorker { worker: w, schedule });
         }
     }
 
-    pub(super) fn on_job_event(&mut self, n: u32, note: JobEvent) {
-        let (host, incarnation, w, process, number, try_no, out) = {
-            let a = &self.attempts[n as usize];
-            (a.host, a.incarnation, a.worker, a.process, a.number, a.submission, a.in_flight)
-        };
-        if !out || self.dispatchers[host as usize].incarnation != incarnation {
+    /// Delivers an event of a worker to the dispatcher of the attempt, or ends the attempt if the event is final.
+    pub(super) fn on_job_event(&mut self, attempt: u32, event: JobEvent) {
+        let DispatchAttempt {
+            dispatcher,
+            incarnation,
+            worker: w,
+            process,
+            number,
+            submission,
+            in_flight,
+            ..
+        } = self.attempts[attempt as usize];
+        if !in_flight || self.dispatchers[dispatcher as usize].incarnation != incarnation {
             return;
         }
-        let (request, attempt) = (Self::request_id(try_no), number);
-        let outcome = match note {
-            JobEvent::Started(_) => return self.deliver(host, Event::JobStarted { request, attempt }),
+        let request = Self::request_id(submission);
+        let outcome = match event {
+            JobEvent::Started(_) => {
+                return self.deliver(dispatcher, Event::JobStarted { request, attempt: number })
+            }
             JobEvent::Progress { completed_share: done, .. } => {
-                return self.deliver(host, Event::Progress { request, attempt, done })
+                return self.deliver(dispatcher, Event::Progress { request, attempt: number, done })
             }
             JobEvent::Done(_) => Outcome::Ok,
             JobEvent::Failed(_) => Outcome::Error,
             JobEvent::Rejected(_) => Outcome::Overloaded,
             JobEvent::Lost(_) => Outcome::Reset,
         };
-        if outcome != Outcome::Reset && self.processes[w as usize] == process {
-            self.dispatchers[host as usize].idle_connections.entry(w).or_default().push(self.now);
+        if outcome != Outcome::Reset && self.ended_processes[w as usize] == process {
+            self.dispatchers[dispatcher as usize].idle_connections.entry(w).or_default().push(self.now);
         }
-        self.end_attempt(n, outcome);
+        self.end_attempt(attempt, outcome);
     }
 
-    /// A worker's process ends: what it has is lost, and so are the connections to it.
+    /// Ends the process of a worker: its jobs are lost and its connections close.
     pub(super) fn kill_worker(&mut self, w: u32) {
-        self.processes[w as usize] += 1;
+        self.ended_processes[w as usize] += 1;
         self.connections[w as usize] = 0;
         self.record.workers[w as usize].3 = self.now;
         for host in &mut self.dispatchers {
--- a/crates/emulator/src/worker/job.rs
+++ b/crates/emulator/src/worker/job.rs
@@ -8,14 +8,14 @@
 pub struct AssignedJob {
     /// Number of the attempt.
     pub attempt: AttemptId,
-    /// Slots that it occupies.
+    /// Slots that the job occupies while it runs.
     pub slots: u32,
     /// Work in seconds at speed 1, for each slot.
     pub work: f64,
     /// Mean work of jobs of its class and size, in slot-seconds at speed 1. The overload of a warming worker is
     /// computed from the mean, since a sender cannot know the work of a single job.
     pub expected_work: f64,
-    /// Whether it ends in an error.
+    /// Whether the job ends in an error.
     pub fails: bool,
     /// Whether the dispatcher that sent it had been notified of the worker's start.
     pub sender_knew_start: bool,
@@ -28,9 +28,9 @@
     Started(AttemptId),
     /// The job runs; reported once in each [`progress_interval`](super::progress_interval).
     Progress {
-        /// Attempt that runs.
+        /// Attempt whose job runs.
         attempt: AttemptId,
-        /// Part of its work that is done, from 0 to 1.
+        /// Completed part of the work, from 0 to 1.
         completed_share: f64,
     },
     /// The job completed.
--- a/crates/emulator/src/worker/mod.rs
+++ b/crates/emulator/src/worker/mod.rs
@@ -130,7 +130,7 @@
         initial + (1.0 - initial) * progress_by_time.max(progress_by_work).clamp(0.0, 1.0)
     }
 
-    /// Returns the work that it can do in a second, in slot-seconds.
+    /// Returns the work that the worker can do in a second, in slot-seconds.
     pub fn capacity(&self, now: Micros) -> f64 {
         self.plan.speed * self.plan.cores.min(f64::from(self.plan.slots)) * self.slow_start_factor(now)
     }
@@ -179,7 +179,7 @@
         Some(next.max(self.clock_moved_at + 1))
     }
 
-    /// Completes running jobs, reports progress and starts waiting jobs, as due.
+    /// Completes running jobs, reports progress and starts waiting jobs as far as these are due.
     pub fn wake(&mut self, now: Micros, events: &mut Vec<JobEvent>) {
         self.advance_to(now);
         if self.hung || self.phase == Phase::Ended {
@@ -288,7 +288,7 @@
         events.extend(self.waiting.drain(..).map(|job| JobEvent::Lost(job.attempt)));
     }
 
-    /// Suspends or resumes all work and answers.
+    /// Suspends or resumes all work and all responses.
     pub fn set_hung(&mut self, hung: bool, now: Micros, events: &mut Vec<JobEvent>) {
         self.advance_to(now);
         self.hung = hung;
--- a/crates/emulator/tests/stable_results.rs
+++ b/crates/emulator/tests/stable_results.rs
@@ -1,5 +1,4 @@
-//! Runs in virtual time give the same numbers and the dispatchers take the same decisions, to the last digit, as when
-//! the snapshots beside this file were recorded.
+//! Runs in virtual time give exactly the numbers and decisions of the recorded snapshots.
 
 use std::fmt::Write as _;
 use std::sync::{Arc, Mutex};
@@ -19,10 +18,10 @@
 
 const EVERY_KEY: &str = include_str!("stable/every_key.hcl");
 const DAYS: &str = include_str!("../../../experiments/days.hcl");
-/// So much of a run of [`DAYS`] is played, in seconds.
+/// Length of a day of [`DAYS`] in these tests, in seconds.
 const DAYS_LENGTH_S: f64 = 20.0;
 const SEEDS: [u64; 3] = [1, 2, 3];
-/// The decisions of a dispatcher that stand in the snapshot word by word; the others are in the digest only.
+/// Number of decisions of a dispatcher that the snapshot shows in full; the digest covers all of them.
 const SHOWN_DECISIONS: usize = 40;
 
 fn every_key() -> Experiment {
@@ -36,15 +35,15 @@
     experiment
 }
 
-/// All results as they are written, then the figures of each run, one a line.
+/// Returns the results as JSON, the metrics of each run on a line, and the table.
 fn results(experiment: &Experiment) -> String {
     let runs = run_virtual(experiment, &SEEDS, &ProgressBar::hidden());
     let results = Results::summarize(experiment, "virtual", &SEEDS, &runs);
     let mut text = serde_json::to_string_pretty(&results).expect("JSON");
     text.push_str("\n\n");
     for run in &runs {
-        let figures = serde_json::to_string(&run.metrics).expect("JSON");
-        let _ = writeln!(text, "arm {} case {} seed {}: {figures}", run.arm, run.case, run.seed);
+        let metrics = serde_json::to_string(&run.metrics).expect("JSON");
+        let _ = writeln!(text, "arm {} case {} seed {}: {metrics}", run.arm, run.case, run.seed);
     }
     text + "\n" + &results.table()
 }
@@ -62,17 +61,17 @@
 #[test]
 fn comparison_of_two_results() {
     let experiment = every_key();
-    let of = |seeds: &[u64]| {
+    let results_of = |seeds: &[u64]| {
         let runs = run_virtual(&experiment, seeds, &ProgressBar::hidden());
         Results::summarize(&experiment, "virtual", seeds, &runs)
     };
-    let mut other = of(&[1, 2]);
-    other.arms.truncate(2);
-    let paired = compare(&of(&[1, 2]), &other);
-    insta::assert_snapshot!(paired + "\n" + &compare(&of(&[1, 2]), &of(&[3, 4])));
+    let mut fewer_arms = results_of(&[1, 2]);
+    fewer_arms.arms.truncate(2);
+    let same_seeds = compare(&results_of(&[1, 2]), &fewer_arms);
+    insta::assert_snapshot!(same_seeds + "\n" + &compare(&results_of(&[1, 2]), &results_of(&[3, 4])));
 }
 
-/// A digest of lines of text, after Fowler, Noll and Vo (FNV-1a, 64 bits).
+/// Digest of lines of text: FNV-1a with 64 bits.
 #[derive(Debug, Clone, Copy)]
 struct Digest(u64);
 
@@ -84,7 +83,7 @@
     }
 }
 
-/// What one dispatcher was told and what it answered.
+/// Digests of the events that one dispatcher handled and of the actions that it took.
 #[derive(Debug)]
 struct Transcript {
     instance: u32,
@@ -109,12 +108,13 @@
     }
 }
 
-struct Recording {
+/// Router that records the events and the actions of another one.
+struct RecordingRouter {
     inner: Box<dyn Router>,
     transcript: Arc<Mutex<Transcript>>,
 }
 
-impl Recording {
+impl RecordingRouter {
     fn record(&self, now: Seconds, actions: &[Action]) {
         let mut transcript = self.transcript.lock().expect("one thread");
         for action in actions {
@@ -128,7 +128,7 @@
     }
 }
 
-impl Router for Recording {
+impl Router for RecordingRouter {
     fn start(&mut self, now: Seconds, actions: &mut Vec<Action>) {
         let before = actions.len();
         self.inner.start(now, actions);
@@ -140,7 +140,7 @@
         now: Seconds,
         event: Event<'_>,
         actions: &mut Vec<Action>,
-        sight: &dyn OracleView,
+        oracle: &dyn OracleView,
     ) {
         {
             let mut transcript = self.transcript.lock().expect("one thread");
@@ -148,11 +148,12 @@
             transcript.events_digest.add(&format!("{now:.6} {}", event_text(&event)));
         }
         let before = actions.len();
-        self.inner.on_event(now, event, actions, sight);
+        self.inner.on_event(now, event, actions, oracle);
         self.record(now, &actions[before..]);
     }
 }
 
+/// Returns the line of an action. The digests of the snapshots cover its words.
 fn action_text(action: &Action) -> String {
     match action {
         Action::Send { request, worker, timeout } => {
@@ -186,6 +187,7 @@
     }
 }
 
+/// Returns the line of an event. The digests of the snapshots cover its words.
 fn event_text(event: &Event<'_>) -> String {
     match event {
         Event::Request(request) => format!(
@@ -201,7 +203,7 @@
         }
         Event::ClientDisconnected(request) => format!("client of {} left", request.0),
         Event::Timer(token) => format!("timer {token:x}"),
-        Event::EndpointList { scope, endpoints: members } => {
+        Event::EndpointList { scope, endpoints } => {
             let scope = match scope {
                 ListScope::Full => "full",
                 ListScope::Cached => "saved",
@@ -209,8 +211,8 @@
                 ListScope::Failed => "failed",
             };
             let mut text = format!("list {scope}");
-            for member in *members {
-                let state = match member.state {
+            for endpoint in *endpoints {
+                let state = match endpoint.state {
                     WorkerState::Serving => "serving",
                     WorkerState::Draining => "draining",
                     WorkerState::Removed => "gone",
@@ -218,7 +220,7 @@
                 let _ = write!(
                     text,
                     "; {:016x} kind {} zone {} rack {} since {} {state}",
-                    member.worker.0, member.kind, member.zone, member.cell, member.started_at
+                    endpoint.worker.0, endpoint.kind, endpoint.zone, endpoint.cell, endpoint.started_at
                 );
             }
             text
@@ -227,18 +229,21 @@
     }
 }
 
-/// The decisions of every dispatcher on the day of a seed, with the first of them word by word.
+/// Returns the digests of all dispatchers on the days of a seed, and the first decisions of dispatcher 0.
 fn decisions(experiment: &Experiment, arm: usize, seed: u64) -> String {
     let mut text = String::new();
     for case in &experiment.cases {
         let day = Day::draw(experiment, case, seed);
         let transcripts: Arc<Mutex<Vec<Arc<Mutex<Transcript>>>>> = Arc::default();
-        let make = |settings: Settings, seed| -> Box<dyn Router> {
+        let make_router = |settings: Settings, seed| -> Box<dyn Router> {
             let transcript = Arc::new(Mutex::new(Transcript::new(settings.instance)));
             transcripts.lock().expect("one thread").push(transcript.clone());
-            Box::new(Recording { inner: router(RouterKind::DecisionModule, settings, seed), transcript })
+            Box::new(RecordingRouter {
+                inner: router(RouterKind::DecisionModule, settings, seed),
+                transcript,
+            })
         };
-        let record = virtual_time::run_day(experiment, &experiment.arms[arm], &day, &make);
+        let record = virtual_time::run_day(experiment, &experiment.arms[arm], &day, &make_router);
         let _ = writeln!(
             text,
             "{} seed {seed}: {} workers, {} jobs, {} events, {} tries, {} sends, {} connections, {} runs",
@@ -283,28 +288,31 @@
     insta::assert_snapshot!(text);
 }
 
+/// Results of two hours of the virtual-time soak: with usual clocks, with clocks that drift too much, and with an injected
+/// bug.
 #[test]
 fn hours_of_a_fleet() {
     let mut text = String::new();
-    for (skew_ppm, flaw) in [(1_000, None), (300_000, None), (1_000, Some("lease-from-answer"))] {
-        let known = InjectedBug::names().iter().find(|(name, _)| Some(*name) == flaw).map(|(_, flaw)| *flaw);
-        let hours = run_soak(2, 7, skew_ppm, known);
-        let json = serde_json::to_string_pretty(&hours).expect("JSON");
-        let _ = writeln!(text, "{skew_ppm} ppm, {flaw:?}: broken {}\n{json}", hours.is_violated());
+    for (skew_ppm, bug_name) in [(1_000, None), (300_000, None), (1_000, Some("lease-from-answer"))] {
+        let bug = InjectedBug::names().iter().find(|(name, _)| Some(*name) == bug_name).map(|(_, bug)| *bug);
+        let result = run_soak(2, 7, skew_ppm, bug);
+        let json = serde_json::to_string_pretty(&result).expect("JSON");
+        let _ = writeln!(text, "{skew_ppm} ppm, {bug_name:?}: violated {}\n{json}", result.is_violated());
     }
     insta::assert_snapshot!(text);
 }
 
+/// Results of the state search of the lease model, without a bug and with each injected bug.
 #[test]
 fn states_of_the_ownership_protocol() {
     let mut text = String::new();
     let bounds = Bounds { messages: 1, ..Bounds::default() };
-    let all = InjectedBug::names().iter().map(|(name, flaw)| (*name, Some(*flaw)));
-    for (name, flaw) in [("sound", None)].into_iter().chain(all) {
-        let found = search(flaw, bounds, 1);
+    let bugs = InjectedBug::names().iter().map(|(name, bug)| (*name, Some(*bug)));
+    for (name, bug) in [("sound", None)].into_iter().chain(bugs) {
+        let found = search(bug, bounds, 1);
         let _ = writeln!(
             text,
-            "{name}: {} states, depth {}, broken {:?}, handed over {}",
+            "{name}: {} states, depth {}, violated {:?}, handed over {}",
             found.states, found.depth, found.violated, found.handed_over
         );
     }
--- a/crates/emulator/tests/virtual_time.rs
+++ b/crates/emulator/tests/virtual_time.rs
@@ -1,5 +1,5 @@
-//! The drive in virtual time: the same seed gives the same bytes, the module keeps the rules, and routers with a
-//! seeded bug are caught by the stand-ins' records.
+//! Runs in virtual time: the same seed gives the same bytes, the decision module violates no rule, and the rule checker
+//! detects the violations of routers with an injected bug.
 
 use dispatch_core::api::{Action, Event, Seconds, WorkerId, WorkerState};
 use dispatch_core::Settings;
@@ -23,22 +23,22 @@
 }
 
 #[test]
-fn the_same_seeds_give_the_same_bytes_whatever_the_threads() {
+fn the_same_seeds_give_the_same_bytes_with_any_number_of_threads() {
     let experiment = days();
-    let play = |threads| {
+    let results = |threads| {
         let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("threads");
         let runs = pool.install(|| run_virtual(&experiment, &[3, 4], &ProgressBar::hidden()));
         Results::summarize(&experiment, "virtual", &[3, 4], &runs)
     };
-    let (one, many) = (play(1), play(4));
+    let (one_thread, four_threads) = (results(1), results(4));
     let bytes = |results: &Results| serde_json::to_string(results).expect("JSON");
-    assert_eq!(bytes(&one), bytes(&many));
-    let unchanged = compare(&one, &many);
-    assert!(unchanged.contains("| cairncrank | hang | +0.000 ±0.000 |"), "{unchanged}");
+    assert_eq!(bytes(&one_thread), bytes(&four_threads));
+    let comparison = compare(&one_thread, &four_threads);
+    assert!(comparison.contains("| cairncrank | hang | +0.000 ±0.000 |"), "{comparison}");
 }
 
 #[test]
-fn the_module_keeps_the_rules_and_beats_chance() {
+fn the_decision_module_violates_no_rule_and_serves_more_than_random_choice() {
     let experiment = days();
     let seeds = [11, 12, 13, 14];
     let runs = run_virtual(&experiment, &seeds, &ProgressBar::hidden());
@@ -48,19 +48,20 @@
     assert!(module.service.all > random.service.all + 0.05, "{}", results.table());
 }
 
-/// What a bug does to the actions of an otherwise good router.
-type Bug = fn(&mut Buggy, Event<'_>, &mut Vec<Action>);
+/// Changes the actions of a correct router.
+type Bug = fn(&mut BuggyRouter, Event<'_>, &mut Vec<Action>);
 
-struct Buggy {
-    good: Box<dyn Router>,
+/// Correct router whose actions a bug changes.
+struct BuggyRouter {
+    correct: Box<dyn Router>,
     bug: Bug,
-    /// Those that serve, latest last.
+    /// Workers that the endpoint lists reported as serving, in the order of the reports.
     workers: Vec<WorkerId>,
 }
 
-impl Router for Buggy {
+impl Router for BuggyRouter {
     fn start(&mut self, now: Seconds, actions: &mut Vec<Action>) {
-        self.good.start(now, actions);
+        self.correct.start(now, actions);
     }
 
     fn on_event(
@@ -68,74 +69,75 @@
         now: Seconds,
         event: Event<'_>,
         actions: &mut Vec<Action>,
-        sight: &dyn OracleView,
+        oracle: &dyn OracleView,
     ) {
-        if let Event::EndpointList { endpoints: members, .. } = event {
-            for member in members {
-                if member.state == WorkerState::Serving {
-                    self.workers.push(member.worker);
+        if let Event::EndpointList { endpoints, .. } = event {
+            for endpoint in endpoints {
+                if endpoint.state == WorkerState::Serving {
+                    self.workers.push(endpoint.worker);
                 }
             }
         }
-        self.good.on_event(now, event, actions, sight);
+        self.correct.on_event(now, event, actions, oracle);
         (self.bug)(self, event, actions);
     }
 }
 
-fn breaches(case: &str, bug: Bug) -> RuleViolations {
+/// Runs a case with a bug on several days, and returns the violations of all of them.
+fn violations(case: &str, bug: Bug) -> RuleViolations {
     let experiment = days();
-    let case = experiment.cases.iter().find(|c| c.name == case).expect("the case");
-    let mut all = RuleViolations::default();
+    let case = experiment.cases.iter().find(|known| known.name == case).expect("the case");
+    let mut total = RuleViolations::default();
     for seed in 1..=4 {
         let day = Day::draw(&experiment, case, seed);
-        let make = |settings: Settings, seed| -> Box<dyn Router> {
-            let good = router(RouterKind::DecisionModule, settings, seed);
-            Box::new(Buggy { good, bug, workers: Vec::new() })
+        let make_router = |settings: Settings, seed| -> Box<dyn Router> {
+            let correct = router(RouterKind::DecisionModule, settings, seed);
+            Box::new(BuggyRouter { correct, bug, workers: Vec::new() })
         };
-        let record = virtual_time::run_day(&experiment, &experiment.arms[0], &day, &make);
-        all.add(RunMetrics::evaluate(&experiment, &day, &record).rules);
+        let record = virtual_time::run_day(&experiment, &experiment.arms[0], &day, &make_router);
+        total.add(RunMetrics::evaluate(&experiment, &day, &record).rules);
     }
-    all
+    total
 }
 
 #[test]
-fn a_router_without_a_bug_is_not_accused() {
-    assert_eq!(breaches("deploy", |_, _, _| {}), RuleViolations::default());
+fn a_router_without_a_bug_has_no_violations() {
+    assert_eq!(violations("deploy", |_, _, _| {}), RuleViolations::default());
 }
 
-/// It sends what may have run to any worker once more.
+/// The bug sends a request that has started to run to an arbitrary worker as well.
 #[test]
-fn a_repeat_on_another_rack_is_caught() {
-    let found = breaches("hang", |buggy, event, actions| {
+fn a_second_attempt_on_another_rack_is_detected() {
+    let detected = violations("hang", |router, event, actions| {
         if let Event::JobStarted { request, attempt: 0 } = event {
-            let worker = buggy.workers[request.0 as usize % buggy.workers.len()];
+            let worker = router.workers[request.0 as usize % router.workers.len()];
             actions.push(Action::Send { request, worker, timeout: None });
         }
     });
-    assert!(found.repeated > 0, "{found:?}");
+    assert!(detected.repeated > 0, "{detected:?}");
 }
 
-/// It refuses what has begun to run.
+/// The bug rejects a request that has started to run.
 #[test]
-fn a_refusal_of_what_may_have_run_is_caught() {
-    let found = breaches("hang", |_, event, actions| {
+fn a_rejection_of_a_request_that_may_have_run_is_detected() {
+    let detected = violations("hang", |_, event, actions| {
         if let Event::JobStarted { request, .. } = event {
             actions.push(Action::Reject { request, retry_after: None });
         }
     });
-    assert!(found.repeated > 0, "{found:?}");
+    assert!(detected.repeated > 0, "{detected:?}");
 }
 
-/// It sends everything to one worker that just started.
+/// The bug sends every request to the worker that started last.
 #[test]
-fn a_cold_worker_pushed_over_is_caught() {
-    let found = breaches("deploy", |buggy, _, actions| {
-        let newest = *buggy.workers.last().expect("workers");
+fn an_overload_of_a_worker_in_slow_start_is_detected() {
+    let detected = violations("deploy", |router, _, actions| {
+        let newest = *router.workers.last().expect("workers");
         for action in actions.iter_mut() {
             if let Action::Send { worker, .. } = action {
                 *worker = newest;
             }
         }
     });
-    assert!(found.slow_start_overload > 0, "{found:?}");
+    assert!(detected.slow_start_overload > 0, "{detected:?}");
 }
--- a/crates/emulator/tests/worker.rs
+++ b/crates/emulator/tests/worker.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_head_of_the_queue_waits_until_it_fits() {
+fn the_first_job_of_the_queue_blocks_the_others_until_its_slots_are_free() {
     let mut worker = Worker::new(plan(4, 1.0), None, 0, progress_interval());
     let mut events = Vec::new();
     for job in [job(0, 2, 1.0), job(1, 4, 0.5), job(2, 1, 0.1)] {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn jobs_beyond_the_cores_share_them() {
+fn more_jobs_than_cores_share_the_cores_evenly() {
     let mut worker = Worker::new(plan(8, 1.0), None, 0, progress_interval());
     let mut events = Vec::new();
     (0..8).for_each(|n| {
@@ -78,10 +78,10 @@
 }
 
 #[test]
-fn a_cold_worker_is_slow_and_falls_over_when_sent_too_much() {
+fn a_worker_in_slow_start_is_slow_and_ends_when_it_is_overloaded() {
     let mut worker = Worker::new(plan(4, 1.0), Some(0), 0, progress_interval());
     let mut events = Vec::new();
-    // 0.2 of 4 cores for 1.5 s, three times over and the slack: 4.14 slot-seconds.
+    // The limit is 0.2 of 4 cores for 1.5 s, times the multiple of 3 and the slack of 1.15: 4.14 slot-seconds.
     assert_eq!(worker.offer(job(0, 4, 1.0), 0, LIMIT, &mut events), None);
     let overload = worker.offer(job(1, 1, 1.0), 1000, LIMIT, &mut events);
     assert_eq!(overload, Some(Overload { by_informed_senders: true }));
@@ -90,11 +90,11 @@
     events.clear();
     slow.offer(job(0, 1, 0.5), 0, LIMIT, &mut events);
     let (end, _) = run(&mut slow, &mut events, 0)[1];
-    assert!((1_500_000..2_500_000).contains(&end), "about a fifth of the speed at first: {end}");
+    assert!((1_500_000..2_500_000).contains(&end), "the capacity starts at a fifth and grows: {end}");
 }
 
 #[test]
-fn a_hung_worker_says_nothing_and_goes_on_later() {
+fn a_hung_worker_reports_nothing_and_continues_when_it_resumes() {
     let mut worker = Worker::new(plan(4, 1.0), None, 0, progress_interval());
     let mut events = Vec::new();
     worker.offer(job(0, 1, 1.0), 0, LIMIT, &mut events);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_draining_worker_hands_back_what_waits_and_ends_what_runs() {
+fn a_draining_worker_rejects_waiting_jobs_and_keeps_running_ones_until_its_process_ends() {
     let mut worker = Worker::new(plan(4, 1.0), None, 0, progress_interval());
     let mut events = Vec::new();
     worker.offer(job(0, 4, 1.0), 0, LIMIT, &mut events);
@@ -120,9 +120,9 @@
     assert_eq!(events, [JobEvent::Lost(0)]);
 }
 
-/// The prediction equals the completion if no other job arrives.
+/// The prediction equals the completion time if no other job arrives.
 #[test]
-fn foresight_agrees_with_the_outcome() {
+fn a_predicted_completion_agrees_with_the_actual_one() {
     let mut worker = Worker::new(plan(4, 0.8), None, 0, progress_interval());
     let mut events = Vec::new();
     for job in [job(0, 2, 1.0), job(1, 1, 0.3), job(2, 4, 0.5), job(3, 1, 0.2)] {
