--- a/crates/emulator/examples/careless_dispatcher.rs
+++ b/crates/emulator/examples/careless_dispatcher.rs
@@ -1,5 +1,5 @@
 //! A dispatcher with injected bugs, which a run over sockets must detect: it ignores discovery and sends nothing to any
-//! worker. It answers requests with even ids with an invented result, and does not answer the others in time.
+//! worker. A request with an even id gets an invented result; one with an odd id gets no response in time.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -78,7 +78,8 @@
 }
 
 impl Location {
-    /// Returns whether an idempotency key of this scope that a worker at the other location has seen is recognized here.
+    /// Returns whether an idempotency key of this scope that a worker at the other location has seen is recognized
+    /// here.
     fn shares_keys_with(self, other: Location, scope: KeyScope) -> bool {
         match scope {
             KeyScope::All => true,
@@ -248,8 +249,8 @@
         }
     }
 
-    /// Records the overload of a worker during slow start; it is a violation if dispatchers that had been notified of the
-    /// worker's start caused it.
+    /// Records the overload of a worker during slow start; it is a violation if dispatchers that had been notified of
+    /// the worker's start caused it.
     pub fn record_slow_start_overload(&mut self, by_informed_senders: bool) {
         self.violations.slow_start_overload += u64::from(by_informed_senders);
     }
--- a/crates/emulator/src/router.rs
+++ b/crates/emulator/src/router.rs
@@ -1,7 +1,8 @@
 //! Routers, which take the decisions of a dispatcher in an arm: the decision module, or a reference policy that it is
 //! compared with.
 //!
-//! All routers take the same events and return the same kinds of actions, so the execution modes need only one interface.
+//! All routers take the same events and return the same kinds of actions, so the execution modes need only one
+//! interface.
 
 use dispatch_core::api::{
     Action, Endpoint, Event, Idempotency, ListScope, Outcome, Request, RequestId, Seconds, Settings,
@@ -20,8 +21,8 @@
 
 /// True state of the fleet. Only the oracle policy uses it.
 pub trait OracleView {
-    /// Returns the seconds until the worker would complete the request if it were sent now; none if the worker would not
-    /// accept it.
+    /// Returns the seconds until the worker would complete the request if it were sent now; none if the worker would
+    /// not accept it.
     fn predict_completion(&self, worker: WorkerId, request: RequestId) -> Option<Seconds>;
     /// Returns the seconds until the latency objective of the request is missed.
     fn time_to_objective(&self, request: RequestId) -> Seconds;
@@ -93,8 +94,8 @@
 }
 
 /// Reference policy: sends every job immediately to a worker that its kind chooses, sends nothing to draining workers,
-/// and retries requests that never ran or are idempotent. It has no admission control, no load limit for workers in slow
-/// start and no ejection.
+/// and retries requests that never ran or are idempotent. It has no admission control, no load limit for workers in
+/// slow start and no ejection.
 struct ReferencePolicy {
     kind: RouterKind,
     settings: Settings,
--- a/crates/emulator/src/sockets/client.rs
+++ b/crates/emulator/src/sockets/client.rs
@@ -202,7 +202,7 @@
     let Submission { dispatcher, job, id, deadline } = submission;
     let ClientConnection { incarnation, mut stream } = connection;
     stream.set_nodelay(true)?;
-    let message = request_head(&environment.borrow(), job, id, deadline);
+    let message = encode_request(&environment.borrow(), job, id, deadline);
     stream.write_all(message.as_bytes()).await?;
     if recorded_id.replace(id).is_none() {
         let mut shared = environment.borrow_mut();
@@ -236,8 +236,8 @@
     })
 }
 
-/// Returns the whole request of a submission; it has no body.
-fn request_head(shared: &Environment, job: u32, id: u64, deadline: Micros) -> String {
+/// Encodes the request of a submission, which has no body.
+fn encode_request(shared: &Environment, job: u32, id: u64, deadline: Micros) -> String {
     let plan = &shared.day.jobs[job as usize];
     let class = &shared.experiment.traffic.classes[plan.class as usize];
     let tenant =
--- a/crates/emulator/src/sockets/discovery.rs
+++ b/crates/emulator/src/sockets/discovery.rs
@@ -38,13 +38,18 @@
     }
 }
 
-/// Publishes a new phase of a worker once `after` has passed, together with the other changes of the publish period.
+/// Publishes a new phase of a worker once `delay` has passed, together with the other changes of the publish period.
 /// Each agent receives it after the list delay of its dispatcher.
-pub(super) fn publish(environment: &SharedEnvironment, w: usize, phase: EndpointPhase, after: Micros) {
+pub(super) fn publish(
+    environment: &SharedEnvironment,
+    worker_index: usize,
+    phase: EndpointPhase,
+    delay: Micros,
+) {
     let shared = environment.borrow();
     let period = shared.day.discovery.publish_period.max(1);
-    let at = (shared.now() + after).div_ceil(period) * period;
-    let started_at = shared.workers[w].started_at;
+    let at = (shared.now() + delay).div_ceil(period) * period;
+    let started_at = shared.workers[worker_index].started_at;
     for dispatcher in 0..shared.agents.len() {
         let due = shared.instant(at + shared.day.dispatchers[dispatcher].list_delay);
         let environment = environment.clone();
@@ -53,7 +58,7 @@
             let agent = &mut environment.borrow_mut().agents[dispatcher];
             agent.revision += 1;
             let revision = agent.revision;
-            agent.entries.insert(w, ListEntry { revision, phase, started_at });
+            agent.entries.insert(worker_index, ListEntry { revision, phase, started_at });
             agent.changed.notify_waiters();
         });
     }
@@ -71,18 +76,18 @@
 }
 
 /// Returns the entries newer than a revision in the format of the discovery protocol; the complete list for revision 0.
-pub(super) fn endpoint_list(shared: &Environment, dispatcher: usize, after: u64) -> Value {
+pub(super) fn endpoint_list(shared: &Environment, dispatcher: usize, after_revision: u64) -> Value {
     let agent = &shared.agents[dispatcher];
     // The complete list omits removed workers.
-    let is_listed = |phase: EndpointPhase| after > 0 || phase != EndpointPhase::Terminated;
-    let changed = agent.entries.iter().filter(|(_, entry)| entry.revision > after);
+    let is_listed = |phase: EndpointPhase| after_revision > 0 || phase != EndpointPhase::Terminated;
+    let changed = agent.entries.iter().filter(|(_, entry)| entry.revision > after_revision);
     let listed = changed.filter(|(_, entry)| is_listed(entry.phase));
     let endpoints: Vec<Value> = listed
-        .map(|(w, entry)| {
-            let plan = &shared.workers[*w].plan;
+        .map(|(worker_index, entry)| {
+            let plan = &shared.workers[*worker_index].plan;
             json!({
-                "id": format!("w-{w}"),
-                "host_port": format!("127.0.0.1:{}", shared.ports[*w].get(dispatcher).copied().unwrap_or_default()),
+                "id": format!("w-{worker_index}"),
+                "host_port": format!("127.0.0.1:{}", shared.ports[*worker_index].get(dispatcher).copied().unwrap_or_default()),
                 "locality": format!("zone-{}", plan.zone),
                 "flavor": shared.experiment.kinds[plan.kind].name,
                 "cell": plan.rack,
@@ -92,17 +97,18 @@
             })
         })
         .collect();
-    json!({"revision": agent.revision, "complete": after == 0, "members": endpoints})
+    json!({"revision": agent.revision, "complete": after_revision == 0, "members": endpoints})
 }
 
 /// Records for the rule checker that the dispatcher is notified of all drains newer than a revision.
-fn record_drain_notices(shared: &mut Environment, dispatcher: usize, after: u64) {
+fn record_drain_notices(shared: &mut Environment, dispatcher: usize, after_revision: u64) {
     let (incarnation, now) = (shared.incarnation_id(dispatcher), shared.now());
-    let changed = shared.agents[dispatcher].entries.iter().filter(|(_, entry)| entry.revision > after);
+    let changed =
+        shared.agents[dispatcher].entries.iter().filter(|(_, entry)| entry.revision > after_revision);
     let draining = changed.filter(|(_, entry)| entry.phase != EndpointPhase::InService);
-    let draining: Vec<usize> = draining.map(|(w, _)| *w).collect();
-    for w in draining {
-        shared.checker.record_drain_notice(incarnation, w as u64, now);
+    let draining: Vec<usize> = draining.map(|(worker_index, _)| *worker_index).collect();
+    for worker_index in draining {
+        shared.checker.record_drain_notice(incarnation, worker_index as u64, now);
     }
 }
 
--- a/crates/emulator/src/sockets/environment.rs
+++ b/crates/emulator/src/sockets/environment.rs
@@ -63,9 +63,9 @@
 pub(super) struct Environment {
     pub(super) experiment: Experiment,
     pub(super) day: Day,
-    /// Start of the day on the clock of this process.
+    /// Instant at which the day starts.
     pub(super) start: Instant,
-    /// Unix time at the start of the day.
+    /// Unix time at the start of the day, in microseconds.
     pub(super) unix_start: Micros,
     pub(super) workers: Vec<Worker>,
     /// Number of processes of each worker that have ended.
@@ -98,12 +98,12 @@
 pub(super) type SharedEnvironment = Rc<RefCell<Environment>>;
 
 impl Environment {
-    /// Returns the time of the day.
+    /// Returns the current time on the clock of the day, which starts at [`DAY_START`].
     pub(super) fn now(&self) -> Micros {
         DAY_START + self.start.elapsed().as_micros() as Micros
     }
 
-    /// Converts a time of the day to an instant of the runtime's clock.
+    /// Converts a time on the clock of the day to an instant of the runtime's clock.
     pub(super) fn instant(&self, at: Micros) -> tokio::time::Instant {
         (self.start + Duration::from_micros(at.saturating_sub(DAY_START))).into()
     }
@@ -121,27 +121,27 @@
     }
 
     /// Forwards the events of a worker to its connections, and wakes its task.
-    fn process_job_events(&mut self, w: usize) {
+    fn process_job_events(&mut self, worker_index: usize) {
         let now = self.now();
         let mut events = std::mem::take(&mut self.job_events);
         for event in events.drain(..) {
-            self.record_run(w, now, event);
+            self.record_run(worker_index, now, event);
             // The receiver is gone if the connection was closed.
             let _ = self.attempts[event.attempt()].events.send(event);
         }
         self.job_events = events;
-        self.wake[w].notify_one();
+        self.wake[worker_index].notify_one();
     }
 
     /// Records the start or the end of a run that an event reports.
-    fn record_run(&mut self, w: usize, now: Micros, event: JobEvent) {
+    fn record_run(&mut self, worker_index: usize, now: Micros, event: JobEvent) {
         let attempt = &mut self.attempts[event.attempt()];
         match event {
             JobEvent::Started(_) => {
                 attempt.run = Some(self.record.runs.len() as u32);
                 self.record.runs.push(JobRun {
                     job: attempt.job,
-                    worker: w as u32,
+                    worker: worker_index as u32,
                     started_at: now,
                     ended_at: Micros::MAX,
                 });
@@ -158,27 +158,27 @@
     /// Applies a change to the model of a worker, and processes the job events that result.
     pub(super) fn with_worker(
         &mut self,
-        w: usize,
+        worker_index: usize,
         change: impl FnOnce(&mut Worker, Micros, &mut Vec<JobEvent>),
     ) {
         let now = self.now();
         let mut events = std::mem::take(&mut self.job_events);
-        change(&mut self.workers[w], now, &mut events);
+        change(&mut self.workers[worker_index], now, &mut events);
         self.job_events = events;
-        self.process_job_events(w);
+        self.process_job_events(worker_index);
     }
 
     /// Ends the process of a worker: its jobs are lost and its connections close.
-    pub(super) fn kill_worker(&mut self, w: usize) {
-        self.ended_processes[w] += 1;
-        self.record.workers[w].3 = self.now();
-        self.with_worker(w, Worker::end);
-        self.process_ended[w].notify_waiters();
+    pub(super) fn kill_worker(&mut self, worker_index: usize) {
+        self.ended_processes[worker_index] += 1;
+        self.record.workers[worker_index].3 = self.now();
+        self.with_worker(worker_index, Worker::end);
+        self.process_ended[worker_index].notify_waiters();
     }
 
     /// Adds a worker, and returns its index.
     pub(super) fn add_worker(&mut self, worker: Worker) -> usize {
-        let w = self.workers.len();
+        let worker_index = self.workers.len();
         let warm_from = worker.started_at.map_or(0, |started_at| started_at + micros(worker.plan.warm_up));
         self.record.workers.push((worker.plan.speed, worker.plan.slots, warm_from, Micros::MAX));
         self.workers.push(worker);
@@ -187,7 +187,7 @@
         self.wake.push(Rc::default());
         self.ports.push(Vec::new());
         self.connections.push(0);
-        w
+        worker_index
     }
 }
 
@@ -248,7 +248,8 @@
         }
     }
 
-    /// Sets the start of the day to now. Creates the workers anew, because their model must not have seen earlier times.
+    /// Sets the start of the day to now. Creates the workers anew, because their model must not have seen earlier
+    /// times.
     pub(super) fn start_clock(&mut self) {
         self.start = Instant::now();
         self.unix_start = unix_now();
@@ -263,9 +264,9 @@
         let mut record = std::mem::take(&mut self.record);
         record.violations = checker.finish();
         record.submissions = self.submissions.len() as u64;
-        for (w, worker) in self.workers.iter().enumerate() {
+        for (worker_index, worker) in self.workers.iter().enumerate() {
             if worker.phase == Phase::Serving {
-                record.workers[w].3 = Micros::MAX;
+                record.workers[worker_index].3 = Micros::MAX;
             }
         }
         record
@@ -276,7 +277,7 @@
         self.record.outcomes[job as usize] = Some(outcome);
     }
 
-    /// Converts a time of the day to Unix time in milliseconds.
+    /// Converts a time on the clock of the day to Unix time in milliseconds.
     pub(super) fn unix_ms(&self, at: Micros) -> u64 {
         (self.unix_start + at.saturating_sub(DAY_START)) / 1000
     }
@@ -287,7 +288,7 @@
         micros(self.experiment.traffic.classes[class].timeout)
     }
 
-    /// Returns the seconds from now until a time of the day; 0 if it has passed.
+    /// Returns the seconds from now until a time on the clock of the day; 0 if it has passed.
     pub(super) fn seconds_left(&self, until: Micros) -> f64 {
         seconds(until.saturating_sub(self.now()))
     }
--- a/crates/emulator/src/sockets/faults.rs
+++ b/crates/emulator/src/sockets/faults.rs
@@ -48,70 +48,76 @@
 /// Injects a fault of a worker.
 fn inject_fault(environment: &SharedEnvironment, fault: Fault) {
     match fault {
-        Fault::HangWorker(w, hung) => {
-            environment.borrow_mut().with_worker(w, |worker, now, events| worker.set_hung(hung, now, events));
+        Fault::HangWorker(worker_index, hung) => {
+            environment
+                .borrow_mut()
+                .with_worker(worker_index, |worker, now, events| worker.set_hung(hung, now, events));
         }
-        Fault::NoisyNeighbour(w, share) => {
-            environment.borrow_mut().with_worker(w, |worker, now, _| worker.set_stolen_share(share, now));
+        Fault::NoisyNeighbour(worker_index, share) => {
+            environment
+                .borrow_mut()
+                .with_worker(worker_index, |worker, now, _| worker.set_stolen_share(share, now));
         }
-        Fault::ReplaceWorker(w, drain_duration) => replace_worker(environment, w, drain_duration),
-        Fault::CrashWorker(w, downtime) => crash_worker(environment, w, downtime),
+        Fault::ReplaceWorker(worker_index, drain_duration) => {
+            replace_worker(environment, worker_index, drain_duration)
+        }
+        Fault::CrashWorker(worker_index, downtime) => crash_worker(environment, worker_index, downtime),
         // Handled by the caller, which owns the dispatcher processes.
         Fault::RestartDispatcher(..) => {}
     }
 }
 
 /// Drains a worker and ends its process after `drain_duration`, at which its replacement starts in slow start.
-fn replace_worker(environment: &SharedEnvironment, w: usize, drain_duration: Micros) {
-    if environment.borrow().workers[w].phase != Phase::Serving {
+fn replace_worker(environment: &SharedEnvironment, worker_index: usize, drain_duration: Micros) {
+    if environment.borrow().workers[worker_index].phase != Phase::Serving {
         return;
     }
     let notice_delay = environment.borrow().day.discovery.drain_notice;
     let replacement = {
         let mut shared = environment.borrow_mut();
-        shared.record.workers[w].3 = shared.now();
-        shared.with_worker(w, Worker::drain);
-        let plan = shared.workers[w].plan.clone();
+        shared.record.workers[worker_index].3 = shared.now();
+        shared.with_worker(worker_index, Worker::drain);
+        let plan = shared.workers[worker_index].plan.clone();
         let starts_at = shared.now() + drain_duration;
         let mut replacement = Worker::new(plan, Some(starts_at), starts_at, progress_interval());
         replacement.phase = Phase::Ended;
         shared.add_worker(replacement)
     };
-    publish(environment, w, EndpointPhase::Terminating, notice_delay);
+    publish(environment, worker_index, EndpointPhase::Terminating, notice_delay);
     let environment = environment.clone();
     spawn_local(async move {
         tokio::time::sleep(Duration::from_micros(drain_duration)).await;
-        environment.borrow_mut().kill_worker(w);
-        publish(&environment, w, EndpointPhase::Terminated, notice_delay);
+        environment.borrow_mut().kill_worker(worker_index);
+        publish(&environment, worker_index, EndpointPhase::Terminated, notice_delay);
         start_worker(&environment, replacement).await;
     });
 }
 
 /// Ends the process of a worker without a drain, and starts it again after `downtime`. Discovery publishes only the new
 /// start.
-fn crash_worker(environment: &SharedEnvironment, w: usize, downtime: Micros) {
-    environment.borrow_mut().kill_worker(w);
+fn crash_worker(environment: &SharedEnvironment, worker_index: usize, downtime: Micros) {
+    environment.borrow_mut().kill_worker(worker_index);
     let environment = environment.clone();
     spawn_local(async move {
         tokio::time::sleep(Duration::from_micros(downtime)).await;
-        start_worker(&environment, w).await;
+        start_worker(&environment, worker_index).await;
     });
 }
 
 /// Starts the process of a worker, in slow start.
-async fn start_worker(environment: &SharedEnvironment, w: usize) {
+async fn start_worker(environment: &SharedEnvironment, worker_index: usize) {
     {
         let mut shared = environment.borrow_mut();
         let now = shared.now();
-        let plan = shared.workers[w].plan.clone();
+        let plan = shared.workers[worker_index].plan.clone();
         let warm_up = micros(plan.warm_up);
-        shared.workers[w] = Worker::new(plan, Some(now), now, progress_interval());
-        let record = &mut shared.record.workers[w];
+        shared.workers[worker_index] = Worker::new(plan, Some(now), now, progress_interval());
+        let record = &mut shared.record.workers[worker_index];
         record.2 = now + warm_up;
         record.3 = Micros::MAX;
     }
-    if worker::serve(environment, w).await.is_ok() {
+    if worker::serve(environment, worker_index).await.is_ok() {
         let notice_delay = environment.borrow().day.discovery.start_notice;
-        publish(environment, w, EndpointPhase::InService, notice_delay);
+        publish(environment, worker_index, EndpointPhase::InService, notice_delay);
     }
 }
--- a/crates/emulator/src/sockets/mod.rs
+++ b/crates/emulator/src/sockets/mod.rs
@@ -1,7 +1,8 @@
-//! Execution mode over sockets: runs the simulated day with the worker model in real time, against dispatcher processes.
+//! Execution mode over sockets: runs the simulated day with the worker model in real time, against dispatcher
+//! processes.
 //!
-//! Each dispatcher of the day is a child process. Workers, discovery and clients are tasks of this process that listen on
-//! free ports of the loopback interface. Every worker has one listener for each dispatcher, so the port tells which
+//! Each dispatcher of the day is a child process. Workers, discovery and clients are tasks of this process that listen
+//! on free ports of the loopback interface. Every worker has one listener for each dispatcher, so the port tells which
 //! dispatcher sent an attempt.
 
 mod client;
@@ -50,8 +51,8 @@
     let dispatcher_count = day.dispatchers.len();
     let environment: SharedEnvironment = Rc::new(RefCell::new(Environment::new(experiment, day)));
     let workers = environment.borrow().workers.len();
-    for w in 0..workers {
-        worker::serve(&environment, w).await?;
+    for worker_index in 0..workers {
+        worker::serve(&environment, worker_index).await?;
     }
     let mut dispatchers = Vec::new();
     for index in 0..dispatcher_count {
--- a/crates/emulator/src/sockets/program.rs
+++ b/crates/emulator/src/sockets/program.rs
@@ -56,8 +56,8 @@
         let agent = TcpListener::bind("127.0.0.1:0").await?;
         let discovery_port = agent.local_addr()?.port();
         spawn_local(discovery::serve(environment.clone(), index, agent));
-        // The listener is closed at once. The port stays free for the dispatcher unless the system assigns it to another
-        // process before the dispatcher starts.
+        // The listener is closed at once. The port stays free for the dispatcher unless the system assigns it to
+        // another process before the dispatcher starts.
         let listen_port = BlockingListener::bind("127.0.0.1:0")?.local_addr()?.port();
         environment.borrow_mut().listen_ports.push(listen_port);
         let file_name = format!("emulator-{}-{listen_port}.json", std::process::id());
--- a/crates/emulator/src/sockets/worker.rs
+++ b/crates/emulator/src/sockets/worker.rs
@@ -19,27 +19,27 @@
 use crate::worker::{AssignedJob, JobEvent, OverloadLimit, Phase, Worker};
 
 /// Opens the listeners of a worker, one for each dispatcher, and starts its model, which runs until its process ends.
-pub(super) async fn serve(environment: &SharedEnvironment, w: usize) -> io::Result<()> {
+pub(super) async fn serve(environment: &SharedEnvironment, worker_index: usize) -> io::Result<()> {
     let dispatchers = environment.borrow().agents.len();
     let mut ports = Vec::new();
     for dispatcher in 0..dispatchers {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         ports.push(listener.local_addr()?.port());
-        spawn_local(accept_connections(environment.clone(), w, dispatcher, listener));
+        spawn_local(accept_connections(environment.clone(), worker_index, dispatcher, listener));
     }
-    environment.borrow_mut().ports[w] = ports;
-    spawn_local(run_model(environment.clone(), w));
+    environment.borrow_mut().ports[worker_index] = ports;
+    spawn_local(run_model(environment.clone(), worker_index));
     Ok(())
 }
 
 /// Wakes the model of a worker whenever its next event is due, until the process ends.
-async fn run_model(environment: SharedEnvironment, w: usize) {
-    let process = environment.borrow().ended_processes[w];
-    let schedule_changed = environment.borrow().wake[w].clone();
-    while environment.borrow().ended_processes[w] == process {
+async fn run_model(environment: SharedEnvironment, worker_index: usize) {
+    let process = environment.borrow().ended_processes[worker_index];
+    let schedule_changed = environment.borrow().wake[worker_index].clone();
+    while environment.borrow().ended_processes[worker_index] == process {
         let next = {
             let shared = environment.borrow();
-            shared.workers[w].next_event().map(|at| shared.instant(at))
+            shared.workers[worker_index].next_event().map(|at| shared.instant(at))
         };
         let sleep = async {
             match next {
@@ -50,22 +50,24 @@
         tokio::select! {
             () = schedule_changed.notified() => {}
             () = sleep => {
-                if environment.borrow().ended_processes[w] == process {
-                    environment.borrow_mut().with_worker(w, Worker::wake);
+                if environment.borrow().ended_processes[worker_index] == process {
+                    environment.borrow_mut().with_worker(worker_index, Worker::wake);
                 }
             }
         }
     }
 }
 
+/// Accepts the connections of one dispatcher until the process of the worker ends. Closes new connections above the
+/// worker's limit.
 async fn accept_connections(
     environment: SharedEnvironment,
-    w: usize,
+    worker_index: usize,
     dispatcher: usize,
     listener: TcpListener,
 ) {
-    let process = environment.borrow().ended_processes[w];
-    let process_ended = environment.borrow().process_ended[w].clone();
+    let process = environment.borrow().ended_processes[worker_index];
+    let process_ended = environment.borrow().process_ended[worker_index].clone();
     loop {
         let stream = tokio::select! {
             () = process_ended.notified() => return,
@@ -74,15 +76,15 @@
                 Err(_) => continue,
             },
         };
-        if environment.borrow().ended_processes[w] != process {
+        if environment.borrow().ended_processes[worker_index] != process {
             return;
         }
         {
             let mut shared = environment.borrow_mut();
-            if shared.connections[w] >= shared.workers[w].plan.max_connections {
+            if shared.connections[worker_index] >= shared.workers[worker_index].plan.max_connections {
                 continue;
             }
-            shared.connections[w] += 1;
+            shared.connections[worker_index] += 1;
             shared.record.new_connections += 1;
         }
         let (environment, process_ended) = (environment.clone(), process_ended.clone());
@@ -90,9 +92,9 @@
             tokio::select! {
                 // The connections of a process end with it.
                 () = process_ended.notified() => {}
-                _ = serve_connection(&environment, w, dispatcher, stream) => {}
+                _ = serve_connection(&environment, worker_index, dispatcher, stream) => {}
             }
-            let count = &mut environment.borrow_mut().connections[w];
+            let count = &mut environment.borrow_mut().connections[worker_index];
             *count = count.saturating_sub(1);
         });
     }
@@ -101,7 +103,7 @@
 /// Serves the requests of a connection, one at a time.
 async fn serve_connection(
     environment: &SharedEnvironment,
-    w: usize,
+    worker_index: usize,
     dispatcher: usize,
     mut stream: TcpStream,
 ) -> io::Result<()> {
@@ -109,7 +111,7 @@
     let (network_delay, handshake_duration, idle_timeout) = {
         let shared = environment.borrow();
         let network = &shared.day.network;
-        let network_delay = shared.network_delay(dispatcher, w);
+        let network_delay = shared.network_delay(dispatcher, worker_index);
         let handshake_delay = 2 * network_delay.mul_f64(network.handshake_rtts);
         let handshake_cost = Duration::from_micros(micros(network.handshake));
         (network_delay, handshake_delay + handshake_cost, Duration::from_micros(network.idle))
@@ -124,27 +126,32 @@
         let Ok(head) = tokio::time::timeout(idle_timeout, read).await else { return Ok(()) };
         let Some(head) = head? else { return Ok(()) };
         let _ = http::read_body(&mut stream, &mut buffer, &head).await?;
-        // An attempt is recorded once its last byte has arrived, with the arrival of its first byte as the sending time.
+        // An attempt is recorded once its last byte has arrived, with the arrival of its first byte as the sending
+        // time.
         let sent_at = first_byte_at.unwrap_or_else(|| environment.borrow().now());
         let id = head.get("request-id").and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or(0);
-        let Some((attempt, mut events)) = record_attempt(environment, w, dispatcher, id, sent_at) else {
+        let Some((attempt, mut events)) = record_attempt(environment, worker_index, dispatcher, id, sent_at)
+        else {
             stream.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await?;
             continue;
         };
         tokio::time::sleep(network_delay).await;
-        offer_job(environment, w, dispatcher, attempt);
-        let mut cancel_guard = CancelOnDrop { environment, w, attempt, complete: false };
-        if !write_events(environment, w, &mut stream, &mut buffer, id, network_delay, &mut events).await? {
+        offer_job(environment, worker_index, dispatcher, attempt);
+        let mut cancel_guard = CancelOnDrop { environment, worker_index, attempt, complete: false };
+        if !write_events(environment, worker_index, &mut stream, &mut buffer, id, network_delay, &mut events)
+            .await?
+        {
             return Ok(());
         }
         cancel_guard.complete = true;
     }
 }
 
-/// Cancels an attempt at the worker if it is dropped before the attempt is complete, as when the connection closes.
+/// Guard that cancels an attempt at the worker when it is dropped before the attempt is complete, for example because
+/// the connection closed.
 struct CancelOnDrop<'a> {
     environment: &'a SharedEnvironment,
-    w: usize,
+    worker_index: usize,
     attempt: usize,
     complete: bool,
 }
@@ -153,31 +160,31 @@
     fn drop(&mut self) {
         if !self.complete {
             let attempt = self.attempt;
-            self.environment.borrow_mut().with_worker(self.w, |worker, now, events| {
+            self.environment.borrow_mut().with_worker(self.worker_index, |worker, now, events| {
                 worker.cancel(attempt, now, events);
             });
         }
     }
 }
 
-/// Records an attempt whose request has arrived completely. Returns its index and the receiver of its events; none if no
-/// client submitted a request with this id.
+/// Records an attempt whose request has arrived completely. Returns its index and the receiver of its events; none if
+/// no client submitted a request with this id.
 fn record_attempt(
     environment: &SharedEnvironment,
-    w: usize,
+    worker_index: usize,
     dispatcher: usize,
     id: u64,
     sent_at: Micros,
 ) -> Option<(usize, mpsc::UnboundedReceiver<JobEvent>)> {
     let mut shared = environment.borrow_mut();
     let job = *shared.submissions.get(usize::try_from(id.checked_sub(1)?).ok()?)?;
-    let plan = &shared.workers[w].plan;
+    let plan = &shared.workers[worker_index].plan;
     let location = Location { zone: plan.zone, rack: plan.rack };
     let incarnation = shared.incarnation_id(dispatcher);
     let checker_attempt = shared.checker.record_attempt(ObservedAttempt {
         incarnation,
         request: id,
-        worker: w as u64,
+        worker: worker_index as u64,
         location,
         sent_at,
     });
@@ -192,18 +199,18 @@
 }
 
 /// Passes the job of an attempt to the model of the worker. Publishes the end of the process if the job overloads it.
-fn offer_job(environment: &SharedEnvironment, w: usize, dispatcher: usize, attempt: usize) {
+fn offer_job(environment: &SharedEnvironment, worker_index: usize, dispatcher: usize, attempt: usize) {
     let mut guard = environment.borrow_mut();
     let shared = &mut *guard;
-    if shared.workers[w].phase == Phase::Ended {
+    if shared.workers[worker_index].phase == Phase::Ended {
         return;
     }
     let job = &shared.day.jobs[shared.attempts[attempt].job as usize];
     let cv = shared.day.work_noise[job.class as usize];
     let noise = LogNormal::new(-cv * cv / 2.0, cv).map_or(1.0, |noise| noise.sample(&mut shared.rng));
-    let fails = shared.rng.random_bool(shared.workers[w].plan.error_rate);
-    let started_at = shared.workers[w].started_at;
-    let list_entry = shared.agents[dispatcher].entries.get(&w);
+    let fails = shared.rng.random_bool(shared.workers[worker_index].plan.error_rate);
+    let started_at = shared.workers[worker_index].started_at;
+    let list_entry = shared.agents[dispatcher].entries.get(&worker_index);
     let sender_knew_start = list_entry.is_some_and(|entry| entry.started_at >= started_at);
     let assigned = AssignedJob {
         attempt,
@@ -216,13 +223,15 @@
     let rules = &shared.experiment.rules;
     let limit = OverloadLimit { multiple: rules.overload_multiple, window: micros(rules.overload_window) };
     let mut overload = None;
-    shared.with_worker(w, |worker, now, events| overload = worker.offer(assigned, now, limit, events));
+    shared.with_worker(worker_index, |worker, now, events| {
+        overload = worker.offer(assigned, now, limit, events)
+    });
     if let Some(overload) = overload {
         shared.checker.record_slow_start_overload(overload.by_informed_senders);
-        shared.kill_worker(w);
+        shared.kill_worker(worker_index);
         let notice_delay = shared.day.discovery.death_notice;
         drop(guard);
-        publish(environment, w, EndpointPhase::Terminated, notice_delay);
+        publish(environment, worker_index, EndpointPhase::Terminated, notice_delay);
     }
 }
 
@@ -230,7 +239,7 @@
 /// serve another request.
 async fn write_events(
     environment: &SharedEnvironment,
-    w: usize,
+    worker_index: usize,
     stream: &mut TcpStream,
     buffer: &mut BytesMut,
     id: u64,
@@ -247,14 +256,18 @@
         let Some(event) = event else { return Ok(false) };
         tokio::time::sleep(network_delay).await;
         let line = |state: &str, other_fields: &str| {
-            format!("{{\"id\":\"{id:016x}\",\"from\":\"w-{w}\",\"state\":\"{state}\"{other_fields}}}")
+            format!(
+                "{{\"id\":\"{id:016x}\",\"from\":\"w-{worker_index}\",\"state\":\"{state}\"{other_fields}}}"
+            )
         };
         let (line, is_last) = match event {
             JobEvent::Started(_) => (line("started", ""), false),
             JobEvent::Progress { completed_share, .. } => {
                 (line("running", &format!(",\"share\":{completed_share:.3}")), false)
             }
-            JobEvent::Done(_) => (line("done", &format!(",\"result\":\"{id:016x} by w-{w}\"")), true),
+            JobEvent::Done(_) => {
+                (line("done", &format!(",\"result\":\"{id:016x} by w-{worker_index}\"")), true)
+            }
             JobEvent::Failed(_) => (line("failed", ""), true),
             JobEvent::Rejected(attempt) => {
                 let mut shared = environment.borrow_mut();
--- a/crates/emulator/src/virtual_time/mod.rs
+++ b/crates/emulator/src/virtual_time/mod.rs
@@ -1,5 +1,5 @@
-//! Execution mode in virtual time: a discrete-event simulation with one event queue, no threads and no real clock. The same
-//! day and routers always give the same run.
+//! Execution mode in virtual time: a discrete-event simulation with one event queue, no threads and no real clock. The
+//! same day and routers always give the same run.
 
 mod simulation;
 
--- a/crates/emulator/src/virtual_time/simulation/attempts.rs
+++ b/crates/emulator/src/virtual_time/simulation/attempts.rs
@@ -19,7 +19,7 @@
         worker: WorkerId,
         timeout: Option<Seconds>,
     ) {
-        let Some(&w) = self.worker_index.get(&worker) else { return };
+        let Some(&worker_index) = self.worker_indices.get(&worker) else { return };
         let submission = (request.0 - 1) as u32;
         let attempt = self.attempts.len() as u32;
         let host = &mut self.dispatchers[dispatcher as usize];
@@ -32,8 +32,8 @@
             incarnation: host.incarnation,
             submission,
             number,
-            worker: w,
-            process: self.ended_processes[w as usize],
+            worker: worker_index,
+            process: self.ended_processes[worker_index as usize],
             in_flight: true,
             checker_attempt: None,
             run: None,
@@ -45,11 +45,12 @@
             self.schedule(self.now + micros(timeout), SimulationEvent::AttemptTimeout(attempt));
         }
         let host = &mut self.dispatchers[dispatcher as usize];
-        let reused = host.idle_connections.get_mut(&w).and_then(|idle| {
+        let reused = host.idle_connections.get_mut(&worker_index).and_then(|idle| {
             let count_before = idle.len();
             idle.retain(|last_used| last_used + self.day.network.idle > self.now);
             let expired = (count_before - idle.len()) as u32;
-            self.connections[w as usize] = self.connections[w as usize].saturating_sub(expired);
+            self.connections[worker_index as usize] =
+                self.connections[worker_index as usize].saturating_sub(expired);
             idle.pop()
         });
         if reused.is_some() {
@@ -57,12 +58,15 @@
         }
         self.record.new_connections += 1;
         let network = &self.day.network;
-        let delay = self.network_delay(dispatcher, w);
-        let has_process = self.workers[w as usize].phase != Phase::Ended;
-        if !has_process || self.connections[w as usize] >= self.workers[w as usize].plan.max_connections {
+        let delay = self.network_delay(dispatcher, worker_index);
+        let has_process = self.workers[worker_index as usize].phase != Phase::Ended;
+        if !has_process
+            || self.connections[worker_index as usize]
+                >= self.workers[worker_index as usize].plan.max_connections
+        {
             return self.schedule(self.now + 2 * delay, SimulationEvent::ConnectFailed(attempt));
         }
-        self.connections[w as usize] += 1;
+        self.connections[worker_index as usize] += 1;
         let handshake_delay = (2.0 * delay as f64 * network.handshake_rtts) as Micros;
         let handshake_duration = handshake_delay + micros(network.handshake);
         self.schedule(self.now + handshake_duration, SimulationEvent::ConnectionReady(attempt));
@@ -78,24 +82,24 @@
 
     /// Writes the request on its connection, unless the dispatcher has been notified meanwhile that the worker drains.
     pub(super) fn on_connection_ready(&mut self, attempt: u32) {
-        let DispatchAttempt { dispatcher, incarnation, submission, worker: w, in_flight, .. } =
+        let DispatchAttempt { dispatcher, incarnation, submission, worker: worker_index, in_flight, .. } =
             self.attempts[attempt as usize];
         if !in_flight || self.dispatchers[dispatcher as usize].incarnation != incarnation {
             return;
         }
         let is_serving = self.dispatchers[dispatcher as usize]
             .agent_list
-            .get(&self.worker_ids[w as usize].0)
+            .get(&self.worker_ids[worker_index as usize].0)
             .is_some_and(|endpoint| endpoint.state == WorkerState::Serving);
         if !is_serving {
             return self.end_attempt(attempt, Outcome::NotSent);
         }
-        let plan = &self.workers[w as usize].plan;
+        let plan = &self.workers[worker_index as usize].plan;
         let location = Location { zone: plan.zone, rack: plan.rack };
         let checker_attempt = self.checker.record_attempt(ObservedAttempt {
             incarnation: self.incarnation_id(dispatcher),
             request: Self::request_id(submission).0,
-            worker: self.worker_ids[w as usize].0,
+            worker: self.worker_ids[worker_index as usize].0,
             location,
             sent_at: self.now,
         });
@@ -105,23 +109,23 @@
         self.record.first_sent[job] = self.record.first_sent[job].or(Some(self.now));
         let dispatcher_zone = self.dispatchers[dispatcher as usize].zone;
         self.record.cross_zone_sends += u64::from(location.zone != dispatcher_zone);
-        let delay = self.network_delay(dispatcher, w);
+        let delay = self.network_delay(dispatcher, worker_index);
         self.schedule(self.now + delay, SimulationEvent::ReachWorker(attempt));
     }
 
     /// Closes the connection of an attempt in flight, which cancels it at the worker, and ends it with an outcome.
     pub(super) fn abandon_attempt(&mut self, attempt: u32, outcome: Outcome) {
-        let DispatchAttempt { in_flight, worker: w, .. } = self.attempts[attempt as usize];
+        let DispatchAttempt { in_flight, worker: worker_index, .. } = self.attempts[attempt as usize];
         if !in_flight {
             return;
         }
         let mut events = std::mem::take(&mut self.job_events);
-        if self.workers[w as usize].cancel(attempt as usize, self.now, &mut events) {
+        if self.workers[worker_index as usize].cancel(attempt as usize, self.now, &mut events) {
             // The job never ran, but the dispatcher is not notified of that.
             self.attempts[attempt as usize].run = None;
         }
-        self.process_job_events(w, events);
-        self.connections[w as usize] = self.connections[w as usize].saturating_sub(1);
+        self.process_job_events(worker_index, events);
+        self.connections[worker_index as usize] = self.connections[worker_index as usize].saturating_sub(1);
         self.end_attempt(attempt, outcome);
     }
 
--- a/crates/emulator/src/virtual_time/simulation/dispatchers.rs
+++ b/crates/emulator/src/virtual_time/simulation/dispatchers.rs
@@ -133,8 +133,8 @@
                     );
                 }
                 Action::CloseIdle(worker) => {
-                    if let Some(w) = self.worker_index.get(&worker) {
-                        self.dispatchers[dispatcher as usize].idle_connections.remove(w);
+                    if let Some(worker_index) = self.worker_indices.get(&worker) {
+                        self.dispatchers[dispatcher as usize].idle_connections.remove(worker_index);
                     }
                 }
                 Action::Watch(_)
--- a/crates/emulator/src/virtual_time/simulation/events.rs
+++ b/crates/emulator/src/virtual_time/simulation/events.rs
@@ -5,7 +5,8 @@
 use crate::day::Micros;
 use crate::worker::JobEvent;
 
-/// Event of a simulation. Submissions, attempts, dispatchers, workers, faults and publications are given by their index.
+/// Event of a simulation. Submissions, attempts, dispatchers, workers, faults and publications are given by their
+/// index.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum SimulationEvent {
     /// A client submits its job.
@@ -47,7 +48,7 @@
 /// Event with its time. Events of the same time are handled in the order in which they were scheduled.
 pub(super) struct QueuedEvent {
     pub(super) at: Micros,
-    /// Number of events scheduled before this one.
+    /// Position in the order of scheduling, from 1.
     pub(super) order: u64,
     pub(super) event: SimulationEvent,
 }
--- a/crates/emulator/src/virtual_time/simulation/faults.rs
+++ b/crates/emulator/src/virtual_time/simulation/faults.rs
@@ -12,30 +12,30 @@
     /// Injects a fault of the day.
     pub(super) fn inject_fault(&mut self, fault: Fault) {
         match fault {
-            Fault::HangWorker(w, hung) => {
+            Fault::HangWorker(worker_index, hung) => {
                 let mut events = std::mem::take(&mut self.job_events);
-                self.workers[w].set_hung(hung, self.now, &mut events);
-                self.process_job_events(w as u32, events);
+                self.workers[worker_index].set_hung(hung, self.now, &mut events);
+                self.process_job_events(worker_index as u32, events);
             }
-            Fault::NoisyNeighbour(w, share) => {
-                self.workers[w].set_stolen_share(share, self.now);
-                self.process_job_events(w as u32, Vec::new());
+            Fault::NoisyNeighbour(worker_index, share) => {
+                self.workers[worker_index].set_stolen_share(share, self.now);
+                self.process_job_events(worker_index as u32, Vec::new());
             }
-            Fault::ReplaceWorker(w, drain_duration) => {
-                if self.workers[w].phase == Phase::Serving {
+            Fault::ReplaceWorker(worker_index, drain_duration) => {
+                if self.workers[worker_index].phase == Phase::Serving {
                     let mut events = std::mem::take(&mut self.job_events);
-                    self.workers[w].drain(self.now, &mut events);
-                    self.record.workers[w].3 = self.now;
-                    self.process_job_events(w as u32, events);
+                    self.workers[worker_index].drain(self.now, &mut events);
+                    self.record.workers[worker_index].3 = self.now;
+                    self.process_job_events(worker_index as u32, events);
                     self.publish(
-                        self.list_entry_as(w as u32, WorkerState::Draining),
+                        self.endpoint_in_state(worker_index as u32, WorkerState::Draining),
                         self.day.discovery.drain_notice,
                     );
-                    let process = self.ended_processes[w];
-                    let end = SimulationEvent::WorkerEnds { worker: w as u32, process };
+                    let process = self.ended_processes[worker_index];
+                    let end = SimulationEvent::WorkerEnds { worker: worker_index as u32, process };
                     self.schedule(self.now + drain_duration, end);
                     // The replacement has a worker id of its own.
-                    let plan = self.workers[w].plan.clone();
+                    let plan = self.workers[worker_index].plan.clone();
                     let starts_at = self.now + drain_duration;
                     let mut replacement = Worker::new(plan, Some(starts_at), starts_at, progress_interval());
                     replacement.phase = Phase::Ended;
@@ -43,9 +43,9 @@
                     self.schedule(starts_at, SimulationEvent::WorkerStarts(replacement));
                 }
             }
-            Fault::CrashWorker(w, downtime) => {
-                self.kill_worker(w as u32);
-                self.schedule(self.now + downtime, SimulationEvent::WorkerStarts(w as u32));
+            Fault::CrashWorker(worker_index, downtime) => {
+                self.kill_worker(worker_index as u32);
+                self.schedule(self.now + downtime, SimulationEvent::WorkerStarts(worker_index as u32));
             }
             Fault::RestartDispatcher(dispatcher, downtime) => {
                 self.restart_dispatcher(dispatcher as u32, downtime)
@@ -54,13 +54,14 @@
     }
 
     /// Starts a process of a worker, in slow start, and publishes it.
-    pub(super) fn on_worker_starts(&mut self, w: u32) {
-        let plan = self.workers[w as usize].plan.clone();
+    pub(super) fn on_worker_starts(&mut self, worker_index: u32) {
+        let plan = self.workers[worker_index as usize].plan.clone();
         let warm_up = micros(plan.warm_up);
-        self.workers[w as usize] = Worker::new(plan, Some(self.now), self.now, progress_interval());
-        (self.record.workers[w as usize].2, self.record.workers[w as usize].3) =
+        self.workers[worker_index as usize] =
+            Worker::new(plan, Some(self.now), self.now, progress_interval());
+        (self.record.workers[worker_index as usize].2, self.record.workers[worker_index as usize].3) =
             (self.now + warm_up, Micros::MAX);
-        self.publish(self.list_entry(w), self.day.discovery.start_notice);
+        self.publish(self.serving_endpoint(worker_index), self.day.discovery.start_notice);
     }
 
     /// Kills a dispatcher and starts it again after `downtime`. Only its endpoint list survives; its open requests and
@@ -71,8 +72,9 @@
             return;
         }
         host.incarnation += 1;
-        for (w, idle) in std::mem::take(&mut host.idle_connections) {
-            self.connections[w as usize] = self.connections[w as usize].saturating_sub(idle.len() as u32);
+        for (worker_index, idle) in std::mem::take(&mut host.idle_connections) {
+            self.connections[worker_index as usize] =
+                self.connections[worker_index as usize].saturating_sub(idle.len() as u32);
         }
         let mut open_requests: Vec<(RequestId, OpenRequest)> =
             std::mem::take(&mut host.open_requests).into_iter().collect();
@@ -83,11 +85,12 @@
             self.checker.close_request(id.0);
             for attempt in open.attempts {
                 if std::mem::replace(&mut self.attempts[attempt as usize].in_flight, false) {
-                    let w = self.attempts[attempt as usize].worker;
-                    self.connections[w as usize] = self.connections[w as usize].saturating_sub(1);
+                    let worker_index = self.attempts[attempt as usize].worker;
+                    self.connections[worker_index as usize] =
+                        self.connections[worker_index as usize].saturating_sub(1);
                     let mut events = std::mem::take(&mut self.job_events);
-                    self.workers[w as usize].cancel(attempt as usize, self.now, &mut events);
-                    self.process_job_events(w, events);
+                    self.workers[worker_index as usize].cancel(attempt as usize, self.now, &mut events);
+                    self.process_job_events(worker_index, events);
                 }
             }
             if !open.answered {
--- a/crates/emulator/src/virtual_time/simulation/mod.rs
+++ b/crates/emulator/src/virtual_time/simulation/mod.rs
@@ -86,7 +86,7 @@
     rng: Pcg64Mcg,
     now: Micros,
     queue: BinaryHeap<Reverse<QueuedEvent>>,
-    /// Number of events scheduled so far.
+    /// Number of events scheduled so far, which orders events of the same time.
     scheduled: u64,
     dispatchers: Vec<DispatcherHost>,
     workers: Vec<Worker>,
@@ -97,7 +97,7 @@
     ended_processes: Vec<u32>,
     /// Number of open connections of each worker.
     connections: Vec<u32>,
-    worker_index: FxHashMap<WorkerId, u32>,
+    worker_indices: FxHashMap<WorkerId, u32>,
     submissions: Vec<Submission>,
     attempts: Vec<DispatchAttempt>,
     /// Changed endpoints of each publication of the endpoint list.
@@ -144,7 +144,7 @@
             wake_schedules: Vec::new(),
             ended_processes: Vec::new(),
             connections: Vec::new(),
-            worker_index: FxHashMap::default(),
+            worker_indices: FxHashMap::default(),
             submissions: Vec::with_capacity(jobs),
             attempts: Vec::with_capacity(jobs),
             publications: Vec::new(),
@@ -173,7 +173,7 @@
             self.add_worker(Worker::new(plan.clone(), None, DAY_START, progress_interval()));
         }
         let endpoints: Vec<Endpoint> =
-            (0..self.workers.len()).map(|worker| self.list_entry(worker as u32)).collect();
+            (0..self.workers.len()).map(|worker| self.serving_endpoint(worker as u32)).collect();
         for plan in &self.day.dispatchers {
             self.dispatchers.push(DispatcherHost {
                 router: None,
@@ -200,7 +200,8 @@
         }
     }
 
-    /// Runs the simulation until no submission is scheduled or open.
+    /// Runs the simulation until no submission is scheduled or open, but no longer than [`MAX_TAIL`] after the last
+    /// arrival.
     pub(super) fn run(mut self) -> RunRecord {
         while let Some(Reverse(due)) = self.queue.pop() {
             if (self.pending_submissions == 0 && self.open_submissions == 0)
@@ -213,8 +214,8 @@
             self.handle(due.event);
         }
         // Workers that still serve at the end of the run have no end in the record.
-        for (w, worker) in self.workers.iter().enumerate() {
-            if let Some(entry) = self.record.workers.get_mut(w) {
+        for (worker_index, worker) in self.workers.iter().enumerate() {
+            if let Some(entry) = self.record.workers.get_mut(worker_index) {
                 if worker.phase == Phase::Serving {
                     entry.3 = Micros::MAX;
                 }
@@ -246,11 +247,11 @@
             }
             SimulationEvent::ConnectionReady(attempt) => self.on_connection_ready(attempt),
             SimulationEvent::ReachWorker(attempt) => self.on_reach_worker(attempt),
-            SimulationEvent::WakeWorker { worker: w, schedule } => {
-                if self.wake_schedules[w as usize] == schedule {
+            SimulationEvent::WakeWorker { worker: worker_index, schedule } => {
+                if self.wake_schedules[worker_index as usize] == schedule {
                     let mut events = std::mem::take(&mut self.job_events);
-                    self.workers[w as usize].wake(self.now, &mut events);
-                    self.process_job_events(w, events);
+                    self.workers[worker_index as usize].wake(self.now, &mut events);
+                    self.process_job_events(worker_index, events);
                 }
             }
             SimulationEvent::JobEventArrives(attempt, job_event) => self.on_job_event(attempt, job_event),
@@ -266,16 +267,16 @@
             SimulationEvent::ListArrives { dispatcher, publication } => {
                 self.on_list_arrives(dispatcher, publication)
             }
-            SimulationEvent::WorkerEnds { worker: w, process } => {
-                if self.ended_processes[w as usize] == process {
-                    self.kill_worker(w);
+            SimulationEvent::WorkerEnds { worker: worker_index, process } => {
+                if self.ended_processes[worker_index as usize] == process {
+                    self.kill_worker(worker_index);
                     self.publish(
-                        self.list_entry_as(w, WorkerState::Removed),
+                        self.endpoint_in_state(worker_index, WorkerState::Removed),
                         self.day.discovery.drain_notice,
                     );
                 }
             }
-            SimulationEvent::WorkerStarts(w) => self.on_worker_starts(w),
+            SimulationEvent::WorkerStarts(worker_index) => self.on_worker_starts(worker_index),
             SimulationEvent::DispatcherStarts(dispatcher) => self.start_dispatcher(dispatcher),
         }
     }
@@ -283,9 +284,9 @@
 
 impl OracleView for Simulation<'_> {
     fn predict_completion(&self, worker: WorkerId, request_id: RequestId) -> Option<Seconds> {
-        let w = *self.worker_index.get(&worker)?;
+        let worker_index = *self.worker_indices.get(&worker)?;
         let job = &self.day.jobs[self.submissions[(request_id.0 - 1) as usize].job as usize];
-        self.workers[w as usize].predict_completion(self.now, job.slots, job.work)
+        self.workers[worker_index as usize].predict_completion(self.now, job.slots, job.work)
     }
 
     fn time_to_objective(&self, request_id: RequestId) -> Seconds {
--- a/crates/emulator/tests/stable_results.rs
+++ b/crates/emulator/tests/stable_results.rs
@@ -288,8 +288,8 @@
     insta::assert_snapshot!(text);
 }
 
-/// Results of two hours of the virtual-time soak: with usual clocks, with clocks that drift too much, and with an injected
-/// bug.
+/// Results of two hours of the virtual-time soak: with usual clocks, with clocks that drift too much, and with an
+/// injected bug.
 #[test]
 fn hours_of_a_fleet() {
     let mut text = String::new();
