--- a/crates/emulator/tests/rule_checker.rs
+++ b/crates/emulator/tests/rule_checker.rs
@@ -3,19 +3,20 @@
 use dispatch_core::api::{Idempotency, KeyScope};
 use emulator::checker::{Location, ObservedAttempt, RuleChecker, RuleLimits, RuleViolations};
 
-const KEY_PER_RACK: Idempotency = Idempotency::WithKey(KeyScope::Cell);
+const CELL: Idempotency = Idempotency::WithKey(KeyScope::Cell);
 
 fn checker() -> RuleChecker {
     let mut checker = RuleChecker::new(RuleLimits { drain_grace: 500, response_slack: 50 });
-    checker.record_accepted(1, KEY_PER_RACK, 1000, 5000);
+    checker.record_accepted(1, CELL, 1000, 5000);
     checker
 }
 
-/// Returns an attempt at a worker in zone 0.
+/// An attempt in zone 0.
 fn attempt(incarnation: u32, request: u64, worker: u64, rack: u32, sent_at: u64) -> ObservedAttempt {
     ObservedAttempt { incarnation, request, worker, location: Location { zone: 0, rack }, sent_at }
 }
 
+/// Each rule is shown to fail on a dispatcher that breaks it, and to pass just before.
 #[test]
 fn an_attempt_after_the_grace_is_detected() {
     let mut checker = checker();
@@ -25,7 +26,7 @@
     assert_eq!(checker.violations(), RuleViolations::default());
     checker.record_accepted(2, Idempotency::Idempotent, 0, 5000);
     checker.record_attempt(attempt(0, 2, 7, 0, 601));
-    // The grace period does not apply to an incarnation that was not notified of the drain.
+    // Another incarnation was not notified.
     checker.record_attempt(attempt(1, 2, 7, 0, 9000));
     checker.record_response(2, false, 700);
     assert_eq!(checker.finish(), RuleViolations { drain: 1, ..RuleViolations::default() });
@@ -44,14 +45,14 @@
 
 #[test]
 fn an_attempt_that_never_ran_allows_any_retry_and_rejection() {
-    for (never_ran, repeated) in [(true, 0), (false, 2)] {
+    for (notified, repeated) in [(true, 0), (false, 2)] {
         let mut checker = checker();
         let number = checker.record_attempt(attempt(0, 1, 7, 3, 100));
-        if never_ran {
+        if notified {
             checker.record_never_ran(1, number);
         }
         let number = checker.record_attempt(attempt(0, 1, 8, 4, 200));
-        if never_ran {
+        if notified {
             checker.record_never_ran(1, number);
         }
         checker.record_response(1, true, 300);
@@ -60,14 +61,14 @@
 }
 
 #[test]
-fn a_missing_a_late_and_a_second_response_are_violations() {
+fn no_answer_a_late_one_and_two_are_violations() {
     assert_eq!(checker().finish().unanswered, 1);
-    for (responses, unanswered) in [(vec![5050], 0), (vec![5051], 1), (vec![100, 101], 1)] {
+    for (answers, unanswered) in [(vec![5050], 0), (vec![5051], 1), (vec![100, 101], 1)] {
         let mut checker = checker();
-        for at in &responses {
+        for at in &answers {
             checker.record_response(1, false, *at);
         }
-        assert_eq!(checker.finish().unanswered, unanswered, "{responses:?}");
+        assert_eq!(checker.finish().unanswered, unanswered, "{answers:?}");
     }
     let mut waived = checker();
     waived.waive_response(1);
