--- a/crates/emulator/src/base.hcl
+++ b/crates/emulator/src/base.hcl
@@ -1,5 +1,6 @@
 # Defaults for keys and blocks that an experiment does not set: the values of the installation genbrug-moebler. From a
-# pair [low, high], each simulated day draws a value.
+# pair [low, high], each simulated day draws a value. The types in src/spec describe the values; src/spec/reader.rs maps
+# the keys to them.
 
 length_s    = 45
 large_slots = 4
--- a/crates/emulator/src/cli/arguments.rs
+++ b/crates/emulator/src/cli/arguments.rs
@@ -14,7 +14,7 @@
     pub command: Command,
 }
 
-/// The subcommands.
+/// Subcommands of the emulator.
 #[derive(Subcommand)]
 pub enum Command {
     /// Runs an experiment and writes results.json, table.md and charts.
--- a/crates/emulator/src/cli/error.rs
+++ b/crates/emulator/src/cli/error.rs
@@ -33,7 +33,7 @@
     #[error("--seed: the last of the seeds does not fit into 64 bits")]
     SeedOverflow,
     /// A program is missing in the folder of this one.
-    #[error("{} does not exist; build it, or name the dispatcher program by --program", .0.display())]
+    #[error("{} does not exist; build it, or name the dispatcher program with --program", .0.display())]
     MissingProgram(PathBuf),
     /// The path of this program cannot be determined.
     #[error(transparent)]
--- a/crates/emulator/src/metrics/evaluation.rs
+++ b/crates/emulator/src/metrics/evaluation.rs
@@ -9,7 +9,7 @@
 use crate::day::{Day, JobPlan, Micros, DAY_START};
 use crate::spec::Experiment;
 
-/// Length of the windows of the day of which the one with the lowest service counts in the goal.
+/// Length of the windows into which a day is divided; the lowest service of a window counts in the goal.
 const WORST_WINDOW: Micros = 10_000_000;
 /// Largest lateness in the histogram, in milliseconds; a larger one counts as this.
 const MAX_LATENESS_MS: u64 = 600_000;
@@ -25,9 +25,9 @@
 
 /// Price of one late failure per job, as a share of the service.
 const LATE_FAILURE_PRICE: f64 = 0.076;
-/// Price of one new connection per job.
+/// Price of one new connection per job, as a share of the service.
 const CONNECTION_PRICE: f64 = 0.05;
-/// Price of one attempt per job beyond the first.
+/// Price of one attempt per job beyond the first, as a share of the service.
 const WASTED_SEND_PRICE: f64 = 0.016;
 
 /// A job whose client did not leave before its end.
