--- a/crates/emulator/src/cli/cluster.rs
+++ b/crates/emulator/src/cli/cluster.rs
@@ -31,7 +31,7 @@
 pub fn dispatch_latency(length_s: u64, out: &Path) -> Result<(), CliError> {
     let binaries = cluster_binaries()?;
     let length = Duration::from_secs(length_s);
-    let arms = dispatch_latency::play(out, &binaries, length)?;
+    let arms = dispatch_latency::run(out, &binaries, length)?;
     let text = serde_json::to_string_pretty(&arms)?;
     std::fs::write(out.join("waits.json"), &text).map_err(CliError::file(out))?;
     println!("{text}");
@@ -47,7 +47,7 @@
     for count in &arguments.members {
         for (name, settings) in [("nothing shared", None), ("members", Some(settings))] {
             let dir = arguments.out.join(format!("{count}-{}", settings.map_or("off", |_| "on")));
-            let side = scaling_cost::play(&dir, &binaries, (*count).into(), settings, length)?;
+            let side = scaling_cost::run(&dir, &binaries, (*count).into(), settings, length)?;
             println!("{count} {name}: {side:?}");
             sides.insert(format!("{count} {name}"), side);
         }
@@ -77,7 +77,7 @@
         let dir = arguments.out.join(format!("seed-{seed}"));
         let coordinators = coordinator_count(arguments.keepers, seed);
         let plan = planned_drains::Plan { seed, coordinators, ..base.clone() };
-        Ok(planned_drains::play(&dir, &binaries, &plan)?)
+        Ok(planned_drains::run(&dir, &binaries, &plan)?)
     })?;
     print!("{}", planned_drains::table(&results));
     write_schedules(&arguments.out.join("drains.json"), &results, |result| result.rules.is_empty())
@@ -101,7 +101,7 @@
         let dir = arguments.out.join(format!("seed-{seed}"));
         let coordinators = coordinator_count(arguments.keepers, seed);
         let plan = shared_health_checks::Plan { seed, coordinators, ..base.clone() };
-        Ok(shared_health_checks::play(&dir, &binaries, &plan)?)
+        Ok(shared_health_checks::run(&dir, &binaries, &plan)?)
     })?;
     print!("{}", shared_health_checks::table(&results));
     write_schedules(&arguments.out.join("watching.json"), &results, |result| result.rules.is_empty())
@@ -149,7 +149,7 @@
             let (name, day) = arm.join().map_err(|_| CliError::LanePanicked)??;
             println!(
                 "{name}: used {:.3}, fullest {:.3}, fallen {}, in time {:.3}, served {:.3}, granted {:.1}, answers {:?}",
-                day.used_share, day.peak_load, day.overloads, day.in_time, day.served, day.granted_work, day.answers
+                day.used_share, day.peak_load, day.overloads, day.in_time, day.served, day.granted_work, day.responses
             );
             days.insert(name, day);
         }
@@ -172,7 +172,7 @@
     std::thread::spawn(move || {
         let arm = if plan.grants { "granted" } else { "planned" };
         let dir = out.join(format!("seed-{}-{arm}", plan.seed));
-        let day = slow_start::play(&dir, &binaries, &plan)?;
+        let day = slow_start::run(&dir, &binaries, &plan)?;
         Ok((format!("{} {arm}", plan.seed), day))
     })
 }
--- a/crates/emulator/src/cluster/client.rs
+++ b/crates/emulator/src/cluster/client.rs
@@ -1,4 +1,4 @@
-//! Client of a dispatcher on loopback sockets.
+//! HTTP client that submits jobs to a dispatcher.
 
 use std::net::SocketAddr;
 
@@ -8,15 +8,15 @@
 
 use crate::sockets::http;
 
-/// A job of a client.
+/// A job to submit.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ClientJob<'a> {
     pub class: &'a str,
     pub id: u64,
 }
 
-/// Submits a job on a kept-alive connection, or on a new one; returns the status of the answer. Leaves the connection in
-/// `kept_alive` if it can be used again.
+/// Submits a job on a kept-alive connection, or on a new one; returns the status of the response. Leaves the connection
+/// in `kept_alive` if it can be used again.
 pub(super) async fn submit_job(
     kept_alive: &mut Option<TcpStream>,
     address: SocketAddr,
--- a/crates/emulator/src/cluster/cluster_harness/mod.rs
+++ b/crates/emulator/src/cluster/cluster_harness/mod.rs
@@ -1,7 +1,7 @@
-//! A cluster of real coordinators and dispatchers as processes, with emulated discovery.
+//! Runs a cluster of coordinator and dispatcher processes with emulated discovery services.
 //!
 //! `setup` writes configurations and allocates addresses; `processes` starts, stops and signals processes;
-//! `observation` reads their logs, consoles and records. Coordinators count from 1, dispatchers from 0.
+//! `observation` reads their logs, consoles and records. Coordinators are numbered from 1, dispatchers from 0.
 
 mod observation;
 mod processes;
@@ -21,23 +21,23 @@
 pub use self::observation::read_records;
 pub use self::processes::ProcessIds;
 
-/// Proxy node of the first dispatcher, after those of the coordinators.
+/// Proxy node id of the first dispatcher; coordinators have lower ids.
 const FIRST_MEMBER_NODE: NodeId = 10;
 
 /// Programs that the processes run.
 #[derive(Debug, Clone)]
 pub struct Binaries {
-    /// `dispatcher`.
+    /// Path of the program `dispatcher`.
     pub dispatcher: PathBuf,
-    /// `coordinator`.
+    /// Path of the program `coordinator`.
     pub coordinator: PathBuf,
 }
 
 impl Binaries {
-    /// Returns the programs that `cargo test --workspace` builds beside its tests, for a test that runs among them.
+    /// Returns the programs in the build profile's folder of the running test, where `cargo test --workspace` puts
+    /// them.
     ///
-    /// # Errors
-    /// Returns [`ClusterError::MissingProgram`] if one was not built.
+    /// # Errors Returns [`ClusterError::MissingProgram`] if a program was not built.
     pub fn beside_tests() -> Result<Binaries, ClusterError> {
         let test = std::env::current_exe().map_err(ClusterError::io("path of the test program"))?;
         let profile = test.parent().and_then(Path::parent);
@@ -57,15 +57,16 @@
 /// Size and links of a cluster.
 #[derive(Debug, Clone, Copy)]
 pub struct ClusterSpec<'a> {
-    /// Coordinators, three or five.
+    /// Number of coordinators, three or five.
     pub coordinators: usize,
-    /// Dispatchers.
+    /// Number of dispatchers.
     pub dispatchers: usize,
-    /// Additional text of the dispatchers' block `fleet`; without it they are members of no cluster.
+    /// Text to add to the block `fleet` of the dispatchers' settings; `None` omits the block, so that the dispatchers
+    /// join no cluster.
     pub cluster_settings: Option<&'a str>,
-    /// One discovery for all dispatchers, or several, which they use in turn.
+    /// Discovery services, assigned to the dispatchers in turn; at least one.
     pub discoveries: &'a [EmulatedDiscovery],
-    /// Seed of the proxies on the links between coordinators and members; without it the links are direct.
+    /// Seed of the proxies on the links between coordinators and members; `None` connects them directly.
     pub proxy_seed: Option<u64>,
 }
 
@@ -79,28 +80,29 @@
     coordinators: Vec<Option<Process>>,
     dispatchers: Vec<Option<Process>>,
     consoles: Vec<SocketAddr>,
-    /// Links between coordinators and members, where these pass proxies: a coordinator is the node of its number, a
-    /// dispatcher [`member_node`].
+    /// Links between coordinators and members, if they pass through proxies. A coordinator's node id is its number, a
+    /// dispatcher's is [`member_node`].
     pub network: Option<SharedNetwork>,
     /// Addresses at which clients reach the dispatchers.
     pub listen: Vec<SocketAddr>,
 }
 
-/// Returns the proxy node of a dispatcher.
+/// Returns the proxy node id of a dispatcher.
 #[must_use]
 pub fn member_node(dispatcher: usize) -> NodeId {
     FIRST_MEMBER_NODE + dispatcher
 }
 
-/// Runs an experiment below a folder, on a runtime of its own in this thread.
+/// Creates a folder and runs an experiment in it, on a new async runtime in the current thread.
 ///
 /// # Errors
-/// Returns the error of the experiment, or [`ClusterError::Io`] if the folder or the runtime cannot be made.
+/// Returns the error of the experiment, or [`ClusterError::Io`] if the folder or the runtime cannot be
+/// created.
 pub fn run_in_folder<T>(
     dir: &Path,
     experiment: impl Future<Output = Result<T, ClusterError>>,
 ) -> Result<T, ClusterError> {
     std::fs::create_dir_all(dir).map_err(ClusterError::io(dir.display()))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    LocalSet::new().block_on(&runtime.map_err(ClusterError::io("a runtime"))?, experiment)
+    LocalSet::new().block_on(&runtime.map_err(ClusterError::io("async runtime"))?, experiment)
 }
--- a/crates/emulator/src/cluster/cluster_harness/observation.rs
+++ b/crates/emulator/src/cluster/cluster_harness/observation.rs
@@ -1,4 +1,4 @@
-//! What a cluster shows: logs, consoles and records of its processes, and waiting for a state of them.
+//! Reads the logs, consoles and records of a cluster's processes, and waits until they show a state.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -8,14 +8,14 @@
 use tokio::time::{sleep, Instant};
 
 use super::ClusterHarness;
-use crate::cluster::console::{call_console, ConsoleAnswer};
+use crate::cluster::console::{call_console, ConsoleResponse};
 use crate::cluster::error::ClusterError;
 use crate::cluster::record_checker::{self, Records};
 
-/// Longest time until an awaited state is reached.
+/// Timeout of the methods that wait for a state.
 const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// Reads the records that so many coordinators and dispatchers left below a folder.
+/// Reads the records that the given numbers of coordinators and dispatchers wrote to a folder.
 ///
 /// # Errors
 /// Returns a [`ClusterError`] if a record cannot be read.
@@ -53,7 +53,7 @@
     }
 
     /// Calls the console of dispatcher `n`; returns `None` if it does not answer.
-    pub async fn console(&self, n: usize, method: &str, path: &str) -> Option<ConsoleAnswer> {
+    pub async fn console(&self, n: usize, method: &str, path: &str) -> Option<ConsoleResponse> {
         call_console(self.consoles[n], method, path).await
     }
 
@@ -63,14 +63,14 @@
         self.consoles[n]
     }
 
-    /// Returns the coordinator that became leader last, by the logs.
+    /// Returns the coordinator that became leader in the highest term, according to the logs.
     ///
     /// # Errors
     /// Returns [`ClusterError::NoLeader`] if none has become leader yet.
     pub fn leader(&self) -> Result<usize, ClusterError> {
         let term = |n: usize| last_number(&self.coordinator_log(n), "became leader", "term=");
-        let newest = (1..=self.coordinators.len()).filter_map(|n| Some((term(n)?, n))).max();
-        newest.map(|(_, n)| n).ok_or_else(|| ClusterError::NoLeader { logs: self.logs() })
+        let latest = (1..=self.coordinators.len()).filter_map(|n| Some((term(n)?, n))).max();
+        latest.map(|(_, n)| n).ok_or_else(|| ClusterError::NoLeader { logs: self.logs() })
     }
 
     /// Returns the dispatcher that was granted the endpoint list lease last.
@@ -91,9 +91,9 @@
         self.last_logged_by("holds the slow-start lease")
     }
 
-    /// Returns the dispatcher whose log has these words with the highest token.
-    fn last_logged_by(&self, words: &str) -> Option<usize> {
-        let token = |n: usize| last_number(&self.dispatcher_log(n), words, "token=");
+    /// Returns the dispatcher that logged a message with the highest token.
+    fn last_logged_by(&self, message: &str) -> Option<usize> {
+        let token = |n: usize| last_number(&self.dispatcher_log(n), message, "token=");
         (0..self.dispatchers.len()).filter_map(|n| Some((token(n)?, n))).max().map(|(_, n)| n)
     }
 
@@ -102,23 +102,23 @@
         ClusterError::Timeout { awaited, logs: self.logs() }
     }
 
-    /// Returns the number of workers that dispatcher `n` knows, by its console.
-    pub async fn known_workers(&self, n: usize) -> Option<usize> {
+    /// Returns the number of workers in the endpoint list of dispatcher `n`, from the metrics at its console.
+    pub async fn worker_count(&self, n: usize) -> Option<usize> {
         let answer = self.console(n, "GET", "/status/metrics").await?;
         let line = answer.body.lines().find(|line| line.starts_with("balancer_shop_workers_known "))?;
         line.rsplit_once(' ')?.1.parse().ok()
     }
 
-    /// Waits until all dispatchers that run know so many workers; returns the time that it took.
+    /// Waits until every running dispatcher lists this number of workers; returns the time that it took.
     ///
     /// # Errors
     /// Returns [`ClusterError::Timeout`] after `MAX_WAIT`.
     pub async fn wait_for_workers(&self, workers: usize) -> Result<Duration, ClusterError> {
         let start = Instant::now();
         for n in (0..self.dispatchers.len()).filter(|n| self.dispatchers[*n].is_some()) {
-            while self.known_workers(n).await != Some(workers) {
+            while self.worker_count(n).await != Some(workers) {
                 if start.elapsed() > MAX_WAIT {
-                    return Err(self.timeout(format!("dispatcher {n} does not know {workers} workers")));
+                    return Err(self.timeout(format!("dispatcher {n} does not list {workers} workers")));
                 }
                 sleep(Duration::from_millis(10)).await;
             }
@@ -126,8 +126,9 @@
         Ok(start.elapsed())
     }
 
-    /// Waits until every set of workers has a holder and none is to move any more, since a new holder of a set knows nothing
-    /// of its workers yet; returns the time that it took. The leader moves one set in each stability period.
+    /// Waits until every set of workers has a lease holder and no set will be moved any more; returns the time that it
+    /// took. A new holder of a set starts without health check results for its workers. The leader moves one set per
+    /// stability period.
     ///
     /// # Errors
     /// Returns [`ClusterError::Timeout`] after `MAX_WAIT`.
@@ -140,13 +141,13 @@
             }
             if start.elapsed() > MAX_WAIT {
                 let leases = listed.unwrap_or_else(|error| error.to_string());
-                return Err(self.timeout(format!("sets of workers are not balanced: {leases}")));
+                return Err(self.timeout(format!("the sets of workers are not balanced: {leases}")));
             }
             sleep(Duration::from_millis(50)).await;
         }
     }
 
-    /// Waits until so many watches are open at discovery; returns the time that it took.
+    /// Waits until exactly `expected` watches are open at discovery; returns the time that it took.
     ///
     /// # Errors
     /// Returns [`ClusterError::Timeout`] after `MAX_WAIT`.
@@ -155,7 +156,9 @@
         while self.discovery.open_watches() != expected {
             if start.elapsed() > MAX_WAIT {
                 let watches = self.discovery.open_watches();
-                return Err(self.timeout(format!("{watches} watches, not {expected}")));
+                return Err(
+                    self.timeout(format!("{watches} watches are open at discovery, expected {expected}"))
+                );
             }
             sleep(Duration::from_millis(10)).await;
         }
@@ -163,8 +166,8 @@
     }
 }
 
-/// Whether all sets of workers have a holder, and none of these has clearly more leases than another dispatcher, by the
-/// output of `duties`: a line `LEASE: HOLDER, token N` each.
+/// Whether every set of workers has a lease holder, and no such holder has [`REBALANCE_THRESHOLD`] leases more than the
+/// dispatcher with the fewest. `output` is that of the command `duties`, a line `LEASE: HOLDER, token N` per lease.
 fn sets_are_balanced(output: &str, sets: usize, dispatchers: usize) -> bool {
     let held: Vec<(&str, &str)> = output
         .lines()
@@ -178,8 +181,8 @@
     set_leases.count() == sets && most < fewest + REBALANCE_THRESHOLD
 }
 
-/// Returns the number that follows `key` in the last line of a log that has these words.
-fn last_number(log: &str, words: &str, key: &str) -> Option<u64> {
-    let line = log.lines().rfind(|line| line.contains(words))?;
+/// Returns the number that follows `key` in the last line of a log that contains a message.
+fn last_number(log: &str, message: &str, key: &str) -> Option<u64> {
+    let line = log.lines().rfind(|line| line.contains(message))?;
     line.rsplit_once(key)?.1.split_whitespace().next()?.parse().ok()
 }
--- a/crates/emulator/src/cluster/cluster_harness/processes.rs
+++ b/crates/emulator/src/cluster/cluster_harness/processes.rs
@@ -1,4 +1,4 @@
-//! Processes of a cluster: start, signals, commands, replaced coordinators.
+//! Starts, signals and kills the processes of a cluster, runs the coordinator's commands, and replaces coordinators.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
 use super::ClusterHarness;
 use crate::cluster::error::ClusterError;
 
-/// Port before that of the first coordinator that replaces another.
+/// Base of the ports of replacement coordinators; coordinator `n` listens at this port plus `n`.
 const REPLACEMENT_BASE_PORT: u16 = 30_000;
 
 /// A child process, killed when this value is dropped.
@@ -25,21 +25,21 @@
     }
 }
 
-/// Ids of the processes that run.
+/// Ids of the running processes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProcessIds {
-    /// Coordinators.
+    /// Process ids of the coordinators.
     pub coordinators: Vec<u32>,
-    /// Dispatchers.
+    /// Process ids of the dispatchers.
     pub dispatchers: Vec<u32>,
 }
 
-/// Returns the error of a command with this text on standard error.
+/// Returns the error of a failed command with its standard error.
 pub(super) fn command_error(stderr: &[u8]) -> ClusterError {
     ClusterError::Command { stderr: String::from_utf8_lossy(stderr).into_owned() }
 }
 
-/// Sends a signal to a process with this name.
+/// Sends a signal to a process; `name` identifies it in errors.
 fn send_signal(name: String, process: Option<&Process>, signal: Signal) -> Result<(), ClusterError> {
     let id = process.and_then(|process| i32::try_from(process.0.id()).ok());
     let Some(pid) = id.and_then(Pid::from_raw) else {
@@ -60,7 +60,7 @@
             .args(arguments)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(log.map_err(ClusterError::io("a log"))?)
+            .stderr(log.map_err(ClusterError::io("log file"))?)
             .spawn();
         child.map(Process).map_err(ClusterError::io(program.display()))
     }
@@ -127,13 +127,13 @@
         self.dispatchers.len()
     }
 
-    /// Whether dispatcher `n` was not killed.
+    /// Whether dispatcher `n` was started and not killed.
     #[must_use]
     pub fn is_running(&self, n: usize) -> bool {
         self.dispatchers[n].is_some()
     }
 
-    /// Returns the ids of the processes that run.
+    /// Returns the ids of the running processes.
     #[must_use]
     pub fn process_ids(&self) -> ProcessIds {
         ProcessIds {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Returns the exit code of coordinator `n`, if it ended by itself.
+    /// Returns the exit code of coordinator `n` if it exited by itself.
     pub fn coordinator_exit_code(&mut self, n: usize) -> Option<i32> {
         self.coordinators[n - 1].as_mut()?.0.try_wait().ok()?.and_then(|status| status.code())
     }
@@ -156,7 +156,7 @@
         n: usize,
         arguments: &[&str],
     ) -> Result<String, ClusterError> {
-        // Without blocking: the proxies that it passes run in this thread.
+        // Must not block, because the proxies that the command's connections pass through run in this thread.
         let output = tokio::process::Command::new(&self.binaries.coordinator)
             .args(arguments)
             .arg("--config")
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Sets a key in the block `serve` of coordinator `n`, from its next start on.
+    /// Sets a key in the block `serve` of coordinator `n`; it takes effect at the coordinator's next start.
     ///
     /// # Errors
     /// Returns [`ClusterError::Io`] if the file cannot be changed.
@@ -183,7 +183,7 @@
         write(&file, text.replacen("serve {\n", &format!("serve {{\n  {key} = {value}\n"), 1))
     }
 
-    /// Names another discovery in the configuration of dispatcher `n` and has it reload that.
+    /// Changes the discovery address in the configuration of dispatcher `n` and makes the dispatcher reload it.
     ///
     /// # Errors
     /// Returns a [`ClusterError`] if the file cannot be changed or the dispatcher was killed.
@@ -207,11 +207,10 @@
         std::fs::remove_dir_all(&store).map_err(ClusterError::io(store.display()))
     }
 
-    /// Kills coordinator `lost` and removes its store; sets up and starts coordinator `new`, which is to replace it. Returns
-    /// the address of the new one.
+    /// Kills coordinator `lost` and removes its store; sets up and starts coordinator `new`, and returns its address.
+    /// The caller completes the replacement with the command `replace`.
     ///
-    /// # Errors
-    /// Returns a [`ClusterError`] if a file or a process cannot be set up.
+    /// # Errors Returns a [`ClusterError`] if a file or a process cannot be set up.
     pub async fn replace_coordinator(&mut self, lost: usize, new: usize) -> Result<SocketAddr, ClusterError> {
         self.lose_disk(lost)?;
         let file = self.dir.join(format!("k{lost}.hcl"));
@@ -225,7 +224,8 @@
         Ok(address)
     }
 
-    /// Returns the settings of a coordinator with the block of the lost one, and its `serve`, turned into the new one's.
+    /// Returns the settings of the lost coordinator with its number, address and store replaced by those of the new
+    /// one.
     fn replacement_settings(
         &self,
         text: &str,
--- a/crates/emulator/src/cluster/cluster_harness/setup.rs
+++ b/crates/emulator/src/cluster/cluster_harness/setup.rs
@@ -1,4 +1,4 @@
-//! Setting up a cluster: addresses, proxies, and the configurations of its processes.
+//! Sets up a cluster: addresses, proxies, and the configurations of its processes.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -15,15 +15,14 @@
 use crate::cluster::error::ClusterError;
 use crate::cluster::fault_proxy::{run_proxy, FaultyNetwork, NodeId, SharedNetwork};
 
-/// Port before the first that is allocated.
+/// The first allocated port is the one after this.
 const BASE_PORT: u16 = 20_000;
 
 impl ClusterHarness {
-    /// Sets up coordinators and dispatchers below a folder and starts them. `config` is the platform's configuration of a
-    /// dispatcher, without name and addresses.
+    /// Sets up coordinators and dispatchers in a folder and starts them. `config` is the configuration that all
+    /// dispatchers have in common; the name, addresses, instance, zone and seed of each are filled in.
     ///
-    /// # Errors
-    /// Returns a [`ClusterError`] if a file, a proxy or a process cannot be set up.
+    /// # Errors Returns a [`ClusterError`] if a file, a proxy or a process cannot be set up.
     pub async fn start(
         dir: &Path,
         binaries: Binaries,
@@ -48,7 +47,7 @@
             let discovery = discovery_addresses[dispatcher % discovery_addresses.len()];
             let settings = spec
                 .cluster_settings
-                .map(|added| MemberText { coordinator_blocks: &coordinator_blocks, added });
+                .map(|added| CommonSettings { coordinator_blocks: &coordinator_blocks, added });
             let own = setup.dispatcher(&mut config, dispatcher, discovery, settings)?;
             consoles.push(own.console);
             listen.push(own.listen);
@@ -71,21 +70,21 @@
     }
 }
 
-/// Addresses of a dispatcher that the harness uses.
+/// Addresses of a dispatcher.
 struct DispatcherAddresses {
     listen: SocketAddr,
     console: SocketAddr,
 }
 
-/// Parts of a dispatcher's block `fleet` that all dispatchers of a cluster have.
+/// Parts of the block `fleet` that are the same for all dispatchers of a cluster.
 #[derive(Clone, Copy)]
-struct MemberText<'a> {
+struct CommonSettings<'a> {
     coordinator_blocks: &'a str,
     /// Text that the experiment adds.
     added: &'a str,
 }
 
-/// Setting up the processes of one cluster.
+/// Context in which the processes of one cluster are set up.
 struct Setup<'a> {
     dir: &'a Path,
     binaries: &'a Binaries,
@@ -94,13 +93,11 @@
 }
 
 impl Setup<'_> {
-    /// Sets up all coordinators; returns the blocks that name them in settings.
+    /// Sets up all coordinators; returns the settings blocks with their advertised addresses.
     fn coordinators(&mut self, count: usize) -> Result<String, ClusterError> {
         let listen: Vec<SocketAddr> = (0..count).map(|_| self.addresses.next_address()).collect();
-        let advertised: Result<Vec<SocketAddr>, ClusterError> = (1..)
-            .zip(&listen)
-            .map(|(number, address)| proxy_before(self.network, number, *address))
-            .collect();
+        let advertised: Result<Vec<SocketAddr>, ClusterError> =
+            (1..).zip(&listen).map(|(number, address)| start_proxy(self.network, number, *address)).collect();
         let blocks = coordinator_blocks(&advertised?);
         for number in 1..=count {
             let serve = format!(
@@ -120,7 +117,7 @@
         config: &mut Value,
         dispatcher: usize,
         discovery: SocketAddr,
-        member: Option<MemberText<'_>>,
+        member: Option<CommonSettings<'_>>,
     ) -> Result<DispatcherAddresses, ClusterError> {
         let console = self.addresses.next_address();
         let listen = self.addresses.next_address();
@@ -141,13 +138,13 @@
         &self,
         dispatcher: usize,
         listen: SocketAddr,
-        member: MemberText<'_>,
+        common: CommonSettings<'_>,
     ) -> Result<String, ClusterError> {
         let node = member_node(dispatcher);
-        let advertised = proxy_before(self.network, node, listen)?;
+        let advertised = start_proxy(self.network, node, listen)?;
         let bind = self.addresses.source_address(node);
         let record = self.dir.join(format!("d{dispatcher}.jsonl"));
-        let MemberText { coordinator_blocks, added } = member;
+        let CommonSettings { coordinator_blocks, added } = common;
         Ok(format!(
             "fleet {{\ninstallation = \"test\"\nlisten = \"{listen}\"\naddress = \"{advertised}\"\nbind = \"{bind}\"\n\
              record = \"{}\"\n{coordinator_blocks}{added}}}\n",
@@ -156,8 +153,8 @@
     }
 }
 
-/// Addresses of one cluster: a loopback host that nobody else uses, with consecutive ports. A port that was probed to be free
-/// could be taken by another process before it is used.
+/// Allocates the addresses of one cluster: consecutive ports of a loopback host that no other cluster uses. Searching
+/// for free ports would be a race, because another process could take a port before it is used.
 struct AddressAllocator {
     host: Ipv4Addr,
     last_port: u16,
@@ -171,7 +168,7 @@
         AddressAllocator { host, last_port: BASE_PORT }
     }
 
-    /// Returns the address that connections of a node come from.
+    /// Returns the source address of a node's connections.
     fn source_address(&self, node: NodeId) -> Ipv4Addr {
         let [first, second, third, _] = self.host.octets();
         Ipv4Addr::new(first, second, third, 10 + (node % 240) as u8)
@@ -183,17 +180,17 @@
     }
 }
 
-/// Starts a proxy before an address where the links pass proxies; returns the address to advertise.
-fn proxy_before(
+/// Starts a proxy in front of an address if the cluster has proxies; returns the address to advertise.
+fn start_proxy(
     network: Option<&SharedNetwork>,
     node: NodeId,
     address: SocketAddr,
 ) -> Result<SocketAddr, ClusterError> {
     let Some(network) = network else { return Ok(address) };
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").map_err(ClusterError::io("a proxy"))?;
-    listener.set_nonblocking(true).map_err(ClusterError::io("a proxy"))?;
-    let proxy_address = listener.local_addr().map_err(ClusterError::io("a proxy"))?;
-    let listener = TcpListener::from_std(listener).map_err(ClusterError::io("a proxy"))?;
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").map_err(ClusterError::io("proxy listener"))?;
+    listener.set_nonblocking(true).map_err(ClusterError::io("proxy listener"))?;
+    let proxy_address = listener.local_addr().map_err(ClusterError::io("proxy listener"))?;
+    let listener = TcpListener::from_std(listener).map_err(ClusterError::io("proxy listener"))?;
     spawn_local(run_proxy(network.clone(), listener, node, address));
     Ok(proxy_address)
 }
@@ -202,8 +199,9 @@
 async fn serve_discoveries(discoveries: &[EmulatedDiscovery]) -> Result<Vec<SocketAddr>, ClusterError> {
     let mut addresses = Vec::new();
     for discovery in discoveries {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("discovery"))?;
-        addresses.push(listener.local_addr().map_err(ClusterError::io("discovery"))?);
+        let listener =
+            TcpListener::bind("127.0.0.1:0").await.map_err(ClusterError::io("discovery listener"))?;
+        addresses.push(listener.local_addr().map_err(ClusterError::io("discovery listener"))?);
         spawn_local(discovery.clone().serve(listener));
     }
     Ok(addresses)
@@ -221,7 +219,7 @@
     Ok(())
 }
 
-/// Returns the blocks of settings that name all coordinators, by the addresses at which others reach them.
+/// Returns the settings blocks of all coordinators with their advertised addresses.
 fn coordinator_blocks(advertised: &[SocketAddr]) -> String {
     let block = |(number, address): (usize, &SocketAddr)| {
         format!("keeper \"{number}\" {{\n  address = \"{address}\"\n}}\n")
@@ -229,7 +227,7 @@
     (1..).zip(advertised).map(block).collect()
 }
 
-/// Returns the platform's configuration of one dispatcher, out of the one that all have.
+/// Fills in what differs between dispatchers in their common configuration; returns the configuration as text.
 fn dispatcher_config(
     config: &mut Value,
     dispatcher: usize,
@@ -248,7 +246,7 @@
     config.to_string()
 }
 
-/// Writes a file of the harness.
+/// Writes a file; an error names its path.
 pub(super) fn write(path: &Path, text: String) -> Result<(), ClusterError> {
     std::fs::write(path, text).map_err(ClusterError::io(path.display()))
 }
--- a/crates/emulator/src/cluster/dispatch_latency.rs
+++ b/crates/emulator/src/cluster/dispatch_latency.rs
@@ -1,5 +1,5 @@
-//! Whether dispatching waits for the coordinators: the same traffic with the cluster off, on, on while the leader is killed
-//! again and again, and on without any coordinator, side by side.
+//! Measures whether dispatching waits for the coordinators. Four arms run in parallel with the same traffic: without a
+//! cluster, with a cluster, with a leading coordinator that is killed repeatedly, and with all coordinators killed.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -28,21 +28,21 @@
 const COORDINATORS: usize = 3;
 const DISPATCHERS: usize = 2;
 const WORKERS: usize = 6;
-/// Jobs a second at each dispatcher.
-const RATE: u64 = 100;
+/// Jobs per second at each dispatcher.
+const RATE_PER_S: u64 = 100;
 /// Kept-alive connections of the clients to each dispatcher.
 const CONNECTIONS: u64 = 8;
 /// Time for which an emulated worker runs a job.
 const RUN_TIME: Duration = Duration::from_millis(5);
 /// Time from one kill of the leader to the next.
 const KILL_INTERVAL: Duration = Duration::from_secs(5);
-/// Time after which a killed leader is started again.
+/// Time after which a killed leader is restarted.
 const LEADER_RESTART: Duration = Duration::from_secs(1);
-/// Time after which a client gives up.
+/// Time after which a client abandons a job.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(8);
-/// Time at the start that does not count, in which the token banks fill.
+/// Time at the start in which the token banks fill; jobs submitted in it are not counted.
 const WARM_UP: Duration = Duration::from_secs(2);
-/// Longest latency that is told apart, in microseconds.
+/// Upper bound of the latency histogram, in microseconds.
 const MAX_LATENCY_US: u64 = 60_000_000;
 const CLASS: JobClass = JobClass {
     name: "lookup",
@@ -77,46 +77,47 @@
 /// Result of one arm.
 #[derive(Debug, Default, Clone, Serialize)]
 pub struct LatencyResult {
-    /// Jobs submitted.
+    /// Number of jobs.
     pub jobs: u64,
-    /// Answers by status; 0 without one.
-    pub answers: BTreeMap<u16, u64>,
-    /// Median time from the submission to the complete answer, in milliseconds.
+    /// Number of jobs by the status of their response; 0 if there was none.
+    #[serde(rename = "answers")]
+    pub responses: BTreeMap<u16, u64>,
+    /// Median time from the submission to the complete response, in milliseconds.
     pub p50_ms: f64,
-    /// The same at the 99th percentile.
+    /// 99th percentile of this time, in milliseconds.
     pub p99_ms: f64,
-    /// The same at most.
+    /// Maximum of this time, in milliseconds.
     pub max_ms: f64,
-    /// Longest time in which the clients of one dispatcher got no answer, in milliseconds.
+    /// Longest time between two consecutive responses of one dispatcher, in milliseconds.
     pub worst_gap_ms: f64,
-    /// Kills of the leader.
+    /// How often the leader was killed.
     pub killed: u64,
     /// Watches open at discovery at the end.
     pub watches: u64,
 }
 
-/// Answers that the clients of an arm got.
+/// Responses to the clients of an arm.
 struct Tally {
-    times: Histogram<u64>,
-    answers: BTreeMap<u16, u64>,
+    latencies: Histogram<u64>,
+    responses: BTreeMap<u16, u64>,
     jobs: u64,
-    /// By dispatcher: time of its last answer.
-    last_answer_at: Vec<Instant>,
+    /// By dispatcher: time of its last response.
+    last_response_at: Vec<Instant>,
     longest_gap: Duration,
 }
 
 impl Tally {
     fn new(now: Instant) -> Result<Tally, ClusterError> {
         Ok(Tally {
-            times: Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)?,
-            answers: BTreeMap::new(),
+            latencies: Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)?,
+            responses: BTreeMap::new(),
             jobs: 0,
-            last_answer_at: vec![now; DISPATCHERS],
+            last_response_at: vec![now; DISPATCHERS],
             longest_gap: Duration::ZERO,
         })
     }
 
-    /// Records the end of a job; one that was submitted before `counted_from` moves only the time of the last answer.
+    /// Records the end of a job. A job submitted before `counted_from` only updates the time of the last response.
     fn record(
         &mut self,
         dispatcher: usize,
@@ -125,27 +126,27 @@
         status: Option<u16>,
     ) {
         let now = Instant::now();
-        let gap = now - self.last_answer_at[dispatcher];
-        self.last_answer_at[dispatcher] = now;
+        let gap = now - self.last_response_at[dispatcher];
+        self.last_response_at[dispatcher] = now;
         if submitted_at < counted_from {
             return;
         }
         self.longest_gap = self.longest_gap.max(gap);
         self.jobs += 1;
-        *self.answers.entry(status.unwrap_or(0)).or_default() += 1;
-        let _ = self.times.record((now - submitted_at).as_micros() as u64);
+        *self.responses.entry(status.unwrap_or(0)).or_default() += 1;
+        let _ = self.latencies.record((now - submitted_at).as_micros() as u64);
     }
 
     fn quantile_ms(&self, quantile: f64) -> f64 {
-        self.times.value_at_quantile(quantile) as f64 / 1e3
+        self.latencies.value_at_quantile(quantile) as f64 / 1e3
     }
 }
 
-/// Plays all arms at once, each on a thread of its own; returns their results by name.
+/// Runs all arms in parallel, each on its own thread; returns their results by name.
 ///
 /// # Errors
 /// Returns a [`ClusterError`] if the harness fails.
-pub fn play(
+pub fn run(
     dir: &Path,
     binaries: &Binaries,
     length: Duration,
@@ -192,15 +193,15 @@
         }
     }
     sleep_until(counted_from).await;
-    let killed = disturb_coordinators(&mut cluster, arm, end).await?;
+    let killed = inject_coordinator_faults(&mut cluster, arm, end).await?;
     sleep_until(end + Duration::from_millis(500)).await;
     let tally = tally.borrow();
     Ok(LatencyResult {
         jobs: tally.jobs,
-        answers: tally.answers.clone(),
+        responses: tally.responses.clone(),
         p50_ms: tally.quantile_ms(0.5),
         p99_ms: tally.quantile_ms(0.99),
-        max_ms: tally.times.max() as f64 / 1e3,
+        max_ms: tally.latencies.max() as f64 / 1e3,
         worst_gap_ms: tally.longest_gap.as_secs_f64() * 1e3,
         killed,
         watches: cluster.discovery.open_watches(),
@@ -210,7 +211,7 @@
 async fn start_cluster(dir: &Path, binaries: Binaries, arm: Arm) -> Result<ClusterHarness, ClusterError> {
     let discovery = EmulatedDiscovery::new(0);
     for number in 0..WORKERS {
-        let bound = bind_listener("a worker").await?;
+        let bound = bind_listener("worker listener").await?;
         discovery.add(number, bound.address);
         spawn_local(serve_worker(Rc::new(Worker), bound.listener));
     }
@@ -225,7 +226,7 @@
         dispatchers: DISPATCHERS,
         zones: &["north"],
         classes: &[CLASS],
-        quota_per_s: RATE as f64 * DISPATCHERS as f64,
+        quota_per_s: RATE_PER_S as f64 * DISPATCHERS as f64,
         ..DispatcherSettings::default()
     };
     let cluster = ClusterHarness::start(dir, binaries, settings.to_json(), spec).await?;
@@ -236,8 +237,8 @@
     Ok(cluster)
 }
 
-/// Brings the coordinators into the state of the arm, until the end; returns the number of kills of the leader.
-async fn disturb_coordinators(
+/// Injects the coordinator faults of the arm until `end`; returns how often the leader was killed.
+async fn inject_coordinator_faults(
     cluster: &mut ClusterHarness,
     arm: Arm,
     end: Instant,
@@ -278,15 +279,16 @@
     dispatcher: usize,
     connection: u64,
     address: SocketAddr,
-    /// Time from which on jobs count.
+    /// Jobs submitted before this time are not counted.
     counted_from: Instant,
     end: Instant,
 }
 
 impl Client {
-    /// Submits jobs at a fixed rate, the clients of a dispatcher in turn.
+    /// Submits jobs at a fixed rate until the end. The clients of a dispatcher start staggered, so that they take
+    /// turns.
     async fn run(self, tally: Rc<RefCell<Tally>>) {
-        let period = Duration::from_micros(1_000_000 * CONNECTIONS / RATE);
+        let period = Duration::from_micros(1_000_000 * CONNECTIONS / RATE_PER_S);
         sleep(period.mul_f64(self.connection as f64 / CONNECTIONS as f64)).await;
         let mut ticks = interval(period);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
@@ -297,8 +299,8 @@
             count += 1;
             let submitted_at = Instant::now();
             let job = ClientJob { class: CLASS.name, id: self.connection << 32 | count };
-            let answer = timeout(CLIENT_TIMEOUT, submit_job(&mut kept_alive, self.address, job)).await;
-            let status = answer.ok().and_then(Result::ok);
+            let response = timeout(CLIENT_TIMEOUT, submit_job(&mut kept_alive, self.address, job)).await;
+            let status = response.ok().and_then(Result::ok);
             if status.is_none() {
                 kept_alive = None;
             }
--- a/crates/emulator/src/cluster/dispatcher_settings.rs
+++ b/crates/emulator/src/cluster/dispatcher_settings.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration of the dispatchers that harnesses start.
+//! The JSON configuration of the dispatchers that harnesses start.
 
 use std::time::Duration;
 
@@ -6,11 +6,11 @@
 
 use super::worker_model::{INITIAL_CAPACITY, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, WARM_UP};
 
-/// Class of jobs.
+/// A class of jobs.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct JobClass {
     pub name: &'static str,
-    /// Whether a repeat of a job is harmless.
+    /// Whether a job may be executed more than once.
     pub is_idempotent: bool,
     pub latency_objective: Duration,
     pub timeout: Duration,
@@ -22,7 +22,7 @@
     pub dispatchers: usize,
     pub zones: &'a [&'a str],
     pub classes: &'a [JobClass],
-    /// Quota of the one tenant, in slots a second.
+    /// Quota of the only tenant, in slots per second.
     pub quota_per_s: f64,
     /// Whether dispatchers may probe workers.
     pub probes: bool,
@@ -44,7 +44,7 @@
 }
 
 impl DispatcherSettings<'_> {
-    /// Returns the configuration, without names and addresses.
+    /// Returns the configuration without names and addresses.
     pub(super) fn to_json(&self) -> Value {
         let classes = self.classes.iter().map(|class| {
             json!({
--- a/crates/emulator/src/cluster/emulated_discovery.rs
+++ b/crates/emulator/src/cluster/emulated_discovery.rs
@@ -16,7 +16,7 @@
 
 use crate::sockets::http::{self, chunk, CHUNKED};
 
-/// Interval of empty lines on a watch while nothing changes.
+/// Interval of empty lines on a watch while the list does not change.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The service; clones share its state.
@@ -37,7 +37,7 @@
     watches: u64,
     requests: u64,
     messages: u64,
-    silent: bool,
+    unresponsive: bool,
 }
 
 struct OpenWatch(Rc<RefCell<Shared>>);
@@ -49,7 +49,7 @@
 }
 
 impl EmulatedDiscovery {
-    /// Returns a service that lists so many workers in service, none of which is reachable.
+    /// Returns a service that lists this number of workers as in service; none of them is reachable.
     pub fn new(workers: usize) -> EmulatedDiscovery {
         let discovery = EmulatedDiscovery { shared: Rc::default(), changed: watch::Sender::new(0) };
         (0..workers).for_each(|worker| discovery.set_unreachable(worker, "in_service"));
@@ -61,23 +61,23 @@
         self.add_in("north", worker, address);
     }
 
-    /// Adds a reachable worker in this zone.
+    /// Adds a reachable worker in a zone, or changes its zone and address.
     pub fn add_in(&self, zone: &str, worker: usize, address: SocketAddr) {
         self.put(zone, worker, "in_service", &address.to_string());
     }
 
-    /// Adds a worker in this zone that starts now.
+    /// Adds a reachable worker in a zone, with the present time as its start time, so that it is in slow start.
     pub fn add_cold(&self, zone: &str, worker: usize, address: SocketAddr) {
         self.record_start(worker);
         self.put(zone, worker, "in_service", &address.to_string());
     }
 
-    /// Changes the phase of a worker that is not reachable.
+    /// Adds an unreachable worker, or changes its phase; its address has no listener.
     pub fn set_unreachable(&self, worker: usize, phase: &str) {
         self.put("north", worker, phase, &format!("127.0.0.1:{}", 9 + worker));
     }
 
-    /// Changes the phase of a reachable worker: it drains, ends, or comes back with a new start.
+    /// Changes the phase of a listed worker and keeps its address. The phase `in_service` also sets a new start time.
     pub fn set_phase(&self, worker: usize, phase: &str) {
         let entry = self.shared.borrow().workers.get(&format!("w-{worker:04}")).cloned();
         let Some((_, entry)) = entry else { return };
@@ -107,7 +107,7 @@
         self.changed.send_replace(revision);
     }
 
-    /// Returns the number of connections so far.
+    /// Returns the number of connections accepted so far.
     pub fn connections(&self) -> u64 {
         self.shared.borrow().connections
     }
@@ -117,21 +117,22 @@
         self.shared.borrow().watches
     }
 
-    /// Returns the number of requests so far.
+    /// Returns the number of requests received so far.
     pub fn requests(&self) -> u64 {
         self.shared.borrow().requests
     }
 
-    /// Returns the number of messages sent so far.
+    /// Returns the number of messages sent so far, including keepalives.
     pub fn messages(&self) -> u64 {
         self.shared.borrow().messages
     }
 
-    /// Stops or resumes all sending, on open watches and to new requests.
-    pub fn set_silent(&self, silent: bool) {
-        self.shared.borrow_mut().silent = silent;
+    /// Stops or resumes all sending, on open watches and in response to new requests.
+    pub fn set_unresponsive(&self, unresponsive: bool) {
+        self.shared.borrow_mut().unresponsive = unresponsive;
     }
 
+    /// Returns the entries that changed after a revision; 0 stands for the full list, without terminated workers.
     fn list(&self, after: u64) -> Value {
         let shared = self.shared.borrow();
         let is_omitted = |entry: &Value| after == 0 && entry["phase"] == "terminated";
@@ -147,14 +148,14 @@
             self.shared.borrow_mut().connections += 1;
             let discovery = self.clone();
             spawn_local(async move {
-                // Dispatchers close and reset connections; faults cut them.
+                // Errors are expected: dispatchers close and reset connections, and faults interrupt them.
                 let _ = discovery.connection(stream).await;
             });
         }
     }
 
-    async fn wait_while_silent(&self) {
-        while self.shared.borrow().silent {
+    async fn wait_while_unresponsive(&self) {
+        while self.shared.borrow().unresponsive {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -166,15 +167,15 @@
             let Some(head) = http::head(&mut stream, &mut buffer, true, || {}).await? else { return Ok(()) };
             let _ = http::body(&mut stream, &mut buffer, &head).await?;
             self.shared.borrow_mut().requests += 1;
-            self.wait_while_silent().await;
+            self.wait_while_unresponsive().await;
             if head.path.contains("stream=1") {
                 let index = head.path.rsplit_once("index=").and_then(|(_, index)| index.parse().ok());
                 return self.watch(stream, index.unwrap_or(0)).await;
             }
             let list = self.list(0).to_string();
-            let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+            let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
             self.shared.borrow_mut().messages += 1;
-            stream.write_all(answer.as_bytes()).await?;
+            stream.write_all(response.as_bytes()).await?;
         }
     }
 
@@ -185,7 +186,7 @@
         stream.write_all(CHUNKED).await?;
         let mut byte = [0];
         loop {
-            self.wait_while_silent().await;
+            self.wait_while_unresponsive().await;
             if self.shared.borrow().revision > revision {
                 let line = self.list(revision).to_string();
                 revision = self.shared.borrow().revision;
@@ -198,7 +199,7 @@
                     self.shared.borrow_mut().messages += 1;
                     stream.write_all(&chunk("")).await?;
                 }
-                // A dispatcher sends nothing after its request, so this is the end of the connection.
+                // A dispatcher sends nothing after its request, so a readable socket means the end of the connection.
                 _ = stream.peek(&mut byte) => return Ok(()),
             }
         }
--- a/crates/emulator/src/cluster/emulated_worker.rs
+++ b/crates/emulator/src/cluster/emulated_worker.rs
@@ -1,4 +1,4 @@
-//! Emulated workers on loopback sockets: reading requests, and the responses of the workers' protocol.
+//! Emulated workers on loopback sockets: read requests and write the responses of the worker protocol.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use super::error::ClusterError;
 use crate::sockets::http::{self, chunk, Head, CHUNKED, LAST_CHUNK};
 
-/// Whether a connection serves another request.
+/// Whether a connection stays open after a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ConnectionUse {
     KeepOpen,
@@ -21,7 +21,7 @@
 
 /// An emulated worker.
 pub(super) trait EmulatedWorker: 'static {
-    /// Serves one request, whose body was read.
+    /// Serves one request; its body has already been read.
     async fn serve_request(&self, request: &Head, stream: &mut TcpStream) -> std::io::Result<ConnectionUse>;
 }
 
@@ -43,7 +43,7 @@
     while let Ok((stream, _)) = listener.accept().await {
         let worker = worker.clone();
         spawn_local(async move {
-            // Dispatchers close and reset connections; faults cut them.
+            // Errors are expected: dispatchers close and reset connections, and faults interrupt them.
             let _ = serve_connection(worker.as_ref(), stream).await;
         });
     }
@@ -71,7 +71,7 @@
     request.get("request-id").unwrap_or_default().to_owned()
 }
 
-/// Writes the response to a health check of a healthy worker.
+/// Writes a healthy worker's response to a health check.
 pub(super) async fn write_healthy(stream: &mut TcpStream) -> std::io::Result<()> {
     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await
 }
@@ -80,12 +80,12 @@
     chunk(&json!({"id": job, "state": state, "result": "ok"}).to_string())
 }
 
-/// Writes the head of a response, and that the job has started.
+/// Writes the head of a response and the line that reports the job as started.
 pub(super) async fn write_started(stream: &mut TcpStream, job: &str) -> std::io::Result<()> {
     stream.write_all(&[CHUNKED, state_line(job, "started").as_slice()].concat()).await
 }
 
-/// Writes that the job is done, and the end of the response.
+/// Writes the line that reports the job as done and the end of the response.
 pub(super) async fn write_done(stream: &mut TcpStream, job: &str) -> std::io::Result<()> {
     stream.write_all(&[state_line(job, "done").as_slice(), LAST_CHUNK].concat()).await
 }
--- a/crates/emulator/src/cluster/mod.rs
+++ b/crates/emulator/src/cluster/mod.rs
@@ -1,12 +1,17 @@
-//! Several processes of the program, with faults between them, and models of what they agree on.
+//! Experiments with coordinators and dispatchers as processes and with faults between them, and models of the lease
+//! protocol.
 //!
-//! [`schedule`] reads an experiment and draws schedules of faults by seed; [`lease_harness`] plays one with real processes, every
-//! link between two of them through [`fault_proxy`]; [`record_checker`] reads the records that the processes left, and nothing
-//! else; [`results`] adds up. [`lightweight_member`] is a member without jobs, on the real transport. [`cluster_harness`] is a
-//! fleet of real dispatchers with one discovery, [`dispatch_latency`] asks whether their clients notice it, [`shared_health_checks`] has them
-//! watch workers for each other while faults happen, [`slow_start`] replaces most workers by cold ones, [`scaling_cost`] measures
-//! what a fleet saves and costs by its size. [`lease_model`] checks the protocol
-//! in every order of events, [`virtual_time_soak`] in virtual time.
+//! [`schedule`] reads an experiment and draws schedules of faults by seed; [`lease_harness`] runs one with real
+//! processes, all links between them through [`fault_proxy`]; [`record_checker`] checks the rules on the records that
+//! the processes wrote, and on nothing else; [`results`] sums up. [`lightweight_member`] is a member without jobs, on
+//! the real transport.
+//!
+//! [`cluster_harness`] starts a cluster of real dispatchers with emulated discovery. [`dispatch_latency`] measures
+//! whether clients notice the cluster, [`shared_health_checks`] checks that dispatchers probe workers for each other
+//! under faults, [`planned_drains`] that drains stay within their budgets, [`slow_start`] replaces most workers by
+//! workers in slow start, and [`scaling_cost`] measures what a cluster saves and costs by its size.
+//!
+//! [`lease_model`] checks the lease protocol in every order of events, [`virtual_time_soak`] in virtual time.
 
 mod client;
 pub mod cluster_harness;
--- a/crates/emulator/src/cluster/planned_drains/evaluation.rs
+++ b/crates/emulator/src/cluster/planned_drains/evaluation.rs
@@ -1,25 +1,25 @@
-//! Rules of a schedule of planned drains, checked on what was observed and recorded.
+//! Checks the rules of planned drains on the harness's observations and the processes' records.
 
 use std::collections::BTreeMap;
 
 use super::{
     DrainRule, Observations, Outage, ScheduleResult, StandbyCall, UnavailableCounts, BUDGET,
-    LOSS_KNOWN_AFTER, MAX_CALL_TIME, ZONES,
+    LOSS_DETECTION_TIME_US, MAX_CALL_TIME_US, ZONES,
 };
 use crate::cluster::record_checker::{self, RecordLine, Records};
 use crate::cluster::violations::Violations;
 
-/// Time after an outage in which a dispatcher need not answer yet, in microseconds.
-const RESTART_TIME: u64 = 2_000_000;
+/// Time after an outage in which a dispatcher need not respond yet, in microseconds.
+const RESTART_TIME_US: u64 = 2_000_000;
 
 /// Figures and violations of a schedule.
 pub(super) struct Evaluation {
-    /// Figures; the violations are left out.
+    /// Figures of the schedule; its field `rules` is empty.
     pub result: ScheduleResult,
     pub violations: Violations<DrainRule>,
 }
 
-/// Standby of a dispatcher by permit; times by the clock of the records, in microseconds.
+/// Standby of a dispatcher under a permit. Times are by the records' clock, in microseconds.
 #[derive(Debug, Clone, Copy)]
 struct PlannedStandby {
     dispatcher: usize,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Checks all rules but [`DrainRule::EveryDispatcherDrained`], which the end of a schedule decides.
+/// Checks all rules except [`DrainRule::EveryDispatcherDrained`], which is checked at the end of a schedule.
 pub(super) fn evaluate(records: &Records, observations: &Observations) -> Evaluation {
     let standbys = planned_standbys(records, observations);
     let mut evaluation = Evaluation {
@@ -52,7 +52,8 @@
     evaluation
 }
 
-/// Returns the standbys by permit of the dispatchers' records: until they were active, or killed.
+/// Returns the standbys under a permit from the dispatchers' records. Each ends when the dispatcher becomes active,
+/// starts again or is killed.
 fn planned_standbys(records: &Records, observations: &Observations) -> Vec<PlannedStandby> {
     let mut standbys = Vec::new();
     for (name, lines) in &records.members {
@@ -82,16 +83,17 @@
     line.fields.get("permit").is_some_and(|permit| !permit.is_null())
 }
 
-/// Returns the end of a standby. A dispatcher that is killed meanwhile stays unavailable, but not by permit.
+/// Returns the end of a standby. A dispatcher that is killed during it stays unavailable, but no longer under its
+/// permit.
 fn end_of_standby(observations: &Observations, dispatcher: usize, from: u64, recorded_end: u64) -> u64 {
     let kills = observations.killed.iter().filter(|kill| kill.dispatcher == dispatcher && kill.from > from);
     kills.map(|kill| kill.from).fold(recorded_end, u64::min)
 }
 
-/// Permits that were granted by one log entry.
+/// Permits granted by one log entry.
 #[derive(Debug, Clone, Copy)]
 struct GrantedPermits {
-    /// Time of the first replica that recorded the entry.
+    /// Time at which the first replica recorded the entry.
     time: u64,
     count: usize,
 }
@@ -105,8 +107,8 @@
             continue;
         };
         let new = GrantedPermits { time: line.time, count: permits.len() };
-        let known = by_entry.entry(index).or_insert(new);
-        known.time = known.time.min(line.time);
+        let earliest = by_entry.entry(index).or_insert(new);
+        earliest.time = earliest.time.min(line.time);
     }
     by_entry.into_values().collect()
 }
@@ -119,9 +121,9 @@
             let zone = standby.dispatcher % ZONES.len();
             let in_zone = simultaneous.iter().filter(|other| other.dispatcher % ZONES.len() == zone).count();
             let unavailable = UnavailableCounts { fleet: simultaneous.len(), zone: in_zone };
-            let most = &mut self.result.max_planned_unavailable;
-            most.fleet = most.fleet.max(unavailable.fleet);
-            most.zone = most.zone.max(unavailable.zone);
+            let max = &mut self.result.max_planned_unavailable;
+            max.fleet = max.fleet.max(unavailable.fleet);
+            max.zone = max.zone.max(unavailable.zone);
             if unavailable.fleet > BUDGET.fleet || unavailable.zone > BUDGET.zone {
                 let names: Vec<String> =
                     simultaneous.iter().map(|other| format!("d{}", other.dispatcher)).collect();
@@ -133,10 +135,11 @@
 
     fn check_permits(&mut self, records: &Records, observations: &Observations, standbys: &[PlannedStandby]) {
         for granted in granted_permits(records) {
-            let is_known_lost =
-                |kill: &&Outage| kill.from + LOSS_KNOWN_AFTER < granted.time && granted.time < kill.until;
+            let is_detected = |kill: &&Outage| {
+                kill.from + LOSS_DETECTION_TIME_US < granted.time && granted.time < kill.until
+            };
             let lost: Vec<usize> =
-                observations.killed.iter().filter(is_known_lost).map(|kill| kill.dispatcher).collect();
+                observations.killed.iter().filter(is_detected).map(|kill| kill.dispatcher).collect();
             let planned = standbys
                 .iter()
                 .filter(|standby| standby.lasts_at(granted.time) && !lost.contains(&standby.dispatcher));
@@ -159,7 +162,7 @@
             }
             let duration = call.ended_at - call.started_at;
             self.result.longest_call_ms = self.result.longest_call_ms.max(duration as f64 / 1e3);
-            if call.status == 0 || duration > MAX_CALL_TIME {
+            if call.status == 0 || duration > MAX_CALL_TIME_US {
                 let description = format!(
                     "dispatcher {}: status {} after {duration} us at {}",
                     call.dispatcher, call.status, call.started_at
@@ -176,13 +179,14 @@
     }
 }
 
-/// Whether a call need not be answered: its dispatcher did not run meanwhile, or the schedule was over before its end.
+/// Whether a call need not be answered: its dispatcher was not running or had just restarted, or the schedule ended
+/// before the call.
 fn is_excused(observations: &Observations, call: &StandbyCall) -> bool {
     let overlaps = |outage: &Outage| {
         outage.dispatcher == call.dispatcher
             && outage.from <= call.ended_at
-            && call.started_at <= outage.until.saturating_add(RESTART_TIME)
+            && call.started_at <= outage.until.saturating_add(RESTART_TIME_US)
     };
-    let was_out = observations.killed.iter().chain(&observations.paused).any(overlaps);
-    was_out || observations.ended_at.is_some_and(|end| call.ended_at >= end)
+    let had_outage = observations.killed.iter().chain(&observations.paused).any(overlaps);
+    had_outage || observations.ended_at.is_some_and(|end| call.ended_at >= end)
 }
--- a/crates/emulator/src/cluster/planned_drains/faults.rs
+++ b/crates/emulator/src/cluster/planned_drains/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a schedule: drawn by its seed and injected one at a time.
+//! Draws the faults of a schedule by its seed and injects them one at a time.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::cluster::error::ClusterError;
 use crate::cluster::fault_injection::{ClusterFault, LinkFaultKind};
 
-/// Draws faults and injects them one after another, until the schedule's time is over.
+/// Draws faults and injects them one after another until the schedule's length is over; returns them.
 pub(super) async fn inject_faults(
     cluster: &mut ClusterHarness,
     observations: &SharedObservations,
@@ -41,17 +41,17 @@
     Ok(injected)
 }
 
-/// A fault with the dispatcher that it is for and its duration.
+/// A fault with its target dispatcher and its duration.
 #[derive(Debug, Clone, Copy)]
 struct DrawnFault {
     fault: Fault,
     target: usize,
-    /// Time by the clock of the records, in microseconds.
+    /// Time by the records' clock, in microseconds.
     began_at: u64,
     duration: Duration,
 }
 
-/// Injects one fault, and records the time in which its dispatcher could not answer.
+/// Injects one fault, and records the time in which its dispatcher could not respond.
 async fn inject(
     cluster: &mut ClusterHarness,
     observations: &SharedObservations,
@@ -99,7 +99,7 @@
         })
     }
 
-    /// Returns the fault of the cluster harness that this one is at a dispatcher.
+    /// Returns the cluster harness's fault for this kind at a dispatcher.
     fn at(self, dispatcher: usize) -> ClusterFault {
         match self {
             Fault::KillObserver | Fault::LoseDispatcher => ClusterFault::KillDispatcher(dispatcher),
--- a/crates/emulator/src/cluster/planned_drains/mod.rs
+++ b/crates/emulator/src/cluster/planned_drains/mod.rs
@@ -1,6 +1,6 @@
-//! Planned drains of dispatchers under faults: real coordinators and dispatchers, operators that request a standby at the
-//! consoles, and a proxy on every link between coordinators and members. [`DrainRule`] lists the rules, which are checked by
-//! the records of dispatchers and coordinators and by what the harness did.
+//! Planned drains of dispatchers under faults: coordinator and dispatcher processes, emulated operators that request
+//! standbys at the consoles, and a proxy on every link between coordinators and members. [`DrainRule`] lists the rules.
+//! They are checked on the records of dispatchers and coordinators and on the actions and observations of the harness.
 
 mod evaluation;
 mod faults;
@@ -33,15 +33,15 @@
 /// A rule of planned drains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DrainRule {
-    /// No more dispatchers are in standby by permit than the budgets allow, in the fleet and in each zone.
+    /// No more dispatchers are in standby under permits than the budgets allow, in the fleet and in each zone.
     WithinBudgets,
-    /// No permit is granted while dispatchers that are known to be lost have used the budget up.
+    /// No permit is granted while detected losses of dispatchers use up the budget.
     NoPermitBesideLosses,
-    /// A call for standby is answered within its time, in any state of the coordinators.
+    /// A standby call is answered within 1.5 s, whatever state the coordinators are in.
     CallAnsweredInTime,
-    /// Every dispatcher is drained after the last fault has ended.
+    /// Every dispatcher is drained once more after the last fault has ended.
     EveryDispatcherDrained,
-    /// The rules of leases.
+    /// The rules of leases, as the record checker checks them.
     Leases,
 }
 
@@ -75,34 +75,35 @@
     latency_objective: Duration::from_millis(500),
     timeout: Duration::from_secs(3),
 };
-/// Dispatchers that may be unavailable at once, in the fleet.
+/// Dispatchers of the fleet that may be unavailable at the same time.
 const MAX_UNAVAILABLE: usize = 2;
-/// Dispatchers that may be unavailable at once, in a zone.
+/// Dispatchers of a zone that may be unavailable at the same time.
 const MAX_UNAVAILABLE_IN_ZONE: usize = 1;
-/// Longest time to an answer of a call for standby, in microseconds: 0.8 s for the decision, the rest for a busy machine.
-const MAX_CALL_TIME: u64 = 1_500_000;
-/// Time after which a lost dispatcher is known to be lost, in microseconds: its last readiness report expires after 1 s, and
-/// the observer may change.
-const LOSS_KNOWN_AFTER: u64 = 6_000_000;
-/// Longest time until every dispatcher is drained after the last fault.
+/// Longest time in which a standby call must be answered, in microseconds: 0.8 s for the decision, and a margin for a
+/// loaded machine.
+const MAX_CALL_TIME_US: u64 = 1_500_000;
+/// Time within which the loss of a dispatcher is detected, in microseconds: its last readiness report expires after 1
+/// s, and the observer may change meanwhile.
+const LOSS_DETECTION_TIME_US: u64 = 6_000_000;
+/// Longest time after the last fault until every dispatcher has been drained once more.
 const MAX_RECOVERY_TIME: Duration = Duration::from_secs(30);
-/// Longest time until the coordinators accept budgets and know all dispatchers as available.
+/// Longest time until the coordinators have accepted the budgets and count all dispatchers as available.
 const MAX_SETUP_TIME: Duration = Duration::from_secs(10);
-/// Workers that discovery lists.
+/// Number of workers that discovery lists.
 const WORKERS: usize = 4;
 
 /// Parameters of a schedule.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Coordinators, three or five.
+    /// Number of coordinators, three or five.
     pub coordinators: usize,
-    /// Dispatchers, in three zones in turn.
+    /// Number of dispatchers, assigned to three zones in turn.
     pub dispatchers: usize,
-    /// Time in which faults begin.
+    /// Time span in which faults begin.
     pub length: Duration,
     /// Mean time from the start of one fault to that of the next.
     pub fault_interval: Duration,
-    /// Time after which a worker has its full capacity, in seconds.
+    /// Time until a started worker has its full capacity, in seconds.
     pub warm_up_s: f64,
     /// Bug to inject into the coordinators' disruption state.
     pub injected_bug: Option<String>,
@@ -139,13 +140,13 @@
     /// Messages of the coordinators to a dispatcher are delayed by 0.3 s while its operator requests a standby.
     #[serde(rename = "slow-asker")]
     SlowRequester,
-    /// SIGKILL to a dispatcher that is started again long after.
+    /// SIGKILL to a dispatcher, started again 7 s to 9 s later, when its loss must have been detected.
     #[serde(rename = "lose")]
     LoseDispatcher,
     /// A dispatcher and the coordinators do not reach each other.
     #[serde(rename = "cut-keepers")]
     PartitionFromCoordinators,
-    /// A dispatcher and the others do not reach each other.
+    /// A dispatcher and the other members do not reach each other.
     #[serde(rename = "cut-members")]
     PartitionFromMembers,
     /// SIGKILL to the leading coordinator, started again later.
@@ -182,23 +183,23 @@
     pub rules: BTreeMap<String, Vec<String>>,
     /// Faults by kind.
     pub faults: BTreeMap<String, u64>,
-    /// Dispatchers that may be unavailable at once.
+    /// The disruption budgets: dispatchers that may be unavailable at the same time.
     pub budget: UnavailableCounts,
-    /// The most dispatchers that were unavailable at once by permit.
+    /// The most dispatchers that were unavailable at the same time under permits.
     #[serde(rename = "out_by_plan_max")]
     pub max_planned_unavailable: UnavailableCounts,
-    /// Calls for standby by status: 200, 503, or 0 without an answer.
+    /// Number of standby calls by the status of the response: 200, 503, or 0 if there was none.
     pub calls: BTreeMap<u16, u64>,
-    /// Drains by permit.
+    /// Drains under permits.
     pub drains: u64,
-    /// Longest time to an answer of a dispatcher that ran, in milliseconds.
+    /// Longest time of a call to a running dispatcher, in milliseconds.
     pub longest_call_ms: f64,
     /// Lease terms granted.
     #[serde(rename = "terms")]
     pub lease_terms: u64,
 }
 
-/// Numbers of unavailable dispatchers; in results a list of both.
+/// Numbers of unavailable dispatchers, serialized as a pair.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "(usize, usize)")]
 pub struct UnavailableCounts {
@@ -217,7 +218,7 @@
 /// Budgets of all schedules.
 const BUDGET: UnavailableCounts = UnavailableCounts { fleet: MAX_UNAVAILABLE, zone: MAX_UNAVAILABLE_IN_ZONE };
 
-/// Time in which a dispatcher did not run, by the clock of the records, in microseconds.
+/// Time span in which a dispatcher did not run, by the records' clock, in microseconds.
 #[derive(Debug, Clone, Copy)]
 struct Outage {
     dispatcher: usize,
@@ -225,13 +226,13 @@
     until: u64,
 }
 
-/// Call for standby at a dispatcher's console; times by the clock of the records, in microseconds.
+/// A request for standby at a dispatcher's console. Times are by the records' clock, in microseconds.
 #[derive(Debug, Clone, Copy)]
 struct StandbyCall {
     dispatcher: usize,
     started_at: u64,
     ended_at: u64,
-    /// Status of the answer, 0 without one.
+    /// Status of the response; 0 if there was none.
     status: u16,
 }
 
@@ -241,9 +242,9 @@
     killed: Vec<Outage>,
     paused: Vec<Outage>,
     calls: Vec<StandbyCall>,
-    /// By dispatcher: whether it was drained and active again since this was reset.
+    /// By dispatcher: whether it was drained and became active again since the last reset of this field.
     was_drained: Vec<bool>,
-    /// By dispatcher: whether its operator is to request a standby now.
+    /// By dispatcher: whether its operator must request a standby without waiting.
     call_now: Vec<bool>,
     /// Time at which the operators stop, once it is set.
     ended_at: Option<u64>,
@@ -261,19 +262,18 @@
 
 type SharedObservations = Rc<RefCell<Observations>>;
 
-/// Plays one schedule below this folder.
+/// Runs one schedule in a folder.
 ///
 /// # Errors
 /// Returns a [`ClusterError`] if the harness fails; violations of rules are part of the result.
-pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<ScheduleResult, ClusterError> {
+pub fn run(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<ScheduleResult, ClusterError> {
     run_in_folder(dir, run_schedule(dir, binaries.clone(), plan))
 }
 
-/// Starts a cluster whose dispatchers need permits to drain, with these budgets as HCL.
+/// Starts a cluster whose dispatchers need permits to drain; `budgets` is the text of the budget file, in HCL.
 ///
-/// # Errors
-/// Returns a [`ClusterError`] if a process cannot be set up, the coordinators reject the budgets, or the dispatchers are not
-/// known to be available within `MAX_SETUP_TIME`.
+/// # Errors Returns a [`ClusterError`] if a process cannot be set up, or if the coordinators reject the budgets or do
+/// not count all dispatchers as available within 10 s.
 pub async fn start_cluster(
     dir: &Path,
     binaries: Binaries,
@@ -305,14 +305,16 @@
     set_budgets(&cluster, &file, deadline).await?;
     while available_dispatchers(&cluster).await != plan.dispatchers {
         if Instant::now() > deadline {
-            return Err(cluster.timeout("not all dispatchers are known to be available".to_owned()));
+            return Err(
+                cluster.timeout("the coordinators do not count all dispatchers as available".to_owned())
+            );
         }
         sleep(Duration::from_millis(50)).await;
     }
     Ok(cluster)
 }
 
-/// Restarts all coordinators with a bug of this name.
+/// Restarts all coordinators with an injected bug.
 fn inject_bug(cluster: &mut ClusterHarness, bug: &str) -> Result<(), ClusterError> {
     for coordinator in 1..=cluster.coordinator_count() {
         cluster.set_coordinator_setting(coordinator, "flaw", &format!("\"{bug}\""))?;
@@ -322,7 +324,7 @@
     Ok(())
 }
 
-/// Sets the budgets of a file, with retries until the deadline.
+/// Sets the budgets in a file; retries until the deadline.
 async fn set_budgets(cluster: &ClusterHarness, file: &Path, deadline: Instant) -> Result<(), ClusterError> {
     let path = file.display().to_string();
     while let Err(error) = cluster.run_coordinator_command(1, &["budgets", "--set", &path]).await {
@@ -334,7 +336,7 @@
     Ok(())
 }
 
-/// Returns the number of dispatchers that the disruption state has as available.
+/// Returns the number of dispatchers that are available in the disruption state.
 async fn available_dispatchers(cluster: &ClusterHarness) -> usize {
     let output = cluster.run_coordinator_command(1, &["account", "--json"]).await.unwrap_or_default();
     let disruption_state: serde_json::Value = serde_json::from_str(&output).unwrap_or_default();
--- a/crates/emulator/src/cluster/planned_drains/operator.rs
+++ b/crates/emulator/src/cluster/planned_drains/operator.rs
@@ -1,4 +1,4 @@
-//! Operators, who drain dispatchers at their consoles all the time.
+//! Emulated operators, who keep draining dispatchers at their consoles.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,14 +11,15 @@
 use super::{SharedObservations, StandbyCall};
 use crate::cluster::console::call_console;
 
-/// Range of the pauses of an operator, in milliseconds.
+/// Range of an operator's random pauses, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 200..1_500;
-/// Longest pause before a rejected call is repeated.
+/// Longest pause before a retry, whatever the response asks for.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
-/// Pause before a rejected call is repeated where the answer has no Retry-After, in seconds.
+/// Pause before a retry if the response has no `Retry-After`, in seconds.
 const DEFAULT_RETRY_AFTER_S: u32 = 1;
 
-/// Drains a dispatcher from time to time: requests a standby until it is granted, waits, and makes it active again.
+/// Drains a dispatcher repeatedly: requests a standby until it is granted, waits, and makes the dispatcher active
+/// again.
 pub(super) async fn run_operator(
     observations: SharedObservations,
     dispatcher: usize,
@@ -35,7 +36,7 @@
         }
         request_standby(&observations, dispatcher, console).await;
         sleep(Duration::from_millis(random.random_range(PAUSE_MS))).await;
-        // Until it is active again, or another process.
+        // Retries until the dispatcher is active again; a process that was restarted meanwhile confirms it too.
         while !is_over() && !activate(console).await {
             sleep(Duration::from_millis(100)).await;
         }
@@ -47,19 +48,20 @@
 async fn request_standby(observations: &SharedObservations, dispatcher: usize, console: SocketAddr) {
     loop {
         let started_at = clock::now();
-        let answer = call_console(console, "POST", "/standby").await;
-        let status = answer.as_ref().map_or(0, |answer| answer.status);
+        let response = call_console(console, "POST", "/standby").await;
+        let status = response.as_ref().map_or(0, |response| response.status);
         let call = StandbyCall { dispatcher, started_at, ended_at: clock::now(), status };
         observations.borrow_mut().calls.push(call);
         if status == 200 || observations.borrow().ended_at.is_some() {
             return;
         }
-        let retry_after_s = answer.and_then(|answer| answer.retry_after_s).unwrap_or(DEFAULT_RETRY_AFTER_S);
+        let retry_after_s =
+            response.and_then(|response| response.retry_after_s).unwrap_or(DEFAULT_RETRY_AFTER_S);
         sleep(Duration::from_secs(retry_after_s.into()).min(MAX_RETRY_PAUSE)).await;
     }
 }
 
-/// Makes a dispatcher active again; returns whether it answered so.
+/// Makes a dispatcher active again; returns whether it confirmed that.
 async fn activate(console: SocketAddr) -> bool {
-    call_console(console, "POST", "/active").await.is_some_and(|answer| answer.status == 200)
+    call_console(console, "POST", "/active").await.is_some_and(|response| response.status == 200)
 }
--- a/crates/emulator/src/cluster/planned_drains/tests.rs
+++ b/crates/emulator/src/cluster/planned_drains/tests.rs
@@ -1,10 +1,15 @@
-//! The checks of a schedule find what they are for, and nothing else.
+//! The checks of a schedule report violations of the rules and nothing else.
 
 use super::evaluation::evaluate;
-use super::{DrainRule, Observations, Outage, StandbyCall, LOSS_KNOWN_AFTER, MAX_CALL_TIME};
+use super::{DrainRule, Observations, Outage, StandbyCall, LOSS_DETECTION_TIME_US, MAX_CALL_TIME_US};
 use crate::cluster::record_checker::Records;
 
-fn rules(observations: &Observations, coordinator: &str, members: &[(&str, &str)]) -> Vec<DrainRule> {
+/// Returns the violated rules for records in JSON Lines: those of coordinator 1, and those of members by name.
+fn violated_rules(
+    observations: &Observations,
+    coordinator: &str,
+    members: &[(&str, &str)],
+) -> Vec<DrainRule> {
     let lines = |text: &str| text.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
     let records = Records {
         coordinators: [(1, lines(coordinator))].into(),
@@ -13,50 +18,72 @@
     evaluate(&records, observations).violations.rules().collect()
 }
 
-/// d0 and d3 are of one zone.
+/// d0 and d3 are in the same zone, whose budget allows one planned standby; d1 is in another zone. Consecutive and
+/// forced standbys are no violation.
 #[test]
-fn two_of_a_zone_by_permit_are_found_and_one_after_another_or_by_force_are_not() {
-    let out = r#"{"t":100,"kind":"standby","permit":5}
+fn two_planned_standbys_in_a_zone_are_reported_only_if_they_overlap() {
+    let standby = r#"{"t":100,"kind":"standby","permit":5}
 {"t":900,"kind":"active","number":1}"#;
-    let found = |of: &str, other: &str, observations: &Observations| {
-        rules(observations, "", &[("d0", out), (of, other)])
+    let check = |member: &str, record: &str, observations: &Observations| {
+        violated_rules(observations, "", &[("d0", standby), (member, record)])
     };
-    let during = r#"{"t":500,"kind":"standby","permit":7}"#;
-    assert_eq!(found("d3", during, &Observations::default()), [DrainRule::WithinBudgets]);
-    assert!(found("d1", during, &Observations::default()).is_empty(), "another zone, and two in all");
-    assert!(found("d3", &during.replace("500", "901"), &Observations::default()).is_empty());
-    assert!(found("d3", &during.replace('7', "null"), &Observations::default()).is_empty());
+    let overlapping = r#"{"t":500,"kind":"standby","permit":7}"#;
+    assert_eq!(check("d3", overlapping, &Observations::default()), [DrainRule::WithinBudgets]);
+    assert!(
+        check("d1", overlapping, &Observations::default()).is_empty(),
+        "in different zones, two standbys are within the budgets"
+    );
+    assert!(check("d3", &overlapping.replace("500", "901"), &Observations::default()).is_empty());
+    assert!(check("d3", &overlapping.replace('7', "null"), &Observations::default()).is_empty());
     let killed = Observations {
         killed: vec![Outage { dispatcher: 0, from: 400, until: 2_000 }],
         ..Observations::default()
     };
-    assert!(found("d3", during, &killed).is_empty(), "out, but not by plan any more");
+    assert!(
+        check("d3", overlapping, &killed).is_empty(),
+        "d0 was killed, so it is no longer unavailable by plan"
+    );
 }
 
+/// Two lost dispatchers use up the budget. A permit granted later is a violation once the losses must have been
+/// detected.
 #[test]
-fn a_permit_beside_known_losses_is_found() {
-    let granted =
-        format!(r#"{{"t":{},"kind":"applied","index":9,"digest":1,"permits":[4]}}"#, 2 * LOSS_KNOWN_AFTER);
+fn a_permit_granted_after_detected_losses_is_reported() {
+    let granted = format!(
+        r#"{{"t":{},"kind":"applied","index":9,"digest":1,"permits":[4]}}"#,
+        2 * LOSS_DETECTION_TIME_US
+    );
     let lost = |from: u64| Observations {
-        killed: [1, 2].map(|dispatcher| Outage { dispatcher, from, until: 3 * LOSS_KNOWN_AFTER }).to_vec(),
+        killed: [1, 2]
+            .map(|dispatcher| Outage { dispatcher, from, until: 3 * LOSS_DETECTION_TIME_US })
+            .to_vec(),
         ..Observations::default()
     };
-    assert_eq!(rules(&lost(10), &granted, &[]), [DrainRule::NoPermitBesideLosses]);
-    assert!(rules(&lost(2 * LOSS_KNOWN_AFTER - 10), &granted, &[]).is_empty(), "nobody could know yet");
+    assert_eq!(violated_rules(&lost(10), &granted, &[]), [DrainRule::NoPermitBesideLosses]);
+    assert!(
+        violated_rules(&lost(2 * LOSS_DETECTION_TIME_US - 10), &granted, &[]).is_empty(),
+        "the losses cannot have been detected yet"
+    );
 }
 
-/// Every call without an answer was excused once, since the schedule was over when it was checked.
+/// Guards against a check that excused every unanswered call, because the schedule is always over when it is checked.
 #[test]
-fn a_call_that_is_not_answered_or_late_is_found() {
-    let calls = |status: u16, took: u64, at: u64| Observations {
-        calls: vec![StandbyCall { dispatcher: 0, started_at: at, ended_at: at + took, status }],
+fn unanswered_and_late_calls_are_reported() {
+    let calls = |status: u16, duration: u64, started_at: u64| Observations {
+        calls: vec![StandbyCall { dispatcher: 0, started_at, ended_at: started_at + duration, status }],
         paused: vec![Outage { dispatcher: 0, from: 10_000_000, until: 11_000_000 }],
         ended_at: Some(90_000_000),
         ..Observations::default()
     };
-    assert!(rules(&calls(503, 900_000, 1_000_000), "", &[]).is_empty());
-    assert_eq!(rules(&calls(0, 900_000, 1_000_000), "", &[]), [DrainRule::CallAnsweredInTime]);
-    assert_eq!(rules(&calls(503, MAX_CALL_TIME + 1, 1_000_000), "", &[]), [DrainRule::CallAnsweredInTime]);
-    assert!(rules(&calls(0, 900_000, 10_500_000), "", &[]).is_empty(), "it was stopped");
-    assert!(rules(&calls(0, 900_000, 89_900_000), "", &[]).is_empty(), "all was ended");
+    assert!(violated_rules(&calls(503, 900_000, 1_000_000), "", &[]).is_empty());
+    assert_eq!(violated_rules(&calls(0, 900_000, 1_000_000), "", &[]), [DrainRule::CallAnsweredInTime]);
+    assert_eq!(
+        violated_rules(&calls(503, MAX_CALL_TIME_US + 1, 1_000_000), "", &[]),
+        [DrainRule::CallAnsweredInTime]
+    );
+    assert!(violated_rules(&calls(0, 900_000, 10_500_000), "", &[]).is_empty(), "the dispatcher was paused");
+    assert!(
+        violated_rules(&calls(0, 900_000, 89_900_000), "", &[]).is_empty(),
+        "the schedule was over before the call ended"
+    );
 }
--- a/crates/emulator/src/cluster/process_usage.rs
+++ b/crates/emulator/src/cluster/process_usage.rs
@@ -1,8 +1,8 @@
-//! Resources that a process uses, as the operating system reports them.
+//! Resource usage of a process, as the operating system reports it.
 
-/// Position of the user time after the name of the program in `/proc/PID/stat`.
+/// Index of the user time among the fields after the program name in `/proc/PID/stat`, from 0.
 const USER_TIME_FIELD: usize = 11;
-/// Position of the system time after the name of the program in `/proc/PID/stat`.
+/// Index of the system time among the fields after the program name in `/proc/PID/stat`, from 0.
 const SYSTEM_TIME_FIELD: usize = 12;
 
 /// Returns the processor time that a process has used, in seconds.
@@ -22,7 +22,7 @@
     pages.unwrap_or(0.0) * rustix::param::page_size() as f64 / 1e6
 }
 
-/// Returns the number of descriptors that a process has open.
+/// Returns the number of open file descriptors of a process.
 pub(super) fn open_descriptors(process: u32) -> usize {
     std::fs::read_dir(format!("/proc/{process}/fd")).map_or(0, Iterator::count)
 }
--- a/crates/emulator/src/cluster/scaling_cost.rs
+++ b/crates/emulator/src/cluster/scaling_cost.rs
@@ -1,5 +1,6 @@
-//! Benefit and cost of a cluster by its size: the same idle dispatchers sharing nothing, and as members, one side after the
-//! other, with real coordinators and every link between coordinators and members through a proxy that counts bytes.
+//! Measures what a cluster saves and costs by its size: idle dispatchers without a cluster and as members of one, one
+//! arm after the other. Coordinators and dispatchers are real processes, and every link between coordinators and
+//! members passes through a proxy that counts bytes.
 
 use std::cell::Cell;
 use std::fmt;
@@ -21,9 +22,9 @@
 use crate::sockets::http::Head;
 
 const WORKERS: usize = 20;
-/// Time from one change of a worker to the next.
+/// Time from one change of a worker's phase to the next.
 const CHANGE_INTERVAL: Duration = Duration::from_secs(2);
-/// Time in which members settle and sets are rebalanced before anything counts.
+/// Time in which members join and sets are rebalanced before the measurement starts.
 const SETTLING_TIME: Duration = Duration::from_secs(10);
 const CLASS: JobClass = JobClass {
     name: "lookup",
@@ -32,34 +33,34 @@
     timeout: Duration::from_secs(5),
 };
 
-/// Result of one side.
+/// Result of one arm.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Side {
-    /// Requests to discovery until all dispatchers knew the list.
+    /// Requests to discovery before the measurement, until all dispatchers had the list.
     pub calls_to_begin: u64,
-    /// Requests to discovery a second afterwards.
+    /// Requests to discovery per second during the measurement.
     pub calls_per_s: f64,
     /// Watches open at the end.
     pub watches: u64,
-    /// Messages of discovery a second.
+    /// Messages per second that discovery sent.
     pub told_per_s: f64,
-    /// Probes of all workers together a second.
+    /// Probes of all workers per second.
     pub probes_per_s: f64,
-    /// Bytes a second between coordinators and members, and between members, both ways.
+    /// Bytes per second between coordinators and members, and between members, in both directions.
     pub bytes_per_s: f64,
-    /// Part of a core that the busiest coordinator used.
+    /// Share of a processor core that the busiest coordinator used.
     pub keeper_cpu: f64,
-    /// Parts of a core that the members used.
+    /// Share of a processor core that the members used.
     pub member_cpu: MemberCpu,
     /// Resident memory.
     pub memory_mb: ResidentMemory,
-    /// Open descriptors of the member that had most.
+    /// Open file descriptors of the member that had the most.
     pub descriptors: usize,
-    /// Time until all dispatchers knew of the last change, in seconds.
+    /// Time until all dispatchers had applied the last change, in seconds.
     pub known_s: f64,
 }
 
-/// Parts of a core that members used; in results, and where they are printed, a list of both.
+/// Shares of a processor core that members used; serialized and printed as a pair.
 #[derive(Clone, Copy, Default, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct MemberCpu {
@@ -81,7 +82,7 @@
     }
 }
 
-/// Resident memory in megabytes; in results, and where it is printed, a list of both.
+/// Resident memory in megabytes; serialized and printed as a pair.
 #[derive(Clone, Copy, Default, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct ResidentMemory {
@@ -103,12 +104,11 @@
     }
 }
 
-/// Plays one side below this folder: so many dispatchers, as members with this addition to the block `fleet`, or sharing
-/// nothing.
+/// Runs one arm in a folder, with `members` dispatchers. `cluster_settings` is added to their block `fleet`; `None`
+/// runs them without a cluster.
 ///
-/// # Errors
-/// Returns a [`ClusterError`] if the harness fails.
-pub fn play(
+/// # Errors Returns a [`ClusterError`] if the harness fails.
+pub fn run(
     dir: &Path,
     binaries: &Binaries,
     members: usize,
@@ -128,7 +128,7 @@
     let discovery = EmulatedDiscovery::new(0);
     let worker = Rc::new(ProbedWorker::default());
     for number in 0..WORKERS {
-        let bound = bind_listener("a worker").await?;
+        let bound = bind_listener("worker listener").await?;
         discovery.add(number, bound.address);
         spawn_local(serve_worker(worker.clone(), bound.listener));
     }
@@ -153,25 +153,25 @@
     sleep(SETTLING_TIME).await;
     let before = Sample::take(&cluster, &worker);
     let changes = (length.as_secs_f64() / CHANGE_INTERVAL.as_secs_f64()) as usize;
-    let known_after = change_worker(&cluster, changes).await?;
+    let propagation_time = change_worker(&cluster, changes).await?;
     let after = Sample::take(&cluster, &worker);
     let seconds = CHANGE_INTERVAL.as_secs_f64() * changes as f64;
-    Ok(side(&cluster, &before, &after, seconds, known_after))
+    Ok(side(&cluster, &before, &after, seconds, propagation_time))
 }
 
-/// Has a worker leave and come back in turn; returns the time until all dispatchers knew of the last change.
+/// Ends and restarts a worker in turn; returns the time until all dispatchers had applied the last change.
 async fn change_worker(cluster: &ClusterHarness, changes: usize) -> Result<Duration, ClusterError> {
-    let mut known_after = Duration::ZERO;
+    let mut propagation_time = Duration::ZERO;
     for change in 0..changes {
-        let leaves = change % 2 == 0;
-        cluster.discovery.set_phase(0, if leaves { "terminated" } else { "in_service" });
-        known_after = cluster.wait_for_workers(WORKERS - usize::from(leaves)).await?;
-        sleep(CHANGE_INTERVAL.saturating_sub(known_after)).await;
+        let ends = change % 2 == 0;
+        cluster.discovery.set_phase(0, if ends { "terminated" } else { "in_service" });
+        propagation_time = cluster.wait_for_workers(WORKERS - usize::from(ends)).await?;
+        sleep(CHANGE_INTERVAL.saturating_sub(propagation_time)).await;
     }
-    Ok(known_after)
+    Ok(propagation_time)
 }
 
-/// Counters at one time.
+/// Counters at one point in time.
 struct Sample {
     /// Processor time of each coordinator, in seconds.
     coordinator_cpu: Vec<f64>,
@@ -198,13 +198,13 @@
     }
 }
 
-/// Returns the figures of a side from two samples and what its processes use now.
+/// Computes the result of an arm from two samples and the present resource usage of its processes.
 fn side(
     cluster: &ClusterHarness,
     before: &Sample,
     after: &Sample,
     seconds: f64,
-    known_after: Duration,
+    propagation_time: Duration,
 ) -> Side {
     let rate = |after: u64, before: u64| (after - before) as f64 / seconds;
     let cores = |after: &[f64], before: &[f64]| -> Vec<f64> {
@@ -228,11 +228,11 @@
         },
         memory_mb: ResidentMemory { coordinator: largest(&coordinators), member: largest(&dispatchers) },
         descriptors: dispatchers.iter().map(|id| open_descriptors(*id)).max().unwrap_or(0),
-        known_s: known_after.as_secs_f64(),
+        known_s: propagation_time.as_secs_f64(),
     }
 }
 
-/// Workers that answer health checks and count them.
+/// A worker that answers health checks and counts them.
 #[derive(Default)]
 struct ProbedWorker {
     probes: Cell<u64>,
--- a/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
@@ -1,4 +1,4 @@
-//! Rules of a schedule of shared health checks, checked on what was observed and recorded.
+//! Checks the rules of shared health checks on the harness's observations and the processes' records.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,36 +7,38 @@
 use dispatch_core::hashing::worker_id;
 
 use super::{
-    class_of, CountedSpan, Fault, HealthCheckRule, InjectedFault, JobAnswer, Observations, Plan,
-    ProbeArrival, ScheduleResult, ANSWER_SLACK, ARRIVAL_JITTER, DRAIN_GRACE, JOB_TIMEOUT, ZONES,
+    class_of, CountedSpan, Fault, HealthCheckRule, InjectedFault, JobOutcome, Observations, Plan,
+    ProbeArrival, ScheduleResult, ARRIVAL_JITTER_US, DRAIN_GRACE, JOB_TIMEOUT, RESPONSE_SLACK, ZONES,
 };
 use crate::checker::{Location, ObservedAttempt, RuleChecker, RuleLimits};
 use crate::cluster::record_checker::{self, RecordLine, Records};
 use crate::cluster::violations::Violations;
 use crate::cluster::worker_model::WorkerModel;
 
-/// Time after an outage in which a dispatcher need not answer yet, in microseconds.
-const RESTART_TIME: u64 = 1_500_000;
-/// Time before a hang within which another fault excuses that it is not known everywhere, in microseconds.
-const FAULT_AFTERMATH: u64 = 8_000_000;
-/// Shortest hang that has to be known everywhere, in probe periods: two failed probes and a takeover between them.
-const MIN_KNOWN_HANG_PERIODS: u64 = 4;
-/// Time for which a verdict may outlast a hang, in probe periods.
+/// Time after an outage in which a dispatcher need not respond yet, in microseconds.
+const RESTART_TIME_US: u64 = 1_500_000;
+/// Time after another fault in which a new hang need not be detected everywhere, in microseconds.
+const FAULT_AFTERMATH_US: u64 = 8_000_000;
+/// Shortest hang that must be detected everywhere, in probe periods: enough for two failed probes with a lease takeover
+/// between them.
+const MIN_DETECTED_HANG_PERIODS: u64 = 4;
+/// Longest time for which an unhealthy verdict may outlast a hang, in probe periods.
 const VERDICT_VALIDITY_PERIODS: u64 = 6;
 
 type HealthCheckViolations = Violations<HealthCheckRule>;
 
+/// Returns a duration in microseconds.
 fn micros(duration: Duration) -> u64 {
     duration.as_micros() as u64
 }
 
 impl InjectedFault {
-    /// Whether the fault lasted at some time from `from` to `until`.
+    /// Whether the fault overlaps the time span from `from` to `until`.
     fn overlaps(&self, from: u64, until: u64) -> bool {
         self.overlaps_with_aftermath(0, from, until)
     }
 
-    /// Whether the fault, taken to last longer by `aftermath`, lasted at some time from `from` to `until`.
+    /// Whether the fault, extended by `aftermath`, overlaps the time span from `from` to `until`.
     fn overlaps_with_aftermath(&self, aftermath: u64, from: u64, until: u64) -> bool {
         self.began_at <= until && from <= self.ended_at + aftermath
     }
@@ -64,7 +66,7 @@
     check_drains(observations, faults, &mut violations);
     check_slow_start(observations, &mut result, &mut violations);
     check_idempotency(observations, &mut violations);
-    check_answers(observations, faults, &mut result, &mut violations);
+    check_responses(observations, faults, &mut result, &mut violations);
     result.jobs_at_hung = jobs_at_hung_workers(observations, faults);
     for description in record_checker::check(records).descriptions() {
         violations.add(HealthCheckRule::Leases, description);
@@ -73,37 +75,37 @@
     result
 }
 
-/// Checks that every job got its answer in time.
-fn check_answers(
+/// Checks [`HealthCheckRule::JobAnsweredInTime`] and counts the responses.
+fn check_responses(
     observations: &Observations,
     faults: &[InjectedFault],
     result: &mut ScheduleResult,
     violations: &mut HealthCheckViolations,
 ) {
-    for answer in &observations.answers {
+    for response in &observations.outcomes {
         result.jobs += 1;
-        let is_excused = faults.iter().any(|fault| excuses_answer(fault, answer));
-        let counted_status = if is_excused && answer.status == 0 { 1 } else { answer.status };
-        *result.answers.entry(counted_status).or_default() += 1;
-        let duration = answer.answered_at - answer.submitted_at;
-        if !is_excused && (answer.status == 0 || duration > micros(JOB_TIMEOUT + ANSWER_SLACK)) {
+        let is_excused = faults.iter().any(|fault| excuses_response(fault, response));
+        let counted_status = if is_excused && response.status == 0 { 1 } else { response.status };
+        *result.responses.entry(counted_status).or_default() += 1;
+        let duration = response.answered_at - response.submitted_at;
+        if !is_excused && (response.status == 0 || duration > micros(JOB_TIMEOUT + RESPONSE_SLACK)) {
             let description =
-                format!("dispatcher {}: status {} after {duration} us", answer.dispatcher, answer.status);
+                format!("dispatcher {}: status {} after {duration} us", response.dispatcher, response.status);
             violations.add(HealthCheckRule::JobAnsweredInTime, description);
         }
     }
 }
 
-/// Whether the dispatcher of a job did not run meanwhile, or had just started.
-fn excuses_answer(fault: &InjectedFault, answer: &JobAnswer) -> bool {
+/// Whether a fault excuses a missing or late response: the dispatcher was not running, or had just started.
+fn excuses_response(fault: &InjectedFault, response: &JobOutcome) -> bool {
     let is_outage = match fault.fault {
         Fault::KillDispatcher | Fault::PauseDispatcher | Fault::TerminateDispatcher => {
-            fault.target == answer.dispatcher
+            fault.target == response.dispatcher
         }
         Fault::RollingRestart => true,
         _ => false,
     };
-    is_outage && fault.overlaps_with_aftermath(RESTART_TIME, answer.submitted_at, answer.answered_at)
+    is_outage && fault.overlaps_with_aftermath(RESTART_TIME_US, response.submitted_at, response.answered_at)
 }
 
 /// Returns the number of jobs that reached workers while these hung.
@@ -135,7 +137,7 @@
             }
             let gap = second.time - first.time;
             shortest = shortest.min(gap);
-            if gap + ARRIVAL_JITTER < period {
+            if gap + ARRIVAL_JITTER_US < period {
                 let description = format!(
                     "worker {worker}: probes of dispatchers {} and {} {gap} us apart",
                     first.dispatcher, second.dispatcher
@@ -147,8 +149,8 @@
     result.min_probe_gap_ms = shortest as f64 / 1e3;
 }
 
-/// Whether one of two probes may have arrived long after it was written: bytes wait in a partitioned link until it heals, and
-/// in the socket of a process that is stopped.
+/// Whether a fault may have delayed the arrival of one of two probes: data waits in a partitioned link until the
+/// partition ends, and in the sockets of a paused process.
 fn delays_probe(fault: &InjectedFault, first: ProbeArrival, second: ProbeArrival, period: u64) -> bool {
     matches!(fault.fault, Fault::PartitionZone | Fault::PauseDispatcher)
         && (first.dispatcher == fault.target || second.dispatcher == fault.target)
@@ -186,13 +188,13 @@
     result.max_probe_gap_ms = longest as f64 / 1e3;
 }
 
-/// Whether nobody may be able to probe a worker during a fault.
+/// Whether there may be no dispatcher that can probe a worker during a fault.
 fn prevents_probes(fault: &InjectedFault, worker: usize) -> bool {
     match fault.fault {
-        // The holder of its set may be the one that is partitioned.
+        // The lease holder of the worker's set may be the partitioned dispatcher.
         Fault::PartitionZone => fault.zone == worker % ZONES.len(),
         Fault::DrainWorker => fault.target == worker,
-        // No lease is granted until the coordinators are back and sessions have begun anew.
+        // No lease is granted until the coordinators are running again and new sessions are open.
         Fault::KillAllCoordinators | Fault::RollingRestart => true,
         _ => false,
     }
@@ -204,11 +206,12 @@
     faults: &[InjectedFault],
     violations: &mut HealthCheckViolations,
 ) {
-    let grace = micros(DRAIN_GRACE) + ARRIVAL_JITTER;
+    let grace = micros(DRAIN_GRACE) + ARRIVAL_JITTER_US;
     for drain in faults.iter().filter(|fault| fault.fault == Fault::DrainWorker) {
         let forbidden = drain.began_at + grace..drain.ended_at;
         for job in observations.jobs[drain.target].iter().filter(|job| forbidden.contains(&job.time)) {
-            // A stopped dispatcher was not notified, and what waits in a partitioned link was written before.
+            // A paused dispatcher was not notified of the drain, and a job that waited in a partitioned link was sent
+            // earlier.
             let is_excused = faults.iter().any(|fault| {
                 matches!(fault.fault, Fault::PauseDispatcher | Fault::PartitionZone)
                     && fault.target == job.dispatcher
@@ -216,7 +219,7 @@
             });
             if !is_excused {
                 let description = format!(
-                    "worker {}: a job of dispatcher {} {} us after its drain",
+                    "worker {}: a job of dispatcher {} arrived {} us after the drain began",
                     drain.target,
                     job.dispatcher,
                     job.time - drain.began_at
@@ -252,25 +255,25 @@
     }
 }
 
-/// An arrival or an answer of a job, in the order in which the rule checker takes them.
+/// An arrival of a job at a worker, or its response, in the order in which the rule checker expects them.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct JobEvent {
     time: u64,
     job: u64,
-    /// The worker of an arrival; none for an answer.
+    /// Worker of an arrival; `None` for a response.
     worker: Option<usize>,
-    /// Status of an answer; 0 without one, and for an arrival.
+    /// Status of a response; 0 if there was none, and for an arrival.
     status: u16,
 }
 
-/// Checks [`HealthCheckRule::NoRepeatedExecution`] by the rule checker of virtual time. A request that a worker has read
-/// completely may have run.
+/// Checks [`HealthCheckRule::NoRepeatedExecution`] with the rule checker that virtual time uses too. A request that a
+/// worker has read completely counts as possibly executed.
 pub(super) fn check_idempotency(observations: &Observations, violations: &mut HealthCheckViolations) {
     let mut checker = RuleChecker::new(RuleLimits { drain_grace: u64::MAX, answer_slack: u64::MAX / 2 });
-    for answer in &observations.answers {
-        let is_idempotent = class_of(answer.job).is_idempotent;
+    for response in &observations.outcomes {
+        let is_idempotent = class_of(response.job).is_idempotent;
         let idempotency = if is_idempotent { Idempotency::Idempotent } else { Idempotency::NotIdempotent };
-        checker.record_accepted(answer.job, idempotency, u64::MAX / 2, answer.submitted_at);
+        checker.record_accepted(response.job, idempotency, u64::MAX / 2, response.submitted_at);
     }
     for event in job_events(observations) {
         match event.worker {
@@ -297,7 +300,7 @@
     }
 }
 
-/// Returns the arrivals and answers of all jobs in the order of time.
+/// Returns the arrivals and responses of all jobs, ordered by time.
 fn job_events(observations: &Observations) -> Vec<JobEvent> {
     let mut events = Vec::new();
     for (worker, jobs) in observations.jobs.iter().enumerate() {
@@ -309,13 +312,13 @@
         });
         events.extend(arrivals);
     }
-    let answers = observations.answers.iter().map(|answer| JobEvent {
-        time: answer.answered_at,
-        job: answer.job,
+    let responses = observations.outcomes.iter().map(|response| JobEvent {
+        time: response.answered_at,
+        job: response.job,
         worker: None,
-        status: answer.status,
+        status: response.status,
     });
-    events.extend(answers);
+    events.extend(responses);
     events.sort_unstable();
     events
 }
@@ -326,7 +329,7 @@
     worker: usize,
 }
 
-/// Returns the verdict of a line of a record, if it is one that holds some time.
+/// Returns the unhealthy verdict that a line of a record holds, if its validity is not zero.
 fn recorded_verdict(line: &RecordLine, workers: &BTreeMap<u64, usize>) -> Option<RecordedVerdict> {
     if line.kind != "against" {
         return None;
@@ -338,7 +341,7 @@
     (valid_for > 0).then_some(RecordedVerdict { time: line.time, worker })
 }
 
-/// Checks [`HealthCheckRule::NoFalseVerdict`] and [`HealthCheckRule::FailureKnownEverywhere`].
+/// Checks [`HealthCheckRule::NoFalseVerdict`] and [`HealthCheckRule::FailureDetectedEverywhere`].
 fn check_verdicts(
     plan: &Plan,
     records: &Records,
@@ -350,7 +353,7 @@
     let workers: BTreeMap<u64, usize> = (0..plan.workers).map(worker_of_id).collect();
     let hangs: Vec<&InjectedFault> = faults.iter().filter(|fault| fault.fault == Fault::HangWorker).collect();
     let validity = VERDICT_VALIDITY_PERIODS * micros(plan.probe_period);
-    let mut known_at: BTreeSet<(usize, &str)> = BTreeSet::new();
+    let mut detected_by: BTreeSet<(usize, &str)> = BTreeSet::new();
     for (member, lines) in &records.members {
         for verdict in lines.iter().filter_map(|line| recorded_verdict(line, &workers)) {
             let is_cause = |hang: &InjectedFault| {
@@ -358,43 +361,45 @@
                     && (hang.began_at..hang.ended_at + validity).contains(&verdict.time)
             };
             let Some(number) = hangs.iter().position(|hang| is_cause(hang)) else {
-                let description =
-                    format!("{member} has a verdict against worker {}, which is healthy", verdict.worker);
+                let description = format!(
+                    "{member} has an unhealthy verdict on worker {}, which is healthy",
+                    verdict.worker
+                );
                 violations.add(HealthCheckRule::NoFalseVerdict, description);
                 continue;
             };
-            if known_at.insert((number, member)) {
+            if detected_by.insert((number, member)) {
                 result.detected_after_ms.push((verdict.time - hangs[number].began_at) as f64 / 1e3);
             }
         }
     }
     result.detected_after_ms.sort_by(f64::total_cmp);
     for (number, hang) in hangs.iter().enumerate() {
-        let is_known = |member: &str| known_at.contains(&(number, member));
-        check_hang_is_known(plan, hang, faults, is_known, violations);
+        let is_detected = |member: &str| detected_by.contains(&(number, member));
+        check_hang_is_detected(plan, hang, faults, is_detected, violations);
     }
 }
 
-/// Checks that a hang that lasted long enough is known at every dispatcher, where no other fault excuses it.
-fn check_hang_is_known(
+/// Checks that every dispatcher detected a hang, unless the hang was too short or another fault excuses it.
+fn check_hang_is_detected(
     plan: &Plan,
     hang: &InjectedFault,
     faults: &[InjectedFault],
-    is_known: impl Fn(&str) -> bool,
+    is_detected: impl Fn(&str) -> bool,
     violations: &mut HealthCheckViolations,
 ) {
-    if hang.ended_at - hang.began_at < MIN_KNOWN_HANG_PERIODS * micros(plan.probe_period) {
+    if hang.ended_at - hang.began_at < MIN_DETECTED_HANG_PERIODS * micros(plan.probe_period) {
         return;
     }
     let is_excused = faults.iter().any(|fault| {
         fault.fault != Fault::HangWorker
-            && fault.overlaps(hang.began_at.saturating_sub(FAULT_AFTERMATH), hang.ended_at)
+            && fault.overlaps(hang.began_at.saturating_sub(FAULT_AFTERMATH_US), hang.ended_at)
     });
     let names = (0..plan.dispatchers).map(|dispatcher| format!("d{dispatcher}"));
-    let missing: Vec<String> = names.filter(|name| !is_known(name) && !is_excused).collect();
+    let missing: Vec<String> = names.filter(|name| !is_detected(name) && !is_excused).collect();
     if !missing.is_empty() {
         let description =
-            format!("worker {} hung, which is not known at {}", hang.target, missing.join(", "));
-        violations.add(HealthCheckRule::FailureKnownEverywhere, description);
+            format!("worker {} hung, which was not detected by {}", hang.target, missing.join(", "));
+        violations.add(HealthCheckRule::FailureDetectedEverywhere, description);
     }
 }
--- a/crates/emulator/src/cluster/shared_health_checks/faults.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a schedule: drawn by its seed or taken from its script, and injected one at a time.
+//! Draws the faults of a schedule by its seed, or takes them from its script, and injects them one at a time.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 use crate::cluster::fault_proxy::{Direction, SharedNetwork};
 use crate::cluster::worker_model::WorkerModel;
 
-/// Faults to draw from; one that is listed twice is drawn twice as often.
+/// Faults to draw from; a fault that is listed twice is drawn twice as often.
 const DRAWN_FAULTS: [Fault; 16] = [
     Fault::KillDispatcher,
     Fault::PauseDispatcher,
@@ -37,9 +37,9 @@
     Fault::DrainWorker,
     Fault::RollingRestart,
 ];
-/// Time before the end in which no fault begins, so that its recovery takes effect.
+/// Time before the end of a schedule in which no fault begins, so that the recovery of the last one is observed.
 const RECOVERY_TIME: Duration = Duration::from_secs(8);
-/// Time after which a worker that has drained comes back, in slow start.
+/// Time after which a worker that drained and ended is started again, in slow start.
 const WORKER_RESTART: Duration = Duration::from_millis(500);
 /// Pause between two restarts of [`Fault::RollingRestart`].
 const ROLL_PAUSE: Duration = Duration::from_millis(150);
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy)]
 struct DrawnFault {
     fault: Fault,
-    /// The dispatcher or the worker.
+    /// Number of the dispatcher or the worker, by the kind of fault.
     target: usize,
     zone: usize,
     duration: Duration,
@@ -79,7 +79,7 @@
     Ok(injected)
 }
 
-/// Draws the next fault, or takes it from the script; returns `None` at the end of the script.
+/// Draws the next fault, or takes it from the script; returns `None` after the end of the script.
 fn draw_fault(targets: &Targets<'_>, number: usize, random: &mut Pcg64) -> Option<DrawnFault> {
     let plan = targets.plan;
     let fault = if plan.only_kills {
@@ -98,7 +98,7 @@
 
 fn draw_target(targets: &Targets<'_>, fault: Fault, random: &mut Pcg64) -> usize {
     match fault {
-        // A worker in use: dispatchers send to few workers while these suffice.
+        // A worker in use, because dispatchers send jobs to only a few workers while these suffice.
         Fault::HangWorker | Fault::DrainWorker => {
             let any = random.random_range(0..targets.plan.workers);
             busiest_worker(&targets.observations.borrow(), any)
@@ -130,12 +130,12 @@
             Fault::KillLeader => 1.0,
             Fault::KillAllCoordinators => random.random_range(0.1..1.0),
             Fault::DrainWorker => random.random_range(1.0..longest.min(2.0)),
-            // The time that the restarts take.
+            // The restarts take their own time.
             Fault::RollingRestart => 0.0,
         })
     }
 
-    /// Returns the fault of the cluster harness that this one is at a dispatcher, if it is one.
+    /// Returns the cluster harness's fault for this kind at a dispatcher, or `None` if the harness has no such fault.
     fn at(self, dispatcher: usize, coordinators: usize) -> Option<ClusterFault> {
         Some(match self {
             Fault::KillDispatcher => ClusterFault::KillDispatcher(dispatcher),
@@ -179,7 +179,7 @@
         Ok(InjectedFault { fault, target: affected, zone, began_at, ended_at: clock::now() })
     }
 
-    /// Injects a fault of workers or of links to them, or restarts everything in turn.
+    /// Injects a fault of a worker or of links to workers, or restarts all processes one after another.
     async fn inject_other(&mut self, drawn: DrawnFault) -> Result<(), ClusterError> {
         let DrawnFault { fault, target, zone, duration } = drawn;
         match fault {
@@ -209,8 +209,8 @@
         sleep(WORKER_RESTART).await;
         {
             let mut observations = self.observations.borrow_mut();
-            let cold = WorkerModel::new(SLOTS, RUN_TIME, true, self.plan.seed ^ clock::now());
-            let old = std::mem::replace(&mut observations.workers[worker], cold);
+            let restarted = WorkerModel::new(SLOTS, RUN_TIME, true, self.plan.seed ^ clock::now());
+            let old = std::mem::replace(&mut observations.workers[worker], restarted);
             observations.replaced_workers.push(old);
         }
         self.set_phase(worker, "in_service");
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Restarts all dispatchers and coordinators, one pair after another.
+    /// Restarts all dispatchers and coordinators, one dispatcher and one coordinator at a time.
     async fn restart_all(&mut self) -> Result<(), ClusterError> {
         for dispatcher in 0..self.plan.dispatchers {
             self.cluster.signal_dispatcher(dispatcher, Signal::TERM)?;
@@ -240,7 +240,7 @@
     }
 }
 
-/// Returns the worker that got the most jobs in the last two seconds, or `default` if none got any.
+/// Returns the worker that received the most jobs in the last 2 s, or `default` if none received any.
 fn busiest_worker(observations: &Observations, default: usize) -> usize {
     let since = clock::now().saturating_sub(2_000_000);
     let recent_jobs = |jobs: &Vec<JobArrival>| jobs.iter().rev().take_while(|job| job.time > since).count();
@@ -249,7 +249,7 @@
     busiest.filter(|(jobs, _)| *jobs > 0).map_or(default, |(_, worker)| worker)
 }
 
-/// Partitions a dispatcher from the workers of a zone, or ends that.
+/// Begins or ends a partition between a dispatcher and the workers of a zone.
 fn set_zone_partition(network: &SharedNetwork, workers: usize, zone: usize, partitioned: bool) {
     for worker in (0..workers).filter(|worker| worker % ZONES.len() == zone) {
         let direction = Direction { from: worker, to: worker };
--- a/crates/emulator/src/cluster/shared_health_checks/mod.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/mod.rs
@@ -1,6 +1,7 @@
-//! Dispatchers that check workers' health for each other under faults: real coordinators and dispatchers, emulated workers
-//! that record who probed them, clients that account for every job, and a proxy on every link from a dispatcher to a worker.
-//! [`HealthCheckRule`] lists the rules, which are checked by the records of emulated parties, coordinators and members.
+//! Dispatchers that check workers' health for each other under faults: coordinator and dispatcher processes, emulated
+//! workers that record the probes and jobs that reach them, clients that record the outcome of every job, and a proxy
+//! on every link from a dispatcher to a worker. [`HealthCheckRule`] lists the rules. They are checked on the records of
+//! workers, clients, coordinators and members.
 
 mod evaluation;
 mod faults;
@@ -37,19 +38,20 @@
 const ZONES: [&str; 3] = ["north", "south", "west"];
 /// Timeout of the clients' jobs.
 const JOB_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time by which an answer may be later than the timeout.
-const ANSWER_SLACK: Duration = Duration::from_millis(50);
+/// Time by which a response may exceed the timeout.
+const RESPONSE_SLACK: Duration = Duration::from_millis(50);
 /// Time for which an emulated worker runs a job.
 const RUN_TIME: Duration = Duration::from_millis(100);
 /// Sets that the workers are partitioned into.
 const WORKER_SETS: usize = 6;
 /// Slots of each worker.
 const SLOTS: usize = 4;
-/// Time after the notification of a drain in which new jobs may still reach the worker.
+/// Time after a drain is announced in which new jobs may still reach the worker.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// Time by which two arrivals may seem closer than they are, since a busy process records them, in microseconds.
-const ARRIVAL_JITTER: u64 = 100_000;
-/// Time in which members and clients settle before anything counts.
+/// Time by which two recorded arrivals may be closer than the arrivals themselves, because a busy process records them
+/// late, in microseconds.
+const ARRIVAL_JITTER_US: u64 = 100_000;
+/// Time at the start in which members and clients settle; probe rates and gaps are checked after it.
 const SETTLING_TIME: Duration = Duration::from_secs(5);
 
 /// Classes of the clients' jobs, in turn.
@@ -67,11 +69,11 @@
 /// Parameters of a schedule.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Coordinators, three or five.
+    /// Number of coordinators, three or five.
     pub coordinators: usize,
-    /// Dispatchers, in three zones in turn.
+    /// Number of dispatchers, assigned to three zones in turn.
     pub dispatchers: usize,
-    /// Workers, in three zones in turn.
+    /// Number of workers, assigned to three zones in turn.
     pub workers: usize,
     /// Length of the schedule.
     pub length: Duration,
@@ -83,15 +85,15 @@
     pub probe_period: Duration,
     /// Longest time in which a worker may go unprobed.
     pub max_unprobed: Duration,
-    /// Jobs a second at each dispatcher.
+    /// Jobs per second at each dispatcher.
     pub rate: f64,
-    /// Whether dispatchers check workers' health; without, the same faults for comparison.
+    /// Whether dispatchers share health checks; `false` runs the same faults without them for comparison.
     pub share_health_checks: bool,
     /// Bug to inject into the dispatchers.
     pub injected_bug: Option<String>,
     /// Seed of the faults.
     pub seed: u64,
-    /// Faults of a named case, in place of drawn ones.
+    /// Faults to inject in this order; empty for faults drawn by the seed.
     pub script: &'static [ScriptedFault],
 }
 
@@ -157,7 +159,7 @@
     /// SIGKILL to all coordinators at once, started again later.
     #[serde(rename = "kill-all-keepers")]
     KillAllCoordinators,
-    /// A worker drains, ends, and comes back in slow start.
+    /// A worker drains, ends, and starts again in slow start.
     #[serde(rename = "drain")]
     DrainWorker,
     /// All dispatchers and coordinators are restarted, one after another.
@@ -165,24 +167,24 @@
     RollingRestart,
 }
 
-/// A fault of a named case.
+/// A fault of a fixed script.
 #[derive(Debug, Clone, Copy)]
 pub struct ScriptedFault {
     /// Kind of fault.
     pub fault: Fault,
-    /// The dispatcher or the worker.
+    /// Number of the dispatcher or the worker, by the kind of fault.
     pub target: usize,
-    /// The zone that is partitioned.
+    /// Zone of [`Fault::PartitionZone`]; unused by other faults.
     pub zone: usize,
 }
 
-/// A fault as it was injected; times by the clock of the records, in microseconds.
+/// A fault as it was injected. Times are by the records' clock, in microseconds.
 #[derive(Debug, Clone, Serialize)]
 pub struct InjectedFault {
     fault: Fault,
-    /// The dispatcher or the worker.
+    /// Number of the dispatcher or the worker, by the kind of fault.
     target: usize,
-    /// The zone that was partitioned.
+    /// Zone of [`Fault::PartitionZone`]; unused by other faults.
     zone: usize,
     began_at: u64,
     ended_at: u64,
@@ -195,26 +197,28 @@
     pub rules: BTreeMap<String, Vec<String>>,
     /// Faults by kind.
     pub faults: BTreeMap<String, u64>,
-    /// Probes at workers.
+    /// Probes that reached workers.
     pub probes: u64,
     /// Probes per second.
     pub probes_per_s: f64,
-    /// Shortest time between two probes of a worker that was listed and reachable, in milliseconds.
+    /// Shortest time between two probes of a worker, in milliseconds; without pairs that a fault may have delayed.
     #[serde(rename = "closest_ms")]
     pub min_probe_gap_ms: f64,
-    /// Longest time between two probes of such a worker, in milliseconds.
+    /// Longest time between two probes of a worker that was listed and reachable, in milliseconds.
     #[serde(rename = "longest_ms")]
     pub max_probe_gap_ms: f64,
-    /// Times from the start of a hang to the unhealthy verdict at each dispatcher, in milliseconds, sorted.
+    /// Times from the start of a hang to the unhealthy verdict at each dispatcher, in milliseconds, ascending.
     #[serde(rename = "known_after_ms")]
     pub detected_after_ms: Vec<f64>,
-    /// Jobs submitted.
+    /// Number of jobs submitted.
     pub jobs: u64,
-    /// Answers by status: 0 without an answer, 1 without one of a dispatcher that did not run meanwhile.
-    pub answers: BTreeMap<u16, u64>,
+    /// Number of jobs by the status of their response: 0 if there was none, 1 if there was none because the dispatcher
+    /// did not run.
+    #[serde(rename = "answers")]
+    pub responses: BTreeMap<u16, u64>,
     /// Jobs that reached workers in slow start.
     pub jobs_at_cold: u64,
-    /// The most work in one overload window, as a part of what the worker tolerates.
+    /// Highest load of a worker in slow start in one overload window, as a share of what it tolerates.
     #[serde(rename = "fullest")]
     pub peak_cold_load: f64,
     /// Jobs that reached workers while these hung.
@@ -224,7 +228,7 @@
     pub lease_terms: u64,
 }
 
-/// Arrival of a probe at a worker; times by the clock of the records, in microseconds.
+/// Arrival of a probe at a worker. Times are by the records' clock, in microseconds.
 #[derive(Debug, Clone, Copy)]
 struct ProbeArrival {
     time: u64,
@@ -239,28 +243,28 @@
     job: u64,
 }
 
-/// End of a job at its client.
+/// Outcome of a job at its client.
 #[derive(Debug, Clone, Copy)]
-struct JobAnswer {
+struct JobOutcome {
     job: u64,
     dispatcher: usize,
     submitted_at: u64,
     answered_at: u64,
-    /// Status of the answer, 0 without one.
+    /// Status of the response; 0 if there was none.
     status: u16,
 }
 
-/// Records of the emulated workers and clients.
+/// What the emulated workers and clients recorded, and the state of the workers.
 #[derive(Debug, Default)]
 struct Observations {
     /// By worker.
     probes: Vec<Vec<ProbeArrival>>,
     /// By worker.
     jobs: Vec<Vec<JobArrival>>,
-    answers: Vec<JobAnswer>,
+    outcomes: Vec<JobOutcome>,
     /// By worker.
     is_hung: Vec<bool>,
-    /// By worker: its present process.
+    /// By worker: its current process.
     workers: Vec<Rc<WorkerModel>>,
     /// Earlier processes of workers.
     replaced_workers: Vec<Rc<WorkerModel>>,
@@ -281,11 +285,11 @@
 
 type SharedObservations = Rc<RefCell<Observations>>;
 
-/// Plays one schedule below this folder.
+/// Runs one schedule in a folder.
 ///
 /// # Errors
 /// Returns a [`ClusterError`] if the harness fails; violations of rules are part of the result.
-pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<ScheduleResult, ClusterError> {
+pub fn run(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<ScheduleResult, ClusterError> {
     run_in_folder(dir, run_schedule(dir, binaries.clone(), plan))
 }
 
@@ -310,7 +314,7 @@
     let mut cluster = ClusterHarness::start(dir, binaries, settings.to_json(), setup).await?;
     cluster.wait_for_workers(plan.workers).await?;
     if plan.share_health_checks {
-        // A hang in a set that moves is known only after the takeover.
+        // A hang in a set that is moved is detected only after the takeover by the new lease holder.
         cluster.wait_for_balanced_sets(WORKER_SETS).await?;
     }
     let end = Instant::now() + plan.length;
@@ -323,15 +327,15 @@
     let faults = inject_faults(targets, end).await?;
     sleep_until(end).await;
     let span = CountedSpan { from: counted_from, until: clock::now() };
-    sleep(JOB_TIMEOUT + ANSWER_SLACK + Duration::from_millis(200)).await;
-    // Ended in good order, so that no record is cut.
+    sleep(JOB_TIMEOUT + RESPONSE_SLACK + Duration::from_millis(200)).await;
+    // The processes end before their records are read, so that no record is incomplete.
     drop(cluster);
     let records = read_records(dir, plan.coordinators, plan.dispatchers)?;
     let observations = observations.borrow();
     Ok(evaluate(plan, &observations, &records, &faults, span))
 }
 
-/// Returns the block `fleet` of the dispatchers' settings, without the addresses.
+/// Returns the text to add to the block `fleet` of the dispatchers' settings.
 fn cluster_settings(plan: &Plan) -> String {
     if !plan.share_health_checks {
         return "list = false\n".to_owned();
@@ -343,14 +347,14 @@
     )
 }
 
-/// Time that counts for the rules on probes, by the clock of the records, in microseconds.
+/// Time span in which probe gaps are checked, by the records' clock, in microseconds.
 #[derive(Debug, Clone, Copy)]
 struct CountedSpan {
     from: u64,
     until: u64,
 }
 
-/// Emulated workers as the dispatchers reach them.
+/// Paths from the dispatchers to the emulated workers.
 struct WorkerLinks {
     /// By dispatcher: its discovery.
     discoveries: Vec<EmulatedDiscovery>,
@@ -358,19 +362,20 @@
     networks: Vec<SharedNetwork>,
 }
 
-/// Starts the workers, each behind a proxy for every dispatcher, and a discovery for each dispatcher that names them.
+/// Starts the workers, each behind one proxy per dispatcher, and for each dispatcher a discovery that lists its
+/// proxies.
 async fn start_workers(observations: &SharedObservations, plan: &Plan) -> Result<WorkerLinks, ClusterError> {
     let mut links = WorkerLinks { discoveries: Vec::new(), networks: Vec::new() };
     for dispatcher in 0..plan.dispatchers {
         let discovery = EmulatedDiscovery::new(0);
         let network = FaultyNetwork::new(BTreeMap::new(), plan.seed);
         for worker in 0..plan.workers {
-            let own = bind_listener("a worker").await?;
-            let reached = WorkerAddress { observations: observations.clone(), worker, dispatcher };
-            spawn_local(serve_worker(Rc::new(reached), own.listener));
-            let proxy = bind_listener("a proxy").await?;
+            let worker_listener = bind_listener("worker listener").await?;
+            let endpoint = WorkerAddress { observations: observations.clone(), worker, dispatcher };
+            spawn_local(serve_worker(Rc::new(endpoint), worker_listener.listener));
+            let proxy = bind_listener("proxy listener").await?;
             discovery.add_in(ZONES[worker % ZONES.len()], worker, proxy.address);
-            spawn_local(run_proxy(network.clone(), proxy.listener, worker, own.address));
+            spawn_local(run_proxy(network.clone(), proxy.listener, worker, worker_listener.address));
         }
         links.discoveries.push(discovery);
         links.networks.push(network);
--- a/crates/emulator/src/cluster/shared_health_checks/rule.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/rule.rs
@@ -5,23 +5,23 @@
 /// A rule of shared health checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HealthCheckRule {
-    /// No worker is probed more than once a period, over all dispatchers.
+    /// No worker is probed more than once per period by all dispatchers together.
     ProbeRate,
-    /// No worker goes unprobed for longer than stated while a dispatcher can reach it.
+    /// No worker goes unprobed for longer than the plan allows while a dispatcher can reach it.
     NoProbeGap,
-    /// No worker that was healthy all the time has an unhealthy verdict.
+    /// A worker that did not hang has no unhealthy verdict.
     NoFalseVerdict,
-    /// A worker that fails for long has an unhealthy verdict at every dispatcher.
-    FailureKnownEverywhere,
-    /// Every job of the clients gets one complete answer within its time.
+    /// Every dispatcher has an unhealthy verdict on a worker that hangs long enough.
+    FailureDetectedEverywhere,
+    /// Every job of the clients gets one complete response within its timeout.
     JobAnsweredInTime,
-    /// The rules of leases.
+    /// The rules of leases, as the record checker checks them.
     Leases,
-    /// A draining worker gets no new job later than the grace after its drain was notified.
+    /// No new job reaches a draining worker later than the grace time after its drain was announced.
     NoJobAtDrainingWorker,
-    /// All dispatchers together overload no worker in slow start.
+    /// The dispatchers together overload no worker in slow start.
     NoOverloadInSlowStart,
-    /// A job that is not idempotent reaches no second worker, and is not rejected after it reached one.
+    /// A job that is not idempotent reaches at most one worker, and is not rejected after it reached a worker.
     NoRepeatedExecution,
 }
 
@@ -31,7 +31,7 @@
         HealthCheckRule::ProbeRate,
         HealthCheckRule::NoProbeGap,
         HealthCheckRule::NoFalseVerdict,
-        HealthCheckRule::FailureKnownEverywhere,
+        HealthCheckRule::FailureDetectedEverywhere,
         HealthCheckRule::JobAnsweredInTime,
         HealthCheckRule::Leases,
         HealthCheckRule::NoJobAtDrainingWorker,
@@ -46,7 +46,7 @@
             HealthCheckRule::ProbeRate => "no worker is probed more often than once a period",
             HealthCheckRule::NoProbeGap => "no worker goes unprobed for too long",
             HealthCheckRule::NoFalseVerdict => "nothing is held against a worker that is well",
-            HealthCheckRule::FailureKnownEverywhere => "a worker that fails is known everywhere",
+            HealthCheckRule::FailureDetectedEverywhere => "a worker that fails is known everywhere",
             HealthCheckRule::JobAnsweredInTime => "every job gets one whole answer in time",
             HealthCheckRule::Leases => "ownership",
             HealthCheckRule::NoJobAtDrainingWorker => "a worker that drains gets no new job",
--- a/crates/emulator/src/cluster/shared_health_checks/traffic.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/traffic.rs
@@ -1,4 +1,4 @@
-//! Emulated workers, which record probes and jobs, and clients that account for every job.
+//! Emulated workers, which record probes and jobs, and clients, which record the outcome of every job.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,7 +9,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
 
-use super::{class_of, JobAnswer, JobArrival, ProbeArrival, SharedObservations, ANSWER_SLACK, JOB_TIMEOUT};
+use super::{
+    class_of, JobArrival, JobOutcome, ProbeArrival, SharedObservations, JOB_TIMEOUT, RESPONSE_SLACK,
+};
 use crate::cluster::client::{submit_job, ClientJob};
 use crate::cluster::emulated_worker::{
     is_health_check, job_id, write_done, write_healthy, write_started, ConnectionUse, EmulatedWorker,
@@ -17,10 +19,10 @@
 use crate::cluster::worker_model::WorkerModel;
 use crate::sockets::http::Head;
 
-/// Time from one look whether a hang is over to the next.
+/// Interval at which a hung worker checks whether its hang is over.
 const HANG_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The address of an emulated worker for one dispatcher.
+/// An emulated worker at the address that it has for one dispatcher.
 pub(super) struct WorkerAddress {
     pub(super) observations: SharedObservations,
     pub(super) worker: usize,
@@ -32,7 +34,7 @@
         let is_probe = is_health_check(request);
         let job = job_id(request);
         let process = self.record_arrival(is_probe, &job);
-        // An overloaded worker is down: it closes connections.
+        // An overloaded worker accepts no jobs and closes connections.
         if !is_probe && !process.accept_job(Instant::now()) {
             return Ok(ConnectionUse::Close);
         }
@@ -53,7 +55,7 @@
 }
 
 impl WorkerAddress {
-    /// Records a request; returns the present process of the worker.
+    /// Records a request; returns the current process of the worker.
     fn record_arrival(&self, is_probe: bool, job: &str) -> Rc<WorkerModel> {
         let time = clock::now();
         let WorkerAddress { worker, dispatcher, .. } = *self;
@@ -68,7 +70,7 @@
     }
 }
 
-/// Submits jobs to a dispatcher, each on a connection of its own, and records their answers.
+/// Submits jobs to a dispatcher at a fixed rate, each on its own connection, and records their outcomes.
 pub(super) async fn run_clients(
     observations: SharedObservations,
     dispatcher: usize,
@@ -87,14 +89,14 @@
     }
 }
 
-/// Submits one job and records its answer.
+/// Submits one job and records its outcome.
 async fn run_client(observations: SharedObservations, dispatcher: usize, address: SocketAddr, job: u64) {
     let submitted_at = clock::now();
     let mut no_connection = None;
     let exchange = submit_job(&mut no_connection, address, ClientJob { class: class_of(job).name, id: job });
-    let answer = timeout(JOB_TIMEOUT + 10 * ANSWER_SLACK, exchange).await;
-    let status = answer.ok().and_then(Result::ok).unwrap_or(0);
+    let response = timeout(JOB_TIMEOUT + 10 * RESPONSE_SLACK, exchange).await;
+    let status = response.ok().and_then(Result::ok).unwrap_or(0);
     let answered_at = clock::now();
-    let answer = JobAnswer { job, dispatcher, submitted_at, answered_at, status };
-    observations.borrow_mut().answers.push(answer);
+    let outcome = JobOutcome { job, dispatcher, submitted_at, answered_at, status };
+    observations.borrow_mut().outcomes.push(outcome);
 }
--- a/crates/emulator/src/cluster/slow_start.rs
+++ b/crates/emulator/src/cluster/slow_start.rs
@@ -1,5 +1,6 @@
-//! A day on which most workers are replaced by ones in slow start, with many dispatchers of little traffic each: the load of
-//! the new workers by their own records, and whether all dispatchers together overload one.
+//! Replaces most workers by workers in slow start while many dispatchers have little traffic each. Measures the load of
+//! the new workers by their own records, and checks whether all dispatchers together overload one. One such run is a
+//! day.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -31,19 +32,19 @@
 const COORDINATORS: usize = 3;
 /// Slots of each worker.
 const SLOTS: usize = 4;
-/// Time for which a worker with full capacity runs a job.
+/// Time for which a worker at full capacity runs a job.
 const RUN_TIME: Duration = Duration::from_millis(200);
-/// Time for which a client waits longer than the timeout of its job.
-const ANSWER_SLACK: Duration = Duration::from_millis(500);
+/// Time that a client waits beyond the timeout of its job.
+const RESPONSE_SLACK: Duration = Duration::from_millis(500);
 /// Time before the first replacement, in which the dispatchers learn running times and rates.
 const LEARNING_TIME: Duration = Duration::from_secs(8);
 /// Time from one replacement to the next.
 const REPLACEMENT_INTERVAL: Duration = Duration::from_millis(500);
-/// Every so many dispatchers one is busy.
+/// One in this number of dispatchers is busy.
 const BUSY_DISPATCHER_INTERVAL: usize = 4;
-/// Traffic of a busy dispatcher, as a multiple of that of the others.
+/// Traffic of a busy dispatcher, as a multiple of that of another one.
 const BUSY_TRAFFIC: f64 = 5.0;
-/// Number of the first replacement; the workers that are replaced have lower ones.
+/// Number of the first replacement worker; the initial workers have lower numbers.
 const FIRST_REPLACEMENT: usize = 100;
 const CLASS: JobClass = JobClass {
     name: "lookup",
@@ -57,11 +58,11 @@
 pub struct Plan {
     /// Dispatchers; every fourth has five times the traffic of the others.
     pub dispatchers: usize,
-    /// Workers by what becomes of them.
+    /// Numbers of workers that stay and that are replaced.
     pub workers: WorkerCounts,
-    /// Jobs a second, at all dispatchers together.
+    /// Jobs per second at all dispatchers together.
     pub rate: f64,
-    /// Time from the first replacement on.
+    /// Time from the first replacement to the last submission.
     pub length: Duration,
     /// Whether a lease holder grants slow-start quotas.
     pub grants: bool,
@@ -76,7 +77,7 @@
 pub struct WorkerCounts {
     /// Workers that stay all day.
     pub staying: usize,
-    /// Workers that are replaced by as many in slow start.
+    /// Workers that are replaced by the same number of workers in slow start.
     pub replaced: usize,
 }
 
@@ -100,21 +101,22 @@
     /// Overloads of workers in slow start.
     #[serde(rename = "fallen")]
     pub overloads: u64,
-    /// Load of the workers in slow start, as a part of what they tolerate.
+    /// Jobs that reached the workers in slow start, as a share of what they tolerate without overload.
     #[serde(rename = "used")]
     pub used_share: f64,
-    /// The most load in one window, as a part of what the worker tolerates.
+    /// Highest load in one overload window, as a share of what the worker tolerates.
     #[serde(rename = "fullest")]
     pub peak_load: f64,
-    /// Jobs submitted from the first replacement on.
+    /// Jobs submitted after the first replacement.
     pub jobs: u64,
-    /// Part of these jobs that was served within the latency objective.
+    /// Share of these jobs that was served within the latency objective.
     pub in_time: f64,
-    /// Part of these jobs that was served.
+    /// Share of these jobs that was served.
     pub served: f64,
-    /// Answers by status; 0 without one.
-    pub answers: BTreeMap<u16, u64>,
-    /// Work that members recorded as granted, in slots by seconds.
+    /// Number of these jobs by the status of their response; 0 if there was none.
+    #[serde(rename = "answers")]
+    pub responses: BTreeMap<u16, u64>,
+    /// Work that members recorded as granted, in slot-seconds.
     #[serde(rename = "granted")]
     pub granted_work: f64,
     /// Violations of the rules of leases.
@@ -122,39 +124,39 @@
     pub violations: Vec<String>,
 }
 
-/// End of a job at its client.
+/// Outcome of a job at its client.
 #[derive(Debug, Clone, Copy)]
-struct JobAnswer {
+struct JobOutcome {
     submitted_at: Instant,
     duration: Duration,
-    /// Status of the answer, 0 without one.
+    /// Status of the response; 0 if there was none.
     status: u16,
 }
 
-type Answers = Rc<RefCell<Vec<JobAnswer>>>;
+type Responses = Rc<RefCell<Vec<JobOutcome>>>;
 
-/// Time that counts: from the first replacement to the last arrival.
+/// Time span that is evaluated: from the first replacement to the last submission.
 #[derive(Debug, Clone, Copy)]
 struct CountedSpan {
     from: Instant,
     until: Instant,
 }
 
-/// Plays one day below this folder.
+/// Runs one day in a folder.
 ///
 /// # Errors
 /// Returns a [`ClusterError`] if the harness fails.
-pub fn play(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<DayResult, ClusterError> {
+pub fn run(dir: &Path, binaries: &Binaries, plan: &Plan) -> Result<DayResult, ClusterError> {
     run_in_folder(dir, run_day(dir, binaries.clone(), plan))
 }
 
 async fn run_day(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<DayResult, ClusterError> {
     let discovery = EmulatedDiscovery::new(0);
     let mut cluster = start_cluster(dir, binaries, plan, &discovery).await?;
-    let answers = Answers::default();
+    let responses = Responses::default();
     let from = Instant::now() + LEARNING_TIME;
     let span = CountedSpan { from, until: from + plan.length };
-    start_clients(&cluster, plan, &answers, span.until);
+    start_clients(&cluster, plan, &responses, span.until);
     sleep_until(span.from).await;
     let replacements = replace_workers(plan, &discovery).await?;
     if plan.kill {
@@ -163,8 +165,8 @@
     sleep_until(span.until + CLASS.timeout).await;
     drop(cluster);
     let records = read_records(dir, COORDINATORS, plan.dispatchers)?;
-    let answers = answers.borrow();
-    Ok(evaluate(&replacements, &answers, &records, span))
+    let responses = responses.borrow();
+    Ok(evaluate(&replacements, &responses, &records, span))
 }
 
 async fn start_cluster(
@@ -175,7 +177,7 @@
 ) -> Result<ClusterHarness, ClusterError> {
     let workers = plan.workers.staying + plan.workers.replaced;
     for number in 0..workers {
-        let bound = bind_listener("a worker").await?;
+        let bound = bind_listener("worker listener").await?;
         discovery.add(number, bound.address);
         let model = WorkerModel::new(SLOTS, RUN_TIME, false, plan.seed ^ number as u64);
         spawn_local(serve_worker(Rc::new(Worker(model)), bound.listener));
@@ -201,18 +203,18 @@
 }
 
 /// Starts the clients of all dispatchers.
-fn start_clients(cluster: &ClusterHarness, plan: &Plan, answers: &Answers, end: Instant) {
+fn start_clients(cluster: &ClusterHarness, plan: &Plan, responses: &Responses, end: Instant) {
     let weight =
         |dispatcher: usize| if dispatcher % BUSY_DISPATCHER_INTERVAL == 0 { BUSY_TRAFFIC } else { 1.0 };
     let total: f64 = (0..plan.dispatchers).map(weight).sum();
     for (dispatcher, address) in cluster.listen.iter().enumerate() {
         let rate = plan.rate * weight(dispatcher) / total;
         let clients = Clients { dispatcher: dispatcher as u64, address: *address, rate, end };
-        spawn_local(clients.run(answers.clone(), plan.seed));
+        spawn_local(clients.run(responses.clone(), plan.seed));
     }
 }
 
-/// Replaces workers one after another by ones in slow start; returns these.
+/// Replaces workers one after another by workers in slow start; returns the models of the new workers.
 async fn replace_workers(
     plan: &Plan,
     discovery: &EmulatedDiscovery,
@@ -221,7 +223,7 @@
     for number in 0..plan.workers.replaced {
         let name = FIRST_REPLACEMENT + number;
         let model = WorkerModel::new(SLOTS, RUN_TIME, true, plan.seed ^ name as u64);
-        let bound = bind_listener("a worker").await?;
+        let bound = bind_listener("worker listener").await?;
         discovery.add_cold("north", name, bound.address);
         spawn_local(serve_worker(Rc::new(Worker(model.clone())), bound.listener));
         replacements.push(model);
@@ -243,13 +245,13 @@
 
 fn evaluate(
     replacements: &[Rc<WorkerModel>],
-    answers: &[JobAnswer],
+    responses: &[JobOutcome],
     records: &Records,
     span: CountedSpan,
 ) -> DayResult {
     let mut result = DayResult::default();
     evaluate_load(replacements, span, &mut result);
-    evaluate_answers(answers, span, &mut result);
+    evaluate_responses(responses, span, &mut result);
     let granted = records.members.values().flatten().filter(|line| line.kind == "granted");
     result.granted_work = granted.filter_map(|line| line.fields.get("work")?.as_f64()).sum();
     result.violations = record_checker::check(records).descriptions().collect();
@@ -278,20 +280,22 @@
     result.used_share = sent / tolerated.max(1.0);
 }
 
-fn evaluate_answers(answers: &[JobAnswer], span: CountedSpan, result: &mut DayResult) {
-    let counted: Vec<&JobAnswer> =
-        answers.iter().filter(|answer| (span.from..span.until).contains(&answer.submitted_at)).collect();
-    let part = |count: usize| count as f64 / counted.len().max(1) as f64;
-    let served = || counted.iter().filter(|answer| answer.status == 200);
+fn evaluate_responses(responses: &[JobOutcome], span: CountedSpan, result: &mut DayResult) {
+    let counted: Vec<&JobOutcome> = responses
+        .iter()
+        .filter(|response| (span.from..span.until).contains(&response.submitted_at))
+        .collect();
+    let share = |count: usize| count as f64 / counted.len().max(1) as f64;
+    let served = || counted.iter().filter(|response| response.status == 200);
     result.jobs = counted.len() as u64;
-    result.served = part(served().count());
-    result.in_time = part(served().filter(|answer| answer.duration <= CLASS.latency_objective).count());
-    for answer in &counted {
-        *result.answers.entry(answer.status).or_default() += 1;
+    result.served = share(served().count());
+    result.in_time = share(served().filter(|response| response.duration <= CLASS.latency_objective).count());
+    for response in &counted {
+        *result.responses.entry(response.status).or_default() += 1;
     }
 }
 
-/// A worker that runs jobs as its model says.
+/// A worker that follows a [`WorkerModel`].
 struct Worker(Rc<WorkerModel>);
 
 impl EmulatedWorker for Worker {
@@ -314,33 +318,33 @@
 struct Clients {
     dispatcher: u64,
     address: SocketAddr,
-    /// Jobs a second.
+    /// Jobs per second.
     rate: f64,
     end: Instant,
 }
 
 impl Clients {
-    /// Submits jobs at random times, each on a connection of its own.
-    async fn run(self, answers: Answers, seed: u64) {
+    /// Submits jobs at random times, each on its own connection.
+    async fn run(self, responses: Responses, seed: u64) {
         let mut random = Pcg64::seed_from_u64(seed ^ (self.dispatcher << 32));
         let mut count = 0u64;
         let mut next = Instant::now() + Duration::from_secs_f64(random.random_range(0.0..1.0));
         while next < self.end {
             sleep_until(next).await;
             count += 1;
-            spawn_local(run_client(answers.clone(), self.address, self.dispatcher << 32 | count));
+            spawn_local(run_client(responses.clone(), self.address, self.dispatcher << 32 | count));
             let pause: f64 = Exp1.sample(&mut random);
             next += Duration::from_secs_f64(pause / self.rate);
         }
     }
 }
 
-/// Submits one job and records its answer.
-async fn run_client(answers: Answers, address: SocketAddr, id: u64) {
+/// Submits one job and records its response.
+async fn run_client(responses: Responses, address: SocketAddr, id: u64) {
     let submitted_at = Instant::now();
     let mut no_connection = None;
     let exchange = submit_job(&mut no_connection, address, ClientJob { class: CLASS.name, id });
-    let answer = timeout(CLASS.timeout + ANSWER_SLACK, exchange).await;
-    let status = answer.ok().and_then(Result::ok).unwrap_or(0);
-    answers.borrow_mut().push(JobAnswer { submitted_at, duration: submitted_at.elapsed(), status });
+    let response = timeout(CLASS.timeout + RESPONSE_SLACK, exchange).await;
+    let status = response.ok().and_then(Result::ok).unwrap_or(0);
+    responses.borrow_mut().push(JobOutcome { submitted_at, duration: submitted_at.elapsed(), status });
 }
--- a/crates/emulator/src/cluster/worker_model.rs
+++ b/crates/emulator/src/cluster/worker_model.rs
@@ -1,4 +1,4 @@
-//! Capacity of an emulated worker: slots, a slow start, and an overload by too much work in one window.
+//! Model of an emulated worker's capacity: slots, slow start, and overload by too many jobs in one window.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,27 +10,27 @@
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::time::Instant;
 
-/// Part of its capacity with which a worker starts.
+/// Share of its full capacity that a worker has when it starts.
 pub const INITIAL_CAPACITY: f64 = 0.14;
 /// Time until a worker reaches its full capacity.
 pub const WARM_UP: Duration = Duration::from_secs(24);
-/// Work in one window that overloads a worker, as a multiple of its capacity.
+/// Work in one window above which a worker is overloaded, as a multiple of its capacity.
 pub const OVERLOAD_MULTIPLE: f64 = 3.0;
-/// Window over which work is added up.
+/// Length of the window in which work is added up.
 pub const OVERLOAD_WINDOW: Duration = Duration::from_millis(1_500);
 /// Time for which an overloaded worker accepts no jobs.
 const DOWN_TIME: Duration = Duration::from_secs(5);
 
-/// Standard deviation of the logarithm of running times.
+/// Standard deviation of the logarithm of run times.
 const RUN_TIME_DEVIATION: f64 = 0.3;
 
-/// A worker with slots. In slow start it runs jobs more slowly, and is overloaded by more work than it tolerates.
+/// A worker with slots. In slow start it runs jobs more slowly and can be overloaded.
 #[derive(Debug)]
 pub struct WorkerModel {
     slots: Semaphore,
     slot_count: usize,
     run_time: Duration,
-    /// Start time of a worker in slow start.
+    /// Start time of a worker in slow start; `None` for a worker at full capacity.
     started_at: Option<Instant>,
     /// Times at which jobs arrived.
     arrivals: RefCell<Vec<Instant>>,
@@ -40,7 +40,8 @@
 }
 
 impl WorkerModel {
-    /// Returns a worker with so many slots, on which a job runs this long at full capacity.
+    /// Returns a worker with `slot_count` slots on which the median job takes `run_time` at full capacity. With
+    /// `is_starting` it is in slow start from now on.
     pub fn new(slot_count: usize, run_time: Duration, is_starting: bool, seed: u64) -> Rc<WorkerModel> {
         Rc::new(WorkerModel {
             slots: Semaphore::new(slot_count),
@@ -54,13 +55,13 @@
         })
     }
 
-    /// Returns the part of its full capacity that it has.
+    /// Returns the share of its full capacity that the worker has at a time.
     pub fn slow_start_factor(&self, at: Instant) -> f64 {
         let age = |since: Instant| at.duration_since(since).as_secs_f64() / WARM_UP.as_secs_f64();
         self.started_at.map_or(1.0, |since| INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age(since).min(1.0))
     }
 
-    /// Returns the number of jobs that it tolerates in a window that ends at this time.
+    /// Returns the number of jobs that the worker tolerates in a window that ends at a time.
     pub fn capacity_in_window(&self, at: Instant) -> f64 {
         OVERLOAD_MULTIPLE
             * self.slow_start_factor(at)
@@ -82,7 +83,7 @@
             return false;
         }
         let tolerated = self.capacity_in_window(now);
-        // The rules allow for the chance by which independent arrivals exceed their mean.
+        // The limit allows for random bursts, because independent arrivals exceed their mean by chance.
         let limit = tolerated + 3.0 * tolerated.sqrt() + 3.0;
         let arrived = WorkerModel::arrivals_in_window(&self.arrivals.borrow());
         if self.started_at.is_some() && arrived > limit {
@@ -98,14 +99,14 @@
         self.slots.acquire().await.ok()
     }
 
-    /// Draws the running time of a job that begins at this time.
+    /// Draws the run time of a job that starts at a time.
     pub fn sample_run_time(&self, at: Instant) -> Duration {
         let distribution = LogNormal::new(0.0, RUN_TIME_DEVIATION);
         let factor = distribution.map_or(1.0, |factors| factors.sample(&mut *self.random.borrow_mut()));
         self.run_time.mul_f64(factor / self.slow_start_factor(at))
     }
 
-    /// Returns the start time of a worker in slow start.
+    /// Returns the start time of a worker in slow start, `None` for a worker at full capacity.
     pub fn started_at(&self) -> Option<Instant> {
         self.started_at
     }
--- a/crates/emulator/tests/discovery_leader.rs
+++ b/crates/emulator/tests/discovery_leader.rs
@@ -1,4 +1,5 @@
-//! The duty "list" with processes: keepers, dispatchers and a discovery that counts who asks.
+//! The lease `list` with coordinator and dispatcher processes, and an emulated discovery that counts connections and
+//! watches.
 
 use std::path::Path;
 use std::time::Duration;
@@ -11,239 +12,266 @@
 const DISPATCHERS: usize = 4;
 const WORKERS: usize = 12;
 
-/// A fleet in a folder that goes with it.
-async fn start(together: bool) -> (tempfile::TempDir, ClusterHarness) {
+/// Starts a cluster and waits until the dispatchers have the endpoint list; `in_cluster` makes them members with one
+/// watch at discovery. The folder is removed when it is dropped.
+async fn start(in_cluster: bool) -> (tempfile::TempDir, ClusterHarness) {
     let dir = tempfile::tempdir().unwrap();
-    let toy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/config.json");
-    let config = serde_json::from_slice(&std::fs::read(toy).unwrap()).unwrap();
+    let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/config.json");
+    let config = serde_json::from_slice(&std::fs::read(example).unwrap()).unwrap();
     let binaries = Binaries::beside_tests().unwrap();
     let discovery = EmulatedDiscovery::new(WORKERS);
-    let setup = ClusterSpec {
+    let spec = ClusterSpec {
         coordinators: 3,
         dispatchers: DISPATCHERS,
-        cluster_settings: together.then_some(""),
+        cluster_settings: in_cluster.then_some(""),
         discoveries: &[discovery],
         proxy_seed: None,
     };
-    let fleet = ClusterHarness::start(dir.path(), binaries, config, setup).await.unwrap();
-    fleet.wait_for_workers(WORKERS).await.unwrap();
-    fleet.wait_for_watches(if together { 1 } else { DISPATCHERS as u64 }).await.unwrap();
-    (dir, fleet)
+    let cluster = ClusterHarness::start(dir.path(), binaries, config, spec).await.unwrap();
+    cluster.wait_for_workers(WORKERS).await.unwrap();
+    cluster.wait_for_watches(if in_cluster { 1 } else { DISPATCHERS as u64 }).await.unwrap();
+    (dir, cluster)
 }
 
-fn play(test: impl std::future::Future<Output = ()>) {
+fn run(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, test);
 }
 
+/// The lease holder alone watches discovery and sends changes to the others. When it is killed, another dispatcher
+/// takes over, and the restarted one relies on the new holder.
 #[test]
-fn one_dispatcher_asks_for_all_and_its_place_is_taken_when_it_dies() {
-    play(async {
-        let (_dir, mut fleet) = start(true).await;
-        fleet.discovery.set_unreachable(0, "terminated");
-        let told = fleet.wait_for_workers(WORKERS - 1).await.unwrap();
-        println!("a change told by the owner is known everywhere after {told:?}");
-        let owner = fleet.discovery_leader().expect("an owner");
-        fleet.kill_dispatcher(owner);
+fn one_dispatcher_watches_discovery_for_all_and_is_replaced_when_killed() {
+    run(async {
+        let (_dir, mut cluster) = start(true).await;
+        cluster.discovery.set_unreachable(0, "terminated");
+        let propagation_time = cluster.wait_for_workers(WORKERS - 1).await.unwrap();
+        println!("all dispatchers had a change from the lease holder after {propagation_time:?}");
+        let holder = cluster.discovery_leader().expect("a lease holder");
+        cluster.kill_dispatcher(holder);
         let start = Instant::now();
-        while fleet.discovery_leader() == Some(owner) {
-            assert!(start.elapsed() < Duration::from_secs(10), "nobody took over\n{}", fleet.logs());
+        while cluster.discovery_leader() == Some(holder) {
+            assert!(start.elapsed() < Duration::from_secs(10), "no dispatcher took over\n{}", cluster.logs());
             sleep(Duration::from_millis(10)).await;
         }
-        fleet.wait_for_watches(1).await.unwrap();
-        println!("another one asks {:?} after the owner was killed", start.elapsed());
-        fleet.discovery.set_unreachable(1, "terminated");
-        fleet.wait_for_workers(WORKERS - 2).await.unwrap();
-        // Back again, it relies on the new owner.
-        fleet.start_dispatcher(owner).unwrap();
-        fleet.wait_for_workers(WORKERS - 2).await.unwrap();
-        fleet.wait_for_watches(1).await.unwrap();
+        cluster.wait_for_watches(1).await.unwrap();
+        println!(
+            "another dispatcher watches discovery {:?} after the lease holder was killed",
+            start.elapsed()
+        );
+        cluster.discovery.set_unreachable(1, "terminated");
+        cluster.wait_for_workers(WORKERS - 2).await.unwrap();
+        // The restarted dispatcher relies on the new lease holder.
+        cluster.start_dispatcher(holder).unwrap();
+        cluster.wait_for_workers(WORKERS - 2).await.unwrap();
+        cluster.wait_for_watches(1).await.unwrap();
     });
 }
 
 #[test]
-fn without_keepers_each_asks_for_itself_again() {
-    play(async {
-        let (_dir, mut fleet) = start(true).await;
-        (1..=3).for_each(|n| fleet.kill_coordinator(n));
-        let alone = fleet.wait_for_watches(DISPATCHERS as u64).await.unwrap();
-        println!("each asks for itself {alone:?} after the last keeper was killed");
-        fleet.discovery.set_unreachable(3, "terminated");
-        fleet.wait_for_workers(WORKERS - 1).await.unwrap();
-        (1..=3).for_each(|n| fleet.start_coordinator(n).unwrap());
-        let again = fleet.wait_for_watches(1).await.unwrap();
-        println!("one asks for all {again:?} after the keepers were started");
-        fleet.discovery.set_unreachable(4, "terminated");
-        fleet.wait_for_workers(WORKERS - 2).await.unwrap();
+fn every_dispatcher_watches_discovery_itself_while_no_coordinator_runs() {
+    run(async {
+        let (_dir, mut cluster) = start(true).await;
+        (1..=3).for_each(|n| cluster.kill_coordinator(n));
+        let fallback_time = cluster.wait_for_watches(DISPATCHERS as u64).await.unwrap();
+        println!(
+            "every dispatcher watches discovery {fallback_time:?} after the last coordinator was killed"
+        );
+        cluster.discovery.set_unreachable(3, "terminated");
+        cluster.wait_for_workers(WORKERS - 1).await.unwrap();
+        (1..=3).for_each(|n| cluster.start_coordinator(n).unwrap());
+        let recovery_time = cluster.wait_for_watches(1).await.unwrap();
+        println!(
+            "one dispatcher watches discovery for all {recovery_time:?} after the coordinators were started"
+        );
+        cluster.discovery.set_unreachable(4, "terminated");
+        cluster.wait_for_workers(WORKERS - 2).await.unwrap();
     });
 }
 
+/// Discovery accepts requests and sends nothing. Dispatchers that rely on the lease holder must notice and connect
+/// themselves.
 #[test]
-fn a_silent_discovery_is_noticed_by_those_who_rely_on_the_owner() {
-    play(async {
-        let (_dir, fleet) = start(true).await;
-        let before = fleet.discovery.connections();
-        fleet.discovery.set_silent(true);
+fn every_dispatcher_connects_to_discovery_when_it_stops_responding() {
+    run(async {
+        let (_dir, cluster) = start(true).await;
+        let before = cluster.discovery.connections();
+        cluster.discovery.set_unresponsive(true);
         let start = Instant::now();
-        while fleet.discovery.connections() < before + DISPATCHERS as u64 {
-            assert!(start.elapsed() < Duration::from_secs(10), "not everybody asks\n{}", fleet.logs());
+        while cluster.discovery.connections() < before + DISPATCHERS as u64 {
+            assert!(
+                start.elapsed() < Duration::from_secs(10),
+                "not every dispatcher connected to discovery\n{}",
+                cluster.logs()
+            );
             sleep(Duration::from_millis(10)).await;
         }
-        println!("each asks for itself {:?} after discovery fell silent", start.elapsed());
-        fleet.discovery.set_silent(false);
-        fleet.discovery.set_unreachable(5, "terminated");
-        fleet.wait_for_workers(WORKERS - 1).await.unwrap();
-        fleet.wait_for_watches(1).await.unwrap();
+        println!("every dispatcher connected {:?} after discovery stopped responding", start.elapsed());
+        cluster.discovery.set_unresponsive(false);
+        cluster.discovery.set_unreachable(5, "terminated");
+        cluster.wait_for_workers(WORKERS - 1).await.unwrap();
+        cluster.wait_for_watches(1).await.unwrap();
     });
 }
 
+/// A dispatcher that is not the lease holder gets the address of another discovery by a reload. It must use the list of
+/// that discovery and ignore the one that the lease holder sends.
 #[test]
-fn one_that_relies_on_the_owner_and_is_led_to_another_discovery_asks_there() {
-    play(async {
-        let (_dir, fleet) = start(true).await;
+fn a_dispatcher_with_another_discovery_watches_that_one_itself() {
+    run(async {
+        let (_dir, cluster) = start(true).await;
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (other, at) = (EmulatedDiscovery::new(5), listener.local_addr().unwrap());
+        let (other, address) = (EmulatedDiscovery::new(5), listener.local_addr().unwrap());
         tokio::task::spawn_local(other.clone().serve(listener));
-        let owner = fleet.discovery_leader().expect("an owner");
-        let moved = (owner + 1) % DISPATCHERS;
-        fleet.change_discovery_address(moved, at).unwrap();
+        let holder = cluster.discovery_leader().expect("a lease holder");
+        let moved = (holder + 1) % DISPATCHERS;
+        cluster.change_discovery_address(moved, address).unwrap();
         let start = Instant::now();
-        while fleet.known_workers(moved).await != Some(5) {
-            assert!(start.elapsed() < Duration::from_secs(10), "{}", fleet.logs());
+        while cluster.worker_count(moved).await != Some(5) {
+            assert!(start.elapsed() < Duration::from_secs(10), "{}", cluster.logs());
             sleep(Duration::from_millis(20)).await;
         }
-        // The list of the other source says nothing to it.
-        fleet.discovery.set_unreachable(0, "terminated");
+        // A change at the first discovery does not reach the dispatcher.
+        cluster.discovery.set_unreachable(0, "terminated");
         sleep(Duration::from_millis(500)).await;
-        assert_eq!(fleet.known_workers(moved).await, Some(5));
-        assert_eq!(fleet.known_workers(owner).await, Some(WORKERS - 1));
+        assert_eq!(cluster.worker_count(moved).await, Some(5));
+        assert_eq!(cluster.worker_count(holder).await, Some(WORKERS - 1));
         assert_eq!(other.open_watches(), 1);
     });
 }
 
-/// A keeper's disk is lost; a new keeper takes its place while the dispatchers go on, and then counts for a majority,
-/// though no dispatcher's configuration names it.
+/// A coordinator loses its disk and is replaced by a new one, whose address is in no dispatcher's configuration. The
+/// dispatchers keep working, and the new coordinator counts for the majority.
 #[test]
-fn a_lost_keeper_is_replaced_and_the_duty_goes_on() {
-    play(async {
-        let (_dir, mut fleet) = start(true).await;
-        let leader = fleet.leader().unwrap();
-        let lost = (1..=3).find(|keeper| *keeper != leader).unwrap();
-        let at = fleet.replace_coordinator(lost, 4).await.unwrap().to_string();
-        let refused = fleet
-            .run_coordinator_command(4, &["replace", "--keeper", "9", "--with", "4", "--address", &at])
+fn a_replaced_coordinator_counts_for_the_majority() {
+    run(async {
+        let (_dir, mut cluster) = start(true).await;
+        let leader = cluster.leader().unwrap();
+        let lost = (1..=3).find(|replica| *replica != leader).unwrap();
+        let address = cluster.replace_coordinator(lost, 4).await.unwrap().to_string();
+        let rejected = cluster
+            .run_coordinator_command(4, &["replace", "--keeper", "9", "--with", "4", "--address", &address])
             .await;
-        assert!(refused.unwrap_err().to_string().contains("replica 9 is not a voter"));
+        assert!(rejected.unwrap_err().to_string().contains("replica 9 is not a voter"));
         let lost = lost.to_string();
-        let replace = ["replace", "--keeper", &lost, "--with", "4", "--address", &at];
-        let said = fleet.run_coordinator_command(4, &replace).await.unwrap();
-        assert!(said.contains("has replaced"), "{said}");
-        fleet.run_coordinator_command(4, &replace).await.expect("asked again it says that it is done");
-        fleet.wait_for_watches(1).await.unwrap();
-        // Now the new one and one other are the majority, and one of them leads.
-        fleet.kill_coordinator(leader);
-        let owner = fleet.discovery_leader().expect("an owner");
-        fleet.kill_dispatcher(owner);
+        let replace = ["replace", "--keeper", &lost, "--with", "4", "--address", &address];
+        let output = cluster.run_coordinator_command(4, &replace).await.unwrap();
+        assert!(output.contains("has replaced"), "{output}");
+        cluster.run_coordinator_command(4, &replace).await.expect("the repeated command succeeds");
+        cluster.wait_for_watches(1).await.unwrap();
+        // The new coordinator and one other are the remaining majority, so one of them must lead.
+        cluster.kill_coordinator(leader);
+        let holder = cluster.discovery_leader().expect("a lease holder");
+        cluster.kill_dispatcher(holder);
         let start = Instant::now();
-        while fleet.discovery_leader() == Some(owner) {
-            assert!(start.elapsed() < Duration::from_secs(12), "nobody took over\n{}", fleet.logs());
+        while cluster.discovery_leader() == Some(holder) {
+            assert!(start.elapsed() < Duration::from_secs(12), "no dispatcher took over\n{}", cluster.logs());
             sleep(Duration::from_millis(10)).await;
         }
-        println!("another one asks {:?} after owner and leader were killed", start.elapsed());
-        fleet.wait_for_watches(1).await.unwrap();
-        fleet.discovery.set_unreachable(1, "terminated");
-        fleet.wait_for_workers(WORKERS - 1).await.unwrap();
+        println!(
+            "another dispatcher watches {:?} after lease holder and leader were killed",
+            start.elapsed()
+        );
+        cluster.wait_for_watches(1).await.unwrap();
+        cluster.discovery.set_unreachable(1, "terminated");
+        cluster.wait_for_workers(WORKERS - 1).await.unwrap();
     });
 }
 
-/// Two of three disks are lost: nobody invents what was on them. Those two stop, the third agrees on nothing and says so,
-/// and the dispatchers go on by themselves.
+/// Two of three coordinators lose their disks. They must exit rather than start with empty stores. The third has no
+/// majority and reports that, and the dispatchers watch discovery themselves.
 #[test]
-fn two_of_three_lost_disks_are_a_clear_stop() {
-    play(async {
-        let (_dir, mut fleet) = start(true).await;
+fn coordinators_that_lost_their_stores_exit() {
+    run(async {
+        let (_dir, mut cluster) = start(true).await;
         for lost in [1, 2] {
-            fleet.lose_disk(lost).unwrap();
-            fleet.start_coordinator(lost).unwrap();
+            cluster.lose_disk(lost).unwrap();
+            cluster.start_coordinator(lost).unwrap();
         }
         for lost in [1, 2] {
             let start = Instant::now();
             let code = loop {
-                if let Some(code) = fleet.coordinator_exit_code(lost) {
+                if let Some(code) = cluster.coordinator_exit_code(lost) {
                     break code;
                 }
-                assert!(start.elapsed() < Duration::from_secs(10), "keeper {lost} goes on without its store");
+                assert!(
+                    start.elapsed() < Duration::from_secs(10),
+                    "coordinator {lost} keeps running without its store"
+                );
                 sleep(Duration::from_millis(20)).await;
             };
-            assert_eq!(code, 4, "{}", fleet.coordinator_log(lost));
-            assert!(fleet.coordinator_log(lost).contains("bootstrap"), "{}", fleet.coordinator_log(lost));
+            assert_eq!(code, 4, "{}", cluster.coordinator_log(lost));
+            assert!(cluster.coordinator_log(lost).contains("bootstrap"), "{}", cluster.coordinator_log(lost));
         }
-        fleet.wait_for_watches(DISPATCHERS as u64).await.unwrap();
-        let said = fleet.run_coordinator_command(3, &["members"]).await.unwrap_err().to_string();
-        assert!(said.contains("no replica leads"), "{said}");
-        fleet.discovery.set_unreachable(0, "terminated");
-        fleet.wait_for_workers(WORKERS - 1).await.unwrap();
+        cluster.wait_for_watches(DISPATCHERS as u64).await.unwrap();
+        let error = cluster.run_coordinator_command(3, &["members"]).await.unwrap_err().to_string();
+        assert!(error.contains("no replica leads"), "{error}");
+        cluster.discovery.set_unreachable(0, "terminated");
+        cluster.wait_for_workers(WORKERS - 1).await.unwrap();
     });
 }
 
 #[test]
-fn without_a_fleet_each_asks_for_itself() {
-    play(async {
-        let (_dir, fleet) = start(false).await;
+fn dispatchers_without_a_cluster_each_watch_discovery() {
+    run(async {
+        let (_dir, cluster) = start(false).await;
         sleep(Duration::from_secs(4)).await;
-        assert_eq!(fleet.discovery.open_watches(), DISPATCHERS as u64);
+        assert_eq!(cluster.discovery.open_watches(), DISPATCHERS as u64);
     });
 }
 
-/// Found when a rig was ended in the middle: members whose keepers refused at once never ended at SIGTERM.
+/// Guards against members that never ended at SIGTERM because all coordinators refused connections immediately.
 #[test]
-fn a_member_without_keepers_ends_when_it_is_told_to() {
+fn a_member_leaves_while_coordinators_refuse_connections() {
     use cluster_member::member::{Member, MemberConfig, MembershipEnd};
     use cluster_member::record::Recorder;
     use coordination::{LeaseClient, Timing};
-    play(async {
-        let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    run(async {
+        let unused = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let settings = MemberConfig {
             installation: "test".into(),
             name: "m".into(),
             zone: String::new(),
-            address: nobody.to_string(),
-            replicas: [(1, nobody), (2, nobody), (3, nobody)].into(),
+            address: unused.to_string(),
+            replicas: [(1, unused), (2, unused), (3, unused)].into(),
             local_address: None,
             timing: Timing::default(),
             eligible_leases: Vec::new(),
             seed: 1,
         };
         let member = Member::new(settings, LeaseClient::new(Timing::default()), Recorder::default());
-        let leaver = member.clone();
+        let leaving = member.clone();
         tokio::task::spawn_local(async move {
             sleep(Duration::from_millis(100)).await;
-            leaver.leave();
+            leaving.leave();
         });
-        let ended = tokio::time::timeout(Duration::from_secs(10), member.run()).await;
-        assert_eq!(ended, Ok(MembershipEnd::Left));
+        let end = tokio::time::timeout(Duration::from_secs(10), member.run()).await;
+        assert_eq!(end, Ok(MembershipEnd::Left));
     });
 }
 
-/// What happened: the harness looked for words that the logs had no more since their lines were reworded, and took the
-/// last coordinator for the leader and the first dispatcher for the observer. So faults meant for a leader or an observer
-/// mostly hit another process, and nothing failed.
+/// Guards against a harness that searches for log messages that were reworded: it took the last coordinator for the
+/// leader and the first dispatcher for the observer, so that faults mostly hit the wrong process, and no check failed.
 #[test]
-fn the_harness_finds_the_leader_as_the_coordinators_themselves_name_it() {
-    play(async {
-        let (_dir, mut fleet) = start(true).await;
+fn the_harness_finds_the_same_leader_as_the_status_command() {
+    run(async {
+        let (_dir, mut cluster) = start(true).await;
         for _ in 0..2 {
-            let leader = fleet.leader().unwrap();
-            let status = fleet.run_coordinator_command(leader, &["status"]).await.unwrap();
-            let leads = format!("replica {leader}: leader");
-            assert!(status.contains(&leads), "{leads}\n{status}\n{}", fleet.logs());
-            fleet.kill_coordinator(leader);
+            let leader = cluster.leader().unwrap();
+            let status = cluster.run_coordinator_command(leader, &["status"]).await.unwrap();
+            let expected = format!("replica {leader}: leader");
+            assert!(status.contains(&expected), "{expected}\n{status}\n{}", cluster.logs());
+            cluster.kill_coordinator(leader);
             let start = Instant::now();
-            while fleet.leader().is_ok_and(|present| present == leader) {
-                assert!(start.elapsed() < Duration::from_secs(10), "nobody leads\n{}", fleet.logs());
+            while cluster.leader().is_ok_and(|current| current == leader) {
+                assert!(
+                    start.elapsed() < Duration::from_secs(10),
+                    "no coordinator leads\n{}",
+                    cluster.logs()
+                );
                 sleep(Duration::from_millis(10)).await;
             }
-            fleet.start_coordinator(leader).unwrap();
+            cluster.start_coordinator(leader).unwrap();
         }
     });
 }
--- a/crates/emulator/tests/shared_health_checks.rs
+++ b/crates/emulator/tests/shared_health_checks.rs
@@ -1,48 +1,49 @@
-//! Workers watched by one dispatcher each, with processes and faults between them.
+//! Shared health checks, where one dispatcher probes a worker for all, with coordinator and dispatcher processes and
+//! faults between them.
 
 use std::time::Duration;
 
 use emulator::cluster::cluster_harness::Binaries;
 use emulator::cluster::shared_health_checks::{
-    play, Fault, HealthCheckRule, Plan, ScheduleResult, ScriptedFault,
+    run, Fault, HealthCheckRule, Plan, ScheduleResult, ScriptedFault,
 };
 use emulator::cluster::slow_start;
 use emulator::cluster::violations::Rule;
 
-fn played(plan: &Plan) -> ScheduleResult {
+fn run_schedule(plan: &Plan) -> ScheduleResult {
     let dir = tempfile::tempdir().unwrap();
     let binaries = Binaries::beside_tests().unwrap();
-    play(dir.path(), &binaries, plan).unwrap()
+    run(dir.path(), &binaries, plan).unwrap()
 }
 
 #[test]
-fn workers_stay_watched_at_their_rate_while_dispatchers_are_killed() {
+fn workers_are_probed_at_their_rate_while_dispatchers_are_killed() {
     let plan = Plan { only_kills: true, length: Duration::from_secs(24), ..Plan::default() };
-    let played = played(&plan);
-    assert!(played.rules.is_empty(), "{:#?}", played.rules);
-    assert!(played.faults["kill"] >= 2 && played.probes > 200, "{played:#?}");
+    let result = run_schedule(&plan);
+    assert!(result.rules.is_empty(), "{:#?}", result.rules);
+    assert!(result.faults["kill"] >= 2 && result.probes > 200, "{result:#?}");
 }
 
-/// Found by seed 208: sets were cut by the worker's number alone, so one had two workers of two zones, and its owner
-/// could not tell a worker that hung from the way to its zone.
+/// Guards against sets formed by the worker's number alone: a set then had two workers in two zones, and its lease
+/// holder could not distinguish a hung worker from a zone that it could not reach (seed 208).
 ///
-/// Then flaky beside other work: the six sets move one by one for 5.2 to 6.3 s after the start, and the experiment settled
-/// for 5 s. Where the worker's set moved during the hang of 4.5 s, it was known after 4.1 to 4.54 s (traced), elsewhere after
-/// 1.6 to 2.6 s. The harness waits now until no set is to move.
+/// The harness waits until no set will be moved, because the six sets are moved one by one for 5.2 s to 6.3 s after the
+/// start. If the worker's set was moved during the hang of 4.5 s, dispatchers detected the hang after 4.1 s to 4.54 s
+/// instead of 1.6 s to 2.6 s, and the test was flaky on a loaded machine.
 #[test]
-fn a_worker_that_hangs_is_known_everywhere_whichever_set_it_is_in() {
+fn a_hung_worker_is_detected_by_every_dispatcher() {
     let script = &[ScriptedFault { fault: Fault::HangWorker, target: 3, zone: 0 }];
     let plan =
         Plan { dispatchers: 8, rate: 20.0, length: Duration::from_secs(18), script, ..Plan::default() };
-    let played = played(&plan);
-    assert!(played.rules.is_empty(), "{:#?}", played.rules);
-    assert_eq!((played.faults["hang"], played.detected_after_ms.len()), (1, 8), "{played:#?}");
+    let result = run_schedule(&plan);
+    assert!(result.rules.is_empty(), "{:#?}", result.rules);
+    assert_eq!((result.faults["hang"], result.detected_after_ms.len()), (1, 8), "{result:#?}");
 }
 
-/// Five keepers, and what they and the workers go through at once: a worker that drains and comes back cold, a leader
-/// that is stopped, all keepers killed, everything started anew in turn.
+/// A schedule with five coordinators and these faults, one after another: a worker drains and starts again in slow
+/// start, the leading coordinator is paused, all coordinators are killed, and all processes are restarted in turn.
 #[test]
-fn jobs_and_workers_keep_their_rules_while_keepers_and_dispatchers_are_started_anew() {
+fn all_rules_hold_while_coordinators_and_dispatchers_are_restarted() {
     let script = &[
         ScriptedFault { fault: Fault::DrainWorker, target: 0, zone: 0 },
         ScriptedFault { fault: Fault::PauseLeader, target: 0, zone: 0 },
@@ -50,39 +51,40 @@
         ScriptedFault { fault: Fault::RollingRestart, target: 0, zone: 0 },
     ];
     let plan = Plan { coordinators: 5, length: Duration::from_secs(34), script, ..Plan::default() };
-    let played = played(&plan);
-    assert!(played.rules.is_empty(), "{:#?}", played.rules);
-    assert!(played.faults.len() == 4 && played.jobs_at_cold > 0, "{played:#?}");
+    let result = run_schedule(&plan);
+    assert!(result.rules.is_empty(), "{:#?}", result.rules);
+    assert!(result.faults.len() == 4 && result.jobs_at_cold > 0, "{result:#?}");
 }
 
+/// The injected bug lets a lease holder probe as soon as its term begins, less than a period after the previous holder.
 #[test]
-fn an_owner_that_does_not_wait_is_found_by_the_checker() {
-    let flaw = Some("no-wait".to_owned());
-    let plan =
-        Plan { only_kills: true, length: Duration::from_secs(24), injected_bug: flaw, ..Plan::default() };
-    let played = played(&plan);
-    assert!(played.rules.contains_key(HealthCheckRule::ProbeRate.text()), "{played:#?}");
+fn the_checker_finds_a_lease_holder_that_probes_too_early() {
+    let injected_bug = Some("no-wait".to_owned());
+    let plan = Plan { only_kills: true, length: Duration::from_secs(24), injected_bug, ..Plan::default() };
+    let result = run_schedule(&plan);
+    assert!(result.rules.contains_key(HealthCheckRule::ProbeRate.text()), "{result:#?}");
 }
 
-/// A day on which six of nine workers are replaced by cold ones: the same with and without grants, side by side.
+/// Six of nine workers are replaced by workers in slow start, with and without granted quotas in parallel. Grants must
+/// let the new workers run more jobs without overload.
 #[test]
-fn grants_let_cold_workers_do_more_and_push_none_over() {
-    let day = |grants: bool| {
+fn grants_raise_the_load_of_workers_in_slow_start_without_overload() {
+    let run_day = |grants: bool| {
         std::thread::spawn(move || {
             let dir = tempfile::tempdir().unwrap();
             let binaries = Binaries::beside_tests().unwrap();
             let plan =
                 slow_start::Plan { dispatchers: 12, rate: 90.0, grants, kill: grants, ..Default::default() };
-            slow_start::play(dir.path(), &binaries, &plan).unwrap()
+            slow_start::run(dir.path(), &binaries, &plan).unwrap()
         })
     };
-    let (planned, granted) = (day(false), day(true));
+    let (planned, granted) = (run_day(false), run_day(true));
     let (planned, granted) = (planned.join().unwrap(), granted.join().unwrap());
     println!("planned {planned:?}\ngranted {granted:?}");
     assert!(granted.violations.is_empty(), "{:?}", granted.violations);
     assert_eq!((planned.overloads, granted.overloads), (0, 0));
     assert!(planned.granted_work == 0.0 && granted.granted_work > 10.0);
-    // Though the owner and the keepers' leader are killed on the way.
+    // Holds although the holder of the slow-start lease and the leading coordinator are killed during the day.
     assert!(
         granted.used_share > 1.2 * planned.used_share,
         "{} and {}",
--- a/crates/emulator/tests/stable_text.rs
+++ b/crates/emulator/tests/stable_text.rs
@@ -208,7 +208,7 @@
         max_probe_gap_ms: 2.5,
         detected_after_ms: vec![3.5, 4.5],
         jobs: 5,
-        answers: BTreeMap::from([(200, 4), (0, 1)]),
+        responses: BTreeMap::from([(200, 4), (0, 1)]),
         jobs_at_cold: 6,
         peak_cold_load: 0.25,
         jobs_at_hung: 7,
@@ -265,11 +265,11 @@
         memory_mb: ResidentMemory { coordinator: 3.0, member: 4.0 },
         ..Side::default()
     };
-    let waits = LatencyResult { answers: BTreeMap::from([(200, 1)]), ..LatencyResult::default() };
-    let joined = DayResult { answers: BTreeMap::from([(200, 1)]), ..DayResult::default() };
+    let waits = LatencyResult { responses: BTreeMap::from([(200, 1)]), ..LatencyResult::default() };
+    let joined = DayResult { responses: BTreeMap::from([(200, 1)]), ..DayResult::default() };
     let mut text = json(&watched()) + &json(&drained()) + &json(&fleet_results());
     text += &(json(&side) + &json(&waits) + &json(&joined));
-    let _ = writeln!(text, "{side:?}\n{:?}\n", joined.answers);
+    let _ = writeln!(text, "{side:?}\n{:?}\n", joined.responses);
     text += &(fleet_results().table() + "\n");
     text += &(shared_health_checks::table(&BTreeMap::from([
         (1, watched()),
