--- a/crates/emulator/src/cluster/cluster_harness/mod.rs
+++ b/crates/emulator/src/cluster/cluster_harness/mod.rs
@@ -37,7 +37,8 @@
     /// Returns the programs in the build profile's folder of the running test, where `cargo test --workspace` puts
     /// them.
     ///
-    /// # Errors Returns [`ClusterError::MissingProgram`] if a program was not built.
+    /// # Errors
+    /// Returns [`ClusterError::MissingProgram`] if a program was not built.
     pub fn beside_tests() -> Result<Binaries, ClusterError> {
         let test = std::env::current_exe().map_err(ClusterError::io("path of the test program"))?;
         let profile = test.parent().and_then(Path::parent);
--- a/crates/emulator/src/cluster/cluster_harness/processes.rs
+++ b/crates/emulator/src/cluster/cluster_harness/processes.rs
@@ -210,7 +210,8 @@
     /// Kills coordinator `lost` and removes its store; sets up and starts coordinator `new`, and returns its address.
     /// The caller completes the replacement with the command `replace`.
     ///
-    /// # Errors Returns a [`ClusterError`] if a file or a process cannot be set up.
+    /// # Errors
+    /// Returns a [`ClusterError`] if a file or a process cannot be set up.
     pub async fn replace_coordinator(&mut self, lost: usize, new: usize) -> Result<SocketAddr, ClusterError> {
         self.lose_disk(lost)?;
         let file = self.dir.join(format!("k{lost}.hcl"));
--- a/crates/emulator/src/cluster/cluster_harness/setup.rs
+++ b/crates/emulator/src/cluster/cluster_harness/setup.rs
@@ -22,7 +22,8 @@
     /// Sets up coordinators and dispatchers in a folder and starts them. `config` is the configuration that all
     /// dispatchers have in common; the name, addresses, instance, zone and seed of each are filled in.
     ///
-    /// # Errors Returns a [`ClusterError`] if a file, a proxy or a process cannot be set up.
+    /// # Errors
+    /// Returns a [`ClusterError`] if a file, a proxy or a process cannot be set up.
     pub async fn start(
         dir: &Path,
         binaries: Binaries,
--- a/crates/emulator/src/cluster/dispatch_latency.rs
+++ b/crates/emulator/src/cluster/dispatch_latency.rs
@@ -88,7 +88,7 @@
     pub p99_ms: f64,
     /// Maximum of this time, in milliseconds.
     pub max_ms: f64,
-    /// Longest time between two consecutive responses of one dispatcher, in milliseconds.
+    /// Longest time in which no job of a dispatcher ended, with or without a response, in milliseconds.
     pub worst_gap_ms: f64,
     /// How often the leader was killed.
     pub killed: u64,
@@ -101,8 +101,8 @@
     latencies: Histogram<u64>,
     responses: BTreeMap<u16, u64>,
     jobs: u64,
-    /// By dispatcher: time of its last response.
-    last_response_at: Vec<Instant>,
+    /// By dispatcher: time at which its last job ended, with or without a response.
+    last_end_at: Vec<Instant>,
     longest_gap: Duration,
 }
 
@@ -112,12 +112,12 @@
             latencies: Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)?,
             responses: BTreeMap::new(),
             jobs: 0,
-            last_response_at: vec![now; DISPATCHERS],
+            last_end_at: vec![now; DISPATCHERS],
             longest_gap: Duration::ZERO,
         })
     }
 
-    /// Records the end of a job. A job submitted before `counted_from` only updates the time of the last response.
+    /// Records the end of a job. A job submitted before `counted_from` only updates the time of the last end.
     fn record(
         &mut self,
         dispatcher: usize,
@@ -126,8 +126,8 @@
         status: Option<u16>,
     ) {
         let now = Instant::now();
-        let gap = now - self.last_response_at[dispatcher];
-        self.last_response_at[dispatcher] = now;
+        let gap = now - self.last_end_at[dispatcher];
+        self.last_end_at[dispatcher] = now;
         if submitted_at < counted_from {
             return;
         }
--- a/crates/emulator/src/cluster/planned_drains/evaluation.rs
+++ b/crates/emulator/src/cluster/planned_drains/evaluation.rs
@@ -180,7 +180,7 @@
 }
 
 /// Whether a call need not be answered: its dispatcher was not running or had just restarted, or the schedule ended
-/// before the call.
+/// before the call did.
 fn is_excused(observations: &Observations, call: &StandbyCall) -> bool {
     let overlaps = |outage: &Outage| {
         outage.dispatcher == call.dispatcher
--- a/crates/emulator/src/cluster/planned_drains/mod.rs
+++ b/crates/emulator/src/cluster/planned_drains/mod.rs
@@ -82,8 +82,8 @@
 /// Longest time in which a standby call must be answered, in microseconds: 0.8 s for the decision, and a margin for a
 /// loaded machine.
 const MAX_CALL_TIME_US: u64 = 1_500_000;
-/// Time within which the loss of a dispatcher is detected, in microseconds: its last readiness report expires after 1
-/// s, and the observer may change meanwhile.
+/// Time within which the loss of a dispatcher is detected, in microseconds: its last readiness report expires after one
+/// second, and the observer may change meanwhile.
 const LOSS_DETECTION_TIME_US: u64 = 6_000_000;
 /// Longest time after the last fault until every dispatcher has been drained once more.
 const MAX_RECOVERY_TIME: Duration = Duration::from_secs(30);
@@ -272,7 +272,8 @@
 
 /// Starts a cluster whose dispatchers need permits to drain; `budgets` is the text of the budget file, in HCL.
 ///
-/// # Errors Returns a [`ClusterError`] if a process cannot be set up, or if the coordinators reject the budgets or do
+/// # Errors
+/// Returns a [`ClusterError`] if a process cannot be set up, or if the coordinators reject the budgets or do
 /// not count all dispatchers as available within 10 s.
 pub async fn start_cluster(
     dir: &Path,
--- a/crates/emulator/src/cluster/scaling_cost.rs
+++ b/crates/emulator/src/cluster/scaling_cost.rs
@@ -107,7 +107,8 @@
 /// Runs one arm in a folder, with `members` dispatchers. `cluster_settings` is added to their block `fleet`; `None`
 /// runs them without a cluster.
 ///
-/// # Errors Returns a [`ClusterError`] if the harness fails.
+/// # Errors
+/// Returns a [`ClusterError`] if the harness fails.
 pub fn run(
     dir: &Path,
     binaries: &Binaries,
--- a/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
@@ -82,30 +82,30 @@
     result: &mut ScheduleResult,
     violations: &mut HealthCheckViolations,
 ) {
-    for response in &observations.outcomes {
+    for outcome in &observations.outcomes {
         result.jobs += 1;
-        let is_excused = faults.iter().any(|fault| excuses_response(fault, response));
-        let counted_status = if is_excused && response.status == 0 { 1 } else { response.status };
+        let is_excused = faults.iter().any(|fault| excuses_outcome(fault, outcome));
+        let counted_status = if is_excused && outcome.status == 0 { 1 } else { outcome.status };
         *result.responses.entry(counted_status).or_default() += 1;
-        let duration = response.answered_at - response.submitted_at;
-        if !is_excused && (response.status == 0 || duration > micros(JOB_TIMEOUT + RESPONSE_SLACK)) {
+        let duration = outcome.answered_at - outcome.submitted_at;
+        if !is_excused && (outcome.status == 0 || duration > micros(JOB_TIMEOUT + RESPONSE_SLACK)) {
             let description =
-                format!("dispatcher {}: status {} after {duration} us", response.dispatcher, response.status);
+                format!("dispatcher {}: status {} after {duration} us", outcome.dispatcher, outcome.status);
             violations.add(HealthCheckRule::JobAnsweredInTime, description);
         }
     }
 }
 
 /// Whether a fault excuses a missing or late response: the dispatcher was not running, or had just started.
-fn excuses_response(fault: &InjectedFault, response: &JobOutcome) -> bool {
+fn excuses_outcome(fault: &InjectedFault, outcome: &JobOutcome) -> bool {
     let is_outage = match fault.fault {
         Fault::KillDispatcher | Fault::PauseDispatcher | Fault::TerminateDispatcher => {
-            fault.target == response.dispatcher
+            fault.target == outcome.dispatcher
         }
         Fault::RollingRestart => true,
         _ => false,
     };
-    is_outage && fault.overlaps_with_aftermath(RESTART_TIME_US, response.submitted_at, response.answered_at)
+    is_outage && fault.overlaps_with_aftermath(RESTART_TIME_US, outcome.submitted_at, outcome.answered_at)
 }
 
 /// Returns the number of jobs that reached workers while these hung.
@@ -260,7 +260,7 @@
 struct JobEvent {
     time: u64,
     job: u64,
-    /// Worker of an arrival; `None` for a response.
+    /// Worker of an arrival; `None` for a outcome.
     worker: Option<usize>,
     /// Status of a response; 0 if there was none, and for an arrival.
     status: u16,
@@ -270,10 +270,10 @@
 /// worker has read completely counts as possibly executed.
 pub(super) fn check_idempotency(observations: &Observations, violations: &mut HealthCheckViolations) {
     let mut checker = RuleChecker::new(RuleLimits { drain_grace: u64::MAX, answer_slack: u64::MAX / 2 });
-    for response in &observations.outcomes {
-        let is_idempotent = class_of(response.job).is_idempotent;
+    for outcome in &observations.outcomes {
+        let is_idempotent = class_of(outcome.job).is_idempotent;
         let idempotency = if is_idempotent { Idempotency::Idempotent } else { Idempotency::NotIdempotent };
-        checker.record_accepted(response.job, idempotency, u64::MAX / 2, response.submitted_at);
+        checker.record_accepted(outcome.job, idempotency, u64::MAX / 2, outcome.submitted_at);
     }
     for event in job_events(observations) {
         match event.worker {
@@ -312,11 +312,11 @@
         });
         events.extend(arrivals);
     }
-    let responses = observations.outcomes.iter().map(|response| JobEvent {
-        time: response.answered_at,
-        job: response.job,
+    let responses = observations.outcomes.iter().map(|outcome| JobEvent {
+        time: outcome.answered_at,
+        job: outcome.job,
         worker: None,
-        status: response.status,
+        status: outcome.status,
     });
     events.extend(responses);
     events.sort_unstable();
--- a/crates/emulator/src/cluster/shared_health_checks/mod.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/mod.rs
@@ -51,7 +51,7 @@
 /// Time by which two recorded arrivals may be closer than the arrivals themselves, because a busy process records them
 /// late, in microseconds.
 const ARRIVAL_JITTER_US: u64 = 100_000;
-/// Time at the start in which members and clients settle; probe rates and gaps are checked after it.
+/// Time at the start in which members and clients settle: no fault is injected, and probe gaps are not checked.
 const SETTLING_TIME: Duration = Duration::from_secs(5);
 
 /// Classes of the clients' jobs, in turn.
--- a/crates/emulator/src/cluster/slow_start.rs
+++ b/crates/emulator/src/cluster/slow_start.rs
@@ -133,7 +133,7 @@
     status: u16,
 }
 
-type Responses = Rc<RefCell<Vec<JobOutcome>>>;
+type Outcomes = Rc<RefCell<Vec<JobOutcome>>>;
 
 /// Time span that is evaluated: from the first replacement to the last submission.
 #[derive(Debug, Clone, Copy)]
@@ -153,10 +153,10 @@
 async fn run_day(dir: &Path, binaries: Binaries, plan: &Plan) -> Result<DayResult, ClusterError> {
     let discovery = EmulatedDiscovery::new(0);
     let mut cluster = start_cluster(dir, binaries, plan, &discovery).await?;
-    let responses = Responses::default();
+    let outcomes = Outcomes::default();
     let from = Instant::now() + LEARNING_TIME;
     let span = CountedSpan { from, until: from + plan.length };
-    start_clients(&cluster, plan, &responses, span.until);
+    start_clients(&cluster, plan, &outcomes, span.until);
     sleep_until(span.from).await;
     let replacements = replace_workers(plan, &discovery).await?;
     if plan.kill {
@@ -165,8 +165,8 @@
     sleep_until(span.until + CLASS.timeout).await;
     drop(cluster);
     let records = read_records(dir, COORDINATORS, plan.dispatchers)?;
-    let responses = responses.borrow();
-    Ok(evaluate(&replacements, &responses, &records, span))
+    let outcomes = outcomes.borrow();
+    Ok(evaluate(&replacements, &outcomes, &records, span))
 }
 
 async fn start_cluster(
@@ -203,14 +203,14 @@
 }
 
 /// Starts the clients of all dispatchers.
-fn start_clients(cluster: &ClusterHarness, plan: &Plan, responses: &Responses, end: Instant) {
+fn start_clients(cluster: &ClusterHarness, plan: &Plan, outcomes: &Outcomes, end: Instant) {
     let weight =
         |dispatcher: usize| if dispatcher % BUSY_DISPATCHER_INTERVAL == 0 { BUSY_TRAFFIC } else { 1.0 };
     let total: f64 = (0..plan.dispatchers).map(weight).sum();
     for (dispatcher, address) in cluster.listen.iter().enumerate() {
         let rate = plan.rate * weight(dispatcher) / total;
         let clients = Clients { dispatcher: dispatcher as u64, address: *address, rate, end };
-        spawn_local(clients.run(responses.clone(), plan.seed));
+        spawn_local(clients.run(outcomes.clone(), plan.seed));
     }
 }
 
@@ -245,13 +245,13 @@
 
 fn evaluate(
     replacements: &[Rc<WorkerModel>],
-    responses: &[JobOutcome],
+    outcomes: &[JobOutcome],
     records: &Records,
     span: CountedSpan,
 ) -> DayResult {
     let mut result = DayResult::default();
     evaluate_load(replacements, span, &mut result);
-    evaluate_responses(responses, span, &mut result);
+    evaluate_outcomes(outcomes, span, &mut result);
     let granted = records.members.values().flatten().filter(|line| line.kind == "granted");
     result.granted_work = granted.filter_map(|line| line.fields.get("work")?.as_f64()).sum();
     result.violations = record_checker::check(records).descriptions().collect();
@@ -280,18 +280,16 @@
     result.used_share = sent / tolerated.max(1.0);
 }
 
-fn evaluate_responses(responses: &[JobOutcome], span: CountedSpan, result: &mut DayResult) {
-    let counted: Vec<&JobOutcome> = responses
-        .iter()
-        .filter(|response| (span.from..span.until).contains(&response.submitted_at))
-        .collect();
+fn evaluate_outcomes(outcomes: &[JobOutcome], span: CountedSpan, result: &mut DayResult) {
+    let counted: Vec<&JobOutcome> =
+        outcomes.iter().filter(|outcome| (span.from..span.until).contains(&outcome.submitted_at)).collect();
     let share = |count: usize| count as f64 / counted.len().max(1) as f64;
-    let served = || counted.iter().filter(|response| response.status == 200);
+    let served = || counted.iter().filter(|outcome| outcome.status == 200);
     result.jobs = counted.len() as u64;
     result.served = share(served().count());
-    result.in_time = share(served().filter(|response| response.duration <= CLASS.latency_objective).count());
-    for response in &counted {
-        *result.responses.entry(response.status).or_default() += 1;
+    result.in_time = share(served().filter(|outcome| outcome.duration <= CLASS.latency_objective).count());
+    for outcome in &counted {
+        *result.responses.entry(outcome.status).or_default() += 1;
     }
 }
 
@@ -325,26 +323,26 @@
 
 impl Clients {
     /// Submits jobs at random times, each on its own connection.
-    async fn run(self, responses: Responses, seed: u64) {
+    async fn run(self, outcomes: Outcomes, seed: u64) {
         let mut random = Pcg64::seed_from_u64(seed ^ (self.dispatcher << 32));
         let mut count = 0u64;
         let mut next = Instant::now() + Duration::from_secs_f64(random.random_range(0.0..1.0));
         while next < self.end {
             sleep_until(next).await;
             count += 1;
-            spawn_local(run_client(responses.clone(), self.address, self.dispatcher << 32 | count));
+            spawn_local(run_client(outcomes.clone(), self.address, self.dispatcher << 32 | count));
             let pause: f64 = Exp1.sample(&mut random);
             next += Duration::from_secs_f64(pause / self.rate);
         }
     }
 }
 
-/// Submits one job and records its response.
-async fn run_client(responses: Responses, address: SocketAddr, id: u64) {
+/// Submits one job and records its outcome.
+async fn run_client(outcomes: Outcomes, address: SocketAddr, id: u64) {
     let submitted_at = Instant::now();
     let mut no_connection = None;
     let exchange = submit_job(&mut no_connection, address, ClientJob { class: CLASS.name, id });
     let response = timeout(CLASS.timeout + RESPONSE_SLACK, exchange).await;
     let status = response.ok().and_then(Result::ok).unwrap_or(0);
-    responses.borrow_mut().push(JobOutcome { submitted_at, duration: submitted_at.elapsed(), status });
+    outcomes.borrow_mut().push(JobOutcome { submitted_at, duration: submitted_at.elapsed(), status });
 }
--- a/crates/emulator/tests/planned_drains.rs
+++ b/crates/emulator/tests/planned_drains.rs
@@ -34,15 +34,14 @@
 
 /// Requests a standby of dispatcher `n` until it is granted; returns the body of the last rejection.
 async fn granted_standby(cluster: &ClusterHarness, n: usize) -> String {
-    let (start, mut last) = (Instant::now(), String::new());
+    let (start, mut last_rejection) = (Instant::now(), String::new());
     loop {
-        let ConsoleResponse { status, body: text, .. } =
-            cluster.console(n, "POST", "/standby").await.unwrap();
+        let ConsoleResponse { status, body, .. } = cluster.console(n, "POST", "/standby").await.unwrap();
         if status == 200 {
-            return last;
+            return last_rejection;
         }
-        last = text;
-        assert!(start.elapsed() < Duration::from_secs(15), "d{n}: {last}\n{}", cluster.logs());
+        last_rejection = body;
+        assert!(start.elapsed() < Duration::from_secs(15), "d{n}: {last_rejection}\n{}", cluster.logs());
         sleep(Duration::from_millis(100)).await;
     }
 }
@@ -70,13 +69,13 @@
         granted_standby(&cluster, 0).await;
         // The permit of d3 waits for d0, and the rejection names the budget of the zone.
         sleep(Duration::from_millis(600)).await;
-        let why = rejected_standby(&cluster, 3).await;
-        assert!(why.contains("waits for its turn") && why.contains("zones"), "{why}");
+        let rejection = rejected_standby(&cluster, 3).await;
+        assert!(rejection.contains("waits for its turn") && rejection.contains("zones"), "{rejection}");
         assert!(is_in_mode(&cluster, 3, "active").await && is_in_mode(&cluster, 0, "standby").await);
         granted_standby(&cluster, 1).await;
         sleep(Duration::from_millis(600)).await;
-        let why = rejected_standby(&cluster, 2).await;
-        assert!(why.contains("all"), "{why}");
+        let rejection = rejected_standby(&cluster, 2).await;
+        assert!(rejection.contains("all"), "{rejection}");
         let account = cluster.run_coordinator_command(1, &["account"]).await.unwrap();
         assert!(account.contains("all: 2 unavailable by plan, 0 otherwise, of 6"), "{account}");
         assert_eq!(cluster.console(0, "POST", "/active").await.unwrap().status, 200);
@@ -104,8 +103,11 @@
         }
         rejected_standby(&cluster, 2).await;
         sleep(Duration::from_millis(600)).await;
-        let why = rejected_standby(&cluster, 2).await;
-        assert!(why.contains("all"), "one planned standby and one loss use up the budget of two: {why}");
+        let rejection = rejected_standby(&cluster, 2).await;
+        assert!(
+            rejection.contains("all"),
+            "one planned standby and one loss use up the budget of two: {rejection}"
+        );
         // 40 % of the remaining five dispatchers are still two.
         cluster
             .run_coordinator_command(1, &["strike-off", "--target", "dispatcher/d4", "--by", "test"])
@@ -127,9 +129,9 @@
         cluster.kill_coordinator(1);
         cluster.kill_coordinator(2);
         let began = Instant::now();
-        let why = rejected_standby(&cluster, 1).await;
+        let rejection = rejected_standby(&cluster, 1).await;
         assert!(began.elapsed() < Duration::from_millis(1_500), "{:?}", began.elapsed());
-        assert!(why.contains("no majority") && why.contains("serving goes on"), "{why}");
+        assert!(rejection.contains("no majority") && rejection.contains("serving goes on"), "{rejection}");
         assert!(is_in_mode(&cluster, 1, "active").await);
         let ConsoleResponse { status, body, .. } =
             cluster.console(1, "POST", "/standby?force=1").await.unwrap();
@@ -222,8 +224,8 @@
         cluster.run_coordinator_command(1, &["permit", "begin", "--permit", &first]).await.unwrap();
         request_permit(1).await.unwrap_err();
         sleep(Duration::from_millis(800)).await;
-        let why = request_permit(1).await.unwrap_err().to_string();
-        assert!(why.contains("waits for its turn") && why.contains("pools"), "{why}");
+        let rejection = request_permit(1).await.unwrap_err().to_string();
+        assert!(rejection.contains("waits for its turn") && rejection.contains("pools"), "{rejection}");
         // The first worker drains, ends, and is back in slow start, so the second permit waits until the first worker
         // is warm.
         for phase in ["terminating", "terminated", "in_service"] {
