--- a/crates/emulator/tests/stable_text.rs
+++ b/crates/emulator/tests/stable_text.rs
@@ -209,7 +209,7 @@
         max_probe_gap_ms: 2.5,
         detected_after_ms: vec![3.5, 4.5],
         jobs: 5,
-        answers: BTreeMap::from([(200, 4), (0, 1)]),
+        responses: BTreeMap::from([(200, 4), (0, 1)]),
         jobs_at_cold: 6,
         peak_cold_load: 0.25,
         jobs_at_hung: 7,
@@ -266,11 +266,11 @@
         memory_mb: ResidentMemory { coordinator: 3.0, member: 4.0 },
         ..Side::default()
     };
-    let latency = LatencyResult { answers: BTreeMap::from([(200, 1)]), ..LatencyResult::default() };
-    let slow_start = DayResult { answers: BTreeMap::from([(200, 1)]), ..DayResult::default() };
+    let latency = LatencyResult { responses: BTreeMap::from([(200, 1)]), ..LatencyResult::default() };
+    let slow_start = DayResult { responses: BTreeMap::from([(200, 1)]), ..DayResult::default() };
     let mut text = json(&health_check_result()) + &json(&drain_result()) + &json(&cluster_results());
     text += &(json(&side) + &json(&latency) + &json(&slow_start));
-    let _ = writeln!(text, "{side:?}\n{:?}\n", slow_start.answers);
+    let _ = writeln!(text, "{side:?}\n{:?}\n", slow_start.responses);
     text += &(cluster_results().table() + "\n");
     text += &(shared_health_checks::table(&BTreeMap::from([
         (1, health_check_result()),
