--- a/crates/emulator/src/cluster/cluster_harness/observation.rs
+++ b/crates/emulator/src/cluster/cluster_harness/observation.rs
@@ -104,8 +104,8 @@
 
     /// Returns the number of workers in the endpoint list of dispatcher `n`, from the metrics at its console.
     pub async fn worker_count(&self, n: usize) -> Option<usize> {
-        let answer = self.console(n, "GET", "/status/metrics").await?;
-        let line = answer.body.lines().find(|line| line.starts_with("balancer_shop_workers_known "))?;
+        let response = self.console(n, "GET", "/status/metrics").await?;
+        let line = response.body.lines().find(|line| line.starts_with("balancer_shop_workers_known "))?;
         line.rsplit_once(' ')?.1.parse().ok()
     }
 
@@ -126,9 +126,9 @@
         Ok(start.elapsed())
     }
 
-    /// Waits until every set of workers has a lease holder and no set will be moved any more; returns the time that it
-    /// took. A new holder of a set starts without health check results for its workers. The leader moves one set per
-    /// stability period.
+    /// Waits until every set of workers has a lease holder and no set will be moved any more, because a new holder of a
+    /// set starts without health check results for its workers; returns the time that it took. The leader moves one set
+    /// per stability period.
     ///
     /// # Errors
     /// Returns [`ClusterError::Timeout`] after `MAX_WAIT`.
--- a/crates/emulator/src/cluster/emulated_discovery.rs
+++ b/crates/emulator/src/cluster/emulated_discovery.rs
@@ -67,7 +67,7 @@
     }
 
     /// Adds a reachable worker in a zone, with the present time as its start time, so that it is in slow start.
-    pub fn add_cold(&self, zone: &str, worker: usize, address: SocketAddr) {
+    pub fn add_in_slow_start(&self, zone: &str, worker: usize, address: SocketAddr) {
         self.record_start(worker);
         self.put(zone, worker, "in_service", &address.to_string());
     }
--- a/crates/emulator/src/cluster/shared_health_checks/mod.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/mod.rs
@@ -249,6 +249,7 @@
     job: u64,
     dispatcher: usize,
     submitted_at: u64,
+    /// Time at which the client had the response, or stopped waiting for it.
     answered_at: u64,
     /// Status of the response; 0 if there was none.
     status: u16,
@@ -257,12 +258,12 @@
 /// What the emulated workers and clients recorded, and the state of the workers.
 #[derive(Debug, Default)]
 struct Observations {
-    /// By worker.
+    /// By worker: the probes that reached it.
     probes: Vec<Vec<ProbeArrival>>,
-    /// By worker.
+    /// By worker: the jobs that reached it.
     jobs: Vec<Vec<JobArrival>>,
     outcomes: Vec<JobOutcome>,
-    /// By worker.
+    /// By worker: whether it hangs now.
     is_hung: Vec<bool>,
     /// By worker: its current process.
     workers: Vec<Rc<WorkerModel>>,
--- a/crates/emulator/src/cluster/slow_start.rs
+++ b/crates/emulator/src/cluster/slow_start.rs
@@ -224,7 +224,7 @@
         let name = FIRST_REPLACEMENT + number;
         let model = WorkerModel::new(SLOTS, RUN_TIME, true, plan.seed ^ name as u64);
         let bound = bind_listener("worker listener").await?;
-        discovery.add_cold("north", name, bound.address);
+        discovery.add_in_slow_start("north", name, bound.address);
         spawn_local(serve_worker(Rc::new(Worker(model.clone())), bound.listener));
         replacements.push(model);
         discovery.set_unreachable(plan.workers.staying + number, "terminating");
