--- a/crates/coordination/src/timing.rs
+++ b/crates/coordination/src/timing.rs
@@ -56,7 +56,7 @@
 
 /// Error for two durations that contradict each other, with their settings keys.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{key} is inconsistent with {against}: {problem}")]
+#[error("{key} conflicts with {against}: {problem}")]
 pub struct TimingError {
     /// Settings key of the invalid duration.
     pub key: &'static str,
--- a/crates/coordinator/src/cli/output.rs
+++ b/crates/coordinator/src/cli/output.rs
@@ -39,7 +39,7 @@
     };
     let peer = &member.peer;
     format!(
-        "{}: incarnation {}, session {}, at {}, {state}\n",
+        "{} incarnation {} session {} at {} {state}\n",
         peer.name, peer.incarnation, member.session.0, peer.address
     )
 }
