--- a/crates/emulator/src/checker.rs
+++ b/crates/emulator/src/checker.rs
@@ -78,8 +78,8 @@
 }
 
 impl Location {
-    /// Returns whether an idempotency key of this scope that a worker at the other location has seen is recognized
-    /// here.
+    /// Returns whether workers at this location recognize an idempotency key of this scope after a worker at the other
+    /// location has seen it.
     fn shares_keys_with(self, other: Location, scope: KeyScope) -> bool {
         match scope {
             KeyScope::All => true,
@@ -98,7 +98,7 @@
     never_ran: bool,
 }
 
-/// Worker and the incarnation of a dispatcher that was notified of its drain.
+/// A worker, and the incarnation of a dispatcher that was notified of the worker's drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct DrainNotice {
     incarnation: Incarnation,
--- a/crates/emulator/src/cli/cluster.rs
+++ b/crates/emulator/src/cli/cluster.rs
@@ -148,7 +148,9 @@
         for arm in arms {
             let (name, day) = arm.join().map_err(|_| CliError::ThreadPanicked)??;
             println!(
-                "{name}: used {:.3}, fullest {:.3}, fallen {}, in time {:.3}, served {:.3}, granted {:.1}, answers {:?}",
+                "{name}: new workers: {:.3} of the tolerated jobs, {:.3} in the fullest window, {} overloads; \
+                 jobs since the first replacement: {:.3} served in time, {:.3} served; \
+                 {:.1} slot-seconds granted; responses by status: {:?}",
                 day.used_share, day.peak_load, day.overloads, day.in_time, day.served, day.granted_work, day.responses
             );
             days.insert(name, day);
--- a/crates/emulator/src/cluster/cluster_harness/observation.rs
+++ b/crates/emulator/src/cluster/cluster_harness/observation.rs
@@ -126,9 +126,9 @@
         Ok(start.elapsed())
     }
 
-    /// Waits until every set of workers has a lease holder and no set will be moved any more, because a new holder of a
-    /// set starts without health check results for its workers; returns the time that it took. The leader moves one set
-    /// per stability period.
+    /// Waits until every set of workers has a lease holder and no set will be moved any more; returns the time that it
+    /// took. The leader moves one set per stability period. Failures of workers are detected late while sets are moved,
+    /// because the new holder of a set starts without health check results for its workers.
     ///
     /// # Errors
     /// Returns [`ClusterError::Timeout`] after `MAX_WAIT`.
--- a/crates/emulator/src/cluster/fault_proxy.rs
+++ b/crates/emulator/src/cluster/fault_proxy.rs
@@ -24,7 +24,7 @@
 /// Faults of one direction between two processes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LinkFault {
-    /// Whether no bytes pass; those that were sent are delivered after the partition.
+    /// Whether no bytes pass; bytes that are sent during the partition are delivered after its end.
     pub partitioned: bool,
     /// Additional delay of all bytes.
     pub delay: Duration,
@@ -131,7 +131,7 @@
 
 /// Faults of one connection.
 struct ConnectionFaults {
-    /// Number of bytes after which the connection is reset, if it is.
+    /// Number of bytes after which the connection is reset; `None` if it is not reset.
     reset_after: Option<usize>,
     /// Whether its bytes arrive a second time.
     is_duplicated: bool,
@@ -192,7 +192,7 @@
     write: OwnedWriteHalf,
     /// Second connection that receives the same bytes.
     duplicate: Option<OwnedWriteHalf>,
-    /// Number of remaining bytes after which the connection is reset, if it is.
+    /// Number of remaining bytes after which the connection is reset; `None` if it is not reset.
     bytes_until_reset: Option<usize>,
 }
 
--- a/crates/emulator/src/cluster/lease_harness/faults.rs
+++ b/crates/emulator/src/cluster/lease_harness/faults.rs
@@ -38,7 +38,7 @@
 /// below those of the proxies.
 const MAX_PROCESSES: usize = 100;
 
-/// The processes that a fault may affect; its kind determines which.
+/// The processes that a fault may affect. The kind of the fault determines which of them it affects.
 #[derive(Clone, Copy)]
 struct Candidates {
     holder: NodeId,
@@ -154,8 +154,8 @@
         for response in &responses {
             self.network.borrow_mut().update_link(*response, |link| link.delay = RENEWAL_DELAY);
         }
-        // Renewals follow each other without a long pause, so that the holder most likely waits for a response when it
-        // is paused.
+        // The holder sends its next renewal soon after each response, and the responses are delayed. At the time of its
+        // pause it therefore most likely waits for a response.
         let pause = Recovery::Pause { node: holder, duration_s: duration - PAUSE_AFTER_S };
         self.recover_after(PAUSE_AFTER_S, pause);
         self.recover_after(duration + 0.5, Recovery::ClearDelay(responses));
--- a/crates/emulator/src/cluster/lease_harness/processes.rs
+++ b/crates/emulator/src/cluster/lease_harness/processes.rs
@@ -30,8 +30,8 @@
     pub(super) role: Role,
     pub(super) listen: SocketAddr,
     pub(super) child: Option<Child>,
-    /// Whether it must not be started again: it is a coordinator whose disk is an old copy or lost, or a duplicate of a
-    /// member.
+    /// Whether the process must not be started again, because it is a coordinator whose disk is lost or an old copy, or
+    /// a duplicate of a member.
     pub(super) not_restartable: bool,
 }
 
@@ -118,7 +118,7 @@
             }
         };
         command.args(["serve", "--config"]).arg(self.path(node, "hcl"));
-        // The record is subject to the limit on file sizes too. The lines that it then lacks are in the records of
+        // The record is subject to the limit on file sizes too. Lines that are missing in it are in the records of
         // other coordinators.
         command.arg("--record").arg(self.dir.join(format!("k{number}.jsonl")));
         command
--- a/crates/emulator/src/cluster/lease_harness/recovery.rs
+++ b/crates/emulator/src/cluster/lease_harness/recovery.rs
@@ -10,7 +10,7 @@
 use crate::cluster::error::ClusterError;
 use crate::cluster::fault_proxy::{Direction, NodeId};
 
-/// An action that ends a fault, or that is the next step of one.
+/// An action that ends a fault, or that is the next step of a fault with several steps.
 #[derive(Debug)]
 pub(super) enum Recovery {
     /// Starts a process.
@@ -132,8 +132,8 @@
         Ok(())
     }
 
-    /// Continues a process if it is still a child of this harness, because another process may have its id after its
-    /// end.
+    /// Continues a process if it is still a child of this harness. If it has ended, its id may belong to another
+    /// process, which must not get the signal.
     fn resume(&self, process: u32) {
         let is_child =
             self.processes.iter().any(|running| running.child.as_ref().and_then(Child::id) == Some(process));
--- a/crates/emulator/src/cluster/lease_harness/setup.rs
+++ b/crates/emulator/src/cluster/lease_harness/setup.rs
@@ -31,7 +31,8 @@
 /// XORed with the seed of a schedule for the draws of the harness, so that they differ from those of the schedule.
 const HARNESS_SEED: u64 = 24_301;
 
-/// Number of the next address block of this process. Each schedule has an address block of its own.
+/// Number of the next address block of this process. An address block is a range of loopback addresses, given by their
+/// second and third octet; each schedule has one of its own.
 static NEXT_ADDRESS_BLOCK: AtomicU8 = AtomicU8::new(0);
 
 fn next_address_block() -> [u8; 2] {
@@ -39,12 +40,12 @@
 }
 
 /// Returns the loopback address of a process in an address block.
-pub(super) fn process_address(block: [u8; 2], node: NodeId) -> IpAddr {
-    loopback(block, FIRST_PROCESS_HOST + node)
+pub(super) fn process_address(address_block: [u8; 2], node: NodeId) -> IpAddr {
+    loopback(address_block, FIRST_PROCESS_HOST + node)
 }
 
-fn loopback(block: [u8; 2], host: usize) -> IpAddr {
-    IpAddr::V4(Ipv4Addr::new(127, block[0], block[1], host as u8))
+fn loopback(address_block: [u8; 2], host: usize) -> IpAddr {
+    IpAddr::V4(Ipv4Addr::new(127, address_block[0], address_block[1], host as u8))
 }
 
 /// Returns an address of a host with a free port. The port stays free because no other process uses the host.
@@ -65,13 +66,13 @@
 /// Allocates addresses for this many processes and starts their proxies.
 async fn start_proxies(
     network: &SharedNetwork,
-    block: [u8; 2],
+    address_block: [u8; 2],
     count: usize,
 ) -> Result<ProxiedAddresses, ClusterError> {
     let mut addresses = ProxiedAddresses { listen: Vec::new(), advertised: Vec::new(), proxies: Vec::new() };
     for node in 0..count {
-        let listen = free_address(process_address(block, node))?;
-        let host = loopback(block, FIRST_PROXY_HOST + node);
+        let listen = free_address(process_address(address_block, node))?;
+        let host = loopback(address_block, FIRST_PROXY_HOST + node);
         let proxy = TcpListener::bind((host, 0)).await.map_err(ClusterError::io("proxy listener"))?;
         addresses.advertised.push(proxy.local_addr().map_err(ClusterError::io("proxy listener"))?);
         addresses.listen.push(listen);
--- a/crates/emulator/src/cluster/planned_drains/tests.rs
+++ b/crates/emulator/src/cluster/planned_drains/tests.rs
@@ -66,7 +66,8 @@
     );
 }
 
-/// Guards against a check that excused every unanswered call, because the schedule is always over when it is checked.
+/// Guards against a check that excused every unanswered call: it asked whether the schedule was over at the time of the
+/// check, which is always so, instead of at the end of the call.
 #[test]
 fn unanswered_and_late_calls_are_reported() {
     let calls = |status: u16, duration: u64, started_at: u64| Observations {
--- a/crates/emulator/src/cluster/schedule.rs
+++ b/crates/emulator/src/cluster/schedule.rs
@@ -126,7 +126,8 @@
         FAULT_KINDS.iter().find(|(_, kind)| *kind == self).map_or("", |(name, _)| name)
     }
 
-    /// Whether a schedule contains at most one fault of these kinds, because the coordinator does not serve again.
+    /// Whether the kind is one of those of which a schedule contains at most one fault in all, because the coordinator
+    /// that has the fault does not serve again.
     fn only_once(self) -> bool {
         matches!(self, FaultKind::RestoreOldDisk | FaultKind::LoseDisk)
     }
--- a/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/evaluation.rs
@@ -210,8 +210,8 @@
     for drain in faults.iter().filter(|fault| fault.fault == Fault::DrainWorker) {
         let forbidden = drain.began_at + grace..drain.ended_at;
         for job in observations.jobs[drain.target].iter().filter(|job| forbidden.contains(&job.time)) {
-            // A paused dispatcher was not notified of the drain, and a job that waited in a partitioned link was sent
-            // earlier.
+            // A late arrival is no violation if the dispatcher was paused and could not be notified of the drain, or if
+            // the job was sent before the notification and waited in a partitioned link.
             let is_excused = faults.iter().any(|fault| {
                 matches!(fault.fault, Fault::PauseDispatcher | Fault::PartitionZone)
                     && fault.target == job.dispatcher
@@ -260,7 +260,7 @@
 struct JobEvent {
     time: u64,
     job: u64,
-    /// Worker of an arrival; `None` for a outcome.
+    /// Worker of an arrival; `None` for an outcome.
     worker: Option<usize>,
     /// Status of a response; 0 if there was none, and for an arrival.
     status: u16,
--- a/crates/emulator/src/cluster/shared_health_checks/faults.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/faults.rs
@@ -98,7 +98,8 @@
 
 fn draw_target(targets: &Targets<'_>, fault: Fault, random: &mut Pcg64) -> usize {
     match fault {
-        // A worker in use, because dispatchers send jobs to only a few workers while these suffice.
+        // Selects the worker that received the most jobs. Dispatchers send jobs to only a few workers while these
+        // suffice, so a random worker might have none.
         Fault::HangWorker | Fault::DrainWorker => {
             let any = random.random_range(0..targets.plan.workers);
             busiest_worker(&targets.observations.borrow(), any)
@@ -130,7 +131,7 @@
             Fault::KillLeader => 1.0,
             Fault::KillAllCoordinators => random.random_range(0.1..1.0),
             Fault::DrainWorker => random.random_range(1.0..longest.min(2.0)),
-            // The restarts take their own time.
+            // The fault lasts until all processes have been restarted, so no duration is added.
             Fault::RollingRestart => 0.0,
         })
     }
--- a/crates/emulator/src/cluster/shared_health_checks/mod.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/mod.rs
@@ -315,7 +315,8 @@
     let mut cluster = ClusterHarness::start(dir, binaries, settings.to_json(), setup).await?;
     cluster.wait_for_workers(plan.workers).await?;
     if plan.share_health_checks {
-        // A hang in a set that is moved is detected only after the takeover by the new lease holder.
+        // Faults begin only after the sets have been moved to their lease holders, because a hang of a worker whose set
+        // is being moved would be detected late, by the new lease holder.
         cluster.wait_for_balanced_sets(WORKER_SETS).await?;
     }
     let end = Instant::now() + plan.length;
--- a/crates/emulator/src/cluster/shared_health_checks/tests.rs
+++ b/crates/emulator/src/cluster/shared_health_checks/tests.rs
@@ -64,8 +64,8 @@
     }
 }
 
-/// By their number, jobs take turns in two classes: 1 is not idempotent, 2 is. Only job 1 must not reach two workers,
-/// or be rejected after it reached one.
+/// Jobs with odd numbers are not idempotent, those with even numbers are. Job 1 must therefore not reach two workers,
+/// nor be rejected after it reached one. Job 2 may reach two workers.
 #[test]
 fn repeated_execution_of_a_job_that_is_not_idempotent_is_reported() {
     let is_reported = |id: u64, arrivals: &[u64], status: u16| {
--- a/crates/emulator/src/cluster/slow_start.rs
+++ b/crates/emulator/src/cluster/slow_start.rs
@@ -1,6 +1,6 @@
 //! Replaces most workers by workers in slow start while many dispatchers have little traffic each. Measures the load of
-//! the new workers by their own records, and checks whether all dispatchers together overload one. One such run is a
-//! day.
+//! the new workers by their own records, and checks whether the dispatchers together overload any of them. One such run
+//! is called a day.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/emulator/src/cluster/virtual_time_soak/simulation.rs
+++ b/crates/emulator/src/cluster/virtual_time_soak/simulation.rs
@@ -271,8 +271,8 @@
         }
     }
 
-    /// Opens a session for a process of a member, which may have ended in the meantime. Returns no response if the
-    /// session cannot be opened.
+    /// Opens a session for a process of a member. The process may have ended since it sent the request. Returns `None`
+    /// if the session cannot be opened.
     fn open_session(&mut self, member: usize, process: u64) -> Option<Response> {
         let now = self.leader_clock.at(self.queue.now());
         let name = format!("m{member}");
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -25,7 +25,8 @@
     duration as f64 / 1e6
 }
 
-/// Start of every day. It is not 0 because times before it occur, and the worker list uses 0 for "long ago".
+/// Start of every day. It is above 0 so that times before the start can be represented, and because the worker list
+/// uses 0 for "long ago".
 pub const DAY_START: Micros = 1_000_000_000;
 
 /// Returns the random number generator for one purpose. Each purpose has its own stream, so that more draws for one do
--- a/crates/emulator/src/day/jobs.rs
+++ b/crates/emulator/src/day/jobs.rs
@@ -179,7 +179,7 @@
         self.dispatchers.iter().map(weight).collect()
     }
 
-    /// Draws the mean arrival rate of all jobs, in jobs per second, which is returned, and the quotas of the tenants.
+    /// Draws the quotas of the tenants and the mean arrival rate of all jobs; returns the rate, in jobs per second.
     fn draw_rate_and_quotas(
         &mut self,
         traffic: &TrafficSpec,
@@ -234,7 +234,7 @@
         for job in &mut self.jobs {
             let quota = self.quotas.get(job.tenant as usize).copied().unwrap_or_default();
             let Some((left, since)) = meters.get_mut(job.tenant as usize) else { continue };
-            // Unused quota accumulates up to that of one second.
+            // Unused quota accumulates up to the quota of one second.
             *left = (*left + quota * seconds(job.arrival - *since)).min(quota.max(1.0));
             *since = job.arrival;
             if *left >= 1.0 {
--- a/crates/emulator/src/metrics.rs
+++ b/crates/emulator/src/metrics.rs
@@ -134,7 +134,7 @@
     pub large_admitted: u64,
     /// Admitted large jobs that were not served in time.
     pub large_late: u64,
-    /// Those of `large_late` that starved: smaller jobs that arrived later were started in their place.
+    /// Late large jobs (see `large_late`) that starved: smaller jobs that arrived later were started in their place.
     pub large_starved: u64,
     /// Value lost, by cause.
     pub lost: LostValue,
--- a/crates/emulator/src/router.rs
+++ b/crates/emulator/src/router.rs
@@ -173,7 +173,8 @@
                     oracle.predict_completion(*worker, request).map(|completion| (completion, *worker))
                 });
                 let (completion, worker) = predictions.min_by(|left, right| left.0.total_cmp(&right.0))?;
-                // A request that misses its objective anyway would only delay others.
+                // Sends no request that would miss its latency objective on every worker, because it would only delay
+                // others.
                 return (completion <= oracle.time_to_objective(request)).then_some(worker);
             }
             _ => random_candidate(&mut self.rng),
--- a/crates/emulator/src/spec/layer.rs
+++ b/crates/emulator/src/spec/layer.rs
@@ -4,7 +4,7 @@
 
 use super::ValueRange;
 
-/// For keys in milliseconds; specifications hold all times in seconds.
+/// Converts keys in milliseconds, because specifications hold all times in seconds.
 pub(super) const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
 /// A block of the experiment, if present, and the same block of the base. Keys of the experiment take precedence.
--- a/crates/emulator/src/spec/reader.rs
+++ b/crates/emulator/src/spec/reader.rs
@@ -119,7 +119,10 @@
                 (Ok(slots), Value::Number(part)) if (1..=1024).contains(&slots) && *part >= 0.0 => {
                     Ok((slots, *part))
                 }
-                _ => Err(section.error("slots", format!("expected slots = part, found {name} = {part}"))),
+                _ => {
+                    let problem = format!("expected NUMBER_OF_SLOTS = SHARE_OF_JOBS, found {name} = {part}");
+                    Err(section.error("slots", problem))
+                }
             };
             parts.iter().map(part).collect::<HclResult<Vec<_>>>()?
         }
@@ -128,7 +131,7 @@
         }
     };
     if slots.iter().map(|(_, part)| part).sum::<f64>() <= 0.0 {
-        return Err(section.error("slots", "the parts sum to 0"));
+        return Err(section.error("slots", "the shares of the jobs sum to 0"));
     }
     Ok(slots)
 }
@@ -257,7 +260,7 @@
 
 fn named_fault(case: &Section, name: &Value, sections: &[&Section]) -> HclResult<FaultSpec> {
     let Value::String(name) = name else {
-        return Err(case.error("troubles", format!("expected names, found {name}")));
+        return Err(case.error("troubles", format!("expected each name as a string, found {name}")));
     };
     let Some(kind) = FaultKind::by_name(name) else {
         return Err(case.error("troubles", format!("unknown trouble \"{name}\"")));
--- a/crates/emulator/src/worker/mod.rs
+++ b/crates/emulator/src/worker/mod.rs
@@ -20,14 +20,14 @@
 const WARM_UP_STEP: Micros = 250_000;
 /// Rounding tolerance of the service clock, in seconds of work.
 const WORK_TOLERANCE: f64 = 1e-9;
-/// A completion up to this much earlier than a whole microsecond counts as reached.
+/// The time of a completion is rounded up to a whole microsecond, unless it exceeds one by no more than this.
 const COMPLETION_TOLERANCE_MICROS: f64 = 1e-3;
 /// Upper bound of the time until a completion, so that it fits [`Micros`].
 const MAX_REMAINING_MICROS: f64 = 1e15;
 const MICROS_PER_SECOND: f64 = 1e6;
 /// Shortest warm-up, in seconds.
 const MIN_WARM_UP_SECONDS: f64 = 1e-6;
-/// Part of the work of a full-speed warm-up period after which a worker is warm, however early.
+/// A worker is warm as soon as it has done this share of the work that it could do in a warm-up period at full speed.
 const WARM_UP_WORK_SHARE: f64 = 0.5;
 /// Largest part of a machine that another program takes.
 const MAX_STOLEN_SHARE: f64 = 0.99;
--- a/crates/emulator/src/worker/overload.rs
+++ b/crates/emulator/src/worker/overload.rs
@@ -5,7 +5,7 @@
 use super::AssignedJob;
 use crate::day::{seconds, Micros};
 
-/// Allowance above the multiple of the limit, as a factor: the work of jobs is random, and senders only know its mean.
+/// Factor by which the work may exceed the limit, because the work of a job is random and senders know only its mean.
 const OVERLOAD_SLACK: f64 = 1.15;
 /// Part of the work above which an overload is attributed to senders that had been notified of the worker's start.
 const INFORMED_NUMERATOR: f64 = 2.0;
--- a/crates/emulator/tests/lease_schedules.rs
+++ b/crates/emulator/tests/lease_schedules.rs
@@ -109,7 +109,7 @@
     assert_eq!(
         violated_rules("", &reused),
         [LeaseRule::SessionOfOneProcess],
-        "seen with seed 201: a process drew the same number as its predecessor and got its session"
+        "seen with seed 201: a process drew the same number as its predecessor and got the predecessor's session"
     );
     // The earliest record of a grant counts, so a replica that records it late does not matter. Here the second replica
     // recorded it at 300, before the effect at 400.
--- a/crates/emulator/tests/planned_drains.rs
+++ b/crates/emulator/tests/planned_drains.rs
@@ -67,7 +67,8 @@
 fn a_standby_waits_for_the_budgets_of_its_zone_and_of_the_fleet() {
     run_with_cluster(|cluster| async move {
         granted_standby(&cluster, 0).await;
-        // The permit of d3 waits for d0, and the rejection names the budget of the zone.
+        // The standby of d0 uses up the budget of the zone, so the permit of d3 waits, and the rejection names that
+        // budget.
         sleep(Duration::from_millis(600)).await;
         let rejection = rejected_standby(&cluster, 3).await;
         assert!(rejection.contains("waits for its turn") && rejection.contains("zones"), "{rejection}");
@@ -79,7 +80,8 @@
         let account = cluster.run_coordinator_command(1, &["account"]).await.unwrap();
         assert!(account.contains("all: 2 unavailable by plan, 0 otherwise, of 6"), "{account}");
         assert_eq!(cluster.console(0, "POST", "/active").await.unwrap().status, 200);
-        // d3 asked before d2, and its zone's budget is free again.
+        // d0 is active again, so the budget of its zone allows a standby of d3. The permit of d3 is granted before that
+        // of d2, because d3 requested its standby first.
         granted_standby(&cluster, 3).await;
         assert!(is_in_mode(&cluster, 2, "active").await);
     });
--- a/crates/emulator/tests/shared_health_checks.rs
+++ b/crates/emulator/tests/shared_health_checks.rs
@@ -27,9 +27,10 @@
 /// Guards against sets formed by the worker's number alone: a set then had two workers in two zones, and its lease
 /// holder could not distinguish a hung worker from a zone that it could not reach (seed 208).
 ///
-/// The harness waits until no set will be moved, because the six sets are moved one by one for 5.2 s to 6.3 s after the
-/// start. If the worker's set was moved during the hang of 4.5 s, dispatchers detected the hang after 4.1 s to 4.54 s
-/// instead of 1.6 s to 2.6 s, and the test was flaky on a loaded machine.
+/// After the start, the six sets are moved one by one, which takes 5.2 s to 6.3 s. The harness waits for the end of the
+/// moves before it injects the hang of 4.5 s. Without this wait, the worker's set could be moved during the hang.
+/// Dispatchers then detected the hang after 4.1 s to 4.54 s instead of 1.6 s to 2.6 s, and the test was flaky on a
+/// loaded machine.
 #[test]
 fn a_hung_worker_is_detected_by_every_dispatcher() {
     let script = &[ScriptedFault { fault: Fault::HangWorker, target: 3, zone: 0 }];
--- a/crates/emulator/tests/stable_results.rs
+++ b/crates/emulator/tests/stable_results.rs
@@ -153,7 +153,7 @@
     }
 }
 
-/// Returns the line of an action. The digests of the snapshots cover its words.
+/// Returns the line of an action. The words must not change, because digests in the snapshots are computed from them.
 fn action_text(action: &Action) -> String {
     match action {
         Action::Send { request, worker, timeout } => {
@@ -187,7 +187,7 @@
     }
 }
 
-/// Returns the line of an event. The digests of the snapshots cover its words.
+/// Returns the line of an event. The words must not change, because digests in the snapshots are computed from them.
 fn event_text(event: &Event<'_>) -> String {
     match event {
         Event::Request(request) => format!(
