--- a/crates/cluster-member/src/effects/publisher.rs
+++ b/crates/cluster-member/src/effects/publisher.rs
@@ -169,7 +169,7 @@
         let PublishedEffect { sequence, body } = latest.borrow_and_update().clone();
         let effect = Effect { lease: term.lease.clone(), token: term.token, sequence, body: body.to_vec() };
         let encoded = encode(&effect)?;
-        // Nothing but the record lies between this check and the write, because the lease may expire in between.
+        // The lease may expire between this check and the write, so nothing but the record may come between them.
         let now = clock::now();
         if !lease_check.permits(member, term, now) {
             continue;
--- a/crates/cluster-member/src/endpoint_list.rs
+++ b/crates/cluster-member/src/endpoint_list.rs
@@ -1,10 +1,10 @@
 //! Endpoint list: one lease holder watches discovery and broadcasts the complete list to all members. Pure: no I/O and no
 //! clock.
 //!
-//! Events may arrive in any order: a member does not apply one whose discovery revision is older than the last applied
-//! one. The lease holder sends an event only when discovery has responded, so each event shows that discovery is alive.
-//! A member that relies on the lease holder therefore notices a hanging discovery as soon as a member that watches
-//! discovery itself.
+//! Events may arrive in any order, so a member does not apply an event whose discovery revision is older than that of
+//! the last applied event. The lease holder sends an event only when discovery has responded, so each event shows that
+//! discovery is alive. A member that relies on the lease holder therefore notices that discovery hangs as soon as a
+//! member that watches discovery itself does.
 
 use std::collections::BTreeMap;
 
@@ -19,8 +19,8 @@
 pub struct WatchEvent {
     /// Name of the discovery service that counts the revisions; revisions of different sources are not comparable.
     pub source: String,
-    /// Number of members. When the lease holder is lost, they return to polling at a limited rate, hence over a time that
-    /// depends on this number.
+    /// Number of members. When the lease holder is lost, the members return to polling at a limited rate, hence over a
+    /// time that depends on this number.
     #[serde(rename = "members")]
     pub member_count: u64,
     /// Complete list as discovery sends it, or only the revision if nothing has changed.
--- a/crates/cluster-member/src/health_check/verdict.rs
+++ b/crates/cluster-member/src/health_check/verdict.rs
@@ -53,7 +53,7 @@
         let present_term = self.clock_offsets.get(&set).copied().filter(|offset| offset.token == token);
         let fastest = present_term.unwrap_or(new_term).smallest.min(offset);
         self.clock_offsets.insert(set, ClockOffset { token, smallest: fastest });
-        // A report that took longer than the fastest one is older by the difference.
+        // The time that this report was in flight beyond that of the fastest report counts toward its age.
         let delay = u64::try_from(offset - fastest).unwrap_or(u64::MAX);
         self.reports.insert(set, ReceivedReport { sent_at: now.saturating_sub(delay), report });
     }
--- a/crates/cluster-member/src/member/replica_selection.rs
+++ b/crates/cluster-member/src/member/replica_selection.rs
@@ -15,9 +15,9 @@
 const INITIAL_BACKOFF: Micros = 10_000;
 /// Maximum number of times that the upper bound is doubled.
 const MAX_DOUBLINGS: u32 = 8;
-/// Divisor of the lease duration that gives the upper bound of every delay. The bound depends on the lease duration
-/// because a session may expire during a delay.
-const MAX_BACKOFF_DIVISOR: Micros = 4;
+/// Divisor of the lease duration that gives the longest possible delay. The bound depends on the lease duration because
+/// a session may expire during a delay.
+const LEASE_DURATION_DIVISOR: Micros = 4;
 
 /// Replica with its address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -84,7 +84,7 @@
 
 impl Backoff {
     pub(super) fn new(lease_duration: Micros) -> Backoff {
-        Backoff { max_delay_bound: lease_duration / MAX_BACKOFF_DIVISOR, attempts: 0 }
+        Backoff { max_delay_bound: lease_duration / LEASE_DURATION_DIVISOR, attempts: 0 }
     }
 
     /// Resets the backoff after a connection that lasted long enough.
--- a/crates/cluster-member/src/member/session.rs
+++ b/crates/cluster-member/src/member/session.rs
@@ -178,7 +178,7 @@
         connection: &mut Connection,
         requested_at: Micros,
     ) -> Result<(), ConnectionError> {
-        // Measured by the clock of leases from the time of the last request.
+        // The interval is measured by the clock of leases, from the time of the last request.
         let due_in = (requested_at + self.config.timing.renewal_interval).saturating_sub(clock::now());
         let due = Instant::now() + Duration::from_micros(due_in);
         let mut leave_requested = self.leave_requested.subscribe();
--- a/crates/cluster-member/src/slow_start/allocator.rs
+++ b/crates/cluster-member/src/slow_start/allocator.rs
@@ -13,8 +13,8 @@
 /// Weight added for every member, as a fraction of the mean usage, so that a member that becomes busy already has
 /// quota.
 const BASE_USAGE_WEIGHT: f64 = 0.05;
-/// Work of a grant, as a multiple of the work of a typical job. Less would not suffice for a job, and of more the
-/// unused rest would be lost.
+/// Work of a grant, as a multiple of the work of a typical job. A smaller grant would not suffice for a job, and the
+/// unused rest of a larger one would be lost.
 const TYPICAL_JOBS_PER_GRANT: f64 = 1.25;
 
 #[derive(Debug, Clone, Copy)]
--- a/crates/cluster-member/src/slow_start/granted_quota.rs
+++ b/crates/cluster-member/src/slow_start/granted_quota.rs
@@ -58,7 +58,7 @@
     fn usable(&self, grant: &Grant, now: Micros) -> Option<UsableQuota> {
         let expires_at = grant.clock_reading + self.grant_ttl;
         let for_this_process = grant.process_id == self.process_id;
-        // A reading of this process's clock cannot be in the future.
+        // A clock reading in the future cannot be this process's, so such a grant is dropped.
         let is_current = grant.clock_reading <= now && expires_at > now;
         (for_this_process && is_current).then_some(UsableQuota {
             worker: grant.worker,
--- a/crates/cluster-member/src/wire/connection.rs
+++ b/crates/cluster-member/src/wire/connection.rs
@@ -66,7 +66,7 @@
 
 impl Connection {
     fn from_stream(stream: TcpStream) -> Connection {
-        // Messages are small, so that Nagle's algorithm would only add delay.
+        // Messages are small, so Nagle's algorithm would only add delay.
         let _ = stream.set_nodelay(true);
         let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_HANDSHAKE_FRAME_BYTES).new_codec();
         Connection(Framed::new(stream, codec))
--- a/crates/cluster-member/tests/health_check.rs
+++ b/crates/cluster-member/tests/health_check.rs
@@ -141,7 +141,7 @@
 #[test]
 fn an_observer_partitioned_from_a_zone_gives_no_verdict_there() {
     let now = 10 * SECOND;
-    // Cannot reach the zone "north" but sees the other zones.
+    // This observer cannot reach the zone "north" but sees the other zones.
     let partitioned = last_report("south", |worker| worker >= 2);
     let sees_all = last_report("west", |_| true);
     let confirms = last_report("west", |worker| worker >= 2);
@@ -180,7 +180,7 @@
         if let Some(report) = scheduler.next_report(now, &zones) {
             reports.record(0, FencingToken(1), report, now);
         }
-        assert!(reports.verdicts(now).is_empty(), "at {now}");
+        assert!(reports.verdicts(now).is_empty(), "a worker is considered unhealthy at {now} us");
     }
 }
 
--- a/crates/cluster-member/tests/slow_start.rs
+++ b/crates/cluster-member/tests/slow_start.rs
@@ -48,9 +48,9 @@
 /// Whether processes keep track of the messages that they accepted.
 #[derive(Clone, Copy, PartialEq)]
 enum Receivers {
-    /// They do, as in production.
+    /// Processes keep track of accepted messages, as in production.
     RememberAccepted,
-    /// They do not, so that a message that arrives twice counts twice.
+    /// Processes do not keep track of accepted messages, so a message that arrives twice counts twice.
     ForgetAccepted,
 }
 
@@ -171,12 +171,12 @@
     let count = |process_id| grants.iter().filter(|grant| grant.process_id == process_id).count();
     assert!(
         count(1) > 5 * count(2) && count(2) > count(3) && count(3) > 0,
-        "{} {} {}",
+        "number of grants for processes 1, 2 and 3: {}, {}, {}",
         count(1),
         count(2),
         count(3)
     );
-    assert_eq!(count(4), 0, "its usage report is stale");
+    assert_eq!(count(4), 0, "the usage report of process 4 is stale");
 }
 
 #[test]
@@ -198,7 +198,7 @@
     assert_eq!(
         usable,
         [UsableQuota { worker: 1, work: 0.2, expires_at: 1_400_000 }],
-        "not the grant of another process, an expired one, or one with a clock reading in the future"
+        "the other grants are for another process, have expired, or have a clock reading in the future"
     );
     assert!(filter.accept(FencingToken(3), 1, &grants, SECOND).is_empty());
     assert!(filter.accept(FencingToken(2), 9, &grants, SECOND).is_empty());
--- a/crates/coordination/src/leader_state.rs
+++ b/crates/coordination/src/leader_state.rs
@@ -32,7 +32,8 @@
     /// Renews a session whose member acknowledged the view of this revision. Must be called only after a majority
     /// has confirmed, after the request arrived, that this replica still leads.
     ///
-    /// The member measures the session from its request and the leader from `now`, which is later.
+    /// The member measures the session from its request and the leader from `now`, which is later, so the session
+    /// expires at the member first.
     ///
     /// # Errors
     /// Returns [`CommandRejection::NoSuchSession`] if the session is unknown or about to expire, and
--- a/crates/coordination/src/lease_client.rs
+++ b/crates/coordination/src/lease_client.rs
@@ -154,7 +154,7 @@
         self.session = None;
     }
 
-    /// Returns the expiry of a session, measured from the request of its renewal by invariant 4 of the crate.
+    /// Returns the expiry of a session, measured from the request of its renewal as invariant 4 of the crate requires.
     fn expiry(&self, requested_at: Micros, now: Micros) -> Micros {
         let start =
             if self.injected_bug == Some(InjectedBug::LeaseFromResponse) { now } else { requested_at };
--- a/crates/coordination/src/session_monitor.rs
+++ b/crates/coordination/src/session_monitor.rs
@@ -15,7 +15,7 @@
     unstable_since: Option<Micros>,
     /// Revision of the latest view that the member acknowledged.
     acknowledged: Revision,
-    /// Whether the session's expiry was proposed. No renewal is confirmed unless the proposal is rejected.
+    /// Whether the session's expiry was proposed. If so, renewals are rejected until the proposal fails.
     expiry_proposed: bool,
 }
 
@@ -123,8 +123,8 @@
         })
     }
 
-    /// Returns whether every session older than the fencing revision has acknowledged it. A later session received a
-    /// view with this revision when it was opened.
+    /// Returns whether every session older than the fencing revision has acknowledged it. A later session need not,
+    /// because it received a view with this revision when it was opened.
     pub(crate) fn fence_acknowledged(&self, fencing_revision: Revision, state: &StateMachine) -> bool {
         state.sessions().keys().all(|id| id.0 >= fencing_revision || self.acknowledged(*id, fencing_revision))
     }
--- a/crates/coordination/src/state_machine/sessions.rs
+++ b/crates/coordination/src/state_machine/sessions.rs
@@ -155,7 +155,7 @@
         let session = self.sessions.remove(&id).ok_or(CommandRejection::NoSuchSession)?;
         self.membership_revision = index;
         self.free_leases_of(index, id);
-        // Whether a superseded session was short was recorded when its successor was opened.
+        // A superseded session that was short was already counted as short when its successor was opened.
         if !session.superseded {
             if let Some(history) = self.names.get_mut(&session.name) {
                 history.last_session_short = short_lived;
--- a/crates/coordination/tests/coordination/leader_state.rs
+++ b/crates/coordination/tests/coordination/leader_state.rs
@@ -62,8 +62,8 @@
     let Command::GrantLease { session: chosen, .. } = grant else { panic!("{grant:?}") };
     let other = if chosen == a { b } else { a };
     let name = if chosen == a { "a" } else { "b" };
-    // A later process of the chosen member opens a session before the grant is applied, so the chosen one is
-    // superseded.
+    // A later process of the chosen member opens a session before the grant is applied, so the session that the grant
+    // names is superseded.
     cluster.open_session(SECOND, name, 9);
     assert_eq!(cluster.apply(SECOND, &grant), CommandOutcome::Rejected(CommandRejection::NoSuchSession));
     let again = cluster.leader.due_commands(SECOND, &cluster.state);
--- a/crates/coordination/tests/format.rs
+++ b/crates/coordination/tests/format.rs
@@ -296,7 +296,7 @@
 
 /// Lists every value that the state's accessors return. The labels are not taken from the code, so that the text does
 /// not change when an identifier is renamed.
-fn described(state: &StateMachine) -> String {
+fn accessor_values(state: &StateMachine) -> String {
     let mut text = format!(
         "revisions: {} leases {} members {} disruption {}\nnext token: {}\n",
         state.revision(),
@@ -351,12 +351,16 @@
         let bytes = log.state.snapshot();
         assert_eq!(u16::from(bytes[0]), version);
         let restored = StateMachine::restore(&bytes).unwrap();
-        assert_eq!(described(&restored), described(&log.state));
+        assert_eq!(accessor_values(&restored), accessor_values(&log.state));
         assert_eq!(restored, log.state);
         assert_eq!(restored.digest(), log.state.digest());
         assert_eq!(restored.snapshot(), bytes);
-        let text =
-            format!("bytes: {}\ndigest: {:016x}\n{}", hex(&bytes), restored.digest(), described(&restored));
+        let text = format!(
+            "bytes: {}\ndigest: {:016x}\n{}",
+            hex(&bytes),
+            restored.digest(),
+            accessor_values(&restored)
+        );
         insta::assert_snapshot!(format!("snapshot_version_{version}"), text);
     }
 }
--- a/crates/coordinator/src/cli/arguments.rs
+++ b/crates/coordinator/src/cli/arguments.rs
@@ -78,9 +78,9 @@
     pub(super) token: Option<FencingToken>,
     /// Number of the replica to be replaced.
     pub(super) replaced: Option<u64>,
-    /// Number of the replica that replaces it.
+    /// Number of the new replica.
     pub(super) replacement: Option<u64>,
-    /// Address of the replica that replaces it.
+    /// Address of the new replica.
     pub(super) replacement_address: Option<String>,
     pub(super) budgets_file: Option<PathBuf>,
     /// Version of the budgets that the operator has seen.
--- a/crates/coordinator/src/operator_client/error.rs
+++ b/crates/coordinator/src/operator_client/error.rs
@@ -47,7 +47,7 @@
     #[error("unexpected response from the leader: {}", describe(.0))]
     UnexpectedLeaderResponse(Box<Response>),
     /// No replica leads.
-    #[error("no replica leads: a majority of the replicas must run and reach each other{}", Lines(.unreachable))]
+    #[error("no replica leads: a majority of the replicas must run and reach each other{}", ErrorLines(.unreachable))]
     NoLeader {
         /// Errors of the replicas that are not reached.
         unreachable: Vec<OperatorError>,
@@ -140,9 +140,9 @@
 }
 
 /// Formats each error on an indented line of its own.
-struct Lines<'a>(&'a [OperatorError]);
+struct ErrorLines<'a>(&'a [OperatorError]);
 
-impl fmt::Display for Lines<'_> {
+impl fmt::Display for ErrorLines<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|error| write!(f, "\n  {error}"))
     }
--- a/crates/coordinator/src/operator_client/mod.rs
+++ b/crates/coordinator/src/operator_client/mod.rs
@@ -156,7 +156,7 @@
 /// # Errors
 /// Returns [`OperatorError::LeaderUnavailable`] if no leading replica responds.
 pub async fn disruption_state(config: &Config) -> Result<DisruptionSnapshot, OperatorError> {
-    // The leader sends no state if it never changed, because it is empty then.
+    // The leader omits a disruption state that was never changed; such a state is empty.
     match call_leader(config, Operation::DisruptionState { known_revision: 0 }).await? {
         Response::DisruptionState { revision, state } => {
             Ok(DisruptionSnapshot { revision, state: state.map(|state| *state).unwrap_or_default() })
--- a/crates/coordinator/src/replica/apply.rs
+++ b/crates/coordinator/src/replica/apply.rs
@@ -22,7 +22,7 @@
 
 impl Replica {
     /// Processes Raft's ready state in the order that Raft requires: a leader's messages are sent at once, all others
-    /// after the state that they promise is stored; committed entries are applied last.
+    /// once the state that they promise has been stored; committed entries are applied last.
     pub(super) fn process_ready(&mut self, now: Micros) -> Result<(), CoordinatorError> {
         let mut ready = self.raw_node.ready();
         self.send_to_peers(ready.take_messages());
@@ -81,7 +81,7 @@
             if entry.get_entry_type() != EntryType::EntryNormal {
                 self.apply_configuration_change(&entry)?;
             } else if entry.data.is_empty() {
-                // The empty entry with which a leader begins its term.
+                // This is the empty entry with which a leader begins its term.
                 self.state.skip_entry(entry.index);
             } else {
                 self.apply_command(&entry, now)?;
--- a/crates/coordinator/src/replica/leadership.rs
+++ b/crates/coordinator/src/replica/leadership.rs
@@ -64,8 +64,8 @@
         self.redirect_waiting_clients();
     }
 
-    /// Redirects all waiting clients to the next leader. Their proposals may still be committed, but requests are
-    /// idempotent.
+    /// Redirects all waiting clients to the next leader. Their proposals may still be committed. Clients may repeat
+    /// them nevertheless, because requests are idempotent.
     fn redirect_waiting_clients(&mut self) {
         let response = self.not_leader_response();
         let mut requesters = self.proposals.drain();
--- a/crates/coordinator/src/replica/mod.rs
+++ b/crates/coordinator/src/replica/mod.rs
@@ -257,7 +257,8 @@
     }
 
     fn propose_permit_expirations(&mut self, now: Micros) {
-        // A permit remains due until its proposed expiry is applied, so the expiry is not proposed again at once.
+        // A permit remains due until its proposed expiry is applied. Without this delay between proposals, the same
+        // expiry would be proposed again on each call.
         if now.saturating_sub(self.permit_expiry_proposed_at) <= self.timing.heartbeat_interval {
             return;
         }
--- a/crates/coordinator/src/replica/peers.rs
+++ b/crates/coordinator/src/replica/peers.rs
@@ -115,8 +115,8 @@
     }
 
     fn is_known_peer(&self, peer: u64) -> bool {
-        // A joining replica has no configuration yet and accepts all peers. They know it once its addition is
-        // committed.
+        // A joining replica has no configuration yet, so it accepts all peers. The other replicas accept a joining
+        // replica once the command that adds it is committed.
         let is_joining = self.configuration == ConfState::default();
         let votes_or_learns = self.raw_node.raft.prs().iter().any(|(id, _)| *id == peer);
         is_joining || votes_or_learns || self.state.added_replicas().contains_key(&peer)
@@ -154,7 +154,7 @@
         if message.from != peer || message.to != self.identity.replica_id {
             return Ok(());
         }
-        // A pre-vote names a term that the peer has not entered.
+        // A pre-vote names a term that the peer has not entered, so its term is not recorded.
         let is_pre_vote = matches!(
             message.get_msg_type(),
             MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse
--- a/crates/coordinator/src/replica/requests.rs
+++ b/crates/coordinator/src/replica/requests.rs
@@ -167,7 +167,8 @@
         self.respond(requester, response);
     }
 
-    /// Builds the response to a member that opened a session. It starts the session's lease, so only a leader sends it.
+    /// Builds the response to a member that opened a session. The response makes the session valid at the member, so
+    /// only a leader sends it.
     fn session_opened_response(
         &mut self,
         connection: ConnectionId,
--- a/crates/coordinator/src/server/listener.rs
+++ b/crates/coordinator/src/server/listener.rs
@@ -20,7 +20,8 @@
 
 /// Length of the queue to a client, in messages.
 const CLIENT_QUEUE_LENGTH: usize = 64;
-/// Maximum number of connections beyond the limit that are rejected with a reason; any more are closed without one.
+/// Maximum number of connections beyond the limit that are rejected with a reason; further ones are closed without a
+/// reason.
 const MAX_REJECTIONS: usize = 32;
 /// Delay after a failed accept; the most likely cause is that no file descriptors are left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
--- a/crates/coordinator/src/store/bootstrap.rs
+++ b/crates/coordinator/src/store/bootstrap.rs
@@ -10,7 +10,7 @@
 use super::format::{StoreHeader, STORE_FILE, STORE_FORMAT};
 use super::{RetainedLog, SnapshotWrite, Store, StoreError, WriteBatch};
 
-/// Name of the file until it is complete.
+/// Name of the store's file until it is complete.
 const UNFINISHED_FILE: &str = "keeper.new";
 
 /// Index and term of the snapshot with which every replica of a new installation begins.
--- a/crates/coordinator/src/store/mod.rs
+++ b/crates/coordinator/src/store/mod.rs
@@ -20,7 +20,7 @@
 use format::{StoreHeader, LOG_TABLE, META_TABLE, PEERS_TABLE, STORE_FORMAT};
 
 const LOCK_FILE: &str = "keeper.lock";
-/// Copy of the store that a start opens, and that then replaces the store.
+/// Name of the copy of the store that is opened at a start and then replaces the store.
 const OPENING_FILE: &str = "keeper.open";
 
 /// Content of the store at the start.
@@ -94,7 +94,8 @@
         }
         let lock = lock(directory)?;
         // Opening repairs the file after a crash. If a write fails during the repair, as on a full disk, redb marks the
-        // damaged file as intact. A copy is opened instead, which is removed on failure: the store remains unchanged.
+        // damaged file as intact. A copy is opened instead, which is removed on failure, so the store remains
+        // unchanged.
         let copy = directory.join(OPENING_FILE);
         let opened = Store::open_copy(&file, &copy, lock, installation, replica_id);
         if opened.is_err() {
--- a/crates/coordinator/tests/cluster/agreement.rs
+++ b/crates/coordinator/tests/cluster/agreement.rs
@@ -102,7 +102,7 @@
     let status = cluster.replicas[&leader].status();
     assert!(
         status.first_log_index > 3_000,
-        "the log begins at {} of {}",
+        "the log begins at entry {}, and entry {} is the last applied one",
         status.first_log_index,
         status.applied_index
     );
--- a/crates/coordinator/tests/cluster/replacement.rs
+++ b/crates/coordinator/tests/cluster/replacement.rs
@@ -28,7 +28,7 @@
         "the new replica received entries before it was added"
     );
     // A joining replica has no configuration, but must accept the handshakes of the replicas that will send it the log.
-    // Real processes could not complete a replacement when it rejected them.
+    // When it rejected these handshakes, a replacement between real processes never completed.
     let leader_identity = cluster.replicas[&leader].identity();
     assert_eq!(handshake(cluster.replicas.get_mut(&4).unwrap(), leader_identity), Ok(()));
     let new = cluster.replicas[&4].identity();
--- a/crates/coordinator/tests/compatibility/command_line.rs
+++ b/crates/coordinator/tests/compatibility/command_line.rs
@@ -23,7 +23,7 @@
     MemberStatus { session: SessionId(session), peer, stable, superseded, consecutive_short_sessions: 2 }
 }
 
-/// Returns the status of a leader. Its values differ, so that exchanged values would show in the output.
+/// Returns the status of a leader. All its values are different, so that exchanged values would show in the output.
 fn leader_status() -> ReplicaStatus {
     ReplicaStatus {
         replica_id: 1,
--- a/crates/disruption-budget/src/canary_analysis/evidence.rs
+++ b/crates/disruption-budget/src/canary_analysis/evidence.rs
@@ -6,7 +6,7 @@
 
 /// Odds ratios, canary against baseline, that the test can detect.
 const TESTED_ODDS_RATIOS: [f64; 4] = [1.5, 2.0, 4.0, 16.0];
-/// A canary whose failure share is this fraction of the acceptable one passes quickly.
+/// Fraction of the acceptable failure share at which a canary passes quickly.
 const CLEARLY_GOOD_FRACTION: f64 = 0.25;
 
 /// Logarithms of products of likelihood ratios, for one class and kind of failure.
--- a/crates/disruption-budget/src/canary_analysis/mod.rs
+++ b/crates/disruption-budget/src/canary_analysis/mod.rs
@@ -1,13 +1,13 @@
-//! Canary analysis: a sequential test, by job class, whether a new version fails more often than the old version that
-//! runs at the same time in the same zone. Its error rates hold however often the verdict is read.
+//! Canary analysis: a sequential test, for each job class, of whether a new version fails more often than the old
+//! version that runs at the same time in the same zone. Its error rates hold however often the verdict is read.
 //!
 //! Each window gives the number of jobs of both sides and the number of all failures. Given these sums, the number of
 //! failures on the canary's side is hypergeometric while both versions are equally good, whatever made the jobs fail.
 //! So failures that both sides share are no evidence against the canary. If the odds of a failure are higher on the
 //! canary's side, the number follows Fisher's noncentral hypergeometric distribution. The product of the likelihood
-//! ratios of the two, over windows, zones and several odds ratios, is a test martingale: the probability that it ever
-//! exceeds `1 / a` is at most `a` while the canary is no worse (Ville's inequality). The inverse ratio, and the
-//! canary's own failure share against an acceptable one, are the evidence that it is good.
+//! ratios of the two distributions, over windows, zones and several odds ratios, is a test martingale: the probability
+//! that it ever exceeds `1 / a` is at most `a` while the canary is no worse (Ville's inequality). The inverse ratio,
+//! and the canary's own failure share against an acceptable one, are the evidence that it is good.
 
 mod evidence;
 mod settings;
--- a/crates/disruption-budget/src/command.rs
+++ b/crates/disruption-budget/src/command.rs
@@ -16,8 +16,8 @@
         /// New budgets, which replace all others.
         budgets: Vec<Budget>,
     },
-    /// Requests a permit. Idempotent: a requester that repeats it gets the number of its open permit and renews the
-    /// permit's timeout.
+    /// Requests a permit. Idempotent: a requester that repeats the request gets the number of its open permit and
+    /// renews the permit's timeout.
     RequestPermit {
         /// Target to be taken out of service.
         target: Target,
--- a/crates/disruption-budget/src/lib.rs
+++ b/crates/disruption-budget/src/lib.rs
@@ -1,5 +1,5 @@
-//! Disruption budgets: bounds on the dispatchers and workers that are unavailable at once, and permits to take one out
-//! of service.
+//! Disruption budgets: bounds on the dispatchers and workers that are unavailable at once, and permits to take one of
+//! them out of service.
 //!
 //! The package is pure: no clock, no I/O, no randomness. The same commands lead to the same state on every replica. It
 //! follows Kubernetes' `PodDisruptionBudget`, with permits that are requested, granted and begun one by one.
@@ -13,8 +13,8 @@
 //! 2. **A permit that was not begun can be revoked. The target of a begun permit counts as unavailable** until it is
 //!    proven available again, or an operator deregisters it. No timeout ends a begun permit. The proof is an
 //!    observation of the target as available, either with a higher incarnation than it had when the permit was granted
-//!    or begun, or made after the requester reported that the disruption is complete. Without one of these, a target
-//!    that is available proves nothing, because the disruption may not have been carried out yet.
+//!    or begun, or made after the requester reported that the disruption is complete. Any other observation of the
+//!    target as available proves nothing, because the disruption may not have been carried out yet.
 //! 3. **A permit is checked again when it is begun.** A permit that was revoked or cancelled since its grant is
 //!    rejected, so a requester that was paused for a long time takes no target out of service.
 //! 4. **An observation is valid in its observer's term only**: an observer with an older fencing token changes nothing.
--- a/crates/disruption-budget/src/worker_warmup.rs
+++ b/crates/disruption-budget/src/worker_warmup.rs
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Returns the availability of a worker. A worker of the first list counts as available if it is registered as
-    /// available, because its age is unknown. All other workers count as started when they were first seen.
+    /// Returns the availability of a worker. The age of a worker of the first list is unknown, so it counts as
+    /// available if it is registered as available. All other workers count as started when they were first seen.
     fn availability(
         &self,
         now: Micros,
--- a/crates/disruption-budget/tests/canary_analysis.rs
+++ b/crates/disruption-budget/tests/canary_analysis.rs
@@ -102,7 +102,7 @@
             analysis.verdict()
         );
     }
-    // The canary fails as often as before, but the baseline rarely does: this is a regression.
+    // The canary fails as often as before, but the baseline now rarely fails: this is a regression.
     let mut analysis = CanaryAnalysis::new(AnalysisSettings::default());
     let half = JobCounts { jobs: 20, failed: 10, ..JobCounts::default() };
     analysis.record_window(
--- a/crates/disruption-budget/tests/state.rs
+++ b/crates/disruption-budget/tests/state.rs
@@ -112,14 +112,15 @@
         vec![budget(BudgetScope::Fleet, Amount::Count(2)), budget(BudgetScope::EachZone, Amount::Count(1))];
     let mut fleet = Fleet::new(12, budgets);
     let permits: Vec<u64> = ["d0", "d3", "d1", "d2"].map(|name| fleet.request(name, false)).into();
-    // The budget of zone north allows d0 and not d3. The second disruption that the fleet's budget allows is that of
-    // d1, so d2 must wait.
+    // d0 and d3 are in zone north, whose budget allows one of them: d0, which was requested first. The fleet's budget
+    // allows two disruptions, those of d0 and d1, so d2 must wait.
     assert_eq!(fleet.observe().granted, [permits[0], permits[2]]);
     assert_eq!(fleet.state.blocking_budget(permits[1]).unwrap().scope, BudgetScope::Fleet);
     assert_eq!(fleet.apply(&begin(permits[0], 1)), DisruptionOutcome::PermitBegun(permits[0]));
     fleet.availabilities[0] = (Availability::Unavailable, 1);
     assert_eq!(fleet.observe(), PermitChanges::default());
-    // d0 is available again with a higher incarnation, so its permit is closed and the one of d3 is granted.
+    // d0 is available again with a higher incarnation, so its permit is closed. Both budgets then allow d3, whose
+    // permit was requested before that of d2.
     fleet.availabilities[0] = (Availability::Available, 2);
     assert_eq!(
         fleet.observe(),
--- a/crates/disruption-budget/tests/worker_warmup.rs
+++ b/crates/disruption-budget/tests/worker_warmup.rs
@@ -41,7 +41,8 @@
         "health checks report the worker as unhealthy"
     );
     assert_eq!(observe(7_300, worker(true, 5, false)), Some(Availability::Available));
-    // The worker is in the first list of another observer, which takes its availability from the state.
+    // The worker is in the first list of another observer, so this observer does not know its age. The worker is
+    // registered as available, so its status must not change.
     let mut other_tracker = WarmupTracker::new(0.2, 1_000);
     let workers = [worker(true, 5, false)];
     other_tracker.update_list(9_000, &workers);
--- a/crates/hcl-config/src/section.rs
+++ b/crates/hcl-config/src/section.rs
@@ -123,7 +123,8 @@
         })
     }
 
-    /// Returns the lower and the upper end of a range within bounds. It is a list of two numbers, or one number for both.
+    /// Returns the lower and the upper end of a range within bounds. The range is written as a list of two numbers, or
+    /// as one number for both ends.
     ///
     /// # Errors
     ///
