--- a/crates/dispatch-core/src/api/settings.rs
+++ b/crates/dispatch-core/src/api/settings.rs
@@ -125,7 +125,7 @@
     /// Whether the dispatcher must request the endpoint list and watch it; otherwise changes arrive without a request.
     pub polls_endpoint_list: bool,
     /// Maximum time between polls while no watch is open, if [`Settings::polls_endpoint_list`] is set; 0 if there
-    /// is none.
+    /// is no maximum.
     pub max_poll_interval: Seconds,
     /// The source of load reports.
     pub load_reports: LoadReports,
--- a/crates/dispatch-core/src/capacity_reservation.rs
+++ b/crates/dispatch-core/src/capacity_reservation.rs
@@ -18,8 +18,8 @@
 /// Change of the large jobs' share of the work at which the set of reserved workers is recomputed.
 const REASSIGN_THRESHOLD: f64 = 0.04;
 
-/// Outstanding fraction of a worker from which the next worker is reserved: half, which rounds the number of reserved
-/// workers to the nearest whole number.
+/// Capacity still to be reserved from which one more worker is reserved, as a fraction of a worker. One half rounds the
+/// number of reserved workers to the nearest whole number.
 const RESERVE_THRESHOLD: f64 = 0.5;
 
 /// A worker in the order in which workers are reserved, which is the same at every dispatcher.
@@ -99,8 +99,8 @@
             .map(|(index, worker)| OrderedWorker { kind: worker.kind, hash: mix_bits(worker.id.0), index })
             .collect();
         order.sort_unstable();
-        // Sorting by kind spreads the reservation over the kinds of machines, which differ in speed; the rounding error
-        // carries over from one kind to the next.
+        // Sorting by kind spreads the reservation over the kinds of machines, which differ in speed. The capacity still
+        // to be reserved carries over from one kind to the next.
         let mut outstanding = 0.0;
         for worker in order {
             outstanding += self.reserved_share;
--- a/crates/dispatch-core/src/job.rs
+++ b/crates/dispatch-core/src/job.rs
@@ -80,8 +80,8 @@
         self.request.tenant as usize
     }
 
-    /// Returns the time at which the job stops waiting for a free worker; it may wait for this fraction of the time
-    /// within which it must start.
+    /// Returns the time at which the job stops waiting for a free worker: after `fraction` of the time from its
+    /// arrival until it must start.
     pub(crate) fn placement_deadline(&self, fraction: f64) -> Seconds {
         self.arrived_at + fraction * (self.start_by - self.arrived_at)
     }
--- a/crates/dispatch-core/src/load_report.rs
+++ b/crates/dispatch-core/src/load_report.rs
@@ -105,9 +105,9 @@
     /// Returns the format that the settings describe: `report.names` lists the names, and `family-info.report-x0` and
     /// `family-info.report-x1` state the meaning of the names `x0` and `x1`.
     pub fn from_settings(pairs: &SettingsPairs<'_>) -> LoadReportFormat {
-        let described = |name: &str| pairs.text(&format!("family-info.report-{name}")).replace(' ', "_");
+        let figure_name = |name: &str| pairs.text(&format!("family-info.report-{name}")).replace(' ', "_");
         let figure = |name: &str| match name {
-            "x0" | "x1" => Figure::of_name(&described(name)),
+            "x0" | "x1" => Figure::of_name(&figure_name(name)),
             name => Figure::of_name(name),
         };
         let names = pairs.list("report.names").take(MAX_FIGURES);
--- a/crates/dispatch-core/src/policy/attempts.rs
+++ b/crates/dispatch-core/src/policy/attempts.rs
@@ -129,7 +129,7 @@
             Outcome::Overloaded => self.record_overloaded(ended),
             Outcome::Timeout => self.record_timeout(ended),
             Outcome::ConnectFailed => self.record_failure(index),
-            // A job that fails at several workers is probably the cause itself, and must not eject them all.
+            // Only the first failure of a job counts, so that a faulty job does not eject many workers.
             Outcome::Reset | Outcome::Error if ended.failed_before => {}
             Outcome::Reset | Outcome::Error => self.record_failure(index),
             // An invalid request never ran as a job, so its tenant gets the tokens back.
--- a/crates/dispatch-core/src/policy/mod.rs
+++ b/crates/dispatch-core/src/policy/mod.rs
@@ -48,7 +48,7 @@
     rng: fastrand::Rng,
     now: Seconds,
     banks: Vec<TokenBank>,
-    /// Time at which tokens were last added to the banks.
+    /// Time at which tokens were last added to the token banks.
     accrued_at: Seconds,
     rate: AdmissionRate,
     workload: Workload,
--- a/crates/dispatch-core/src/policy/rate_control.rs
+++ b/crates/dispatch-core/src/policy/rate_control.rs
@@ -85,8 +85,8 @@
     rate.was_cut = true;
 }
 
-/// Raises R by a small fraction, or further toward its target: this dispatcher's share of the quotas after
-/// the first cut, a multiple of the arrivals before.
+/// Raises R by a small fraction, or further toward its target. The target is a multiple of the arrivals
+/// before the first cut of R, and this dispatcher's share of the quotas after it.
 fn raise_rate(rate: &mut AdmissionRate, traffic: WindowTraffic) {
     let rise = if rate.was_cut { RATE_RISE } else { INITIAL_RATE_RISE };
     let target = if rate.was_cut { traffic.quota } else { INITIAL_RATE_MULTIPLE * traffic.arrivals };
--- a/crates/dispatch-core/src/policy/worker_cost.rs
+++ b/crates/dispatch-core/src/policy/worker_cost.rs
@@ -19,7 +19,7 @@
 const SUSPECTED_ZONE_COST: f64 = 1e3;
 /// Cost of a response that is certainly late, as a multiple of the job's work.
 const LATENESS_COST: f64 = 80.0;
-/// Cost of a price of one, the whole value of a served request, as a multiple of the job's work.
+/// Cost per unit of price, as a multiple of the job's work; a price of 1 is the value of a served request.
 const PRICE_COST: f64 = 5.0;
 
 impl Dispatcher {
--- a/crates/dispatch-core/src/policy/worker_selection.rs
+++ b/crates/dispatch-core/src/policy/worker_selection.rs
@@ -8,8 +8,8 @@
 
 /// Maximum number of workers considered in one step of the selection.
 pub(super) const MAX_SAMPLE: usize = 6;
-/// Minimum number of workers considered in a zone if loads are reported. All dispatchers see the same old
-/// reports, so the more workers each of them considers, the more of them choose the same worker.
+/// Minimum number of workers considered in a zone if loads are reported. It is small, because all dispatchers
+/// see the same old reports: the more workers each considers, the more of them choose the same worker.
 const MIN_SAMPLE: usize = 2;
 /// Number of samples per serving worker, over all dispatchers.
 const SAMPLES_PER_WORKER: usize = 2;
--- a/crates/dispatch-core/src/run_time.rs
+++ b/crates/dispatch-core/src/run_time.rs
@@ -183,8 +183,8 @@
     }
 
     /// Whether a job with this probability of being late at its best worker should be rejected. If running times can be
-    /// predicted, an even chance is enough: then the queue makes the job late, and its slot can serve another job in
-    /// time.
+    /// predicted, a probability of one half is enough, because the lateness is then due to the queue and the slot can
+    /// serve another job in time.
     pub(crate) fn deadline_unreachable(&self, lateness_probability: f64) -> bool {
         lateness_probability > 1.0 - MIN_IN_TIME_PROBABILITY * self.confidence()
     }
--- a/crates/dispatch-core/src/worker.rs
+++ b/crates/dispatch-core/src/worker.rs
@@ -81,8 +81,8 @@
         self.idle_connection_until = now + IDLE_CONNECTION_USE * keep_alive;
     }
 
-    /// Whether another worker drops repeats, recognized by their idempotency key, of jobs that this worker may have
-    /// run.
+    /// Whether another worker knows the idempotency keys of the jobs that this worker may have run, so that it drops
+    /// repeats of them.
     pub(crate) fn shares_keys_with(&self, other: &Worker, scope: KeyScope) -> bool {
         match scope {
             KeyScope::All => true,
--- a/crates/dispatch-core/tests/decisions.rs
+++ b/crates/dispatch-core/tests/decisions.rs
@@ -490,7 +490,7 @@
     insta::assert_snapshot!("load_with_answers", digests(&settings(), PLAIN_TRAFFIC));
 }
 
-/// Enables hints, keys, probes, a polled list, hedged requests, prices and capacity reservation.
+/// Runs a stream with hints, keys, probes, a polled list, hedged requests, prices and capacity reservation.
 #[test]
 fn all_optional_settings() {
     let classes = settings().classes;
@@ -531,7 +531,8 @@
     insta::assert_snapshot!("load_by_probes_alone", digests(&cfg, Traffic { keys: true, ..PLAIN_TRAFFIC }));
 }
 
-/// Many dispatchers, no load reports, a class with a required kind of machine, no cancellation.
+/// Runs a stream with many dispatchers and a class that requires a kind of machine, without load reports or
+/// cancellation.
 #[test]
 fn many_dispatchers_without_load_reports() {
     let classes = vec![
--- a/crates/dispatch-core/tests/failures.rs
+++ b/crates/dispatch-core/tests/failures.rs
@@ -333,8 +333,9 @@
     assert!(driver.requests.values().all(|record| record.sends.len() < 4), "no job may run out of attempts");
 }
 
-/// All workers of one kind in one zone are full. Reported starts would show that only seconds later, but jobs that
-/// already wait for a long time show it earlier. The next jobs must be sent to the other kind or the other zone.
+/// All workers of one cohort, which are those of one kind in one zone, are full. Reported starts would show that only
+/// seconds later, but jobs that already wait for a long time show it earlier. The next jobs must be sent to another
+/// cohort: to the other kind or the other zone.
 #[test]
 fn waiting_jobs_mark_their_cohort_as_full() {
     let mut list = fleet(40);
@@ -349,7 +350,7 @@
         driver.request(request(id));
         let to = driver.requests[&id].sends.first().map(|send| send.worker.0);
         to_full_cohort += u32::from(id >= 24 && to.is_some_and(full));
-        // In the full cohort no job starts during the test.
+        // Workers of the full cohort start no job during the test; the others end each job.
         if to.is_some_and(|worker| !full(worker)) {
             driver.event(Event::JobStarted { request: RequestId(id), attempt: 0 });
             driver.advance(0.2);
--- a/crates/dispatch-core/tests/odd.rs
+++ b/crates/dispatch-core/tests/odd.rs
@@ -71,7 +71,7 @@
     assert!(driver.requests.values().all(|record| record.responses == 1 && record.sends.is_empty()));
 }
 
-/// Guards against banks that grow with a job of a million slots and then admit all requests that follow.
+/// Guards against token banks that grow with a job of a million slots and then admit all requests that follow.
 #[test]
 fn rejects_a_job_larger_than_any_worker_without_enlarging_the_banks() {
     let mut driver = Driver::new(settings(), 1, &fleet(3));
--- a/crates/dispatch-core/tests/rules.rs
+++ b/crates/dispatch-core/tests/rules.rs
@@ -377,8 +377,8 @@
     }
 }
 
-/// A job that waits for a free worker must not be sent to a worker that began to drain meanwhile. The grace is not over
-/// then, but the dispatcher does not make use of it.
+/// A job that waits for a free worker must not be sent to a worker that began to drain meanwhile. Rule 3
+/// would allow this until the grace is over, but the dispatcher does not make use of the grace.
 #[test]
 fn sends_no_waiting_job_to_a_worker_that_began_to_drain() {
     let mut driver = Driver::new(settings(), 5, &[endpoint(1, WorkerState::Serving)]);
--- a/crates/dispatch-core/tests/throttle.rs
+++ b/crates/dispatch-core/tests/throttle.rs
@@ -37,8 +37,8 @@
         let quota = 10.0 + rng.f64() * 70.0;
         let rate = 1.5 * quota;
         let mut driver = Driver::new(plain(quota), seed, &fleet(1));
-        // The largest job comes first, because the capacities depend on it. It may be rejected, because the banks are
-        // empty.
+        // The capacities of the token bank and the job buffer depend on the largest job so far, so that job is sent
+        // first. It may be rejected, because the token bank is still empty.
         driver.request(Request { slots: 4.0, timeout: 50.0, ..request(0) });
         let (bank, buffer) = ((rate as i64).max(8), ((rate * 0.5) as i64).max(4));
         let mut u = buffer;
--- a/crates/dispatch-core/tests/unit/load.rs
+++ b/crates/dispatch-core/tests/unit/load.rs
@@ -59,7 +59,8 @@
     fleet.rebuild_indexes(0, Some(10_000.0));
     assert_eq!((capacity(&fleet, 0, 10_000.0), capacity(&fleet, 1, 10_000.0)), (0.6, 0.2));
     assert_eq!(capacity(&fleet, 1, 10_020.0), 1.0, "the worker must not stay in slow start for another hour");
-    // A worker that is first listed or has restarted since the last list started shortly before that list or later.
+    // Discovery lists a start soon after it happened. So a worker that is new on a list, or that has restarted, cannot
+    // have started long before the previous list.
     fleet.upsert(&endpoint(3, 6_400.0), 10_010.0);
     fleet.upsert(&endpoint(2, 13_601.0), 10_010.0);
     assert_eq!((capacity(&fleet, 2, 10_010.0), capacity(&fleet, 1, 10_010.0)), (0.8, 0.2));
--- a/crates/dispatcher/src/config/mod.rs
+++ b/crates/dispatcher/src/config/mod.rs
@@ -59,8 +59,8 @@
     pub idle_timeout: Micros,
     /// Time for which a draining worker may still receive work after the notification.
     pub drain_grace: Micros,
-    /// True if discovery pushes the endpoint list to an agent on this machine. Its content counts as notified from the
-    /// start.
+    /// True if discovery pushes the endpoint list to an agent on this machine. The dispatcher then counts as notified
+    /// of every change that the agent has received, from the start of the process on.
     pub list_is_pushed: bool,
     /// Longest timeout of a class.
     pub longest_timeout: Micros,
--- a/crates/dispatcher/src/engine/inputs.rs
+++ b/crates/dispatcher/src/engine/inputs.rs
@@ -38,7 +38,7 @@
 
     fn handle_client_disconnect(&mut self, request: RequestId) {
         let Some(open) = self.requests.get_mut(request) else { return };
-        // The decision module may have answered at the same time.
+        // The request may have been answered before the disconnect was handled.
         if open.conclude().is_some() {
             self.notify_policy(Event::ClientDisconnected(request));
         }
--- a/crates/dispatcher/src/engine/messages.rs
+++ b/crates/dispatcher/src/engine/messages.rs
@@ -191,9 +191,9 @@
     },
     /// The endpoint list, or a part of it.
     EndpointList {
-        /// Part of the list that follows.
+        /// Whether `endpoints` is the whole list or a part of it.
         scope: ListScope,
-        /// Entries of that part.
+        /// Entries of the list.
         endpoints: Vec<ListedEndpoint>,
     },
     /// New settings take effect.
@@ -228,9 +228,9 @@
     CloseIdle(WorkerId),
     /// Update addresses and states of workers; with [`ListScope::Full`], workers without an entry are removed.
     EndpointList {
-        /// Part of the list that follows.
+        /// Whether `endpoints` is the whole list or a part of it.
         scope: ListScope,
-        /// Entries of that part.
+        /// Entries of the list.
         endpoints: Vec<ListedEndpoint>,
     },
 }
--- a/crates/dispatcher/src/net/client/connection.rs
+++ b/crates/dispatcher/src/net/client/connection.rs
@@ -223,8 +223,8 @@
                 HeadEvent::RequestOverdue => return Err(ConnectionEnd::Error(RequestError::Timeout)),
                 HeadEvent::Evicted if has_unread_bytes(&self.stream) => {}
                 HeadEvent::Evicted => return Err(ConnectionEnd::Evicted),
-                // A request that arrives now is read first. A later one is read and dropped while the connection
-                // lingers, and the client sends it again.
+                // A request that has arrived before this check is served. One that arrives after it is read and dropped
+                // while the connection lingers, and the client sends it again.
                 HeadEvent::IdleClose(_) if has_unread_bytes(&self.stream) => tokio::task::yield_now().await,
                 HeadEvent::IdleClose(end) => return Err(end),
             }
--- a/crates/dispatcher/src/net/client/wait.rs
+++ b/crates/dispatcher/src/net/client/wait.rs
@@ -30,14 +30,14 @@
     }
 }
 
-/// Waits until a connection without a request in progress must be closed, and returns its end. Before the first
-/// request, the connection stays open for a grace period: the request may be in transit, and would be lost, because
-/// clients do not repeat it.
+/// Waits until a connection without a request in progress must be closed, and returns how it ends. Before the
+/// first request, the connection stays open for a grace period, because the first request may be in transit and clients
+/// would not send it again.
 pub(super) async fn idle_close(context: &ClientContext, awaiting_first_request: bool) -> ConnectionEnd {
     let mut phase = context.phase.clone();
     let mut near_limit = context.near_limit.subscribe();
     let mut mode = context.mode.clone();
-    // Before the first request, no response was written that a reset could destroy.
+    // Before the first request, a reset cannot destroy a response, so the connection may be closed unread.
     let end_near_limit = if awaiting_first_request { ConnectionEnd::Evicted } else { ConnectionEnd::Close };
     let end = tokio::select! {
         _ = phase.wait_for(|phase| *phase >= ShutdownPhase::Closing) => ConnectionEnd::Close,
--- a/crates/dispatcher/src/net/discovery/watch_session.rs
+++ b/crates/dispatcher/src/net/discovery/watch_session.rs
@@ -261,8 +261,8 @@
 
 fn watch_failed(connection: &DiscoveryConnection, error: WatchError) -> WatchEnded {
     let is_idle_timeout = matches!(error, WatchError::IdleTimeout);
-    // Without a response, changes may have been missed since the request was sent; after a timeout, since the last
-    // complete value.
+    // If the watch was not answered, it may have missed changes since its request was sent. If it timed out, it may
+    // have missed them since its last complete value. `last_value_at` holds the time for both cases.
     let without_watch_since =
         if is_idle_timeout || !connection.answered { connection.last_value_at } else { Instant::now() };
     WatchEnded {
--- a/crates/dispatcher/src/net/shutdown.rs
+++ b/crates/dispatcher/src/net/shutdown.rs
@@ -9,7 +9,7 @@
 use crate::engine::Micros;
 
 /// Time from the signal until idle client connections are closed. New connections arrive for up to 0.4 s. Open ones are
-/// served for longer, because in a rolling restart the previous dispatcher may need that time to serve again.
+/// served for longer, because in a rolling restart the dispatcher restarted before may not yet serve again.
 const DRAIN_PERIOD: Duration = Duration::from_secs(2);
 /// Maximum length of [`ShutdownPhase::Draining`], as a fraction of the time until [`ShutdownPhase::Finishing`].
 const DRAIN_FRACTION: f64 = 0.6;
--- a/crates/dispatcher/src/net/worker/answer.rs
+++ b/crates/dispatcher/src/net/worker/answer.rs
@@ -160,7 +160,7 @@
         return Ok(());
     }
     let response: ResponseLine<'_> = serde_json::from_slice(line).map_err(|_| ResponseError::InvalidLine)?;
-    // Another worker may have taken over the address; it did not receive this job.
+    // Another worker may have taken over the address. Its response is not that of the worker chosen for this job.
     let is_other_worker = response.worker.is_some_and(|name| worker_id(&name) != guard.worker);
     if is_other_worker || response.request_id.as_bytes() != payload.id {
         return Err(ResponseError::InvalidLine);
--- a/crates/dispatcher/src/net/worker/health_check.rs
+++ b/crates/dispatcher/src/net/worker/health_check.rs
@@ -125,7 +125,7 @@
     let mut connection = match connect(pool, &worker).await {
         Ok(connection) => connection,
         Err(ConnectError::NoCapacity) => return None,
-        // A worker that began to drain meanwhile may refuse connections.
+        // A worker that began to drain meanwhile may refuse connections, so the probe is inconclusive.
         Err(ConnectError::Unreachable) => return worker.accepts_work.get().then_some(false),
     };
     if !worker.accepts_work.get() || !may_write() {
--- a/crates/dispatcher/src/net/worker/pool.rs
+++ b/crates/dispatcher/src/net/worker/pool.rs
@@ -94,7 +94,7 @@
         }
         for (id, worker) in workers.iter().filter(|(_, worker)| !worker.accepts_work.get()) {
             self.close_idle(worker);
-            // The result of its health check no longer matters.
+            // A worker that takes no more work needs no health check.
             if let Some(task) = self.health_checks.borrow().get(id) {
                 task.abort();
             }
--- a/crates/dispatcher/tests/pinned_command_line.rs
+++ b/crates/dispatcher/tests/pinned_command_line.rs
@@ -134,7 +134,7 @@
 
 #[test]
 fn errors_of_the_inherited_descriptor_name_its_variable() {
-    // If the program ignored the variable, it would exit as well, because this address is in use.
+    // This address is in use, so that the program would also exit if it ignored the variable and bound the address.
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     let mut seen = String::new();
