--- a/crates/dispatch-core/tests/backoff.rs
+++ b/crates/dispatch-core/tests/backoff.rs
@@ -30,7 +30,10 @@
         [100_000, 200_000, 400_000, 800_000, 1_600_000, CAP, CAP].into_iter().enumerate()
     {
         let seen = longest_delay(failures, false);
-        assert!(seen <= longest && seen > longest * 9 / 10, "{seen} of {longest}");
+        assert!(
+            seen <= longest && seen > longest * 9 / 10,
+            "after {failures} failures the longest delay is {seen} µs, expected nearly {longest} µs"
+        );
     }
     assert!(longest_delay(7, true) <= FIRST);
 }
@@ -56,5 +59,8 @@
 #[test]
 fn jittered_retries_after_a_common_failure_are_answered() {
     let (fixed, jittered) = (answered(|_| 100_000), answered(|backoff| backoff.next_delay(None)));
-    assert!(jittered >= 95 && fixed < 50, "{jittered} of 100 with the backoff, {fixed} with a fixed delay");
+    assert!(
+        jittered >= 95 && fixed < 50,
+        "answered of 100: {jittered} with the backoff, {fixed} with a fixed delay"
+    );
 }
--- a/crates/dispatch-core/tests/failures.rs
+++ b/crates/dispatch-core/tests/failures.rs
@@ -77,7 +77,10 @@
         }
     }
     let rejected = (40..100).filter(|id| driver.requests[id].sends.is_empty()).count();
-    assert_eq!(rejected, 0, "20 requests per second against an equal share of 2, after two seconds");
+    assert_eq!(
+        rejected, 0,
+        "a dispatcher with ten times the equal share of the traffic must reject no job after two seconds"
+    );
 }
 
 /// After a deployment or a zone outage most workers are in slow start, and each may be used by one dispatcher at a
@@ -329,7 +332,7 @@
         }
         driver.advance(0.8);
     }
-    assert!(failed <= 12, "{failed} attempts at the unreachable zone in 30 s");
+    assert!(failed <= 12, "{failed} attempts were sent to the unreachable zone in 30 s");
     assert!(driver.requests.values().all(|record| record.sends.len() < 4), "no job may run out of attempts");
 }
 
--- a/crates/dispatch-core/tests/poll_schedule.rs
+++ b/crates/dispatch-core/tests/poll_schedule.rs
@@ -26,7 +26,7 @@
                 let retry_after = [None, Some(30_000_000)][failure / 4 % 2];
                 let delay = schedule.next_delay(without_watch, retry_after);
                 let left = (MAX_NOTIFICATION_DELAY - 2_000_000).saturating_sub(without_watch);
-                assert!(delay <= left, "{delay} after {without_watch}");
+                assert!(delay <= left, "a delay of {delay} µs after {without_watch} µs without a watch");
             }
         }
     }
@@ -79,5 +79,5 @@
         );
     }
     let fixed = answered(300, 12_000, 12_000_000, |_| 100_000);
-    assert!(fixed < 200, "{fixed} of 300 with a fixed delay");
+    assert!(fixed < 200, "{fixed} of 300 dispatchers were answered with a fixed delay");
 }
--- a/crates/dispatch-core/tests/rules.rs
+++ b/crates/dispatch-core/tests/rules.rs
@@ -166,13 +166,13 @@
         driver.end_attempt(1, 0, Outcome::Reset);
         driver.advance(3.0);
         let sends = &driver.requests[&1].sends;
-        assert_eq!(sends.len() > 1, is_retried, "{scope:?} after {wait} s: {sends:?}");
+        assert_eq!(sends.len() > 1, is_retried, "key scope {scope:?}, reset after {wait} s: {sends:?}");
         if let (KeyScope::Cell, Some(second)) = (scope, sends.get(1)) {
             assert_eq!(second.worker.0 % 3, sends[0].worker.0 % 3, "the retry must stay in the cell");
         }
         assert!(
             is_retried || driver.requests[&1].responses == 1,
-            "{scope:?} after {wait} s must be answered"
+            "key scope {scope:?}, reset after {wait} s: the request must be answered"
         );
     }
 }
@@ -274,7 +274,10 @@
         let sends = sent.iter().filter(|at| (from..from + window).contains(*at)).count();
         let capacity = min_capacity + (1.0 - min_capacity) * (from - 100.0) / duration;
         let allowed = multiple * capacity * window;
-        assert!(sends as f64 * work <= allowed, "{sends} sends from {from} on, work of {allowed} is allowed");
+        assert!(
+            sends as f64 * work <= allowed,
+            "{sends} sends in the window from {from} on exceed the allowed work of {allowed}"
+        );
     }
 }
 
@@ -372,7 +375,11 @@
             let in_window = to_worker.filter(|send| (from..from + 1.5).contains(&send.sent_at));
             let capacity = 0.2 + 0.8 * (from - start) / 24.0;
             // The worker is assumed to have one slot, because the largest job so far has one; each job runs for 0.3 s.
-            assert!(in_window.count() as f64 * 0.3 <= 3.0 * capacity * 1.5, "{worker:?} at {}", from - start);
+            assert!(
+                in_window.count() as f64 * 0.3 <= 3.0 * capacity * 1.5,
+                "{worker:?} is overloaded in the window that begins {} s after its start",
+                from - start
+            );
         }
     }
 }
--- a/crates/dispatch-core/tests/throttle.rs
+++ b/crates/dispatch-core/tests/throttle.rs
@@ -102,7 +102,7 @@
     }
     let sent = (400..800).filter(|id| !driver.requests[id].sends.is_empty()).count();
     // Five seconds at R = 60 per second; the tenant's own share is 15 per second.
-    assert!((280..=320).contains(&sent), "{sent} sent in five seconds");
+    assert!((280..=320).contains(&sent), "{sent} jobs were sent in five seconds");
 }
 
 /// The retry-after of a rejection is the number of missing tokens divided by the tenant's rate, up to the maximum that
@@ -119,5 +119,8 @@
         }
     }
     let wait = waits.last().copied().flatten().expect("a full buffer rejects with a retry-after");
-    assert!(wait > 0.0 && wait <= 4.0 / 30.0 + 1e-9, "at most four slots at 30 per second: {wait}");
+    assert!(
+        wait > 0.0 && wait <= 4.0 / 30.0 + 1e-9,
+        "at most four tokens are missing at 30 per second, but the retry-after is {wait} s"
+    );
 }
--- a/crates/dispatch-core/tests/unit/run_time.rs
+++ b/crates/dispatch-core/tests/unit/run_time.rs
@@ -57,13 +57,22 @@
     good.run(300, 1.0, |_, work| Some(work));
     poor.run(300, 1.0, |rng, _| Some(draw_work(rng)));
     let ratio = |simulation: &Simulation| simulation.estimate(1.0) / simulation.estimate(0.05);
-    assert!((16.0..25.0).contains(&ratio(&good)), "the true ratio is 20: {}", ratio(&good));
-    assert!(ratio(&poor) < 3.0, "the hints carry no information: {}", ratio(&poor));
+    assert!((16.0..25.0).contains(&ratio(&good)), "the true ratio is 20, the estimate is {}", ratio(&good));
+    assert!(
+        ratio(&poor) < 3.0,
+        "the hints carry no information, but the estimated ratio is {}",
+        ratio(&poor)
+    );
     let (good, poor) = (good.class, poor.class);
     assert!(
         good.deadline_unreachable(0.6) && !poor.deadline_unreachable(0.6) && poor.deadline_unreachable(0.95)
     );
-    assert!(good.variance() < 0.1 && poor.variance() > 0.5, "{} and {}", good.variance(), poor.variance());
+    assert!(
+        good.variance() < 0.1 && poor.variance() > 0.5,
+        "variances of {} with accurate hints, {} with random hints",
+        good.variance(),
+        poor.variance()
+    );
     assert!(good.lateness_probability(0.3, 0.2, 0.0) < 0.1 && good.lateness_probability(0.2, 0.3, 0.0) > 0.9);
     assert!(
         (0.3..0.5).contains(&good.lateness_probability(0.3, 0.2, 0.1)),
@@ -80,7 +89,7 @@
         let run_time = simulation.estimate(0.2 * factor);
         assert!(
             (0.1..0.4).contains(&run_time),
-            "the true time is 0.2 s, hints are wrong by the factor {factor}: {run_time}"
+            "the true time is 0.2 s, hints are wrong by the factor {factor}; the estimate is {run_time}"
         );
     }
 }
@@ -92,7 +101,10 @@
         assert!(simulation.class.log_work(Some(hint)).is_finite(), "{hint}");
         simulation.run(300, 1.0, |rng, work| Some(if rng.u8(0..50) == 0 { hint } else { work }));
         let run_time = simulation.estimate(0.2);
-        assert!((0.1..0.4).contains(&run_time), "the true time is 0.2 s, after hints of {hint}: {run_time}");
+        assert!(
+            (0.1..0.4).contains(&run_time),
+            "the true time is 0.2 s; after hints of {hint} the estimate is {run_time}"
+        );
     }
 }
 
@@ -108,7 +120,10 @@
         simulation.slowdown() / before
     };
     let (hinted, unhinted, later) = (after(true, 8), after(false, 8), after(false, 40));
-    assert!(hinted > 3.0 && unhinted < hinted && later > 2.0, "{hinted}, {unhinted}, {later}");
+    assert!(
+        hinted > 3.0 && unhinted < hinted && later > 2.0,
+        "slowdown after 8 jobs: {hinted} with hints, {unhinted} without; {later} after 40 without"
+    );
 }
 
 #[test]
--- a/crates/dispatcher/tests/crowd.rs
+++ b/crates/dispatcher/tests/crowd.rs
@@ -277,7 +277,7 @@
     let idle_clients = connect_idle_clients(dispatcher.address);
     let ends = send_requests_for(dispatcher.address, OBSERVATION_TIME);
     drop(idle_clients);
-    assert!(violations(&ends).is_empty(), "{:?} of {}", violations(&ends), ends.len());
+    assert!(violations(&ends).is_empty(), "violations {:?} among {} requests", violations(&ends), ends.len());
     // Once the idle clients have disconnected, no connection is closed unread.
     let after = send_requests_for(dispatcher.address, REQUEST_TIMEOUT);
     assert!(after.iter().all(|end| matches!(end, RequestEnd::Answered(..))), "{after:?}");
@@ -292,7 +292,7 @@
     dispatcher.terminate();
     let ends = send_requests_for(dispatcher.address, OBSERVATION_TIME);
     drop(idle_clients);
-    assert!(violations(&ends).is_empty(), "{:?} of {}", violations(&ends), ends.len());
+    assert!(violations(&ends).is_empty(), "violations {:?} among {} requests", violations(&ends), ends.len());
 }
 
 /// Clients send requests on kept connections until the dispatcher has ended, while idle clients use up the limit.
@@ -312,7 +312,7 @@
         drop(idle_clients);
         ends
     });
-    assert!(violations(&ends).is_empty(), "{:?} of {}", violations(&ends), ends.len());
+    assert!(violations(&ends).is_empty(), "violations {:?} among {} requests", violations(&ends), ends.len());
     assert!(ends.len() > 3 * KEEP_ALIVE_CLIENTS, "{ends:?}");
 }
 
--- a/crates/dispatcher/tests/log_targets.rs
+++ b/crates/dispatcher/tests/log_targets.rs
@@ -17,11 +17,11 @@
         ("cairncrank_release", "disruption_budget"),
         ("cairncrank_fleet::member", "cluster_member::member"),
     ] {
-        let words = format!("warn,{former}=debug");
-        assert!(enabled(&words, current, Level::DEBUG), "{words} for {current}");
-        assert!(!enabled(&words, current, Level::TRACE), "{words} for {current}");
-        assert!(!enabled(&words, "elsewhere", Level::INFO), "{words} elsewhere");
-        assert!(enabled(&words, "elsewhere", Level::WARN), "{words} elsewhere");
+        let levels = format!("warn,{former}=debug");
+        assert!(enabled(&levels, current, Level::DEBUG), "{levels} for {current}");
+        assert!(!enabled(&levels, current, Level::TRACE), "{levels} for {current}");
+        assert!(!enabled(&levels, "elsewhere", Level::INFO), "{levels} elsewhere");
+        assert!(enabled(&levels, "elsewhere", Level::WARN), "{levels} elsewhere");
     }
 }
 
@@ -50,23 +50,23 @@
     ] {
         let current = format!("dispatcher::{current}");
         for package in ["cairncrank", "dispatcher"] {
-            let words = format!("warn,{package}::{former}=debug");
-            assert!(enabled(&words, &current, Level::DEBUG), "{words} for {current}");
-            assert!(!enabled(&words, &current, Level::TRACE), "{words} for {current}");
-            assert!(!enabled(&words, "dispatcher::net::console", Level::INFO), "{words} elsewhere");
-            assert!(enabled(&words, "dispatcher::net::console", Level::WARN), "{words} elsewhere");
+            let levels = format!("warn,{package}::{former}=debug");
+            assert!(enabled(&levels, &current, Level::DEBUG), "{levels} for {current}");
+            assert!(!enabled(&levels, &current, Level::TRACE), "{levels} for {current}");
+            assert!(!enabled(&levels, "dispatcher::net::console", Level::INFO), "{levels} elsewhere");
+            assert!(enabled(&levels, "dispatcher::net::console", Level::WARN), "{levels} elsewhere");
         }
     }
 }
 
 #[test]
 fn a_current_module_name_takes_precedence_over_its_former_name() {
-    for words in [
+    for levels in [
         "cairncrank::net::leave=trace,dispatcher::net::planned_drain=warn",
         "dispatcher::net::planned_drain=warn,dispatcher::net::leave=trace",
     ] {
-        assert!(!enabled(words, "dispatcher::net::planned_drain", Level::INFO), "{words}");
-        assert!(enabled(words, "dispatcher::net::planned_drain", Level::WARN), "{words}");
+        assert!(!enabled(levels, "dispatcher::net::planned_drain", Level::INFO), "{levels}");
+        assert!(enabled(levels, "dispatcher::net::planned_drain", Level::WARN), "{levels}");
     }
 }
 
@@ -74,9 +74,9 @@
 fn current_target_names_are_accepted_and_take_precedence() {
     assert!(enabled("warn,dispatcher::net=debug", "dispatcher::net::client", Level::DEBUG));
     assert!(!enabled("warn,dispatcher::net=debug", "dispatcher::engine", Level::INFO));
-    for words in ["cairncrank::net=trace,dispatcher::net=warn", "dispatcher::net=warn,cairncrank::net=trace"]
+    for levels in ["cairncrank::net=trace,dispatcher::net=warn", "dispatcher::net=warn,cairncrank::net=trace"]
     {
-        assert!(!enabled(words, "dispatcher::net", Level::INFO), "{words}");
+        assert!(!enabled(levels, "dispatcher::net", Level::INFO), "{levels}");
     }
 }
 
